--- a/api.go
+++ b/api.go
@@ -110,9 +110,9 @@
 
 // Report is an engine's load report.
 type Report struct {
-	Memory float64 // share of memory held by running requests
-	Unread float64 // thousands of prompt tokens not yet read
-	Slots  float64 // share of slots in use
+	Memory float64 `json:"Memory"` // share of memory held by running requests
+	Unread float64 `json:"Unread"` // thousands of prompt tokens not yet read
+	Slots  float64 `json:"Slots"`  // share of slots in use
 }
 
 // Event is something the gateway observed; one of the pointer types below.
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -91,7 +91,10 @@
 }
 
 // start starts a process of the node, with further variables.
-func (p *platform) start(variables ...string) *process {
+func (p *platform) start(variables ...string) *process { return p.startProgram(p.program, variables...) }
+
+// startProgram starts a process of the node that runs another program than the platform's.
+func (p *platform) startProgram(program string, variables ...string) *process {
 	q := &process{console: testpeer.FreeAddress(p.t), said: &log{}}
 	more := map[string]any{"console": q.console}
 	if p.known != nil {
@@ -104,7 +107,7 @@
 	socket, err := p.listen.File()
 	require.NoError(p.t, err)
 	defer socket.Close()
-	q.Cmd = exec.Command(p.program)
+	q.Cmd = exec.Command(program)
 	q.ExtraFiles = []*os.File{socket}
 	q.Env = append(append(os.Environ(), "PROXY_CONFIG="+file, "TMPDIR="+p.dir, "PROXY_SOCKET_FD=3"), variables...)
 	q.Stderr = q.said
--- /dev/null
+++ b/internal/entries/golden_test.go
@@ -0,0 +1,39 @@
+package entries
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"standpoint/internal/testpeer/golden"
+)
+
+// An endpoint of the last list, in the store under entries/last.
+func TestGoldenLastList(t *testing.T) {
+	golden.RoundTrip(t, "last.json", []kept{{
+		Host:   "box-1",
+		Dial:   "127.0.0.1:9000",
+		Site:   "a",
+		Class:  "m",
+		Block:  3,
+		Health: "ready",
+		Share:  1.5,
+		BornMS: 1700000000000,
+		Mode:   "batch",
+		Labels: map[string]string{"tier": "new"},
+		Source: "dnssd",
+		Until:  time.Date(2026, 11, 1, 10, 0, 0, 0, time.UTC),
+	}},
+		func(all []kept) ([]byte, error) { return json.MarshalIndent(all, "", "  ") },
+		func(raw []byte) (all []kept, err error) { err = json.Unmarshal(raw, &all); return all, err })
+	golden.Bytes(t, "keys.txt", []byte(lastKey+"\n"))
+}
+
+// The words of a list's health.
+func TestGoldenHealthWords(t *testing.T) {
+	raw, err := json.Marshal(healths)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "health.json", raw)
+}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -31,6 +31,9 @@
 // Options are what a rig is made of.
 type Options struct {
 	Program string
+	// Previous is an earlier program that the last Older nodes run in place of Program.
+	Previous string
+	Older    int
 	Dir     string // empty, and the rig's own
 	Nodes   int    // 3 to 7; all of them members of the store, but for the sites
 	Sites   int    // of these, the last ones: building sites with a line to the halls
@@ -65,6 +68,7 @@
 // Node is one node: its file, and its process while it has one.
 type Node struct {
 	Name, Front, Control string
+	program              string
 	file                 string
 	log                  string
 
@@ -131,7 +135,7 @@
 		return nil, err
 	}
 	for i := range o.Nodes {
-		n := &Node{Name: fmt.Sprintf("n%d", i), Front: front[i], Control: controls[i], file: filepath.Join(o.Dir, fmt.Sprintf("n%d.toml", i)),
+		n := &Node{Name: fmt.Sprintf("n%d", i), program: o.programOf(i), Front: front[i], Control: controls[i], file: filepath.Join(o.Dir, fmt.Sprintf("n%d.toml", i)),
 			log: filepath.Join(o.Dir, fmt.Sprintf("n%d.log", i)), rig: r}
 		var b strings.Builder
 		off := time.Duration((2*r.rng.Float64() - 1) * float64(o.Clock))
@@ -192,6 +196,14 @@
 	return r, nil
 }
 
+// programOf is what the node of that number runs.
+func (o Options) programOf(number int) string {
+	if number >= o.Nodes-o.Older {
+		return o.Previous
+	}
+	return o.Program
+}
+
 // lease is for how long seats are given: for long where sites may be alone.
 func (o Options) lease() time.Duration {
 	if o.Sites > 0 {
@@ -222,7 +234,7 @@
 	if err != nil {
 		return err
 	}
-	c := exec.Command(n.rig.Program, "serve", "--config", n.file)
+	c := exec.Command(n.program, "serve", "--config", n.file)
 	c.Stdout, c.Stderr = out, out
 	if err := c.Start(); err != nil {
 		return errors.Join(err, out.Close())
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/testpeer/release"
 )
 
 func program(t *testing.T) string {
@@ -50,3 +52,48 @@
 	require.NoError(t, err)
 	t.Logf("%+v", a)
 }
+
+// Of three processes one is of the earlier program: they share budgets and sessions while they are cut off, lossy, killed and stalled,
+// and every invariant of a fleet of one version holds.
+func TestAFleetOfTwoVersions(t *testing.T) {
+	options := Options{
+		Program:  program(t),
+		Previous: release.Program(t),
+		Older:    1,
+		Nodes:    3,
+		Boxes:    3,
+		Seed:     1,
+		Clock:    100 * time.Millisecond,
+		Token:    time.Millisecond,
+		Log:      t.Logf,
+	}
+	t.Run("budgets", func(t *testing.T) {
+		o := options
+		o.Dir = t.TempDir()
+		o.Window = 400 * time.Millisecond
+		o.Tenants = []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}
+		verdict, err := Rights(t.Context(), o, 5*time.Second, 60)
+		require.NoError(t, err)
+		t.Logf("%+v", verdict)
+	})
+	t.Run("sessions", func(t *testing.T) {
+		o := options
+		o.Dir = t.TempDir()
+		o.Window = time.Second
+		o.Tenants = []Tenant{{Name: "acme"}}
+		verdict, err := Sessions(t.Context(), o, 5*time.Second, 10, 3, true)
+		require.NoError(t, err)
+		require.Positive(t, verdict.Resumes)
+		t.Logf("%+v", verdict)
+	})
+	t.Run("ledgers", func(t *testing.T) {
+		o := options
+		o.Dir = t.TempDir()
+		o.Nodes = 4 // the last, a site, is the earlier program
+		o.Window = 400 * time.Millisecond
+		o.Tenants = []Tenant{{Name: "acme", Amount: 1600, Over: 400}, {Name: "free"}}
+		account, err := Ledgers(t.Context(), o, 3*time.Second, 60)
+		require.NoError(t, err)
+		t.Logf("%+v", account)
+	})
+}
--- a/internal/mover/machine.go
+++ b/internal/mover/machine.go
@@ -86,10 +86,14 @@
 }
 
 type pulse struct {
-	Flows, Late     int     // flows, and whether any worth was late, as a count of windows
-	Asked, InTime   float64 // worth
-	Tried, Failed   int     // attempts and flows that fell over
-	Ready, Assigned int
+	Flows    int     `json:"Flows"`
+	Late     int     `json:"Late"`  // whether any worth was late, as a count of windows
+	Asked    float64 `json:"Asked"` // worth
+	InTime   float64 `json:"InTime"`
+	Tried    int     `json:"Tried"`  // attempts and flows that fell over
+	Failed   int     `json:"Failed"` // of them
+	Ready    int     `json:"Ready"`
+	Assigned int     `json:"Assigned"`
 }
 
 // Errors of commands.
--- /dev/null
+++ b/internal/moves/golden_test.go
@@ -0,0 +1,123 @@
+package moves
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"standpoint/internal/mover"
+	"standpoint/internal/pool"
+	"standpoint/internal/testpeer/golden"
+)
+
+func encodeJSON[T any](value T) ([]byte, error) { return json.MarshalIndent(value, "", "  ") }
+
+func decodeJSON[T any](raw []byte) (value T, err error) {
+	err = json.Unmarshal(raw, &value)
+	return value, err
+}
+
+var goldenHealth = mover.Health{Boxes: 5, Ready: 4, Size: 3.5, Able: 2.25}
+
+var goldenSide = mover.Side{
+	Flows:    30,
+	Asked:    28.5,
+	InTime:   27.25,
+	Refused:  3,
+	Fallen:   2,
+	Attempts: 33,
+	Errors:   1,
+	Samples:  []mover.Sample{{Class: 1, Kind: 2, Unread: 300, Load: 0.5, First: 0.25, Gap: 0.02}},
+	Health:   goldenHealth,
+}
+
+// What a node reports to the one that carries the move on.
+func TestGoldenReport(t *testing.T) {
+	other := goldenSide
+	other.Flows = 31
+	golden.RoundTrip(t, "report.json", Report{Node: "n1", Move: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
+		encodeJSON[Report], decodeJSON[Report])
+}
+
+// What an operator's start says.
+func TestGoldenStart(t *testing.T) {
+	golden.RoundTrip(t, "start.json", StartWish{
+		From:        "old",
+		To:          "new",
+		Steps:       []float64{0.25, 1},
+		Hold:        "20s",
+		Warm:        "10s",
+		Trickle:     0.02,
+		Samples:     30,
+		Floor:       0.9,
+		OnWorse:     "stay",
+		ReturnEvery: "2s",
+		By:          "staff",
+		Note:        "a release",
+	}, encodeJSON[StartWish], decodeJSON[StartWish])
+}
+
+// What is shown of a move.
+func TestGoldenStatus(t *testing.T) {
+	record := mover.Record{ID: "m-7", State: mover.Holding, Shares: pool.Shares{From: "old", To: "new", Share: 0.25}}
+	value := Status{
+		Node:     "n1",
+		Leads:    true,
+		Leader:   "n2",
+		Version:  9,
+		Move:     &record,
+		Evidence: 0.5,
+		Nodes:    []NodeStatus{{Name: "n3", Version: 8, Age: 1.5, Behind: true}},
+	}
+	raw, err := encodeJSON(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "status.json", raw)
+}
+
+// The record of a move, in the store under move/current and move/history/.
+func TestGoldenRecord(t *testing.T) {
+	at := time.Date(2026, 11, 1, 10, 0, 0, 500, time.UTC)
+	machine, err := mover.Start("m-7", goldenPlan(), pool.Shares{Moved: map[string]string{"a": "b"}}, goldenHealth, goldenHealth, at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	machine.Sign("staff", "a release")
+	for i := range 30 {
+		machine.Observe(at.Add(time.Duration(i)*time.Second), mover.Window{From: goldenSide, To: goldenSide, Nodes: 3})
+	}
+	record := machine.Record()
+	record.Paused = true
+	record.Reason = "paused"
+	record.Cause = "the new pool is worse"
+	record.Back = 0.75
+	raw, err := encodeJSON(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := golden.Read(t, "record.json", func() []byte { return raw })
+	decoded, err := decodeJSON[mover.Record](stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	// Carried on from the stored record, the move is where it was.
+	again, err := encodeJSON(mover.Resume(decoded).Record())
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "record.json", again)
+	golden.Bytes(t, "record.json", raw)
+}
+
+func goldenPlan() mover.Plan {
+	plan := mover.Default()
+	plan.From = "old"
+	plan.To = "new"
+	return plan
+}
+
+// The keys of the store.
+func TestGoldenKeys(t *testing.T) {
+	golden.Bytes(t, "keys.txt", []byte(currentKey+"\n"+historyPrefix+"\n"))
+}
