--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -91,7 +91,9 @@
 }
 
 // start starts a process of the node, with further variables.
-func (p *platform) start(variables ...string) *process { return p.startProgram(p.program, variables...) }
+func (p *platform) start(variables ...string) *process {
+	return p.startProgram(p.program, variables...)
+}
 
 // startProgram starts a process of the node that runs another program than the platform's.
 func (p *platform) startProgram(program string, variables ...string) *process {
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -34,18 +34,18 @@
 	// Previous is an earlier program that the last Older nodes run in place of Program.
 	Previous string
 	Older    int
-	Dir     string // empty, and the rig's own
-	Nodes   int    // 3 to 7; all of them members of the store, but for the sites
-	Sites   int    // of these, the last ones: building sites with a line to the halls
-	NoKills bool   // troubles are those of messages and clocks alone
-	Boxes   int
-	Seed    uint64
-	Tenants []Tenant
-	Window  time.Duration
-	Clock   time.Duration // by which nodes' clocks are off, each way, at the most
-	Token   time.Duration // of the boxes
-	Config  string        // further text of each node's file
-	Log     func(format string, args ...any)
+	Dir      string // empty, and the rig's own
+	Nodes    int    // 3 to 7; all of them members of the store, but for the sites
+	Sites    int    // of these, the last ones: building sites with a line to the halls
+	NoKills  bool   // troubles are those of messages and clocks alone
+	Boxes    int
+	Seed     uint64
+	Tenants  []Tenant
+	Window   time.Duration
+	Clock    time.Duration // by which nodes' clocks are off, each way, at the most
+	Token    time.Duration // of the boxes
+	Config   string        // further text of each node's file
+	Log      func(format string, args ...any)
 }
 
 // Tenant is a tenant and its budget, with an overdraft; Amount 0: none.
