--- /dev/null
+++ b/internal/fleet/site/golden_test.go
@@ -0,0 +1,17 @@
+package site
+
+import (
+	"fmt"
+	"testing"
+
+	"standpoint/internal/testpeer/golden"
+)
+
+// The words stand in what operators and the laboratory read.
+func TestGoldenWords(t *testing.T) {
+	var text []byte
+	for _, m := range []Mode{Connected, Doubtful, Alone, Reconciling} {
+		text = fmt.Appendf(text, "%d %s\n", m, m)
+	}
+	golden.Bytes(t, "words.txt", text)
+}
