--- a/internal/fleet/rights/purse.go
+++ b/internal/fleet/rights/purse.go
@@ -324,15 +324,20 @@
 
 // Use is what a purse shows of itself.
 type Use struct {
-	Budget               string `json:"budget"`
-	Window               int64  `json:"window"`
-	Rights, Spent        int64
-	Share, Lent, Held    int64
-	Wanted               float64
-	Debt                 int64
-	LoansOut, LoansIn    int
-	LeaseEpoch           uint64
-	LeaseFirst, LeaseEnd int64
+	Budget     string  `json:"budget"`
+	Window     int64   `json:"window"`
+	Rights     int64   `json:"Rights"`
+	Spent      int64   `json:"Spent"`
+	Share      int64   `json:"Share"`
+	Lent       int64   `json:"Lent"`
+	Held       int64   `json:"Held"`
+	Wanted     float64 `json:"Wanted"`
+	Debt       int64   `json:"Debt"`
+	LoansOut   int     `json:"LoansOut"`
+	LoansIn    int     `json:"LoansIn"`
+	LeaseEpoch uint64  `json:"LeaseEpoch"`
+	LeaseFirst int64   `json:"LeaseFirst"`
+	LeaseEnd   int64   `json:"LeaseEnd"`
 }
 
 // Use is how the purse stands.
