--- /dev/null
+++ b/internal/batch/golden_test.go
@@ -0,0 +1,244 @@
+package batch
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"mime/multipart"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"standpoint/internal/store"
+	"standpoint/internal/testpeer/golden"
+)
+
+func roundTrip[T any](t *testing.T, name string, value T, unset ...string) {
+	t.Helper()
+	golden.RoundTrip(t, name, value, func(v T) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v T, err error) {
+		return v, json.Unmarshal(raw, &v)
+	}, unset...)
+}
+
+// goldenBatch has all fields set, each to a value of its own.
+func goldenBatch() Batch {
+	return Batch{ID: "batch_1", Object: "batch", Endpoint: Endpoint, Errors: &Faults{Object: "list", Data: []Fault{{Code: "invalid_url", Message: "a message", Param: "url", Line: 2}}},
+		InputFileID: "file-3", CompletionWindow: "24h", Status: CancelledS, OutputFileID: "file-4", ErrorFileID: "file-5", CreatedAt: 6, InProgressAt: 7, ExpiresAt: 8,
+		FinalizingAt: 9, CompletedAt: 10, FailedAt: 11, ExpiredAt: 12, CancellingAt: 13, CancelledAt: 14, RequestCounts: Counts{Total: 15, Completed: 16, Failed: 17},
+		Metadata: map[string]string{"office": "payroll"}}
+}
+
+// Batches, files, lines and their results, as they lie in the store and in files.
+func TestGoldenRecords(t *testing.T) {
+	roundTrip(t, "batch.json", goldenBatch())
+	roundTrip(t, "file.json", File{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a.jsonl", Purpose: "batch", Status: "processed"})
+	roundTrip(t, "line.json", record{State: lineOut, Until: 1796121600000, Tries: 2})
+	roundTrip(t, "task.json", Task{CustomID: "sheet-1", Method: "POST", URL: Endpoint, Body: json.RawMessage(`{"model":"m"}`)})
+	roundTrip(t, "result.json", Result{ID: "batch_req_1", CustomID: "sheet-1", Response: &Response{StatusCode: 200, RequestID: "r", Body: json.RawMessage(`{"a":1}`)},
+		Error: &Failure{Code: "batch_expired", Message: "a message"}})
+	roundTrip(t, "page.json", page[File]{Object: "list", Data: []File{{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a", Purpose: "batch", Status: "processed"}},
+		FirstID: "file-1", LastID: "file-2", HasMore: true})
+	least, err := json.Marshal([]any{Batch{}, File{}, record{}, Result{}, Fault{}, page[Batch]{}})
+	require.NoError(t, err)
+	golden.Bytes(t, "least.json", least)
+	var words []string
+	for _, s := range []Status{Validating, FailedSt, InProgress, Finalizing, Completed, Expired, Cancelling, CancelledS} {
+		words = append(words, fmt.Sprintf("%s %t", s, s.Over()))
+	}
+	for _, s := range []lineState{lineWaiting, lineOut, lineDone, lineFailed} {
+		words = append(words, "line "+string(s))
+	}
+	words = append(words, batchKey("b"), fileKey("f"), lineKey("b", 7), resultKey("b", 7), chunkKey("f", 7), lineKeys("b"), resultKeys("b"), chunkKeys)
+	golden.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+}
+
+func goldenFront(t *testing.T, keys store.Store, edit func(*Options)) *Front {
+	t.Helper()
+	o := Options{Store: keys, Log: zap.NewNop(), Classes: []string{"chat", "import"}, Tenants: []string{"acme", "bolt"}, Fields: Fields{Class: "class", Tenant: "tenant", Session: "session",
+		Prefix: "prefix"}, Defaults: Fields{Class: "chat", Tenant: "acme", MaxTokens: 64}, LinesAtOnce: 4, LineTime: time.Second, Tries: 4, FileMost: 1 << 20, FilesMost: 2 << 20,
+		Members: map[string]string{"other": "10.0.0.2:80"}}
+	if edit != nil {
+		edit(&o)
+	}
+	return New(o)
+}
+
+// A file's pieces and its record, as the store has them.
+func TestGoldenStore(t *testing.T) {
+	keys := store.NewMemory()
+	f := goldenFront(t, keys, nil)
+	content := strings.Repeat("x", chunkSize) + "tail"
+	require.NoError(t, f.store(t.Context(), File{ID: "file-1", Filename: "a.jsonl", Purpose: "batch"}, []byte(content)))
+	require.Equal(t, []string{"data/file-1/000000", "data/file-1/000001", "file/file-1"}, keys.List(""))
+	require.Equal(t, "tail", string(keys.Get("data/file-1/000001").Data))
+	file, ok := f.file("file-1")
+	require.True(t, ok)
+	file.CreatedAt = 3
+	raw, err := json.Marshal(file)
+	require.NoError(t, err)
+	golden.Bytes(t, "stored_file.json", raw)
+	whole, err := f.content("file-1")
+	require.NoError(t, err)
+	require.Equal(t, content, string(whole))
+	_, err = keys.Write(t.Context(), store.Op{Key: "data/file-1/000001", If: store.Any})
+	require.NoError(t, err)
+	_, torn := f.content("file-1")
+	_, none := f.content("file-2")
+	golden.Bytes(t, "content_errors.txt", []byte(torn.Error()+"\n"+none.Error()+"\n"))
+}
+
+// What a line's record and its result are once it has failed.
+func TestGoldenFailedLines(t *testing.T) {
+	keys := store.NewMemory()
+	f := goldenFront(t, keys, nil)
+	var out []string
+	for i, code := range []string{"batch_cancelled", "batch_expired", "server_error"} {
+		l := &line{number: i, task: Task{CustomID: "sheet"}, key: lineKey("b", i), result: resultKey("b", i), record: record{Tries: 3}}
+		require.NoError(t, f.fail(t.Context(), l, code))
+		var r Result
+		raw := keys.Get(l.result).Data
+		require.NoError(t, json.Unmarshal(raw, &r))
+		require.Len(t, r.ID, len("batch_req_")+24)
+		out = append(out, string(keys.Get(l.key).Data), strings.ReplaceAll(string(raw), r.ID, "ID"))
+	}
+	golden.Bytes(t, "failed_lines.txt", []byte(strings.Join(out, "\n")+"\n"))
+}
+
+// What is sent for a line, and the answer that is put together of the events.
+func TestGoldenLineRequestAndCompletion(t *testing.T) {
+	f := goldenFront(t, store.NewMemory(), nil)
+	q, body, fault := f.flowOf(json.RawMessage(`{"model":"m","messages":[{"content":"an opening"},{"content":"x"}],"max_tokens":5,"metadata":{"class":"import","tenant":"bolt","session":"s","prefix":"00000000000000ff"}}`))
+	require.Nil(t, fault)
+	c := &collector{}
+	require.NoError(t, c.Event([]byte("data: {\"model\":\"m2\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}],\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n")))
+	completion, err := c.completion("id", "m", 1)
+	require.NoError(t, err)
+	golden.Bytes(t, "line_request.txt", fmt.Appendf(nil, "class %d tenant %d session %x prefix %x prompt %v opening %v answer %v\n%s\n%s\n", q.Class, q.Tenant, q.Session, q.Prefix,
+		q.PromptTokens, q.PrefixTokens, q.MaxTokens, body, completion))
+}
+
+// Faults of an input file's lines: codes, parameters and texts.
+func TestGoldenFaults(t *testing.T) {
+	f := goldenFront(t, store.NewMemory(), nil)
+	const good = `{"custom_id":"%s","method":"POST","url":"/v1/chat/completions","body":%s}`
+	body := `{"model":"m","messages":[{"content":"x"}]}`
+	lines := []string{fmt.Sprintf(good, "a", body), "{not json", fmt.Sprintf(good, "a", body), fmt.Sprintf(good, "", body), strings.Replace(fmt.Sprintf(good, "b", body), "POST", "GET", 1),
+		strings.Replace(fmt.Sprintf(good, "c", body), "chat/completions", "embeddings", 1), fmt.Sprintf(good, "d", `{"messages":[]}`), fmt.Sprintf(good, "e", `[]`),
+		fmt.Sprintf(good, "f", `{"messages":[{}],"metadata":{"class":"none"}}`), fmt.Sprintf(good, "g", `{"messages":[{}],"metadata":{"tenant":"none"}}`), strings.Repeat("x", lineMost+1)}
+	_, faults := f.validate([]byte(strings.Join(lines, "\n")), Endpoint)
+	_, empty := f.validate(nil, Endpoint)
+	_, many := f.validate(bytes.Repeat([]byte("{}\n"), linesMost+1), Endpoint)
+	raw, err := json.MarshalIndent(append(append(faults, empty...), many...), "", " ")
+	require.NoError(t, err)
+	golden.Bytes(t, "faults.json", raw)
+}
+
+// led is a store that another member leads, or nobody.
+type led struct {
+	store.Memory
+	leader string
+}
+
+func (l led) Leads() (uint64, bool) { return 0, false }
+func (l led) Leader() string        { return l.leader }
+
+// unwritable is a store that takes nothing.
+type unwritable struct{ store.Memory }
+
+func (unwritable) Write(context.Context, ...store.Op) (uint64, error) {
+	return 0, errors.New("store: the write broke off")
+}
+
+// Answers of the batch API: statuses, headers and bodies.
+func TestGoldenAPI(t *testing.T) {
+	var out []string
+	var front *Front
+	call := func(method, path, kind, body string) {
+		t.Helper()
+		r := httptest.NewRequest(method, path, strings.NewReader(body))
+		if kind != "" {
+			r.Header.Set("Content-Type", kind)
+		}
+		w := httptest.NewRecorder()
+		front.Handler().ServeHTTP(w, r)
+		out = append(out, fmt.Sprintf("%s %s %d %q %q %q %s", method, path, w.Code, w.Header().Get("Content-Type"), w.Header().Get("Retry-After"), w.Header().Get("Location"), w.Body))
+	}
+	upload := func(purpose, content string, file bool) {
+		t.Helper()
+		var body bytes.Buffer
+		form := multipart.NewWriter(&body)
+		require.NoError(t, form.SetBoundary("boundary"))
+		require.NoError(t, form.WriteField("purpose", purpose))
+		if file {
+			part, err := form.CreateFormFile("file", "a.jsonl")
+			require.NoError(t, err)
+			_, err = part.Write([]byte(content))
+			require.NoError(t, err)
+		}
+		require.NoError(t, form.Close())
+		call(http.MethodPost, "/v1/files", form.FormDataContentType(), body.String())
+	}
+	keys := store.NewMemory()
+	put := func(key string, value any) {
+		t.Helper()
+		raw, err := json.Marshal(value)
+		require.NoError(t, err)
+		_, err = keys.Write(t.Context(), store.Op{Key: key, Data: raw, If: store.Any})
+		require.NoError(t, err)
+	}
+	front = goldenFront(t, keys, nil)
+	put(fileKey("file-1"), File{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a.jsonl", Purpose: "batch", Status: "processed"})
+	put(fileKey("file-2"), File{ID: "file-2", Object: "file", Bytes: 2, CreatedAt: 4, Filename: "b.jsonl", Purpose: "batch_output", Status: "processed"})
+	_, err := keys.Write(t.Context(), store.Op{Key: chunkKey("file-1", 0), Data: []byte("{}"), If: store.Any})
+	require.NoError(t, err)
+	over := goldenBatch()
+	put(batchKey(over.ID), over)
+	running := Batch{ID: "batch_2", Object: "batch", Endpoint: Endpoint, InputFileID: "file-1", CompletionWindow: "1h", Status: InProgress, CreatedAt: 9, ExpiresAt: 10, RequestCounts: Counts{Total: 3}}
+	put(batchKey(running.ID), running)
+	put(lineKey(running.ID, 0), record{State: lineDone})
+	put(lineKey(running.ID, 1), record{State: lineFailed})
+	ending := running
+	ending.ID, ending.Status = "batch_3", Finalizing
+	put(batchKey(ending.ID), ending)
+	for _, path := range []string{"/v1/files", "/v1/files?limit=1", "/v1/files?limit=0", "/v1/files?after=none", "/v1/files?after=file-2", "/v1/files/file-1", "/v1/files/file-1/content",
+		"/v1/files/none", "/v1/files/file-2/content", "/v1/batches", "/v1/batches?limit=1", "/v1/batches/batch_2", "/v1/batches/none"} {
+		call(http.MethodGet, path, "", "")
+	}
+	call(http.MethodDelete, "/v1/files/none", "", "")
+	call(http.MethodDelete, "/v1/files/file-1", "", "")
+	call(http.MethodDelete, "/v1/files/file-2", "", "")
+	call(http.MethodPost, "/v1/batches/none/cancel", "", "")
+	call(http.MethodPost, "/v1/batches/batch_1/cancel", "", "")
+	call(http.MethodPost, "/v1/batches/batch_3/cancel", "", "")
+	call(http.MethodPost, "/v1/files", "text/plain", "x")
+	call(http.MethodPost, "/v1/files", "multipart/form-data; boundary=boundary", "--boundary\r\nbroken")
+	upload("fine-tune", "x", true)
+	upload("batch", "", false)
+	upload("batch", "", true)
+	upload("batch", strings.Repeat("x", 1<<20+1), true)
+	call(http.MethodPost, "/v1/batches", "", "{")
+	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"none","endpoint":"/v1/chat/completions","completion_window":"24h"}`)
+	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-1","endpoint":"/v1/x","completion_window":"24h"}`)
+	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-1","endpoint":"/v1/chat/completions","completion_window":"ever"}`)
+	put(fileKey("file-9"), File{ID: "file-9", Object: "file", Bytes: 2 << 20, CreatedAt: 5, Filename: "c", Purpose: "other", Status: "processed"})
+	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-9","endpoint":"/v1/chat/completions","completion_window":"24h"}`)
+	upload("batch", "x", true)
+	for range uploadsMost {
+		front.places <- struct{}{}
+	}
+	upload("batch", "x", true)
+	front = goldenFront(t, led{keys, "other"}, nil)
+	call(http.MethodDelete, "/v1/files/file-1?a=b", "", "")
+	front = goldenFront(t, led{keys, "nobody"}, nil)
+	call(http.MethodDelete, "/v1/files/file-1", "", "")
+	front = goldenFront(t, unwritable{keys}, nil)
+	call(http.MethodPost, "/v1/batches/batch_2/cancel", "", "")
+	golden.Bytes(t, "api.txt", []byte(strings.Join(out, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/fleet/ledger/golden_test.go
@@ -0,0 +1,105 @@
+package ledger
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/testpeer/golden"
+)
+
+// roundTrip compares a value with its golden files, as CBOR and as JSON.
+func roundTrip[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	golden.RoundTrip(t, name+".cbor", value, func(v T) ([]byte, error) { return cbor.Marshal(v) }, func(raw []byte) (v T, err error) {
+		return v, cbor.Unmarshal(raw, &v)
+	})
+	golden.RoundTrip(t, name+".json", value, func(v T) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v T, err error) {
+		return v, json.Unmarshal(raw, &v)
+	})
+}
+
+// goldenEntry has all fields set, each to a value of its own.
+func goldenEntry(number uint64, outcome Outcome) *Entry {
+	return &Entry{Seat: "node-1", Life: 3, Number: number, At: 1796121600000000005, Tenant: "acme", Class: "chat", Session: 6, In: 70, Kept: 80, Out: 90, Outcome: outcome}
+}
+
+func TestGoldenMessages(t *testing.T) {
+	roundTrip(t, "entry", goldenEntry(4, Broken))
+	roundTrip(t, "digest", Digest{{Source: Source{Seat: "node-1", Life: 3}, Ranges: []Range{{First: 1, Last: 4}, {First: 7, Last: 9}}}})
+	golden.RoundTrip(t, "sum.json", Sum{Entries: 1, In: 2, Kept: 3, Out: 4}, func(s Sum) ([]byte, error) { return json.Marshal(s) }, func(raw []byte) (s Sum, err error) {
+		return s, json.Unmarshal(raw, &s)
+	})
+	require.Equal(t, []Outcome{0, 1, 2}, []Outcome{Served, Paused, Broken})
+}
+
+// A segment as it lies on the disk: its name, its head and its records. What an earlier build wrote is read, and gone on with.
+func TestGoldenSegment(t *testing.T) {
+	entries := []*Entry{goldenEntry(1, Served), goldenEntry(2, Paused), goldenEntry(3, Broken)}
+	write := func() []byte {
+		dir := t.TempDir()
+		f, _, _ := open(t, dir)
+		require.NoError(t, f.Append(entries))
+		require.NoError(t, f.Close())
+		raw, err := os.ReadFile(filepath.Join(dir, "00000001.ledger"))
+		require.NoError(t, err)
+		return raw
+	}
+	golden.Bytes(t, "00000001.ledger", write())
+
+	dir := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "00000001.ledger"), golden.Read(t, "00000001.ledger", nil), 0o600))
+	var read []*Entry
+	f, damages, err := Open(dir, 1<<20, func(e *Entry) { read = append(read, e) })
+	require.NoError(t, err)
+	require.Empty(t, damages)
+	require.Equal(t, entries, read)
+	found, err := f.Read(Source{Seat: "node-1", Life: 3}, Range{First: 2, Last: 3}, 10)
+	require.NoError(t, err)
+	require.Equal(t, entries[1:], found)
+	require.NoError(t, f.next())
+	require.NoError(t, f.Append([]*Entry{goldenEntry(4, Served)}))
+	require.NoError(t, f.Close())
+	_, err = os.Stat(filepath.Join(dir, "00000002.ledger"))
+	require.NoError(t, err)
+}
+
+// Texts that operators get.
+func TestGoldenErrorTexts(t *testing.T) {
+	var lines []string
+	add := func(err error) {
+		t.Helper()
+		require.Error(t, err)
+		lines = append(lines, err.Error())
+	}
+	for _, spoil := range []func(*Entry){func(e *Entry) { e.Seat = "" }, func(e *Entry) { e.Life = 0 }, func(e *Entry) { e.Out = -1 }, func(e *Entry) { e.Outcome = 9 }} {
+		e := goldenEntry(4, Served)
+		spoil(e)
+		add(e.Check())
+	}
+	add(&Damage{File: "00000001.ledger", Offset: 20, Reason: "a record that is not whole", Torn: true})
+	content := golden.Read(t, "00000001.ledger", nil)
+	for _, raw := range [][]byte{content[:10], append([]byte("another"), content[7:]...), content[:len(content)-1], append(append([]byte{}, content[:len(content)-1]...), 0),
+		append(append([]byte{}, content...), 0xff, 0, 0, 0, 0, 0, 0, 0)} {
+		dir := t.TempDir()
+		require.NoError(t, os.WriteFile(filepath.Join(dir, "00000001.ledger"), raw, 0o600))
+		damages, err := Inspect(dir, func(*Entry) {})
+		require.NoError(t, err)
+		require.Len(t, damages, 1)
+		add(damages[0])
+	}
+	f, _, _ := open(t, t.TempDir())
+	f.Most = 10
+	add(f.Append([]*Entry{goldenEntry(1, Served)}))
+	f.Most = 1 << 20
+	long := goldenEntry(1, Served)
+	long.Class = strings.Repeat("x", recordMost)
+	add(f.Append([]*Entry{long}))
+	require.NoError(t, f.Close())
+	golden.Bytes(t, "errors.txt", []byte(strings.Join(lines, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,107 @@
+package settings
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/testpeer/golden"
+)
+
+// A version as the store has it and the control interface shows it.
+func TestGoldenVersion(t *testing.T) {
+	v := Version{Number: 12, Author: "asel", Note: "night classes", At: time.Date(2026, 12, 2, 3, 4, 5, 6, time.UTC), Text: document, Back: 7}
+	golden.RoundTrip(t, "version.json", v, func(v Version) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v Version, err error) {
+		return v, json.Unmarshal(raw, &v)
+	})
+	least, err := json.Marshal(Version{Number: 1, Author: "asel"})
+	require.NoError(t, err)
+	golden.Bytes(t, "version_least.json", least)
+}
+
+const nodeFile = `name = "node-1"
+listen = "127.0.0.1:1"
+seed = 3
+[limits]
+open_files = 100
+[log]
+level = "info"
+[control]
+socket = "x"
+[metrics]
+listen = "127.0.0.1:2"
+[[nodes]]
+name = "other"
+[store]
+kind = "raft"
+[module]
+ordinal = 2
+zone = "b"
+nodes = 3
+max_attempts = 2
+[[class]]
+name = "old"
+worth = 1.0
+[move]
+floor = 0.8
+`
+
+// A node's file with the document over it, what of the file may be shared, and how a document and its paths are written.
+func TestGoldenDocuments(t *testing.T) {
+	over, err := Over(nodeFile, document+"[module]\nmax_attempts = 3\n")
+	require.NoError(t, err)
+	golden.Bytes(t, "over.toml", []byte(over))
+	shared, err := Shared(nodeFile)
+	require.NoError(t, err)
+	golden.Bytes(t, "shared.toml", []byte(shared))
+	set, err := Set(document, "class[2].name", "night")
+	require.NoError(t, err)
+	golden.Bytes(t, "set.toml", []byte(set))
+	lines, err := Diff(document, set)
+	require.NoError(t, err)
+	further, err := Diff(document, "[move]\nhold = \"30s\"\n")
+	require.NoError(t, err)
+	golden.Bytes(t, "diff.txt", []byte(strings.Join(append(lines, further...), "\n")+"\n"))
+	doc, err := Parse(document + "[empty]\n")
+	require.NoError(t, err)
+	golden.Bytes(t, "keys.txt", []byte(strings.Join(Keys(doc), "\n")+"\n"))
+}
+
+// Texts that operators get.
+func TestGoldenErrorTexts(t *testing.T) {
+	var lines []string
+	add := func(err error) {
+		t.Helper()
+		require.Error(t, err)
+		lines = append(lines, err.Error())
+	}
+	_, err := Parse(strings.Repeat("#", TextMost+1))
+	add(err)
+	for _, key := range []string{"name = \"x\"", "store.kind = \"raft\"", "[module]\nzone = \"a\""} {
+		_, err = Parse(key)
+		add(err)
+	}
+	for _, path := range []string{"class[5].name", "class[x]", "class[-1]", "move.hold.x", "listen", "a..b", "class[1]", "a.b.c.d.e.f.g.h.i"} {
+		_, err = Set(document, path, "1")
+		add(err)
+	}
+	for _, path := range []string{"move.pace", "class[9]"} {
+		_, err = Set(document, path, "")
+		add(err)
+		_, err = Get(document, path)
+		add(err)
+	}
+	_, err = Get(document, "class[4].name")
+	add(err)
+	_, err = Next(4, 3, Version{Author: "a", Text: document})
+	add(err)
+	_, err = Next(4, 4, Version{Text: document})
+	add(err)
+	_, err = Next(4, 4, Version{Author: "a", Note: strings.Repeat("n", NoteMost+1)})
+	add(err)
+	add(ErrStale)
+	golden.Bytes(t, "errors.txt", []byte(strings.Join(lines, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,138 @@
+package store
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/testpeer/golden"
+)
+
+// roundTrip compares a value with its golden file, as JSON.
+func roundTrip[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	golden.RoundTrip(t, name, value, func(v T) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v T, err error) {
+		return v, json.Unmarshal(raw, &v)
+	})
+}
+
+// An entry of the replicated log, and the state that a snapshot holds.
+func TestGoldenEntryAndSnapshot(t *testing.T) {
+	ops := []Op{{Key: "move/current", Data: []byte("a record"), If: 7}}
+	roundTrip(t, "entry.json", ops)
+	roundTrip(t, "snapshot.json", image{Version: 9, Applied: 12, Values: map[string]Value{"config/shared": {Data: []byte("a document"), Version: 8}}})
+
+	var at atomic.Uint64
+	m := machine{newKeys(), &at}
+	require.NoError(t, m.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, "snapshot.json", nil)))))
+	require.Equal(t, Value{Data: []byte("a document"), Version: 8}, m.Get("config/shared"))
+	require.EqualValues(t, 12, at.Load())
+	taken, err := m.Snapshot()
+	require.NoError(t, err)
+	golden.Bytes(t, "snapshot.json", taken.(snapshot))
+	done := m.Apply(&raft.Log{Index: 13, Data: []byte(`[{"key":"config/shared","data":"YW5vdGhlcg==","if":8}]`)}).(written)
+	require.NoError(t, done.err)
+	require.Equal(t, Value{Data: []byte("another"), Version: 10}, m.Get("config/shared"))
+	done = m.Apply(&raft.Log{Index: 14, Data: golden.Read(t, "entry.json", nil)}).(written)
+	require.ErrorIs(t, done.err, ErrConflict)
+}
+
+// What is deleted, and a key's first writing, as the log has them.
+func TestGoldenDeletion(t *testing.T) {
+	raw, err := json.Marshal([]Op{{Key: "a", If: Any}, {Key: "b", Data: []byte{}}})
+	require.NoError(t, err)
+	golden.Bytes(t, "deletion.json", raw)
+}
+
+// openGolden opens a folder as its only member.
+func openGolden(t *testing.T, dir string) *Raft {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	r, err := OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir,
+		LogTo: io.Discard, Heartbeat: 100 * time.Millisecond})
+	require.NoError(t, err)
+	return r
+}
+
+// writeDirectory writes a member's folder: a snapshot, and entries behind it.
+func writeDirectory(t *testing.T, to string) {
+	t.Helper()
+	dir := t.TempDir()
+	r := openGolden(t, dir)
+	leader(t, []*Raft{r})
+	_, err := r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("1")}, Op{Key: "gone", Data: []byte("x")})
+	require.NoError(t, err)
+	require.NoError(t, r.raft.Snapshot().Error())
+	_, err = r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("2"), If: 1}, Op{Key: "gone", If: Any})
+	require.NoError(t, err)
+	require.NoError(t, r.Close())
+	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
+}
+
+// A member's folder that an earlier build wrote is opened as it is: the snapshot, and the log behind it; and keeps its files' names.
+func TestGoldenDirectory(t *testing.T) {
+	from := golden.Path("member")
+	if _, err := os.Stat(from); os.IsNotExist(err) && os.Getenv("UPDATE_GOLDEN") != "" {
+		writeDirectory(t, from)
+	}
+	dir := filepath.Join(t.TempDir(), "member")
+	require.NoError(t, os.CopyFS(dir, os.DirFS(from)))
+	r := openGolden(t, dir)
+	leader(t, []*Raft{r})
+	require.True(t, r.CaughtUp())
+	require.Equal(t, []string{"settings/current"}, r.List(""))
+	require.Equal(t, Value{Data: []byte("2"), Version: 2}, r.Get("settings/current"))
+	version, err := r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("3"), If: 2})
+	require.NoError(t, err)
+	require.EqualValues(t, 3, version)
+	require.NoError(t, r.Close())
+	var names []string
+	entries, err := os.ReadDir(dir)
+	require.NoError(t, err)
+	for _, entry := range entries {
+		names = append(names, entry.Name())
+	}
+	require.Equal(t, []string{"lock", "raft.db", "snapshots"}, names)
+}
+
+// Texts that operators and clients get.
+func TestGoldenErrorTexts(t *testing.T) {
+	m := NewMemory()
+	_, err := m.Write(t.Context(), Op{Key: "a/key", Data: []byte("1"), If: 4})
+	lines := []string{ErrConflict.Error(), ErrNotLeader.Error(), err.Error()}
+	var at atomic.Uint64
+	lines = append(lines, machine{newKeys(), &at}.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(written).err.Error(),
+		machine{newKeys(), &at}.Restore(io.NopCloser(strings.NewReader("["))).Error())
+	dir := t.TempDir()
+	r := openGolden(t, dir)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir, LogTo: io.Discard})
+	require.Error(t, err)
+	lines = append(lines, strings.ReplaceAll(err.Error(), dir, "DIR"))
+	require.NoError(t, r.Close())
+	other := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(other, "raft.db"), bytes.Repeat([]byte("x"), 4096), 0o600))
+	listener, err = net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: other, LogTo: io.Discard})
+	require.Error(t, err)
+	lines = append(lines, strings.ReplaceAll(err.Error(), other, "DIR"))
+	_, err = OpenRaft(RaftOptions{ID: "node-1", Listen: "127.0.0.1:none"})
+	require.Error(t, err)
+	lines = append(lines, err.Error(), readable(func() error { panic("a fault") }).Error())
+	golden.Bytes(t, "errors.txt", fmt.Appendln(nil, strings.Join(slices.Clip(lines), "\n")))
+}
