--- a/internal/batch/lines.go
+++ b/internal/batch/lines.go
@@ -186,8 +186,10 @@
 		var e struct {
 			Model   string `json:"model"`
 			Choices []struct {
-				Delta  struct{ Content string } `json:"delta"`
-				Finish *string                  `json:"finish_reason"`
+				Delta struct {
+					Content string `json:"content"`
+				} `json:"delta"`
+				Finish *string `json:"finish_reason"`
 			} `json:"choices"`
 			Usage json.RawMessage `json:"usage"`
 		}
--- a/internal/fleet/ledger/book.go
+++ b/internal/fleet/ledger/book.go
@@ -23,17 +23,17 @@
 
 // Entry is one final outcome.
 type Entry struct {
-	Seat    string  `cbor:"1,keyasint"`
-	Life    uint64  `cbor:"2,keyasint"`
-	Number  uint64  `cbor:"3,keyasint"` // in that life, from 1 on
-	At      int64   `cbor:"4,keyasint"` // Unix nanoseconds, by that node's clock
-	Tenant  string  `cbor:"5,keyasint"`
-	Class   string  `cbor:"6,keyasint"`
-	Session uint64  `cbor:"7,keyasint"`
-	In      int64   `cbor:"8,keyasint"` // tokens of the prompt that nobody was charged for before
-	Kept    int64   `cbor:"9,keyasint"` // tokens of it that the server held
-	Out     int64   `cbor:"10,keyasint"`
-	Outcome Outcome `cbor:"11,keyasint"`
+	Seat    string  `cbor:"1,keyasint" json:"Seat"`
+	Life    uint64  `cbor:"2,keyasint" json:"Life"`
+	Number  uint64  `cbor:"3,keyasint" json:"Number"` // in that life, from 1 on
+	At      int64   `cbor:"4,keyasint" json:"At"`     // Unix nanoseconds, by that node's clock
+	Tenant  string  `cbor:"5,keyasint" json:"Tenant"`
+	Class   string  `cbor:"6,keyasint" json:"Class"`
+	Session uint64  `cbor:"7,keyasint" json:"Session"`
+	In      int64   `cbor:"8,keyasint" json:"In"`   // tokens of the prompt that nobody was charged for before
+	Kept    int64   `cbor:"9,keyasint" json:"Kept"` // tokens of it that the server held
+	Out     int64   `cbor:"10,keyasint" json:"Out"`
+	Outcome Outcome `cbor:"11,keyasint" json:"Outcome"`
 }
 
 // Source is one life of a node: whose numbers an entry has.
