--- a/api.go
+++ b/api.go
@@ -34,24 +34,24 @@
 
 // Class describes one class of requests. Times are in nanoseconds.
 type Class struct {
-	Effect      Effect
-	Group       Group
-	Window      int64
-	Streamed    bool
-	TTFTAim     int64 // first token (or whole answer, where not streamed) wanted within this
-	AimPer1000  int64 // added to TTFTAim for each 1,000 prompt tokens
-	TPOTAim     int64 // wanted gap between tokens; 0: none
-	AimStretch  float64
-	Deadline    int64
-	Worth       float64
-	LateWorth   float64
-	Description string
+	Effect      Effect  `json:"Effect"`
+	Group       Group   `json:"Group"`
+	Window      int64   `json:"Window"`
+	Streamed    bool    `json:"Streamed"`
+	TTFTAim     int64   `json:"TTFTAim"`    // first token (or whole answer, where not streamed) wanted within this
+	AimPer1000  int64   `json:"AimPer1000"` // added to TTFTAim for each 1,000 prompt tokens
+	TPOTAim     int64   `json:"TPOTAim"`    // wanted gap between tokens; 0: none
+	AimStretch  float64 `json:"AimStretch"`
+	Deadline    int64   `json:"Deadline"`
+	Worth       float64 `json:"Worth"`
+	LateWorth   float64 `json:"LateWorth"`
+	Description string  `json:"Description"`
 }
 
 // Tenant is one customer's agreed share of the service.
 type Tenant struct {
-	Share    float64
-	QuotaRPS float64 // across all gateways
+	Share    float64 `json:"Share"`
+	QuotaRPS float64 `json:"QuotaRPS"` // across all gateways
 }
 
 // Settings is what a gateway is told at its start. Times are in nanoseconds.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -135,11 +135,11 @@
 
 // BatchFields are the metadata keys, or the defaults, of what a line says about its flow.
 type BatchFields struct {
-	Class     string  `toml:"class"`
-	Tenant    string  `toml:"tenant"`
-	Session   string  `toml:"session"`
-	Prefix    string  `toml:"prefix"`
-	MaxTokens float64 `toml:"max_tokens"`
+	Class     string  `toml:"class" json:"Class"`
+	Tenant    string  `toml:"tenant" json:"Tenant"`
+	Session   string  `toml:"session" json:"Session"`
+	Prefix    string  `toml:"prefix" json:"Prefix"`
+	MaxTokens float64 `toml:"max_tokens" json:"MaxTokens"`
 }
 
 // Member is a member of the store, and where its fronts listen.
@@ -218,13 +218,13 @@
 		Lost   Duration `toml:"lost"`
 	} `toml:"batch_server"`
 	Batch struct {
-		Enabled     bool        `toml:"enabled"`
-		LinesAtOnce int         `toml:"lines_at_once"`
-		LineTime    Duration    `toml:"line_time"`
-		Tries       int         `toml:"tries"`
-		FileMB      int         `toml:"file_mb"`
-		Fields      BatchFields `toml:"fields"`
-		Defaults    BatchFields `toml:"defaults"`
+		Enabled     bool        `toml:"enabled" json:"Enabled"`
+		LinesAtOnce int         `toml:"lines_at_once" json:"LinesAtOnce"`
+		LineTime    Duration    `toml:"line_time" json:"LineTime"`
+		Tries       int         `toml:"tries" json:"Tries"`
+		FileMB      int         `toml:"file_mb" json:"FileMB"`
+		Fields      BatchFields `toml:"fields" json:"Fields"`
+		Defaults    BatchFields `toml:"defaults" json:"Defaults"`
 	} `toml:"batch"`
 	Store struct {
 		Kind      string   `toml:"kind"` // memory or raft
