--- /dev/null
+++ b/internal/cli/golden_test.go
@@ -0,0 +1,462 @@
+package cli
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"standpoint/internal/control"
+	"standpoint/internal/daemon"
+	"standpoint/internal/entries"
+	"standpoint/internal/fleet"
+	"standpoint/internal/fleet/ledger"
+	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/tally"
+	"standpoint/internal/fleet/usage"
+	"standpoint/internal/mover"
+	"standpoint/internal/moves"
+	"standpoint/internal/peers"
+	"standpoint/internal/pool"
+	"standpoint/internal/settings"
+	"standpoint/internal/testpeer/golden"
+)
+
+const goldenToken = "0123456789abcdef0123"
+
+// plainEnvironment has the flags' defaults the same on every machine.
+func plainEnvironment(t *testing.T) {
+	t.Helper()
+	t.Setenv("STANDPOINT_CONFIG", "")
+	t.Setenv("STANDPOINT_CONTROL", "")
+	t.Setenv("USER", "operator")
+}
+
+// commandPaths are the words of all commands.
+func commandPaths(c *cobra.Command, path []string) [][]string {
+	paths := [][]string{path}
+	for _, sub := range c.Commands() {
+		paths = append(paths, commandPaths(sub, append(append([]string{}, path...), sub.Name()))...)
+	}
+	return paths
+}
+
+// Every command's name, flags, defaults and help.
+func TestGoldenHelp(t *testing.T) {
+	plainEnvironment(t)
+	var text strings.Builder
+	for _, path := range commandPaths(newRoot(Streams{}), nil) {
+		if len(path) == 1 && (path[0] == "lab" || path[0] == "load") {
+			continue // whose flags are the laboratory's own
+		}
+		out, errs, code := run(append(path, "--help")...)
+		require.Equal(t, OK, code, "%s: %s", path, errs)
+		fmt.Fprintf(&text, "==== standpoint %s\n%s\n", strings.Join(path, " "), out)
+	}
+	golden.Bytes(t, "help.txt", []byte(text.String()))
+}
+
+// What a shell completes.
+func TestGoldenCompletion(t *testing.T) {
+	plainEnvironment(t)
+	var text strings.Builder
+	for _, args := range []string{"|", "move |", "config |", "entries |", "ledger |", "lab|", "--output |", "serve --|", "--config |", "move start --on-worse |",
+		"move start --|", "config set --|"} {
+		words := strings.Split(strings.TrimSuffix(args, "|"), " ")
+		out, _, code := run(append([]string{"__complete"}, words...)...)
+		require.Equal(t, OK, code)
+		fmt.Fprintf(&text, "==== standpoint %s\n%s", args, out)
+	}
+	golden.Bytes(t, "completion.txt", []byte(text.String()))
+	for _, shell := range []string{"bash", "zsh", "fish", "powershell"} {
+		out, _, code := run("completion", shell)
+		require.Equal(t, OK, code)
+		require.Contains(t, out, "standpoint")
+	}
+}
+
+func goldenRecord() mover.Record {
+	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	r := mover.Record{ID: "m-7", By: "kim", Note: "build 118", State: mover.Holding, Paused: true, Reason: "hold: 4 s more", Step: 1, Version: 9,
+		Plan: mover.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03, Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
+			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000, OnWorse: mover.Return, ReturnSteps: 4,
+			ReturnEvery: 3 * time.Second, ColdShare: 0.17, WarmUp: 25 * time.Second, FallFactor: 4},
+		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
+		Started: at, Changed: at.Add(90 * time.Second),
+		Events: []mover.Event{{At: at, State: mover.Warming, Share: 0.03, Text: "begun"}, {At: at.Add(30 * time.Second), State: mover.Halted, Share: 0.6, Text: "late"}},
+		Base:   map[string]string{"older": "old"}, FromSize: 3.5, Windows: 41, Granted: 42, Seen: [2]int{43, 44}, InStep: [2]float64{4.5, 4.6}, Back: 0.47, Cause: "late"}
+	r.Long[0].Bad, r.Long[0].All = 1.5, 2.5
+	return r
+}
+
+func goldenMove() moves.Status {
+	r := goldenRecord()
+	return moves.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Move: &r, Evidence: 0.25,
+		Nodes: []moves.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Behind: true}}}
+}
+
+func goldenFleet() fleet.Status {
+	return fleet.Status{Seat: "node-a", Life: 3, Mode: "together", Site: "trusting", Since: 61.5, Pace: 0.75, Lease: 540, Epoch: 12, Leader: "127.0.0.1:7001",
+		Peers: []fleet.Peer{{Seat: "node-b", There: true, Heard: true, Age: 0.25, Life: 5, Tokens: 700}, {Seat: "node-c", Age: -1}},
+		Budgets: []rights.Use{{Budget: "tokens/office", Window: 88, Rights: 1001, Spent: 102, Share: 1003, Lent: 104, Held: 105, Wanted: 106.5, Debt: 107, LoansOut: 8,
+			LoansIn: 9, LeaseEpoch: 10, LeaseFirst: 11, LeaseEnd: 12}},
+		Counts: map[string]tally.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Heard: 24, Silent: 25}},
+		Live:   tally.Reading{Lower: 31, Upper: 32, Age: 33, Heard: 34, Silent: 35}, Doubted: []string{"box-1"}, Refused: 41, Sent: 42, Dropped: 43,
+		Breaches: map[string]uint64{"rights": 44}}
+}
+
+func goldenLedger() usage.Status {
+	return usage.Status{Seat: "node-a", Life: 3, Entries: 51, Bytes: 52, Sums: map[string]ledger.Sum{"office": {Entries: 61, In: 62, Kept: 63, Out: 64}}, Sources: 53,
+		Charged: 54, Taken: 55, Lost: 56, Waiting: 57, Lacking: 58, Agreed: 5.5, Holds: true, Damages: []string{"000001.seg, byte 16: a checksum that does not fit"}}
+}
+
+func goldenEntries() []entries.Origin {
+	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	return []entries.Origin{
+		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "push", Address: "127.0.0.1:9001", State: "ready", Started: at,
+			TTL: 75, Until: at.Add(75 * time.Second), Changed: at.Add(time.Second), Looked: at.Add(2 * time.Second), Stale: true},
+		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "poll", Fault: "no SRV record", Changed: at},
+		{Name: "box-3", Address: "127.0.0.1:9003", State: "draining"},
+		{Name: "box-4", Server: "127.0.0.1:53", News: "store", Address: "127.0.0.1:9004", State: "ready"},
+	}
+}
+
+func goldenVersion(number uint64) settings.Version {
+	return settings.Version{Number: number, Author: "kim", Note: "why", At: time.Date(2026, 12, 1, 12, 0, int(number), 0, time.UTC),
+		Text: fmt.Sprintf("[module]\ncold_share = 0.%d\n", number)}
+}
+
+// fakeDaemon answers the control interface's calls from typed samples, and notes what it is sent.
+type fakeDaemon struct {
+	address, token string
+	sent           []string
+	move           moves.Status
+}
+
+func startFakeDaemon(t *testing.T) *fakeDaemon {
+	t.Helper()
+	d := &fakeDaemon{token: filepath.Join(t.TempDir(), "token"), move: goldenMove()}
+	require.NoError(t, os.WriteFile(d.token, []byte(goldenToken), 0o600))
+	fixed := func(v any) func(*http.Request, []byte) (any, error) {
+		return func(*http.Request, []byte) (any, error) { return v, nil }
+	}
+	third, back := goldenVersion(3), goldenVersion(2)
+	back.Back, back.Text = 1, ""
+	s, err := control.Listen("127.0.0.1:0", d.token, []control.Call{
+		{Pattern: "GET /v1/pools", Do: fixed([]moves.Members{
+			{Pool: "old", Select: `version == "v1"`, Share: 1, Boxes: []moves.Member{{Name: "box-1", State: "ready", Warmth: 0.5, AlsoFit: []string{"new", "spare"}}}, FellOver: 7},
+			{Pool: "new", Boxes: []moves.Member{}},
+			{Boxes: []moves.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
+		})},
+		{Pattern: "GET /v1/move", Do: func(*http.Request, []byte) (any, error) { return d.move, nil }},
+		{Pattern: "GET /v1/move/history", Do: fixed([]mover.Record{goldenRecord()})},
+		{Pattern: "POST /v1/move/{wish}", Do: func(r *http.Request, body []byte) (any, error) {
+			d.sent = append(d.sent, r.URL.Path+" "+string(body))
+			switch r.PathValue("wish") {
+			case "undo":
+				return nil, &control.Error{Status: http.StatusConflict, Code: "not_now", Message: "the move is over"}
+			case "resume":
+				return nil, &control.Error{Code: "bad_plan", Message: "is not from 0 to 1", Key: "move.floor"}
+			}
+			return goldenRecord(), nil
+		}},
+		{Pattern: "GET /v1/fleet", Do: fixed(goldenFleet())},
+		{Pattern: "GET /v1/ledger", Do: fixed(goldenLedger())},
+		{Pattern: "GET /v1/entries", Do: fixed(goldenEntries())},
+		{Pattern: "GET /v1/nodes", Do: fixed(map[string]any{"reckoned": 2, "nodes": []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})},
+		{Pattern: "GET /v1/config", Do: fixed(daemon.SettingsStatus{Node: "node-a", Latest: 3, Applied: 2, Refused: "module.zone: no", Version: third})},
+		{Pattern: "GET /v1/config/history", Do: fixed([]settings.Version{third, back})},
+		{Pattern: "GET /v1/config/version/{number}", Do: func(r *http.Request, _ []byte) (any, error) {
+			switch r.PathValue("number") {
+			case "1":
+				return goldenVersion(1), nil
+			case "3":
+				return third, nil
+			}
+			return nil, &control.Error{Status: http.StatusNotFound, Code: "no_version", Message: "there is no such version"}
+		}},
+		{Pattern: "POST /v1/config", Do: func(r *http.Request, body []byte) (any, error) {
+			d.sent = append(d.sent, r.URL.Path+" "+string(body))
+			return goldenVersion(4), nil
+		}},
+	}, zap.NewNop())
+	require.NoError(t, err)
+	go func() { _ = s.Serve() }()
+	t.Cleanup(func() { _ = s.Close() })
+	d.address = s.Address()
+	return d
+}
+
+var (
+	columnGap = regexp.MustCompile(`(\S) {2,}`)
+	agoText   = regexp.MustCompile(`[0-9][0-9hms.]* ago`)
+	clockText = regexp.MustCompile(`(?m)^\d\d:\d\d:\d\d\.\d{3}`)
+	atKey     = regexp.MustCompile(`(?m)^  "at": "[^"]*"`)
+)
+
+// plain replaces what differs from run to run.
+func (d *fakeDaemon) plain(text string) string {
+	text = strings.ReplaceAll(text, d.address, "ADDRESS")
+	text = strings.ReplaceAll(text, filepath.Dir(d.token), "DIR")
+	if agoText.MatchString(text) { // a column is as wide as its longest span
+		text = columnGap.ReplaceAllString(agoText.ReplaceAllString(text, "SPAN ago"), "$1  ")
+	}
+	return clockText.ReplaceAllString(text, "TIME")
+}
+
+// What each command prints, in text and as JSON, its exit code, and what it sends to the daemon.
+func TestGoldenOutput(t *testing.T) {
+	plainEnvironment(t)
+	for name, args := range map[string]string{
+		"pools":           "pools",
+		"move-status":     "move status",
+		"move-history":    "move history",
+		"move-plan":       "move plan --to new",
+		"move-pause":      "move pause",
+		"move-resume":     "move resume",
+		"move-undo":       "move undo",
+		"move-start":      "move start --from old --to new --steps 0.1,0.5,1 --hold 30s --warm 5s --trickle 0.02 --samples 40 --floor 0.85 --on-worse stay --return-every 4s --note build",
+		"fleet":           "fleet",
+		"ledger":          "ledger",
+		"entries-list":    "entries list",
+		"entries-explain": "entries explain box-1",
+		"entries-fault":   "entries explain box-2",
+		"entries-file":    "entries explain box-3",
+		"entries-store":   "entries explain box-4._engine",
+		"entries-kept":    "entries explain box-4",
+		"nodes":           "nodes",
+		"config-get":      "config get",
+		"config-get-path": "config get module.cold_share",
+		"config-get-part": "config get module",
+		"config-get-none": "config get module.none",
+		"config-set":      "config set module.cold_share 0.7 -m why",
+		"config-check":    "config set module.cold_share 0.7 --check --by lee",
+		"config-same":     "config set module.cold_share 0.3",
+		"config-diff":     "config diff 1",
+		"config-diff-two": "config diff 1 3",
+		"config-diff-odd": "config diff one",
+		"config-no-diff":  "config diff 9",
+		"config-history":  "config history",
+		"config-rollback": "config rollback 1 -m back",
+		"config-status":   "config status",
+		"config-init":     "config init",
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := startFakeDaemon(t)
+			var text strings.Builder
+			for _, output := range []string{"text", "json"} {
+				d.sent = nil
+				words := append(strings.Fields(args), "--control", d.address, "--token-file", d.token, "-o", output)
+				out, errs, code := run(words...)
+				fmt.Fprintf(&text, "==== %s -o %s: exit %d\n%s", args, output, code, out)
+				if errs != "" {
+					fmt.Fprintf(&text, "---- standard error\n%s", errs)
+				}
+				for _, s := range d.sent {
+					fmt.Fprintf(&text, "---- sent\n%s\n", withoutUser(t, s))
+				}
+			}
+			golden.Bytes(t, "output/"+name+".txt", []byte(d.plain(text.String())))
+		})
+	}
+}
+
+// withoutUser takes the name of the user who runs the test out of a body that is sent.
+func withoutUser(t *testing.T, sent string) string {
+	t.Helper()
+	path, body, _ := strings.Cut(sent, " ")
+	fields := map[string]any{}
+	require.NoError(t, json.Unmarshal([]byte(body), &fields))
+	by, named := fields["by"]
+	if named && strings.HasPrefix(path, "/v1/move/") {
+		raw, err := json.Marshal(by)
+		require.NoError(t, err)
+		return path + " " + strings.Replace(body, `"by":`+string(raw), `"by":"USER"`, 1)
+	}
+	return sent
+}
+
+// Commands that read a file, or a folder, of their own.
+func TestGoldenOutputOfFiles(t *testing.T) {
+	plainEnvironment(t)
+	d := startFakeDaemon(t)
+	dir := filepath.Dir(d.token)
+	shared := filepath.Join(dir, "shared.toml")
+	require.NoError(t, os.WriteFile(shared, []byte("[module]\ncold_share = 0.8\n"), 0o600))
+	require.NoError(t, os.Mkdir(filepath.Join(dir, "empty"), 0o700))
+	file := filepath.Join(dir, "node.toml")
+	require.NoError(t, os.WriteFile(file, []byte(fmt.Sprintf(`name = "node-a"
+listen = "127.0.0.1:8443"
+[control]
+listen = %q
+token_file = "token"
+[[class]]
+name = "chat"
+first_token = "2s"
+give_up = "5s"
+worth = 1.0
+[[real_server]]
+name = "box-1"
+address = "127.0.0.1:9"
+[store]
+kind = "raft"
+id = "node-a"
+settings = true
+[[store.member]]
+id = "node-a"
+address = "127.0.0.1:7001"
+control = %q
+[[store.member]]
+id = "node-b"
+address = "127.0.0.1:7002"
+control = "127.0.0.1:1"
+`, d.address, d.address)), 0o600))
+	var text strings.Builder
+	for _, args := range []string{
+		"check ../config/testdata/operator/minimal.toml",
+		"check ../config/testdata/operator/full.toml -o json",
+		"check /nowhere/operator.toml",
+		"version",
+		"version -o json",
+		"config apply " + shared + " --config " + file,
+		"config apply /nowhere --config " + file,
+		"config diff " + shared + " --config " + file,
+		"config init --config " + file,
+		"config status --config " + file,
+		"config status -o json --config " + file,
+		"ledger verify " + filepath.Join(dir, "empty"),
+		"ledger verify /nowhere",
+	} {
+		d.sent = nil
+		out, errs, code := run(strings.Fields(args)...)
+		fmt.Fprintf(&text, "==== %s: exit %d\n%s", args, code, out)
+		if errs != "" {
+			fmt.Fprintf(&text, "---- standard error\n%s", errs)
+		}
+		for _, s := range d.sent {
+			fmt.Fprintf(&text, "---- sent\n%s\n", s)
+		}
+	}
+	for _, editor := range []string{"false", "sed -i s/0.3/0.9/"} {
+		d.sent = nil
+		t.Setenv("EDITOR", editor)
+		out, errs, code := run("config", "edit", "--config", file)
+		fmt.Fprintf(&text, "==== config edit by %s: exit %d\n%s%s%s\n", editor, code, out, errs, strings.Join(d.sent, "\n"))
+	}
+	own, err := os.Executable()
+	require.NoError(t, err)
+	for _, command := range []string{"lab", "load"} {
+		out, errs, code := run(command, "plan")
+		fmt.Fprintf(&text, "==== %s: exit %d\n%s%s", command, code, out, strings.ReplaceAll(errs, filepath.Dir(own), "BIN"))
+	}
+	golden.Bytes(t, "files.txt", []byte(d.plain(text.String())))
+	checked, err := os.ReadFile("../config/testdata/golden/operator-full.toml")
+	require.NoError(t, err)
+	out, _, code := run("check", "../config/testdata/operator/full.toml")
+	require.Equal(t, OK, code)
+	require.Equal(t, string(checked), out)
+}
+
+// The ends of a watched move, and a watch of the entries.
+func TestGoldenWatches(t *testing.T) {
+	plainEnvironment(t)
+	d := startFakeDaemon(t)
+	var text strings.Builder
+	for _, end := range []struct {
+		state  mover.State
+		cause  string
+		wishes string
+	}{{mover.Done, "", mover.Return}, {mover.Undone, "late", mover.Return}, {mover.Undone, "", mover.Return}, {mover.Halted, "late", mover.Stay}} {
+		r := goldenRecord()
+		r.State, r.Cause, r.Plan.OnWorse = end.state, end.cause, end.wishes
+		d.move.Move = &r
+		out, errs, code := run("move", "watch", "--control", d.address)
+		fmt.Fprintf(&text, "==== move watch, %s: exit %d\n%s%s", end.state, code, out, errs)
+	}
+	d.move = moves.Status{Node: "node-a", Version: 4, Leader: ""}
+	for _, args := range [][]string{{"move", "watch"}, {"move", "status"}} {
+		out, errs, code := run(append(args, "--control", d.address)...)
+		fmt.Fprintf(&text, "==== %s, none: exit %d\n%s%s", strings.Join(args, " "), code, out, errs)
+	}
+	r := goldenRecord()
+	r.State, r.Paused = mover.Done, false
+	d.move.Move = &r
+	out, _, _ := run("move", "status", "--control", d.address)
+	fmt.Fprintf(&text, "==== move status at a node that follows\n%s", out)
+	var plan bytes.Buffer
+	stay := r.Plan
+	stay.OnWorse = mover.Stay
+	writePlan(&plan, stay)
+	fmt.Fprintf(&text, "==== a plan that stays\n%s", plan.String())
+	for _, output := range []string{"text", "json"} {
+		ctx, cancel := context.WithCancel(t.Context())
+		printed := &cancelling{cancel: cancel, after: len(goldenEntries())}
+		code := Main(ctx, []string{"entries", "watch", "--control", d.address, "-o", output}, Streams{Out: printed, Err: printed})
+		fmt.Fprintf(&text, "==== entries watch -o %s: exit %d\n%s", output, code, atKey.ReplaceAllString(printed.String(), `  "at": "AT"`))
+	}
+	out, errs, code := run("entries", "watch", "--every", "1ms", "--control", d.address)
+	fmt.Fprintf(&text, "==== entries watch --every 1ms: exit %d\n%s%s", code, out, errs)
+	golden.Bytes(t, "watches.txt", []byte(d.plain(text.String())))
+}
+
+// cancelling is a writer that cancels a context after so many writes.
+type cancelling struct {
+	bytes.Buffer
+	cancel context.CancelFunc
+	after  int
+}
+
+func (c *cancelling) Write(p []byte) (int, error) {
+	if c.after--; c.after == 0 {
+		defer c.cancel()
+	}
+	return c.Buffer.Write(p)
+}
+
+// The lines of a change, of each kind.
+func TestGoldenEntryChanges(t *testing.T) {
+	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	var text strings.Builder
+	for i, what := range []string{"there", "new", "changed", "gone"} {
+		change := EntryChange{At: at, What: what, Entry: goldenEntries()[i]}
+		raw, err := json.Marshal(change)
+		require.NoError(t, err)
+		fmt.Fprintf(&text, "%s\n%s\n", change, raw)
+	}
+	golden.Bytes(t, "entry-changes.txt", []byte(text.String()))
+}
+
+// The live view of a move.
+func TestGoldenLiveView(t *testing.T) {
+	m := live{status: goldenMove(), trail: []float64{0, 0.25, 0.5, 0.75, 1}, note: "pause: done"}
+	golden.Bytes(t, "live.txt", []byte(m.View().Content))
+	golden.Bytes(t, "live-empty.txt", []byte(live{}.View().Content))
+}
+
+// Exit codes, and the words of command lines that are wrong.
+func TestGoldenExitCodes(t *testing.T) {
+	plainEnvironment(t)
+	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, []int{OK, Failed, Faulty, Unreachable, Refused, Worse})
+	var text strings.Builder
+	for _, args := range []string{
+		"-config /nowhere", "-config=/nowhere", "serve --config /nowhere", "extra", "version extra", "version --loud", "version --output xml", "version --outputs",
+		"check", "check a b", "move start", "move dance", "move status", "move status --control 127.0.0.1:1", "move status --control unix:/nowhere",
+		"move status --control a --token-file /nowhere", "move status --config /nowhere", "move start --to new --steps x", "config set a", "config rollback one --control 127.0.0.1:1",
+		"config init", "entries explain", "entries services", "ledger verify",
+	} {
+		out, errs, code := run(strings.Fields(args)...)
+		fmt.Fprintf(&text, "==== standpoint %s: exit %d\n%s%s", args, code, out, errs)
+	}
+	golden.Bytes(t, "exit-codes.txt", []byte(text.String()))
+}
--- /dev/null
+++ b/internal/figures/golden_test.go
@@ -0,0 +1,33 @@
+package figures
+
+import (
+	"testing"
+
+	"standpoint/internal/testpeer/golden"
+)
+
+// The console's figures: their names, order and form. Each has another value, so that exchanged ones show.
+func TestGoldenText(t *testing.T) {
+	f := New([]string{"chat", "import"}, func() int { return 70 })
+	times := 0
+	count := func(what func()) {
+		times++
+		for range times {
+			what()
+		}
+	}
+	for class := range 2 {
+		for e := range ends {
+			count(func() { f.Ended(class, e) })
+		}
+	}
+	for why := range unsents {
+		count(func() { f.FailedUnsent(why) })
+	}
+	for why := range unheards {
+		count(func() { f.ClosedUnheard(why) })
+	}
+	count(f.Wrote)
+	f.Servers(80, 81)
+	golden.Bytes(t, "figures.txt", f.Text())
+}
