--- a/internal/batch/fuzz_test.go
+++ b/internal/batch/fuzz_test.go
@@ -13,7 +13,7 @@
 		`{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"messages":[{}],"max_tokens":-5,"metadata":{"class":3}}}`} {
 		f.Add([]byte(s))
 	}
-	front := New(Options{Classes: []string{"chat"}, Fields: Fields{Class: "class", Prefix: "prefix"}, Defaults: Fields{Class: "chat", MaxTokens: 64}})
+	front := New(Options{Classes: []string{"chat"}, Fields: RequestFields{Class: "class", Prefix: "prefix"}, Defaults: RequestFields{Class: "chat", MaxTokens: 64}})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		tasks, faults := front.validate(content, Endpoint)
 		for _, fault := range faults {
@@ -25,7 +25,7 @@
 			return
 		}
 		for _, task := range tasks {
-			q, body, err := front.flowOf(task.Body)
+			q, body, err := front.requestFor(task.Body)
 			if err != nil || !json.Valid(body) || math.IsInf(q.PromptTokens+q.PrefixTokens+q.MaxTokens, 0) || q.MaxTokens <= 0 {
 				t.Fatalf("%+v %+v %s", q, err, body)
 			}
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -29,9 +29,9 @@
 
 // goldenBatch has all fields set, each to a value of its own.
 func goldenBatch() Batch {
-	return Batch{ID: "batch_1", Object: "batch", Endpoint: Endpoint, Errors: &Faults{Object: "list", Data: []Fault{{Code: "invalid_url", Message: "a message", Param: "url", Line: 2}}},
-		InputFileID: "file-3", CompletionWindow: "24h", Status: CancelledS, OutputFileID: "file-4", ErrorFileID: "file-5", CreatedAt: 6, InProgressAt: 7, ExpiresAt: 8,
-		FinalizingAt: 9, CompletedAt: 10, FailedAt: 11, ExpiredAt: 12, CancellingAt: 13, CancelledAt: 14, RequestCounts: Counts{Total: 15, Completed: 16, Failed: 17},
+	return Batch{ID: "batch_1", Object: "batch", Endpoint: Endpoint, Errors: &ValidationErrors{Object: "list", Data: []ValidationError{{Code: "invalid_url", Message: "a message", Param: "url", Line: 2}}},
+		InputFileID: "file-3", CompletionWindow: "24h", Status: Cancelled, OutputFileID: "file-4", ErrorFileID: "file-5", CreatedAt: 6, InProgressAt: 7, ExpiresAt: 8,
+		FinalizingAt: 9, CompletedAt: 10, FailedAt: 11, ExpiredAt: 12, CancellingAt: 13, CancelledAt: 14, RequestCounts: RequestCounts{Total: 15, Completed: 16, Failed: 17},
 		Metadata: map[string]string{"office": "payroll"}}
 }
 
@@ -39,18 +39,18 @@
 func TestGoldenRecords(t *testing.T) {
 	roundTrip(t, "batch.json", goldenBatch())
 	roundTrip(t, "file.json", File{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a.jsonl", Purpose: "batch", Status: "processed"})
-	roundTrip(t, "line.json", record{State: lineOut, Until: 1796121600000, Tries: 2})
+	roundTrip(t, "line.json", lineRecord{State: lineOut, Until: 1796121600000, Attempts: 2})
 	roundTrip(t, "task.json", Task{CustomID: "sheet-1", Method: "POST", URL: Endpoint, Body: json.RawMessage(`{"model":"m"}`)})
 	roundTrip(t, "result.json", Result{ID: "batch_req_1", CustomID: "sheet-1", Response: &Response{StatusCode: 200, RequestID: "r", Body: json.RawMessage(`{"a":1}`)},
-		Error: &Failure{Code: "batch_expired", Message: "a message"}})
-	roundTrip(t, "page.json", page[File]{Object: "list", Data: []File{{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a", Purpose: "batch", Status: "processed"}},
+		Error: &LineError{Code: "batch_expired", Message: "a message"}})
+	roundTrip(t, "page.json", listing[File]{Object: "list", Data: []File{{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a", Purpose: "batch", Status: "processed"}},
 		FirstID: "file-1", LastID: "file-2", HasMore: true})
-	least, err := json.Marshal([]any{Batch{}, File{}, record{}, Result{}, Fault{}, page[Batch]{}})
+	least, err := json.Marshal([]any{Batch{}, File{}, lineRecord{}, Result{}, ValidationError{}, listing[Batch]{}})
 	require.NoError(t, err)
 	golden.Bytes(t, "least.json", least)
 	var words []string
-	for _, s := range []Status{Validating, FailedSt, InProgress, Finalizing, Completed, Expired, Cancelling, CancelledS} {
-		words = append(words, fmt.Sprintf("%s %t", s, s.Over()))
+	for _, s := range []Status{Validating, Failed, InProgress, Finalizing, Completed, Expired, Cancelling, Cancelled} {
+		words = append(words, fmt.Sprintf("%s %t", s, s.Terminal()))
 	}
 	for _, s := range []lineState{lineWaiting, lineOut, lineDone, lineFailed} {
 		words = append(words, "line "+string(s))
@@ -59,11 +59,11 @@
 	golden.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
 }
 
-func goldenFront(t *testing.T, keys store.Store, edit func(*Options)) *Front {
+func goldenFront(t *testing.T, keys store.Store, edit func(*Options)) *Service {
 	t.Helper()
-	o := Options{Store: keys, Log: zap.NewNop(), Classes: []string{"chat", "import"}, Tenants: []string{"acme", "bolt"}, Fields: Fields{Class: "class", Tenant: "tenant", Session: "session",
-		Prefix: "prefix"}, Defaults: Fields{Class: "chat", Tenant: "acme", MaxTokens: 64}, LinesAtOnce: 4, LineTime: time.Second, Tries: 4, FileMost: 1 << 20, FilesMost: 2 << 20,
-		Members: map[string]string{"other": "10.0.0.2:80"}}
+	o := Options{Store: keys, Log: zap.NewNop(), Classes: []string{"chat", "import"}, Tenants: []string{"acme", "bolt"}, Fields: RequestFields{Class: "class", Tenant: "tenant", Session: "session",
+		Prefix: "prefix"}, Defaults: RequestFields{Class: "chat", Tenant: "acme", MaxTokens: 64}, MaxConcurrentLines: 4, LineTimeout: time.Second, MaxAttempts: 4, MaxFileBytes: 1 << 20, MaxTotalFileBytes: 2 << 20,
+		MemberAddresses: map[string]string{"other": "10.0.0.2:80"}}
 	if edit != nil {
 		edit(&o)
 	}
@@ -87,7 +87,7 @@
 	whole, err := f.content("file-1")
 	require.NoError(t, err)
 	require.Equal(t, content, string(whole))
-	_, err = keys.Write(t.Context(), store.Op{Key: "data/file-1/000001", If: store.Any})
+	_, err = keys.Write(t.Context(), store.Op{Key: "data/file-1/000001", ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
 	_, torn := f.content("file-1")
 	_, none := f.content("file-2")
@@ -100,7 +100,7 @@
 	f := goldenFront(t, keys, nil)
 	var out []string
 	for i, code := range []string{"batch_cancelled", "batch_expired", "server_error"} {
-		l := &line{number: i, task: Task{CustomID: "sheet"}, key: lineKey("b", i), result: resultKey("b", i), record: record{Tries: 3}}
+		l := &line{number: i, task: Task{CustomID: "sheet"}, key: lineKey("b", i), result: resultKey("b", i), record: lineRecord{Attempts: 3}}
 		require.NoError(t, f.fail(t.Context(), l, code))
 		var r Result
 		raw := keys.Get(l.result).Data
@@ -114,7 +114,7 @@
 // What is sent for a line, and the answer that is put together of the events.
 func TestGoldenLineRequestAndCompletion(t *testing.T) {
 	f := goldenFront(t, store.NewMemory(), nil)
-	q, body, fault := f.flowOf(json.RawMessage(`{"model":"m","messages":[{"content":"an opening"},{"content":"x"}],"max_tokens":5,"metadata":{"class":"import","tenant":"bolt","session":"s","prefix":"00000000000000ff"}}`))
+	q, body, fault := f.requestFor(json.RawMessage(`{"model":"m","messages":[{"content":"an opening"},{"content":"x"}],"max_tokens":5,"metadata":{"class":"import","tenant":"bolt","session":"s","prefix":"00000000000000ff"}}`))
 	require.Nil(t, fault)
 	c := &collector{}
 	require.NoError(t, c.Event([]byte("data: {\"model\":\"m2\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}],\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n")))
@@ -131,10 +131,10 @@
 	body := `{"model":"m","messages":[{"content":"x"}]}`
 	lines := []string{fmt.Sprintf(good, "a", body), "{not json", fmt.Sprintf(good, "a", body), fmt.Sprintf(good, "", body), strings.Replace(fmt.Sprintf(good, "b", body), "POST", "GET", 1),
 		strings.Replace(fmt.Sprintf(good, "c", body), "chat/completions", "embeddings", 1), fmt.Sprintf(good, "d", `{"messages":[]}`), fmt.Sprintf(good, "e", `[]`),
-		fmt.Sprintf(good, "f", `{"messages":[{}],"metadata":{"class":"none"}}`), fmt.Sprintf(good, "g", `{"messages":[{}],"metadata":{"tenant":"none"}}`), strings.Repeat("x", lineMost+1)}
+		fmt.Sprintf(good, "f", `{"messages":[{}],"metadata":{"class":"none"}}`), fmt.Sprintf(good, "g", `{"messages":[{}],"metadata":{"tenant":"none"}}`), strings.Repeat("x", maxLineBytes+1)}
 	_, faults := f.validate([]byte(strings.Join(lines, "\n")), Endpoint)
 	_, empty := f.validate(nil, Endpoint)
-	_, many := f.validate(bytes.Repeat([]byte("{}\n"), linesMost+1), Endpoint)
+	_, many := f.validate(bytes.Repeat([]byte("{}\n"), maxLines+1), Endpoint)
 	raw, err := json.MarshalIndent(append(append(faults, empty...), many...), "", " ")
 	require.NoError(t, err)
 	golden.Bytes(t, "faults.json", raw)
@@ -146,8 +146,8 @@
 	leader string
 }
 
-func (l led) Leads() (uint64, bool) { return 0, false }
-func (l led) Leader() string        { return l.leader }
+func (l led) Leadership() (uint64, bool) { return 0, false }
+func (l led) Leader() string             { return l.leader }
 
 // unwritable is a store that takes nothing.
 type unwritable struct{ store.Memory }
@@ -159,7 +159,7 @@
 // Answers of the batch API: statuses, headers and bodies.
 func TestGoldenAPI(t *testing.T) {
 	var out []string
-	var front *Front
+	var front *Service
 	call := func(method, path, kind, body string) {
 		t.Helper()
 		r := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -190,20 +190,20 @@
 		t.Helper()
 		raw, err := json.Marshal(value)
 		require.NoError(t, err)
-		_, err = keys.Write(t.Context(), store.Op{Key: key, Data: raw, If: store.Any})
+		_, err = keys.Write(t.Context(), store.Op{Key: key, Data: raw, ExpectedVersion: store.AnyVersion})
 		require.NoError(t, err)
 	}
 	front = goldenFront(t, keys, nil)
 	put(fileKey("file-1"), File{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a.jsonl", Purpose: "batch", Status: "processed"})
 	put(fileKey("file-2"), File{ID: "file-2", Object: "file", Bytes: 2, CreatedAt: 4, Filename: "b.jsonl", Purpose: "batch_output", Status: "processed"})
-	_, err := keys.Write(t.Context(), store.Op{Key: chunkKey("file-1", 0), Data: []byte("{}"), If: store.Any})
+	_, err := keys.Write(t.Context(), store.Op{Key: chunkKey("file-1", 0), Data: []byte("{}"), ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
 	over := goldenBatch()
 	put(batchKey(over.ID), over)
-	running := Batch{ID: "batch_2", Object: "batch", Endpoint: Endpoint, InputFileID: "file-1", CompletionWindow: "1h", Status: InProgress, CreatedAt: 9, ExpiresAt: 10, RequestCounts: Counts{Total: 3}}
+	running := Batch{ID: "batch_2", Object: "batch", Endpoint: Endpoint, InputFileID: "file-1", CompletionWindow: "1h", Status: InProgress, CreatedAt: 9, ExpiresAt: 10, RequestCounts: RequestCounts{Total: 3}}
 	put(batchKey(running.ID), running)
-	put(lineKey(running.ID, 0), record{State: lineDone})
-	put(lineKey(running.ID, 1), record{State: lineFailed})
+	put(lineKey(running.ID, 0), lineRecord{State: lineDone})
+	put(lineKey(running.ID, 1), lineRecord{State: lineFailed})
 	ending := running
 	ending.ID, ending.Status = "batch_3", Finalizing
 	put(batchKey(ending.ID), ending)
@@ -230,8 +230,8 @@
 	put(fileKey("file-9"), File{ID: "file-9", Object: "file", Bytes: 2 << 20, CreatedAt: 5, Filename: "c", Purpose: "other", Status: "processed"})
 	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-9","endpoint":"/v1/chat/completions","completion_window":"24h"}`)
 	upload("batch", "x", true)
-	for range uploadsMost {
-		front.places <- struct{}{}
+	for range maxUploads {
+		front.uploadSlots <- struct{}{}
 	}
 	upload("batch", "x", true)
 	front = goldenFront(t, led{keys, "other"}, nil)
--- a/internal/batch/lines.go
+++ b/internal/batch/lines.go
@@ -14,11 +14,11 @@
 
 const (
 	// Endpoint is what lines may ask for.
-	Endpoint   = "/v1/chat/completions"
-	linesMost  = 50_000
-	lineMost   = 256 << 10 // what a real server takes as one body
-	faultsMost = 20
-	tokenChars = 4
+	Endpoint           = "/v1/chat/completions"
+	maxLines           = 50_000
+	maxLineBytes       = 256 << 10 // what a real server takes as one body
+	maxReportedErrors  = 20
+	charactersPerToken = 4
 )
 
 // split returns the lines of a file, without those that are empty, and each one's number.
@@ -34,27 +34,27 @@
 }
 
 // validate reads every line of a file. Its faults name the line.
-func (f *Front) validate(content []byte, endpoint string) ([]Task, []Fault) {
-	var faults []Fault
+func (f *Service) validate(content []byte, endpoint string) ([]Task, []ValidationError) {
+	var faults []ValidationError
 	add := func(line int, code, param, format string, args ...any) {
-		if len(faults) < faultsMost {
-			faults = append(faults, Fault{code, fmt.Sprintf(format, args...), param, line})
+		if len(faults) < maxReportedErrors {
+			faults = append(faults, ValidationError{code, fmt.Sprintf(format, args...), param, line})
 		}
 	}
 	lines, numbers := split(content)
 	if len(lines) == 0 {
 		add(0, "empty_file", "input_file_id", "the input file holds no requests")
 	}
-	if len(lines) > linesMost {
-		add(0, "too_many_tasks", "input_file_id", "%d requests; at most %d are taken", len(lines), linesMost)
+	if len(lines) > maxLines {
+		add(0, "too_many_tasks", "input_file_id", "%d requests; at most %d are taken", len(lines), maxLines)
 		return nil, faults
 	}
 	tasks := make([]Task, len(lines))
 	seen := map[string]int{}
 	for i, line := range lines {
 		n, t := numbers[i], &tasks[i]
-		if len(line) > lineMost {
-			add(n, "request_too_large", "body", "the line has %d bytes; at most %d are taken", len(line), lineMost)
+		if len(line) > maxLineBytes {
+			add(n, "request_too_large", "body", "the line has %d bytes; at most %d are taken", len(line), maxLineBytes)
 			continue
 		}
 		if err := json.Unmarshal(line, t); err != nil {
@@ -73,7 +73,7 @@
 		case t.URL != endpoint:
 			add(n, "invalid_url", "url", "url %q is not the batch's endpoint %q", t.URL, endpoint)
 		default:
-			if _, _, err := f.flowOf(t.Body); err != nil {
+			if _, _, err := f.requestFor(t.Body); err != nil {
 				add(n, "invalid_request", err.Param, "%s", err.Message)
 			}
 		}
@@ -92,18 +92,18 @@
 	Metadata            map[string]string `json:"metadata"`
 }
 
-// flowOf turns a line's body into the module's request, without its deadline, and the body to send. Class,
+// requestFor turns a line's body into the module's request, without its deadline, and the body to send. Class,
 // tenant, session and prefix stand in the body's metadata under the keys that the operator's file states;
 // what is not said there has the file's defaults.
-func (f *Front) flowOf(body json.RawMessage) (standpoint.Request, []byte, *Fault) {
+func (f *Service) requestFor(body json.RawMessage) (standpoint.Request, []byte, *ValidationError) {
 	var q standpoint.Request
 	var c chat
 	var all map[string]json.RawMessage
 	if json.Unmarshal(body, &all) != nil || json.Unmarshal(body, &c) != nil || all == nil {
-		return q, nil, &Fault{Param: "body", Message: "body is not a chat completion request"}
+		return q, nil, &ValidationError{Param: "body", Message: "body is not a chat completion request"}
 	}
 	if len(c.Messages) == 0 {
-		return q, nil, &Fault{Param: "body.messages", Message: "body.messages is missing or empty"}
+		return q, nil, &ValidationError{Param: "body.messages", Message: "body.messages is missing or empty"}
 	}
 	field := func(key, standard string) string {
 		if v := c.Metadata[key]; v != "" {
@@ -114,11 +114,11 @@
 	var ok bool
 	class := field(f.Fields.Class, f.Defaults.Class)
 	if q.Class, ok = f.classes[class]; !ok {
-		return q, nil, &Fault{Param: "body.metadata." + f.Fields.Class, Message: fmt.Sprintf("unknown class %q", class)}
+		return q, nil, &ValidationError{Param: "body.metadata." + f.Fields.Class, Message: fmt.Sprintf("unknown class %q", class)}
 	}
 	tenant := field(f.Fields.Tenant, f.Defaults.Tenant)
 	if q.Tenant, ok = f.tenants[tenant]; !ok && len(f.tenants) > 0 {
-		return q, nil, &Fault{Param: "body.metadata." + f.Fields.Tenant,
+		return q, nil, &ValidationError{Param: "body.metadata." + f.Fields.Tenant,
 			Message: fmt.Sprintf("unknown tenant %q", tenant)}
 	}
 	q.Session = key(field(f.Fields.Session, f.Defaults.Session))
@@ -127,13 +127,13 @@
 	for i, m := range c.Messages {
 		chars += len(m.Content)
 		if i == 0 && len(c.Messages) > 1 { // the opening that prompts have in common is the first message
-			q.PrefixTokens = float64(len(m.Content)) / tokenChars
+			q.PrefixTokens = float64(len(m.Content)) / charactersPerToken
 			if q.Prefix == 0 {
 				q.Prefix = key(string(m.Content))
 			}
 		}
 	}
-	q.PromptTokens = float64(chars) / tokenChars
+	q.PromptTokens = float64(chars) / charactersPerToken
 	q.MaxTokens = max(c.MaxTokens, c.MaxCompletionTokens)
 	if q.MaxTokens <= 0 {
 		q.MaxTokens = f.Defaults.MaxTokens
@@ -143,7 +143,7 @@
 	all["stream_options"] = json.RawMessage(`{"include_usage":true}`)
 	raw, err := json.Marshal(all)
 	if err != nil {
-		return q, nil, &Fault{Param: "body", Message: err.Error()}
+		return q, nil, &ValidationError{Param: "body", Message: err.Error()}
 	}
 	return q, raw, nil
 }
@@ -163,7 +163,7 @@
 	return h.Sum64()
 }
 
-const answerMost = 4 << 20
+const maxAnswerBytes = 4 << 20
 
 var errLarge = errors.New("the answer is larger than 4 MiB")
 
@@ -208,7 +208,7 @@
 				c.finish = *choice.Finish
 			}
 		}
-		if c.content.Len() > answerMost {
+		if c.content.Len() > maxAnswerBytes {
 			return errLarge
 		}
 	}
--- a/internal/batch/model.go
+++ b/internal/batch/model.go
@@ -14,18 +14,18 @@
 // The states of a batch.
 const (
 	Validating Status = "validating"
-	FailedSt   Status = "failed"
+	Failed     Status = "failed"
 	InProgress Status = "in_progress"
 	Finalizing Status = "finalizing"
 	Completed  Status = "completed"
 	Expired    Status = "expired"
 	Cancelling Status = "cancelling"
-	CancelledS Status = "cancelled"
+	Cancelled  Status = "cancelled"
 )
 
-// Over tells that a batch will not change any more.
-func (s Status) Over() bool {
-	return s == FailedSt || s == Completed || s == Expired || s == CancelledS
+// Terminal tells that a batch will not change any more.
+func (s Status) Terminal() bool {
+	return s == Failed || s == Completed || s == Expired || s == Cancelled
 }
 
 // File is the file object.
@@ -39,25 +39,25 @@
 	Status    string `json:"status"`
 }
 
-// Counts are a batch's request_counts.
-type Counts struct {
+// RequestCounts are a batch's request_counts.
+type RequestCounts struct {
 	Total     int `json:"total"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 }
 
-// Fault is one error of validation; Line counts from 1.
-type Fault struct {
+// ValidationError is one error of validation; Line counts from 1.
+type ValidationError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	Param   string `json:"param,omitempty"`
 	Line    int    `json:"line,omitempty"`
 }
 
-// Faults is the list of them.
-type Faults struct {
-	Object string  `json:"object"`
-	Data   []Fault `json:"data"`
+// ValidationErrors is the list of them.
+type ValidationErrors struct {
+	Object string            `json:"object"`
+	Data   []ValidationError `json:"data"`
 }
 
 // Batch is the batch object. Times are Unix seconds; those of states not reached are absent.
@@ -65,7 +65,7 @@
 	ID               string            `json:"id"`
 	Object           string            `json:"object"`
 	Endpoint         string            `json:"endpoint"`
-	Errors           *Faults           `json:"errors,omitempty"`
+	Errors           *ValidationErrors `json:"errors,omitempty"`
 	InputFileID      string            `json:"input_file_id"`
 	CompletionWindow string            `json:"completion_window"`
 	Status           Status            `json:"status"`
@@ -80,7 +80,7 @@
 	ExpiredAt        int64             `json:"expired_at,omitempty"`
 	CancellingAt     int64             `json:"cancelling_at,omitempty"`
 	CancelledAt      int64             `json:"cancelled_at,omitempty"`
-	RequestCounts    Counts            `json:"request_counts"`
+	RequestCounts    RequestCounts     `json:"request_counts"`
 	Metadata         map[string]string `json:"metadata,omitempty"`
 }
 
@@ -94,10 +94,10 @@
 
 // Result is one line of an output or error file.
 type Result struct {
-	ID       string    `json:"id"`
-	CustomID string    `json:"custom_id"`
-	Response *Response `json:"response"`
-	Error    *Failure  `json:"error"`
+	ID       string     `json:"id"`
+	CustomID string     `json:"custom_id"`
+	Response *Response  `json:"response"`
+	Error    *LineError `json:"error"`
 }
 
 // Response is what a real server answered.
@@ -107,8 +107,8 @@
 	Body       json.RawMessage `json:"body"`
 }
 
-// Failure says why a line has no answer.
-type Failure struct {
+// LineError says why a line has no answer.
+type LineError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
@@ -123,13 +123,13 @@
 	lineFailed  lineState = "failed"
 )
 
-// record is a line's state in the store. Its result stands under a key of its own, written in the same step.
-type record struct {
+// lineRecord is a line's state in the store. Its result stands under a key of its own, written in the same step.
+type lineRecord struct {
 	State lineState `json:"state"`
 	// Until: of a line that is out, when at the latest no attempt of it is out any more; of one that waits,
 	// when it may be sent. Unix milliseconds.
-	Until int64 `json:"until,omitempty"`
-	Tries int   `json:"tries,omitempty"`
+	Until    int64 `json:"until,omitempty"`
+	Attempts int   `json:"tries,omitempty"`
 }
 
 func newID(prefix string) string {
--- a/internal/batch/runner.go
+++ b/internal/batch/runner.go
@@ -20,32 +20,32 @@
 )
 
 const (
-	chunkSize   = 256 << 10 // of a file's content under one key
-	leadsEvery  = 20 * time.Millisecond
-	guardShare  = 10              // a line's attempts end this part of its time before it runs out
-	guardMost   = 2 * time.Second // and at most this much
-	turnedWait  = 500 * time.Millisecond
-	failedWait  = 200 * time.Millisecond
-	retryWait   = 100 * time.Millisecond // before a batch is taken up again that was interrupted; doubled each time
-	retryMost   = 10 * time.Second
-	runningMost = 4    // batches at once; the others wait in their state
-	tidyMost    = 1000 // keys that are taken away in one write
+	chunkSize               = 256 << 10 // of a file's content under one key
+	leadershipCheckInterval = 20 * time.Millisecond
+	guardDivisor            = 10              // a line's attempts end this part of its time before it runs out
+	maxGuard                = 2 * time.Second // and at most this much
+	rejectedDelay           = 500 * time.Millisecond
+	failedDelay             = 200 * time.Millisecond
+	minRetryDelay           = 100 * time.Millisecond // before a batch is taken up again that was interrupted; doubled each time
+	maxRetryDelay           = 10 * time.Second
+	maxRunningBatches       = 4    // batches at once; the others wait in their state
+	maxDeletesPerWrite      = 1000 // keys that are taken away in one write
 )
 
 // Run runs batches for as long as this member leads the store, until ctx ends. Whenever leadership goes,
 // all attempts of lines are ended at once, well before the time until which the store has them out.
-func (f *Front) Run(ctx context.Context) {
+func (f *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		term, leads := f.Store.Leads()
+		term, leads := f.Store.Leadership()
 		if !leads {
-			pause(ctx, leadsEvery)
+			pause(ctx, leadershipCheckInterval)
 			continue
 		}
 		led, end := context.WithCancel(ctx)
 		go func() {
 			defer end()
-			for now, ok := term, true; ok && now == term && led.Err() == nil; now, ok = f.Store.Leads() {
-				pause(led, leadsEvery)
+			for now, ok := term, true; ok && now == term && led.Err() == nil; now, ok = f.Store.Leadership() {
+				pause(led, leadershipCheckInterval)
 			}
 		}()
 		f.Log.Info("this member runs batches", zap.Uint64("term", term))
@@ -64,12 +64,12 @@
 }
 
 // lead starts a job for each batch that is not over, and for those that come.
-func (f *Front) lead(ctx context.Context) {
+func (f *Service) lead(ctx context.Context) {
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
 	running := map[string]bool{}
-	slots := newSlots(f.LinesAtOnce)
-	places := make(chan struct{}, runningMost)
+	slots := newConcurrencyLimiter(f.MaxConcurrentLines)
+	places := make(chan struct{}, maxRunningBatches)
 	f.sweep(ctx)
 	for ctx.Err() == nil {
 		for _, k := range f.Store.List(batchKey("")) {
@@ -82,16 +82,16 @@
 				f.Log.Error("the record of a batch cannot be read; it is left alone", zap.String("key", k))
 			}
 			running[id] = true
-			if !ok || b.Status.Over() {
+			if !ok || b.Status.Terminal() {
 				continue
 			}
 			jobs.Go(func() {
-				if !f.place(ctx, id, places) {
+				if !f.acquireSlot(ctx, id, places) {
 					return
 				}
 				defer func() { <-places }()
 				// A step that the store did not take leaves the batch where the store has it: it is taken up again from there.
-				for wait := retryWait; ; wait = min(2*wait, retryMost) {
+				for wait := minRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
 					err := f.work(ctx, id, slots)
 					if err == nil {
 						f.tidy(ctx, id)
@@ -111,9 +111,9 @@
 	}
 }
 
-// place waits for one among the batches that run at once, each with its file in memory. One that is cancelled or has
+// acquireSlot waits for one among the batches that run at once, each with its file in memory. One that is cancelled or has
 // expired meanwhile keeps its turn; what it still needs is little.
-func (f *Front) place(ctx context.Context, id string, places chan struct{}) bool {
+func (f *Service) acquireSlot(ctx context.Context, id string, places chan struct{}) bool {
 	select {
 	case places <- struct{}{}:
 		return true
@@ -124,9 +124,9 @@
 
 // sweep takes away what is left of files that were never whole, of uploads that broke off with the member that took them,
 // and the lines of batches that are over.
-func (f *Front) sweep(ctx context.Context) {
+func (f *Service) sweep(ctx context.Context) {
 	for _, k := range f.Store.List(batchKey("")) {
-		if b, _, ok := f.batch(k[len(batchKey("")):]); ok && b.Status.Over() {
+		if b, _, ok := f.batch(k[len(batchKey("")):]); ok && b.Status.Terminal() {
 			f.tidy(ctx, b.ID)
 		}
 	}
@@ -135,7 +135,7 @@
 		if _, whole := f.file(id); whole || f.uploading(id) {
 			continue
 		}
-		if _, err := f.Store.Write(ctx, store.Op{Key: k, If: store.Any}); err != nil {
+		if _, err := f.Store.Write(ctx, store.Op{Key: k, ExpectedVersion: store.AnyVersion}); err != nil {
 			f.Log.Warn("what is left of an upload could not be taken away", zap.String("key", k), zap.Error(err))
 			return
 		}
@@ -143,12 +143,12 @@
 }
 
 // tidy takes away the lines of a batch that is over: its files have their results.
-func (f *Front) tidy(ctx context.Context, id string) {
+func (f *Service) tidy(ctx context.Context, id string) {
 	keys := append(f.Store.List(lineKeys(id)), f.Store.List(resultKeys(id))...)
-	for some := range slices.Chunk(keys, tidyMost) {
+	for some := range slices.Chunk(keys, maxDeletesPerWrite) {
 		ops := make([]store.Op, len(some))
 		for i, k := range some {
-			ops[i] = store.Op{Key: k, If: store.Any}
+			ops[i] = store.Op{Key: k, ExpectedVersion: store.AnyVersion}
 		}
 		if _, err := f.Store.Write(ctx, ops...); err != nil {
 			f.Log.Warn("the lines of a batch that is over are still kept", zap.String("batch", id), zap.Error(err))
@@ -164,25 +164,25 @@
 	key     string
 	result  string // key of its result
 	version uint64
-	record  record
+	record  lineRecord
 }
 
 // work takes a batch from where the store has it to its end.
-func (f *Front) work(ctx context.Context, id string, slots *slots) error {
+func (f *Service) work(ctx context.Context, id string, slots *concurrencyLimiter) error {
 	b, _, ok := f.batch(id)
 	if !ok {
 		return fmt.Errorf("batch %s is not in the store", id)
 	}
 	var tasks []Task
-	var faults []Fault
+	var faults []ValidationError
 	if content, err := f.content(b.InputFileID); err != nil {
-		faults = []Fault{{Code: "file_not_whole", Message: err.Error(), Param: "input_file_id"}}
+		faults = []ValidationError{{Code: "file_not_whole", Message: err.Error(), Param: "input_file_id"}}
 	} else {
 		tasks, faults = f.validate(content, b.Endpoint)
 	}
 	if len(faults) > 0 {
 		return f.change(ctx, id, func(b *Batch) {
-			b.Status, b.FailedAt, b.Errors = FailedSt, now(), &Faults{"list", faults}
+			b.Status, b.FailedAt, b.Errors = Failed, now(), &ValidationErrors{"list", faults}
 		})
 	}
 	lines := make([]*line, len(tasks))
@@ -215,7 +215,7 @@
 }
 
 // runLines sends lines until each has its one final result.
-func (f *Front) runLines(ctx context.Context, id string, expires time.Time, lines []*line, slots *slots) error {
+func (f *Service) runLines(ctx context.Context, id string, expires time.Time, lines []*line, slots *concurrencyLimiter) error {
 	var out sync.WaitGroup
 	defer out.Wait()
 	// Lines that are out are ended with ctx; the buffer lets each of them hand itself in without waiting.
@@ -294,12 +294,12 @@
 }
 
 // put writes a line's record, and its result with it, provided that nobody else has.
-func (f *Front) put(ctx context.Context, l *line, r record, result *Result) error {
+func (f *Service) put(ctx context.Context, l *line, r lineRecord, result *Result) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	ops := []store.Op{{Key: l.key, Data: raw, If: l.version}}
+	ops := []store.Op{{Key: l.key, Data: raw, ExpectedVersion: l.version}}
 	if result != nil {
 		if raw, err = json.Marshal(result); err != nil {
 			return err
@@ -313,7 +313,7 @@
 	}
 	// Whether a write that broke off was carried out is not known: what the store has is what holds, and goes on from there.
 	if now := f.Store.Get(l.key); now.Version != l.version {
-		var has record
+		var has lineRecord
 		if bad := json.Unmarshal(now.Data, &has); bad != nil {
 			return errors.Join(err, fmt.Errorf("%s: %w", l.key, bad))
 		}
@@ -322,31 +322,31 @@
 	return err
 }
 
-func (f *Front) fail(ctx context.Context, l *line, code string) error {
+func (f *Service) fail(ctx context.Context, l *line, code string) error {
 	text := map[string]string{
 		"batch_cancelled": "The batch was cancelled before this request was run.",
 		"batch_expired":   "This request could not be executed before the completion window expired.",
 		"server_error":    "The request failed each time that it was tried.",
 	}[code]
-	return f.put(ctx, l, record{State: lineFailed, Tries: l.record.Tries}, &Result{ID: newID("batch_req_"),
-		CustomID: l.task.CustomID, Error: &Failure{code, text}})
+	return f.put(ctx, l, lineRecord{State: lineFailed, Attempts: l.record.Attempts}, &Result{ID: newID("batch_req_"),
+		CustomID: l.task.CustomID, Error: &LineError{code, text}})
 }
 
 // send has one flow run for a line and commits what follows. The store has the line as out before anything
 // is sent, and its result before anybody is told: whoever leads next neither sends it while an attempt may
 // be out nor gives it a second result.
-func (f *Front) send(ctx context.Context, id string, expires time.Time, l *line) node.AnswerKind {
-	q, body, fault := f.flowOf(l.task.Body)
+func (f *Service) send(ctx context.Context, id string, expires time.Time, l *line) node.AnswerKind {
+	q, body, fault := f.requestFor(l.task.Body)
 	if fault != nil { // validated already; the operator's file may have changed since
-		f.must(f.fail(ctx, l, "server_error"), l)
+		f.recordOrLog(f.fail(ctx, l, "server_error"), l)
 		return node.Failed
 	}
 	began := time.Now()
-	until := began.Add(f.LineTime)
-	guard := min(f.LineTime/guardShare, guardMost)
-	if err := f.put(ctx, l, record{State: lineOut, Until: until.UnixMilli(), Tries: l.record.Tries + 1}, nil); err != nil {
-		f.must(err, l)
-		pause(ctx, failedWait) // a store that takes nothing is not asked at full speed
+	until := began.Add(f.LineTimeout)
+	guard := min(f.LineTimeout/guardDivisor, maxGuard)
+	if err := f.put(ctx, l, lineRecord{State: lineOut, Until: until.UnixMilli(), Attempts: l.record.Attempts + 1}, nil); err != nil {
+		f.recordOrLog(err, l)
+		pause(ctx, failedDelay) // a store that takes nothing is not asked at full speed
 		return node.ClientGone
 	}
 	// The end of the flow's context ends even a stream that has begun, for which no deadline runs.
@@ -376,24 +376,24 @@
 	}
 	again := func(tries int, wait time.Duration) {
 		wait += time.Duration(rand.Int64N(int64(wait)/2 + 1))
-		f.must(f.put(ctx, l, record{State: lineWaiting, Tries: tries, Until: time.Now().Add(wait).UnixMilli()}, nil), l)
+		f.recordOrLog(f.put(ctx, l, lineRecord{State: lineWaiting, Attempts: tries, Until: time.Now().Add(wait).UnixMilli()}, nil), l)
 	}
 	switch final.Kind {
 	case node.Served:
 		completion, err := answer.completion(trace, modelOf(l.task.Body), time.Now().Unix())
 		if err != nil {
-			f.must(f.fail(ctx, l, "server_error"), l)
+			f.recordOrLog(f.fail(ctx, l, "server_error"), l)
 			break
 		}
-		f.must(f.put(ctx, l, record{State: lineDone, Tries: l.record.Tries}, &Result{
+		f.recordOrLog(f.put(ctx, l, lineRecord{State: lineDone, Attempts: l.record.Attempts}, &Result{
 			ID: newID("batch_req_"), CustomID: l.task.CustomID, Response: &Response{200, trace, completion}}), l)
 	case node.Rejected: // a refusal costs none of the line's tries
-		again(l.record.Tries-1, max(final.Wait, turnedWait))
+		again(l.record.Attempts-1, max(final.Wait, rejectedDelay))
 	default:
-		if l.record.Tries >= f.Tries || final.Kind == node.Invalid {
-			f.must(f.fail(ctx, l, "server_error"), l)
+		if l.record.Attempts >= f.MaxAttempts || final.Kind == node.Invalid {
+			f.recordOrLog(f.fail(ctx, l, "server_error"), l)
 		} else {
-			again(l.record.Tries, failedWait<<min(l.record.Tries, 5))
+			again(l.record.Attempts, failedDelay<<min(l.record.Attempts, 5))
 		}
 	}
 	return final.Kind
@@ -407,16 +407,16 @@
 	return c.Model
 }
 
-// must logs a record that could not be written. Where another leader has the line it is that leader's; the
+// recordOrLog logs a record that could not be written. Where another leader has the line it is that leader's; the
 // store still has ours as out until its time.
-func (f *Front) must(err error, l *line) {
+func (f *Service) recordOrLog(err error, l *line) {
 	if err != nil {
 		f.Log.Warn("line not recorded", zap.String("line", l.key), zap.Error(err))
 	}
 }
 
 // finalize writes the output and error files and ends the batch, in one step after the files' contents.
-func (f *Front) finalize(ctx context.Context, id string, lines []*line) error {
+func (f *Service) finalize(ctx context.Context, id string, lines []*line) error {
 	if err := f.change(ctx, id, func(b *Batch) {
 		if b.Status == InProgress {
 			b.Status, b.FinalizingAt = Finalizing, now()
@@ -425,7 +425,7 @@
 		return err
 	}
 	var output, faults []byte
-	var counts Counts
+	var counts RequestCounts
 	expired := false
 	for _, l := range lines {
 		counts.Total++
@@ -457,7 +457,7 @@
 		b.OutputFileID, b.ErrorFileID, b.RequestCounts = outputID, faultsID, counts
 		switch {
 		case b.Status == Cancelling:
-			b.Status, b.CancelledAt = CancelledS, now()
+			b.Status, b.CancelledAt = Cancelled, now()
 		case expired:
 			b.Status, b.ExpiredAt = Expired, now()
 		default:
@@ -469,7 +469,7 @@
 func now() int64 { return time.Now().Unix() }
 
 // change reads, changes and writes a batch until no other writer came between.
-func (f *Front) change(ctx context.Context, id string, edit func(*Batch)) error {
+func (f *Service) change(ctx context.Context, id string, edit func(*Batch)) error {
 	for {
 		b, version, ok := f.batch(id)
 		if !ok {
@@ -480,45 +480,45 @@
 		if err != nil {
 			return err
 		}
-		_, err = f.Store.Write(ctx, store.Op{Key: batchKey(id), Data: raw, If: version})
+		_, err = f.Store.Write(ctx, store.Op{Key: batchKey(id), Data: raw, ExpectedVersion: version})
 		if !errors.Is(err, store.ErrConflict) {
 			return err
 		}
 	}
 }
 
-// slots bound the lines that are out at once, so that single requests keep their service. A turn-down
+// concurrencyLimiter bound the lines that are out at once, so that single requests keep their service. A turn-down
 // halves the bound for a while: the fleet has no room for more.
-type slots struct {
-	free  chan struct{}
-	mu    sync.Mutex
-	most  int
-	bound float64
-	taken int // places kept out of use
+type concurrencyLimiter struct {
+	free     chan struct{}
+	mu       sync.Mutex
+	maximum  int
+	bound    float64
+	withheld int // places kept out of use
 }
 
-func newSlots(most int) *slots {
-	return &slots{free: make(chan struct{}, most), most: most, bound: float64(most)}
+func newConcurrencyLimiter(most int) *concurrencyLimiter {
+	return &concurrencyLimiter{free: make(chan struct{}, most), maximum: most, bound: float64(most)}
 }
 
 // release gives a place back, or keeps it out of use while the bound is lower than the places.
-func (s *slots) release(k node.AnswerKind) {
+func (s *concurrencyLimiter) release(k node.AnswerKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch k {
 	case node.Rejected:
 		s.bound = max(1, s.bound/2)
 	case node.Served:
-		s.bound = min(float64(s.most), s.bound+1/s.bound)
+		s.bound = min(float64(s.maximum), s.bound+1/s.bound)
 	}
-	keep := s.most - int(s.bound)
-	if s.taken < keep {
-		s.taken++ // this place stays filled
+	keep := s.maximum - int(s.bound)
+	if s.withheld < keep {
+		s.withheld++ // this place stays filled
 		return
 	}
 	<-s.free
-	for s.taken > keep {
-		s.taken--
+	for s.withheld > keep {
+		s.withheld--
 		<-s.free
 	}
 }
--- a/internal/batch/story_test.go
+++ b/internal/batch/story_test.go
@@ -25,29 +25,29 @@
 	"standpoint/internal/testpeer"
 )
 
-// office is a client of the batch front.
-type office struct {
+// client is a client of the batch front.
+type client struct {
 	t   *testing.T
 	url string
 }
 
 // serve starts a front that takes files and does not run them.
-func serve(t *testing.T, n *testpeer.Node, s store.Store, edit func(*batch.Options)) (*batch.Front, *office) {
+func serve(t *testing.T, n *testpeer.Node, s store.Store, edit func(*batch.Options)) (*batch.Service, *client) {
 	o := batch.Options{Core: n.Core, Store: s, Log: zap.NewNop(), Classes: testpeer.Names.Classes,
-		Tenants: testpeer.Names.Tenants, Fields: batch.Fields{Class: "class", Tenant: "tenant", Session: "session", Prefix: "prefix"},
-		Defaults:    batch.Fields{Class: "chat", Tenant: "acme", MaxTokens: 64},
-		LinesAtOnce: 100, LineTime: 10 * time.Second, Tries: 4, FileMost: 1 << 20, FilesMost: 64 << 20}
+		Tenants: testpeer.Names.Tenants, Fields: batch.RequestFields{Class: "class", Tenant: "tenant", Session: "session", Prefix: "prefix"},
+		Defaults:           batch.RequestFields{Class: "chat", Tenant: "acme", MaxTokens: 64},
+		MaxConcurrentLines: 100, LineTimeout: 10 * time.Second, MaxAttempts: 4, MaxFileBytes: 1 << 20, MaxTotalFileBytes: 64 << 20}
 	if edit != nil {
 		edit(&o)
 	}
 	front := batch.New(o)
 	server := httptest.NewServer(front.Handler())
 	t.Cleanup(server.Close)
-	return front, &office{t, server.URL}
+	return front, &client{t, server.URL}
 }
 
 // open starts a front.
-func open(t *testing.T, n *testpeer.Node, s store.Store, edit func(*batch.Options)) *office {
+func open(t *testing.T, n *testpeer.Node, s store.Store, edit func(*batch.Options)) *client {
 	front, o := serve(t, n, s, edit)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -56,13 +56,13 @@
 	return o
 }
 
-func (o *office) call(method, path string, body string, into any) int {
+func (o *client) call(method, path string, body string, into any) int {
 	r, err := http.NewRequest(method, o.url+path, strings.NewReader(body))
 	require.NoError(o.t, err)
 	return o.do(r, into)
 }
 
-func (o *office) do(r *http.Request, into any) int {
+func (o *client) do(r *http.Request, into any) int {
 	response, err := http.DefaultClient.Do(r)
 	require.NoError(o.t, err)
 	defer response.Body.Close()
@@ -77,7 +77,7 @@
 }
 
 // upload brings a file.
-func (o *office) upload(content string, into any) int {
+func (o *client) upload(content string, into any) int {
 	kind, body := testpeer.Upload(content)
 	r, err := http.NewRequest(http.MethodPost, o.url+"/v1/files", body)
 	require.NoError(o.t, err)
@@ -86,7 +86,7 @@
 }
 
 // submit uploads a file and makes a batch of it.
-func (o *office) submit(content, window string) batch.Batch {
+func (o *client) submit(content, window string) batch.Batch {
 	var file batch.File
 	require.Equal(o.t, http.StatusOK, o.upload(content, &file))
 	var b batch.Batch
@@ -96,16 +96,16 @@
 }
 
 // wait polls a batch until it is over.
-func (o *office) wait(id string, most time.Duration) batch.Batch {
+func (o *client) wait(id string, most time.Duration) batch.Batch {
 	var b batch.Batch
 	require.Eventually(o.t, func() bool {
-		return o.call("GET", "/v1/batches/"+id, "", &b) == http.StatusOK && b.Status.Over()
+		return o.call("GET", "/v1/batches/"+id, "", &b) == http.StatusOK && b.Status.Terminal()
 	}, most, 20*time.Millisecond, "batch %+v", &b)
 	return b
 }
 
 // results returns the lines of a file by custom_id, and how many there are.
-func (o *office) results(id string) (map[string]batch.Result, int) {
+func (o *client) results(id string) (map[string]batch.Result, int) {
 	all, n := map[string]batch.Result{}, 0
 	if id == "" {
 		return all, 0
@@ -192,7 +192,7 @@
 	b := o.submit(lines(n), "10m")
 	b = o.wait(b.ID, time.Minute)
 	require.Equal(t, batch.Completed, b.Status)
-	require.Equal(t, batch.Counts{Total: n, Completed: n}, b.RequestCounts)
+	require.Equal(t, batch.RequestCounts{Total: n, Completed: n}, b.RequestCounts)
 	results, written := o.results(b.OutputFileID)
 	require.Equal(t, n, written)
 	for i := range n {
@@ -221,7 +221,7 @@
 		strings.Repeat("x", 256<<10), 1), `{"custom_id":"v","method":"GET","url":"/v1/chat/completions","body":{}}`,
 		`{"custom_id":"w","method":"POST","url":"/v1/chat/completions","body":{"messages":[]}}`}, "\n"), "24h")
 	b = o.wait(b.ID, 5*time.Second)
-	require.Equal(t, batch.FailedSt, b.Status)
+	require.Equal(t, batch.Failed, b.Status)
 	got := map[int]string{}
 	for _, f := range b.Errors.Data {
 		got[f.Line] = f.Code
@@ -246,13 +246,13 @@
 		time.Sleep(50 * time.Millisecond)
 		return http.StatusOK
 	})))
-	o := open(t, n, store.NewMemory(), func(o *batch.Options) { o.LinesAtOnce = 2 })
+	o := open(t, n, store.NewMemory(), func(o *batch.Options) { o.MaxConcurrentLines = 2 })
 	for _, c := range []struct {
 		window string
 		cancel bool
 		status batch.Status
 		code   string
-	}{{"1h", true, batch.CancelledS, "batch_cancelled"}, {"1s", false, batch.Expired, "batch_expired"}} {
+	}{{"1h", true, batch.Cancelled, "batch_cancelled"}, {"1s", false, batch.Expired, "batch_expired"}} {
 		b := o.submit(lines(100), c.window)
 		if c.cancel {
 			before := ledger.Total()
@@ -265,7 +265,7 @@
 		faults, f := o.results(b.ErrorFileID)
 		require.Equal(t, 100, d+f)
 		require.Equal(t, 100, len(done)+len(faults), "no line twice")
-		require.Equal(t, batch.Counts{Total: 100, Completed: d, Failed: f}, b.RequestCounts)
+		require.Equal(t, batch.RequestCounts{Total: 100, Completed: d, Failed: f}, b.RequestCounts)
 		codes := map[string]bool{}
 		for _, r := range faults {
 			codes[r.Error.Code] = true
@@ -299,7 +299,7 @@
 	require.Eventually(t, func() bool { return ledger.Total() == 1 }, time.Second, time.Millisecond)
 	b = second.wait(b.ID, 10*time.Second)
 	require.False(t, time.Now().Before(until))
-	require.Equal(t, batch.Counts{Total: 4, Completed: 3, Failed: 1}, b.RequestCounts)
+	require.Equal(t, batch.RequestCounts{Total: 4, Completed: 3, Failed: 1}, b.RequestCounts)
 	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Sent())
 }
 
@@ -309,7 +309,7 @@
 	term atomic.Uint64 // 0: another leads
 }
 
-func (e *elected) Leads() (uint64, bool) { return e.term.Load(), e.term.Load() != 0 }
+func (e *elected) Leadership() (uint64, bool) { return e.term.Load(), e.term.Load() != 0 }
 
 func (e *elected) Write(ctx context.Context, ops ...store.Op) (uint64, error) {
 	if e.term.Load() == 0 {
@@ -338,7 +338,7 @@
 	})))
 	keys := &elected{Memory: store.NewMemory()}
 	keys.term.Store(1)
-	o := open(t, n, keys, func(o *batch.Options) { o.LineTime = 2 * time.Second })
+	o := open(t, n, keys, func(o *batch.Options) { o.LineTimeout = 2 * time.Second })
 	sent := time.Now()
 	b := o.submit(lines(1), "1h")
 	<-begun
@@ -348,7 +348,7 @@
 	keys.term.Store(2)
 	b = o.wait(b.ID, 10*time.Second)
 	require.Greater(t, time.Since(sent), 2*time.Second)
-	require.Equal(t, batch.Counts{Total: 1, Completed: 1}, b.RequestCounts)
+	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
 	require.Equal(t, 2, ledger.Sent()["line 0"])
 	require.Equal(t, 1, ledger.Most())
 }
@@ -382,10 +382,10 @@
 				ledger := testpeer.NewLedger()
 				n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", streaming(t, ledger, func(string, int) int { return http.StatusOK })))
 				keys := &broken{Memory: store.NewMemory(), at: at, carried: carried}
-				o := open(t, n, keys, func(o *batch.Options) { o.LineTime = time.Second })
+				o := open(t, n, keys, func(o *batch.Options) { o.LineTimeout = time.Second })
 				b := o.wait(o.submit(lines(2), "1h").ID, 15*time.Second)
 				require.Equal(t, batch.Completed, b.Status)
-				require.Equal(t, batch.Counts{Total: 2, Completed: 2}, b.RequestCounts)
+				require.Equal(t, batch.RequestCounts{Total: 2, Completed: 2}, b.RequestCounts)
 				_, written := o.results(b.OutputFileID)
 				require.Equal(t, 2, written)
 				require.Equal(t, 1, ledger.Most())
@@ -400,7 +400,7 @@
 func TestUploadsThatBreakOff(t *testing.T) {
 	n := testpeer.Start(t, testpeer.Settings())
 	keys := &broken{Memory: store.NewMemory(), at: 2}
-	front, o := serve(t, n, keys, func(o *batch.Options) { o.FileMost = 8 << 20 })
+	front, o := serve(t, n, keys, func(o *batch.Options) { o.MaxFileBytes = 8 << 20 })
 	content := lines(5000) // three pieces
 	require.Equal(t, http.StatusServiceUnavailable, o.upload(content, nil))
 	require.Empty(t, keys.List(""))
@@ -425,10 +425,10 @@
 	keys := store.NewMemory()
 	_, o := serve(t, n, keys, nil)
 	b := o.submit(lines(1), "1h")
-	_, err := keys.Write(t.Context(), store.Op{Key: "data/" + b.InputFileID + "/000000", If: store.Any})
+	_, err := keys.Write(t.Context(), store.Op{Key: "data/" + b.InputFileID + "/000000", ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
 	b = open(t, n, keys, nil).wait(b.ID, 5*time.Second)
-	require.Equal(t, batch.FailedSt, b.Status)
+	require.Equal(t, batch.Failed, b.Status)
 	require.Contains(t, b.Errors.Data[0].Message, "not whole")
 }
 
@@ -437,7 +437,7 @@
 func TestFilesThatNobodyDeletes(t *testing.T) {
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", streaming(t, testpeer.NewLedger(), func(string, int) int { return http.StatusOK })))
 	keys := store.NewMemory()
-	o := open(t, n, keys, func(o *batch.Options) { o.FilesMost = 4 << 10 })
+	o := open(t, n, keys, func(o *batch.Options) { o.MaxTotalFileBytes = 4 << 10 })
 	b := o.wait(o.submit(lines(2), "1h").ID, 10*time.Second)
 	require.Eventually(t, func() bool { return len(keys.List("line/"))+len(keys.List("result/")) == 0 }, 5*time.Second, time.Millisecond)
 	_, written := o.results(b.OutputFileID)
@@ -469,9 +469,9 @@
 	})
 	entry := testpeer.Entry("b", server.Address)
 	entry.Batch = true
-	o := open(t, testpeer.Start(t, settings, entry), store.NewMemory(), func(o *batch.Options) { o.LineTime = time.Second })
+	o := open(t, testpeer.Start(t, settings, entry), store.NewMemory(), func(o *batch.Options) { o.LineTimeout = time.Second })
 	b := o.wait(o.submit(lines(1), "1h").ID, 20*time.Second)
-	require.Equal(t, batch.Counts{Total: 1, Completed: 1}, b.RequestCounts)
+	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
 	require.Equal(t, 2, ledger.Sent()["line 0"])
 	require.Equal(t, 1, ledger.Most())
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,12 +21,12 @@
 
 // Exit codes.
 const (
-	OK          = 0
-	Failed      = 1 // the command could not do what it was asked
-	Faulty      = 2 // the command line or a configuration is wrong; the message names the key
-	Unreachable = 3 // no daemon answers at the control interface
-	Refused     = 4 // the daemon refused: not allowed, or not now
-	Worse       = 5 // a watched move was halted or went back
+	OK                = 0
+	Failed            = 1 // the command could not do what it was asked
+	InvalidUsage      = 2 // the command line or a configuration is wrong; the message names the key
+	Unreachable       = 3 // no daemon answers at the control interface
+	Rejected          = 4 // the daemon refused: not allowed, or not now
+	MigrationReverted = 5 // a watched move was halted or went back
 )
 
 // exit is an error with its code.
@@ -46,7 +46,7 @@
 // Main runs a command line and returns its exit code.
 func Main(ctx context.Context, args []string, s Streams) int {
 	root := newRoot(s)
-	root.SetArgs(oldFlags(args))
+	root.SetArgs(acceptLegacyFlags(args))
 	err := root.ExecuteContext(ctx)
 	if err == nil {
 		return OK
@@ -59,8 +59,8 @@
 	return Failed
 }
 
-// oldFlags lets -config FILE and -config=FILE go on working beside --config.
-func oldFlags(args []string) []string {
+// acceptLegacyFlags lets -config FILE and -config=FILE go on working beside --config.
+func acceptLegacyFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		if a == "-config" || strings.HasPrefix(a, "-config=") {
@@ -90,25 +90,25 @@
 		Example: `  standpoint --config deploy/operator.toml
   standpoint check deploy/operator.toml
   standpoint move start --config deploy/operator.toml --to new`,
-		Args:          faulty(cobra.NoArgs),
+		Args:          invalidUsageArgs(cobra.NoArgs),
 		SilenceErrors: true, SilenceUsage: true,
 		RunE: func(*cobra.Command, []string) error { return o.serve() },
 	}
 	root.SetOut(s.Out)
 	root.SetErr(s.Err)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return exit{Faulty, err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return exit{InvalidUsage, err} })
 	root.PersistentFlags().StringVar(&o.config, "config", os.Getenv("STANDPOINT_CONFIG"), "an operator's file (also STANDPOINT_CONFIG)")
 	root.PersistentFlags().StringVarP(&o.output, "output", "o", "text", "what is printed: text or json")
 	_ = root.MarkPersistentFlagFilename("config", "toml")
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"text", "json"}, cobra.ShellCompDirectiveNoFileComp))
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if o.output != "text" && o.output != "json" {
-			return exit{Faulty, fmt.Errorf("--output: %q is neither text nor json", o.output)}
+			return exit{InvalidUsage, fmt.Errorf("--output: %q is neither text nor json", o.output)}
 		}
 		return nil
 	}
 	root.AddCommand(&cobra.Command{Use: "serve", Short: "Serve until SIGTERM; SIGHUP reads the configuration again",
-		Example: "  standpoint serve --config deploy/operator.toml", Args: faulty(cobra.NoArgs),
+		Example: "  standpoint serve --config deploy/operator.toml", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error { return o.serve() }},
 		o.checkCommand(), o.versionCommand(), o.moveCommand(), o.poolsCommand(), o.entriesCommand(), o.nodesCommand(), o.fleetCommand(), o.ledgerCommand())
 	root.AddCommand(o.configCommand())
@@ -116,27 +116,27 @@
 	return root
 }
 
-// faulty gives arguments that do not fit their exit code.
-func faulty(check cobra.PositionalArgs) cobra.PositionalArgs {
+// invalidUsageArgs gives arguments that do not fit their exit code.
+func invalidUsageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
-			return exit{Faulty, err}
+			return exit{InvalidUsage, err}
 		}
 		return nil
 	}
 }
 
 func (o *options) serve() error {
-	err := daemon.Run(daemon.Options{File: o.config})
-	var faulty *daemon.Faulty
+	err := daemon.Run(daemon.Options{ConfigFile: o.config})
+	var faulty *daemon.ConfigError
 	if errors.As(err, &faulty) {
-		return exit{Faulty, err}
+		return exit{InvalidUsage, err}
 	}
 	return err
 }
 
 func (o *options) versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: faulty(cobra.NoArgs),
+	return &cobra.Command{Use: "version", Short: "Print the version", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
 			return o.print(map[string]string{"version": daemon.Version}, func() { fmt.Fprintln(o.Out, "standpoint", daemon.Version) })
 		}}
@@ -146,11 +146,11 @@
 	return &cobra.Command{Use: "check FILE", Short: "Check an operator's file and print the settings that hold",
 		Long: `Reads and checks an operator's file as serve does, and prints it with all defaults filled in. A faulty file ends
 with exit code 2 and a message that begins with the key.`,
-		Example: "  standpoint check deploy/operator.toml", Args: faulty(cobra.ExactArgs(1)),
+		Example: "  standpoint check deploy/operator.toml", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
-			cfg, err := config.ReadOperator(args[0])
+			cfg, err := config.ReadOperatorFile(args[0])
 			if err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
 			if o.output == "json" {
 				var whole map[string]any
@@ -189,29 +189,29 @@
 func (o *options) client() (*control.Client, error) {
 	address, tokenFile := o.control, o.tokenFile
 	if o.config != "" && (address == "" || tokenFile == "") {
-		cfg, err := config.ReadOperator(o.config)
+		cfg, err := config.ReadOperatorFile(o.config)
 		if err != nil {
-			return nil, exit{Faulty, err}
+			return nil, exit{InvalidUsage, err}
 		}
 		base := filepath.Dir(o.config)
 		if address == "" {
 			address = cfg.Control.Listen
 			if path, ok := strings.CutPrefix(address, "unix:"); ok {
-				address = "unix:" + cfg.Path(base, path)
+				address = "unix:" + cfg.ResolvePath(base, path)
 			}
 		}
 		if tokenFile == "" {
-			tokenFile = cfg.Path(base, cfg.Control.TokenFile)
+			tokenFile = cfg.ResolvePath(base, cfg.Control.TokenFile)
 		}
 	}
 	if address == "" {
-		return nil, exit{Faulty, errors.New("--control: not given, and no --config says control.listen")}
+		return nil, exit{InvalidUsage, errors.New("--control: not given, and no --config says control.listen")}
 	}
 	token := ""
 	if tokenFile != "" {
 		var err error
 		if token, err = control.ReadToken(tokenFile); err != nil {
-			return nil, exit{Faulty, fmt.Errorf("--token-file: %w", err)}
+			return nil, exit{InvalidUsage, fmt.Errorf("--token-file: %w", err)}
 		}
 	}
 	return control.NewClient(address, token), nil
@@ -224,19 +224,19 @@
 		return err
 	}
 	defer c.Close()
-	return coded(c.Call(ctx, method, path, in, out))
+	return withExitCode(c.Call(ctx, method, path, in, out))
 }
 
-// coded gives a call's error its exit code.
-func coded(err error) error {
+// withExitCode gives a call's error its exit code.
+func withExitCode(err error) error {
 	var typed *control.Error
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &typed) && (typed.Code == "bad_plan" || typed.Code == "bad_config"):
-		return exit{Faulty, err}
+		return exit{InvalidUsage, err}
 	case errors.As(err, &typed):
-		return exit{Refused, err}
+		return exit{Rejected, err}
 	}
 	return exit{Unreachable, err}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -40,7 +40,7 @@
 		to := map[string]string{`worth = 2.0`: `worth = -2.0`, `level = "info"`: `level = "loud"`}[from]
 		require.NoError(t, os.WriteFile(bad, []byte(strings.Replace(string(raw), from, to, 1)), 0o600))
 		_, errs, code := run("check", bad)
-		require.Equal(t, Faulty, code)
+		require.Equal(t, InvalidUsage, code)
 		require.Contains(t, errs, key)
 	}
 }
@@ -50,18 +50,18 @@
 		code int
 		says string
 	}{
-		"-config /nowhere":                    {Faulty, "/nowhere"}, // the old form, serving
-		"-config=/nowhere":                    {Faulty, "/nowhere"},
-		"serve --config /nowhere":             {Faulty, "/nowhere"},
-		"move start":                          {Faulty, "--to"},
-		"move status":                         {Faulty, "--control"},
+		"-config /nowhere":                    {InvalidUsage, "/nowhere"}, // the old form, serving
+		"-config=/nowhere":                    {InvalidUsage, "/nowhere"},
+		"serve --config /nowhere":             {InvalidUsage, "/nowhere"},
+		"move start":                          {InvalidUsage, "--to"},
+		"move status":                         {InvalidUsage, "--control"},
 		"move status --control 127.0.0.1:1":   {Unreachable, "does not answer"},
 		"move status --control unix:/nowhere": {Unreachable, "does not answer"},
-		"version --output xml":                {Faulty, "--output"},
-		"version extra":                       {Faulty, "extra"},
-		"check":                               {Faulty, "1 arg"},
-		"move status --control a --token-file /nowhere": {Faulty, "--token-file"},
-		"version --loud": {Faulty, "--loud"},
+		"version --output xml":                {InvalidUsage, "--output"},
+		"version extra":                       {InvalidUsage, "extra"},
+		"check":                               {InvalidUsage, "1 arg"},
+		"move status --control a --token-file /nowhere": {InvalidUsage, "--token-file"},
+		"version --loud": {InvalidUsage, "--loud"},
 	} {
 		_, errs, code := run(strings.Fields(args)...)
 		require.Equal(t, want.code, code, "%s: %s", args, errs)
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -21,20 +21,20 @@
 )
 
 func (o *options) configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Read and change the configuration that the nodes share", Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: "config", Short: "Read and change the configuration that the nodes share", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	o.daemonFlags(c)
 	c.AddCommand(o.configGet(), o.configSet(), o.configDiff(), o.configApply(), o.configInit(), o.configHistory(), o.configRollback(), o.configEdit(), o.configStatus())
 	return c
 }
 
-// by are the flags of a command that writes.
-type by struct {
+// authorFlags are the flags of a command that writes.
+type authorFlags struct {
 	author, note string
 	check        bool
 }
 
-func (b *by) flags(c *cobra.Command) *cobra.Command {
+func (b *authorFlags) register(c *cobra.Command) *cobra.Command {
 	author := os.Getenv("USER")
 	if u, err := user.Current(); err == nil && author == "" {
 		author = u.Username
@@ -45,23 +45,23 @@
 	return c
 }
 
-func (o *options) latest(c *cobra.Command) (s daemon.SettingsStatus, err error) {
+func (o *options) latestSettings(c *cobra.Command) (s daemon.SettingsStatus, err error) {
 	err = o.call(c.Context(), http.MethodGet, "/v1/config", nil, &s)
 	return s, err
 }
 
-// write sends a changed document, after it was found to differ.
-func (o *options) write(c *cobra.Command, was daemon.SettingsStatus, text string, b by, back uint64) error {
-	if settings.Same(was.Version.Text, text) {
+// writeSettings sends a changed document, after it was found to differ.
+func (o *options) writeSettings(c *cobra.Command, was daemon.SettingsStatus, text string, b authorFlags, back uint64) error {
+	if settings.Equal(was.Version.Text, text) {
 		fmt.Fprintln(o.Out, "nothing differs; no version was written")
 		return nil
 	}
 	lines, err := settings.Diff(was.Version.Text, text)
 	if err != nil {
-		return exit{Faulty, err}
+		return exit{InvalidUsage, err}
 	}
 	var v settings.Version
-	if err := o.call(c.Context(), http.MethodPost, "/v1/config", daemon.SettingsChange{Base: was.Latest, Text: text, Author: b.author, Note: b.note, Back: back, Check: b.check}, &v); err != nil {
+	if err := o.call(c.Context(), http.MethodPost, "/v1/config", daemon.SettingsChange{BaseVersion: was.Latest, Text: text, Author: b.author, Note: b.note, RollbackTo: back, DryRun: b.check}, &v); err != nil {
 		return err
 	}
 	return o.print(v, func() {
@@ -77,10 +77,10 @@
 }
 
 func (o *options) configGet() *cobra.Command {
-	return &cobra.Command{Use: "get [PATH]", Short: "Print the shared configuration, or what is at a path", Args: faulty(cobra.MaximumNArgs(1)),
+	return &cobra.Command{Use: "get [PATH]", Short: "Print the shared configuration, or what is at a path", Args: invalidUsageArgs(cobra.MaximumNArgs(1)),
 		Example: "  standpoint config get class[0].worth --config deploy/operator.toml",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
@@ -102,35 +102,35 @@
 }
 
 func (o *options) configSet() *cobra.Command {
-	var b by
-	return b.flags(&cobra.Command{Use: "set PATH VALUE", Short: "Change one value; an empty one takes the key out", Args: faulty(cobra.ExactArgs(2)),
+	var b authorFlags
+	return b.register(&cobra.Command{Use: "set PATH VALUE", Short: "Change one value; an empty one takes the key out", Args: invalidUsageArgs(cobra.ExactArgs(2)),
 		Example: "  standpoint config set class[0].give_up 12s -m 'slow evenings' --config deploy/operator.toml",
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
 			text, err := settings.Set(s.Version.Text, args[0], args[1])
 			if err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
-			return o.write(c, s, text, b, 0)
+			return o.writeSettings(c, s, text, b, 0)
 		}})
 }
 
-func (o *options) numbered(c *cobra.Command, number string) (v settings.Version, err error) {
+func (o *options) version(c *cobra.Command, number string) (v settings.Version, err error) {
 	if _, err := strconv.ParseUint(number, 10, 64); err != nil {
-		return v, exit{Faulty, fmt.Errorf("%q is no version's number", number)}
+		return v, exit{InvalidUsage, fmt.Errorf("%q is no version's number", number)}
 	}
 	err = o.call(c.Context(), http.MethodGet, "/v1/config/version/"+number, nil, &v)
 	return v, err
 }
 
 func (o *options) configDiff() *cobra.Command {
-	return &cobra.Command{Use: "diff FILE|VERSION [VERSION]", Short: "Say how a file or a version differs from the latest, or two versions from each other", Args: faulty(cobra.RangeArgs(1, 2)),
+	return &cobra.Command{Use: "diff FILE|VERSION [VERSION]", Short: "Say how a file or a version differs from the latest, or two versions from each other", Args: invalidUsageArgs(cobra.RangeArgs(1, 2)),
 		RunE: func(c *cobra.Command, args []string) error {
 			var texts [2]string
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
@@ -140,7 +140,7 @@
 					texts[0], texts[1] = texts[1], string(raw)
 					continue
 				}
-				v, err := o.numbered(c, a)
+				v, err := o.version(c, a)
 				if err != nil {
 					return err
 				}
@@ -148,7 +148,7 @@
 			}
 			lines, err := settings.Diff(texts[0], texts[1])
 			if err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
 			return o.print(append([]string{}, lines...), func() {
 				for _, line := range lines {
@@ -159,49 +159,49 @@
 }
 
 func (o *options) configApply() *cobra.Command {
-	var b by
-	return b.flags(&cobra.Command{Use: "apply FILE", Short: "Make a file the next version", Args: faulty(cobra.ExactArgs(1)),
+	var b authorFlags
+	return b.register(&cobra.Command{Use: "apply FILE", Short: "Make a file the next version", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
-			return o.write(c, s, string(raw), b, 0)
+			return o.writeSettings(c, s, string(raw), b, 0)
 		}})
 }
 
 func (o *options) configInit() *cobra.Command {
-	var b by
-	return b.flags(&cobra.Command{Use: "init", Short: "Make the first version of what this node's own file may share", Args: faulty(cobra.NoArgs),
+	var b authorFlags
+	return b.register(&cobra.Command{Use: "init", Short: "Make the first version of what this node's own file may share", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.config == "" {
-				return exit{Faulty, errors.New("--config: not given; the first version is made of that file")}
+				return exit{InvalidUsage, errors.New("--config: not given; the first version is made of that file")}
 			}
 			raw, err := os.ReadFile(o.config)
 			if err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
-			text, err := settings.Shared(string(raw))
+			text, err := settings.ExtractShared(string(raw))
 			if err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
 			if s.Latest != 0 {
-				return exit{Refused, fmt.Errorf("there is a version %d already", s.Latest)}
+				return exit{Rejected, fmt.Errorf("there is a version %d already", s.Latest)}
 			}
-			return o.write(c, s, text, b, 0)
+			return o.writeSettings(c, s, text, b, 0)
 		}})
 }
 
 func (o *options) configHistory() *cobra.Command {
-	return &cobra.Command{Use: "history", Short: "List the versions that are kept", Args: faulty(cobra.NoArgs),
+	return &cobra.Command{Use: "history", Short: "List the versions that are kept", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var all []settings.Version
 			if err := o.call(c.Context(), http.MethodGet, "/v1/config/history", nil, &all); err != nil {
@@ -212,10 +212,10 @@
 				fmt.Fprintln(w, "VERSION\tAT\tBY\tNOTE")
 				for _, v := range all {
 					note := v.Note
-					if v.Back != 0 {
-						note = strings.TrimSpace(fmt.Sprintf("back to %d %s", v.Back, note))
+					if v.RollbackTo != 0 {
+						note = strings.TrimSpace(fmt.Sprintf("back to %d %s", v.RollbackTo, note))
 					}
-					fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", v.Number, v.At.Format(time.DateTime), v.Author, note)
+					fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", v.Number, v.CreatedAt.Format(time.DateTime), v.Author, note)
 				}
 				w.Flush()
 			})
@@ -223,26 +223,26 @@
 }
 
 func (o *options) configRollback() *cobra.Command {
-	var b by
-	return b.flags(&cobra.Command{Use: "rollback VERSION", Short: "Make an earlier version's text the next version", Args: faulty(cobra.ExactArgs(1)),
+	var b authorFlags
+	return b.register(&cobra.Command{Use: "rollback VERSION", Short: "Make an earlier version's text the next version", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			v, err := o.numbered(c, args[0])
+			v, err := o.version(c, args[0])
 			if err != nil {
 				return err
 			}
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
-			return o.write(c, s, v.Text, b, v.Number)
+			return o.writeSettings(c, s, v.Text, b, v.Number)
 		}})
 }
 
 func (o *options) configEdit() *cobra.Command {
-	var b by
-	return b.flags(&cobra.Command{Use: "edit", Short: "Change the shared configuration in $EDITOR", Args: faulty(cobra.NoArgs),
+	var b authorFlags
+	return b.register(&cobra.Command{Use: "edit", Short: "Change the shared configuration in $EDITOR", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := o.latest(c)
+			s, err := o.latestSettings(c)
 			if err != nil {
 				return err
 			}
@@ -271,13 +271,13 @@
 			if err != nil {
 				return err
 			}
-			return o.write(c, s, string(raw), b, 0)
+			return o.writeSettings(c, s, string(raw), b, 0)
 		}})
 }
 
 // configStatus asks every member that the file names, else the one that the flags do.
 func (o *options) configStatus() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Say by which version each node serves, and why one does not take on the latest", Args: faulty(cobra.NoArgs),
+	return &cobra.Command{Use: "status", Short: "Say by which version each node serves, and why one does not take on the latest", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			type line struct {
 				daemon.SettingsStatus
@@ -286,9 +286,9 @@
 			var all []line
 			var members []config.Member
 			if o.config != "" {
-				cfg, err := config.ReadOperator(o.config)
+				cfg, err := config.ReadOperatorFile(o.config)
 				if err != nil {
-					return exit{Faulty, err}
+					return exit{InvalidUsage, err}
 				}
 				members = cfg.Store.Members
 			}
@@ -303,8 +303,8 @@
 			behind := false
 			for _, m := range members {
 				client := own
-				if m.Control != "" {
-					client = own.At(m.Control)
+				if m.ControlAddress != "" {
+					client = own.WithAddress(m.ControlAddress)
 				}
 				l := line{}
 				l.Node = m.ID
@@ -319,7 +319,7 @@
 				w := tabwriter.NewWriter(o.Out, 2, 8, 2, ' ', 0)
 				fmt.Fprintln(w, "NODE\tLATEST\tSERVES BY\tWHY NOT")
 				for _, l := range all {
-					fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", l.Node, l.Latest, l.Applied, l.Refused+l.Error)
+					fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", l.Node, l.Latest, l.Applied, l.Rejected+l.Error)
 				}
 				w.Flush()
 			}); err != nil {
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -102,10 +102,10 @@
 	require.Equal(t, OK, code, text)
 	require.Equal(t, "7s\n", text)
 	text, code = command("b", "set", "class[0].give_up", "1s", "--by", "kim")
-	require.Equal(t, Faulty, code, text)
+	require.Equal(t, InvalidUsage, code, text)
 	require.Contains(t, text, "class[0].give_up: shorter than first_token")
 	text, code = command("b", "set", "listen", "127.0.0.1:1", "--by", "kim")
-	require.Equal(t, Faulty, code, text)
+	require.Equal(t, InvalidUsage, code, text)
 	text, code = command("b", "set", "class[0].give_up", "9s", "--by", "kim", "--check")
 	require.Equal(t, OK, code, text)
 	require.True(t, all(3)(), "nothing was written")
@@ -125,7 +125,7 @@
 	// c carries batches, and cannot have its classes renamed while they run: it says so and goes on.
 	eventually("rename", func() bool {
 		text, code = command("a", "set", "class[0].name", "talk", "--by", "kim")
-		return code == OK || code == Faulty
+		return code == OK || code == InvalidUsage
 	})
 	if code == OK { // the leader was a or b
 		eventually("c refuses", func() bool {
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -111,7 +111,7 @@
 	}
 	write(one(a))
 	ended := make(chan error, 1)
-	go func() { ended <- daemon.Run(daemon.Options{File: path, Log: zap.NewNop()}) }()
+	go func() { ended <- daemon.Run(daemon.Options{ConfigFile: path, Log: zap.NewNop()}) }()
 	command := func(args ...string) string {
 		var out, errs bytes.Buffer
 		Main(t.Context(), append(args, "--config", path), Streams{Out: &out, Err: &errs})
--- a/internal/cli/entries.go
+++ b/internal/cli/entries.go
@@ -15,10 +15,10 @@
 )
 
 func (o *options) entriesCommand() *cobra.Command {
-	c := &cobra.Command{Use: "entries", Short: "Show the endpoints, and where they come from", Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: "entries", Short: "Show the endpoints, and where they come from", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	o.daemonFlags(c)
-	c.AddCommand(&cobra.Command{Use: "list", Short: "List all entries, those that are left out too", Args: faulty(cobra.NoArgs),
+	c.AddCommand(&cobra.Command{Use: "list", Short: "List all entries, those that are left out too", Args: invalidUsageArgs(cobra.NoArgs),
 		Example: "  standpoint entries list --config deploy/operator.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var all []entries.Origin
@@ -29,11 +29,11 @@
 				w := tabwriter.NewWriter(o.Out, 2, 8, 2, ' ', 0)
 				fmt.Fprintln(w, "ENTRY\tADDRESS\tSTATE\tNEWS\tTTL\tCHANGED\tLEFT OUT")
 				for _, e := range all {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, dash(e.Address), stateOf(e), dash(e.News), ttl(e), ago(e.Changed), e.Fault)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, orDash(e.Address), formatState(e), orDash(e.News), formatTTL(e), formatAge(e.Changed), e.Fault)
 				}
 				w.Flush()
 			})
-		}}, &cobra.Command{Use: "explain NAME", Short: "Say where an entry comes from, and why it is left out if it is", Args: faulty(cobra.ExactArgs(1)),
+		}}, &cobra.Command{Use: "explain NAME", Short: "Say where an entry comes from, and why it is left out if it is", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			var all []entries.Origin
 			if err := o.call(c.Context(), http.MethodGet, "/v1/entries", nil, &all); err != nil {
@@ -53,12 +53,12 @@
 // watchEntries prints what changes, a line each, until it is ended.
 func (o *options) watchEntries() *cobra.Command {
 	var every time.Duration
-	c := &cobra.Command{Use: "watch", Short: "Print every change of the entries as it is seen, until Ctrl-C", Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: "watch", Short: "Print every change of the entries as it is seen, until Ctrl-C", Args: invalidUsageArgs(cobra.NoArgs),
 		Long: `Prints a line for each entry that comes, goes, or changes its address, its state, the way its news comes or why it
 is left out. With -o json each line is an object.`,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if every < 50*time.Millisecond {
-				return exit{Faulty, fmt.Errorf("--every: %v is shorter than 50ms", every)}
+				return exit{InvalidUsage, fmt.Errorf("--every: %v is shorter than 50ms", every)}
 			}
 			known := map[string]entries.Origin{}
 			for first := true; ; first = false {
@@ -69,7 +69,7 @@
 					}
 					return err
 				}
-				for _, change := range entryChanges(known, all, first) {
+				for _, change := range endpointChanges(known, all, first) {
 					if err := o.print(change, func() { fmt.Fprintln(o.Out, change) }); err != nil {
 						return err
 					}
@@ -85,27 +85,27 @@
 	return c
 }
 
-// EntryChange is a line of entries watch.
-type EntryChange struct {
-	At    time.Time      `json:"at"`
-	What  string         `json:"what"` // there, new, changed or gone
-	Entry entries.Origin `json:"entry"`
+// EndpointChange is a line of entries watch.
+type EndpointChange struct {
+	At       time.Time      `json:"at"`
+	Kind     string         `json:"what"` // there, new, changed or gone
+	Endpoint entries.Origin `json:"entry"`
 }
 
 // String implements fmt.Stringer.
-func (c EntryChange) String() string {
-	s := fmt.Sprintf("%s %-7s %s", c.At.Format("15:04:05.000"), c.What, c.Entry.Name)
-	if c.What == "gone" {
+func (c EndpointChange) String() string {
+	s := fmt.Sprintf("%s %-7s %s", c.At.Format("15:04:05.000"), c.Kind, c.Endpoint.Name)
+	if c.Kind == "gone" {
 		return s
 	}
-	if c.Entry.Fault != "" {
-		return s + ", left out: " + c.Entry.Fault
+	if c.Endpoint.Fault != "" {
+		return s + ", left out: " + c.Endpoint.Fault
 	}
-	return s + fmt.Sprintf(" %s at %s, by %s", stateOf(c.Entry), c.Entry.Address, dash(c.Entry.News))
+	return s + fmt.Sprintf(" %s at %s, by %s", formatState(c.Endpoint), c.Endpoint.Address, orDash(c.Endpoint.News))
 }
 
-// entryChanges compares two lists, and brings known up to date.
-func entryChanges(known map[string]entries.Origin, all []entries.Origin, first bool) (changes []EntryChange) {
+// endpointChanges compares two lists, and brings known up to date.
+func endpointChanges(known map[string]entries.Origin, all []entries.Origin, first bool) (changes []EndpointChange) {
 	now := time.Now()
 	here := map[string]bool{}
 	for _, e := range all {
@@ -116,17 +116,17 @@
 			was.Started.Equal(e.Started) && was.Stale == e.Stale
 		switch {
 		case first:
-			changes = append(changes, EntryChange{now, "there", e})
+			changes = append(changes, EndpointChange{now, "there", e})
 		case !ok:
-			changes = append(changes, EntryChange{now, "new", e})
+			changes = append(changes, EndpointChange{now, "new", e})
 		case !same:
-			changes = append(changes, EntryChange{now, "changed", e})
+			changes = append(changes, EndpointChange{now, "changed", e})
 		}
 	}
 	for name, e := range known {
 		if !here[name] {
 			delete(known, name)
-			changes = append(changes, EntryChange{now, "gone", e})
+			changes = append(changes, EndpointChange{now, "gone", e})
 		}
 	}
 	return changes
@@ -135,7 +135,7 @@
 // servicesCommand asks a server which services a domain has (RFC 6763, 9).
 func (o *options) servicesCommand() *cobra.Command {
 	var server string
-	c := &cobra.Command{Use: "services DOMAIN", Short: "Ask a DNS server which services a domain offers", Args: faulty(cobra.ExactArgs(1)),
+	c := &cobra.Command{Use: "services DOMAIN", Short: "Ask a DNS server which services a domain offers", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		Example: "  standpoint entries services hall-a.example.org --server 127.0.0.1:5353",
 		RunE: func(c *cobra.Command, args []string) error {
 			client := &lookup.Client{Server: server}
@@ -158,21 +158,21 @@
 	return c
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func stateOf(e entries.Origin) string {
+func formatState(e entries.Origin) string {
 	if e.Stale {
 		return e.State + ", stale"
 	}
-	return dash(e.State)
+	return orDash(e.State)
 }
 
-func ttl(e entries.Origin) string {
+func formatTTL(e entries.Origin) string {
 	if e.TTL == 0 {
 		return "-"
 	}
@@ -185,25 +185,25 @@
 	} else if e.Instance == "" {
 		fmt.Fprintf(o.Out, "%s is listed by the operator's file, or by the list that it names\n", e.Name)
 	} else {
-		fmt.Fprintf(o.Out, "%s is the DNS-SD instance %s\n  told by %s, which last answered %s; news comes by %s\n", e.Name, e.Instance, e.Server, ago(e.Looked), e.News)
+		fmt.Fprintf(o.Out, "%s is the DNS-SD instance %s\n  told by %s, which last answered %s; news comes by %s\n", e.Name, e.Instance, e.Server, formatAge(e.Looked), e.News)
 	}
 	if e.Fault != "" {
-		fmt.Fprintf(o.Out, "  left out since %s: %s\n", ago(e.Changed), e.Fault)
+		fmt.Fprintf(o.Out, "  left out since %s: %s\n", formatAge(e.Changed), e.Fault)
 		return
 	}
-	fmt.Fprintf(o.Out, "  %s at %s, unchanged since %s\n", e.State, e.Address, ago(e.Changed))
+	fmt.Fprintf(o.Out, "  %s at %s, unchanged since %s\n", e.State, e.Address, formatAge(e.Changed))
 	if e.TTL > 0 {
-		fmt.Fprintf(o.Out, "  its records live %s, until %s\n", ttl(e), e.Until.Format(time.TimeOnly))
+		fmt.Fprintf(o.Out, "  its records live %s, until %s\n", formatTTL(e), e.Until.Format(time.TimeOnly))
 	}
 	if e.Stale {
 		fmt.Fprintf(o.Out, "  stale: its records' time is over, so it is tried last\n")
 	}
 	if !e.Started.IsZero() {
-		fmt.Fprintf(o.Out, "  last started %s\n", ago(e.Started))
+		fmt.Fprintf(o.Out, "  last started %s\n", formatAge(e.Started))
 	}
 }
 
-func ago(t time.Time) string {
+func formatAge(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -94,31 +94,31 @@
 			ReturnEvery: 3 * time.Second, ColdShare: 0.17, WarmUp: 25 * time.Second, FallFactor: 4},
 		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
 		Started: at, Changed: at.Add(90 * time.Second),
-		Events: []mover.Event{{At: at, State: mover.Warming, Share: 0.03, Text: "begun"}, {At: at.Add(30 * time.Second), State: mover.Halted, Share: 0.6, Text: "late"}},
-		Base:   map[string]string{"older": "old"}, FromSize: 3.5, Windows: 41, Granted: 42, Seen: [2]int{43, 44}, InStep: [2]float64{4.5, 4.6}, Back: 0.47, Cause: "late"}
-	r.Long[0].Bad, r.Long[0].All = 1.5, 2.5
+		Events:    []mover.Event{{At: at, State: mover.Warming, Share: 0.03, Text: "begun"}, {At: at.Add(30 * time.Second), State: mover.Halted, Share: 0.6, Text: "late"}},
+		BaseMoved: map[string]string{"older": "old"}, FromCapacity: 3.5, StateWindows: 41, ShareWindows: 42, StepRequests: [2]int{43, 44}, StepWeight: [2]float64{4.5, 4.6}, ReturnFromShare: 0.47, Cause: "late"}
+	r.LongTerm[0].Bad, r.LongTerm[0].Total = 1.5, 2.5
 	return r
 }
 
 func goldenMove() moves.Status {
 	r := goldenRecord()
 	return moves.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Move: &r, Evidence: 0.25,
-		Nodes: []moves.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Behind: true}}}
+		Nodes: []moves.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Lagging: true}}}
 }
 
 func goldenFleet() fleet.Status {
-	return fleet.Status{Seat: "node-a", Life: 3, Mode: "together", Site: "trusting", Since: 61.5, Pace: 0.75, Lease: 540, Epoch: 12, Leader: "127.0.0.1:7001",
-		Peers: []fleet.Peer{{Seat: "node-b", There: true, Heard: true, Age: 0.25, Life: 5, Tokens: 700}, {Seat: "node-c", Age: -1}},
-		Budgets: []rights.Use{{Budget: "tokens/office", Window: 88, Rights: 1001, Spent: 102, Share: 1003, Lent: 104, Held: 105, Wanted: 106.5, Debt: 107, LoansOut: 8,
-			LoansIn: 9, LeaseEpoch: 10, LeaseFirst: 11, LeaseEnd: 12}},
-		Counts: map[string]tally.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Heard: 24, Silent: 25}},
-		Live:   tally.Reading{Lower: 31, Upper: 32, Age: 33, Heard: 34, Silent: 35}, Doubted: []string{"box-1"}, Refused: 41, Sent: 42, Dropped: 43,
-		Breaches: map[string]uint64{"rights": 44}}
+	return fleet.Status{Slot: "node-a", Incarnation: 3, State: "together", SiteState: "trusting", StateAge: 61.5, RateFactor: 0.75, LeaseRemaining: 540, FencingToken: 12, Leader: "127.0.0.1:7001",
+		Peers: []fleet.PeerStatus{{Slot: "node-b", Listed: true, Alive: true, ReportAge: 0.25, Incarnation: 5, Tokens: 700}, {Slot: "node-c", ReportAge: -1}},
+		Budgets: []rights.Usage{{Budget: "tokens/office", Window: 88, Quota: 1001, Spent: 102, BaseQuota: 1003, Lent: 104, Borrowed: 105, Demand: 106.5, Debt: 107, LentTransfers: 8,
+			BorrowedTransfers: 9, FencingToken: 10, LeaseValidFrom: 11, LeaseExpiresAt: 12}},
+		Counters:    map[string]tally.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Reported: 24, Unreported: 25}},
+		LiveMembers: tally.Reading{Lower: 31, Upper: 32, Age: 33, Reported: 34, Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42, DroppedMessages: 43,
+		Violations: map[string]uint64{"rights": 44}}
 }
 
 func goldenLedger() usage.Status {
-	return usage.Status{Seat: "node-a", Life: 3, Entries: 51, Bytes: 52, Sums: map[string]ledger.Sum{"office": {Entries: 61, In: 62, Kept: 63, Out: 64}}, Sources: 53,
-		Charged: 54, Taken: 55, Lost: 56, Waiting: 57, Lacking: 58, Agreed: 5.5, Holds: true, Damages: []string{"000001.seg, byte 16: a checksum that does not fit"}}
+	return usage.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52, Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63, OutputTokens: 64}}, Sources: 53,
+		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Missing: 58, SyncedSecondsAgo: 5.5, Consistent: true, Corruptions: []string{"000001.seg, byte 16: a checksum that does not fit"}}
 }
 
 func goldenEntries() []entries.Origin {
@@ -133,7 +133,7 @@
 }
 
 func goldenVersion(number uint64) settings.Version {
-	return settings.Version{Number: number, Author: "kim", Note: "why", At: time.Date(2026, 12, 1, 12, 0, int(number), 0, time.UTC),
+	return settings.Version{Number: number, Author: "kim", Note: "why", CreatedAt: time.Date(2026, 12, 1, 12, 0, int(number), 0, time.UTC),
 		Text: fmt.Sprintf("[module]\ncold_share = 0.%d\n", number)}
 }
 
@@ -152,16 +152,16 @@
 		return func(*http.Request, []byte) (any, error) { return v, nil }
 	}
 	third, back := goldenVersion(3), goldenVersion(2)
-	back.Back, back.Text = 1, ""
-	s, err := control.Listen("127.0.0.1:0", d.token, []control.Call{
-		{Pattern: "GET /v1/pools", Do: fixed([]moves.Members{
-			{Pool: "old", Select: `version == "v1"`, Share: 1, Boxes: []moves.Member{{Name: "box-1", State: "ready", Warmth: 0.5, AlsoFit: []string{"new", "spare"}}}, FellOver: 7},
-			{Pool: "new", Boxes: []moves.Member{}},
-			{Boxes: []moves.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
+	back.RollbackTo, back.Text = 1, ""
+	s, err := control.Listen("127.0.0.1:0", d.token, []control.Route{
+		{Pattern: "GET /v1/pools", Handle: fixed([]moves.Members{
+			{Pool: "old", Select: `version == "v1"`, Share: 1, Backends: []moves.Member{{Name: "box-1", State: "ready", Warmth: 0.5, AlsoFit: []string{"new", "spare"}}}, Overflowed: 7},
+			{Pool: "new", Backends: []moves.Member{}},
+			{Backends: []moves.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
 		})},
-		{Pattern: "GET /v1/move", Do: func(*http.Request, []byte) (any, error) { return d.move, nil }},
-		{Pattern: "GET /v1/move/history", Do: fixed([]mover.Record{goldenRecord()})},
-		{Pattern: "POST /v1/move/{wish}", Do: func(r *http.Request, body []byte) (any, error) {
+		{Pattern: "GET /v1/move", Handle: func(*http.Request, []byte) (any, error) { return d.move, nil }},
+		{Pattern: "GET /v1/move/history", Handle: fixed([]mover.Record{goldenRecord()})},
+		{Pattern: "POST /v1/move/{wish}", Handle: func(r *http.Request, body []byte) (any, error) {
 			d.sent = append(d.sent, r.URL.Path+" "+string(body))
 			switch r.PathValue("wish") {
 			case "undo":
@@ -171,13 +171,13 @@
 			}
 			return goldenRecord(), nil
 		}},
-		{Pattern: "GET /v1/fleet", Do: fixed(goldenFleet())},
-		{Pattern: "GET /v1/ledger", Do: fixed(goldenLedger())},
-		{Pattern: "GET /v1/entries", Do: fixed(goldenEntries())},
-		{Pattern: "GET /v1/nodes", Do: fixed(map[string]any{"reckoned": 2, "nodes": []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})},
-		{Pattern: "GET /v1/config", Do: fixed(daemon.SettingsStatus{Node: "node-a", Latest: 3, Applied: 2, Refused: "module.zone: no", Version: third})},
-		{Pattern: "GET /v1/config/history", Do: fixed([]settings.Version{third, back})},
-		{Pattern: "GET /v1/config/version/{number}", Do: func(r *http.Request, _ []byte) (any, error) {
+		{Pattern: "GET /v1/fleet", Handle: fixed(goldenFleet())},
+		{Pattern: "GET /v1/ledger", Handle: fixed(goldenLedger())},
+		{Pattern: "GET /v1/entries", Handle: fixed(goldenEntries())},
+		{Pattern: "GET /v1/nodes", Handle: fixed(map[string]any{"reckoned": 2, "nodes": []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})},
+		{Pattern: "GET /v1/config", Handle: fixed(daemon.SettingsStatus{Node: "node-a", Latest: 3, Applied: 2, Rejected: "module.zone: no", Version: third})},
+		{Pattern: "GET /v1/config/history", Handle: fixed([]settings.Version{third, back})},
+		{Pattern: "GET /v1/config/version/{number}", Handle: func(r *http.Request, _ []byte) (any, error) {
 			switch r.PathValue("number") {
 			case "1":
 				return goldenVersion(1), nil
@@ -186,7 +186,7 @@
 			}
 			return nil, &control.Error{Status: http.StatusNotFound, Code: "no_version", Message: "there is no such version"}
 		}},
-		{Pattern: "POST /v1/config", Do: func(r *http.Request, body []byte) (any, error) {
+		{Pattern: "POST /v1/config", Handle: func(r *http.Request, body []byte) (any, error) {
 			d.sent = append(d.sent, r.URL.Path+" "+string(body))
 			return goldenVersion(4), nil
 		}},
@@ -429,7 +429,7 @@
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	var text strings.Builder
 	for i, what := range []string{"there", "new", "changed", "gone"} {
-		change := EntryChange{At: at, What: what, Entry: goldenEntries()[i]}
+		change := EndpointChange{At: at, Kind: what, Endpoint: goldenEntries()[i]}
 		raw, err := json.Marshal(change)
 		require.NoError(t, err)
 		fmt.Fprintf(&text, "%s\n%s\n", change, raw)
@@ -439,15 +439,15 @@
 
 // The live view of a move.
 func TestGoldenLiveView(t *testing.T) {
-	m := live{status: goldenMove(), trail: []float64{0, 0.25, 0.5, 0.75, 1}, note: "pause: done"}
+	m := liveView{status: goldenMove(), shareHistory: []float64{0, 0.25, 0.5, 0.75, 1}, note: "pause: done"}
 	golden.Bytes(t, "live.txt", []byte(m.View().Content))
-	golden.Bytes(t, "live-empty.txt", []byte(live{}.View().Content))
+	golden.Bytes(t, "live-empty.txt", []byte(liveView{}.View().Content))
 }
 
 // Exit codes, and the words of command lines that are wrong.
 func TestGoldenExitCodes(t *testing.T) {
 	plainEnvironment(t)
-	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, []int{OK, Failed, Faulty, Unreachable, Refused, Worse})
+	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, []int{OK, Failed, InvalidUsage, Unreachable, Rejected, MigrationReverted})
 	var text strings.Builder
 	for _, args := range []string{
 		"-config /nowhere", "-config=/nowhere", "serve --config /nowhere", "extra", "version extra", "version --loud", "version --output xml", "version --outputs",
--- a/internal/cli/ledger.go
+++ b/internal/cli/ledger.go
@@ -16,17 +16,17 @@
 )
 
 func (o *options) ledgerCommand() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Show what tenants have used, as far as this node knows, and how its ledger stands", Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: "ledger", Short: "Show what tenants have used, as far as this node knows, and how its ledger stands", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var s usage.Status
 			if err := o.call(c.Context(), http.MethodGet, "/v1/ledger", nil, &s); err != nil {
 				return err
 			}
 			return o.print(s, func() {
-				o.showSums(s.Sums)
+				o.showSums(s.Totals)
 				fmt.Fprintf(o.Out, "%d entries of %d lives, %d bytes; %d charged here, %d from others, %d lacking; %d wait to be written\n",
-					s.Entries, s.Sources, s.Bytes, s.Charged, s.Taken, s.Lacking, s.Waiting)
-				for _, d := range s.Damages {
+					s.Entries, s.Sources, s.Bytes, s.Charged, s.Received, s.Missing, s.Queued)
+				for _, d := range s.Corruptions {
 					fmt.Fprintln(o.Out, "DAMAGE", d)
 				}
 			})
@@ -35,17 +35,17 @@
 	c.AddCommand(&cobra.Command{Use: "verify DIR", Short: "Read a ledger's folder, that no process has open, and say whether it holds",
 		Long: `Reads every segment of a ledger and holds each record against its checksum, and the sums against the entries. Exit code 1: something
 does not hold; it is named. A last write that was not finished is no damage: it was charged to nobody.`,
-		Example: "  standpoint ledger verify state/ledger", Args: faulty(cobra.ExactArgs(1)),
+		Example: "  standpoint ledger verify state/ledger", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := os.Stat(args[0]); err != nil {
-				return exit{Faulty, err}
+				return exit{InvalidUsage, err}
 			}
-			book := ledger.NewBook(nil)
-			damages, err := ledger.Inspect(args[0], func(e *ledger.Entry) { book.Take(e) })
+			book := ledger.NewIndex(nil)
+			damages, err := ledger.Inspect(args[0], func(e *ledger.Entry) { book.Add(e) })
 			if err != nil {
 				return err
 			}
-			o.showSums(book.Sums())
+			o.showSums(book.Totals())
 			bad := 0
 			for _, d := range damages {
 				if d.Torn {
@@ -58,18 +58,18 @@
 			if bad > 0 || !book.Verify() {
 				return errors.New("the ledger does not hold")
 			}
-			fmt.Fprintf(o.Out, "%d entries hold\n", book.Entries())
+			fmt.Fprintf(o.Out, "%d entries hold\n", book.Count())
 			return nil
 		}})
 	return c
 }
 
-func (o *options) showSums(sums map[string]ledger.Sum) {
+func (o *options) showSums(sums map[string]ledger.Totals) {
 	w := tabwriter.NewWriter(o.Out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "TENANT\tENTRIES\tIN\tKEPT\tOUT")
 	for _, tenant := range slices.Sorted(maps.Keys(sums)) {
 		s := sums[tenant]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", tenant, s.Entries, s.In, s.Kept, s.Out)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", tenant, s.Entries, s.InputTokens, s.CachedTokens, s.OutputTokens)
 	}
 	w.Flush()
 }
--- a/internal/cli/live.go
+++ b/internal/cli/live.go
@@ -18,23 +18,23 @@
 func isTerminal(f *os.File) bool { return term.IsTerminal(int(f.Fd())) }
 
 const (
-	barWidth  = 40
-	trailMost = 240 // states kept for the trail of shares
+	barWidth        = 40
+	maxShareHistory = 240 // states kept for the trail of shares
 )
 
-// live is the view of a move on a terminal.
-type live struct {
-	ask    func(method, path string, in, out any) error
-	status moves.Status
-	trail  []float64
-	note   string
-	err    error
+// liveView is the view of a move on a terminal.
+type liveView struct {
+	call         func(method, path string, in, out any) error
+	status       moves.Status
+	shareHistory []float64
+	note         string
+	err          error
 }
 
 type (
-	arrived moves.Status
-	refused struct{ err error }
-	wished  struct{ text string }
+	statusReceived  moves.Status
+	statusFailed    struct{ err error }
+	commandFinished struct{ text string }
 )
 
 func (o *options) watchLive(ctx context.Context, out *os.File) error {
@@ -43,75 +43,75 @@
 		return err
 	}
 	defer c.Close()
-	m := live{ask: func(method, path string, in, out any) error { return coded(c.Call(ctx, method, path, in, out)) }}
+	m := liveView{call: func(method, path string, in, out any) error { return withExitCode(c.Call(ctx, method, path, in, out)) }}
 	end, err := tea.NewProgram(m, tea.WithContext(ctx), tea.WithOutput(out)).Run()
 	if err != nil {
 		return err
 	}
-	m = end.(live)
+	m = end.(liveView)
 	switch {
 	case m.err != nil:
 		return m.err
-	case m.status.Move != nil && m.status.Move.State.Over():
-		return ending(m.status.Move)
+	case m.status.Move != nil && m.status.Move.State.Terminal():
+		return exitOf(m.status.Move)
 	}
 	return nil
 }
 
 // Init implements tea.Model.
-func (m live) Init() tea.Cmd { return m.next("/v1/move") }
+func (m liveView) Init() tea.Cmd { return m.fetchStatus("/v1/move") }
 
-func (m live) next(path string) tea.Cmd {
+func (m liveView) fetchStatus(path string) tea.Cmd {
 	return func() tea.Msg {
 		var s moves.Status
-		if err := m.ask(http.MethodGet, path, nil, &s); err != nil {
-			return refused{err}
+		if err := m.call(http.MethodGet, path, nil, &s); err != nil {
+			return statusFailed{err}
 		}
-		return arrived(s)
+		return statusReceived(s)
 	}
 }
 
-func (m live) wish(name string) tea.Cmd {
+func (m liveView) sendCommand(name string) tea.Cmd {
 	return func() tea.Msg {
-		if err := m.ask(http.MethodPost, "/v1/move/"+name, struct{}{}, nil); err != nil {
-			return wished{name + ": " + err.Error()}
+		if err := m.call(http.MethodPost, "/v1/move/"+name, struct{}{}, nil); err != nil {
+			return commandFinished{name + ": " + err.Error()}
 		}
-		return wished{name + ": done"}
+		return commandFinished{name + ": done"}
 	}
 }
 
 // Update implements tea.Model.
-func (m live) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
+func (m liveView) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
-	case arrived:
+	case statusReceived:
 		m.status = moves.Status(msg)
 		if m.status.Move == nil {
 			m.err = exit{Failed, fmt.Errorf("no move was ever started")}
 			return m, tea.Quit
 		}
-		m.trail = append(m.trail, m.status.Move.InForce())
-		if n := len(m.trail) - trailMost; n > 0 {
-			m.trail = m.trail[n:]
+		m.shareHistory = append(m.shareHistory, m.status.Move.CurrentShare())
+		if n := len(m.shareHistory) - maxShareHistory; n > 0 {
+			m.shareHistory = m.shareHistory[n:]
 		}
-		if m.status.Move.State.Over() {
+		if m.status.Move.State.Terminal() {
 			return m, tea.Quit
 		}
-		return m, m.next("/v1/move?wait=1s")
-	case refused:
+		return m, m.fetchStatus("/v1/move?wait=1s")
+	case statusFailed:
 		m.err = msg.err
 		return m, tea.Quit
-	case wished:
+	case commandFinished:
 		m.note = msg.text
 	case tea.KeyPressMsg:
 		switch msg.String() {
 		case "q", "ctrl+c", "esc":
 			return m, tea.Quit
 		case "p":
-			return m, m.wish("pause")
+			return m, m.sendCommand("pause")
 		case "r":
-			return m, m.wish("resume")
+			return m, m.sendCommand("resume")
 		case "u":
-			return m, m.wish("undo")
+			return m, m.sendCommand("undo")
 		}
 	}
 	return m, nil
@@ -124,7 +124,7 @@
 )
 
 // View implements tea.Model.
-func (m live) View() tea.View {
+func (m liveView) View() tea.View {
 	var b strings.Builder
 	r := m.status.Move
 	if r == nil {
@@ -135,11 +135,11 @@
 	if r.Paused {
 		state += ", paused"
 	}
-	full := int(r.InForce()*barWidth + 0.5)
-	fmt.Fprintf(&b, "%-12s %s%s %5.1f%%\n", state, strings.Repeat("█", full), faint.Render(strings.Repeat("░", barWidth-full)), 100*r.InForce())
+	full := int(r.CurrentShare()*barWidth + 0.5)
+	fmt.Fprintf(&b, "%-12s %s%s %5.1f%%\n", state, strings.Repeat("█", full), faint.Render(strings.Repeat("░", barWidth-full)), 100*r.CurrentShare())
 	level := int(min(1, m.status.Evidence)*barWidth + 0.5)
 	fmt.Fprintf(&b, "%-12s %s%s\n", "evidence", warn.Render(strings.Repeat("█", level)), faint.Render(strings.Repeat("░", barWidth-level)))
-	fmt.Fprintf(&b, "%-12s %s\n", "trail", sparks(m.trail))
+	fmt.Fprintf(&b, "%-12s %s\n", "trail", sparkline(m.shareHistory))
 	if r.Reason != "" {
 		fmt.Fprintf(&b, "\n%s\n", r.Reason)
 	}
@@ -153,7 +153,7 @@
 	}
 	for _, n := range m.status.Nodes {
 		behind := ""
-		if n.Behind {
+		if n.Lagging {
 			behind = warn.Render("  behind")
 		}
 		fmt.Fprintf(&b, "node %s  version %d%s\n", n.Name, n.Version, behind)
@@ -162,8 +162,8 @@
 	return tea.NewView(b.String())
 }
 
-// sparks draws shares as small bars.
-func sparks(values []float64) string {
+// sparkline draws shares as small bars.
+func sparkline(values []float64) string {
 	levels := []rune(" ▁▂▃▄▅▆▇█")
 	var b strings.Builder
 	for _, v := range values[max(0, len(values)-barWidth):] {
--- a/internal/cli/move.go
+++ b/internal/cli/move.go
@@ -19,7 +19,7 @@
 )
 
 func (o *options) poolsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "pools", Short: "List the pools and the real servers in them", Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: "pools", Short: "List the pools and the real servers in them", Args: invalidUsageArgs(cobra.NoArgs),
 		Example: "  standpoint pools --config deploy/operator.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var all []moves.Members
@@ -30,10 +30,10 @@
 				w := tabwriter.NewWriter(o.Out, 2, 8, 2, ' ', 0)
 				fmt.Fprintln(w, "POOL\tBOX\tSTATE\tWARMTH\tALSO FITS")
 				for _, p := range all {
-					for _, b := range p.Boxes {
+					for _, b := range p.Backends {
 						fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%s\n", orNone(p.Pool), b.Name, b.State, 100*b.Warmth, strings.Join(b.AlsoFit, ", "))
 					}
-					if len(p.Boxes) == 0 {
+					if len(p.Backends) == 0 {
 						fmt.Fprintf(w, "%s\t(empty)\t\t\t\n", p.Pool)
 					}
 				}
@@ -54,14 +54,14 @@
 func (o *options) moveCommand() *cobra.Command {
 	move := &cobra.Command{Use: "move", Short: "Move traffic between pools, a step at a time",
 		Long: `A move takes traffic from one pool to another in steps. It halts, and goes back, when the new pool is found worse
-than the old one in the same windows.`, Args: faulty(cobra.NoArgs),
+than the old one in the same windows.`, Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	o.daemonFlags(move)
 	move.AddCommand(o.beginCommand("plan", "Show what a move would do, without starting it"),
 		o.beginCommand("start", "Start a move"), o.statusCommand(), o.watchCommand(), o.historyCommand())
 	for wish, short := range map[string]string{"pause": "Take no further step; the watch goes on", "resume": "Go on after a pause or a halt",
 		"undo": "Take all traffic back"} {
-		move.AddCommand(&cobra.Command{Use: wish, Short: short, Args: faulty(cobra.NoArgs),
+		move.AddCommand(&cobra.Command{Use: wish, Short: short, Args: invalidUsageArgs(cobra.NoArgs),
 			RunE: func(c *cobra.Command, _ []string) error {
 				var r mover.Record
 				if err := o.call(c.Context(), http.MethodPost, "/v1/move/"+wish, struct{}{}, &r); err != nil {
@@ -74,14 +74,14 @@
 }
 
 func (o *options) beginCommand(name, short string) *cobra.Command {
-	var w moves.StartWish
+	var w moves.StartRequest
 	var follow bool
-	c := &cobra.Command{Use: name, Short: short, Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: name, Short: short, Args: invalidUsageArgs(cobra.NoArgs),
 		Example: fmt.Sprintf(`  standpoint move %s --config deploy/operator.toml --to new
   standpoint move %s --to new --steps 0.1,0.5,1 --hold 30s --note "build 118"`, name, name),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if w.To == "" {
-				return exit{Faulty, errors.New("--to: the pool to move to is missing")}
+				return exit{InvalidUsage, errors.New("--to: the pool to move to is missing")}
 			}
 			if w.By == "" {
 				if u, err := user.Current(); err == nil {
@@ -123,7 +123,7 @@
 }
 
 func (o *options) statusCommand() *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "Show the move under way, or the last one", Args: faulty(cobra.NoArgs),
+	return &cobra.Command{Use: "status", Short: "Show the move under way, or the last one", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var s moves.Status
 			if err := o.call(c.Context(), http.MethodGet, "/v1/move", nil, &s); err != nil {
@@ -134,7 +134,7 @@
 }
 
 func (o *options) historyCommand() *cobra.Command {
-	return &cobra.Command{Use: "history", Short: "List the moves that are over, the latest first", Args: faulty(cobra.NoArgs),
+	return &cobra.Command{Use: "history", Short: "List the moves that are over, the latest first", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var all []mover.Record
 			if err := o.call(c.Context(), http.MethodGet, "/v1/move/history", nil, &all); err != nil {
@@ -145,14 +145,14 @@
 				fmt.Fprintln(w, "MOVE\tFROM\tTO\tEND\tTOOK\tBY\tWHY")
 				for _, r := range all {
 					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%s\n", r.ID, r.Plan.From, r.Plan.To, r.State,
-						r.Changed.Sub(r.Started).Round(time.Second), r.By, orText(r.Cause, r.Note))
+						r.Changed.Sub(r.Started).Round(time.Second), r.By, firstNonEmpty(r.Cause, r.Note))
 				}
 				w.Flush()
 			})
 		}}
 }
 
-func orText(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -162,7 +162,7 @@
 func (o *options) watchCommand() *cobra.Command {
 	return &cobra.Command{Use: "watch", Short: "Follow the move until it is over",
 		Long: `Follows the move until it is over. On a terminal the view is live (p pauses, r resumes, u undoes, q leaves);
-elsewhere, and with -o json, a line is printed for each change. Exit code 5 says that the move went back.`, Args: faulty(cobra.NoArgs),
+elsewhere, and with -o json, a line is printed for each change. Exit code 5 says that the move went back.`, Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return o.watch(c.Context()) }}
 }
 
@@ -180,29 +180,29 @@
 		if s.Move == nil {
 			return exit{Failed, errors.New("no move was ever started")}
 		}
-		line := fmt.Sprintf("%s %.1f%% %s", s.Move.State, 100*s.Move.InForce(), s.Move.Reason)
+		line := fmt.Sprintf("%s %.1f%% %s", s.Move.State, 100*s.Move.CurrentShare(), s.Move.Reason)
 		if line != said {
 			said = line
 			if err := o.print(s, func() { fmt.Fprintln(o.Out, line) }); err != nil {
 				return err
 			}
 		}
-		if s.Move.State.Over() || s.Move.State == mover.Halted && s.Move.Plan.OnWorse == mover.Stay {
-			return ending(s.Move)
+		if s.Move.State.Terminal() || s.Move.State == mover.Halted && s.Move.Plan.OnWorse == mover.Stay {
+			return exitOf(s.Move)
 		}
 	}
 }
 
-// ending is a watched move's exit code.
-func ending(r *mover.Record) error {
+// exitOf is a watched move's exit code.
+func exitOf(r *mover.Record) error {
 	if r.State == mover.Done {
 		return nil
 	}
-	return exit{Worse, fmt.Errorf("the move is %s: %s", r.State, orText(r.Cause, "by the operator"))}
+	return exit{MigrationReverted, fmt.Errorf("the move is %s: %s", r.State, firstNonEmpty(r.Cause, "by the operator"))}
 }
 
 func writePlan(w io.Writer, p mover.Plan) {
-	fmt.Fprintf(w, "from %s to %s, in %v at the least\n", p.From, p.To, p.Least())
+	fmt.Fprintf(w, "from %s to %s, in %v at the least\n", p.From, p.To, p.MinimumDuration())
 	fmt.Fprintf(w, "  warm up   %.1f%% for %v or more\n", 100*p.Trickle, p.Warm)
 	for i, s := range p.Steps {
 		fmt.Fprintf(w, "  step %d    %.1f%%, watched for %v and %d flows or more\n", i+1, 100*s, p.Hold, p.Samples)
@@ -225,7 +225,7 @@
 	if len(s.Nodes) > 0 {
 		for _, n := range s.Nodes {
 			behind := ""
-			if n.Behind {
+			if n.Lagging {
 				behind = "  behind"
 			}
 			fmt.Fprintf(w, "  node %-12s version %d, heard %.1fs ago%s\n", n.Name, n.Version, n.Age, behind)
@@ -240,11 +240,11 @@
 	if r.Paused {
 		paused = ", paused"
 	}
-	fmt.Fprintf(w, "%s: %s to %s, %s%s at %.1f%%\n", r.ID, r.Plan.From, r.Plan.To, r.State, paused, 100*r.InForce())
+	fmt.Fprintf(w, "%s: %s to %s, %s%s at %.1f%%\n", r.ID, r.Plan.From, r.Plan.To, r.State, paused, 100*r.CurrentShare())
 	if r.Reason != "" {
 		fmt.Fprintf(w, "  %s\n", r.Reason)
 	}
-	if !r.State.Over() {
+	if !r.State.Terminal() {
 		fmt.Fprintf(w, "  evidence against the new pool: %.0f%% of an alarm\n", 100*evidence)
 	}
 	for _, e := range r.Events {
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -11,7 +11,7 @@
 )
 
 func (o *options) nodesCommand() *cobra.Command {
-	c := &cobra.Command{Use: "nodes", Short: "Show the installation's nodes as this one finds them, and by how many it divides", Args: faulty(cobra.NoArgs),
+	c := &cobra.Command{Use: "nodes", Short: "Show the installation's nodes as this one finds them, and by how many it divides", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var status struct {
 				Reckoned int          `json:"reckoned"`
--- a/internal/cli/story_test.go
+++ b/internal/cli/story_test.go
@@ -74,7 +74,7 @@
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(head + pools + boxes)
 	ended := make(chan error, 1)
-	go func() { ended <- daemon.Run(daemon.Options{File: path, Log: zap.NewNop()}) }()
+	go func() { ended <- daemon.Run(daemon.Options{ConfigFile: path, Log: zap.NewNop()}) }()
 	command := func(args ...string) (string, int) {
 		var out, errs bytes.Buffer
 		code := Main(t.Context(), append(args, "--config", path), Streams{Out: &out, Err: &errs})
@@ -130,12 +130,12 @@
 	require.Zero(t, code, text)
 	require.Contains(t, text, "new-2")
 	text, code = command("move", "start", "--to", "newer")
-	require.Equal(t, Faulty, code, text)
+	require.Equal(t, InvalidUsage, code, text)
 	require.Contains(t, text, `to: "newer" is no pool; there are: old, new`)
 	text, code = command("move", "start", "--to", "new", "--note", "build 118")
 	require.Zero(t, code, text)
 	text, code = command("move", "start", "--to", "new")
-	require.Equal(t, Refused, code, text)
+	require.Equal(t, Rejected, code, text)
 	require.Eventually(t, func() bool { return status().Move.Step == 1 }, 60*time.Second, 50*time.Millisecond)
 
 	// A file without the new pool is refused while the move runs.
@@ -155,7 +155,7 @@
 
 	failing.Store(true)
 	text, code = command("move", "watch")
-	require.Equal(t, Worse, code, text)
+	require.Equal(t, MigrationReverted, code, text)
 	require.Contains(t, text, "returning")
 	require.Zero(t, status().Move.Shares.Share)
 	text, code = command("move", "history")
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -271,7 +271,7 @@
 	for _, bad := range []string{"77", "three", "1"} {
 		failing := p.start("PROXY_SOCKET_FD=" + bad)
 		require.Error(t, failing.Wait())
-		require.Equal(t, Faulty, failing.ProcessState.ExitCode())
+		require.Equal(t, InvalidUsage, failing.ProcessState.ExitCode())
 		require.Contains(t, failing.said.String(), "PROXY_SOCKET_FD: ")
 	}
 	require.True(t, second.ready())
--- a/internal/config/browse.go
+++ b/internal/config/browse.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-const browseMost = 32
+const maxBrowses = 32
 
-// newsWays are the values of a browse's news.
-var newsWays = []string{"auto", "poll", "push", "mdns"}
+// updateMethods are the values of a browse's news.
+var updateMethods = []string{"auto", "poll", "push", "mdns"}
 
-func (o *Operator) checkBrowse() error {
-	e := &o.Entries
+func (o *OperatorFile) validateBrowses() error {
+	e := &o.Endpoints
 	prefix := func(i int) string { return fmt.Sprintf("entries.browse[%d].", i) }
 	if len(e.Browse) == 0 {
 		e.Browse = []Browse{{Server: e.Server, Service: e.Service, Domain: e.Domain}}
 		prefix = func(int) string { return "entries." }
 	}
-	if len(e.Browse) > browseMost {
-		return fmt.Errorf("entries.browse: %d services are more than %d", len(e.Browse), browseMost)
+	if len(e.Browse) > maxBrowses {
+		return fmt.Errorf("entries.browse: %d services are more than %d", len(e.Browse), maxBrowses)
 	}
 	for i := range e.Browse {
 		b := &e.Browse[i]
-		or(&b.News, "auto")
-		if err := b.check(prefix(i)); err != nil {
+		setDefault(&b.Updates, "auto")
+		if err := b.validate(prefix(i)); err != nil {
 			return err
 		}
 		if b.Site != "" && !slices.Contains(o.Module.Zones, b.Site) {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-func (b *Browse) check(prefix string) error {
-	if err := loopback(prefix+"server", b.Server); err != nil {
+func (b *Browse) validate(prefix string) error {
+	if err := validateLoopback(prefix+"server", b.Server); err != nil {
 		return err
 	}
 	if b.Service == "" {
@@ -58,83 +58,83 @@
 	if strings.ContainsRune(b.Subtype, '.') {
 		return fmt.Errorf("%ssubtype: %q is no single label, such as \"_large\"", prefix, b.Subtype)
 	}
-	if !slices.Contains(newsWays, b.News) {
-		return fmt.Errorf("%snews: %q is none of %s", prefix, b.News, strings.Join(newsWays, ", "))
+	if !slices.Contains(updateMethods, b.Updates) {
+		return fmt.Errorf("%snews: %q is none of %s", prefix, b.Updates, strings.Join(updateMethods, ", "))
 	}
-	if b.Push != "" {
-		if err := loopback(prefix+"push", b.Push); err != nil {
+	if b.PushAddress != "" {
+		if err := validateLoopback(prefix+"push", b.PushAddress); err != nil {
 			return err
 		}
 	}
-	if b.News == "push" && b.Push == "" && b.PushRoot == "" {
+	if b.Updates == "push" && b.PushAddress == "" && b.PushRootFile == "" {
 		return fmt.Errorf("%spush_root: missing; push needs a root certificate, or an address in push for push in the clear", prefix)
 	}
-	if (b.News == "poll" || b.News == "mdns") && (b.Push != "" || b.PushRoot != "") {
-		return fmt.Errorf("%spush: given though news is %q", prefix, b.News)
+	if (b.Updates == "poll" || b.Updates == "mdns") && (b.PushAddress != "" || b.PushRootFile != "") {
+		return fmt.Errorf("%spush: given though news is %q", prefix, b.Updates)
 	}
-	if b.PushName != "" && b.PushRoot == "" {
+	if b.PushServerName != "" && b.PushRootFile == "" {
 		return fmt.Errorf("%spush_name: given without push_root", prefix)
 	}
 	return nil
 }
 
-// Roots reads a browse's root certificates; nil where there are none.
-func (o *Operator) Roots(base string, i int) (*x509.CertPool, error) {
-	b := o.Entries.Browse[i]
-	if b.PushRoot == "" {
+// RootCertificates reads a browse's root certificates; nil where there are none.
+func (o *OperatorFile) RootCertificates(base string, i int) (*x509.CertPool, error) {
+	b := o.Endpoints.Browse[i]
+	if b.PushRootFile == "" {
 		return nil, nil
 	}
-	raw, err := os.ReadFile(o.Path(base, b.PushRoot))
+	raw, err := os.ReadFile(o.ResolvePath(base, b.PushRootFile))
 	if err != nil {
 		return nil, fmt.Errorf("entries.browse[%d].push_root: %w", i, err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(raw) {
-		return nil, fmt.Errorf("entries.browse[%d].push_root: %s holds no certificate in PEM form", i, b.PushRoot)
+		return nil, fmt.Errorf("entries.browse[%d].push_root: %s holds no certificate in PEM form", i, b.PushRootFile)
 	}
 	return roots, nil
 }
 
-// Peers is how the nodes of an installation find each other and are counted.
-type Peers struct {
-	Server  string   `toml:"server"` // "" is off
-	Service string   `toml:"service"`
-	Domain  string   `toml:"domain"`
-	Publish bool     `toml:"publish"` // by DNS UPDATE; else somebody else publishes the nodes
-	Lease   Duration `toml:"lease"`
-	Hold    Duration `toml:"hold"` // for which a smaller number must last
+// Nodes is how the nodes of an installation find each other and are counted.
+type Nodes struct {
+	Server      string   `toml:"server"` // "" is off
+	Service     string   `toml:"service"`
+	Domain      string   `toml:"domain"`
+	Publish     bool     `toml:"publish"` // by DNS UPDATE; else somebody else publishes the nodes
+	Lease       Duration `toml:"lease"`
+	ShrinkDelay Duration `toml:"hold"` // for which a smaller number must last
 }
 
-func (p *Peers) complete() {
-	or(&p.Service, "_standpoint._tcp")
-	or(&p.Lease, Duration(30*time.Second))
-	or(&p.Hold, Duration(10*time.Second))
+func (p *Nodes) setDefaults() {
+	setDefault(&p.Service, "_standpoint._tcp")
+	setDefault(&p.Lease, Duration(30*time.Second))
+	setDefault(&p.ShrinkDelay, Duration(10*time.Second))
 }
 
-func (o *Operator) checkPeers() error {
-	p := &o.Peers
+func (o *OperatorFile) validateNodes() error {
+	p := &o.Nodes
 	if p.Server == "" {
 		if p.Publish {
 			return fmt.Errorf("nodes.server: missing")
 		}
 		return nil
 	}
-	b := Browse{Server: p.Server, Service: p.Service, Domain: p.Domain, News: "poll"}
-	if err := b.check("nodes."); err != nil {
+	b := Browse{Server: p.Server, Service: p.Service, Domain: p.Domain, Updates: "poll"}
+	if err := b.validate("nodes."); err != nil {
 		return err
 	}
 	if p.Lease < Duration(2*time.Second) || p.Lease > Duration(time.Hour) {
 		return fmt.Errorf("nodes.lease: %v is not from 2s to 1h", time.Duration(p.Lease))
 	}
-	if p.Hold < 0 {
-		return fmt.Errorf("nodes.hold: %v is negative", time.Duration(p.Hold))
+	if p.ShrinkDelay < 0 {
+		return fmt.Errorf("nodes.hold: %v is negative", time.Duration(p.ShrinkDelay))
 	}
 	return nil
 }
 
-func (o *Operator) checkMetrics() error {
+func (o *OperatorFile) validateMetrics() error {
 	if o.Metrics.Listen == "" {
 		return nil
 	}
-	return loopback("metrics.listen", o.Metrics.Listen)
+	return validateLoopback("metrics.listen", o.Metrics.Listen)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,14 +16,14 @@
 func none(string) string { return "" }
 
 func TestPlatform(t *testing.T) {
-	p, err := decodePlatform([]byte(platform), func(key string) string {
+	p, err := parsePlatform([]byte(platform), func(key string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:8443"}[key]
 	})
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.9:8443", p.Listen, "the variable wins")
 	require.Equal(t, 3, p.Settings.MaxAttempts)
 	require.Equal(t, []string{"chat"}, p.Names.Classes)
-	require.Equal(t, defaultDial, p.Names.DialTimeout)
+	require.Equal(t, defaultDialTimeout, p.Names.DialTimeout)
 	for fault, key := range map[string]string{
 		strings.Replace(platform, "8c1f30d27a5be964", "xyz", 1):                     "seed:",
 		strings.Replace(platform, "127.2.0.1:8500", "nowhere", 1):                   "discovery:",
@@ -35,10 +35,10 @@
 		strings.Replace(platform, `"name":"n3",`, ``, 1):                            "name:",
 		strings.Replace(platform, `"connIdle":15000000000`, `"connIdle":"long"`, 1): "limits.connIdle",
 	} {
-		_, err := decodePlatform([]byte(fault), none)
+		_, err := parsePlatform([]byte(fault), none)
 		require.ErrorContains(t, err, key)
 	}
-	_, err = FromPlatform(none)
+	_, err = ReadPlatform(none)
 	require.ErrorContains(t, err, "PROXY_CONFIG:")
 }
 
@@ -51,10 +51,10 @@
 		return map[string]string{"PROXY_CONFIG": path, "PROXY_DISCOVERY": "127.2.0.1:8500"}[key]
 	}
 	write(platform)
-	first, err := FromPlatform(getenv)
+	first, err := ReadPlatform(getenv)
 	require.NoError(t, err)
 	write(strings.NewReplacer("127.2.0.1:8500", "127.2.0.9:8501", `"memory_mb":192`, `"memory_mb":64`).Replace(platform))
-	next, err := first.Reread(getenv)
+	next, err := first.Reload(getenv)
 	require.NoError(t, err)
 	require.Equal(t, "127.2.0.9:8501", next.Discovery)
 	require.Equal(t, 64, next.Limits.MemoryMB)
@@ -66,7 +66,7 @@
 		"{": "configuration file:",
 	} {
 		write(fault)
-		kept, err := next.Reread(getenv)
+		kept, err := next.Reload(getenv)
 		require.ErrorContains(t, err, key)
 		require.Equal(t, next, kept)
 	}
@@ -77,10 +77,10 @@
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
 	good := string(raw)
-	read := func(text string) (Operator, error) {
+	read := func(text string) (OperatorFile, error) {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		return ReadOperator(path)
+		return ReadOperatorFile(path)
 	}
 	o, err := read(good)
 	require.NoError(t, err)
@@ -124,17 +124,17 @@
 	const browse = "[[entries.browse]]\nserver = \"127.0.0.1:53\"\nservice = \"_engine._tcp\"\ndomain = \"hall-a.test\"\n"
 	dnssd := strings.Replace(alone, "[entries]\nsource = \"list\"\n", "", 1) + "[entries]\nsource = \"dns-sd\"\n"
 	together := alone[:strings.Index(alone, "[store]")] + group
-	read := func(text string) (Operator, error) {
+	read := func(text string) (OperatorFile, error) {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		return ReadOperator(path)
+		return ReadOperatorFile(path)
 	}
 	o, err := read(together + pools + control + "[move]\nsteps = [0.01, 1.0]\nhold = \"40s\"\n")
 	require.NoError(t, err)
 	require.Equal(t, 2, o.PoolSet.Len())
-	require.Equal(t, []float64{0.01, 1}, o.Plan.Steps)
-	require.Equal(t, 0.01, o.Plan.Trickle, "no more than the first step")
-	require.Equal(t, 0.9, o.Plan.Floor)
+	require.Equal(t, []float64{0.01, 1}, o.MigrationPlan.Steps)
+	require.Equal(t, 0.01, o.MigrationPlan.Trickle, "no more than the first step")
+	require.Equal(t, 0.9, o.MigrationPlan.Floor)
 	for _, c := range []struct{ text, key string }{
 		{alone + "[[pool]]\nname = \"old\"\nselect = 'version = \"v1\"'\n", "pool[0].select: column 9:"},
 		{alone + "[[pool]]\nselect = 'true'\n", "pool[0].name:"},
@@ -182,7 +182,7 @@
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
 	for _, number := range []string{"nan", "inf", "-inf"} {
-		_, err = ParseOperator(strings.Replace(string(raw), "worth = 2.0", "worth = "+number, 1))
+		_, err = ParseOperatorFile(strings.Replace(string(raw), "worth = 2.0", "worth = "+number, 1))
 		require.ErrorContains(t, err, "class[0].worth: not a finite number")
 	}
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -12,12 +12,12 @@
 	f.Add([]byte(platform))
 	f.Add([]byte(strings.Replace(platform, `"settings":{`, `"settings":{"balancers":-1,"period":-5,"rules":{"warmUp":-1,"startCapacity":9e9},`, 1)))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		p, err := decodePlatform(raw, none)
+		p, err := parsePlatform(raw, none)
 		if err != nil {
 			return
 		}
 		s := p.Settings
-		if len(s.Classes) == 0 || p.Names.ConnIdle <= 0 || p.Names.DialTimeout <= 0 || p.Limits.Flows() < 1 || p.Killed() < 0 ||
+		if len(s.Classes) == 0 || p.Names.IdleTimeout <= 0 || p.Names.DialTimeout <= 0 || p.Limits.MaxRequests() < 1 || p.KillDelay() < 0 ||
 			s.Balancers < 0 || s.WarmUp < 0 || s.Fall < 0 || s.Tick < 0 || s.MaxAttempts < 0 || s.MaxRetryAfter < 0 ||
 			!(s.ColdShare >= 0 && s.ColdShare <= 1) || s.FallFactor < 0 {
 			t.Fatalf("%+v", p)
@@ -40,14 +40,14 @@
 	f.Add("listen = \"127.0.0.1:1\"\n[[class]]\nname = \"c\"\nfirst_token = \"1s\"\ngive_up = \"2s\"\nworth = 1e999\n")
 	f.Add("listen = \"127.0.0.1:1\"\n[limits]\ncores = nan\n[[class]]\nname = \"c\"\nfirst_token = \"1s\"\ngive_up = \"2s\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		o, err := ParseOperator(text)
+		o, err := ParseOperatorFile(text)
 		if err != nil {
 			if err.Error() == "" {
 				t.Fatal("no word")
 			}
 			return
 		}
-		if len(o.Classes) == 0 || math.IsNaN(o.Bounds.Cores) || o.Bounds.Flows() < 1 || o.Settings.MaxAttempts < 1 || o.Settings.MaxAttempts > 3 {
+		if len(o.Classes) == 0 || math.IsNaN(o.EffectiveLimits.Cores) || o.EffectiveLimits.MaxRequests() < 1 || o.Settings.MaxAttempts < 1 || o.Settings.MaxAttempts > 3 {
 			t.Fatalf("%+v", o)
 		}
 	})
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -28,7 +28,7 @@
 	return string(raw)
 }
 
-func checkedText(t testing.TB, o Operator) string {
+func checkedText(t testing.TB, o OperatorFile) string {
 	t.Helper()
 	var text strings.Builder
 	require.NoError(t, toml.NewEncoder(&text).Encode(o))
@@ -39,18 +39,18 @@
 // as there may be. What is printed means the same when it is read.
 func TestGoldenOperatorFile(t *testing.T) {
 	for name, path := range map[string]string{"operator-full.toml": fullFile, "operator-defaults.toml": minimalFile} {
-		o, err := ParseOperator(operatorText(t, path))
+		o, err := ParseOperatorFile(operatorText(t, path))
 		require.NoError(t, err)
 		golden.Bytes(t, name, []byte(checkedText(t, o)))
-		again, err := ParseOperator(operatorText(t, golden.Path(name)))
+		again, err := ParseOperatorFile(operatorText(t, golden.Path(name)))
 		require.NoError(t, err)
 		require.Equal(t, checkedText(t, o), checkedText(t, again))
 		require.Equal(t, o.Settings, again.Settings)
 		require.Equal(t, o.Names, again.Names)
-		require.Equal(t, o.Bounds, again.Bounds)
-		require.Equal(t, o.Plan, again.Plan)
+		require.Equal(t, o.EffectiveLimits, again.EffectiveLimits)
+		require.Equal(t, o.MigrationPlan, again.MigrationPlan)
 	}
-	o, err := ParseOperator(operatorText(t, fullFile))
+	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	for _, path := range golden.Unset(o) {
 		section, _, _ := strings.Cut(path, ".")
@@ -65,7 +65,7 @@
 
 // What an operator's file of every key means to the decision module.
 func TestGoldenOperatorSettings(t *testing.T) {
-	o, err := ParseOperator(operatorText(t, fullFile))
+	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	require.Equal(t, standpoint.Settings{
 		Balancers: 4, Ordinal: 2, Zone: 1, Zones: 2, Kinds: 2, Resume: true, RetryAfter: true, Reports: standpoint.ReportReplies,
@@ -80,23 +80,23 @@
 		Tenants: []standpoint.Tenant{{Share: 0.75, QuotaRPS: 12.5}, {Share: 0.25, QuotaRPS: 6.5}},
 	}, o.Settings)
 	require.Equal(t, Names{Classes: []string{"sheet-import", "foreman-chat"}, Tenants: []string{"payroll-office", "site-office"},
-		Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"fast", "slow"}, ConnIdle: 16 * time.Second, DialTimeout: 130 * time.Millisecond}, o.Names)
-	require.Equal(t, Limits{Cores: 2.5, MemoryMB: 384, Sockets: 2048}, o.Bounds)
+		Zones: []string{"hall-a", "hall-b"}, Kinds: []string{"fast", "slow"}, IdleTimeout: 16 * time.Second, DialTimeout: 130 * time.Millisecond}, o.Names)
+	require.Equal(t, Limits{Cores: 2.5, MemoryMB: 384, Sockets: 2048}, o.EffectiveLimits)
 }
 
 // Every key of the platform's file, and what it means.
 func TestGoldenPlatformFile(t *testing.T) {
 	raw, err := os.ReadFile(golden.Path("platform.json"))
 	require.NoError(t, err)
-	p, err := decodePlatform(raw, none)
+	p, err := parsePlatform(raw, none)
 	require.NoError(t, err)
-	require.JSONEq(t, `{"seq":9,"whole":true,"hosts":[]}`, string(p.Known))
-	p.Known = nil
-	require.Equal(t, Platform{Name: "n3", Listen: "127.0.0.4:8443", Discovery: "127.2.0.1:8500", Console: "127.0.0.4:9901", Seed: 0x0c1f30d27a5be964,
+	require.JSONEq(t, `{"seq":9,"whole":true,"hosts":[]}`, string(p.KnownEndpoints))
+	p.KnownEndpoints = nil
+	require.Equal(t, PlatformConfig{Name: "n3", Listen: "127.0.0.4:8443", Discovery: "127.2.0.1:8500", Console: "127.0.0.4:9901", Seed: 0x0c1f30d27a5be964,
 		Limits: Limits{Cores: 1.5, MemoryMB: 160, Sockets: 512}, PeerListen: "127.0.0.4:7000", Peers: []string{"127.0.0.5:7000", "127.0.0.6:7000"},
-		PeersAll: "127.0.0.7:7000", Settings: p.Settings, Names: p.Names}, p)
+		AllPeers: "127.0.0.7:7000", Settings: p.Settings, Names: p.Names}, p)
 	require.Equal(t, Names{Classes: []string{"chat", "import", "night"}, Tenants: []string{"office", "site"}, Zones: []string{"a", "b"},
-		Kinds: []string{"fast", "slow", "old"}, ConnIdle: 15 * time.Second, DialTimeout: 120 * time.Millisecond, MaxOpen: 77}, p.Names)
+		Kinds: []string{"fast", "slow", "old"}, IdleTimeout: 15 * time.Second, DialTimeout: 120 * time.Millisecond, MaxConnections: 77}, p.Names)
 	require.Equal(t, standpoint.Settings{
 		Balancers: 4, Ordinal: 3, Zone: 1, Zones: 2, Kinds: 3, OverShareWorth: 0.31, Reports: standpoint.ReportProbes, AskDiscovery: true, Resume: true,
 		SecondCopies: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001, MaxAttempts: 3, Tick: 2000002,
@@ -117,14 +117,14 @@
 			t.Errorf("the platform's file does not set %s", path)
 		}
 	}
-	piggyback, err := decodePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), none)
+	piggyback, err := parsePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), none)
 	require.NoError(t, err)
 	require.Equal(t, standpoint.ReportReplies, piggyback.Settings.Reports)
 	environment := map[string]string{"PROXY_NAME": "n4", "PROXY_LISTEN": "127.0.0.8:1", "PROXY_DISCOVERY": "127.0.0.8:2", "PROXY_CONSOLE": "127.0.0.8:3",
 		"PROXY_SOCKET_FD": "5"}
-	p, err = decodePlatform(raw, func(key string) string { return environment[key] })
+	p, err = parsePlatform(raw, func(key string) string { return environment[key] })
 	require.NoError(t, err)
-	require.Equal(t, []any{"n4", "127.0.0.8:1", "127.0.0.8:2", "127.0.0.8:3", 5}, []any{p.Name, p.Listen, p.Discovery, p.Console, p.Socket})
+	require.Equal(t, []any{"n4", "127.0.0.8:1", "127.0.0.8:2", "127.0.0.8:3", 5}, []any{p.Name, p.Listen, p.Discovery, p.Console, p.ListenerFD})
 }
 
 // faultyInput is a good file with one text in place of another.
@@ -235,7 +235,7 @@
 		{"[[entries.browse]]\nserver = \"127.0.0.1:5302\"\nservice = \"_engine._tcp\"\ndomain = \"hall-a.example.org\"\nsite = \"hall-a\"\nsubtype = \"_large\"\n" +
 			"news = \"push\"\npush = \"127.0.0.1:5303\"\npush_root = \"root.pem\"\npush_name = \"push.example.org\"\n\n" +
 			"[[entries.browse]]\nserver = \"127.0.0.1:5304\"\nservice = \"_engine._tcp\"\ndomain = \"hall-b.example.org\"\n",
-			"[[entries.browse]]\n" + strings.Repeat("[[entries.browse]]\n", browseMost)},
+			"[[entries.browse]]\n" + strings.Repeat("[[entries.browse]]\n", maxBrowses)},
 	}},
 	{"real-server", fullFile, []faultyInput{
 		{`name = "box-1"`, ``},
@@ -350,7 +350,7 @@
 			var said strings.Builder
 			for _, input := range s.inputs {
 				require.Contains(t, base, input.from)
-				_, err := ParseOperator(strings.Replace(base, input.from, input.to, 1))
+				_, err := ParseOperatorFile(strings.Replace(base, input.from, input.to, 1))
 				require.Error(t, err, "%q", input.to)
 				fmt.Fprintf(&said, "%q in place of %q\n\t%s\n", shortened(input.to), shortened(input.from), strings.ReplaceAll(err.Error(), "\n", "\n\t"))
 			}
@@ -370,7 +370,7 @@
 // What cannot change while the program runs, and in which words it is refused.
 func TestGoldenRereadErrors(t *testing.T) {
 	full := operatorText(t, fullFile)
-	o, err := ParseOperator(full)
+	o, err := ParseOperatorFile(full)
 	require.NoError(t, err)
 	var said strings.Builder
 	for _, input := range []faultyInput{
@@ -398,12 +398,12 @@
 			text = strings.Replace(full, "payroll-office", "pay-office", -1)
 			text = text[:strings.Index(text, "[[fleet.budget]]")] + full[strings.Index(full, "[[fleet.budget]]\nkind = \"attempts\""):]
 		}
-		kept, err := o.RereadText(text)
+		kept, err := o.ReloadText(text)
 		require.Error(t, err, input.to)
 		require.Equal(t, o, kept)
 		fmt.Fprintf(&said, "%q\n\t%s\n", shortened(input.to), err)
 	}
-	small, err := ParseOperator(operatorText(t, minimalFile))
+	small, err := ParseOperatorFile(operatorText(t, minimalFile))
 	require.NoError(t, err)
 	for _, input := range []faultyInput{
 		{`listen = "127.0.0.1:8443"`, "name = \"other\"\nlisten = \"127.0.0.1:8443\""},
@@ -411,27 +411,27 @@
 		{`name = "chat"`, `name = "talk"`},
 		{`name = "office"`, ``},
 	} {
-		_, err := small.RereadText(strings.Replace(operatorText(t, minimalFile), input.from, input.to, 1))
+		_, err := small.ReloadText(strings.Replace(operatorText(t, minimalFile), input.from, input.to, 1))
 		require.Error(t, err)
 		fmt.Fprintf(&said, "%q\n\t%s\n", input.to, err)
 	}
-	_, err = o.Reread("/nowhere/operator.toml")
+	_, err = o.ReloadFile("/nowhere/operator.toml")
 	fmt.Fprintf(&said, "no file\n\t%s\n", err)
-	_, err = ReadOperator("/nowhere/operator.toml")
+	_, err = ReadOperatorFile("/nowhere/operator.toml")
 	fmt.Fprintf(&said, "no file at the start\n\t%s\n", err)
 	golden.Bytes(t, "errors/operator-reread.txt", []byte(said.String()))
 }
 
 // What is said of root certificates that cannot be read.
 func TestGoldenRootsErrors(t *testing.T) {
-	o, err := ParseOperator(operatorText(t, fullFile))
+	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	dir := t.TempDir()
-	_, err = o.Roots(dir, 0)
+	_, err = o.RootCertificates(dir, 0)
 	require.Error(t, err)
 	said := err.Error() + "\n"
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "root.pem"), []byte("none"), 0o600))
-	_, err = o.Roots(dir, 0)
+	_, err = o.RootCertificates(dir, 0)
 	require.Error(t, err)
 	said += err.Error() + "\n"
 	golden.Bytes(t, "errors/operator-roots.txt", []byte(strings.ReplaceAll(said, dir, "DIR")))
@@ -476,22 +476,22 @@
 		{`"overloadFactor": 4.5`, `"overloadFactor": -1`},
 	} {
 		require.Contains(t, good, input.from)
-		_, err := decodePlatform([]byte(strings.Replace(good, input.from, input.to, 1)), none)
+		_, err := parsePlatform([]byte(strings.Replace(good, input.from, input.to, 1)), none)
 		require.Error(t, err, input.to)
 		fmt.Fprintf(&said, "%q in place of %q\n\t%s\n", input.to, input.from, err)
 	}
 	for _, fd := range []string{"x", "2"} {
-		_, err := decodePlatform(raw, func(key string) string {
+		_, err := parsePlatform(raw, func(key string) string {
 			return map[string]string{"PROXY_SOCKET_FD": fd}[key]
 		})
 		require.Error(t, err)
 		fmt.Fprintf(&said, "PROXY_SOCKET_FD=%s\n\t%s\n", fd, err)
 	}
-	_, err = FromPlatform(none)
+	_, err = ReadPlatform(none)
 	fmt.Fprintf(&said, "without PROXY_CONFIG\n\t%s\n", err)
-	_, err = FromPlatform(func(string) string { return "/nowhere/config.json" })
+	_, err = ReadPlatform(func(string) string { return "/nowhere/config.json" })
 	fmt.Fprintf(&said, "no file\n\t%s\n", err)
-	p, err := decodePlatform(raw, none)
+	p, err := parsePlatform(raw, none)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] }
@@ -501,7 +501,7 @@
 		{`"console": "127.0.0.4:9901"`, `"console": "127.0.0.4:9902"`},
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, input.from, input.to, 1)), 0o600))
-		_, err := p.Reread(getenv)
+		_, err := p.Reload(getenv)
 		require.Error(t, err)
 		fmt.Fprintf(&said, "read again with %q\n\t%s\n", input.to, err)
 	}
--- a/internal/config/growth.go
+++ b/internal/config/growth.go
@@ -12,35 +12,35 @@
 	"standpoint/internal/pool"
 )
 
-// completeMove fills the keys of [move] from the mover's own defaults.
-func (o *Operator) completeMove() {
-	d, m := mover.Default(), &o.Move
+// setMigrationDefaults fills the keys of [move] from the mover's own defaults.
+func (o *OperatorFile) setMigrationDefaults() {
+	d, m := mover.Default(), &o.Migration
 	if m.Steps == nil {
 		m.Steps = d.Steps
 	}
-	or(&m.Trickle, min(d.Trickle, m.firstStep(d.Trickle)))
-	or(&m.Warm, Duration(d.Warm))
-	or(&m.Hold, Duration(d.Hold))
-	or(&m.Samples, d.Samples)
-	or(&m.Floor, d.Floor)
-	or(&m.FirstToken, d.FirstToken)
-	or(&m.Pace, d.Pace)
-	or(&m.Errors, d.Errors)
-	or(&m.Stall, Duration(d.Stall))
-	or(&m.Alarm, d.Alarm)
-	or(&m.OnWorse, d.OnWorse)
-	or(&m.ReturnSteps, d.ReturnSteps)
-	or(&m.ReturnEvery, Duration(d.ReturnEvery))
+	setDefault(&m.Trickle, min(d.Trickle, m.firstStep(d.Trickle)))
+	setDefault(&m.Warm, Duration(d.Warm))
+	setDefault(&m.Hold, Duration(d.Hold))
+	setDefault(&m.Samples, d.Samples)
+	setDefault(&m.Floor, d.Floor)
+	setDefault(&m.FirstToken, d.FirstToken)
+	setDefault(&m.Pace, d.Pace)
+	setDefault(&m.Errors, d.Errors)
+	setDefault(&m.Stall, Duration(d.Stall))
+	setDefault(&m.Alarm, d.Alarm)
+	setDefault(&m.OnWorse, d.OnWorse)
+	setDefault(&m.ReturnSteps, d.ReturnSteps)
+	setDefault(&m.ReturnEvery, Duration(d.ReturnEvery))
 }
 
-func (m *Move) firstStep(standard float64) float64 {
+func (m *Migration) firstStep(standard float64) float64 {
 	if len(m.Steps) == 0 {
 		return standard
 	}
 	return m.Steps[0]
 }
 
-func (o *Operator) checkLog() error {
+func (o *OperatorFile) validateLog() error {
 	if _, err := zapcore.ParseLevel(o.Log.Level); err != nil {
 		return fmt.Errorf("log.level: %q is none of debug, info, warn and error", o.Log.Level)
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func (o *Operator) checkControl() error {
+func (o *OperatorFile) validateControl() error {
 	c := o.Control
 	switch {
 	case c.Listen == "":
@@ -61,7 +61,7 @@
 		}
 		return nil
 	}
-	if err := loopback("control.listen", c.Listen); err != nil {
+	if err := validateLoopback("control.listen", c.Listen); err != nil {
 		return err
 	}
 	if c.TokenFile == "" {
@@ -70,11 +70,11 @@
 	return nil
 }
 
-// checkPools reads the selectors and makes the plan that moves start from.
-func (o *Operator) checkPools() error {
+// validatePools reads the selectors and makes the plan that moves start from.
+func (o *OperatorFile) validatePools() error {
 	var all []pool.Definition
 	for i, p := range o.Pools {
-		s, err := pool.Parse(p.Select)
+		s, err := pool.Parse(p.Selector)
 		if err != nil {
 			return fmt.Errorf("pool[%d].select: %w", i, err)
 		}
@@ -84,14 +84,14 @@
 	if o.PoolSet, err = pool.NewSet(all); err != nil {
 		return err
 	}
-	m := o.Move
-	o.Plan = mover.Plan{Steps: m.Steps, Trickle: m.Trickle, Warm: time.Duration(m.Warm), Hold: time.Duration(m.Hold),
+	m := o.Migration
+	o.MigrationPlan = mover.Plan{Steps: m.Steps, Trickle: m.Trickle, Warm: time.Duration(m.Warm), Hold: time.Duration(m.Hold),
 		Samples: m.Samples, Floor: m.Floor, FirstToken: m.FirstToken, Pace: m.Pace, Errors: m.Errors,
 		Stall: time.Duration(m.Stall), Alarm: m.Alarm, OnWorse: m.OnWorse, ReturnSteps: m.ReturnSteps,
 		ReturnEvery: time.Duration(m.ReturnEvery), ColdShare: o.Module.ColdShare, WarmUp: time.Duration(o.Module.WarmUp),
 		FallFactor: mover.Default().FallFactor}
-	var fault *mover.Fault
-	if err := o.Plan.Check(); errors.As(err, &fault) {
+	var fault *mover.PlanError
+	if err := o.MigrationPlan.Check(); errors.As(err, &fault) {
 		section := "move."
 		if fault.Key == "cold_share" || fault.Key == "warm_up" {
 			section = "module."
@@ -100,13 +100,13 @@
 	}
 	if len(o.Pools) > 0 && o.Store.Kind == "raft" && len(o.Store.Members) > 1 {
 		for i, m := range o.Store.Members {
-			if m.Control == "" {
+			if m.ControlAddress == "" {
 				return fmt.Errorf("store.member[%d].control: missing; members that move traffic between pools report to each other there", i)
 			}
 		}
 		for i, m := range o.Store.Members {
-			if m.ID == o.Store.ID && o.Control.Listen != "" && m.Control != o.Control.Listen {
-				return fmt.Errorf("store.member[%d].control: %q is not control.listen, %q, and this is its own member", i, m.Control, o.Control.Listen)
+			if m.ID == o.Store.ID && o.Control.Listen != "" && m.ControlAddress != o.Control.Listen {
+				return fmt.Errorf("store.member[%d].control: %q is not control.listen, %q, and this is its own member", i, m.ControlAddress, o.Control.Listen)
 			}
 		}
 		if o.Control.Listen == "" {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -35,13 +35,13 @@
 
 // Class is a class of requests in an operator's file.
 type Class struct {
-	Name        string   `toml:"name"`
-	FirstToken  Duration `toml:"first_token"`
-	PerThousand Duration `toml:"per_1000_prompt_tokens"`
-	TokenGap    Duration `toml:"token_gap"`
-	GiveUp      Duration `toml:"give_up"`
-	Worth       float64  `toml:"worth"`
-	LateWorth   float64  `toml:"late_worth"`
+	Name                   string   `toml:"name"`
+	FirstTokenObjective    Duration `toml:"first_token"`
+	ObjectivePer1000Tokens Duration `toml:"per_1000_prompt_tokens"`
+	TokenGapObjective      Duration `toml:"token_gap"`
+	Deadline               Duration `toml:"give_up"`
+	Weight                 float64  `toml:"worth"`
+	LateWeight             float64  `toml:"late_worth"`
 }
 
 // Tenant is a tenant in an operator's file.
@@ -51,24 +51,24 @@
 	QuotaRPS float64 `toml:"quota_rps"`
 }
 
-// RealServer is a real server that an operator's file lists by hand.
-type RealServer struct {
-	Name    string  `toml:"name"`
-	Address string  `toml:"address"`
-	Mode    string  `toml:"mode"` // stream or batch
-	Zone    string  `toml:"zone"`
-	Kind    string  `toml:"kind"`
-	Size    float64 `toml:"size"`
+// Backend is a real server that an operator's file lists by hand.
+type Backend struct {
+	Name     string  `toml:"name"`
+	Address  string  `toml:"address"`
+	Mode     string  `toml:"mode"` // stream or batch
+	Zone     string  `toml:"zone"`
+	Kind     string  `toml:"kind"`
+	Capacity float64 `toml:"size"`
 	// Draining has it finish what it has and get nothing new.
 	Draining bool `toml:"draining"`
-	// Started is its last start; not said: long ago.
-	Started time.Time `toml:"started"`
+	// StartedAt is its last start; not said: long ago.
+	StartedAt time.Time `toml:"started"`
 	// Labels are what pools may select by, besides the keys above.
 	Labels map[string]string `toml:"labels"`
 }
 
 // State is the real server's place in its life.
-func (r RealServer) State() standpoint.State {
+func (r Backend) State() standpoint.State {
 	if r.Draining {
 		return standpoint.Draining
 	}
@@ -76,22 +76,22 @@
 }
 
 // ReadyAt is its last start in the module's time; 0: long ago.
-func (r RealServer) ReadyAt() int64 {
-	if r.Started.IsZero() {
+func (r Backend) ReadyAt() int64 {
+	if r.StartedAt.IsZero() {
 		return 0
 	}
-	return r.Started.UnixNano()
+	return r.StartedAt.UnixNano()
 }
 
 // Pool is a pool of real servers in an operator's file.
 type Pool struct {
-	Name   string  `toml:"name"`
-	Select string  `toml:"select"`
-	Share  float64 `toml:"share"`
+	Name     string  `toml:"name"`
+	Selector string  `toml:"select"`
+	Share    float64 `toml:"share"`
 }
 
-// Move is how traffic moves between pools unless a move's start says otherwise.
-type Move struct {
+// Migration is how traffic moves between pools unless a move's start says otherwise.
+type Migration struct {
 	Steps       []float64 `toml:"steps"`
 	Trickle     float64   `toml:"trickle"`
 	Warm        Duration  `toml:"warm"`
@@ -115,13 +115,13 @@
 	Domain  string `toml:"domain"`
 	Site    string `toml:"site"` // of instances that do not tell theirs
 	Subtype string `toml:"subtype"`
-	// News is how changes are heard of: auto, poll, push or mdns.
-	News string `toml:"news"`
-	// Push is where push is had, host:port; where it is missing the domain's SRV records tell. PushRoot is a file with
-	// the root certificates that the server's must come from; without it push goes in the clear, and needs Push.
-	Push     string `toml:"push"`
-	PushRoot string `toml:"push_root"`
-	PushName string `toml:"push_name"` // that the certificate must have; else the host's
+	// Updates is how changes are heard of: auto, poll, push or mdns.
+	Updates string `toml:"news"`
+	// PushAddress is where push is had, host:port; where it is missing the domain's SRV records tell. PushRoot is a file with
+	// the root certificates that the server's must come from; without it push goes in the clear, and needs PushAddress.
+	PushAddress    string `toml:"push"`
+	PushRootFile   string `toml:"push_root"`
+	PushServerName string `toml:"push_name"` // that the certificate must have; else the host's
 }
 
 // Key names what is browsed, among others and in the store.
@@ -144,15 +144,15 @@
 
 // Member is a member of the store, and where its fronts listen.
 type Member struct {
-	ID      string `toml:"id"`
-	Address string `toml:"address"`
-	Front   string `toml:"front"`
-	Control string `toml:"control"` // its control interface; needed where pools are moved
-	Reach   string `toml:"reach"`   // where this node reaches it, if not at its address
+	ID             string `toml:"id"`
+	Address        string `toml:"address"`
+	FrontAddress   string `toml:"front"`
+	ControlAddress string `toml:"control"` // its control interface; needed where pools are moved
+	DialAddress    string `toml:"reach"`   // where this node reaches it, if not at its address
 }
 
-// Operator is an operator's file.
-type Operator struct {
+// OperatorFile is an operator's file.
+type OperatorFile struct {
 	Name   string `toml:"name"`
 	Listen string `toml:"listen"`
 	// Console is a loopback address where staff call; "" is off.
@@ -184,11 +184,11 @@
 		Listen    string `toml:"listen"` // a loopback address, or unix:PATH; "" is off
 		TokenFile string `toml:"token_file"`
 	} `toml:"control"`
-	Pools   []Pool   `toml:"pool"`
-	Move    Move     `toml:"move"`
-	Classes []Class  `toml:"class"`
-	Tenants []Tenant `toml:"tenant"`
-	Entries struct {
+	Pools     []Pool    `toml:"pool"`
+	Migration Migration `toml:"move"`
+	Classes   []Class   `toml:"class"`
+	Tenants   []Tenant  `toml:"tenant"`
+	Endpoints struct {
 		Source  string   `toml:"source"` // list or dns-sd
 		Server  string   `toml:"server"`
 		Service string   `toml:"service"`
@@ -206,12 +206,12 @@
 		FlapHalf *Duration `toml:"flap_half"`
 		FlapMost float64   `toml:"flap_most"`
 	} `toml:"entries"`
-	Peers   Peers `toml:"nodes"`
+	Nodes   Nodes `toml:"nodes"`
 	Metrics struct {
 		Listen string `toml:"listen"` // a loopback address for GET /metrics; "" is off
 	} `toml:"metrics"`
-	RealServers []RealServer `toml:"real_server"`
-	BatchServer struct {
+	Backends     []Backend `toml:"real_server"`
+	BatchBackend struct {
 		Gather Duration `toml:"gather"`
 		Lines  int      `toml:"lines"`
 		Poll   Duration `toml:"poll"`
@@ -243,33 +243,33 @@
 	Ledger   Ledger   `toml:"ledger"`
 
 	// What follows is worked out from the keys above.
-	Settings standpoint.Settings `toml:"-"`
-	Names    Names               `toml:"-"`
-	Bounds   Limits              `toml:"-"`
-	PoolSet  *pool.Set           `toml:"-"`
-	Plan     mover.Plan          `toml:"-"` // without its pools
+	Settings        standpoint.Settings `toml:"-"`
+	Names           Names               `toml:"-"`
+	EffectiveLimits Limits              `toml:"-"`
+	PoolSet         *pool.Set           `toml:"-"`
+	MigrationPlan   mover.Plan          `toml:"-"` // without its pools
 }
 
-// Path is a file that the operator's file names, relative to the folder where that stands.
-func (o *Operator) Path(base, path string) string {
+// ResolvePath is a file that the operator's file names, relative to the folder where that stands.
+func (o *OperatorFile) ResolvePath(base, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(base, path)
 }
 
-// ReadOperator reads, checks and completes an operator's file.
-func ReadOperator(path string) (Operator, error) {
+// ReadOperatorFile reads, checks and completes an operator's file.
+func ReadOperatorFile(path string) (OperatorFile, error) {
 	raw, err := transient.ReadFile(path)
 	if err != nil {
-		return Operator{}, fmt.Errorf("operator's file: %w", err)
+		return OperatorFile{}, fmt.Errorf("operator's file: %w", err)
 	}
-	return ParseOperator(string(raw))
+	return ParseOperatorFile(string(raw))
 }
 
-// ParseOperator reads, checks and completes an operator's file that is at hand.
-func ParseOperator(text string) (Operator, error) {
-	var o Operator
+// ParseOperatorFile reads, checks and completes an operator's file that is at hand.
+func ParseOperatorFile(text string) (OperatorFile, error) {
+	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
 	if err != nil {
 		return o, fmt.Errorf("operator's file: %w", err)
@@ -281,14 +281,14 @@
 	if _, err := toml.Decode(text, &plain); err != nil {
 		return o, fmt.Errorf("operator's file: %w", err)
 	}
-	if key := notFinite(plain, ""); key != "" {
+	if key := findNonFinite(plain, ""); key != "" {
 		return o, fmt.Errorf("%s: not a finite number", key)
 	}
-	return o, o.complete()
+	return o, o.validate()
 }
 
-// notFinite is the first key, in order, of a number that no bound holds: TOML has nan and inf. "" where there is none.
-func notFinite(v any, at string) string {
+// findNonFinite is the first key, in order, of a number that no bound holds: TOML has nan and inf. "" where there is none.
+func findNonFinite(v any, at string) string {
 	switch v := v.(type) {
 	case float64:
 		if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -296,19 +296,19 @@
 		}
 	case map[string]any:
 		for _, k := range slices.Sorted(maps.Keys(v)) {
-			if key := notFinite(v[k], strings.TrimPrefix(at+"."+k, ".")); key != "" {
+			if key := findNonFinite(v[k], strings.TrimPrefix(at+"."+k, ".")); key != "" {
 				return key
 			}
 		}
 	case []map[string]any:
 		for i := range v {
-			if key := notFinite(v[i], fmt.Sprintf("%s[%d]", at, i)); key != "" {
+			if key := findNonFinite(v[i], fmt.Sprintf("%s[%d]", at, i)); key != "" {
 				return key
 			}
 		}
 	case []any:
 		for i := range v {
-			if key := notFinite(v[i], fmt.Sprintf("%s[%d]", at, i)); key != "" {
+			if key := findNonFinite(v[i], fmt.Sprintf("%s[%d]", at, i)); key != "" {
 				return key
 			}
 		}
@@ -316,19 +316,19 @@
 	return ""
 }
 
-// Reread reads the file again for a program that runs. The real servers, classes, tenants, module and limits may
+// ReloadFile reads the file again for a program that runs. The real servers, classes, tenants, module and limits may
 // change; what the program has bound, opened or promised to batches by its start may not.
-func (o Operator) Reread(path string) (Operator, error) {
+func (o OperatorFile) ReloadFile(path string) (OperatorFile, error) {
 	raw, err := transient.ReadFile(path)
 	if err != nil {
 		return o, fmt.Errorf("operator's file: %w", err)
 	}
-	return o.RereadText(string(raw))
+	return o.ReloadText(string(raw))
 }
 
-// RereadText is Reread of a file that is at hand.
-func (o Operator) RereadText(text string) (Operator, error) {
-	next, err := ParseOperator(text)
+// ReloadText is Reread of a file that is at hand.
+func (o OperatorFile) ReloadText(text string) (OperatorFile, error) {
+	next, err := ParseOperatorFile(text)
 	if err != nil {
 		return o, err
 	}
@@ -339,11 +339,11 @@
 		{"name", o.Name, next.Name},
 		{"listen", o.Listen, next.Listen},
 		{"console", o.Console, next.Console},
-		{"entries.source", o.Entries.Source, next.Entries.Source},
-		{"nodes", o.Peers, next.Peers},
+		{"entries.source", o.Endpoints.Source, next.Endpoints.Source},
+		{"nodes", o.Nodes, next.Nodes},
 		{"metrics", o.Metrics, next.Metrics},
 		{"batch", o.Batch, next.Batch},
-		{"batch_server", o.BatchServer, next.BatchServer},
+		{"batch_server", o.BatchBackend, next.BatchBackend},
 		{"store", o.Store, next.Store},
 		{"control", o.Control, next.Control},
 		{"fleet", o.Fleet, next.Fleet},
@@ -366,65 +366,65 @@
 	return next, nil
 }
 
-func or[T comparable](v *T, standard T) {
+func setDefault[T comparable](v *T, standard T) {
 	var zero T
 	if *v == zero {
 		*v = standard
 	}
 }
 
-func (o *Operator) complete() error {
-	or(&o.Name, "standpoint")
-	or(&o.Module.Nodes, 1)
-	or(&o.Module.MaxAttempts, 3)
-	or(&o.Module.DialTimeout, Duration(defaultDial))
-	or(&o.Module.ConnIdle, Duration(defaultConnIdle))
-	or(&o.Module.WarmUp, Duration(20*time.Second))
-	or(&o.Module.ColdShare, 0.13)
-	or(&o.Entries.Source, "list")
-	or(&o.Entries.Refresh, Duration(2*time.Second))
-	or(&o.Entries.Poll, Duration(150*time.Millisecond))
-	or(&o.Entries.Guard, Duration(10*time.Second))
-	or(&o.Entries.GuardPart, 0.5)
-	or(&o.Entries.FlapMost, 3)
-	if o.Entries.FlapHalf == nil {
+func (o *OperatorFile) validate() error {
+	setDefault(&o.Name, "standpoint")
+	setDefault(&o.Module.Nodes, 1)
+	setDefault(&o.Module.MaxAttempts, 3)
+	setDefault(&o.Module.DialTimeout, Duration(defaultDialTimeout))
+	setDefault(&o.Module.ConnIdle, Duration(defaultIdleTimeout))
+	setDefault(&o.Module.WarmUp, Duration(20*time.Second))
+	setDefault(&o.Module.ColdShare, 0.13)
+	setDefault(&o.Endpoints.Source, "list")
+	setDefault(&o.Endpoints.Refresh, Duration(2*time.Second))
+	setDefault(&o.Endpoints.Poll, Duration(150*time.Millisecond))
+	setDefault(&o.Endpoints.Guard, Duration(10*time.Second))
+	setDefault(&o.Endpoints.GuardPart, 0.5)
+	setDefault(&o.Endpoints.FlapMost, 3)
+	if o.Endpoints.FlapHalf == nil {
 		half := Duration(time.Minute)
-		o.Entries.FlapHalf = &half
-	}
-	o.Peers.complete()
-	or(&o.BatchServer.Gather, Duration(200*time.Millisecond))
-	or(&o.BatchServer.Lines, 100)
-	or(&o.BatchServer.Poll, Duration(500*time.Millisecond))
-	or(&o.BatchServer.Lost, Duration(10*time.Second))
-	or(&o.Batch.LinesAtOnce, 8)
-	or(&o.Batch.LineTime, Duration(time.Minute))
-	or(&o.Batch.Tries, 5)
-	or(&o.Batch.FileMB, 16)
-	or(&o.Batch.Fields.Class, "class")
-	or(&o.Batch.Fields.Tenant, "tenant")
-	or(&o.Batch.Fields.Session, "session")
-	or(&o.Batch.Fields.Prefix, "prefix")
-	or(&o.Batch.Defaults.MaxTokens, 256)
-	or(&o.Store.Kind, "memory")
-	or(&o.Log.Level, "info")
-	or(&o.Log.Form, "json")
-	o.completeMove()
-	o.Bounds = Limits{o.Limits.Cores, o.Limits.MemoryMB, o.Limits.Sockets}
-	if err := o.Bounds.check(); err != nil {
+		o.Endpoints.FlapHalf = &half
+	}
+	o.Nodes.setDefaults()
+	setDefault(&o.BatchBackend.Gather, Duration(200*time.Millisecond))
+	setDefault(&o.BatchBackend.Lines, 100)
+	setDefault(&o.BatchBackend.Poll, Duration(500*time.Millisecond))
+	setDefault(&o.BatchBackend.Lost, Duration(10*time.Second))
+	setDefault(&o.Batch.LinesAtOnce, 8)
+	setDefault(&o.Batch.LineTime, Duration(time.Minute))
+	setDefault(&o.Batch.Tries, 5)
+	setDefault(&o.Batch.FileMB, 16)
+	setDefault(&o.Batch.Fields.Class, "class")
+	setDefault(&o.Batch.Fields.Tenant, "tenant")
+	setDefault(&o.Batch.Fields.Session, "session")
+	setDefault(&o.Batch.Fields.Prefix, "prefix")
+	setDefault(&o.Batch.Defaults.MaxTokens, 256)
+	setDefault(&o.Store.Kind, "memory")
+	setDefault(&o.Log.Level, "info")
+	setDefault(&o.Log.Form, "json")
+	o.setMigrationDefaults()
+	o.EffectiveLimits = Limits{o.Limits.Cores, o.Limits.MemoryMB, o.Limits.Sockets}
+	if err := o.EffectiveLimits.validate(); err != nil {
 		return err
 	}
-	for _, check := range []func() error{o.checkAddresses, o.checkClasses, o.checkEntries, o.checkBatch, o.checkStore,
-		o.checkLog, o.checkControl, o.checkPools, o.checkMetrics, o.checkPeers, o.checkFleet, o.checkTools, o.checkLedger} {
+	for _, check := range []func() error{o.validateAddresses, o.validateClasses, o.validateEndpoints, o.validateBatch, o.validateStore,
+		o.validateLog, o.validateControl, o.validatePools, o.validateMetrics, o.validateNodes, o.validateFleet, o.validateTools, o.validateLedger} {
 		if err := check(); err != nil {
 			return err
 		}
 	}
-	o.fill()
+	o.deriveSettings()
 	return nil
 }
 
-// loopback checks an address: this program is for loopback addresses only.
-func loopback(key, address string) error {
+// validateLoopback checks an address: this program is for loopback addresses only.
+func validateLoopback(key, address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return fmt.Errorf("%s: %q is no host:port address", key, address)
@@ -435,12 +435,12 @@
 	return nil
 }
 
-func (o *Operator) checkAddresses() error {
-	if err := loopback("listen", o.Listen); err != nil {
+func (o *OperatorFile) validateAddresses() error {
+	if err := validateLoopback("listen", o.Listen); err != nil {
 		return err
 	}
 	if o.Console != "" {
-		if err := loopback("console", o.Console); err != nil {
+		if err := validateLoopback("console", o.Console); err != nil {
 			return err
 		}
 	}
@@ -460,7 +460,7 @@
 	return nil
 }
 
-func (o *Operator) checkClasses() error {
+func (o *OperatorFile) validateClasses() error {
 	if len(o.Classes) == 0 {
 		return fmt.Errorf("class: at least one class is needed")
 	}
@@ -468,12 +468,12 @@
 		switch {
 		case c.Name == "":
 			return fmt.Errorf("class[%d].name: missing", i)
-		case c.FirstToken <= 0:
+		case c.FirstTokenObjective <= 0:
 			return fmt.Errorf("class[%d].first_token: a positive span is needed", i)
-		case c.GiveUp < c.FirstToken:
+		case c.Deadline < c.FirstTokenObjective:
 			return fmt.Errorf("class[%d].give_up: shorter than first_token", i)
-		case c.Worth < 0:
-			return fmt.Errorf("class[%d].worth: %g is negative", i, c.Worth)
+		case c.Weight < 0:
+			return fmt.Errorf("class[%d].worth: %g is negative", i, c.Weight)
 		}
 	}
 	for i, t := range o.Tenants {
@@ -484,59 +484,59 @@
 	return nil
 }
 
-func (o *Operator) checkEntries() error {
-	switch o.Entries.Source {
+func (o *OperatorFile) validateEndpoints() error {
+	switch o.Endpoints.Source {
 	case "dns-sd":
-		if err := o.checkBrowse(); err != nil {
+		if err := o.validateBrowses(); err != nil {
 			return err
 		}
-		if p := o.Entries.Poll; p < Duration(10*time.Millisecond) || p > Duration(time.Minute) {
+		if p := o.Endpoints.Poll; p < Duration(10*time.Millisecond) || p > Duration(time.Minute) {
 			return fmt.Errorf("entries.poll: %v is not from 10ms to 1m", time.Duration(p))
 		}
-		if g := o.Entries.GuardPart; !(g >= 0 && g <= 1) {
+		if g := o.Endpoints.GuardPart; !(g >= 0 && g <= 1) {
 			return fmt.Errorf("entries.guard_part: %g is not from 0 to 1", g)
 		}
-		if r := o.Entries.Refresh; r < o.Entries.Poll {
+		if r := o.Endpoints.Refresh; r < o.Endpoints.Poll {
 			return fmt.Errorf("entries.refresh: %v is shorter than entries.poll", time.Duration(r))
 		}
-		if h := *o.Entries.FlapHalf; h < 0 || h > Duration(time.Hour) {
+		if h := *o.Endpoints.FlapHalf; h < 0 || h > Duration(time.Hour) {
 			return fmt.Errorf("entries.flap_half: %v is not from 0s to 1h", time.Duration(h))
 		}
-		if m := o.Entries.FlapMost; !(m >= 1 && m <= 6) {
+		if m := o.Endpoints.FlapMost; !(m >= 1 && m <= 6) {
 			return fmt.Errorf("entries.flap_most: %g is not from 1 to 6", m)
 		}
 	case "list":
-		if len(o.RealServers) == 0 {
+		if len(o.Backends) == 0 {
 			return fmt.Errorf("real_server: at least one is needed where entries.source is \"list\"")
 		}
 	default:
-		return fmt.Errorf("entries.source: %q is neither \"list\" nor \"dns-sd\"", o.Entries.Source)
+		return fmt.Errorf("entries.source: %q is neither \"list\" nor \"dns-sd\"", o.Endpoints.Source)
 	}
-	for i := range o.RealServers {
-		s := &o.RealServers[i]
-		or(&s.Mode, "stream")
-		or(&s.Size, 1)
+	for i := range o.Backends {
+		s := &o.Backends[i]
+		setDefault(&s.Mode, "stream")
+		setDefault(&s.Capacity, 1)
 		if s.Name == "" {
 			return fmt.Errorf("real_server[%d].name: missing", i)
 		}
 		if s.Mode != "stream" && s.Mode != "batch" {
 			return fmt.Errorf("real_server[%d].mode: %q is neither \"stream\" nor \"batch\"", i, s.Mode)
 		}
-		if err := loopback(fmt.Sprintf("real_server[%d].address", i), s.Address); err != nil {
+		if err := validateLoopback(fmt.Sprintf("real_server[%d].address", i), s.Address); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (o *Operator) checkBatch() error {
+func (o *OperatorFile) validateBatch() error {
 	b := &o.Batch
 	if !b.Enabled {
 		return nil
 	}
-	or(&b.Defaults.Class, o.Classes[0].Name)
+	setDefault(&b.Defaults.Class, o.Classes[0].Name)
 	if len(o.Tenants) > 0 {
-		or(&b.Defaults.Tenant, o.Tenants[0].Name)
+		setDefault(&b.Defaults.Tenant, o.Tenants[0].Name)
 	}
 	switch {
 	case !slices.ContainsFunc(o.Classes, func(c Class) bool { return c.Name == b.Defaults.Class }):
@@ -555,7 +555,7 @@
 	return nil
 }
 
-func (o *Operator) checkStore() error {
+func (o *OperatorFile) validateStore() error {
 	s := &o.Store
 	if s.Kind == "memory" {
 		return nil
@@ -568,16 +568,16 @@
 		if m.ID == "" {
 			return fmt.Errorf("store.member[%d].id: missing", i)
 		}
-		if err := loopback(fmt.Sprintf("store.member[%d].address", i), m.Address); err != nil {
+		if err := validateLoopback(fmt.Sprintf("store.member[%d].address", i), m.Address); err != nil {
 			return err
 		}
-		if m.Reach != "" {
-			if err := loopback(fmt.Sprintf("store.member[%d].reach", i), m.Reach); err != nil {
+		if m.DialAddress != "" {
+			if err := validateLoopback(fmt.Sprintf("store.member[%d].reach", i), m.DialAddress); err != nil {
 				return err
 			}
 		}
-		if m.Control != "" {
-			if err := loopback(fmt.Sprintf("store.member[%d].control", i), m.Control); err != nil {
+		if m.ControlAddress != "" {
+			if err := validateLoopback(fmt.Sprintf("store.member[%d].control", i), m.ControlAddress); err != nil {
 				return err
 			}
 		}
@@ -592,27 +592,27 @@
 	return nil
 }
 
-// fill works out the module's settings.
-func (o *Operator) fill() {
+// deriveSettings works out the module's settings.
+func (o *OperatorFile) deriveSettings() {
 	m := &o.Module
 	s := standpoint.Settings{Balancers: m.Nodes, Ordinal: m.Ordinal, Zones: max(1, len(m.Zones)),
 		Zone: max(0, slices.Index(m.Zones, m.Zone)), Kinds: len(m.Kinds), Reports: standpoint.ReportReplies,
 		RetryAfter: true, MaxRetryAfter: int64(2 * time.Second), MaxAttempts: m.MaxAttempts,
 		Resume: m.Resume, Tick: int64(2 * time.Millisecond), AskWithin: int64(10 * time.Second), DrainGrace: int64(500 * time.Millisecond),
 		WarmUp: int64(m.WarmUp), Fall: int64(3 * time.Second), ColdShare: m.ColdShare, FallFactor: 4, Cancel: true}
-	o.Names = Names{Zones: m.Zones, Kinds: m.Kinds, ConnIdle: time.Duration(m.ConnIdle),
+	o.Names = Names{Zones: m.Zones, Kinds: m.Kinds, IdleTimeout: time.Duration(m.ConnIdle),
 		DialTimeout: time.Duration(m.DialTimeout)}
 	for _, c := range o.Classes {
 		o.Names.Classes = append(o.Names.Classes, c.Name)
-		s.Classes = append(s.Classes, standpoint.Class{Streamed: true, TTFTAim: int64(c.FirstToken),
-			AimPer1000: int64(c.PerThousand), TPOTAim: int64(c.TokenGap), Deadline: int64(c.GiveUp), Worth: c.Worth,
-			LateWorth: c.LateWorth, Description: c.Name})
+		s.Classes = append(s.Classes, standpoint.Class{Streamed: true, TTFTAim: int64(c.FirstTokenObjective),
+			AimPer1000: int64(c.ObjectivePer1000Tokens), TPOTAim: int64(c.TokenGapObjective), Deadline: int64(c.Deadline), Worth: c.Weight,
+			LateWorth: c.LateWeight, Description: c.Name})
 	}
 	for _, t := range o.Tenants {
 		o.Names.Tenants = append(o.Names.Tenants, t.Name)
 		s.Tenants = append(s.Tenants, standpoint.Tenant{Share: t.Share, QuotaRPS: t.QuotaRPS})
 	}
-	for _, r := range o.RealServers {
+	for _, r := range o.Backends {
 		if r.Mode == "batch" {
 			// A line cannot be called back from a file, so an attempt there that looks slow is left to end.
 			s.Cancel = false
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -16,12 +16,12 @@
 
 // Defaults and bounds that the platform's file leaves open.
 const (
-	defaultConnIdle = 15 * time.Second
-	defaultDial     = 100 * time.Millisecond
-	killLongest     = 3 * time.Second // of the longest deadline, what counts for the kill after SIGTERM
-	killGrace       = 700 * time.Millisecond
-	maxMemoryMB     = 192  // the most that a scored day grants
-	maxSockets      = 1024 // likewise
+	defaultIdleTimeout = 15 * time.Second
+	defaultDialTimeout = 100 * time.Millisecond
+	maxKillDeadline    = 3 * time.Second // of the longest deadline, what counts for the kill after SIGTERM
+	killGrace          = 700 * time.Millisecond
+	maxMemoryMB        = 192  // the most that a scored day grants
+	maxSockets         = 1024 // likewise
 )
 
 // Limits are the bounds of the machine.
@@ -31,69 +31,69 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Among are the bounds of one of so many processes that share a machine.
-func (l Limits) Among(processes int) Limits {
+// PerProcess are the bounds of one of so many processes that share a machine.
+func (l Limits) PerProcess(processes int) Limits {
 	l.MemoryMB, l.Sockets = l.MemoryMB/processes, l.Sockets/processes
 	return l
 }
 
-// ClientConnections is the clients' part of the descriptors. They hold at most a third for requests; the rest is
+// MaxClientConnections is the clients' part of the descriptors. They hold at most a third for requests; the rest is
 // for connections that rest between requests.
-func (l Limits) ClientConnections() int { return l.Sockets * 58 / 100 }
+func (l Limits) MaxClientConnections() int { return l.Sockets * 58 / 100 }
 
-// Flows is how many flows may be open, each with one connection to a real server at the most.
-func (l Limits) Flows() int { return l.Sockets * 33 / 100 }
+// MaxRequests is how many flows may be open, each with one connection to a real server at the most.
+func (l Limits) MaxRequests() int { return l.Sockets * 33 / 100 }
 
-// Bodies is how many bytes of single requests' bodies may be held at once. The heap is kept to six tenths of the memory.
-func (l Limits) Bodies() int { return l.MemoryMB << 20 / 4 }
+// MaxBodyBytes is how many bytes of single requests' bodies may be held at once. The heap is kept to six tenths of the memory.
+func (l Limits) MaxBodyBytes() int { return l.MemoryMB << 20 / 4 }
 
-// Files is how many bytes the batch front's files may have together: the store keeps them in memory.
-func (l Limits) Files() int { return l.MemoryMB << 20 / 4 }
+// MaxFileBytes is how many bytes the batch front's files may have together: the store keeps them in memory.
+func (l Limits) MaxFileBytes() int { return l.MemoryMB << 20 / 4 }
 
-// IdleLinks is how many connections may be kept to one real server between requests.
-func (l Limits) IdleLinks() int { return max(2, l.Sockets/100) }
+// MaxIdleConnections is how many connections may be kept to one real server between requests.
+func (l Limits) MaxIdleConnections() int { return max(2, l.Sockets/100) }
 
-// Platform is what the platform tells a node.
-type Platform struct {
+// PlatformConfig is what the platform tells a node.
+type PlatformConfig struct {
 	Name, Listen, Discovery string
 	Console                 string // where staff call; "": nowhere
-	Socket                  int    // the descriptor of the clients' listening socket, inherited; 0: none is
+	ListenerFD              int    // the descriptor of the clients' listening socket, inherited; 0: none is
 	Seed                    int64
 	Limits                  Limits
-	PeerListen, PeersAll    string
+	PeerListen, AllPeers    string
 	Peers                   []string
-	Known                   json.RawMessage // the list as last held, in discovery's form
+	KnownEndpoints          json.RawMessage // the list as last held, in discovery's form
 	Settings                standpoint.Settings
 	Names                   Names
 }
 
-// FromPlatform reads the platform's variables and the file that PROXY_CONFIG names. A variable wins over
+// ReadPlatform reads the platform's variables and the file that PROXY_CONFIG names. A variable wins over
 // the file's key of the same meaning.
-func FromPlatform(getenv func(string) string) (Platform, error) {
+func ReadPlatform(getenv func(string) string) (PlatformConfig, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
-		return Platform{}, errors.New("PROXY_CONFIG: not set; it names the configuration file")
+		return PlatformConfig{}, errors.New("PROXY_CONFIG: not set; it names the configuration file")
 	}
 	raw, err := transient.ReadFile(path)
 	if err != nil {
-		return Platform{}, fmt.Errorf("PROXY_CONFIG: %w", err)
+		return PlatformConfig{}, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
-	return decodePlatform(raw, getenv)
+	return parsePlatform(raw, getenv)
 }
 
-// Killed is when the platform kills a program at the earliest, after it told it to stop.
-func (p Platform) Killed() time.Duration {
+// KillDelay is when the platform kills a program at the earliest, after it told it to stop.
+func (p PlatformConfig) KillDelay() time.Duration {
 	var longest time.Duration
 	for _, c := range p.Settings.Classes {
 		longest = max(longest, time.Duration(c.Deadline))
 	}
-	return min(longest, killLongest) + killGrace
+	return min(longest, maxKillDeadline) + killGrace
 }
 
-// Reread reads the file again for a program that runs. What the variables said at its start is as old as the
+// Reload reads the file again for a program that runs. What the variables said at its start is as old as the
 // program: for all that may change since, the file alone holds.
-func (p Platform) Reread(getenv func(string) string) (Platform, error) {
-	next, err := FromPlatform(func(key string) string {
+func (p PlatformConfig) Reload(getenv func(string) string) (PlatformConfig, error) {
+	next, err := ReadPlatform(func(key string) string {
 		if key == "PROXY_DISCOVERY" {
 			return ""
 		}
@@ -112,7 +112,7 @@
 	return next, nil
 }
 
-func decodePlatform(raw []byte, getenv func(string) string) (Platform, error) {
+func parsePlatform(raw []byte, getenv func(string) string) (PlatformConfig, error) {
 	var w struct {
 		Name       string          `json:"name"`
 		Listen     string          `json:"listen"`
@@ -127,10 +127,10 @@
 		Settings   json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return Platform{}, fmt.Errorf("configuration file: %w", err)
+		return PlatformConfig{}, fmt.Errorf("configuration file: %w", err)
 	}
-	p := Platform{Name: w.Name, Listen: w.Listen, Discovery: w.Discovery, Console: w.Console, Limits: w.Limits,
-		PeerListen: w.PeerListen, Peers: w.Peers, PeersAll: w.PeersAll, Known: w.Known}
+	p := PlatformConfig{Name: w.Name, Listen: w.Listen, Discovery: w.Discovery, Console: w.Console, Limits: w.Limits,
+		PeerListen: w.PeerListen, Peers: w.Peers, AllPeers: w.PeersAll, KnownEndpoints: w.Known}
 	for _, v := range []struct {
 		key string
 		to  *string
@@ -153,7 +153,7 @@
 	}
 	if s := getenv("PROXY_SOCKET_FD"); s != "" {
 		var err error
-		if p.Socket, err = strconv.Atoi(s); err != nil || p.Socket < 3 {
+		if p.ListenerFD, err = strconv.Atoi(s); err != nil || p.ListenerFD < 3 {
 			return p, fmt.Errorf("PROXY_SOCKET_FD: %q is no descriptor from 3 on", s)
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 		p.Seed = int64(seed)
 	}
-	if err := p.Limits.check(); err != nil {
+	if err := p.Limits.validate(); err != nil {
 		return p, err
 	}
 	var err error
@@ -174,17 +174,17 @@
 	if len(p.Settings.Classes) == 0 {
 		return p, errors.New("settings.classes: at least one class is needed")
 	}
-	if p.Names.ConnIdle <= 0 {
-		p.Names.ConnIdle = defaultConnIdle
+	if p.Names.IdleTimeout <= 0 {
+		p.Names.IdleTimeout = defaultIdleTimeout
 	}
 	if p.Names.DialTimeout <= 0 {
-		p.Names.DialTimeout = defaultDial
+		p.Names.DialTimeout = defaultDialTimeout
 	}
 	return p, nil
 }
 
-// check fills in what is missing: a limit that is not told is taken to be the tightest one granted.
-func (l *Limits) check() error {
+// validate fills in what is missing: a limit that is not told is taken to be the tightest one granted.
+func (l *Limits) validate() error {
 	if l.Cores < 0 {
 		return fmt.Errorf("limits.cores: %g is negative", l.Cores)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -76,8 +76,8 @@
 // module has no use for.
 type Names struct {
 	Classes, Tenants, Zones, Kinds []string
-	ConnIdle, DialTimeout          time.Duration
-	MaxOpen                        int
+	IdleTimeout, DialTimeout       time.Duration
+	MaxConnections                 int
 }
 
 // DecodeSettings reads the settings object that the platform and the simulator both hand out.
@@ -106,8 +106,8 @@
 	case "pull":
 		s.Reports = standpoint.ReportProbes
 	}
-	n = Names{Zones: w.Zones, Kinds: w.Shapes, ConnIdle: time.Duration(w.Limits.ConnIdle),
-		DialTimeout: time.Duration(w.Limits.DialTimeout), MaxOpen: w.Limits.MaxOpen}
+	n = Names{Zones: w.Zones, Kinds: w.Shapes, IdleTimeout: time.Duration(w.Limits.ConnIdle),
+		DialTimeout: time.Duration(w.Limits.DialTimeout), MaxConnections: w.Limits.MaxOpen}
 	for i, c := range w.Classes {
 		n.Classes = append(n.Classes, c.Name)
 		k := standpoint.Class{Window: c.Window, Streamed: c.Streamed, TTFTAim: c.OnTime,
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -17,17 +17,17 @@
 	"go.uber.org/zap"
 )
 
-func start(t *testing.T, n Node) string {
+func start(t *testing.T, n Operations) string {
 	if n.Ready == nil {
 		n.Ready = func() bool { return true }
 	}
 	known := func(_ context.Context, id string) error {
 		if id != "s-1" {
-			return ErrUnknown
+			return ErrUnknownBackend
 		}
 		return nil
 	}
-	n.Figures = func() []byte { return []byte("app.inflight=14\n") }
+	n.Metrics = func() []byte { return []byte("app.inflight=14\n") }
 	n.Down, n.Up = known, known
 	s, err := Listen("127.0.0.1:0", n, zap.NewNop())
 	require.NoError(t, err)
@@ -50,9 +50,9 @@
 
 // Every call has its answer, and one that says what nobody can mean a 4xx.
 func TestCalls(t *testing.T) {
-	address := start(t, Node{Drain: func(_ context.Context, on bool) error {
+	address := start(t, Operations{Drain: func(_ context.Context, on bool) error {
 		if !on {
-			return ErrNotNow
+			return ErrStopping
 		}
 		return nil
 	}})
@@ -92,9 +92,9 @@
 
 // Callers who connect and finish no call hold nobody up, however many they are, and go themselves.
 func TestCallersWhoFinishNoCall(t *testing.T) {
-	address := start(t, Node{})
+	address := start(t, Operations{})
 	var hanging []net.Conn
-	for i := range 3 * callersMost {
+	for i := range 3 * maxConnections {
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
@@ -114,7 +114,7 @@
 
 // A command that its owner does not get to is answered within the caller's second, and what only reads goes on.
 func TestOwnerWhoDoesNotCome(t *testing.T) {
-	address := start(t, Node{Drain: func(ctx context.Context, _ bool) error {
+	address := start(t, Operations{Drain: func(ctx context.Context, _ bool) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}})
@@ -133,12 +133,12 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, query string) {
-		id, err := idOf(query)
+		id, err := parseID(query)
 		if err != nil {
 			require.Empty(t, id)
 			return
 		}
-		require.True(t, id != "" && len(id) <= idMost)
+		require.True(t, id != "" && len(id) <= maxIDLength)
 		values, err := url.ParseQuery(query)
 		require.NoError(t, err)
 		require.Equal(t, []string{id}, values["id"])
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -23,14 +23,14 @@
 		return func(_ context.Context, id string) error {
 			given = append(given, what+" "+id)
 			if id == "s-9" {
-				return ErrUnknown
+				return ErrUnknownBackend
 			}
 			return nil
 		}
 	}
-	n := Node{
+	n := Operations{
 		Ready:   func() bool { return ready },
-		Figures: func() []byte { return []byte("app.inflight=14\n") },
+		Metrics: func() []byte { return []byte("app.inflight=14\n") },
 		Down:    backend("down"),
 		Up:      backend("up"),
 		Drain: func(_ context.Context, on bool) error {
@@ -38,7 +38,7 @@
 			if on {
 				return errors.New("nobody comes")
 			}
-			return ErrNotNow
+			return ErrStopping
 		},
 	}
 	s, err := Listen("127.0.0.1:0", n, zap.NewNop())
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const answerMost = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Client speaks to a daemon's control interface.
 type Client struct {
@@ -74,7 +74,7 @@
 		return fmt.Errorf("the daemon's control interface does not answer: %w", err)
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, answerMost))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -97,5 +97,5 @@
 // Close lets kept connections go.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// At is a client of another daemon, with the same token.
-func (c *Client) At(address string) *Client { return NewClient(address, c.token) }
+// WithAddress is a client of another daemon, with the same token.
+func (c *Client) WithAddress(address string) *Client { return NewClient(address, c.token) }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,13 +27,13 @@
 )
 
 const (
-	bodyMost   = 1 << 20
-	tokenLeast = 16 // characters
-	tokenMost  = 1024
-	callsMost  = 64 // at once
-	headTime   = 2 * time.Second
-	callTime   = 30 * time.Second
-	headMost   = 8 << 10
+	maxBodyBytes       = 1 << 20
+	minTokenLength     = 16 // characters
+	maxTokenLength     = 1024
+	maxConcurrentCalls = 64 // at once
+	headerTimeout      = 2 * time.Second
+	callTimeout        = 30 * time.Second
+	maxHeaderBytes     = 8 << 10
 )
 
 // Error is an answer that says what is wrong. Code is for programs, Message for people; Key names what was faulty.
@@ -54,37 +54,37 @@
 	return e.Message
 }
 
-// Call is one thing that the daemon can be asked. Do gets the request with its body read; what it returns is the JSON
+// Route is one thing that the daemon can be asked. Do gets the request with its body read; what it returns is the JSON
 // of the answer. An error that is no *Error becomes "internal".
 // Every call but GET needs the token, or the socket's owner: what only reads is a GET.
-type Call struct {
+type Route struct {
 	Pattern string // of http.ServeMux, such as "POST /v1/move/{wish}"
-	Do      func(r *http.Request, body []byte) (any, error)
+	Handle  func(r *http.Request, body []byte) (any, error)
 }
 
 // Server is the listener. Its owner runs Serve.
 type Server struct {
-	listener net.Listener
-	http     *http.Server
-	log      *zap.Logger
-	file     string
-	token    atomic.Pointer[[sha256.Size]byte]
-	busy     chan struct{}
-	path     string // of a unix socket
+	listener   net.Listener
+	http       *http.Server
+	log        *zap.Logger
+	tokenFile  string
+	token      atomic.Pointer[[sha256.Size]byte]
+	slots      chan struct{}
+	socketPath string // of a unix socket
 }
 
-type ownerKey struct{}
+type peerOwnerKey struct{}
 
 // Listen opens the listener at a host:port of loopback, or at unix:PATH. tokenFile may be "" for a unix socket; then
 // only the owner may change anything.
-func Listen(address, tokenFile string, calls []Call, log *zap.Logger) (*Server, error) {
-	s := &Server{log: log, file: tokenFile, busy: make(chan struct{}, callsMost)}
-	if err := s.Reload(); err != nil {
+func Listen(address, tokenFile string, calls []Route, log *zap.Logger) (*Server, error) {
+	s := &Server{log: log, tokenFile: tokenFile, slots: make(chan struct{}, maxConcurrentCalls)}
+	if err := s.ReloadToken(); err != nil {
 		return nil, err
 	}
 	var err error
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		s.path = path
+		s.socketPath = path
 		s.listener, err = listenUnix(path, log)
 	} else {
 		s.listener, err = transient.Listen("tcp", address, log)
@@ -97,10 +97,10 @@
 		mux.HandleFunc(c.Pattern, s.handler(c))
 	}
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		answerError(w, &Error{Status: http.StatusNotFound, Code: "not_found", Message: r.Method + " " + r.URL.Path + " is no call of this daemon"})
+		writeError(w, &Error{Status: http.StatusNotFound, Code: "not_found", Message: r.Method + " " + r.URL.Path + " is no call of this daemon"})
 	})
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headTime, ReadTimeout: callTime, IdleTimeout: time.Minute,
-		MaxHeaderBytes: headMost, ErrorLog: zap.NewStdLog(log), ConnContext: withOwner}
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: callTimeout, IdleTimeout: time.Minute,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: zap.NewStdLog(log), ConnContext: withPeerOwner}
 	return s, nil
 }
 
@@ -124,8 +124,8 @@
 	return transient.Listen("unix", path, log)
 }
 
-// withOwner notes whether the other end of a unix socket is this program's own user, or root.
-func withOwner(ctx context.Context, c net.Conn) context.Context {
+// withPeerOwner notes whether the other end of a unix socket is this program's own user, or root.
+func withPeerOwner(ctx context.Context, c net.Conn) context.Context {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		return ctx
@@ -139,13 +139,13 @@
 		cred, err := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
 		owner = err == nil && (cred.Uid == uint32(os.Geteuid()) || cred.Uid == 0)
 	})
-	return context.WithValue(ctx, ownerKey{}, owner)
+	return context.WithValue(ctx, peerOwnerKey{}, owner)
 }
 
 // Address is where the server listens.
 func (s *Server) Address() string {
-	if s.path != "" {
-		return "unix:" + s.path
+	if s.socketPath != "" {
+		return "unix:" + s.socketPath
 	}
 	return s.listener.Addr().String()
 }
@@ -161,12 +161,12 @@
 // Close ends all calls.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Reload reads the token again. On an error the old one stays.
-func (s *Server) Reload() error {
-	if s.file == "" {
+// ReloadToken reads the token again. On an error the old one stays.
+func (s *Server) ReloadToken() error {
+	if s.tokenFile == "" {
 		return nil
 	}
-	token, err := ReadToken(s.file)
+	token, err := ReadToken(s.tokenFile)
 	if err != nil {
 		return fmt.Errorf("control.token_file: %w", err)
 	}
@@ -189,19 +189,19 @@
 	if info.Mode().Perm()&0o077 != 0 {
 		return "", fmt.Errorf("%s: others may read it (mode %04o); chmod 600 it", path, info.Mode().Perm())
 	}
-	raw, err := io.ReadAll(io.LimitReader(f, tokenMost+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxTokenLength+1))
 	if err != nil {
 		return "", err
 	}
 	token := strings.TrimSpace(string(raw))
-	if len(token) < tokenLeast || len(token) > tokenMost {
-		return "", fmt.Errorf("%s: a token has %d to %d characters, this one %d", path, tokenLeast, tokenMost, len(token))
+	if len(token) < minTokenLength || len(token) > maxTokenLength {
+		return "", fmt.Errorf("%s: a token has %d to %d characters, this one %d", path, minTokenLength, maxTokenLength, len(token))
 	}
 	return token, nil
 }
 
-func (s *Server) allowed(r *http.Request) bool {
-	if owner, _ := r.Context().Value(ownerKey{}).(bool); owner {
+func (s *Server) authorized(r *http.Request) bool {
+	if owner, _ := r.Context().Value(peerOwnerKey{}).(bool); owner {
 		return true
 	}
 	want := s.token.Load()
@@ -213,43 +213,43 @@
 	return subtle.ConstantTimeCompare(sum[:], want[:]) == 1
 }
 
-func (s *Server) handler(c Call) http.HandlerFunc {
+func (s *Server) handler(c Route) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.busy <- struct{}{}:
-			defer func() { <-s.busy }()
+		case s.slots <- struct{}{}:
+			defer func() { <-s.slots }()
 		default:
 			w.Header().Set("Retry-After", "1")
-			answerError(w, &Error{Status: http.StatusServiceUnavailable, Code: "busy", Message: "too many calls at once"})
+			writeError(w, &Error{Status: http.StatusServiceUnavailable, Code: "busy", Message: "too many calls at once"})
 			return
 		}
-		if r.Method != http.MethodGet && r.Method != http.MethodHead && !s.allowed(r) {
+		if r.Method != http.MethodGet && r.Method != http.MethodHead && !s.authorized(r) {
 			s.log.Warn("a call without the right was refused", zap.String("path", r.URL.Path))
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			answerError(w, &Error{Status: http.StatusUnauthorized, Code: "unauthorized",
+			writeError(w, &Error{Status: http.StatusUnauthorized, Code: "unauthorized",
 				Message: "this call needs the token of control.token_file, or the socket's owner"})
 			return
 		}
 		var body []byte
 		var err error
 		if r.Method != http.MethodGet { // which has none: nobody without the right holds a place by sending one slowly
-			body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+			body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		}
 		if err != nil {
-			answerError(w, &Error{Status: http.StatusRequestEntityTooLarge, Code: "too_large",
-				Message: fmt.Sprintf("a body has %d bytes at most, and comes within %v", bodyMost, callTime)})
+			writeError(w, &Error{Status: http.StatusRequestEntityTooLarge, Code: "too_large",
+				Message: fmt.Sprintf("a body has %d bytes at most, and comes within %v", maxBodyBytes, callTimeout)})
 			return
 		}
-		v, err := c.Do(r, body)
+		v, err := c.Handle(r, body)
 		if err != nil {
-			answerError(w, err)
+			writeError(w, err)
 			return
 		}
-		answer(w, http.StatusOK, v)
+		writeJSON(w, http.StatusOK, v)
 	}
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		status, raw = http.StatusInternalServerError, []byte(`{"error":{"code":"internal","message":"the answer has no JSON"}}`)
@@ -259,7 +259,7 @@
 	_, _ = w.Write(append(raw, '\n'))
 }
 
-func answerError(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	var typed *Error
 	if !errors.As(err, &typed) {
 		typed = &Error{Status: http.StatusInternalServerError, Code: "internal", Message: err.Error()}
@@ -267,7 +267,7 @@
 	if typed.Status == 0 {
 		typed.Status = http.StatusBadRequest
 	}
-	answer(w, typed.Status, struct {
+	writeJSON(w, typed.Status, struct {
 		Error *Error `json:"error"`
 	}{typed})
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,10 +16,10 @@
 
 const secret = "0123456789abcdef0123"
 
-func calls(changed *int) []Call {
-	return []Call{
-		{Pattern: "GET /v1/thing", Do: func(*http.Request, []byte) (any, error) { return map[string]int{"changed": *changed}, nil }},
-		{Pattern: "POST /v1/thing", Do: func(_ *http.Request, body []byte) (any, error) {
+func calls(changed *int) []Route {
+	return []Route{
+		{Pattern: "GET /v1/thing", Handle: func(*http.Request, []byte) (any, error) { return map[string]int{"changed": *changed}, nil }},
+		{Pattern: "POST /v1/thing", Handle: func(_ *http.Request, body []byte) (any, error) {
 			var in struct {
 				By int `json:"by"`
 			}
@@ -69,7 +69,7 @@
 	c := NewClient(s.Address(), secret)
 	defer c.Close()
 	for body, code := range map[any]string{struct{ By int }{-1}: "backwards", struct{ To int }{1}: "bad_request",
-		strings.Repeat("x", bodyMost): "too_large"} {
+		strings.Repeat("x", maxBodyBytes): "too_large"} {
 		var typed *Error
 		require.ErrorAs(t, c.Call(t.Context(), "POST", "/v1/thing", body, nil), &typed)
 		require.Equal(t, code, typed.Code)
@@ -80,10 +80,10 @@
 
 	// A token that changes is taken on; a file that others may read is not, and the old token stays.
 	require.NoError(t, os.WriteFile(file, []byte(secret+"new"), 0o600))
-	require.NoError(t, s.Reload())
+	require.NoError(t, s.ReloadToken())
 	require.Error(t, c.Call(t.Context(), "POST", "/v1/thing", struct{ By int }{1}, nil))
 	require.NoError(t, os.Chmod(file, 0o640))
-	require.ErrorContains(t, s.Reload(), "others may read it")
+	require.ErrorContains(t, s.ReloadToken(), "others may read it")
 	fresh := NewClient(s.Address(), secret+"new")
 	defer fresh.Close()
 	require.NoError(t, fresh.Call(t.Context(), "POST", "/v1/thing", struct{ By int }{1}, nil))
@@ -137,7 +137,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	changed := 0
 	leader := start(t, "127.0.0.1:0", file, &changed)
-	follower, err := Listen("127.0.0.1:0", file, []Call{{Pattern: "POST /v1/thing", Do: func(*http.Request, []byte) (any, error) {
+	follower, err := Listen("127.0.0.1:0", file, []Route{{Pattern: "POST /v1/thing", Handle: func(*http.Request, []byte) (any, error) {
 		return nil, &Error{Status: http.StatusMisdirectedRequest, Code: "not_leader", Message: "another leads", Leader: leader.Address()}
 	}}}, zap.NewNop())
 	require.NoError(t, err)
@@ -151,7 +151,7 @@
 
 func TestTooManyCallsAtOnce(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
-	s, err := Listen("127.0.0.1:0", "", []Call{{Pattern: "GET /v1/slow", Do: func(*http.Request, []byte) (any, error) {
+	s, err := Listen("127.0.0.1:0", "", []Route{{Pattern: "GET /v1/slow", Handle: func(*http.Request, []byte) (any, error) {
 		held <- struct{}{}
 		<-release
 		return nil, nil
@@ -161,11 +161,11 @@
 	t.Cleanup(func() { s.Close() })
 	c := NewClient(s.Address(), "")
 	defer c.Close()
-	ended := make(chan error, callsMost)
-	for range callsMost {
+	ended := make(chan error, maxConcurrentCalls)
+	for range maxConcurrentCalls {
 		go func() { ended <- c.Call(t.Context(), "GET", "/v1/slow", nil, nil) }()
 	}
-	for range callsMost {
+	for range maxConcurrentCalls {
 		select {
 		case <-held:
 		case <-time.After(20 * time.Second):
@@ -176,7 +176,7 @@
 	require.True(t, errors.As(c.Call(t.Context(), "GET", "/v1/slow", nil, nil), &typed))
 	require.Equal(t, "busy", typed.Code)
 	close(release)
-	for range callsMost {
+	for range maxConcurrentCalls {
 		require.NoError(t, <-ended)
 	}
 }
@@ -188,8 +188,8 @@
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	changed := 0
 	s := start(t, "127.0.0.1:0", file, &changed)
-	answered := make(chan error, 2*callsMost)
-	for i := range 2 * callsMost {
+	answered := make(chan error, 2*maxConcurrentCalls)
+	for i := range 2 * maxConcurrentCalls {
 		c, err := net.Dial("tcp", s.Address())
 		require.NoError(t, err)
 		defer c.Close()
@@ -201,7 +201,7 @@
 			answered <- err
 		}()
 	}
-	for range 2 * callsMost {
+	for range 2 * maxConcurrentCalls {
 		require.NoError(t, <-answered)
 	}
 	c := NewClient(s.Address(), secret)
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -32,11 +32,11 @@
 func TestGoldenAnswers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
-	all := []Call{
-		{Pattern: "GET /v1/thing", Do: func(*http.Request, []byte) (any, error) { return map[string]int{"value": 7}, nil }},
-		{Pattern: "GET /v1/broken", Do: func(*http.Request, []byte) (any, error) { return nil, errors.New("it broke") }},
-		{Pattern: "GET /v1/no-json", Do: func(*http.Request, []byte) (any, error) { return func() {}, nil }},
-		{Pattern: "POST /v1/thing", Do: func(_ *http.Request, body []byte) (any, error) {
+	all := []Route{
+		{Pattern: "GET /v1/thing", Handle: func(*http.Request, []byte) (any, error) { return map[string]int{"value": 7}, nil }},
+		{Pattern: "GET /v1/broken", Handle: func(*http.Request, []byte) (any, error) { return nil, errors.New("it broke") }},
+		{Pattern: "GET /v1/no-json", Handle: func(*http.Request, []byte) (any, error) { return func() {}, nil }},
+		{Pattern: "POST /v1/thing", Handle: func(_ *http.Request, body []byte) (any, error) {
 			var in struct {
 				By int `json:"by"`
 			}
@@ -67,7 +67,7 @@
 		{"POST", "/v1/thing", secret, `{"to":1}`},
 		{"POST", "/v1/thing", secret, `{"by":1}{"by":2}`},
 		{"POST", "/v1/thing", secret, `{`},
-		{"POST", "/v1/thing", secret, strings.Repeat("x", bodyMost+1)},
+		{"POST", "/v1/thing", secret, strings.Repeat("x", maxBodyBytes+1)},
 	} {
 		r, err := http.NewRequest(c.method, "http://"+s.Address()+c.path, strings.NewReader(c.body))
 		require.NoError(t, err)
@@ -90,7 +90,7 @@
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	var transcript strings.Builder
-	s, err := Listen("127.0.0.1:0", file, []Call{{Pattern: "POST /v1/thing", Do: func(r *http.Request, body []byte) (any, error) {
+	s, err := Listen("127.0.0.1:0", file, []Route{{Pattern: "POST /v1/thing", Handle: func(r *http.Request, body []byte) (any, error) {
 		fmt.Fprintf(&transcript, "%s %s; Content-Type %q; Authorization %q\n\t%s\n", r.Method, r.URL.Path, r.Header.Get("Content-Type"),
 			r.Header.Get("Authorization"), body)
 		return "done", nil
@@ -103,8 +103,8 @@
 	var out string
 	require.NoError(t, c.Call(t.Context(), http.MethodPost, "/v1/thing", map[string]int{"by": 3}, &out))
 	require.Equal(t, "done", out)
-	for range callsMost {
-		s.busy <- struct{}{}
+	for range maxConcurrentCalls {
+		s.slots <- struct{}{}
 	}
 	var typed *Error
 	require.ErrorAs(t, c.Call(t.Context(), http.MethodPost, "/v1/thing", nil, nil), &typed)
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -57,11 +57,11 @@
 	path, console := withConsole(t, listen, server)
 	taken, err := net.Listen("tcp", console)
 	require.NoError(t, err)
-	require.ErrorContains(t, Run(Options{File: path, Log: zap.NewNop()}), "console: ")
+	require.ErrorContains(t, Run(Options{ConfigFile: path, Log: zap.NewNop()}), "console: ")
 	require.NoError(t, taken.Close())
 	exit := make(chan error, 1)
 	seen, logs := observer.New(zap.InfoLevel)
-	go func() { exit <- Run(Options{File: path, Log: zap.New(seen)}) }()
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
 	health := func() int {
 		response, err := http.Get("http://" + listen + "/_health")
 		require.NoError(t, err)
--- a/internal/daemon/consolepart.go
+++ b/internal/daemon/consolepart.go
@@ -13,29 +13,29 @@
 	"standpoint/internal/node"
 )
 
-// order is a wish of staff about the phase, which Run's goroutine alone carries out.
-type order struct {
-	away bool
-	done chan error // holds one
+// drainRequest is a wish of staff about the phase, which Run's goroutine alone carries out.
+type drainRequest struct {
+	drained bool
+	result  chan error // holds one
 }
 
-// consolePart is where staff call, where the deployment names an address. It answers before the other parts have
+// consoleComponent is where staff call, where the deployment names an address. It answers before the other parts have
 // started, and until all have stopped.
-func consolePart(a *assembly) (part, error) {
+func consoleComponent(a *assembly) (component, error) {
 	if a.console == "" {
-		return part{}, nil
+		return component{}, nil
 	}
-	server, err := console.Listen(a.console, console.Node{
-		Ready:   func() bool { return a.life.Now() == node.Serving },
-		Figures: a.figures.Text,
-		Down:    a.byHandCommand(func(id string) error { return a.byHand.Down(id) }),
-		Up:      a.byHandCommand(func(id string) error { return a.byHand.Up(id) }),
-		Drain:   a.drainByHand,
+	server, err := console.Listen(a.console, console.Operations{
+		Ready:   func() bool { return a.lifecycle.Now() == node.Serving },
+		Metrics: a.counters.Text,
+		Down:    a.overrideCommand(func(id string) error { return a.overrides.Down(id) }),
+		Up:      a.overrideCommand(func(id string) error { return a.overrides.Up(id) }),
+		Drain:   a.requestDrain,
 	}, a.log)
 	if err != nil {
-		return part{}, fmt.Errorf("console: %w", err)
+		return component{}, fmt.Errorf("console: %w", err)
 	}
-	return part{name: "console", start: func(context.Context) {
+	return component{name: "console", start: func(context.Context) {
 		go func() {
 			if err := server.Serve(); err != nil {
 				a.log.Error("the console ended", zap.Error(err))
@@ -46,26 +46,26 @@
 			select {
 			case <-ctx.Done():
 				return
-			case do := <-a.commands:
+			case do := <-a.overrideCommands:
 				do()
 			}
 		}
 	}, stop: server.Close}, nil
 }
 
-// byHandCommand makes a call of staff of what is to be done about a backend.
-func (a *assembly) byHandCommand(do func(id string) error) func(context.Context, string) error {
+// overrideCommand makes a call of staff of what is to be done about a backend.
+func (a *assembly) overrideCommand(do func(id string) error) func(context.Context, string) error {
 	return func(ctx context.Context, id string) error {
 		done := make(chan error, 1)
 		select {
-		case a.commands <- func() { done <- do(id) }:
+		case a.overrideCommands <- func() { done <- do(id) }:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
 		select {
 		case err := <-done:
 			if errors.Is(err, entries.ErrNeverListed) {
-				return console.ErrUnknown
+				return console.ErrUnknownBackend
 			}
 			return err
 		case <-ctx.Done():
@@ -74,22 +74,22 @@
 	}
 }
 
-// drainByHand posts a wish of staff to Run's goroutine.
-func (a *assembly) drainByHand(ctx context.Context, away bool) error {
-	o := order{away, make(chan error, 1)}
+// requestDrain posts a wish of staff to Run's goroutine.
+func (a *assembly) requestDrain(ctx context.Context, away bool) error {
+	o := drainRequest{away, make(chan error, 1)}
 	select {
-	case a.orders <- o:
+	case a.drainRequests <- o:
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	return <-o.done // which does not wait for anybody
+	return <-o.result // which does not wait for anybody
 }
 
-// sendAway carries the wish out. Clients of a node that was told to stop are sent away already, for good.
-func (a *assembly) sendAway(away bool, room *edge.Room, log *zap.Logger) error {
-	switch phase := a.life.Now(); {
+// setDrained carries the wish out. Clients of a node that was told to stop are sent away already, for good.
+func (a *assembly) setDrained(away bool, room *edge.Room, log *zap.Logger) error {
+	switch phase := a.lifecycle.Now(); {
 	case phase > node.DrainedByHand && !away:
-		return console.ErrNotNow
+		return console.ErrStopping
 	case phase > node.DrainedByHand, away == (phase == node.DrainedByHand):
 		return nil
 	}
@@ -97,7 +97,7 @@
 	if away {
 		to = node.DrainedByHand
 	}
-	if err := a.life.Move(to); err != nil {
+	if err := a.lifecycle.Move(to); err != nil {
 		return err
 	}
 	room.SendAway(away)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -51,7 +51,7 @@
 	})
 	listen := testpeer.FreeAddress(t)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{File: operatorFile(t, listen, server), Log: zap.NewNop()}) }()
+	go func() { exit <- Run(Options{ConfigFile: operatorFile(t, listen, server), Log: zap.NewNop()}) }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	require.Eventually(t, func() bool {
 		response, err := client.Get("http://" + listen + "/_health")
@@ -97,7 +97,7 @@
 	path := operatorFile(t, listen, server("old"))
 	seen, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{File: path, Log: zap.New(seen)}) }()
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
 	asked := 0
 	ask := func() string {
 		asked++
@@ -137,9 +137,9 @@
 // The level of the log changes while the program runs; the form is that of its start.
 func TestLogLevel(t *testing.T) {
 	level := zap.NewAtomicLevel()
-	log := newLog(deployment{operator: &config.Operator{}}.logging(), level)
+	log := newLog(deployment{operator: &config.OperatorFile{}}.logging(), level)
 	require.False(t, log.Core().Enabled(zap.DebugLevel))
-	cfg, err := config.ReadOperator(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
+	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
 	require.Equal(t, logging{level: zap.InfoLevel}, fromOperator(cfg).logging())
 	cfg.Log.Level, cfg.Log.Form = "debug", "console"
@@ -149,9 +149,9 @@
 }
 
 func TestAgree(t *testing.T) {
-	cfg, err := config.ReadOperator(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
+	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
 	keys := store.NewMemory()
-	go agree(keys, cfg, zap.NewNop())(t.Context())
-	require.Eventually(t, func() bool { return strings.Contains(string(keys.Get(sharedKey).Data), `"chat"`) }, time.Second, time.Millisecond)
+	go maintainMemberSettings(keys, cfg, zap.NewNop())(t.Context())
+	require.Eventually(t, func() bool { return strings.Contains(string(keys.Get(memberSettingsKey).Data), `"chat"`) }, time.Second, time.Millisecond)
 }
