--- a/internal/daemon/entriesparts.go
+++ b/internal/daemon/entriesparts.go
@@ -29,36 +29,36 @@
 	"standpoint/internal/transient"
 )
 
-func operatorEntriesPart(a *assembly) (part, error) {
-	a.keep()
+func operatorEndpointsComponent(a *assembly) (component, error) {
+	a.createEndpointCache()
 	var browsers *entries.Browsers
-	if a.operator.Entries.Source == "dns-sd" {
+	if a.operator.Endpoints.Source == "dns-sd" {
 		all, err := a.browsers(a.operator)
 		if err != nil {
-			return part{}, err
+			return component{}, err
 		}
-		browsers = entries.NewBrowsers(a.news, all...)
-		a.source, a.keeper.Ages = browsers, browsers.Until
+		browsers = entries.NewBrowsers(a.updateEndpoints, all...)
+		a.endpointSource, a.endpointCache.Ages = browsers, browsers.Until
 	} else {
-		a.source = entries.Fixed{List: listed(a.operator), News: a.news}
+		a.endpointSource = entries.Fixed{List: listedEndpoints(a.operator), News: a.updateEndpoints}
 	}
-	a.calls = append(a.calls, control.Call{Pattern: "GET /v1/entries", Do: func(*http.Request, []byte) (any, error) {
+	a.routes = append(a.routes, control.Route{Pattern: "GET /v1/entries", Handle: func(*http.Request, []byte) (any, error) {
 		if browsers != nil {
 			return append([]entries.Origin{}, browsers.Origins()...), nil
 		}
 		all := []entries.Origin{}
-		for _, e := range a.keeper.Current() {
+		for _, e := range a.endpointCache.Current() {
 			all = append(all, entries.Describe(e))
 		}
 		return all, nil
 	}})
-	p := part{name: "endpoints", run: together(a.keeper.Run, a.source.Run)}
+	p := component{name: "endpoints", run: runTogether(a.endpointCache.Run, a.endpointSource.Run)}
 	if browsers == nil {
 		replaced := map[string]int64{} // when a name that tells no start was given another address; as many as were listed
 		p.reload = func(next deployment) {
-			l := listed(next.operator)
+			l := listedEndpoints(next.operator)
 			was := map[string]node.Endpoint{}
-			for _, e := range a.keeper.Current() {
+			for _, e := range a.endpointCache.Current() {
 				was[e.Name] = e
 			}
 			for i := range l.Entries {
@@ -73,14 +73,14 @@
 			maps.DeleteFunc(replaced, func(name string, _ int64) bool {
 				return !slices.ContainsFunc(l.Entries, func(e node.Endpoint) bool { return e.Name == name })
 			})
-			a.news(l)
+			a.updateEndpoints(l)
 		}
 		return p, nil
 	}
 	p.start = func(context.Context) {
-		if known, ok := a.keeper.Known(time.Now()); ok {
+		if known, ok := a.endpointCache.Known(time.Now()); ok {
 			browsers.Known(known)
-			a.news(known)
+			a.updateEndpoints(known)
 		}
 	}
 	var next []*entries.Browser
@@ -93,18 +93,18 @@
 }
 
 // browsers are the actors of all services that a file has browsed.
-func (a *assembly) browsers(cfg *config.Operator) ([]*entries.Browser, error) {
+func (a *assembly) browsers(cfg *config.OperatorFile) ([]*entries.Browser, error) {
 	var all []*entries.Browser
-	e := &cfg.Entries
+	e := &cfg.Endpoints
 	for i, b := range e.Browse {
-		roots, err := cfg.Roots(a.base, i)
+		roots, err := cfg.RootCertificates(a.baseDirectory, i)
 		if err != nil {
 			return nil, err
 		}
 		log := a.log.With(zap.String("domain", b.Domain))
 		find := discovery.Options{Service: dnssd.Service{Type: b.Service, Subtype: b.Subtype, Domain: b.Domain}, Server: b.Server,
-			Way: discovery.Way(b.News), Every: time.Duration(e.Poll), Refresh: time.Duration(e.Refresh), PushAddress: b.Push,
-			TLS: pushTLS(roots, b.PushName), Metrics: a.metrics, Log: log}
+			Way: discovery.Way(b.Updates), Every: time.Duration(e.Poll), Refresh: time.Duration(e.Refresh), PushAddress: b.PushAddress,
+			TLS: pushTLS(roots, b.PushServerName), Metrics: a.discoveryMetrics, Log: log}
 		if find.Way == discovery.MDNS {
 			server := b.Server
 			find.Dial = func() (discovery.Transport, error) { return discovery.DialUnicast(server) }
@@ -135,30 +135,30 @@
 	return &tls.Config{RootCAs: roots, ServerName: name, MinVersion: tls.VersionTLS12}
 }
 
-// peersPart counts the nodes, and has the module reckon by their number.
-func peersPart(a *assembly) (part, error) {
-	p := a.operator.Peers
+// nodesComponent counts the nodes, and has the module reckon by their number.
+func nodesComponent(a *assembly) (component, error) {
+	p := a.operator.Nodes
 	if p.Server == "" {
-		return part{}, nil
+		return component{}, nil
 	}
-	e := a.operator.Entries
+	e := a.operator.Endpoints
 	log := a.log.With(zap.String("domain", p.Domain))
 	actor := peers.New(peers.Options{Name: a.name, Address: a.listen, Publish: p.Publish, Lease: time.Duration(p.Lease),
-		Hold: time.Duration(p.Hold), Least: a.operator.Module.Nodes, Log: log,
+		Hold: time.Duration(p.ShrinkDelay), Least: a.operator.Module.Nodes, Log: log,
 		Find: discovery.Options{Service: dnssd.Service{Type: p.Service, Domain: p.Domain}, Server: p.Server, Way: discovery.Poll,
-			Every: time.Duration(e.Poll), Refresh: time.Duration(e.Refresh), Metrics: a.metrics, Log: log},
+			Every: time.Duration(e.Poll), Refresh: time.Duration(e.Refresh), Metrics: a.discoveryMetrics, Log: log},
 		Changed: func(n int) {
-			a.nodes.Store(int64(n))
-			a.adjust(nil)
+			a.nodeCount.Store(int64(n))
+			a.adjustCore(nil)
 		}})
-	a.nodes.Store(int64(a.operator.Module.Nodes))
-	a.calls = append(a.calls, control.Call{Pattern: "GET /v1/nodes", Do: func(*http.Request, []byte) (any, error) {
+	a.nodeCount.Store(int64(a.operator.Module.Nodes))
+	a.routes = append(a.routes, control.Route{Pattern: "GET /v1/nodes", Handle: func(*http.Request, []byte) (any, error) {
 		list, n := actor.Nodes()
-		return nodesStatus{Reckoned: n, Nodes: append([]peers.Node{}, list...)}, nil
+		return nodesAnswer{Count: n, Nodes: append([]peers.Node{}, list...)}, nil
 	}})
 	ended := make(chan struct{})
 	var began atomic.Bool
-	return part{name: "nodes", start: func(context.Context) { began.Store(true) }, run: func(ctx context.Context) {
+	return component{name: "nodes", start: func(context.Context) { began.Store(true) }, run: func(ctx context.Context) {
 		defer close(ended)
 		actor.Run(ctx)
 	}, stop: func() error {
@@ -168,59 +168,59 @@
 		select { // its record is being taken back
 		case <-ended:
 			return nil
-		case <-time.After(takeBackTime):
+		case <-time.After(deregisterTimeout):
 			return errors.New("the node's record was not taken back in time; it ends with its lease")
 		}
 	}}, nil
 }
 
-const takeBackTime = 3 * time.Second
+const deregisterTimeout = 3 * time.Second
 
-// nodesStatus is what a daemon knows of the installation's nodes.
-type nodesStatus struct {
-	Reckoned int          `json:"reckoned"` // by how many the module divides
-	Nodes    []peers.Node `json:"nodes"`
+// nodesAnswer is what a daemon knows of the installation's nodes.
+type nodesAnswer struct {
+	Count int          `json:"reckoned"` // by how many the module divides
+	Nodes []peers.Node `json:"nodes"`
 }
 
-// metricsPart serves GET /metrics.
-func metricsPart(a *assembly) (part, error) {
+// metricsComponent serves GET /metrics.
+func metricsComponent(a *assembly) (component, error) {
 	if a.registry == nil {
-		return part{}, nil
+		return component{}, nil
 	}
 	l, err := transient.Listen("tcp", a.operator.Metrics.Listen, a.log)
 	if err != nil {
-		return part{}, fmt.Errorf("metrics.listen: %w", err)
+		return component{}, fmt.Errorf("metrics.listen: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(a.registry, promhttp.HandlerOpts{MaxRequestsInFlight: 4, Timeout: 5 * time.Second}))
 	server := &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
-	return part{name: "metrics", run: func(ctx context.Context) {
+	return component{name: "metrics", run: func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { server.Close() })
 		defer stop()
 		if err := server.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			a.log.Error("the metrics' listener ended", zap.Error(err))
 		}
-	}, stop: func() error { return errors.Join(server.Close(), closed(l)) }}, nil
+	}, stop: func() error { return errors.Join(server.Close(), closeListener(l)) }}, nil
 }
 
-// closed closes a listener that may be closed already.
-func closed(l net.Listener) error {
+// closeListener closes a listener that may be closed already.
+func closeListener(l net.Listener) error {
 	if err := l.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil
 }
 
-func registryPart(a *assembly) (part, error) {
+func registryComponent(a *assembly) (component, error) {
 	if a.operator.Metrics.Listen == "" {
-		return part{}, nil
+		return component{}, nil
 	}
 	var err error
-	if a.registry, err = registry(a); err != nil {
-		return part{}, err
+	if a.registry, err = newRegistry(a); err != nil {
+		return component{}, err
 	}
-	a.metrics, err = discovery.NewMetrics(a.registry)
-	return part{}, err
+	a.discoveryMetrics, err = discovery.NewMetrics(a.registry)
+	return component{}, err
 }
 
 var _ node.Entries = (*entries.Browsers)(nil)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -124,7 +124,7 @@
 	text := fmt.Sprintf(goldenFile, testpeer.FreeAddress(t), testpeer.FreeAddress(t), metrics, testpeer.FreeAddress(t))
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{File: path, Log: zap.NewNop()}) }()
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.NewNop()}) }()
 	t.Cleanup(func() {
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 		require.NoError(t, <-exit)
@@ -234,15 +234,15 @@
 // goldenAssembly has the parts that metrics are read from, with a core that does not run.
 func goldenAssembly(t *testing.T) *assembly {
 	t.Helper()
-	cfg, err := config.ReadOperator(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
+	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
-	a := &assembly{deployment: fromOperator(cfg), keys: store.NewMemory(), log: zap.NewNop()}
-	a.figures = figures.New([]string{"chat", "import"}, func() int { return a.core.Open() })
-	_, err = fleetPart(a)
+	a := &assembly{deployment: fromOperator(cfg), store: store.NewMemory(), log: zap.NewNop()}
+	a.counters = figures.New([]string{"chat", "import"}, func() int { return a.core.Open() })
+	_, err = backendsComponent(a)
 	require.NoError(t, err)
-	_, err = operatorEntriesPart(a)
+	_, err = operatorEndpointsComponent(a)
 	require.NoError(t, err)
-	_, err = corePart(a)
+	_, err = coreComponent(a)
 	require.NoError(t, err)
 	return a
 }
@@ -250,24 +250,24 @@
 // The metrics' names, types, help and labels, those of discovery among them, and which count each shows.
 func TestGoldenMetrics(t *testing.T) {
 	a := goldenAssembly(t)
-	r, err := registry(a)
+	r, err := newRegistry(a)
 	require.NoError(t, err)
 	_, err = discovery.NewMetrics(r)
 	require.NoError(t, err)
-	a.nodes.Store(3)
+	a.nodeCount.Store(3)
 	for range 4 {
-		a.figures.Ended(0, figures.Success)
+		a.counters.CountRequest(0, figures.Succeeded)
 	}
 	for range 5 {
-		a.figures.Ended(0, figures.Busy)
+		a.counters.CountRequest(0, figures.Rejected)
 	}
 	for range 6 {
-		a.figures.Ended(1, figures.Failure)
+		a.counters.CountRequest(1, figures.Failed)
 	}
 	for range 7 {
-		a.figures.Wrote()
+		a.counters.CountAttempt()
 	}
-	a.figures.Servers(8, 9)
+	a.counters.SetBackends(8, 9)
 	served := httptest.NewServer(promhttp.HandlerFor(r, promhttp.HandlerOpts{}))
 	defer served.Close()
 	response, err := http.Get(served.URL)
@@ -302,17 +302,17 @@
 // What the daemon sends and answers in types of its own.
 func TestGoldenMessages(t *testing.T) {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	jsonRoundTrip(t, "status.json", daemonStatus{Name: "node-a", Version: "0.3.0", Phase: "serving", Open: 5, Entries: 6, UpS: 7.5})
-	jsonRoundTrip(t, "nodes.json", nodesStatus{Reckoned: 3, Nodes: []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})
-	version := settings.Version{Number: 4, Author: "kim", Note: "why", At: at, Text: "[module]\n", Back: 2}
-	jsonRoundTrip(t, "settings-status.json", SettingsStatus{Node: "node-a", Latest: 4, Applied: 3, Refused: "module.zone: no", Version: version})
-	jsonRoundTrip(t, "settings-change.json", SettingsChange{Base: 4, Text: "[module]\n", Author: "kim", Note: "why", Back: 2, Check: true})
-	jsonRoundTrip(t, "moving.json", moving{Class: "chat", Stream: json.RawMessage(`{"trace":"t-1"}`)})
+	jsonRoundTrip(t, "status.json", statusAnswer{Name: "node-a", Version: "0.3.0", Phase: "serving", OpenRequests: 5, Endpoints: 6, UptimeSeconds: 7.5})
+	jsonRoundTrip(t, "nodes.json", nodesAnswer{Count: 3, Nodes: []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})
+	version := settings.Version{Number: 4, Author: "kim", Note: "why", CreatedAt: at, Text: "[module]\n", RollbackTo: 2}
+	jsonRoundTrip(t, "settings-status.json", SettingsStatus{Node: "node-a", Latest: 4, Applied: 3, Rejected: "module.zone: no", Version: version})
+	jsonRoundTrip(t, "settings-change.json", SettingsChange{BaseVersion: 4, Text: "[module]\n", Author: "kim", Note: "why", RollbackTo: 2, DryRun: true})
+	jsonRoundTrip(t, "moving.json", streamTransfer{Class: "chat", Stream: json.RawMessage(`{"trace":"t-1"}`)})
 }
 
 // The shared settings that the leader keeps in the store, of which members compare every byte.
 func TestGoldenAgreement(t *testing.T) {
-	cfg, err := config.ReadOperator("../config/testdata/operator/full.toml")
+	cfg, err := config.ReadOperatorFile("../config/testdata/operator/full.toml")
 	require.NoError(t, err)
 	cfg.Settings.Classes = []standpoint.Class{{Effect: standpoint.Keyed, Group: standpoint.GroupCell, Window: 1, Streamed: true, TTFTAim: 2, AimPer1000: 3,
 		TPOTAim: 4, AimStretch: 5.5, Deadline: 6, Worth: 7.5, LateWorth: 8.5, Description: "chat"}}
@@ -320,14 +320,14 @@
 	require.Empty(t, golden.Unset(cfg.Settings.Tenants))
 	require.Empty(t, golden.Unset(cfg.Batch))
 	keys := store.NewMemory()
-	go agree(keys, cfg, zap.NewNop())(t.Context())
+	go maintainMemberSettings(keys, cfg, zap.NewNop())(t.Context())
 	require.Eventually(t, func() bool { return len(keys.List("")) == 1 }, 5*time.Second, time.Millisecond)
 	require.Equal(t, []string{"config/shared"}, keys.List(""))
 	golden.Bytes(t, "agreement.json", keys.Get("config/shared").Data)
 
 	// Read back: each key goes where it came from.
-	var decoded shared
-	batch := config.Operator{}.Batch
+	var decoded memberSettings
+	batch := config.OperatorFile{}.Batch
 	decoded.Batch = &batch
 	require.NoError(t, json.Unmarshal(keys.Get("config/shared").Data, &decoded))
 	require.Equal(t, cfg.Settings.Classes, decoded.Classes)
@@ -337,14 +337,14 @@
 
 // The store's keys and values of the shared configuration.
 func TestGoldenSettingsInTheStore(t *testing.T) {
-	cfg := config.Operator{}
+	cfg := config.OperatorFile{}
 	cfg.Store.Settings = true
 	keys := store.NewMemory()
-	a := &assembly{deployment: deployment{operator: &cfg}, keys: keys, wishes: make(chan settingsWish), log: zap.NewNop()}
-	f := &follower{assembly: a}
+	a := &assembly{deployment: deployment{operator: &cfg}, store: keys, settingsRequests: make(chan settingsRequest), log: zap.NewNop()}
+	f := &settingsFollower{assembly: a}
 	go func() {
-		for w := range a.wishes {
-			w.done <- nil
+		for w := range a.settingsRequests {
+			w.result <- nil
 		}
 	}()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/config", nil)
@@ -361,8 +361,8 @@
 	require.Equal(t, written, v)
 
 	// A member that does not lead says who does.
-	follows := &follower{assembly: &assembly{deployment: deployment{operator: &cfg}, keys: followerStore{keys}, log: zap.NewNop()}}
-	cfg.Store.Members = []config.Member{{ID: "node-b", Address: "127.0.0.1:7002", Control: "127.0.0.1:9802"}}
+	follows := &settingsFollower{assembly: &assembly{deployment: deployment{operator: &cfg}, store: followerStore{keys}, log: zap.NewNop()}}
+	cfg.Store.Members = []config.Member{{ID: "node-b", Address: "127.0.0.1:7002", ControlAddress: "127.0.0.1:9802"}}
 	_, err = follows.callChange(r, []byte(`{"text":"","author":"kim"}`))
 	var led *control.Error
 	require.ErrorAs(t, err, &led)
@@ -385,7 +385,7 @@
 
 // The words in which an inherited socket is refused.
 func TestGoldenInheritedErrors(t *testing.T) {
-	_, err := inherited(9999, "127.0.0.1:1")
+	_, err := inheritedListener(9999, "127.0.0.1:1")
 	require.EqualError(t, err, "descriptor 9999 is no listening socket")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -395,6 +395,6 @@
 	fd, err := unix.Dup(int(file.Fd())) // which is closed below
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
-	_, err = inherited(fd, "127.0.0.1:1")
+	_, err = inheritedListener(fd, "127.0.0.1:1")
 	require.EqualError(t, err, fmt.Sprintf("descriptor %d listens at %v, not at 127.0.0.1:1", fd, l.Addr()))
 }
--- a/internal/daemon/ledgerpart.go
+++ b/internal/daemon/ledgerpart.go
@@ -9,27 +9,27 @@
 	"standpoint/internal/fleet/usage"
 )
 
-// ledgerPart writes down what tenants use, where the operator's file names a folder for it.
-func ledgerPart(a *assembly) (part, error) {
+// ledgerComponent writes down what tenants use, where the operator's file names a folder for it.
+func ledgerComponent(a *assembly) (component, error) {
 	cfg := a.operator.Ledger
-	if cfg.Dir == "" || a.shared == nil {
-		return part{}, nil
+	if cfg.Dir == "" || a.fleet == nil {
+		return component{}, nil
 	}
-	seat, life, _ := a.shared.Life()
-	o := usage.Options{Dir: a.operator.Path(a.base, cfg.Dir), Most: int64(cfg.MaxMB) << 20, Seat: seat, Life: life, Now: a.shared.Now, Every: time.Duration(cfg.Every), Rate: cfg.Rate,
-		Pace: a.shared.Pace, Ask: a.shared.Ask, Guard: a.shared.Guard, Log: a.log.Named("ledger")}
-	for _, s := range a.operator.Fleet.Seats {
+	seat, life, _ := a.fleet.Identity()
+	o := usage.Options{Dir: a.operator.ResolvePath(a.baseDirectory, cfg.Dir), MaxBytes: int64(cfg.MaxMB) << 20, Slot: seat, Incarnation: life, Now: a.fleet.Now, SyncInterval: time.Duration(cfg.SyncInterval), SyncRate: cfg.SyncRate,
+		RateFactor: a.fleet.RateFactor, CallMember: a.fleet.CallMember, Invariants: a.fleet.Invariants, Log: a.log.Named("ledger")}
+	for _, s := range a.operator.Fleet.Slots {
 		if s.Name != seat {
-			o.Seats = append(o.Seats, s.Name)
+			o.Peers = append(o.Peers, s.Name)
 		}
 	}
 	u, err := usage.Open(o)
 	if err != nil {
-		return part{}, err
+		return component{}, err
 	}
-	a.usage = u
-	fleet.Answers(a.shared, "ledger.digest", u.Digest)
-	fleet.Answers(a.shared, "ledger.fetch", u.Fetch)
-	a.calls = append(a.calls, control.Call{Pattern: "GET /v1/ledger", Do: func(*http.Request, []byte) (any, error) { return u.Status(), nil }})
-	return part{name: "ledger", run: u.Run, stop: u.Close}, nil
+	a.ledger = u
+	fleet.HandleOnAnyMember(a.fleet, "ledger.digest", u.Digest)
+	fleet.HandleOnAnyMember(a.fleet, "ledger.fetch", u.Fetch)
+	a.routes = append(a.routes, control.Route{Pattern: "GET /v1/ledger", Handle: func(*http.Request, []byte) (any, error) { return u.Status(), nil }})
+	return component{name: "ledger", run: u.Run, stop: u.Close}, nil
 }
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	logsFirst = 20  // lines of one message in a second, and every
-	logsThen  = 200 // so many further ones
+	sampledFirst      = 20  // lines of one message in a second, and every
+	sampledThereafter = 200 // so many further ones
 )
 
 // logging is the level and the form of the log.
@@ -39,5 +39,5 @@
 		encoder = zapcore.NewConsoleEncoder(encoding)
 	}
 	core := zapcore.NewCore(encoder, zapcore.Lock(os.Stderr), level)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, logsFirst, logsThen))
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, sampledFirst, sampledThereafter))
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -9,8 +9,8 @@
 	"standpoint/internal/figures"
 )
 
-// counted shows the figures, read where the console reads them.
-type counted struct{ *figures.Figures }
+// counterCollector shows the figures, read where the console reads them.
+type counterCollector struct{ *figures.Counters }
 
 var (
 	requestsDesc = prometheus.NewDesc("standpoint_requests_total", "Requests that ended, by class and end.", []string{"class", "end"}, nil)
@@ -20,17 +20,17 @@
 )
 
 // Describe implements prometheus.Collector.
-func (c counted) Describe(to chan<- *prometheus.Desc) {
+func (c counterCollector) Describe(to chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{requestsDesc, attemptsDesc, listedDesc, avoidedDesc} {
 		to <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (c counted) Collect(to chan<- prometheus.Metric) {
+func (c counterCollector) Collect(to chan<- prometheus.Metric) {
 	for _, class := range c.Classes() {
-		for e, word := range figures.Words {
-			to <- prometheus.MustNewConstMetric(requestsDesc, prometheus.CounterValue, float64(class.Count(figures.End(e))), class.Name, word)
+		for e, word := range figures.OutcomeNames {
+			to <- prometheus.MustNewConstMetric(requestsDesc, prometheus.CounterValue, float64(class.Count(figures.Outcome(e))), class.Name, word)
 		}
 	}
 	to <- prometheus.MustNewConstMetric(attemptsDesc, prometheus.CounterValue, float64(c.Attempts()))
@@ -38,8 +38,8 @@
 	to <- prometheus.MustNewConstMetric(avoidedDesc, prometheus.GaugeValue, float64(c.Avoided()))
 }
 
-// registry has what the daemon says of itself.
-func registry(a *assembly) (*prometheus.Registry, error) {
+// newRegistry has what the daemon says of itself.
+func newRegistry(a *assembly) (*prometheus.Registry, error) {
 	r := prometheus.NewRegistry()
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "standpoint_" + name, Help: help}, value)
@@ -48,8 +48,8 @@
 		r.Register(collectors.NewGoCollector()),
 		r.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})),
 		r.Register(gauge("open_flows", "Flows that wait for their answer.", func() float64 { return float64(a.core.Open()) })),
-		r.Register(gauge("service_entries", "Endpoints in use.", func() float64 { return float64(len(a.keeper.Current())) })),
-		r.Register(counted{a.figures}),
-		r.Register(gauge("nodes", "Nodes by which the module divides.", func() float64 { return float64(max(1, a.nodes.Load())) })),
+		r.Register(gauge("service_entries", "Endpoints in use.", func() float64 { return float64(len(a.endpointCache.Current())) })),
+		r.Register(counterCollector{a.counters}),
+		r.Register(gauge("nodes", "Nodes by which the module divides.", func() float64 { return float64(max(1, a.nodeCount.Load())) })),
 	)
 }
--- a/internal/daemon/movesparts.go
+++ b/internal/daemon/movesparts.go
@@ -19,22 +19,22 @@
 // Version is the daemon's own. A build may set it.
 var Version = "0.3.0-dev"
 
-const awaitStore = 15 * time.Second // at the start, for a store that may know of a move
+const storeTimeout = 15 * time.Second // at the start, for a store that may know of a move
 
-// poolsPart divides requests among pools, where the file has any.
-func poolsPart(a *assembly) (part, error) {
+// migrationsComponent divides requests among pools, where the file has any.
+func migrationsComponent(a *assembly) (component, error) {
 	if a.operator.PoolSet.Len() == 0 {
-		return part{}, nil
+		return component{}, nil
 	}
 	a.tracker = moves.NewTracker(a.operator, a.log)
 	a.pools = a.tracker
 	peers := map[string]string{}
 	for _, m := range a.operator.Store.Members {
-		peers[m.ID] = m.Control
+		peers[m.ID] = m.ControlAddress
 	}
-	plan, tokenFile := a.operator.Plan, a.operator.Path(a.base, a.operator.Control.TokenFile)
+	plan, tokenFile := a.operator.MigrationPlan, a.operator.ResolvePath(a.baseDirectory, a.operator.Control.TokenFile)
 	next := make(chan mover.Plan, 1)
-	a.mover = moves.New(moves.Options{Name: a.name, Tracker: a.tracker, Store: a.keys, Peers: peers, Log: a.log,
+	a.migrations = moves.New(moves.Options{Name: a.name, Tracker: a.tracker, Store: a.store, Peers: peers, Log: a.log,
 		Plan: func() mover.Plan {
 			select {
 			case plan = <-next:
@@ -49,56 +49,56 @@
 			}
 			return token
 		}})
-	a.calls = append(a.calls, a.mover.Calls()...)
-	return part{name: "moves", start: func(ctx context.Context) { a.mover.Await(ctx, awaitStore) }, run: a.mover.Run,
+	a.routes = append(a.routes, a.migrations.Routes()...)
+	return component{name: "moves", start: func(ctx context.Context) { a.migrations.AwaitStore(ctx, storeTimeout) }, run: a.migrations.Run,
 		check: func(to deployment) error { return a.tracker.Check(to.operator) },
 		reload: func(to deployment) {
 			select {
 			case <-next:
 			default:
 			}
-			next <- to.operator.Plan
+			next <- to.operator.MigrationPlan
 			a.tracker.Adjust(to.operator)
 			// Placed anew: the parts behind this one tell their lists again, and so does the keeper.
-			a.keeper.Again(func(l node.List) { a.core.News(l) })
+			a.endpointCache.Again(func(l node.List) { a.core.News(l) })
 		}}, nil
 }
 
-// daemonStatus is what a daemon says of itself.
-type daemonStatus struct {
-	Name    string  `json:"name"`
-	Version string  `json:"version"`
-	Phase   string  `json:"phase"`
-	Open    int     `json:"open_flows"`
-	Entries int     `json:"service_entries"`
-	UpS     float64 `json:"up_s"`
+// statusAnswer is what a daemon says of itself.
+type statusAnswer struct {
+	Name          string  `json:"name"`
+	Version       string  `json:"version"`
+	Phase         string  `json:"phase"`
+	OpenRequests  int     `json:"open_flows"`
+	Endpoints     int     `json:"service_entries"`
+	UptimeSeconds float64 `json:"up_s"`
 }
 
-// controlPart is the control interface, where the file switches it on.
-func controlPart(a *assembly) (part, error) {
+// controlComponent is the control interface, where the file switches it on.
+func controlComponent(a *assembly) (component, error) {
 	c := a.operator.Control
 	if c.Listen == "" {
-		return part{}, nil
+		return component{}, nil
 	}
 	started := time.Now()
-	calls := append([]control.Call{{Pattern: "GET /v1/status", Do: func(*http.Request, []byte) (any, error) {
-		return daemonStatus{Name: a.name, Version: Version + " " + runtime.Version(), Phase: a.life.Now().String(), Open: a.core.Open(),
-			Entries: len(a.keeper.Current()), UpS: time.Since(started).Seconds()}, nil
-	}}}, a.calls...)
+	calls := append([]control.Route{{Pattern: "GET /v1/status", Handle: func(*http.Request, []byte) (any, error) {
+		return statusAnswer{Name: a.name, Version: Version + " " + runtime.Version(), Phase: a.lifecycle.Now().String(), OpenRequests: a.core.Open(),
+			Endpoints: len(a.endpointCache.Current()), UptimeSeconds: time.Since(started).Seconds()}, nil
+	}}}, a.routes...)
 	address := c.Listen
-	if path, ok := cutUnix(address); ok {
-		address = "unix:" + a.operator.Path(a.base, path)
+	if path, ok := cutUnixPrefix(address); ok {
+		address = "unix:" + a.operator.ResolvePath(a.baseDirectory, path)
 	}
-	server, err := control.Listen(address, a.operator.Path(a.base, c.TokenFile), calls, a.log)
+	server, err := control.Listen(address, a.operator.ResolvePath(a.baseDirectory, c.TokenFile), calls, a.log)
 	if err != nil {
-		return part{}, err
+		return component{}, err
 	}
-	return part{name: "control", run: func(context.Context) {
+	return component{name: "control", run: func(context.Context) {
 		if err := server.Serve(); err != nil {
 			a.log.Error("the control interface ended", zap.Error(err))
 		}
 	}, reload: func(deployment) {
-		if err := server.Reload(); err != nil {
+		if err := server.ReloadToken(); err != nil {
 			a.log.Error("the control interface's token stays as it was", zap.Error(err))
 		}
 	}, stop: func() error {
--- a/internal/daemon/part.go
+++ b/internal/daemon/part.go
@@ -29,8 +29,8 @@
 	"standpoint/internal/store"
 )
 
-// part is one subsystem in the daemon. Any of its functions may be nil.
-type part struct {
+// component is one subsystem in the daemon. Any of its functions may be nil.
+type component struct {
 	name string
 	// start is called once all parts are put together, before any actor runs and any client is heard. What it waits for
 	// it gives up when the context ends: the program has been told to stop.
@@ -50,77 +50,77 @@
 type deployment struct {
 	name, listen, console string
 	limits                config.Limits // of this process
-	whole                 config.Limits // of the node, which may be two processes
-	killed                time.Duration // after SIGTERM, at the earliest; 0: never
-	platform              *config.Platform
-	operator              *config.Operator
+	nodeLimits            config.Limits // of the node, which may be two processes
+	killDelay             time.Duration // after SIGTERM, at the earliest; 0: never
+	platform              *config.PlatformConfig
+	operator              *config.OperatorFile
 }
 
 // assembly is what the parts share while they are put together, in the order of their table.
 type assembly struct {
-	deployment            // of the start, which never changes: parts may read it from anywhere
-	now        deployment // in force; Run's goroutine alone has it
-	base       string     // the folder that relative paths of the operator's file start from
-	log        *zap.Logger
-	level      zap.AtomicLevel
-	life       *node.Life
-	keys       store.Store
-	fleet      *backend.Fleet
-	pools      node.Pools         // nil: none
-	shared     *fleet.Fleet       // nil: this node shares nothing
-	sessions   *sessions.Sessions // nil: none pause
-	usage      *usage.Usage       // nil: nothing is written down
-	tracker    *moves.Tracker
-	mover      *moves.Actor
-	calls      []control.Call // of the control interface
-	core       *node.Core
-	source     sourceOfEntries
-	news       func(node.List)
-	heard      chan struct{} // closed once the source has told something; nil: it has no source that may be waited for
-	failing    func() bool   // tells that this source refuses, or cannot be reached
-	first      sync.Once
-	adopted    sync.WaitGroup // streams of another process that are carried on
-	keeper     *entries.Keeper
-	front      *edge.Front
-	handlers   []prefixed // fronts besides the single requests'
-	parts      []part
-	file       string               // the operator's
-	overlay    string               // the shared document that is laid over it; "" for none
-	wishes     chan settingsWish    // about that
-	registry   *prometheus.Registry // nil: no metrics
-	metrics    *discovery.Metrics
-	figures    *figures.Figures
-	byHand     *entries.ByHand
-	share      *handover.Share // what the processes of this node share; nil: nothing
-	others     int             // of those, that live beside this one; Run's goroutine alone has it
-	company    chan int        // and that number, when it changes
-	orders     chan order      // of staff, about the phase
-	commands   chan func()     // and about the backends
-	settled    sync.Mutex      // held while the core's settings are put together
-	inForce    deployment      // what they come from
-	nodes      atomic.Int64    // by which the module divides; 0: as the deployment says
+	deployment                   // of the start, which never changes: parts may read it from anywhere
+	current           deployment // in force; Run's goroutine alone has it
+	baseDirectory     string     // the folder that relative paths of the operator's file start from
+	log               *zap.Logger
+	level             zap.AtomicLevel
+	lifecycle         *node.Life
+	store             store.Store
+	backends          *backend.Fleet
+	pools             node.Pools        // nil: none
+	fleet             *fleet.Fleet      // nil: this node shares nothing
+	sessions          *sessions.Service // nil: none pause
+	ledger            *usage.Replicator // nil: nothing is written down
+	tracker           *moves.Tracker
+	migrations        *moves.Controller
+	routes            []control.Route // of the control interface
+	core              *node.Core
+	endpointSource    runnableSource
+	updateEndpoints   func(node.List)
+	endpointsReceived chan struct{} // closed once the source has told something; nil: it has no source that may be waited for
+	discoveryFailing  func() bool   // tells that this source refuses, or cannot be reached
+	firstEndpoints    sync.Once
+	adoptedStreams    sync.WaitGroup // streams of another process that are carried on
+	endpointCache     *entries.Keeper
+	front             *edge.Front
+	handlers          []prefixHandler // fronts besides the single requests'
+	components        []component
+	configFile        string               // the operator's
+	overlay           string               // the shared document that is laid over it; "" for none
+	settingsRequests  chan settingsRequest // about that
+	registry          *prometheus.Registry // nil: no metrics
+	discoveryMetrics  *discovery.Metrics
+	counters          *figures.Counters
+	overrides         *entries.ByHand
+	siblings          *handover.Channel // what the processes of this node share; nil: nothing
+	siblingCount      int               // of those, that live beside this one; Run's goroutine alone has it
+	siblingCounts     chan int          // and that number, when it changes
+	drainRequests     chan drainRequest // of staff, about the phase
+	overrideCommands  chan func()       // and about the backends
+	coreMutex         sync.Mutex        // held while the core's settings are put together
+	coreDeployment    deployment        // what they come from
+	nodeCount         atomic.Int64      // by which the module divides; 0: as the deployment says
 }
 
-type sourceOfEntries interface {
+type runnableSource interface {
 	node.Entries
 	Run(context.Context)
 }
 
-// prefixed is a front that takes the paths that begin with one of the prefixes.
-type prefixed struct {
+// prefixHandler is a front that takes the paths that begin with one of the prefixes.
+type prefixHandler struct {
 	prefixes []string
 	handler  http.Handler
 }
 
 // constructor puts a part together. A part that the deployment does not want has no name.
-type constructor func(*assembly) (part, error)
+type constructor func(*assembly) (component, error)
 
-// platformParts is the daemon on the platform.
-var platformParts = []constructor{consolePart, companyPart, memoryPart, fleetPart, platformEntriesPart, corePart, edgePart}
+// platformComponents is the daemon on the platform.
+var platformComponents = []constructor{consoleComponent, siblingsComponent, memoryStoreComponent, backendsComponent, platformEndpointsComponent, coreComponent, edgeComponent}
 
-// operatorParts is the daemon as an operator's file says.
-var operatorParts = []constructor{consolePart, companyPart, storePart, registryPart, fleetPart, poolsPart, sharedPart, ledgerPart, sessionsPart, operatorEntriesPart, corePart, peersPart,
-	edgePart, batchPart, agreePart, settingsPart, controlPart, metricsPart}
+// operatorComponents is the daemon as an operator's file says.
+var operatorComponents = []constructor{consoleComponent, siblingsComponent, storeComponent, registryComponent, backendsComponent, migrationsComponent, fleetComponent, ledgerComponent, sessionsComponent, operatorEndpointsComponent, coreComponent, nodesComponent,
+	edgeComponent, batchComponent, memberSettingsComponent, settingsComponent, controlComponent, metricsComponent}
 
 // assemble runs a table of constructors. On a failure what was opened is closed again.
 func (a *assembly) assemble(table []constructor) error {
@@ -130,7 +130,7 @@
 			return errors.Join(err, a.stop())
 		}
 		if p.name != "" {
-			a.parts = append(a.parts, p)
+			a.components = append(a.components, p)
 		}
 	}
 	return nil
@@ -139,20 +139,20 @@
 // stop stops the parts, the last started first.
 func (a *assembly) stop() error {
 	var all []error
-	for i := len(a.parts) - 1; i >= 0; i-- {
-		if p := a.parts[i]; p.stop != nil {
+	for i := len(a.components) - 1; i >= 0; i-- {
+		if p := a.components[i]; p.stop != nil {
 			if err := p.stop(); err != nil {
 				all = append(all, fmt.Errorf("%s: %w", p.name, err))
 			}
 		}
 	}
-	a.parts = nil
+	a.components = nil
 	return errors.Join(all...)
 }
 
-// agreed tells whether every part can take on the next deployment.
-func (a *assembly) agreed(next deployment) error {
-	for _, p := range a.parts {
+// checkComponents tells whether every part can take on the next deployment.
+func (a *assembly) checkComponents(next deployment) error {
+	for _, p := range a.components {
 		if p.check != nil {
 			if err := p.check(next); err != nil {
 				return err
@@ -164,42 +164,42 @@
 
 // reload takes on the next deployment in every part, or in none.
 func (a *assembly) reload(next deployment) error {
-	if err := a.agreed(next); err != nil {
+	if err := a.checkComponents(next); err != nil {
 		return err
 	}
-	for _, p := range a.parts {
+	for _, p := range a.components {
 		if p.reload != nil {
 			p.reload(next)
 		}
 	}
-	a.now = next
+	a.current = next
 	return nil
 }
 
-// counted is a deployment's settings with the number of nodes that was found.
-func (a *assembly) counted(d deployment) standpoint.Settings {
-	settings, _, _ := d.told()
-	settings.Balancers = max(settings.Balancers, int(a.nodes.Load()))
+// coreSettings is a deployment's settings with the number of nodes that was found.
+func (a *assembly) coreSettings(d deployment) standpoint.Settings {
+	settings, _, _ := d.requestSettings()
+	settings.Balancers = max(settings.Balancers, int(a.nodeCount.Load()))
 	return settings
 }
 
-// adjust hands the core its settings: those of the next deployment, or with nil those in force, which the number of
+// adjustCore hands the core its settings: those of the next deployment, or with nil those in force, which the number of
 // nodes changes.
-func (a *assembly) adjust(next *deployment) {
-	a.settled.Lock()
-	defer a.settled.Unlock()
+func (a *assembly) adjustCore(next *deployment) {
+	a.coreMutex.Lock()
+	defer a.coreMutex.Unlock()
 	if next != nil {
-		a.inForce = *next
+		a.coreDeployment = *next
 	}
-	a.core.Adjust(a.counted(a.inForce), a.inForce.limits.Flows())
+	a.core.Adjust(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
 }
 
-// keep makes the keeper, which notes every change of the endpoints for the store, and has it hand them on to
+// createEndpointCache makes the keeper, which notes every change of the endpoints for the store, and has it hand them on to
 // the core.
-func (a *assembly) keep() {
-	a.keeper = entries.NewKeeper(a.keys, a.log)
-	_, names, _ := a.told()
-	a.keeper.Names = entries.Names{Zones: names.Zones, Kinds: names.Kinds}
-	a.byHand = entries.NewByHand(a.keeper, func(l node.List) { a.core.News(l) }, a.share, a.log)
-	a.news = a.byHand.News
+func (a *assembly) createEndpointCache() {
+	a.endpointCache = entries.NewKeeper(a.store, a.log)
+	_, names, _ := a.requestSettings()
+	a.endpointCache.Names = entries.Names{Zones: names.Zones, Kinds: names.Kinds}
+	a.overrides = entries.NewByHand(a.endpointCache, func(l node.List) { a.core.News(l) }, a.siblings, a.log)
+	a.updateEndpoints = a.overrides.News
 }
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -23,95 +23,95 @@
 )
 
 const (
-	uploadTime  = 2 * time.Minute       // of a batch file
-	pushedLeast = 20 * time.Millisecond // between two calls to a discovery that pushes, and does not answer
+	uploadTimeout     = 2 * time.Minute       // of a batch file
+	minPushedInterval = 20 * time.Millisecond // between two calls to a discovery that pushes, and does not answer
 )
 
-func memoryPart(a *assembly) (part, error) {
-	a.keys = store.NewMemory()
-	return part{name: "store", stop: a.keys.Close}, nil
+func memoryStoreComponent(a *assembly) (component, error) {
+	a.store = store.NewMemory()
+	return component{name: "store", stop: a.store.Close}, nil
 }
 
-func storePart(a *assembly) (part, error) {
+func storeComponent(a *assembly) (component, error) {
 	s := a.operator.Store
 	if s.Kind == "memory" {
-		return memoryPart(a)
+		return memoryStoreComponent(a)
 	}
-	o := store.RaftOptions{ID: s.ID, Dir: s.Dir, Heartbeat: time.Duration(s.Heartbeat)}
+	o := store.RaftOptions{ID: s.ID, Dir: s.Dir, HeartbeatTimeout: time.Duration(s.Heartbeat)}
 	if o.Dir != "" {
-		o.Dir = a.operator.Path(a.base, o.Dir)
+		o.Dir = a.operator.ResolvePath(a.baseDirectory, o.Dir)
 	}
 	for _, m := range s.Members {
-		o.Members = append(o.Members, store.Member{ID: m.ID, Address: m.Address, Reach: m.Reach})
+		o.Members = append(o.Members, store.Member{ID: m.ID, Address: m.Address, DialAddress: m.DialAddress})
 		if m.ID == s.ID {
-			o.Listen = m.Address
+			o.ListenAddress = m.Address
 		}
 	}
 	keys, err := store.OpenRaft(o)
 	if err != nil {
-		return part{}, err
+		return component{}, err
 	}
-	a.keys = keys
-	return part{name: "store", stop: keys.Close}, nil
+	a.store = keys
+	return component{name: "store", stop: keys.Close}, nil
 }
 
-// told is what both kinds of deployment say about requests.
-func (d deployment) told() (standpoint.Settings, config.Names, int64) {
+// requestSettings is what both kinds of deployment say about requests.
+func (d deployment) requestSettings() (standpoint.Settings, config.Names, int64) {
 	if d.platform != nil {
 		return d.platform.Settings, d.platform.Names, d.platform.Seed
 	}
 	return d.operator.Settings, d.operator.Names, d.operator.Seed
 }
 
-func fleetPart(a *assembly) (part, error) {
-	_, names, _ := a.told()
-	o := backend.Options{DialTimeout: names.DialTimeout, ConnIdle: names.ConnIdle, MaxIdle: a.limits.IdleLinks(), MaxLinks: a.limits.Flows(), Wrote: a.figures.Wrote, Log: a.log}
+func backendsComponent(a *assembly) (component, error) {
+	_, names, _ := a.requestSettings()
+	o := backend.Options{DialTimeout: names.DialTimeout, ConnIdle: names.IdleTimeout, MaxIdle: a.limits.MaxIdleConnections(), MaxLinks: a.limits.MaxRequests(), Wrote: a.counters.CountAttempt, Log: a.log}
 	if a.operator != nil {
-		b := a.operator.BatchServer
+		b := a.operator.BatchBackend
 		o.Batch = backend.BatchOptions{Gather: time.Duration(b.Gather), Lines: b.Lines, Poll: time.Duration(b.Poll),
 			Lost: time.Duration(b.Lost)}
 	}
-	a.fleet = backend.New(o)
-	return part{name: "backends", reload: func(next deployment) {
-		_, names, _ := next.told()
-		a.fleet.Adjust(names.DialTimeout, names.ConnIdle, next.limits.IdleLinks(), next.limits.Flows())
+	a.backends = backend.New(o)
+	return component{name: "backends", reload: func(next deployment) {
+		_, names, _ := next.requestSettings()
+		a.backends.Adjust(names.DialTimeout, names.IdleTimeout, next.limits.MaxIdleConnections(), next.limits.MaxRequests())
 	}}, nil
 }
 
-func platformEntriesPart(a *assembly) (part, error) {
+func platformEndpointsComponent(a *assembly) (component, error) {
 	cfg := a.platform
 	names := entries.Names{Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds}
 	var seq int64
 	known := node.List{Kind: standpoint.ListFull}
-	if len(cfg.Known) > 0 {
+	if len(cfg.KnownEndpoints) > 0 {
 		var faults []error
 		var err error
-		if seq, known, faults, err = entries.Decode(cfg.Known, names); err != nil {
-			return part{}, fmt.Errorf("known: %w", err)
+		if seq, known, faults, err = entries.Decode(cfg.KnownEndpoints, names); err != nil {
+			return component{}, fmt.Errorf("known: %w", err)
 		}
 		if len(faults) > 0 {
 			a.log.Warn("known: endpoints that cannot be used", zap.Errors("faults", faults))
 		}
 	}
-	a.keep()
-	a.heard = make(chan struct{})
+	a.createEndpointCache()
+	a.endpointsReceived = make(chan struct{})
 	watcher := entries.NewWatcher(cfg.Discovery, names, seq, func(l node.List) {
-		a.news(l)
-		a.first.Do(func() { close(a.heard) })
+		a.updateEndpoints(l)
+		a.firstEndpoints.Do(func() { close(a.endpointsReceived) })
 	}, a.log)
 	if !cfg.Settings.AskDiscovery { // what comes back with discovery counts at once, and is to be heard well within the grace
-		watcher.Pushed = max(pushedLeast, time.Duration(cfg.Settings.DrainGrace)/2)
+		watcher.Pushed = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
 	}
 	watcher.Nodes = cfg.Settings.Balancers
 	watcher.Knows(known)
-	watcher.Watch()   // at once: whatever else this process does first, its list is old
-	if a.others > 0 { // who serves meanwhile knows a newer one than what this process was started with
+	watcher.Watch()         // at once: whatever else this process does first, its list is old
+	if a.siblingCount > 0 { // who serves meanwhile knows a newer one than what this process was started with
 		watcher.Anew()
 	}
-	a.source, a.failing = watcher, watcher.Failing
-	start := func(context.Context) { a.news(known) } // what this node last held; it may be old, and the first watch puts it right
-	return part{name: "endpoints", start: start, run: together(a.keeper.Run, watcher.Run), reload: func(next deployment) {
-		if was, now := a.now.platform, next.platform; now.Discovery != was.Discovery || !reflect.DeepEqual(now.Names, was.Names) {
+	a.endpointSource, a.discoveryFailing = watcher, watcher.Failing
+	start := func(context.Context) { a.updateEndpoints(known) } // what this node last held; it may be old, and the first watch puts it right
+	return component{name: "endpoints", start: start, run: runTogether(a.endpointCache.Run, watcher.Run), reload: func(next deployment) {
+		if was, now := a.current.platform, next.platform; now.Discovery != was.Discovery || !reflect.DeepEqual(now.Names, was.Names) {
 			watcher.Move(now.Discovery, entries.Names{Zones: now.Names.Zones, Kinds: now.Names.Kinds})
 		}
 	}}, nil
@@ -125,68 +125,68 @@
 	return datagram.New(a.platform.PeerListen, a.platform.Peers, a.log)
 }
 
-func corePart(a *assembly) (part, error) {
-	settings, _, seed := a.told()
-	o := node.Options{Settings: settings, Seed: seed, MaxRequests: a.limits.Flows(), Servers: a.fleet,
-		Entries: a.source, Pools: a.pools, Figures: a.figures, Log: a.log}
-	if a.shared != nil {
-		o.Fleet = a.shared
+func coreComponent(a *assembly) (component, error) {
+	settings, _, seed := a.requestSettings()
+	o := node.Options{Settings: settings, Seed: seed, MaxRequests: a.limits.MaxRequests(), Servers: a.backends,
+		Entries: a.endpointSource, Pools: a.pools, Metrics: a.counters, Log: a.log}
+	if a.fleet != nil {
+		o.Fleet = a.fleet
 	}
 	exchange := a.exchange()
 	if exchange == nil {
 		a.core = node.New(o)
-		a.inForce = a.deployment
-		return part{name: "core", run: a.core.Run, reload: func(next deployment) { a.adjust(&next) }}, nil
+		a.coreDeployment = a.deployment
+		return component{name: "core", run: a.core.Run, reload: func(next deployment) { a.adjustCore(&next) }}, nil
 	}
 	o.Peers = exchange
 	a.core = node.New(o)
-	a.inForce = a.deployment
+	a.coreDeployment = a.deployment
 	carry := func(ctx context.Context) { exchange.Run(ctx, a.core.Heard) }
-	return part{name: "core", run: together(a.core.Run, carry), reload: func(next deployment) {
+	return component{name: "core", run: runTogether(a.core.Run, carry), reload: func(next deployment) {
 		exchange.SetPeers(next.platform.Peers)
-		a.adjust(&next)
+		a.adjustCore(&next)
 	}}, nil
 }
 
-func edgePart(a *assembly) (part, error) {
-	_, names, _ := a.told()
-	a.front = &edge.Front{Core: a.core, Names: names, Life: a.life, Bodies: node.NewShares(a.limits.Bodies(), len(names.Tenants)), Figures: a.figures,
+func edgeComponent(a *assembly) (component, error) {
+	_, names, _ := a.requestSettings()
+	a.front = &edge.Front{Core: a.core, Names: names, Life: a.lifecycle, Bodies: node.NewShares(a.limits.MaxBodyBytes(), len(names.Tenants)), Metrics: a.counters,
 		Sessions: a.sessions, Log: a.log}
-	return part{name: "edge", reload: func(next deployment) {
-		_, names, _ := next.told()
+	return component{name: "edge", reload: func(next deployment) {
+		_, names, _ := next.requestSettings()
 		a.front.Rename(names)
-		a.front.Bodies.Set(next.limits.Bodies(), len(names.Tenants))
+		a.front.Bodies.Set(next.limits.MaxBodyBytes(), len(names.Tenants))
 	}}, nil
 }
 
-func batchPart(a *assembly) (part, error) {
+func batchComponent(a *assembly) (component, error) {
 	cfg := a.operator
 	if !cfg.Batch.Enabled {
-		return part{}, nil
+		return component{}, nil
 	}
 	members := map[string]string{}
 	for _, m := range cfg.Store.Members {
-		members[m.ID] = m.Front
+		members[m.ID] = m.FrontAddress
 	}
-	files := batch.New(batch.Options{Core: a.core, Store: a.keys, Log: a.log, Classes: cfg.Names.Classes,
-		Tenants: cfg.Names.Tenants, Fields: batch.Fields(cfg.Batch.Fields), Defaults: batch.Fields(cfg.Batch.Defaults),
-		LinesAtOnce: cfg.Batch.LinesAtOnce, LineTime: time.Duration(cfg.Batch.LineTime), Tries: cfg.Batch.Tries,
-		FileMost: cfg.Batch.FileMB << 20, FilesMost: a.limits.Files(), Members: members})
+	files := batch.New(batch.Options{Core: a.core, Store: a.store, Log: a.log, Classes: cfg.Names.Classes,
+		Tenants: cfg.Names.Tenants, Fields: batch.RequestFields(cfg.Batch.Fields), Defaults: batch.RequestFields(cfg.Batch.Defaults),
+		MaxConcurrentLines: cfg.Batch.LinesAtOnce, LineTimeout: time.Duration(cfg.Batch.LineTime), MaxAttempts: cfg.Batch.Tries,
+		MaxFileBytes: cfg.Batch.FileMB << 20, MaxTotalFileBytes: a.limits.MaxFileBytes(), MemberAddresses: members})
 	handler := files.Handler()
-	a.handlers = append(a.handlers, prefixed{[]string{"/v1/files", "/v1/batches"},
+	a.handlers = append(a.handlers, prefixHandler{[]string{"/v1/files", "/v1/batches"},
 		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			// A file may take longer than a single request may.
-			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(uploadTime))
+			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(uploadTimeout))
 			handler.ServeHTTP(w, r)
 		})})
-	return part{name: "batch", run: files.Run}, nil
+	return component{name: "batch", run: files.Run}, nil
 }
 
-func agreePart(a *assembly) (part, error) {
+func memberSettingsComponent(a *assembly) (component, error) {
 	if !a.operator.Batch.Enabled {
-		return part{}, nil
+		return component{}, nil
 	}
-	return part{name: "agreement", run: agree(a.keys, *a.operator, a.log)}, nil
+	return component{name: "agreement", run: maintainMemberSettings(a.store, *a.operator, a.log)}, nil
 }
 
 // handler is all fronts in one.
@@ -208,8 +208,8 @@
 	})
 }
 
-// listed are the endpoints that an operator's file lists by hand.
-func listed(cfg *config.Operator) node.List {
+// listedEndpoints are the endpoints that an operator's file lists by hand.
+func listedEndpoints(cfg *config.OperatorFile) node.List {
 	l := node.List{Kind: standpoint.ListFull}
 	index := func(names []string, name string) int {
 		for i, n := range names {
@@ -219,14 +219,14 @@
 		}
 		return 0
 	}
-	for _, s := range cfg.RealServers {
+	for _, s := range cfg.Backends {
 		l.Entries = append(l.Entries, node.Endpoint{Address: s.Address, Batch: s.Mode == "batch", Labels: s.Labels,
-			Engine: standpoint.Engine{Name: s.Name, Size: s.Size, Zone: index(cfg.Names.Zones, s.Zone),
+			Engine: standpoint.Engine{Name: s.Name, Size: s.Capacity, Zone: index(cfg.Names.Zones, s.Zone),
 				Kind: index(cfg.Names.Kinds, s.Kind), State: s.State(), ReadyAt: s.ReadyAt()}})
 	}
 	return l
 }
 
-func baseOf(path string) string { return filepath.Dir(path) }
+func directoryOf(path string) string { return filepath.Dir(path) }
 
-func cutUnix(address string) (path string, ok bool) { return strings.CutPrefix(address, "unix:") }
+func cutUnixPrefix(address string) (path string, ok bool) { return strings.CutPrefix(address, "unix:") }
--- a/internal/daemon/sessionspart.go
+++ b/internal/daemon/sessionspart.go
@@ -10,28 +10,28 @@
 	"standpoint/internal/fleet/sessions"
 )
 
-// sessionsPart has answers pause at calls of tools, where the operator's file has a [[tool]].
-func sessionsPart(a *assembly) (part, error) {
+// sessionsComponent has answers pause at calls of tools, where the operator's file has a [[tool]].
+func sessionsComponent(a *assembly) (component, error) {
 	cfg := a.operator
-	if len(cfg.Tools) == 0 || a.shared == nil {
-		return part{}, nil
+	if len(cfg.Tools) == 0 || a.fleet == nil {
+		return component{}, nil
 	}
-	seat, life, before := a.shared.Life()
-	o := sessions.Options{Limits: session.Limits{Data: recordMost, Keep: int64(cfg.Sessions.Keep), Paused: cfg.Sessions.Most, Tenant: cfg.Sessions.MostTenant},
-		Decode: time.Duration(cfg.Sessions.Decode), Resumes: cfg.Sessions.Resumes, InHand: max(1, a.limits.Flows()/2), Seat: seat, Life: life, Before: before,
-		Error: time.Duration(cfg.Fleet.ClockError), Now: a.shared.Now, Pace: a.shared.Pace, Call: a.shared.Call, Keys: a.keys, Guard: a.shared.Guard, Log: a.log.Named("sessions"),
-		Place: a.shared.Hold, StartOf: a.shared.StartOf}
+	seat, life, before := a.fleet.Identity()
+	o := sessions.Options{Limits: session.Limits{MaxDataBytes: maxSessionRecordBytes, Retention: int64(cfg.Sessions.Retention), MaxPaused: cfg.Sessions.MaxPaused, MaxPausedPerTenant: cfg.Sessions.MaxPausedPerTenant},
+		DecodeTimeout: time.Duration(cfg.Sessions.DecodeTimeout), ResumeRate: cfg.Sessions.ResumeRate, MaxConcurrentResumes: max(1, a.limits.MaxRequests()/2), Slot: seat, Incarnation: life, Predecessors: before,
+		ClockError: time.Duration(cfg.Fleet.ClockError), Now: a.fleet.Now, RateFactor: a.fleet.RateFactor, CallLeader: a.fleet.CallLeader, Store: a.store, Invariants: a.fleet.Invariants, Log: a.log.Named("sessions"),
+		ReserveSession: a.fleet.ReserveSession, BackendStart: a.fleet.BackendStart}
 	for _, t := range cfg.Tools {
-		o.Tools = append(o.Tools, sessions.Tool{Name: t.Name, Does: map[string]sessions.Does{"pause": sessions.PauseIt, "keep": sessions.KeepOn, "refuse": sessions.RefuseIt}[t.Does],
-			Wait: time.Duration(t.Wait), Result: t.ResultKB << 10, Class: slices.Index(cfg.Names.Classes, t.Class)})
+		o.Tools = append(o.Tools, sessions.Tool{Name: t.Name, Action: map[string]sessions.ToolAction{"pause": sessions.PauseSession, "keep": sessions.PassThrough, "refuse": sessions.RejectCall}[t.Action],
+			ResultTimeout: time.Duration(t.ResultTimeout), MaxResultBytes: t.MaxResultKB << 10, Class: slices.Index(cfg.Names.Classes, t.Class)})
 	}
-	s, err := sessions.New(o, a.shared)
+	s, err := sessions.New(o, a.fleet)
 	if err != nil {
-		return part{}, err
+		return component{}, err
 	}
 	a.sessions = s
-	a.calls = append(a.calls, control.Call{Pattern: "GET /v1/sessions", Do: func(*http.Request, []byte) (any, error) { return s.Status(), nil }})
-	return part{name: "sessions", run: s.Run}, nil
+	a.routes = append(a.routes, control.Route{Pattern: "GET /v1/sessions", Handle: func(*http.Request, []byte) (any, error) { return s.Status(), nil }})
+	return component{name: "sessions", run: s.Run}, nil
 }
 
-const recordMost = 512 << 10 // bytes of a session on record, packed
+const maxSessionRecordBytes = 512 << 10 // bytes of a session on record, packed
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, file.Close())
 	seen, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{File: path, Log: zap.New(seen)}) }()
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
 	up := func() bool { return logs.FilterMessage("serving").Len() == 1 }
 	require.Eventually(t, up, 5*time.Second, time.Millisecond)
 	client := control.NewClient(controls, "")
@@ -52,7 +52,7 @@
 	var reading sync.WaitGroup
 	reading.Go(func() {
 		for ctx.Err() == nil {
-			var s daemonStatus
+			var s statusAnswer
 			_ = client.Call(ctx, http.MethodGet, "/v1/status", nil, &s)
 		}
 	})
@@ -84,18 +84,18 @@
 func TestTheSharedConfigurationNeedsTheToken(t *testing.T) {
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
-	cfg := config.Operator{}
+	cfg := config.OperatorFile{}
 	cfg.Store.Settings = true
 	keys := store.NewMemory()
-	a := &assembly{deployment: deployment{operator: &cfg}, keys: keys, wishes: make(chan settingsWish), log: zap.NewNop()}
-	_, err := settingsPart(a)
+	a := &assembly{deployment: deployment{operator: &cfg}, store: keys, settingsRequests: make(chan settingsRequest), log: zap.NewNop()}
+	_, err := settingsComponent(a)
 	require.NoError(t, err)
 	go func() {
-		for w := range a.wishes {
-			w.done <- nil
+		for w := range a.settingsRequests {
+			w.result <- nil
 		}
 	}()
-	s, err := control.Listen("127.0.0.1:0", token, a.calls, zap.NewNop())
+	s, err := control.Listen("127.0.0.1:0", token, a.routes, zap.NewNop())
 	require.NoError(t, err)
 	go func() { _ = s.Serve() }()
 	defer s.Close()
@@ -114,21 +114,21 @@
 // An operator's list that has another address for a name has another box: cold, where the file tells no start, and it
 // stays the same box when the file is read again.
 func TestAnotherAddressInTheFile(t *testing.T) {
-	cfg, err := config.ReadOperator(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
+	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
-	a := &assembly{deployment: fromOperator(cfg), keys: store.NewMemory(), log: zap.NewNop()}
-	_, err = fleetPart(a)
+	a := &assembly{deployment: fromOperator(cfg), store: store.NewMemory(), log: zap.NewNop()}
+	_, err = backendsComponent(a)
 	require.NoError(t, err)
-	p, err := operatorEntriesPart(a)
+	p, err := operatorEndpointsComponent(a)
 	require.NoError(t, err)
-	_, err = corePart(a)
+	_, err = coreComponent(a)
 	require.NoError(t, err)
-	a.source.Run(t.Context())
-	entry := func() node.Endpoint { return a.keeper.Current()[0] }
+	a.endpointSource.Run(t.Context())
+	entry := func() node.Endpoint { return a.endpointCache.Current()[0] }
 	require.Zero(t, entry().ReadyAt)
 	p.reload(a.deployment)
 	require.Zero(t, entry().ReadyAt)
-	cfg.RealServers[0].Address = "127.0.0.1:3"
+	cfg.Backends[0].Address = "127.0.0.1:3"
 	p.reload(fromOperator(cfg))
 	began := entry().ReadyAt
 	require.WithinDuration(t, time.Now(), time.Unix(0, began), time.Minute)
@@ -148,7 +148,7 @@
 	require.NoError(t, os.WriteFile(path, append(text, more...), 0o600))
 	seen, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{File: path, Log: zap.New(seen)}) }()
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
 	require.Eventually(t, func() bool {
 		_, err := os.Stat(filepath.Join(filepath.Dir(path), "c.sock")) // opened while the parts are put together
 		return err == nil
@@ -156,7 +156,7 @@
 	began := time.Now()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	require.NoError(t, <-exit)
-	require.Less(t, time.Since(began), awaitStore/2)
+	require.Less(t, time.Since(began), storeTimeout/2)
 	require.Equal(t, 1, logs.FilterMessage("draining").Len())
 }
 
@@ -164,11 +164,11 @@
 func TestATornSharedConfiguration(t *testing.T) {
 	seen, logs := observer.New(zap.ErrorLevel)
 	keys := store.NewMemory()
-	f := &follower{assembly: &assembly{keys: keys, log: zap.New(seen)}}
+	f := &settingsFollower{assembly: &assembly{store: keys, log: zap.New(seen)}}
 	_, err := keys.Write(t.Context(), store.Op{Key: currentKey, Data: []byte("3")}, store.Op{Key: versionsKey + "0000000003", Data: []byte(`{"number":3,"te`)})
 	require.NoError(t, err)
 	for range 3 {
-		f.follow(func(settingsWish) error { t.Fatal("taken on"); return nil })
+		f.follow(func(settingsRequest) error { t.Fatal("taken on"); return nil })
 	}
 	require.Len(t, logs.All(), 1)
 	require.Equal(t, versionsKey+"0000000003", logs.All()[0].ContextMap()["key"])
@@ -183,7 +183,7 @@
 		close(came)
 		<-r.Context().Done()
 	})))
-	a := &assembly{core: n.Core, life: n.Life}
+	a := &assembly{core: n.Core, lifecycle: n.Life}
 	ended := make(chan error, 1)
 	go func() {
 		<-came
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -269,18 +269,18 @@
 }
 
 // unheard says why a connection was closed by this node with no answer; false: it was not.
-func (p *clientConn) unheard(stopping bool) (figures.Unheard, bool) {
+func (p *clientConn) unheard(stopping bool) (figures.SilentCloseCause, bool) {
 	switch {
 	case p.answered.Load() || p.gone.Load():
 		return 0, false
 	case stopping || p.cleared:
 		return figures.Stopping, true
 	case p.leaving:
-		return figures.NoRoom, true
+		return figures.NoCapacity, true
 	case p.late.Load():
-		return figures.SlowHead, true
+		return figures.SlowHeader, true
 	}
-	return figures.Unread, true
+	return figures.Unreadable, true
 }
 
 // mayGo tells that the connection has rested for long enough to be closed where places are short.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -47,9 +47,9 @@
 	Life    *node.Life
 	Names   config.Names
 	Bodies  *node.Shares // bytes of the bodies that are held at once
-	Figures *figures.Figures
+	Metrics *figures.Counters
 	// Sessions, if not nil, pause at calls of tools and go on with their results.
-	Sessions *sessions.Sessions
+	Sessions *sessions.Service
 	Log      *zap.Logger
 	ids      ids
 	indexes  atomic.Pointer[indexes]
@@ -95,8 +95,8 @@
 // Rename changes the names that requests may give, from the next request on.
 func (f *Front) Rename(names config.Names) {
 	f.indexes.Store(&indexes{index(names.Classes), index(names.Tenants)})
-	if f.Figures != nil {
-		f.Figures.Rename(names.Classes)
+	if f.Metrics != nil {
+		f.Metrics.SetClasses(names.Classes)
 	}
 }
 
@@ -161,10 +161,10 @@
 }
 
 // cause is by what it is counted.
-func (f *fault) cause() figures.Unsent {
+func (f *fault) cause() figures.UnsentCause {
 	switch f.status {
 	case http.StatusConflict:
-		return figures.Repeated
+		return figures.DuplicateID
 	case http.StatusRequestTimeout:
 		return figures.SlowBody
 	}
@@ -191,7 +191,7 @@
 			_ = control.SetReadDeadline(time.Time{})
 			phase, since := f.Life.Since()
 			if f.parting(w, r, phase); phase == node.DrainedByHand && time.Since(since) > awayTime {
-				f.ended(r, figures.Busy)
+				f.ended(r, figures.Rejected)
 				turnDown(w, busyWait)
 				return
 			}
@@ -205,7 +205,7 @@
 		}
 	}
 	if errors.Is(err, errFull) {
-		f.ended(r, figures.Busy)
+		f.ended(r, figures.Rejected)
 		w.Header().Set("Connection", "close") // the rest of its body is not read
 		turnDown(w, busyWait)
 		return
@@ -218,16 +218,16 @@
 		w.Header().Set("Connection", "close") // where its body ends is not to be trusted, and the rest is not waited for
 		_ = control.SetReadDeadline(time.Now().Add(partTime))
 	}
-	f.ended(r, figures.Failure)
-	f.Figures.FailedUnsent(bad.cause())
+	f.ended(r, figures.Failed)
+	f.Metrics.CountFailedUnsent(bad.cause())
 	f.Log.Info("malformed request", zap.String("fault", bad.text))
 	refuse(w, bad.status, bad.text)
 }
 
 // ended counts a request that is answered before it is a request, where its class is known.
-func (f *Front) ended(r *http.Request, e figures.End) {
+func (f *Front) ended(r *http.Request, e figures.Outcome) {
 	if class, ok := f.indexes.Load().classes[r.Header.Get("X-Qos")]; ok {
-		f.Figures.Ended(class, e)
+		f.Metrics.CountRequest(class, e)
 	}
 }
 
--- a/internal/edge/operating_test.go
+++ b/internal/edge/operating_test.go
@@ -37,7 +37,7 @@
 		testpeer.Event(w, "x")
 		testpeer.Finish(w)
 	})))
-	text := func() string { return string(n.Figures.Text()) }
+	text := func() string { return string(n.Metrics.Text()) }
 	at := func(success, busy, failure, attempts, open int) string {
 		return fmt.Sprintf("app.calls.chat.success=%d\napp.calls.chat.busy=%d\napp.calls.chat.failure=%d\napp.backend_calls=%d\napp.inflight=%d\n"+
 			"app.hosts_listed=1\napp.hosts_down=0\n", success, busy, failure, attempts, open)
@@ -94,7 +94,7 @@
 	n := testpeer.Start(t, settings, testpeer.Entry("a", good), testpeer.Entry("b", bad), drained, testpeer.Entry("d", testpeer.FreeAddress(t)))
 	require.Eventually(t, func() bool {
 		_, _, _, _ = n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Object", fmt.Sprintf("%x", time.Now().UnixNano())) }))
-		return n.Figures.Listed() == 4 && n.Figures.Avoided() == 3
+		return n.Metrics.Listed() == 4 && n.Metrics.Avoided() == 3
 	}, 10*time.Second, time.Millisecond)
 }
 
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -36,8 +36,8 @@
 // connections that they do not use, or say nothing on them, cannot shut others out.
 type Room struct {
 	net.Listener
-	// Figures, if not nil, counts the connections that are closed without an answer. It is set before the room is in use.
-	Figures *figures.Figures
+	// Metrics, if not nil, counts the connections that are closed without an answer. It is set before the room is in use.
+	Metrics *figures.Counters
 
 	most   int
 	closed chan struct{}
@@ -275,7 +275,7 @@
 // count counts a connection that ends without an answer.
 func (r *Room) count(p *clientConn) {
 	if why, ok := p.unheard(r.away != nil || r.isClosed()); ok {
-		r.Figures.ClosedUnheard(why)
+		r.Metrics.CountSilentClose(why)
 	}
 }
 
--- a/internal/edge/room_test.go
+++ b/internal/edge/room_test.go
@@ -41,19 +41,19 @@
 // A connection that this node closes without an answer is counted by its cause; one that its client ends is not.
 func TestConnectionsClosedUnheard(t *testing.T) {
 	n := testpeer.Start(t, testpeer.Settings())
-	count := func(why figures.Unheard) func() bool {
-		return func() bool { return n.Figures.Unheards(why) >= 1 }
+	count := func(why figures.SilentCloseCause) func() bool {
+		return func() bool { return n.Metrics.SilentCloseCount(why) >= 1 }
 	}
 	own := n.Dial()
 	require.NoError(t, own.Close())
 	late := n.Dial()
 	_, err := late.Write([]byte("GET /_health HTTP/1.1\r\nHost:"))
 	require.NoError(t, err)
-	require.Eventually(t, count(figures.SlowHead), 10*time.Second, time.Millisecond)
+	require.Eventually(t, count(figures.SlowHeader), 10*time.Second, time.Millisecond)
 	n.Room.Resize(1)
 	n.Dial()
 	n.Dial()
-	require.Eventually(t, count(figures.NoRoom), 3*time.Second, time.Millisecond, "%s", n.Figures.Text())
+	require.Eventually(t, count(figures.NoCapacity), 3*time.Second, time.Millisecond, "%s", n.Metrics.Text())
 	n.Room.Resize(300)
 	silent := n.Dial()
 	health, err := http.Get(n.URL + "/_health")
@@ -63,6 +63,6 @@
 	_, err = silent.Read(make([]byte, 1))
 	require.Error(t, err)
 	require.Eventually(t, count(figures.Stopping), 10*time.Second, time.Millisecond)
-	require.Zero(t, n.Figures.Unheards(figures.Unread))
-	require.Contains(t, string(n.Figures.Text()), "app.closed_unheard.slow_head=1\n")
+	require.Zero(t, n.Metrics.SilentCloseCount(figures.Unreadable))
+	require.Contains(t, string(n.Metrics.Text()), "app.closed_unheard.slow_head=1\n")
 }
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -20,14 +20,14 @@
 func (f *Front) session(w http.ResponseWriter, r *http.Request, flow *node.Request) bool {
 	key := r.Header.Get(resumeKey)
 	switch {
-	case key == "" && f.Sessions != nil && f.Sessions.Looks(flow.Work.Body):
+	case key == "" && f.Sessions != nil && f.Sessions.InspectsResponse(flow.Work.Body):
 		flow.Hook = f.Sessions.Hook(flow.Spec, flow.Work.Body, flow.Server)
 		return false
 	case key == "":
 		return false
 	case f.Sessions == nil:
-		f.ended(r, figures.Failure)
-		f.Figures.FailedUnsent(figures.Malformed)
+		f.ended(r, figures.Failed)
+		f.Metrics.CountFailedUnsent(figures.Malformed)
 		refuse(w, http.StatusBadRequest, resumeKey+": no sessions are kept here")
 		return true
 	case r.Header.Get(cancelKey) == "1":
@@ -35,7 +35,7 @@
 			f.fault(w, r, fault)
 			return true
 		}
-		f.ended(r, figures.Success)
+		f.ended(r, figures.Succeeded)
 		w.WriteHeader(http.StatusNoContent)
 		return true
 	}
@@ -45,23 +45,23 @@
 		return true
 	}
 	q := resumed.Request
-	q.Expires = min(flow.Spec.Expires, f.Core.ExpiresAt(resumed.Ends))
-	flow.Spec, flow.Work.Body, flow.Fresh = q, resumed.Body, resumed.Fresh
-	flow.Holder, flow.Start, flow.Holds = resumed.Server, resumed.Start, resumed.Held
+	q.Expires = min(flow.Spec.Expires, f.Core.ExpiresAt(resumed.Deadline))
+	flow.Spec, flow.Work.Body, flow.Fresh = q, resumed.Body, resumed.UncachedTokens
+	flow.Holder, flow.Start, flow.Holds = resumed.Backend, resumed.BackendStart, resumed.CachedTokens
 	flow.Hook = resumed.Hook(flow.Server, flow.BreakOff)
 	return false
 }
 
 // fault answers a request about a session that cannot go on: now, with when to come again, or ever.
-func (f *Front) fault(w http.ResponseWriter, r *http.Request, fault *sessions.Fault) {
-	if fault.Status >= 500 || fault.Wait > 0 {
-		f.ended(r, figures.Busy)
+func (f *Front) fault(w http.ResponseWriter, r *http.Request, fault *sessions.RequestError) {
+	if fault.Status >= 500 || fault.RetryAfter > 0 {
+		f.ended(r, figures.Rejected)
 	} else {
-		f.ended(r, figures.Failure)
-		f.Figures.FailedUnsent(figures.Malformed)
+		f.ended(r, figures.Failed)
+		f.Metrics.CountFailedUnsent(figures.Malformed)
 	}
-	if fault.Wait > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(fault.Wait.Seconds(), 'f', 3, 64))
+	if fault.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(fault.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	refuse(w, fault.Status, fault.Text)
+	refuse(w, fault.Status, fault.Message)
 }
--- a/internal/entries/byhand.go
+++ b/internal/entries/byhand.go
@@ -33,7 +33,7 @@
 type ByHand struct {
 	keeper *Keeper
 	to     func(node.List)
-	share  *handover.Share // nil: nobody to share with
+	share  *handover.Channel // nil: nobody to share with
 	log    *zap.Logger
 
 	// commands is held while the record is changed or read. The other process may hold the shared file's lock for as long as it
@@ -46,9 +46,9 @@
 }
 
 // NewByHand makes the overlay over what the keeper is told, with what an earlier process left.
-func NewByHand(k *Keeper, to func(node.List), share *handover.Share, log *zap.Logger) *ByHand {
+func NewByHand(k *Keeper, to func(node.List), share *handover.Channel, log *zap.Logger) *ByHand {
 	b := &ByHand{keeper: k, to: to, share: share, log: log, seen: map[string]bool{},
-		record: handover.Record{Down: map[string]int64{}, Back: map[string]int64{}}}
+		record: handover.Record{DownSince: map[string]int64{}, RestoredAt: map[string]int64{}}}
 	k.lay = b.lay
 	b.Sync()
 	return b
@@ -68,9 +68,9 @@
 		if e.State == standpoint.Gone {
 			continue
 		}
-		if b.record.Down[e.Name] != 0 {
+		if b.record.DownSince[e.Name] != 0 {
 			e.State = standpoint.Draining
-		} else if back := b.record.Back[e.Name]; back != 0 {
+		} else if back := b.record.RestoredAt[e.Name]; back != 0 {
 			e.ReadyAt, e.Back = max(e.ReadyAt, back), true
 		}
 	}
@@ -82,30 +82,30 @@
 	if b.seen[name] {
 		return
 	}
-	if len(b.record.Seen) >= seenMost {
-		delete(b.seen, b.record.Seen[0])
-		b.record.Seen = b.record.Seen[1:]
+	if len(b.record.Listed) >= seenMost {
+		delete(b.seen, b.record.Listed[0])
+		b.record.Listed = b.record.Listed[1:]
 	}
 	b.seen[name] = true
-	b.record.Seen = append(b.record.Seen, name)
+	b.record.Listed = append(b.record.Listed, name)
 }
 
 // Down takes a backend out, at once; it may be said again.
 func (b *ByHand) Down(name string) error {
 	return b.command(name, func(r *handover.Record, now int64) {
-		if r.Down[name] == 0 {
-			r.Down[name] = now
+		if r.DownSince[name] == 0 {
+			r.DownSince[name] = now
 		}
-		delete(r.Back, name)
+		delete(r.RestoredAt, name)
 	})
 }
 
 // Up puts one back.
 func (b *ByHand) Up(name string) error {
 	return b.command(name, func(r *handover.Record, now int64) {
-		if r.Down[name] != 0 {
-			delete(r.Down, name)
-			r.Back[name] = now
+		if r.DownSince[name] != 0 {
+			delete(r.DownSince, name)
+			r.RestoredAt[name] = now
 		}
 	})
 }
@@ -115,8 +115,8 @@
 	b.commands.Lock()
 	defer b.commands.Unlock()
 	b.mu.Lock()
-	known := b.seen[name] || b.record.Down[name] != 0
-	next := handover.Record{Down: maps.Clone(b.record.Down), Back: maps.Clone(b.record.Back), Seen: b.record.Seen}
+	known := b.seen[name] || b.record.DownSince[name] != 0
+	next := handover.Record{DownSince: maps.Clone(b.record.DownSince), RestoredAt: maps.Clone(b.record.RestoredAt), Listed: b.record.Listed}
 	b.mu.Unlock()
 	if !known {
 		return fmt.Errorf("%w: %q", ErrNeverListed, name)
@@ -132,13 +132,13 @@
 	if b.share == nil {
 		return nil
 	}
-	r, err := b.share.Update(func(r *handover.Record) {
+	r, err := b.share.UpdateRecord(func(r *handover.Record) {
 		change(r)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		theirs := slices.DeleteFunc(r.Seen, func(name string) bool { return b.seen[name] })
-		r.Seen = append(theirs, b.record.Seen...)
-		r.Seen = r.Seen[max(0, len(r.Seen)-seenMost):]
+		theirs := slices.DeleteFunc(r.Listed, func(name string) bool { return b.seen[name] })
+		r.Listed = append(theirs, b.record.Listed...)
+		r.Listed = r.Listed[max(0, len(r.Listed)-seenMost):]
 	})
 	if err != nil {
 		b.log.Error("what staff decided is not kept for a process that takes over", zap.Error(err))
@@ -153,23 +153,23 @@
 	b.keeper.order.Lock()
 	defer b.keeper.order.Unlock()
 	b.mu.Lock()
-	for len(r.Back) > backMost {
+	for len(r.RestoredAt) > backMost {
 		oldest := ""
-		for name, at := range r.Back {
-			if oldest == "" || at < r.Back[oldest] {
+		for name, at := range r.RestoredAt {
+			if oldest == "" || at < r.RestoredAt[oldest] {
 				oldest = name
 			}
 		}
-		delete(r.Back, oldest)
+		delete(r.RestoredAt, oldest)
 	}
 	was := b.record
-	b.record.Down, b.record.Back = r.Down, r.Back
-	for _, name := range r.Seen {
+	b.record.DownSince, b.record.RestoredAt = r.DownSince, r.RestoredAt
+	for _, name := range r.Listed {
 		b.note(name)
 	}
 	b.mu.Unlock()
 	b.keeper.amend(func(name string) bool {
-		return was.Down[name] != r.Down[name] || r.Back[name] != 0 && was.Back[name] != r.Back[name]
+		return was.DownSince[name] != r.DownSince[name] || r.RestoredAt[name] != 0 && was.RestoredAt[name] != r.RestoredAt[name]
 	}, b.to)
 }
 
@@ -180,7 +180,7 @@
 		return
 	}
 	defer b.commands.Unlock()
-	r, changed, err := b.share.Read()
+	r, changed, err := b.share.ReadRecord()
 	if err != nil {
 		b.log.Error("the record that processes of this node share is not used", zap.Error(err))
 	}
@@ -200,5 +200,5 @@
 func (b *ByHand) Out() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.record.Down)
+	return len(b.record.DownSince)
 }
--- a/internal/entries/byhand_test.go
+++ b/internal/entries/byhand_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func overlay(t *testing.T, share *handover.Share) (*ByHand, coreSaw) {
+func overlay(t *testing.T, share *handover.Channel) (*ByHand, coreSaw) {
 	core := coreSaw{}
 	keys := store.NewMemory()
 	t.Cleanup(func() { _ = keys.Close() })
@@ -94,7 +94,7 @@
 // What staff tell one process holds in the other, and in the one after both, also for what was listed once.
 func TestByHandOverAnUpgrade(t *testing.T) {
 	dir := t.TempDir()
-	open := func() *handover.Share {
+	open := func() *handover.Channel {
 		s, err := handover.Open(dir, "n")
 		require.NoError(t, err)
 		return s
--- a/internal/entries/keeper.go
+++ b/internal/entries/keeper.go
@@ -193,12 +193,12 @@
 		case <-again.C:
 		}
 		// A member that may not write yet may lead later; it keeps what it owes.
-		if _, leads := k.store.Leads(); !leads || !due {
+		if _, leads := k.store.Leadership(); !leads || !due {
 			continue
 		}
 		raw, err := json.Marshal(k.aged())
 		if err == nil {
-			_, err = k.store.Write(ctx, store.Op{Key: lastKey, Data: raw, If: store.Any})
+			_, err = k.store.Write(ctx, store.Op{Key: lastKey, Data: raw, ExpectedVersion: store.AnyVersion})
 		}
 		if due = err != nil; due {
 			k.log.Warn("the endpoints were not kept; once more soon", zap.Error(err))
--- a/internal/figures/golden_test.go
+++ b/internal/figures/golden_test.go
@@ -17,17 +17,17 @@
 		}
 	}
 	for class := range 2 {
-		for e := range ends {
-			count(func() { f.Ended(class, e) })
+		for e := range outcomeCount {
+			count(func() { f.CountRequest(class, e) })
 		}
 	}
-	for why := range unsents {
-		count(func() { f.FailedUnsent(why) })
+	for why := range unsentCauseCount {
+		count(func() { f.CountFailedUnsent(why) })
 	}
-	for why := range unheards {
-		count(func() { f.ClosedUnheard(why) })
+	for why := range silentCloseCauseCount {
+		count(func() { f.CountSilentClose(why) })
 	}
-	count(f.Wrote)
-	f.Servers(80, 81)
+	count(f.CountAttempt)
+	f.SetBackends(80, 81)
 	golden.Bytes(t, "figures.txt", f.Text())
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,19 +19,19 @@
 	"standpoint/internal/node"
 )
 
-// inside is an actor's inside, of one seat of three, that nothing is sent from.
-func inside(t testing.TB, amount, overdraft int64, lease bool) *Fleet {
-	b := &rights.Budget{Name: "tokens/acme", Amount: 3 * amount, Overdraft: 3 * overdraft, Window: time.Hour, Loan: 2, Weights: []int64{1, 1, 1}}
-	places := &rights.Budget{Name: "places/", Amount: 3 * 2, Window: time.Hour, Ahead: 3, Loan: 2, Weights: []int64{1, 1, 1}}
+// newTestFleet is an actor's inside, of one seat of three, that nothing is sent from.
+func newTestFleet(t testing.TB, amount, overdraft int64, lease bool) *Fleet {
+	b := &rights.Budget{Name: "tokens/acme", Amount: 3 * amount, Overdraft: 3 * overdraft, Window: time.Hour, TransferWindows: 2, Weights: []int64{1, 1, 1}}
+	places := &rights.Budget{Name: "places/", Amount: 3 * 2, Window: time.Hour, WindowsAhead: 3, TransferWindows: 2, Weights: []int64{1, 1, 1}}
 	require.NoError(t, b.Complete())
 	require.NoError(t, places.Complete())
-	f := &Fleet{Options: Options{Name: "a", Seats: []Reach{{Name: "a"}, {Name: "b"}, {Name: "c"}}, Tenants: []int{0, -1}, Names: []string{"acme", "free"}, Classes: []string{"chat", "import"}, Further: -1,
-		Places: []PlaceBudget{{1, -1}}, Log: zap.NewNop(), Guard: &invariant.Guard{}}, errs: map[string]int{}, names: map[uint64]string{}, starts: map[string]int64{}, zoneOf: map[string]int{}}
-	f.Member = member.Config{Own: rights.Owner{Seat: 0, Inc: 1}, Seats: make([]member.Seat, 3), Budgets: []*rights.Budget{b, places}, Most: []int64{10, 10, 10, 10}, Silence: time.Second,
-		Mode: mode.Limits{Join: time.Second, Settle: time.Second, Heal: time.Second}, Judge: judge.Limits{Sources: 2, Lasts: int64(5 * time.Second), Own: int64(time.Second), Most: 0.5, Many: 0.6}}
-	f.m = member.New(f.Member, f.Now(), f.Guard)
+	f := &Fleet{Options: Options{SlotName: "a", Slots: []SlotAddress{{Name: "a"}, {Name: "b"}, {Name: "c"}}, TokenBudgets: []int{0, -1}, TenantNames: []string{"acme", "free"}, ClassNames: []string{"chat", "import"}, RetryBudget: -1,
+		SessionBudgets: []SessionBudget{{1, -1}}, Log: zap.NewNop(), Invariants: &invariant.Monitor{}}, consecutiveErrors: map[string]int{}, backendNames: map[uint64]string{}, backendStarts: map[string]int64{}, backendZones: map[string]int{}}
+	f.MemberConfig = member.Config{Owner: rights.Owner{Slot: 0, Incarnation: 1}, Slots: make([]member.Slot, 3), Budgets: []*rights.Budget{b, places}, MaxRates: []int64{10, 10, 10, 10}, HeartbeatTimeout: time.Second,
+		ConnectivityTiming: mode.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}}
+	f.member = member.New(f.MemberConfig, f.Now(), f.Invariants)
 	if lease {
-		f.m.Lease(rights.Lease{Epoch: 1, First: 0, Until: 1 << 62})
+		f.member.SetLease(rights.Lease{FencingToken: 1, ValidFrom: 0, ExpiresAt: 1 << 62})
 	}
 	return f
 }
@@ -42,12 +42,12 @@
 
 // A request is taken on by rights that the node holds, what it did not need goes back, and its outcome is an entry; what was
 // never served costs nothing. Without rights, or where the ledger takes nothing more, it is refused with when to come back.
-func TestAdmission(t *testing.T) {
-	f := inside(t, 100, 0, true)
+func TestAdmissionSpendsAndRefunds(t *testing.T) {
+	f := newTestFleet(t, 100, 0, true)
 	var entries []ledger.Entry
-	f.Charge = func(e ledger.Entry) bool { entries = append(entries, e); return true }
+	f.RecordUsage = func(e ledger.Entry) bool { entries = append(entries, e); return true }
 	full := false
-	f.Full = func() bool { return full }
+	f.LedgerFull = func() bool { return full }
 	served := func(out float64) node.Answer {
 		return node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Begun: true, Kept: 3, Out: out}}
 	}
@@ -57,7 +57,7 @@
 	require.False(t, ok)
 	require.Positive(t, wait)
 	f.Settle(ask(20, 60), c, served(10))
-	require.EqualValues(t, 30, f.m.Purses[0].Spent(f.m.Purses[0].Window()))
+	require.EqualValues(t, 30, f.member.Allocations[0].Spent(f.member.Allocations[0].CurrentWindow()))
 	c, _, ok = f.Admit(ask(20, 50))
 	require.True(t, ok, "what was not needed is there again")
 	c.Fresh = 5 // the rest of the prompt was charged with an earlier part
@@ -65,13 +65,13 @@
 	c, _, ok = f.Admit(ask(20, 38))
 	require.True(t, ok)
 	f.Settle(ask(20, 38), c, node.Answer{Kind: node.Rejected})
-	require.EqualValues(t, 42, f.m.Purses[0].Spent(f.m.Purses[0].Window()))
+	require.EqualValues(t, 42, f.member.Allocations[0].Spent(f.member.Allocations[0].CurrentWindow()))
 	c, _, ok = f.Admit(ask(20, 38))
 	require.True(t, ok)
 	f.Settle(ask(20, 38), c, node.Answer{Kind: node.Broken, Usage: node.Usage{Begun: true}})
-	require.EqualValues(t, 100, f.m.Purses[0].Spent(f.m.Purses[0].Window()), "what it was is not known")
-	require.Equal(t, []ledger.Entry{{Tenant: "acme", Class: "chat", In: 20, Kept: 3, Out: 10}, {Tenant: "acme", Class: "chat", In: 5, Out: 7, Outcome: ledger.Paused},
-		{Tenant: "acme", Class: "chat", In: 20, Outcome: ledger.Broken}}, entries)
+	require.EqualValues(t, 100, f.member.Allocations[0].Spent(f.member.Allocations[0].CurrentWindow()), "what it was is not known")
+	require.Equal(t, []ledger.Entry{{Tenant: "acme", Class: "chat", InputTokens: 20, CachedTokens: 3, OutputTokens: 10}, {Tenant: "acme", Class: "chat", InputTokens: 5, OutputTokens: 7, Outcome: ledger.Paused},
+		{Tenant: "acme", Class: "chat", InputTokens: 20, Outcome: ledger.Interrupted}}, entries)
 	free := ask(1e6, 1e6)
 	free.Tenant = 1
 	_, _, ok = f.Admit(free)
@@ -83,12 +83,12 @@
 }
 
 // Safe first: a life without its seat spends nothing, whoever it hears; one that is apart goes into the overdraft class by class.
-func TestAdmissionApart(t *testing.T) {
-	_, _, ok := inside(t, 100, 0, false).Admit(ask(1, 1))
+func TestAdmissionWhileIsolated(t *testing.T) {
+	_, _, ok := newTestFleet(t, 100, 0, false).Admit(ask(1, 1))
 	require.False(t, ok)
-	f := inside(t, 100, 50, true)
-	f.Overdraws = []bool{true, false}
-	f.Halls, f.site = []string{"b"}, site.New(site.Limits{}, f.Now(), nil)
+	f := newTestFleet(t, 100, 50, true)
+	f.OverdraftClasses = []bool{true, false}
+	f.CoreSlots, f.siteConnectivity = []string{"b"}, site.New(site.Timing{}, f.Now(), nil)
 	other := ask(20, 80)
 	other.Class = 1
 	_, _, ok = f.Admit(other)
@@ -103,29 +103,29 @@
 }
 
 // Places for paused sessions are held for all windows of the wait, and free again when they are given back.
-func TestPlaces(t *testing.T) {
-	f := inside(t, 1, 0, true)
-	one, ok := f.Hold(0, 90*time.Minute)
+func TestSessionReservations(t *testing.T) {
+	f := newTestFleet(t, 1, 0, true)
+	one, ok := f.ReserveSession(0, 90*time.Minute)
 	require.True(t, ok)
-	_, ok = f.Hold(0, time.Minute)
+	_, ok = f.ReserveSession(0, time.Minute)
 	require.True(t, ok)
-	_, ok = f.Hold(0, time.Minute)
+	_, ok = f.ReserveSession(0, time.Minute)
 	require.False(t, ok)
 	one()
-	_, ok = f.Hold(0, 90*time.Minute)
+	_, ok = f.ReserveSession(0, 90*time.Minute)
 	require.True(t, ok)
 }
 
 // What others have seen of a server becomes advice; a sign of life here, or a new start of the server, outweighs it.
 func TestAdviceFromOthers(t *testing.T) {
-	f := inside(t, 1, 0, true)
+	f := newTestFleet(t, 1, 0, true)
 	list := node.List{Kind: standpoint.ListFull}
 	for _, name := range []string{"p", "q", "r", "s"} {
 		list.Entries = append(list.Entries, node.Endpoint{Engine: standpoint.Engine{Name: name, ReadyAt: 7}})
 	}
 	f.Listed(list)
 	for seat := 1; seat < 3; seat++ {
-		f.m.Bench.Hear(rights.Owner{Seat: seat, Inc: 1}, 0, judge.Evidence{Server: xxhash.Sum64String("p"), Start: 7, Kind: judge.Fault, At: f.Now()}, f.Now())
+		f.member.Detector.Receive(rights.Owner{Slot: seat, Incarnation: 1}, 0, judge.Evidence{BackendHash: xxhash.Sum64String("p"), StartedAt: 7, Kind: judge.BackendFault, ObservedAt: f.Now()}, f.Now())
 	}
 	doubts := f.advice().Doubts
 	require.Len(t, doubts, 1)
@@ -133,17 +133,17 @@
 	f.Ended(node.Observation{Server: "p", Result: node.Result{Code: standpoint.Served}})
 	require.Empty(t, f.advice().Doubts)
 	f.Ended(node.Observation{Server: "q", Result: node.Result{Code: standpoint.ServerError}})
-	require.Empty(t, f.m.Bench.Tell(f.Now())[1:], "one error may be the request's")
+	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "one error may be the request's")
 	list.Entries[0].ReadyAt = 8
 	f.Listed(list)
 	require.Empty(t, f.advice().Doubts)
 }
 
 func BenchmarkRequest(b *testing.B) {
-	f := inside(b, 1<<50, 0, true)
+	f := newTestFleet(b, 1<<50, 0, true)
 	r := ask(100, 50)
 	a := node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Out: 20}}
-	f.Charge = func(ledger.Entry) bool { return true }
+	f.RecordUsage = func(ledger.Entry) bool { return true }
 	b.ReportAllocs()
 	for b.Loop() {
 		c, _, _ := f.Admit(r)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -45,84 +45,84 @@
 }
 
 func TestGoldenCall(t *testing.T) {
-	golden.RoundTrip(t, "call.bin", call{ID: 1, From: 2, What: "seat", Body: []byte(`{"name":"a"}`)}, encodeFrame[call](kindCall), decodeFrame[call](kindCall))
+	golden.RoundTrip(t, "call.bin", rpcRequest{ID: 1, From: 2, Method: "seat", Body: []byte(`{"name":"a"}`)}, encodeFrame[rpcRequest](kindRequest), decodeFrame[rpcRequest](kindRequest))
 }
 
 func TestGoldenAnswer(t *testing.T) {
-	golden.RoundTrip(t, "answer.bin", answer{ID: 1, Body: []byte("{}"), Fault: "no", Elsewhere: true, Leader: "b"}, encodeFrame[answer](kindAnswer), decodeFrame[answer](kindAnswer))
+	golden.RoundTrip(t, "answer.bin", rpcResponse{ID: 1, Body: []byte("{}"), Error: "no", NotLeader: true, Leader: "b"}, encodeFrame[rpcResponse](kindResponse), decodeFrame[rpcResponse](kindResponse))
 }
 
 // A packet of the build before is read as it comes from the network.
 func TestGoldenPacket(t *testing.T) {
 	packet := member.Packet{
-		From:  rights.Owner{Seat: 1, Inc: 2},
-		Unit:  int64(10 * time.Millisecond),
-		First: 1,
-		Beats: []byte{3, 1, 2},
-		News: []member.News{{
-			Row:    tally.Row{Owner: rights.Owner{Seat: 2, Inc: 4}, At: 5, Counts: []int64{6, 7, 8, 9}},
-			Spares: []member.Spare{{Budget: 1, Amount: 10}},
-			Seen:   []judge.Evidence{{Server: 11, Start: 12, Kind: judge.Path, At: 13}},
+		From:          rights.Owner{Slot: 1, Incarnation: 2},
+		AgeUnit:       int64(10 * time.Millisecond),
+		FirstSlot:     1,
+		HeartbeatAges: []byte{3, 1, 2},
+		Updates: []member.Update{{
+			Counters:  tally.Snapshot{Owner: rights.Owner{Slot: 2, Incarnation: 4}, At: 5, Counts: []int64{6, 7, 8, 9}},
+			Surpluses: []member.Surplus{{Budget: 1, Amount: 10}},
+			Evidence:  []judge.Evidence{{BackendHash: 11, StartedAt: 12, Kind: judge.Unreachable, ObservedAt: 13}},
 		}},
-		Orders: []member.Order{{Kind: member.Lend, Budget: 14, To: rights.Owner{Seat: 3, Inc: 15}, Number: 16, Amount: 17, First: 18, Last: 19}},
+		QuotaMessages: []member.QuotaMessage{{Kind: member.GrantTransfer, BudgetHash: 14, To: rights.Owner{Slot: 3, Incarnation: 15}, Number: 16, Amount: 17, FirstWindow: 18, LastWindow: 19}},
 	}
 	golden.RoundTrip(t, "packet.bin", packet, encodeFrame[member.Packet](kindPacket), decodeFrame[member.Packet](kindPacket))
-	f := inside(t, 1, 0, true)
-	f.read(t.Context(), golden.Read(t, "packet.bin", nil))
-	require.Equal(t, 2, f.m.Heard())
-	row, ok := f.m.Counts.Newest(2)
+	f := newTestFleet(t, 1, 0, true)
+	f.handleMessage(t.Context(), golden.Read(t, "packet.bin", nil))
+	require.Equal(t, 2, f.member.LivePeers())
+	row, ok := f.member.Counters.Latest(2)
 	require.True(t, ok)
-	require.Equal(t, packet.News[0].Row, row)
+	require.Equal(t, packet.Updates[0].Counters, row)
 }
 
 // A record of a seat that an earlier build wrote is read by the leader, and the next claim goes by it.
 func TestGoldenSeatInTheStore(t *testing.T) {
-	f := inside(t, 1, 0, true)
-	f.Keys = store.NewMemory()
+	f := newTestFleet(t, 1, 0, true)
+	f.Store = store.NewMemory()
 	record := golden.Read(t, "seat-record.json", func() []byte {
-		raw, err := json.Marshal(seat.Record{Inc: 5, Epoch: 7, First: 11, Until: 13, Heir: true})
+		raw, err := json.Marshal(seat.Record{Incarnation: 5, FencingToken: 7, ValidFrom: 11, ExpiresAt: 13, Successor: true})
 		require.NoError(t, err)
 		return raw
 	})
-	_, err := f.Keys.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: record})
+	_, err := f.Store.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: record})
 	require.NoError(t, err)
 	claim := golden.Read(t, "seat-claim.json", func() []byte {
-		raw, err := json.Marshal(seat.Claim{Name: "b", Inc: 9, Before: []uint64{4, 5}, For: time.Minute, Clock: 1})
+		raw, err := json.Marshal(seat.Claim{Slot: "b", Incarnation: 9, Predecessors: []uint64{4, 5}, Duration: time.Minute, ClaimantTime: 1})
 		require.NoError(t, err)
 		return raw
 	})
-	raw, err := f.claimed(t.Context(), claim)
+	raw, err := f.handleLeaseClaim(t.Context(), claim)
 	require.NoError(t, err)
-	require.Equal(t, string(raw), string(f.Keys.Get("fleet/seat/b").Data))
+	require.Equal(t, string(raw), string(f.Store.Get("fleet/seat/b").Data))
 	var given seat.Record
 	require.NoError(t, json.Unmarshal(raw, &given))
-	require.EqualValues(t, 9, given.Inc)
-	require.EqualValues(t, 8, given.Epoch)
-	require.True(t, given.Heir)
+	require.EqualValues(t, 9, given.Incarnation)
+	require.EqualValues(t, 8, given.FencingToken)
+	require.True(t, given.Successor)
 }
 
 func TestGoldenStatus(t *testing.T) {
-	reading := tally.Reading{Lower: 1, Upper: 2, Age: 3, Heard: 4, Silent: 5}
+	reading := tally.Reading{Lower: 1, Upper: 2, Age: 3, Reported: 4, Unreported: 5}
 	status := Status{
-		Seat:  "a",
-		Life:  6,
-		Mode:  "together",
-		Site:  "connected",
-		Since: 7.5,
-		Pace:  0.5,
-		Lease: 8.5,
-		Epoch: 9,
-		Peers: []Peer{{Seat: "b", There: true, Heard: true, Age: 10.5, Life: 11, Tokens: 12}},
-		Budgets: []rights.Use{{Budget: "tokens/acme", Window: 13, Rights: 14, Spent: 15, Share: 16, Lent: 17, Held: 18, Wanted: 19.5, Debt: 20,
-			LoansOut: 21, LoansIn: 22, LeaseEpoch: 23, LeaseFirst: 24, LeaseEnd: 25}},
-		Leader:   "c",
-		Counts:   map[string]tally.Reading{"requests": reading},
-		Live:     tally.Reading{Lower: 26, Upper: 27, Age: 28, Heard: 29, Silent: 30},
-		Doubted:  []string{"x:1"},
-		Refused:  31,
-		Sent:     32,
-		Dropped:  33,
-		Breaches: map[string]uint64{"mode_table": 34},
+		Slot:           "a",
+		Incarnation:    6,
+		State:          "together",
+		SiteState:      "connected",
+		StateAge:       7.5,
+		RateFactor:     0.5,
+		LeaseRemaining: 8.5,
+		FencingToken:   9,
+		Peers:          []PeerStatus{{Slot: "b", Listed: true, Alive: true, ReportAge: 10.5, Incarnation: 11, Tokens: 12}},
+		Budgets: []rights.Usage{{Budget: "tokens/acme", Window: 13, Quota: 14, Spent: 15, BaseQuota: 16, Lent: 17, Borrowed: 18, Demand: 19.5, Debt: 20,
+			LentTransfers: 21, BorrowedTransfers: 22, FencingToken: 23, LeaseValidFrom: 24, LeaseExpiresAt: 25}},
+		Leader:           "c",
+		Counters:         map[string]tally.Reading{"requests": reading},
+		LiveMembers:      tally.Reading{Lower: 26, Upper: 27, Age: 28, Reported: 29, Unreported: 30},
+		SuspectBackends:  []string{"x:1"},
+		RejectedRequests: 31,
+		SentBytes:        32,
+		DroppedMessages:  33,
+		Violations:       map[string]uint64{"mode_table": 34},
 	}
 	golden.RoundTrip(t, "status.json", status,
 		func(v Status) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
@@ -130,26 +130,26 @@
 }
 
 // start opens and runs the seat called name, of seats at free addresses.
-func start(t *testing.T, name string, seats []Reach) *Fleet {
+func start(t *testing.T, name string, seats []SlotAddress) *Fleet {
 	t.Helper()
-	b := &rights.Budget{Name: "tokens/acme", Amount: 100, Window: time.Second, Loan: 2, Weights: make([]int64, len(seats))}
+	b := &rights.Budget{Name: "tokens/acme", Amount: 100, Window: time.Second, TransferWindows: 2, Weights: make([]int64, len(seats))}
 	for i := range seats {
 		b.Weights[i] = 1
 	}
 	require.NoError(t, b.Complete())
 	f, err := Open(Options{
-		Member: member.Config{Seats: make([]member.Seat, len(seats)), Budgets: []*rights.Budget{b}, Most: []int64{10, 10, 10}, Tick: 50 * time.Millisecond, Peers: 2,
-			Silence: time.Second, Mode: mode.Limits{Join: time.Second, Settle: time.Second, Heal: time.Second}, Error: 100 * time.Millisecond, Ask: time.Second,
-			Judge: judge.Limits{Sources: 2, Lasts: int64(5 * time.Second), Own: int64(time.Second), Most: 0.5, Many: 0.6}},
-		Name:    name,
-		Listen:  seats[slices.IndexFunc(seats, func(s Reach) bool { return s.Name == name })].Address,
-		Dir:     filepath.Join(t.TempDir(), "fleet"),
-		Seats:   seats,
-		Lease:   time.Minute,
-		Further: -1,
-		Keys:    store.NewMemory(),
-		Guard:   &invariant.Guard{},
-		Log:     zap.NewNop(),
+		MemberConfig: member.Config{Slots: make([]member.Slot, len(seats)), Budgets: []*rights.Budget{b}, MaxRates: []int64{10, 10, 10}, GossipInterval: 50 * time.Millisecond, GossipFanout: 2,
+			HeartbeatTimeout: time.Second, ConnectivityTiming: mode.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: 100 * time.Millisecond, RequestInterval: time.Second,
+			OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}},
+		SlotName:      name,
+		Listen:        seats[slices.IndexFunc(seats, func(s SlotAddress) bool { return s.Name == name })].Address,
+		Dir:           filepath.Join(t.TempDir(), "fleet"),
+		Slots:         seats,
+		LeaseDuration: time.Minute,
+		RetryBudget:   -1,
+		Store:         store.NewMemory(),
+		Invariants:    &invariant.Monitor{},
+		Log:           zap.NewNop(),
 	})
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
@@ -166,12 +166,12 @@
 	return f
 }
 
-func freeSeats(t *testing.T, names ...string) (seats []Reach) {
+func freeSeats(t *testing.T, names ...string) (seats []SlotAddress) {
 	t.Helper()
 	for _, name := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		seats = append(seats, Reach{Name: name, Address: l.Addr().String()})
+		seats = append(seats, SlotAddress{Name: name, Address: l.Addr().String()})
 		require.NoError(t, l.Close())
 	}
 	return seats
@@ -217,28 +217,28 @@
 	seats := freeSeats(t, "a", "b", "c")
 	a, b := start(t, "a", seats), start(t, "b", seats)
 	var back string
-	say(a.Ask(t.Context(), "nobody", "x", 1, &back))
-	say(a.Ask(t.Context(), "a", "x", 1, &back))
-	say(a.Ask(t.Context(), "b", "nothing", 1, &back))
-	Answers(b, "fails", func(int) (string, error) { return "", fmt.Errorf("it does not") })
-	say(a.Ask(t.Context(), "b", "fails", 1, &back))
-	err := a.Ask(t.Context(), "c", "x", 1, &back)
+	say(a.CallMember(t.Context(), "nobody", "x", 1, &back))
+	say(a.CallMember(t.Context(), "a", "x", 1, &back))
+	say(a.CallMember(t.Context(), "b", "nothing", 1, &back))
+	HandleOnAnyMember(b, "fails", func(int) (string, error) { return "", fmt.Errorf("it does not") })
+	say(a.CallMember(t.Context(), "b", "fails", 1, &back))
+	err := a.CallMember(t.Context(), "c", "x", 1, &back)
 	require.ErrorIs(t, err, ErrNoLeader)
 	require.True(t, strings.HasPrefix(err.Error(), ErrNoLeader.Error()+": "), err)
 
-	f := inside(t, 1, 0, true)
-	f.Keys = store.NewMemory()
-	_, err = f.claimed(t.Context(), []byte(`{"name":"nobody"}`))
+	f := newTestFleet(t, 1, 0, true)
+	f.Store = store.NewMemory()
+	_, err = f.handleLeaseClaim(t.Context(), []byte(`{"name":"nobody"}`))
 	say(err)
-	_, err = f.Keys.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: []byte("{")})
+	_, err = f.Store.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: []byte("{")})
 	require.NoError(t, err)
-	_, err = f.claimed(t.Context(), []byte(`{"name":"b"}`))
+	_, err = f.handleLeaseClaim(t.Context(), []byte(`{"name":"b"}`))
 	say(err)
-	f.Halls, f.Name = []string{"b"}, "elsewhere"
-	f.Seats[1].Name = "other"
-	say(f.Call(t.Context(), "seat", 1, nil))
+	f.CoreSlots, f.SlotName = []string{"b"}, "elsewhere"
+	f.Slots[1].Name = "other"
+	say(f.CallLeader(t.Context(), "seat", 1, nil))
 
-	_, err = Open(Options{Member: a.Member, Dir: a.Dir, Seats: seats, Name: "a", Log: zap.NewNop()})
+	_, err = Open(Options{MemberConfig: a.MemberConfig, Dir: a.Dir, Slots: seats, SlotName: "a", Log: zap.NewNop()})
 	require.Error(t, err)
 	say(fmt.Errorf("%s", strings.ReplaceAll(err.Error(), a.Dir, "DIR")))
 	o := a.Options
@@ -260,7 +260,7 @@
 // The names of what a node does for others, and of what its own seat is kept under.
 func TestGoldenNames(t *testing.T) {
 	a := start(t, "a", freeSeats(t, "a"))
-	require.Contains(t, a.does, "seat")
-	require.Eventually(t, func() bool { return a.Keys.Get("fleet/seat/a").Version != 0 }, 10*time.Second, 10*time.Millisecond)
-	golden.Bytes(t, "names.txt", fmt.Appendf(nil, "packet %d\ncall %d\nanswer %d\nkey %s\n", kindPacket, kindCall, kindAnswer, seatKey))
+	require.Contains(t, a.handlers, "seat")
+	require.Eventually(t, func() bool { return a.Store.Get("fleet/seat/a").Version != 0 }, 10*time.Second, 10*time.Millisecond)
+	golden.Bytes(t, "names.txt", fmt.Appendf(nil, "packet %d\ncall %d\nanswer %d\nkey %s\n", kindPacket, kindRequest, kindResponse, leaseKeyPrefix))
 }
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/judge/judge.go
@@ -20,250 +20,252 @@
 type Kind uint8
 
 const (
-	Well  Kind = iota // it answers
-	Fault             // it errs, or is silent, though it is reached: the server's fault
-	Path              // it is not reached from there: the server's fault, or the path's
+	Healthy      Kind = iota // it answers
+	BackendFault             // it errs, or is silent, though it is reached: the server's fault
+	Unreachable              // it is not reached from there: the server's fault, or the path's
 )
 
 // Evidence is what one node has seen of one server in its latest time.
 type Evidence struct {
-	Server uint64 `cbor:"1,keyasint"` // a hash of its name
-	Start  int64  `cbor:"2,keyasint"` // of the process that it is about
-	Kind   Kind   `cbor:"3,keyasint"`
-	At     int64  `cbor:"4,keyasint"` // Unix nanoseconds, by the source's clock
+	BackendHash uint64 `cbor:"1,keyasint"` // a hash of its name
+	StartedAt   int64  `cbor:"2,keyasint"` // of the process that it is about
+	Kind        Kind   `cbor:"3,keyasint"`
+	ObservedAt  int64  `cbor:"4,keyasint"` // Unix nanoseconds, by the source's clock
 }
 
 // Limits are the figures of the judgements.
 type Limits struct {
-	Sources int     // other nodes that must agree
-	Lasts   int64   // nanoseconds for which evidence counts
-	Own     int64   // and for which own evidence outweighs others'
-	Most    float64 // share of a zone's servers that may be left out
-	Many    float64 // share of the servers that a node judges bad from which on it is taken to be cut off itself
-	Error   int64   // of clocks
+	MinSources          int     // other nodes that must agree
+	EvidenceLifetime    int64   // nanoseconds for which evidence counts
+	OwnEvidenceLifetime int64   // and for which own evidence outweighs others'
+	MaxEjectedShare     float64 // share of a zone's servers that may be left out
+	IsolationShare      float64 // share of the servers that a node judges bad from which on it is taken to be cut off itself
+	ClockError          int64   // of clocks
 }
 
 // Bounds of what is kept.
 const (
-	ServersMost  = 4096
-	PerServer    = 16 // sources that are kept of a server: the latest
-	PerNode      = 8  // pieces of evidence that a node passes on at once
-	fewestServer = 4  // servers from which on a share of them says something
+	MaxBackends          = 4096
+	MaxSourcesPerBackend = 16 // sources that are kept of a server: the latest
+	MaxEvidencePerNode   = 8  // pieces of evidence that a node passes on at once
+	minBackendsForShare  = 4  // servers from which on a share of them says something
 )
 
-type source struct {
-	who  rights.Owner
-	zone int
+type receivedEvidence struct {
+	owner rights.Owner
+	zone  int
 	Evidence
 }
 
-// Server is a real server as the list has it.
-type Server struct {
-	Name  uint64
-	Zone  int
-	Start int64
+// Backend is a real server as the list has it.
+type Backend struct {
+	Hash      uint64
+	Zone      int
+	StartedAt int64
 }
 
-// Bench is one node's judgements.
-type Bench struct {
+// Detector is one node's judgements.
+type Detector struct {
 	Limits
-	Who   rights.Owner
-	Guard *invariant.Guard
+	Owner      rights.Owner
+	Invariants *invariant.Monitor
 
-	servers map[uint64]Server
-	own     map[uint64]Evidence
-	heard   map[uint64][]source
+	backends map[uint64]Backend
+	own      map[uint64]Evidence
+	received map[uint64][]receivedEvidence
 }
 
 // New makes the judgements of a node that has seen nothing.
-func New(l Limits, own rights.Owner, g *invariant.Guard) *Bench {
-	return &Bench{Limits: l, Who: own, Guard: g, servers: map[uint64]Server{}, own: map[uint64]Evidence{}, heard: map[uint64][]source{}}
+func New(l Limits, own rights.Owner, g *invariant.Monitor) *Detector {
+	return &Detector{Limits: l, Owner: own, Invariants: g, backends: map[uint64]Backend{}, own: map[uint64]Evidence{}, received: map[uint64][]receivedEvidence{}}
 }
 
-// Listed takes in the servers that may be used. What is known of others, and of processes before, is forgotten.
-func (b *Bench) Listed(all []Server) {
-	clear(b.servers)
-	for _, s := range all[:min(len(all), ServersMost)] {
-		b.servers[s.Name] = s
+// SetBackends takes in the servers that may be used. What is known of others, and of processes before, is forgotten.
+func (b *Detector) SetBackends(all []Backend) {
+	clear(b.backends)
+	for _, s := range all[:min(len(all), MaxBackends)] {
+		b.backends[s.Hash] = s
 	}
 	for name, e := range b.own {
-		if b.void(e) {
+		if b.obsolete(e) {
 			delete(b.own, name)
 		}
 	}
-	for name, some := range b.heard {
-		if some = slices.DeleteFunc(some, func(s source) bool { return b.void(s.Evidence) }); len(some) == 0 {
-			delete(b.heard, name)
+	for name, some := range b.received {
+		if some = slices.DeleteFunc(some, func(s receivedEvidence) bool { return b.obsolete(s.Evidence) }); len(some) == 0 {
+			delete(b.received, name)
 		} else {
-			b.heard[name] = some
+			b.received[name] = some
 		}
 	}
 }
 
-// void tells that evidence is about no process that is listed.
-func (b *Bench) void(e Evidence) bool {
-	s, listed := b.servers[e.Server]
-	return !listed || s.Start != e.Start
+// obsolete tells that evidence is about no process that is listed.
+func (b *Detector) obsolete(e Evidence) bool {
+	s, listed := b.backends[e.BackendHash]
+	return !listed || s.StartedAt != e.StartedAt
 }
 
-// Saw takes in what this node has seen itself. A sign of life goes before anything seen until then.
-func (b *Bench) Saw(e Evidence) {
-	if was, ok := b.own[e.Server]; b.void(e) || ok && was.At > e.At {
+// Observe takes in what this node has seen itself. A sign of life goes before anything seen until then.
+func (b *Detector) Observe(e Evidence) {
+	if was, ok := b.own[e.BackendHash]; b.obsolete(e) || ok && was.ObservedAt > e.ObservedAt {
 		return
 	}
-	b.own[e.Server] = e
+	b.own[e.BackendHash] = e
 }
 
-// Hear takes in what another node has seen.
-func (b *Bench) Hear(who rights.Owner, zone int, e Evidence, now int64) {
-	if who.Seat == b.Who.Seat || b.void(e) || e.Kind > Path || e.At > now+b.Error || now-e.At > b.Lasts+b.Error {
+// Receive takes in what another node has seen.
+func (b *Detector) Receive(who rights.Owner, zone int, e Evidence, now int64) {
+	if who.Slot == b.Owner.Slot || b.obsolete(e) || e.Kind > Unreachable || e.ObservedAt > now+b.ClockError || now-e.ObservedAt > b.EvidenceLifetime+b.ClockError {
 		return
 	}
-	some := b.heard[e.Server]
-	i := slices.IndexFunc(some, func(s source) bool { return s.who.Seat == who.Seat })
+	some := b.received[e.BackendHash]
+	i := slices.IndexFunc(some, func(s receivedEvidence) bool { return s.owner.Slot == who.Slot })
 	switch {
-	case i >= 0 && (some[i].who.Inc > who.Inc || some[i].who.Inc == who.Inc && some[i].At >= e.At):
+	case i >= 0 && (some[i].owner.Incarnation > who.Incarnation || some[i].owner.Incarnation == who.Incarnation && some[i].ObservedAt >= e.ObservedAt):
 		return
 	case i >= 0:
-		some[i] = source{who, zone, e}
-	case len(some) < PerServer:
-		some = append(some, source{who, zone, e})
+		some[i] = receivedEvidence{who, zone, e}
+	case len(some) < MaxSourcesPerBackend:
+		some = append(some, receivedEvidence{who, zone, e})
 	default:
 		oldest := 0
 		for k := range some {
-			if some[k].At < some[oldest].At {
+			if some[k].ObservedAt < some[oldest].ObservedAt {
 				oldest = k
 			}
 		}
-		if some[oldest].At >= e.At {
+		if some[oldest].ObservedAt >= e.ObservedAt {
 			return
 		}
-		some[oldest] = source{who, zone, e}
+		some[oldest] = receivedEvidence{who, zone, e}
 	}
-	b.heard[e.Server] = some
+	b.received[e.BackendHash] = some
 }
 
-// Tell is the evidence that this node passes on: the latest, what speaks against servers first. A node that is cut off itself
+// EvidenceToPublish is the evidence that this node passes on: the latest, what speaks against servers first. A node that is cut off itself
 // passes nothing on.
-func (b *Bench) Tell(now int64) []Evidence {
-	if b.cutOff(now) {
+func (b *Detector) EvidenceToPublish(now int64) []Evidence {
+	if b.isolated(now) {
 		return nil
 	}
 	var all []Evidence
 	for _, e := range b.own {
-		if now-e.At <= b.Lasts {
+		if now-e.ObservedAt <= b.EvidenceLifetime {
 			all = append(all, e)
 		}
 	}
 	slices.SortFunc(all, func(a, c Evidence) int {
-		return cmp.Or(cmp.Compare(min(c.Kind, 1), min(a.Kind, 1)), cmp.Compare(c.At, a.At), cmp.Compare(a.Server, c.Server))
+		return cmp.Or(cmp.Compare(min(c.Kind, 1), min(a.Kind, 1)), cmp.Compare(c.ObservedAt, a.ObservedAt), cmp.Compare(a.BackendHash, c.BackendHash))
 	})
-	return all[:min(len(all), PerNode)]
+	return all[:min(len(all), MaxEvidencePerNode)]
 }
 
-// cutOff tells that this node finds so many servers bad that it is more likely cut off itself.
-func (b *Bench) cutOff(now int64) bool {
+// isolated tells that this node finds so many servers bad that it is more likely cut off itself.
+func (b *Detector) isolated(now int64) bool {
 	bad := 0
 	for _, e := range b.own {
-		if e.Kind != Well && now-e.At <= b.Lasts {
+		if e.Kind != Healthy && now-e.ObservedAt <= b.EvidenceLifetime {
 			bad++
 		}
 	}
-	return b.many(bad, len(b.servers))
+	return b.exceedsIsolationShare(bad, len(b.backends))
 }
 
-func (b *Bench) many(bad, of int) bool {
-	return of >= fewestServer && float64(bad) > b.Many*float64(of)
+func (b *Detector) exceedsIsolationShare(bad, of int) bool {
+	return of >= minBackendsForShare && float64(bad) > b.IsolationShare*float64(of)
 }
 
-// Judgement is that a server should get nothing but trials, as the others have it. At is the latest evidence for it: a sign of
+// Ejection is that a server should get nothing but trials, as the others have it. At is the latest evidence for it: a sign of
 // life that the node itself has had since outweighs it.
-type Judgement struct {
-	Server  Server
-	At      int64
-	Sources int
-	Path    bool // all that speaks against it may be the path's fault
+type Ejection struct {
+	Backend         Backend
+	LatestEvidence  int64
+	Sources         int
+	UnreachableOnly bool // all that speaks against it may be the path's fault
 }
 
-// Judge are the servers that others' evidence speaks against, in the order of their names.
-func (b *Bench) Judge(now int64) []Judgement {
-	if b.cutOff(now) {
+// Ejections are the servers that others' evidence speaks against, in the order of their names.
+func (b *Detector) Ejections(now int64) []Ejection {
+	if b.isolated(now) {
 		return nil // whatever others say: this node does not know which path is at fault
 	}
 	// Who finds most servers bad is cut off itself, and no witness.
 	badBy := map[int]int{}
-	for _, some := range b.heard {
+	for _, some := range b.received {
 		for _, s := range some {
-			if b.counts(s, now) && s.Kind != Well {
-				badBy[s.who.Seat]++
+			if b.current(s, now) && s.Kind != Healthy {
+				badBy[s.owner.Slot]++
 			}
 		}
 	}
 	zones := map[int]int{}
-	for _, s := range b.servers {
+	for _, s := range b.backends {
 		zones[s.Zone]++
 	}
-	var all []Judgement
-	for name, server := range b.servers {
-		if j, ok := b.judge(server, b.heard[name], badBy, now); ok {
+	var all []Ejection
+	for name, server := range b.backends {
+		if j, ok := b.evaluate(server, b.received[name], badBy, now); ok {
 			all = append(all, j)
 		}
 	}
 	// Of a zone the most certain go first; the rest stay in.
-	slices.SortFunc(all, func(a, c Judgement) int {
-		return cmp.Or(cmp.Compare(c.Sources, a.Sources), cmp.Compare(c.At, a.At), cmp.Compare(a.Server.Name, c.Server.Name))
+	slices.SortFunc(all, func(a, c Ejection) int {
+		return cmp.Or(cmp.Compare(c.Sources, a.Sources), cmp.Compare(c.LatestEvidence, a.LatestEvidence), cmp.Compare(a.Backend.Hash, c.Backend.Hash))
 	})
 	out := map[int]int{}
-	all = slices.DeleteFunc(all, func(j Judgement) bool {
-		out[j.Server.Zone]++
-		return out[j.Server.Zone] > b.most(zones[j.Server.Zone])
+	all = slices.DeleteFunc(all, func(j Ejection) bool {
+		out[j.Backend.Zone]++
+		return out[j.Backend.Zone] > b.maxEjected(zones[j.Backend.Zone])
 	})
 	for zone := range zones {
 		n := 0
 		for _, j := range all {
-			if j.Server.Zone == zone {
+			if j.Backend.Zone == zone {
 				n++
 			}
 		}
-		if n > b.most(zones[zone]) {
-			b.Guard.Broken(invariant.LeftOutShare, fmt.Sprintf("zone %d: %d of %d", zone, n, zones[zone]))
+		if n > b.maxEjected(zones[zone]) {
+			b.Invariants.Violated(invariant.EjectionLimit, fmt.Sprintf("zone %d: %d of %d", zone, n, zones[zone]))
 		}
 	}
-	slices.SortFunc(all, func(a, c Judgement) int { return cmp.Compare(a.Server.Name, c.Server.Name) })
+	slices.SortFunc(all, func(a, c Ejection) int { return cmp.Compare(a.Backend.Hash, c.Backend.Hash) })
 	return all
 }
 
-func (b *Bench) most(servers int) int { return int(b.Most * float64(servers)) }
+func (b *Detector) maxEjected(servers int) int { return int(b.MaxEjectedShare * float64(servers)) }
 
-func (b *Bench) counts(s source, now int64) bool { return now-s.At <= b.Lasts }
+func (b *Detector) current(s receivedEvidence, now int64) bool {
+	return now-s.ObservedAt <= b.EvidenceLifetime
+}
 
-func (b *Bench) judge(server Server, some []source, badBy map[int]int, now int64) (Judgement, bool) {
-	j := Judgement{Server: server, Path: true}
-	own, seen := b.own[server.Name]
-	if seen && own.Kind == Well && now-own.At <= b.Own {
+func (b *Detector) evaluate(server Backend, some []receivedEvidence, badBy map[int]int, now int64) (Ejection, bool) {
+	j := Ejection{Backend: server, UnreachableOnly: true}
+	own, seen := b.own[server.Hash]
+	if seen && own.Kind == Healthy && now-own.ObservedAt <= b.OwnEvidenceLifetime {
 		return j, false
 	}
 	well := 0
 	zones := map[int]bool{}
 	for _, s := range some {
 		switch {
-		case !b.counts(s, now) || b.many(badBy[s.who.Seat], len(b.servers)):
-		case s.Kind == Well:
+		case !b.current(s, now) || b.exceedsIsolationShare(badBy[s.owner.Slot], len(b.backends)):
+		case s.Kind == Healthy:
 			well++
 		default:
 			j.Sources++
-			j.At = max(j.At, s.At)
+			j.LatestEvidence = max(j.LatestEvidence, s.ObservedAt)
 			zones[s.zone] = true
-			j.Path = j.Path && s.Kind == Path
+			j.UnreachableOnly = j.UnreachableOnly && s.Kind == Unreachable
 		}
 	}
-	if seen && own.Kind != Well && now-own.At <= b.Lasts {
-		j.Path = j.Path && own.Kind == Path
+	if seen && own.Kind != Healthy && now-own.ObservedAt <= b.EvidenceLifetime {
+		j.UnreachableOnly = j.UnreachableOnly && own.Kind == Unreachable
 		zones[-1] = true // this node's own vantage
 	}
 	// Not reached from one zone alone says more of the path than of the server, unless nobody reaches it.
-	if j.Path && len(zones) < 2 && well > 0 {
+	if j.UnreachableOnly && len(zones) < 2 && well > 0 {
 		return j, false
 	}
-	return j, j.Sources >= b.Sources && j.Sources > 2*well
+	return j, j.Sources >= b.MinSources && j.Sources > 2*well
 }
--- a/internal/fleet/ledger/faults_test.go
+++ b/internal/fleet/ledger/faults_test.go
@@ -25,7 +25,7 @@
 	return []error{syscall.ENOSPC, syscall.EIO}[d.rng.IntN(2)]
 }
 
-func (d *failingDisk) create(path string, flag int) (output, error) {
+func (d *failingDisk) create(path string, flag int) (segmentFile, error) {
 	if err := d.fail(); err != nil {
 		return nil, err
 	}
@@ -68,12 +68,12 @@
 			dir := t.TempDir()
 			f, _, _ := open(t, dir)
 			disk := &failingDisk{rng: rand.New(rand.NewPCG(seed, 1))}
-			f.create, f.out = disk.create, &failingFile{f.out.(*os.File), disk}
+			f.openSegment, f.current = disk.create, &failingFile{f.current.(*os.File), disk}
 			acknowledged, number := 0, uint64(0)
 			for round := range 60 {
 				disk.ill = round >= 10 && round < 40
 				if round%7 == 3 {
-					f.size += SegmentBytes // as if the segment were full
+					f.currentBytes += MaxSegmentBytes // as if the segment were full
 				}
 				var some []*Entry
 				for range 1 + disk.rng.IntN(4) {
@@ -88,7 +88,7 @@
 			require.Positive(t, disk.placed)
 			require.NoError(t, f.Close())
 			seen := map[uint64]bool{}
-			again, _, err := Open(dir, 1<<30, func(e *Entry) { seen[e.Number] = true })
+			again, _, err := Open(dir, 1<<30, func(e *Entry) { seen[e.Sequence] = true })
 			require.NoError(t, err)
 			require.Len(t, seen, acknowledged)
 			all, err := again.Read(Source{"a", 7}, Range{1, number}, 1<<20)
--- a/internal/fleet/ledger/golden_test.go
+++ b/internal/fleet/ledger/golden_test.go
@@ -26,21 +26,21 @@
 
 // goldenEntry has all fields set, each to a value of its own.
 func goldenEntry(number uint64, outcome Outcome) *Entry {
-	return &Entry{Seat: "node-1", Life: 3, Number: number, At: 1796121600000000005, Tenant: "acme", Class: "chat", Session: 6, In: 70, Kept: 80, Out: 90, Outcome: outcome}
+	return &Entry{Slot: "node-1", Incarnation: 3, Sequence: number, At: 1796121600000000005, Tenant: "acme", Class: "chat", Session: 6, InputTokens: 70, CachedTokens: 80, OutputTokens: 90, Outcome: outcome}
 }
 
 func TestGoldenMessages(t *testing.T) {
-	roundTrip(t, "entry", goldenEntry(4, Broken))
-	roundTrip(t, "digest", Digest{{Source: Source{Seat: "node-1", Life: 3}, Ranges: []Range{{First: 1, Last: 4}, {First: 7, Last: 9}}}})
-	golden.RoundTrip(t, "sum.json", Sum{Entries: 1, In: 2, Kept: 3, Out: 4}, func(s Sum) ([]byte, error) { return json.Marshal(s) }, func(raw []byte) (s Sum, err error) {
+	roundTrip(t, "entry", goldenEntry(4, Interrupted))
+	roundTrip(t, "digest", Digest{{Source: Source{Slot: "node-1", Incarnation: 3}, Ranges: []Range{{First: 1, Last: 4}, {First: 7, Last: 9}}}})
+	golden.RoundTrip(t, "sum.json", Totals{Entries: 1, InputTokens: 2, CachedTokens: 3, OutputTokens: 4}, func(s Totals) ([]byte, error) { return json.Marshal(s) }, func(raw []byte) (s Totals, err error) {
 		return s, json.Unmarshal(raw, &s)
 	})
-	require.Equal(t, []Outcome{0, 1, 2}, []Outcome{Served, Paused, Broken})
+	require.Equal(t, []Outcome{0, 1, 2}, []Outcome{Served, Paused, Interrupted})
 }
 
 // A segment as it lies on the disk: its name, its head and its records. What an earlier build wrote is read, and gone on with.
 func TestGoldenSegment(t *testing.T) {
-	entries := []*Entry{goldenEntry(1, Served), goldenEntry(2, Paused), goldenEntry(3, Broken)}
+	entries := []*Entry{goldenEntry(1, Served), goldenEntry(2, Paused), goldenEntry(3, Interrupted)}
 	write := func() []byte {
 		dir := t.TempDir()
 		f, _, _ := open(t, dir)
@@ -59,10 +59,10 @@
 	require.NoError(t, err)
 	require.Empty(t, damages)
 	require.Equal(t, entries, read)
-	found, err := f.Read(Source{Seat: "node-1", Life: 3}, Range{First: 2, Last: 3}, 10)
+	found, err := f.Read(Source{Slot: "node-1", Incarnation: 3}, Range{First: 2, Last: 3}, 10)
 	require.NoError(t, err)
 	require.Equal(t, entries[1:], found)
-	require.NoError(t, f.next())
+	require.NoError(t, f.startSegment())
 	require.NoError(t, f.Append([]*Entry{goldenEntry(4, Served)}))
 	require.NoError(t, f.Close())
 	_, err = os.Stat(filepath.Join(dir, "00000002.ledger"))
@@ -77,12 +77,12 @@
 		require.Error(t, err)
 		lines = append(lines, err.Error())
 	}
-	for _, spoil := range []func(*Entry){func(e *Entry) { e.Seat = "" }, func(e *Entry) { e.Life = 0 }, func(e *Entry) { e.Out = -1 }, func(e *Entry) { e.Outcome = 9 }} {
+	for _, spoil := range []func(*Entry){func(e *Entry) { e.Slot = "" }, func(e *Entry) { e.Incarnation = 0 }, func(e *Entry) { e.OutputTokens = -1 }, func(e *Entry) { e.Outcome = 9 }} {
 		e := goldenEntry(4, Served)
 		spoil(e)
 		add(e.Check())
 	}
-	add(&Damage{File: "00000001.ledger", Offset: 20, Reason: "a record that is not whole", Torn: true})
+	add(&CorruptionError{File: "00000001.ledger", Offset: 20, Reason: "a record that is not whole", Torn: true})
 	content := golden.Read(t, "00000001.ledger", nil)
 	for _, raw := range [][]byte{content[:10], append([]byte("another"), content[7:]...), content[:len(content)-1], append(append([]byte{}, content[:len(content)-1]...), 0),
 		append(append([]byte{}, content...), 0xff, 0, 0, 0, 0, 0, 0, 0)} {
@@ -94,11 +94,11 @@
 		add(damages[0])
 	}
 	f, _, _ := open(t, t.TempDir())
-	f.Most = 10
+	f.MaxBytes = 10
 	add(f.Append([]*Entry{goldenEntry(1, Served)}))
-	f.Most = 1 << 20
+	f.MaxBytes = 1 << 20
 	long := goldenEntry(1, Served)
-	long.Class = strings.Repeat("x", recordMost)
+	long.Class = strings.Repeat("x", maxRecordBytes)
 	add(f.Append([]*Entry{long}))
 	require.NoError(t, f.Close())
 	golden.Bytes(t, "errors.txt", []byte(strings.Join(lines, "\n")+"\n"))
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -13,20 +13,20 @@
 )
 
 func entry(seat string, life, number uint64) *Entry {
-	return &Entry{Seat: seat, Life: life, Number: number, At: int64(number), Tenant: "t" + seat, Class: "chat", In: int64(number), Out: int64(2 * number)}
+	return &Entry{Slot: seat, Incarnation: life, Sequence: number, At: int64(number), Tenant: "t" + seat, Class: "chat", InputTokens: int64(number), OutputTokens: int64(2 * number)}
 }
 
 // Entries come in any order, as often as they may: each counts once, and what is lacking is what the other has.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := &invariant.Guard{}
-		a, b := NewBook(g), NewBook(g)
-		want := map[string]Sum{}
+		g := &invariant.Monitor{}
+		a, b := NewIndex(g), NewIndex(g)
+		want := map[string]Totals{}
 		known := map[[3]uint64]bool{}
 		for range rapid.IntRange(0, 300).Draw(t, "entries") {
 			e := entry(string(rune('a'+rapid.IntRange(0, 1).Draw(t, "seat"))), rapid.Uint64Range(1, 2).Draw(t, "life"), rapid.Uint64Range(1, 40).Draw(t, "number"))
-			key := [3]uint64{uint64(e.Seat[0]), e.Life, e.Number}
-			if a.Take(e) == known[key] {
+			key := [3]uint64{uint64(e.Slot[0]), e.Incarnation, e.Sequence}
+			if a.Add(e) == known[key] {
 				t.Fatal("counted twice, or not at all")
 			}
 			if !known[key] {
@@ -36,26 +36,26 @@
 			}
 			known[key] = true
 			if rapid.Bool().Draw(t, "both") {
-				b.Take(e)
+				b.Add(e)
 			}
 		}
 		for {
-			lacks := b.Lacks(a.Digest(), 3)
+			lacks := b.Missing(a.Digest(), 3)
 			if len(lacks) == 0 {
 				break
 			}
 			for _, h := range lacks {
 				for _, r := range h.Ranges {
 					for n := r.First; n <= r.Last; n++ {
-						if !b.Take(entry(h.Source.Seat, h.Source.Life, n)) {
+						if !b.Add(entry(h.Source.Slot, h.Source.Incarnation, n)) {
 							t.Fatal("not lacking")
 						}
 					}
 				}
 			}
 		}
-		for _, book := range []*Book{a, b} {
-			if got := book.Sums(); len(got) != len(want) || !book.Verify() {
+		for _, book := range []*Index{a, b} {
+			if got := book.Totals(); len(got) != len(want) || !book.Verify() {
 				t.Fatalf("%v, not %v", got, want)
 			} else {
 				for tenant, s := range want {
@@ -65,15 +65,15 @@
 				}
 			}
 		}
-		if len(g.Counts()) > 0 {
-			t.Fatal(g.Counts())
+		if len(g.Violations()) > 0 {
+			t.Fatal(g.Violations())
 		}
 	})
 }
 
-func open(t *testing.T, dir string) (*Files, *Book, []*Damage) {
-	b := NewBook(nil)
-	f, damages, err := Open(dir, 1<<30, func(e *Entry) { b.Take(e) })
+func open(t *testing.T, dir string) (*SegmentedLog, *Index, []*CorruptionError) {
+	b := NewIndex(nil)
+	f, damages, err := Open(dir, 1<<30, func(e *Entry) { b.Add(e) })
 	require.NoError(t, err)
 	return f, b, damages
 }
@@ -86,7 +86,7 @@
 		require.NoError(t, f.Append([]*Entry{entry("a", 1, n)}))
 	}
 	require.NoError(t, f.Close())
-	path := filepath.Join(dir, name(1))
+	path := filepath.Join(dir, segmentName(1))
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
 	last := -1
@@ -97,14 +97,14 @@
 			require.True(t, d.Torn)
 		}
 		if last >= 0 {
-			require.LessOrEqual(t, int(b.Entries()), last)
+			require.LessOrEqual(t, int(b.Count()), last)
 		}
-		last = int(b.Entries())
+		last = int(b.Count())
 		require.NoError(t, f.Append([]*Entry{entry("b", 1, 1)}))
 		require.NoError(t, f.Close())
 		f, b, damages = open(t, dir)
 		require.Empty(t, damages)
-		require.EqualValues(t, last+1, b.Entries())
+		require.EqualValues(t, last+1, b.Count())
 		require.NoError(t, f.Close())
 	}
 	require.Zero(t, last)
@@ -119,21 +119,21 @@
 		for n := uint64(1); n <= 20; n++ {
 			require.NoError(t, f.Append([]*Entry{entry("a", 1, n)}))
 			if n == 10 {
-				require.NoError(t, f.next())
+				require.NoError(t, f.startSegment())
 			}
 		}
 		require.NoError(t, f.Close())
-		path := filepath.Join(dir, name(1))
+		path := filepath.Join(dir, segmentName(1))
 		raw, err := os.ReadFile(path)
 		require.NoError(t, err)
 		raw[rng.IntN(len(raw))] ^= 1 << rng.IntN(8)
 		require.NoError(t, os.WriteFile(path, raw, 0o600))
 		f, b, damages := open(t, dir)
 		require.Len(t, damages, 1)
-		require.Equal(t, name(1), damages[0].File)
+		require.Equal(t, segmentName(1), damages[0].File)
 		require.False(t, damages[0].Torn)
-		require.GreaterOrEqual(t, b.Entries(), int64(10), "the other segment")
-		require.Less(t, b.Entries(), int64(20))
+		require.GreaterOrEqual(t, b.Count(), int64(10), "the other segment")
+		require.Less(t, b.Count(), int64(20))
 		require.NoError(t, f.Close())
 	}
 }
@@ -154,11 +154,11 @@
 	for i, e := range got {
 		require.Equal(t, all[249+i], e)
 	}
-	f.Most = f.all + 10
+	f.MaxBytes = f.totalBytes + 10
 	require.ErrorIs(t, f.Append(all[:1]), ErrFull)
-	for _, bad := range []*Entry{{}, {Seat: "a", Life: 1}, {Seat: "a", Life: 1, Number: 1, In: -1}, {Seat: "a", Life: 1, Number: 1, Outcome: 9}} {
+	for _, bad := range []*Entry{{}, {Slot: "a", Incarnation: 1}, {Slot: "a", Incarnation: 1, Sequence: 1, InputTokens: -1}, {Slot: "a", Incarnation: 1, Sequence: 1, Outcome: 9}} {
 		require.Error(t, bad.Check())
-		require.False(t, NewBook(nil).Take(bad))
+		require.False(t, NewIndex(nil).Add(bad))
 	}
 }
 
--- a/internal/fleet/member/golden_test.go
+++ b/internal/fleet/member/golden_test.go
@@ -14,16 +14,16 @@
 
 func TestGoldenPacket(t *testing.T) {
 	packet := Packet{
-		From:  rights.Owner{Seat: 1, Inc: 2},
-		Unit:  3,
-		First: 4,
-		Beats: []byte{5, 6, 0xff},
-		News: []News{{
-			Row:    tally.Row{Owner: rights.Owner{Seat: 7, Inc: 8}, At: 9, Counts: []int64{10, 11}},
-			Spares: []Spare{{Budget: 12, Amount: 13}},
-			Seen:   []judge.Evidence{{Server: 14, Start: 15, Kind: judge.Fault, At: 16}},
+		From:          rights.Owner{Slot: 1, Incarnation: 2},
+		AgeUnit:       3,
+		FirstSlot:     4,
+		HeartbeatAges: []byte{5, 6, 0xff},
+		Updates: []Update{{
+			Counters:  tally.Snapshot{Owner: rights.Owner{Slot: 7, Incarnation: 8}, At: 9, Counts: []int64{10, 11}},
+			Surpluses: []Surplus{{Budget: 12, Amount: 13}},
+			Evidence:  []judge.Evidence{{BackendHash: 14, StartedAt: 15, Kind: judge.BackendFault, ObservedAt: 16}},
 		}},
-		Orders: []Order{{Kind: Return, Budget: 17, To: rights.Owner{Seat: 18, Inc: 19}, Number: 20, Amount: 21, First: 22, Last: 23}},
+		QuotaMessages: []QuotaMessage{{Kind: ReturnTransfer, BudgetHash: 17, To: rights.Owner{Slot: 18, Incarnation: 19}, Number: 20, Amount: 21, FirstWindow: 22, LastWindow: 23}},
 	}
 	golden.RoundTrip(t, "packet.cbor", packet,
 		func(v Packet) ([]byte, error) { return cbor.Marshal(v) },
@@ -32,7 +32,7 @@
 
 // What is empty is left out of a packet.
 func TestGoldenPacketOfOneOrder(t *testing.T) {
-	raw, err := cbor.Marshal(Packet{From: rights.Owner{Seat: 1, Inc: 2}, Orders: []Order{{Budget: 3, To: rights.Owner{Seat: 4}}}})
+	raw, err := cbor.Marshal(Packet{From: rights.Owner{Slot: 1, Incarnation: 2}, QuotaMessages: []QuotaMessage{{BudgetHash: 3, To: rights.Owner{Slot: 4}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,5 +41,5 @@
 
 func TestGoldenNumbers(t *testing.T) {
 	golden.Bytes(t, "numbers.txt", fmt.Appendf(nil, "ask %d\nlend %d\nreturn %d\nbeats %d\nnews %d\norders %d\nspares %d\nno beat %d\n",
-		Ask, Lend, Return, BeatsMost, NewsMost, OrdersMost, SparesMost, beatNever))
+		RequestQuota, GrantTransfer, ReturnTransfer, MaxHeartbeats, MaxForwardedUpdates, MaxQuotaMessages, MaxSurpluses, ageUnknown))
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -20,84 +20,84 @@
 
 // Bounds of what is sent and done at once.
 const (
-	BeatsMost  = 600 // signs of life in a packet, a byte each
-	NewsMost   = 5   // of others, in a packet
-	OrdersMost = 16  // asks, loans and returns in a packet
-	SparesMost = 8   // budgets of which a piece of news says what is spare
-	LoansATick = 8   // loans given in a tick at the usual pace
-	asked      = 3   // lenders that are asked at once
-	beatLeast  = 10 * time.Millisecond
-	beatNever  = 0xff // in place of an age: not heard, or too long ago
+	MaxHeartbeats       = 600 // signs of life in a packet, a byte each
+	MaxForwardedUpdates = 5   // of others, in a packet
+	MaxQuotaMessages    = 16  // asks, loans and returns in a packet
+	MaxSurpluses        = 8   // budgets of which a piece of news says what is spare
+	TransfersPerTick    = 8   // loans given in a tick at the usual pace
+	lendersPerRequest   = 3   // lenders that are asked at once
+	minAgeUnit          = 10 * time.Millisecond
+	ageUnknown          = 0xff // in place of an age: not heard, or too long ago
 )
 
-// Seat is a place in the fleet that one node has at a time.
-type Seat struct {
+// Slot is a place in the fleet that one node has at a time.
+type Slot struct {
 	Name string
 	Zone int
 }
 
 // Config is what all nodes of a fleet agree on, and which of them this one is.
 type Config struct {
-	Own     rights.Owner
-	Seats   []Seat
-	Budgets []*rights.Budget
-	Most    []int64 // by count: what a node can add in a second
-	Tick    time.Duration
-	Peers   int           // to which news goes in each tick
-	Silence time.Duration // after which a node counts as not heard
-	Mode    mode.Limits
-	Judge   judge.Limits
-	Error   time.Duration // of clocks
-	Ask     time.Duration // between two asks for rights of one budget, at the usual pace
-	Seed    uint64
+	Owner              rights.Owner
+	Slots              []Slot
+	Budgets            []*rights.Budget
+	MaxRates           []int64 // by count: what a node can add in a second
+	GossipInterval     time.Duration
+	GossipFanout       int           // to which news goes in each tick
+	HeartbeatTimeout   time.Duration // after which a node counts as not heard
+	ConnectivityTiming mode.Timing
+	OutlierLimits      judge.Limits
+	ClockError         time.Duration // of clocks
+	RequestInterval    time.Duration // between two asks for rights of one budget, at the usual pace
+	Seed               uint64
 }
 
-// Spare is what a node could lend of a budget when it told so.
-type Spare struct {
+// Surplus is what a node could lend of a budget when it told so.
+type Surplus struct {
 	Budget int   `cbor:"1,keyasint"`
 	Amount int64 `cbor:"2,keyasint"`
 }
 
-// News is what one life of a node tells of itself; it is passed on as it is.
-type News struct {
-	Row    tally.Row        `cbor:"1,keyasint"`
-	Spares []Spare          `cbor:"2,keyasint,omitempty"`
-	Seen   []judge.Evidence `cbor:"3,keyasint,omitempty"`
+// Update is what one life of a node tells of itself; it is passed on as it is.
+type Update struct {
+	Counters  tally.Snapshot   `cbor:"1,keyasint"`
+	Surpluses []Surplus        `cbor:"2,keyasint,omitempty"`
+	Evidence  []judge.Evidence `cbor:"3,keyasint,omitempty"`
 }
 
-// OrderKind says what an order is.
-type OrderKind uint8
+// QuotaMessageKind says what an order is.
+type QuotaMessageKind uint8
 
 // The orders.
 const (
-	Ask    OrderKind = iota // for rights of the windows from First on, for Last - First + 1 of them at the most
-	Lend                    // a loan
-	Return                  // a loan ends early, after Last
+	RequestQuota   QuotaMessageKind = iota // for rights of the windows from First on, for Last - First + 1 of them at the most
+	GrantTransfer                          // a loan
+	ReturnTransfer                         // a loan ends early, after Last
 )
 
-// Order is one message about rights, between two owners.
-type Order struct {
-	Kind   OrderKind    `cbor:"1,keyasint"`
-	Budget uint64       `cbor:"2,keyasint"` // its definition
-	To     rights.Owner `cbor:"3,keyasint"` // of an ask, any life of the seat
-	Number uint64       `cbor:"4,keyasint,omitempty"`
-	Amount int64        `cbor:"5,keyasint,omitempty"`
-	First  int64        `cbor:"6,keyasint,omitempty"`
-	Last   int64        `cbor:"7,keyasint,omitempty"`
+// QuotaMessage is one message about rights, between two owners.
+type QuotaMessage struct {
+	Kind        QuotaMessageKind `cbor:"1,keyasint"`
+	BudgetHash  uint64           `cbor:"2,keyasint"` // its definition
+	To          rights.Owner     `cbor:"3,keyasint"` // of an ask, any life of the seat
+	Number      uint64           `cbor:"4,keyasint,omitempty"`
+	Amount      int64            `cbor:"5,keyasint,omitempty"`
+	FirstWindow int64            `cbor:"6,keyasint,omitempty"`
+	LastWindow  int64            `cbor:"7,keyasint,omitempty"`
 }
 
 // Packet is what goes from one node to another.
 type Packet struct {
-	From   rights.Owner `cbor:"1,keyasint"`
-	Unit   int64        `cbor:"5,keyasint,omitempty"` // of the ages, nanoseconds
-	First  int          `cbor:"6,keyasint,omitempty"` // seat of the first age
-	Beats  []byte       `cbor:"2,keyasint,omitempty"` // how long ago each seat was alive, as far as the sender knows
-	News   []News       `cbor:"3,keyasint,omitempty"`
-	Orders []Order      `cbor:"4,keyasint,omitempty"`
+	From          rights.Owner   `cbor:"1,keyasint"`
+	AgeUnit       int64          `cbor:"5,keyasint,omitempty"` // of the ages, nanoseconds
+	FirstSlot     int            `cbor:"6,keyasint,omitempty"` // seat of the first age
+	HeartbeatAges []byte         `cbor:"2,keyasint,omitempty"` // how long ago each seat was alive, as far as the sender knows
+	Updates       []Update       `cbor:"3,keyasint,omitempty"`
+	QuotaMessages []QuotaMessage `cbor:"4,keyasint,omitempty"`
 }
 
-// Send is a packet and the seat that it is for.
-type Send struct {
+// Outgoing is a packet and the seat that it is for.
+type Outgoing struct {
 	To     int
 	Packet Packet
 }
@@ -105,54 +105,54 @@
 // Member is one node's part.
 type Member struct {
 	Config
-	Guard  *invariant.Guard
-	Purses []*rights.Purse
-	Counts *tally.Table
-	Bench  *judge.Bench
-	Mode   *mode.Machine
+	Invariants   *invariant.Monitor
+	Allocations  []*rights.Allocation
+	Counters     *tally.Table
+	Detector     *judge.Detector
+	Connectivity *mode.Machine
 
-	rng    *rand.Rand
-	now    int64
-	heard  []int64 // by seat: when it was last alive as far as known; 0: never heard
-	incs   []uint64
-	news   []News // by seat, the newest
-	fresh  []bool // it has not been passed on yet
-	turn   int    // of the budgets whose spare is told
-	asks   []int64
-	whole  []int64 // by budget: the window in which loans were last looked through for what is not wanted
-	grants int
-	orders map[int][]Order // owed to seats
-	broken int             // packets that said what cannot be
+	rng              *rand.Rand
+	now              int64
+	lastAlive        []int64 // by seat: when it was last alive as far as known; 0: never heard
+	incarnations     []uint64
+	updates          []Update // by seat, the newest
+	unforwarded      []bool   // it has not been passed on yet
+	nextSurplus      int      // of the budgets whose spare is told
+	nextRequestAt    []int64
+	reviewedWindow   []int64 // by budget: the window in which loans were last looked through for what is not wanted
+	grantsLeft       int
+	pending          map[int][]QuotaMessage // owed to seats
+	malformedPackets int                    // packets that said what cannot be
 }
 
 // New makes a member that starts now.
-func New(c Config, now int64, g *invariant.Guard) *Member {
-	m := &Member{Config: c, Guard: g, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Own.Seat))), now: now, heard: make([]int64, len(c.Seats)),
-		incs: make([]uint64, len(c.Seats)), news: make([]News, len(c.Seats)), fresh: make([]bool, len(c.Seats)), asks: make([]int64, len(c.Budgets)), whole: make([]int64, len(c.Budgets)),
-		orders: map[int][]Order{}, Counts: tally.New(len(c.Seats), c.Most, c.Own, int64(c.Error), now, g), Bench: judge.New(c.Judge, c.Own, g), Mode: mode.New(c.Mode, now, g)}
+func New(c Config, now int64, g *invariant.Monitor) *Member {
+	m := &Member{Config: c, Invariants: g, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Owner.Slot))), now: now, lastAlive: make([]int64, len(c.Slots)),
+		incarnations: make([]uint64, len(c.Slots)), updates: make([]Update, len(c.Slots)), unforwarded: make([]bool, len(c.Slots)), nextRequestAt: make([]int64, len(c.Budgets)), reviewedWindow: make([]int64, len(c.Budgets)),
+		pending: map[int][]QuotaMessage{}, Counters: tally.New(len(c.Slots), c.MaxRates, c.Owner, int64(c.ClockError), now, g), Detector: judge.New(c.OutlierLimits, c.Owner, g), Connectivity: mode.New(c.ConnectivityTiming, now, g)}
 	for _, b := range c.Budgets {
-		m.Purses = append(m.Purses, rights.NewPurse(b, c.Own, int64(c.Error), now, g))
+		m.Allocations = append(m.Allocations, rights.NewAllocation(b, c.Owner, int64(c.ClockError), now, g))
 	}
 	return m
 }
 
-// Lease takes in the node's hold of its seat.
-func (m *Member) Lease(l rights.Lease) {
-	for _, p := range m.Purses {
-		p.Lease(l)
+// SetLease takes in the node's hold of its seat.
+func (m *Member) SetLease(l rights.Lease) {
+	for _, p := range m.Allocations {
+		p.SetLease(l)
 	}
 }
 
-// Alive tells whether a seat has been alive within the time of silence.
-func (m *Member) Alive(seat int) bool {
-	return m.heard[seat] > 0 && m.now-m.heard[seat] <= int64(m.Silence)
+// IsAlive tells whether a seat has been alive within the time of silence.
+func (m *Member) IsAlive(seat int) bool {
+	return m.lastAlive[seat] > 0 && m.now-m.lastAlive[seat] <= int64(m.HeartbeatTimeout)
 }
 
-// Heard is how many other seats have been alive within the time of silence.
-func (m *Member) Heard() int {
+// LivePeers is how many other seats have been alive within the time of silence.
+func (m *Member) LivePeers() int {
 	n := 0
-	for i := range m.heard {
-		if i != m.Own.Seat && m.Alive(i) {
+	for i := range m.lastAlive {
+		if i != m.Owner.Slot && m.IsAlive(i) {
 			n++
 		}
 	}
@@ -162,51 +162,51 @@
 // Advance goes on to a time, which never goes back.
 func (m *Member) Advance(now int64) int64 {
 	m.now = max(m.now, now)
-	for _, p := range m.Purses {
+	for _, p := range m.Allocations {
 		p.Advance(m.now)
 	}
 	return m.now
 }
 
 // Tick is called every Tick: it is what the node tells, asks and gives back by itself.
-func (m *Member) Tick(now int64, alive func(seat int) bool) []Send {
+func (m *Member) Tick(now int64, alive func(seat int) bool) []Outgoing {
 	now = m.Advance(now)
-	m.Mode.Step(now, m.Heard(), len(m.Seats)-1)
-	pace := m.Mode.Pace(now)
-	m.grants = int(max(1, LoansATick*pace))
-	for i, p := range m.Purses {
-		m.ask(i, p, pace)
-		if w := p.Window(); w > m.whole[i] {
-			m.whole[i] = w
-			for _, l := range p.Return() {
-				m.owe(l.Lender.Seat, Order{Kind: Return, Budget: p.Definition(), To: l.Lender, Number: l.Number, Last: l.Last})
+	m.Connectivity.Update(now, m.LivePeers(), len(m.Slots)-1)
+	pace := m.Connectivity.RateFactor(now)
+	m.grantsLeft = int(max(1, TransfersPerTick*pace))
+	for i, p := range m.Allocations {
+		m.requestQuota(i, p, pace)
+		if w := p.CurrentWindow(); w > m.reviewedWindow[i] {
+			m.reviewedWindow[i] = w
+			for _, l := range p.ReturnUnneeded() {
+				m.enqueue(l.Lender.Slot, QuotaMessage{Kind: ReturnTransfer, BudgetHash: p.DefinitionHash(), To: l.Lender, Number: l.Number, LastWindow: l.LastWindow})
 			}
 		}
 	}
-	var out []Send
-	for _, seat := range m.peers(m.Peers, alive) {
-		out = append(out, Send{seat, m.packet(seat)})
+	var out []Outgoing
+	for _, seat := range m.drawPeers(m.GossipFanout, alive) {
+		out = append(out, Outgoing{seat, m.buildPacket(seat)})
 	}
-	for _, seat := range slices.Sorted(maps.Keys(m.orders)) {
-		if !slices.ContainsFunc(out, func(s Send) bool { return s.To == seat }) {
-			out = append(out, Send{seat, m.packet(seat)})
+	for _, seat := range slices.Sorted(maps.Keys(m.pending)) {
+		if !slices.ContainsFunc(out, func(s Outgoing) bool { return s.To == seat }) {
+			out = append(out, Outgoing{seat, m.buildPacket(seat)})
 		}
 	}
-	clear(m.orders)
-	slices.SortFunc(out, func(a, b Send) int { return cmp.Compare(a.To, b.To) })
+	clear(m.pending)
+	slices.SortFunc(out, func(a, b Outgoing) int { return cmp.Compare(a.To, b.To) })
 	return out
 }
 
-// peers draws seats that news goes to. Those that are taken to be gone are tried too, now and then: nobody else would find
+// drawPeers draws seats that news goes to. Those that are taken to be gone are tried too, now and then: nobody else would find
 // out that a cut has healed.
-func (m *Member) peers(n int, alive func(int) bool) []int {
+func (m *Member) drawPeers(n int, alive func(int) bool) []int {
 	var some []int
 	for range 4 * n {
-		seat := m.rng.IntN(len(m.Seats))
-		if len(some) >= n || len(m.Seats) < 2 {
+		seat := m.rng.IntN(len(m.Slots))
+		if len(some) >= n || len(m.Slots) < 2 {
 			break
 		}
-		if seat == m.Own.Seat || slices.Contains(some, seat) || alive != nil && !alive(seat) && m.rng.IntN(8) > 0 {
+		if seat == m.Owner.Slot || slices.Contains(some, seat) || alive != nil && !alive(seat) && m.rng.IntN(8) > 0 {
 			continue
 		}
 		some = append(some, seat)
@@ -214,86 +214,86 @@
 	return some
 }
 
-func (m *Member) owe(seat int, o Order) {
-	if len(m.orders[seat]) < OrdersMost {
-		m.orders[seat] = append(m.orders[seat], o)
+func (m *Member) enqueue(seat int, o QuotaMessage) {
+	if len(m.pending[seat]) < MaxQuotaMessages {
+		m.pending[seat] = append(m.pending[seat], o)
 	}
 }
 
-// packet is what a seat is told now: this node's own news, some of others', signs of life, and the orders owed to it.
-func (m *Member) packet(to int) Packet {
-	p := Packet{From: m.Own, News: []News{m.own()}, Orders: m.orders[to]}
-	from := m.rng.IntN(len(m.Seats))
+// buildPacket is what a seat is told now: this node's own news, some of others', signs of life, and the orders owed to it.
+func (m *Member) buildPacket(to int) Packet {
+	p := Packet{From: m.Owner, Updates: []Update{m.ownUpdate()}, QuotaMessages: m.pending[to]}
+	from := m.rng.IntN(len(m.Slots))
 	for _, fresh := range []bool{true, false} { // what came anew first
-		for i := range m.Seats {
-			if seat := (from + i) % len(m.Seats); len(p.News) <= NewsMost && seat != to && seat != m.Own.Seat && m.incs[seat] != 0 && m.fresh[seat] == fresh {
-				p.News = append(p.News, m.news[seat])
-				m.fresh[seat] = false
+		for i := range m.Slots {
+			if seat := (from + i) % len(m.Slots); len(p.Updates) <= MaxForwardedUpdates && seat != to && seat != m.Owner.Slot && m.incarnations[seat] != 0 && m.unforwarded[seat] == fresh {
+				p.Updates = append(p.Updates, m.updates[seat])
+				m.unforwarded[seat] = false
 			}
 		}
 	}
 	// Ages, not times: nobody's clock matters for who is heard.
-	p.Unit = int64(max(beatLeast, m.Silence/(beatNever-1)))
-	if len(m.Seats) > BeatsMost {
-		p.First = from
+	p.AgeUnit = int64(max(minAgeUnit, m.HeartbeatTimeout/(ageUnknown-1)))
+	if len(m.Slots) > MaxHeartbeats {
+		p.FirstSlot = from
 	}
-	for i := range min(len(m.Seats), BeatsMost) {
-		seat := (p.First + i) % len(m.Seats)
-		age := (m.now - m.heard[seat] + p.Unit - 1) / p.Unit
-		if m.heard[seat] == 0 || age >= beatNever {
-			age = beatNever
+	for i := range min(len(m.Slots), MaxHeartbeats) {
+		seat := (p.FirstSlot + i) % len(m.Slots)
+		age := (m.now - m.lastAlive[seat] + p.AgeUnit - 1) / p.AgeUnit
+		if m.lastAlive[seat] == 0 || age >= ageUnknown {
+			age = ageUnknown
 		}
-		p.Beats = append(p.Beats, byte(age))
+		p.HeartbeatAges = append(p.HeartbeatAges, byte(age))
 	}
 	return p
 }
 
-func (m *Member) own() News {
-	n := News{Row: m.Counts.Own(m.now), Seen: m.Bench.Tell(m.now)}
-	for i := range m.Purses {
-		k := (m.turn + i) % len(m.Purses)
-		p := m.Purses[k]
-		if w := p.Window(); len(n.Spares) < SparesMost {
-			if spare := p.Spare(w, w+int64(p.Loan)-1); spare > 0 {
-				n.Spares = append(n.Spares, Spare{k, spare})
+func (m *Member) ownUpdate() Update {
+	n := Update{Counters: m.Counters.OwnSnapshot(m.now), Evidence: m.Detector.EvidenceToPublish(m.now)}
+	for i := range m.Allocations {
+		k := (m.nextSurplus + i) % len(m.Allocations)
+		p := m.Allocations[k]
+		if w := p.CurrentWindow(); len(n.Surpluses) < MaxSurpluses {
+			if spare := p.Surplus(w, w+int64(p.TransferWindows)-1); spare > 0 {
+				n.Surpluses = append(n.Surpluses, Surplus{k, spare})
 			}
 		}
 	}
-	m.turn++
+	m.nextSurplus++
 	return n
 }
 
-// ask asks for rights that are wanted and lacking.
-func (m *Member) ask(i int, p *rights.Purse, pace float64) {
-	w := p.Window()
-	first, lack := w, p.Lacks(w)
-	if next := p.Lacks(w + 1); lack == 0 && next > 0 {
+// requestQuota asks for rights that are wanted and lacking.
+func (m *Member) requestQuota(i int, p *rights.Allocation, pace float64) {
+	w := p.CurrentWindow()
+	first, lack := w, p.Shortfall(w)
+	if next := p.Shortfall(w + 1); lack == 0 && next > 0 {
 		first, lack = w+1, next
 	}
-	if lack == 0 || pace == 0 || m.now < m.asks[i] {
+	if lack == 0 || pace == 0 || m.now < m.nextRequestAt[i] {
 		return
 	}
 	// Half of the time is drawn: many find out together that they lack something.
-	m.asks[i] = m.now + int64(float64(m.Ask)*(0.5+m.rng.Float64())/pace)
-	lenders := m.lenders(i)
+	m.nextRequestAt[i] = m.now + int64(float64(m.RequestInterval)*(0.5+m.rng.Float64())/pace)
+	lenders := m.drawLenders(i)
 	for _, seat := range lenders {
-		m.owe(seat, Order{Kind: Ask, Budget: p.Definition(), To: rights.Owner{Seat: seat}, Amount: lack/int64(len(lenders)) + 1, First: first, Last: first + int64(p.Loan) - 1})
+		m.enqueue(seat, QuotaMessage{Kind: RequestQuota, BudgetHash: p.DefinitionHash(), To: rights.Owner{Slot: seat}, Amount: lack/int64(len(lenders)) + 1, FirstWindow: first, LastWindow: first + int64(p.TransferWindows) - 1})
 	}
 }
 
-// lenders are the seats that are asked: drawn by what they could lend when last heard; where nothing is known of anybody, drawn.
-func (m *Member) lenders(budget int) []int {
+// drawLenders are the seats that are asked: drawn by what they could lend when last heard; where nothing is known of anybody, drawn.
+func (m *Member) drawLenders(budget int) []int {
 	type candidate struct {
 		seat  int
 		spare float64
 	}
 	var all []candidate
 	sum := 0.0
-	for seat, n := range m.news {
-		if seat == m.Own.Seat || m.incs[seat] == 0 || m.now-m.heard[seat] > int64(m.Silence) {
+	for seat, n := range m.updates {
+		if seat == m.Owner.Slot || m.incarnations[seat] == 0 || m.now-m.lastAlive[seat] > int64(m.HeartbeatTimeout) {
 			continue
 		}
-		for _, s := range n.Spares {
+		for _, s := range n.Surpluses {
 			if s.Budget == budget && s.Amount > 0 {
 				all = append(all, candidate{seat, float64(s.Amount)})
 				sum += float64(s.Amount)
@@ -301,10 +301,10 @@
 		}
 	}
 	if len(all) == 0 {
-		return m.peers(asked, func(seat int) bool { return m.now-m.heard[seat] <= int64(m.Silence) })
+		return m.drawPeers(lendersPerRequest, func(seat int) bool { return m.now-m.lastAlive[seat] <= int64(m.HeartbeatTimeout) })
 	}
 	var some []int
-	for len(some) < asked && len(all) > 0 {
+	for len(some) < lendersPerRequest && len(all) > 0 {
 		at := m.rng.Float64() * sum
 		i := 0
 		for i < len(all)-1 && at >= all[i].spare {
@@ -319,77 +319,77 @@
 }
 
 // Receive takes a packet in, and returns what is to be sent at once.
-func (m *Member) Receive(now int64, p Packet) []Send {
+func (m *Member) Receive(now int64, p Packet) []Outgoing {
 	now = m.Advance(now)
-	if p.From.Seat < 0 || p.From.Seat >= len(m.Seats) || p.From.Seat == m.Own.Seat || len(p.News) > 1+NewsMost || len(p.Orders) > OrdersMost ||
-		len(p.Beats) > BeatsMost || len(p.Beats) > len(m.Seats) || p.First < 0 || p.First >= len(m.Seats) || p.Unit < 0 || p.Unit > int64(time.Hour) {
-		m.broken++
+	if p.From.Slot < 0 || p.From.Slot >= len(m.Slots) || p.From.Slot == m.Owner.Slot || len(p.Updates) > 1+MaxForwardedUpdates || len(p.QuotaMessages) > MaxQuotaMessages ||
+		len(p.HeartbeatAges) > MaxHeartbeats || len(p.HeartbeatAges) > len(m.Slots) || p.FirstSlot < 0 || p.FirstSlot >= len(m.Slots) || p.AgeUnit < 0 || p.AgeUnit > int64(time.Hour) {
+		m.malformedPackets++
 		return nil
 	}
-	m.alive(p.From.Seat, now)
-	for i, age := range p.Beats {
-		if age != beatNever {
-			m.alive((p.First+i)%len(m.Seats), now-int64(age)*p.Unit)
+	m.markAlive(p.From.Slot, now)
+	for i, age := range p.HeartbeatAges {
+		if age != ageUnknown {
+			m.markAlive((p.FirstSlot+i)%len(m.Slots), now-int64(age)*p.AgeUnit)
 		}
 	}
-	for _, n := range p.News {
-		m.hear(n)
+	for _, n := range p.Updates {
+		m.mergeUpdate(n)
 	}
-	var back []Order
-	for _, o := range p.Orders {
-		if answer, ok := m.order(p.From, o); ok {
+	var back []QuotaMessage
+	for _, o := range p.QuotaMessages {
+		if answer, ok := m.handleQuotaMessage(p.From, o); ok {
 			back = append(back, answer)
 		}
 	}
 	if len(back) == 0 {
 		return nil
 	}
-	return []Send{{p.From.Seat, Packet{From: m.Own, Orders: back}}}
+	return []Outgoing{{p.From.Slot, Packet{From: m.Owner, QuotaMessages: back}}}
 }
 
-func (m *Member) alive(seat int, at int64) {
-	if seat >= 0 && seat < len(m.heard) && seat != m.Own.Seat {
-		m.heard[seat] = max(m.heard[seat], min(at, m.now))
+func (m *Member) markAlive(seat int, at int64) {
+	if seat >= 0 && seat < len(m.lastAlive) && seat != m.Owner.Slot {
+		m.lastAlive[seat] = max(m.lastAlive[seat], min(at, m.now))
 	}
 }
 
-func (m *Member) hear(n News) {
-	seat := n.Row.Owner.Seat
-	if seat < 0 || seat >= len(m.Seats) || len(n.Spares) > SparesMost || len(n.Seen) > judge.PerNode || !m.Counts.Hear(n.Row, m.now) {
+func (m *Member) mergeUpdate(n Update) {
+	seat := n.Counters.Owner.Slot
+	if seat < 0 || seat >= len(m.Slots) || len(n.Surpluses) > MaxSurpluses || len(n.Evidence) > judge.MaxEvidencePerNode || !m.Counters.Merge(n.Counters, m.now) {
 		return
 	}
-	for _, e := range n.Seen {
-		m.Bench.Hear(n.Row.Owner, m.Seats[seat].Zone, e, m.now)
+	for _, e := range n.Evidence {
+		m.Detector.Receive(n.Counters.Owner, m.Slots[seat].Zone, e, m.now)
 	}
-	if n.Row.Owner.Inc >= m.incs[seat] {
-		m.incs[seat], m.news[seat], m.fresh[seat] = n.Row.Owner.Inc, n, true
+	if n.Counters.Owner.Incarnation >= m.incarnations[seat] {
+		m.incarnations[seat], m.updates[seat], m.unforwarded[seat] = n.Counters.Owner.Incarnation, n, true
 	}
 }
 
-func (m *Member) order(from rights.Owner, o Order) (Order, bool) {
-	i := slices.IndexFunc(m.Budgets, func(b *rights.Budget) bool { return b.Definition() == o.Budget })
-	if i < 0 || o.To.Seat != m.Own.Seat {
-		return Order{}, false // another definition: nothing is lent between those that do not mean the same
+func (m *Member) handleQuotaMessage(from rights.Owner, o QuotaMessage) (QuotaMessage, bool) {
+	i := slices.IndexFunc(m.Budgets, func(b *rights.Budget) bool { return b.DefinitionHash() == o.BudgetHash })
+	if i < 0 || o.To.Slot != m.Owner.Slot {
+		return QuotaMessage{}, false // another definition: nothing is lent between those that do not mean the same
 	}
-	p := m.Purses[i]
+	p := m.Allocations[i]
 	switch o.Kind {
-	case Ask:
-		if m.grants <= 0 || o.Last < o.First || o.Last-o.First >= rights.WindowsMost {
-			return Order{}, false
+	case RequestQuota:
+		if m.grantsLeft <= 0 || o.LastWindow < o.FirstWindow || o.LastWindow-o.FirstWindow >= rights.MaxWindows {
+			return QuotaMessage{}, false
 		}
-		l, ok := p.Lend(from, o.Amount, o.First, int(o.Last-o.First+1))
-		lent := Order{Kind: Lend, Budget: o.Budget, To: l.To, Number: l.Number, Amount: l.Amount, First: l.First, Last: l.Last}
+		l, ok := p.Lend(from, o.Amount, o.FirstWindow, int(o.LastWindow-o.FirstWindow+1))
+		lent := QuotaMessage{Kind: GrantTransfer, BudgetHash: o.BudgetHash, To: l.Borrower, Number: l.Number, Amount: l.Amount, FirstWindow: l.FirstWindow, LastWindow: l.LastWindow}
 		if ok {
-			m.grants--
-			m.owe(from.Seat, lent) // told once more with the next tick: one that is lost is spent by nobody until its end
+			m.grantsLeft--
+			m.enqueue(from.Slot, lent) // told once more with the next tick: one that is lost is spent by nobody until its end
 		}
 		return lent, ok
-	case Lend:
-		p.Take(rights.Loan{Lender: from, Number: o.Number, To: o.To, Amount: o.Amount, First: o.First, Last: o.Last})
-	case Return:
-		if o.To == m.Own {
-			p.Returned(from, o.Number, o.Last)
+	case GrantTransfer:
+		p.Accept(rights.Transfer{Lender: from, Number: o.Number, Borrower: o.To, Amount: o.Amount, FirstWindow: o.FirstWindow, LastWindow: o.LastWindow})
+	case ReturnTransfer:
+		if o.To == m.Owner {
+			p.AcceptReturn(from, o.Number, o.LastWindow)
 		}
 	}
-	return Order{}, false
+	return QuotaMessage{}, false
 }
--- a/internal/fleet/mode/mode.go
+++ b/internal/fleet/mode/mode.go
@@ -10,120 +10,120 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// Mode is how a node stands to the others.
-type Mode uint8
+// State is how a node stands to the others.
+type State uint8
 
 const (
-	Joining  Mode = iota // it has started and has not heard most of the others yet
-	Alone                // no other node is configured
-	Together             // it hears most of the fleet, itself included
-	Cut                  // it hears some others, and not most
-	Nothing              // it hears nobody
-	Healing              // it hears most again, and does its part of everything by and by
+	Joining    State = iota // it has started and has not heard most of the others yet
+	Standalone              // no other node is configured
+	Majority                // it hears most of the fleet, itself included
+	Minority                // it hears some others, and not most
+	Isolated                // it hears nobody
+	Recovering              // it hears most again, and does its part of everything by and by
 )
 
-var words = [...]string{"joining", "alone", "together", "cut off with others", "hearing nothing", "healing"}
+var stateNames = [...]string{"joining", "alone", "together", "cut off with others", "hearing nothing", "healing"}
 
 // String implements fmt.Stringer.
-func (m Mode) String() string { return words[m] }
+func (m State) String() string { return stateNames[m] }
 
-// follows is the table: from which modes each may be entered.
-var follows = [...][]Mode{
-	Joining:  {},
-	Alone:    {Joining},
-	Together: {Joining, Healing},
-	Cut:      {Joining, Together, Nothing, Healing},
-	Nothing:  {Joining, Together, Cut, Healing},
-	Healing:  {Cut, Nothing},
+// predecessors is the table: from which modes each may be entered.
+var predecessors = [...][]State{
+	Joining:    {},
+	Standalone: {Joining},
+	Majority:   {Joining, Recovering},
+	Minority:   {Joining, Majority, Isolated, Recovering},
+	Isolated:   {Joining, Majority, Minority, Recovering},
+	Recovering: {Minority, Isolated},
 }
 
-// Limits are the spans of the machine.
-type Limits struct {
-	Join   time.Duration // for which a node that has started looks for the others
-	Settle time.Duration // for which what is heard must have changed before the mode does: hysteresis
-	Heal   time.Duration // over which a node that hears most again returns to its usual pace
+// Timing are the spans of the machine.
+type Timing struct {
+	JoinTimeout  time.Duration // for which a node that has started looks for the others
+	SettleTime   time.Duration // for which what is heard must have changed before the mode does: hysteresis
+	RecoveryRamp time.Duration // over which a node that hears most again returns to its usual pace
 }
 
 // Machine is one node's mode.
 type Machine struct {
-	Limits
-	Guard *invariant.Guard
+	Timing
+	Invariants *invariant.Monitor
 
-	mode    Mode
-	since   int64 // when it was entered; Unix nanoseconds, as all times here
-	wish    Mode  // what is heard speaks for this one
-	wishing int64
+	state       State
+	since       int64 // when it was entered; Unix nanoseconds, as all times here
+	target      State // what is heard speaks for this one
+	targetSince int64
 }
 
 // New makes the machine of a node that starts now.
-func New(l Limits, now int64, g *invariant.Guard) *Machine {
-	return &Machine{Limits: l, Guard: g, since: now, wishing: now}
+func New(l Timing, now int64, g *invariant.Monitor) *Machine {
+	return &Machine{Timing: l, Invariants: g, since: now, targetSince: now}
 }
 
-// Now is the mode, and since when it holds.
-func (m *Machine) Now() (Mode, int64) { return m.mode, m.since }
+// Current is the mode, and since when it holds.
+func (m *Machine) Current() (State, int64) { return m.state, m.since }
 
-// Step takes in how many of the other seats of the fleet are heard now, and how many there are. It tells whether the mode
+// Update takes in how many of the other seats of the fleet are heard now, and how many there are. It tells whether the mode
 // has changed.
-func (m *Machine) Step(now int64, heard, others int) bool {
+func (m *Machine) Update(now int64, heard, others int) bool {
 	now = max(now, m.since)
-	wish := Nothing
+	wish := Isolated
 	switch {
 	case others == 0:
-		wish = Alone
+		wish = Standalone
 	case 2*(heard+1) > others+1:
-		wish = Together
+		wish = Majority
 	case heard > 0:
-		wish = Cut
+		wish = Minority
 	}
-	if wish != m.wish {
-		m.wish, m.wishing = wish, now
+	if wish != m.target {
+		m.target, m.targetSince = wish, now
 	}
-	settled := now-m.wishing >= int64(m.Settle)
-	next := m.mode
-	switch m.mode {
+	settled := now-m.targetSince >= int64(m.SettleTime)
+	next := m.state
+	switch m.state {
 	case Joining:
-		if wish == Alone || wish == Together || now-m.since >= int64(m.Join) {
+		if wish == Standalone || wish == Majority || now-m.since >= int64(m.JoinTimeout) {
 			next = wish
 		}
-	case Together, Cut, Nothing:
-		if settled && wish != m.mode {
+	case Majority, Minority, Isolated:
+		if settled && wish != m.state {
 			next = wish
-			if wish == Together {
-				next = Healing
+			if wish == Majority {
+				next = Recovering
 			}
 		}
-	case Healing:
+	case Recovering:
 		switch {
-		case wish != Together && settled:
+		case wish != Majority && settled:
 			next = wish
-		case wish == Together && now-m.since >= int64(m.Heal):
-			next = Together
+		case wish == Majority && now-m.since >= int64(m.RecoveryRamp):
+			next = Majority
 		}
 	}
-	return m.enter(now, next)
+	return m.transition(now, next)
 }
 
-func (m *Machine) enter(now int64, next Mode) bool {
-	if next == m.mode {
+func (m *Machine) transition(now int64, next State) bool {
+	if next == m.state {
 		return false
 	}
-	if !slices.Contains(follows[next], m.mode) {
-		m.Guard.Broken(invariant.ModeTable, fmt.Sprintf("%v after %v", next, m.mode))
+	if !slices.Contains(predecessors[next], m.state) {
+		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("%v after %v", next, m.state))
 		return false
 	}
-	m.mode, m.since = next, now
+	m.state, m.since = next, now
 	return true
 }
 
-// Pace is the part of its usual pace at which the node asks, grants, resumes and retries now: all of it together with the
+// RateFactor is the part of its usual pace at which the node asks, grants, resumes and retries now: all of it together with the
 // others, nothing where nobody hears it, and by and by more while it heals.
-func (m *Machine) Pace(now int64) float64 {
-	switch m.mode {
-	case Nothing, Alone:
+func (m *Machine) RateFactor(now int64) float64 {
+	switch m.state {
+	case Isolated, Standalone:
 		return 0
-	case Healing:
-		return min(1, max(0.05, float64(now-m.since)/max(1, float64(m.Heal))))
+	case Recovering:
+		return min(1, max(0.05, float64(now-m.since)/max(1, float64(m.RecoveryRamp))))
 	}
 	return 1
 }
--- a/internal/fleet/rights/golden_test.go
+++ b/internal/fleet/rights/golden_test.go
@@ -14,17 +14,17 @@
 )
 
 func TestGoldenOwner(t *testing.T) {
-	golden.RoundTrip(t, "owner.cbor", Owner{Seat: 3, Inc: 1_764_590_400_000_000_007},
+	golden.RoundTrip(t, "owner.cbor", Owner{Slot: 3, Incarnation: 1_764_590_400_000_000_007},
 		func(v Owner) ([]byte, error) { return cbor.Marshal(v) },
 		func(b []byte) (v Owner, err error) { return v, cbor.Unmarshal(b, &v) })
 }
 
 func TestGoldenUse(t *testing.T) {
-	use := Use{Budget: "tokens/acme", Window: 1, Rights: 2, Spent: 3, Share: 4, Lent: 5, Held: 6, Wanted: 7.5, Debt: 8, LoansOut: 9, LoansIn: 10,
-		LeaseEpoch: 11, LeaseFirst: 12, LeaseEnd: 13}
+	use := Usage{Budget: "tokens/acme", Window: 1, Quota: 2, Spent: 3, BaseQuota: 4, Lent: 5, Borrowed: 6, Demand: 7.5, Debt: 8, LentTransfers: 9, BorrowedTransfers: 10,
+		FencingToken: 11, LeaseValidFrom: 12, LeaseExpiresAt: 13}
 	golden.RoundTrip(t, "use.json", use,
-		func(v Use) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
-		func(b []byte) (v Use, err error) { return v, json.Unmarshal(b, &v) })
+		func(v Usage) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
+		func(b []byte) (v Usage, err error) { return v, json.Unmarshal(b, &v) })
 }
 
 // Two nodes lend to each other only where their definitions of a budget are the same number, and a seat's share of each window is
@@ -32,16 +32,16 @@
 func TestGoldenDefinitionsAndShares(t *testing.T) {
 	var text strings.Builder
 	for _, b := range []Budget{
-		{Name: "tokens/acme", Amount: 1000, Window: time.Second, Loan: 4, Weights: []int64{1, 1, 1}},
-		{Name: "tokens/acme", Amount: 1000, Overdraft: 100, Window: time.Second, Loan: 4, Weights: []int64{1, 2, 0, 5}},
-		{Name: "places/", Amount: 2, Overdraft: 1, Window: 10 * time.Second, Ahead: 7, Loan: 2, Weights: []int64{1, 1, 1}},
-		{Name: "attempts/", Amount: 1 << 53, Overdraft: 1 << 52, Window: time.Hour, Ahead: 1, Loan: 1, Weights: []int64{1 << 20, 3}},
+		{Name: "tokens/acme", Amount: 1000, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 1, 1}},
+		{Name: "tokens/acme", Amount: 1000, Overdraft: 100, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 2, 0, 5}},
+		{Name: "places/", Amount: 2, Overdraft: 1, Window: 10 * time.Second, WindowsAhead: 7, TransferWindows: 2, Weights: []int64{1, 1, 1}},
+		{Name: "attempts/", Amount: 1 << 53, Overdraft: 1 << 52, Window: time.Hour, WindowsAhead: 1, TransferWindows: 1, Weights: []int64{1 << 20, 3}},
 	} {
 		require.NoError(t, b.Complete())
-		fmt.Fprintf(&text, "%s: %016x\n", b.Name, b.Definition())
+		fmt.Fprintf(&text, "%s: %016x\n", b.Name, b.DefinitionHash())
 		for window := int64(100); window < 104; window++ {
 			for seat := range b.Weights {
-				fmt.Fprintf(&text, "  window %d, seat %d: %d and %d\n", window, seat, b.Share(seat, window), b.Grace(seat, window))
+				fmt.Fprintf(&text, "  window %d, seat %d: %d and %d\n", window, seat, b.BaseQuota(seat, window), b.OverdraftQuota(seat, window))
 			}
 		}
 	}
@@ -49,17 +49,17 @@
 }
 
 func TestGoldenBudgetErrors(t *testing.T) {
-	good := Budget{Name: "b", Amount: 1, Window: time.Second, Loan: 1, Weights: []int64{1}}
+	good := Budget{Name: "b", Amount: 1, Window: time.Second, TransferWindows: 1, Weights: []int64{1}}
 	var text strings.Builder
 	for _, edit := range []func(*Budget){
 		func(b *Budget) { b.Name = "" },
 		func(b *Budget) { b.Amount = -1 },
-		func(b *Budget) { b.Amount = AmountMost + 1 },
+		func(b *Budget) { b.Amount = MaxAmount + 1 },
 		func(b *Budget) { b.Overdraft = -1 },
 		func(b *Budget) { b.Window = time.Millisecond },
 		func(b *Budget) { b.Window = 367 * 24 * time.Hour },
-		func(b *Budget) { b.Ahead = WindowsMost },
-		func(b *Budget) { b.Loan = 0 },
+		func(b *Budget) { b.WindowsAhead = MaxWindows },
+		func(b *Budget) { b.TransferWindows = 0 },
 		func(b *Budget) { b.Weights = nil },
 		func(b *Budget) { b.Weights = []int64{1, -1} },
 		func(b *Budget) { b.Weights = []int64{0, 0} },
@@ -75,5 +75,5 @@
 
 // The bounds are part of what nodes agree on: a message beyond them is dropped.
 func TestGoldenBounds(t *testing.T) {
-	golden.Bytes(t, "bounds.txt", fmt.Appendf(nil, "loans %d\nwindows %d\namount %d\n", LoansMost, WindowsMost, AmountMost))
+	golden.Bytes(t, "bounds.txt", fmt.Appendf(nil, "loans %d\nwindows %d\namount %d\n", MaxTransfers, MaxWindows, MaxAmount))
 }
--- a/internal/fleet/rights/rights_test.go
+++ b/internal/fleet/rights/rights_test.go
@@ -18,9 +18,9 @@
 }
 
 // The shares of all seats are the amount in every window, and each seat has its turn for what does not divide evenly.
-func TestShares(t *testing.T) {
+func TestBaseQuotasSumToTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{Name: "b", Window: time.Second, Loan: 1, Amount: rapid.Int64Range(0, 1000).Draw(t, "amount"), Overdraft: rapid.Int64Range(0, 10).Draw(t, "overdraft"),
+		b := Budget{Name: "b", Window: time.Second, TransferWindows: 1, Amount: rapid.Int64Range(0, 1000).Draw(t, "amount"), Overdraft: rapid.Int64Range(0, 10).Draw(t, "overdraft"),
 			Weights: rapid.SliceOfN(rapid.Int64Range(0, 5), 1, 20).Draw(t, "weights")}
 		if b.Complete() != nil {
 			return // no seat has a weight
@@ -31,31 +31,31 @@
 		for w := from; w < from+n; w++ {
 			sum, over := int64(0), int64(0)
 			for seat := range b.Weights {
-				share := b.Share(seat, w)
-				sum, over, had[seat] = sum+share, over+b.Grace(seat, w), had[seat]+share-b.part(b.Amount, seat)
+				share := b.BaseQuota(seat, w)
+				sum, over, had[seat] = sum+share, over+b.OverdraftQuota(seat, w), had[seat]+share-b.evenShare(b.Amount, seat)
 			}
 			if sum != b.Amount || over != b.Overdraft {
 				t.Fatalf("window %d: shares of %d in all, of an amount of %d; %d of %d", w, sum, b.Amount, over, b.Overdraft)
 			}
 		}
 		for seat := range had {
-			if had[seat] != b.rest {
-				t.Fatalf("seat %d had %d turns of %d", seat, had[seat], b.rest)
+			if had[seat] != b.amountRemainder {
+				t.Fatalf("seat %d had %d turns of %d", seat, had[seat], b.amountRemainder)
 			}
 		}
 	})
 }
 
-func TestBudgetsThatCannotBe(t *testing.T) {
-	good := Budget{Name: "b", Amount: 1, Window: time.Second, Loan: 1, Weights: []int64{1}}
+func TestCompleteRejectsInvalidBudgets(t *testing.T) {
+	good := Budget{Name: "b", Amount: 1, Window: time.Second, TransferWindows: 1, Weights: []int64{1}}
 	require.NoError(t, good.Complete())
 	for says, edit := range map[string]func(*Budget){
 		"name: missing":        func(b *Budget) { b.Name = "" },
 		"amount: -1":           func(b *Budget) { b.Amount = -1 },
 		"overdraft: -1":        func(b *Budget) { b.Overdraft = -1 },
 		"window: 0s":           func(b *Budget) { b.Window = 0 },
-		"ahead: 4096":          func(b *Budget) { b.Ahead = WindowsMost },
-		"loan: 0":              func(b *Budget) { b.Loan = 0 },
+		"ahead: 4096":          func(b *Budget) { b.WindowsAhead = MaxWindows },
+		"loan: 0":              func(b *Budget) { b.TransferWindows = 0 },
 		"0 seats":              func(b *Budget) { b.Weights = nil },
 		"seat[0].weight: -1":   func(b *Budget) { b.Weights = []int64{-1} },
 		"no seat has a weight": func(b *Budget) { b.Weights = []int64{0, 0} },
@@ -66,11 +66,11 @@
 	}
 }
 
-// world is a few nodes with one budget, whose messages may be lost, doubled and late, whose lives end, and whose clocks are off.
-type world struct {
+// simulation is a few nodes with one budget, whose messages may be lost, doubled and late, whose lives end, and whose clocks are off.
+type simulation struct {
 	b      *Budget
-	guard  *invariant.Guard
-	nodes  []*life
+	guard  *invariant.Monitor
+	nodes  []*simulatedNode
 	spent  map[int64]int64 // by window, over all lives
 	mail   []any
 	now    int64
@@ -78,12 +78,12 @@
 	owners []Owner
 }
 
-type life struct {
-	*Purse
+type simulatedNode struct {
+	*Allocation
 	off int64
 }
 
-type returned struct {
+type transferReturn struct {
 	lender, by Owner
 	number     uint64
 	last       int64
@@ -91,12 +91,12 @@
 
 const clockError = second / 2
 
-func newWorld(t require.TestingT, seats int, b Budget) *world {
+func newWorld(t require.TestingT, seats int, b Budget) *simulation {
 	for range seats {
 		b.Weights = append(b.Weights, 1)
 	}
-	w := &world{b: budget(t, b), guard: &invariant.Guard{}, spent: map[int64]int64{}, now: 1000 * second, leases: make([]Lease, seats), owners: make([]Owner, seats)}
-	w.nodes = make([]*life, seats)
+	w := &simulation{b: budget(t, b), guard: &invariant.Monitor{}, spent: map[int64]int64{}, now: 1000 * second, leases: make([]Lease, seats), owners: make([]Owner, seats)}
+	w.nodes = make([]*simulatedNode, seats)
 	for i := range seats {
 		w.start(i, 0, time.Hour, false)
 	}
@@ -104,63 +104,63 @@
 }
 
 // start begins a life of a seat. heir: on the same folder as the one before, else after that one's lease.
-func (w *world) start(seat int, off int64, lease time.Duration, heir bool) {
+func (w *simulation) start(seat int, off int64, lease time.Duration, heir bool) {
 	was := w.leases[seat]
 	now := w.now + off
-	w.owners[seat] = Owner{seat, w.owners[seat].Inc + 1}
-	l := &life{NewPurse(w.b, w.owners[seat], clockError, now, w.guard), off}
+	w.owners[seat] = Owner{seat, w.owners[seat].Incarnation + 1}
+	l := &simulatedNode{NewAllocation(w.b, w.owners[seat], clockError, now, w.guard), off}
 	switch {
-	case was.Epoch == 0:
-		w.leases[seat] = Lease{Epoch: 1, First: now, Until: now + int64(lease)}
+	case was.FencingToken == 0:
+		w.leases[seat] = Lease{FencingToken: 1, ValidFrom: now, ExpiresAt: now + int64(lease)}
 	case heir:
-		w.leases[seat] = Lease{Epoch: was.Epoch + 1, First: now, Until: now + int64(lease), Heir: true}
-	case now > was.Until+2*clockError:
-		w.leases[seat] = Lease{Epoch: was.Epoch + 1, First: now, Until: now + int64(lease)}
+		w.leases[seat] = Lease{FencingToken: was.FencingToken + 1, ValidFrom: now, ExpiresAt: now + int64(lease), Successor: true}
+	case now > was.ExpiresAt+2*clockError:
+		w.leases[seat] = Lease{FencingToken: was.FencingToken + 1, ValidFrom: now, ExpiresAt: now + int64(lease)}
 	default:
 		w.nodes[seat] = l // without a lease: it may borrow
 		return
 	}
-	l.Lease(w.leases[seat])
+	l.SetLease(w.leases[seat])
 	w.nodes[seat] = l
 }
 
-func (w *world) advance(by int64) {
+func (w *simulation) advance(by int64) {
 	w.now += by
 	for _, n := range w.nodes {
 		n.Advance(w.now + n.off)
 	}
 }
 
-func (w *world) spend(seat int, n int64, further int) bool {
+func (w *simulation) spend(seat int, n int64, further int) bool {
 	p := w.nodes[seat]
 	if !p.Overdraw(n, further) {
 		return false
 	}
 	for i := range int64(further) + 1 {
-		w.spent[p.Window()+i] += n
+		w.spent[p.CurrentWindow()+i] += n
 	}
 	return true
 }
 
-func (w *world) lend(from, to int, amount int64, ahead int64, span int) {
-	if l, ok := w.nodes[from].Lend(w.nodes[to].Own, amount, w.nodes[from].Window()+ahead, span); ok {
+func (w *simulation) lend(from, to int, amount int64, ahead int64, span int) {
+	if l, ok := w.nodes[from].Lend(w.nodes[to].Owner, amount, w.nodes[from].CurrentWindow()+ahead, span); ok {
 		w.mail = append(w.mail, l)
 	}
 }
 
-func (w *world) deliver(m any) {
+func (w *simulation) deliver(m any) {
 	switch m := m.(type) {
-	case Loan:
-		w.nodes[m.To.Seat].Take(m)
-	case returned:
-		if n := w.nodes[m.lender.Seat]; n.Own == m.lender {
-			n.Returned(m.by, m.number, m.last)
+	case Transfer:
+		w.nodes[m.Borrower.Slot].Accept(m)
+	case transferReturn:
+		if n := w.nodes[m.lender.Slot]; n.Owner == m.lender {
+			n.AcceptReturn(m.by, m.number, m.last)
 		}
 	}
 }
 
-func (w *world) check(t require.TestingT) {
-	require.Empty(t, w.guard.Counts())
+func (w *simulation) check(t require.TestingT) {
+	require.Empty(t, w.guard.Violations())
 	for at, n := range w.spent {
 		require.LessOrEqual(t, n, w.b.Amount+w.b.Overdraft, "window %d", at)
 	}
@@ -170,7 +170,7 @@
 func TestNoWindowIsOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(2, 5).Draw(t, "seats"), Budget{Name: "b", Amount: rapid.Int64Range(0, 60).Draw(t, "amount"),
-			Overdraft: rapid.Int64Range(0, 3).Draw(t, "overdraft"), Window: time.Second, Ahead: 3, Loan: rapid.IntRange(1, 4).Draw(t, "loan")})
+			Overdraft: rapid.Int64Range(0, 3).Draw(t, "overdraft"), Window: time.Second, WindowsAhead: 3, TransferWindows: rapid.IntRange(1, 4).Draw(t, "loan")})
 		seat := rapid.IntRange(0, len(w.nodes)-1)
 		some := rapid.Int64Range(1, 20)
 		t.Repeat(map[string]func(*rapid.T){
@@ -189,8 +189,8 @@
 			},
 			"return": func(t *rapid.T) {
 				n := w.nodes[seat.Draw(t, "seat")]
-				for _, l := range n.Return() {
-					w.mail = append(w.mail, returned{l.Lender, n.Own, l.Number, l.Last})
+				for _, l := range n.ReturnUnneeded() {
+					w.mail = append(w.mail, transferReturn{l.Lender, n.Owner, l.Number, l.LastWindow})
 				}
 			},
 			"deliver": func(t *rapid.T) { // and perhaps once more later
@@ -207,8 +207,8 @@
 			},
 			"give back": func(t *rapid.T) {
 				n := w.nodes[seat.Draw(t, "seat")]
-				if at := n.Window(); n.Spent(at) > 0 {
-					n.GiveBack(1, at, at)
+				if at := n.CurrentWindow(); n.Spent(at) > 0 {
+					n.Refund(1, at, at)
 					w.spent[at]--
 				}
 			},
@@ -218,45 +218,45 @@
 }
 
 // What is lent is spent by one of the two, and comes back at the loan's end plus what clocks may be off, or when it is returned.
-func TestALoanComesBack(t *testing.T) {
-	w := newWorld(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, Loan: 3})
+func TestTransferredQuotaComesBack(t *testing.T) {
+	w := newWorld(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 3})
 	w.advance(second)
 	a, b := w.nodes[0], w.nodes[1]
-	at := a.Window()
-	l, ok := a.Lend(b.Own, 4, at, 2)
+	at := a.CurrentWindow()
+	l, ok := a.Lend(b.Owner, 4, at, 2)
 	require.True(t, ok)
-	require.True(t, b.Take(l))
-	require.False(t, b.Take(l), "a second time it is the same loan")
-	require.EqualValues(t, []int64{6, 14}, []int64{a.Rights(at), b.Rights(at)})
-	require.EqualValues(t, 10, b.Rights(at+2))
+	require.True(t, b.Accept(l))
+	require.False(t, b.Accept(l), "a second time it is the same loan")
+	require.EqualValues(t, []int64{6, 14}, []int64{a.Quota(at), b.Quota(at)})
+	require.EqualValues(t, 10, b.Quota(at+2))
 	w.advance(2 * second)
-	require.EqualValues(t, 6, a.Rights(at+2), "a clock may still be before the end")
+	require.EqualValues(t, 6, a.Quota(at+2), "a clock may still be before the end")
 	w.advance(clockError)
-	require.EqualValues(t, 10, a.Rights(at+2))
-	l, _ = a.Lend(b.Own, 4, at+2, 3)
-	require.True(t, b.Take(l))
-	back := b.Return()
+	require.EqualValues(t, 10, a.Quota(at+2))
+	l, _ = a.Lend(b.Owner, 4, at+2, 3)
+	require.True(t, b.Accept(l))
+	back := b.ReturnUnneeded()
 	require.Len(t, back, 1)
-	require.EqualValues(t, 10, b.Rights(at+3))
-	a.Returned(b.Own, back[0].Number, back[0].Last)
-	require.EqualValues(t, []int64{6, 10}, []int64{a.Rights(at + 2), a.Rights(at + 3)})
-	require.False(t, b.Take(l), "nor once it has been given back")
+	require.EqualValues(t, 10, b.Quota(at+3))
+	a.AcceptReturn(b.Owner, back[0].Number, back[0].LastWindow)
+	require.EqualValues(t, []int64{6, 10}, []int64{a.Quota(at + 2), a.Quota(at + 3)})
+	require.False(t, b.Accept(l), "nor once it has been given back")
 	w.advance(second)
-	require.False(t, b.Take(l), "nor while it would last")
+	require.False(t, b.Accept(l), "nor while it would last")
 	other := l
-	other.Number, other.To.Inc = 99, b.Own.Inc+1
-	require.False(t, b.Take(other), "nor one that is another life's")
+	other.Number, other.Borrower.Incarnation = 99, b.Owner.Incarnation+1
+	require.False(t, b.Accept(other), "nor one that is another life's")
 }
 
 // A clock that is set back does not bring a window back: what is spent stays spent, and nothing is had twice.
-func TestAClockThatGoesBack(t *testing.T) {
-	w := newWorld(t, 1, Budget{Name: "b", Amount: 20, Window: time.Second, Loan: 2})
+func TestClockThatGoesBackReopensNoWindow(t *testing.T) {
+	w := newWorld(t, 1, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 2})
 	w.advance(2 * second)
 	p := w.nodes[0]
 	require.True(t, w.spend(0, 20, 0))
-	at := p.Window()
+	at := p.CurrentWindow()
 	p.Advance(w.now - second)
-	require.Equal(t, at, p.Window())
+	require.Equal(t, at, p.CurrentWindow())
 	require.False(t, w.spend(0, 1, 0))
 	p.Advance(w.now)
 	require.False(t, w.spend(0, 1, 0))
@@ -264,14 +264,14 @@
 
 // A node that hears nobody has its seat's share, while its lease lasts, and nothing more; an heir leaves the windows alone that
 // the life before it can have spent or lent of.
-func TestFloorAndHeirs(t *testing.T) {
-	w := newWorld(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, Loan: 2})
+func TestBaseQuotaNeedsALeaseAndSuccessorsWait(t *testing.T) {
+	w := newWorld(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 2})
 	w.advance(second)
 	require.False(t, w.spend(0, 11, 0))
 	require.True(t, w.spend(0, 10, 0))
 	w.advance(2 * time.Hour.Nanoseconds())
 	require.False(t, w.spend(0, 1, 0), "its lease is over")
-	w = newWorld(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, Loan: 2})
+	w = newWorld(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 2})
 	w.advance(second)
 	w.start(0, 0, time.Minute, true)
 	for range 5 {
@@ -289,8 +289,8 @@
 }
 
 // An overdraft becomes a debt: the windows that follow give up a quarter of their share each until it is made good.
-func TestOverdraftsAreMadeGood(t *testing.T) {
-	w := newWorld(t, 1, Budget{Name: "b", Amount: 20, Overdraft: 12, Window: time.Second, Loan: 2})
+func TestOverdraftIsRepaidFromLaterWindows(t *testing.T) {
+	w := newWorld(t, 1, Budget{Name: "b", Amount: 20, Overdraft: 12, Window: time.Second, TransferWindows: 2})
 	w.advance(second)
 	p := w.nodes[0]
 	require.False(t, p.Spend(21, 0))
@@ -298,31 +298,31 @@
 	require.False(t, w.spend(0, 1, 0))
 	for _, rights := range []int64{15, 15, 18, 20} {
 		w.advance(second)
-		require.Equal(t, rights, p.Rights(p.Window()))
+		require.Equal(t, rights, p.Quota(p.CurrentWindow()))
 	}
 	w.check(t)
 }
 
 // Loans are bounded: a lender with as many as it remembers lends no more, and a borrower takes none that it would forget.
-func TestLoansAreBounded(t *testing.T) {
-	w := newWorld(t, 2, Budget{Name: "b", Amount: 1 << 40, Window: time.Second, Loan: 2})
+func TestTransfersAreBounded(t *testing.T) {
+	w := newWorld(t, 2, Budget{Name: "b", Amount: 1 << 40, Window: time.Second, TransferWindows: 2})
 	w.advance(second)
-	for range 3 * LoansMost {
+	for range 3 * MaxTransfers {
 		w.lend(0, 1, 1, 0, 2)
 	}
-	require.Len(t, w.mail, LoansMost)
-	for i := range 3 * LoansMost {
-		w.nodes[1].Take(Loan{Lender: Owner{0, 9}, Number: uint64(i), To: w.nodes[1].Own, Amount: 1, First: w.nodes[1].Window(), Last: w.nodes[1].Window()})
+	require.Len(t, w.mail, MaxTransfers)
+	for i := range 3 * MaxTransfers {
+		w.nodes[1].Accept(Transfer{Lender: Owner{0, 9}, Number: uint64(i), Borrower: w.nodes[1].Owner, Amount: 1, FirstWindow: w.nodes[1].CurrentWindow(), LastWindow: w.nodes[1].CurrentWindow()})
 	}
-	require.Len(t, w.nodes[1].held, LoansMost)
+	require.Len(t, w.nodes[1].borrowed, MaxTransfers)
 	w.advance(5 * second)
-	require.Empty(t, w.nodes[1].held)
+	require.Empty(t, w.nodes[1].borrowed)
 	require.Empty(t, w.nodes[0].lent)
 }
 
 func BenchmarkSpend(b *testing.B) {
-	p := newWorld(b, 3, Budget{Name: "b", Amount: 1 << 50, Window: time.Hour, Loan: 4}).nodes[0]
-	p.Lease(Lease{Epoch: 2, First: 0, Until: 1 << 62})
+	p := newWorld(b, 3, Budget{Name: "b", Amount: 1 << 50, Window: time.Hour, TransferWindows: 4}).nodes[0]
+	p.SetLease(Lease{FencingToken: 2, ValidFrom: 0, ExpiresAt: 1 << 62})
 	b.ReportAllocs()
 	for b.Loop() {
 		if !p.Spend(1, 0) {
--- a/internal/fleet/seat/golden_test.go
+++ b/internal/fleet/seat/golden_test.go
@@ -15,13 +15,13 @@
 )
 
 func TestGoldenRecord(t *testing.T) {
-	golden.RoundTrip(t, "record.json", Record{Inc: 1, Epoch: 2, First: 3, Until: 4, Heir: true},
+	golden.RoundTrip(t, "record.json", Record{Incarnation: 1, FencingToken: 2, ValidFrom: 3, ExpiresAt: 4, Successor: true},
 		func(v Record) ([]byte, error) { return json.Marshal(v) },
 		func(b []byte) (v Record, err error) { return v, json.Unmarshal(b, &v) })
 }
 
 func TestGoldenClaim(t *testing.T) {
-	golden.RoundTrip(t, "claim.json", Claim{Name: "a", Inc: 9, Before: []uint64{7, 8}, For: 10 * time.Second, Clock: 11},
+	golden.RoundTrip(t, "claim.json", Claim{Slot: "a", Incarnation: 9, Predecessors: []uint64{7, 8}, Duration: 10 * time.Second, ClaimantTime: 11},
 		func(v Claim) ([]byte, error) { return json.Marshal(v) },
 		func(b []byte) (v Claim, err error) { return v, json.Unmarshal(b, &v) })
 }
@@ -37,7 +37,7 @@
 	raw, err := os.ReadFile(filepath.Join(dir, "seat.json"))
 	require.NoError(t, err)
 	golden.Bytes(t, "seat.json", raw)
-	require.NoError(t, f.Given(70))
+	require.NoError(t, f.ConfirmGrant(70))
 	require.NoError(t, f.Close())
 	raw, err = os.ReadFile(filepath.Join(dir, "seat.json"))
 	require.NoError(t, err)
@@ -61,12 +61,12 @@
 		require.Error(t, err)
 		fmt.Fprintln(&text, err)
 	}
-	record := Record{Inc: 5, Epoch: 1, First: 100 * second, Until: 110 * second}
-	claim := Claim{Name: "a", Inc: 9, For: 10 * time.Second}
+	record := Record{Incarnation: 5, FencingToken: 1, ValidFrom: 100 * second, ExpiresAt: 110 * second}
+	claim := Claim{Slot: "a", Incarnation: 9, Duration: 10 * time.Second}
 	for _, edit := range []func(*Claim){
-		func(c *Claim) { c.Inc = 0 },
-		func(c *Claim) { c.For = 0 },
-		func(c *Claim) { c.Inc = 4 },
+		func(c *Claim) { c.Incarnation = 0 },
+		func(c *Claim) { c.Duration = 0 },
+		func(c *Claim) { c.Incarnation = 4 },
 		func(*Claim) {},
 	} {
 		c := claim
@@ -74,7 +74,7 @@
 		_, err := Decide(record, c, 105*second, time.Second)
 		say(err)
 	}
-	say(ErrTaken)
+	say(ErrHeld)
 	dir := filepath.Join(t.TempDir(), "fleet")
 	sayAt := func(err error) {
 		t.Helper()
--- a/internal/fleet/seat/seat.go
+++ b/internal/fleet/seat/seat.go
@@ -15,64 +15,64 @@
 
 // Record is who has a seat, as the store has it.
 type Record struct {
-	Inc   uint64 `json:"inc"`
-	Epoch uint64 `json:"epoch"` // the fence: grows with each owner
-	First int64  `json:"first"` // from when on
-	Until int64  `json:"until"` // Unix nanoseconds
-	Heir  bool   `json:"heir,omitempty"`
+	Incarnation  uint64 `json:"inc"`
+	FencingToken uint64 `json:"epoch"` // the fence: grows with each owner
+	ValidFrom    int64  `json:"first"` // from when on
+	ExpiresAt    int64  `json:"until"` // Unix nanoseconds
+	Successor    bool   `json:"heir,omitempty"`
 }
 
 // Claim is a life's wish for a seat.
 type Claim struct {
-	Name   string        `json:"name"`
-	Inc    uint64        `json:"inc"`
-	Before []uint64      `json:"before,omitempty"` // lives of the same folder, which are over: it has the folder's lock
-	For    time.Duration `json:"for"`
-	Clock  int64         `json:"clock"` // the claimant's: what its own windows go by
+	Slot         string        `json:"name"`
+	Incarnation  uint64        `json:"inc"`
+	Predecessors []uint64      `json:"before,omitempty"` // lives of the same folder, which are over: it has the folder's lock
+	Duration     time.Duration `json:"for"`
+	ClaimantTime int64         `json:"clock"` // the claimant's: what its own windows go by
 }
 
-// ErrTaken is returned while another life has the seat.
-var ErrTaken = errors.New("another life of this node has its seat")
+// ErrHeld is returned while another life has the seat.
+var ErrHeld = errors.New("another life of this node has its seat")
 
 // Decide says what a claim makes of a record; version 0 of a record is that of a seat that nobody has had. clockError is by how
 // much clocks may differ.
 func Decide(r Record, c Claim, now int64, clockError time.Duration) (Record, error) {
-	next := Record{Inc: c.Inc, Epoch: r.Epoch + 1, First: max(now, c.Clock), Until: now + int64(c.For)}
+	next := Record{Incarnation: c.Incarnation, FencingToken: r.FencingToken + 1, ValidFrom: max(now, c.ClaimantTime), ExpiresAt: now + int64(c.Duration)}
 	switch {
-	case c.Inc == 0 || c.For <= 0:
-		return r, fmt.Errorf("a claim that cannot be: life %d, for %v", c.Inc, c.For)
-	case r.Epoch == 0:
+	case c.Incarnation == 0 || c.Duration <= 0:
+		return r, fmt.Errorf("a claim that cannot be: life %d, for %v", c.Incarnation, c.Duration)
+	case r.FencingToken == 0:
 		return next, nil
-	case r.Inc == c.Inc: // the same once more
-		r.Until = max(r.Until, next.Until)
+	case r.Incarnation == c.Incarnation: // the same once more
+		r.ExpiresAt = max(r.ExpiresAt, next.ExpiresAt)
 		return r, nil
-	case slices.Contains(c.Before, r.Inc):
-		next.Heir = true
+	case slices.Contains(c.Predecessors, r.Incarnation):
+		next.Successor = true
 		return next, nil
-	case c.Inc < r.Inc && now < r.Until:
-		return r, fmt.Errorf("%w: a later one", ErrTaken)
-	case now < r.Until+2*int64(clockError):
-		return r, fmt.Errorf("%w until %s", ErrTaken, time.Unix(0, r.Until).UTC().Format(time.RFC3339Nano))
+	case c.Incarnation < r.Incarnation && now < r.ExpiresAt:
+		return r, fmt.Errorf("%w: a later one", ErrHeld)
+	case now < r.ExpiresAt+2*int64(clockError):
+		return r, fmt.Errorf("%w until %s", ErrHeld, time.Unix(0, r.ExpiresAt).UTC().Format(time.RFC3339Nano))
 	}
-	next.First = max(next.First, r.Until)
+	next.ValidFrom = max(next.ValidFrom, r.ExpiresAt)
 	return next, nil
 }
 
-// Folder is a node's own folder, which one life has at a time.
-type Folder struct {
-	dir  string
-	lock *os.File
-	kept kept
+// Directory is a node's own folder, which one life has at a time.
+type Directory struct {
+	path      string
+	lock      *os.File
+	persisted persistedState
 }
 
-type kept struct {
-	Lives []uint64 `json:"lives"` // the latest last: those that may have claimed the seat since it was last known whose it is
+type persistedState struct {
+	Incarnations []uint64 `json:"lives"` // the latest last: those that may have claimed the seat since it was last known whose it is
 }
 
-const livesMost = 64
+const maxIncarnations = 64
 
 // Open takes a folder for this life, and begins it. wall is the time by this node's clock.
-func Open(dir string, wall int64) (*Folder, uint64, []uint64, error) {
+func Open(dir string, wall int64) (*Directory, uint64, []uint64, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, 0, nil, err
 	}
@@ -80,32 +80,32 @@
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	f := &Folder{dir: dir, lock: lock}
-	fail := func(err error) (*Folder, uint64, []uint64, error) {
+	f := &Directory{path: dir, lock: lock}
+	fail := func(err error) (*Directory, uint64, []uint64, error) {
 		return nil, 0, nil, errors.Join(err, lock.Close())
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return fail(fmt.Errorf("%s: another program has this folder: %w", dir, err))
 	}
-	raw, err := os.ReadFile(f.path())
+	raw, err := os.ReadFile(f.filePath())
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
 		return fail(err)
 	default:
-		if err := json.Unmarshal(raw, &f.kept); err != nil {
-			return fail(fmt.Errorf("%s cannot be read; whose life was the last is not known: %w", f.path(), err))
+		if err := json.Unmarshal(raw, &f.persisted); err != nil {
+			return fail(fmt.Errorf("%s cannot be read; whose life was the last is not known: %w", f.filePath(), err))
 		}
 	}
-	before := slices.Clone(f.kept.Lives)
+	before := slices.Clone(f.persisted.Incarnations)
 	inc := max(uint64(1), uint64(max(0, wall)))
 	if n := len(before); n > 0 {
 		inc = max(inc, before[n-1]+1)
 	}
-	if len(before) >= livesMost { // none of them was ever given the seat: the latest are enough
-		f.kept.Lives = before[len(before)-livesMost/2:]
+	if len(before) >= maxIncarnations { // none of them was ever given the seat: the latest are enough
+		f.persisted.Incarnations = before[len(before)-maxIncarnations/2:]
 	}
-	f.kept.Lives = append(slices.Clone(f.kept.Lives), inc)
+	f.persisted.Incarnations = append(slices.Clone(f.persisted.Incarnations), inc)
 	// Before the claim: a life that claimed and is not on record could not be told from a stranger's.
 	if err := f.write(); err != nil {
 		return fail(err)
@@ -113,24 +113,24 @@
 	return f, inc, before, nil
 }
 
-func (f *Folder) path() string { return filepath.Join(f.dir, "seat.json") }
+func (f *Directory) filePath() string { return filepath.Join(f.path, "seat.json") }
 
-// Given notes that the seat is this life's: those before it are over for the store too.
-func (f *Folder) Given(inc uint64) error {
-	if len(f.kept.Lives) == 1 && f.kept.Lives[0] == inc {
+// ConfirmGrant notes that the seat is this life's: those before it are over for the store too.
+func (f *Directory) ConfirmGrant(inc uint64) error {
+	if len(f.persisted.Incarnations) == 1 && f.persisted.Incarnations[0] == inc {
 		return nil
 	}
-	f.kept.Lives = []uint64{inc}
+	f.persisted.Incarnations = []uint64{inc}
 	return f.write()
 }
 
 // write replaces the file by a whole one.
-func (f *Folder) write() error {
-	raw, err := json.Marshal(f.kept)
+func (f *Directory) write() error {
+	raw, err := json.Marshal(f.persisted)
 	if err != nil {
 		return err
 	}
-	temporary := f.path() + ".new"
+	temporary := f.filePath() + ".new"
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -139,8 +139,8 @@
 	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	return os.Rename(temporary, f.path())
+	return os.Rename(temporary, f.filePath())
 }
 
 // Close gives the folder back.
-func (f *Folder) Close() error { return f.lock.Close() }
+func (f *Directory) Close() error { return f.lock.Close() }
--- a/internal/fleet/seat/seat_test.go
+++ b/internal/fleet/seat/seat_test.go
@@ -12,55 +12,55 @@
 
 const second = int64(time.Second)
 
-func TestDecide(t *testing.T) {
+func TestDecideGrantsRenewsAndRefusesLeases(t *testing.T) {
 	claim := func(inc uint64, before ...uint64) Claim {
-		return Claim{Name: "a", Inc: inc, Before: before, For: 10 * time.Second}
+		return Claim{Slot: "a", Incarnation: inc, Predecessors: before, Duration: 10 * time.Second}
 	}
 	first, err := Decide(Record{}, claim(5), 100*second, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, Record{Inc: 5, Epoch: 1, First: 100 * second, Until: 110 * second}, first)
+	require.Equal(t, Record{Incarnation: 5, FencingToken: 1, ValidFrom: 100 * second, ExpiresAt: 110 * second}, first)
 	again, err := Decide(first, claim(5), 105*second, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, Record{Inc: 5, Epoch: 1, First: 100 * second, Until: 115 * second}, again)
+	require.Equal(t, Record{Incarnation: 5, FencingToken: 1, ValidFrom: 100 * second, ExpiresAt: 115 * second}, again)
 	_, err = Decide(again, claim(9), 116*second, time.Second)
-	require.ErrorIs(t, err, ErrTaken, "clocks may differ by a second each way")
+	require.ErrorIs(t, err, ErrHeld, "clocks may differ by a second each way")
 	stranger, err := Decide(again, claim(9), 117*second, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, Record{Inc: 9, Epoch: 2, First: 117 * second, Until: 127 * second}, stranger)
+	require.Equal(t, Record{Incarnation: 9, FencingToken: 2, ValidFrom: 117 * second, ExpiresAt: 127 * second}, stranger)
 	heir, err := Decide(again, claim(9, 4, 5), 106*second, time.Second)
 	require.NoError(t, err)
-	require.True(t, heir.Heir)
+	require.True(t, heir.Successor)
 	_, err = Decide(heir, claim(5), 106*second, time.Second)
-	require.ErrorIs(t, err, ErrTaken, "the life before does not come back")
+	require.ErrorIs(t, err, ErrHeld, "the life before does not come back")
 }
 
 // Of two lives that are no heirs of each other, the second's hold begins after the first's end, however they claim.
-func TestHoldsDoNotOverlap(t *testing.T) {
+func TestLeasesOfDifferentIncarnationsDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Record
 		ends := map[uint64]int64{} // by epoch
 		now := second
 		for range 50 {
 			now += rapid.Int64Range(0, 5*second).Draw(t, "by")
-			c := Claim{Inc: rapid.Uint64Range(1, 4).Draw(t, "life"), For: time.Duration(rapid.Int64Range(1, 10*second).Draw(t, "for")), Clock: now + rapid.Int64Range(-second, second).Draw(t, "off")}
+			c := Claim{Incarnation: rapid.Uint64Range(1, 4).Draw(t, "life"), Duration: time.Duration(rapid.Int64Range(1, 10*second).Draw(t, "for")), ClaimantTime: now + rapid.Int64Range(-second, second).Draw(t, "off")}
 			next, err := Decide(r, c, now, time.Second)
 			if err != nil {
 				continue
 			}
-			if next.Epoch != r.Epoch && r.Epoch > 0 && next.First < ends[r.Epoch] {
-				t.Fatalf("epoch %d begins at %d, the one before ended at %d", next.Epoch, next.First, ends[r.Epoch])
+			if next.FencingToken != r.FencingToken && r.FencingToken > 0 && next.ValidFrom < ends[r.FencingToken] {
+				t.Fatalf("epoch %d begins at %d, the one before ended at %d", next.FencingToken, next.ValidFrom, ends[r.FencingToken])
 			}
-			if next.Epoch < r.Epoch {
+			if next.FencingToken < r.FencingToken {
 				t.Fatal("the fence went back")
 			}
 			r = next
-			ends[r.Epoch] = r.Until
+			ends[r.FencingToken] = r.ExpiresAt
 		}
 	})
 }
 
 // Each life has a number of its own, later than those before it, whatever the clock says; they are known until the seat is its own.
-func TestFolder(t *testing.T) {
+func TestDirectoryNumbersIncarnations(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "fleet")
 	f, one, before, err := Open(dir, 50)
 	require.NoError(t, err)
@@ -76,7 +76,7 @@
 	f, three, before, err := Open(dir, 10)
 	require.NoError(t, err)
 	require.Equal(t, []uint64{one, two}, before)
-	require.NoError(t, f.Given(three))
+	require.NoError(t, f.ConfirmGrant(three))
 	require.NoError(t, f.Close())
 	f, _, before, err = Open(dir, 10)
 	require.NoError(t, err)
--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -21,11 +21,11 @@
 
 // A session as the store has it, and what a node asks of the leader.
 func TestGoldenRecordAndOperation(t *testing.T) {
-	roundTrip(t, "record.json", Record{ID: id, Turn: 2, State: Claimed, Fence: 3, Until: 4, Wait: 5, Tenant: 6, By: Owner{Seat: "node-1", Life: 7}, Claim: "trace-8",
-		Calls: []Call{{ID: "call-9", Name: "hours"}}, Data: []byte("packed"), Last: "served"})
-	roundTrip(t, "operation.json", Op{Kind: Take, ID: id, Turn: 2, Fence: 3, Claim: "trace-4", By: Owner{Seat: "node-1", Life: 5}, Before: []uint64{6, 7}, Tenant: 8, Wait: 9, For: 10,
-		Results: []string{"call-11"}, Calls: []Call{{ID: "call-12", Name: "hours"}}, Data: []byte("packed"), Last: "served"})
-	raw, err := json.Marshal([]any{Record{}, Op{}})
+	roundTrip(t, "record.json", Record{ID: id, Turn: 2, State: Claimed, FencingToken: 3, Deadline: 4, ToolDeadline: 5, Tenant: 6, Owner: Owner{Slot: "node-1", Incarnation: 7}, ClaimID: "trace-8",
+		Calls: []ToolCall{{ID: "call-9", Name: "hours"}}, Data: []byte("packed"), EndReason: "served"})
+	roundTrip(t, "operation.json", Command{Kind: Claim, ID: id, Turn: 2, FencingToken: 3, ClaimID: "trace-4", Owner: Owner{Slot: "node-1", Incarnation: 5}, Predecessors: []uint64{6, 7}, Tenant: 8, ToolTimeout: 9, ClaimDuration: 10,
+		ResultIDs: []string{"call-11"}, Calls: []ToolCall{{ID: "call-12", Name: "hours"}}, Data: []byte("packed"), EndReason: "served"})
+	raw, err := json.Marshal([]any{Record{}, Command{}})
 	require.NoError(t, err)
 	golden.Bytes(t, "empty.json", raw)
 }
@@ -36,28 +36,28 @@
 	for _, s := range []State{Running, Pausing, Paused, Claimed, Resuming, Ended, Expired} {
 		lines = append(lines, "state "+string(s))
 	}
-	for _, k := range []OpKind{Pause, Take, Begin, Release, End, Cancel, Expire, Forget} {
+	for _, k := range []CommandKind{Pause, Claim, Begin, Release, End, Cancel, Expire, Forget} {
 		lines = append(lines, "operation "+string(k))
 	}
-	lines = append(lines, "key "+Key(id, 2))
-	for _, err := range []error{ErrKey, ErrUnknown, ErrUsed, ErrExpired, ErrOver, ErrClaimed, ErrFence, ErrFull, ErrNotNow, ErrResults, ErrTooLarge} {
+	lines = append(lines, "key "+ResumeKey(id, 2))
+	for _, err := range []error{ErrMalformedKey, ErrUnknownKey, ErrKeyUsed, ErrExpired, ErrEnded, ErrClaimed, ErrStaleFencingToken, ErrTooManyPaused, ErrInvalidTransition, ErrResultsMismatch, ErrTooLarge} {
 		lines = append(lines, "error "+err.Error())
 	}
-	_, _, err := ParseKey("spoilt")
+	_, _, err := ParseResumeKey("spoilt")
 	lines = append(lines, "error "+err.Error())
 	r := paused(t)
 	one := claim(b, "q1")
-	one.Results = both[:1]
+	one.ResultIDs = both[:1]
 	three := claim(b, "q1")
-	three.Results = append(append([]string{}, both...), "c3")
-	for _, o := range []Op{one, three, {Kind: "another"}} {
+	three.ResultIDs = append(append([]string{}, both...), "c3")
+	for _, o := range []Command{one, three, {Kind: "another"}} {
 		lines = append(lines, "error "+step(t, &r, o, second).Error())
 	}
-	require.True(t, errors.Is(step(t, &r, one, second), ErrResults))
-	require.NoError(t, step(t, &r, Op{Kind: Cancel}, second))
-	lines = append(lines, "last "+r.Last)
+	require.True(t, errors.Is(step(t, &r, one, second), ErrResultsMismatch))
+	require.NoError(t, step(t, &r, Command{Kind: Cancel}, second))
+	lines = append(lines, "last "+r.EndReason)
 	r = paused(t)
-	require.NoError(t, step(t, &r, Op{Kind: Expire}, 30*second))
-	lines = append(lines, "last "+r.Last)
+	require.NoError(t, step(t, &r, Command{Kind: Expire}, 30*second))
+	lines = append(lines, "last "+r.EndReason)
 	golden.Bytes(t, "words.txt", fmt.Appendln(nil, strings.Join(lines, "\n")))
 }
