--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -31,8 +31,8 @@
 	Expired  State = "expired"  // its tools did not answer in time
 )
 
-// follows is the table: which states may come after each.
-var follows = map[State][]State{
+// transitions is the table: which states may come after each.
+var transitions = map[State][]State{
 	Running:  {Pausing, Ended},
 	Pausing:  {Paused, Ended},
 	Paused:   {Claimed, Ended, Expired},
@@ -42,253 +42,253 @@
 	Expired:  {},
 }
 
-// May tells whether a state may come after another.
-func May(from, to State) bool { return slices.Contains(follows[from], to) }
+// CanTransition tells whether a state may come after another.
+func CanTransition(from, to State) bool { return slices.Contains(transitions[from], to) }
 
-// Call is one call of a tool, as the model made it.
-type Call struct {
+// ToolCall is one call of a tool, as the model made it.
+type ToolCall struct {
 	ID   string `json:"id"`
 	Name string `json:"name"`
 }
 
 // Record is a session as the store has it. Times are Unix nanoseconds, by the leader's clock.
 type Record struct {
-	ID     string `json:"id"`
-	Turn   int    `json:"turn"`  // of the pause: the key's second part
-	State  State  `json:"state"` //
-	Fence  uint64 `json:"fence"` // of the latest claim
-	Until  int64  `json:"until"` // paused: when it expires; claimed or resuming: when the claim ends; over: when it is forgotten
-	Wait   int64  `json:"wait"`  // paused: when its longest wait ends, kept while it is claimed
-	Tenant int    `json:"tenant"`
-	By     Owner  `json:"by"`    // who paused it, or has the claim
-	Claim  string `json:"claim"` // the request that made the claim: once more it is the same
-	Calls  []Call `json:"calls"` // that wait for results
-	Data   []byte `json:"data,omitempty"`
-	Last   string `json:"last,omitempty"` // how it ended, in a word
+	ID           string     `json:"id"`
+	Turn         int        `json:"turn"`  // of the pause: the key's second part
+	State        State      `json:"state"` //
+	FencingToken uint64     `json:"fence"` // of the latest claim
+	Deadline     int64      `json:"until"` // paused: when it expires; claimed or resuming: when the claim ends; over: when it is forgotten
+	ToolDeadline int64      `json:"wait"`  // paused: when its longest wait ends, kept while it is claimed
+	Tenant       int        `json:"tenant"`
+	Owner        Owner      `json:"by"`    // who paused it, or has the claim
+	ClaimID      string     `json:"claim"` // the request that made the claim: once more it is the same
+	Calls        []ToolCall `json:"calls"` // that wait for results
+	Data         []byte     `json:"data,omitempty"`
+	EndReason    string     `json:"last,omitempty"` // how it ended, in a word
 }
 
 // Owner is one life of a node.
 type Owner struct {
-	Seat string `json:"seat"`
-	Life uint64 `json:"life"`
+	Slot        string `json:"seat"`
+	Incarnation uint64 `json:"life"`
 }
 
-// Key is what a client resumes by.
-func Key(id string, turn int) string { return id + "." + strconv.Itoa(turn) }
+// ResumeKey is what a client resumes by.
+func ResumeKey(id string, turn int) string { return id + "." + strconv.Itoa(turn) }
 
-// ParseKey takes a key apart.
-func ParseKey(key string) (id string, turn int, err error) {
+// ParseResumeKey takes a key apart.
+func ParseResumeKey(key string) (id string, turn int, err error) {
 	id, n, ok := strings.Cut(key, ".")
 	if turn, err = strconv.Atoi(n); !ok || err != nil || turn < 1 || len(id) != 32 || strings.Trim(id, "0123456789abcdef") != "" {
-		return "", 0, fmt.Errorf("%w: %q", ErrKey, key)
+		return "", 0, fmt.Errorf("%w: %q", ErrMalformedKey, key)
 	}
 	return id, turn, nil
 }
 
 // Why an operation is refused. What a client is told for each stands with the errors' texts.
 var (
-	ErrKey      = errors.New("that is no resume key")
-	ErrUnknown  = errors.New("no session has this key; it was over long ago, or never was")
-	ErrUsed     = errors.New("this key has been used: the session has gone on from there")
-	ErrExpired  = errors.New("the tool took too long: the session is over")
-	ErrOver     = errors.New("the session is over")
-	ErrClaimed  = errors.New("somebody goes on with the session now")
-	ErrFence    = errors.New("the claim is another's by now")
-	ErrFull     = errors.New("too many sessions are paused")
-	ErrNotNow   = errors.New("that cannot follow")
-	ErrResults  = errors.New("results and calls do not match")
-	ErrTooLarge = errors.New("the session is too large to be kept")
+	ErrMalformedKey      = errors.New("that is no resume key")
+	ErrUnknownKey        = errors.New("no session has this key; it was over long ago, or never was")
+	ErrKeyUsed           = errors.New("this key has been used: the session has gone on from there")
+	ErrExpired           = errors.New("the tool took too long: the session is over")
+	ErrEnded             = errors.New("the session is over")
+	ErrClaimed           = errors.New("somebody goes on with the session now")
+	ErrStaleFencingToken = errors.New("the claim is another's by now")
+	ErrTooManyPaused     = errors.New("too many sessions are paused")
+	ErrInvalidTransition = errors.New("that cannot follow")
+	ErrResultsMismatch   = errors.New("results and calls do not match")
+	ErrTooLarge          = errors.New("the session is too large to be kept")
 )
 
-// OpKind is what is to be done.
-type OpKind string
+// CommandKind is what is to be done.
+type CommandKind string
 
 // The operations.
 const (
-	Pause   OpKind = "pause"   // a first pause makes the record; a later one is a claim holder's
-	Take    OpKind = "claim"   // with the results of all calls
-	Begin   OpKind = "begin"   // the claim holder passes something on
-	Release OpKind = "release" // the claim holder gives it back, as it was: nothing of it is final
-	End     OpKind = "end"     // the claim holder has given the final answer
-	Cancel  OpKind = "cancel"  // by its client
-	Expire  OpKind = "expire"  // by the leader itself, when it is time
-	Forget  OpKind = "forget"  // likewise, of what is over
+	Pause   CommandKind = "pause"   // a first pause makes the record; a later one is a claim holder's
+	Claim   CommandKind = "claim"   // with the results of all calls
+	Begin   CommandKind = "begin"   // the claim holder passes something on
+	Release CommandKind = "release" // the claim holder gives it back, as it was: nothing of it is final
+	End     CommandKind = "end"     // the claim holder has given the final answer
+	Cancel  CommandKind = "cancel"  // by its client
+	Expire  CommandKind = "expire"  // by the leader itself, when it is time
+	Forget  CommandKind = "forget"  // likewise, of what is over
 )
 
-// Op is one operation. Fence and Turn say which claim or pause it means.
-type Op struct {
-	Kind    OpKind   `json:"kind"`
-	ID      string   `json:"id"`
-	Turn    int      `json:"turn"`
-	Fence   uint64   `json:"fence"`
-	Claim   string   `json:"claim"`
-	By      Owner    `json:"by"`
-	Before  []uint64 `json:"before,omitempty"` // lives of the same seat that are known to be over
-	Tenant  int      `json:"tenant"`
-	Wait    int64    `json:"wait"`    // nanoseconds: of the tools, at the longest
-	For     int64    `json:"for"`     // of a claim
-	Results []string `json:"results"` // ids of the calls that have them
-	Calls   []Call   `json:"calls"`
-	Data    []byte   `json:"data,omitempty"`
-	Last    string   `json:"last,omitempty"`
+// Command is one operation. Fence and Turn say which claim or pause it means.
+type Command struct {
+	Kind          CommandKind `json:"kind"`
+	ID            string      `json:"id"`
+	Turn          int         `json:"turn"`
+	FencingToken  uint64      `json:"fence"`
+	ClaimID       string      `json:"claim"`
+	Owner         Owner       `json:"by"`
+	Predecessors  []uint64    `json:"before,omitempty"` // lives of the same seat that are known to be over
+	Tenant        int         `json:"tenant"`
+	ToolTimeout   int64       `json:"wait"`    // nanoseconds: of the tools, at the longest
+	ClaimDuration int64       `json:"for"`     // of a claim
+	ResultIDs     []string    `json:"results"` // ids of the calls that have them
+	Calls         []ToolCall  `json:"calls"`
+	Data          []byte      `json:"data,omitempty"`
+	EndReason     string      `json:"last,omitempty"`
 }
 
 // Limits bound what is kept.
 type Limits struct {
-	Data int   // bytes of a session on record
-	Keep int64 // nanoseconds for which what is over is remembered
-	// Paused and Tenant are how many sessions may be paused or claimed, in all and of one tenant.
-	Paused, Tenant int
+	MaxDataBytes int   // bytes of a session on record
+	Retention    int64 // nanoseconds for which what is over is remembered
+	// MaxPaused and MaxPausedPerTenant are how many sessions may be paused or claimed, in all and of one tenant.
+	MaxPaused, MaxPausedPerTenant int
 }
 
-// Counted is what stands on record besides.
-type Counted struct{ Paused, Tenant int }
+// PausedCounts is what stands on record besides.
+type PausedCounts struct{ Total, Tenant int }
 
 // Apply applies an operation to a record, nil where there is none; the next record is nil where it is to be forgotten. An error
 // changes nothing.
-func Apply(r *Record, o Op, now int64, clockError time.Duration, l Limits, have Counted, g *invariant.Guard) (*Record, error) {
+func Apply(r *Record, o Command, now int64, clockError time.Duration, l Limits, have PausedCounts, g *invariant.Monitor) (*Record, error) {
 	next, err := apply(r, o, now, int64(clockError), l, have)
 	if err != nil || next == nil || r == nil {
 		return next, err
 	}
-	if next.State != r.State && !May(r.State, next.State) {
-		g.Broken(invariant.SessionTable, fmt.Sprintf("%s: %s after %s", r.ID, next.State, r.State))
-		return r, fmt.Errorf("%w: %s after %s", ErrNotNow, next.State, r.State)
+	if next.State != r.State && !CanTransition(r.State, next.State) {
+		g.Violated(invariant.SessionTransition, fmt.Sprintf("%s: %s after %s", r.ID, next.State, r.State))
+		return r, fmt.Errorf("%w: %s after %s", ErrInvalidTransition, next.State, r.State)
 	}
-	if next.Fence < r.Fence || next.Fence == r.Fence && next.Claim != r.Claim && next.Claim != "" {
-		g.Broken(invariant.OneClaim, fmt.Sprintf("%s: fence %d of %q after %d of %q", r.ID, next.Fence, next.Claim, r.Fence, r.Claim))
-		return r, ErrFence
+	if next.FencingToken < r.FencingToken || next.FencingToken == r.FencingToken && next.ClaimID != r.ClaimID && next.ClaimID != "" {
+		g.Violated(invariant.SingleClaim, fmt.Sprintf("%s: fence %d of %q after %d of %q", r.ID, next.FencingToken, next.ClaimID, r.FencingToken, r.ClaimID))
+		return r, ErrStaleFencingToken
 	}
 	return next, nil
 }
 
-func apply(r *Record, o Op, now, clockError int64, l Limits, have Counted) (*Record, error) {
-	if o.Kind == Pause && o.Fence == 0 {
-		return first(r, o, now, l, have)
+func apply(r *Record, o Command, now, clockError int64, l Limits, have PausedCounts) (*Record, error) {
+	if o.Kind == Pause && o.FencingToken == 0 {
+		return applyFirstPause(r, o, now, l, have)
 	}
 	if r == nil {
-		return nil, ErrUnknown
+		return nil, ErrUnknownKey
 	}
 	n := *r
-	holds := (r.State == Claimed || r.State == Resuming) && o.Fence == r.Fence && o.By == r.By
+	holds := (r.State == Claimed || r.State == Resuming) && o.FencingToken == r.FencingToken && o.Owner == r.Owner
 	switch o.Kind {
 	case Pause: // once more, behind a result
 		switch {
-		case r.State == Paused && r.Turn == o.Turn+1 && o.Fence == r.Fence: // told twice
+		case r.State == Paused && r.Turn == o.Turn+1 && o.FencingToken == r.FencingToken: // told twice
 			return r, nil
 		case !holds || o.Turn != r.Turn:
-			return r, ErrFence
-		case len(o.Data) > l.Data:
+			return r, ErrStaleFencingToken
+		case len(o.Data) > l.MaxDataBytes:
 			return r, ErrTooLarge
 		}
-		n.State, n.Turn, n.Data, n.Calls, n.Wait, n.Claim = Paused, r.Turn+1, o.Data, o.Calls, now+o.Wait, ""
-		n.Until = n.Wait
+		n.State, n.Turn, n.Data, n.Calls, n.ToolDeadline, n.ClaimID = Paused, r.Turn+1, o.Data, o.Calls, now+o.ToolTimeout, ""
+		n.Deadline = n.ToolDeadline
 		return &n, nil
-	case Take:
-		return take(r, o, now, clockError)
+	case Claim:
+		return applyClaim(r, o, now, clockError)
 	case Begin:
 		if !holds {
-			return r, ErrFence
+			return r, ErrStaleFencingToken
 		}
 		n.State = Resuming
 		return &n, nil
 	case Release:
 		if !holds {
-			return r, ErrFence
+			return r, ErrStaleFencingToken
 		}
-		n.State, n.Claim, n.Until = Paused, "", max(r.Wait, now+int64(time.Second))
+		n.State, n.ClaimID, n.Deadline = Paused, "", max(r.ToolDeadline, now+int64(time.Second))
 		return &n, nil
 	case End:
-		if r.State == Ended && o.Fence == r.Fence {
+		if r.State == Ended && o.FencingToken == r.FencingToken {
 			return r, nil
 		}
 		if !holds {
-			return r, ErrFence
+			return r, ErrStaleFencingToken
 		}
-		return over(n, Ended, o.Last, now, l), nil
+		return finished(n, Ended, o.EndReason, now, l), nil
 	case Cancel:
 		switch {
 		case r.State == Ended || r.State == Expired:
 			return r, nil // it is over, as is wished
-		case r.State != Paused && !lapsed(r, now, clockError):
+		case r.State != Paused && !claimLapsed(r, now, clockError):
 			return r, ErrClaimed
 		}
-		return over(n, Ended, "called off", now, l), nil
+		return finished(n, Ended, "called off", now, l), nil
 	case Expire:
-		if r.State != Paused || now < r.Until {
-			return r, ErrNotNow
+		if r.State != Paused || now < r.Deadline {
+			return r, ErrInvalidTransition
 		}
-		return over(n, Expired, "expired", now, l), nil
+		return finished(n, Expired, "expired", now, l), nil
 	case Forget:
-		if r.State != Ended && r.State != Expired || now < r.Until {
-			return r, ErrNotNow
+		if r.State != Ended && r.State != Expired || now < r.Deadline {
+			return r, ErrInvalidTransition
 		}
 		return nil, nil
 	}
-	return r, fmt.Errorf("%w: %q", ErrNotNow, o.Kind)
+	return r, fmt.Errorf("%w: %q", ErrInvalidTransition, o.Kind)
 }
 
-// first puts a session on record.
-func first(r *Record, o Op, now int64, l Limits, have Counted) (*Record, error) {
+// applyFirstPause puts a session on record.
+func applyFirstPause(r *Record, o Command, now int64, l Limits, have PausedCounts) (*Record, error) {
 	switch {
-	case r != nil && r.Turn == 1 && r.By == o.By && r.State == Paused: // told twice
+	case r != nil && r.Turn == 1 && r.Owner == o.Owner && r.State == Paused: // told twice
 		return r, nil
 	case r != nil:
-		return r, ErrNotNow
-	case len(o.Data) > l.Data:
+		return r, ErrInvalidTransition
+	case len(o.Data) > l.MaxDataBytes:
 		return nil, ErrTooLarge
-	case have.Paused >= l.Paused || have.Tenant >= l.Tenant:
-		return nil, ErrFull
-	case o.Wait <= 0 || len(o.Calls) == 0:
-		return nil, ErrNotNow
+	case have.Total >= l.MaxPaused || have.Tenant >= l.MaxPausedPerTenant:
+		return nil, ErrTooManyPaused
+	case o.ToolTimeout <= 0 || len(o.Calls) == 0:
+		return nil, ErrInvalidTransition
 	}
-	return &Record{ID: o.ID, Turn: 1, State: Paused, Until: now + o.Wait, Wait: now + o.Wait, Tenant: o.Tenant, By: o.By, Calls: o.Calls, Data: o.Data}, nil
+	return &Record{ID: o.ID, Turn: 1, State: Paused, Deadline: now + o.ToolTimeout, ToolDeadline: now + o.ToolTimeout, Tenant: o.Tenant, Owner: o.Owner, Calls: o.Calls, Data: o.Data}, nil
 }
 
-// lapsed tells that a claim is over, by any clock.
-func lapsed(r *Record, now, clockError int64) bool {
-	return (r.State == Claimed || r.State == Resuming) && now >= r.Until+2*clockError
+// claimLapsed tells that a claim is over, by any clock.
+func claimLapsed(r *Record, now, clockError int64) bool {
+	return (r.State == Claimed || r.State == Resuming) && now >= r.Deadline+2*clockError
 }
 
-// take gives a claim. A holder that is gone loses it when it ends; one whose life is known to be over, at once.
-func take(r *Record, o Op, now, clockError int64) (*Record, error) {
+// applyClaim gives a claim. A holder that is gone loses it when it ends; one whose life is known to be over, at once.
+func applyClaim(r *Record, o Command, now, clockError int64) (*Record, error) {
 	n := *r
-	same := (r.State == Claimed || r.State == Resuming) && r.Claim == o.Claim && r.By == o.By && o.Claim != ""
-	dead := (r.State == Claimed || r.State == Resuming) && r.By.Seat == o.By.Seat && slices.Contains(o.Before, r.By.Life)
+	same := (r.State == Claimed || r.State == Resuming) && r.ClaimID == o.ClaimID && r.Owner == o.Owner && o.ClaimID != ""
+	dead := (r.State == Claimed || r.State == Resuming) && r.Owner.Slot == o.Owner.Slot && slices.Contains(o.Predecessors, r.Owner.Incarnation)
 	switch {
 	case r.State == Expired:
 		return r, ErrExpired
 	case o.Turn < r.Turn:
-		return r, ErrUsed
-	case r.State == Ended && o.Turn == r.Turn && r.Last != "called off":
-		return r, ErrUsed
+		return r, ErrKeyUsed
+	case r.State == Ended && o.Turn == r.Turn && r.EndReason != "called off":
+		return r, ErrKeyUsed
 	case r.State == Ended:
-		return r, ErrOver
+		return r, ErrEnded
 	case o.Turn > r.Turn:
-		return r, ErrUnknown
+		return r, ErrUnknownKey
 	case same:
 		return r, nil
-	case r.State == Paused && now >= r.Until:
+	case r.State == Paused && now >= r.Deadline:
 		return r, ErrExpired
-	case r.State != Paused && !dead && !lapsed(r, now, clockError):
+	case r.State != Paused && !dead && !claimLapsed(r, now, clockError):
 		return r, ErrClaimed
 	}
 	for _, c := range r.Calls {
-		if !slices.Contains(o.Results, c.ID) {
-			return r, fmt.Errorf("%w: call %q of %s has no result", ErrResults, c.ID, c.Name)
+		if !slices.Contains(o.ResultIDs, c.ID) {
+			return r, fmt.Errorf("%w: call %q of %s has no result", ErrResultsMismatch, c.ID, c.Name)
 		}
 	}
-	if len(o.Results) != len(r.Calls) {
-		return r, fmt.Errorf("%w: %d results of %d calls", ErrResults, len(o.Results), len(r.Calls))
+	if len(o.ResultIDs) != len(r.Calls) {
+		return r, fmt.Errorf("%w: %d results of %d calls", ErrResultsMismatch, len(o.ResultIDs), len(r.Calls))
 	}
-	if o.For <= 0 || o.Claim == "" {
-		return r, ErrNotNow
+	if o.ClaimDuration <= 0 || o.ClaimID == "" {
+		return r, ErrInvalidTransition
 	}
-	n.State, n.Fence, n.Claim, n.By, n.Until = Claimed, r.Fence+1, o.Claim, o.By, now+o.For
+	n.State, n.FencingToken, n.ClaimID, n.Owner, n.Deadline = Claimed, r.FencingToken+1, o.ClaimID, o.Owner, now+o.ClaimDuration
 	return &n, nil
 }
 
-func over(n Record, s State, last string, now int64, l Limits) *Record {
-	n.State, n.Last, n.Data, n.Until = s, last, nil, now+l.Keep
+func finished(n Record, s State, last string, now int64, l Limits) *Record {
+	n.State, n.EndReason, n.Data, n.Deadline = s, last, nil, now+l.Retention
 	return &n
 }
--- a/internal/fleet/sessions/golden_test.go
+++ b/internal/fleet/sessions/golden_test.go
@@ -25,12 +25,12 @@
 // What a session needs to go on, as it stands on record, packed and plain; the leader's answer; and what a node shows.
 func TestGoldenFormats(t *testing.T) {
 	s := start(t, 1, nil).nodes[0]
-	k := kept{Body: json.RawMessage(`{"messages":[]}`), Class: 1, Tenant: 2, Session: 3, Prefix: 4, Shared: 5, Most: 6, Server: "box", Start: 7, Prompt: 8, Produced: 9, Parts: 10, Result: 11}
+	k := continuation{Body: json.RawMessage(`{"messages":[]}`), Class: 1, Tenant: 2, Session: 3, Prefix: 4, PrefixTokens: 5, MaxTokens: 6, Backend: "box", BackendStart: 7, PromptTokens: 8, ProducedTokens: 9, Parts: 10, MaxResultBytes: 11}
 	roundTrip(t, "kept.json", k)
 	golden.RoundTrip(t, "kept.zst", k, s.encode, s.decode)
-	roundTrip(t, "reply.json", reply{Record: &session.Record{ID: "one", Turn: 2, State: session.Paused, Fence: 3, Until: 4, Wait: 5, Tenant: 6, By: session.Owner{Seat: "a", Life: 7},
-		Claim: "q", Calls: []session.Call{{ID: "c", Name: "hours"}}, Data: []byte("packed"), Last: "served"}, Fault: "used", Text: "a text"})
-	roundTrip(t, "status.json", Status{Paused: 1, Resumed: 2, Refused: 3, Unkept: 4, InHand: 5, Here: 6, Records: 7})
+	roundTrip(t, "reply.json", reply{Record: &session.Record{ID: "one", Turn: 2, State: session.Paused, FencingToken: 3, Deadline: 4, ToolDeadline: 5, Tenant: 6, Owner: session.Owner{Slot: "a", Incarnation: 7},
+		ClaimID: "q", Calls: []session.ToolCall{{ID: "c", Name: "hours"}}, Data: []byte("packed"), EndReason: "served"}, Code: "used", Text: "a text"})
+	roundTrip(t, "status.json", Status{Paused: 1, Resumed: 2, Rejected: 3, Unrecorded: 4, InFlight: 5, PausedHere: 6, Records: 7})
 }
 
 // Faults by the names and with the texts and statuses that others get.
@@ -38,14 +38,14 @@
 	w := start(t, 2, nil)
 	s := w.nodes[0]
 	var lines []string
-	for _, name := range slices.Sorted(maps.Keys(faults)) {
-		f := s.fault(faults[name])
-		lines = append(lines, fmt.Sprintf("%s: %d %q %v", name, f.Status, f.Text, f.Wait))
+	for _, name := range slices.Sorted(maps.Keys(errorsByCode)) {
+		f := s.requestError(errorsByCode[name])
+		lines = append(lines, fmt.Sprintf("%s: %d %q %v", name, f.Status, f.Message, f.RetryAfter))
 	}
-	add := func(f *Fault) {
+	add := func(f *RequestError) {
 		t.Helper()
 		require.NotNil(t, f)
-		lines = append(lines, fmt.Sprintf("%d %q %v", f.Status, f.Text, f.Wait))
+		lines = append(lines, fmt.Sprintf("%d %q %v", f.Status, f.Message, f.RetryAfter))
 	}
 	k := pause(t, w, 0, "hours")
 	resume := func(key string, tenant int, body string) {
@@ -63,7 +63,7 @@
 	resume(k, 2, string(answers("c0")))
 	add(s.Cancel(t.Context(), k))
 	w.cut.Store(false)
-	s.InHand = 0
+	s.MaxConcurrentResumes = 0
 	resume(k, 2, string(answers("c0")))
 	golden.Bytes(t, "faults.txt", []byte(strings.Join(lines, "\n")+"\n"))
 }
@@ -77,7 +77,7 @@
 	last, _ := h.Stopped()
 	k := key(last)
 	require.NotEmpty(t, k)
-	id, turn, err := session.ParseKey(k)
+	id, turn, err := session.ParseResumeKey(k)
 	require.NoError(t, err)
 	require.Equal(t, 1, turn)
 	require.Equal(t, []string{"session/" + id}, w.keys.List(""))
@@ -99,5 +99,5 @@
 	last, _ = h.Stopped()
 	out = append(out, string(last))
 	golden.Bytes(t, "stream.txt", []byte(strings.Join(out, "----\n")+"\n"))
-	require.Equal(t, 30*time.Second, w.nodes[0].tool("hours").Wait)
+	require.Equal(t, 30*time.Second, w.nodes[0].tool("hours").ResultTimeout)
 }
--- a/internal/fleet/sessions/hook.go
+++ b/internal/fleet/sessions/hook.go
@@ -20,7 +20,7 @@
 // hook looks at one answer: it gathers what is produced, and has the decoding end at a call that pauses. The attempt that has
 // claimed the flow calls it, one call at a time; Over comes behind all others.
 type hook struct {
-	s       *Sessions
+	s       *Service
 	request standpoint.Request
 	body    []byte
 	server  func() string
@@ -35,7 +35,7 @@
 	id     string
 	turn   int
 	fence  uint64
-	before kept
+	before continuation
 	once   sync.Once
 	timer  *time.Timer
 	done   func()
@@ -65,7 +65,7 @@
 }
 
 // Hook is what looks at the answer of a first part.
-func (s *Sessions) Hook(q standpoint.Request, body []byte, server func() string) node.Hook {
+func (s *Service) Hook(q standpoint.Request, body []byte, server func() string) node.Hook {
 	return &hook{s: s, request: q, body: body, server: server, calls: map[int]*toolCall{}}
 }
 
@@ -99,7 +99,7 @@
 		for _, c := range d.Choices {
 			h.gather(c.Delta.Content)
 			for _, t := range c.Delta.ToolCalls {
-				if len(h.calls) >= callsMost && h.calls[t.Index] == nil {
+				if len(h.calls) >= maxCalls && h.calls[t.Index] == nil {
 					h.tooLarge = true
 					continue
 				}
@@ -110,13 +110,13 @@
 				whole.ID += t.ID
 				whole.Function.Name += t.Function.Name
 				whole.Function.Arguments += t.Function.Arguments
-				h.tooLarge = h.tooLarge || len(whole.Function.Arguments) > textMost || len(whole.ID) > idMost
+				h.tooLarge = h.tooLarge || len(whole.Function.Arguments) > maxTextBytes || len(whole.ID) > maxCallIDBytes
 			}
 			if c.Finish == "tool_calls" {
 				switch h.does() {
-				case RefuseIt:
+				case RejectCall:
 					return h.refuse(), node.Stop
-				case PauseIt:
+				case PauseSession:
 					return b, node.Stop
 				}
 				clear(h.calls)
@@ -127,7 +127,7 @@
 }
 
 func (h *hook) gather(text string) {
-	if h.content.Len()+len(text) > textMost {
+	if h.content.Len()+len(text) > maxTextBytes {
 		h.tooLarge = true
 		return
 	}
@@ -135,17 +135,17 @@
 }
 
 // does is what the calls that were made do together: one that is refused ends the answer, else one that pauses pauses it.
-func (h *hook) does() Does {
-	does := KeepOn
+func (h *hook) does() ToolAction {
+	does := PassThrough
 	for _, c := range h.sorted() {
 		t := h.s.tool(c.Function.Name)
 		switch {
-		case t == nil || t.Does == KeepOn:
-		case t.Does == RefuseIt:
+		case t == nil || t.Action == PassThrough:
+		case t.Action == RejectCall:
 			h.refused = c.Function.Name
-			return RefuseIt
+			return RejectCall
 		default:
-			does = PauseIt
+			does = PauseSession
 		}
 	}
 	return does
@@ -192,7 +192,7 @@
 	}
 	key, until, err := h.pause(made)
 	if err != nil {
-		h.s.Unkept.Add(1)
+		h.s.Unrecorded.Add(1)
 		h.s.Log.Info("a call could not be put on record; its client got no key", zap.Error(err))
 		if h.fence > 0 {
 			// Nor may the session go on from the pause before: what came since is with the client alone.
@@ -211,17 +211,17 @@
 	}
 	all := h.sorted()
 	var wait time.Duration
-	o := session.Op{Kind: session.Pause, ID: h.id, Turn: h.turn, Fence: h.fence, Tenant: h.request.Tenant}
-	k := kept{Class: h.request.Class, Tenant: h.request.Tenant, Session: h.request.Session, Prefix: h.request.Prefix, Shared: h.request.PrefixTokens,
-		Most: max(1, h.request.MaxTokens-made), Server: h.server(), Prompt: h.request.PromptTokens + made, Produced: h.before.Produced + made, Parts: h.before.Parts + 1}
-	k.Start = h.s.StartOf(k.Server)
+	o := session.Command{Kind: session.Pause, ID: h.id, Turn: h.turn, FencingToken: h.fence, Tenant: h.request.Tenant}
+	k := continuation{Class: h.request.Class, Tenant: h.request.Tenant, Session: h.request.Session, Prefix: h.request.Prefix, PrefixTokens: h.request.PrefixTokens,
+		MaxTokens: max(1, h.request.MaxTokens-made), Backend: h.server(), PromptTokens: h.request.PromptTokens + made, ProducedTokens: h.before.ProducedTokens + made, Parts: h.before.Parts + 1}
+	k.BackendStart = h.s.BackendStart(k.Backend)
 	for _, c := range all {
 		if c.ID == "" {
-			return "", time.Time{}, fmt.Errorf("%w: a call without an id", session.ErrResults)
+			return "", time.Time{}, fmt.Errorf("%w: a call without an id", session.ErrResultsMismatch)
 		}
-		o.Calls = append(o.Calls, session.Call{ID: c.ID, Name: c.Function.Name})
+		o.Calls = append(o.Calls, session.ToolCall{ID: c.ID, Name: c.Function.Name})
 		if t := h.s.tool(c.Function.Name); t != nil {
-			wait, k.Result = max(wait, t.Wait), k.Result+t.Result
+			wait, k.MaxResultBytes = max(wait, t.ResultTimeout), k.MaxResultBytes+t.MaxResultBytes
 			if t.Class >= 0 {
 				k.Class = t.Class
 			}
@@ -234,35 +234,35 @@
 	if o.Data, err = h.s.encode(k); err != nil {
 		return "", time.Time{}, err
 	}
-	if len(o.Data) > recordMost {
+	if len(o.Data) > maxRecordBytes {
 		return "", time.Time{}, session.ErrTooLarge
 	}
 	free := func() {}
-	if h.s.Place != nil {
+	if h.s.ReserveSession != nil {
 		var ok bool
-		if free, ok = h.s.Place(h.request.Tenant, wait); !ok {
-			return "", time.Time{}, session.ErrFull
+		if free, ok = h.s.ReserveSession(h.request.Tenant, wait); !ok {
+			return "", time.Time{}, session.ErrTooManyPaused
 		}
 	}
 	if o.ID == "" {
 		o.ID = newID()
 	}
-	o.Wait = int64(wait)
-	ctx, cancel := context.WithTimeout(context.Background(), recordTime)
+	o.ToolTimeout = int64(wait)
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	r, err := h.s.must(ctx, o)
+	r, err := h.s.executeWithRetry(ctx, o)
 	if err != nil {
 		free()
 		return "", time.Time{}, err
 	}
 	h.id = o.ID
 	h.s.mu.Lock()
-	if old := h.s.held[o.ID]; old != nil {
+	if old := h.s.reservations[o.ID]; old != nil {
 		old()
 	}
-	h.s.held[o.ID] = free
+	h.s.reservations[o.ID] = free
 	h.s.mu.Unlock()
-	return session.Key(o.ID, r.Turn), time.Now().Add(wait), nil
+	return session.ResumeKey(o.ID, r.Turn), time.Now().Add(wait), nil
 }
 
 // assistant is the message that the model made, up to its calls.
@@ -296,16 +296,16 @@
 		return nil, err
 	}
 	raw, err := json.Marshal(whole)
-	if err == nil && len(raw) > bodyMost {
+	if err == nil && len(raw) > maxBodyBytes {
 		err = session.ErrTooLarge
 	}
 	return raw, err
 }
 
 func (h *hook) begin() {
-	ctx, cancel := context.WithTimeout(context.Background(), recordTime)
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	_, _ = h.s.op(ctx, session.Op{Kind: session.Begin, ID: h.id, Fence: h.fence}) // the claim says as much without it
+	_, _ = h.s.execute(ctx, session.Command{Kind: session.Begin, ID: h.id, FencingToken: h.fence}) // the claim says as much without it
 }
 
 // end puts the final answer on record. False: that is not known to have been done, and the answer may not end here.
@@ -313,9 +313,9 @@
 	if h.ended {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), recordTime)
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	_, err := h.s.must(ctx, session.Op{Kind: session.End, ID: h.id, Fence: h.fence, Last: "served"})
+	_, err := h.s.executeWithRetry(ctx, session.Command{Kind: session.End, ID: h.id, FencingToken: h.fence, EndReason: "served"})
 	if err != nil {
 		h.s.Log.Info("the end of a session could not be put on record; its answer is broken off", zap.String("session", h.id), zap.Error(err))
 	}
@@ -334,9 +334,9 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), recordTime)
+		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
-		if _, err := h.s.must(ctx, session.Op{Kind: session.Release, ID: h.id, Fence: h.fence}); err != nil {
+		if _, err := h.s.executeWithRetry(ctx, session.Command{Kind: session.Release, ID: h.id, FencingToken: h.fence}); err != nil {
 			h.s.Log.Info("a claim could not be given back; it ends by itself", zap.String("session", h.id), zap.Error(err))
 		}
 	}()
--- a/internal/fleet/sessions/leader.go
+++ b/internal/fleet/sessions/leader.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	prefix     = "session/"
-	sweepEvery = time.Second
-	sweepMost  = 256 // records that a sweep changes
-	writeTries = 4   // of an operation whose record changed meanwhile
+	prefix           = "session/"
+	sweepInterval    = time.Second
+	maxSweptRecords  = 256 // records that a sweep changes
+	maxWriteAttempts = 4   // of an operation whose record changed meanwhile
 )
 
 // registry is the leader's side: it applies operations to the records in the store. Any member may come to lead; what it needs
@@ -30,33 +30,33 @@
 	limits     session.Limits
 	clockError time.Duration
 	now        func() int64
-	guard      *invariant.Guard
+	invariants *invariant.Monitor
 	log        *zap.Logger
 
-	mu      sync.Mutex
-	term    uint64
-	waits   map[string]int64 // by id: when it is to be looked at again
-	tenants map[string]int   // by id: of those that are paused or claimed
-	each    map[int]int      // sessions by tenant
+	mu              sync.Mutex
+	term            uint64
+	deadlines       map[string]int64 // by id: when it is to be looked at again
+	tenantBySession map[string]int   // by id: of those that are paused or claimed
+	pausedByTenant  map[int]int      // sessions by tenant
 }
 
-func newRegistry(keys store.Store, l session.Limits, clockError time.Duration, now func() int64, g *invariant.Guard, log *zap.Logger) *registry {
-	return &registry{keys: keys, limits: l, clockError: clockError, now: now, guard: g, log: log}
+func newRegistry(keys store.Store, l session.Limits, clockError time.Duration, now func() int64, g *invariant.Monitor, log *zap.Logger) *registry {
+	return &registry{keys: keys, limits: l, clockError: clockError, now: now, invariants: g, log: log}
 }
 
 // reply is what an operation comes to.
 type reply struct {
 	Record *session.Record `json:"record,omitempty"`
-	Fault  string          `json:"fault,omitempty"` // by its name
+	Code   string          `json:"fault,omitempty"` // by its name
 	Text   string          `json:"text,omitempty"`
 }
 
-// faults are the errors that go over the wire by their names.
-var faults = map[string]error{"key": session.ErrKey, "unknown": session.ErrUnknown, "used": session.ErrUsed, "expired": session.ErrExpired, "over": session.ErrOver,
-	"claimed": session.ErrClaimed, "fence": session.ErrFence, "full": session.ErrFull, "not now": session.ErrNotNow, "results": session.ErrResults, "large": session.ErrTooLarge}
+// errorsByCode are the errors that go over the wire by their names.
+var errorsByCode = map[string]error{"key": session.ErrMalformedKey, "unknown": session.ErrUnknownKey, "used": session.ErrKeyUsed, "expired": session.ErrExpired, "over": session.ErrEnded,
+	"claimed": session.ErrClaimed, "fence": session.ErrStaleFencingToken, "full": session.ErrTooManyPaused, "not now": session.ErrInvalidTransition, "results": session.ErrResultsMismatch, "large": session.ErrTooLarge}
 
-func faultOf(err error) string {
-	for name, f := range faults {
+func errorCode(err error) string {
+	for name, f := range errorsByCode {
 		if errors.Is(err, f) {
 			return name
 		}
@@ -64,22 +64,22 @@
 	return ""
 }
 
-// do carries an operation out, where this node leads.
-func (r *registry) do(ctx context.Context, body []byte) ([]byte, error) {
-	var o session.Op
+// handle carries an operation out, where this node leads.
+func (r *registry) handle(ctx context.Context, body []byte) ([]byte, error) {
+	var o session.Command
 	if err := json.Unmarshal(body, &o); err != nil {
 		return nil, err
 	}
-	if _, _, err := session.ParseKey(session.Key(o.ID, 1)); err != nil {
-		return json.Marshal(reply{Fault: "key", Text: err.Error()})
+	if _, _, err := session.ParseResumeKey(session.ResumeKey(o.ID, 1)); err != nil {
+		return json.Marshal(reply{Code: "key", Text: err.Error()})
 	}
 	record, err := r.apply(ctx, o)
 	if err != nil {
-		name := faultOf(err)
+		name := errorCode(err)
 		if name == "" {
 			return nil, err
 		}
-		return json.Marshal(reply{Fault: name, Text: err.Error()})
+		return json.Marshal(reply{Code: name, Text: err.Error()})
 	}
 	return json.Marshal(reply{Record: record})
 }
@@ -96,22 +96,22 @@
 	return &r, v.Version, nil
 }
 
-func (r *registry) apply(ctx context.Context, o session.Op) (*session.Record, error) {
-	if err := r.lead(); err != nil {
+func (r *registry) apply(ctx context.Context, o session.Command) (*session.Record, error) {
+	if err := r.ensureLeading(); err != nil {
 		return nil, err
 	}
-	for range writeTries {
+	for range maxWriteAttempts {
 		was, version, err := read(r.keys, o.ID)
 		if err != nil {
 			return nil, err
 		}
 		have, undo := r.reserve(was, o)
-		next, err := session.Apply(was, o, r.now(), r.clockError, r.limits, have, r.guard)
+		next, err := session.Apply(was, o, r.now(), r.clockError, r.limits, have, r.invariants)
 		if err != nil {
 			undo()
 			return nil, err
 		}
-		op := store.Op{Key: prefix + o.ID, If: version}
+		op := store.Op{Key: prefix + o.ID, ExpectedVersion: version}
 		if next != nil {
 			if op.Data, err = json.Marshal(next); err != nil {
 				undo()
@@ -127,15 +127,15 @@
 			undo() // if it was written all the same, the next leadership counts it
 			return nil, err
 		}
-		r.note(o.ID, next)
+		r.recordState(o.ID, next)
 		return next, nil
 	}
 	return nil, store.ErrConflict
 }
 
-// lead works out, at the beginning of a leadership, how many sessions there are and when each is to be looked at.
-func (r *registry) lead() error {
-	term, ok := r.keys.Leads()
+// ensureLeading works out, at the beginning of a leadership, how many sessions there are and when each is to be looked at.
+func (r *registry) ensureLeading() error {
+	term, ok := r.keys.Leadership()
 	if !ok {
 		return store.ErrNotLeader
 	}
@@ -144,7 +144,7 @@
 	if r.term == term {
 		return nil
 	}
-	r.term, r.waits, r.tenants, r.each = term, map[string]int64{}, map[string]int{}, map[int]int{}
+	r.term, r.deadlines, r.tenantBySession, r.pausedByTenant = term, map[string]int64{}, map[string]int{}, map[int]int{}
 	for _, key := range r.keys.List(prefix) {
 		id := strings.TrimPrefix(key, prefix)
 		record, _, err := read(r.keys, id)
@@ -153,21 +153,21 @@
 			continue
 		}
 		if record != nil {
-			r.noted(id, record)
+			r.recordStateLocked(id, record)
 		}
 	}
 	return nil
 }
 
 // reserve counts a new session before it is on record, so that many at once cannot go beyond what there may be.
-func (r *registry) reserve(was *session.Record, o session.Op) (have session.Counted, undo func()) {
+func (r *registry) reserve(was *session.Record, o session.Command) (have session.PausedCounts, undo func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	have = session.Counted{Paused: len(r.tenants), Tenant: r.each[o.Tenant]}
+	have = session.PausedCounts{Total: len(r.tenantBySession), Tenant: r.pausedByTenant[o.Tenant]}
 	if was != nil || o.Kind != session.Pause {
 		return have, func() {}
 	}
-	r.tenants[o.ID], r.each[o.Tenant] = o.Tenant, r.each[o.Tenant]+1
+	r.tenantBySession[o.ID], r.pausedByTenant[o.Tenant] = o.Tenant, r.pausedByTenant[o.Tenant]+1
 	return have, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -176,45 +176,45 @@
 }
 
 func (r *registry) uncount(id string) {
-	if tenant, counted := r.tenants[id]; counted {
-		delete(r.tenants, id)
-		if r.each[tenant]--; r.each[tenant] <= 0 {
-			delete(r.each, tenant)
+	if tenant, counted := r.tenantBySession[id]; counted {
+		delete(r.tenantBySession, id)
+		if r.pausedByTenant[tenant]--; r.pausedByTenant[tenant] <= 0 {
+			delete(r.pausedByTenant, tenant)
 		}
 	}
 }
 
-func (r *registry) note(id string, next *session.Record) {
+func (r *registry) recordState(id string, next *session.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noted(id, next)
+	r.recordStateLocked(id, next)
 }
 
-func (r *registry) noted(id string, next *session.Record) {
+func (r *registry) recordStateLocked(id string, next *session.Record) {
 	if next == nil {
-		delete(r.waits, id)
+		delete(r.deadlines, id)
 		r.uncount(id)
 		return
 	}
-	r.waits[id] = next.Until
+	r.deadlines[id] = next.Deadline
 	if next.State == session.Ended || next.State == session.Expired {
 		r.uncount(id)
-	} else if _, counted := r.tenants[id]; !counted {
-		r.tenants[id] = next.Tenant
-		r.each[next.Tenant]++
+	} else if _, counted := r.tenantBySession[id]; !counted {
+		r.tenantBySession[id] = next.Tenant
+		r.pausedByTenant[next.Tenant]++
 	}
 }
 
 // sweep ends what has waited for too long, and forgets what is over.
 func (r *registry) sweep(ctx context.Context) {
-	if r.lead() != nil {
+	if r.ensureLeading() != nil {
 		return
 	}
 	now := r.now()
 	var due []string
 	r.mu.Lock()
-	for id, at := range r.waits {
-		if at <= now && len(due) < sweepMost {
+	for id, at := range r.deadlines {
+		if at <= now && len(due) < maxSweptRecords {
 			due = append(due, id)
 		}
 	}
@@ -222,29 +222,29 @@
 	for _, id := range due {
 		record, _, err := read(r.keys, id)
 		if err != nil || record == nil {
-			r.note(id, nil)
+			r.recordState(id, nil)
 			continue
 		}
-		o := session.Op{Kind: session.Expire, ID: id}
+		o := session.Command{Kind: session.Expire, ID: id}
 		switch record.State {
 		case session.Ended, session.Expired:
 			o.Kind = session.Forget
 		case session.Claimed, session.Resuming:
 			// Whose claim has ended without a word: it is given back, and its client may present the key again, or lets it expire.
-			o = session.Op{Kind: session.Release, ID: id, Fence: record.Fence, By: record.By}
-			if now < record.Until+2*int64(r.clockError) {
+			o = session.Command{Kind: session.Release, ID: id, FencingToken: record.FencingToken, Owner: record.Owner}
+			if now < record.Deadline+2*int64(r.clockError) {
 				continue
 			}
 		}
-		if _, err := r.apply(ctx, o); err != nil && !errors.Is(err, session.ErrNotNow) {
+		if _, err := r.apply(ctx, o); err != nil && !errors.Is(err, session.ErrInvalidTransition) {
 			r.log.Info("a session could not be ended", zap.String("session", id), zap.Error(err))
 		}
 	}
 }
 
-// counts are the sessions that are paused or claimed.
-func (r *registry) counts() int {
+// pausedCount are the sessions that are paused or claimed.
+func (r *registry) pausedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.tenants)
+	return len(r.tenantBySession)
 }
--- a/internal/fleet/sessions/sessions.go
+++ b/internal/fleet/sessions/sessions.go
@@ -28,79 +28,79 @@
 )
 
 const (
-	bodyMost   = 256 << 10 // of a prompt that is built anew, as of any
-	textMost   = 128 << 10 // of what was produced before a call
-	callsMost  = 16        // in one answer
-	idMost     = 128       // of a call
-	recordMost = 512 << 10
-	recordTime = 2 * time.Second // for putting a session on record, while its client waits
-	tryAgain   = 80 * time.Millisecond
-	freshWait  = 500 * time.Millisecond // when to come again after a refusal that will not last
-	tokenChars = 4
+	maxBodyBytes       = 256 << 10 // of a prompt that is built anew, as of any
+	maxTextBytes       = 128 << 10 // of what was produced before a call
+	maxCalls           = 16        // in one answer
+	maxCallIDBytes     = 128       // of a call
+	maxRecordBytes     = 512 << 10
+	recordTimeout      = 2 * time.Second // for putting a session on record, while its client waits
+	retryDelay         = 80 * time.Millisecond
+	defaultRetryAfter  = 500 * time.Millisecond // when to come again after a refusal that will not last
+	charactersPerToken = 4
 )
 
-// Does is what a call of a tool does.
-type Does uint8
+// ToolAction is what a call of a tool does.
+type ToolAction uint8
 
 // What a call may do.
 const (
-	PauseIt  Does = iota // the decoding ends, the session waits for the result
-	KeepOn               // nothing: the server goes on, and the client sees the call
-	RefuseIt             // the answer ends there
+	PauseSession ToolAction = iota // the decoding ends, the session waits for the result
+	PassThrough                    // nothing: the server goes on, and the client sees the call
+	RejectCall                     // the answer ends there
 )
 
 // Tool is a tool as the operator's file has it.
 type Tool struct {
-	Name   string
-	Does   Does
-	Wait   time.Duration // for its result, at the longest
-	Result int           // bytes of its result, at the most
-	Class  int           // by whose rules the session goes on; -1: by its own
+	Name           string
+	Action         ToolAction
+	ResultTimeout  time.Duration // for its result, at the longest
+	MaxResultBytes int           // bytes of its result, at the most
+	Class          int           // by whose rules the session goes on; -1: by its own
 }
 
 // Options are what the part is made of.
 type Options struct {
-	Tools   []Tool
-	Limits  session.Limits
-	Decode  time.Duration // that a claim lasts: what follows must have been decoded by then
-	Resumes float64       // a second, at this node; in a fleet that heals fewer
-	InHand  int           // resumed requests at once
-	Seat    string
-	Life    uint64
-	Before  []uint64 // lives of this node that are over
-	Error   time.Duration
-	Now     func() int64
-	Pace    func() float64
-	Call    func(ctx context.Context, what string, in, out any) error
-	Place   func(tenant int, wait time.Duration) (free func(), ok bool) // of the fleet's budgets of paused sessions; nil: there are none
-	Keys    store.Store
-	Guard   *invariant.Guard
-	Log     *zap.Logger
-	StartOf func(server string) int64
+	Tools                []Tool
+	Limits               session.Limits
+	DecodeTimeout        time.Duration // that a claim lasts: what follows must have been decoded by then
+	ResumeRate           float64       // a second, at this node; in a fleet that heals fewer
+	MaxConcurrentResumes int           // resumed requests at once
+	Slot                 string
+	Incarnation          uint64
+	Predecessors         []uint64 // lives of this node that are over
+	ClockError           time.Duration
+	Now                  func() int64
+	RateFactor           func() float64
+	CallLeader           func(ctx context.Context, what string, in, out any) error
+	ReserveSession       func(tenant int, wait time.Duration) (free func(), ok bool) // of the fleet's budgets of paused sessions; nil: there are none
+	Store                store.Store
+	Invariants           *invariant.Monitor
+	Log                  *zap.Logger
+	BackendStart         func(server string) int64
 }
 
-// Sessions is the part.
-type Sessions struct {
+// Service is the part.
+type Service struct {
 	Options
 	registry *registry
 	owner    session.Owner
 	pack     *zstd.Encoder
 	unpack   *zstd.Decoder
 
-	inHand atomic.Int64
-	mu     sync.Mutex
-	tokens float64 // of the resumes that may be taken on now
-	at     int64
-	held   map[string]func() // places of sessions that were paused here, by id
+	inFlight     atomic.Int64
+	mu           sync.Mutex
+	tokens       float64 // of the resumes that may be taken on now
+	at           int64
+	reservations map[string]func() // places of sessions that were paused here, by id
 
 	// Counts of this process.
-	Paused, Resumed, Refused, Unkept atomic.Uint64
+	Paused, Resumed, Rejected, Unrecorded atomic.Uint64
 }
 
 // New makes the part. f carries its operations to the leader.
-func New(o Options, f *fleet.Fleet) (*Sessions, error) {
-	s := &Sessions{Options: o, owner: session.Owner{Seat: o.Seat, Life: o.Life}, held: map[string]func(){}}
-	s.registry = newRegistry(o.Keys, o.Limits, o.Error, o.Now, o.Guard, o.Log)
+func New(o Options, f *fleet.Fleet) (*Service, error) {
+	s := &Service{Options: o, owner: session.Owner{Slot: o.Slot, Incarnation: o.Incarnation}, reservations: map[string]func(){}}
+	s.registry = newRegistry(o.Store, o.Limits, o.ClockError, o.Now, o.Invariants, o.Log)
 	var err error
 	if s.pack, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)); err != nil {
 		return nil, err
@@ -109,14 +109,14 @@
 		return nil, err
 	}
 	if f != nil {
-		f.Does("session", s.registry.do)
+		f.HandleOnLeader("session", s.registry.handle)
 	}
 	return s, nil
 }
 
 // Run sweeps while this node leads, and gives back the places of sessions that others went on with.
-func (s *Sessions) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+func (s *Service) Run(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -126,66 +126,66 @@
 		}
 		s.registry.sweep(ctx)
 		s.mu.Lock()
-		for id, free := range s.held {
-			if r, _, err := read(s.Keys, id); err == nil && (r == nil || r.State != session.Paused) {
+		for id, free := range s.reservations {
+			if r, _, err := read(s.Store, id); err == nil && (r == nil || r.State != session.Paused) {
 				free()
-				delete(s.held, id)
+				delete(s.reservations, id)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// op has the leader carry an operation out.
-func (s *Sessions) op(ctx context.Context, o session.Op) (*session.Record, error) {
-	o.By = s.owner
+// execute has the leader carry an operation out.
+func (s *Service) execute(ctx context.Context, o session.Command) (*session.Record, error) {
+	o.Owner = s.owner
 	var r reply
-	if err := s.Call(ctx, "session", o, &r); err != nil {
+	if err := s.CallLeader(ctx, "session", o, &r); err != nil {
 		return nil, err
 	}
-	if r.Fault == "" {
+	if r.Code == "" {
 		return r.Record, nil
 	}
-	if f, ok := faults[r.Fault]; ok {
+	if f, ok := errorsByCode[r.Code]; ok {
 		return nil, fmt.Errorf("%w%s", f, bytes.TrimPrefix([]byte(r.Text), []byte(f.Error())))
 	}
 	return nil, errors.New(r.Text)
 }
 
-// must has an operation carried out as long as ctx lasts: the leader may be another in a moment, and an operation that is told
+// executeWithRetry has an operation carried out as long as ctx lasts: the leader may be another in a moment, and an operation that is told
 // twice is the same one.
-func (s *Sessions) must(ctx context.Context, o session.Op) (*session.Record, error) {
+func (s *Service) executeWithRetry(ctx context.Context, o session.Command) (*session.Record, error) {
 	for {
-		r, err := s.op(ctx, o)
-		if err == nil || faultOf(err) != "" {
+		r, err := s.execute(ctx, o)
+		if err == nil || errorCode(err) != "" {
 			return r, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(tryAgain):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// kept is what a session needs to go on, as it stands on record.
-type kept struct {
-	Body     json.RawMessage `json:"body"` // the request's, with all messages up to the call
-	Class    int             `json:"class"`
-	Tenant   int             `json:"tenant"`
-	Session  uint64          `json:"session"`
-	Prefix   uint64          `json:"prefix"`
-	Shared   float64         `json:"shared"` // tokens of the shared beginning
-	Most     float64         `json:"most"`   // tokens that the answer may have
-	Server   string          `json:"server"` // that has decoded it
-	Start    int64           `json:"start"`
-	Prompt   float64         `json:"prompt"`   // tokens that it has read and made
-	Produced float64         `json:"produced"` // tokens made in all parts, each charged by the part that made it
-	Parts    int             `json:"parts"`
-	Result   int             `json:"result"` // bytes that the results may have
+// continuation is what a session needs to go on, as it stands on record.
+type continuation struct {
+	Body           json.RawMessage `json:"body"` // the request's, with all messages up to the call
+	Class          int             `json:"class"`
+	Tenant         int             `json:"tenant"`
+	Session        uint64          `json:"session"`
+	Prefix         uint64          `json:"prefix"`
+	PrefixTokens   float64         `json:"shared"` // tokens of the shared beginning
+	MaxTokens      float64         `json:"most"`   // tokens that the answer may have
+	Backend        string          `json:"server"` // that has decoded it
+	BackendStart   int64           `json:"start"`
+	PromptTokens   float64         `json:"prompt"`   // tokens that it has read and made
+	ProducedTokens float64         `json:"produced"` // tokens made in all parts, each charged by the part that made it
+	Parts          int             `json:"parts"`
+	MaxResultBytes int             `json:"result"` // bytes that the results may have
 }
 
-func (s *Sessions) encode(k kept) ([]byte, error) {
+func (s *Service) encode(k continuation) ([]byte, error) {
 	raw, err := json.Marshal(k)
 	if err != nil {
 		return nil, err
@@ -193,8 +193,8 @@
 	return s.pack.EncodeAll(raw, nil), nil
 }
 
-func (s *Sessions) decode(raw []byte) (kept, error) {
-	var k kept
+func (s *Service) decode(raw []byte) (continuation, error) {
+	var k continuation
 	plain, err := s.unpack.DecodeAll(raw, nil)
 	if err == nil {
 		err = json.Unmarshal(plain, &k)
@@ -203,7 +203,7 @@
 }
 
 // tool is what a call of a tool does; nil: it is none that the operator's file names.
-func (s *Sessions) tool(name string) *Tool {
+func (s *Service) tool(name string) *Tool {
 	i := slices.IndexFunc(s.Tools, func(t Tool) bool { return t.Name == name })
 	if i < 0 {
 		return nil
@@ -211,8 +211,8 @@
 	return &s.Tools[i]
 }
 
-// Looks tells whether a request's answer is looked at: it names tools that this part knows.
-func (s *Sessions) Looks(body []byte) bool {
+// InspectsResponse tells whether a request's answer is looked at: it names tools that this part knows.
+func (s *Service) InspectsResponse(body []byte) bool {
 	return len(s.Tools) > 0 && bytes.Contains(body, []byte(`"tools"`))
 }
 
@@ -223,55 +223,57 @@
 	return hex.EncodeToString(b)
 }
 
-// Fault is an answer to a request about a session: a status, a text, and when to come again; 0: never with this key.
-type Fault struct {
-	Status int
-	Text   string
-	Wait   time.Duration
+// RequestError is an answer to a request about a session: a status, a text, and when to come again; 0: never with this key.
+type RequestError struct {
+	Status     int
+	Message    string
+	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return f.Text }
+func (f *RequestError) Error() string { return f.Message }
 
-// fault is what a client is told of an error.
-func (s *Sessions) fault(err error) *Fault {
-	status, wait := 503, freshWait
+// requestError is what a client is told of an error.
+func (s *Service) requestError(err error) *RequestError {
+	status, wait := 503, defaultRetryAfter
 	switch {
-	case errors.Is(err, session.ErrKey), errors.Is(err, session.ErrResults):
+	case errors.Is(err, session.ErrMalformedKey), errors.Is(err, session.ErrResultsMismatch):
 		status, wait = 400, 0
-	case errors.Is(err, session.ErrUnknown):
+	case errors.Is(err, session.ErrUnknownKey):
 		status, wait = 404, 0
-	case errors.Is(err, session.ErrUsed):
+	case errors.Is(err, session.ErrKeyUsed):
 		status, wait = 409, 0
-	case errors.Is(err, session.ErrExpired), errors.Is(err, session.ErrOver):
+	case errors.Is(err, session.ErrExpired), errors.Is(err, session.ErrEnded):
 		status, wait = 410, 0
 	case errors.Is(err, session.ErrTooLarge):
 		status, wait = 413, 0
 	case errors.Is(err, session.ErrClaimed):
 		status = 409
 	}
-	return &Fault{Status: status, Text: err.Error(), Wait: wait}
+	return &RequestError{Status: status, Message: err.Error(), RetryAfter: wait}
 }
 
 // Status is what the part shows of itself.
 type Status struct {
-	Paused  uint64 `json:"paused"`
-	Resumed uint64 `json:"resumed"`
-	Refused uint64 `json:"refused"` // resumes, for now
-	Unkept  uint64 `json:"unkept"`  // calls that could not be put on record: their clients got no key
-	InHand  int64  `json:"in_hand"`
-	Here    int    `json:"here"`    // paused here, and places held for
-	Records int    `json:"records"` // as the leader has them; elsewhere as of this node's last leadership
+	Paused     uint64 `json:"paused"`
+	Resumed    uint64 `json:"resumed"`
+	Rejected   uint64 `json:"refused"` // resumes, for now
+	Unrecorded uint64 `json:"unkept"`  // calls that could not be put on record: their clients got no key
+	InFlight   int64  `json:"in_hand"`
+	PausedHere int    `json:"here"`    // paused here, and places held for
+	Records    int    `json:"records"` // as the leader has them; elsewhere as of this node's last leadership
 }
 
 // Status tells how the part stands.
-func (s *Sessions) Status() Status {
+func (s *Service) Status() Status {
 	s.mu.Lock()
-	here := len(s.held)
+	here := len(s.reservations)
 	s.mu.Unlock()
-	return Status{s.Paused.Load(), s.Resumed.Load(), s.Refused.Load(), s.Unkept.Load(), s.inHand.Load(), here, s.registry.counts()}
+	return Status{s.Paused.Load(), s.Resumed.Load(), s.Rejected.Load(), s.Unrecorded.Load(), s.inFlight.Load(), here, s.registry.pausedCount()}
 }
 
 var _ node.Hook = (*hook)(nil)
 
-func tokensOf(chars int) float64 { return float64((chars + tokenChars - 1) / tokenChars) }
+func tokensOf(chars int) float64 {
+	return float64((chars + charactersPerToken - 1) / charactersPerToken)
+}
--- a/internal/fleet/sessions/sessions_test.go
+++ b/internal/fleet/sessions/sessions_test.go
@@ -26,19 +26,19 @@
 	now   atomic.Int64
 	cut   atomic.Bool
 	pace  float64
-	nodes []*Sessions
-	guard *invariant.Guard
+	nodes []*Service
+	guard *invariant.Monitor
 }
 
 func start(t testing.TB, nodes int, edit func(*Options)) *world {
-	w := &world{keys: store.NewMemory(), pace: 1, guard: &invariant.Guard{}}
+	w := &world{keys: store.NewMemory(), pace: 1, guard: &invariant.Monitor{}}
 	w.now.Store(1000 * int64(time.Second))
 	for i := range nodes {
-		o := Options{Tools: []Tool{{Name: "hours", Does: PauseIt, Wait: 30 * time.Second, Result: 100, Class: -1}, {Name: "look", Does: KeepOn}, {Name: "pay", Does: RefuseIt},
-			{Name: "roster", Does: PauseIt, Wait: 10 * time.Second, Result: 50, Class: 1}}, Limits: session.Limits{Data: 1 << 20, Keep: int64(time.Minute), Paused: 20_000, Tenant: 20_000},
-			Decode: 20 * time.Second, Resumes: 1e6, InHand: 1 << 20, Seat: string(rune('a' + i)), Life: 1, Error: 100 * time.Millisecond, Now: w.now.Load, Pace: func() float64 { return w.pace },
-			Keys: w.keys, Guard: w.guard, Log: zap.NewNop(), StartOf: func(string) int64 { return 7 }}
-		o.Call = func(ctx context.Context, _ string, in, out any) error {
+		o := Options{Tools: []Tool{{Name: "hours", Action: PauseSession, ResultTimeout: 30 * time.Second, MaxResultBytes: 100, Class: -1}, {Name: "look", Action: PassThrough}, {Name: "pay", Action: RejectCall},
+			{Name: "roster", Action: PauseSession, ResultTimeout: 10 * time.Second, MaxResultBytes: 50, Class: 1}}, Limits: session.Limits{MaxDataBytes: 1 << 20, Retention: int64(time.Minute), MaxPaused: 20_000, MaxPausedPerTenant: 20_000},
+			DecodeTimeout: 20 * time.Second, ResumeRate: 1e6, MaxConcurrentResumes: 1 << 20, Slot: string(rune('a' + i)), Incarnation: 1, ClockError: 100 * time.Millisecond, Now: w.now.Load, RateFactor: func() float64 { return w.pace },
+			Store: w.keys, Invariants: w.guard, Log: zap.NewNop(), BackendStart: func(string) int64 { return 7 }}
+		o.CallLeader = func(ctx context.Context, _ string, in, out any) error {
 			if w.cut.Load() {
 				return fleet.ErrNoLeader
 			}
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			back, err := w.nodes[0].registry.do(ctx, body)
+			back, err := w.nodes[0].registry.handle(ctx, body)
 			if err != nil {
 				return err
 			}
@@ -130,8 +130,8 @@
 		require.Equal(t, text, string(pass), "as it came")
 	}
 	require.Empty(t, w.keys.List(""))
-	require.False(t, w.nodes[0].Looks([]byte(`{"messages":[]}`)))
-	require.True(t, w.nodes[0].Looks([]byte(asked)))
+	require.False(t, w.nodes[0].InspectsResponse([]byte(`{"messages":[]}`)))
+	require.True(t, w.nodes[0].InspectsResponse([]byte(asked)))
 }
 
 // A session goes on at another node, with the whole prompt built anew, charged for the results alone, and by its tool's class; it may
@@ -144,8 +144,8 @@
 		t.Helper()
 		r, f := b.Resume(t.Context(), k, "q", tenant, body)
 		require.Nil(t, r)
-		require.Equal(t, status, f.Status, f.Text)
-		require.Equal(t, wait, f.Wait > 0)
+		require.Equal(t, status, f.Status, f.Message)
+		require.Equal(t, wait, f.RetryAfter > 0)
 	}
 	refused(400, false, 2, answers("c0"))
 	refused(400, false, 2, answers("c0", "c1", "c2"))
@@ -169,12 +169,12 @@
 	require.Equal(t, `{"crew":1}`, body.Messages[1].ToolCalls[1].Function.Arguments)
 	require.Equal(t, "c1", body.Messages[3].ToolCallID)
 	require.Equal(t, 1, r.Request.Class)
-	require.EqualValues(t, 4, r.Fresh, "two results of seven characters, as they stand")
-	require.EqualValues(t, 7, r.Start)
-	require.Equal(t, "box", r.Server)
+	require.EqualValues(t, 4, r.UncachedTokens, "two results of seven characters, as they stand")
+	require.EqualValues(t, 7, r.BackendStart)
+	require.Equal(t, "box", r.Backend)
 	_, f = w.nodes[0].Resume(t.Context(), k, "another", 2, answers("c0", "c1"))
 	require.Equal(t, 409, f.Status)
-	require.Positive(t, f.Wait, "somebody goes on with it now")
+	require.Positive(t, f.RetryAfter, "somebody goes on with it now")
 	h := r.Hook(func() string { return "box" }, func() {})
 	_, then := h.Event([]byte(says("and ") + calls("hours")))
 	require.Equal(t, node.Stop, then)
@@ -191,7 +191,7 @@
 	h.Over(node.Answer{Kind: node.Served})
 	k = next
 	refused(409, false, 2, answers("c0"))
-	require.Empty(t, w.guard.Counts())
+	require.Empty(t, w.guard.Violations())
 }
 
 // What is not final is given back: a flow that was refused or broken off leaves its session to be claimed again.
@@ -207,12 +207,12 @@
 		}
 		h.Over(node.Answer{Kind: node.Broken})
 		require.Eventually(t, func() bool {
-			id, _, _ := session.ParseKey(k)
+			id, _, _ := session.ParseResumeKey(k)
 			record, _, err := read(w.keys, id)
 			return err == nil && record.State == session.Paused
 		}, 5*time.Second, time.Millisecond)
 	}
-	require.Zero(t, w.nodes[0].inHand.Load())
+	require.Zero(t, w.nodes[0].inFlight.Load())
 }
 
 // A tool that never answers, a cancel that races the result, and the ends of what is over.
@@ -231,8 +231,8 @@
 	s.registry.sweep(t.Context())
 	_, f = s.Resume(t.Context(), late, "q", 2, answers("c0"))
 	require.Equal(t, 410, f.Status)
-	require.Zero(t, f.Wait)
-	require.Equal(t, 1, s.registry.counts(), "the one whose claim ended without a word waits on")
+	require.Zero(t, f.RetryAfter)
+	require.Equal(t, 1, s.registry.pausedCount(), "the one whose claim ended without a word waits on")
 	w.now.Add(int64(2 * time.Minute))
 	for range 3 {
 		s.registry.sweep(t.Context())
@@ -251,10 +251,10 @@
 	from := time.Now()
 	_, f := w.nodes[1].Resume(t.Context(), k, "q", 2, answers("c0"))
 	require.Equal(t, 503, f.Status)
-	require.Positive(t, f.Wait)
+	require.Positive(t, f.RetryAfter)
 	require.Less(t, time.Since(from), time.Second)
 	require.Empty(t, pause(t, w, 0, "hours"), "the call is passed on, without a key")
-	require.EqualValues(t, 1, w.nodes[0].Unkept.Load())
+	require.EqualValues(t, 1, w.nodes[0].Unrecorded.Load())
 	w.cut.Store(false)
 	_, f = w.nodes[1].Resume(t.Context(), k, "q", 2, answers("c0"))
 	require.Nil(t, f)
@@ -262,7 +262,7 @@
 
 // Resumes come at a pace, slower while the fleet heals, and leave room for fresh requests.
 func TestPace(t *testing.T) {
-	w := start(t, 1, func(o *Options) { o.Resumes, o.InHand = 10, 3 })
+	w := start(t, 1, func(o *Options) { o.ResumeRate, o.MaxConcurrentResumes = 10, 3 })
 	s := w.nodes[0]
 	var keys []string
 	for range 60 {
@@ -284,7 +284,7 @@
 	w.pace = 0.2
 	require.InDelta(t, 2, taken(time.Second), 1)
 	w.pace = 1
-	s.InHand = 0
+	s.MaxConcurrentResumes = 0
 	require.Zero(t, taken(time.Second))
 }
 
@@ -295,7 +295,7 @@
 	for range 10_000 {
 		keys = append(keys, pause(t, w, 0, "hours"))
 	}
-	w.nodes[0].registry = newRegistry(w.keys, session.Limits{Data: 1 << 20, Keep: 1, Paused: 10_000, Tenant: 10_000}, time.Millisecond, w.now.Load, w.guard, zap.NewNop()) // another leader
+	w.nodes[0].registry = newRegistry(w.keys, session.Limits{MaxDataBytes: 1 << 20, Retention: 1, MaxPaused: 10_000, MaxPausedPerTenant: 10_000}, time.Millisecond, w.now.Load, w.guard, zap.NewNop()) // another leader
 	require.Empty(t, pause(t, w, 0, "hours"), "there are as many as there may be")
 	w.nodes[0] = nil // the node that paused them is gone
 	again, err := New(w.nodes[1].Options, nil)
@@ -307,5 +307,5 @@
 		_, f = w.nodes[0].Resume(t.Context(), k, fmt.Sprint("p", i), 2, answers("c0"))
 		require.NotNil(t, f)
 	}
-	require.Empty(t, w.guard.Counts())
+	require.Empty(t, w.guard.Violations())
 }
--- a/internal/fleet/site/golden_test.go
+++ b/internal/fleet/site/golden_test.go
@@ -10,7 +10,7 @@
 // The words stand in what operators and the laboratory read.
 func TestGoldenWords(t *testing.T) {
 	var text []byte
-	for _, m := range []Mode{Connected, Doubtful, Alone, Reconciling} {
+	for _, m := range []State{Connected, Suspect, Isolated, Reconciling} {
 		text = fmt.Appendf(text, "%d %s\n", m, m)
 	}
 	golden.Bytes(t, "words.txt", text)
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -9,96 +9,96 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// Mode is how a site stands to the halls.
-type Mode uint8
+// State is how a site stands to the halls.
+type State uint8
 
 // The modes.
 const (
-	Connected   Mode = iota // it hears a hall
-	Doubtful                // it has heard none for a while: nothing has changed yet
-	Alone                   // it goes on by itself: its own boxes, its last list, rights that were granted ahead
-	Reconciling             // it hears a hall again, and both take what they lack
+	Connected   State = iota // it hears a hall
+	Suspect                  // it has heard none for a while: nothing has changed yet
+	Isolated                 // it goes on by itself: its own boxes, its last list, rights that were granted ahead
+	Reconciling              // it hears a hall again, and both take what they lack
 )
 
-var words = [...]string{"connected", "doubtful", "alone", "reconciling"}
+var stateNames = [...]string{"connected", "doubtful", "alone", "reconciling"}
 
 // String implements fmt.Stringer.
-func (m Mode) String() string { return words[m] }
+func (m State) String() string { return stateNames[m] }
 
-// follows is the table: from which modes each may be entered.
-var follows = [...][]Mode{
-	Connected:   {Doubtful, Reconciling},
-	Doubtful:    {Connected, Reconciling},
-	Alone:       {Doubtful},
-	Reconciling: {Alone},
+// predecessors is the table: from which modes each may be entered.
+var predecessors = [...][]State{
+	Connected:   {Suspect, Reconciling},
+	Suspect:     {Connected, Reconciling},
+	Isolated:    {Suspect},
+	Reconciling: {Isolated},
 }
 
-// Limits are the spans of the machine.
-type Limits struct {
-	Doubt  time.Duration // without a hall, until the site doubts
-	Alone  time.Duration // of doubt, until it is alone
-	Settle time.Duration // for which a hall must have been heard, until it is not alone any more
+// Timing are the spans of the machine.
+type Timing struct {
+	SuspectAfter  time.Duration // without a hall, until the site doubts
+	IsolatedAfter time.Duration // of doubt, until it is alone
+	SettleTime    time.Duration // for which a hall must have been heard, until it is not alone any more
 }
 
 // Machine is one site's mode. A site begins alone: it has heard nobody.
 type Machine struct {
-	Limits
-	Guard *invariant.Guard
+	Timing
+	Invariants *invariant.Monitor
 
-	mode   Mode
-	since  int64
-	heard  int64 // since when halls are heard without a break; 0: they are not
-	silent int64 // since when none is
+	state            State
+	since            int64
+	reachableSince   int64 // since when halls are heard without a break; 0: they are not
+	unreachableSince int64 // since when none is
 }
 
 // New makes the machine of a site that starts now.
-func New(l Limits, now int64, g *invariant.Guard) *Machine {
-	return &Machine{Limits: l, Guard: g, mode: Alone, since: now, silent: now}
+func New(l Timing, now int64, g *invariant.Monitor) *Machine {
+	return &Machine{Timing: l, Invariants: g, state: Isolated, since: now, unreachableSince: now}
 }
 
-// Now is the mode, and since when it holds.
-func (m *Machine) Now() (Mode, int64) { return m.mode, m.since }
+// Current is the mode, and since when it holds.
+func (m *Machine) Current() (State, int64) { return m.state, m.since }
 
-// Step takes in whether a hall is heard, and whether either side lacks something of the other. It tells whether the mode has
+// Update takes in whether a hall is heard, and whether either side lacks something of the other. It tells whether the mode has
 // changed.
-func (m *Machine) Step(now int64, heard, lacking bool) bool {
+func (m *Machine) Update(now int64, heard, lacking bool) bool {
 	now = max(now, m.since)
 	switch {
-	case heard && m.heard == 0:
-		m.heard, m.silent = now, 0
-	case !heard && m.silent == 0:
-		m.heard, m.silent = 0, now
+	case heard && m.reachableSince == 0:
+		m.reachableSince, m.unreachableSince = now, 0
+	case !heard && m.unreachableSince == 0:
+		m.reachableSince, m.unreachableSince = 0, now
 	}
-	next := m.mode
-	switch m.mode {
+	next := m.state
+	switch m.state {
 	case Connected:
-		if !heard && now-m.silent >= int64(m.Doubt) {
-			next = Doubtful
+		if !heard && now-m.unreachableSince >= int64(m.SuspectAfter) {
+			next = Suspect
 		}
-	case Doubtful:
+	case Suspect:
 		if heard {
 			next = Connected
-		} else if now-m.since >= int64(m.Alone) {
-			next = Alone
+		} else if now-m.since >= int64(m.IsolatedAfter) {
+			next = Isolated
 		}
-	case Alone:
-		if heard && now-m.heard >= int64(m.Settle) {
+	case Isolated:
+		if heard && now-m.reachableSince >= int64(m.SettleTime) {
 			next = Reconciling
 		}
 	case Reconciling:
-		if !heard && now-m.silent >= int64(m.Doubt) {
-			next = Doubtful
+		if !heard && now-m.unreachableSince >= int64(m.SuspectAfter) {
+			next = Suspect
 		} else if heard && !lacking {
 			next = Connected
 		}
 	}
-	if next == m.mode {
+	if next == m.state {
 		return false
 	}
-	if !slices.Contains(follows[next], m.mode) {
-		m.Guard.Broken(invariant.ModeTable, fmt.Sprintf("site: %v after %v", next, m.mode))
+	if !slices.Contains(predecessors[next], m.state) {
+		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("site: %v after %v", next, m.state))
 		return false
 	}
-	m.mode, m.since = next, now
+	m.state, m.since = next, now
 	return true
 }
--- a/internal/fleet/tally/golden_test.go
+++ b/internal/fleet/tally/golden_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestGoldenRow(t *testing.T) {
-	golden.RoundTrip(t, "row.cbor", Row{Owner: rights.Owner{Seat: 1, Inc: 2}, At: 3, Counts: []int64{4, 5, 6}},
-		func(v Row) ([]byte, error) { return cbor.Marshal(v) },
-		func(b []byte) (v Row, err error) { return v, cbor.Unmarshal(b, &v) })
+	golden.RoundTrip(t, "row.cbor", Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 2}, At: 3, Counts: []int64{4, 5, 6}},
+		func(v Snapshot) ([]byte, error) { return cbor.Marshal(v) },
+		func(b []byte) (v Snapshot, err error) { return v, cbor.Unmarshal(b, &v) })
 }
 
 func TestGoldenReading(t *testing.T) {
-	golden.RoundTrip(t, "reading.json", Reading{Lower: 1, Upper: 2, Age: 3, Heard: 4, Silent: 5},
+	golden.RoundTrip(t, "reading.json", Reading{Lower: 1, Upper: 2, Age: 3, Reported: 4, Unreported: 5},
 		func(v Reading) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
 		func(b []byte) (v Reading, err error) { return v, json.Unmarshal(b, &v) })
 }
 
 func TestGoldenBounds(t *testing.T) {
-	golden.Bytes(t, "bounds.txt", fmt.Appendf(nil, "lives %d\n", LivesMost))
+	golden.Bytes(t, "bounds.txt", fmt.Appendf(nil, "lives %d\n", MaxIncarnations))
 }
--- a/internal/fleet/tally/tally_test.go
+++ b/internal/fleet/tally/tally_test.go
@@ -15,23 +15,23 @@
 
 // A restart, a node replaced under the same seat, a message told twice, late or out of order: nothing counts twice, and the true
 // sum lies within the bounds, wider the longer nothing is heard.
-func TestCounts(t *testing.T) {
+func TestReadingBoundsTheTrueSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const seats, clockError = 4, second / 4
-		g := &invariant.Guard{}
+		g := &invariant.Monitor{}
 		most := []int64{50, 1}
 		now := 1000 * second
 		inc := make([]uint64, seats)
 		start := func(i int) *Table {
 			inc[i]++
-			return New(seats, most, rights.Owner{Seat: i, Inc: inc[i]}, clockError, now, g)
+			return New(seats, most, rights.Owner{Slot: i, Incarnation: inc[i]}, clockError, now, g)
 		}
 		nodes := make([]*Table, seats)
 		for i := range nodes {
 			nodes[i] = start(i)
 		}
-		reader := New(seats, most, rights.Owner{Seat: 0, Inc: 1000}, clockError, now, g) // it lives throughout
-		var mail []Row
+		reader := New(seats, most, rights.Owner{Slot: 0, Incarnation: 1000}, clockError, now, g) // it lives throughout
+		var mail []Snapshot
 		total := int64(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"advance": func(t *rapid.T) {
@@ -45,27 +45,27 @@
 				}
 			},
 			"tell": func(t *rapid.T) {
-				mail = append(mail, nodes[rapid.IntRange(1, seats-1).Draw(t, "node")].Own(now+rapid.Int64Range(-clockError, clockError).Draw(t, "off")))
+				mail = append(mail, nodes[rapid.IntRange(1, seats-1).Draw(t, "node")].OwnSnapshot(now+rapid.Int64Range(-clockError, clockError).Draw(t, "off")))
 			},
 			"hear": func(t *rapid.T) {
 				if len(mail) > 0 {
-					reader.Hear(mail[rapid.IntRange(0, len(mail)-1).Draw(t, "row")], now) // any of them, any number of times
+					reader.Merge(mail[rapid.IntRange(0, len(mail)-1).Draw(t, "row")], now) // any of them, any number of times
 				}
 			},
 			"restart": func(t *rapid.T) {
 				// Its last row is heard first: what a life that ended unheard did is not known to anybody.
 				i := rapid.IntRange(1, seats-1).Draw(t, "node")
 				now += 2 * clockError
-				reader.Hear(nodes[i].Own(now), now)
+				reader.Merge(nodes[i].OwnSnapshot(now), now)
 				nodes[i] = start(i)
 			},
 			"": func(t *rapid.T) {
 				r := reader.Read(0, now)
-				if r.Lower > total || total > r.Upper || len(g.Counts()) > 0 {
+				if r.Lower > total || total > r.Upper || len(g.Violations()) > 0 {
 					t.Fatalf("%d counted, read as %d to %d", total, r.Lower, r.Upper)
 				}
-				for i := range reader.seats {
-					if len(reader.seats[i].lives) > LivesMost {
+				for i := range reader.slots {
+					if len(reader.slots[i].incarnations) > MaxIncarnations {
 						t.Fatal("too many lives are kept")
 					}
 				}
@@ -75,15 +75,15 @@
 }
 
 // Who is up, as far as known: a node that fell silent may be up or not.
-func TestLive(t *testing.T) {
-	a := New(3, []int64{1}, rights.Owner{Seat: 0, Inc: 1}, 0, 0, nil)
-	require.Equal(t, Reading{Lower: 1, Upper: 3, Heard: 1, Silent: 2}, a.Live(second, 3*second))
-	require.True(t, a.Hear(Row{Owner: rights.Owner{Seat: 1, Inc: 1}, At: second, Counts: []int64{5}}, second))
-	require.Equal(t, Reading{Lower: 2, Upper: 3, Age: second, Heard: 2, Silent: 1}, a.Live(2*second, 3*second))
-	require.Equal(t, Reading{Lower: 1, Upper: 3, Heard: 2, Silent: 1}, a.Live(9*second, 3*second))
-	require.False(t, a.Hear(Row{Owner: rights.Owner{Seat: 1, Inc: 1}, At: 2 * second, Counts: []int64{4}}, 2*second), "counts that fall")
-	require.False(t, a.Hear(Row{Owner: rights.Owner{Seat: 1, Inc: 1}, At: second / 2, Counts: []int64{5}}, 2*second), "older news")
+func TestLiveMembersAndStaleSnapshots(t *testing.T) {
+	a := New(3, []int64{1}, rights.Owner{Slot: 0, Incarnation: 1}, 0, 0, nil)
+	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 1, Unreported: 2}, a.LiveMembers(second, 3*second))
+	require.True(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: second, Counts: []int64{5}}, second))
+	require.Equal(t, Reading{Lower: 2, Upper: 3, Age: second, Reported: 2, Unreported: 1}, a.LiveMembers(2*second, 3*second))
+	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 2, Unreported: 1}, a.LiveMembers(9*second, 3*second))
+	require.False(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: 2 * second, Counts: []int64{4}}, 2*second), "counts that fall")
+	require.False(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: second / 2, Counts: []int64{5}}, 2*second), "older news")
 	age, _ := a.Age(1, 2*second)
 	require.Equal(t, second, age)
-	require.False(t, a.Hear(Row{Owner: rights.Owner{Seat: 1, Inc: 1}, At: 90 * second, Counts: []int64{6}}, 2*second), "told from the time to come")
+	require.False(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: 90 * second, Counts: []int64{6}}, 2*second), "told from the time to come")
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -15,11 +15,11 @@
 // word of its address goes for nothing.
 type transport struct {
 	*memberlist.NetTransport
-	reach map[string]string
+	addresses map[string]string
 }
 
-func (t transport) to(a memberlist.Address) memberlist.Address {
-	if r, ok := t.reach[a.Name]; ok {
+func (t transport) resolve(a memberlist.Address) memberlist.Address {
+	if r, ok := t.addresses[a.Name]; ok {
 		a.Addr = r
 	}
 	return a
@@ -27,12 +27,12 @@
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (t transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return t.NetTransport.WriteToAddress(b, t.to(a))
+	return t.NetTransport.WriteToAddress(b, t.resolve(a))
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
 func (t transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.NetTransport.DialAddressTimeout(t.to(a), timeout)
+	return t.NetTransport.DialAddressTimeout(t.resolve(a), timeout)
 }
 
 // join opens the list of members: who is there, and packets between them.
@@ -45,27 +45,27 @@
 	if err != nil {
 		return err
 	}
-	quiet := log.New(lines{f.Log}, "", 0)
+	quiet := log.New(logWriter{f.Log}, "", 0)
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: number, Logger: quiet})
 	if err != nil {
 		return fmt.Errorf("fleet.listen: %w", err)
 	}
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = f.Name, host, number, host, number
-	c.Transport, c.Logger, c.Delegate, c.Label = transport{t, f.reach}, quiet, f, "standpoint-fleet"
+	c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = f.SlotName, host, number, host, number
+	c.Transport, c.Logger, c.Delegate, c.Label = transport{t, f.addresses}, quiet, f, "standpoint-fleet"
 	c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout, c.PushPullInterval = 500*time.Millisecond, 250*time.Millisecond, time.Second, 10*time.Second
 	c.DeadNodeReclaimTime = time.Second // a seat's next life may come from another address
-	if f.list, err = memberlist.Create(c); err != nil {
+	if f.memberlist, err = memberlist.Create(c); err != nil {
 		_ = t.Shutdown()
 		return fmt.Errorf("fleet.listen: %w", err)
 	}
 	return nil
 }
 
-// lines hands the library's log on.
-type lines struct{ log *zap.Logger }
+// logWriter hands the library's log on.
+type logWriter struct{ log *zap.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	l.log.Debug("memberlist", zap.ByteString("line", b[:max(0, len(b)-1)]))
 	return len(b), nil
 }
@@ -85,22 +85,22 @@
 // NotifyMsg implements memberlist.Delegate. It never waits: what does not fit is lost, as it could be on its way.
 func (f *Fleet) NotifyMsg(b []byte) {
 	select {
-	case f.mail <- append([]byte(nil), b...):
+	case f.mailbox <- append([]byte(nil), b...):
 	default:
-		f.dropped.Add(1)
+		f.droppedMessages.Add(1)
 	}
 }
 
-// seen are the seats that the library takes to be there.
-func (f *Fleet) seen() map[string]bool {
+// listedMembers are the seats that the library takes to be there.
+func (f *Fleet) listedMembers() map[string]bool {
 	all := map[string]bool{}
-	for _, n := range f.list.Members() {
+	for _, n := range f.memberlist.Members() {
 		all[n.Name] = true
 	}
 	return all
 }
 
-// node is a seat as the library addresses it.
-func (f *Fleet) node(seat int) *memberlist.Node {
-	return &memberlist.Node{Name: f.Seats[seat].Name, Addr: net.IPv4(127, 0, 0, 1), Port: 1} // the name decides where it is reached
+// memberNode is a seat as the library addresses it.
+func (f *Fleet) memberNode(seat int) *memberlist.Node {
+	return &memberlist.Node{Name: f.Slots[seat].Name, Addr: net.IPv4(127, 0, 0, 1), Port: 1} // the name decides where it is reached
 }
--- a/internal/fleet/usage/golden_test.go
+++ b/internal/fleet/usage/golden_test.go
@@ -28,12 +28,12 @@
 
 // What nodes exchange about their ledgers, and what a node shows of its own.
 func TestGoldenMessages(t *testing.T) {
-	of := ledger.Source{Seat: "node-1", Life: 3}
-	roundTrip(t, "digest_ask", DigestAsk{After: of})
-	roundTrip(t, "digest_answer", DigestAnswer{Have: ledger.Digest{{Source: of, Ranges: []ledger.Range{{First: 1, Last: 4}}}}, More: true})
-	roundTrip(t, "fetch_ask", FetchAsk{Source: of, Numbers: ledger.Range{First: 5, Last: 9}})
-	roundTrip(t, "fetch_answer", FetchAnswer{Entries: []*ledger.Entry{{Seat: "node-1", Life: 3, Number: 4, At: 1796121600000000005, Tenant: "acme", Class: "chat", Session: 6,
-		In: 70, Kept: 80, Out: 90, Outcome: ledger.Broken}}})
-	roundTripJSON(t, "status", Status{Seat: "node-1", Life: 2, Entries: 3, Bytes: 4, Sums: map[string]ledger.Sum{"acme": {Entries: 5, In: 6, Kept: 7, Out: 8}}, Sources: 9, Charged: 10,
-		Taken: 11, Lost: 12, Waiting: 13, Lacking: 14, Agreed: 15.5, Holds: true, Damages: []string{"00000001.ledger, byte 20: a checksum that does not hold"}})
+	of := ledger.Source{Slot: "node-1", Incarnation: 3}
+	roundTrip(t, "digest_ask", DigestRequest{After: of})
+	roundTrip(t, "digest_answer", DigestResponse{Sources: ledger.Digest{{Source: of, Ranges: []ledger.Range{{First: 1, Last: 4}}}}, More: true})
+	roundTrip(t, "fetch_ask", FetchRequest{Source: of, Sequences: ledger.Range{First: 5, Last: 9}})
+	roundTrip(t, "fetch_answer", FetchResponse{Entries: []*ledger.Entry{{Slot: "node-1", Incarnation: 3, Sequence: 4, At: 1796121600000000005, Tenant: "acme", Class: "chat", Session: 6,
+		InputTokens: 70, CachedTokens: 80, OutputTokens: 90, Outcome: ledger.Interrupted}}})
+	roundTripJSON(t, "status", Status{Slot: "node-1", Incarnation: 2, Entries: 3, Bytes: 4, Totals: map[string]ledger.Totals{"acme": {Entries: 5, InputTokens: 6, CachedTokens: 7, OutputTokens: 8}}, Sources: 9, Charged: 10,
+		Received: 11, Dropped: 12, Queued: 13, Missing: 14, SyncedSecondsAgo: 15.5, Consistent: true, Corruptions: []string{"00000001.ledger, byte 20: a checksum that does not hold"}})
 }
--- a/internal/fleet/usage/usage_test.go
+++ b/internal/fleet/usage/usage_test.go
@@ -22,7 +22,7 @@
 	mu   sync.Mutex
 	rng  *rand.Rand
 	loss float64
-	ends map[string]*Usage
+	ends map[string]*Replicator
 	sent int64 // bytes
 }
 
@@ -41,11 +41,11 @@
 	var answer any
 	switch what {
 	case "ledger.digest":
-		var a DigestAsk
+		var a DigestRequest
 		_ = json.Unmarshal(raw, &a) // of this program's own
 		answer, err = to.Digest(a)
 	case "ledger.fetch":
-		var a FetchAsk
+		var a FetchRequest
 		_ = json.Unmarshal(raw, &a)
 		answer, err = to.Fetch(a)
 	}
@@ -65,9 +65,9 @@
 	return json.Unmarshal(back, out)
 }
 
-func open(t testing.TB, l *line, dir, seat string, life uint64, others ...string) *Usage {
-	u, err := Open(Options{Dir: dir, Most: 1 << 30, Seat: seat, Life: life, Seats: others, Now: func() int64 { return time.Now().UnixNano() }, Every: 2 * time.Millisecond, Rate: 1e9,
-		Pace: func() float64 { return 1 }, Ask: l.ask, Guard: &invariant.Guard{}, Log: zap.NewNop()})
+func open(t testing.TB, l *line, dir, seat string, life uint64, others ...string) *Replicator {
+	u, err := Open(Options{Dir: dir, MaxBytes: 1 << 30, Slot: seat, Incarnation: life, Peers: others, Now: func() int64 { return time.Now().UnixNano() }, SyncInterval: 2 * time.Millisecond, SyncRate: 1e9,
+		RateFactor: func() float64 { return 1 }, CallMember: l.ask, Invariants: &invariant.Monitor{}, Log: zap.NewNop()})
 	require.NoError(t, err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +76,7 @@
 }
 
 // run runs an actor until the returned function is called.
-func run(u *Usage) func() {
+func run(u *Replicator) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { u.Run(ctx) })
@@ -87,9 +87,9 @@
 	}
 }
 
-func charge(t testing.TB, u *Usage, n int) {
+func charge(t testing.TB, u *Replicator, n int) {
 	for i := range n {
-		for !u.Charge(ledger.Entry{Tenant: fmt.Sprint("t", i%3), Class: "chat", In: int64(i), Out: 7}) {
+		for !u.Charge(ledger.Entry{Tenant: fmt.Sprint("t", i%3), Class: "chat", InputTokens: int64(i), OutputTokens: 7}) {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -98,7 +98,7 @@
 
 // Three ledgers over lines that lose a third, one of them started anew in between: all come to the same sums, each entry once.
 func TestLedgersAgree(t *testing.T) {
-	l := &line{rng: rand.New(rand.NewPCG(1, 1)), loss: 0.3, ends: map[string]*Usage{}}
+	l := &line{rng: rand.New(rand.NewPCG(1, 1)), loss: 0.3, ends: map[string]*Replicator{}}
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	a, b, c := open(t, l, dirs[0], "a", 1, "b", "c"), open(t, l, dirs[1], "b", 1, "a", "c"), open(t, l, dirs[2], "c", 1, "a", "b")
 	stops := []func(){run(a), run(b), run(c)}
@@ -110,8 +110,8 @@
 	charge(t, b, 300)
 	charge(t, c, 400)
 	require.Eventually(t, func() bool {
-		for _, u := range []*Usage{a, b, c} {
-			if s := u.Status(); s.Entries != 2900 || !s.Holds || s.Sums["t0"] != a.Status().Sums["t0"] {
+		for _, u := range []*Replicator{a, b, c} {
+			if s := u.Status(); s.Entries != 2900 || !s.Consistent || s.Totals["t0"] != a.Status().Totals["t0"] {
 				return false
 			}
 		}
@@ -127,74 +127,74 @@
 
 // A disk that takes nothing more: the node says that it is full, charges nothing meanwhile, and nothing of what waits is lost.
 func TestAFullDisk(t *testing.T) {
-	l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Usage{}}
+	l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Replicator{}}
 	u := open(t, l, t.TempDir(), "a", 1)
-	u.files.Most = u.files.Bytes() + 10
+	u.log.MaxBytes = u.log.Bytes() + 10
 	defer run(u)()
 	require.True(t, u.Charge(ledger.Entry{Tenant: "t"}))
 	require.Eventually(t, u.Full, 5*time.Second, time.Millisecond)
 	require.Zero(t, u.Status().Charged)
 	u.mu.Lock()
-	u.files.Most = 1 << 30
+	u.log.MaxBytes = 1 << 30
 	u.mu.Unlock()
 	require.Eventually(t, func() bool { return u.Status().Charged == 1 && !u.Full() }, 5*time.Second, time.Millisecond)
 }
 
 // Entries that could not wait to be written leave no gaps: the numbers of a life follow each other, however many were lost.
 func TestLostEntriesLeaveNoGaps(t *testing.T) {
-	l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Usage{}}
+	l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Replicator{}}
 	u := open(t, l, t.TempDir(), "a", 1)
 	taken := 0
-	for i := range queueMost + 100 {
+	for i := range maxQueued + 100 {
 		if u.Charge(ledger.Entry{Tenant: "t"}) {
 			taken++
 		}
-		if i%2 == 0 && len(u.queue) == queueMost {
+		if i%2 == 0 && len(u.queue) == maxQueued {
 			<-u.queue // room for one now and then: what follows is lost and taken in turn
 			taken--
 		}
 	}
-	require.Positive(t, u.lost.Load())
+	require.Positive(t, u.dropped.Load())
 	require.True(t, u.Full())
 	defer run(u)()
 	require.Eventually(t, func() bool { return int(u.Status().Charged) == taken }, 10*time.Second, time.Millisecond)
-	d, err := u.Digest(DigestAsk{})
+	d, err := u.Digest(DigestRequest{})
 	require.NoError(t, err)
-	require.Equal(t, []ledger.Range{{First: 1, Last: uint64(taken)}}, d.Have[0].Ranges)
+	require.Equal(t, []ledger.Range{{First: 1, Last: uint64(taken)}}, d.Sources[0].Ranges)
 }
 
 // A peer that gives what was not asked for, or what cannot be, is not believed.
 func TestNonsense(t *testing.T) {
-	l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Usage{}}
+	l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Replicator{}}
 	u := open(t, l, t.TempDir(), "a", 1, "b")
 	defer u.Close()
-	of := ledger.Source{Seat: "b", Life: 1}
+	of := ledger.Source{Slot: "b", Incarnation: 1}
 	nothing := []*ledger.Entry{nil}
-	u.Ask = func(_ context.Context, _, what string, _, out any) error {
+	u.CallMember = func(_ context.Context, _, what string, _, out any) error {
 		if what == "ledger.digest" {
-			*out.(*DigestAnswer) = DigestAnswer{Have: ledger.Digest{{Source: of, Ranges: []ledger.Range{{First: 1, Last: 3}}}}}
+			*out.(*DigestResponse) = DigestResponse{Sources: ledger.Digest{{Source: of, Ranges: []ledger.Range{{First: 1, Last: 3}}}}}
 			return nil
 		}
-		*out.(*FetchAnswer) = FetchAnswer{Entries: append(nothing, []*ledger.Entry{{Seat: "b", Life: 1, Number: 1, Tenant: "t", In: -5}, {Seat: "c", Life: 1, Number: 2}, {Seat: "a", Life: 1, Number: 3},
-			{Seat: "b", Life: 1, Number: 9}}...)}
+		*out.(*FetchResponse) = FetchResponse{Entries: append(nothing, []*ledger.Entry{{Slot: "b", Incarnation: 1, Sequence: 1, Tenant: "t", InputTokens: -5}, {Slot: "c", Incarnation: 1, Sequence: 2}, {Slot: "a", Incarnation: 1, Sequence: 3},
+			{Slot: "b", Incarnation: 1, Sequence: 9}}...)}
 		return nil
 	}
-	require.Error(t, u.catchUp(t.Context(), "b"))
+	require.Error(t, u.syncWith(t.Context(), "b"))
 	nothing = nil
-	require.Error(t, u.catchUp(t.Context(), "b"))
+	require.Error(t, u.syncWith(t.Context(), "b"))
 	require.Zero(t, u.Status().Entries)
 }
 
 // BenchmarkMillion reconciles a million entries between two ledgers, and reads them again as a start does.
 func BenchmarkMillion(b *testing.B) {
 	for b.Loop() {
-		l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Usage{}}
+		l := &line{rng: rand.New(rand.NewPCG(1, 1)), ends: map[string]*Replicator{}}
 		dirs := []string{b.TempDir(), b.TempDir()}
 		a, c := open(b, l, dirs[0], "a", 1, "c"), open(b, l, dirs[1], "c", 1, "a")
-		a.files.Most, c.files.Most = 1<<40, 1<<40
+		a.log.MaxBytes, c.log.MaxBytes = 1<<40, 1<<40
 		var batch []*ledger.Entry
 		for n := uint64(1); n <= 1_000_000; n++ {
-			batch = append(batch, &ledger.Entry{Seat: "a", Life: 1, Number: n, At: int64(n), Tenant: "t", Class: "chat", Session: n, In: 300, Kept: 100, Out: 50})
+			batch = append(batch, &ledger.Entry{Slot: "a", Incarnation: 1, Sequence: n, At: int64(n), Tenant: "t", Class: "chat", Session: n, InputTokens: 300, CachedTokens: 100, OutputTokens: 50})
 			if len(batch) == 4096 || n == 1_000_000 {
 				if !a.append(batch) {
 					b.Fatal("not written")
@@ -203,7 +203,7 @@
 			}
 		}
 		from := time.Now()
-		if err := c.catchUp(context.Background(), "a"); err != nil {
+		if err := c.syncWith(context.Background(), "a"); err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(time.Since(from).Seconds(), "s/reconcile")
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,21 +21,21 @@
 
 // The record's keys, as processes of other builds read and write them.
 func TestGoldenRecord(t *testing.T) {
-	value := Record{Version: 1, Boot: "boot-1", Down: map[string]int64{"s-1": 11}, Back: map[string]int64{"s-2": 12}, Seen: []string{"s-1", "s-2"}}
-	golden.RoundTrip(t, "record.json", value, func(r Record) ([]byte, error) { return json.Marshal(r) }, Decode)
+	value := Record{Version: 1, Boot: "boot-1", DownSince: map[string]int64{"s-1": 11}, RestoredAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
+	golden.RoundTrip(t, "record.json", value, func(r Record) ([]byte, error) { return json.Marshal(r) }, DecodeRecord)
 }
 
 // The words in which a record is refused.
 func TestGoldenRecordErrors(t *testing.T) {
-	many := make([]string, namesMost+1)
+	many := make([]string, maxNames+1)
 	for i := range many {
 		many[i] = "s"
 	}
-	tooMany, err := json.Marshal(Record{Version: version, Seen: many})
+	tooMany, err := json.Marshal(Record{Version: recordVersion, Listed: many})
 	require.NoError(t, err)
 	var said strings.Builder
-	for _, raw := range []string{strings.Repeat(" ", bytesMost+1), "{", `{"version":2}`, `{"version":1,"down":{"":1}}`, string(tooMany)} {
-		_, err := Decode([]byte(raw))
+	for _, raw := range []string{strings.Repeat(" ", maxFileBytes+1), "{", `{"version":2}`, `{"version":1,"down":{"":1}}`, string(tooMany)} {
+		_, err := DecodeRecord([]byte(raw))
 		require.Error(t, err)
 		fmt.Fprintf(&said, "%.40s\n\t%s\n", raw, err)
 	}
@@ -47,10 +47,10 @@
 	dir := t.TempDir()
 	s, err := open(dir, "node-a", 4711)
 	require.NoError(t, err)
-	_, err = s.Update(func(r *Record) { r.Down["s-1"] = 1 })
+	_, err = s.UpdateRecord(func(r *Record) { r.DownSince["s-1"] = 1 })
 	require.NoError(t, err)
-	require.NoError(t, s.Tell([]byte("learned")))
-	l, err := s.listen()
+	require.NoError(t, s.WriteLearned([]byte("learned")))
+	l, err := s.listenForStreams()
 	require.NoError(t, err)
 	files, err := os.ReadDir(dir)
 	require.NoError(t, err)
@@ -60,7 +60,7 @@
 	}
 	slices.Sort(names)
 	golden.Bytes(t, "files.txt", []byte(strings.Join(names, "")))
-	raw, ok := s.Told(time.Now().Add(-time.Minute))
+	raw, ok := s.ReadLearned(time.Now().Add(-time.Minute))
 	require.True(t, ok)
 	require.Equal(t, "learned", string(raw))
 	require.NoError(t, l.Close())
@@ -86,12 +86,12 @@
 	require.NoError(t, err)
 	defer s.Close()
 	first, second := streams(t)
-	require.EqualError(t, s.Pass([]byte("text"), first, second), "no other process takes anything")
-	peer, err := net.ListenUnix("unix", &net.UnixAddr{Name: s.stem + ".2.live.take", Net: "unix"})
+	require.EqualError(t, s.PassStream([]byte("text"), first, second), "no other process takes anything")
+	peer, err := net.ListenUnix("unix", &net.UnixAddr{Name: s.pathPrefix + ".2.live.take", Net: "unix"})
 	require.NoError(t, err)
 	defer peer.Close()
 	passed := make(chan error, 1)
-	go func() { passed <- s.Pass([]byte(`{"class":"chat"}`), first, second) }()
+	go func() { passed <- s.PassStream([]byte(`{"class":"chat"}`), first, second) }()
 	c, err := peer.AcceptUnix()
 	require.NoError(t, err)
 	defer c.Close()
@@ -122,12 +122,12 @@
 	texts := make(chan string, 1)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- s.Take(t.Context(), func(text []byte, a, b net.Conn) bool {
+		ended <- s.AcceptStreams(t.Context(), func(text []byte, a, b net.Conn) bool {
 			texts <- string(text)
 			return a.Close() == nil && b.Close() == nil
 		})
 	}()
-	path := filepath.Join(dir, filepath.Base(s.own.Name()+".take"))
+	path := filepath.Join(dir, filepath.Base(s.liveFile.Name()+".take"))
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 5*time.Second, time.Millisecond)
 	to, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,90 +23,90 @@
 )
 
 const (
-	version   = 1
-	namesMost = 8192 // of each kind in a record
-	nameMost  = 256  // bytes of one
-	bytesMost = 8 << 20
+	recordVersion = 1
+	maxNames      = 8192 // of each kind in a record
+	maxNameBytes  = 256  // bytes of one
+	maxFileBytes  = 8 << 20
 )
 
 // Record is what staff decided, and what is needed to go on by it.
 type Record struct {
-	Version int              `json:"version"`
-	Boot    string           `json:"boot,omitempty"` // of the machine, in the file alone: whose monotonic clock the instants are of
-	Down    map[string]int64 `json:"down"`           // backends out by hand, and since when: instants of this process
-	Back    map[string]int64 `json:"back"`           // those put back, and when
-	Seen    []string         `json:"seen"`           // all that were ever listed, the latest last
+	Version    int              `json:"version"`
+	Boot       string           `json:"boot,omitempty"` // of the machine, in the file alone: whose monotonic clock the instants are of
+	DownSince  map[string]int64 `json:"down"`           // backends out by hand, and since when: instants of this process
+	RestoredAt map[string]int64 `json:"back"`           // those put back, and when
+	Listed     []string         `json:"seen"`           // all that were ever listed, the latest last
 }
 
-// Decode reads a record. One that does not hold is not used at all.
-func Decode(raw []byte) (Record, error) {
+// DecodeRecord reads a record. One that does not hold is not used at all.
+func DecodeRecord(raw []byte) (Record, error) {
 	var r Record
-	if len(raw) > bytesMost {
-		return Record{}, fmt.Errorf("the record has %d bytes, %d at most", len(raw), bytesMost)
+	if len(raw) > maxFileBytes {
+		return Record{}, fmt.Errorf("the record has %d bytes, %d at most", len(raw), maxFileBytes)
 	}
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return Record{}, fmt.Errorf("the record cannot be read: %w", err)
 	}
-	if r.Version != version {
-		return Record{}, fmt.Errorf("the record is of version %d, this program knows %d", r.Version, version)
+	if r.Version != recordVersion {
+		return Record{}, fmt.Errorf("the record is of version %d, this program knows %d", r.Version, recordVersion)
 	}
-	for _, names := range [][]string{slices.Collect(maps.Keys(r.Down)), slices.Collect(maps.Keys(r.Back)), r.Seen} {
-		if len(names) > namesMost {
-			return Record{}, fmt.Errorf("the record has %d names of a kind, %d at most", len(names), namesMost)
+	for _, names := range [][]string{slices.Collect(maps.Keys(r.DownSince)), slices.Collect(maps.Keys(r.RestoredAt)), r.Listed} {
+		if len(names) > maxNames {
+			return Record{}, fmt.Errorf("the record has %d names of a kind, %d at most", len(names), maxNames)
 		}
-		if slices.ContainsFunc(names, func(n string) bool { return n == "" || len(n) > nameMost }) {
-			return Record{}, fmt.Errorf("the record has a name that is empty, or longer than %d bytes", nameMost)
+		if slices.ContainsFunc(names, func(n string) bool { return n == "" || len(n) > maxNameBytes }) {
+			return Record{}, fmt.Errorf("the record has a name that is empty, or longer than %d bytes", maxNameBytes)
 		}
 	}
-	return r.filled(), nil
+	return r.withDefaults(), nil
 }
 
-func (r Record) filled() Record {
-	if r.Down == nil {
-		r.Down = map[string]int64{}
+func (r Record) withDefaults() Record {
+	if r.DownSince == nil {
+		r.DownSince = map[string]int64{}
 	}
-	if r.Back == nil {
-		r.Back = map[string]int64{}
+	if r.RestoredAt == nil {
+		r.RestoredAt = map[string]int64{}
 	}
-	r.Version = version
+	r.Version = recordVersion
 	return r
 }
 
-// Share is one process's side. It may be used from anywhere.
-type Share struct {
-	stem string // of the node's files
-	own  *os.File
+// Channel is one process's side. It may be used from anywhere.
+type Channel struct {
+	pathPrefix string // of the node's files
+	liveFile   *os.File
 
-	mu   sync.Mutex
-	last fs.FileInfo // of the record that was read last
+	mu       sync.Mutex
+	lastRead fs.FileInfo // of the record that was read last
 }
 
 // Open shows that this process lives, in a folder that the processes of the named node share.
-func Open(dir, node string) (*Share, error) { return open(dir, node, os.Getpid()) }
+func Open(dir, node string) (*Channel, error) { return open(dir, node, os.Getpid()) }
 
-func open(dir, node string, pid int) (*Share, error) {
+func open(dir, node string, pid int) (*Channel, error) {
 	sum := sha256.Sum256([]byte(node))
-	s := &Share{stem: filepath.Join(dir, "standpoint-"+hex.EncodeToString(sum[:8]))}
-	own, err := os.OpenFile(fmt.Sprintf("%s.%d.live", s.stem, pid), os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
+	s := &Channel{pathPrefix: filepath.Join(dir, "standpoint-"+hex.EncodeToString(sum[:8]))}
+	own, err := os.OpenFile(fmt.Sprintf("%s.%d.live", s.pathPrefix, pid), os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := unix.Flock(int(own.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", own.Name(), err), own.Close())
 	}
-	s.own = own
+	s.liveFile = own
 	return s, nil
 }
 
-// Others is how many other processes of this node live. A process that died holds no lock; its file is taken away.
-func (s *Share) Others() int {
-	files, err := filepath.Glob(s.stem + ".*.live")
+// SiblingCount is how many other processes of this node live. A process that died holds no lock; its file is taken away.
+func (s *Channel) SiblingCount() int {
+	files, err := filepath.Glob(s.pathPrefix + ".*.live")
 	if err != nil {
 		return 0
 	}
 	n := 0
 	for _, name := range files {
-		if name == s.own.Name() {
+		if name == s.liveFile.Name() {
 			continue
 		}
 		f, err := os.OpenFile(name, os.O_RDWR|unix.O_CLOEXEC, 0)
@@ -124,63 +124,63 @@
 	return n
 }
 
-// Read reads the record, and tells whether it is another than the one that was read last. Where there is none it is empty.
-func (s *Share) Read() (Record, bool, error) {
+// ReadRecord reads the record, and tells whether it is another than the one that was read last. Where there is none it is empty.
+func (s *Channel) ReadRecord() (Record, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, err := os.Stat(s.path())
+	now, err := os.Stat(s.recordPath())
 	if errors.Is(err, fs.ErrNotExist) {
-		return Record{}.filled(), false, nil
+		return Record{}.withDefaults(), false, nil
 	}
 	if err != nil {
 		return Record{}, false, err
 	}
-	if s.last != nil && os.SameFile(s.last, now) && s.last.ModTime().Equal(now.ModTime()) && s.last.Size() == now.Size() {
+	if s.lastRead != nil && os.SameFile(s.lastRead, now) && s.lastRead.ModTime().Equal(now.ModTime()) && s.lastRead.Size() == now.Size() {
 		return Record{}, false, nil
 	}
-	s.last = now
-	r, err := s.load()
+	s.lastRead = now
+	r, err := s.loadRecord()
 	return r, err == nil, err
 }
 
-func (s *Share) load() (Record, error) {
-	raw, err := os.ReadFile(s.path())
+func (s *Channel) loadRecord() (Record, error) {
+	raw, err := os.ReadFile(s.recordPath())
 	if errors.Is(err, fs.ErrNotExist) {
-		return Record{}.filled(), nil
+		return Record{}.withDefaults(), nil
 	}
 	if err != nil {
 		return Record{}, err
 	}
-	r, err := Decode(raw)
+	r, err := DecodeRecord(raw)
 	if err != nil {
 		return Record{}, err
 	}
-	return r.own(clock.Now()), nil
+	return r.toLocal(clock.Now()), nil
 }
 
-// shared is the record as other processes of the machine understand it: the wall clock may be stepped between two of them.
-func (r Record) shared() Record {
+// toShared is the record as other processes of the machine understand it: the wall clock may be stepped between two of them.
+func (r Record) toShared() Record {
 	r.Boot = clock.Boot()
 	stamp := func(instant int64) int64 { return clock.StampOf(instant).Monotonic }
-	r.Down, r.Back = converted(r.Down, stamp), converted(r.Back, stamp)
+	r.DownSince, r.RestoredAt = convertInstants(r.DownSince, stamp), convertInstants(r.RestoredAt, stamp)
 	return r
 }
 
-// own is the record in this process's instants. What another run of the machine wrote, or a build that wrote wall times, counts as
+// toLocal is the record in this process's instants. What another run of the machine wrote, or a build that wrote wall times, counts as
 // decided just now: a server that was put back is cold once more.
-func (r Record) own(now int64) Record {
+func (r Record) toLocal(now int64) Record {
 	instant := func(monotonic int64) int64 {
 		if at, ok := (clock.Stamp{Boot: r.Boot, Monotonic: monotonic}).Instant(); ok {
 			return at
 		}
 		return now
 	}
-	r.Down, r.Back = converted(r.Down, instant), converted(r.Back, instant)
+	r.DownSince, r.RestoredAt = convertInstants(r.DownSince, instant), convertInstants(r.RestoredAt, instant)
 	r.Boot = ""
 	return r
 }
 
-func converted(of map[string]int64, by func(int64) int64) map[string]int64 {
+func convertInstants(of map[string]int64, by func(int64) int64) map[string]int64 {
 	all := make(map[string]int64, len(of))
 	for name, at := range of {
 		all[name] = by(at)
@@ -188,10 +188,10 @@
 	return all
 }
 
-// Update changes the record as it stands, and returns it. The lock keeps the other process from changing it meanwhile; a
+// UpdateRecord changes the record as it stands, and returns it. The lock keeps the other process from changing it meanwhile; a
 // record that cannot be read is replaced, for nothing of it is in use.
-func (s *Share) Update(change func(*Record)) (Record, error) {
-	lock, err := os.OpenFile(s.stem+".lock", os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
+func (s *Channel) UpdateRecord(change func(*Record)) (Record, error) {
+	lock, err := os.OpenFile(s.pathPrefix+".lock", os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, 0o600)
 	if err != nil {
 		return Record{}, err
 	}
@@ -199,53 +199,53 @@
 	if err := transient.IgnoringEINTR(func() error { return unix.Flock(int(lock.Fd()), unix.LOCK_EX) }); err != nil {
 		return Record{}, err
 	}
-	r, err := s.load()
+	r, err := s.loadRecord()
 	if err != nil {
-		r = Record{}.filled()
+		r = Record{}.withDefaults()
 	}
 	change(&r)
-	raw, err := json.Marshal(r.shared())
+	raw, err := json.Marshal(r.toShared())
 	if err != nil {
 		return Record{}, err
 	}
-	return r, s.write(s.path(), raw)
+	return r, s.writeFile(s.recordPath(), raw)
 }
 
-// write has a file there whole, or as it was.
-func (s *Share) write(path string, raw []byte) error {
-	next := s.own.Name() + ".next"
+// writeFile has a file there whole, or as it was.
+func (s *Channel) writeFile(path string, raw []byte) error {
+	next := s.liveFile.Name() + ".next"
 	if err := os.WriteFile(next, raw, 0o600); err != nil {
 		return errors.Join(err, os.Remove(next))
 	}
 	return os.Rename(next, path)
 }
 
-// Tell leaves what this process has learned to the one that takes over.
-func (s *Share) Tell(raw []byte) error {
-	if len(raw) > bytesMost {
-		return fmt.Errorf("what was learned has %d bytes, %d at most", len(raw), bytesMost)
+// WriteLearned leaves what this process has learned to the one that takes over.
+func (s *Channel) WriteLearned(raw []byte) error {
+	if len(raw) > maxFileBytes {
+		return fmt.Errorf("what was learned has %d bytes, %d at most", len(raw), maxFileBytes)
 	}
-	return s.write(s.stem+".learned.json", raw)
+	return s.writeFile(s.pathPrefix+".learned.json", raw)
 }
 
-// Told is what another process has left, if that was after a moment.
-func (s *Share) Told(after time.Time) ([]byte, bool) {
-	path := s.stem + ".learned.json"
-	if info, err := os.Stat(path); err != nil || info.ModTime().Before(after) || info.Size() > bytesMost {
+// ReadLearned is what another process has left, if that was after a moment.
+func (s *Channel) ReadLearned(after time.Time) ([]byte, bool) {
+	path := s.pathPrefix + ".learned.json"
+	if info, err := os.Stat(path); err != nil || info.ModTime().Before(after) || info.Size() > maxFileBytes {
 		return nil, false
 	}
 	raw, err := os.ReadFile(path)
 	return raw, err == nil
 }
 
-func (s *Share) path() string { return s.stem + ".by-hand.json" }
+func (s *Channel) recordPath() string { return s.pathPrefix + ".by-hand.json" }
 
 // Close shows that this process is over.
-func (s *Share) Close() error {
-	_ = os.Remove(s.own.Name() + ".take") // there may be none
-	err := os.Remove(s.own.Name())
+func (s *Channel) Close() error {
+	_ = os.Remove(s.liveFile.Name() + ".take") // there may be none
+	err := os.Remove(s.liveFile.Name())
 	if errors.Is(err, fs.ErrNotExist) {
 		err = nil // taken away by hand
 	}
-	return errors.Join(err, s.own.Close())
+	return errors.Join(err, s.liveFile.Close())
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,17 +17,17 @@
 	require.NoError(t, err)
 	other, err := open(dir, "../n", 2)
 	require.NoError(t, err)
-	require.Zero(t, a.Others())
-	require.Zero(t, other.Others())
+	require.Zero(t, a.SiblingCount())
+	require.Zero(t, other.SiblingCount())
 	b, err := open(dir, "n", 3)
 	require.NoError(t, err)
-	require.Equal(t, 1, a.Others())
-	require.Equal(t, 1, b.Others())
+	require.Equal(t, 1, a.SiblingCount())
+	require.Equal(t, 1, b.SiblingCount())
 	require.NoError(t, a.Close())
-	require.Zero(t, b.Others())
-	dead := b.stem + ".4.live"
+	require.Zero(t, b.SiblingCount())
+	dead := b.pathPrefix + ".4.live"
 	require.NoError(t, os.WriteFile(dead, nil, 0o600))
-	require.Zero(t, b.Others())
+	require.Zero(t, b.SiblingCount())
 	require.NoFileExists(t, dead)
 	_, err = Open("/proc/none", "n")
 	require.Error(t, err)
@@ -36,37 +36,37 @@
 // Both change the record at once and nothing is lost; a reader in between finds it whole, and is told of each change once.
 func TestChangesOfBoth(t *testing.T) {
 	dir := t.TempDir()
-	var shares []*Share
+	var shares []*Channel
 	for pid := range 3 {
 		s, err := open(dir, "n", pid)
 		require.NoError(t, err)
 		shares = append(shares, s)
 	}
-	r, changed, err := shares[2].Read()
+	r, changed, err := shares[2].ReadRecord()
 	require.NoError(t, err)
 	require.False(t, changed)
-	require.Empty(t, r.Down)
+	require.Empty(t, r.DownSince)
 	const each = 100
 	var writing sync.WaitGroup
 	for w := range 2 {
 		writing.Go(func() {
 			for i := range each {
-				_, err := shares[w].Update(func(r *Record) { r.Down[fmt.Sprint(w, "-", i)] = 1 })
+				_, err := shares[w].UpdateRecord(func(r *Record) { r.DownSince[fmt.Sprint(w, "-", i)] = 1 })
 				require.NoError(t, err)
 			}
 		})
 	}
 	most := 0
 	for most < 2*each {
-		r, changed, err := shares[2].Read()
+		r, changed, err := shares[2].ReadRecord()
 		require.NoError(t, err)
 		if changed {
-			require.GreaterOrEqual(t, len(r.Down), most)
-			most = len(r.Down)
+			require.GreaterOrEqual(t, len(r.DownSince), most)
+			most = len(r.DownSince)
 		}
 	}
 	writing.Wait()
-	_, changed, err = shares[2].Read()
+	_, changed, err = shares[2].ReadRecord()
 	require.NoError(t, err)
 	require.False(t, changed)
 }
@@ -76,17 +76,17 @@
 	s, err := open(t.TempDir(), "n", 1)
 	require.NoError(t, err)
 	for _, bad := range []string{"", "{", `{"version":2}`, `{"version":1,"down":{"":1}}`, `{"version":1,"seen":[7]}`} {
-		require.NoError(t, os.WriteFile(s.path(), []byte(bad), 0o600))
-		_, changed, err := s.Read()
+		require.NoError(t, os.WriteFile(s.recordPath(), []byte(bad), 0o600))
+		_, changed, err := s.ReadRecord()
 		require.Error(t, err, bad)
 		require.False(t, changed)
 	}
-	_, err = s.Update(func(r *Record) { r.Down["s"] = 1 })
+	_, err = s.UpdateRecord(func(r *Record) { r.DownSince["s"] = 1 })
 	require.NoError(t, err)
-	r, changed, err := s.Read()
+	r, changed, err := s.ReadRecord()
 	require.NoError(t, err)
 	require.True(t, changed)
-	require.Equal(t, map[string]int64{"s": 1}, r.Down)
+	require.Equal(t, map[string]int64{"s": 1}, r.DownSince)
 }
 
 func FuzzDecode(f *testing.F) {
@@ -94,16 +94,16 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		r, err := Decode(raw)
+		r, err := DecodeRecord(raw)
 		if err != nil {
 			require.Equal(t, Record{}, r)
 			return
 		}
 		again, err := json.Marshal(r)
 		require.NoError(t, err)
-		same, err := Decode(again)
+		same, err := DecodeRecord(again)
 		require.NoError(t, err)
-		require.Equal(t, len(r.Seen), len(same.Seen))
-		require.Equal(t, r.Down, same.Down)
+		require.Equal(t, len(r.Listed), len(same.Listed))
+		require.Equal(t, r.DownSince, same.DownSince)
 	})
 }
--- a/internal/handover/passing.go
+++ b/internal/handover/passing.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	passTime  = 300 * time.Millisecond // in which the other must have taken what is passed
-	passMost  = 1 << 20                // bytes that go with it
-	passAtOne = 64                     // what is being taken at once
-	taken     = 'y'
+	passTimeout         = 300 * time.Millisecond // in which the other must have taken what is passed
+	maxTextBytes        = 1 << 20                // bytes that go with it
+	maxConcurrentPasses = 64                     // what is being taken at once
+	accepted            = 'y'
 )
 
-// Taker takes what another process passes: a text, and two connections that are its own from then on. False: it does not.
-type Taker func(text []byte, first, second net.Conn) bool
+// StreamHandler takes what another process passes: a text, and two connections that are its own from then on. False: it does not.
+type StreamHandler func(text []byte, first, second net.Conn) bool
 
-// Take has this process take what others pass, until ctx ends.
-func (s *Share) Take(ctx context.Context, take Taker) error {
-	l, err := s.listen()
+// AcceptStreams has this process take what others pass, until ctx ends.
+func (s *Channel) AcceptStreams(ctx context.Context, take StreamHandler) error {
+	l, err := s.listenForStreams()
 	if err != nil {
 		return err
 	}
 	defer context.AfterFunc(ctx, func() { l.Close() })()
-	places := make(chan struct{}, passAtOne)
+	places := make(chan struct{}, maxConcurrentPasses)
 	for {
 		c, err := l.AcceptUnix()
 		if err != nil {
@@ -44,20 +44,20 @@
 		go func() {
 			defer func() { <-places }()
 			defer c.Close()
-			if err := receive(c, take); err == nil {
-				_, _ = c.Write([]byte{taken})
+			if err := receiveStream(c, take); err == nil {
+				_, _ = c.Write([]byte{accepted})
 			}
 		}()
 	}
 }
 
-// listen makes the socket. Its path may be too long for an address; through the folder's own descriptor it is not.
-func (s *Share) listen() (*net.UnixListener, error) {
-	path := s.own.Name() + ".take"
+// listenForStreams makes the socket. Its path may be too long for an address; through the folder's own descriptor it is not.
+func (s *Channel) listenForStreams() (*net.UnixListener, error) {
+	path := s.liveFile.Name() + ".take"
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	short, done, err := shorten(path)
+	short, done, err := shortSocketPath(path)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 	return l, nil
 }
 
-func shorten(path string) (short string, done func(), err error) {
+func shortSocketPath(path string) (short string, done func(), err error) {
 	folder, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return "", nil, err
@@ -78,8 +78,8 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path)), func() { folder.Close() }, nil
 }
 
-func receive(c *net.UnixConn, take Taker) error {
-	_ = c.SetDeadline(time.Now().Add(passTime))
+func receiveStream(c *net.UnixConn, take StreamHandler) error {
+	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	var size [4]byte
 	rights := make([]byte, unix.CmsgSpace(8))
 	n, m, _, _, err := c.ReadMsgUnix(size[:], rights)
@@ -102,18 +102,18 @@
 		unix.CloseOnExec(fd)
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if err != nil || n != len(size) || len(fds) != 2 || length > passMost {
+	if err != nil || n != len(size) || len(fds) != 2 || length > maxTextBytes {
 		return errors.Join(errors.New("what was passed is not two connections and a text"), err)
 	}
 	text := make([]byte, length)
 	if _, err := io.ReadFull(c, text); err != nil {
 		return err
 	}
-	first, err := connection(fds[0])
+	first, err := duplicateConnection(fds[0])
 	if err != nil {
 		return err
 	}
-	second, err := connection(fds[1])
+	second, err := duplicateConnection(fds[1])
 	if err != nil {
 		return errors.Join(err, first.Close())
 	}
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// connection is one of its own to the same socket; fd stays.
-func connection(fd int) (net.Conn, error) {
+// duplicateConnection is one of its own to the same socket; fd stays.
+func duplicateConnection(fd int) (net.Conn, error) {
 	own, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
@@ -134,29 +134,29 @@
 	return net.FileConn(file)
 }
 
-// Pass passes a text and two connections to another process of this node. The descriptors stay the caller's.
-func (s *Share) Pass(text []byte, first, second int) error {
-	if len(text) > passMost {
-		return fmt.Errorf("%d bytes, %d at most", len(text), passMost)
+// PassStream passes a text and two connections to another process of this node. The descriptors stay the caller's.
+func (s *Channel) PassStream(text []byte, first, second int) error {
+	if len(text) > maxTextBytes {
+		return fmt.Errorf("%d bytes, %d at most", len(text), maxTextBytes)
 	}
-	sockets, err := filepath.Glob(s.stem + ".*.live.take")
+	sockets, err := filepath.Glob(s.pathPrefix + ".*.live.take")
 	if err != nil {
 		return err
 	}
 	err = errors.New("no other process takes anything")
 	for _, path := range sockets {
-		if path == s.own.Name()+".take" {
+		if path == s.liveFile.Name()+".take" {
 			continue
 		}
-		if err = pass(path, text, first, second); err == nil {
+		if err = sendStream(path, text, first, second); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func pass(path string, text []byte, first, second int) error {
-	short, done, err := shorten(path)
+func sendStream(path string, text []byte, first, second int) error {
+	short, done, err := shortSocketPath(path)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 		return err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(passTime))
+	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	if _, _, err := c.WriteMsgUnix(binary.BigEndian.AppendUint32(nil, uint32(len(text))), unix.UnixRights(first, second), nil); err != nil {
 		return err
 	}
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -96,7 +96,7 @@
 		}
 		a.done = true
 		if g.tracker != nil {
-			g.tracker.Refused(&a.request)
+			g.tracker.Rejected(&a.request)
 		}
 		w.Seconds[a.second].Shed++
 		g.forget(a)
@@ -267,7 +267,7 @@
 		}
 	}
 	if g.tracker != nil {
-		g.tracker.Ended(o)
+		g.tracker.Finished(o)
 	}
 	g.handle(&standpoint.Outcome{Request: a.request.ID, Attempt: t.leg, Last: over, Code: code, Kept: kept, Tokens: o.Result.Tokens,
 		Engine: t.box.name, Elapsed: int64((w.now - t.sent) * 1e9), Report: o.Result.Report})
--- a/internal/lab/many/many.go
+++ b/internal/lab/many/many.go
@@ -111,7 +111,7 @@
 	order   uint64
 	nodes   []*node
 	budget  *rights.Budget
-	guard   *invariant.Guard
+	guard   *invariant.Monitor
 	begin   int64
 	from    int64 // of the trouble
 	to      int64
@@ -127,12 +127,12 @@
 
 // Play plays a plan.
 func Play(p Plan) Result {
-	w := &world{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 77)), guard: &invariant.Guard{}, spent: map[int64]int64{}, begin: 1_700_000_000 * int64(time.Second)}
+	w := &world{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 77)), guard: &invariant.Monitor{}, spent: map[int64]int64{}, begin: 1_700_000_000 * int64(time.Second)}
 	w.sides = [2]map[int64]int64{{}, {}}
 	w.now = w.begin
 	w.from, w.to = w.begin+int64(p.Span)/3, w.begin+2*int64(p.Span)/3
 	w.failing, w.failsAt = 0, w.from
-	w.budget = &rights.Budget{Name: "tokens", Amount: amount, Window: p.Window, Loan: 4}
+	w.budget = &rights.Budget{Name: "tokens", Amount: amount, Window: p.Window, TransferWindows: 4}
 	for range p.Nodes {
 		w.budget.Weights = append(w.budget.Weights, 1)
 	}
@@ -167,7 +167,7 @@
 		if !agreed && w.agreed() {
 			agreed, w.result.Agreed = true, float64(w.now-w.to)/1e9
 		}
-		if w.result.Healed == 0 && !slices.ContainsFunc(w.nodes, func(n *node) bool { m, _ := n.Mode.Now(); return m != mode.Together }) {
+		if w.result.Healed == 0 && !slices.ContainsFunc(w.nodes, func(n *node) bool { m, _ := n.Connectivity.Current(); return m != mode.Majority }) {
 			w.result.Healed = float64(w.now-w.to) / 1e9
 		}
 		if !agreed || w.result.Healed == 0 {
@@ -203,22 +203,22 @@
 	if heir {
 		n.inc++
 	}
-	seats := make([]member.Seat, w.Nodes)
+	seats := make([]member.Slot, w.Nodes)
 	for k := range seats {
 		seats[k].Zone = w.third(k)
 	}
-	c := member.Config{Own: rights.Owner{Seat: i, Inc: n.inc}, Seats: seats, Budgets: []*rights.Budget{w.budget}, Most: []int64{amount}, Tick: tick, Peers: 2,
-		Silence: 3 * time.Second, Mode: mode.Limits{Join: 5 * time.Second, Settle: time.Second, Heal: time.Second}, Error: max(2*w.Clock, 50*time.Millisecond), Ask: 100 * time.Millisecond, Seed: w.Seed,
-		Judge: judge.Limits{Sources: 2, Lasts: int64(5 * time.Second), Own: int64(2 * time.Second), Most: 0.5, Many: 0.34, Error: int64(max(2*w.Clock, 50*time.Millisecond))}}
+	c := member.Config{Owner: rights.Owner{Slot: i, Incarnation: n.inc}, Slots: seats, Budgets: []*rights.Budget{w.budget}, MaxRates: []int64{amount}, GossipInterval: tick, GossipFanout: 2,
+		HeartbeatTimeout: 3 * time.Second, ConnectivityTiming: mode.Timing{JoinTimeout: 5 * time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: max(2*w.Clock, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: w.Seed,
+		OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(2 * time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.34, ClockError: int64(max(2*w.Clock, 50*time.Millisecond))}}
 	at := w.now + n.off
 	n.Member, n.up = member.New(c, at, w.guard), true
-	n.Lease(rights.Lease{Epoch: n.inc, First: at, Until: at + int64(time.Hour), Heir: heir})
+	n.SetLease(rights.Lease{FencingToken: n.inc, ValidFrom: at, ExpiresAt: at + int64(time.Hour), Successor: heir})
 	n.alone, n.since, n.left = make([]int, w.Servers), make([]int64, w.Servers), make([]bool, w.Servers)
-	var all []judge.Server
+	var all []judge.Backend
 	for s := range w.Servers {
-		all = append(all, judge.Server{Name: uint64(s + 1), Zone: s % 2})
+		all = append(all, judge.Backend{Hash: uint64(s + 1), Zone: s % 2})
 	}
-	n.Bench.Listed(all)
+	n.Detector.SetBackends(all)
 }
 
 func (w *world) third(i int) int {
@@ -244,7 +244,7 @@
 	return true
 }
 
-func (w *world) send(from int, all []member.Send) {
+func (w *world) send(from int, all []member.Outgoing) {
 	for _, s := range all {
 		w.packets++
 		if w.packets%16 == 0 {
@@ -274,7 +274,7 @@
 func (w *world) tick(i int) {
 	n := w.nodes[i]
 	if n.up {
-		var out []member.Send
+		var out []member.Outgoing
 		if w.Sharing {
 			out = n.Tick(w.now+n.off, nil)
 		} else {
@@ -292,13 +292,13 @@
 	if n.up && n.want > 0 {
 		n.Advance(w.now + n.off)
 		n.owed = min(n.owed+n.want/10, n.want) // what could not be had is asked for again, within a window's worth
-		p := n.Purses[0]
+		p := n.Allocations[0]
 		for piece := int64(max(1, n.want/200)); n.owed >= float64(piece); n.owed -= float64(piece) {
 			if !p.Spend(piece, 0) {
 				break
 			}
-			w.spent[p.Window()] += piece
-			w.sides[w.third(i)][p.Window()] += piece
+			w.spent[p.CurrentWindow()] += piece
+			w.sides[w.third(i)][p.CurrentWindow()] += piece
 		}
 		n.owed = min(n.owed, n.want/10)
 	}
@@ -317,20 +317,20 @@
 	if n.left[s] && w.rng.IntN(20) > 0 { // left out but for trials
 		return
 	}
-	e := judge.Evidence{Server: uint64(s + 1), At: w.now + n.off}
+	e := judge.Evidence{BackendHash: uint64(s + 1), ObservedAt: w.now + n.off}
 	switch {
 	case !w.serves(i, s):
-		e.Kind = judge.Path
+		e.Kind = judge.Unreachable
 	case s == w.failing && w.now >= w.failsAt:
-		e.Kind = judge.Fault
+		e.Kind = judge.BackendFault
 	}
-	if e.Kind == judge.Well {
+	if e.Kind == judge.Healthy {
 		n.alone[s] = 0
 	} else {
 		n.alone[s]++
 	}
-	if e.Kind != judge.Fault || n.alone[s] >= 2 {
-		n.Bench.Saw(e)
+	if e.Kind != judge.BackendFault || n.alone[s] >= 2 {
+		n.Detector.Observe(e)
 	}
 	n.since[s] = w.now
 	w.judge(n)
@@ -347,9 +347,9 @@
 		n.left[s] = n.alone[s] >= 2
 	}
 	if w.Sharing {
-		for _, j := range n.Bench.Judge(w.now + n.off) {
-			s := int(j.Server.Name) - 1
-			if n.since[s]+n.off < j.At || n.alone[s] > 0 {
+		for _, j := range n.Detector.Ejections(w.now + n.off) {
+			s := int(j.Backend.Hash) - 1
+			if n.since[s]+n.off < j.LatestEvidence || n.alone[s] > 0 {
 				if !n.left[s] && s != w.failing && !(w.Trouble == Third && s%2 == 1) {
 					w.result.False++
 				}
@@ -365,7 +365,7 @@
 // agreed tells that every node has heard every other that lives, within the time of silence less what is lost.
 func (w *world) agreed() bool {
 	for _, n := range w.nodes {
-		if n.up && n.Heard() < w.Nodes-1 {
+		if n.up && n.LivePeers() < w.Nodes-1 {
 			return false
 		}
 	}
@@ -373,9 +373,9 @@
 }
 
 func (w *world) sum() {
-	first := w.budget.At(w.begin) + settle
+	first := w.budget.WindowAt(w.begin) + settle
 	inTrouble := func(at int64) bool {
-		return w.Trouble != None && w.budget.Begins(at+1) > w.from && w.budget.Begins(at) < w.to+int64(12*w.Window)
+		return w.Trouble != None && w.budget.WindowStart(at+1) > w.from && w.budget.WindowStart(at) < w.to+int64(12*w.Window)
 	}
 	var used, there, sideUsed, sideThere [2]float64
 	sideThere[0], sideThere[1] = 0, 0
@@ -385,8 +385,8 @@
 		want[w.third(i)] += n.want
 		weight[w.third(i)]++
 	}
-	last := w.budget.At(w.begin+int64(w.Span)) - 1
-	for at := w.budget.At(w.begin); at <= last+8; at++ {
+	last := w.budget.WindowAt(w.begin+int64(w.Span)) - 1
+	for at := w.budget.WindowAt(w.begin); at <= last+8; at++ {
 		w.result.Overspent = max(w.result.Overspent, w.spent[at]-amount)
 	}
 	for at := first; at <= last; at++ {
@@ -395,7 +395,7 @@
 			there[0] += min(want[0]+want[1], amount)
 			continue
 		}
-		if w.budget.Begins(at) < w.from+int64(5*w.Window) || w.budget.Begins(at+1) > w.to {
+		if w.budget.WindowStart(at) < w.from+int64(5*w.Window) || w.budget.WindowStart(at+1) > w.to {
 			continue // loans from before the cut end first
 		}
 		for side := range 2 {
@@ -426,5 +426,5 @@
 	}
 	slices.Sort(took)
 	w.result.RightAfter = took[len(took)/2]
-	w.result.Broken = w.guard.Counts()
+	w.result.Broken = w.guard.Violations()
 }
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -74,12 +74,12 @@
 		*r = mover.Record{ID: "threshold", Plan: t.Plan, State: mover.Holding, Step: -1,
 			Shares: pool.Shares{From: t.Plan.From, To: t.Plan.To, Share: t.Plan.Trickle}}
 	}
-	if r.State.Over() {
+	if r.State.Terminal() {
 		return *r
 	}
 	t.windows++
 	to := window.To
-	t.asked[0], t.asked[1] = t.asked[0]+to.Asked, t.asked[1]+to.Asked-to.InTime
+	t.asked[0], t.asked[1] = t.asked[0]+to.OfferedWeight, t.asked[1]+to.OfferedWeight-to.OnTimeWeight
 	t.tried[0], t.tried[1] = t.tried[0]+to.Attempts, t.tried[1]+to.Errors
 	if t.windows%t.Every == 0 {
 		if t.asked[1] > t.Late*t.asked[0] || float64(t.tried[1]) > t.Errors*float64(t.tried[0]) {
@@ -97,8 +97,8 @@
 	if r.Step < 0 {
 		least = int(t.Plan.Warm / mover.WindowTime)
 	}
-	if r.Windows++; r.Windows >= least {
-		r.Windows = 0
+	if r.StateWindows++; r.StateWindows >= least {
+		r.StateWindows = 0
 		if r.Step++; r.Step == len(t.Plan.Steps) {
 			r.State, r.Shares = mover.Done, pool.Shares{Moved: map[string]string{"old": "new"}}
 			return *r
@@ -171,7 +171,7 @@
 	tick = func() {
 		var win mover.Window
 		for _, g := range w.nodes {
-			from, to := g.tracker.Take(w.Time())
+			from, to := g.tracker.TakeWindow(w.Time())
 			win.From, win.To = win.From.Add(from), win.To.Add(to)
 			win.Nodes++
 		}
@@ -183,13 +183,13 @@
 			if math.IsNaN(r.Back) && next.State == mover.Undone {
 				r.Back = w.now - r.TroubleAt
 			}
-			if math.IsNaN(r.TroubleAt) && next.Step == c.Step && next.State == mover.Holding && float64(next.Windows) >= c.After {
+			if math.IsNaN(r.TroubleAt) && next.Step == c.Step && next.State == mover.Holding && float64(next.StateWindows) >= c.After {
 				r.TroubleAt = w.now
 				end = min(end, w.now+c.For)
 				w.trouble(c.Trouble)
 			}
 			if c.Trace {
-				r.Trace = append(r.Trace, Point{w.now, next.Shares.Share, next.Level(), next.State, median(win.From.Samples), median(win.To.Samples)})
+				r.Trace = append(r.Trace, Point{w.now, next.Shares.Share, next.EvidenceLevel(), next.State, median(win.From.Samples), median(win.To.Samples)})
 			}
 			follow(next)
 		})
@@ -257,7 +257,7 @@
 	}
 	values := make([]float64, 0, len(all))
 	for _, s := range all {
-		values = append(values, s.First)
+		values = append(values, s.FirstToken)
 	}
 	return quantile(values, 0.5)
 }
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -53,8 +53,8 @@
 	if err != nil {
 		return a, err
 	}
-	if s.Site != "alone" {
-		return a, fmt.Errorf("the site is %q after %v without its line", s.Site, span)
+	if s.SiteState != "alone" {
+		return a, fmt.Errorf("the site is %q after %v without its line", s.SiteState, span)
 	}
 	after, err := site.Ledger(ctx)
 	if err != nil {
@@ -84,11 +84,11 @@
 		return a, err
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		if s, err = site.Status(ctx); err != nil || s.Site == "connected" {
+		if s, err = site.Status(ctx); err != nil || s.SiteState == "connected" {
 			break
 		}
 		if time.Now().After(until) {
-			return a, fmt.Errorf("the site is %q, its line has long been back", s.Site)
+			return a, fmt.Errorf("the site is %q, its line has long been back", s.SiteState)
 		}
 	}
 	for _, n := range r.Nodes {
@@ -127,12 +127,12 @@
 		if err != nil {
 			return 0, false, err
 		}
-		if !s.Holds || len(s.Damages) > 0 || s.Lost > 0 {
+		if !s.Consistent || len(s.Corruptions) > 0 || s.Dropped > 0 {
 			return 0, false, fmt.Errorf("%s: its ledger does not hold: %+v", n.Name, s)
 		}
 		entries = 0
 		for tenant, is := range own {
-			if got := s.Sums[tenant]; got.Entries != is[0] || got.Out != is[1] {
+			if got := s.Totals[tenant]; got.Entries != is[0] || got.OutputTokens != is[1] {
 				return entries, false, nil
 			}
 			entries += is[0]
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -346,13 +346,13 @@
 				return err
 			}
 			s, err := n.Status(ctx)
-			ok := err == nil && s.Mode == "together" && s.Lease > 0
+			ok := err == nil && s.State == "together" && s.LeaseRemaining > 0
 			for _, p := range s.Peers {
-				ok = ok && p.Heard
+				ok = ok && p.Alive
 			}
 			if !ok {
 				all = false
-				last = fmt.Sprintf("%s: %v, %s, lease of %.1f s, peers %+v", n.Name, err, s.Mode, s.Lease, s.Peers)
+				last = fmt.Sprintf("%s: %v, %s, lease of %.1f s, peers %+v", n.Name, err, s.State, s.LeaseRemaining, s.Peers)
 			}
 		}
 		if all {
--- a/internal/lab/rig/rights.go
+++ b/internal/lab/rig/rights.go
@@ -58,8 +58,8 @@
 		if err != nil {
 			return v, err
 		}
-		if len(s.Breaches) > 0 {
-			return v, fmt.Errorf("%s: invariants do not hold: %v", n.Name, s.Breaches)
+		if len(s.Violations) > 0 {
+			return v, fmt.Errorf("%s: invariants do not hold: %v", n.Name, s.Violations)
 		}
 	}
 	spent, err := r.Spent()
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -256,7 +256,7 @@
 		at := time.Since(s.base)
 		if s.Start && !started && at >= s.Settle {
 			started = true
-			if err := s.control.Call(ctx, http.MethodPost, "/v1/move/start", moves.StartWish{To: "new", By: "stage"}, nil); err != nil {
+			if err := s.control.Call(ctx, http.MethodPost, "/v1/move/start", moves.StartRequest{To: "new", By: "stage"}, nil); err != nil {
 				fmt.Fprintln(s.Out, "the move was not started:", err)
 				return
 			}
@@ -266,7 +266,7 @@
 			fmt.Fprintln(s.Out, "the daemon does not tell:", err)
 		}
 		s.note(at, &status)
-		if r := status.Move; s.Start && r != nil && r.State.Over() {
+		if r := status.Move; s.Start && r != nil && r.State.Terminal() {
 			if overFor++; overFor > 10 {
 				return
 			}
@@ -287,12 +287,12 @@
 	}
 	last := s.report.Move
 	s.report.Move = r
-	p.Share, p.State, p.Evidence = r.InForce(), r.State, status.Evidence
+	p.Share, p.State, p.Evidence = r.CurrentShare(), r.State, status.Evidence
 	if last == nil || last.State != r.State || last.Step != r.Step {
 		fmt.Fprintf(s.Out, "%5.0f s  %-9s %5.1f%%  %s\n", at.Seconds(), r.State, 100*p.Share, r.Reason)
 	}
 	if s.Slow > 1 && s.report.SlowAt == 0 && r.State == mover.Holding && r.Step >= s.SlowStep &&
-		time.Duration(r.Windows)*mover.WindowTime >= s.SlowAfter {
+		time.Duration(r.StateWindows)*mover.WindowTime >= s.SlowAfter {
 		s.report.SlowAt = at.Seconds()
 		fmt.Fprintf(s.Out, "%5.0f s  the new boxes are now %g times slower\n", at.Seconds(), s.Slow)
 		_ = s.new.Do("slow", fmt.Sprint(s.Slow))
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -254,7 +254,7 @@
 	for _, c := range s.Classes {
 		settings.Classes = append(settings.Classes, c.Class)
 	}
-	cfg := &config.Operator{Settings: settings, Plan: s.Plan()}
+	cfg := &config.OperatorFile{Settings: settings, MigrationPlan: s.Plan()}
 	for i := range s.Kinds {
 		cfg.Names.Kinds = append(cfg.Names.Kinds, []string{"fast", "standard", "slow", "other"}[min(i, 3)])
 	}
--- a/internal/mover/judge.go
+++ b/internal/mover/judge.go
@@ -21,8 +21,8 @@
 const (
 	byErrors = iota
 	byService
-	byFirst
-	byPace
+	byFirstToken
+	byTokenGap
 	processes
 )
 
@@ -30,35 +30,35 @@
 
 // bets are the parts of a process's capital that are staked, one detector each. Failed attempts are rare, so that a
 // small excess of them shows only to small stakes.
-var bets = [processes][betsEach]float64{{0.02, 0.08, 0.3}, {0.1, 0.3, 0.8}, {0.2, 0.5, 0.9}, {0.2, 0.5, 0.9}}
+var bets = [processes][betsPerProcess]float64{{0.02, 0.08, 0.3}, {0.1, 0.3, 0.8}, {0.2, 0.5, 0.9}, {0.2, 0.5, 0.9}}
 
 const (
-	betsEach    = 3
-	doubt       = 0.1 // mean advantage, from -1 to 1, that the old pool may have without meaning
-	pairsMost   = 24  // answers of the old pool that one of the new is compared with
-	pairsLeast  = 4
-	freshLeast  = 4    // answers that the old pool must have given in the latest
-	freshFor    = 10   // windows, for there to be anything to compare with
-	keepWindows = 45   // for which the old pool's answers are kept to compare with
-	keepMost    = 3000 // of them
-	loadUnder   = 0.03 // by how much an answer of the old pool may come from a box with less load
-	loadOver    = 0.12 // or with more, to be alike
-	paceNear    = 0.25 // likewise, both ways, for the pace, which is reckoned to the same load
-	paceSlack   = 0.5  // what that reckoning may be wrong by, for each unit of load between them
-	slopePrior  = 1.0  // relative rise of the token gap over the whole range of load, before the old pool has shown it
-	slopeWeight = 1.0  // and what that weighs: a sum of squares of load
-	refWindows  = 15   // over which the old pool's share of errors and worth is taken
-	refLeast    = 12.0 // flows or attempts that it must rest on; else the longer memory is used
-	refFade     = 0.98 // of that memory, a window
-	nowWindows  = 3    // the latest, in which both pools may suffer together
-	nowLeast    = 6.0  // flows or attempts that must have ended in them
-	betAnswers  = 2    // answers of the new pool that make a bet, where a window has as many
-	betsMost    = 4    // of one process in a window
-	aftermath   = 2    // windows after a stall in which answers that it held up still end
+	betsPerProcess     = 3
+	toleratedAdvantage = 0.1 // mean advantage, from -1 to 1, that the old pool may have without meaning
+	maxPairs           = 24  // answers of the old pool that one of the new is compared with
+	minPairs           = 4
+	recentMinAnswers   = 4    // answers that the old pool must have given in the latest
+	recentWindows      = 10   // windows, for there to be anything to compare with
+	baselineWindows    = 45   // for which the old pool's answers are kept to compare with
+	maxBaseline        = 3000 // of them
+	loadBelow          = 0.03 // by how much an answer of the old pool may come from a box with less load
+	loadAbove          = 0.12 // or with more, to be alike
+	gapLoadRange       = 0.25 // likewise, both ways, for the pace, which is reckoned to the same load
+	gapLoadTolerance   = 0.5  // what that reckoning may be wrong by, for each unit of load between them
+	slopePrior         = 1.0  // relative rise of the token gap over the whole range of load, before the old pool has shown it
+	slopePriorWeight   = 1.0  // and what that weighs: a sum of squares of load
+	referenceWindows   = 15   // over which the old pool's share of errors and worth is taken
+	referenceMinimum   = 12.0 // flows or attempts that it must rest on; else the longer memory is used
+	referenceDecay     = 0.98 // of that memory, a window
+	commonWindows      = 3    // the latest, in which both pools may suffer together
+	commonMinimum      = 6.0  // flows or attempts that must have ended in them
+	answersPerBet      = 2    // answers of the new pool that make a bet, where a window has as many
+	maxBets            = 4    // of one process in a window
+	stallAftermath     = 2    // windows after a stall in which answers that it held up still end
 )
 
 // Evidence is what a judge holds: the logarithms of its capitals.
-type Evidence [processes][betsEach]float64
+type Evidence [processes][betsPerProcess]float64
 
 // level is the logarithm of the mean capital.
 func (e *Evidence) level() float64 {
@@ -68,7 +68,7 @@
 			sum += math.Exp(min(l, 600))
 		}
 	}
-	return math.Log(sum / float64(processes*betsEach))
+	return math.Log(sum / float64(processes*betsPerProcess))
 }
 
 // strongest is the process with the most evidence.
@@ -84,68 +84,68 @@
 	return at
 }
 
-// tally is a share that fades.
-type tally struct {
-	Bad float64 `json:"bad"`
-	All float64 `json:"all"`
+// ratio is a share that fades.
+type ratio struct {
+	Bad   float64 `json:"bad"`
+	Total float64 `json:"all"`
 }
 
-func (t *tally) add(bad, all float64) {
-	t.Bad, t.All = t.Bad*refFade+bad, t.All*refFade+all
+func (t *ratio) add(bad, all float64) {
+	t.Bad, t.Total = t.Bad*referenceDecay+bad, t.Total*referenceDecay+all
 }
 
-// share pads against chance by a half of one in one.
-func (t tally) share(prior float64) float64 { return (t.Bad + prior) / (t.All + 1) }
+// estimate pads against chance by a half of one in one.
+func (t ratio) estimate(prior float64) float64 { return (t.Bad + prior) / (t.Total + 1) }
 
-type judge struct {
+type analysis struct {
 	plan     Plan
 	evidence Evidence
 	// Of the old pool: what it does over the move, and in the last windows.
-	longErrors, longLate tally
-	errors, late         [refWindows]tally
-	old                  [processes][]dated
-	slope, middle        float64                      // of the old pool's token gap over the load, relative to its mean at the middle load
-	drift                [processes][nowWindows]tally // how much slower the old pool is than it was, window by window
-	at                   int                          // windows seen
+	longErrors, longLate ratio
+	errors, late         [referenceWindows]ratio
+	baseline             [processes][]observation
+	slope, meanLoad      float64                         // of the old pool's token gap over the load, relative to its mean at the middle load
+	drift                [processes][commonWindows]ratio // how much slower the old pool is than it was, window by window
+	window               int                             // windows seen
 }
 
-func newJudge(p Plan) *judge { return &judge{plan: p} }
+func newAnalysis(p Plan) *analysis { return &analysis{plan: p} }
 
-// limit is the logarithm of the mean capital that raises an alarm.
-func (j *judge) limit() float64 { return math.Log(j.plan.Alarm) }
+// alarmLevel is the logarithm of the mean capital that raises an alarm.
+func (j *analysis) alarmLevel() float64 { return math.Log(j.plan.Alarm) }
 
-// burst is the most that one window may add to one capital, so that no stall of the length allowed is enough. One
+// windowLimit is the most that one window may add to one capital, so that no stall of the length allowed is enough. One
 // capital that stands alone has to make up for the others' parts in the mean too.
-func (j *judge) burst() float64 {
-	alone := j.limit() + math.Log(float64(processes*betsEach))
-	return alone / float64(windows(j.plan.Stall)+aftermath)
+func (j *analysis) windowLimit() float64 {
+	alone := j.alarmLevel() + math.Log(float64(processes*betsPerProcess))
+	return alone / float64(windowCount(j.plan.Stall)+stallAftermath)
 }
 
-// see takes a window in.
-func (j *judge) see(w *Window) {
-	j.at++
-	slot := j.at % refWindows
-	j.errors[slot] = tally{float64(w.From.Errors), float64(w.From.Attempts)}
-	j.late[slot] = tally{w.From.Asked - w.From.InTime, w.From.Asked}
+// observe takes a window in.
+func (j *analysis) observe(w *Window) {
+	j.window++
+	slot := j.window % referenceWindows
+	j.errors[slot] = ratio{float64(w.From.Errors), float64(w.From.Attempts)}
+	j.late[slot] = ratio{w.From.OfferedWeight - w.From.OnTimeWeight, w.From.OfferedWeight}
 	j.longErrors.add(float64(w.From.Errors), float64(w.From.Attempts))
-	j.longLate.add(w.From.Asked-w.From.InTime, w.From.Asked)
-	for process := byFirst; process <= byPace; process++ {
+	j.longLate.add(w.From.OfferedWeight-w.From.OnTimeWeight, w.From.OfferedWeight)
+	for process := byFirstToken; process <= byTokenGap; process++ {
 		z := j.compareAll(w.From.Samples, process)
-		j.drift[process][j.at%nowWindows] = tally{}
+		j.drift[process][j.window%commonWindows] = ratio{}
 		if len(z) > 0 {
-			j.drift[process][j.at%nowWindows] = tally{mean(z) * float64(len(z)), float64(len(z))}
+			j.drift[process][j.window%commonWindows] = ratio{mean(z) * float64(len(z)), float64(len(z))}
 		}
-		old := j.old[process]
+		old := j.baseline[process]
 		for _, s := range w.From.Samples {
-			if d := measure(s, process, j.at); d.value > 0 {
+			if d := measure(s, process, j.window); d.value > 0 {
 				old = append(old, d)
 			}
 		}
-		drop := max(0, len(old)-keepMost)
-		for drop < len(old) && old[drop].at <= j.at-keepWindows {
+		drop := max(0, len(old)-maxBaseline)
+		for drop < len(old) && old[drop].window <= j.window-baselineWindows {
 			drop++
 		}
-		j.old[process] = old[drop:]
+		j.baseline[process] = old[drop:]
 	}
 	j.fitSlope()
 	j.betOnErrors(w)
@@ -155,28 +155,28 @@
 
 // reference is the old pool's share: of late, or over the move where there is too little; and not less than in the very
 // same windows, so that what both pools suffer together is not held against the new one. unit is what one flow weighs.
-func (j *judge) reference(recent *[refWindows]tally, long tally, unit float64) float64 {
-	var sum, now tally
-	for i := range refWindows {
-		t := recent[((j.at-i)%refWindows+refWindows)%refWindows]
-		sum.Bad, sum.All = sum.Bad+t.Bad, sum.All+t.All
-		if i == nowWindows-1 {
+func (j *analysis) reference(recent *[referenceWindows]ratio, long ratio, unit float64) float64 {
+	var sum, now ratio
+	for i := range referenceWindows {
+		t := recent[((j.window-i)%referenceWindows+referenceWindows)%referenceWindows]
+		sum.Bad, sum.Total = sum.Bad+t.Bad, sum.Total+t.Total
+		if i == commonWindows-1 {
 			now = sum
 		}
 	}
-	usual := long.share(0.02)
-	if sum.All >= refLeast*unit {
-		usual = sum.share(0.02)
+	usual := long.estimate(0.02)
+	if sum.Total >= referenceMinimum*unit {
+		usual = sum.estimate(0.02)
 	}
-	if now.All >= nowLeast*unit {
-		usual = max(usual, now.Bad/now.All)
+	if now.Total >= commonMinimum*unit {
+		usual = max(usual, now.Bad/now.Total)
 	}
 	return usual
 }
 
-// wins adds to a process's capitals what its bets have won in this window.
-func (j *judge) wins(process int, won func(bet float64) float64) {
-	most := j.burst()
+// addEvidence adds to a process's capitals what its bets have won in this window.
+func (j *analysis) addEvidence(process int, won func(bet float64) float64) {
+	most := j.windowLimit()
 	for i, bet := range bets[process] {
 		l := &j.evidence[process][i]
 		*l = max(0, *l) + min(most, won(bet))
@@ -184,50 +184,50 @@
 }
 
 // betOnErrors takes a flow that fell over for a failed attempt, once the new pool is warm: nothing there was fit.
-func (j *judge) betOnErrors(w *Window) {
+func (j *analysis) betOnErrors(w *Window) {
 	bad, all := w.To.Errors, w.To.Attempts
-	if w.To.Health.Able >= warmEnough*w.To.Health.Size {
-		bad, all = bad+w.To.Fallen, all+w.To.Fallen
+	if w.To.Health.WarmCapacity >= warmThreshold*w.To.Health.Capacity {
+		bad, all = bad+w.To.Overflowed, all+w.To.Overflowed
 	}
 	if all == 0 {
 		return
 	}
 	usual := min(0.9, j.reference(&j.errors, j.longErrors, 1)+j.plan.Errors)
-	j.wins(byErrors, func(bet float64) float64 {
+	j.addEvidence(byErrors, func(bet float64) float64 {
 		return float64(bad)*math.Log1p(bet*(1-usual)/usual) + float64(all-bad)*math.Log1p(-bet)
 	})
 }
 
-func (j *judge) betOnService(w *Window) {
-	if w.To.Asked <= 0 {
+func (j *analysis) betOnService(w *Window) {
+	if w.To.OfferedWeight <= 0 {
 		return
 	}
-	usual := j.reference(&j.late, j.longLate, w.To.Asked/float64(max(1, w.To.Flows)))
+	usual := j.reference(&j.late, j.longLate, w.To.OfferedWeight/float64(max(1, w.To.Requests)))
 	allowed := 1 - j.plan.Floor*(1-usual)
-	late := 1 - w.To.InTime/w.To.Asked
-	j.wins(byService, func(bet float64) float64 {
+	late := 1 - w.To.OnTimeWeight/w.To.OfferedWeight
+	j.addEvidence(byService, func(bet float64) float64 {
 		return math.Log1p(bet * (late - allowed) / max(allowed, 0.05))
 	})
 }
 
-func (j *judge) betOnAnswers(w *Window) {
-	for process := byFirst; process <= byPace; process++ {
+func (j *analysis) betOnAnswers(w *Window) {
+	for process := byFirstToken; process <= byTokenGap; process++ {
 		z := j.compareAll(w.To.Samples, process)
 		if len(z) == 0 {
 			continue
 		}
 		// What slows both pools down is not held against the new one.
-		var drift tally
+		var drift ratio
 		for _, d := range j.drift[process] {
-			drift.Bad, drift.All = drift.Bad+d.Bad, drift.All+d.All
+			drift.Bad, drift.Total = drift.Bad+d.Bad, drift.Total+d.Total
 		}
-		both := max(0, drift.Bad/max(drift.All, 1))
-		n := min(betsMost, max(1, len(z)/betAnswers))
-		j.wins(process, func(bet float64) float64 {
+		both := max(0, drift.Bad/max(drift.Total, 1))
+		n := min(maxBets, max(1, len(z)/answersPerBet))
+		j.addEvidence(process, func(bet float64) float64 {
 			won := 0.0
 			for i := range n {
 				ahead := max(-1, mean(z[i*len(z)/n:(i+1)*len(z)/n])-both)
-				won += math.Log1p(bet * (ahead - doubt) / (1 + doubt))
+				won += math.Log1p(bet * (ahead - toleratedAdvantage) / (1 + toleratedAdvantage))
 			}
 			return won
 		})
@@ -243,38 +243,38 @@
 }
 
 // compareAll is what compare says of some answers, without those that it can say nothing of.
-func (j *judge) compareAll(all []Sample, process int) []float64 {
+func (j *analysis) compareAll(all []Sample, process int) []float64 {
 	var z []float64
 	for _, s := range all {
-		if v, ok := j.compare(measure(s, process, j.at), process); ok {
+		if v, ok := j.compare(measure(s, process, j.window), process); ok {
 			z = append(z, v)
 		}
 	}
 	return z
 }
 
-// dated is what an answer says for one process, with its window.
-type dated struct {
-	value float64 // seconds
-	load  float64
-	alike float64 // the logarithm of what was to be read, or the class
-	kind  int
-	at    int
+// observation is what an answer says for one process, with its window.
+type observation struct {
+	value      float64 // seconds
+	load       float64
+	similarity float64 // the logarithm of what was to be read, or the class
+	kind       int
+	window     int
 }
 
-func measure(s Sample, process, at int) dated {
-	if process == byFirst { // the first token waits for the prompt to be read, behind what else runs
-		return dated{s.First, s.Load, math.Log2(s.Unread + 64), s.Kind, at}
+func measure(s Sample, process, at int) observation {
+	if process == byFirstToken { // the first token waits for the prompt to be read, behind what else runs
+		return observation{s.FirstToken, s.Load, math.Log2(s.UncachedTokens + 64), s.Kind, at}
 	}
 	// Tokens come in steps that take the longer the more runs.
-	return dated{s.Gap, s.Load, float64(s.Class), s.Kind, at}
+	return observation{s.TokenGap, s.Load, float64(s.Class), s.Kind, at}
 }
 
 // fitSlope learns from the old pool how the token gap rises with the load, within each kind of box.
-func (j *judge) fitSlope() {
+func (j *analysis) fitSlope() {
 	type sums struct{ n, load, value float64 }
 	kinds := map[int]*sums{}
-	for _, o := range j.old[byPace] {
+	for _, o := range j.baseline[byTokenGap] {
 		k := kinds[o.kind]
 		if k == nil {
 			k = &sums{}
@@ -282,54 +282,54 @@
 		}
 		k.n, k.load, k.value = k.n+1, k.load+o.load, k.value+o.value
 	}
-	xy, xx, load, n := slopePrior*slopeWeight, slopeWeight, 0.0, 0.0
-	for _, o := range j.old[byPace] {
+	xy, xx, load, n := slopePrior*slopePriorWeight, slopePriorWeight, 0.0, 0.0
+	for _, o := range j.baseline[byTokenGap] {
 		k := kinds[o.kind]
 		d := o.load - k.load/k.n
 		xy, xx = xy+d*(o.value*k.n/k.value-1), xx+d*d
 		load, n = load+o.load, n+1
 	}
-	j.slope, j.middle = max(0, xy/xx), load/max(n, 1)
+	j.slope, j.meanLoad = max(0, xy/xx), load/max(n, 1)
 }
 
-// stretch is how much longer the token gap is taken to be at one load than at another.
-func (j *judge) stretch(at, from float64) float64 {
-	return min(2, max(0.5, max(0.1, 1+j.slope*(at-j.middle))/max(0.1, 1+j.slope*(from-j.middle))))
+// loadFactor is how much longer the token gap is taken to be at one load than at another.
+func (j *analysis) loadFactor(at, from float64) float64 {
+	return min(2, max(0.5, max(0.1, 1+j.slope*(at-j.meanLoad))/max(0.1, 1+j.slope*(from-j.meanLoad))))
 }
 
-const alikeNear = 0.5 // of a doubling of what was to be read; classes differ by more
+const similarityRange = 0.5 // of a doubling of what was to be read; classes differ by more
 
 // compare is how far an answer is slower than those of the old pool that are alike, from -1 to 1: the part that it is
 // slower than by more than the factor allowed, less the part that it is not. A pool that is slower by the factor has a
 // mean of 0, so that one that is a little slower, as boxes are, gathers no evidence however long it is watched. Boxes of the same kind are preferred; where the old pool has none, those
 // of other kinds serve. false: there are too few.
-func (j *judge) compare(s dated, process int) (float64, bool) {
+func (j *analysis) compare(s observation, process int) (float64, bool) {
 	if s.value <= 0 {
 		return 0, false
 	}
 	factor := j.plan.FirstToken
-	if process == byPace {
+	if process == byTokenGap {
 		factor = j.plan.Pace
 	}
 	var z, n [2]float64 // of the same kind; of any
-	old := j.old[process]
-	if len(old) < freshLeast || old[len(old)-freshLeast].at <= j.at-freshFor {
+	old := j.baseline[process]
+	if len(old) < recentMinAnswers || old[len(old)-recentMinAnswers].window <= j.window-recentWindows {
 		return 0, false
 	}
-	under, over := loadUnder, loadOver
-	if process == byPace {
-		under, over = paceNear, paceNear
+	under, over := loadBelow, loadAbove
+	if process == byTokenGap {
+		under, over = gapLoadRange, gapLoadRange
 	}
-	for i := len(old) - 1; i >= 0 && n[0] < pairsMost && (n[1] < pairsMost || n[0] > 0); i-- {
+	for i := len(old) - 1; i >= 0 && n[0] < maxPairs && (n[1] < maxPairs || n[0] > 0); i-- {
 		o := &old[i]
 		more := s.load - o.load
-		if more > under || more < -over || math.Abs(s.alike-o.alike) > alikeNear {
+		if more > under || more < -over || math.Abs(s.similarity-o.similarity) > similarityRange {
 			continue
 		}
 		value, allowed := o.value, factor
-		if process == byPace {
-			value *= j.stretch(s.load, o.load)
-			allowed *= 1 + paceSlack*math.Abs(more)
+		if process == byTokenGap {
+			value *= j.loadFactor(s.load, o.load)
+			allowed *= 1 + gapLoadTolerance*math.Abs(more)
 		}
 		sign := -1.0
 		if s.value > allowed*value {
@@ -341,7 +341,7 @@
 		z[1], n[1] = z[1]+sign, n[1]+1
 	}
 	for k := range z {
-		if n[k] >= pairsLeast {
+		if n[k] >= minPairs {
 			return z[k] / n[k], true
 		}
 	}
--- a/internal/mover/machine_test.go
+++ b/internal/mover/machine_test.go
@@ -31,7 +31,7 @@
 	health Health
 }
 
-var warm = Health{Boxes: 9, Ready: 9, Size: 9, Able: 9}
+var warm = Health{Backends: 9, Ready: 9, Capacity: 9, WarmCapacity: 9}
 
 // The same verdict every time: property tests draw from one seed.
 func init() {
@@ -51,33 +51,33 @@
 	return n
 }
 
-func (s *scene) side(c condition, share float64) Side {
-	side := Side{Health: c.health}
+func (s *scene) side(c condition, share float64) PoolWindow {
+	side := PoolWindow{Health: c.health}
 	slow := max(c.slow, 1)
 	for range s.poisson(s.rate * share) {
-		side.Flows++
-		side.Asked++
+		side.Requests++
+		side.OfferedWeight++
 		if c.health.Ready == 0 {
-			side.Fallen++
-			side.InTime++
+			side.Overflowed++
+			side.OnTimeWeight++
 			continue
 		}
 		side.Attempts++
 		if s.rng.Float64() < c.errors {
 			side.Errors++ // the flow goes elsewhere, and is late half of the time
 			if s.rng.IntN(2) == 0 {
-				side.InTime++
+				side.OnTimeWeight++
 			}
 			continue
 		}
-		a := Sample{Class: s.rng.IntN(2), Kind: s.rng.IntN(3), Unread: 900 * math.Exp(0.7*s.rng.NormFloat64()), Load: 0.2 + 0.2*s.rng.Float64()}
-		a.First = slow * (0.1 + a.Unread/15_000) * math.Exp(0.5*s.rng.NormFloat64())
-		a.Gap = slow * (0.02 + 0.02*a.Load) * math.Exp(0.15*s.rng.NormFloat64())
+		a := Sample{Class: s.rng.IntN(2), Kind: s.rng.IntN(3), UncachedTokens: 900 * math.Exp(0.7*s.rng.NormFloat64()), Load: 0.2 + 0.2*s.rng.Float64()}
+		a.FirstToken = slow * (0.1 + a.UncachedTokens/15_000) * math.Exp(0.5*s.rng.NormFloat64())
+		a.TokenGap = slow * (0.02 + 0.02*a.Load) * math.Exp(0.15*s.rng.NormFloat64())
 		if c.stall {
-			a.First, a.Gap = a.First+2, a.Gap*2
+			a.FirstToken, a.TokenGap = a.FirstToken+2, a.TokenGap*2
 		}
-		if a.First < 1.5 && a.Gap < 0.05 {
-			side.InTime++
+		if a.FirstToken < 1.5 && a.TokenGap < 0.05 {
+			side.OnTimeWeight++
 		}
 		side.Samples = append(side.Samples, a)
 	}
@@ -85,11 +85,11 @@
 }
 
 func (s *scene) window(m *Machine) Window {
-	share := m.rec.Shares.Share
-	if m.rec.State == Done {
+	share := m.record.Shares.Share
+	if m.record.State == Done {
 		share = 1
 	}
-	return Window{From: s.side(s.old, 1-share), To: s.side(s.new, share), Nodes: 3, Behind: s.behind}
+	return Window{From: s.side(s.old, 1-share), To: s.side(s.new, share), Nodes: 3, Lagging: s.behind}
 }
 
 var clock = time.Unix(1_800_000_000, 0)
@@ -130,7 +130,7 @@
 }
 
 func atStep(step int) func(Record) bool {
-	return func(r Record) bool { return r.State == Holding && r.Step == step && r.Windows >= 7 }
+	return func(r Record) bool { return r.State == Holding && r.Step == step && r.StateWindows >= 7 }
 }
 
 func TestAMoveOfPoolsThatAreAlikeIsDone(t *testing.T) {
@@ -139,10 +139,10 @@
 		m := start(t, s, nil)
 		n := until(t, m, s, 400, in(Done, Undone, Halted))
 		require.Equal(t, Done, m.Record().State, "seed %d: %s", seed, m.Record().Cause)
-		require.GreaterOrEqual(t, time.Duration(n)*WindowTime, m.Record().Plan.Least()-7*WindowTime)
+		require.GreaterOrEqual(t, time.Duration(n)*WindowTime, m.Record().Plan.MinimumDuration()-7*WindowTime)
 		r := m.Record()
 		require.Equal(t, map[string]string{"old": "new"}, r.Shares.Moved)
-		require.Equal(t, 1.0, r.InForce())
+		require.Equal(t, 1.0, r.CurrentShare())
 		require.Equal(t, 1.0, r.Events[len(r.Events)-1].Share)
 	}
 }
@@ -162,7 +162,7 @@
 		"errors 20%":                {condition{errors: 0.2, health: warm}, 2, 60},
 		"errors 50%":                {condition{errors: 0.5, health: warm}, 2, 30},
 		"errors 50%, at 5%":         {condition{errors: 0.5, health: warm}, 0, 60},
-		"no box is ready":           {condition{health: Health{Boxes: 9}}, 2, 5},
+		"no box is ready":           {condition{health: Health{Backends: 9}}, 2, 5},
 		"all attempts fail":         {condition{errors: 1, health: warm}, 2, 20},
 		"every answer far too late": {condition{slow: 20, health: warm}, 2, 20},
 	} {
@@ -215,11 +215,11 @@
 		s := newScene(seed)
 		p := Default()
 		p.Alarm = 1000
-		j := newJudge(p)
+		j := newAnalysis(p)
 		for range 1500 {
-			j.see(&Window{From: s.side(s.old, 0.5), To: s.side(s.new, 0.5)})
+			j.observe(&Window{From: s.side(s.old, 0.5), To: s.side(s.new, 0.5)})
 			seen++
-			if j.evidence.level() >= j.limit() {
+			if j.evidence.level() >= j.alarmLevel() {
 				alarms++
 				j.evidence = Evidence{}
 			}
@@ -229,7 +229,7 @@
 }
 
 func TestTrafficDoesNotGoBackToADeadPool(t *testing.T) {
-	for _, dead := range []condition{{health: Health{Boxes: 9}}, {errors: 1, health: warm}} {
+	for _, dead := range []condition{{health: Health{Backends: 9}}, {errors: 1, health: warm}} {
 		s := newScene(3)
 		m := start(t, s, nil)
 		until(t, m, s, 400, atStep(2))
@@ -258,7 +258,7 @@
 	s := newScene(4)
 	m := start(t, s, nil)
 	until(t, m, s, 400, atStep(3))
-	s.old.health = Health{Boxes: 3, Ready: 3, Size: 3, Able: 3}
+	s.old.health = Health{Backends: 3, Ready: 3, Capacity: 3, WarmCapacity: 3}
 	s.new.slow = 2
 	until(t, m, s, 60, in(Returning))
 	for range 30 {
@@ -327,9 +327,9 @@
 		}
 		p := Default()
 		health := func() Health {
-			h := Health{Boxes: n, Ready: n, Size: float64(n)}
+			h := Health{Backends: n, Ready: n, Capacity: float64(n)}
 			for _, age := range ages {
-				h.Able += p.Warmth(time.Duration(age * 1e9))
+				h.WarmCapacity += p.WarmFraction(time.Duration(age * 1e9))
 			}
 			return h
 		}
@@ -341,9 +341,9 @@
 			}
 			s.new.health = health()
 			m.Observe(clock, s.window(m))
-			h, share := s.new.health, m.rec.Shares.Share
-			if h.Able < warmEnough*h.Size && m.rec.State != Returning && share > h.Able/9+1e-9 && share > 0.02 {
-				r.Fatalf("%.3f in force, and the boxes can do %.2f of 9: %s", share, h.Able, m.rec.State)
+			h, share := s.new.health, m.record.Shares.Share
+			if h.WarmCapacity < warmThreshold*h.Capacity && m.record.State != Returning && share > h.WarmCapacity/9+1e-9 && share > 0.02 {
+				r.Fatalf("%.3f in force, and the boxes can do %.2f of 9: %s", share, h.WarmCapacity, m.record.State)
 			}
 			for j := range ages {
 				ages[j]++
@@ -432,7 +432,7 @@
 		m := start(t, s, nil)
 		step, version := -1, uint64(1)
 		worse := rapid.IntRange(0, 300).Draw(r, "worse from")
-		for n := 0; n < 400 && !m.rec.State.Over(); n++ {
+		for n := 0; n < 400 && !m.record.State.Terminal(); n++ {
 			if n == worse {
 				s.new.slow = 2.5
 			}
@@ -444,16 +444,16 @@
 				require.NoError(t, json.Unmarshal(raw, &back))
 				m = Resume(back)
 			}
-			if m.rec.Step > step+1 || m.rec.Step < step || m.rec.Version < version {
-				r.Fatalf("from step %d, version %d to step %d, version %d", step, version, m.rec.Step, m.rec.Version)
+			if m.record.Step > step+1 || m.record.Step < step || m.record.Version < version {
+				r.Fatalf("from step %d, version %d to step %d, version %d", step, version, m.record.Step, m.record.Version)
 			}
-			step, version = m.rec.Step, m.rec.Version
+			step, version = m.record.Step, m.record.Version
 		}
-		if !m.rec.State.Over() {
-			r.Fatalf("%s after 400 windows: %s", m.rec.State, m.rec.Reason)
+		if !m.record.State.Terminal() {
+			r.Fatalf("%s after 400 windows: %s", m.record.State, m.record.Reason)
 		}
-		if worse < 60 && m.rec.State != Undone {
-			r.Fatalf("worse from window %d on, and %s", worse, m.rec.State)
+		if worse < 60 && m.record.State != Undone {
+			r.Fatalf("worse from window %d on, and %s", worse, m.record.State)
 		}
 	})
 }
@@ -474,20 +474,20 @@
 // Lateness of both pools in the same windows is no evidence, also while the old pool's last quarter of a minute, in the
 // mean, was still good.
 func TestWhatBothPoolsSufferIsNotHeldAgainstTheNew(t *testing.T) {
-	j := newJudge(Default())
+	j := newAnalysis(Default())
 	window := func(late float64) *Window {
-		side := Side{Flows: 10, Asked: 10, InTime: 10 * (1 - late), Attempts: 10, Errors: int(10 * late), Health: warm}
+		side := PoolWindow{Requests: 10, OfferedWeight: 10, OnTimeWeight: 10 * (1 - late), Attempts: 10, Errors: int(10 * late), Health: warm}
 		return &Window{From: side, To: side}
 	}
 	for range 60 {
-		j.see(window(0))
+		j.observe(window(0))
 	}
 	for range 12 {
-		j.see(window(0.7))
+		j.observe(window(0.7))
 	}
 	for _, process := range []int{byErrors, byService} {
 		for _, l := range j.evidence[process] {
-			require.Less(t, l, 0.7*j.limit(), processNames[process])
+			require.Less(t, l, 0.7*j.alarmLevel(), processNames[process])
 		}
 	}
 }
@@ -497,19 +497,19 @@
 func TestLoadIsNotHeldAgainstTheNewPool(t *testing.T) {
 	level := func(slow float64) float64 {
 		rng := rand.New(rand.NewPCG(5, 5))
-		j := newJudge(Default())
-		answers := func(n int, least, most, slow float64) Side {
-			side := Side{Health: warm}
+		j := newAnalysis(Default())
+		answers := func(n int, least, most, slow float64) PoolWindow {
+			side := PoolWindow{Health: warm}
 			for range n {
 				load := least + (most-least)*rng.Float64()
-				side.Samples = append(side.Samples, Sample{Unread: 500, Load: load, First: 0.2, Gap: slow * 0.018 * (1 + 3*load) * math.Exp(0.05*rng.NormFloat64())})
+				side.Samples = append(side.Samples, Sample{UncachedTokens: 500, Load: load, FirstToken: 0.2, TokenGap: slow * 0.018 * (1 + 3*load) * math.Exp(0.05*rng.NormFloat64())})
 			}
 			return side
 		}
 		for range 60 {
-			j.see(&Window{From: answers(9, 0, 0.3, 1), To: answers(9, 0.28, 0.5, slow)})
+			j.observe(&Window{From: answers(9, 0, 0.3, 1), To: answers(9, 0.28, 0.5, slow)})
 		}
-		return j.evidence.level() / j.limit()
+		return j.evidence.level() / j.alarmLevel()
 	}
 	require.Less(t, level(1), 0.3)
 	require.Greater(t, level(2), 1.0)
@@ -523,7 +523,7 @@
 		require.NoError(t, m.Command(clock, "pause"))
 		require.NoError(t, m.Command(clock, "resume"))
 	}
-	require.Len(t, m.Record().Events, eventsMost)
+	require.Len(t, m.Record().Events, maxEvents)
 	require.Equal(t, "planned", m.Record().Events[0].Text)
 	raw, err := json.Marshal(m.Record())
 	require.NoError(t, err)
@@ -553,7 +553,7 @@
 		p.From, p.To = "old", "new"
 		require.NoError(t, p.Check())
 		edit(&p)
-		var fault *Fault
+		var fault *PlanError
 		require.ErrorAs(t, p.Check(), &fault, key)
 		require.Equal(t, key, fault.Key, fmt.Sprint(fault))
 	}
@@ -561,13 +561,13 @@
 
 // A node that has lost sight of the boxes must not speak for the others, and the colder view of their warmth holds.
 func TestViewsOfSeveralNodes(t *testing.T) {
-	seen, cold, blind := Health{Boxes: 4, Ready: 4, Size: 4, Able: 4}, Health{Boxes: 3, Ready: 3, Size: 3, Able: 1.5}, Health{}
+	seen, cold, blind := Health{Backends: 4, Ready: 4, Capacity: 4, WarmCapacity: 4}, Health{Backends: 3, Ready: 3, Capacity: 3, WarmCapacity: 1.5}, Health{}
 	for _, order := range [][]Health{{seen, cold, blind}, {blind, cold, seen}, {cold, blind, seen}} {
-		var s Side
+		var s PoolWindow
 		for _, h := range order {
-			s = s.Add(Side{Health: h})
+			s = s.Add(PoolWindow{Health: h})
 		}
-		require.Equal(t, Health{Boxes: 4, Ready: 4, Size: 4, Able: 2}, s.Health)
+		require.Equal(t, Health{Backends: 4, Ready: 4, Capacity: 4, WarmCapacity: 2}, s.Health)
 	}
-	require.Zero(t, Side{}.Add(Side{Health: Health{Boxes: 2}}).Health.Ready)
+	require.Zero(t, PoolWindow{}.Add(PoolWindow{Health: Health{Backends: 2}}).Health.Ready)
 }
--- a/internal/mover/plan.go
+++ b/internal/mover/plan.go
@@ -57,15 +57,15 @@
 		OnWorse: Return, ReturnSteps: 3, ReturnEvery: 2 * time.Second, ColdShare: 0.13, WarmUp: 20 * time.Second, FallFactor: 4}
 }
 
-// Fault is a plan's wrong key.
-type Fault struct{ Key, Reason string }
+// PlanError is a plan's wrong key.
+type PlanError struct{ Key, Reason string }
 
 // Error implements error.
-func (f *Fault) Error() string { return f.Key + ": " + f.Reason }
+func (f *PlanError) Error() string { return f.Key + ": " + f.Reason }
 
 // Check finds the first key of a plan that cannot be carried out. Its errors are *Fault.
 func (p Plan) Check() error {
-	fault := func(key, form string, args ...any) error { return &Fault{key, fmt.Sprintf(form, args...)} }
+	fault := func(key, form string, args ...any) error { return &PlanError{key, fmt.Sprintf(form, args...)} }
 	between := func(v, least, most float64) bool { return v >= least && v <= most } // false for NaN
 	switch {
 	case p.From == p.To && p.From != "":
@@ -119,109 +119,109 @@
 	return nil
 }
 
-// Least is how long a move takes that nothing holds up.
-func (p Plan) Least() time.Duration {
+// MinimumDuration is how long a move takes that nothing holds up.
+func (p Plan) MinimumDuration() time.Duration {
 	return p.Warm + time.Duration(len(p.Steps))*(p.Hold+2*WindowTime)
 }
 
-func windows(span time.Duration) int { return int(math.Ceil(float64(span) / float64(WindowTime))) }
+func windowCount(span time.Duration) int { return int(math.Ceil(float64(span) / float64(WindowTime))) }
 
 // Health is what is known of a pool's boxes.
 type Health struct {
-	Boxes int     `json:"boxes"` // listed, draining ones included
-	Ready int     `json:"ready"`
-	Size  float64 `json:"size"` // of the ready ones together
-	Able  float64 `json:"able"` // likewise, each counted by the part of its capacity that it has by now
+	Backends     int     `json:"boxes"` // listed, draining ones included
+	Ready        int     `json:"ready"`
+	Capacity     float64 `json:"size"` // of the ready ones together
+	WarmCapacity float64 `json:"able"` // likewise, each counted by the part of its capacity that it has by now
 }
 
-// Warmth is the part of a box's capacity that it has, a time after its start.
-func (p Plan) Warmth(age time.Duration) float64 {
+// WarmFraction is the part of a box's capacity that it has, a time after its start.
+func (p Plan) WarmFraction(age time.Duration) float64 {
 	if p.WarmUp <= 0 || age >= p.WarmUp {
 		return 1
 	}
 	return p.ColdShare + (1-p.ColdShare)*max(0, float64(age)/float64(p.WarmUp))
 }
 
-// warmEnough is the part of its capacity from which a pool counts as warm: it is then no longer capped.
-const warmEnough = 0.9
+// warmThreshold is the part of its capacity from which a pool counts as warm: it is then no longer capped.
+const warmThreshold = 0.9
 
-// coldPart is the part of rule 4's allowance that a move grants a cold pool, all nodes together; the modules grant
+// coldBudgetFraction is the part of rule 4's allowance that a move grants a cold pool, all nodes together; the modules grant
 // their own starting boxes as much (coldMargin in router.go).
-const coldPart = 0.4
+const coldBudgetFraction = 0.4
 
-// cap is the greatest share of From's flows that To can take now. What a box can do is not told; what the boxes of
+// maximumShare is the greatest share of From's flows that To can take now. What a box can do is not told; what the boxes of
 // the old pool carry by their size is the guide, and a cold box is taken to do its warm part of that. Never more than
 // it can do, and less where it would fall over from less than that.
-func (p Plan) cap(from, to Health, fromSize float64) float64 {
-	if to.Size <= 0 {
+func (p Plan) maximumShare(from, to Health, fromSize float64) float64 {
+	if to.Capacity <= 0 {
 		return 0
 	}
-	if to.Able >= warmEnough*to.Size {
+	if to.WarmCapacity >= warmThreshold*to.Capacity {
 		return 1
 	}
-	return min(1, min(1, coldPart*p.FallFactor)*to.Able/max(from.Size, fromSize, 1e-9))
+	return min(1, min(1, coldBudgetFraction*p.FallFactor)*to.WarmCapacity/max(from.Capacity, fromSize, 1e-9))
 }
 
 // Sample is an answer served whole, as it is compared with those of the other pool.
 type Sample struct {
-	Class  int     `json:"c"`
-	Kind   int     `json:"k"`
-	Unread float64 `json:"u"` // prompt tokens that the box had to read
-	Load   float64 `json:"l"` // share of its slots in use
-	First  float64 `json:"f"` // seconds to the first token
-	Gap    float64 `json:"g"` // seconds a token after that; 0: not known
+	Class          int     `json:"c"`
+	Kind           int     `json:"k"`
+	UncachedTokens float64 `json:"u"` // prompt tokens that the box had to read
+	Load           float64 `json:"l"` // share of its slots in use
+	FirstToken     float64 `json:"f"` // seconds to the first token
+	TokenGap       float64 `json:"g"` // seconds a token after that; 0: not known
 }
 
-// SamplesMost bounds the samples of one pool in one window.
-const SamplesMost = 64
+// MaxSamples bounds the samples of one pool in one window.
+const MaxSamples = 64
 
-// Side is one pool in one window. Flows count for the pool that they were assigned to, attempts for the pool that the
+// PoolWindow is one pool in one window. Flows count for the pool that they were assigned to, attempts for the pool that the
 // box is in.
-type Side struct {
-	Flows    int      `json:"flows"` // ended
-	Asked    float64  `json:"asked"` // worth of those
-	InTime   float64  `json:"in_time"`
-	Refused  int      `json:"refused"`  // flows turned down, or failed without a box
-	Fallen   int      `json:"fallen"`   // flows that went to another pool, nothing being fit in theirs
-	Attempts int      `json:"attempts"` // ended, those called off left out
-	Errors   int      `json:"errors"`   // of them
-	Samples  []Sample `json:"samples,omitempty"`
-	Health   Health   `json:"health"`
+type PoolWindow struct {
+	Requests      int      `json:"flows"` // ended
+	OfferedWeight float64  `json:"asked"` // worth of those
+	OnTimeWeight  float64  `json:"in_time"`
+	Rejected      int      `json:"refused"`  // flows turned down, or failed without a box
+	Overflowed    int      `json:"fallen"`   // flows that went to another pool, nothing being fit in theirs
+	Attempts      int      `json:"attempts"` // ended, those called off left out
+	Errors        int      `json:"errors"`   // of them
+	Samples       []Sample `json:"samples,omitempty"`
+	Health        Health   `json:"health"`
 }
 
 // Add joins what another node saw in the same window.
-func (s Side) Add(o Side) Side {
-	s.Flows += o.Flows
-	s.Asked += o.Asked
-	s.InTime += o.InTime
-	s.Refused += o.Refused
-	s.Fallen += o.Fallen
+func (s PoolWindow) Add(o PoolWindow) PoolWindow {
+	s.Requests += o.Requests
+	s.OfferedWeight += o.OfferedWeight
+	s.OnTimeWeight += o.OnTimeWeight
+	s.Rejected += o.Rejected
+	s.Overflowed += o.Overflowed
 	s.Attempts += o.Attempts
 	s.Errors += o.Errors
 	s.Samples = append(slices.Clip(s.Samples), o.Samples...)
-	s.Health = s.Health.join(o.Health)
+	s.Health = s.Health.merge(o.Health)
 	return s
 }
 
-// join makes one view of two nodes'. A node that has lost sight of a pool does not speak for the others, who see it;
+// merge makes one view of two nodes'. A node that has lost sight of a pool does not speak for the others, who see it;
 // of how warm its boxes are the colder view holds.
-func (h Health) join(o Health) Health {
-	if o.Size == 0 || h.Size == 0 {
-		if h.Size == 0 {
-			o.Boxes = max(h.Boxes, o.Boxes)
+func (h Health) merge(o Health) Health {
+	if o.Capacity == 0 || h.Capacity == 0 {
+		if h.Capacity == 0 {
+			o.Backends = max(h.Backends, o.Backends)
 			return o
 		}
-		h.Boxes = max(h.Boxes, o.Boxes)
+		h.Backends = max(h.Backends, o.Backends)
 		return h
 	}
-	warm := min(h.Able/h.Size, o.Able/o.Size)
-	size := max(h.Size, o.Size)
-	return Health{max(h.Boxes, o.Boxes), max(h.Ready, o.Ready), size, warm * size}
+	warm := min(h.WarmCapacity/h.Capacity, o.WarmCapacity/o.Capacity)
+	size := max(h.Capacity, o.Capacity)
+	return Health{max(h.Backends, o.Backends), max(h.Ready, o.Ready), size, warm * size}
 }
 
 // Window is what all live nodes saw in one window.
 type Window struct {
-	From, To Side
+	From, To PoolWindow
 	Nodes    int
-	Behind   []string // live nodes that have not taken the shares in force
+	Lagging  []string // live nodes that have not taken the shares in force
 }
--- a/internal/moves/actor.go
+++ b/internal/moves/actor.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	historyMost = 50                     // moves that are over and kept
-	followEvery = 100 * time.Millisecond // between two looks at the record
-	liveFor     = 5 * time.Second        // a node that has not reported for longer does not count as live
-	nodesMost   = 64                     // that may report
-	reportTime  = 2 * time.Second        // for one report
-	mailMost    = 64                     // wishes and reports that may wait
-	awaitEvery  = 10 * time.Millisecond
-	backlogMost = 5 // windows that a node keeps for a leader that does not answer
+	maxHistory     = 50                     // moves that are over and kept
+	followInterval = 100 * time.Millisecond // between two looks at the record
+	liveTimeout    = 5 * time.Second        // a node that has not reported for longer does not count as live
+	maxNodes       = 64                     // that may report
+	reportTimeout  = 2 * time.Second        // for one report
+	mailboxSize    = 64                     // wishes and reports that may wait
+	awaitInterval  = 10 * time.Millisecond
+	maxBacklog     = 5 // windows that a node keeps for a leader that does not answer
 )
 
 // Options are an actor's neighbours.
@@ -48,61 +48,61 @@
 	Log     *zap.Logger
 }
 
-// Actor carries moves on while this node leads the store, and follows the record in any case.
-type Actor struct {
+// Controller carries moves on while this node leads the store, and follows the record in any case.
+type Controller struct {
 	Options
-	mail chan any
+	mailbox chan any
 
 	// The actor's alone.
-	version uint64 // of the record that is followed, as the store counts
-	record  mover.Record
-	machine *mover.Machine // while this node leads and a move is not over
-	written uint64         // the store's version that the machine's record was written as
-	term    uint64
-	heard   map[string]*heard
-	unsent  []Report
-	sending bool
-	sent    chan error
-	failing string        // the last failure of a report, so that it is logged once
-	changed chan struct{} // closed at the next change of what is followed
-	tookUp  time.Time     // when this node began to lead
+	version         uint64 // of the record that is followed, as the store counts
+	record          mover.Record
+	machine         *mover.Machine // while this node leads and a move is not over
+	recordVersion   uint64         // the store's version that the machine's record was written as
+	term            uint64
+	reports         map[string]*nodeReport
+	unsent          []Report
+	sending         bool
+	reportResults   chan error
+	lastReportError string        // the last failure of a report, so that it is logged once
+	changed         chan struct{} // closed at the next change of what is followed
+	leaderSince     time.Time     // when this node began to lead
 }
 
-// heard is the latest of a node, and what it saw since the last window.
-type heard struct {
-	at       time.Time
-	version  uint64
-	id       string
-	digest   uint64
-	from, to mover.Side
+// nodeReport is the latest of a node, and what it saw since the last window.
+type nodeReport struct {
+	receivedAt time.Time
+	version    uint64
+	migration  string
+	digest     uint64
+	from, to   mover.PoolWindow
 }
 
 // Report is what a node tells the one that carries the move on.
 type Report struct {
-	Node    string     `json:"node"`
-	Move    string     `json:"move"`
-	Version uint64     `json:"version"` // of the shares that it has in force
-	Digest  uint64     `json:"digest"`  // of its pools
-	From    mover.Side `json:"from"`
-	To      mover.Side `json:"to"`
+	Node    string           `json:"node"`
+	Move    string           `json:"move"`
+	Version uint64           `json:"version"` // of the shares that it has in force
+	Digest  uint64           `json:"digest"`  // of its pools
+	From    mover.PoolWindow `json:"from"`
+	To      mover.PoolWindow `json:"to"`
 }
 
 type (
-	wish struct {
+	commandRequest struct {
 		name  string // start, plan, pause, resume, undo
-		start StartWish
-		done  chan reply
+		start StartRequest
+		done  chan commandReply
 	}
-	look   struct{ done chan Status }
-	listen struct{ done chan chan struct{} }
-	reply  struct {
+	statusRequest struct{ done chan Status }
+	changeRequest struct{ done chan chan struct{} }
+	commandReply  struct {
 		record mover.Record
 		err    error
 	}
 )
 
-// StartWish is what a start may say. What it leaves out the operator's file says.
-type StartWish struct {
+// StartRequest is what a start may say. What it leaves out the operator's file says.
+type StartRequest struct {
 	From        string    `json:"from,omitempty"`
 	To          string    `json:"to"`
 	Steps       []float64 `json:"steps,omitempty"`
@@ -122,7 +122,7 @@
 	Name    string  `json:"name"`
 	Version uint64  `json:"version"`
 	Age     float64 `json:"age_s"` // seconds since its last report
-	Behind  bool    `json:"behind"`
+	Lagging bool    `json:"behind"`
 }
 
 // Status is how things stand.
@@ -137,22 +137,22 @@
 }
 
 // New makes the actor; Run starts it.
-func New(o Options) *Actor {
+func New(o Options) *Controller {
 	if o.Window == 0 {
 		o.Window = mover.WindowTime
 	}
 	if o.Live == 0 {
-		o.Live = liveFor
+		o.Live = liveTimeout
 	}
-	return &Actor{Options: o, mail: make(chan any, mailMost), heard: map[string]*heard{}, sent: make(chan error, 1),
+	return &Controller{Options: o, mailbox: make(chan any, mailboxSize), reports: map[string]*nodeReport{}, reportResults: make(chan error, 1),
 		changed: make(chan struct{})}
 }
 
-// Await is called before Run. It gives a store that restarts the time to have its record again, so that no flow is
+// AwaitStore is called before Run. It gives a store that restarts the time to have its record again, so that no flow is
 // assigned as though there had been no move: until the store has caught up with what it held, or most has passed.
-func (a *Actor) Await(ctx context.Context, most time.Duration) {
+func (a *Controller) AwaitStore(ctx context.Context, most time.Duration) {
 	late, ok := a.Store.(interface{ CaughtUp() bool })
-	for end := time.Now().Add(most); ok && !late.CaughtUp() && ctx.Err() == nil; time.Sleep(awaitEvery) {
+	for end := time.Now().Add(most); ok && !late.CaughtUp() && ctx.Err() == nil; time.Sleep(awaitInterval) {
 		if time.Now().After(end) {
 			a.Log.Warn("the store has not caught up; what it knows of moves holds, or else the file's shares")
 			break
@@ -162,10 +162,10 @@
 }
 
 // Run works until ctx ends.
-func (a *Actor) Run(ctx context.Context) {
+func (a *Controller) Run(ctx context.Context) {
 	window := time.NewTicker(a.Window)
 	defer window.Stop()
-	follow := time.NewTicker(min(followEvery, a.Window))
+	follow := time.NewTicker(min(followInterval, a.Window))
 	defer follow.Stop()
 	a.follow()
 	for {
@@ -176,32 +176,32 @@
 			a.follow()
 		case <-window.C:
 			a.follow()
-			a.window(ctx)
-		case err := <-a.sent:
-			a.reported(err)
-		case m := <-a.mail:
+			a.closeWindow(ctx)
+		case err := <-a.reportResults:
+			a.reportSent(err)
+		case m := <-a.mailbox:
 			a.receive(ctx, m)
 		}
 	}
 }
 
-func (a *Actor) receive(ctx context.Context, m any) {
+func (a *Controller) receive(ctx context.Context, m any) {
 	switch m := m.(type) {
 	case Report:
-		a.hear(m)
-	case wish:
-		record, err := a.carryOut(ctx, m)
-		m.done <- reply{record, err}
-	case look:
+		a.addReport(m)
+	case commandRequest:
+		record, err := a.execute(ctx, m)
+		m.done <- commandReply{record, err}
+	case statusRequest:
 		m.done <- a.status()
-	case listen:
+	case changeRequest:
 		m.done <- a.changed
 	}
 }
 
 // follow takes on the record as the store has it. Every node does, the one that carries the move on too: what is
 // written is in force, and nothing else is.
-func (a *Actor) follow() {
+func (a *Controller) follow() {
 	v := a.Store.Get(currentKey)
 	if v.Version == a.version || v.Version == 0 {
 		return // a store that has nothing yet, or is cut off, changes nothing here
@@ -222,59 +222,59 @@
 	a.changed = make(chan struct{})
 }
 
-// leads tells whether this node carries moves on, and takes up what is recorded when it begins to.
-func (a *Actor) leads() bool {
-	term, ok := a.Store.Leads()
+// takeLead tells whether this node carries moves on, and takes up what is recorded when it begins to.
+func (a *Controller) takeLead() bool {
+	term, ok := a.Store.Leadership()
 	if !ok || term != a.term {
-		a.machine, a.heard = nil, map[string]*heard{}
+		a.machine, a.reports = nil, map[string]*nodeReport{}
 		a.term = 0
 	}
 	if !ok {
 		return false
 	}
 	if a.term != term {
-		a.term, a.tookUp = term, time.Now()
+		a.term, a.leaderSince = term, time.Now()
 	}
 	a.follow()
-	if a.machine == nil && a.record.State != "" && !a.record.State.Over() {
-		a.machine, a.written = mover.Resume(a.record), a.version
+	if a.machine == nil && a.record.State != "" && !a.record.State.Terminal() {
+		a.machine, a.recordVersion = mover.Resume(a.record), a.version
 	}
 	return true
 }
 
-// window closes a window: this node's counts go to the one that carries the move on.
-func (a *Actor) window(ctx context.Context) {
+// closeWindow closes a window: this node's counts go to the one that carries the move on.
+func (a *Controller) closeWindow(ctx context.Context) {
 	now := time.Now()
-	from, to := a.Tracker.Take(now)
+	from, to := a.Tracker.TakeWindow(now)
 	own := Report{Node: a.Name, Move: a.record.ID, Version: a.record.Version, Digest: a.Tracker.Digest(), From: from, To: to}
-	if !a.leads() {
-		a.report(ctx, own)
+	if !a.takeLead() {
+		a.sendReport(ctx, own)
 		return
 	}
 	a.unsent = nil
-	a.hear(own)
+	a.addReport(own)
 	// One that has just begun to lead does not know yet who is live: it waits to hear all members, or for as long as a
 	// silent one counts as live.
-	if a.machine == nil || len(a.heard) < len(a.Peers) && now.Sub(a.tookUp) < a.Live {
+	if a.machine == nil || len(a.reports) < len(a.Peers) && now.Sub(a.leaderSince) < a.Live {
 		return
 	}
-	w := a.merge(now)
+	w := a.mergeWindow(now)
 	if a.machine.Observe(now, w) {
-		a.write(ctx)
+		a.persist(ctx)
 	}
 }
 
-// hear takes a report in.
-func (a *Actor) hear(r Report) {
-	h := a.heard[r.Node]
+// addReport takes a report in.
+func (a *Controller) addReport(r Report) {
+	h := a.reports[r.Node]
 	if h == nil {
-		if len(a.heard) >= nodesMost {
+		if len(a.reports) >= maxNodes {
 			return
 		}
-		h = &heard{}
-		a.heard[r.Node] = h
+		h = &nodeReport{}
+		a.reports[r.Node] = h
 	}
-	h.at, h.version, h.id, h.digest = time.Now(), r.Version, r.Move, r.Digest
+	h.receivedAt, h.version, h.migration, h.digest = time.Now(), r.Version, r.Move, r.Digest
 	if r.Move == a.record.ID {
 		h.from, h.to = h.from.Add(r.From), h.to.Add(r.To)
 		// The latest view of the boxes holds, not the gloomiest of a backlog.
@@ -282,46 +282,46 @@
 	}
 }
 
-// merge makes one window of what all live nodes have told since the last.
-func (a *Actor) merge(now time.Time) mover.Window {
+// mergeWindow makes one window of what all live nodes have told since the last.
+func (a *Controller) mergeWindow(now time.Time) mover.Window {
 	var w mover.Window
 	own := a.Tracker.Digest()
-	for name, h := range a.heard {
-		if now.Sub(h.at) > a.Live {
-			delete(a.heard, name)
+	for name, h := range a.reports {
+		if now.Sub(h.receivedAt) > a.Live {
+			delete(a.reports, name)
 			a.Log.Warn("a node is no longer heard; the move goes on without it", zap.String("node", name))
 			continue
 		}
 		w.Nodes++
 		switch {
 		case h.digest != own: // its counts are of other pools
-			w.Behind = append(w.Behind, name+" (its pools differ)")
-			h.from, h.to = mover.Side{}, mover.Side{}
+			w.Lagging = append(w.Lagging, name+" (its pools differ)")
+			h.from, h.to = mover.PoolWindow{}, mover.PoolWindow{}
 			continue
-		case h.id != a.record.ID || h.version != a.record.Version:
-			w.Behind = append(w.Behind, name)
+		case h.migration != a.record.ID || h.version != a.record.Version:
+			w.Lagging = append(w.Lagging, name)
 		}
 		w.From, w.To = w.From.Add(h.from), w.To.Add(h.to)
-		h.from, h.to = mover.Side{Health: h.from.Health}, mover.Side{Health: h.to.Health}
+		h.from, h.to = mover.PoolWindow{Health: h.from.Health}, mover.PoolWindow{Health: h.to.Health}
 	}
-	slices.Sort(w.Behind)
+	slices.Sort(w.Lagging)
 	return w
 }
 
-// write records the machine's state; only then is it in force, here too. A record that another has changed meanwhile
+// persist records the machine's state; only then is it in force, here too. A record that another has changed meanwhile
 // is taken up anew: whoever leads now carries it on.
-func (a *Actor) write(ctx context.Context) error {
+func (a *Controller) persist(ctx context.Context) error {
 	r := a.machine.Record()
 	raw, err := json.Marshal(r)
 	if err == nil {
-		ops := []store.Op{{Key: currentKey, Data: raw, If: a.written}}
-		if r.State.Over() {
-			ops = append(ops, a.history(r, raw)...)
+		ops := []store.Op{{Key: currentKey, Data: raw, ExpectedVersion: a.recordVersion}}
+		if r.State.Terminal() {
+			ops = append(ops, a.archive(r, raw)...)
 		}
 		var v uint64
 		if v, err = a.Store.Write(ctx, ops...); err == nil {
-			a.written = v
-			if r.State.Over() {
+			a.recordVersion = v
+			if r.State.Terminal() {
 				a.machine = nil
 			}
 			a.follow()
@@ -333,22 +333,22 @@
 	return err
 }
 
-// history keeps a move that is over, and lets the oldest go.
-func (a *Actor) history(r mover.Record, raw []byte) []store.Op {
+// archive keeps a move that is over, and lets the oldest go.
+func (a *Controller) archive(r mover.Record, raw []byte) []store.Op {
 	key := historyPrefix + r.ID
-	ops := []store.Op{{Key: key, Data: raw, If: store.Any}}
+	ops := []store.Op{{Key: key, Data: raw, ExpectedVersion: store.AnyVersion}}
 	kept := slices.DeleteFunc(a.Store.List(historyPrefix), func(k string) bool { return k == key })
-	for len(kept) >= historyMost {
-		ops = append(ops, store.Op{Key: kept[0], If: store.Any})
+	for len(kept) >= maxHistory {
+		ops = append(ops, store.Op{Key: kept[0], ExpectedVersion: store.AnyVersion})
 		kept = kept[1:]
 	}
 	return ops
 }
 
-// report sends this node's windows to the leader, one call at a time.
-func (a *Actor) report(ctx context.Context, own Report) {
+// sendReport sends this node's windows to the leader, one call at a time.
+func (a *Controller) sendReport(ctx context.Context, own Report) {
 	a.unsent = append(a.unsent, own)
-	if n := len(a.unsent) - backlogMost; n > 0 {
+	if n := len(a.unsent) - maxBacklog; n > 0 {
 		a.unsent = slices.Delete(a.unsent, 0, n)
 	}
 	address := a.Peers[a.Store.Leader()]
@@ -359,27 +359,27 @@
 	batch := slices.Clone(a.unsent)
 	a.unsent = nil
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, reportTime)
+		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
 		client := control.NewClient(address, a.Token())
 		defer client.Close()
-		a.sent <- client.Call(ctx, http.MethodPost, "/v1/move/report", batch, nil)
+		a.reportResults <- client.Call(ctx, http.MethodPost, "/v1/move/report", batch, nil)
 	}()
 }
 
-func (a *Actor) reported(err error) {
+func (a *Controller) reportSent(err error) {
 	a.sending = false
 	said := ""
 	if err != nil {
 		said = err.Error()
 	}
-	if said != a.failing && said != "" {
+	if said != a.lastReportError && said != "" {
 		a.Log.Warn("the node that carries moves on was not told; the shares stay as they are", zap.Error(err))
 	}
-	a.failing = said
+	a.lastReportError = said
 }
 
-func (a *Actor) notLeader() error {
+func (a *Controller) notLeader() error {
 	e := &control.Error{Status: http.StatusMisdirectedRequest, Code: "not_leader", Message: "another member carries moves on",
 		Leader: a.Peers[a.Store.Leader()]}
 	if e.Leader == "" {
@@ -388,16 +388,16 @@
 	return e
 }
 
-// carryOut does what an operator wishes.
-func (a *Actor) carryOut(ctx context.Context, w wish) (mover.Record, error) {
+// execute does what an operator wishes.
+func (a *Controller) execute(ctx context.Context, w commandRequest) (mover.Record, error) {
 	if w.name == "plan" {
-		m, err := a.begin(w.start, a.record.Shares)
+		m, err := a.newMachine(w.start, a.record.Shares)
 		if err != nil {
 			return mover.Record{}, err
 		}
 		return m.Record(), nil
 	}
-	if !a.leads() {
+	if !a.takeLead() {
 		return mover.Record{}, a.notLeader()
 	}
 	now := time.Now()
@@ -407,34 +407,34 @@
 				Message: fmt.Sprintf("move %s from %s to %s is %s; undo it, or wait until it is over", a.record.ID, a.record.Plan.From,
 					a.record.Plan.To, a.record.State)}
 		}
-		m, err := a.begin(w.start, a.record.Shares)
+		m, err := a.newMachine(w.start, a.record.Shares)
 		if err != nil {
 			return mover.Record{}, err
 		}
-		a.machine, a.written = m, a.version
+		a.machine, a.recordVersion = m, a.version
 	} else {
 		if a.record.State == "" {
 			return mover.Record{}, &control.Error{Status: http.StatusNotFound, Code: "no_move", Message: "no move was ever started"}
 		}
 		if a.machine == nil {
-			a.machine, a.written = mover.Resume(a.record), a.version
+			a.machine, a.recordVersion = mover.Resume(a.record), a.version
 		}
 		if err := a.machine.Command(now, w.name); err != nil {
-			if a.record.State.Over() {
+			if a.record.State.Terminal() {
 				a.machine = nil
 			}
 			return mover.Record{}, &control.Error{Status: http.StatusConflict, Code: "not_now", Message: err.Error()}
 		}
 	}
 	r := a.machine.Record()
-	if err := a.write(ctx); err != nil {
+	if err := a.persist(ctx); err != nil {
 		return mover.Record{}, fmt.Errorf("not recorded, and so not done: %w", err)
 	}
 	return r, nil
 }
 
-// begin plans a move.
-func (a *Actor) begin(s StartWish, base pool.Shares) (*mover.Machine, error) {
+// newMachine plans a move.
+func (a *Controller) newMachine(s StartRequest, base pool.Shares) (*mover.Machine, error) {
 	p, err := s.plan(a.Plan())
 	if err != nil {
 		return nil, err
@@ -447,7 +447,7 @@
 	set := t.set
 	t.mu.Unlock()
 	if p.From == "" {
-		p.From = a.holder(set, base)
+		p.From = a.largestPool(set, base)
 	}
 	for _, k := range []struct{ key, name string }{{"from", p.From}, {"to", p.To}} {
 		if set.Number(k.name) == 0 {
@@ -461,18 +461,18 @@
 	now := time.Now()
 	m, err := mover.Start(fmt.Sprintf("m-%s", now.UTC().Format("20060102-150405.000")), p, pool.Shares{Moved: base.Moved},
 		t.Health(p.From, now), t.Health(p.To, now), now)
-	var wrong *mover.Fault
+	var wrong *mover.PlanError
 	if errors.As(err, &wrong) {
 		return nil, fault(wrong.Key, "%s", wrong.Reason)
 	}
 	if err == nil {
-		m.Sign(s.By, s.Note)
+		m.SetAuthor(s.By, s.Note)
 	}
 	return m, err
 }
 
-// holder is the pool that has most of the flows now.
-func (a *Actor) holder(set *pool.Set, base pool.Shares) string {
+// largestPool is the pool that has most of the flows now.
+func (a *Controller) largestPool(set *pool.Set, base pool.Shares) string {
 	share := map[string]float64{}
 	best := ""
 	for _, d := range set.Definitions() {
@@ -488,7 +488,7 @@
 	return best
 }
 
-func (s StartWish) plan(p mover.Plan) (mover.Plan, error) {
+func (s StartRequest) plan(p mover.Plan) (mover.Plan, error) {
 	p.From, p.To = s.From, s.To
 	if s.Steps != nil {
 		if p.Steps = s.Steps; len(s.Steps) > 0 {
@@ -524,17 +524,17 @@
 	return p, nil
 }
 
-func (a *Actor) status() Status {
-	_, leads := a.Store.Leads()
+func (a *Controller) status() Status {
+	_, leads := a.Store.Leadership()
 	s := Status{Node: a.Name, Leads: leads, Leader: a.Store.Leader(), Version: a.record.Version}
 	if a.record.State != "" {
 		r := a.record
-		s.Move, s.Evidence = &r, r.Level()
+		s.Move, s.Evidence = &r, r.EvidenceLevel()
 	}
 	now := time.Now()
-	for name, h := range a.heard {
-		s.Nodes = append(s.Nodes, NodeStatus{Name: name, Version: h.version, Age: now.Sub(h.at).Seconds(),
-			Behind: h.id != a.record.ID || h.version != a.record.Version})
+	for name, h := range a.reports {
+		s.Nodes = append(s.Nodes, NodeStatus{Name: name, Version: h.version, Age: now.Sub(h.receivedAt).Seconds(),
+			Lagging: h.migration != a.record.ID || h.version != a.record.Version})
 	}
 	slices.SortFunc(s.Nodes, func(x, y NodeStatus) int { return strings.Compare(x.Name, y.Name) })
 	return s
--- a/internal/moves/calls.go
+++ b/internal/moves/calls.go
@@ -12,24 +12,24 @@
 	"standpoint/internal/mover"
 )
 
-const waitMost = 25 * time.Second // for news of a move
+const maxWait = 25 * time.Second // for news of a move
 
-// Calls are what the control interface offers of moves.
-func (a *Actor) Calls() []control.Call {
-	return []control.Call{
-		{Pattern: "GET /v1/pools", Do: func(*http.Request, []byte) (any, error) { return a.Tracker.Members(time.Now()), nil }},
-		{Pattern: "GET /v1/move", Do: a.callStatus},
-		{Pattern: "GET /v1/move/history", Do: a.callHistory},
-		{Pattern: "POST /v1/move/report", Do: a.callReport},
-		{Pattern: "POST /v1/move/{wish}", Do: a.callWish},
+// Routes are what the control interface offers of moves.
+func (a *Controller) Routes() []control.Route {
+	return []control.Route{
+		{Pattern: "GET /v1/pools", Handle: func(*http.Request, []byte) (any, error) { return a.Tracker.Members(time.Now()), nil }},
+		{Pattern: "GET /v1/move", Handle: a.callStatus},
+		{Pattern: "GET /v1/move/history", Handle: a.callHistory},
+		{Pattern: "POST /v1/move/report", Handle: a.callReport},
+		{Pattern: "POST /v1/move/{wish}", Handle: a.callCommand},
 	}
 }
 
-// ask posts a message and waits for its answer.
-func ask[T any](ctx context.Context, a *Actor, done chan T, m any) (T, error) {
+// call posts a message and waits for its answer.
+func call[T any](ctx context.Context, a *Controller, done chan T, m any) (T, error) {
 	var none T
 	select {
-	case a.mail <- m:
+	case a.mailbox <- m:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
@@ -42,7 +42,7 @@
 }
 
 // callStatus answers at once, or, with ?wait=10s, when the move has changed since ?version=, or after that time.
-func (a *Actor) callStatus(r *http.Request, _ []byte) (any, error) {
+func (a *Controller) callStatus(r *http.Request, _ []byte) (any, error) {
 	ctx := r.Context()
 	done := make(chan Status, 1)
 	if text := r.FormValue("wait"); text != "" {
@@ -51,11 +51,11 @@
 			return nil, &control.Error{Code: "bad_request", Key: "wait", Message: fmt.Sprintf("%q is no span such as 10s", text)}
 		}
 		heard := make(chan chan struct{}, 1)
-		changed, err := ask(ctx, a, heard, listen{heard})
+		changed, err := call(ctx, a, heard, changeRequest{heard})
 		if err != nil {
 			return nil, err
 		}
-		timer := time.NewTimer(min(wait, waitMost))
+		timer := time.NewTimer(min(wait, maxWait))
 		defer timer.Stop()
 		select {
 		case <-changed:
@@ -64,10 +64,10 @@
 			return nil, ctx.Err()
 		}
 	}
-	return ask(ctx, a, done, look{done})
+	return call(ctx, a, done, statusRequest{done})
 }
 
-func (a *Actor) callHistory(*http.Request, []byte) (any, error) {
+func (a *Controller) callHistory(*http.Request, []byte) (any, error) {
 	all := []mover.Record{}
 	for _, key := range slices.Backward(a.Store.List(historyPrefix)) {
 		var r mover.Record
@@ -78,22 +78,22 @@
 	return all, nil
 }
 
-func (a *Actor) callReport(r *http.Request, body []byte) (any, error) {
+func (a *Controller) callReport(r *http.Request, body []byte) (any, error) {
 	var reports []Report
 	if err := control.Decode(body, &reports); err != nil {
 		return nil, err
 	}
 	for _, report := range reports {
-		if report.Node == "" || len(report.From.Samples)+len(report.To.Samples) > 2*mover.SamplesMost {
+		if report.Node == "" || len(report.From.Samples)+len(report.To.Samples) > 2*mover.MaxSamples {
 			return nil, &control.Error{Code: "bad_request", Message: "a report without a node, or with too many samples"}
 		}
 	}
-	if _, leads := a.Store.Leads(); !leads {
+	if _, leads := a.Store.Leadership(); !leads {
 		return nil, a.notLeader()
 	}
 	for _, report := range reports {
 		select {
-		case a.mail <- report:
+		case a.mailbox <- report:
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
@@ -101,8 +101,8 @@
 	return struct{}{}, nil
 }
 
-func (a *Actor) callWish(r *http.Request, body []byte) (any, error) {
-	w := wish{name: r.PathValue("wish"), done: make(chan reply, 1)}
+func (a *Controller) callCommand(r *http.Request, body []byte) (any, error) {
+	w := commandRequest{name: r.PathValue("wish"), done: make(chan commandReply, 1)}
 	switch w.name {
 	case "start", "plan":
 		if err := control.Decode(body, &w.start); err != nil {
@@ -112,7 +112,7 @@
 	default:
 		return nil, &control.Error{Status: http.StatusNotFound, Code: "not_found", Message: w.name + " is nothing that a move can do"}
 	}
-	got, err := ask(r.Context(), a, w.done, w)
+	got, err := call(r.Context(), a, w.done, w)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/moves/fuzz_test.go
+++ b/internal/moves/fuzz_test.go
@@ -22,9 +22,9 @@
 	f.Add([]byte(`[{"node":"b"},{"node":"b"}] x`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, m := begun(t)
-		var wish StartWish
+		var wish StartRequest
 		if control.Decode(raw, &wish) == nil {
-			if m, err := a.begin(wish, a.record.Shares); err == nil {
+			if m, err := a.newMachine(wish, a.record.Shares); err == nil {
 				_, _ = json.Marshal(m.Record())
 			}
 		}
@@ -32,10 +32,10 @@
 		if control.Decode(raw, &reports) == nil {
 			for _, r := range reports {
 				r.Move, r.Version, r.Digest = a.record.ID, a.record.Version, a.Tracker.Digest()
-				a.hear(r)
+				a.addReport(r)
 			}
-			m.Observe(time.Unix(2000, 0), a.merge(time.Now()))
-			if len(a.heard) > nodesMost {
+			m.Observe(time.Unix(2000, 0), a.mergeWindow(time.Now()))
+			if len(a.reports) > maxNodes {
 				t.Fatal("more nodes than may report")
 			}
 		}
@@ -54,25 +54,25 @@
 	f.Add([]byte(`{"id":"m","state":"stepping","step":-7}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, _ := begun(t)
-		if _, err := a.Store.Write(t.Context(), store.Op{Key: currentKey, Data: raw, If: store.Any}); err != nil {
+		if _, err := a.Store.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: store.AnyVersion}); err != nil {
 			t.Fatal(err)
 		}
 		a.follow()
 		if pool := a.Tracker.Assign(&standpoint.Request{Session: 1}); pool < 0 || pool > 2 {
 			t.Fatalf("pool %d", pool)
 		}
-		if a.leads() && a.machine != nil {
+		if a.takeLead() && a.machine != nil {
 			a.machine.Observe(time.Unix(2000, 0), mover.Window{Nodes: 1})
 		}
 	})
 }
 
 // begun is an actor with a move that has just begun.
-func begun(t testing.TB) (*Actor, *mover.Machine) {
+func begun(t testing.TB) (*Controller, *mover.Machine) {
 	tr := NewTracker(file(t, nil), zap.NewNop())
 	tell(tr, entry("box-1", "v1"), entry("box-2", "v2"))
 	a := New(Options{Name: "n", Tracker: tr, Store: store.NewMemory(), Plan: func() mover.Plan { return mover.Default() }, Log: zap.NewNop()})
-	m, err := a.begin(StartWish{To: "new"}, a.record.Shares)
+	m, err := a.newMachine(StartRequest{To: "new"}, a.record.Shares)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/moves/golden_test.go
+++ b/internal/moves/golden_test.go
@@ -17,31 +17,31 @@
 	return value, err
 }
 
-var goldenHealth = mover.Health{Boxes: 5, Ready: 4, Size: 3.5, Able: 2.25}
+var goldenHealth = mover.Health{Backends: 5, Ready: 4, Capacity: 3.5, WarmCapacity: 2.25}
 
-var goldenSide = mover.Side{
-	Flows:    30,
-	Asked:    28.5,
-	InTime:   27.25,
-	Refused:  3,
-	Fallen:   2,
-	Attempts: 33,
-	Errors:   1,
-	Samples:  []mover.Sample{{Class: 1, Kind: 2, Unread: 300, Load: 0.5, First: 0.25, Gap: 0.02}},
-	Health:   goldenHealth,
+var goldenSide = mover.PoolWindow{
+	Requests:      30,
+	OfferedWeight: 28.5,
+	OnTimeWeight:  27.25,
+	Rejected:      3,
+	Overflowed:    2,
+	Attempts:      33,
+	Errors:        1,
+	Samples:       []mover.Sample{{Class: 1, Kind: 2, UncachedTokens: 300, Load: 0.5, FirstToken: 0.25, TokenGap: 0.02}},
+	Health:        goldenHealth,
 }
 
 // What a node reports to the one that carries the move on.
 func TestGoldenReport(t *testing.T) {
 	other := goldenSide
-	other.Flows = 31
+	other.Requests = 31
 	golden.RoundTrip(t, "report.json", Report{Node: "n1", Move: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
 		encodeJSON[Report], decodeJSON[Report])
 }
 
 // What an operator's start says.
 func TestGoldenStart(t *testing.T) {
-	golden.RoundTrip(t, "start.json", StartWish{
+	golden.RoundTrip(t, "start.json", StartRequest{
 		From:        "old",
 		To:          "new",
 		Steps:       []float64{0.25, 1},
@@ -54,7 +54,7 @@
 		ReturnEvery: "2s",
 		By:          "staff",
 		Note:        "a release",
-	}, encodeJSON[StartWish], decodeJSON[StartWish])
+	}, encodeJSON[StartRequest], decodeJSON[StartRequest])
 }
 
 // What is shown of a move.
@@ -67,7 +67,7 @@
 		Version:  9,
 		Move:     &record,
 		Evidence: 0.5,
-		Nodes:    []NodeStatus{{Name: "n3", Version: 8, Age: 1.5, Behind: true}},
+		Nodes:    []NodeStatus{{Name: "n3", Version: 8, Age: 1.5, Lagging: true}},
 	}
 	raw, err := encodeJSON(value)
 	if err != nil {
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine.Sign("staff", "a release")
+	machine.SetAuthor("staff", "a release")
 	for i := range 30 {
 		machine.Observe(at.Add(time.Duration(i)*time.Second), mover.Window{From: goldenSide, To: goldenSide, Nodes: 3})
 	}
@@ -91,7 +91,7 @@
 	record.Paused = true
 	record.Reason = "paused"
 	record.Cause = "the new pool is worse"
-	record.Back = 0.75
+	record.ReturnFromShare = 0.75
 	raw, err := encodeJSON(record)
 	if err != nil {
 		t.Fatal(err)
