--- a/internal/moves/story_test.go
+++ b/internal/moves/story_test.go
@@ -32,10 +32,10 @@
 )
 
 // file is an operator's with two pools.
-func file(t testing.TB, edit func(*config.Operator)) *config.Operator {
+func file(t testing.TB, edit func(*config.OperatorFile)) *config.OperatorFile {
 	plan := mover.Default()
 	plan.Steps, plan.Trickle, plan.Warm, plan.Hold, plan.Samples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
-	cfg := &config.Operator{Plan: plan}
+	cfg := &config.OperatorFile{MigrationPlan: plan}
 	cfg.Settings.Classes = []standpoint.Class{{Streamed: true, TTFTAim: int64(time.Second), TPOTAim: int64(50 * time.Millisecond), Worth: 2}}
 	cfg.Names.Kinds = []string{"fast"}
 	var all []pool.Definition
@@ -67,7 +67,7 @@
 
 // one is a node of a story: an actor with its tracker, control interface, and traffic of its own.
 type one struct {
-	*Actor
+	*Controller
 	keys    store.Store
 	server  *control.Server
 	client  *control.Client
@@ -117,27 +117,27 @@
 			Result: node.Result{Code: standpoint.Served, Tokens: 50, Report: &standpoint.Report{Slots: 0.3}}}
 		if r.Pool == 2 && n.errors.Load() {
 			o.First, o.Own, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
-			n.Tracker.Ended(o)
-			n.Tracker.Refused(r)
+			n.Tracker.Finished(o)
+			n.Tracker.Rejected(r)
 			continue
 		}
-		n.Tracker.Ended(o)
+		n.Tracker.Finished(o)
 	}
 }
 
 const secret = "a token of the members"
 
 // begin starts a node over a store.
-func begin(t testing.TB, name string, keys store.Store, peers map[string]string, listen string, cfg *config.Operator) *one {
+func begin(t testing.TB, name string, keys store.Store, peers map[string]string, listen string, cfg *config.OperatorFile) *one {
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte(secret), 0o600))
 	tr := NewTracker(cfg, zap.NewNop())
 	tell(tr, entry("box-1", "v1"), entry("box-2", "v2"))
 	n := &one{keys: keys, stopped: make(chan struct{})}
-	n.Actor = New(Options{Name: name, Tracker: tr, Store: keys, Peers: peers, Plan: func() mover.Plan { return cfg.Plan },
+	n.Controller = New(Options{Name: name, Tracker: tr, Store: keys, Peers: peers, Plan: func() mover.Plan { return cfg.MigrationPlan },
 		Token: func() string { return secret }, Window: window, Live: 2 * time.Second, Log: zap.NewNop()})
 	var err error
-	n.server, err = control.Listen(listen, token, n.Calls(), zap.NewNop())
+	n.server, err = control.Listen(listen, token, n.Routes(), zap.NewNop())
 	require.NoError(t, err)
 	n.client = control.NewClient(n.server.Address(), secret)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -157,7 +157,7 @@
 	return n
 }
 
-func alone(t testing.TB, cfg *config.Operator) *one {
+func alone(t testing.TB, cfg *config.OperatorFile) *one {
 	return begin(t, "n1", store.NewMemory(), nil, "127.0.0.1:0", cfg)
 }
 
@@ -178,7 +178,7 @@
 	}
 	var all []*one
 	for i := range 3 {
-		keys, err := store.OpenRaft(store.RaftOptions{ID: members[i].ID, Listener: raft[i], Members: members, LogTo: io.Discard, Heartbeat: 300 * time.Millisecond})
+		keys, err := store.OpenRaft(store.RaftOptions{ID: members[i].ID, Listener: raft[i], Members: members, LogOutput: io.Discard, HeartbeatTimeout: 300 * time.Millisecond})
 		require.NoError(t, err)
 		require.NoError(t, front[i].Close())
 		n := begin(t, members[i].ID, keys, peers, peers[members[i].ID], file(t, nil))
@@ -200,7 +200,7 @@
 			if n == nil {
 				continue
 			}
-			if _, ok := n.keys.Leads(); ok {
+			if _, ok := n.keys.Leadership(); ok {
 				leader = i
 				return true
 			}
@@ -210,7 +210,7 @@
 	return leader
 }
 
-func (n *one) start(t testing.TB, w StartWish) mover.Record {
+func (n *one) start(t testing.TB, w StartRequest) mover.Record {
 	var r mover.Record
 	require.Eventually(t, func() bool { // a leader may just have been elected
 		return n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", w, &r) == nil
@@ -236,7 +236,7 @@
 	all := group(t)
 	leader := leading(t, all)
 	witness := all[(leader+1)%3]
-	witness.start(t, StartWish{From: "old", To: "new"})
+	witness.start(t, StartRequest{From: "old", To: "new"})
 	witness.reaches(t, func(s Status) bool { return s.Move.Step >= 0 && s.Move.State == mover.Holding })
 	before := witness.status(t).Move
 	all[leader].kill()
@@ -268,7 +268,7 @@
 	all := group(t)
 	leader := leading(t, all)
 	n, cut := all[leader], all[(leader+1)%3]
-	n.start(t, StartWish{To: "new"})
+	n.start(t, StartRequest{To: "new"})
 	n.reaches(t, func(s Status) bool { return s.Move.Step == 0 && s.Move.State == mover.Holding && len(s.Nodes) == 3 })
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/pause", struct{}{}, nil))
 	require.Eventually(t, func() bool { return cut.share() > 0.2 && cut.share() < 0.3 }, patient, window)
@@ -285,8 +285,8 @@
 // The recorded step is in force wherever it is read: the mover may have died before it applied what it wrote.
 func TestARestartedNodeTakesUpTheRecordedStep(t *testing.T) {
 	cfg := file(t, nil)
-	healthy := mover.Health{Boxes: 1, Ready: 1, Size: 1, Able: 1}
-	p := cfg.Plan
+	healthy := mover.Health{Backends: 1, Ready: 1, Capacity: 1, WarmCapacity: 1}
+	p := cfg.MigrationPlan
 	p.From, p.To = "old", "new"
 	m, err := mover.Start("m-9", p, pool.Shares{}, healthy, healthy, time.Now())
 	require.NoError(t, err)
@@ -295,7 +295,7 @@
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
 	keys := store.NewMemory()
-	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw, If: 0})
+	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: 0})
 	require.NoError(t, err)
 	n := begin(t, "n1", keys, nil, "127.0.0.1:0", cfg)
 	require.Eventually(t, func() bool { s := n.share(); return s > 0.45 && s < 0.55 }, patient, time.Millisecond)
@@ -310,13 +310,13 @@
 	members := []store.Member{{ID: "n1", Address: l.Addr().String()}}
 	dir := t.TempDir()
 	open := func(l net.Listener) *store.Raft {
-		keys, err := store.OpenRaft(store.RaftOptions{ID: "n1", Listener: l, Listen: members[0].Address, Dir: dir, Members: members, LogTo: io.Discard,
-			Heartbeat: 300 * time.Millisecond})
+		keys, err := store.OpenRaft(store.RaftOptions{ID: "n1", Listener: l, ListenAddress: members[0].Address, Dir: dir, Members: members, LogOutput: io.Discard,
+			HeartbeatTimeout: 300 * time.Millisecond})
 		require.NoError(t, err)
 		return keys
 	}
 	keys := open(l)
-	require.Eventually(t, func() bool { _, ok := keys.Leads(); return ok }, patient, 5*time.Millisecond)
+	require.Eventually(t, func() bool { _, ok := keys.Leadership(); return ok }, patient, 5*time.Millisecond)
 	raw, err := json.Marshal(mover.Record{ID: "m-1", State: mover.Done, Shares: pool.Shares{Moved: map[string]string{"old": "new"}}, Version: 9})
 	require.NoError(t, err)
 	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw})
@@ -325,16 +325,16 @@
 	keys = open(nil)
 	defer keys.Close()
 	tr := NewTracker(file(t, nil), zap.NewNop())
-	New(Options{Name: "n1", Tracker: tr, Store: keys, Log: zap.NewNop()}).Await(t.Context(), patient)
+	New(Options{Name: "n1", Tracker: tr, Store: keys, Log: zap.NewNop()}).AwaitStore(t.Context(), patient)
 	require.Equal(t, 2, tr.Assign(&standpoint.Request{Session: 1}))
 }
 
 func TestAWorsePoolIsLeftAndTheHistorySaysWhy(t *testing.T) {
 	n := alone(t, file(t, nil))
-	first := n.start(t, StartWish{To: "new", By: "operator", Note: "build 118"})
+	first := n.start(t, StartRequest{To: "new", By: "operator", Note: "build 118"})
 	require.Equal(t, "old", first.Plan.From, "the pool that has the flows")
 	var refused *control.Error
-	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartWish{To: "new"}, nil), &refused)
+	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &refused)
 	require.Equal(t, "move_running", refused.Code)
 	require.Contains(t, refused.Message, first.ID)
 	n.reaches(t, func(s Status) bool { return s.Move.Step == 1 && s.Move.State == mover.Holding })
@@ -343,7 +343,7 @@
 	require.Zero(t, n.share())
 	require.NotEmpty(t, s.Move.Cause)
 	n.errors.Store(false)
-	n.start(t, StartWish{To: "new", Steps: []float64{0.5, 1}, Hold: "2s"})
+	n.start(t, StartRequest{To: "new", Steps: []float64{0.5, 1}, Hold: "2s"})
 	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
 	require.Equal(t, 1.0, n.share())
 	var history []mover.Record
@@ -352,7 +352,7 @@
 	require.Equal(t, []mover.State{mover.Done, mover.Undone}, []mover.State{history[0].State, history[1].State})
 	require.Equal(t, "build 118", history[1].Note)
 	// And back again, as a move of its own: the pool that has the flows now is the new one.
-	back := n.start(t, StartWish{To: "old", Hold: "2s"})
+	back := n.start(t, StartRequest{To: "old", Hold: "2s"})
 	require.Equal(t, "new", back.Plan.From)
 	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
 	require.Zero(t, n.share())
@@ -364,11 +364,11 @@
 		path, code, key string
 		body            any
 	}{
-		{"start", "bad_plan", "to", StartWish{To: "green"}},
-		{"start", "bad_plan", "from", StartWish{From: "blue", To: "new"}},
-		{"plan", "bad_plan", "steps[1]", StartWish{To: "new", Steps: []float64{0.5, 0.2}}},
-		{"start", "bad_plan", "hold", StartWish{To: "new", Hold: "soon"}},
-		{"start", "bad_plan", "on_worse", StartWish{To: "new", OnWorse: "pray"}},
+		{"start", "bad_plan", "to", StartRequest{To: "green"}},
+		{"start", "bad_plan", "from", StartRequest{From: "blue", To: "new"}},
+		{"plan", "bad_plan", "steps[1]", StartRequest{To: "new", Steps: []float64{0.5, 0.2}}},
+		{"start", "bad_plan", "hold", StartRequest{To: "new", Hold: "soon"}},
+		{"start", "bad_plan", "on_worse", StartRequest{To: "new", OnWorse: "pray"}},
 		{"start", "bad_request", "", map[string]any{"too": "new"}},
 		{"undo", "no_move", "", struct{}{}},
 		{"dance", "not_found", "", struct{}{}},
@@ -379,28 +379,28 @@
 		require.Equal(t, c.key, e.Key, "%v", c)
 	}
 	var planned mover.Record
-	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/plan", StartWish{To: "new"}, &planned))
+	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/plan", StartRequest{To: "new"}, &planned))
 	require.Equal(t, mover.Planned, planned.State)
 	require.Nil(t, n.status(t).Move, "a plan starts nothing")
 	tell(n.Tracker, entry("box-1", "v1"))
 	var e *control.Error
-	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartWish{To: "new"}, nil), &e)
+	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &e)
 	require.Contains(t, e.Message, "no box that is ready")
 }
 
 // A changed file mid-move: pools of the move cannot go; boxes that a changed selector places elsewhere are, at once.
 func TestAChangedFileInTheMiddleOfAMove(t *testing.T) {
 	n := alone(t, file(t, nil))
-	n.start(t, StartWish{To: "new"})
+	n.start(t, StartRequest{To: "new"})
 	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Holding })
-	without := file(t, func(cfg *config.Operator) {
+	without := file(t, func(cfg *config.OperatorFile) {
 		s, err := pool.Parse(`true`)
 		require.NoError(t, err)
 		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Select: s}})
 		require.NoError(t, err)
 	})
 	require.ErrorContains(t, n.Tracker.Check(without), `pool: "new" cannot be taken away while move m-`)
-	wider := file(t, func(cfg *config.Operator) {
+	wider := file(t, func(cfg *config.OperatorFile) {
 		a, err := pool.Parse(`version == "v1"`)
 		require.NoError(t, err)
 		b, err := pool.Parse(`version in ["v2", "v3"]`)
@@ -413,8 +413,8 @@
 	tell(n.Tracker, entry("box-1", "v1"), entry("box-2", "v2"), entry("box-3", "v3"), entry("box-4", "v9"))
 	members := n.Tracker.Members(time.Now())
 	require.Len(t, members, 3)
-	require.Equal(t, []string{"box-2", "box-3"}, []string{members[1].Boxes[0].Name, members[1].Boxes[1].Name})
-	require.Equal(t, "box-4", members[2].Boxes[0].Name)
+	require.Equal(t, []string{"box-2", "box-3"}, []string{members[1].Backends[0].Name, members[1].Backends[1].Name})
+	require.Equal(t, "box-4", members[2].Backends[0].Name)
 	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
 	require.NoError(t, n.Tracker.Check(without), "the move is over")
 }
@@ -422,7 +422,7 @@
 // Nodes whose files differ in their pools do not carry a move on together.
 func TestNodesWithOtherPoolsHoldTheMove(t *testing.T) {
 	n := alone(t, file(t, nil))
-	n.start(t, StartWish{To: "new"})
+	n.start(t, StartRequest{To: "new"})
 	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Holding && s.Move.Step == 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	told := make(chan struct{})
@@ -448,7 +448,7 @@
 	tr.Sent(&standpoint.Request{Pool: 2}, "box-1", 1) // a second attempt goes where it may
 	tr.Sent(&standpoint.Request{Pool: 2}, "box-2", 0)
 	members := tr.Members(time.Now())
-	require.Equal(t, []int64{0, 1}, []int64{members[0].FellOver, members[1].FellOver})
+	require.Equal(t, []int64{0, 1}, []int64{members[0].Overflowed, members[1].Overflowed})
 	// Cold boxes count by their warmth, draining ones not at all.
 	cold := entry("box-2", "v2")
 	now := time.Now()
@@ -456,7 +456,7 @@
 	draining := entry("box-3", "v2")
 	draining.State = standpoint.Draining
 	tell(tr, entry("box-1", "v1"), cold, draining)
-	require.Equal(t, mover.Health{Boxes: 2, Ready: 1, Size: 1, Able: 0.13}, tr.Health("new", now))
+	require.Equal(t, mover.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13}, tr.Health("new", now))
 }
 
 // Two that both think they lead write under the version that they saw last: one of the two writes counts, and the
@@ -465,12 +465,12 @@
 	keys := store.NewMemory() // whose every user leads
 	first := begin(t, "n1", keys, nil, "127.0.0.1:0", file(t, nil))
 	second := begin(t, "n2", keys, nil, "127.0.0.1:0", file(t, nil))
-	first.start(t, StartWish{To: "new"})
+	first.start(t, StartRequest{To: "new"})
 	shares, step := map[uint64]float64{}, -1
 	second.reaches(t, func(s Status) bool {
 		var r mover.Record
 		require.NoError(t, json.Unmarshal(keys.Get(currentKey).Data, &r))
-		if share, ok := shares[r.Version]; ok && !r.State.Over() {
+		if share, ok := shares[r.Version]; ok && !r.State.Terminal() {
 			require.Equal(t, share, r.Shares.Share, "version %d", r.Version)
 		}
 		shares[r.Version] = r.Shares.Share
@@ -487,7 +487,7 @@
 	gone := entry("box-1", "v1")
 	gone.State = standpoint.Gone
 	tell(tr, gone, entry("box-1", "v1"), entry("box-2", "v2"))
-	require.Len(t, tr.Members(time.Now())[1].Boxes, 1)
+	require.Len(t, tr.Members(time.Now())[1].Backends, 1)
 }
 
 // What comes late from the process before is not held for or against the box that was started anew under its name.
@@ -499,10 +499,10 @@
 	tell(tr, entry("box-1", "v1"), again)
 	tr.Follow(mover.Record{ID: "m", State: mover.Holding, Plan: mover.Plan{From: "old", To: "new"}})
 	for i, sent := range []time.Time{now.Add(-time.Second), now.Add(time.Second)} {
-		tr.Ended(node.Observation{Request: &standpoint.Request{Pool: 2}, Server: "box-2", Sent: sent,
+		tr.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Server: "box-2", Sent: sent,
 			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{Slots: 0.9}}})
-		_, to := tr.Take(now)
+		_, to := tr.TakeWindow(now)
 		require.Equal(t, i, to.Errors)
-		require.Equal(t, 0.9*float64(i), tr.boxes["box-2"].load)
+		require.Equal(t, 0.9*float64(i), tr.backends["box-2"].load)
 	}
 }
--- a/internal/moves/tracker.go
+++ b/internal/moves/tracker.go
@@ -28,44 +28,44 @@
 	log   *zap.Logger
 	table atomic.Pointer[pool.Table]
 
-	mu       sync.Mutex
-	set      *pool.Set
-	names    config.Names
-	classes  []standpoint.Class
-	plan     mover.Plan
-	boxes    map[string]*boxState // by name; as many as endpoints
-	followed mover.Record         // whose pools are counted; State "" for none
-	from, to int
-	sides    [2]mover.Side
-	seen     [2]int // samples that came, for an even choice among them
-	fallen   map[int]int64
-	told     string // the last warning about placing
+	mu          sync.Mutex
+	set         *pool.Set
+	names       config.Names
+	classes     []standpoint.Class
+	plan        mover.Plan
+	backends    map[string]*backendState // by name; as many as endpoints
+	followed    mover.Record             // whose pools are counted; State "" for none
+	from, to    int
+	counters    [2]mover.PoolWindow
+	samplesSeen [2]int // samples that came, for an even choice among them
+	overflowed  map[int]int64
+	lastWarning string // the last warning about placing
 }
 
-// boxState is what the tracker knows of a real server.
-type boxState struct {
-	box     pool.Box
-	pool    int
-	also    []string
-	state   standpoint.State
-	readyAt int64
-	load    float64 // of its slots, as last reported
+// backendState is what the tracker knows of a real server.
+type backendState struct {
+	description pool.Box
+	pool        int
+	alsoFits    []string
+	state       standpoint.State
+	readyAt     int64
+	load        float64 // of its slots, as last reported
 }
 
 // NewTracker makes the tracker of an operator's pools.
-func NewTracker(cfg *config.Operator, log *zap.Logger) *Tracker {
-	t := &Tracker{log: log, boxes: map[string]*boxState{}, fallen: map[int]int64{}}
+func NewTracker(cfg *config.OperatorFile, log *zap.Logger) *Tracker {
+	t := &Tracker{log: log, backends: map[string]*backendState{}, overflowed: map[int]int64{}}
 	t.adopt(cfg)
 	t.table.Store(t.set.Bind(pool.Shares{}))
 	return t
 }
 
-func (t *Tracker) adopt(cfg *config.Operator) {
-	t.set, t.names, t.classes, t.plan = cfg.PoolSet, cfg.Names, cfg.Settings.Classes, cfg.Plan
+func (t *Tracker) adopt(cfg *config.OperatorFile) {
+	t.set, t.names, t.classes, t.plan = cfg.PoolSet, cfg.Names, cfg.Settings.Classes, cfg.MigrationPlan
 }
 
 // Adjust takes on a changed file. The entries must be told again after it, to be placed anew.
-func (t *Tracker) Adjust(cfg *config.Operator) {
+func (t *Tracker) Adjust(cfg *config.OperatorFile) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.adopt(cfg)
@@ -91,20 +91,20 @@
 func (t *Tracker) Place(e *node.Endpoint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	b := t.boxes[e.Name]
+	b := t.backends[e.Name]
 	if b == nil {
-		b = &boxState{}
-		t.boxes[e.Name] = b
+		b = &backendState{}
+		t.backends[e.Name] = b
 	}
-	b.box = pool.Box{Name: e.Name, Address: e.Address, Site: nameOf(t.names.Zones, e.Zone), Kind: nameOf(t.names.Kinds, e.Kind),
+	b.description = pool.Box{Name: e.Name, Address: e.Address, Site: nameOf(t.names.Zones, e.Zone), Kind: nameOf(t.names.Kinds, e.Kind),
 		Mode: "stream", Cell: e.Cell, Size: e.Size, Labels: e.Labels}
 	if e.Batch {
-		b.box.Mode = "batch"
+		b.description.Mode = "batch"
 	}
 	if e.State == standpoint.Gone && e.Address == "" && b.pool != 0 {
 		return b.pool // a withdrawal need not tell the labels again
 	}
-	b.pool, b.also = t.set.Place(b.box)
+	b.pool, b.alsoFits = t.set.Place(b.description)
 	return b.pool
 }
 
@@ -126,13 +126,13 @@
 	for _, e := range l.Entries {
 		listed[e.Name] = true
 		if e.State == standpoint.Gone {
-			delete(t.boxes, e.Name)
-		} else if b := t.boxes[e.Name]; b != nil { // nil: the same list has it as gone too
+			delete(t.backends, e.Name)
+		} else if b := t.backends[e.Name]; b != nil { // nil: the same list has it as gone too
 			b.state, b.readyAt = e.State, e.ReadyAt
 		}
 	}
 	if l.Kind == standpoint.ListFull {
-		maps.DeleteFunc(t.boxes, func(name string, _ *boxState) bool { return !listed[name] })
+		maps.DeleteFunc(t.backends, func(name string, _ *backendState) bool { return !listed[name] })
 	}
 	t.warn()
 }
@@ -140,21 +140,21 @@
 // warn names the entries that are in no pool, or would be in several, when that has changed.
 func (t *Tracker) warn() {
 	var none, several []string
-	for name, b := range t.boxes {
+	for name, b := range t.backends {
 		switch {
 		case b.pool == 0:
 			none = append(none, name)
-		case len(b.also) > 0:
-			several = append(several, fmt.Sprintf("%s (%s; also %s)", name, t.set.Name(b.pool), strings.Join(b.also, ", ")))
+		case len(b.alsoFits) > 0:
+			several = append(several, fmt.Sprintf("%s (%s; also %s)", name, t.set.Name(b.pool), strings.Join(b.alsoFits, ", ")))
 		}
 	}
 	slices.Sort(none)
 	slices.Sort(several)
 	said := fmt.Sprint(none, several)
-	if said == t.told {
+	if said == t.lastWarning {
 		return
 	}
-	t.told = said
+	t.lastWarning = said
 	if len(none) > 0 {
 		t.log.Warn("endpoints in no pool get only what no pool can take", zap.Strings("entries", none))
 	}
@@ -175,32 +175,32 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if b := t.boxes[server]; b != nil && b.pool != r.Pool {
-		t.fallen[r.Pool]++
-		if s := t.side(r.Pool); s != nil {
-			s.Fallen++
+	if b := t.backends[server]; b != nil && b.pool != r.Pool {
+		t.overflowed[r.Pool]++
+		if s := t.countersOf(r.Pool); s != nil {
+			s.Overflowed++
 		}
 	}
 }
 
-// side is what is counted for a pool, nil if it takes no part in the move that is followed.
-func (t *Tracker) side(number int) *mover.Side {
+// countersOf is what is counted for a pool, nil if it takes no part in the move that is followed.
+func (t *Tracker) countersOf(number int) *mover.PoolWindow {
 	switch {
 	case number == 0 || t.from == 0:
 		return nil
 	case number == t.from:
-		return &t.sides[0]
+		return &t.counters[0]
 	case number == t.to:
-		return &t.sides[1]
+		return &t.counters[1]
 	}
 	return nil
 }
 
-// Ended implements node.Pools.
-func (t *Tracker) Ended(o node.Observation) {
+// Finished implements node.Pools.
+func (t *Tracker) Finished(o node.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	b := t.boxes[o.Server]
+	b := t.backends[o.Server]
 	if b != nil && b.readyAt > clock.Of(o.Sent) {
 		b = nil // it went to the process before, and says nothing of this one
 	}
@@ -218,32 +218,32 @@
 	}
 	served := o.Result.Code == standpoint.Served
 	if ran >= 0 && o.Result.Code != standpoint.NotSent {
-		t.sides[ran].Attempts++
+		t.counters[ran].Attempts++
 		// A box that is full is busy, not broken; what its clients lose by that counts as worth not in time.
 		if !served && o.Result.Code != standpoint.TurnedAway {
-			t.sides[ran].Errors++
+			t.counters[ran].Errors++
 		}
 	}
 	if served && ran >= 0 {
 		t.sample(ran, b, &o)
 	}
 	if served || o.First > 0 { // whole, or begun and broken: the flow's one final answer
-		t.flow(o.Request, served && t.inTime(&o))
+		t.countRequest(o.Request, served && t.inTime(&o))
 	}
 }
 
-// Refused implements node.Pools.
-func (t *Tracker) Refused(r *standpoint.Request) {
+// Rejected implements node.Pools.
+func (t *Tracker) Rejected(r *standpoint.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.side(r.Pool); s != nil {
-		s.Refused++
+	if s := t.countersOf(r.Pool); s != nil {
+		s.Rejected++
 	}
-	t.flow(r, false)
+	t.countRequest(r, false)
 }
 
-func (t *Tracker) flow(r *standpoint.Request, inTime bool) {
-	s := t.side(r.Pool)
+func (t *Tracker) countRequest(r *standpoint.Request, inTime bool) {
+	s := t.countersOf(r.Pool)
 	if s == nil {
 		return
 	}
@@ -251,10 +251,10 @@
 	if r.Class >= 0 && r.Class < len(t.classes) {
 		worth = max(t.classes[r.Class].Worth, 1e-3)
 	}
-	s.Flows++
-	s.Asked += worth
+	s.Requests++
+	s.OfferedWeight += worth
 	if inTime {
-		s.InTime += worth
+		s.OnTimeWeight += worth
 	}
 }
 
@@ -268,12 +268,12 @@
 	if c.TTFTAim > 0 && float64(o.First) > float64(c.TTFTAim)+float64(c.AimPer1000)*r.PromptTokens/1000 {
 		return false
 	}
-	gap := gapOf(o)
+	gap := tokenGap(o)
 	return c.TPOTAim <= 0 || gap*1e9 <= float64(c.TPOTAim)
 }
 
-// gapOf is the seconds a token of an answer took after the first; 0 where its length is not told.
-func gapOf(o *node.Observation) float64 {
+// tokenGap is the seconds a token of an answer took after the first; 0 where its length is not told.
+func tokenGap(o *node.Observation) float64 {
 	if o.Result.Tokens < 2 || o.Request.Again {
 		return 0
 	}
@@ -281,19 +281,19 @@
 }
 
 // sample keeps the answer among at most mover.SamplesMost of the window, each as likely as the others.
-func (t *Tracker) sample(ran int, b *boxState, o *node.Observation) {
+func (t *Tracker) sample(ran int, b *backendState, o *node.Observation) {
 	r := o.Request
 	kind := -1
-	if i := slices.Index(t.names.Kinds, b.box.Kind); i >= 0 {
+	if i := slices.Index(t.names.Kinds, b.description.Kind); i >= 0 {
 		kind = i
 	}
-	s := mover.Sample{Class: r.Class, Kind: kind, Unread: max(0, r.PromptTokens-o.Result.Kept), Load: b.load,
-		First: o.Own.Seconds(), Gap: gapOf(o)}
-	side := &t.sides[ran]
-	t.seen[ran]++
-	if len(side.Samples) < mover.SamplesMost {
+	s := mover.Sample{Class: r.Class, Kind: kind, UncachedTokens: max(0, r.PromptTokens-o.Result.Kept), Load: b.load,
+		FirstToken: o.Own.Seconds(), TokenGap: tokenGap(o)}
+	side := &t.counters[ran]
+	t.samplesSeen[ran]++
+	if len(side.Samples) < mover.MaxSamples {
 		side.Samples = append(side.Samples, s)
-	} else if i := rand.IntN(t.seen[ran]); i < mover.SamplesMost {
+	} else if i := rand.IntN(t.samplesSeen[ran]); i < mover.MaxSamples {
 		side.Samples[i] = s
 	}
 }
@@ -303,7 +303,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.ID != t.followed.ID {
-		t.sides, t.seen = [2]mover.Side{}, [2]int{}
+		t.counters, t.samplesSeen = [2]mover.PoolWindow{}, [2]int{}
 	}
 	t.followed = r
 	t.bind()
@@ -313,19 +313,19 @@
 	r := t.followed
 	t.table.Store(t.set.Bind(r.Shares))
 	t.from, t.to = 0, 0
-	if r.State != "" && !r.State.Over() {
+	if r.State != "" && !r.State.Terminal() {
 		if from, to := t.set.Number(r.Plan.From), t.set.Number(r.Plan.To); from != 0 && to != 0 {
 			t.from, t.to = from, to
 		}
 	}
 }
 
-// Take hands out what was counted since it was last called, with the pools' health.
-func (t *Tracker) Take(now time.Time) (from, to mover.Side) {
+// TakeWindow hands out what was counted since it was last called, with the pools' health.
+func (t *Tracker) TakeWindow(now time.Time) (from, to mover.PoolWindow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	from, to = t.sides[0], t.sides[1]
-	t.sides, t.seen = [2]mover.Side{}, [2]int{}
+	from, to = t.counters[0], t.counters[1]
+	t.counters, t.samplesSeen = [2]mover.PoolWindow{}, [2]int{}
 	from.Health, to.Health = t.health(t.from, now), t.health(t.to, now)
 	return from, to
 }
@@ -339,32 +339,32 @@
 
 func (t *Tracker) health(number int, now time.Time) mover.Health {
 	var h mover.Health
-	for _, b := range t.boxes {
+	for _, b := range t.backends {
 		if b.pool != number || number == 0 {
 			continue
 		}
-		h.Boxes++
+		h.Backends++
 		if b.state != standpoint.Ready {
 			continue
 		}
 		h.Ready++
-		h.Size += b.box.Size
+		h.Capacity += b.description.Size
 		warm := 1.0
 		if b.readyAt > 0 {
-			warm = t.plan.Warmth(now.Sub(clock.Time(b.readyAt)))
+			warm = t.plan.WarmFraction(now.Sub(clock.Time(b.readyAt)))
 		}
-		h.Able += b.box.Size * warm
+		h.WarmCapacity += b.description.Size * warm
 	}
 	return h
 }
 
 // Members says who is in which pool.
 type Members struct {
-	Pool     string   `json:"pool"` // "" for those in none
-	Select   string   `json:"select,omitempty"`
-	Share    float64  `json:"share"` // of the file
-	Boxes    []Member `json:"boxes"`
-	FellOver int64    `json:"fell_over"` // flows that went to another pool, nothing being fit in theirs
+	Pool       string   `json:"pool"` // "" for those in none
+	Select     string   `json:"select,omitempty"`
+	Share      float64  `json:"share"` // of the file
+	Backends   []Member `json:"boxes"`
+	Overflowed int64    `json:"fell_over"` // flows that went to another pool, nothing being fit in theirs
 }
 
 // Member is a real server in a pool.
@@ -381,32 +381,32 @@
 	defer t.mu.Unlock()
 	all := make([]Members, t.set.Len()+1)
 	for i, d := range t.set.Definitions() {
-		all[i] = Members{Pool: d.Name, Select: d.Select.String(), Share: d.Share, FellOver: t.fallen[i+1]}
+		all[i] = Members{Pool: d.Name, Select: d.Select.String(), Share: d.Share, Overflowed: t.overflowed[i+1]}
 	}
-	for _, name := range slices.Sorted(maps.Keys(t.boxes)) {
-		b := t.boxes[name]
+	for _, name := range slices.Sorted(maps.Keys(t.backends)) {
+		b := t.backends[name]
 		at := len(all) - 1
 		if b.pool > 0 && b.pool <= t.set.Len() {
 			at = b.pool - 1
 		}
-		m := Member{Name: name, State: [...]string{"ready", "draining", "gone"}[b.state], Warmth: 1, AlsoFit: b.also}
+		m := Member{Name: name, State: [...]string{"ready", "draining", "gone"}[b.state], Warmth: 1, AlsoFit: b.alsoFits}
 		if b.readyAt > 0 {
-			m.Warmth = t.plan.Warmth(now.Sub(clock.Time(b.readyAt)))
+			m.Warmth = t.plan.WarmFraction(now.Sub(clock.Time(b.readyAt)))
 		}
-		all[at].Boxes = append(all[at].Boxes, m)
+		all[at].Backends = append(all[at].Backends, m)
 	}
-	if len(all[len(all)-1].Boxes) == 0 {
+	if len(all[len(all)-1].Backends) == 0 {
 		all = all[:len(all)-1]
 	}
 	return all
 }
 
 // Check tells whether a changed file can be taken on now: a move under way must keep its pools.
-func (t *Tracker) Check(cfg *config.Operator) error {
+func (t *Tracker) Check(cfg *config.OperatorFile) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.followed
-	if r.State == "" || r.State.Over() {
+	if r.State == "" || r.State.Terminal() {
 		return nil
 	}
 	for _, name := range []string{r.Plan.From, r.Plan.To} {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -52,10 +52,10 @@
 	Assign(r *standpoint.Request) int
 	// Sent tells of an attempt.
 	Sent(r *standpoint.Request, server string, leg int)
-	// Ended tells how an attempt ended.
-	Ended(o Observation)
-	// Refused tells that a request was rejected or failed by the module.
-	Refused(r *standpoint.Request)
+	// Finished tells how an attempt ended.
+	Finished(o Observation)
+	// Rejected tells that a request was rejected or failed by the module.
+	Rejected(r *standpoint.Request)
 }
 
 // Fleet is what the nodes of an installation share, as the core needs it. Admit and Settle are called by whoever serves a
@@ -126,10 +126,10 @@
 	MaxRequests int
 	Servers     Backends
 	Entries     Entries
-	Pools       Pools            // nil: none
-	Fleet       Fleet            // nil: this node shares nothing
-	Peers       Peers            // nil: the module's messages to other nodes go nowhere
-	Figures     *figures.Figures // nil: none
+	Pools       Pools             // nil: none
+	Fleet       Fleet             // nil: this node shares nothing
+	Peers       Peers             // nil: the module's messages to other nodes go nowhere
+	Metrics     *figures.Counters // nil: none
 	Log         *zap.Logger
 }
 
@@ -291,14 +291,14 @@
 func (c *Core) count(f *Request, a Answer, err error) {
 	switch {
 	case err != nil || a.Kind == Rejected:
-		c.Figures.Ended(f.Spec.Class, figures.Busy)
+		c.Metrics.CountRequest(f.Spec.Class, figures.Rejected)
 	case a.Kind == Served:
-		c.Figures.Ended(f.Spec.Class, figures.Success)
+		c.Metrics.CountRequest(f.Spec.Class, figures.Succeeded)
 	case a.Kind != ClientGone && a.Kind != Moved: // one that moved ends, and is counted, elsewhere
 		if a.Unsent {
-			c.Figures.FailedUnsent(figures.GivenUp)
+			c.Metrics.CountFailedUnsent(figures.Abandoned)
 		}
-		c.Figures.Ended(f.Spec.Class, figures.Failure)
+		c.Metrics.CountRequest(f.Spec.Class, figures.Failed)
 	}
 }
 
@@ -365,7 +365,7 @@
 	for c.step(ctx, alarm) {
 		if now := c.clock(); now-c.census >= int64(censusEvery) {
 			c.census = now
-			c.Figures.Servers(c.router.Census())
+			c.Metrics.SetBackends(c.router.Census())
 		}
 	}
 }
@@ -474,7 +474,7 @@
 	case ended:
 		m.a.out = false
 		if c.Pools != nil {
-			c.Pools.Ended(m.observation())
+			c.Pools.Finished(m.observation())
 		}
 		if c.Fleet != nil {
 			c.Fleet.Ended(m.observation())
@@ -544,7 +544,7 @@
 			answer.Unsent = len(f.attempts) == 0
 			// At once; one that an attempt claimed a moment ago goes on with its stream.
 			if f.settle(answer) && c.Pools != nil {
-				c.Pools.Refused(&f.Spec)
+				c.Pools.Rejected(&f.Spec)
 			}
 			c.forget(f)
 		}
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -157,8 +157,8 @@
 func (noPools) Place(*Endpoint) int                   { return 0 }
 func (noPools) Listed(List)                           {}
 func (noPools) Sent(*standpoint.Request, string, int) {}
-func (noPools) Ended(Observation)                     {}
-func (noPools) Refused(*standpoint.Request)           {}
+func (noPools) Finished(Observation)                  {}
+func (noPools) Rejected(*standpoint.Request)          {}
 func (n noted) Assign(*standpoint.Request) int        { <-n.let; n.note <- "request"; return 0 }
 func (n noted) Update(List)                           { n.note <- "list" }
 func (noted) Send(a *Attempt) bool                    { return false }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -16,30 +16,30 @@
 
 // Version is one version of the document.
 type Version struct {
-	Number uint64    `json:"number"` // from 1
-	Author string    `json:"author"`
-	Note   string    `json:"note,omitempty"`
-	At     time.Time `json:"at"`
-	Text   string    `json:"text,omitempty"`
-	Back   uint64    `json:"back,omitempty"` // the version whose text this one brings back
+	Number     uint64    `json:"number"` // from 1
+	Author     string    `json:"author"`
+	Note       string    `json:"note,omitempty"`
+	CreatedAt  time.Time `json:"at"`
+	Text       string    `json:"text,omitempty"`
+	RollbackTo uint64    `json:"back,omitempty"` // the version whose text this one brings back
 }
 
 // Bounds.
 const (
-	TextMost  = 256 << 10 // bytes of a document
-	NoteMost  = 1000
-	KeptMost  = 200 // versions
-	depthMost = 8
+	MaxDocumentBytes = 256 << 10 // bytes of a document
+	MaxNoteBytes     = 1000
+	MaxVersions      = 200 // versions
+	maxDepth         = 8
 )
 
-// local are the sections, and keys of sections, that stay in a node's own file.
-var local = map[string]bool{"name": true, "listen": true, "seed": true, "limits": true, "log": true, "control": true, "metrics": true, "nodes": true,
+// nodeLocalKeys are the sections, and keys of sections, that stay in a node's own file.
+var nodeLocalKeys = map[string]bool{"name": true, "listen": true, "seed": true, "limits": true, "log": true, "control": true, "metrics": true, "nodes": true,
 	"store": true, "module.ordinal": true, "module.zone": true, "module.nodes": true}
 
 // Parse reads a document, and refuses keys that are a node's own.
 func Parse(text string) (map[string]any, error) {
-	if len(text) > TextMost {
-		return nil, fmt.Errorf("the document has %d bytes, %d at most", len(text), TextMost)
+	if len(text) > MaxDocumentBytes {
+		return nil, fmt.Errorf("the document has %d bytes, %d at most", len(text), MaxDocumentBytes)
 	}
 	doc := map[string]any{}
 	if _, err := toml.Decode(text, &doc); err != nil {
@@ -49,7 +49,7 @@
 		top, rest, _ := strings.Cut(key, ".")
 		top, _, _ = strings.Cut(top, "[")
 		second, _, _ := strings.Cut(rest, ".")
-		if local[top] || local[top+"."+second] {
+		if nodeLocalKeys[top] || nodeLocalKeys[top+"."+second] {
 			return nil, fmt.Errorf("%s: this stays in each node's own file", key)
 		}
 	}
@@ -65,9 +65,9 @@
 	return b.String(), err
 }
 
-// Over is a node's own file with the shared document over it: a section of the document stands in for the file's, key by
+// Merge is a node's own file with the shared document over it: a section of the document stands in for the file's, key by
 // key; lists of sections, such as [[class]], are taken whole.
-func Over(own, shared string) (string, error) {
+func Merge(own, shared string) (string, error) {
 	base := map[string]any{}
 	if _, err := toml.Decode(own, &base); err != nil {
 		return "", err
@@ -76,15 +76,15 @@
 	if err != nil {
 		return "", err
 	}
-	lay(base, doc)
+	overlay(base, doc)
 	return Format(base)
 }
 
-func lay(base, over map[string]any) {
+func overlay(base, over map[string]any) {
 	for k, v := range over {
 		if section, ok := v.(map[string]any); ok {
 			if under, ok := base[k].(map[string]any); ok {
-				lay(under, section)
+				overlay(under, section)
 				continue
 			}
 		}
@@ -92,13 +92,13 @@
 	}
 }
 
-// Shared is the part of a node's file that may be shared: what a first document is made of.
-func Shared(own string) (string, error) {
+// ExtractShared is the part of a node's file that may be shared: what a first document is made of.
+func ExtractShared(own string) (string, error) {
 	doc := map[string]any{}
 	if _, err := toml.Decode(own, &doc); err != nil {
 		return "", err
 	}
-	for k := range local {
+	for k := range nodeLocalKeys {
 		section, key, nested := strings.Cut(k, ".")
 		if !nested {
 			delete(doc, k)
@@ -117,7 +117,7 @@
 }
 
 func flatten(v any, path string, depth int, each func(path string, v any)) {
-	if depth > depthMost {
+	if depth > maxDepth {
 		return
 	}
 	switch v := v.(type) {
@@ -183,17 +183,17 @@
 	return fmt.Sprint(v)
 }
 
-// step is one part of a path: a key, or a place in a list.
-type step struct {
+// pathSegment is one part of a path: a key, or a place in a list.
+type pathSegment struct {
 	key   string
 	index int // -1: none
 }
 
-func steps(path string) ([]step, error) {
-	var all []step
+func parsePath(path string) ([]pathSegment, error) {
+	var all []pathSegment
 	for _, part := range strings.Split(path, ".") {
 		name, rest, indexed := strings.Cut(part, "[")
-		s := step{name, -1}
+		s := pathSegment{name, -1}
 		if indexed {
 			n, err := strconv.Atoi(strings.TrimSuffix(rest, "]"))
 			if err != nil || n < 0 || !strings.HasSuffix(rest, "]") {
@@ -206,7 +206,7 @@
 		}
 		all = append(all, s)
 	}
-	if len(all) > depthMost {
+	if len(all) > maxDepth {
 		return nil, fmt.Errorf("%s: too deep", path)
 	}
 	return all, nil
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	all, err := steps(path)
+	all, err := parsePath(path)
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 	if err != nil {
 		return "", err
 	}
-	all, err := steps(path)
+	all, err := parsePath(path)
 	if err != nil {
 		return "", err
 	}
@@ -315,8 +315,8 @@
 	return out, err
 }
 
-// Same tells whether two documents say the same.
-func Same(a, b string) bool {
+// Equal tells whether two documents say the same.
+func Equal(a, b string) bool {
 	x, errA := Parse(a)
 	y, errB := Parse(b)
 	return errA == nil && errB == nil && reflect.DeepEqual(x, y)
@@ -325,16 +325,16 @@
 // ErrStale is given for a change that was made to a version which is no longer the latest.
 var ErrStale = errors.New("the configuration has changed meanwhile")
 
-// Next is the version that follows.
-func Next(latest, base uint64, v Version) (Version, error) {
+// NextVersion is the version that follows.
+func NextVersion(latest, base uint64, v Version) (Version, error) {
 	if base != latest {
 		return v, fmt.Errorf("%w: version %d is the latest, the change is to %d", ErrStale, latest, base)
 	}
 	if strings.TrimSpace(v.Author) == "" {
 		return v, errors.New("author: missing")
 	}
-	if len(v.Note) > NoteMost || len(v.Author) > NoteMost {
-		return v, fmt.Errorf("note, author: %d bytes at most", NoteMost)
+	if len(v.Note) > MaxNoteBytes || len(v.Author) > MaxNoteBytes {
+		return v, fmt.Errorf("note, author: %d bytes at most", MaxNoteBytes)
 	}
 	if _, err := Parse(v.Text); err != nil {
 		return v, err
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -21,13 +21,13 @@
 
 func TestOver(t *testing.T) {
 	own := "name = \"node-1\"\nlisten = \"127.0.0.1:1\"\n[module]\nzone = \"b\"\nmax_attempts = 2\n[[class]]\nname = \"old\"\n[move]\nfloor = 0.8\n"
-	text, err := Over(own, document+"[module]\nmax_attempts = 3\n")
+	text, err := Merge(own, document+"[module]\nmax_attempts = 3\n")
 	require.NoError(t, err)
 	for _, want := range []string{`name = "node-1"`, `zone = "b"`, "max_attempts = 3", `floor = 0.8`, `hold = "20s"`, `name = "import"`} {
 		require.Contains(t, text, want)
 	}
 	require.NotContains(t, text, `"old"`, "lists are taken whole")
-	shared, err := Shared(own)
+	shared, err := ExtractShared(own)
 	require.NoError(t, err)
 	require.NotContains(t, shared, "node-1")
 	require.NotContains(t, shared, "zone")
@@ -68,15 +68,15 @@
 }
 
 func TestNext(t *testing.T) {
-	_, err := Next(4, 3, Version{Author: "a", Text: document})
+	_, err := NextVersion(4, 3, Version{Author: "a", Text: document})
 	require.ErrorIs(t, err, ErrStale)
-	_, err = Next(4, 4, Version{Text: document})
+	_, err = NextVersion(4, 4, Version{Text: document})
 	require.ErrorContains(t, err, "author")
-	_, err = Next(4, 4, Version{Author: "a", Text: "name = \"x\"\n"})
+	_, err = NextVersion(4, 4, Version{Author: "a", Text: "name = \"x\"\n"})
 	require.ErrorContains(t, err, "name:")
-	_, err = Next(4, 4, Version{Author: "a", Text: strings.Repeat("#", TextMost+1)})
+	_, err = NextVersion(4, 4, Version{Author: "a", Text: strings.Repeat("#", MaxDocumentBytes+1)})
 	require.ErrorContains(t, err, "bytes")
-	v, err := Next(4, 4, Version{Author: "a", Text: document})
+	v, err := NextVersion(4, 4, Version{Author: "a", Text: document})
 	require.NoError(t, err)
 	require.EqualValues(t, 5, v.Number)
 }
@@ -94,11 +94,11 @@
 			t.Fatal(err)
 		}
 		again, err := Set(text, path, value)
-		if err != nil || !Same(text, again) {
+		if err != nil || !Equal(text, again) {
 			t.Fatalf("set twice differs: %v", err)
 		}
 		lines, err := Diff(document, text)
-		if err != nil || (len(lines) == 0) != Same(document, text) {
+		if err != nil || (len(lines) == 0) != Equal(document, text) {
 			t.Fatalf("%v, %v", lines, err)
 		}
 	})
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -21,7 +21,7 @@
 		if _, err := Parse(text); err != nil {
 			return
 		}
-		over, err := Over(own, text)
+		over, err := Merge(own, text)
 		if err != nil {
 			return
 		}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,7 +13,7 @@
 
 // A version as the store has it and the control interface shows it.
 func TestGoldenVersion(t *testing.T) {
-	v := Version{Number: 12, Author: "asel", Note: "night classes", At: time.Date(2026, 12, 2, 3, 4, 5, 6, time.UTC), Text: document, Back: 7}
+	v := Version{Number: 12, Author: "asel", Note: "night classes", CreatedAt: time.Date(2026, 12, 2, 3, 4, 5, 6, time.UTC), Text: document, RollbackTo: 7}
 	golden.RoundTrip(t, "version.json", v, func(v Version) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v Version, err error) {
 		return v, json.Unmarshal(raw, &v)
 	})
@@ -51,10 +51,10 @@
 
 // A node's file with the document over it, what of the file may be shared, and how a document and its paths are written.
 func TestGoldenDocuments(t *testing.T) {
-	over, err := Over(nodeFile, document+"[module]\nmax_attempts = 3\n")
+	over, err := Merge(nodeFile, document+"[module]\nmax_attempts = 3\n")
 	require.NoError(t, err)
 	golden.Bytes(t, "over.toml", []byte(over))
-	shared, err := Shared(nodeFile)
+	shared, err := ExtractShared(nodeFile)
 	require.NoError(t, err)
 	golden.Bytes(t, "shared.toml", []byte(shared))
 	set, err := Set(document, "class[2].name", "night")
@@ -78,7 +78,7 @@
 		require.Error(t, err)
 		lines = append(lines, err.Error())
 	}
-	_, err := Parse(strings.Repeat("#", TextMost+1))
+	_, err := Parse(strings.Repeat("#", MaxDocumentBytes+1))
 	add(err)
 	for _, key := range []string{"name = \"x\"", "store.kind = \"raft\"", "[module]\nzone = \"a\""} {
 		_, err = Parse(key)
@@ -96,11 +96,11 @@
 	}
 	_, err = Get(document, "class[4].name")
 	add(err)
-	_, err = Next(4, 3, Version{Author: "a", Text: document})
+	_, err = NextVersion(4, 3, Version{Author: "a", Text: document})
 	add(err)
-	_, err = Next(4, 4, Version{Text: document})
+	_, err = NextVersion(4, 4, Version{Text: document})
 	add(err)
-	_, err = Next(4, 4, Version{Author: "a", Note: strings.Repeat("n", NoteMost+1)})
+	_, err = NextVersion(4, 4, Version{Author: "a", Note: strings.Repeat("n", MaxNoteBytes+1)})
 	add(err)
 	add(ErrStale)
 	golden.Bytes(t, "errors.txt", []byte(strings.Join(lines, "\n")+"\n"))
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -17,7 +17,7 @@
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var at atomic.Uint64
-		m := machine{newKeys(), &at}
+		m := stateMachine{newKeyspace(), &at}
 		m.Apply(&raft.Log{Index: 1, Data: raw})
 		if at.Load() != 1 {
 			t.Fatal("an entry that was passed over")
@@ -26,7 +26,7 @@
 		if m.Restore(io.NopCloser(bytes.NewReader(raw))) != nil && m.version != before {
 			t.Fatal("a snapshot that cannot be read has changed the keys")
 		}
-		w := m.Apply(&raft.Log{Index: 2, Data: []byte(`[{"key":"z","data":"MQ==","if":18446744073709551615}]`)}).(written)
+		w := m.Apply(&raft.Log{Index: 2, Data: []byte(`[{"key":"z","data":"MQ==","if":18446744073709551615}]`)}).(applyResult)
 		if w.err != nil || string(m.Get("z").Data) != "1" {
 			t.Fatal("the keys take nothing any more")
 		}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -30,28 +30,28 @@
 
 // An entry of the replicated log, and the state that a snapshot holds.
 func TestGoldenEntryAndSnapshot(t *testing.T) {
-	ops := []Op{{Key: "move/current", Data: []byte("a record"), If: 7}}
+	ops := []Op{{Key: "move/current", Data: []byte("a record"), ExpectedVersion: 7}}
 	roundTrip(t, "entry.json", ops)
-	roundTrip(t, "snapshot.json", image{Version: 9, Applied: 12, Values: map[string]Value{"config/shared": {Data: []byte("a document"), Version: 8}}})
+	roundTrip(t, "snapshot.json", snapshotImage{Version: 9, Applied: 12, Values: map[string]Value{"config/shared": {Data: []byte("a document"), Version: 8}}})
 
 	var at atomic.Uint64
-	m := machine{newKeys(), &at}
+	m := stateMachine{newKeyspace(), &at}
 	require.NoError(t, m.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, "snapshot.json", nil)))))
 	require.Equal(t, Value{Data: []byte("a document"), Version: 8}, m.Get("config/shared"))
 	require.EqualValues(t, 12, at.Load())
 	taken, err := m.Snapshot()
 	require.NoError(t, err)
-	golden.Bytes(t, "snapshot.json", taken.(snapshot))
-	done := m.Apply(&raft.Log{Index: 13, Data: []byte(`[{"key":"config/shared","data":"YW5vdGhlcg==","if":8}]`)}).(written)
+	golden.Bytes(t, "snapshot.json", taken.(encodedSnapshot))
+	done := m.Apply(&raft.Log{Index: 13, Data: []byte(`[{"key":"config/shared","data":"YW5vdGhlcg==","if":8}]`)}).(applyResult)
 	require.NoError(t, done.err)
 	require.Equal(t, Value{Data: []byte("another"), Version: 10}, m.Get("config/shared"))
-	done = m.Apply(&raft.Log{Index: 14, Data: golden.Read(t, "entry.json", nil)}).(written)
+	done = m.Apply(&raft.Log{Index: 14, Data: golden.Read(t, "entry.json", nil)}).(applyResult)
 	require.ErrorIs(t, done.err, ErrConflict)
 }
 
 // What is deleted, and a key's first writing, as the log has them.
 func TestGoldenDeletion(t *testing.T) {
-	raw, err := json.Marshal([]Op{{Key: "a", If: Any}, {Key: "b", Data: []byte{}}})
+	raw, err := json.Marshal([]Op{{Key: "a", ExpectedVersion: AnyVersion}, {Key: "b", Data: []byte{}}})
 	require.NoError(t, err)
 	golden.Bytes(t, "deletion.json", raw)
 }
@@ -62,7 +62,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	r, err := OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir,
-		LogTo: io.Discard, Heartbeat: 100 * time.Millisecond})
+		LogOutput: io.Discard, HeartbeatTimeout: 100 * time.Millisecond})
 	require.NoError(t, err)
 	return r
 }
@@ -76,7 +76,7 @@
 	_, err := r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("1")}, Op{Key: "gone", Data: []byte("x")})
 	require.NoError(t, err)
 	require.NoError(t, r.raft.Snapshot().Error())
-	_, err = r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("2"), If: 1}, Op{Key: "gone", If: Any})
+	_, err = r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("2"), ExpectedVersion: 1}, Op{Key: "gone", ExpectedVersion: AnyVersion})
 	require.NoError(t, err)
 	require.NoError(t, r.Close())
 	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
@@ -95,7 +95,7 @@
 	require.True(t, r.CaughtUp())
 	require.Equal(t, []string{"settings/current"}, r.List(""))
 	require.Equal(t, Value{Data: []byte("2"), Version: 2}, r.Get("settings/current"))
-	version, err := r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("3"), If: 2})
+	version, err := r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("3"), ExpectedVersion: 2})
 	require.NoError(t, err)
 	require.EqualValues(t, 3, version)
 	require.NoError(t, r.Close())
@@ -111,16 +111,16 @@
 // Texts that operators and clients get.
 func TestGoldenErrorTexts(t *testing.T) {
 	m := NewMemory()
-	_, err := m.Write(t.Context(), Op{Key: "a/key", Data: []byte("1"), If: 4})
+	_, err := m.Write(t.Context(), Op{Key: "a/key", Data: []byte("1"), ExpectedVersion: 4})
 	lines := []string{ErrConflict.Error(), ErrNotLeader.Error(), err.Error()}
 	var at atomic.Uint64
-	lines = append(lines, machine{newKeys(), &at}.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(written).err.Error(),
-		machine{newKeys(), &at}.Restore(io.NopCloser(strings.NewReader("["))).Error())
+	lines = append(lines, stateMachine{newKeyspace(), &at}.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(applyResult).err.Error(),
+		stateMachine{newKeyspace(), &at}.Restore(io.NopCloser(strings.NewReader("["))).Error())
 	dir := t.TempDir()
 	r := openGolden(t, dir)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir, LogTo: io.Discard})
+	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir, LogOutput: io.Discard})
 	require.Error(t, err)
 	lines = append(lines, strings.ReplaceAll(err.Error(), dir, "DIR"))
 	require.NoError(t, r.Close())
@@ -128,11 +128,11 @@
 	require.NoError(t, os.WriteFile(filepath.Join(other, "raft.db"), bytes.Repeat([]byte("x"), 4096), 0o600))
 	listener, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: other, LogTo: io.Discard})
+	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: other, LogOutput: io.Discard})
 	require.Error(t, err)
 	lines = append(lines, strings.ReplaceAll(err.Error(), other, "DIR"))
-	_, err = OpenRaft(RaftOptions{ID: "node-1", Listen: "127.0.0.1:none"})
+	_, err = OpenRaft(RaftOptions{ID: "node-1", ListenAddress: "127.0.0.1:none"})
 	require.Error(t, err)
-	lines = append(lines, err.Error(), readable(func() error { panic("a fault") }).Error())
+	lines = append(lines, err.Error(), recoverFault(func() error { panic("a fault") }).Error())
 	golden.Bytes(t, "errors.txt", fmt.Appendln(nil, strings.Join(slices.Clip(lines), "\n")))
 }
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -20,118 +20,118 @@
 )
 
 const (
-	applyTime     = 5 * time.Second
-	snapshotsKept = 2
-	poolSize      = 3
+	applyTimeout       = 5 * time.Second
+	retainedSnapshots  = 2
+	connectionPoolSize = 3
 )
 
 // Member is one member of the replicated store. ID names it, Address is where the others reach it.
 // Reach, if not "", is where this member reaches it: members behind a relay need not agree on that.
-type Member struct{ ID, Address, Reach string }
+type Member struct{ ID, Address, DialAddress string }
 
 // RaftOptions say which member this is.
 type RaftOptions struct {
-	ID      string
-	Listen  string   // address of this member's listener
-	Dir     string   // "" keeps the log in memory
-	Members []Member // all of them, this one included
+	ID            string
+	ListenAddress string   // address of this member's listener
+	Dir           string   // "" keeps the log in memory
+	Members       []Member // all of them, this one included
 	// Listener, if set, is used in place of a new one at Listen.
-	Listener net.Listener
-	LogTo    io.Writer
-	// Heartbeat shortens the library's timeouts; 0 leaves its defaults.
-	Heartbeat time.Duration
+	Listener  net.Listener
+	LogOutput io.Writer
+	// HeartbeatTimeout shortens the library's timeouts; 0 leaves its defaults.
+	HeartbeatTimeout time.Duration
 }
 
 // Raft replicates the keys among the members of an operator's deployment.
 type Raft struct {
-	*keys
-	raft    *raft.Raft
-	term    atomic.Uint64 // of the leadership under which all earlier entries are known to be applied; 0: none
-	bolt    *boltdb.BoltStore
-	lock    *os.File // held while the folder is this member's
-	bytes   *atomic.Int64
-	done    chan struct{}
-	held    uint64        // the last write on disk at the start
-	applied atomic.Uint64 // the last write that the keys have
+	*keyspace
+	raft             *raft.Raft
+	leaderTerm       atomic.Uint64 // of the leadership under which all earlier entries are known to be applied; 0: none
+	logStore         *boltdb.BoltStore
+	lockFile         *os.File // held while the folder is this member's
+	bytesSent        *atomic.Int64
+	closed           chan struct{}
+	lastIndexAtStart uint64        // the last write on disk at the start
+	appliedIndex     atomic.Uint64 // the last write that the keys have
 }
 
-// counted is a stream layer on a listener that counts what is written, for the cost on record.
-type counted struct {
+// countingStreamLayer is a stream layer on a listener that counts what is written, for the cost on record.
+type countingStreamLayer struct {
 	net.Listener
-	written *atomic.Int64
-	reach   map[string]string // by address, where it is reached in its place
+	bytesWritten  *atomic.Int64
+	dialAddresses map[string]string // by address, where it is reached in its place
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	written *atomic.Int64
+	bytesWritten *atomic.Int64
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.written.Add(int64(n))
+	c.bytesWritten.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Accept() (net.Conn, error) {
+func (c countingStreamLayer) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c.written}, nil
+	return countingConn{conn, c.bytesWritten}, nil
 }
 
-func (c counted) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (c countingStreamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	to := string(address)
-	if r, ok := c.reach[to]; ok {
+	if r, ok := c.dialAddresses[to]; ok {
 		to = r
 	}
 	conn, err := net.DialTimeout("tcp", to, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c.written}, nil
+	return countingConn{conn, c.bytesWritten}, nil
 }
 
 // OpenRaft starts this member.
 func OpenRaft(o RaftOptions) (*Raft, error) {
-	if o.LogTo == nil {
-		o.LogTo = os.Stderr
+	if o.LogOutput == nil {
+		o.LogOutput = os.Stderr
 	}
 	listener := o.Listener
 	if listener == nil {
 		var err error
-		if listener, err = net.Listen("tcp", o.Listen); err != nil {
+		if listener, err = net.Listen("tcp", o.ListenAddress); err != nil {
 			return nil, fmt.Errorf("store.listen: %w", err)
 		}
 	}
-	r := &Raft{keys: newKeys(), bytes: &atomic.Int64{}, done: make(chan struct{})}
+	r := &Raft{keyspace: newKeyspace(), bytesSent: &atomic.Int64{}, closed: make(chan struct{})}
 	reach := map[string]string{}
 	for _, m := range o.Members {
-		if m.Reach != "" {
-			reach[m.Address] = m.Reach
+		if m.DialAddress != "" {
+			reach[m.Address] = m.DialAddress
 		}
 	}
-	transport := raft.NewNetworkTransport(counted{listener, r.bytes, reach}, poolSize, applyTime, o.LogTo)
+	transport := raft.NewNetworkTransport(countingStreamLayer{listener, r.bytesSent, reach}, connectionPoolSize, applyTimeout, o.LogOutput)
 	config := raft.DefaultConfig()
-	config.LocalID, config.LogOutput, config.LogLevel = raft.ServerID(o.ID), o.LogTo, "WARN"
+	config.LocalID, config.LogOutput, config.LogLevel = raft.ServerID(o.ID), o.LogOutput, "WARN"
 	// A move's record is some 10 KB and written every few seconds; the library's own 10,240 entries behind a snapshot
 	// would come to 100 MB.
 	config.SnapshotThreshold, config.TrailingLogs = 2048, 1024
-	if o.Heartbeat > 0 {
-		config.HeartbeatTimeout, config.ElectionTimeout = o.Heartbeat, o.Heartbeat
-		config.LeaderLeaseTimeout = o.Heartbeat / 2
-		config.CommitTimeout = o.Heartbeat / 10
+	if o.HeartbeatTimeout > 0 {
+		config.HeartbeatTimeout, config.ElectionTimeout = o.HeartbeatTimeout, o.HeartbeatTimeout
+		config.LeaderLeaseTimeout = o.HeartbeatTimeout / 2
+		config.CommitTimeout = o.HeartbeatTimeout / 10
 	}
 	var log raft.LogStore = raft.NewInmemStore()
 	stable := log.(raft.StableStore)
 	var snapshots raft.SnapshotStore = raft.NewInmemSnapshotStore()
 	fail := func(err error) (*Raft, error) {
 		_ = transport.Close()
-		if r.bolt != nil {
-			_ = r.bolt.Close()
+		if r.logStore != nil {
+			_ = r.logStore.Close()
 		}
-		_ = r.lock.Close()
+		_ = r.lockFile.Close()
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if o.Dir != "" {
@@ -139,20 +139,20 @@
 			return fail(err)
 		}
 		var err error
-		if r.lock, err = alone(filepath.Join(o.Dir, "lock")); err != nil {
+		if r.lockFile, err = lockDirectory(filepath.Join(o.Dir, "lock")); err != nil {
 			return fail(err)
 		}
 		file := filepath.Join(o.Dir, "raft.db")
-		if err := readable(func() error {
-			if r.bolt, err = boltdb.NewBoltStore(file); err != nil {
+		if err := recoverFault(func() error {
+			if r.logStore, err = boltdb.NewBoltStore(file); err != nil {
 				return err
 			}
-			return readAll(r.bolt)
+			return verifyLog(r.logStore)
 		}); err != nil {
 			return fail(fmt.Errorf("%s: %w", file, err))
 		}
-		log, stable = r.bolt, r.bolt
-		if snapshots, err = raft.NewFileSnapshotStore(o.Dir, snapshotsKept, o.LogTo); err != nil {
+		log, stable = r.logStore, r.logStore
+		if snapshots, err = raft.NewFileSnapshotStore(o.Dir, retainedSnapshots, o.LogOutput); err != nil {
 			return fail(err)
 		}
 	}
@@ -160,11 +160,11 @@
 	if err != nil {
 		return fail(err)
 	}
-	if r.raft, err = raft.NewRaft(config, machine{r.keys, &r.applied}, log, stable, snapshots, transport); err != nil {
+	if r.raft, err = raft.NewRaft(config, stateMachine{r.keyspace, &r.appliedIndex}, log, stable, snapshots, transport); err != nil {
 		return fail(err)
 	}
 	if known {
-		r.held = lastCommand(log, snapshots)
+		r.lastIndexAtStart = lastCommandIndex(log, snapshots)
 	} else {
 		var all raft.Configuration
 		for _, m := range o.Members {
@@ -176,12 +176,12 @@
 			return fail(err)
 		}
 	}
-	go r.follow()
+	go r.trackLeadership()
 	return r, nil
 }
 
-// alone takes a folder for this program. The log's library would wait for another that has it, without a word.
-func alone(path string) (*os.File, error) {
+// lockDirectory takes a folder for this program. The log's library would wait for another that has it, without a word.
+func lockDirectory(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -192,9 +192,9 @@
 	return f, nil
 }
 
-// readable carries a check of the log's file out. Its pages are memory of this program: where the file was cut off or
+// recoverFault carries a check of the log's file out. Its pages are memory of this program: where the file was cut off or
 // written over the library runs into a fault or a panic, which here is an error.
-func readable(check func() error) (err error) {
+func recoverFault(check func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -204,8 +204,8 @@
 	return check()
 }
 
-// readAll reads every entry of a log: what cannot be read is found before anything rests on it.
-func readAll(log raft.LogStore) error {
+// verifyLog reads every entry of a log: what cannot be read is found before anything rests on it.
+func verifyLog(log raft.LogStore) error {
 	first, err := log.FirstIndex()
 	if err != nil {
 		return err
@@ -220,8 +220,8 @@
 	return err
 }
 
-// lastCommand is the index of the last write in the log that no snapshot holds; 0: there is none.
-func lastCommand(log raft.LogStore, snapshots raft.SnapshotStore) uint64 {
+// lastCommandIndex is the index of the last write in the log that no snapshot holds; 0: there is none.
+func lastCommandIndex(log raft.LogStore, snapshots raft.SnapshotStore) uint64 {
 	first, err := log.FirstIndex()
 	if err != nil {
 		return 0
@@ -239,19 +239,19 @@
 	return 0
 }
 
-// follow keeps the term under which this member leads. A new leader leads for its callers only once a
+// trackLeadership keeps the term under which this member leads. A new leader leads for its callers only once a
 // barrier has shown that everything committed before is applied here.
-func (r *Raft) follow() {
+func (r *Raft) trackLeadership() {
 	for {
 		select {
-		case <-r.done:
+		case <-r.closed:
 			return
 		case leads := <-r.raft.LeaderCh():
-			r.term.Store(0)
+			r.leaderTerm.Store(0)
 			for leads && r.raft.State() == raft.Leader {
-				if r.raft.Barrier(applyTime).Error() == nil {
+				if r.raft.Barrier(applyTimeout).Error() == nil {
 					term, _ := strconv.ParseUint(r.raft.Stats()["term"], 10, 64)
-					r.term.Store(term)
+					r.leaderTerm.Store(term)
 					break
 				}
 			}
@@ -259,16 +259,16 @@
 	}
 }
 
-// Leads implements Store.
-func (r *Raft) Leads() (uint64, bool) {
-	term := r.term.Load()
+// Leadership implements Store.
+func (r *Raft) Leadership() (uint64, bool) {
+	term := r.leaderTerm.Load()
 	return term, term != 0 && r.raft.State() == raft.Leader
 }
 
 // CaughtUp tells that a leader is known and that this member has applied at least all that its disk held at its start.
 // A leader that was without this member for long may take seconds to send it anything.
 func (r *Raft) CaughtUp() bool {
-	return r.Leader() != "" && r.applied.Load() >= r.held
+	return r.Leader() != "" && r.appliedIndex.Load() >= r.lastIndexAtStart
 }
 
 // Leader implements Store.
@@ -282,81 +282,81 @@
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	if _, ok := r.Leads(); !ok {
+	if _, ok := r.Leadership(); !ok {
 		return 0, ErrNotLeader
 	}
 	raw, err := json.Marshal(ops)
 	if err != nil {
 		return 0, err
 	}
-	f := r.raft.Apply(raw, applyTime)
+	f := r.raft.Apply(raw, applyTimeout)
 	if err := f.Error(); err != nil {
 		if errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrLeadershipLost) {
 			return 0, fmt.Errorf("%w: %v", ErrNotLeader, err)
 		}
 		return 0, fmt.Errorf("store: %w", err)
 	}
-	done := f.Response().(written)
+	done := f.Response().(applyResult)
 	return done.version, done.err
 }
 
-// Bytes is what this member has written to the others.
-func (r *Raft) Bytes() int64 { return r.bytes.Load() }
+// BytesSent is what this member has written to the others.
+func (r *Raft) BytesSent() int64 { return r.bytesSent.Load() }
 
 // Close stops this member.
 func (r *Raft) Close() error {
-	close(r.done)
+	close(r.closed)
 	err := r.raft.Shutdown().Error()
-	if r.bolt != nil {
-		err = errors.Join(err, r.bolt.Close(), r.lock.Close())
+	if r.logStore != nil {
+		err = errors.Join(err, r.logStore.Close(), r.lockFile.Close())
 	}
 	return err
 }
 
-type written struct {
+type applyResult struct {
 	version uint64
 	err     error
 }
 
-// machine applies committed entries to the keys.
-type machine struct {
-	*keys
-	at *atomic.Uint64
+// stateMachine applies committed entries to the keys.
+type stateMachine struct {
+	*keyspace
+	appliedIndex *atomic.Uint64
 }
 
-func (m machine) Apply(l *raft.Log) any {
-	defer m.at.Store(l.Index)
+func (m stateMachine) Apply(l *raft.Log) any {
+	defer m.appliedIndex.Store(l.Index)
 	var ops []Op
 	if err := json.Unmarshal(l.Data, &ops); err != nil {
-		return written{err: fmt.Errorf("entry %d of the log cannot be read: %w", l.Index, err)}
+		return applyResult{err: fmt.Errorf("entry %d of the log cannot be read: %w", l.Index, err)}
 	}
 	version, err := m.write(ops)
-	return written{version, err}
+	return applyResult{version, err}
 }
 
-func (m machine) Snapshot() (raft.FSMSnapshot, error) {
-	raw, err := m.encode(m.at.Load())
-	return snapshot(raw), err
+func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	raw, err := m.encode(m.appliedIndex.Load())
+	return encodedSnapshot(raw), err
 }
 
-func (m machine) Restore(from io.ReadCloser) error {
+func (m stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	var i image
+	var i snapshotImage
 	if err := json.NewDecoder(from).Decode(&i); err != nil {
 		return fmt.Errorf("the snapshot cannot be read: %w", err)
 	}
 	m.restore(i)
-	m.at.Store(max(m.at.Load(), i.Applied))
+	m.appliedIndex.Store(max(m.appliedIndex.Load(), i.Applied))
 	return nil
 }
 
-type snapshot []byte
+type encodedSnapshot []byte
 
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s encodedSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (snapshot) Release() {}
+func (encodedSnapshot) Release() {}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,8 +19,8 @@
 	ErrNotLeader = errors.New("store: this member does not lead")
 )
 
-// Any stands for whatever version a key has.
-const Any = ^uint64(0)
+// AnyVersion stands for whatever version a key has.
+const AnyVersion = ^uint64(0)
 
 // Value is what a key holds. Versions grow with each write of any key; 0 means that there is no such key.
 type Value struct {
@@ -30,9 +30,9 @@
 
 // Op writes one key, or deletes it where Data is nil, provided that its version is If.
 type Op struct {
-	Key  string `json:"key"`
-	Data []byte `json:"data"`
-	If   uint64 `json:"if"`
+	Key             string `json:"key"`
+	Data            []byte `json:"data"`
+	ExpectedVersion uint64 `json:"if"`
 }
 
 // Store is the interface to the keys.
@@ -42,29 +42,29 @@
 	List(prefix string) []string
 	// Write carries out all ops or none, and returns the version that they gave their keys.
 	Write(ctx context.Context, ops ...Op) (uint64, error)
-	// Leads tells whether this member may write now, and under which term; a new term is a new leader.
-	Leads() (term uint64, ok bool)
+	// Leadership tells whether this member may write now, and under which term; a new term is a new leader.
+	Leadership() (term uint64, ok bool)
 	// Leader is the address of the member that leads, as far as known.
 	Leader() string
 	Close() error
 }
 
-// keys is the state that every member holds.
-type keys struct {
+// keyspace is the state that every member holds.
+type keyspace struct {
 	mu      sync.RWMutex
 	values  map[string]Value
 	version uint64
 }
 
-func newKeys() *keys { return &keys{values: map[string]Value{}} }
+func newKeyspace() *keyspace { return &keyspace{values: map[string]Value{}} }
 
-func (k *keys) Get(key string) Value {
+func (k *keyspace) Get(key string) Value {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.values[key]
 }
 
-func (k *keys) List(prefix string) []string {
+func (k *keyspace) List(prefix string) []string {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	var names []string
@@ -77,11 +77,11 @@
 	return names
 }
 
-func (k *keys) write(ops []Op) (uint64, error) {
+func (k *keyspace) write(ops []Op) (uint64, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, op := range ops {
-		if op.If != Any && k.values[op.Key].Version != op.If {
+		if op.ExpectedVersion != AnyVersion && k.values[op.Key].Version != op.ExpectedVersion {
 			return 0, fmt.Errorf("%w: %s", ErrConflict, op.Key)
 		}
 	}
@@ -96,20 +96,20 @@
 	return k.version, nil
 }
 
-// image is the whole state, for snapshots.
-type image struct {
+// snapshotImage is the whole state, for snapshots.
+type snapshotImage struct {
 	Version uint64           `json:"version"`
 	Applied uint64           `json:"applied,omitempty"` // the replicated log's last write in it
 	Values  map[string]Value `json:"values"`
 }
 
-func (k *keys) encode(applied uint64) ([]byte, error) {
+func (k *keyspace) encode(applied uint64) ([]byte, error) {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
-	return json.Marshal(image{k.version, applied, k.values})
+	return json.Marshal(snapshotImage{k.version, applied, k.values})
 }
 
-func (k *keys) restore(i image) {
+func (k *keyspace) restore(i snapshotImage) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if i.Values == nil {
@@ -119,16 +119,16 @@
 }
 
 // Memory is a store of one member without a disk. It always leads.
-type Memory struct{ *keys }
+type Memory struct{ *keyspace }
 
 // NewMemory makes an empty store.
-func NewMemory() Memory { return Memory{newKeys()} }
+func NewMemory() Memory { return Memory{newKeyspace()} }
 
 // Write implements Store.
 func (m Memory) Write(_ context.Context, ops ...Op) (uint64, error) { return m.write(ops) }
 
-// Leads implements Store.
-func (m Memory) Leads() (uint64, bool) { return 1, true }
+// Leadership implements Store.
+func (m Memory) Leadership() (uint64, bool) { return 1, true }
 
 // Leader implements Store.
 func (m Memory) Leader() string { return "" }
--- a/internal/store/story_test.go
+++ b/internal/store/story_test.go
@@ -19,13 +19,13 @@
 	m := NewMemory()
 	v, err := m.Write(t.Context(), Op{Key: "a", Data: []byte("1")})
 	require.NoError(t, err)
-	_, err = m.Write(t.Context(), Op{Key: "b", Data: []byte("2")}, Op{Key: "a", Data: []byte("3"), If: v + 1})
+	_, err = m.Write(t.Context(), Op{Key: "b", Data: []byte("2")}, Op{Key: "a", Data: []byte("3"), ExpectedVersion: v + 1})
 	require.ErrorIs(t, err, ErrConflict)
 	require.Zero(t, m.Get("b").Version)
-	_, err = m.Write(t.Context(), Op{Key: "a", Data: []byte("3"), If: v})
+	_, err = m.Write(t.Context(), Op{Key: "a", Data: []byte("3"), ExpectedVersion: v})
 	require.NoError(t, err)
 	require.Equal(t, "3", string(m.Get("a").Data))
-	_, err = m.Write(t.Context(), Op{Key: "a", If: Any})
+	_, err = m.Write(t.Context(), Op{Key: "a", ExpectedVersion: AnyVersion})
 	require.NoError(t, err)
 	require.Empty(t, m.List(""))
 }
@@ -42,8 +42,8 @@
 	}
 	var all []*Raft
 	for i, l := range listeners {
-		r, err := OpenRaft(RaftOptions{ID: fmt.Sprint(i), Listener: l, Members: list, Dir: dir(i), LogTo: io.Discard,
-			Heartbeat: 200 * time.Millisecond})
+		r, err := OpenRaft(RaftOptions{ID: fmt.Sprint(i), Listener: l, Members: list, Dir: dir(i), LogOutput: io.Discard,
+			HeartbeatTimeout: 200 * time.Millisecond})
 		require.NoError(t, err)
 		all = append(all, r)
 	}
@@ -56,7 +56,7 @@
 			if m == nil {
 				continue
 			}
-			if _, ok := m.Leads(); ok {
+			if _, ok := m.Leadership(); ok {
 				r, at = m, i
 				return true
 			}
@@ -72,16 +72,16 @@
 	first, at := leader(t, all)
 	v, err := first.Write(t.Context(), Op{Key: "line", Data: []byte("out")})
 	require.NoError(t, err)
-	_, err = all[(at+1)%3].Write(t.Context(), Op{Key: "line", Data: []byte("mine"), If: Any})
+	_, err = all[(at+1)%3].Write(t.Context(), Op{Key: "line", Data: []byte("mine"), ExpectedVersion: AnyVersion})
 	require.ErrorIs(t, err, ErrNotLeader)
-	term, _ := first.Leads()
+	term, _ := first.Leadership()
 	require.NoError(t, first.Close())
 	all[at] = nil
 	second, next := leader(t, all)
-	later, _ := second.Leads()
+	later, _ := second.Leadership()
 	require.Greater(t, later, term)
 	require.Equal(t, Value{[]byte("out"), v}, second.Get("line"), "a leader has all that was committed before it")
-	_, err = second.Write(t.Context(), Op{Key: "line", Data: []byte("done"), If: v})
+	_, err = second.Write(t.Context(), Op{Key: "line", Data: []byte("done"), ExpectedVersion: v})
 	require.NoError(t, err)
 	all[next] = nil
 	require.NoError(t, second.Close())
@@ -107,7 +107,7 @@
 			data := []byte(`{"state":"out","until":1796121600000,"tries":1}`)
 			sum := func() (n int64) {
 				for _, m := range all {
-					n += m.Bytes()
+					n += m.BytesSent()
 				}
 				return n
 			}
@@ -116,7 +116,7 @@
 			idle = sum() - idle
 			before, began := sum(), time.Now()
 			for i := 0; b.Loop(); i++ {
-				_, err := l.Write(b.Context(), Op{Key: fmt.Sprintf("line/%d", i%100), Data: data, If: Any})
+				_, err := l.Write(b.Context(), Op{Key: fmt.Sprintf("line/%d", i%100), Data: data, ExpectedVersion: AnyVersion})
 				require.NoError(b, err)
 			}
 			still := float64(idle) * time.Since(began).Seconds()
@@ -133,18 +133,18 @@
 // entry that cannot be read is named, and is behind it all the same.
 func TestCaughtUpBySnapshot(t *testing.T) {
 	var at, after atomic.Uint64
-	m := machine{newKeys(), &at}
+	m := stateMachine{newKeyspace(), &at}
 	m.Apply(&raft.Log{Index: 7, Data: []byte(`[{"key":"a","data":"MQ==","if":0}]`)})
-	said := m.Apply(&raft.Log{Index: 8, Data: []byte(`[{"key":`)}).(written)
+	said := m.Apply(&raft.Log{Index: 8, Data: []byte(`[{"key":`)}).(applyResult)
 	require.ErrorContains(t, said.err, "entry 8 of the log cannot be read")
 	require.EqualValues(t, 8, at.Load())
 	taken, err := m.Snapshot()
 	require.NoError(t, err)
-	behind := machine{newKeys(), &after}
-	require.NoError(t, behind.Restore(io.NopCloser(bytes.NewReader(taken.(snapshot)))))
+	behind := stateMachine{newKeyspace(), &after}
+	require.NoError(t, behind.Restore(io.NopCloser(bytes.NewReader(taken.(encodedSnapshot)))))
 	require.Equal(t, "1", string(behind.Get("a").Data))
 	require.EqualValues(t, 8, after.Load())
-	require.ErrorContains(t, behind.Restore(io.NopCloser(bytes.NewReader(taken.(snapshot)[:9]))), "the snapshot cannot be read")
+	require.ErrorContains(t, behind.Restore(io.NopCloser(bytes.NewReader(taken.(encodedSnapshot)[:9]))), "the snapshot cannot be read")
 	require.Equal(t, "1", string(behind.Get("a").Data), "what cannot be read changes nothing")
 }
 
@@ -154,8 +154,8 @@
 	open := func(dir string) (*Raft, error) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		return OpenRaft(RaftOptions{ID: "1", Listener: l, Members: []Member{{ID: "1", Address: l.Addr().String()}}, Dir: dir, LogTo: io.Discard,
-			Heartbeat: 100 * time.Millisecond})
+		return OpenRaft(RaftOptions{ID: "1", Listener: l, Members: []Member{{ID: "1", Address: l.Addr().String()}}, Dir: dir, LogOutput: io.Discard,
+			HeartbeatTimeout: 100 * time.Millisecond})
 	}
 	dir := t.TempDir()
 	r, err := open(dir)
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -50,7 +50,7 @@
 	Life    *node.Life
 	Room    *edge.Room
 	Bodies  *node.Shares
-	Figures *figures.Figures
+	Metrics *figures.Counters
 	Server  *http.Server
 	URL     string // of its edge
 	Address string
@@ -140,9 +140,9 @@
 		Batch: backend.BatchOptions{Gather: 30 * time.Millisecond, Lines: 50, Poll: 20 * time.Millisecond,
 			Lost: 500 * time.Millisecond}})
 	n := &Node{Servers: fleet, Life: &node.Life{}, t: t}
-	n.Figures = figures.New(Names.Classes, func() int { return n.Core.Open() })
-	fleet.Wrote = n.Figures.Wrote
-	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Servers: fleet, Entries: noEntries{}, Figures: n.Figures, Log: log})
+	n.Metrics = figures.New(Names.Classes, func() int { return n.Core.Open() })
+	fleet.Wrote = n.Metrics.CountAttempt
+	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Servers: fleet, Entries: noEntries{}, Metrics: n.Metrics, Log: log})
 	n.Tell(entries...)
 	ctx, cancel := context.WithCancel(context.Background())
 	go n.Core.Run(ctx)
@@ -150,13 +150,13 @@
 	require.NoError(t, err)
 	n.Address, n.URL = listener.Addr().String(), "http://"+listener.Addr().String()
 	n.Room = edge.NewRoom(listen(listener), 300, log)
-	n.Room.Figures = n.Figures
+	n.Room.Metrics = n.Metrics
 	n.Bodies = node.NewShares(8<<20, 1)
-	n.Server = edge.NewServer((&edge.Front{Core: n.Core, Life: n.Life, Names: Names, Bodies: n.Bodies, Figures: n.Figures, Log: log}).Handler(), n.Room, log)
+	n.Server = edge.NewServer((&edge.Front{Core: n.Core, Life: n.Life, Names: Names, Bodies: n.Bodies, Metrics: n.Metrics, Log: log}).Handler(), n.Room, log)
 	go func() { _ = n.Server.Serve(n.Room) }()
 	t.Cleanup(func() {
 		// In no story does a node fail requests that it never sent on beyond one in 200.
-		require.LessOrEqual(t, 200*n.Figures.Unsents(figures.GivenUp), n.Figures.Total())
+		require.LessOrEqual(t, 200*n.Metrics.FailedUnsentCount(figures.Abandoned), n.Metrics.RequestTotal())
 		n.Server.Close()
 		cancel()
 	})
