--- a/internal/cli/entries.go
+++ b/internal/cli/entries.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"standpoint/internal/entries"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/find/dnssd"
 	"standpoint/internal/find/lookup"
 )
@@ -21,7 +21,7 @@
 	c.AddCommand(&cobra.Command{Use: "list", Short: "List all entries, those that are left out too", Args: invalidUsageArgs(cobra.NoArgs),
 		Example: "  standpoint entries list --config deploy/operator.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
-			var all []entries.Origin
+			var all []endpoints.Origin
 			if err := o.call(c.Context(), http.MethodGet, "/v1/entries", nil, &all); err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 			})
 		}}, &cobra.Command{Use: "explain NAME", Short: "Say where an entry comes from, and why it is left out if it is", Args: invalidUsageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			var all []entries.Origin
+			var all []endpoints.Origin
 			if err := o.call(c.Context(), http.MethodGet, "/v1/entries", nil, &all); err != nil {
 				return err
 			}
@@ -60,9 +60,9 @@
 			if every < 50*time.Millisecond {
 				return exit{InvalidUsage, fmt.Errorf("--every: %v is shorter than 50ms", every)}
 			}
-			known := map[string]entries.Origin{}
+			known := map[string]endpoints.Origin{}
 			for first := true; ; first = false {
-				var all []entries.Origin
+				var all []endpoints.Origin
 				if err := o.call(c.Context(), http.MethodGet, "/v1/entries", nil, &all); err != nil {
 					if c.Context().Err() != nil {
 						return nil
@@ -87,9 +87,9 @@
 
 // EndpointChange is a line of entries watch.
 type EndpointChange struct {
-	At       time.Time      `json:"at"`
-	Kind     string         `json:"what"` // there, new, changed or gone
-	Endpoint entries.Origin `json:"entry"`
+	At       time.Time        `json:"at"`
+	Kind     string           `json:"what"` // there, new, changed or gone
+	Endpoint endpoints.Origin `json:"entry"`
 }
 
 // String implements fmt.Stringer.
@@ -105,7 +105,7 @@
 }
 
 // endpointChanges compares two lists, and brings known up to date.
-func endpointChanges(known map[string]entries.Origin, all []entries.Origin, first bool) (changes []EndpointChange) {
+func endpointChanges(known map[string]endpoints.Origin, all []endpoints.Origin, first bool) (changes []EndpointChange) {
 	now := time.Now()
 	here := map[string]bool{}
 	for _, e := range all {
@@ -165,21 +165,21 @@
 	return s
 }
 
-func formatState(e entries.Origin) string {
+func formatState(e endpoints.Origin) string {
 	if e.Stale {
 		return e.State + ", stale"
 	}
 	return orDash(e.State)
 }
 
-func formatTTL(e entries.Origin) string {
+func formatTTL(e endpoints.Origin) string {
 	if e.TTL == 0 {
 		return "-"
 	}
 	return (time.Duration(e.TTL) * time.Second).String()
 }
 
-func (o *options) explain(e entries.Origin) {
+func (o *options) explain(e endpoints.Origin) {
 	if e.News == "store" {
 		fmt.Fprintf(o.Out, "%s is as the store last had it; %s has not told since this node started\n", e.Name, e.Server)
 	} else if e.Instance == "" {
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -19,14 +19,14 @@
 
 	"standpoint/internal/control"
 	"standpoint/internal/daemon"
-	"standpoint/internal/entries"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/fleet"
+	"standpoint/internal/fleet/counter"
 	"standpoint/internal/fleet/ledger"
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/tally"
-	"standpoint/internal/fleet/usage"
-	"standpoint/internal/mover"
-	"standpoint/internal/moves"
+	"standpoint/internal/fleet/ledger/replication"
+	"standpoint/internal/fleet/quota"
+	"standpoint/internal/migration"
+	"standpoint/internal/migration/controller"
 	"standpoint/internal/peers"
 	"standpoint/internal/pool"
 	"standpoint/internal/settings"
@@ -86,44 +86,44 @@
 	}
 }
 
-func goldenRecord() mover.Record {
+func goldenRecord() migration.Record {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	r := mover.Record{ID: "m-7", By: "kim", Note: "build 118", State: mover.Holding, Paused: true, Reason: "hold: 4 s more", Step: 1, Version: 9,
-		Plan: mover.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03, Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
-			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000, OnWorse: mover.Return, ReturnSteps: 4,
+	r := migration.Record{ID: "m-7", By: "kim", Note: "build 118", State: migration.Holding, Paused: true, Reason: "hold: 4 s more", Step: 1, Version: 9,
+		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03, Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
+			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000, OnWorse: migration.Return, ReturnSteps: 4,
 			ReturnEvery: 3 * time.Second, ColdShare: 0.17, WarmUp: 25 * time.Second, FallFactor: 4},
 		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
 		Started: at, Changed: at.Add(90 * time.Second),
-		Events:    []mover.Event{{At: at, State: mover.Warming, Share: 0.03, Text: "begun"}, {At: at.Add(30 * time.Second), State: mover.Halted, Share: 0.6, Text: "late"}},
+		Events:    []migration.Event{{At: at, State: migration.Warming, Share: 0.03, Text: "begun"}, {At: at.Add(30 * time.Second), State: migration.Halted, Share: 0.6, Text: "late"}},
 		BaseMoved: map[string]string{"older": "old"}, FromCapacity: 3.5, StateWindows: 41, ShareWindows: 42, StepRequests: [2]int{43, 44}, StepWeight: [2]float64{4.5, 4.6}, ReturnFromShare: 0.47, Cause: "late"}
 	r.LongTerm[0].Bad, r.LongTerm[0].Total = 1.5, 2.5
 	return r
 }
 
-func goldenMove() moves.Status {
+func goldenMove() controller.Status {
 	r := goldenRecord()
-	return moves.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Move: &r, Evidence: 0.25,
-		Nodes: []moves.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Lagging: true}}}
+	return controller.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Move: &r, Evidence: 0.25,
+		Nodes: []controller.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Lagging: true}}}
 }
 
 func goldenFleet() fleet.Status {
 	return fleet.Status{Slot: "node-a", Incarnation: 3, State: "together", SiteState: "trusting", StateAge: 61.5, RateFactor: 0.75, LeaseRemaining: 540, FencingToken: 12, Leader: "127.0.0.1:7001",
 		Peers: []fleet.PeerStatus{{Slot: "node-b", Listed: true, Alive: true, ReportAge: 0.25, Incarnation: 5, Tokens: 700}, {Slot: "node-c", ReportAge: -1}},
-		Budgets: []rights.Usage{{Budget: "tokens/office", Window: 88, Quota: 1001, Spent: 102, BaseQuota: 1003, Lent: 104, Borrowed: 105, Demand: 106.5, Debt: 107, LentTransfers: 8,
+		Budgets: []quota.Usage{{Budget: "tokens/office", Window: 88, Quota: 1001, Spent: 102, BaseQuota: 1003, Lent: 104, Borrowed: 105, Demand: 106.5, Debt: 107, LentTransfers: 8,
 			BorrowedTransfers: 9, FencingToken: 10, LeaseValidFrom: 11, LeaseExpiresAt: 12}},
-		Counters:    map[string]tally.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Reported: 24, Unreported: 25}},
-		LiveMembers: tally.Reading{Lower: 31, Upper: 32, Age: 33, Reported: 34, Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42, DroppedMessages: 43,
+		Counters:    map[string]counter.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Reported: 24, Unreported: 25}},
+		LiveMembers: counter.Reading{Lower: 31, Upper: 32, Age: 33, Reported: 34, Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42, DroppedMessages: 43,
 		Violations: map[string]uint64{"rights": 44}}
 }
 
-func goldenLedger() usage.Status {
-	return usage.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52, Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63, OutputTokens: 64}}, Sources: 53,
+func goldenLedger() replication.Status {
+	return replication.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52, Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63, OutputTokens: 64}}, Sources: 53,
 		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Missing: 58, SyncedSecondsAgo: 5.5, Consistent: true, Corruptions: []string{"000001.seg, byte 16: a checksum that does not fit"}}
 }
 
-func goldenEntries() []entries.Origin {
+func goldenEntries() []endpoints.Origin {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	return []entries.Origin{
+	return []endpoints.Origin{
 		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "push", Address: "127.0.0.1:9001", State: "ready", Started: at,
 			TTL: 75, Until: at.Add(75 * time.Second), Changed: at.Add(time.Second), Looked: at.Add(2 * time.Second), Stale: true},
 		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "poll", Fault: "no SRV record", Changed: at},
@@ -141,7 +141,7 @@
 type fakeDaemon struct {
 	address, token string
 	sent           []string
-	move           moves.Status
+	move           controller.Status
 }
 
 func startFakeDaemon(t *testing.T) *fakeDaemon {
@@ -154,13 +154,13 @@
 	third, back := goldenVersion(3), goldenVersion(2)
 	back.RollbackTo, back.Text = 1, ""
 	s, err := control.Listen("127.0.0.1:0", d.token, []control.Route{
-		{Pattern: "GET /v1/pools", Handle: fixed([]moves.Members{
-			{Pool: "old", Select: `version == "v1"`, Share: 1, Backends: []moves.Member{{Name: "box-1", State: "ready", Warmth: 0.5, AlsoFit: []string{"new", "spare"}}}, Overflowed: 7},
-			{Pool: "new", Backends: []moves.Member{}},
-			{Backends: []moves.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
+		{Pattern: "GET /v1/pools", Handle: fixed([]controller.Members{
+			{Pool: "old", Select: `version == "v1"`, Share: 1, Backends: []controller.Member{{Name: "box-1", State: "ready", Warmth: 0.5, AlsoFit: []string{"new", "spare"}}}, Overflowed: 7},
+			{Pool: "new", Backends: []controller.Member{}},
+			{Backends: []controller.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
 		})},
 		{Pattern: "GET /v1/move", Handle: func(*http.Request, []byte) (any, error) { return d.move, nil }},
-		{Pattern: "GET /v1/move/history", Handle: fixed([]mover.Record{goldenRecord()})},
+		{Pattern: "GET /v1/move/history", Handle: fixed([]migration.Record{goldenRecord()})},
 		{Pattern: "POST /v1/move/{wish}", Handle: func(r *http.Request, body []byte) (any, error) {
 			d.sent = append(d.sent, r.URL.Path+" "+string(body))
 			switch r.PathValue("wish") {
@@ -374,29 +374,29 @@
 	d := startFakeDaemon(t)
 	var text strings.Builder
 	for _, end := range []struct {
-		state  mover.State
+		state  migration.State
 		cause  string
 		wishes string
-	}{{mover.Done, "", mover.Return}, {mover.Undone, "late", mover.Return}, {mover.Undone, "", mover.Return}, {mover.Halted, "late", mover.Stay}} {
+	}{{migration.Done, "", migration.Return}, {migration.Undone, "late", migration.Return}, {migration.Undone, "", migration.Return}, {migration.Halted, "late", migration.Stay}} {
 		r := goldenRecord()
 		r.State, r.Cause, r.Plan.OnWorse = end.state, end.cause, end.wishes
 		d.move.Move = &r
 		out, errs, code := run("move", "watch", "--control", d.address)
 		fmt.Fprintf(&text, "==== move watch, %s: exit %d\n%s%s", end.state, code, out, errs)
 	}
-	d.move = moves.Status{Node: "node-a", Version: 4, Leader: ""}
+	d.move = controller.Status{Node: "node-a", Version: 4, Leader: ""}
 	for _, args := range [][]string{{"move", "watch"}, {"move", "status"}} {
 		out, errs, code := run(append(args, "--control", d.address)...)
 		fmt.Fprintf(&text, "==== %s, none: exit %d\n%s%s", strings.Join(args, " "), code, out, errs)
 	}
 	r := goldenRecord()
-	r.State, r.Paused = mover.Done, false
+	r.State, r.Paused = migration.Done, false
 	d.move.Move = &r
 	out, _, _ := run("move", "status", "--control", d.address)
 	fmt.Fprintf(&text, "==== move status at a node that follows\n%s", out)
 	var plan bytes.Buffer
 	stay := r.Plan
-	stay.OnWorse = mover.Stay
+	stay.OnWorse = migration.Stay
 	writePlan(&plan, stay)
 	fmt.Fprintf(&text, "==== a plan that stays\n%s", plan.String())
 	for _, output := range []string{"text", "json"} {
--- a/internal/cli/ledger.go
+++ b/internal/cli/ledger.go
@@ -12,13 +12,13 @@
 	"github.com/spf13/cobra"
 
 	"standpoint/internal/fleet/ledger"
-	"standpoint/internal/fleet/usage"
+	"standpoint/internal/fleet/ledger/replication"
 )
 
 func (o *options) ledgerCommand() *cobra.Command {
 	c := &cobra.Command{Use: "ledger", Short: "Show what tenants have used, as far as this node knows, and how its ledger stands", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			var s usage.Status
+			var s replication.Status
 			if err := o.call(c.Context(), http.MethodGet, "/v1/ledger", nil, &s); err != nil {
 				return err
 			}
--- a/internal/cli/live.go
+++ b/internal/cli/live.go
@@ -11,8 +11,8 @@
 	"charm.land/lipgloss/v2"
 	"golang.org/x/term"
 
-	"standpoint/internal/mover"
-	"standpoint/internal/moves"
+	"standpoint/internal/migration"
+	"standpoint/internal/migration/controller"
 )
 
 func isTerminal(f *os.File) bool { return term.IsTerminal(int(f.Fd())) }
@@ -25,14 +25,14 @@
 // liveView is the view of a move on a terminal.
 type liveView struct {
 	call         func(method, path string, in, out any) error
-	status       moves.Status
+	status       controller.Status
 	shareHistory []float64
 	note         string
 	err          error
 }
 
 type (
-	statusReceived  moves.Status
+	statusReceived  controller.Status
 	statusFailed    struct{ err error }
 	commandFinished struct{ text string }
 )
@@ -63,7 +63,7 @@
 
 func (m liveView) fetchStatus(path string) tea.Cmd {
 	return func() tea.Msg {
-		var s moves.Status
+		var s controller.Status
 		if err := m.call(http.MethodGet, path, nil, &s); err != nil {
 			return statusFailed{err}
 		}
@@ -84,7 +84,7 @@
 func (m liveView) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case statusReceived:
-		m.status = moves.Status(msg)
+		m.status = controller.Status(msg)
 		if m.status.Move == nil {
 			m.err = exit{Failed, fmt.Errorf("no move was ever started")}
 			return m, tea.Quit
@@ -146,7 +146,7 @@
 	b.WriteString("\n")
 	for _, e := range r.Events[max(0, len(r.Events)-8):] {
 		style := faint
-		if e.State == mover.Halted || e.State == mover.Returning {
+		if e.State == migration.Halted || e.State == migration.Returning {
 			style = warn
 		}
 		b.WriteString(style.Render(fmt.Sprintf("%s  %-9s %5.1f%%  %s", e.At.Format("15:04:05"), e.State, 100*e.Share, e.Text)) + "\n")
--- a/internal/cli/move.go
+++ b/internal/cli/move.go
@@ -14,15 +14,15 @@
 
 	"github.com/spf13/cobra"
 
-	"standpoint/internal/mover"
-	"standpoint/internal/moves"
+	"standpoint/internal/migration"
+	"standpoint/internal/migration/controller"
 )
 
 func (o *options) poolsCommand() *cobra.Command {
 	c := &cobra.Command{Use: "pools", Short: "List the pools and the real servers in them", Args: invalidUsageArgs(cobra.NoArgs),
 		Example: "  standpoint pools --config deploy/operator.toml",
 		RunE: func(c *cobra.Command, _ []string) error {
-			var all []moves.Members
+			var all []controller.Members
 			if err := o.call(c.Context(), http.MethodGet, "/v1/pools", nil, &all); err != nil {
 				return err
 			}
@@ -63,7 +63,7 @@
 		"undo": "Take all traffic back"} {
 		move.AddCommand(&cobra.Command{Use: wish, Short: short, Args: invalidUsageArgs(cobra.NoArgs),
 			RunE: func(c *cobra.Command, _ []string) error {
-				var r mover.Record
+				var r migration.Record
 				if err := o.call(c.Context(), http.MethodPost, "/v1/move/"+wish, struct{}{}, &r); err != nil {
 					return err
 				}
@@ -74,7 +74,7 @@
 }
 
 func (o *options) beginCommand(name, short string) *cobra.Command {
-	var w moves.StartRequest
+	var w controller.StartRequest
 	var follow bool
 	c := &cobra.Command{Use: name, Short: short, Args: invalidUsageArgs(cobra.NoArgs),
 		Example: fmt.Sprintf(`  standpoint move %s --config deploy/operator.toml --to new
@@ -88,7 +88,7 @@
 					w.By = u.Username
 				}
 			}
-			var r mover.Record
+			var r migration.Record
 			if err := o.call(c.Context(), http.MethodPost, "/v1/move/"+name, w, &r); err != nil {
 				return err
 			}
@@ -118,14 +118,14 @@
 	if name == "start" {
 		f.BoolVar(&follow, "watch", false, "go on as move watch does")
 	}
-	_ = c.RegisterFlagCompletionFunc("on-worse", cobra.FixedCompletions([]string{mover.Return, mover.Stay}, cobra.ShellCompDirectiveNoFileComp))
+	_ = c.RegisterFlagCompletionFunc("on-worse", cobra.FixedCompletions([]string{migration.Return, migration.Stay}, cobra.ShellCompDirectiveNoFileComp))
 	return c
 }
 
 func (o *options) statusCommand() *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "Show the move under way, or the last one", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			var s moves.Status
+			var s controller.Status
 			if err := o.call(c.Context(), http.MethodGet, "/v1/move", nil, &s); err != nil {
 				return err
 			}
@@ -136,7 +136,7 @@
 func (o *options) historyCommand() *cobra.Command {
 	return &cobra.Command{Use: "history", Short: "List the moves that are over, the latest first", Args: invalidUsageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
-			var all []mover.Record
+			var all []migration.Record
 			if err := o.call(c.Context(), http.MethodGet, "/v1/move/history", nil, &all); err != nil {
 				return err
 			}
@@ -173,7 +173,7 @@
 	}
 	said := ""
 	for {
-		var s moves.Status
+		var s controller.Status
 		if err := o.call(ctx, http.MethodGet, "/v1/move?wait=1s", nil, &s); err != nil {
 			return err
 		}
@@ -187,21 +187,21 @@
 				return err
 			}
 		}
-		if s.Move.State.Terminal() || s.Move.State == mover.Halted && s.Move.Plan.OnWorse == mover.Stay {
+		if s.Move.State.Terminal() || s.Move.State == migration.Halted && s.Move.Plan.OnWorse == migration.Stay {
 			return exitOf(s.Move)
 		}
 	}
 }
 
 // exitOf is a watched move's exit code.
-func exitOf(r *mover.Record) error {
-	if r.State == mover.Done {
+func exitOf(r *migration.Record) error {
+	if r.State == migration.Done {
 		return nil
 	}
 	return exit{MigrationReverted, fmt.Errorf("the move is %s: %s", r.State, firstNonEmpty(r.Cause, "by the operator"))}
 }
 
-func writePlan(w io.Writer, p mover.Plan) {
+func writePlan(w io.Writer, p migration.Plan) {
 	fmt.Fprintf(w, "from %s to %s, in %v at the least\n", p.From, p.To, p.MinimumDuration())
 	fmt.Fprintf(w, "  warm up   %.1f%% for %v or more\n", 100*p.Trickle, p.Warm)
 	for i, s := range p.Steps {
@@ -209,14 +209,14 @@
 	}
 	fmt.Fprintf(w, "  worse is  under %.0f%% of the old pool's worth in time, first tokens later by %.2f, tokens slower by %.2f,\n"+
 		"            or more than %.1f%% further errors; nothing shorter than %v ends the move\n", 100*p.Floor, p.FirstToken, p.Pace, 100*p.Errors, p.Stall)
-	if p.OnWorse == mover.Return {
+	if p.OnWorse == migration.Return {
 		fmt.Fprintf(w, "  then      traffic goes back in %d steps, one each %v\n", p.ReturnSteps, p.ReturnEvery)
 	} else {
 		fmt.Fprintln(w, "  then      the move stays halted until resume or undo")
 	}
 }
 
-func writeStatus(w io.Writer, s moves.Status) {
+func writeStatus(w io.Writer, s controller.Status) {
 	if s.Move == nil {
 		fmt.Fprintln(w, "no move was ever started")
 		return
@@ -235,7 +235,7 @@
 	}
 }
 
-func writeRecord(w io.Writer, r mover.Record, evidence float64) {
+func writeRecord(w io.Writer, r migration.Record, evidence float64) {
 	paused := ""
 	if r.Paused {
 		paused = ", paused"
--- a/internal/cli/story_test.go
+++ b/internal/cli/story_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/daemon"
-	"standpoint/internal/moves"
+	"standpoint/internal/migration/controller"
 	"standpoint/internal/testpeer"
 )
 
@@ -80,7 +80,7 @@
 		code := Main(t.Context(), append(args, "--config", path), Streams{Out: &out, Err: &errs})
 		return out.String() + errs.String(), code
 	}
-	status := func() (s moves.Status) {
+	status := func() (s controller.Status) {
 		text, code := command("move", "status", "-o", "json")
 		require.Zero(t, code, text)
 		require.NoError(t, json.Unmarshal([]byte(text), &s))
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 )
 
 // FleetSlot is a place in the fleet: a node's name, where this node reaches it, and its weight in what is shared.
@@ -114,15 +114,15 @@
 }
 
 // QuotaBudgets are the budgets as the deciders take them.
-func (o *OperatorFile) QuotaBudgets() ([]*rights.Budget, error) {
+func (o *OperatorFile) QuotaBudgets() ([]*quota.Budget, error) {
 	f := &o.Fleet
 	var longest Duration
 	for _, t := range o.Tools {
 		longest = max(longest, t.ResultTimeout)
 	}
-	var all []*rights.Budget
+	var all []*quota.Budget
 	for i, b := range f.Budgets {
-		r := &rights.Budget{Name: b.Kind + "/" + b.Tenant, Amount: b.Amount, Overdraft: b.Overdraft, Window: time.Duration(b.Window), TransferWindows: b.TransferWindows}
+		r := &quota.Budget{Name: b.Kind + "/" + b.Tenant, Amount: b.Amount, Overdraft: b.Overdraft, Window: time.Duration(b.Window), TransferWindows: b.TransferWindows}
 		if b.Kind == "places" && b.Window > 0 {
 			r.WindowsAhead = int((longest+b.Window-1)/b.Window) + 1
 		}
--- a/internal/config/growth.go
+++ b/internal/config/growth.go
@@ -8,13 +8,13 @@
 
 	"go.uber.org/zap/zapcore"
 
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/pool"
 )
 
 // setMigrationDefaults fills the keys of [move] from the mover's own defaults.
 func (o *OperatorFile) setMigrationDefaults() {
-	d, m := mover.Default(), &o.Migration
+	d, m := migration.Default(), &o.Migration
 	if m.Steps == nil {
 		m.Steps = d.Steps
 	}
@@ -85,12 +85,12 @@
 		return err
 	}
 	m := o.Migration
-	o.MigrationPlan = mover.Plan{Steps: m.Steps, Trickle: m.Trickle, Warm: time.Duration(m.Warm), Hold: time.Duration(m.Hold),
+	o.MigrationPlan = migration.Plan{Steps: m.Steps, Trickle: m.Trickle, Warm: time.Duration(m.Warm), Hold: time.Duration(m.Hold),
 		Samples: m.Samples, Floor: m.Floor, FirstToken: m.FirstToken, Pace: m.Pace, Errors: m.Errors,
 		Stall: time.Duration(m.Stall), Alarm: m.Alarm, OnWorse: m.OnWorse, ReturnSteps: m.ReturnSteps,
 		ReturnEvery: time.Duration(m.ReturnEvery), ColdShare: o.Module.ColdShare, WarmUp: time.Duration(o.Module.WarmUp),
-		FallFactor: mover.Default().FallFactor}
-	var fault *mover.PlanError
+		FallFactor: migration.Default().FallFactor}
+	var fault *migration.PlanError
 	if err := o.MigrationPlan.Check(); errors.As(err, &fault) {
 		section := "move."
 		if fault.Key == "cold_share" || fault.Key == "warm_up" {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -15,7 +15,7 @@
 	"github.com/BurntSushi/toml"
 
 	"standpoint"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/pool"
 	"standpoint/internal/transient"
 )
@@ -247,7 +247,7 @@
 	Names           Names               `toml:"-"`
 	EffectiveLimits Limits              `toml:"-"`
 	PoolSet         *pool.Set           `toml:"-"`
-	MigrationPlan   mover.Plan          `toml:"-"` // without its pools
+	MigrationPlan   migration.Plan      `toml:"-"` // without its pools
 }
 
 // ResolvePath is a file that the operator's file names, relative to the folder where that stands.
--- a/internal/daemon/consolepart.go
+++ b/internal/daemon/consolepart.go
@@ -9,7 +9,7 @@
 
 	"standpoint/internal/console"
 	"standpoint/internal/edge"
-	"standpoint/internal/entries"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/node"
 )
 
@@ -64,7 +64,7 @@
 		}
 		select {
 		case err := <-done:
-			if errors.Is(err, entries.ErrNeverListed) {
+			if errors.Is(err, endpoints.ErrNeverListed) {
 				return console.ErrUnknownBackend
 			}
 			return err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,7 +19,7 @@
 
 	"standpoint/internal/config"
 	"standpoint/internal/edge"
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 	"standpoint/internal/node"
 	"standpoint/internal/settings"
 	"standpoint/internal/transient"
@@ -64,7 +64,7 @@
 		a.log = newLog(d.logging(), a.level)
 	}
 	_, names, _ := d.requestSettings()
-	a.counters = figures.New(names.Classes, func() int { return a.core.Open() })
+	a.counters = metrics.New(names.Classes, func() int { return a.core.Open() })
 	a.joinSiblings()
 	table := platformComponents
 	if d.operator != nil {
--- a/internal/daemon/entriesparts.go
+++ b/internal/daemon/entriesparts.go
@@ -21,7 +21,7 @@
 	"standpoint/internal/clock"
 	"standpoint/internal/config"
 	"standpoint/internal/control"
-	"standpoint/internal/entries"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/find/discovery"
 	"standpoint/internal/find/dnssd"
 	"standpoint/internal/node"
@@ -31,24 +31,24 @@
 
 func operatorEndpointsComponent(a *assembly) (component, error) {
 	a.createEndpointCache()
-	var browsers *entries.Browsers
+	var browsers *endpoints.Browsers
 	if a.operator.Endpoints.Source == "dns-sd" {
 		all, err := a.browsers(a.operator)
 		if err != nil {
 			return component{}, err
 		}
-		browsers = entries.NewBrowsers(a.updateEndpoints, all...)
+		browsers = endpoints.NewBrowsers(a.updateEndpoints, all...)
 		a.endpointSource, a.endpointCache.Ages = browsers, browsers.Until
 	} else {
-		a.endpointSource = entries.Fixed{List: listedEndpoints(a.operator), News: a.updateEndpoints}
+		a.endpointSource = endpoints.Fixed{List: listedEndpoints(a.operator), News: a.updateEndpoints}
 	}
 	a.routes = append(a.routes, control.Route{Pattern: "GET /v1/entries", Handle: func(*http.Request, []byte) (any, error) {
 		if browsers != nil {
-			return append([]entries.Origin{}, browsers.Origins()...), nil
+			return append([]endpoints.Origin{}, browsers.Origins()...), nil
 		}
-		all := []entries.Origin{}
+		all := []endpoints.Origin{}
 		for _, e := range a.endpointCache.Current() {
-			all = append(all, entries.Describe(e))
+			all = append(all, endpoints.Describe(e))
 		}
 		return all, nil
 	}})
@@ -83,7 +83,7 @@
 			a.updateEndpoints(known)
 		}
 	}
-	var next []*entries.Browser
+	var next []*endpoints.Browser
 	p.check = func(to deployment) (err error) {
 		next, err = a.browsers(to.operator)
 		return err
@@ -93,8 +93,8 @@
 }
 
 // browsers are the actors of all services that a file has browsed.
-func (a *assembly) browsers(cfg *config.OperatorFile) ([]*entries.Browser, error) {
-	var all []*entries.Browser
+func (a *assembly) browsers(cfg *config.OperatorFile) ([]*endpoints.Browser, error) {
+	var all []*endpoints.Browser
 	e := &cfg.Endpoints
 	for i, b := range e.Browse {
 		roots, err := cfg.RootCertificates(a.baseDirectory, i)
@@ -109,10 +109,10 @@
 			server := b.Server
 			find.Dial = func() (discovery.Transport, error) { return discovery.DialUnicast(server) }
 		}
-		one := &entries.Browser{Find: find, Key: b.Key(), Config: browseConfig(e, b), Site: b.Site,
+		one := &endpoints.Browser{Find: find, Key: b.Key(), Config: browseConfig(e, b), Site: b.Site,
 			Guard:  dnssd.Guard{Part: e.GuardPart, Hold: int64(e.Guard)},
 			Damper: dnssd.Damper{Half: int64(*e.FlapHalf), Most: e.FlapMost},
-			Names:  entries.Names{Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds}, Log: log}
+			Names:  endpoints.Names{Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds}, Log: log}
 		if len(e.Browse) > 1 { // the same name in two halls is two boxes
 			one.Suffix = "@" + strings.TrimSuffix(b.Domain, ".")
 		}
@@ -223,4 +223,4 @@
 	return component{}, err
 }
 
-var _ node.Entries = (*entries.Browsers)(nil)
+var _ node.Entries = (*endpoints.Browsers)(nil)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -25,8 +25,8 @@
 	"standpoint"
 	"standpoint/internal/config"
 	"standpoint/internal/control"
-	"standpoint/internal/figures"
 	"standpoint/internal/find/discovery"
+	"standpoint/internal/metrics"
 	"standpoint/internal/peers"
 	"standpoint/internal/settings"
 	"standpoint/internal/store"
@@ -237,7 +237,7 @@
 	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
 	a := &assembly{deployment: fromOperator(cfg), store: store.NewMemory(), log: zap.NewNop()}
-	a.counters = figures.New([]string{"chat", "import"}, func() int { return a.core.Open() })
+	a.counters = metrics.New([]string{"chat", "import"}, func() int { return a.core.Open() })
 	_, err = backendsComponent(a)
 	require.NoError(t, err)
 	_, err = operatorEndpointsComponent(a)
@@ -256,13 +256,13 @@
 	require.NoError(t, err)
 	a.nodeCount.Store(3)
 	for range 4 {
-		a.counters.CountRequest(0, figures.Succeeded)
+		a.counters.CountRequest(0, metrics.Succeeded)
 	}
 	for range 5 {
-		a.counters.CountRequest(0, figures.Rejected)
+		a.counters.CountRequest(0, metrics.Rejected)
 	}
 	for range 6 {
-		a.counters.CountRequest(1, figures.Failed)
+		a.counters.CountRequest(1, metrics.Failed)
 	}
 	for range 7 {
 		a.counters.CountAttempt()
--- a/internal/daemon/ledgerpart.go
+++ b/internal/daemon/ledgerpart.go
@@ -6,7 +6,7 @@
 
 	"standpoint/internal/control"
 	"standpoint/internal/fleet"
-	"standpoint/internal/fleet/usage"
+	"standpoint/internal/fleet/ledger/replication"
 )
 
 // ledgerComponent writes down what tenants use, where the operator's file names a folder for it.
@@ -16,14 +16,14 @@
 		return component{}, nil
 	}
 	seat, life, _ := a.fleet.Identity()
-	o := usage.Options{Dir: a.operator.ResolvePath(a.baseDirectory, cfg.Dir), MaxBytes: int64(cfg.MaxMB) << 20, Slot: seat, Incarnation: life, Now: a.fleet.Now, SyncInterval: time.Duration(cfg.SyncInterval), SyncRate: cfg.SyncRate,
+	o := replication.Options{Dir: a.operator.ResolvePath(a.baseDirectory, cfg.Dir), MaxBytes: int64(cfg.MaxMB) << 20, Slot: seat, Incarnation: life, Now: a.fleet.Now, SyncInterval: time.Duration(cfg.SyncInterval), SyncRate: cfg.SyncRate,
 		RateFactor: a.fleet.RateFactor, CallMember: a.fleet.CallMember, Invariants: a.fleet.Invariants, Log: a.log.Named("ledger")}
 	for _, s := range a.operator.Fleet.Slots {
 		if s.Name != seat {
 			o.Peers = append(o.Peers, s.Name)
 		}
 	}
-	u, err := usage.Open(o)
+	u, err := replication.Open(o)
 	if err != nil {
 		return component{}, err
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -6,11 +6,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 )
 
 // counterCollector shows the figures, read where the console reads them.
-type counterCollector struct{ *figures.Counters }
+type counterCollector struct{ *metrics.Counters }
 
 var (
 	requestsDesc = prometheus.NewDesc("standpoint_requests_total", "Requests that ended, by class and end.", []string{"class", "end"}, nil)
@@ -29,8 +29,8 @@
 // Collect implements prometheus.Collector.
 func (c counterCollector) Collect(to chan<- prometheus.Metric) {
 	for _, class := range c.Classes() {
-		for e, word := range figures.OutcomeNames {
-			to <- prometheus.MustNewConstMetric(requestsDesc, prometheus.CounterValue, float64(class.Count(figures.Outcome(e))), class.Name, word)
+		for e, word := range metrics.OutcomeNames {
+			to <- prometheus.MustNewConstMetric(requestsDesc, prometheus.CounterValue, float64(class.Count(metrics.Outcome(e))), class.Name, word)
 		}
 	}
 	to <- prometheus.MustNewConstMetric(attemptsDesc, prometheus.CounterValue, float64(c.Attempts()))
--- a/internal/daemon/movesparts.go
+++ b/internal/daemon/movesparts.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/control"
-	"standpoint/internal/mover"
-	"standpoint/internal/moves"
+	"standpoint/internal/migration"
+	"standpoint/internal/migration/controller"
 	"standpoint/internal/node"
 )
 
@@ -26,16 +26,16 @@
 	if a.operator.PoolSet.Len() == 0 {
 		return component{}, nil
 	}
-	a.tracker = moves.NewTracker(a.operator, a.log)
+	a.tracker = controller.NewTracker(a.operator, a.log)
 	a.pools = a.tracker
 	peers := map[string]string{}
 	for _, m := range a.operator.Store.Members {
 		peers[m.ID] = m.ControlAddress
 	}
 	plan, tokenFile := a.operator.MigrationPlan, a.operator.ResolvePath(a.baseDirectory, a.operator.Control.TokenFile)
-	next := make(chan mover.Plan, 1)
-	a.migrations = moves.New(moves.Options{Name: a.name, Tracker: a.tracker, Store: a.store, Peers: peers, Log: a.log,
-		Plan: func() mover.Plan {
+	next := make(chan migration.Plan, 1)
+	a.migrations = controller.New(controller.Options{Name: a.name, Tracker: a.tracker, Store: a.store, Peers: peers, Log: a.log,
+		Plan: func() migration.Plan {
 			select {
 			case plan = <-next:
 			default:
--- a/internal/daemon/part.go
+++ b/internal/daemon/part.go
@@ -17,14 +17,14 @@
 	"standpoint/internal/config"
 	"standpoint/internal/control"
 	"standpoint/internal/edge"
-	"standpoint/internal/entries"
-	"standpoint/internal/figures"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/find/discovery"
 	"standpoint/internal/fleet"
-	"standpoint/internal/fleet/sessions"
-	"standpoint/internal/fleet/usage"
+	"standpoint/internal/fleet/ledger/replication"
+	"standpoint/internal/fleet/session/service"
 	"standpoint/internal/handover"
-	"standpoint/internal/moves"
+	"standpoint/internal/metrics"
+	"standpoint/internal/migration/controller"
 	"standpoint/internal/node"
 	"standpoint/internal/store"
 )
@@ -66,12 +66,12 @@
 	lifecycle         *node.Life
 	store             store.Store
 	backends          *backend.Fleet
-	pools             node.Pools        // nil: none
-	fleet             *fleet.Fleet      // nil: this node shares nothing
-	sessions          *sessions.Service // nil: none pause
-	ledger            *usage.Replicator // nil: nothing is written down
-	tracker           *moves.Tracker
-	migrations        *moves.Controller
+	pools             node.Pools              // nil: none
+	fleet             *fleet.Fleet            // nil: this node shares nothing
+	sessions          *service.Service        // nil: none pause
+	ledger            *replication.Replicator // nil: nothing is written down
+	tracker           *controller.Tracker
+	migrations        *controller.Controller
 	routes            []control.Route // of the control interface
 	core              *node.Core
 	endpointSource    runnableSource
@@ -80,7 +80,7 @@
 	discoveryFailing  func() bool   // tells that this source refuses, or cannot be reached
 	firstEndpoints    sync.Once
 	adoptedStreams    sync.WaitGroup // streams of another process that are carried on
-	endpointCache     *entries.Keeper
+	endpointCache     *endpoints.Keeper
 	front             *edge.Front
 	handlers          []prefixHandler // fronts besides the single requests'
 	components        []component
@@ -89,8 +89,8 @@
 	settingsRequests  chan settingsRequest // about that
 	registry          *prometheus.Registry // nil: no metrics
 	discoveryMetrics  *discovery.Metrics
-	counters          *figures.Counters
-	overrides         *entries.ByHand
+	counters          *metrics.Counters
+	overrides         *endpoints.ByHand
 	siblings          *handover.Channel // what the processes of this node share; nil: nothing
 	siblingCount      int               // of those, that live beside this one; Run's goroutine alone has it
 	siblingCounts     chan int          // and that number, when it changes
@@ -197,9 +197,9 @@
 // createEndpointCache makes the keeper, which notes every change of the endpoints for the store, and has it hand them on to
 // the core.
 func (a *assembly) createEndpointCache() {
-	a.endpointCache = entries.NewKeeper(a.store, a.log)
+	a.endpointCache = endpoints.NewKeeper(a.store, a.log)
 	_, names, _ := a.requestSettings()
-	a.endpointCache.Names = entries.Names{Zones: names.Zones, Kinds: names.Kinds}
-	a.overrides = entries.NewByHand(a.endpointCache, func(l node.List) { a.core.News(l) }, a.siblings, a.log)
+	a.endpointCache.Names = endpoints.Names{Zones: names.Zones, Kinds: names.Kinds}
+	a.overrides = endpoints.NewByHand(a.endpointCache, func(l node.List) { a.core.News(l) }, a.siblings, a.log)
 	a.updateEndpoints = a.overrides.News
 }
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -17,7 +17,7 @@
 	"standpoint/internal/config"
 	"standpoint/internal/datagram"
 	"standpoint/internal/edge"
-	"standpoint/internal/entries"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/node"
 	"standpoint/internal/store"
 )
@@ -80,13 +80,13 @@
 
 func platformEndpointsComponent(a *assembly) (component, error) {
 	cfg := a.platform
-	names := entries.Names{Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds}
+	names := endpoints.Names{Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds}
 	var seq int64
 	known := node.List{Kind: standpoint.ListFull}
 	if len(cfg.KnownEndpoints) > 0 {
 		var faults []error
 		var err error
-		if seq, known, faults, err = entries.Decode(cfg.KnownEndpoints, names); err != nil {
+		if seq, known, faults, err = endpoints.Decode(cfg.KnownEndpoints, names); err != nil {
 			return component{}, fmt.Errorf("known: %w", err)
 		}
 		if len(faults) > 0 {
@@ -95,7 +95,7 @@
 	}
 	a.createEndpointCache()
 	a.endpointsReceived = make(chan struct{})
-	watcher := entries.NewWatcher(cfg.Discovery, names, seq, func(l node.List) {
+	watcher := endpoints.NewWatcher(cfg.Discovery, names, seq, func(l node.List) {
 		a.updateEndpoints(l)
 		a.firstEndpoints.Do(func() { close(a.endpointsReceived) })
 	}, a.log)
@@ -112,7 +112,7 @@
 	start := func(context.Context) { a.updateEndpoints(known) } // what this node last held; it may be old, and the first watch puts it right
 	return component{name: "endpoints", start: start, run: runTogether(a.endpointCache.Run, watcher.Run), reload: func(next deployment) {
 		if was, now := a.current.platform, next.platform; now.Discovery != was.Discovery || !reflect.DeepEqual(now.Names, was.Names) {
-			watcher.Move(now.Discovery, entries.Names{Zones: now.Names.Zones, Kinds: now.Names.Kinds})
+			watcher.Move(now.Discovery, endpoints.Names{Zones: now.Names.Zones, Kinds: now.Names.Kinds})
 		}
 	}}, nil
 }
--- a/internal/daemon/sharedpart.go
+++ b/internal/daemon/sharedpart.go
@@ -12,11 +12,11 @@
 	"standpoint/internal/config"
 	"standpoint/internal/control"
 	"standpoint/internal/fleet"
+	"standpoint/internal/fleet/connectivity"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
 	"standpoint/internal/fleet/ledger"
 	"standpoint/internal/fleet/member"
-	"standpoint/internal/fleet/mode"
+	"standpoint/internal/fleet/outlier"
 	"standpoint/internal/fleet/site"
 	"standpoint/internal/node"
 )
@@ -36,9 +36,9 @@
 		Advise: func(s *standpoint.Advice) { a.core.Advise(s) }, ClockOffset: time.Duration(cfg.ClockOffset), Invariants: &invariant.Monitor{Strict: cfg.Strict, Log: log}, Log: log}
 	clockError := time.Duration(cfg.ClockError)
 	o.MemberConfig = member.Config{Budgets: budgets, GossipInterval: time.Duration(cfg.GossipInterval), GossipFanout: cfg.GossipFanout, HeartbeatTimeout: time.Duration(cfg.HeartbeatTimeout),
-		ConnectivityTiming: mode.Timing{JoinTimeout: time.Duration(cfg.JoinTimeout), SettleTime: time.Duration(cfg.SettleTime), RecoveryRamp: time.Duration(cfg.RecoveryRamp)},
+		ConnectivityTiming: connectivity.Timing{JoinTimeout: time.Duration(cfg.JoinTimeout), SettleTime: time.Duration(cfg.SettleTime), RecoveryRamp: time.Duration(cfg.RecoveryRamp)},
 		ClockError:         clockError, RequestInterval: time.Duration(cfg.RequestInterval),
-		OutlierLimits: judge.Limits{MinSources: cfg.Evidence.Sources, EvidenceLifetime: int64(cfg.Evidence.Lasts), OwnEvidenceLifetime: int64(cfg.Evidence.Own), MaxEjectedShare: cfg.Evidence.Most,
+		OutlierLimits: outlier.Limits{MinSources: cfg.Evidence.Sources, EvidenceLifetime: int64(cfg.Evidence.Lasts), OwnEvidenceLifetime: int64(cfg.Evidence.Own), MaxEjectedShare: cfg.Evidence.Most,
 			IsolationShare: cfg.Evidence.Many, ClockError: int64(clockError)}}
 	settings, names, _ := a.requestSettings()
 	o.CoreSlots, o.SiteTiming = cfg.CoreSlots, site.Timing{SuspectAfter: time.Duration(cfg.SuspectAfter), IsolatedAfter: time.Duration(cfg.IsolatedAfter), SettleTime: time.Duration(cfg.SettleTime)}
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"standpoint/internal/backend"
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 	"standpoint/internal/transient"
 )
 
@@ -269,18 +269,18 @@
 }
 
 // unheard says why a connection was closed by this node with no answer; false: it was not.
-func (p *clientConn) unheard(stopping bool) (figures.SilentCloseCause, bool) {
+func (p *clientConn) unheard(stopping bool) (metrics.SilentCloseCause, bool) {
 	switch {
 	case p.answered.Load() || p.gone.Load():
 		return 0, false
 	case stopping || p.cleared:
-		return figures.Stopping, true
+		return metrics.Stopping, true
 	case p.leaving:
-		return figures.NoCapacity, true
+		return metrics.NoCapacity, true
 	case p.late.Load():
-		return figures.SlowHeader, true
+		return metrics.SlowHeader, true
 	}
-	return figures.Unreadable, true
+	return metrics.Unreadable, true
 }
 
 // mayGo tells that the connection has rested for long enough to be closed where places are short.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -20,8 +20,8 @@
 
 	"standpoint"
 	"standpoint/internal/config"
-	"standpoint/internal/figures"
-	"standpoint/internal/fleet/sessions"
+	"standpoint/internal/fleet/session/service"
+	"standpoint/internal/metrics"
 	"standpoint/internal/node"
 )
 
@@ -47,9 +47,9 @@
 	Life    *node.Life
 	Names   config.Names
 	Bodies  *node.Shares // bytes of the bodies that are held at once
-	Metrics *figures.Counters
+	Metrics *metrics.Counters
 	// Sessions, if not nil, pause at calls of tools and go on with their results.
-	Sessions *sessions.Service
+	Sessions *service.Service
 	Log      *zap.Logger
 	ids      ids
 	indexes  atomic.Pointer[indexes]
@@ -161,14 +161,14 @@
 }
 
 // cause is by what it is counted.
-func (f *fault) cause() figures.UnsentCause {
+func (f *fault) cause() metrics.UnsentCause {
 	switch f.status {
 	case http.StatusConflict:
-		return figures.DuplicateID
+		return metrics.DuplicateID
 	case http.StatusRequestTimeout:
-		return figures.SlowBody
+		return metrics.SlowBody
 	}
-	return figures.Malformed
+	return metrics.Malformed
 }
 
 func (f *fault) Error() string { return f.text }
@@ -191,7 +191,7 @@
 			_ = control.SetReadDeadline(time.Time{})
 			phase, since := f.Life.Since()
 			if f.parting(w, r, phase); phase == node.DrainedByHand && time.Since(since) > awayTime {
-				f.ended(r, figures.Rejected)
+				f.ended(r, metrics.Rejected)
 				turnDown(w, busyWait)
 				return
 			}
@@ -205,7 +205,7 @@
 		}
 	}
 	if errors.Is(err, errFull) {
-		f.ended(r, figures.Rejected)
+		f.ended(r, metrics.Rejected)
 		w.Header().Set("Connection", "close") // the rest of its body is not read
 		turnDown(w, busyWait)
 		return
@@ -218,14 +218,14 @@
 		w.Header().Set("Connection", "close") // where its body ends is not to be trusted, and the rest is not waited for
 		_ = control.SetReadDeadline(time.Now().Add(partTime))
 	}
-	f.ended(r, figures.Failed)
+	f.ended(r, metrics.Failed)
 	f.Metrics.CountFailedUnsent(bad.cause())
 	f.Log.Info("malformed request", zap.String("fault", bad.text))
 	refuse(w, bad.status, bad.text)
 }
 
 // ended counts a request that is answered before it is a request, where its class is known.
-func (f *Front) ended(r *http.Request, e figures.Outcome) {
+func (f *Front) ended(r *http.Request, e metrics.Outcome) {
 	if class, ok := f.indexes.Load().classes[r.Header.Get("X-Qos")]; ok {
 		f.Metrics.CountRequest(class, e)
 	}
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 	"standpoint/internal/transient"
 )
 
@@ -37,7 +37,7 @@
 type Room struct {
 	net.Listener
 	// Metrics, if not nil, counts the connections that are closed without an answer. It is set before the room is in use.
-	Metrics *figures.Counters
+	Metrics *metrics.Counters
 
 	most   int
 	closed chan struct{}
--- a/internal/edge/room_test.go
+++ b/internal/edge/room_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 	"standpoint/internal/testpeer"
 )
 
@@ -41,7 +41,7 @@
 // A connection that this node closes without an answer is counted by its cause; one that its client ends is not.
 func TestConnectionsClosedUnheard(t *testing.T) {
 	n := testpeer.Start(t, testpeer.Settings())
-	count := func(why figures.SilentCloseCause) func() bool {
+	count := func(why metrics.SilentCloseCause) func() bool {
 		return func() bool { return n.Metrics.SilentCloseCount(why) >= 1 }
 	}
 	own := n.Dial()
@@ -49,11 +49,11 @@
 	late := n.Dial()
 	_, err := late.Write([]byte("GET /_health HTTP/1.1\r\nHost:"))
 	require.NoError(t, err)
-	require.Eventually(t, count(figures.SlowHeader), 10*time.Second, time.Millisecond)
+	require.Eventually(t, count(metrics.SlowHeader), 10*time.Second, time.Millisecond)
 	n.Room.Resize(1)
 	n.Dial()
 	n.Dial()
-	require.Eventually(t, count(figures.NoCapacity), 3*time.Second, time.Millisecond, "%s", n.Metrics.Text())
+	require.Eventually(t, count(metrics.NoCapacity), 3*time.Second, time.Millisecond, "%s", n.Metrics.Text())
 	n.Room.Resize(300)
 	silent := n.Dial()
 	health, err := http.Get(n.URL + "/_health")
@@ -62,7 +62,7 @@
 	n.Room.Clear()
 	_, err = silent.Read(make([]byte, 1))
 	require.Error(t, err)
-	require.Eventually(t, count(figures.Stopping), 10*time.Second, time.Millisecond)
-	require.Zero(t, n.Metrics.SilentCloseCount(figures.Unreadable))
+	require.Eventually(t, count(metrics.Stopping), 10*time.Second, time.Millisecond)
+	require.Zero(t, n.Metrics.SilentCloseCount(metrics.Unreadable))
 	require.Contains(t, string(n.Metrics.Text()), "app.closed_unheard.slow_head=1\n")
 }
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"strconv"
 
-	"standpoint/internal/figures"
-	"standpoint/internal/fleet/sessions"
+	"standpoint/internal/fleet/session/service"
+	"standpoint/internal/metrics"
 	"standpoint/internal/node"
 )
 
@@ -26,8 +26,8 @@
 	case key == "":
 		return false
 	case f.Sessions == nil:
-		f.ended(r, figures.Failed)
-		f.Metrics.CountFailedUnsent(figures.Malformed)
+		f.ended(r, metrics.Failed)
+		f.Metrics.CountFailedUnsent(metrics.Malformed)
 		refuse(w, http.StatusBadRequest, resumeKey+": no sessions are kept here")
 		return true
 	case r.Header.Get(cancelKey) == "1":
@@ -35,7 +35,7 @@
 			f.fault(w, r, fault)
 			return true
 		}
-		f.ended(r, figures.Succeeded)
+		f.ended(r, metrics.Succeeded)
 		w.WriteHeader(http.StatusNoContent)
 		return true
 	}
@@ -53,12 +53,12 @@
 }
 
 // fault answers a request about a session that cannot go on: now, with when to come again, or ever.
-func (f *Front) fault(w http.ResponseWriter, r *http.Request, fault *sessions.RequestError) {
+func (f *Front) fault(w http.ResponseWriter, r *http.Request, fault *service.RequestError) {
 	if fault.Status >= 500 || fault.RetryAfter > 0 {
-		f.ended(r, figures.Rejected)
+		f.ended(r, metrics.Rejected)
 	} else {
-		f.ended(r, figures.Failed)
-		f.Metrics.CountFailedUnsent(figures.Malformed)
+		f.ended(r, metrics.Failed)
+		f.Metrics.CountFailedUnsent(metrics.Malformed)
 	}
 	if fault.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(fault.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/entries/written_test.go
+++ b/internal/endpoints/written_test.go
@@ -1,4 +1,4 @@
-package entries
+package endpoints
 
 import (
 	"context"
--- a/internal/fleet/call.go
+++ b/internal/fleet/call.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.uber.org/zap"
 
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/seat"
+	"standpoint/internal/fleet/lease"
+	"standpoint/internal/fleet/quota"
 	"standpoint/internal/store"
 )
 
@@ -270,7 +270,7 @@
 
 // handleLeaseClaim gives a seat, or gives it anew, where this node leads.
 func (f *Fleet) handleLeaseClaim(ctx context.Context, body []byte) ([]byte, error) {
-	var c seat.Claim
+	var c lease.Claim
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
@@ -278,13 +278,13 @@
 		return nil, fmt.Errorf("%q is no seat of this fleet", c.Slot)
 	}
 	v := f.Store.Get(leaseKeyPrefix + c.Slot)
-	var r seat.Record
+	var r lease.Record
 	if v.Version != 0 {
 		if err := json.Unmarshal(v.Data, &r); err != nil {
 			return nil, fmt.Errorf("the record of seat %q cannot be read: %w", c.Slot, err)
 		}
 	}
-	next, err := seat.Decide(r, c, f.Now(), f.MemberConfig.ClockError)
+	next, err := lease.Decide(r, c, f.Now(), f.MemberConfig.ClockError)
 	if err != nil {
 		return nil, err
 	}
@@ -302,14 +302,14 @@
 func (f *Fleet) maintainLease(ctx context.Context) {
 	again := claimRetryInterval / 8
 	for {
-		var r seat.Record
-		err := f.CallLeader(ctx, "seat", seat.Claim{Slot: f.SlotName, Incarnation: f.incarnation, Predecessors: f.predecessors, Duration: f.LeaseDuration, ClaimantTime: f.Now()}, &r)
+		var r lease.Record
+		err := f.CallLeader(ctx, "seat", lease.Claim{Slot: f.SlotName, Incarnation: f.incarnation, Predecessors: f.predecessors, Duration: f.LeaseDuration, ClaimantTime: f.Now()}, &r)
 		if err == nil && r.Incarnation == f.incarnation {
 			f.mu.Lock()
 			if r.FencingToken != f.lease.FencingToken {
 				f.Log.Info("this life has its seat", zap.String("seat", f.SlotName), zap.Uint64("epoch", r.FencingToken), zap.Bool("heir", r.Successor))
 			}
-			f.lease = rights.Lease{FencingToken: r.FencingToken, ValidFrom: r.ValidFrom, ExpiresAt: r.ExpiresAt, Successor: r.Successor}
+			f.lease = quota.Lease{FencingToken: r.FencingToken, ValidFrom: r.ValidFrom, ExpiresAt: r.ExpiresAt, Successor: r.Successor}
 			f.member.SetLease(f.lease)
 			f.mu.Unlock()
 			if err := f.directory.ConfirmGrant(f.incarnation); err != nil {
--- a/internal/fleet/mode/golden_test.go
+++ b/internal/fleet/connectivity/golden_test.go
@@ -1,4 +1,4 @@
-package mode
+package connectivity
 
 import (
 	"fmt"
--- a/internal/fleet/mode/mode.go
+++ b/internal/fleet/connectivity/mode.go
@@ -1,6 +1,6 @@
 // Package mode says, for one node, how it stands to the others of its fleet: by one table of named modes. It is pure: time
 // is passed in, and nothing is drawn here.
-package mode
+package connectivity
 
 import (
 	"fmt"
--- a/internal/fleet/tally/golden_test.go
+++ b/internal/fleet/counter/golden_test.go
@@ -1,4 +1,4 @@
-package tally
+package counter
 
 import (
 	"encoding/json"
@@ -7,12 +7,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 	"standpoint/internal/testpeer/golden"
 )
 
 func TestGoldenRow(t *testing.T) {
-	golden.RoundTrip(t, "row.cbor", Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 2}, At: 3, Counts: []int64{4, 5, 6}},
+	golden.RoundTrip(t, "row.cbor", Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 2}, At: 3, Counts: []int64{4, 5, 6}},
 		func(v Snapshot) ([]byte, error) { return cbor.Marshal(v) },
 		func(b []byte) (v Snapshot, err error) { return v, cbor.Unmarshal(b, &v) })
 }
--- a/internal/fleet/tally/tally.go
+++ b/internal/fleet/counter/tally.go
@@ -3,7 +3,7 @@
 //
 // A life's counts only grow, and are replaced by later ones of the same life; so what is told twice, late or out of order, and
 // what a node that was started anew told before, counts once.
-package tally
+package counter
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"slices"
 
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 )
 
 // MaxIncarnations is how many lives of a seat are kept apart; earlier ones are added up.
@@ -19,9 +19,9 @@
 
 // Snapshot is one life's counts, as it told them at a time of its own clock.
 type Snapshot struct {
-	Owner  rights.Owner `cbor:"1,keyasint"`
-	At     int64        `cbor:"2,keyasint"`
-	Counts []int64      `cbor:"3,keyasint"`
+	Owner  quota.Owner `cbor:"1,keyasint"`
+	At     int64       `cbor:"2,keyasint"`
+	Counts []int64     `cbor:"3,keyasint"`
 }
 
 // slotState is what is known of a seat: its latest lives, the newest first, and those before them added up. Lives up to past are
@@ -45,7 +45,7 @@
 }
 
 // New makes the table of a life that begins now.
-func New(seats int, most []int64, own rights.Owner, clockError, now int64, g *invariant.Monitor) *Table {
+func New(seats int, most []int64, own quota.Owner, clockError, now int64, g *invariant.Monitor) *Table {
 	return &Table{MaxRates: most, ClockError: clockError, Invariants: g, own: Snapshot{Owner: own, Counts: make([]int64, len(most))}, slots: make([]slotState, seats), startedAt: now}
 }
 
@@ -68,7 +68,7 @@
 	if r.Owner.Slot < 0 || r.Owner.Slot >= len(t.slots) || r.Owner == t.own.Owner || len(r.Counts) != len(t.MaxRates) || r.At > now+t.ClockError {
 		return false
 	}
-	if slices.ContainsFunc(r.Counts, func(n int64) bool { return n < 0 || n > rights.MaxAmount }) {
+	if slices.ContainsFunc(r.Counts, func(n int64) bool { return n < 0 || n > quota.MaxAmount }) {
 		return false
 	}
 	s := &t.slots[r.Owner.Slot]
--- a/internal/fleet/tally/tally_test.go
+++ b/internal/fleet/counter/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package counter
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 )
 
 const second = int64(time.Second)
@@ -24,13 +24,13 @@
 		inc := make([]uint64, seats)
 		start := func(i int) *Table {
 			inc[i]++
-			return New(seats, most, rights.Owner{Slot: i, Incarnation: inc[i]}, clockError, now, g)
+			return New(seats, most, quota.Owner{Slot: i, Incarnation: inc[i]}, clockError, now, g)
 		}
 		nodes := make([]*Table, seats)
 		for i := range nodes {
 			nodes[i] = start(i)
 		}
-		reader := New(seats, most, rights.Owner{Slot: 0, Incarnation: 1000}, clockError, now, g) // it lives throughout
+		reader := New(seats, most, quota.Owner{Slot: 0, Incarnation: 1000}, clockError, now, g) // it lives throughout
 		var mail []Snapshot
 		total := int64(0)
 		t.Repeat(map[string]func(*rapid.T){
@@ -76,14 +76,14 @@
 
 // Who is up, as far as known: a node that fell silent may be up or not.
 func TestLiveMembersAndStaleSnapshots(t *testing.T) {
-	a := New(3, []int64{1}, rights.Owner{Slot: 0, Incarnation: 1}, 0, 0, nil)
+	a := New(3, []int64{1}, quota.Owner{Slot: 0, Incarnation: 1}, 0, 0, nil)
 	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 1, Unreported: 2}, a.LiveMembers(second, 3*second))
-	require.True(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: second, Counts: []int64{5}}, second))
+	require.True(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: second, Counts: []int64{5}}, second))
 	require.Equal(t, Reading{Lower: 2, Upper: 3, Age: second, Reported: 2, Unreported: 1}, a.LiveMembers(2*second, 3*second))
 	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 2, Unreported: 1}, a.LiveMembers(9*second, 3*second))
-	require.False(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: 2 * second, Counts: []int64{4}}, 2*second), "counts that fall")
-	require.False(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: second / 2, Counts: []int64{5}}, 2*second), "older news")
+	require.False(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: 2 * second, Counts: []int64{4}}, 2*second), "counts that fall")
+	require.False(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: second / 2, Counts: []int64{5}}, 2*second), "older news")
 	age, _ := a.Age(1, 2*second)
 	require.Equal(t, second, age)
-	require.False(t, a.Merge(Snapshot{Owner: rights.Owner{Slot: 1, Incarnation: 1}, At: 90 * second, Counts: []int64{6}}, 2*second), "told from the time to come")
+	require.False(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: 90 * second, Counts: []int64{6}}, 2*second), "told from the time to come")
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,13 +20,13 @@
 
 	"standpoint"
 	"standpoint/internal/clock"
+	"standpoint/internal/fleet/connectivity"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
+	"standpoint/internal/fleet/lease"
 	"standpoint/internal/fleet/ledger"
 	"standpoint/internal/fleet/member"
-	"standpoint/internal/fleet/mode"
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/seat"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 	"standpoint/internal/fleet/site"
 	"standpoint/internal/node"
 	"standpoint/internal/store"
@@ -83,7 +83,7 @@
 // Fleet is the actor.
 type Fleet struct {
 	Options
-	directory       *seat.Directory
+	directory       *lease.Directory
 	incarnation     uint64
 	predecessors    []uint64
 	addresses       map[string]string
@@ -94,7 +94,7 @@
 
 	mu                sync.Mutex
 	member            *member.Member
-	lease             rights.Lease
+	lease             quota.Lease
 	siteConnectivity  *site.Machine  // nil: this seat is a hall's
 	consecutiveErrors map[string]int // by real server: errors in a row
 	backendNames      map[uint64]string
@@ -118,10 +118,10 @@
 		f.addresses[s.Name] = s.Address
 	}
 	var err error
-	if f.directory, f.incarnation, f.predecessors, err = seat.Open(o.Dir, f.Now()); err != nil {
+	if f.directory, f.incarnation, f.predecessors, err = lease.Open(o.Dir, f.Now()); err != nil {
 		return nil, fmt.Errorf("fleet.dir: %w", err)
 	}
-	f.MemberConfig.Owner = rights.Owner{Slot: slices.IndexFunc(o.Slots, func(s SlotAddress) bool { return s.Name == o.SlotName }), Incarnation: f.incarnation}
+	f.MemberConfig.Owner = quota.Owner{Slot: slices.IndexFunc(o.Slots, func(s SlotAddress) bool { return s.Name == o.SlotName }), Incarnation: f.incarnation}
 	f.MemberConfig.Seed = f.incarnation
 	f.member = member.New(f.MemberConfig, f.Now(), o.Invariants)
 	if f.IsSite() {
@@ -138,7 +138,7 @@
 func (f *Fleet) Now() int64 { return clock.Now() + int64(f.ClockOffset) }
 
 // Owner is this life of the node.
-func (f *Fleet) Owner() rights.Owner { return f.MemberConfig.Owner }
+func (f *Fleet) Owner() quota.Owner { return f.MemberConfig.Owner }
 
 // Run works until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
@@ -194,7 +194,7 @@
 		return m == site.Isolated || m == site.Reconciling
 	}
 	m, _ := f.member.Connectivity.Current()
-	return m == mode.Minority || m == mode.Isolated
+	return m == connectivity.Minority || m == connectivity.Isolated
 }
 
 func (f *Fleet) sendPackets(all []member.Outgoing) {
@@ -283,7 +283,7 @@
 }
 
 // retryAfter is when who was refused should come again: when the next window has begun, and not all at that moment.
-func (f *Fleet) retryAfter(p *rights.Allocation) time.Duration {
+func (f *Fleet) retryAfter(p *quota.Allocation) time.Duration {
 	due := max(0, time.Duration(p.NextWindowStart()-f.Now()))
 	return due + rand.N(max(time.Millisecond, min(p.Budget.Window/4, 500*time.Millisecond)))
 }
@@ -334,7 +334,7 @@
 // ReserveSession takes a place for a session of a tenant that waits so long, of every budget that it counts against, or of none.
 func (f *Fleet) ReserveSession(tenant int, wait time.Duration) (free func(), ok bool) {
 	type taken struct {
-		p           *rights.Allocation
+		p           *quota.Allocation
 		first, last int64
 	}
 	var all []taken
@@ -411,7 +411,7 @@
 
 // Ended takes in how an attempt ended, as evidence on its server.
 func (f *Fleet) Ended(o node.Observation) {
-	e := judge.Evidence{BackendHash: xxhash.Sum64String(o.Server), ObservedAt: f.Now()}
+	e := outlier.Evidence{BackendHash: xxhash.Sum64String(o.Server), ObservedAt: f.Now()}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	start, listed := f.backendStarts[o.Server]
@@ -422,14 +422,14 @@
 	switch o.Result.Code {
 	case standpoint.Served:
 		f.consecutiveErrors[o.Server] = 0
-		e.Kind = judge.Healthy
+		e.Kind = outlier.Healthy
 	case standpoint.NoConnection:
-		e.Kind = judge.Unreachable
+		e.Kind = outlier.Unreachable
 	case standpoint.ServerError, standpoint.ConnectionLost, standpoint.NoAnswer:
 		if f.consecutiveErrors[o.Server]++; f.consecutiveErrors[o.Server] < minConsecutiveErrors {
 			return
 		}
-		e.Kind = judge.BackendFault
+		e.Kind = outlier.BackendFault
 	default:
 		return
 	}
@@ -448,7 +448,7 @@
 		clear(f.backendNames)
 		clear(f.backendZones)
 	}
-	var all []judge.Backend
+	var all []outlier.Backend
 	for _, e := range l.Entries {
 		if e.State == standpoint.Ready {
 			f.backendStarts[e.Name], f.backendNames[xxhash.Sum64String(e.Name)] = e.ReadyAt, e.Name
@@ -460,7 +460,7 @@
 		}
 	}
 	for name, start := range f.backendStarts {
-		all = append(all, judge.Backend{Hash: xxhash.Sum64String(name), Zone: f.backendZones[name], StartedAt: start})
+		all = append(all, outlier.Backend{Hash: xxhash.Sum64String(name), Zone: f.backendZones[name], StartedAt: start})
 	}
 	for name := range f.consecutiveErrors {
 		if _, listed := f.backendStarts[name]; !listed {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,29 +9,29 @@
 	"go.uber.org/zap"
 
 	"standpoint"
+	"standpoint/internal/fleet/connectivity"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
 	"standpoint/internal/fleet/ledger"
 	"standpoint/internal/fleet/member"
-	"standpoint/internal/fleet/mode"
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 	"standpoint/internal/fleet/site"
 	"standpoint/internal/node"
 )
 
 // newTestFleet is an actor's inside, of one seat of three, that nothing is sent from.
 func newTestFleet(t testing.TB, amount, overdraft int64, lease bool) *Fleet {
-	b := &rights.Budget{Name: "tokens/acme", Amount: 3 * amount, Overdraft: 3 * overdraft, Window: time.Hour, TransferWindows: 2, Weights: []int64{1, 1, 1}}
-	places := &rights.Budget{Name: "places/", Amount: 3 * 2, Window: time.Hour, WindowsAhead: 3, TransferWindows: 2, Weights: []int64{1, 1, 1}}
+	b := &quota.Budget{Name: "tokens/acme", Amount: 3 * amount, Overdraft: 3 * overdraft, Window: time.Hour, TransferWindows: 2, Weights: []int64{1, 1, 1}}
+	places := &quota.Budget{Name: "places/", Amount: 3 * 2, Window: time.Hour, WindowsAhead: 3, TransferWindows: 2, Weights: []int64{1, 1, 1}}
 	require.NoError(t, b.Complete())
 	require.NoError(t, places.Complete())
 	f := &Fleet{Options: Options{SlotName: "a", Slots: []SlotAddress{{Name: "a"}, {Name: "b"}, {Name: "c"}}, TokenBudgets: []int{0, -1}, TenantNames: []string{"acme", "free"}, ClassNames: []string{"chat", "import"}, RetryBudget: -1,
 		SessionBudgets: []SessionBudget{{1, -1}}, Log: zap.NewNop(), Invariants: &invariant.Monitor{}}, consecutiveErrors: map[string]int{}, backendNames: map[uint64]string{}, backendStarts: map[string]int64{}, backendZones: map[string]int{}}
-	f.MemberConfig = member.Config{Owner: rights.Owner{Slot: 0, Incarnation: 1}, Slots: make([]member.Slot, 3), Budgets: []*rights.Budget{b, places}, MaxRates: []int64{10, 10, 10, 10}, HeartbeatTimeout: time.Second,
-		ConnectivityTiming: mode.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}}
+	f.MemberConfig = member.Config{Owner: quota.Owner{Slot: 0, Incarnation: 1}, Slots: make([]member.Slot, 3), Budgets: []*quota.Budget{b, places}, MaxRates: []int64{10, 10, 10, 10}, HeartbeatTimeout: time.Second,
+		ConnectivityTiming: connectivity.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}}
 	f.member = member.New(f.MemberConfig, f.Now(), f.Invariants)
 	if lease {
-		f.member.SetLease(rights.Lease{FencingToken: 1, ValidFrom: 0, ExpiresAt: 1 << 62})
+		f.member.SetLease(quota.Lease{FencingToken: 1, ValidFrom: 0, ExpiresAt: 1 << 62})
 	}
 	return f
 }
@@ -125,7 +125,7 @@
 	}
 	f.Listed(list)
 	for seat := 1; seat < 3; seat++ {
-		f.member.Detector.Receive(rights.Owner{Slot: seat, Incarnation: 1}, 0, judge.Evidence{BackendHash: xxhash.Sum64String("p"), StartedAt: 7, Kind: judge.BackendFault, ObservedAt: f.Now()}, f.Now())
+		f.member.Detector.Receive(quota.Owner{Slot: seat, Incarnation: 1}, 0, outlier.Evidence{BackendHash: xxhash.Sum64String("p"), StartedAt: 7, Kind: outlier.BackendFault, ObservedAt: f.Now()}, f.Now())
 	}
 	doubts := f.advice().Doubts
 	require.Len(t, doubts, 1)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
+	"standpoint/internal/fleet/connectivity"
+	"standpoint/internal/fleet/counter"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
+	"standpoint/internal/fleet/lease"
 	"standpoint/internal/fleet/member"
-	"standpoint/internal/fleet/mode"
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/seat"
-	"standpoint/internal/fleet/tally"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 	"standpoint/internal/store"
 	"standpoint/internal/testpeer/golden"
 )
@@ -55,16 +55,16 @@
 // A packet of the build before is read as it comes from the network.
 func TestGoldenPacket(t *testing.T) {
 	packet := member.Packet{
-		From:          rights.Owner{Slot: 1, Incarnation: 2},
+		From:          quota.Owner{Slot: 1, Incarnation: 2},
 		AgeUnit:       int64(10 * time.Millisecond),
 		FirstSlot:     1,
 		HeartbeatAges: []byte{3, 1, 2},
 		Updates: []member.Update{{
-			Counters:  tally.Snapshot{Owner: rights.Owner{Slot: 2, Incarnation: 4}, At: 5, Counts: []int64{6, 7, 8, 9}},
+			Counters:  counter.Snapshot{Owner: quota.Owner{Slot: 2, Incarnation: 4}, At: 5, Counts: []int64{6, 7, 8, 9}},
 			Surpluses: []member.Surplus{{Budget: 1, Amount: 10}},
-			Evidence:  []judge.Evidence{{BackendHash: 11, StartedAt: 12, Kind: judge.Unreachable, ObservedAt: 13}},
+			Evidence:  []outlier.Evidence{{BackendHash: 11, StartedAt: 12, Kind: outlier.Unreachable, ObservedAt: 13}},
 		}},
-		QuotaMessages: []member.QuotaMessage{{Kind: member.GrantTransfer, BudgetHash: 14, To: rights.Owner{Slot: 3, Incarnation: 15}, Number: 16, Amount: 17, FirstWindow: 18, LastWindow: 19}},
+		QuotaMessages: []member.QuotaMessage{{Kind: member.GrantTransfer, BudgetHash: 14, To: quota.Owner{Slot: 3, Incarnation: 15}, Number: 16, Amount: 17, FirstWindow: 18, LastWindow: 19}},
 	}
 	golden.RoundTrip(t, "packet.bin", packet, encodeFrame[member.Packet](kindPacket), decodeFrame[member.Packet](kindPacket))
 	f := newTestFleet(t, 1, 0, true)
@@ -80,21 +80,21 @@
 	f := newTestFleet(t, 1, 0, true)
 	f.Store = store.NewMemory()
 	record := golden.Read(t, "seat-record.json", func() []byte {
-		raw, err := json.Marshal(seat.Record{Incarnation: 5, FencingToken: 7, ValidFrom: 11, ExpiresAt: 13, Successor: true})
+		raw, err := json.Marshal(lease.Record{Incarnation: 5, FencingToken: 7, ValidFrom: 11, ExpiresAt: 13, Successor: true})
 		require.NoError(t, err)
 		return raw
 	})
 	_, err := f.Store.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: record})
 	require.NoError(t, err)
 	claim := golden.Read(t, "seat-claim.json", func() []byte {
-		raw, err := json.Marshal(seat.Claim{Slot: "b", Incarnation: 9, Predecessors: []uint64{4, 5}, Duration: time.Minute, ClaimantTime: 1})
+		raw, err := json.Marshal(lease.Claim{Slot: "b", Incarnation: 9, Predecessors: []uint64{4, 5}, Duration: time.Minute, ClaimantTime: 1})
 		require.NoError(t, err)
 		return raw
 	})
 	raw, err := f.handleLeaseClaim(t.Context(), claim)
 	require.NoError(t, err)
 	require.Equal(t, string(raw), string(f.Store.Get("fleet/seat/b").Data))
-	var given seat.Record
+	var given lease.Record
 	require.NoError(t, json.Unmarshal(raw, &given))
 	require.EqualValues(t, 9, given.Incarnation)
 	require.EqualValues(t, 8, given.FencingToken)
@@ -102,7 +102,7 @@
 }
 
 func TestGoldenStatus(t *testing.T) {
-	reading := tally.Reading{Lower: 1, Upper: 2, Age: 3, Reported: 4, Unreported: 5}
+	reading := counter.Reading{Lower: 1, Upper: 2, Age: 3, Reported: 4, Unreported: 5}
 	status := Status{
 		Slot:           "a",
 		Incarnation:    6,
@@ -113,11 +113,11 @@
 		LeaseRemaining: 8.5,
 		FencingToken:   9,
 		Peers:          []PeerStatus{{Slot: "b", Listed: true, Alive: true, ReportAge: 10.5, Incarnation: 11, Tokens: 12}},
-		Budgets: []rights.Usage{{Budget: "tokens/acme", Window: 13, Quota: 14, Spent: 15, BaseQuota: 16, Lent: 17, Borrowed: 18, Demand: 19.5, Debt: 20,
+		Budgets: []quota.Usage{{Budget: "tokens/acme", Window: 13, Quota: 14, Spent: 15, BaseQuota: 16, Lent: 17, Borrowed: 18, Demand: 19.5, Debt: 20,
 			LentTransfers: 21, BorrowedTransfers: 22, FencingToken: 23, LeaseValidFrom: 24, LeaseExpiresAt: 25}},
 		Leader:           "c",
-		Counters:         map[string]tally.Reading{"requests": reading},
-		LiveMembers:      tally.Reading{Lower: 26, Upper: 27, Age: 28, Reported: 29, Unreported: 30},
+		Counters:         map[string]counter.Reading{"requests": reading},
+		LiveMembers:      counter.Reading{Lower: 26, Upper: 27, Age: 28, Reported: 29, Unreported: 30},
 		SuspectBackends:  []string{"x:1"},
 		RejectedRequests: 31,
 		SentBytes:        32,
@@ -132,15 +132,15 @@
 // start opens and runs the seat called name, of seats at free addresses.
 func start(t *testing.T, name string, seats []SlotAddress) *Fleet {
 	t.Helper()
-	b := &rights.Budget{Name: "tokens/acme", Amount: 100, Window: time.Second, TransferWindows: 2, Weights: make([]int64, len(seats))}
+	b := &quota.Budget{Name: "tokens/acme", Amount: 100, Window: time.Second, TransferWindows: 2, Weights: make([]int64, len(seats))}
 	for i := range seats {
 		b.Weights[i] = 1
 	}
 	require.NoError(t, b.Complete())
 	f, err := Open(Options{
-		MemberConfig: member.Config{Slots: make([]member.Slot, len(seats)), Budgets: []*rights.Budget{b}, MaxRates: []int64{10, 10, 10}, GossipInterval: 50 * time.Millisecond, GossipFanout: 2,
-			HeartbeatTimeout: time.Second, ConnectivityTiming: mode.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: 100 * time.Millisecond, RequestInterval: time.Second,
-			OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}},
+		MemberConfig: member.Config{Slots: make([]member.Slot, len(seats)), Budgets: []*quota.Budget{b}, MaxRates: []int64{10, 10, 10}, GossipInterval: 50 * time.Millisecond, GossipFanout: 2,
+			HeartbeatTimeout: time.Second, ConnectivityTiming: connectivity.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: 100 * time.Millisecond, RequestInterval: time.Second,
+			OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}},
 		SlotName:      name,
 		Listen:        seats[slices.IndexFunc(seats, func(s SlotAddress) bool { return s.Name == name })].Address,
 		Dir:           filepath.Join(t.TempDir(), "fleet"),
--- a/internal/fleet/seat/seat.go
+++ b/internal/fleet/lease/seat.go
@@ -1,6 +1,6 @@
 // Package seat decides which life of a node has a seat of its fleet, and keeps what one life leaves to the next in the node's
 // own folder. A seat is given under a lease that ends, by the store's leader; a fence grows with each owner. Decide is pure.
-package seat
+package lease
 
 import (
 	"encoding/json"
--- a/internal/fleet/seat/seat_test.go
+++ b/internal/fleet/lease/seat_test.go
@@ -1,4 +1,4 @@
-package seat
+package lease
 
 import (
 	"os"
--- a/internal/fleet/usage/usage.go
+++ b/internal/fleet/ledger/replication/usage.go
@@ -1,6 +1,6 @@
 // Package usage is the actor round a node's ledger: it writes what the node charges, and has what others charged come here, a
 // range at a time, beneath the traffic that the node serves.
-package usage
+package replication
 
 import (
 	"context"
--- a/internal/fleet/usage/usage_test.go
+++ b/internal/fleet/ledger/replication/usage_test.go
@@ -1,4 +1,4 @@
-package usage
+package replication
 
 import (
 	"context"
--- a/internal/fleet/member/golden_test.go
+++ b/internal/fleet/member/golden_test.go
@@ -6,24 +6,24 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"standpoint/internal/fleet/judge"
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/tally"
+	"standpoint/internal/fleet/counter"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 	"standpoint/internal/testpeer/golden"
 )
 
 func TestGoldenPacket(t *testing.T) {
 	packet := Packet{
-		From:          rights.Owner{Slot: 1, Incarnation: 2},
+		From:          quota.Owner{Slot: 1, Incarnation: 2},
 		AgeUnit:       3,
 		FirstSlot:     4,
 		HeartbeatAges: []byte{5, 6, 0xff},
 		Updates: []Update{{
-			Counters:  tally.Snapshot{Owner: rights.Owner{Slot: 7, Incarnation: 8}, At: 9, Counts: []int64{10, 11}},
+			Counters:  counter.Snapshot{Owner: quota.Owner{Slot: 7, Incarnation: 8}, At: 9, Counts: []int64{10, 11}},
 			Surpluses: []Surplus{{Budget: 12, Amount: 13}},
-			Evidence:  []judge.Evidence{{BackendHash: 14, StartedAt: 15, Kind: judge.BackendFault, ObservedAt: 16}},
+			Evidence:  []outlier.Evidence{{BackendHash: 14, StartedAt: 15, Kind: outlier.BackendFault, ObservedAt: 16}},
 		}},
-		QuotaMessages: []QuotaMessage{{Kind: ReturnTransfer, BudgetHash: 17, To: rights.Owner{Slot: 18, Incarnation: 19}, Number: 20, Amount: 21, FirstWindow: 22, LastWindow: 23}},
+		QuotaMessages: []QuotaMessage{{Kind: ReturnTransfer, BudgetHash: 17, To: quota.Owner{Slot: 18, Incarnation: 19}, Number: 20, Amount: 21, FirstWindow: 22, LastWindow: 23}},
 	}
 	golden.RoundTrip(t, "packet.cbor", packet,
 		func(v Packet) ([]byte, error) { return cbor.Marshal(v) },
@@ -32,7 +32,7 @@
 
 // What is empty is left out of a packet.
 func TestGoldenPacketOfOneOrder(t *testing.T) {
-	raw, err := cbor.Marshal(Packet{From: rights.Owner{Slot: 1, Incarnation: 2}, QuotaMessages: []QuotaMessage{{BudgetHash: 3, To: rights.Owner{Slot: 4}}}})
+	raw, err := cbor.Marshal(Packet{From: quota.Owner{Slot: 1, Incarnation: 2}, QuotaMessages: []QuotaMessage{{BudgetHash: 3, To: quota.Owner{Slot: 4}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -11,11 +11,11 @@
 	"slices"
 	"time"
 
+	"standpoint/internal/fleet/connectivity"
+	"standpoint/internal/fleet/counter"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
-	"standpoint/internal/fleet/mode"
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/tally"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 )
 
 // Bounds of what is sent and done at once.
@@ -38,15 +38,15 @@
 
 // Config is what all nodes of a fleet agree on, and which of them this one is.
 type Config struct {
-	Owner              rights.Owner
+	Owner              quota.Owner
 	Slots              []Slot
-	Budgets            []*rights.Budget
+	Budgets            []*quota.Budget
 	MaxRates           []int64 // by count: what a node can add in a second
 	GossipInterval     time.Duration
 	GossipFanout       int           // to which news goes in each tick
 	HeartbeatTimeout   time.Duration // after which a node counts as not heard
-	ConnectivityTiming mode.Timing
-	OutlierLimits      judge.Limits
+	ConnectivityTiming connectivity.Timing
+	OutlierLimits      outlier.Limits
 	ClockError         time.Duration // of clocks
 	RequestInterval    time.Duration // between two asks for rights of one budget, at the usual pace
 	Seed               uint64
@@ -60,9 +60,9 @@
 
 // Update is what one life of a node tells of itself; it is passed on as it is.
 type Update struct {
-	Counters  tally.Snapshot   `cbor:"1,keyasint"`
-	Surpluses []Surplus        `cbor:"2,keyasint,omitempty"`
-	Evidence  []judge.Evidence `cbor:"3,keyasint,omitempty"`
+	Counters  counter.Snapshot   `cbor:"1,keyasint"`
+	Surpluses []Surplus          `cbor:"2,keyasint,omitempty"`
+	Evidence  []outlier.Evidence `cbor:"3,keyasint,omitempty"`
 }
 
 // QuotaMessageKind says what an order is.
@@ -79,7 +79,7 @@
 type QuotaMessage struct {
 	Kind        QuotaMessageKind `cbor:"1,keyasint"`
 	BudgetHash  uint64           `cbor:"2,keyasint"` // its definition
-	To          rights.Owner     `cbor:"3,keyasint"` // of an ask, any life of the seat
+	To          quota.Owner      `cbor:"3,keyasint"` // of an ask, any life of the seat
 	Number      uint64           `cbor:"4,keyasint,omitempty"`
 	Amount      int64            `cbor:"5,keyasint,omitempty"`
 	FirstWindow int64            `cbor:"6,keyasint,omitempty"`
@@ -88,7 +88,7 @@
 
 // Packet is what goes from one node to another.
 type Packet struct {
-	From          rights.Owner   `cbor:"1,keyasint"`
+	From          quota.Owner    `cbor:"1,keyasint"`
 	AgeUnit       int64          `cbor:"5,keyasint,omitempty"` // of the ages, nanoseconds
 	FirstSlot     int            `cbor:"6,keyasint,omitempty"` // seat of the first age
 	HeartbeatAges []byte         `cbor:"2,keyasint,omitempty"` // how long ago each seat was alive, as far as the sender knows
@@ -106,10 +106,10 @@
 type Member struct {
 	Config
 	Invariants   *invariant.Monitor
-	Allocations  []*rights.Allocation
-	Counters     *tally.Table
-	Detector     *judge.Detector
-	Connectivity *mode.Machine
+	Allocations  []*quota.Allocation
+	Counters     *counter.Table
+	Detector     *outlier.Detector
+	Connectivity *connectivity.Machine
 
 	rng              *rand.Rand
 	now              int64
@@ -129,15 +129,15 @@
 func New(c Config, now int64, g *invariant.Monitor) *Member {
 	m := &Member{Config: c, Invariants: g, rng: rand.New(rand.NewPCG(c.Seed, uint64(c.Owner.Slot))), now: now, lastAlive: make([]int64, len(c.Slots)),
 		incarnations: make([]uint64, len(c.Slots)), updates: make([]Update, len(c.Slots)), unforwarded: make([]bool, len(c.Slots)), nextRequestAt: make([]int64, len(c.Budgets)), reviewedWindow: make([]int64, len(c.Budgets)),
-		pending: map[int][]QuotaMessage{}, Counters: tally.New(len(c.Slots), c.MaxRates, c.Owner, int64(c.ClockError), now, g), Detector: judge.New(c.OutlierLimits, c.Owner, g), Connectivity: mode.New(c.ConnectivityTiming, now, g)}
+		pending: map[int][]QuotaMessage{}, Counters: counter.New(len(c.Slots), c.MaxRates, c.Owner, int64(c.ClockError), now, g), Detector: outlier.New(c.OutlierLimits, c.Owner, g), Connectivity: connectivity.New(c.ConnectivityTiming, now, g)}
 	for _, b := range c.Budgets {
-		m.Allocations = append(m.Allocations, rights.NewAllocation(b, c.Owner, int64(c.ClockError), now, g))
+		m.Allocations = append(m.Allocations, quota.NewAllocation(b, c.Owner, int64(c.ClockError), now, g))
 	}
 	return m
 }
 
 // SetLease takes in the node's hold of its seat.
-func (m *Member) SetLease(l rights.Lease) {
+func (m *Member) SetLease(l quota.Lease) {
 	for _, p := range m.Allocations {
 		p.SetLease(l)
 	}
@@ -264,7 +264,7 @@
 }
 
 // requestQuota asks for rights that are wanted and lacking.
-func (m *Member) requestQuota(i int, p *rights.Allocation, pace float64) {
+func (m *Member) requestQuota(i int, p *quota.Allocation, pace float64) {
 	w := p.CurrentWindow()
 	first, lack := w, p.Shortfall(w)
 	if next := p.Shortfall(w + 1); lack == 0 && next > 0 {
@@ -277,7 +277,7 @@
 	m.nextRequestAt[i] = m.now + int64(float64(m.RequestInterval)*(0.5+m.rng.Float64())/pace)
 	lenders := m.drawLenders(i)
 	for _, seat := range lenders {
-		m.enqueue(seat, QuotaMessage{Kind: RequestQuota, BudgetHash: p.DefinitionHash(), To: rights.Owner{Slot: seat}, Amount: lack/int64(len(lenders)) + 1, FirstWindow: first, LastWindow: first + int64(p.TransferWindows) - 1})
+		m.enqueue(seat, QuotaMessage{Kind: RequestQuota, BudgetHash: p.DefinitionHash(), To: quota.Owner{Slot: seat}, Amount: lack/int64(len(lenders)) + 1, FirstWindow: first, LastWindow: first + int64(p.TransferWindows) - 1})
 	}
 }
 
@@ -355,7 +355,7 @@
 
 func (m *Member) mergeUpdate(n Update) {
 	seat := n.Counters.Owner.Slot
-	if seat < 0 || seat >= len(m.Slots) || len(n.Surpluses) > MaxSurpluses || len(n.Evidence) > judge.MaxEvidencePerNode || !m.Counters.Merge(n.Counters, m.now) {
+	if seat < 0 || seat >= len(m.Slots) || len(n.Surpluses) > MaxSurpluses || len(n.Evidence) > outlier.MaxEvidencePerNode || !m.Counters.Merge(n.Counters, m.now) {
 		return
 	}
 	for _, e := range n.Evidence {
@@ -366,15 +366,15 @@
 	}
 }
 
-func (m *Member) handleQuotaMessage(from rights.Owner, o QuotaMessage) (QuotaMessage, bool) {
-	i := slices.IndexFunc(m.Budgets, func(b *rights.Budget) bool { return b.DefinitionHash() == o.BudgetHash })
+func (m *Member) handleQuotaMessage(from quota.Owner, o QuotaMessage) (QuotaMessage, bool) {
+	i := slices.IndexFunc(m.Budgets, func(b *quota.Budget) bool { return b.DefinitionHash() == o.BudgetHash })
 	if i < 0 || o.To.Slot != m.Owner.Slot {
 		return QuotaMessage{}, false // another definition: nothing is lent between those that do not mean the same
 	}
 	p := m.Allocations[i]
 	switch o.Kind {
 	case RequestQuota:
-		if m.grantsLeft <= 0 || o.LastWindow < o.FirstWindow || o.LastWindow-o.FirstWindow >= rights.MaxWindows {
+		if m.grantsLeft <= 0 || o.LastWindow < o.FirstWindow || o.LastWindow-o.FirstWindow >= quota.MaxWindows {
 			return QuotaMessage{}, false
 		}
 		l, ok := p.Lend(from, o.Amount, o.FirstWindow, int(o.LastWindow-o.FirstWindow+1))
@@ -385,7 +385,7 @@
 		}
 		return lent, ok
 	case GrantTransfer:
-		p.Accept(rights.Transfer{Lender: from, Number: o.Number, Borrower: o.To, Amount: o.Amount, FirstWindow: o.FirstWindow, LastWindow: o.LastWindow})
+		p.Accept(quota.Transfer{Lender: from, Number: o.Number, Borrower: o.To, Amount: o.Amount, FirstWindow: o.FirstWindow, LastWindow: o.LastWindow})
 	case ReturnTransfer:
 		if o.To == m.Owner {
 			p.AcceptReturn(from, o.Number, o.LastWindow)
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -9,27 +9,27 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
+	"standpoint/internal/fleet/connectivity"
+	"standpoint/internal/fleet/counter"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
-	"standpoint/internal/fleet/mode"
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/tally"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 )
 
 const second = int64(time.Second)
 
 func fleet(t require.TestingT, n int, g *invariant.Monitor) []*Member {
-	b := &rights.Budget{Name: "b", Amount: 900, Window: time.Second, TransferWindows: 4}
+	b := &quota.Budget{Name: "b", Amount: 900, Window: time.Second, TransferWindows: 4}
 	for range n {
 		b.Weights = append(b.Weights, 1)
 	}
 	require.NoError(t, b.Complete())
 	var all []*Member
 	for i := range n {
-		m := New(Config{Owner: rights.Owner{Slot: i, Incarnation: 1}, Slots: make([]Slot, n), Budgets: []*rights.Budget{b}, MaxRates: []int64{100}, GossipInterval: 100 * time.Millisecond, GossipFanout: 2,
-			HeartbeatTimeout: time.Second, ConnectivityTiming: mode.Timing{JoinTimeout: 2 * time.Second, SettleTime: second3, RecoveryRamp: second3}, ClockError: 100 * time.Millisecond, RequestInterval: 50 * time.Millisecond, Seed: 1,
-			OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: 5 * second, OwnEvidenceLifetime: second, MaxEjectedShare: 0.5, IsolationShare: 0.34}}, 100*second, g)
-		m.SetLease(rights.Lease{FencingToken: 1, ValidFrom: 100 * second, ExpiresAt: 1000 * second})
+		m := New(Config{Owner: quota.Owner{Slot: i, Incarnation: 1}, Slots: make([]Slot, n), Budgets: []*quota.Budget{b}, MaxRates: []int64{100}, GossipInterval: 100 * time.Millisecond, GossipFanout: 2,
+			HeartbeatTimeout: time.Second, ConnectivityTiming: connectivity.Timing{JoinTimeout: 2 * time.Second, SettleTime: second3, RecoveryRamp: second3}, ClockError: 100 * time.Millisecond, RequestInterval: 50 * time.Millisecond, Seed: 1,
+			OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: 5 * second, OwnEvidenceLifetime: second, MaxEjectedShare: 0.5, IsolationShare: 0.34}}, 100*second, g)
+		m.SetLease(quota.Lease{FencingToken: 1, ValidFrom: 100 * second, ExpiresAt: 1000 * second})
 		all = append(all, m)
 	}
 	return all
@@ -75,11 +75,11 @@
 	cut := func(a, b int) bool { return a != 0 && b != 0 }
 	require.EqualValues(t, 300, want(115*second, 125*second, cut))
 	now, _ := all[0].Connectivity.Current()
-	require.Equal(t, mode.Isolated, now)
+	require.Equal(t, connectivity.Isolated, now)
 	require.Zero(t, all[0].Connectivity.RateFactor(125*second))
 	want(125*second, 125*second+second/2, nil)
 	now, _ = all[0].Connectivity.Current()
-	require.Equal(t, mode.Recovering, now)
+	require.Equal(t, connectivity.Recovering, now)
 	require.GreaterOrEqual(t, want(126*second, 140*second, nil), int64(850))
 	require.Empty(t, g.Violations())
 }
@@ -87,11 +87,11 @@
 // What is lent is bound to the budget's definition: nodes that do not mean the same lend each other nothing.
 func TestNoTransferBetweenDifferentDefinitions(t *testing.T) {
 	all := fleet(t, 2, nil)
-	other := &rights.Budget{Name: "b", Amount: 901, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 1}}
+	other := &quota.Budget{Name: "b", Amount: 901, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 1}}
 	require.NoError(t, other.Complete())
 	play(all, 100*second, 103*second, nil)
 	for definition, lends := range map[uint64]bool{other.DefinitionHash(): false, all[1].Budgets[0].DefinitionHash(): true} {
-		out := all[1].Receive(103*second, Packet{From: all[0].Owner, QuotaMessages: []QuotaMessage{{Kind: RequestQuota, BudgetHash: definition, To: rights.Owner{Slot: 1}, Amount: 10, FirstWindow: 103, LastWindow: 104}}})
+		out := all[1].Receive(103*second, Packet{From: all[0].Owner, QuotaMessages: []QuotaMessage{{Kind: RequestQuota, BudgetHash: definition, To: quota.Owner{Slot: 1}, Amount: 10, FirstWindow: 103, LastWindow: 104}}})
 		require.Equal(t, lends, len(out) > 0)
 	}
 }
@@ -103,8 +103,8 @@
 		all := fleet(t, 3, g)
 		m := all[0]
 		number := rapid.OneOf(rapid.Int64(), rapid.Int64Range(90, 120), rapid.Just(int64(math.MaxInt64)), rapid.Just(int64(math.MinInt64)))
-		owner := rapid.Custom(func(t *rapid.T) rights.Owner {
-			return rights.Owner{Slot: rapid.IntRange(-1, 4).Draw(t, "seat"), Incarnation: rapid.Uint64Range(0, 3).Draw(t, "life")}
+		owner := rapid.Custom(func(t *rapid.T) quota.Owner {
+			return quota.Owner{Slot: rapid.IntRange(-1, 4).Draw(t, "seat"), Incarnation: rapid.Uint64Range(0, 3).Draw(t, "life")}
 		})
 		now := 100 * second
 		lent := int64(0)
@@ -112,9 +112,9 @@
 			now += rapid.Int64Range(0, second).Draw(t, "by")
 			p := Packet{From: owner.Draw(t, "from"), HeartbeatAges: rapid.SliceOfN(rapid.Byte(), 0, 5).Draw(t, "beats"), AgeUnit: number.Draw(t, "unit"), FirstSlot: rapid.IntRange(-1, 3).Draw(t, "first")}
 			for range rapid.IntRange(0, 6).Draw(t, "news") {
-				n := Update{Counters: tally.Snapshot{Owner: owner.Draw(t, "of"), At: number.Draw(t, "at"), Counts: []int64{number.Draw(t, "count")}}}
+				n := Update{Counters: counter.Snapshot{Owner: owner.Draw(t, "of"), At: number.Draw(t, "at"), Counts: []int64{number.Draw(t, "count")}}}
 				n.Surpluses = append(n.Surpluses, Surplus{rapid.IntRange(-1, 2).Draw(t, "budget"), number.Draw(t, "spare")})
-				n.Evidence = append(n.Evidence, judge.Evidence{BackendHash: 1, Kind: judge.Kind(rapid.IntRange(0, 9).Draw(t, "kind")), ObservedAt: number.Draw(t, "seen")})
+				n.Evidence = append(n.Evidence, outlier.Evidence{BackendHash: 1, Kind: outlier.Kind(rapid.IntRange(0, 9).Draw(t, "kind")), ObservedAt: number.Draw(t, "seen")})
 				p.Updates = append(p.Updates, n)
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "orders") {
--- a/internal/fleet/judge/golden_test.go
+++ b/internal/fleet/outlier/golden_test.go
@@ -1,4 +1,4 @@
-package judge
+package outlier
 
 import (
 	"fmt"
--- a/internal/fleet/judge/judge.go
+++ b/internal/fleet/outlier/judge.go
@@ -5,7 +5,7 @@
 // others' it takes several independent sources; a node that finds most servers bad is taken to be cut off itself; of a zone at
 // most a stated share is left out; all of it expires, and a server's new start voids it. What discovery, bans and the rules say
 // goes before: a judgement never brings a server in.
-package judge
+package outlier
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"slices"
 
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 )
 
 // Kind is what evidence speaks of.
@@ -52,7 +52,7 @@
 )
 
 type receivedEvidence struct {
-	owner rights.Owner
+	owner quota.Owner
 	zone  int
 	Evidence
 }
@@ -67,7 +67,7 @@
 // Detector is one node's judgements.
 type Detector struct {
 	Limits
-	Owner      rights.Owner
+	Owner      quota.Owner
 	Invariants *invariant.Monitor
 
 	backends map[uint64]Backend
@@ -76,7 +76,7 @@
 }
 
 // New makes the judgements of a node that has seen nothing.
-func New(l Limits, own rights.Owner, g *invariant.Monitor) *Detector {
+func New(l Limits, own quota.Owner, g *invariant.Monitor) *Detector {
 	return &Detector{Limits: l, Owner: own, Invariants: g, backends: map[uint64]Backend{}, own: map[uint64]Evidence{}, received: map[uint64][]receivedEvidence{}}
 }
 
@@ -115,7 +115,7 @@
 }
 
 // Receive takes in what another node has seen.
-func (b *Detector) Receive(who rights.Owner, zone int, e Evidence, now int64) {
+func (b *Detector) Receive(who quota.Owner, zone int, e Evidence, now int64) {
 	if who.Slot == b.Owner.Slot || b.obsolete(e) || e.Kind > Unreachable || e.ObservedAt > now+b.ClockError || now-e.ObservedAt > b.EvidenceLifetime+b.ClockError {
 		return
 	}
--- a/internal/fleet/judge/judge_test.go
+++ b/internal/fleet/outlier/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package outlier
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 )
 
 const second = int64(time.Second)
@@ -17,7 +17,7 @@
 
 // newTestDetector is the judgements of seat 0 on eight servers, in two zones.
 func newTestDetector(l Limits) *Detector {
-	b := New(l, rights.Owner{Slot: 0, Incarnation: 1}, &invariant.Monitor{})
+	b := New(l, quota.Owner{Slot: 0, Incarnation: 1}, &invariant.Monitor{})
 	var all []Backend
 	for i := range 8 {
 		all = append(all, Backend{Hash: uint64(i), Zone: i % 2, StartedAt: 7})
@@ -40,7 +40,7 @@
 func TestEjectionNeedsIndependentEvidence(t *testing.T) {
 	now := 100 * second
 	say := func(b *Detector, seat, zone int, e Evidence) {
-		b.Receive(rights.Owner{Slot: seat, Incarnation: 1}, zone, e, now)
+		b.Receive(quota.Owner{Slot: seat, Incarnation: 1}, zone, e, now)
 	}
 	two := func(kind Kind, zone1, zone2 int) *Detector {
 		b := newTestDetector(limits)
@@ -103,7 +103,7 @@
 			if rapid.Bool().Draw(t, "own") {
 				b.Observe(e)
 			} else {
-				b.Receive(rights.Owner{Slot: rapid.IntRange(0, 20).Draw(t, "seat"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life")}, 0, e, now)
+				b.Receive(quota.Owner{Slot: rapid.IntRange(0, 20).Draw(t, "seat"), Incarnation: rapid.Uint64Range(1, 3).Draw(t, "life")}, 0, e, now)
 			}
 			out := map[int]int{}
 			for _, j := range b.Ejections(now) {
--- a/internal/fleet/rights/budget.go
+++ b/internal/fleet/quota/budget.go
@@ -5,7 +5,7 @@
 // node spends only rights that it holds: its seat's share, less what it has lent, and what others have lent to it. Rights are
 // for windows by their number, so that what is spent in a window is at most the budget whatever is lost, doubled, late or cut
 // off, and whatever clocks say; why it is built so stands in docs/design/onefleet.md.
-package rights
+package quota
 
 import (
 	"errors"
--- a/internal/fleet/rights/rights_test.go
+++ b/internal/fleet/quota/rights_test.go
@@ -1,4 +1,4 @@
-package rights
+package quota
 
 import (
 	"testing"
--- a/internal/fleet/sessions/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -1,4 +1,4 @@
-package sessions
+package service
 
 import (
 	"bytes"
--- a/internal/fleet/sessions/sessions.go
+++ b/internal/fleet/session/service/sessions.go
@@ -2,7 +2,7 @@
 // happen to a session is decided in internal/fleet/session, by the store's leader; here is what a node does about it: it looks
 // at answers as they pass (node.Hook), ends the decoding at a call, puts the session on record and gives its client a key; and
 // it takes keys and results, claims the session, and builds its prompt anew.
-package sessions
+package service
 
 import (
 	"bytes"
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 	"time"
 
-	"standpoint/internal/fleet/rights"
-	"standpoint/internal/fleet/tally"
+	"standpoint/internal/fleet/counter"
+	"standpoint/internal/fleet/quota"
 )
 
 func (f *Fleet) draw() float64 { return rand.Float64() }
@@ -22,24 +22,24 @@
 
 // Status is how this node stands to its fleet.
 type Status struct {
-	Slot             string                   `json:"seat"`
-	Incarnation      uint64                   `json:"life"`
-	State            string                   `json:"mode"`
-	SiteState        string                   `json:"site,omitempty"` // its mode, of a site
-	StateAge         float64                  `json:"since"`          // seconds
-	RateFactor       float64                  `json:"pace"`
-	LeaseRemaining   float64                  `json:"lease"` // seconds that it lasts; 0: there is none
-	FencingToken     uint64                   `json:"epoch"`
-	Leader           string                   `json:"leader"`
-	Peers            []PeerStatus             `json:"peers"`
-	Budgets          []rights.Usage           `json:"budgets"`
-	Counters         map[string]tally.Reading `json:"counts"`
-	LiveMembers      tally.Reading            `json:"live"`
-	SuspectBackends  []string                 `json:"doubted"` // real servers that others' evidence speaks against
-	RejectedRequests uint64                   `json:"refused"` // requests, for want of rights
-	SentBytes        uint64                   `json:"sent"`    // bytes of packets and calls
-	DroppedMessages  uint64                   `json:"dropped"` // messages that came while too many waited
-	Violations       map[string]uint64        `json:"breaches"`
+	Slot             string                     `json:"seat"`
+	Incarnation      uint64                     `json:"life"`
+	State            string                     `json:"mode"`
+	SiteState        string                     `json:"site,omitempty"` // its mode, of a site
+	StateAge         float64                    `json:"since"`          // seconds
+	RateFactor       float64                    `json:"pace"`
+	LeaseRemaining   float64                    `json:"lease"` // seconds that it lasts; 0: there is none
+	FencingToken     uint64                     `json:"epoch"`
+	Leader           string                     `json:"leader"`
+	Peers            []PeerStatus               `json:"peers"`
+	Budgets          []quota.Usage              `json:"budgets"`
+	Counters         map[string]counter.Reading `json:"counts"`
+	LiveMembers      counter.Reading            `json:"live"`
+	SuspectBackends  []string                   `json:"doubted"` // real servers that others' evidence speaks against
+	RejectedRequests uint64                     `json:"refused"` // requests, for want of rights
+	SentBytes        uint64                     `json:"sent"`    // bytes of packets and calls
+	DroppedMessages  uint64                     `json:"dropped"` // messages that came while too many waited
+	Violations       map[string]uint64          `json:"breaches"`
 }
 
 // Status tells how the node stands.
@@ -52,7 +52,7 @@
 	now = m.Advance(now)
 	mode, since := m.Connectivity.Current()
 	s := Status{Slot: f.SlotName, Incarnation: f.incarnation, State: mode.String(), StateAge: float64(now-since) / 1e9, RateFactor: m.Connectivity.RateFactor(now), FencingToken: f.lease.FencingToken, Leader: f.Store.Leader(),
-		Counters: map[string]tally.Reading{"requests": m.Counters.Read(RequestCounter, now), "tokens": m.Counters.Read(TokenCounter, now)}, LiveMembers: m.Counters.LiveMembers(now, int64(f.MemberConfig.HeartbeatTimeout)),
+		Counters: map[string]counter.Reading{"requests": m.Counters.Read(RequestCounter, now), "tokens": m.Counters.Read(TokenCounter, now)}, LiveMembers: m.Counters.LiveMembers(now, int64(f.MemberConfig.HeartbeatTimeout)),
 		RejectedRequests: f.rejectedRequests, SentBytes: f.sentBytes.Load(), DroppedMessages: f.droppedMessages.Load(), Violations: f.Invariants.Violations(), SuspectBackends: []string{}}
 	if f.siteConnectivity != nil {
 		m, _ := f.siteConnectivity.Current()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 )
 
 func small(seed uint64, t Trouble) Case {
@@ -31,7 +31,7 @@
 	c := small(3, Trouble{})
 	c.NewCold, c.Settle, c.Step = true, 0, 99
 	r := c.Run()
-	require.Equal(t, mover.Done, r.State)
+	require.Equal(t, migration.Done, r.State)
 	require.Zero(t, r.Fell)
 	require.Greater(t, r.Mean, 0.97)
 }
@@ -39,7 +39,7 @@
 func TestAMoveGoesBackWithinAMinute(t *testing.T) {
 	for _, trouble := range []Trouble{{Name: "slow", Slow: 2}, {Name: "errors", Errors: 0.2}, {Name: "dead", Dead: true}} {
 		r := small(7, trouble).Run()
-		require.Equal(t, mover.Undone, r.State, trouble.Name)
+		require.Equal(t, migration.Undone, r.State, trouble.Name)
 		require.LessOrEqual(t, r.Back, 60.0, trouble.Name)
 		require.Greater(t, r.Mean, 0.9, trouble.Name)
 	}
@@ -50,7 +50,7 @@
 	c := small(11, Trouble{OldDead: true})
 	c.Trace = true
 	r := c.Run()
-	require.NotEqual(t, mover.Undone, r.State)
+	require.NotEqual(t, migration.Undone, r.State)
 	last := r.Trace[len(r.Trace)-1]
 	require.GreaterOrEqual(t, last.Share, 0.5)
 	_, after := service(r.Seconds, r.TroubleAt+15, r.TroubleAt+80)
@@ -61,7 +61,7 @@
 func TestADrainInTheMiddleOfAStep(t *testing.T) {
 	c := small(13, Trouble{Drain: 3})
 	r := c.Run()
-	require.Equal(t, mover.Done, r.State)
+	require.Equal(t, migration.Done, r.State)
 	require.Zero(t, r.LateSends, "attempts that reached a draining box 500 ms after the drain was told")
 }
 
--- a/internal/lab/many/many.go
+++ b/internal/lab/many/many.go
@@ -10,11 +10,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"standpoint/internal/fleet/connectivity"
 	"standpoint/internal/fleet/invariant"
-	"standpoint/internal/fleet/judge"
 	"standpoint/internal/fleet/member"
-	"standpoint/internal/fleet/mode"
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/fleet/quota"
 )
 
 // Trouble is what befalls the fleet in the middle of a play.
@@ -110,7 +110,7 @@
 	queue   queue
 	order   uint64
 	nodes   []*node
-	budget  *rights.Budget
+	budget  *quota.Budget
 	guard   *invariant.Monitor
 	begin   int64
 	from    int64 // of the trouble
@@ -132,7 +132,7 @@
 	w.now = w.begin
 	w.from, w.to = w.begin+int64(p.Span)/3, w.begin+2*int64(p.Span)/3
 	w.failing, w.failsAt = 0, w.from
-	w.budget = &rights.Budget{Name: "tokens", Amount: amount, Window: p.Window, TransferWindows: 4}
+	w.budget = &quota.Budget{Name: "tokens", Amount: amount, Window: p.Window, TransferWindows: 4}
 	for range p.Nodes {
 		w.budget.Weights = append(w.budget.Weights, 1)
 	}
@@ -167,7 +167,7 @@
 		if !agreed && w.agreed() {
 			agreed, w.result.Agreed = true, float64(w.now-w.to)/1e9
 		}
-		if w.result.Healed == 0 && !slices.ContainsFunc(w.nodes, func(n *node) bool { m, _ := n.Connectivity.Current(); return m != mode.Majority }) {
+		if w.result.Healed == 0 && !slices.ContainsFunc(w.nodes, func(n *node) bool { m, _ := n.Connectivity.Current(); return m != connectivity.Majority }) {
 			w.result.Healed = float64(w.now-w.to) / 1e9
 		}
 		if !agreed || w.result.Healed == 0 {
@@ -207,16 +207,16 @@
 	for k := range seats {
 		seats[k].Zone = w.third(k)
 	}
-	c := member.Config{Owner: rights.Owner{Slot: i, Incarnation: n.inc}, Slots: seats, Budgets: []*rights.Budget{w.budget}, MaxRates: []int64{amount}, GossipInterval: tick, GossipFanout: 2,
-		HeartbeatTimeout: 3 * time.Second, ConnectivityTiming: mode.Timing{JoinTimeout: 5 * time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: max(2*w.Clock, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: w.Seed,
-		OutlierLimits: judge.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(2 * time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.34, ClockError: int64(max(2*w.Clock, 50*time.Millisecond))}}
+	c := member.Config{Owner: quota.Owner{Slot: i, Incarnation: n.inc}, Slots: seats, Budgets: []*quota.Budget{w.budget}, MaxRates: []int64{amount}, GossipInterval: tick, GossipFanout: 2,
+		HeartbeatTimeout: 3 * time.Second, ConnectivityTiming: connectivity.Timing{JoinTimeout: 5 * time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: max(2*w.Clock, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: w.Seed,
+		OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(2 * time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.34, ClockError: int64(max(2*w.Clock, 50*time.Millisecond))}}
 	at := w.now + n.off
 	n.Member, n.up = member.New(c, at, w.guard), true
-	n.SetLease(rights.Lease{FencingToken: n.inc, ValidFrom: at, ExpiresAt: at + int64(time.Hour), Successor: heir})
+	n.SetLease(quota.Lease{FencingToken: n.inc, ValidFrom: at, ExpiresAt: at + int64(time.Hour), Successor: heir})
 	n.alone, n.since, n.left = make([]int, w.Servers), make([]int64, w.Servers), make([]bool, w.Servers)
-	var all []judge.Backend
+	var all []outlier.Backend
 	for s := range w.Servers {
-		all = append(all, judge.Backend{Hash: uint64(s + 1), Zone: s % 2})
+		all = append(all, outlier.Backend{Hash: uint64(s + 1), Zone: s % 2})
 	}
 	n.Detector.SetBackends(all)
 }
@@ -317,19 +317,19 @@
 	if n.left[s] && w.rng.IntN(20) > 0 { // left out but for trials
 		return
 	}
-	e := judge.Evidence{BackendHash: uint64(s + 1), ObservedAt: w.now + n.off}
+	e := outlier.Evidence{BackendHash: uint64(s + 1), ObservedAt: w.now + n.off}
 	switch {
 	case !w.serves(i, s):
-		e.Kind = judge.Unreachable
+		e.Kind = outlier.Unreachable
 	case s == w.failing && w.now >= w.failsAt:
-		e.Kind = judge.BackendFault
+		e.Kind = outlier.BackendFault
 	}
-	if e.Kind == judge.Healthy {
+	if e.Kind == outlier.Healthy {
 		n.alone[s] = 0
 	} else {
 		n.alone[s]++
 	}
-	if e.Kind != judge.BackendFault || n.alone[s] >= 2 {
+	if e.Kind != outlier.BackendFault || n.alone[s] >= 2 {
 		n.Detector.Observe(e)
 	}
 	n.since[s] = w.now
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -4,7 +4,7 @@
 	"math"
 
 	"standpoint"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/node"
 	"standpoint/internal/pool"
 )
@@ -39,14 +39,14 @@
 // Driver decides over a move from its windows.
 type Driver interface {
 	// Observe takes a window and returns the record to follow.
-	Observe(w *World, window mover.Window) mover.Record
+	Observe(w *World, window migration.Window) migration.Record
 }
 
 // Machine is the project's mover as a driver.
-type Machine struct{ *mover.Machine }
+type Machine struct{ *migration.Machine }
 
 // Observe implements Driver.
-func (m Machine) Observe(w *World, window mover.Window) mover.Record {
+func (m Machine) Observe(w *World, window migration.Window) migration.Record {
 	m.Machine.Observe(w.Time(), window)
 	return m.Record()
 }
@@ -54,13 +54,13 @@
 // Threshold is the usual way: a check every so many windows, of the new pool's own figures against fixed bounds, and
 // back at once after so many failed checks in a row.
 type Threshold struct {
-	Plan     mover.Plan
+	Plan     migration.Plan
 	Every    int     // windows between checks
 	Failures int     // in a row
 	Late     float64 // share of the worth not in time that fails a check
 	Errors   float64 // share of attempts
 
-	record  mover.Record
+	record  migration.Record
 	windows int
 	failed  int
 	asked   [2]float64
@@ -68,10 +68,10 @@
 }
 
 // Observe implements Driver.
-func (t *Threshold) Observe(w *World, window mover.Window) mover.Record {
+func (t *Threshold) Observe(w *World, window migration.Window) migration.Record {
 	r := &t.record
 	if r.State == "" {
-		*r = mover.Record{ID: "threshold", Plan: t.Plan, State: mover.Holding, Step: -1,
+		*r = migration.Record{ID: "threshold", Plan: t.Plan, State: migration.Holding, Step: -1,
 			Shares: pool.Shares{From: t.Plan.From, To: t.Plan.To, Share: t.Plan.Trickle}}
 	}
 	if r.State.Terminal() {
@@ -89,18 +89,18 @@
 		}
 		t.asked, t.tried = [2]float64{}, [2]int{}
 		if t.failed >= t.Failures {
-			r.State, r.Shares = mover.Undone, pool.Shares{}
+			r.State, r.Shares = migration.Undone, pool.Shares{}
 			return *r
 		}
 	}
-	least := int(t.Plan.Hold / mover.WindowTime)
+	least := int(t.Plan.Hold / migration.WindowTime)
 	if r.Step < 0 {
-		least = int(t.Plan.Warm / mover.WindowTime)
+		least = int(t.Plan.Warm / migration.WindowTime)
 	}
 	if r.StateWindows++; r.StateWindows >= least {
 		r.StateWindows = 0
 		if r.Step++; r.Step == len(t.Plan.Steps) {
-			r.State, r.Shares = mover.Done, pool.Shares{Moved: map[string]string{"old": "new"}}
+			r.State, r.Shares = migration.Done, pool.Shares{Moved: map[string]string{"old": "new"}}
 			return *r
 		}
 		r.Shares.Share = t.Plan.Steps[r.Step]
@@ -110,7 +110,7 @@
 
 // Result is what came of one move.
 type Result struct {
-	State      mover.State
+	State      migration.State
 	Cause      string
 	Halted     float64 // seconds from the trouble to the halt; NaN: none
 	Back       float64 // to all traffic back
@@ -128,20 +128,20 @@
 // Point is the state of a move at one second.
 type Point struct {
 	At, Share, Evidence float64
-	State               mover.State
+	State               migration.State
 	OldFirst, NewFirst  float64 // median first token of the samples, seconds; NaN: none
 }
 
 // Case is one move to be run.
 type Case struct {
 	Setup
-	Plan    mover.Plan
+	Plan    migration.Plan
 	Trouble Trouble
 	// Step and After say when the trouble comes: so many seconds into that step.
 	Step  int
 	After float64
 	// Driver makes the one that decides; nil stands for the mover. None leaves all traffic with the old pool.
-	Driver func(p mover.Plan) Driver
+	Driver func(p migration.Plan) Driver
 	None   bool
 	// For is how long the run goes on after the trouble, and Most its length in any case.
 	For, Most float64
@@ -156,8 +156,8 @@
 	w := New(c.Setup)
 	r := Result{Halted: math.NaN(), Back: math.NaN(), TroubleAt: math.NaN()}
 	var driver Driver
-	var record mover.Record
-	follow := func(next mover.Record) {
+	var record migration.Record
+	follow := func(next migration.Record) {
 		changed := next.Shares.Share != record.Shares.Share || next.State != record.State || next.ID != record.ID
 		record = next
 		if changed {
@@ -169,7 +169,7 @@
 	end := c.Most
 	var tick func()
 	tick = func() {
-		var win mover.Window
+		var win migration.Window
 		for _, g := range w.nodes {
 			from, to := g.tracker.TakeWindow(w.Time())
 			win.From, win.To = win.From.Add(from), win.To.Add(to)
@@ -177,13 +177,13 @@
 		}
 		w.At(w.now+reportLag, func() {
 			next := driver.Observe(w, win)
-			if math.IsNaN(r.Halted) && (next.State == mover.Halted || next.State == mover.Returning || next.State == mover.Undone) {
+			if math.IsNaN(r.Halted) && (next.State == migration.Halted || next.State == migration.Returning || next.State == migration.Undone) {
 				r.Halted, r.Cause = w.now-r.TroubleAt, next.Cause
 			}
-			if math.IsNaN(r.Back) && next.State == mover.Undone {
+			if math.IsNaN(r.Back) && next.State == migration.Undone {
 				r.Back = w.now - r.TroubleAt
 			}
-			if math.IsNaN(r.TroubleAt) && next.Step == c.Step && next.State == mover.Holding && float64(next.StateWindows) >= c.After {
+			if math.IsNaN(r.TroubleAt) && next.Step == c.Step && next.State == migration.Holding && float64(next.StateWindows) >= c.After {
 				r.TroubleAt = w.now
 				end = min(end, w.now+c.For)
 				w.trouble(c.Trouble)
@@ -202,10 +202,10 @@
 		if c.Driver != nil {
 			driver = c.Driver(c.Plan)
 			// The counts need a record to follow from the start.
-			follow(mover.Record{ID: "begin", Plan: c.Plan, State: mover.Planned, Shares: pool.Shares{From: c.Plan.From, To: c.Plan.To}})
+			follow(migration.Record{ID: "begin", Plan: c.Plan, State: migration.Planned, Shares: pool.Shares{From: c.Plan.From, To: c.Plan.To}})
 		} else {
 			now := w.Time()
-			m, err := mover.Start("m-1", c.Plan, pool.Shares{}, w.nodes[0].tracker.Health("old", now), w.nodes[0].tracker.Health("new", now), now)
+			m, err := migration.Start("m-1", c.Plan, pool.Shares{}, w.nodes[0].tracker.Health("old", now), w.nodes[0].tracker.Health("new", now), now)
 			if err != nil {
 				r.Violations = append(r.Violations, err.Error())
 				return
@@ -251,7 +251,7 @@
 	return least, sumGood / max(1, sumAsked)
 }
 
-func median(all []mover.Sample) float64 {
+func median(all []migration.Sample) float64 {
 	if len(all) == 0 {
 		return math.NaN()
 	}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -24,7 +24,7 @@
 
 	"standpoint/internal/control"
 	"standpoint/internal/fleet"
-	"standpoint/internal/fleet/usage"
+	"standpoint/internal/fleet/ledger/replication"
 	"standpoint/internal/lab/faults"
 )
 
@@ -315,10 +315,10 @@
 }
 
 // Ledger asks the node how its ledger stands.
-func (n *Node) Ledger(ctx context.Context) (usage.Status, error) {
+func (n *Node) Ledger(ctx context.Context) (replication.Status, error) {
 	c := control.NewClient(n.Control, "a-token-that-is-long-enough")
 	defer c.Close()
-	var s usage.Status
+	var s replication.Status
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	return s, c.Call(ctx, http.MethodGet, "/v1/ledger", nil, &s)
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"standpoint/internal/control"
-	"standpoint/internal/entries"
+	"standpoint/internal/endpoints"
 	"standpoint/internal/lab/responder"
 )
 
@@ -198,7 +198,7 @@
 	h.stops = append(h.stops, func() { _ = h.process.Stop() })
 	h.control = control.NewClient("unix:"+filepath.Join(h.Dir, "control.sock"), "")
 	return h.process.Up(time.Minute, func() bool {
-		var all []entries.Origin
+		var all []endpoints.Origin
 		if h.control.Call(ctx, http.MethodGet, "/v1/entries", nil, &all) != nil {
 			return ctx.Err() != nil
 		}
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -23,8 +23,8 @@
 	"standpoint/internal/control"
 	"standpoint/internal/lab"
 	"standpoint/internal/lab/boxes"
-	"standpoint/internal/mover"
-	"standpoint/internal/moves"
+	"standpoint/internal/migration"
+	"standpoint/internal/migration/controller"
 )
 
 // Bounds of a stage.
@@ -60,29 +60,29 @@
 
 // Point is one second of a stage.
 type Point struct {
-	At       float64     `json:"at_s"`
-	Asked    float64     `json:"asked"`   // worth
-	InTime   float64     `json:"in_time"` // of it
-	Requests int         `json:"requests"`
-	Failed   int         `json:"failed"`
-	Share    float64     `json:"share"`
-	State    mover.State `json:"state"`
-	Evidence float64     `json:"evidence"`
-	OldFirst float64     `json:"old_first_token_s"` // median, as the boxes saw it; 0: none
-	NewFirst float64     `json:"new_first_token_s"`
-	OldLoad  float64     `json:"old_slots"` // share in use, mean
-	NewLoad  float64     `json:"new_slots"`
+	At       float64         `json:"at_s"`
+	Asked    float64         `json:"asked"`   // worth
+	InTime   float64         `json:"in_time"` // of it
+	Requests int             `json:"requests"`
+	Failed   int             `json:"failed"`
+	Share    float64         `json:"share"`
+	State    migration.State `json:"state"`
+	Evidence float64         `json:"evidence"`
+	OldFirst float64         `json:"old_first_token_s"` // median, as the boxes saw it; 0: none
+	NewFirst float64         `json:"new_first_token_s"`
+	OldLoad  float64         `json:"old_slots"` // share in use, mean
+	NewLoad  float64         `json:"new_slots"`
 }
 
 // Report is what a stage gives.
 type Report struct {
-	Points   []Point       `json:"points"`
-	Move     *mover.Record `json:"move,omitempty"`
-	Doubles  int           `json:"two_attempts_at_once"`
-	Attempts int           `json:"attempts"`
-	Asked    int           `json:"requests"`
-	SlowAt   float64       `json:"slow_at_s"` // 0: never
-	BackAt   float64       `json:"back_at_s"`
+	Points   []Point           `json:"points"`
+	Move     *migration.Record `json:"move,omitempty"`
+	Doubles  int               `json:"two_attempts_at_once"`
+	Attempts int               `json:"attempts"`
+	Asked    int               `json:"requests"`
+	SlowAt   float64           `json:"slow_at_s"` // 0: never
+	BackAt   float64           `json:"back_at_s"`
 }
 
 type stage struct {
@@ -256,12 +256,12 @@
 		at := time.Since(s.base)
 		if s.Start && !started && at >= s.Settle {
 			started = true
-			if err := s.control.Call(ctx, http.MethodPost, "/v1/move/start", moves.StartRequest{To: "new", By: "stage"}, nil); err != nil {
+			if err := s.control.Call(ctx, http.MethodPost, "/v1/move/start", controller.StartRequest{To: "new", By: "stage"}, nil); err != nil {
 				fmt.Fprintln(s.Out, "the move was not started:", err)
 				return
 			}
 		}
-		var status moves.Status
+		var status controller.Status
 		if err := s.control.Call(ctx, http.MethodGet, "/v1/move", nil, &status); err != nil && ctx.Err() == nil {
 			fmt.Fprintln(s.Out, "the daemon does not tell:", err)
 		}
@@ -275,7 +275,7 @@
 }
 
 // note makes the point of a second, and brings the slowness about when it is due.
-func (s *stage) note(at time.Duration, status *moves.Status) {
+func (s *stage) note(at time.Duration, status *controller.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.point(at.Seconds())
@@ -291,13 +291,13 @@
 	if last == nil || last.State != r.State || last.Step != r.Step {
 		fmt.Fprintf(s.Out, "%5.0f s  %-9s %5.1f%%  %s\n", at.Seconds(), r.State, 100*p.Share, r.Reason)
 	}
-	if s.Slow > 1 && s.report.SlowAt == 0 && r.State == mover.Holding && r.Step >= s.SlowStep &&
-		time.Duration(r.StateWindows)*mover.WindowTime >= s.SlowAfter {
+	if s.Slow > 1 && s.report.SlowAt == 0 && r.State == migration.Holding && r.Step >= s.SlowStep &&
+		time.Duration(r.StateWindows)*migration.WindowTime >= s.SlowAfter {
 		s.report.SlowAt = at.Seconds()
 		fmt.Fprintf(s.Out, "%5.0f s  the new boxes are now %g times slower\n", at.Seconds(), s.Slow)
 		_ = s.new.Do("slow", fmt.Sprint(s.Slow))
 	}
-	if s.report.BackAt == 0 && r.State == mover.Undone {
+	if s.report.BackAt == 0 && r.State == migration.Undone {
 		s.report.BackAt = at.Seconds()
 	}
 }
--- a/internal/lab/study.go
+++ b/internal/lab/study.go
@@ -10,7 +10,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 )
 
 // Study is a number of seeded moves for each trouble, by the mover and by fixed thresholds on the same seeds.
@@ -18,7 +18,7 @@
 	Runs     int
 	First    uint64 // seed
 	Setup    Setup
-	Plan     mover.Plan
+	Plan     migration.Plan
 	Troubles []Trouble
 	// Most is the length of a run, and For how long it goes on after the trouble, in seconds.
 	Most, For, Settle float64
@@ -49,16 +49,20 @@
 }
 
 // fixedThresholds are the usual settings: a check each 10 s, one failed or three in a row.
-func fixedThresholds() map[string]func(mover.Plan) Driver {
-	return map[string]func(mover.Plan) Driver{
-		"threshold, 1 check":  func(p mover.Plan) Driver { return &Threshold{Plan: p, Every: 10, Failures: 1, Late: 0.1, Errors: 0.05} },
-		"threshold, 3 checks": func(p mover.Plan) Driver { return &Threshold{Plan: p, Every: 10, Failures: 3, Late: 0.1, Errors: 0.05} },
+func fixedThresholds() map[string]func(migration.Plan) Driver {
+	return map[string]func(migration.Plan) Driver{
+		"threshold, 1 check": func(p migration.Plan) Driver {
+			return &Threshold{Plan: p, Every: 10, Failures: 1, Late: 0.1, Errors: 0.05}
+		},
+		"threshold, 3 checks": func(p migration.Plan) Driver {
+			return &Threshold{Plan: p, Every: 10, Failures: 3, Late: 0.1, Errors: 0.05}
+		},
 	}
 }
 
 // Run runs the study on all cores and writes a line a summary as it goes.
 func (s Study) Run(ctx context.Context, progress io.Writer) ([]Summary, error) {
-	drivers := map[string]func(mover.Plan) Driver{"mover": nil}
+	drivers := map[string]func(migration.Plan) Driver{"mover": nil}
 	if s.Fixed {
 		for name, d := range fixedThresholds() {
 			drivers[name] = d
@@ -142,11 +146,11 @@
 		if ratio < 0.9 {
 			s.UnderFloor++
 		}
-		if r.State == mover.Done {
+		if r.State == migration.Done {
 			s.Done++
 		}
 		if math.IsNaN(r.TroubleAt) {
-			if r.State == mover.Undone || r.State == mover.Returning || r.State == mover.Halted {
+			if r.State == migration.Undone || r.State == migration.Returning || r.State == migration.Halted {
 				s.Early++
 			}
 			continue
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -12,8 +12,8 @@
 	"standpoint"
 	"standpoint/internal/config"
 	"standpoint/internal/lab/box"
-	"standpoint/internal/mover"
-	"standpoint/internal/moves"
+	"standpoint/internal/migration"
+	"standpoint/internal/migration/controller"
 	"standpoint/internal/node"
 	"standpoint/internal/pool"
 )
@@ -174,7 +174,7 @@
 	w        *World
 	router   Policy
 	settings standpoint.Settings
-	tracker  *moves.Tracker
+	tracker  *controller.Tracker
 	open     map[int64]*ask
 	nextID   int64
 	acts     []standpoint.Action
@@ -231,8 +231,8 @@
 }
 
 // Plan is the default plan with what is told of boxes here.
-func (s *Setup) Plan() mover.Plan {
-	p := mover.Default()
+func (s *Setup) Plan() migration.Plan {
+	p := migration.Default()
 	p.From, p.To = "old", "new"
 	return p
 }
@@ -286,7 +286,7 @@
 		own.Ordinal = i
 		g := &gateway{w: w, settings: own, router: w.policy(own, int64(s.Seed)*64+int64(i)), open: map[int64]*ask{}}
 		if s.Pools {
-			g.tracker = moves.NewTracker(cfg, nopLog)
+			g.tracker = controller.NewTracker(cfg, nopLog)
 		}
 		w.nodes = append(w.nodes, g)
 		g.news(list)
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
 // Package figures owns what the node counts for its staff. Each figure is written in one place, where the thing itself
 // happens, and read by whoever shows it: the console, the metrics. Nothing here waits.
-package figures
+package metrics
 
 import (
 	"bytes"
--- a/internal/figures/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"testing"
--- a/internal/moves/actor.go
+++ b/internal/migration/controller/actor.go
@@ -1,4 +1,4 @@
-package moves
+package controller
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/control"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/pool"
 	"standpoint/internal/store"
 )
@@ -40,11 +40,11 @@
 	Name    string // of this node
 	Tracker *Tracker
 	Store   store.Store
-	Plan    func() mover.Plan // the file's, as it is now
-	Peers   map[string]string // control addresses of the store's members, by id
-	Token   func() string     // for the other members
-	Window  time.Duration     // mover.WindowTime but in tests
-	Live    time.Duration     // after which a silent node does not count as live; 0: 5 s
+	Plan    func() migration.Plan // the file's, as it is now
+	Peers   map[string]string     // control addresses of the store's members, by id
+	Token   func() string         // for the other members
+	Window  time.Duration         // mover.WindowTime but in tests
+	Live    time.Duration         // after which a silent node does not count as live; 0: 5 s
 	Log     *zap.Logger
 }
 
@@ -55,9 +55,9 @@
 
 	// The actor's alone.
 	version         uint64 // of the record that is followed, as the store counts
-	record          mover.Record
-	machine         *mover.Machine // while this node leads and a move is not over
-	recordVersion   uint64         // the store's version that the machine's record was written as
+	record          migration.Record
+	machine         *migration.Machine // while this node leads and a move is not over
+	recordVersion   uint64             // the store's version that the machine's record was written as
 	term            uint64
 	reports         map[string]*nodeReport
 	unsent          []Report
@@ -74,17 +74,17 @@
 	version    uint64
 	migration  string
 	digest     uint64
-	from, to   mover.PoolWindow
+	from, to   migration.PoolWindow
 }
 
 // Report is what a node tells the one that carries the move on.
 type Report struct {
-	Node    string           `json:"node"`
-	Move    string           `json:"move"`
-	Version uint64           `json:"version"` // of the shares that it has in force
-	Digest  uint64           `json:"digest"`  // of its pools
-	From    mover.PoolWindow `json:"from"`
-	To      mover.PoolWindow `json:"to"`
+	Node    string               `json:"node"`
+	Move    string               `json:"move"`
+	Version uint64               `json:"version"` // of the shares that it has in force
+	Digest  uint64               `json:"digest"`  // of its pools
+	From    migration.PoolWindow `json:"from"`
+	To      migration.PoolWindow `json:"to"`
 }
 
 type (
@@ -96,7 +96,7 @@
 	statusRequest struct{ done chan Status }
 	changeRequest struct{ done chan chan struct{} }
 	commandReply  struct {
-		record mover.Record
+		record migration.Record
 		err    error
 	}
 )
@@ -127,19 +127,19 @@
 
 // Status is how things stand.
 type Status struct {
-	Node     string        `json:"node"`
-	Leads    bool          `json:"leads"`
-	Leader   string        `json:"leader,omitempty"`
-	Version  uint64        `json:"version"` // of the shares in force here
-	Move     *mover.Record `json:"move,omitempty"`
-	Evidence float64       `json:"evidence"` // of an alarm: 1 raises it
-	Nodes    []NodeStatus  `json:"nodes,omitempty"`
+	Node     string            `json:"node"`
+	Leads    bool              `json:"leads"`
+	Leader   string            `json:"leader,omitempty"`
+	Version  uint64            `json:"version"` // of the shares in force here
+	Move     *migration.Record `json:"move,omitempty"`
+	Evidence float64           `json:"evidence"` // of an alarm: 1 raises it
+	Nodes    []NodeStatus      `json:"nodes,omitempty"`
 }
 
 // New makes the actor; Run starts it.
 func New(o Options) *Controller {
 	if o.Window == 0 {
-		o.Window = mover.WindowTime
+		o.Window = migration.WindowTime
 	}
 	if o.Live == 0 {
 		o.Live = liveTimeout
@@ -206,7 +206,7 @@
 	if v.Version == a.version || v.Version == 0 {
 		return // a store that has nothing yet, or is cut off, changes nothing here
 	}
-	var r mover.Record
+	var r migration.Record
 	if err := json.Unmarshal(v.Data, &r); err != nil {
 		a.Log.Error("the recorded move cannot be read; the shares stay as they are", zap.Error(err))
 		a.version = v.Version
@@ -237,7 +237,7 @@
 	}
 	a.follow()
 	if a.machine == nil && a.record.State != "" && !a.record.State.Terminal() {
-		a.machine, a.recordVersion = mover.Resume(a.record), a.version
+		a.machine, a.recordVersion = migration.Resume(a.record), a.version
 	}
 	return true
 }
@@ -283,8 +283,8 @@
 }
 
 // mergeWindow makes one window of what all live nodes have told since the last.
-func (a *Controller) mergeWindow(now time.Time) mover.Window {
-	var w mover.Window
+func (a *Controller) mergeWindow(now time.Time) migration.Window {
+	var w migration.Window
 	own := a.Tracker.Digest()
 	for name, h := range a.reports {
 		if now.Sub(h.receivedAt) > a.Live {
@@ -296,13 +296,13 @@
 		switch {
 		case h.digest != own: // its counts are of other pools
 			w.Lagging = append(w.Lagging, name+" (its pools differ)")
-			h.from, h.to = mover.PoolWindow{}, mover.PoolWindow{}
+			h.from, h.to = migration.PoolWindow{}, migration.PoolWindow{}
 			continue
 		case h.migration != a.record.ID || h.version != a.record.Version:
 			w.Lagging = append(w.Lagging, name)
 		}
 		w.From, w.To = w.From.Add(h.from), w.To.Add(h.to)
-		h.from, h.to = mover.PoolWindow{Health: h.from.Health}, mover.PoolWindow{Health: h.to.Health}
+		h.from, h.to = migration.PoolWindow{Health: h.from.Health}, migration.PoolWindow{Health: h.to.Health}
 	}
 	slices.Sort(w.Lagging)
 	return w
@@ -334,7 +334,7 @@
 }
 
 // archive keeps a move that is over, and lets the oldest go.
-func (a *Controller) archive(r mover.Record, raw []byte) []store.Op {
+func (a *Controller) archive(r migration.Record, raw []byte) []store.Op {
 	key := historyPrefix + r.ID
 	ops := []store.Op{{Key: key, Data: raw, ExpectedVersion: store.AnyVersion}}
 	kept := slices.DeleteFunc(a.Store.List(historyPrefix), func(k string) bool { return k == key })
@@ -389,52 +389,52 @@
 }
 
 // execute does what an operator wishes.
-func (a *Controller) execute(ctx context.Context, w commandRequest) (mover.Record, error) {
+func (a *Controller) execute(ctx context.Context, w commandRequest) (migration.Record, error) {
 	if w.name == "plan" {
 		m, err := a.newMachine(w.start, a.record.Shares)
 		if err != nil {
-			return mover.Record{}, err
+			return migration.Record{}, err
 		}
 		return m.Record(), nil
 	}
 	if !a.takeLead() {
-		return mover.Record{}, a.notLeader()
+		return migration.Record{}, a.notLeader()
 	}
 	now := time.Now()
 	if w.name == "start" {
 		if a.machine != nil {
-			return mover.Record{}, &control.Error{Status: http.StatusConflict, Code: "move_running",
+			return migration.Record{}, &control.Error{Status: http.StatusConflict, Code: "move_running",
 				Message: fmt.Sprintf("move %s from %s to %s is %s; undo it, or wait until it is over", a.record.ID, a.record.Plan.From,
 					a.record.Plan.To, a.record.State)}
 		}
 		m, err := a.newMachine(w.start, a.record.Shares)
 		if err != nil {
-			return mover.Record{}, err
+			return migration.Record{}, err
 		}
 		a.machine, a.recordVersion = m, a.version
 	} else {
 		if a.record.State == "" {
-			return mover.Record{}, &control.Error{Status: http.StatusNotFound, Code: "no_move", Message: "no move was ever started"}
+			return migration.Record{}, &control.Error{Status: http.StatusNotFound, Code: "no_move", Message: "no move was ever started"}
 		}
 		if a.machine == nil {
-			a.machine, a.recordVersion = mover.Resume(a.record), a.version
+			a.machine, a.recordVersion = migration.Resume(a.record), a.version
 		}
 		if err := a.machine.Command(now, w.name); err != nil {
 			if a.record.State.Terminal() {
 				a.machine = nil
 			}
-			return mover.Record{}, &control.Error{Status: http.StatusConflict, Code: "not_now", Message: err.Error()}
+			return migration.Record{}, &control.Error{Status: http.StatusConflict, Code: "not_now", Message: err.Error()}
 		}
 	}
 	r := a.machine.Record()
 	if err := a.persist(ctx); err != nil {
-		return mover.Record{}, fmt.Errorf("not recorded, and so not done: %w", err)
+		return migration.Record{}, fmt.Errorf("not recorded, and so not done: %w", err)
 	}
 	return r, nil
 }
 
 // newMachine plans a move.
-func (a *Controller) newMachine(s StartRequest, base pool.Shares) (*mover.Machine, error) {
+func (a *Controller) newMachine(s StartRequest, base pool.Shares) (*migration.Machine, error) {
 	p, err := s.plan(a.Plan())
 	if err != nil {
 		return nil, err
@@ -459,9 +459,9 @@
 		}
 	}
 	now := time.Now()
-	m, err := mover.Start(fmt.Sprintf("m-%s", now.UTC().Format("20060102-150405.000")), p, pool.Shares{Moved: base.Moved},
+	m, err := migration.Start(fmt.Sprintf("m-%s", now.UTC().Format("20060102-150405.000")), p, pool.Shares{Moved: base.Moved},
 		t.Health(p.From, now), t.Health(p.To, now), now)
-	var wrong *mover.PlanError
+	var wrong *migration.PlanError
 	if errors.As(err, &wrong) {
 		return nil, fault(wrong.Key, "%s", wrong.Reason)
 	}
@@ -488,7 +488,7 @@
 	return best
 }
 
-func (s StartRequest) plan(p mover.Plan) (mover.Plan, error) {
+func (s StartRequest) plan(p migration.Plan) (migration.Plan, error) {
 	p.From, p.To = s.From, s.To
 	if s.Steps != nil {
 		if p.Steps = s.Steps; len(s.Steps) > 0 {
--- a/internal/moves/calls.go
+++ b/internal/migration/controller/calls.go
@@ -1,4 +1,4 @@
-package moves
+package controller
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"standpoint/internal/control"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 )
 
 const maxWait = 25 * time.Second // for news of a move
@@ -68,9 +68,9 @@
 }
 
 func (a *Controller) callHistory(*http.Request, []byte) (any, error) {
-	all := []mover.Record{}
+	all := []migration.Record{}
 	for _, key := range slices.Backward(a.Store.List(historyPrefix)) {
-		var r mover.Record
+		var r migration.Record
 		if json.Unmarshal(a.Store.Get(key).Data, &r) == nil {
 			all = append(all, r)
 		}
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	for _, report := range reports {
-		if report.Node == "" || len(report.From.Samples)+len(report.To.Samples) > 2*mover.MaxSamples {
+		if report.Node == "" || len(report.From.Samples)+len(report.To.Samples) > 2*migration.MaxSamples {
 			return nil, &control.Error{Code: "bad_request", Message: "a report without a node, or with too many samples"}
 		}
 	}
--- a/internal/moves/fuzz_test.go
+++ b/internal/migration/controller/fuzz_test.go
@@ -1,4 +1,4 @@
-package moves
+package controller
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 
 	"standpoint"
 	"standpoint/internal/control"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/store"
 )
 
@@ -62,16 +62,16 @@
 			t.Fatalf("pool %d", pool)
 		}
 		if a.takeLead() && a.machine != nil {
-			a.machine.Observe(time.Unix(2000, 0), mover.Window{Nodes: 1})
+			a.machine.Observe(time.Unix(2000, 0), migration.Window{Nodes: 1})
 		}
 	})
 }
 
 // begun is an actor with a move that has just begun.
-func begun(t testing.TB) (*Controller, *mover.Machine) {
+func begun(t testing.TB) (*Controller, *migration.Machine) {
 	tr := NewTracker(file(t, nil), zap.NewNop())
 	tell(tr, entry("box-1", "v1"), entry("box-2", "v2"))
-	a := New(Options{Name: "n", Tracker: tr, Store: store.NewMemory(), Plan: func() mover.Plan { return mover.Default() }, Log: zap.NewNop()})
+	a := New(Options{Name: "n", Tracker: tr, Store: store.NewMemory(), Plan: func() migration.Plan { return migration.Default() }, Log: zap.NewNop()})
 	m, err := a.newMachine(StartRequest{To: "new"}, a.record.Shares)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/moves/golden_test.go
+++ b/internal/migration/controller/golden_test.go
@@ -1,11 +1,11 @@
-package moves
+package controller
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/pool"
 	"standpoint/internal/testpeer/golden"
 )
@@ -17,9 +17,9 @@
 	return value, err
 }
 
-var goldenHealth = mover.Health{Backends: 5, Ready: 4, Capacity: 3.5, WarmCapacity: 2.25}
+var goldenHealth = migration.Health{Backends: 5, Ready: 4, Capacity: 3.5, WarmCapacity: 2.25}
 
-var goldenSide = mover.PoolWindow{
+var goldenSide = migration.PoolWindow{
 	Requests:      30,
 	OfferedWeight: 28.5,
 	OnTimeWeight:  27.25,
@@ -27,7 +27,7 @@
 	Overflowed:    2,
 	Attempts:      33,
 	Errors:        1,
-	Samples:       []mover.Sample{{Class: 1, Kind: 2, UncachedTokens: 300, Load: 0.5, FirstToken: 0.25, TokenGap: 0.02}},
+	Samples:       []migration.Sample{{Class: 1, Kind: 2, UncachedTokens: 300, Load: 0.5, FirstToken: 0.25, TokenGap: 0.02}},
 	Health:        goldenHealth,
 }
 
@@ -59,7 +59,7 @@
 
 // What is shown of a move.
 func TestGoldenStatus(t *testing.T) {
-	record := mover.Record{ID: "m-7", State: mover.Holding, Shares: pool.Shares{From: "old", To: "new", Share: 0.25}}
+	record := migration.Record{ID: "m-7", State: migration.Holding, Shares: pool.Shares{From: "old", To: "new", Share: 0.25}}
 	value := Status{
 		Node:     "n1",
 		Leads:    true,
@@ -79,13 +79,13 @@
 // The record of a move, in the store under move/current and move/history/.
 func TestGoldenRecord(t *testing.T) {
 	at := time.Date(2026, 11, 1, 10, 0, 0, 500, time.UTC)
-	machine, err := mover.Start("m-7", goldenPlan(), pool.Shares{Moved: map[string]string{"a": "b"}}, goldenHealth, goldenHealth, at)
+	machine, err := migration.Start("m-7", goldenPlan(), pool.Shares{Moved: map[string]string{"a": "b"}}, goldenHealth, goldenHealth, at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	machine.SetAuthor("staff", "a release")
 	for i := range 30 {
-		machine.Observe(at.Add(time.Duration(i)*time.Second), mover.Window{From: goldenSide, To: goldenSide, Nodes: 3})
+		machine.Observe(at.Add(time.Duration(i)*time.Second), migration.Window{From: goldenSide, To: goldenSide, Nodes: 3})
 	}
 	record := machine.Record()
 	record.Paused = true
@@ -97,12 +97,12 @@
 		t.Fatal(err)
 	}
 	stored := golden.Read(t, "record.json", func() []byte { return raw })
-	decoded, err := decodeJSON[mover.Record](stored)
+	decoded, err := decodeJSON[migration.Record](stored)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Carried on from the stored record, the move is where it was.
-	again, err := encodeJSON(mover.Resume(decoded).Record())
+	again, err := encodeJSON(migration.Resume(decoded).Record())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +110,8 @@
 	golden.Bytes(t, "record.json", raw)
 }
 
-func goldenPlan() mover.Plan {
-	plan := mover.Default()
+func goldenPlan() migration.Plan {
+	plan := migration.Default()
 	plan.From = "old"
 	plan.To = "new"
 	return plan
--- a/internal/moves/story_test.go
+++ b/internal/migration/controller/story_test.go
@@ -1,4 +1,4 @@
-package moves
+package controller
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"standpoint/internal/clock"
 	"standpoint/internal/config"
 	"standpoint/internal/control"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/node"
 	"standpoint/internal/pool"
 	"standpoint/internal/store"
@@ -33,7 +33,7 @@
 
 // file is an operator's with two pools.
 func file(t testing.TB, edit func(*config.OperatorFile)) *config.OperatorFile {
-	plan := mover.Default()
+	plan := migration.Default()
 	plan.Steps, plan.Trickle, plan.Warm, plan.Hold, plan.Samples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
 	cfg := &config.OperatorFile{MigrationPlan: plan}
 	cfg.Settings.Classes = []standpoint.Class{{Streamed: true, TTFTAim: int64(time.Second), TPOTAim: int64(50 * time.Millisecond), Worth: 2}}
@@ -134,7 +134,7 @@
 	tr := NewTracker(cfg, zap.NewNop())
 	tell(tr, entry("box-1", "v1"), entry("box-2", "v2"))
 	n := &one{keys: keys, stopped: make(chan struct{})}
-	n.Controller = New(Options{Name: name, Tracker: tr, Store: keys, Peers: peers, Plan: func() mover.Plan { return cfg.MigrationPlan },
+	n.Controller = New(Options{Name: name, Tracker: tr, Store: keys, Peers: peers, Plan: func() migration.Plan { return cfg.MigrationPlan },
 		Token: func() string { return secret }, Window: window, Live: 2 * time.Second, Log: zap.NewNop()})
 	var err error
 	n.server, err = control.Listen(listen, token, n.Routes(), zap.NewNop())
@@ -210,8 +210,8 @@
 	return leader
 }
 
-func (n *one) start(t testing.TB, w StartRequest) mover.Record {
-	var r mover.Record
+func (n *one) start(t testing.TB, w StartRequest) migration.Record {
+	var r migration.Record
 	require.Eventually(t, func() bool { // a leader may just have been elected
 		return n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", w, &r) == nil
 	}, patient, 20*time.Millisecond)
@@ -237,7 +237,7 @@
 	leader := leading(t, all)
 	witness := all[(leader+1)%3]
 	witness.start(t, StartRequest{From: "old", To: "new"})
-	witness.reaches(t, func(s Status) bool { return s.Move.Step >= 0 && s.Move.State == mover.Holding })
+	witness.reaches(t, func(s Status) bool { return s.Move.Step >= 0 && s.Move.State == migration.Holding })
 	before := witness.status(t).Move
 	all[leader].kill()
 	all[leader] = nil
@@ -247,7 +247,7 @@
 		if n := len(versions); n == 0 || versions[n-1] != s.Move.Version {
 			versions, steps = append(versions, s.Move.Version), append(steps, s.Move.Step)
 		}
-		return s.Move.State == mover.Done
+		return s.Move.State == migration.Done
 	})
 	require.GreaterOrEqual(t, steps[0], before.Step)
 	for i := 1; i < len(steps); i++ {
@@ -269,7 +269,7 @@
 	leader := leading(t, all)
 	n, cut := all[leader], all[(leader+1)%3]
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Move.Step == 0 && s.Move.State == mover.Holding && len(s.Nodes) == 3 })
+	n.reaches(t, func(s Status) bool { return s.Move.Step == 0 && s.Move.State == migration.Holding && len(s.Nodes) == 3 })
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/pause", struct{}{}, nil))
 	require.Eventually(t, func() bool { return cut.share() > 0.2 && cut.share() < 0.3 }, patient, window)
 	kept := cut.share()
@@ -277,7 +277,7 @@
 	cut.stop()
 	<-cut.stopped
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/resume", struct{}{}, nil))
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
 	require.Equal(t, kept, cut.share())
 	require.Len(t, n.status(t).Nodes, 2)
 }
@@ -285,13 +285,13 @@
 // The recorded step is in force wherever it is read: the mover may have died before it applied what it wrote.
 func TestARestartedNodeTakesUpTheRecordedStep(t *testing.T) {
 	cfg := file(t, nil)
-	healthy := mover.Health{Backends: 1, Ready: 1, Capacity: 1, WarmCapacity: 1}
+	healthy := migration.Health{Backends: 1, Ready: 1, Capacity: 1, WarmCapacity: 1}
 	p := cfg.MigrationPlan
 	p.From, p.To = "old", "new"
-	m, err := mover.Start("m-9", p, pool.Shares{}, healthy, healthy, time.Now())
+	m, err := migration.Start("m-9", p, pool.Shares{}, healthy, healthy, time.Now())
 	require.NoError(t, err)
 	r := m.Record()
-	r.State, r.Step, r.Shares.Share, r.Version = mover.Stepping, 1, 0.5, 4
+	r.State, r.Step, r.Shares.Share, r.Version = migration.Stepping, 1, 0.5, 4
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
 	keys := store.NewMemory()
@@ -299,8 +299,8 @@
 	require.NoError(t, err)
 	n := begin(t, "n1", keys, nil, "127.0.0.1:0", cfg)
 	require.Eventually(t, func() bool { s := n.share(); return s > 0.45 && s < 0.55 }, patient, time.Millisecond)
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Holding && s.Move.Step == 1 })
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Holding && s.Move.Step == 1 })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
 }
 
 // A node whose store is on disk has the recorded shares before it assigns any flow.
@@ -317,7 +317,7 @@
 	}
 	keys := open(l)
 	require.Eventually(t, func() bool { _, ok := keys.Leadership(); return ok }, patient, 5*time.Millisecond)
-	raw, err := json.Marshal(mover.Record{ID: "m-1", State: mover.Done, Shares: pool.Shares{Moved: map[string]string{"old": "new"}}, Version: 9})
+	raw, err := json.Marshal(migration.Record{ID: "m-1", State: migration.Done, Shares: pool.Shares{Moved: map[string]string{"old": "new"}}, Version: 9})
 	require.NoError(t, err)
 	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw})
 	require.NoError(t, err)
@@ -337,24 +337,24 @@
 	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &refused)
 	require.Equal(t, "move_running", refused.Code)
 	require.Contains(t, refused.Message, first.ID)
-	n.reaches(t, func(s Status) bool { return s.Move.Step == 1 && s.Move.State == mover.Holding })
+	n.reaches(t, func(s Status) bool { return s.Move.Step == 1 && s.Move.State == migration.Holding })
 	n.errors.Store(true)
-	s := n.reaches(t, func(s Status) bool { return s.Move.State == mover.Undone })
+	s := n.reaches(t, func(s Status) bool { return s.Move.State == migration.Undone })
 	require.Zero(t, n.share())
 	require.NotEmpty(t, s.Move.Cause)
 	n.errors.Store(false)
 	n.start(t, StartRequest{To: "new", Steps: []float64{0.5, 1}, Hold: "2s"})
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
 	require.Equal(t, 1.0, n.share())
-	var history []mover.Record
+	var history []migration.Record
 	require.NoError(t, n.client.Call(t.Context(), http.MethodGet, "/v1/move/history", nil, &history))
 	require.Len(t, history, 2)
-	require.Equal(t, []mover.State{mover.Done, mover.Undone}, []mover.State{history[0].State, history[1].State})
+	require.Equal(t, []migration.State{migration.Done, migration.Undone}, []migration.State{history[0].State, history[1].State})
 	require.Equal(t, "build 118", history[1].Note)
 	// And back again, as a move of its own: the pool that has the flows now is the new one.
 	back := n.start(t, StartRequest{To: "old", Hold: "2s"})
 	require.Equal(t, "new", back.Plan.From)
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
 	require.Zero(t, n.share())
 }
 
@@ -378,9 +378,9 @@
 		require.Equal(t, c.code, e.Code, "%v", c)
 		require.Equal(t, c.key, e.Key, "%v", c)
 	}
-	var planned mover.Record
+	var planned migration.Record
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/plan", StartRequest{To: "new"}, &planned))
-	require.Equal(t, mover.Planned, planned.State)
+	require.Equal(t, migration.Planned, planned.State)
 	require.Nil(t, n.status(t).Move, "a plan starts nothing")
 	tell(n.Tracker, entry("box-1", "v1"))
 	var e *control.Error
@@ -392,7 +392,7 @@
 func TestAChangedFileInTheMiddleOfAMove(t *testing.T) {
 	n := alone(t, file(t, nil))
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Holding })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Holding })
 	without := file(t, func(cfg *config.OperatorFile) {
 		s, err := pool.Parse(`true`)
 		require.NoError(t, err)
@@ -415,7 +415,7 @@
 	require.Len(t, members, 3)
 	require.Equal(t, []string{"box-2", "box-3"}, []string{members[1].Backends[0].Name, members[1].Backends[1].Name})
 	require.Equal(t, "box-4", members[2].Backends[0].Name)
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
 	require.NoError(t, n.Tracker.Check(without), "the move is over")
 }
 
@@ -423,7 +423,7 @@
 func TestNodesWithOtherPoolsHoldTheMove(t *testing.T) {
 	n := alone(t, file(t, nil))
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Holding && s.Move.Step == 0 })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Holding && s.Move.Step == 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	told := make(chan struct{})
 	go func() { // a second node, whose pools are others
@@ -438,7 +438,7 @@
 	cancel()
 	<-told
 	require.Less(t, s.Move.Shares.Share, 1.0)
-	n.reaches(t, func(s Status) bool { return s.Move.State == mover.Done })
+	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
 }
 
 func TestFlowsThatFallOverAreCounted(t *testing.T) {
@@ -456,7 +456,7 @@
 	draining := entry("box-3", "v2")
 	draining.State = standpoint.Draining
 	tell(tr, entry("box-1", "v1"), cold, draining)
-	require.Equal(t, mover.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13}, tr.Health("new", now))
+	require.Equal(t, migration.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13}, tr.Health("new", now))
 }
 
 // Two that both think they lead write under the version that they saw last: one of the two writes counts, and the
@@ -468,7 +468,7 @@
 	first.start(t, StartRequest{To: "new"})
 	shares, step := map[uint64]float64{}, -1
 	second.reaches(t, func(s Status) bool {
-		var r mover.Record
+		var r migration.Record
 		require.NoError(t, json.Unmarshal(keys.Get(currentKey).Data, &r))
 		if share, ok := shares[r.Version]; ok && !r.State.Terminal() {
 			require.Equal(t, share, r.Shares.Share, "version %d", r.Version)
@@ -476,7 +476,7 @@
 		shares[r.Version] = r.Shares.Share
 		require.LessOrEqual(t, r.Step, step+1)
 		step = r.Step
-		return s.Move.State == mover.Done
+		return s.Move.State == migration.Done
 	})
 	require.Len(t, keys.List(historyPrefix), 1)
 }
@@ -497,7 +497,7 @@
 	again := entry("box-2", "v2")
 	again.ReadyAt = clock.Of(now)
 	tell(tr, entry("box-1", "v1"), again)
-	tr.Follow(mover.Record{ID: "m", State: mover.Holding, Plan: mover.Plan{From: "old", To: "new"}})
+	tr.Follow(migration.Record{ID: "m", State: migration.Holding, Plan: migration.Plan{From: "old", To: "new"}})
 	for i, sent := range []time.Time{now.Add(-time.Second), now.Add(time.Second)} {
 		tr.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Server: "box-2", Sent: sent,
 			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{Slots: 0.9}}})
--- a/internal/moves/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -1,6 +1,6 @@
 // Package moves carries traffic moves on: it assigns flows to pools, counts what comes of them, and is the actor round
 // the pure mover, one member of the store for all.
-package moves
+package controller
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 	"standpoint"
 	"standpoint/internal/clock"
 	"standpoint/internal/config"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/node"
 	"standpoint/internal/pool"
 )
@@ -32,11 +32,11 @@
 	set         *pool.Set
 	names       config.Names
 	classes     []standpoint.Class
-	plan        mover.Plan
+	plan        migration.Plan
 	backends    map[string]*backendState // by name; as many as endpoints
-	followed    mover.Record             // whose pools are counted; State "" for none
+	followed    migration.Record         // whose pools are counted; State "" for none
 	from, to    int
-	counters    [2]mover.PoolWindow
+	counters    [2]migration.PoolWindow
 	samplesSeen [2]int // samples that came, for an even choice among them
 	overflowed  map[int]int64
 	lastWarning string // the last warning about placing
@@ -184,7 +184,7 @@
 }
 
 // countersOf is what is counted for a pool, nil if it takes no part in the move that is followed.
-func (t *Tracker) countersOf(number int) *mover.PoolWindow {
+func (t *Tracker) countersOf(number int) *migration.PoolWindow {
 	switch {
 	case number == 0 || t.from == 0:
 		return nil
@@ -287,23 +287,23 @@
 	if i := slices.Index(t.names.Kinds, b.description.Kind); i >= 0 {
 		kind = i
 	}
-	s := mover.Sample{Class: r.Class, Kind: kind, UncachedTokens: max(0, r.PromptTokens-o.Result.Kept), Load: b.load,
+	s := migration.Sample{Class: r.Class, Kind: kind, UncachedTokens: max(0, r.PromptTokens-o.Result.Kept), Load: b.load,
 		FirstToken: o.Own.Seconds(), TokenGap: tokenGap(o)}
 	side := &t.counters[ran]
 	t.samplesSeen[ran]++
-	if len(side.Samples) < mover.MaxSamples {
+	if len(side.Samples) < migration.MaxSamples {
 		side.Samples = append(side.Samples, s)
-	} else if i := rand.IntN(t.samplesSeen[ran]); i < mover.MaxSamples {
+	} else if i := rand.IntN(t.samplesSeen[ran]); i < migration.MaxSamples {
 		side.Samples[i] = s
 	}
 }
 
 // Follow has the flows that come from now on assigned by a record's shares, and the pools of its move counted.
-func (t *Tracker) Follow(r mover.Record) {
+func (t *Tracker) Follow(r migration.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.ID != t.followed.ID {
-		t.counters, t.samplesSeen = [2]mover.PoolWindow{}, [2]int{}
+		t.counters, t.samplesSeen = [2]migration.PoolWindow{}, [2]int{}
 	}
 	t.followed = r
 	t.bind()
@@ -321,24 +321,24 @@
 }
 
 // TakeWindow hands out what was counted since it was last called, with the pools' health.
-func (t *Tracker) TakeWindow(now time.Time) (from, to mover.PoolWindow) {
+func (t *Tracker) TakeWindow(now time.Time) (from, to migration.PoolWindow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from, to = t.counters[0], t.counters[1]
-	t.counters, t.samplesSeen = [2]mover.PoolWindow{}, [2]int{}
+	t.counters, t.samplesSeen = [2]migration.PoolWindow{}, [2]int{}
 	from.Health, to.Health = t.health(t.from, now), t.health(t.to, now)
 	return from, to
 }
 
 // Health is what is known of a pool's boxes.
-func (t *Tracker) Health(name string, now time.Time) mover.Health {
+func (t *Tracker) Health(name string, now time.Time) migration.Health {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.health(t.set.Number(name), now)
 }
 
-func (t *Tracker) health(number int, now time.Time) mover.Health {
-	var h mover.Health
+func (t *Tracker) health(number int, now time.Time) migration.Health {
+	var h migration.Health
 	for _, b := range t.backends {
 		if b.pool != number || number == 0 {
 			continue
--- a/internal/mover/judge.go
+++ b/internal/migration/judge.go
@@ -1,4 +1,4 @@
-package mover
+package migration
 
 import (
 	"math"
--- a/internal/mover/plan.go
+++ b/internal/migration/plan.go
@@ -1,6 +1,6 @@
 // Package mover decides how traffic moves from one pool to another, a step at a time, and when it must go back. It
 // has no clock and no I/O: its time is the number of windows that it was shown, a second each.
-package mover
+package migration
 
 import (
 	"fmt"
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -14,7 +14,7 @@
 
 	"standpoint"
 	"standpoint/internal/clock"
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 )
 
 // Endpoint is one line of discovery's list: the module's engine and where this node reaches it.
@@ -129,7 +129,7 @@
 	Pools       Pools             // nil: none
 	Fleet       Fleet             // nil: this node shares nothing
 	Peers       Peers             // nil: the module's messages to other nodes go nowhere
-	Metrics     *figures.Counters // nil: none
+	Metrics     *metrics.Counters // nil: none
 	Log         *zap.Logger
 }
 
@@ -291,14 +291,14 @@
 func (c *Core) count(f *Request, a Answer, err error) {
 	switch {
 	case err != nil || a.Kind == Rejected:
-		c.Metrics.CountRequest(f.Spec.Class, figures.Rejected)
+		c.Metrics.CountRequest(f.Spec.Class, metrics.Rejected)
 	case a.Kind == Served:
-		c.Metrics.CountRequest(f.Spec.Class, figures.Succeeded)
+		c.Metrics.CountRequest(f.Spec.Class, metrics.Succeeded)
 	case a.Kind != ClientGone && a.Kind != Moved: // one that moved ends, and is counted, elsewhere
 		if a.Unsent {
-			c.Metrics.CountFailedUnsent(figures.Abandoned)
+			c.Metrics.CountFailedUnsent(metrics.Abandoned)
 		}
-		c.Metrics.CountRequest(f.Spec.Class, figures.Failed)
+		c.Metrics.CountRequest(f.Spec.Class, metrics.Failed)
 	}
 }
 
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -26,7 +26,7 @@
 	"standpoint/internal/backend"
 	"standpoint/internal/config"
 	"standpoint/internal/edge"
-	"standpoint/internal/figures"
+	"standpoint/internal/metrics"
 	"standpoint/internal/node"
 )
 
@@ -50,7 +50,7 @@
 	Life    *node.Life
 	Room    *edge.Room
 	Bodies  *node.Shares
-	Metrics *figures.Counters
+	Metrics *metrics.Counters
 	Server  *http.Server
 	URL     string // of its edge
 	Address string
@@ -140,7 +140,7 @@
 		Batch: backend.BatchOptions{Gather: 30 * time.Millisecond, Lines: 50, Poll: 20 * time.Millisecond,
 			Lost: 500 * time.Millisecond}})
 	n := &Node{Servers: fleet, Life: &node.Life{}, t: t}
-	n.Metrics = figures.New(Names.Classes, func() int { return n.Core.Open() })
+	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.Open() })
 	fleet.Wrote = n.Metrics.CountAttempt
 	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Servers: fleet, Entries: noEntries{}, Metrics: n.Metrics, Log: log})
 	n.Tell(entries...)
@@ -156,7 +156,7 @@
 	go func() { _ = n.Server.Serve(n.Room) }()
 	t.Cleanup(func() {
 		// In no story does a node fail requests that it never sent on beyond one in 200.
-		require.LessOrEqual(t, 200*n.Metrics.FailedUnsentCount(figures.Abandoned), n.Metrics.RequestTotal())
+		require.LessOrEqual(t, 200*n.Metrics.FailedUnsentCount(metrics.Abandoned), n.Metrics.RequestTotal())
 		n.Server.Close()
 		cancel()
 	})
