--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -33,7 +33,12 @@
 	x, got, done := New(address, peers, zap.NewNop()), make(chan received, 100), make(chan struct{})
 	go func() {
 		defer close(done)
-		x.Run(ctx, func(from int, data string) { got <- received{from, data} })
+		x.Run(ctx, func(from int, data string) {
+			select {
+			case got <- received{from, data}:
+			case <-ctx.Done(): // a test that has ended reads no more
+			}
+		})
 	}()
 	t.Cleanup(func() {
 		cancel()
