--- a/api.go
+++ b/api.go
@@ -8,6 +8,7 @@
 // Effect says what repeating a request may do.
 type Effect uint8
 
+// The effects that repeating a request may have.
 const (
 	Safe   Effect = iota // may be repeated freely
 	Keyed                // repeats are dropped inside Group within Window
@@ -17,6 +18,7 @@
 // Group is the set of engines that drop each other's repeats of a keyed request.
 type Group uint8
 
+// The scopes within which engines drop repeats of a keyed request.
 const (
 	GroupAll  Group = iota // all of the tier
 	GroupZone              // those of its zone
@@ -26,6 +28,7 @@
 // ReportMode says how load reports reach the gateway.
 type ReportMode uint8
 
+// The ways in which load reports arrive.
 const (
 	ReportNone    ReportMode = iota // no reports
 	ReportReplies                   // with outcomes and probe results
@@ -88,6 +91,7 @@
 // State is an engine's place in its life, as discovery tells it.
 type State uint8
 
+// The states of an engine.
 const (
 	Ready    State = iota // takes requests
 	Draining              // finishes what it has
@@ -121,6 +125,7 @@
 // ListKind tells how to read an EngineList.
 type ListKind uint8
 
+// The kinds of endpoint lists.
 const (
 	ListDelta ListKind = iota // changed entries only
 	ListFull                  // everything; an engine absent from it is gone
@@ -152,6 +157,7 @@
 // Code is how an attempt ended.
 type Code uint8
 
+// The outcomes of an attempt.
 const (
 	Served         Code = iota // whole
 	ServerError                // answered as failed; it may have run
@@ -243,6 +249,7 @@
 // ActionKind names what is to be done.
 type ActionKind uint8
 
+// The actions that a Router asks for.
 const (
 	Send      ActionKind = iota // start an attempt: Request, Engine, Until
 	Cancel                      // stop waiting for one: Request, Attempt
--- a/cmd/standpoint/deploy_test.go
+++ b/cmd/standpoint/deploy_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err, string(out))
 	file, err := elf.Open(program)
 	require.NoError(t, err)
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	libraries, err := file.ImportedLibraries()
 	require.NoError(t, err)
 	require.Contains(t, strings.Join(libraries, " "), "libc.so")
--- a/internal/backend/moving.go
+++ b/internal/backend/moving.go
@@ -126,12 +126,12 @@
 	if err != nil {
 		return lost, err
 	}
-	defer unix.Close(server)
+	defer func() { _ = unix.Close(server) }()
 	client, err := a.Detach()
 	if err != nil {
 		return lost, err
 	}
-	defer unix.Close(client)
+	defer func() { _ = unix.Close(client) }()
 	err = to(Stream{Trace: a.Request.Work.TraceID, Class: a.Request.Spec.Class, Server: a.Server, Begun: p.buffer, Size: p.size, Kept: p.end.kept,
 		Tokens: p.end.tokens, Report: p.end.report, Done: p.end.done, Held: p.held, Chunks: where}, client, server)
 	return node.Result{Code: standpoint.Cancelled, Moved: err == nil}, err
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -250,7 +250,7 @@
 			if err != nil {
 				return err
 			}
-			defer os.Remove(f.Name())
+			defer func() { _ = os.Remove(f.Name()) }()
 			if _, err = f.WriteString(s.Version.Text); err == nil {
 				err = f.Close()
 			}
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -108,7 +108,7 @@
 	require.NoError(p.t, os.WriteFile(file, raw, 0o600))
 	socket, err := p.listen.File()
 	require.NoError(p.t, err)
-	defer socket.Close()
+	defer func() { _ = socket.Close() }()
 	q.Cmd = exec.Command(program)
 	q.ExtraFiles = []*os.File{socket}
 	q.Env = append(append(os.Environ(), "PROXY_CONFIG="+file, "TMPDIR="+p.dir, "PROXY_SOCKET_FD=3"), variables...)
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -100,7 +100,7 @@
 func (x *Exchange) serve(ctx context.Context, conn *net.UDPConn) {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
-	defer context.AfterFunc(serving, func() { conn.Close() })()
+	defer context.AfterFunc(serving, func() { _ = conn.Close() })()
 	go x.send(serving, conn)
 	buffer := make([]byte, SizeMost+1)
 	for serving.Err() == nil {
--- a/internal/edge/moments_test.go
+++ b/internal/edge/moments_test.go
@@ -180,8 +180,8 @@
 func TestAClientGoesThatHasSentMore(t *testing.T) {
 	t.Parallel()
 	goes := map[string]func(c *net.TCPConn){
-		"closes":           func(c *net.TCPConn) { c.Close() },
-		"resets":           func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
+		"closes":           func(c *net.TCPConn) { _ = c.Close() },
+		"resets":           func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
 		"ends its sending": func(c *net.TCPConn) { _ = c.CloseWrite() },
 	}
 	more := map[string]int{"nothing": 0, "one byte": 1, "a request": 20 << 10, "several": 300 << 10, "more than is kept": 3 << 19}
@@ -310,7 +310,7 @@
 func TestClientsThatHaveGoneBeforeTheyAreAccepted(t *testing.T) {
 	t.Parallel()
 	goes := map[string]func(c *net.TCPConn){
-		"close":             func(c *net.TCPConn) { c.Close() },
+		"close":             func(c *net.TCPConn) { _ = c.Close() },
 		"end their sending": func(c *net.TCPConn) { _ = c.CloseWrite() },
 	}
 	for how, leave := range goes {
--- a/internal/edge/operating_test.go
+++ b/internal/edge/operating_test.go
@@ -82,11 +82,11 @@
 
 // A server that is drained, and one that fails whatever it gets, are the ones that the module avoids.
 func TestServersThatAreAvoidedAreCounted(t *testing.T) {
-	good := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	good := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "x")
 		testpeer.Finish(w)
 	})
-	bad := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
+	bad := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	drained := testpeer.Entry("c", good)
 	drained.State = 1
 	settings := testpeer.Settings()
@@ -244,7 +244,7 @@
 // connection to rest. Here the first byte comes even while the answer does; the request is taken as any other.
 func TestTheNextRequestComesEarly(t *testing.T) {
 	came, release := make(chan struct{}, 9), make(chan struct{})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 		came <- struct{}{}
 		testpeer.Event(w, "x")
 		<-release
--- a/internal/edge/story_test.go
+++ b/internal/edge/story_test.go
@@ -50,7 +50,7 @@
 // whole.
 func TestBrokenStreamEndsWithoutLastChunk(t *testing.T) {
 	var sent atomic.Int32
-	breaks := func(w http.ResponseWriter, r *http.Request) {
+	breaks := func(w http.ResponseWriter, _ *http.Request) {
 		sent.Add(1)
 		testpeer.Event(w, "half")
 		panic(http.ErrAbortHandler)
@@ -71,7 +71,7 @@
 	good.Store(true)
 	var sent [4]atomic.Int32
 	server := func(i int) string {
-		return testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+		return testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 			sent[i].Add(1)
 			if !good.Load() {
 				panic(http.ErrAbortHandler)
@@ -135,7 +135,7 @@
 // A client that leaves takes its attempt with it.
 func TestClientLeaves(t *testing.T) {
 	came, gone := make(chan struct{}), make(chan struct{})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(came)
 		<-r.Context().Done()
@@ -156,7 +156,7 @@
 // Nothing new goes to a server once its drain was told.
 func TestDrainedServerGetsNothing(t *testing.T) {
 	var drained atomic.Int32
-	a := testpeer.Entry("a", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
+	a := testpeer.Entry("a", testpeer.Server(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
 	b := testpeer.Entry("b", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "b")
 		testpeer.Finish(w)
@@ -234,7 +234,7 @@
 func TestIdOfAnotherRequest(t *testing.T) {
 	release := make(chan struct{})
 	var sent atomic.Int32
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 		sent.Add(1)
 		testpeer.Event(w, "begun")
 		<-release
@@ -463,7 +463,7 @@
 // once and told when to come back. Bodies that are announced and do not come take nothing.
 func TestBodiesAreBounded(t *testing.T) {
 	came := make(chan struct{}, 3)
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		came <- struct{}{}
 		<-r.Context().Done()
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,3 +1,3 @@
-// Package entries is the actor of the endpoints: it watches the platform's discovery and tells the
-// core of every change.
+// Package endpoints watches the discovery of backends, caches the endpoint list, applies what operators override by hand, and
+// notifies the core of every change.
 package endpoints
--- a/internal/endpoints/silent_test.go
+++ b/internal/endpoints/silent_test.go
@@ -52,21 +52,21 @@
 // of a failure, and so is each that falls silent behind it.
 func TestWatchesThatFallSilent(t *testing.T) {
 	t.Parallel()
-	silent := func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	half := func(w http.ResponseWriter, r *http.Request) { // a head and no more
 		w.Header().Set("Content-Length", "1000")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}
-	slow := func(w http.ResponseWriter, r *http.Request) { // late, but within the slack
+	slow := func(w http.ResponseWriter, _ *http.Request) { // late, but within the slack
 		time.Sleep(330 * time.Millisecond)
 		fmt.Fprintf(w, drainAt, 42)
 	}
-	nothing := func(w http.ResponseWriter, r *http.Request) {
+	nothing := func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(300 * time.Millisecond)
 		fmt.Fprint(w, `{"seq":41,"whole":false,"hosts":[]}`)
 	}
-	pieces := func(w http.ResponseWriter, r *http.Request) { // indented, and a few bytes at a time
+	pieces := func(w http.ResponseWriter, _ *http.Request) { // indented, and a few bytes at a time
 		for piece := range strings.SplitSeq("{\n  \"seq\": 42,\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s\",\n\t\"dial\": \"127.0.0.1:1\", \"health\": \"draining\"}\n  ]\n}\n", ",") {
 			fmt.Fprint(w, strings.Replace(piece+",", "}\n,", "}\n", 1))
 			w.(http.Flusher).Flush()
--- a/internal/endpoints/written_test.go
+++ b/internal/endpoints/written_test.go
@@ -39,7 +39,7 @@
 func TestWrittenAsTheNodeMoves(t *testing.T) {
 	t.Parallel()
 	moved, asked := make(chan struct{}), make(chan struct{}, 100)
-	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		select { // on a fast machine it is asked more often than anybody looks
 		case asked <- struct{}{}:
 		default:
@@ -202,7 +202,7 @@
 	dir := t.TempDir()
 	share, err := handover.Open(dir, "n")
 	require.NoError(t, err)
-	t.Cleanup(func() { share.Close() })
+	t.Cleanup(func() { _ = share.Close() })
 	told := make(chan node.List, 10)
 	b := NewByHand(NewKeeper(nil, zap.NewNop()), func(l node.List) { told <- l }, share, zap.NewNop())
 	b.News(whole(endpoint("s", standpoint.Ready, 0), endpoint("t", standpoint.Ready, 0)))
@@ -213,7 +213,7 @@
 	require.Len(t, locks, 1)
 	lock, err := os.Open(locks[0])
 	require.NoError(t, err)
-	defer lock.Close()
+	defer func() { _ = lock.Close() }()
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_EX))
 	done := make(chan error, 1)
 	go func() { done <- b.Down("t") }()
--- a/internal/find/discovery/multicast.go
+++ b/internal/find/discovery/multicast.go
@@ -75,7 +75,7 @@
 		<-ctx.Done()
 		return
 	}
-	stop := context.AfterFunc(ctx, func() { transport.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = transport.Close() })
 	defer stop()
 	inbox := make(chan []byte, inboxSize)
 	go func() {
--- a/internal/find/discovery/poll.go
+++ b/internal/find/discovery/poll.go
@@ -159,7 +159,7 @@
 
 // list asks for the list. Where the zone has a serial it is asked for again from the same socket: the list must be that
 // of a server which is no older than what told of the change.
-func (p *poller) list(ctx context.Context, k dnssd.Key, serial *uint32, now time.Time) (lookup.Answer, error) {
+func (p *poller) list(ctx context.Context, k dnssd.Key, serial *uint32, _ time.Time) (lookup.Answer, error) {
 	if serial == nil {
 		return p.client.Ask(ctx, k.Name, k.Kind)
 	}
--- a/internal/find/dnssd/guard.go
+++ b/internal/find/dnssd/guard.go
@@ -19,6 +19,7 @@
 // Judgement is what a Guard makes of a list.
 type Judgement int
 
+// The judgements of a Guard.
 const (
 	Believe Judgement = iota // the answer is the list
 	Wait                     // hold the last list, and ask again
--- a/internal/find/lookup/lookup_test.go
+++ b/internal/find/lookup/lookup_test.go
@@ -15,10 +15,10 @@
 func TestAnswersOfAnotherSource(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer server.Close()
+	defer func() { _ = server.Close() }()
 	forger, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
-	defer forger.Close()
+	defer func() { _ = forger.Close() }()
 	go func() {
 		buffer := make([]byte, 4096)
 		for {
--- a/internal/lab/box/box.go
+++ b/internal/lab/box/box.go
@@ -40,6 +40,7 @@
 // Verdict is how a box takes a job.
 type Verdict int
 
+// The verdicts on a job.
 const (
 	Taken   Verdict = iota // it runs
 	Full                   // queue full, or draining: it never ran
--- a/internal/lab/boxes/story_test.go
+++ b/internal/lab/boxes/story_test.go
@@ -84,7 +84,7 @@
 	require.Zero(t, doubles)
 
 	// A box that dies with a stream half out breaks it off.
-	s.Do(func(b *box.Box, now float64) { b.Slow(100) })
+	s.Do(func(b *box.Box, _ float64) { b.Slow(100) })
 	broke := make(chan error, 1)
 	go func() {
 		_, _, _, err := ask(s, "e", body)
@@ -187,7 +187,7 @@
 		check(once())
 		s.Spoil(how, 0)
 	}
-	s.Do(func(b *box.Box, _ float64) {})
+	s.Do(func(_ *box.Box, _ float64) {})
 	text, err := once()
 	require.NoError(t, err)
 	require.Contains(t, text, "[DONE]")
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -200,7 +200,7 @@
 		return err
 	}
 	if _, err := c.WriteTo(f); err != nil {
-		f.Close()
+		_ = f.Close()
 		return err
 	}
 	return f.Close()
--- a/internal/lab/labcli/boxes.go
+++ b/internal/lab/labcli/boxes.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				return err
 			}
-			defer r.Close()
+			defer func() { _ = r.Close() }()
 			shut, err := serveHand(hand, r)
 			if err != nil {
 				return err
@@ -98,7 +98,7 @@
 Deeds to a responder: withdraw, publish, lose, restore, silent, speak, drop, and loss, delay, jitter, garbage, wrong-id,
 poison, truncate, zero-ttl, broken, no-push, mute and split with a value.`,
 		Example: "  lab poke --hand 127.0.0.1:9900 slow 2 new-1 new-2\n  lab poke --hand 127.0.0.1:9900 kill old-3",
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(_ *cobra.Command, args []string) error {
 			form := map[string][]string{}
 			names := args[1:]
 			if value := boxes.Deeds[args[0]] + responder.Deeds[args[0]]; value != "" {
--- a/internal/lab/labcli/dns.go
+++ b/internal/lab/labcli/dns.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return err
 			}
-			defer r.Close()
+			defer func() { _ = r.Close() }()
 			shut, err := serveHand(hand, r)
 			if err != nil {
 				return err
--- a/internal/lab/labcli/load.go
+++ b/internal/lab/labcli/load.go
@@ -65,7 +65,7 @@
 	f.StringVar(&file, "out", "", "a file for the report, with its histograms")
 	f.BoolVar(&plain, "plain", false, "a line a second, even on a terminal")
 	c.AddCommand(&cobra.Command{Use: "merge REPORT...", Short: "Put the reports of several processes together", Args: cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(_ *cobra.Command, args []string) error {
 			var all []*load.Report
 			for _, path := range args {
 				r, err := load.ReadFile[load.Report](path)
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	var faults load.TraceFaults
 	if o.Calls, faults, err = load.ReadTrace(f); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
--- a/internal/lab/labcli/scale.go
+++ b/internal/lab/labcli/scale.go
@@ -12,7 +12,7 @@
 	"standpoint/internal/lab/load"
 )
 
-func scaleCommand(out, errs io.Writer) *cobra.Command {
+func scaleCommand(out, _ io.Writer) *cobra.Command {
 	var sizes, nodes string
 	var seeds int
 	var perBox float64
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -97,7 +97,7 @@
 }
 
 func (p *peer) start(t *testing.T) string {
-	return testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock() // held while it stalls
 		p.count.Add(1)
 		p.mu.Unlock()
--- a/internal/lab/many/many.go
+++ b/internal/lab/many/many.go
@@ -62,11 +62,11 @@
 }
 
 const (
-	amount   = 10_000
-	delayMin = 2 * time.Millisecond
-	delayMax = 36 * time.Millisecond
-	rate     = 2.0 // requests a second and node, by which nodes see servers
-	settle   = 2   // windows at the beginning that do not count
+	amount        = 10_000
+	shortestDelay = 2 * time.Millisecond
+	longestDelay  = 36 * time.Millisecond
+	rate          = 2.0 // requests a second and node, by which nodes see servers
+	settle        = 2   // windows at the beginning that do not count
 )
 
 type node struct {
@@ -262,7 +262,7 @@
 			times = 2 // doubled on its way
 		}
 		for range times {
-			w.after(delayMin+time.Duration(w.rng.Int64N(int64(delayMax-delayMin))), func() {
+			w.after(shortestDelay+time.Duration(w.rng.Int64N(int64(longestDelay-shortestDelay))), func() {
 				if n := w.nodes[s.To]; n.up {
 					w.send(s.To, n.Receive(w.now+n.off, s.Packet))
 				}
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -68,7 +68,7 @@
 }
 
 // Observe implements Driver.
-func (t *Threshold) Observe(w *World, window migration.Window) migration.Record {
+func (t *Threshold) Observe(_ *World, window migration.Window) migration.Record {
 	r := &t.record
 	if r.State == "" {
 		*r = migration.Record{ID: "threshold", Plan: t.Plan, State: migration.Holding, Step: -1,
--- a/internal/lab/proof/proof.go
+++ b/internal/lab/proof/proof.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer os.RemoveAll(dir) // its own
+	defer func() { _ = os.RemoveAll(dir) }() // its own
 	if err := copyTree(root, dir); err != nil {
 		return 0, err
 	}
--- a/internal/lab/responder/file_test.go
+++ b/internal/lab/responder/file_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	r, err := f.Start()
 	require.NoError(t, err)
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	require.Equal(t, []string{"old-1", "old-2"}, r.Zone.Labels("_engine._tcp"))
 	require.NoError(t, r.Do("withdraw", "", "old-1"))
 	require.NoError(t, r.Do("publish", "", "Зал Қ. 3"))
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -79,7 +79,7 @@
 		if tcp, err = net.Listen("tcp", s.udp.LocalAddr().String()); err == nil {
 			break
 		}
-		s.udp.Close()
+		_ = s.udp.Close()
 	}
 	if tcp == nil {
 		return nil, errors.New("no port is free for UDP and TCP alike")
--- a/internal/lab/responder/zone.go
+++ b/internal/lab/responder/zone.go
@@ -61,7 +61,7 @@
 func (z *Zone) Apply(all ...Change) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	var real []Change
+	var effective []Change
 	for _, c := range all {
 		k := keyOf(c.RR)
 		i := slices.IndexFunc(z.records[k], func(rr dns.RR) bool { return dns.IsDuplicate(rr, c.RR) })
@@ -77,9 +77,9 @@
 		default:
 			continue
 		}
-		real = append(real, c)
+		effective = append(effective, c)
 	}
-	if len(real) == 0 {
+	if len(effective) == 0 {
 		return
 	}
 	if !z.quiet {
@@ -87,7 +87,7 @@
 	}
 	for w := range z.watchers {
 		select {
-		case w <- real:
+		case w <- effective:
 		default: // one that does not keep up has to begin anew
 			delete(z.watchers, w)
 			close(w)
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -103,7 +103,7 @@
 			all = append(all, at)
 		}
 		for _, h := range held {
-			h.Close()
+			_ = h.Close()
 		}
 		if len(all) == n {
 			return all, nil
@@ -253,8 +253,8 @@
 	}
 	n.meant = true
 	_ = n.process.Process.Kill()
-	<-n.ended
-	n.out.Close()
+	_ = <-n.ended
+	_ = n.out.Close()
 	n.process = nil
 }
 
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -132,7 +132,7 @@
 	if h.server, err = responder.Start(z, "127.0.0.1:0", nil); err != nil {
 		return nil, err
 	}
-	h.stops = append(h.stops, func() { h.server.Close() })
+	h.stops = append(h.stops, func() { _ = h.server.Close() })
 	return h, h.daemon(ctx, way, n)
 }
 
--- a/internal/lab/stage/plot.go
+++ b/internal/lab/stage/plot.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	if _, err := (vgimg.PngCanvas{Canvas: img}).WriteTo(f); err != nil {
-		f.Close()
+		_ = f.Close()
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return f.Close()
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -123,11 +123,11 @@
 	if s.old, err = s.fleet("old", o.Old, false); err != nil {
 		return nil, err
 	}
-	defer s.old.Close()
+	defer func() { _ = s.old.Close() }()
 	if s.new, err = s.fleet("new", o.New, o.Cold); err != nil {
 		return nil, err
 	}
-	defer s.new.Close()
+	defer func() { _ = s.new.Close() }()
 	stop, err := s.daemon(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -1,5 +1,5 @@
-// Package figures owns what the node counts for its staff. Each figure is written in one place, where the thing itself
-// happens, and read by whoever shows it: the console, the metrics. Nothing here waits.
+// Package metrics owns the counters that a node shows to its operators. Each counter is written in one place, where the event
+// itself happens, and read by the console and by the Prometheus endpoint. No call blocks.
 package metrics
 
 import (
@@ -12,6 +12,7 @@
 // Outcome is how a request ended for its client.
 type Outcome int
 
+// The outcomes of a request, in the order of OutcomeNames.
 const (
 	Succeeded Outcome = iota // served whole
 	Rejected                 // refused; coming again is harmless
@@ -25,6 +26,7 @@
 // UnsentCause is why a request was answered as failed though nothing of it was sent on.
 type UnsentCause int
 
+// Why nothing of a request was forwarded.
 const (
 	Malformed   UnsentCause = iota // it says what nobody can mean
 	DuplicateID                    // its id is that of another request
@@ -39,6 +41,7 @@
 // SilentCloseCause is why a client's connection on which nothing was ever written was closed by this node.
 type SilentCloseCause int
 
+// Why a silent client connection was closed.
 const (
 	NoCapacity SilentCloseCause = iota // it rested, or said nothing, while places were short
 	SlowHeader                         // no whole request came in time
--- a/internal/migration/controller/actor.go
+++ b/internal/migration/controller/actor.go
@@ -260,7 +260,7 @@
 	}
 	w := a.mergeWindow(now)
 	if a.machine.Observe(now, w) {
-		a.persist(ctx)
+		_ = a.persist(ctx)
 	}
 }
 
--- a/internal/migration/controller/story_test.go
+++ b/internal/migration/controller/story_test.go
@@ -89,8 +89,8 @@
 func (n *one) kill() {
 	n.stop()
 	<-n.stopped
-	n.server.Close()
-	n.keys.Close()
+	_ = n.server.Close()
+	_ = n.keys.Close()
 }
 
 func (n *one) status(t testing.TB) Status {
@@ -151,7 +151,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-n.stopped
-		n.server.Close()
+		_ = n.server.Close()
 		n.client.Close()
 	})
 	return n
@@ -323,7 +323,7 @@
 	require.NoError(t, err)
 	require.NoError(t, keys.Close())
 	keys = open(nil)
-	defer keys.Close()
+	defer func() { _ = keys.Close() }()
 	tr := NewTracker(file(t, nil), zap.NewNop())
 	New(Options{Name: "n1", Tracker: tr, Store: keys, Log: zap.NewNop()}).AwaitStore(t.Context(), patient)
 	require.Equal(t, 2, tr.Assign(&standpoint.Request{Session: 1}))
--- a/internal/migration/machine.go
+++ b/internal/migration/machine.go
@@ -13,6 +13,7 @@
 // State is a move's place in its life.
 type State string
 
+// The states of a migration. The record stores their text.
 const (
 	Planned   State = "planned"   // recorded; not all live nodes have it yet
 	Warming   State = "warming"   // a trickle goes to the new pool
@@ -486,7 +487,7 @@
 }
 
 // startNextStep grants the next step, as far as it can be granted yet.
-func (m *Machine) startNextStep(w *Window, able float64) {
+func (m *Machine) startNextStep(_ *Window, able float64) {
 	m.record.Step++
 	m.resetStepCounts()
 	m.setShare(min(m.targetShare(), able))
--- a/internal/migration/machine_test.go
+++ b/internal/migration/machine_test.go
@@ -355,7 +355,7 @@
 // Every wish in every state: what it leads to, or that it is refused and changes nothing.
 func TestWishesInEveryState(t *testing.T) {
 	reach := map[State]func() (*Machine, *scene){}
-	make := func(state State, bring func(m *Machine, s *scene)) {
+	bringTo := func(state State, bring func(m *Machine, s *scene)) {
 		reach[state] = func() (*Machine, *scene) {
 			s := newScene(9)
 			m := start(t, s, func(p *Plan) {
@@ -368,10 +368,10 @@
 			return m, s
 		}
 	}
-	make(Planned, func(*Machine, *scene) {})
-	make(Warming, func(m *Machine, s *scene) { until(t, m, s, 50, in(Warming)) })
-	make(Stepping, func(m *Machine, s *scene) { until(t, m, s, 100, in(Stepping)) })
-	make(Holding, func(m *Machine, s *scene) { until(t, m, s, 300, atStep(1)) })
+	bringTo(Planned, func(*Machine, *scene) {})
+	bringTo(Warming, func(m *Machine, s *scene) { until(t, m, s, 50, in(Warming)) })
+	bringTo(Stepping, func(m *Machine, s *scene) { until(t, m, s, 100, in(Stepping)) })
+	bringTo(Holding, func(m *Machine, s *scene) { until(t, m, s, 300, atStep(1)) })
 	worse := func(end ...State) func(m *Machine, s *scene) {
 		return func(m *Machine, s *scene) {
 			until(t, m, s, 300, atStep(2))
@@ -379,10 +379,10 @@
 			until(t, m, s, 60, in(end...))
 		}
 	}
-	make(Halted, worse(Halted))
-	make(Returning, worse(Returning))
-	make(Undone, worse(Undone))
-	make(Done, func(m *Machine, s *scene) { until(t, m, s, 400, in(Done)) })
+	bringTo(Halted, worse(Halted))
+	bringTo(Returning, worse(Returning))
+	bringTo(Undone, worse(Undone))
+	bringTo(Done, func(m *Machine, s *scene) { until(t, m, s, 400, in(Done)) })
 	for state, wishes := range map[State]map[string]State{
 		Planned:   {"pause": Planned, "resume": Planned, "undo": Undone},
 		Warming:   {"pause": Warming, "resume": Warming, "undo": Returning},
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -42,19 +42,24 @@
 	return NewRequest(standpoint.Request{Tenant: tenant, PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), wait)}, Work{}, nil)
 }
 
+// serve has the core serve a request of a tenant. How it ends is not looked at.
+func serve(t *testing.T, c *Core, tenant int) {
+	_, _ = c.Serve(t.Context(), flow(c, tenant, time.Minute))
+}
+
 // A tenant that holds its requests open leaves places for the others. Without the bound, as where there is one tenant, it
 // has them all.
 func TestALoudTenantLeavesPlaces(t *testing.T) {
 	for tenants, want := range map[int]int{2: 4, 1: 8} {
 		c, h := start(t.Context(), tenants, 8)
 		for range want {
-			go c.Serve(t.Context(), flow(c, 0, time.Minute))
+			go serve(t, c, 0)
 			<-h.sent
 		}
 		_, err := c.Serve(t.Context(), flow(c, 0, time.Second))
 		require.ErrorIs(t, err, ErrBusy)
 		if tenants > 1 {
-			go c.Serve(t.Context(), flow(c, 1, time.Minute))
+			go serve(t, c, 1)
 			<-h.sent
 		}
 	}
@@ -161,7 +166,7 @@
 func (noPools) Rejected(*standpoint.Request)          {}
 func (n noted) Assign(*standpoint.Request) int        { <-n.let; n.note <- "request"; return 0 }
 func (n noted) Update(List)                           { n.note <- "list" }
-func (noted) Send(a *Attempt) bool                    { return false }
+func (noted) Send(_ *Attempt) bool                    { return false }
 
 // A list does not wait behind what the mailbox holds: the servers hear of it once the message in hand is done with.
 func TestNewsGoesBeforeOrdinaryWork(t *testing.T) {
--- a/internal/node/phase.go
+++ b/internal/node/phase.go
@@ -11,6 +11,7 @@
 // docs/architecture.md.
 type Phase int
 
+// The phases of the program, in the order in which they usually follow each other.
 const (
 	Starting      Phase = iota // the list is being seeded; clients are not admitted yet
 	Serving                    // clients are admitted
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -60,6 +60,7 @@
 // AnswerKind says how a request ended for its client.
 type AnswerKind uint8
 
+// How a request may end for its client.
 const (
 	Served     AnswerKind = iota // whole, passed on
 	Broken                       // begun and broken off
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -71,7 +71,7 @@
 func TestNodesFindEachOther(t *testing.T) {
 	s, err := responder.Start(responder.NewZone("hall.test", 1), "127.0.0.1:0", nil)
 	require.NoError(t, err)
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	var actors []*Actor
 	var stops []context.CancelFunc
 	ended := make(chan struct{}, 3)
--- a/rules_test.go
+++ b/rules_test.go
@@ -146,7 +146,7 @@
 }
 
 // step lets a few milliseconds pass with one random happening.
-func (w *world) step(t *testing.T) []Action {
+func (w *world) step(_ *testing.T) []Action {
 	var all []Action
 	w.now += w.rng.Int64N(12*ms) + ms
 	for i := 0; i < len(w.timers); i++ {
