--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -15,13 +15,21 @@
 )
 
 func TestGoldenRecord(t *testing.T) {
-	golden.RoundTrip(t, "record.json", Record{Incarnation: 1, FencingToken: 2, ValidFrom: 3, ExpiresAt: 4, Successor: true},
+	record := Record{Incarnation: 1, FencingToken: 2, ValidFrom: 3, ExpiresAt: 4, Successor: true}
+	golden.RoundTrip(t, "record.json", record,
 		func(v Record) ([]byte, error) { return json.Marshal(v) },
 		func(b []byte) (v Record, err error) { return v, json.Unmarshal(b, &v) })
 }
 
 func TestGoldenClaim(t *testing.T) {
-	golden.RoundTrip(t, "claim.json", Claim{Slot: "a", Incarnation: 9, Predecessors: []uint64{7, 8}, Duration: 10 * time.Second, ClaimantTime: 11},
+	claim := Claim{
+		Slot:         "a",
+		Incarnation:  9,
+		Predecessors: []uint64{7, 8},
+		Duration:     10 * time.Second,
+		ClaimantTime: 11,
+	}
+	golden.RoundTrip(t, "claim.json", claim,
 		func(v Claim) ([]byte, error) { return json.Marshal(v) },
 		func(b []byte) (v Claim, err error) { return v, json.Unmarshal(b, &v) })
 }
