--- a/internal/fleet/quota/budget.go
+++ b/internal/fleet/quota/budget.go
@@ -1,10 +1,11 @@
-// Package rights decides what a node may spend of the budgets that its fleet shares. It is pure: time is passed in, and what
-// is to be told to others is returned.
+// Package quota decides what a node may spend of the budgets that its fleet shares, by escrow. It is pure: the time
+// is an argument, and what has to be sent to other nodes is returned.
 //
-// Each budget has so much for each of its windows, and every seat of the fleet a share of that which needs nobody's word. A
-// node spends only rights that it holds: its seat's share, less what it has lent, and what others have lent to it. Rights are
-// for windows by their number, so that what is spent in a window is at most the budget whatever is lost, doubled, late or cut
-// off, and whatever clocks say; why it is built so stands in docs/design/onefleet.md.
+// A budget has an amount for each of its windows, and every member slot has a base quota of that, which needs no
+// message. A node spends only quota that it owns: its slot's base quota, less what it has lent, plus what others
+// have lent to it. Quota is for windows by their number, so that what is spent in a window is at most the budget,
+// whatever messages are lost, duplicated, late or cut off, and whatever the clocks say. docs/design/onefleet.md
+// explains the design.
 package quota
 
 import (
@@ -18,29 +19,56 @@
 
 // Bounds of what a node holds for one budget.
 const (
-	MaxTransfers = 64   // loans out, and as many in
-	MaxWindows   = 4096 // ahead of the present one, in which something may be spent already
-	MaxAmount    = int64(1) << 53
+	MaxTransfers = 64             // that a node has lent, and as many that it has borrowed
+	MaxWindows   = 4096           // after the current one, in which something may be spent already
+	MaxAmount    = int64(1) << 53 // of anything that is spent, lent or counted
+	maxWeight    = int64(1) << 20 // of a slot
+	maxSlots     = 1 << 16        // of a fleet
+	minWindow    = 10 * time.Millisecond
+	maxWindow    = 366 * 24 * time.Hour
 )
 
-// Budget is what the fleet may spend of something in each window. It never changes once complete.
+// Budget is what the fleet may spend of something in each window. Its exported fields are set before Complete is
+// called, and never change afterwards; from then on it is safe for concurrent use.
 type Budget struct {
 	Name            string
 	Amount          int64         // in each window
-	Overdraft       int64         // beyond it, which the configuration puts up with; shared like the amount
+	Overdraft       int64         // beyond the amount, in each window; divided among the slots like it
 	Window          time.Duration // windows are counted from Unix time 0
-	WindowsAhead    int           // windows after the present one in which something may be spent now
-	TransferWindows int           // windows for which rights are lent at the most, the present one included
-	Weights         []int64       // of the seats; a seat without any has no share of its own
+	WindowsAhead    int           // windows after the current one in which something may be spent now
+	TransferWindows int           // windows for which quota is lent at the most, the current one included
+	Weights         []int64       // by slot; a slot of weight 0 has no base quota
 
 	totalWeight        int64
-	amountRemainder    int64 // of the amount, that does not divide evenly
-	overdraftRemainder int64 // likewise of the overdraft
+	amountRemainder    int64 // of the amount, which does not divide evenly by weight
+	overdraftRemainder int64
 	definitionHash     uint64
 }
 
-// Complete checks a budget and works out the rest. The error names the key.
+// Complete checks the budget and computes what follows from its fields. The error begins with the key at fault, as
+// it stands in the operator's file.
 func (b *Budget) Complete() error {
+	if err := b.validate(); err != nil {
+		return err
+	}
+	if err := b.sumWeights(); err != nil {
+		return err
+	}
+	b.amountRemainder = b.Amount
+	b.overdraftRemainder = b.Overdraft
+	for slot := range b.Weights {
+		b.amountRemainder -= b.evenShare(b.Amount, slot)
+		b.overdraftRemainder -= b.evenShare(b.Overdraft, slot)
+	}
+	hash := xxhash.New()
+	// Nodes compare the hash with that of nodes of other versions: its input must never change.
+	fmt.Fprint(hash, b.Name, "\x00", b.Amount, b.Overdraft, b.Window, b.WindowsAhead, b.TransferWindows, b.Weights)
+	b.definitionHash = hash.Sum64()
+	return nil
+}
+
+// validate checks the fields, but for the weights.
+func (b *Budget) validate() error {
 	switch {
 	case b.Name == "":
 		return errors.New("name: missing")
@@ -48,77 +76,76 @@
 		return fmt.Errorf("amount: %d is not from 0 to %d", b.Amount, MaxAmount)
 	case b.Overdraft < 0 || b.Overdraft > MaxAmount:
 		return fmt.Errorf("overdraft: %d is not from 0 to %d", b.Overdraft, MaxAmount)
-	case b.Window < 10*time.Millisecond || b.Window > 366*24*time.Hour:
+	case b.Window < minWindow || b.Window > maxWindow:
 		return fmt.Errorf("window: %v is not from 10ms to a year", b.Window)
 	case b.WindowsAhead < 0 || b.WindowsAhead >= MaxWindows:
 		return fmt.Errorf("ahead: %d is not from 0 to %d windows", b.WindowsAhead, MaxWindows-1)
 	case b.TransferWindows < 1 || b.TransferWindows > MaxWindows:
 		return fmt.Errorf("loan: %d is not from 1 to %d windows", b.TransferWindows, MaxWindows)
-	case len(b.Weights) == 0 || len(b.Weights) > 1<<16:
+	case len(b.Weights) == 0 || len(b.Weights) > maxSlots:
 		return fmt.Errorf("%d seats; it takes 1 to 65,536", len(b.Weights))
 	}
+	return nil
+}
+
+// sumWeights checks the weights and sums them up.
+func (b *Budget) sumWeights() error {
 	b.totalWeight = 0
-	for i, w := range b.Weights {
-		if w < 0 || w > 1<<20 {
-			return fmt.Errorf("seat[%d].weight: %d is not from 0 to %d", i, w, 1<<20)
+	for slot, weight := range b.Weights {
+		if weight < 0 || weight > maxWeight {
+			return fmt.Errorf("seat[%d].weight: %d is not from 0 to %d", slot, weight, maxWeight)
 		}
-		b.totalWeight += w
+		b.totalWeight += weight
 	}
 	if b.totalWeight == 0 {
 		return errors.New("no seat has a weight")
 	}
-	b.amountRemainder, b.overdraftRemainder = b.Amount, b.Overdraft
-	for i := range b.Weights {
-		b.amountRemainder -= b.evenShare(b.Amount, i)
-		b.overdraftRemainder -= b.evenShare(b.Overdraft, i)
-	}
-	h := xxhash.New()
-	fmt.Fprint(h, b.Name, "\x00", b.Amount, b.Overdraft, b.Window, b.WindowsAhead, b.TransferWindows, b.Weights)
-	b.definitionHash = h.Sum64()
 	return nil
 }
 
-// DefinitionHash is the same at all nodes that mean the same budget. Between those that do not nothing is lent.
+// DefinitionHash is the same at all nodes whose budgets are defined alike. Nodes lend to each other only where it is.
 func (b *Budget) DefinitionHash() uint64 { return b.definitionHash }
 
-// WindowAt is the window of a time.
+// WindowAt returns the number of the window that a time, in Unix nanoseconds, falls in.
 func (b *Budget) WindowAt(now int64) int64 { return now / int64(b.Window) }
 
-// WindowStart is when a window begins.
+// WindowStart returns when a window begins, in Unix nanoseconds.
 func (b *Budget) WindowStart(window int64) int64 { return window * int64(b.Window) }
 
-// evenShare is a seat's even part of an amount, rounded down.
-func (b *Budget) evenShare(amount int64, seat int) int64 {
-	hi, lo := bits.Mul64(uint64(amount), uint64(b.Weights[seat]))
-	q, _ := bits.Div64(hi, lo, uint64(b.totalWeight))
-	return int64(q)
+// evenShare is the part of a total that a slot's weight gives it, rounded down.
+func (b *Budget) evenShare(total int64, slot int) int64 {
+	high, low := bits.Mul64(uint64(total), uint64(b.Weights[slot]))
+	quotient, _ := bits.Div64(high, low, uint64(b.totalWeight))
+	return int64(quotient)
 }
 
-// remainderUnit tells whether it is a seat's turn, in a window, for one more of what does not divide evenly. Turns go round, so that a
-// budget smaller than the number of seats is everybody's in turn.
-func (b *Budget) remainderUnit(rest int64, seat int, window int64) int64 {
-	n := int64(len(b.Weights))
-	if rest == 0 {
+// remainderUnit is 1 where it is the slot's turn, in this window, for one unit of a remainder that does not divide
+// evenly, else 0. Turns go round, so that a budget smaller than the number of slots is everybody's in turn.
+func (b *Budget) remainderUnit(remainder int64, slot int, window int64) int64 {
+	if remainder == 0 {
 		return 0
 	}
-	if place := ((int64(seat)-window*rest)%n + n) % n; place < rest {
+	slots := int64(len(b.Weights))
+	position := ((int64(slot)-window*remainder)%slots + slots) % slots
+	if position < remainder {
 		return 1
 	}
 	return 0
 }
 
-// BaseQuota is what a seat may spend in a window without anybody's word. The shares of all seats are the amount.
-func (b *Budget) BaseQuota(seat int, window int64) int64 {
-	if seat < 0 || seat >= len(b.Weights) {
+// BaseQuota is what the owner of a slot may spend in a window without a message from anybody. The base quotas of
+// all slots sum up to the amount.
+func (b *Budget) BaseQuota(slot int, window int64) int64 {
+	if slot < 0 || slot >= len(b.Weights) {
 		return 0
 	}
-	return b.evenShare(b.Amount, seat) + b.remainderUnit(b.amountRemainder, seat, window)
+	return b.evenShare(b.Amount, slot) + b.remainderUnit(b.amountRemainder, slot, window)
 }
 
-// OverdraftQuota is a seat's share of the overdraft in a window.
-func (b *Budget) OverdraftQuota(seat int, window int64) int64 {
-	if seat < 0 || seat >= len(b.Weights) {
+// OverdraftQuota is a slot's share of the overdraft in a window.
+func (b *Budget) OverdraftQuota(slot int, window int64) int64 {
+	if slot < 0 || slot >= len(b.Weights) {
 		return 0
 	}
-	return b.evenShare(b.Overdraft, seat) + b.remainderUnit(b.overdraftRemainder, seat, window)
+	return b.evenShare(b.Overdraft, slot) + b.remainderUnit(b.overdraftRemainder, slot, window)
 }
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -20,28 +20,52 @@
 }
 
 func TestGoldenUse(t *testing.T) {
-	use := Usage{Budget: "tokens/acme", Window: 1, Quota: 2, Spent: 3, BaseQuota: 4, Lent: 5, Borrowed: 6, Demand: 7.5, Debt: 8, LentTransfers: 9, BorrowedTransfers: 10,
-		FencingToken: 11, LeaseValidFrom: 12, LeaseExpiresAt: 13}
-	golden.RoundTrip(t, "use.json", use,
+	usage := Usage{
+		Budget:            "tokens/acme",
+		Window:            1,
+		Quota:             2,
+		Spent:             3,
+		BaseQuota:         4,
+		Lent:              5,
+		Borrowed:          6,
+		Demand:            7.5,
+		Debt:              8,
+		LentTransfers:     9,
+		BorrowedTransfers: 10,
+		FencingToken:      11,
+		LeaseValidFrom:    12,
+		LeaseExpiresAt:    13,
+	}
+	golden.RoundTrip(t, "use.json", usage,
 		func(v Usage) ([]byte, error) { return json.MarshalIndent(v, "", "  ") },
 		func(b []byte) (v Usage, err error) { return v, json.Unmarshal(b, &v) })
 }
 
-// Two nodes lend to each other only where their definitions of a budget are the same number, and a seat's share of each window is
-// worked out by every node for itself: neither may change between versions.
+// Two nodes lend to each other only where their budgets have the same hash, and every node computes the base quotas for
+// itself: neither may change between versions.
 func TestGoldenDefinitionsAndShares(t *testing.T) {
 	var text strings.Builder
 	for _, b := range []Budget{
 		{Name: "tokens/acme", Amount: 1000, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 1, 1}},
-		{Name: "tokens/acme", Amount: 1000, Overdraft: 100, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 2, 0, 5}},
-		{Name: "places/", Amount: 2, Overdraft: 1, Window: 10 * time.Second, WindowsAhead: 7, TransferWindows: 2, Weights: []int64{1, 1, 1}},
-		{Name: "attempts/", Amount: 1 << 53, Overdraft: 1 << 52, Window: time.Hour, WindowsAhead: 1, TransferWindows: 1, Weights: []int64{1 << 20, 3}},
+		{
+			Name: "tokens/acme", Amount: 1000, Overdraft: 100,
+			Window: time.Second, TransferWindows: 4, Weights: []int64{1, 2, 0, 5},
+		},
+		{
+			Name: "places/", Amount: 2, Overdraft: 1,
+			Window: 10 * time.Second, WindowsAhead: 7, TransferWindows: 2, Weights: []int64{1, 1, 1},
+		},
+		{
+			Name: "attempts/", Amount: 1 << 53, Overdraft: 1 << 52,
+			Window: time.Hour, WindowsAhead: 1, TransferWindows: 1, Weights: []int64{1 << 20, 3},
+		},
 	} {
 		require.NoError(t, b.Complete())
 		fmt.Fprintf(&text, "%s: %016x\n", b.Name, b.DefinitionHash())
 		for window := int64(100); window < 104; window++ {
-			for seat := range b.Weights {
-				fmt.Fprintf(&text, "  window %d, seat %d: %d and %d\n", window, seat, b.BaseQuota(seat, window), b.OverdraftQuota(seat, window))
+			for slot := range b.Weights {
+				fmt.Fprintf(&text, "  window %d, seat %d: %d and %d\n",
+					window, slot, b.BaseQuota(slot, window), b.OverdraftQuota(slot, window))
 			}
 		}
 	}
@@ -75,5 +99,6 @@
 
 // The bounds are part of what nodes agree on: a message beyond them is dropped.
 func TestGoldenBounds(t *testing.T) {
-	golden.Bytes(t, "bounds.txt", fmt.Appendf(nil, "loans %d\nwindows %d\namount %d\n", MaxTransfers, MaxWindows, MaxAmount))
+	bounds := fmt.Appendf(nil, "loans %d\nwindows %d\namount %d\n", MaxTransfers, MaxWindows, MaxAmount)
+	golden.Bytes(t, "bounds.txt", bounds)
 }
