--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -380,8 +380,8 @@
 // followerStore is the store of a member that another one leads.
 type followerStore struct{ store.Store }
 
-func (followerStore) Leads() (uint64, bool) { return 0, false }
-func (followerStore) Leader() string        { return "127.0.0.1:7002" }
+func (followerStore) Leadership() (uint64, bool) { return 0, false }
+func (followerStore) Leader() string             { return "127.0.0.1:7002" }
 
 // The words in which an inherited socket is refused.
 func TestGoldenInheritedErrors(t *testing.T) {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -5,14 +5,11 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
@@ -20,19 +17,15 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// roundTrip compares a value with its golden file, as JSON.
-func roundTrip[T any](t *testing.T, name string, value T) {
-	t.Helper()
-	golden.RoundTrip(t, name, value, func(v T) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v T, err error) {
-		return v, json.Unmarshal(raw, &v)
-	})
-}
-
 // An entry of the replicated log, and the state that a snapshot holds.
 func TestGoldenEntryAndSnapshot(t *testing.T) {
 	ops := []Op{{Key: "move/current", Data: []byte("a record"), ExpectedVersion: 7}}
-	roundTrip(t, "entry.json", ops)
-	roundTrip(t, "snapshot.json", snapshotImage{Version: 9, Applied: 12, Values: map[string]Value{"config/shared": {Data: []byte("a document"), Version: 8}}})
+	golden.JSON(t, "entry.json", ops)
+	golden.JSON(t, "snapshot.json", snapshotImage{
+		Version: 9,
+		Applied: 12,
+		Values:  map[string]Value{"config/shared": {Data: []byte("a document"), Version: 8}},
+	})
 
 	var at atomic.Uint64
 	m := stateMachine{newKeyspace(), &at}
@@ -42,7 +35,10 @@
 	taken, err := m.Snapshot()
 	require.NoError(t, err)
 	golden.Bytes(t, "snapshot.json", taken.(encodedSnapshot))
-	done := m.Apply(&raft.Log{Index: 13, Data: []byte(`[{"key":"config/shared","data":"YW5vdGhlcg==","if":8}]`)}).(applyResult)
+	done := m.Apply(&raft.Log{
+		Index: 13,
+		Data:  []byte(`[{"key":"config/shared","data":"YW5vdGhlcg==","if":8}]`),
+	}).(applyResult)
 	require.NoError(t, done.err)
 	require.Equal(t, Value{Data: []byte("another"), Version: 10}, m.Get("config/shared"))
 	done = m.Apply(&raft.Log{Index: 14, Data: golden.Read(t, "entry.json", nil)}).(applyResult)
@@ -56,33 +52,24 @@
 	golden.Bytes(t, "deletion.json", raw)
 }
 
-// openGolden opens a folder as its only member.
-func openGolden(t *testing.T, dir string) *Raft {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	r, err := OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir,
-		LogOutput: io.Discard, HeartbeatTimeout: 100 * time.Millisecond})
-	require.NoError(t, err)
-	return r
-}
-
-// writeDirectory writes a member's folder: a snapshot, and entries behind it.
+// writeDirectory writes a member's directory: a snapshot, and entries behind it.
 func writeDirectory(t *testing.T, to string) {
 	t.Helper()
 	dir := t.TempDir()
-	r := openGolden(t, dir)
-	leader(t, []*Raft{r})
-	_, err := r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("1")}, Op{Key: "gone", Data: []byte("x")})
+	r, err := openSingle(t, dir)
+	require.NoError(t, err)
+	awaitLeader(t, r)
+	_, err = r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("1")}, Op{Key: "gone", Data: []byte("x")})
 	require.NoError(t, err)
 	require.NoError(t, r.raft.Snapshot().Error())
-	_, err = r.Write(t.Context(), Op{Key: "settings/current", Data: []byte("2"), ExpectedVersion: 1}, Op{Key: "gone", ExpectedVersion: AnyVersion})
+	update := Op{Key: "settings/current", Data: []byte("2"), ExpectedVersion: 1}
+	_, err = r.Write(t.Context(), update, Op{Key: "gone", ExpectedVersion: AnyVersion})
 	require.NoError(t, err)
 	require.NoError(t, r.Close())
 	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
 }
 
-// A member's folder that an earlier build wrote is opened as it is: the snapshot, and the log behind it; and keeps its files' names.
+// A member's directory that an earlier build wrote is opened as it is, and keeps its files' names.
 func TestGoldenDirectory(t *testing.T) {
 	from := golden.Path("member")
 	if _, err := os.Stat(from); os.IsNotExist(err) && os.Getenv("UPDATE_GOLDEN") != "" {
@@ -90,8 +77,9 @@
 	}
 	dir := filepath.Join(t.TempDir(), "member")
 	require.NoError(t, os.CopyFS(dir, os.DirFS(from)))
-	r := openGolden(t, dir)
-	leader(t, []*Raft{r})
+	r, err := openSingle(t, dir)
+	require.NoError(t, err)
+	awaitLeader(t, r)
 	require.True(t, r.CaughtUp())
 	require.Equal(t, []string{"settings/current"}, r.List(""))
 	require.Equal(t, Value{Data: []byte("2"), Version: 2}, r.Get("settings/current"))
@@ -110,29 +98,36 @@
 
 // Texts that operators and clients get.
 func TestGoldenErrorTexts(t *testing.T) {
-	m := NewMemory()
-	_, err := m.Write(t.Context(), Op{Key: "a/key", Data: []byte("1"), ExpectedVersion: 4})
-	lines := []string{ErrConflict.Error(), ErrNotLeader.Error(), err.Error()}
-	var at atomic.Uint64
-	lines = append(lines, stateMachine{newKeyspace(), &at}.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(applyResult).err.Error(),
-		stateMachine{newKeyspace(), &at}.Restore(io.NopCloser(strings.NewReader("["))).Error())
+	_, conflict := NewMemory().Write(t.Context(), Op{Key: "a/key", Data: []byte("1"), ExpectedVersion: 4})
+	var index atomic.Uint64
+	m := stateMachine{newKeyspace(), &index}
+	applied := m.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(applyResult)
+	restored := m.Restore(io.NopCloser(strings.NewReader("[")))
+
 	dir := t.TempDir()
-	r := openGolden(t, dir)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	r, err := openSingle(t, dir)
 	require.NoError(t, err)
-	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: dir, LogOutput: io.Discard})
-	require.Error(t, err)
-	lines = append(lines, strings.ReplaceAll(err.Error(), dir, "DIR"))
+	_, locked := openSingle(t, dir)
+	require.Error(t, locked)
 	require.NoError(t, r.Close())
-	other := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(other, "raft.db"), bytes.Repeat([]byte("x"), 4096), 0o600))
-	listener, err = net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	_, err = OpenRaft(RaftOptions{ID: "node-1", Listener: listener, Members: []Member{{ID: "node-1", Address: listener.Addr().String()}}, Dir: other, LogOutput: io.Discard})
-	require.Error(t, err)
-	lines = append(lines, strings.ReplaceAll(err.Error(), other, "DIR"))
-	_, err = OpenRaft(RaftOptions{ID: "node-1", ListenAddress: "127.0.0.1:none"})
-	require.Error(t, err)
-	lines = append(lines, err.Error(), recoverFault(func() error { panic("a fault") }).Error())
-	golden.Bytes(t, "errors.txt", fmt.Appendln(nil, strings.Join(slices.Clip(lines), "\n")))
+
+	damagedDir := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(damagedDir, logFileName), bytes.Repeat([]byte("x"), 4096), 0o600))
+	_, damaged := openSingle(t, damagedDir)
+	require.Error(t, damaged)
+	_, unlistened := OpenRaft(RaftOptions{ID: "node-1", ListenAddress: "127.0.0.1:none"})
+	require.Error(t, unlistened)
+
+	texts := []string{
+		ErrConflict.Error(),
+		ErrNotLeader.Error(),
+		conflict.Error(),
+		applied.err.Error(),
+		restored.Error(),
+		strings.ReplaceAll(locked.Error(), dir, "DIR"),
+		strings.ReplaceAll(damaged.Error(), damagedDir, "DIR"),
+		unlistened.Error(),
+		recoverFault(func() error { panic("a fault") }).Error(),
+	}
+	golden.Bytes(t, "errors.txt", fmt.Appendln(nil, strings.Join(texts, "\n")))
 }
