--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -10,7 +10,8 @@
 // Whatever the platform's file holds, it is refused by its key or what holds is possible.
 func FuzzPlatform(f *testing.F) {
 	f.Add([]byte(platform))
-	f.Add([]byte(strings.Replace(platform, `"settings":{`, `"settings":{"balancers":-1,"period":-5,"rules":{"warmUp":-1,"startCapacity":9e9},`, 1)))
+	f.Add([]byte(strings.Replace(platform, `"settings":{`,
+		`"settings":{"balancers":-1,"period":-5,"rules":{"warmUp":-1,"startCapacity":9e9},`, 1)))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		p, err := parsePlatform(raw, none)
 		if err != nil {
--- /dev/null
+++ b/internal/config/migration.go
@@ -0,0 +1,132 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"standpoint/internal/mover"
+	"standpoint/internal/pool"
+)
+
+// Pool is a [[pool]] of backends.
+type Pool struct {
+	Name     string  `toml:"name"`
+	Selector string  `toml:"select"` // an expression over the labels and keys of a backend
+	Share    float64 `toml:"share"`  // of the requests; where no pool has a share the first has all
+}
+
+// Migration is the section [move]: the plan of a migration between pools, unless its start says otherwise. See
+// mover.Plan.
+type Migration struct {
+	Steps       []float64 `toml:"steps"`
+	Trickle     float64   `toml:"trickle"`
+	Warm        Duration  `toml:"warm"`
+	Hold        Duration  `toml:"hold"`
+	Samples     int       `toml:"samples"`
+	Floor       float64   `toml:"floor"`
+	FirstToken  float64   `toml:"first_token"`
+	Pace        float64   `toml:"pace"`
+	Errors      float64   `toml:"errors"`
+	Stall       Duration  `toml:"stall"`
+	Alarm       float64   `toml:"alarm"`
+	OnWorse     string    `toml:"on_worse"`
+	ReturnSteps int       `toml:"return_steps"`
+	ReturnEvery Duration  `toml:"return_every"`
+}
+
+func (m *Migration) setDefaults() {
+	standard := mover.Default()
+	if m.Steps == nil {
+		m.Steps = standard.Steps
+	}
+	trickle := standard.Trickle
+	if len(m.Steps) > 0 {
+		trickle = min(trickle, m.Steps[0])
+	}
+	setDefault(&m.Trickle, trickle)
+	setDefault(&m.Warm, Duration(standard.Warm))
+	setDefault(&m.Hold, Duration(standard.Hold))
+	setDefault(&m.Samples, standard.Samples)
+	setDefault(&m.Floor, standard.Floor)
+	setDefault(&m.FirstToken, standard.FirstToken)
+	setDefault(&m.Pace, standard.Pace)
+	setDefault(&m.Errors, standard.Errors)
+	setDefault(&m.Stall, Duration(standard.Stall))
+	setDefault(&m.Alarm, standard.Alarm)
+	setDefault(&m.OnWorse, standard.OnWorse)
+	setDefault(&m.ReturnSteps, standard.ReturnSteps)
+	setDefault(&m.ReturnEvery, Duration(standard.ReturnEvery))
+}
+
+// parsePools parses the selectors and derives PoolSet.
+func (o *OperatorFile) parsePools() error {
+	var definitions []pool.Definition
+	for i, p := range o.Pools {
+		selector, err := pool.Parse(p.Selector)
+		if err != nil {
+			return fmt.Errorf("%s: %w", indexed("pool", i, "select"), err)
+		}
+		definitions = append(definitions, pool.Definition{Name: p.Name, Select: selector, Share: p.Share})
+	}
+	var err error
+	o.PoolSet, err = pool.NewSet(definitions)
+	return err
+}
+
+// derivePlan derives MigrationPlan from [move] and [module], and validates it.
+func (o *OperatorFile) derivePlan() error {
+	section := &o.Migration
+	o.MigrationPlan = mover.Plan{
+		Steps:       section.Steps,
+		Trickle:     section.Trickle,
+		Warm:        time.Duration(section.Warm),
+		Hold:        time.Duration(section.Hold),
+		Samples:     section.Samples,
+		Floor:       section.Floor,
+		FirstToken:  section.FirstToken,
+		Pace:        section.Pace,
+		Errors:      section.Errors,
+		Stall:       time.Duration(section.Stall),
+		Alarm:       section.Alarm,
+		OnWorse:     section.OnWorse,
+		ReturnSteps: section.ReturnSteps,
+		ReturnEvery: time.Duration(section.ReturnEvery),
+		ColdShare:   o.Module.ColdShare,
+		WarmUp:      time.Duration(o.Module.WarmUp),
+		FallFactor:  mover.Default().FallFactor,
+	}
+	var invalid *mover.PlanError
+	if !errors.As(o.MigrationPlan.Check(), &invalid) {
+		return nil
+	}
+	prefix := "move."
+	if invalid.Key == "cold_share" || invalid.Key == "warm_up" {
+		prefix = "module."
+	}
+	return &KeyError{Key: prefix + invalid.Key, Reason: invalid.Reason}
+}
+
+// validateMigrationMembers checks that the members of a store can reach each other's control interface, where their
+// reports of a migration go.
+func (o *OperatorFile) validateMigrationMembers() error {
+	if len(o.Pools) == 0 || o.Store.Kind != StoreRaft || len(o.Store.Members) <= 1 {
+		return nil
+	}
+	const missing = "missing; members that move traffic between pools report to each other there"
+	for i, m := range o.Store.Members {
+		if m.ControlAddress == "" {
+			return keyError(indexed("store.member", i, "control"), missing)
+		}
+	}
+	for i, m := range o.Store.Members {
+		if m.ID == o.Store.ID && o.Control.Listen != "" && m.ControlAddress != o.Control.Listen {
+			return keyError(indexed("store.member", i, "control"),
+				"%q is not control.listen, %q, and this is its own member", m.ControlAddress, o.Control.Listen)
+		}
+	}
+	if o.Control.Listen == "" {
+		return keyError("control.listen", missing)
+	}
+	return nil
+}
--- a/internal/config/config_test.go
+++ b/internal/config/operator_test.go
@@ -9,79 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-const platform = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
-	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":{"classes":[{"name":"chat","semantics":"safe"}],
-	"limits":{"connIdle":15000000000,"sendCap":3}}}`
-
-func none(string) string { return "" }
-
-func TestPlatform(t *testing.T) {
-	p, err := parsePlatform([]byte(platform), func(key string) string {
-		return map[string]string{"PROXY_LISTEN": "127.0.0.9:8443"}[key]
-	})
-	require.NoError(t, err)
-	require.Equal(t, "127.0.0.9:8443", p.Listen, "the variable wins")
-	require.Equal(t, 3, p.Settings.MaxAttempts)
-	require.Equal(t, []string{"chat"}, p.Names.Classes)
-	require.Equal(t, defaultDialTimeout, p.Names.DialTimeout)
-	for fault, key := range map[string]string{
-		strings.Replace(platform, "8c1f30d27a5be964", "xyz", 1):                     "seed:",
-		strings.Replace(platform, "127.2.0.1:8500", "nowhere", 1):                   "discovery:",
-		strings.Replace(platform, `"name":"n3"`, `"name":"n3","console":"x"`, 1):    "console:",
-		strings.Replace(platform, `"memory_mb":192`, `"memory_mb":-1`, 1):           "limits.memory_mb:",
-		strings.Replace(platform, `"sockets":1024`, `"sockets":3`, 1):               "limits.sockets:",
-		strings.Replace(platform, `{"name":"chat","semantics":"safe"}`, ``, 1):      "settings.classes:",
-		strings.Replace(platform, `"cores":1.0`, `"cores":"many"`, 1):               "limits.cores",
-		strings.Replace(platform, `"name":"n3",`, ``, 1):                            "name:",
-		strings.Replace(platform, `"connIdle":15000000000`, `"connIdle":"long"`, 1): "limits.connIdle",
-	} {
-		_, err := parsePlatform([]byte(fault), none)
-		require.ErrorContains(t, err, key)
-	}
-	_, err = ReadPlatform(none)
-	require.ErrorContains(t, err, "PROXY_CONFIG:")
-}
-
-// A program that runs reads the file's own discovery: the variable is as old as the program. Name and address are
-// bound, and a faulty file changes nothing.
-func TestReread(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
-	getenv := func(key string) string {
-		return map[string]string{"PROXY_CONFIG": path, "PROXY_DISCOVERY": "127.2.0.1:8500"}[key]
-	}
-	write(platform)
-	first, err := ReadPlatform(getenv)
-	require.NoError(t, err)
-	write(strings.NewReplacer("127.2.0.1:8500", "127.2.0.9:8501", `"memory_mb":192`, `"memory_mb":64`).Replace(platform))
-	next, err := first.Reload(getenv)
-	require.NoError(t, err)
-	require.Equal(t, "127.2.0.9:8501", next.Discovery)
-	require.Equal(t, 64, next.Limits.MemoryMB)
-	for fault, key := range map[string]string{
-		strings.Replace(platform, "127.0.0.4:8443", "127.0.0.5:8443", 1): "listen:",
-		strings.Replace(platform, `"n3"`, `"n4"`, 1):                     "name:",
-		strings.Replace(platform, `"n3"`, `"n3","console":"a:1"`, 1):     "console:",
-		strings.Replace(platform, "127.2.0.1:8500", "nowhere", 1):        "discovery:",
-		"{": "configuration file:",
-	} {
-		write(fault)
-		kept, err := next.Reload(getenv)
-		require.ErrorContains(t, err, key)
-		require.Equal(t, next, kept)
-	}
+// readOperatorText reads a file of this text.
+func readOperatorText(t *testing.T, text string) (OperatorFile, error) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "operator.toml")
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return ReadOperatorFile(path)
 }
 
 // The file in deploy/ is read as it stands, and each fault made in it is named by its key.
-func TestOperator(t *testing.T) {
+func TestOperatorFileNamesFaultyKeys(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
 	good := string(raw)
-	read := func(text string) (OperatorFile, error) {
-		path := filepath.Join(t.TempDir(), "operator.toml")
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		return ReadOperatorFile(path)
-	}
+	read := func(text string) (OperatorFile, error) { return readOperatorText(t, text) }
 	o, err := read(good)
 	require.NoError(t, err)
 	require.True(t, o.Settings.Cancel)
@@ -112,8 +53,8 @@
 	}
 }
 
-// What the file says of pools, moves, the log and the control interface.
-func TestGrowth(t *testing.T) {
+// Pools, migrations, the log, the control interface and discovery: completed, and each fault named by its key.
+func TestSectionsNameFaultyKeys(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
 	const pools = "[[pool]]\nname = \"old\"\nselect = 'version == \"v1\"'\n[[pool]]\nname = \"new\"\nselect = 'version == \"v2\"'\n"
@@ -124,11 +65,7 @@
 	const browse = "[[entries.browse]]\nserver = \"127.0.0.1:53\"\nservice = \"_engine._tcp\"\ndomain = \"hall-a.test\"\n"
 	dnssd := strings.Replace(alone, "[entries]\nsource = \"list\"\n", "", 1) + "[entries]\nsource = \"dns-sd\"\n"
 	together := alone[:strings.Index(alone, "[store]")] + group
-	read := func(text string) (OperatorFile, error) {
-		path := filepath.Join(t.TempDir(), "operator.toml")
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		return ReadOperatorFile(path)
-	}
+	read := func(text string) (OperatorFile, error) { return readOperatorText(t, text) }
 	o, err := read(together + pools + control + "[move]\nsteps = [0.01, 1.0]\nhold = \"40s\"\n")
 	require.NoError(t, err)
 	require.Equal(t, 2, o.PoolSet.Len())
@@ -170,15 +107,27 @@
 		{dnssd, "entries.server:"},
 		{together + pools, "control.listen:"},
 		{strings.Replace(together, "control = \"127.0.0.1:4\"\n", "", 1) + pools + control, "store.member[1].control:"},
-		{strings.Replace(together, "control = \"127.0.0.1:3\"\n", "control = \"127.0.0.1:9\"\n", 1) + pools + control, "store.member[0].control:"},
+		{strings.Replace(together, "control = \"127.0.0.1:3\"\n", "control = \"127.0.0.1:9\"\n", 1) + pools +
+			control, "store.member[0].control:"},
 	} {
 		_, err := read(c.text)
 		require.ErrorContains(t, err, c.key)
 	}
 }
 
-// TOML has numbers that no bound holds: they are refused by their key.
-func TestNumbersThatAreNone(t *testing.T) {
+// A faulty key is told by a typed error, which a caller finds without reading the message.
+func TestKeyError(t *testing.T) {
+	_, err := ParseOperatorFile(strings.Replace(operatorText(t, fullFile), `give_up = "5s"`, `give_up = "1s"`, 1))
+	var invalid *KeyError
+	require.ErrorAs(t, err, &invalid)
+	require.Equal(t, KeyError{Key: "class[1].give_up", Reason: "shorter than first_token"}, *invalid)
+	_, err = ReadPlatform(none)
+	require.ErrorAs(t, err, &invalid)
+	require.Equal(t, "PROXY_CONFIG", invalid.Key)
+}
+
+// TOML has numbers that pass every range check; they are rejected by their key.
+func TestNonFiniteNumbersAreRejected(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
 	for _, number := range []string{"nan", "inf", "-inf"} {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,49 +2,61 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"time"
 
 	"standpoint"
 )
 
+// Values of the settings object that are words.
+const (
+	discoveryOnRequest = "on_request"
+	reportsPiggyback   = "piggyback"
+	reportsPull        = "pull"
+	semanticsSafe      = "safe"
+	semanticsKeyed     = "keyed"
+	groupZone          = "zone"
+	groupCell          = "cell"
+)
+
+// settings is the settings object as the platform writes it. Times are in nanoseconds, but for
+// aimUsPer1000PromptTokens.
 type settings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
-		Name       string  `json:"name"`
-		AimStretch float64 `json:"aimStretch"`
-		OnTime     int64   `json:"onTime"`
-		HardLimit  int64   `json:"hardLimit"`
-		Semantics  string  `json:"semantics"`
-		Group      string  `json:"group"`
-		LateWorth  float64 `json:"lateWorth"`
-		Streamed   bool    `json:"streamed"`
-		Window     int64   `json:"window"`
-		Worth      float64 `json:"worth"`
+		Name             string  `json:"name"`
+		ObjectiveStretch float64 `json:"aimStretch"`
+		Objective        int64   `json:"onTime"`
+		Deadline         int64   `json:"hardLimit"`
+		Semantics        string  `json:"semantics"`
+		Group            string  `json:"group"`
+		LateWeight       float64 `json:"lateWorth"`
+		Streamed         bool    `json:"streamed"`
+		Window           int64   `json:"window"`
+		Weight           float64 `json:"worth"`
 	} `json:"classes"`
 	Discovery  string `json:"discovery"`
 	FamilyInfo struct {
-		AimPer1000 []float64 `json:"aimUsPer1000PromptTokens"`
-		Resume     bool      `json:"resume"`
-		TokenAim   []float64 `json:"tokenAim"`
+		ObjectivePer1000Tokens []float64 `json:"aimUsPer1000PromptTokens"` // microseconds, by class
+		Resume                 bool      `json:"resume"`
+		TokenGapObjective      []float64 `json:"tokenAim"` // by class
 	} `json:"familyInfo"`
 	Limits struct {
-		Cancel        bool  `json:"cancel"`
-		MaxRetryAfter int64 `json:"maxRetryAfter"`
-		Peers         bool  `json:"peers"`
-		Probes        bool  `json:"probes"`
-		RetryAfter    bool  `json:"retryAfter"`
-		SecondCopies  bool  `json:"secondCopies"`
-		ConnIdle      int64 `json:"connIdle"`
-		DialTimeout   int64 `json:"dialTimeout"`
-		MaxOpen       int   `json:"maxOpen"`
-		SendCap       int   `json:"sendCap"`
+		Cancel         bool  `json:"cancel"`
+		MaxRetryAfter  int64 `json:"maxRetryAfter"`
+		Peers          bool  `json:"peers"`
+		Probes         bool  `json:"probes"`
+		RetryAfter     bool  `json:"retryAfter"`
+		HedgedRequests bool  `json:"secondCopies"`
+		IdleTimeout    int64 `json:"connIdle"`
+		DialTimeout    int64 `json:"dialTimeout"`
+		MaxConnections int   `json:"maxOpen"`
+		MaxAttempts    int   `json:"sendCap"`
 	} `json:"limits"`
-	Ordinal        int     `json:"ordinal"`
-	OverShareWorth float64 `json:"overShareWorth"`
-	Period         int64   `json:"period"`
-	Prices         struct {
+	Ordinal         int     `json:"ordinal"`
+	OverShareWeight float64 `json:"overShareWorth"`
+	Tick            int64   `json:"period"`
+	Prices          struct {
 		CrossZone float64 `json:"crossZone"`
 		LateFail  float64 `json:"lateFail"`
 		Peer      float64 `json:"peer"`
@@ -55,14 +67,14 @@
 		How string `json:"how"`
 	} `json:"report"`
 	Rules struct {
-		AskWithin      int64   `json:"askWithin"`
-		Fall           int64   `json:"fall"`
-		OverloadFactor float64 `json:"overloadFactor"`
-		StartCapacity  float64 `json:"startCapacity"`
-		StopSending    int64   `json:"stopSendingWithin"`
-		WarmUp         int64   `json:"warmUp"`
+		DiscoveryTimeout int64   `json:"askWithin"`
+		OverloadWindow   int64   `json:"fall"`
+		OverloadFactor   float64 `json:"overloadFactor"`
+		ColdShare        float64 `json:"startCapacity"`
+		DrainGrace       int64   `json:"stopSendingWithin"`
+		WarmUp           int64   `json:"warmUp"`
 	} `json:"rules"`
-	Shapes  []string `json:"shapes"`
+	Kinds   []string `json:"shapes"`
 	Tenants []struct {
 		Name     string  `json:"name"`
 		Share    float64 `json:"share"`
@@ -72,92 +84,180 @@
 	Zones []string `json:"zones"`
 }
 
-// Names are what the settings call things, in the order of the module's indexes, with the limits that the
+// Names holds what the settings call things, in the order of the decision module's indexes, and limits that the
 // module has no use for.
 type Names struct {
-	Classes, Tenants, Zones, Kinds []string
-	IdleTimeout, DialTimeout       time.Duration
-	MaxConnections                 int
+	Classes        []string
+	Tenants        []string
+	Zones          []string
+	Kinds          []string
+	IdleTimeout    time.Duration // of connections to backends
+	DialTimeout    time.Duration
+	MaxConnections int // to backends; 0 for no limit
 }
 
-// DecodeSettings reads the settings object that the platform and the simulator both hand out.
+// DecodeSettings decodes and validates the settings object that the platform and the simulator both hand out.
 func DecodeSettings(raw json.RawMessage) (standpoint.Settings, Names, error) {
-	var w settings
-	var s standpoint.Settings
-	var n Names
 	if len(raw) == 0 {
-		return s, n, errors.New("settings: the object is missing")
-	}
-	if err := json.Unmarshal(raw, &w); err != nil {
-		return s, n, fmt.Errorf("settings: %w", err)
-	}
-	s = standpoint.Settings{Balancers: w.Balancers, Ordinal: w.Ordinal, Zone: w.Zone, Zones: len(w.Zones),
-		Kinds: len(w.Shapes), OverShareWorth: w.OverShareWorth, AskDiscovery: w.Discovery == "on_request",
-		Resume: w.FamilyInfo.Resume, SecondCopies: w.Limits.SecondCopies, Cancel: w.Limits.Cancel,
-		Probes: w.Limits.Probes, Peers: w.Limits.Peers, RetryAfter: w.Limits.RetryAfter,
-		MaxRetryAfter: w.Limits.MaxRetryAfter, MaxAttempts: w.Limits.SendCap, Tick: w.Period,
-		AskWithin: w.Rules.AskWithin, DrainGrace: w.Rules.StopSending, WarmUp: w.Rules.WarmUp,
-		Fall: w.Rules.Fall, ColdShare: w.Rules.StartCapacity, FallFactor: w.Rules.OverloadFactor,
-		CrossZonePrice: w.Prices.CrossZone, ProbePrice: w.Prices.Probe, PeerPrice: w.Prices.Peer,
-		WastePrice: w.Prices.Waste, LateFailPrice: w.Prices.LateFail}
-	switch w.Report.How {
-	case "piggyback":
-		s.Reports = standpoint.ReportReplies
-	case "pull":
-		s.Reports = standpoint.ReportProbes
-	}
-	n = Names{Zones: w.Zones, Kinds: w.Shapes, IdleTimeout: time.Duration(w.Limits.ConnIdle),
-		DialTimeout: time.Duration(w.Limits.DialTimeout), MaxConnections: w.Limits.MaxOpen}
-	for i, c := range w.Classes {
-		n.Classes = append(n.Classes, c.Name)
-		k := standpoint.Class{Window: c.Window, Streamed: c.Streamed, TTFTAim: c.OnTime,
-			AimStretch: c.AimStretch, Deadline: c.HardLimit, Worth: c.Worth, LateWorth: c.LateWorth,
-			Description: c.Name}
-		switch c.Semantics {
-		case "safe":
-		case "keyed":
-			k.Effect = standpoint.Keyed
-		default: // an effect we don't know gets the strictest treatment
-			k.Effect = standpoint.Unsafe
-		}
-		switch c.Group {
-		case "zone":
-			k.Group = standpoint.GroupZone
-		case "cell":
-			k.Group = standpoint.GroupCell
-		}
-		if i < len(w.FamilyInfo.AimPer1000) {
-			k.AimPer1000 = int64(w.FamilyInfo.AimPer1000[i] * 1000)
-		}
-		if i < len(w.FamilyInfo.TokenAim) {
-			k.TPOTAim = int64(w.FamilyInfo.TokenAim[i])
-		}
-		s.Classes = append(s.Classes, k)
-		for _, v := range []struct {
-			key  string
-			told float64
-		}{{"onTime", float64(c.OnTime)}, {"hardLimit", float64(c.HardLimit)}, {"window", float64(c.Window)}, {"worth", c.Worth},
-			{"lateWorth", c.LateWorth}, {"tokenAim", float64(k.TPOTAim)}, {"aimUsPer1000PromptTokens", float64(k.AimPer1000)}} {
-			if v.told < 0 {
-				return s, n, fmt.Errorf("settings.classes[%d].%s: %g is negative", i, v.key, v.told)
-			}
+		return standpoint.Settings{}, Names{}, keyError("settings", "the object is missing")
+	}
+	var wire settings
+	if err := json.Unmarshal(raw, &wire); err != nil {
+		return standpoint.Settings{}, Names{}, fmt.Errorf("settings: %w", err)
+	}
+	decoded := wire.moduleSettings()
+	names := wire.names()
+	for i := range wire.Classes {
+		class := wire.moduleClass(i)
+		decoded.Classes = append(decoded.Classes, class)
+		if err := validateClassSettings(i, class); err != nil {
+			return decoded, names, err
 		}
 	}
+	if err := wire.validateRanges(); err != nil {
+		return decoded, names, err
+	}
+	for _, tenant := range wire.Tenants {
+		decoded.Tenants = append(decoded.Tenants, standpoint.Tenant{Share: tenant.Share, QuotaRPS: tenant.QuotaRPS})
+	}
+	return decoded, names, nil
+}
+
+// moduleSettings are the decision module's settings but for classes and tenants.
+func (w *settings) moduleSettings() standpoint.Settings {
+	decoded := standpoint.Settings{
+		Balancers:      w.Balancers,
+		Ordinal:        w.Ordinal,
+		Zone:           w.Zone,
+		Zones:          len(w.Zones),
+		Kinds:          len(w.Kinds),
+		OverShareWorth: w.OverShareWeight,
+		AskDiscovery:   w.Discovery == discoveryOnRequest,
+		Resume:         w.FamilyInfo.Resume,
+		SecondCopies:   w.Limits.HedgedRequests,
+		Cancel:         w.Limits.Cancel,
+		Probes:         w.Limits.Probes,
+		Peers:          w.Limits.Peers,
+		RetryAfter:     w.Limits.RetryAfter,
+		MaxRetryAfter:  w.Limits.MaxRetryAfter,
+		MaxAttempts:    w.Limits.MaxAttempts,
+		Tick:           w.Tick,
+		AskWithin:      w.Rules.DiscoveryTimeout,
+		DrainGrace:     w.Rules.DrainGrace,
+		WarmUp:         w.Rules.WarmUp,
+		Fall:           w.Rules.OverloadWindow,
+		ColdShare:      w.Rules.ColdShare,
+		FallFactor:     w.Rules.OverloadFactor,
+		CrossZonePrice: w.Prices.CrossZone,
+		ProbePrice:     w.Prices.Probe,
+		PeerPrice:      w.Prices.Peer,
+		WastePrice:     w.Prices.Waste,
+		LateFailPrice:  w.Prices.LateFail,
+	}
+	switch w.Report.How {
+	case reportsPiggyback:
+		decoded.Reports = standpoint.ReportReplies
+	case reportsPull:
+		decoded.Reports = standpoint.ReportProbes
+	}
+	return decoded
+}
+
+func (w *settings) names() Names {
+	names := Names{
+		Zones:          w.Zones,
+		Kinds:          w.Kinds,
+		IdleTimeout:    time.Duration(w.Limits.IdleTimeout),
+		DialTimeout:    time.Duration(w.Limits.DialTimeout),
+		MaxConnections: w.Limits.MaxConnections,
+	}
+	for _, class := range w.Classes {
+		names.Classes = append(names.Classes, class.Name)
+	}
+	for _, tenant := range w.Tenants {
+		names.Tenants = append(names.Tenants, tenant.Name)
+	}
+	return names
+}
+
+func (w *settings) moduleClass(i int) standpoint.Class {
+	wire := &w.Classes[i]
+	class := standpoint.Class{
+		Window:      wire.Window,
+		Streamed:    wire.Streamed,
+		TTFTAim:     wire.Objective,
+		AimStretch:  wire.ObjectiveStretch,
+		Deadline:    wire.Deadline,
+		Worth:       wire.Weight,
+		LateWorth:   wire.LateWeight,
+		Description: wire.Name,
+	}
+	switch wire.Semantics {
+	case semanticsSafe:
+	case semanticsKeyed:
+		class.Effect = standpoint.Keyed
+	default: // requests whose effect is not known must not be repeated
+		class.Effect = standpoint.Unsafe
+	}
+	switch wire.Group {
+	case groupZone:
+		class.Group = standpoint.GroupZone
+	case groupCell:
+		class.Group = standpoint.GroupCell
+	}
+	if i < len(w.FamilyInfo.ObjectivePer1000Tokens) {
+		class.AimPer1000 = int64(w.FamilyInfo.ObjectivePer1000Tokens[i] * float64(time.Microsecond))
+	}
+	if i < len(w.FamilyInfo.TokenGapObjective) {
+		class.TPOTAim = int64(w.FamilyInfo.TokenGapObjective[i])
+	}
+	return class
+}
+
+func validateClassSettings(i int, class standpoint.Class) error {
 	for _, v := range []struct {
-		key        string
-		told, most float64
-	}{{"balancers", float64(w.Balancers), 1e6}, {"period", float64(w.Period), 1e18}, {"limits.sendCap", float64(w.Limits.SendCap), 1e6},
-		{"limits.maxRetryAfter", float64(w.Limits.MaxRetryAfter), 1e18}, {"rules.warmUp", float64(w.Rules.WarmUp), 1e18},
-		{"rules.fall", float64(w.Rules.Fall), 1e18}, {"rules.askWithin", float64(w.Rules.AskWithin), 1e18},
-		{"rules.stopSendingWithin", float64(w.Rules.StopSending), 1e18}, {"rules.startCapacity", w.Rules.StartCapacity, 1},
-		{"rules.overloadFactor", w.Rules.OverloadFactor, 1e6}} {
-		if !(v.told >= 0 && v.told <= v.most) {
-			return s, n, fmt.Errorf("settings.%s: %g is not from 0 to %g", v.key, v.told, v.most)
+		key   string
+		value float64
+	}{
+		{"onTime", float64(class.TTFTAim)},
+		{"hardLimit", float64(class.Deadline)},
+		{"window", float64(class.Window)},
+		{"worth", class.Worth},
+		{"lateWorth", class.LateWorth},
+		{"tokenAim", float64(class.TPOTAim)},
+		{"aimUsPer1000PromptTokens", float64(class.AimPer1000)},
+	} {
+		if v.value < 0 {
+			return keyError(indexed("settings.classes", i, v.key), "%g is negative", v.value)
 		}
 	}
-	for _, t := range w.Tenants {
-		n.Tenants = append(n.Tenants, t.Name)
-		s.Tenants = append(s.Tenants, standpoint.Tenant{Share: t.Share, QuotaRPS: t.QuotaRPS})
+	return nil
+}
+
+// validateRanges rejects numbers that the decision module could not compute with.
+func (w *settings) validateRanges() error {
+	const (
+		maxCount = 1e6
+		maxTime  = 1e18 // nanoseconds
+	)
+	for _, field := range []struct {
+		key            string
+		value, maximum float64
+	}{
+		{"balancers", float64(w.Balancers), maxCount},
+		{"period", float64(w.Tick), maxTime},
+		{"limits.sendCap", float64(w.Limits.MaxAttempts), maxCount},
+		{"limits.maxRetryAfter", float64(w.Limits.MaxRetryAfter), maxTime},
+		{"rules.warmUp", float64(w.Rules.WarmUp), maxTime},
+		{"rules.fall", float64(w.Rules.OverloadWindow), maxTime},
+		{"rules.askWithin", float64(w.Rules.DiscoveryTimeout), maxTime},
+		{"rules.stopSendingWithin", float64(w.Rules.DrainGrace), maxTime},
+		{"rules.startCapacity", w.Rules.ColdShare, 1},
+		{"rules.overloadFactor", w.Rules.OverloadFactor, maxCount},
+	} {
+		if !between(field.value, 0, field.maximum) {
+			return keyError("settings."+field.key, "%g is not from 0 to %g", field.value, field.maximum)
+		}
 	}
-	return s, n, nil
+	return nil
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -142,7 +142,7 @@
 	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
 	require.Equal(t, logging{level: zap.InfoLevel}, fromOperator(cfg).logging())
-	cfg.Log.Level, cfg.Log.Form = "debug", "console"
+	cfg.Log.Level, cfg.Log.Format = "debug", "console"
 	require.Equal(t, logging{zap.DebugLevel, true}, fromOperator(cfg).logging())
 	level.SetLevel(fromOperator(cfg).logging().level)
 	require.True(t, log.Core().Enabled(zap.DebugLevel))
--- a/internal/daemon/entriesparts.go
+++ b/internal/daemon/entriesparts.go
@@ -9,7 +9,6 @@
 	"maps"
 	"net"
 	"net/http"
-	"reflect"
 	"slices"
 	"strings"
 	"sync/atomic"
@@ -32,7 +31,7 @@
 func operatorEndpointsComponent(a *assembly) (component, error) {
 	a.createEndpointCache()
 	var browsers *entries.Browsers
-	if a.operator.Endpoints.Source == "dns-sd" {
+	if a.operator.Endpoints.Source == config.SourceDNSSD {
 		all, err := a.browsers(a.operator)
 		if err != nil {
 			return component{}, err
@@ -96,24 +95,24 @@
 func (a *assembly) browsers(cfg *config.OperatorFile) ([]*entries.Browser, error) {
 	var all []*entries.Browser
 	e := &cfg.Endpoints
-	for i, b := range e.Browse {
+	for i, b := range e.Browses {
 		roots, err := cfg.RootCertificates(a.baseDirectory, i)
 		if err != nil {
 			return nil, err
 		}
 		log := a.log.With(zap.String("domain", b.Domain))
 		find := discovery.Options{Service: dnssd.Service{Type: b.Service, Subtype: b.Subtype, Domain: b.Domain}, Server: b.Server,
-			Way: discovery.Way(b.Updates), Every: time.Duration(e.Poll), Refresh: time.Duration(e.Refresh), PushAddress: b.PushAddress,
+			Way: discovery.Way(b.Updates), Every: time.Duration(e.PollInterval), Refresh: time.Duration(e.RefreshInterval), PushAddress: b.PushAddress,
 			TLS: pushTLS(roots, b.PushServerName), Metrics: a.discoveryMetrics, Log: log}
 		if find.Way == discovery.MDNS {
 			server := b.Server
 			find.Dial = func() (discovery.Transport, error) { return discovery.DialUnicast(server) }
 		}
 		one := &entries.Browser{Find: find, Key: b.Key(), Config: browseConfig(e, b), Site: b.Site,
-			Guard:  dnssd.Guard{Part: e.GuardPart, Hold: int64(e.Guard)},
-			Damper: dnssd.Damper{Half: int64(*e.FlapHalf), Most: e.FlapMost},
+			Guard:  dnssd.Guard{Part: e.GuardFraction, Hold: int64(e.GuardHold)},
+			Damper: dnssd.Damper{Half: int64(*e.FlapHalfLife), Most: e.MaxFlaps},
 			Names:  entries.Names{Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds}, Log: log}
-		if len(e.Browse) > 1 { // the same name in two halls is two boxes
+		if len(e.Browses) > 1 { // the same name in two halls is two boxes
 			one.Suffix = "@" + strings.TrimSuffix(b.Domain, ".")
 		}
 		all = append(all, one)
@@ -122,10 +121,8 @@
 }
 
 // browseConfig is all that a browser was told, to tell whether another was told the same.
-func browseConfig(e any, b config.Browse) string {
-	v := reflect.Indirect(reflect.ValueOf(e))
-	return fmt.Sprint(b, v.FieldByName("Poll"), v.FieldByName("Refresh"), v.FieldByName("Guard"), v.FieldByName("GuardPart"),
-		reflect.Indirect(v.FieldByName("FlapHalf")), v.FieldByName("FlapMost"), v.FieldByName("Browse").Len() > 1)
+func browseConfig(e *config.Endpoints, b config.Browse) string {
+	return fmt.Sprint(b, e.PollInterval, e.RefreshInterval, e.GuardHold, e.GuardFraction, *e.FlapHalfLife, e.MaxFlaps, len(e.Browses) > 1)
 }
 
 func pushTLS(roots *x509.CertPool, name string) *tls.Config {
@@ -146,7 +143,7 @@
 	actor := peers.New(peers.Options{Name: a.name, Address: a.listen, Publish: p.Publish, Lease: time.Duration(p.Lease),
 		Hold: time.Duration(p.ShrinkDelay), Least: a.operator.Module.Nodes, Log: log,
 		Find: discovery.Options{Service: dnssd.Service{Type: p.Service, Domain: p.Domain}, Server: p.Server, Way: discovery.Poll,
-			Every: time.Duration(e.Poll), Refresh: time.Duration(e.Refresh), Metrics: a.discoveryMetrics, Log: log},
+			Every: time.Duration(e.PollInterval), Refresh: time.Duration(e.RefreshInterval), Metrics: a.discoveryMetrics, Log: log},
 		Changed: func(n int) {
 			a.nodeCount.Store(int64(n))
 			a.adjustCore(nil)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -338,7 +338,7 @@
 // The store's keys and values of the shared configuration.
 func TestGoldenSettingsInTheStore(t *testing.T) {
 	cfg := config.OperatorFile{}
-	cfg.Store.Settings = true
+	cfg.Store.SharedSettings = true
 	keys := store.NewMemory()
 	a := &assembly{deployment: deployment{operator: &cfg}, store: keys, settingsRequests: make(chan settingsRequest), log: zap.NewNop()}
 	f := &settingsFollower{assembly: a}
@@ -380,7 +380,7 @@
 // followerStore is the store of a member that another one leads.
 type followerStore struct{ store.Store }
 
-func (followerStore) Leads() (uint64, bool) { return 0, false }
+func (followerStore) Leadership() (uint64, bool) { return 0, false }
 func (followerStore) Leader() string        { return "127.0.0.1:7002" }
 
 // The words in which an inherited socket is refused.
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -6,6 +6,8 @@
 
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
+
+	"standpoint/internal/config"
 )
 
 const (
@@ -24,7 +26,7 @@
 		return logging{level: zap.InfoLevel}
 	}
 	level, _ := zapcore.ParseLevel(d.operator.Log.Level) // checked by config
-	return logging{level, d.operator.Log.Form == "console"}
+	return logging{level, d.operator.Log.Format == config.LogConsole}
 }
 
 // newLog writes to standard error. A client may be wrong thousands of times a second, and must not fill the log or
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -34,10 +34,10 @@
 
 func storeComponent(a *assembly) (component, error) {
 	s := a.operator.Store
-	if s.Kind == "memory" {
+	if s.Kind == config.StoreMemory {
 		return memoryStoreComponent(a)
 	}
-	o := store.RaftOptions{ID: s.ID, Dir: s.Dir, HeartbeatTimeout: time.Duration(s.Heartbeat)}
+	o := store.RaftOptions{ID: s.ID, Dir: s.Dir, HeartbeatTimeout: time.Duration(s.HeartbeatTimeout)}
 	if o.Dir != "" {
 		o.Dir = a.operator.ResolvePath(a.baseDirectory, o.Dir)
 	}
@@ -68,8 +68,8 @@
 	o := backend.Options{DialTimeout: names.DialTimeout, ConnIdle: names.IdleTimeout, MaxIdle: a.limits.MaxIdleConnections(), MaxLinks: a.limits.MaxRequests(), Wrote: a.counters.CountAttempt, Log: a.log}
 	if a.operator != nil {
 		b := a.operator.BatchBackend
-		o.Batch = backend.BatchOptions{Gather: time.Duration(b.Gather), Lines: b.Lines, Poll: time.Duration(b.Poll),
-			Lost: time.Duration(b.Lost)}
+		o.Batch = backend.BatchOptions{Gather: time.Duration(b.GatherDelay), Lines: b.MaxLines, Poll: time.Duration(b.PollInterval),
+			Lost: time.Duration(b.LostTimeout)}
 	}
 	a.backends = backend.New(o)
 	return component{name: "backends", reload: func(next deployment) {
@@ -170,8 +170,8 @@
 	}
 	files := batch.New(batch.Options{Core: a.core, Store: a.store, Log: a.log, Classes: cfg.Names.Classes,
 		Tenants: cfg.Names.Tenants, Fields: batch.RequestFields(cfg.Batch.Fields), Defaults: batch.RequestFields(cfg.Batch.Defaults),
-		MaxConcurrentLines: cfg.Batch.LinesAtOnce, LineTimeout: time.Duration(cfg.Batch.LineTime), MaxAttempts: cfg.Batch.Tries,
-		MaxFileBytes: cfg.Batch.FileMB << 20, MaxTotalFileBytes: a.limits.MaxFileBytes(), MemberAddresses: members})
+		MaxConcurrentLines: cfg.Batch.MaxConcurrentLines, LineTimeout: time.Duration(cfg.Batch.LineTimeout), MaxAttempts: cfg.Batch.MaxAttempts,
+		MaxFileBytes: cfg.Batch.MaxFileMB << 20, MaxTotalFileBytes: a.limits.MaxFileBytes(), MemberAddresses: members})
 	handler := files.Handler()
 	a.handlers = append(a.handlers, prefixHandler{[]string{"/v1/files", "/v1/batches"},
 		http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -220,7 +220,7 @@
 		return 0
 	}
 	for _, s := range cfg.Backends {
-		l.Entries = append(l.Entries, node.Endpoint{Address: s.Address, Batch: s.Mode == "batch", Labels: s.Labels,
+		l.Entries = append(l.Entries, node.Endpoint{Address: s.Address, Batch: s.Mode == config.BackendBatch, Labels: s.Labels,
 			Engine: standpoint.Engine{Name: s.Name, Size: s.Capacity, Zone: index(cfg.Names.Zones, s.Zone),
 				Kind: index(cfg.Names.Kinds, s.Kind), State: s.State(), ReadyAt: s.ReadyAt()}})
 	}
--- a/internal/daemon/settingspart.go
+++ b/internal/daemon/settingspart.go
@@ -61,7 +61,7 @@
 }
 
 func settingsComponent(a *assembly) (component, error) {
-	if !a.operator.Store.Settings {
+	if !a.operator.Store.SharedSettings {
 		return component{}, nil
 	}
 	f := &settingsFollower{assembly: a}
--- a/internal/daemon/sharedpart.go
+++ b/internal/daemon/sharedpart.go
@@ -38,8 +38,8 @@
 	o.MemberConfig = member.Config{Budgets: budgets, GossipInterval: time.Duration(cfg.GossipInterval), GossipFanout: cfg.GossipFanout, HeartbeatTimeout: time.Duration(cfg.HeartbeatTimeout),
 		ConnectivityTiming: mode.Timing{JoinTimeout: time.Duration(cfg.JoinTimeout), SettleTime: time.Duration(cfg.SettleTime), RecoveryRamp: time.Duration(cfg.RecoveryRamp)},
 		ClockError:         clockError, RequestInterval: time.Duration(cfg.RequestInterval),
-		OutlierLimits: judge.Limits{MinSources: cfg.Evidence.Sources, EvidenceLifetime: int64(cfg.Evidence.Lasts), OwnEvidenceLifetime: int64(cfg.Evidence.Own), MaxEjectedShare: cfg.Evidence.Most,
-			IsolationShare: cfg.Evidence.Many, ClockError: int64(clockError)}}
+		OutlierLimits: judge.Limits{MinSources: cfg.Evidence.MinSources, EvidenceLifetime: int64(cfg.Evidence.Lifetime), OwnEvidenceLifetime: int64(cfg.Evidence.OwnLifetime), MaxEjectedShare: cfg.Evidence.MaxEjectedShare,
+			IsolationShare: cfg.Evidence.IsolationShare, ClockError: int64(clockError)}}
 	settings, names, _ := a.requestSettings()
 	o.CoreSlots, o.SiteTiming = cfg.CoreSlots, site.Timing{SuspectAfter: time.Duration(cfg.SuspectAfter), IsolatedAfter: time.Duration(cfg.IsolatedAfter), SettleTime: time.Duration(cfg.SettleTime)}
 	o.ClassNames, o.TenantNames = names.Classes, names.Tenants
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -85,7 +85,7 @@
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
 	cfg := config.OperatorFile{}
-	cfg.Store.Settings = true
+	cfg.Store.SharedSettings = true
 	keys := store.NewMemory()
 	a := &assembly{deployment: deployment{operator: &cfg}, store: keys, settingsRequests: make(chan settingsRequest), log: zap.NewNop()}
 	_, err := settingsComponent(a)
--- a/walltime_test.go
+++ b/walltime_test.go
@@ -16,7 +16,7 @@
 	"internal/clock/clock.go":          "owns time",
 	"internal/batch/api.go":            "created_at and expires_at are shown as Unix seconds",
 	"internal/batch/runner.go":         "open: windows and lines' times are kept as wall time",
-	"internal/config/operator.go":      "a start that an operator's file tells is a wall time",
+	"internal/config/endpoints.go":     "a start that an operator's file tells is a wall time",
 	"internal/entries/keeper.go":       "a time that is past; open: ends of records are kept as wall time",
 	"internal/entries/dnssd.go":        "shows starts and waits to people",
 	"internal/edge/clientconn.go":      "a deadline that is past",
