--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -233,7 +233,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &typed) && (typed.Code == "bad_plan" || typed.Code == "bad_config"):
+	case errors.As(err, &typed) && (typed.Code == control.CodeBadPlan || typed.Code == control.CodeBadConfig):
 		return exit{InvalidUsage, err}
 	case errors.As(err, &typed):
 		return exit{Rejected, err}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -12,63 +13,57 @@
 	"time"
 )
 
-const maxResponseBytes = 16 << 20
+const (
+	maxResponseBytes   = 16 << 20
+	dialTimeout        = 2 * time.Second
+	maxIdleConnections = 2
+	clientIdleTimeout  = 20 * time.Second
+)
 
-// Client speaks to a daemon's control interface.
+// Client calls a daemon's control interface. It may be used concurrently.
 type Client struct {
-	base  string
+	base  string // of URLs
 	token string
 	http  *http.Client
 }
 
-// NewClient makes a client for an address as control.listen has it. token may be "".
+// NewClient returns a client for an address in the form that Listen takes. token may be "". Close releases its
+// connections.
 func NewClient(address, token string) *Client {
-	c := &Client{base: "http://" + address, token: token}
-	dialer := &net.Dialer{Timeout: 2 * time.Second}
-	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 20 * time.Second}
-	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		c.base = "http://localhost"
-		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { return dialer.DialContext(ctx, "unix", path) }
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	transport := &http.Transport{
+		DialContext:         dialer.DialContext,
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     clientIdleTimeout,
+	}
+	base := "http://" + address
+	if path, ok := strings.CutPrefix(address, unixPrefix); ok {
+		base = "http://localhost"
+		transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "unix", path)
+		}
 	}
-	c.http = &http.Client{Transport: transport}
-	return c
+	return &Client{base: base, token: token, http: &http.Client{Transport: transport}}
 }
 
-// Call asks once. in may be nil; out, if not nil, takes the answer. Where the daemon says that another one leads, that
-// one is asked in its place. The daemon's own errors are *Error.
+// Call sends one request. in, unless nil, is sent as JSON; out, unless nil, is a pointer that the answer is decoded
+// into. A call that only the leader answers is sent to it once. The daemon's own errors are *Error.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	err := c.call(ctx, method, path, in, out)
-	var typed *Error
-	if e, ok := err.(*Error); ok {
-		typed = e
-	}
-	if typed != nil && typed.Code == "not_leader" && typed.Leader != "" {
-		other := NewClient(typed.Leader, c.token)
-		defer other.http.CloseIdleConnections()
-		return other.call(ctx, method, path, in, out)
+	var rejected *Error
+	if !errors.As(err, &rejected) || rejected.Code != CodeNotLeader || rejected.Leader == "" {
+		return err
 	}
-	return err
+	leader := c.WithAddress(rejected.Leader)
+	defer leader.Close()
+	return leader.call(ctx, method, path, in, out)
 }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	var body io.Reader
-	if in != nil {
-		raw, err := json.Marshal(in)
-		if err != nil {
-			return err
-		}
-		body = bytes.NewReader(raw)
-	}
-	r, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	r, err := c.newRequest(ctx, method, path, in)
 	if err != nil {
 		return err
 	}
-	if c.token != "" {
-		r.Header.Set("Authorization", "Bearer "+c.token)
-	}
-	if in != nil {
-		r.Header.Set("Content-Type", "application/json")
-	}
 	response, err := c.http.Do(r)
 	if err != nil {
 		return fmt.Errorf("the daemon's control interface does not answer: %w", err)
@@ -79,14 +74,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		var w struct {
-			Error *Error `json:"error"`
-		}
-		if json.Unmarshal(raw, &w) != nil || w.Error == nil {
-			return fmt.Errorf("the daemon answered %s", response.Status)
-		}
-		w.Error.Status = response.StatusCode
-		return w.Error
+		return decodeError(response, raw)
 	}
 	if out == nil {
 		return nil
@@ -94,8 +82,39 @@
 	return json.Unmarshal(raw, out)
 }
 
-// Close lets kept connections go.
+func (c *Client) newRequest(ctx context.Context, method, path string, in any) (*http.Request, error) {
+	var body io.Reader
+	if in != nil {
+		raw, err := json.Marshal(in)
+		if err != nil {
+			return nil, err
+		}
+		body = bytes.NewReader(raw)
+	}
+	r, err := http.NewRequestWithContext(ctx, method, c.base+path, body)
+	if err != nil {
+		return nil, err
+	}
+	if c.token != "" {
+		r.Header.Set("Authorization", bearerPrefix+c.token)
+	}
+	if in != nil {
+		r.Header.Set("Content-Type", "application/json")
+	}
+	return r, nil
+}
+
+func decodeError(response *http.Response, raw []byte) error {
+	var body errorBody
+	if json.Unmarshal(raw, &body) != nil || body.Error == nil {
+		return fmt.Errorf("the daemon answered %s", response.Status)
+	}
+	body.Error.Status = response.StatusCode
+	return body.Error
+}
+
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// WithAddress is a client of another daemon, with the same token.
+// WithAddress returns a client of another daemon with the same token.
 func (c *Client) WithAddress(address string) *Client { return NewClient(address, c.token) }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -33,8 +33,14 @@
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	all := []Route{
-		{Pattern: "GET /v1/thing", Handle: func(*http.Request, []byte) (any, error) { return map[string]int{"value": 7}, nil }},
-		{Pattern: "GET /v1/broken", Handle: func(*http.Request, []byte) (any, error) { return nil, errors.New("it broke") }},
+		{Pattern: "GET /v1/thing", Handle: func(*http.Request, []byte) (any,
+			error) {
+			return map[string]int{"value": 7}, nil
+		}},
+		{Pattern: "GET /v1/broken", Handle: func(*http.Request, []byte) (any, error) {
+			return nil,
+				errors.New("it broke")
+		}},
 		{Pattern: "GET /v1/no-json", Handle: func(*http.Request, []byte) (any, error) { return func() {}, nil }},
 		{Pattern: "POST /v1/thing", Handle: func(_ *http.Request, body []byte) (any, error) {
 			var in struct {
@@ -46,7 +52,8 @@
 			if in.By < 0 {
 				return nil, &Error{Code: "backwards", Message: "is negative", Key: "by"}
 			}
-			return nil, &Error{Status: http.StatusMisdirectedRequest, Code: "not_leader", Message: "another leads", Leader: "127.0.0.1:9802"}
+			return nil, &Error{Status: http.StatusMisdirectedRequest, Code: "not_leader", Message: "another leads",
+				Leader: "127.0.0.1:9802"}
 		}},
 	}
 	s, err := Listen("127.0.0.1:0", file, all, zap.NewNop())
@@ -79,7 +86,8 @@
 		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
-		fmt.Fprintf(&transcript, "%s %s %.20s\n\t%s; Content-Type %q; WWW-Authenticate %q\n\t%s", c.method, c.path, c.body, response.Status,
+		fmt.Fprintf(&transcript, "%s %s %.20s\n\t%s; Content-Type %q; WWW-Authenticate %q\n\t%s", c.method, c.path,
+			c.body, response.Status,
 			response.Header.Get("Content-Type"), response.Header.Get("WWW-Authenticate"), body)
 	}
 	golden.Bytes(t, "answers.txt", []byte(transcript.String()))
@@ -90,8 +98,10 @@
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	var transcript strings.Builder
-	s, err := Listen("127.0.0.1:0", file, []Route{{Pattern: "POST /v1/thing", Handle: func(r *http.Request, body []byte) (any, error) {
-		fmt.Fprintf(&transcript, "%s %s; Content-Type %q; Authorization %q\n\t%s\n", r.Method, r.URL.Path, r.Header.Get("Content-Type"),
+	s, err := Listen("127.0.0.1:0", file, []Route{{Pattern: "POST /v1/thing", Handle: func(r *http.Request,
+		body []byte) (any, error) {
+		fmt.Fprintf(&transcript, "%s %s; Content-Type %q; Authorization %q\n\t%s\n", r.Method, r.URL.Path,
+			r.Header.Get("Content-Type"),
 			r.Header.Get("Authorization"), body)
 		return "done", nil
 	}}}, zap.NewNop())
--- a/internal/control/control_test.go
+++ b/internal/control/server_test.go
@@ -16,9 +16,13 @@
 
 const secret = "0123456789abcdef0123"
 
-func calls(changed *int) []Route {
+// counterRoutes read a counter, and add to it.
+func counterRoutes(changed *int) []Route {
 	return []Route{
-		{Pattern: "GET /v1/thing", Handle: func(*http.Request, []byte) (any, error) { return map[string]int{"changed": *changed}, nil }},
+		{Pattern: "GET /v1/thing", Handle: func(*http.Request, []byte) (any,
+			error) {
+			return map[string]int{"changed": *changed}, nil
+		}},
 		{Pattern: "POST /v1/thing", Handle: func(_ *http.Request, body []byte) (any, error) {
 			var in struct {
 				By int `json:"by"`
@@ -35,8 +39,10 @@
 	}
 }
 
+// start serves the counter until the test ends.
 func start(t *testing.T, address, file string, changed *int) *Server {
-	s, err := Listen(address, file, calls(changed), zap.NewNop())
+	t.Helper()
+	s, err := Listen(address, file, counterRoutes(changed), zap.NewNop())
 	require.NoError(t, err)
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
@@ -52,7 +58,12 @@
 	require.NoError(t, os.WriteFile(file, []byte(secret+"\n"), 0o600))
 	changed := 0
 	s := start(t, "127.0.0.1:0", file, &changed)
-	for token, want := range map[string]string{"": "unauthorized", secret[1:]: "unauthorized", secret + "0": "unauthorized", secret: ""} {
+	for token, want := range map[string]Code{
+		"":           CodeUnauthorized,
+		secret[1:]:   CodeUnauthorized,
+		secret + "0": CodeUnauthorized,
+		secret:       "",
+	} {
 		c := NewClient(s.Address(), token)
 		defer c.Close()
 		err := c.Call(t.Context(), "POST", "/v1/thing", map[string]int{"by": 1}, nil)
@@ -68,15 +79,15 @@
 	require.Equal(t, 1, changed)
 	c := NewClient(s.Address(), secret)
 	defer c.Close()
-	for body, code := range map[any]string{struct{ By int }{-1}: "backwards", struct{ To int }{1}: "bad_request",
-		strings.Repeat("x", maxBodyBytes): "too_large"} {
+	for body, code := range map[any]Code{struct{ By int }{-1}: "backwards", struct{ To int }{1}: CodeBadRequest,
+		strings.Repeat("x", maxBodyBytes): CodeTooLarge} {
 		var typed *Error
 		require.ErrorAs(t, c.Call(t.Context(), "POST", "/v1/thing", body, nil), &typed)
 		require.Equal(t, code, typed.Code)
 	}
 	var typed *Error
 	require.ErrorAs(t, c.Call(t.Context(), "GET", "/v1/nothing", nil, nil), &typed)
-	require.Equal(t, "not_found", typed.Code)
+	require.Equal(t, CodeNotFound, typed.Code)
 
 	// A token that changes is taken on; a file that others may read is not, and the old token stays.
 	require.NoError(t, os.WriteFile(file, []byte(secret+"new"), 0o600))
@@ -89,12 +100,13 @@
 	require.NoError(t, fresh.Call(t.Context(), "POST", "/v1/thing", struct{ By int }{1}, nil))
 }
 
-func TestTokenFilesThatCannotBeTrusted(t *testing.T) {
+func TestUntrustedTokenFilesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		mode os.FileMode
 		says string
-	}{"group": {secret, 0o640, "others may read it"}, "world": {secret, 0o604, "others may read it"}, "short": {"secret", 0o600, "16 to 1024"},
+	}{"group": {secret, 0o640, "others may read it"}, "world": {secret, 0o604,
+		"others may read it"}, "short": {"secret", 0o600, "16 to 1024"},
 		"missing": {"", 0, "no such file"}} {
 		file := filepath.Join(t.TempDir(), name)
 		if c.mode != 0 {
@@ -108,7 +120,7 @@
 }
 
 // The socket's owner needs no token. A socket that a dead daemon left is replaced, one in use is not.
-func TestUnixSocket(t *testing.T) {
+func TestUnixSocketOwnerNeedsNoToken(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.sock")
 	left, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
 	require.NoError(t, err)
@@ -132,13 +144,15 @@
 }
 
 // A daemon that does not lead says who does, and the client asks there.
-func TestClientFollowsTheLeader(t *testing.T) {
+func TestClientCallsTheLeader(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	changed := 0
 	leader := start(t, "127.0.0.1:0", file, &changed)
-	follower, err := Listen("127.0.0.1:0", file, []Route{{Pattern: "POST /v1/thing", Handle: func(*http.Request, []byte) (any, error) {
-		return nil, &Error{Status: http.StatusMisdirectedRequest, Code: "not_leader", Message: "another leads", Leader: leader.Address()}
+	follower, err := Listen("127.0.0.1:0", file, []Route{{Pattern: "POST /v1/thing", Handle: func(*http.Request,
+		[]byte) (any, error) {
+		return nil, &Error{Status: http.StatusMisdirectedRequest, Code: "not_leader", Message: "another leads",
+			Leader: leader.Address()}
 	}}}, zap.NewNop())
 	require.NoError(t, err)
 	go func() { _ = follower.Serve() }()
@@ -149,9 +163,10 @@
 	require.Equal(t, 5, changed)
 }
 
-func TestTooManyCallsAtOnce(t *testing.T) {
+func TestTooManyConcurrentCallsAreRejected(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
-	s, err := Listen("127.0.0.1:0", "", []Route{{Pattern: "GET /v1/slow", Handle: func(*http.Request, []byte) (any, error) {
+	s, err := Listen("127.0.0.1:0", "", []Route{{Pattern: "GET /v1/slow", Handle: func(*http.Request, []byte) (any,
+		error) {
 		held <- struct{}{}
 		<-release
 		return nil, nil
@@ -174,7 +189,7 @@
 	}
 	var typed *Error
 	require.True(t, errors.As(c.Call(t.Context(), "GET", "/v1/slow", nil, nil), &typed))
-	require.Equal(t, "busy", typed.Code)
+	require.Equal(t, CodeBusy, typed.Code)
 	close(release)
 	for range maxConcurrentCalls {
 		require.NoError(t, <-ended)
@@ -183,7 +198,7 @@
 
 // Those who may only read cannot hold the places of those who may change: a call's place is not held by a body that
 // does not come.
-func TestSlowBodiesHoldNoPlaces(t *testing.T) {
+func TestSlowBodiesHoldNoSlots(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	changed := 0
@@ -193,7 +208,8 @@
 		c, err := net.Dial("tcp", s.Address())
 		require.NoError(t, err)
 		defer c.Close()
-		_, err = c.Write([]byte([]string{"GET", "POST"}[i%2] + " /v1/thing HTTP/1.1\r\nHost: n\r\nContent-Length: 1000000\r\n\r\n{"))
+		_, err = c.Write([]byte([]string{"GET", "POST"}[i%2] +
+			" /v1/thing HTTP/1.1\r\nHost: n\r\nContent-Length: 1000000\r\n\r\n{"))
 		require.NoError(t, err)
 		go func() {
 			_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/moves/story_test.go
+++ b/internal/moves/story_test.go
@@ -335,7 +335,7 @@
 	require.Equal(t, "old", first.Plan.From, "the pool that has the flows")
 	var refused *control.Error
 	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &refused)
-	require.Equal(t, "move_running", refused.Code)
+	require.Equal(t, control.CodeMigrationRunning, refused.Code)
 	require.Contains(t, refused.Message, first.ID)
 	n.reaches(t, func(s Status) bool { return s.Move.Step == 1 && s.Move.State == mover.Holding })
 	n.errors.Store(true)
@@ -361,8 +361,10 @@
 func TestWishesThatCannotBeHad(t *testing.T) {
 	n := alone(t, file(t, nil))
 	for _, c := range []struct {
-		path, code, key string
-		body            any
+		path string
+		code control.Code
+		key  string
+		body any
 	}{
 		{"start", "bad_plan", "to", StartRequest{To: "green"}},
 		{"start", "bad_plan", "from", StartRequest{From: "blue", To: "new"}},
