--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"standpoint/internal/fleet/rights"
+	"standpoint/internal/fleet/quota"
 )
 
 const (
@@ -256,14 +256,14 @@
 }
 
 // QuotaBudgets returns the budgets in the form in which nodes account for them.
-func (o *OperatorFile) QuotaBudgets() ([]*rights.Budget, error) {
+func (o *OperatorFile) QuotaBudgets() ([]*quota.Budget, error) {
 	var weights []int64
 	for _, s := range o.Fleet.Slots {
 		weights = append(weights, s.Weight)
 	}
-	var all []*rights.Budget
+	var all []*quota.Budget
 	for i, b := range o.Fleet.Budgets {
-		budget := &rights.Budget{
+		budget := &quota.Budget{
 			Name:            b.name(),
 			Amount:          b.Amount,
 			Overdraft:       b.Overdraft,
--- a/internal/config/migration.go
+++ b/internal/config/migration.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/pool"
 )
 
@@ -17,7 +17,7 @@
 }
 
 // Migration is the section [move]: the plan of a migration between pools, unless its start says otherwise. See
-// mover.Plan.
+// migration.Plan.
 type Migration struct {
 	Steps       []float64 `toml:"steps"`
 	Trickle     float64   `toml:"trickle"`
@@ -36,7 +36,7 @@
 }
 
 func (m *Migration) setDefaults() {
-	standard := mover.Default()
+	standard := migration.Default()
 	if m.Steps == nil {
 		m.Steps = standard.Steps
 	}
@@ -77,7 +77,7 @@
 // derivePlan derives MigrationPlan from [move] and [module], and validates it.
 func (o *OperatorFile) derivePlan() error {
 	section := &o.Migration
-	o.MigrationPlan = mover.Plan{
+	o.MigrationPlan = migration.Plan{
 		Steps:       section.Steps,
 		Trickle:     section.Trickle,
 		Warm:        time.Duration(section.Warm),
@@ -94,9 +94,9 @@
 		ReturnEvery: time.Duration(section.ReturnEvery),
 		ColdShare:   o.Module.ColdShare,
 		WarmUp:      time.Duration(o.Module.WarmUp),
-		FallFactor:  mover.Default().FallFactor,
+		FallFactor:  migration.Default().FallFactor,
 	}
-	var invalid *mover.PlanError
+	var invalid *migration.PlanError
 	if !errors.As(o.MigrationPlan.Check(), &invalid) {
 		return nil
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,7 +9,7 @@
 	"github.com/BurntSushi/toml"
 
 	"standpoint"
-	"standpoint/internal/mover"
+	"standpoint/internal/migration"
 	"standpoint/internal/pool"
 	"standpoint/internal/transient"
 )
@@ -49,7 +49,7 @@
 	Names           Names               `toml:"-"`
 	EffectiveLimits Limits              `toml:"-"`
 	PoolSet         *pool.Set           `toml:"-"`
-	MigrationPlan   mover.Plan          `toml:"-"` // without its pools
+	MigrationPlan   migration.Plan      `toml:"-"` // without its pools
 }
 
 // ResolvePath resolves a path that the file names against the directory where the file is. "" and absolute paths stay
