--- a/walltime_test.go
+++ b/walltime_test.go
@@ -21,7 +21,7 @@
 	"internal/endpoints/dnssd.go":      "shows starts and waits to people",
 	"internal/edge/clientconn.go":      "a deadline that is past",
 	"internal/find/lookup/lookup.go":   "a deadline that is past",
-	"internal/fleet/lease/seat.go":     "shows a lease's end in an error",
+	"internal/fleet/lease/lease.go":    "shows a lease's end in an error",
 	"internal/testpeer/batchserver.go": "a stand-in",
 	"internal/testpeer/drain/check.go": "compares moments of one process",
 }
