--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -102,7 +102,7 @@
 
 func goldenMove() controller.Status {
 	r := goldenRecord()
-	return controller.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Move: &r, Evidence: 0.25,
+	return controller.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Migration: &r, Evidence: 0.25,
 		Nodes: []controller.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Lagging: true}}}
 }
 
@@ -380,7 +380,7 @@
 	}{{migration.Done, "", migration.Return}, {migration.Undone, "late", migration.Return}, {migration.Undone, "", migration.Return}, {migration.Halted, "late", migration.Stay}} {
 		r := goldenRecord()
 		r.State, r.Cause, r.Plan.OnWorse = end.state, end.cause, end.wishes
-		d.move.Move = &r
+		d.move.Migration = &r
 		out, errs, code := run("move", "watch", "--control", d.address)
 		fmt.Fprintf(&text, "==== move watch, %s: exit %d\n%s%s", end.state, code, out, errs)
 	}
@@ -391,7 +391,7 @@
 	}
 	r := goldenRecord()
 	r.State, r.Paused = migration.Done, false
-	d.move.Move = &r
+	d.move.Migration = &r
 	out, _, _ := run("move", "status", "--control", d.address)
 	fmt.Fprintf(&text, "==== move status at a node that follows\n%s", out)
 	var plan bytes.Buffer
--- a/internal/cli/live.go
+++ b/internal/cli/live.go
@@ -52,8 +52,8 @@
 	switch {
 	case m.err != nil:
 		return m.err
-	case m.status.Move != nil && m.status.Move.State.Terminal():
-		return exitOf(m.status.Move)
+	case m.status.Migration != nil && m.status.Migration.State.Terminal():
+		return exitOf(m.status.Migration)
 	}
 	return nil
 }
@@ -85,15 +85,15 @@
 	switch msg := msg.(type) {
 	case statusReceived:
 		m.status = controller.Status(msg)
-		if m.status.Move == nil {
+		if m.status.Migration == nil {
 			m.err = exit{Failed, fmt.Errorf("no move was ever started")}
 			return m, tea.Quit
 		}
-		m.shareHistory = append(m.shareHistory, m.status.Move.CurrentShare())
+		m.shareHistory = append(m.shareHistory, m.status.Migration.CurrentShare())
 		if n := len(m.shareHistory) - maxShareHistory; n > 0 {
 			m.shareHistory = m.shareHistory[n:]
 		}
-		if m.status.Move.State.Terminal() {
+		if m.status.Migration.State.Terminal() {
 			return m, tea.Quit
 		}
 		return m, m.fetchStatus("/v1/move?wait=1s")
@@ -126,7 +126,7 @@
 // View implements tea.Model.
 func (m liveView) View() tea.View {
 	var b strings.Builder
-	r := m.status.Move
+	r := m.status.Migration
 	if r == nil {
 		return tea.NewView("asking the daemon ...\n")
 	}
--- a/internal/cli/move.go
+++ b/internal/cli/move.go
@@ -177,18 +177,18 @@
 		if err := o.call(ctx, http.MethodGet, "/v1/move?wait=1s", nil, &s); err != nil {
 			return err
 		}
-		if s.Move == nil {
+		if s.Migration == nil {
 			return exit{Failed, errors.New("no move was ever started")}
 		}
-		line := fmt.Sprintf("%s %.1f%% %s", s.Move.State, 100*s.Move.CurrentShare(), s.Move.Reason)
+		line := fmt.Sprintf("%s %.1f%% %s", s.Migration.State, 100*s.Migration.CurrentShare(), s.Migration.Reason)
 		if line != said {
 			said = line
 			if err := o.print(s, func() { fmt.Fprintln(o.Out, line) }); err != nil {
 				return err
 			}
 		}
-		if s.Move.State.Terminal() || s.Move.State == migration.Halted && s.Move.Plan.OnWorse == migration.Stay {
-			return exitOf(s.Move)
+		if s.Migration.State.Terminal() || s.Migration.State == migration.Halted && s.Migration.Plan.OnWorse == migration.Stay {
+			return exitOf(s.Migration)
 		}
 	}
 }
@@ -217,11 +217,11 @@
 }
 
 func writeStatus(w io.Writer, s controller.Status) {
-	if s.Move == nil {
+	if s.Migration == nil {
 		fmt.Fprintln(w, "no move was ever started")
 		return
 	}
-	writeRecord(w, *s.Move, s.Evidence)
+	writeRecord(w, *s.Migration, s.Evidence)
 	if len(s.Nodes) > 0 {
 		for _, n := range s.Nodes {
 			behind := ""
--- a/internal/cli/story_test.go
+++ b/internal/cli/story_test.go
@@ -136,7 +136,7 @@
 	require.Zero(t, code, text)
 	text, code = command("move", "start", "--to", "new")
 	require.Equal(t, Rejected, code, text)
-	require.Eventually(t, func() bool { return status().Move.Step == 1 }, 60*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return status().Migration.Step == 1 }, 60*time.Second, 50*time.Millisecond)
 
 	// A file without the new pool is refused while the move runs.
 	write(head + pools[:strings.LastIndex(pools, "[[pool]]")] + boxes)
@@ -157,7 +157,7 @@
 	text, code = command("move", "watch")
 	require.Equal(t, MigrationReverted, code, text)
 	require.Contains(t, text, "returning")
-	require.Zero(t, status().Move.Shares.Share)
+	require.Zero(t, status().Migration.Shares.Share)
 	text, code = command("move", "history")
 	require.Zero(t, code, text)
 	require.Contains(t, text, "undone")
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -266,7 +266,7 @@
 			fmt.Fprintln(s.Out, "the daemon does not tell:", err)
 		}
 		s.note(at, &status)
-		if r := status.Move; s.Start && r != nil && r.State.Terminal() {
+		if r := status.Migration; s.Start && r != nil && r.State.Terminal() {
 			if overFor++; overFor > 10 {
 				return
 			}
@@ -281,7 +281,7 @@
 	p := s.point(at.Seconds())
 	p.OldFirst, p.OldLoad = seen(s.old)
 	p.NewFirst, p.NewLoad = seen(s.new)
-	r := status.Move
+	r := status.Migration
 	if r == nil {
 		return
 	}
--- a/internal/migration/controller/calls.go
+++ b/internal/migration/controller/calls.go
@@ -12,88 +12,106 @@
 	"standpoint/internal/migration"
 )
 
-const maxWait = 25 * time.Second // for news of a move
+// maxWait is the longest that a status call waits for a change.
+const maxWait = 25 * time.Second
 
-// Routes are what the control interface offers of moves.
-func (a *Controller) Routes() []control.Route {
+// Routes are the calls of the control interface about pools and migrations.
+func (c *Controller) Routes() []control.Route {
 	return []control.Route{
-		{Pattern: "GET /v1/pools", Handle: func(*http.Request, []byte) (any, error) { return a.Tracker.Members(time.Now()), nil }},
-		{Pattern: "GET /v1/move", Handle: a.callStatus},
-		{Pattern: "GET /v1/move/history", Handle: a.callHistory},
-		{Pattern: "POST /v1/move/report", Handle: a.callReport},
-		{Pattern: "POST /v1/move/{wish}", Handle: a.callCommand},
+		{Pattern: "GET /v1/pools", Handle: c.callPools},
+		{Pattern: "GET /v1/move", Handle: c.callStatus},
+		{Pattern: "GET /v1/move/history", Handle: c.callHistory},
+		{Pattern: "POST /v1/move/report", Handle: c.callReport},
+		{Pattern: "POST /v1/move/{command}", Handle: c.callCommand},
 	}
 }
 
-// call posts a message and waits for its answer.
-func call[T any](ctx context.Context, a *Controller, done chan T, m any) (T, error) {
+// send hands Run a message and waits for the reply to it.
+func send[T any](ctx context.Context, c *Controller, m message, reply chan T) (T, error) {
 	var none T
 	select {
-	case a.mailbox <- m:
+	case c.mailbox <- m:
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	select {
-	case v := <-done:
-		return v, nil
+	case value := <-reply:
+		return value, nil
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 }
 
-// callStatus answers at once, or, with ?wait=10s, when the move has changed since ?version=, or after that time.
-func (a *Controller) callStatus(r *http.Request, _ []byte) (any, error) {
+func (c *Controller) callPools(*http.Request, []byte) (any, error) {
+	return c.options.Tracker.Members(time.Now()), nil
+}
+
+// callStatus answers at once, or, with ?wait=10s, when the record changes, and after that time at the latest.
+func (c *Controller) callStatus(r *http.Request, _ []byte) (any, error) {
 	ctx := r.Context()
-	done := make(chan Status, 1)
 	if text := r.FormValue("wait"); text != "" {
 		wait, err := time.ParseDuration(text)
 		if err != nil || wait < 0 {
-			return nil, &control.Error{Code: "bad_request", Key: "wait", Message: fmt.Sprintf("%q is no span such as 10s", text)}
+			return nil, &control.Error{
+				Code:    control.CodeBadRequest,
+				Key:     "wait",
+				Message: fmt.Sprintf("%q is no span such as 10s", text),
+			}
 		}
-		heard := make(chan chan struct{}, 1)
-		changed, err := call(ctx, a, heard, changeRequest{heard})
-		if err != nil {
+		if err := c.awaitChange(ctx, min(wait, maxWait)); err != nil {
 			return nil, err
 		}
-		timer := time.NewTimer(min(wait, maxWait))
-		defer timer.Stop()
-		select {
-		case <-changed:
-		case <-timer.C:
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
 	}
-	return call(ctx, a, done, statusRequest{done})
+	reply := make(chan Status, 1)
+	return send(ctx, c, statusRequest{reply}, reply)
+}
+
+// awaitChange waits until the followed record changes, for at most the given time.
+func (c *Controller) awaitChange(ctx context.Context, wait time.Duration) error {
+	reply := make(chan chan struct{}, 1)
+	changed, err := send(ctx, c, changeRequest{reply}, reply)
+	if err != nil {
+		return err
+	}
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-changed:
+	case <-timer.C:
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	return nil
 }
 
-func (a *Controller) callHistory(*http.Request, []byte) (any, error) {
-	all := []migration.Record{}
-	for _, key := range slices.Backward(a.Store.List(historyPrefix)) {
-		var r migration.Record
-		if json.Unmarshal(a.Store.Get(key).Data, &r) == nil {
-			all = append(all, r)
+// callHistory lists the migrations that are over, the newest first. One that is not readable is left out.
+func (c *Controller) callHistory(*http.Request, []byte) (any, error) {
+	records := []migration.Record{}
+	for _, key := range slices.Backward(c.options.Store.List(historyPrefix)) {
+		var record migration.Record
+		if json.Unmarshal(c.options.Store.Get(key).Data, &record) == nil {
+			records = append(records, record)
 		}
 	}
-	return all, nil
+	return records, nil
 }
 
-func (a *Controller) callReport(r *http.Request, body []byte) (any, error) {
+func (c *Controller) callReport(r *http.Request, body []byte) (any, error) {
 	var reports []Report
 	if err := control.Decode(body, &reports); err != nil {
 		return nil, err
 	}
 	for _, report := range reports {
 		if report.Node == "" || len(report.From.Samples)+len(report.To.Samples) > 2*migration.MaxSamples {
-			return nil, &control.Error{Code: "bad_request", Message: "a report without a node, or with too many samples"}
+			return nil, &control.Error{Code: control.CodeBadRequest, Message: "a report without a node, or with too many samples"}
 		}
 	}
-	if _, leads := a.Store.Leadership(); !leads {
-		return nil, a.notLeader()
+	if _, leads := c.options.Store.Leadership(); !leads {
+		return nil, c.notLeader()
 	}
 	for _, report := range reports {
 		select {
-		case a.mailbox <- report:
+		case c.mailbox <- report:
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
@@ -101,20 +119,24 @@
 	return struct{}{}, nil
 }
 
-func (a *Controller) callCommand(r *http.Request, body []byte) (any, error) {
-	w := commandRequest{name: r.PathValue("wish"), done: make(chan commandReply, 1)}
-	switch w.name {
-	case "start", "plan":
-		if err := control.Decode(body, &w.start); err != nil {
+func (c *Controller) callCommand(r *http.Request, body []byte) (any, error) {
+	request := commandRequest{name: r.PathValue("command"), reply: make(chan commandReply, 1)}
+	switch request.name {
+	case startCommand, planCommand:
+		if err := control.Decode(body, &request.start); err != nil {
 			return nil, err
 		}
-	case "pause", "resume", "undo":
+	case string(migration.CommandPause), string(migration.CommandResume), string(migration.CommandUndo):
 	default:
-		return nil, &control.Error{Status: http.StatusNotFound, Code: "not_found", Message: w.name + " is nothing that a move can do"}
+		return nil, &control.Error{
+			Status:  http.StatusNotFound,
+			Code:    control.CodeNotFound,
+			Message: request.name + " is nothing that a move can do",
+		}
 	}
-	got, err := call(r.Context(), a, w.done, w)
+	reply, err := send(r.Context(), c, request, request.reply)
 	if err != nil {
 		return nil, err
 	}
-	return got.record, got.err
+	return reply.record, reply.err
 }
--- /dev/null
+++ b/internal/migration/controller/counters.go
@@ -0,0 +1,189 @@
+package controller
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"standpoint"
+	"standpoint/internal/clock"
+	"standpoint/internal/migration"
+	"standpoint/internal/node"
+)
+
+// minWeight is the priority weight of a request whose class has none.
+const minWeight = 1e-3
+
+// The indices of a migration's pools in Tracker.counters.
+const (
+	fromPool  = 0
+	toPool    = 1
+	uncounted = -1
+	anyKind   = -1
+)
+
+// Sent implements node.Pools. A request whose first attempt goes to another pool found no eligible backend in its own.
+func (t *Tracker) Sent(request *standpoint.Request, server string, attempt int) {
+	if attempt > 0 || request.Pool == 0 {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	backend := t.backends[server]
+	if backend == nil || backend.pool == request.Pool {
+		return
+	}
+	t.overflowed[request.Pool]++
+	if index := t.counterOf(request.Pool); index != uncounted {
+		t.counters[index].Overflowed++
+	}
+}
+
+// counterOf is the index of a pool's counters, or uncounted if it takes no part in the migration.
+func (t *Tracker) counterOf(number int) int {
+	switch {
+	case number == 0 || t.from == 0:
+		return uncounted
+	case number == t.from:
+		return fromPool
+	case number == t.to:
+		return toPool
+	}
+	return uncounted
+}
+
+// Finished implements node.Pools.
+func (t *Tracker) Finished(o node.Observation) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	backend := t.backends[o.Server]
+	if backend != nil && backend.readyAt > clock.Of(o.Sent) {
+		backend = nil // the attempt went to the process before, and says nothing of this one
+	}
+	if backend != nil && o.Result.Report != nil {
+		backend.load = o.Result.Report.Slots
+	}
+	if o.Asked || t.from == 0 {
+		return
+	}
+	served := o.Result.Code == standpoint.Served
+	if backend != nil {
+		t.countAttempt(backend, &o)
+	}
+	if served || o.First > 0 { // complete, or broken after its first event: the request's final answer
+		t.countRequest(o.Request, served && t.onTime(&o))
+	}
+}
+
+// countAttempt counts an attempt for the pool of its backend.
+func (t *Tracker) countAttempt(backend *backendState, o *node.Observation) {
+	index := t.counterOf(backend.pool)
+	if index == uncounted {
+		return
+	}
+	served := o.Result.Code == standpoint.Served
+	if o.Result.Code != standpoint.NotSent {
+		t.counters[index].Attempts++
+		// A backend without capacity is busy, not broken; what clients lose by that counts as late weight.
+		if !served && o.Result.Code != standpoint.TurnedAway {
+			t.counters[index].Errors++
+		}
+	}
+	if served {
+		t.sample(index, backend, o)
+	}
+}
+
+// Rejected implements node.Pools.
+func (t *Tracker) Rejected(request *standpoint.Request) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if index := t.counterOf(request.Pool); index != uncounted {
+		t.counters[index].Rejected++
+	}
+	t.countRequest(request, false)
+}
+
+// countRequest counts a request that has ended for the pool that it was assigned to.
+func (t *Tracker) countRequest(request *standpoint.Request, onTime bool) {
+	index := t.counterOf(request.Pool)
+	if index == uncounted {
+		return
+	}
+	weight := 1.0
+	if t.hasClass(request) {
+		weight = max(t.classes[request.Class].Worth, minWeight)
+	}
+	counters := &t.counters[index]
+	counters.Requests++
+	counters.OfferedWeight += weight
+	if onTime {
+		counters.OnTimeWeight += weight
+	}
+}
+
+func (t *Tracker) hasClass(request *standpoint.Request) bool {
+	return request.Class >= 0 && request.Class < len(t.classes)
+}
+
+// onTime reports whether an answer met the latency objectives of its class.
+func (t *Tracker) onTime(o *node.Observation) bool {
+	if !t.hasClass(o.Request) {
+		return true
+	}
+	class := &t.classes[o.Request.Class]
+	firstToken := float64(class.TTFTAim) + float64(class.AimPer1000)*o.Request.PromptTokens/1000
+	if class.TTFTAim > 0 && float64(o.First) > firstToken {
+		return false
+	}
+	gap := tokenGap(o)
+	return class.TPOTAim <= 0 || gap*1e9 <= float64(class.TPOTAim)
+}
+
+// tokenGap is the time for each token after the first, in seconds; 0 if the answer's length is not known.
+func tokenGap(o *node.Observation) float64 {
+	if o.Result.Tokens < 2 || o.Request.Again {
+		return 0
+	}
+	return o.Decode.Seconds() / (o.Result.Tokens - 1)
+}
+
+// sample keeps the answer among at most migration.MaxSamples of the window, each with the same probability.
+func (t *Tracker) sample(index int, backend *backendState, o *node.Observation) {
+	kind := anyKind
+	if i := slices.Index(t.names.Kinds, backend.description.Kind); i >= 0 {
+		kind = i
+	}
+	sample := migration.Sample{
+		Class:          o.Request.Class,
+		Kind:           kind,
+		UncachedTokens: max(0, o.Request.PromptTokens-o.Result.Kept),
+		Load:           backend.load,
+		FirstToken:     o.Own.Seconds(),
+		TokenGap:       tokenGap(o),
+	}
+	counters := &t.counters[index]
+	t.samplesSeen[index]++
+	if len(counters.Samples) < migration.MaxSamples {
+		counters.Samples = append(counters.Samples, sample)
+	} else if i := rand.IntN(t.samplesSeen[index]); i < migration.MaxSamples {
+		counters.Samples[i] = sample
+	}
+}
+
+// TakeWindow returns what was counted since the last call, with the pools' present health, and starts again.
+func (t *Tracker) TakeWindow(now time.Time) (from, to migration.PoolWindow) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	from = t.counters[fromPool]
+	to = t.counters[toPool]
+	t.resetCounters()
+	from.Health = t.health(t.from, now)
+	to.Health = t.health(t.to, now)
+	return from, to
+}
+
+func (t *Tracker) resetCounters() {
+	t.counters = [2]migration.PoolWindow{}
+	t.samplesSeen = [2]int{}
+}
--- a/internal/migration/controller/fuzz_test.go
+++ b/internal/migration/controller/fuzz_test.go
@@ -31,7 +31,7 @@
 		var reports []Report
 		if control.Decode(raw, &reports) == nil {
 			for _, r := range reports {
-				r.Move, r.Version, r.Digest = a.record.ID, a.record.Version, a.Tracker.Digest()
+				r.Migration, r.Version, r.Digest = a.record.ID, a.record.Version, a.options.Tracker.Digest()
 				a.addReport(r)
 			}
 			m.Observe(time.Unix(2000, 0), a.mergeWindow(time.Now()))
@@ -54,11 +54,11 @@
 	f.Add([]byte(`{"id":"m","state":"stepping","step":-7}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, _ := begun(t)
-		if _, err := a.Store.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: store.AnyVersion}); err != nil {
+		if _, err := a.options.Store.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: store.AnyVersion}); err != nil {
 			t.Fatal(err)
 		}
 		a.follow()
-		if pool := a.Tracker.Assign(&standpoint.Request{Session: 1}); pool < 0 || pool > 2 {
+		if pool := a.options.Tracker.Assign(&standpoint.Request{Session: 1}); pool < 0 || pool > 2 {
 			t.Fatalf("pool %d", pool)
 		}
 		if a.takeLead() && a.machine != nil {
--- a/internal/migration/controller/golden_test.go
+++ b/internal/migration/controller/golden_test.go
@@ -35,7 +35,7 @@
 func TestGoldenReport(t *testing.T) {
 	other := goldenSide
 	other.Requests = 31
-	golden.RoundTrip(t, "report.json", Report{Node: "n1", Move: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
+	golden.RoundTrip(t, "report.json", Report{Node: "n1", Migration: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
 		encodeJSON[Report], decodeJSON[Report])
 }
 
@@ -61,13 +61,13 @@
 func TestGoldenStatus(t *testing.T) {
 	record := migration.Record{ID: "m-7", State: migration.Holding, Shares: pool.Shares{From: "old", To: "new", Share: 0.25}}
 	value := Status{
-		Node:     "n1",
-		Leads:    true,
-		Leader:   "n2",
-		Version:  9,
-		Move:     &record,
-		Evidence: 0.5,
-		Nodes:    []NodeStatus{{Name: "n3", Version: 8, Age: 1.5, Lagging: true}},
+		Node:      "n1",
+		Leads:     true,
+		Leader:    "n2",
+		Version:   9,
+		Migration: &record,
+		Evidence:  0.5,
+		Nodes:     []NodeStatus{{Name: "n3", Version: 8, Age: 1.5, Lagging: true}},
 	}
 	raw, err := encodeJSON(value)
 	if err != nil {
--- /dev/null
+++ b/internal/migration/controller/membership.go
@@ -0,0 +1,210 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/clock"
+	"standpoint/internal/migration"
+	"standpoint/internal/node"
+	"standpoint/internal/pool"
+)
+
+// The modes of a backend, as selectors name them.
+const (
+	streamMode = "stream"
+	batchMode  = "batch"
+)
+
+// backendState is what the tracker knows of a backend.
+type backendState struct {
+	description pool.Box
+	pool        int      // 0 for none
+	alsoFits    []string // further pools whose selectors match
+	state       standpoint.State
+	readyAt     int64   // in nanoseconds of the process's clock; 0 if unknown
+	load        float64 // fraction of its slots in use, as last reported
+}
+
+// Place implements node.Pools.
+func (t *Tracker) Place(endpoint *node.Endpoint) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	backend := t.backends[endpoint.Name]
+	if backend == nil {
+		backend = &backendState{}
+		t.backends[endpoint.Name] = backend
+	}
+	backend.description = t.describe(endpoint)
+	if endpoint.State == standpoint.Gone && endpoint.Address == "" && backend.pool != 0 {
+		return backend.pool // a withdrawal may come without the labels
+	}
+	backend.pool, backend.alsoFits = t.set.Place(backend.description)
+	return backend.pool
+}
+
+// describe is an endpoint as selectors see it.
+func (t *Tracker) describe(endpoint *node.Endpoint) pool.Box {
+	description := pool.Box{
+		Name:    endpoint.Name,
+		Address: endpoint.Address,
+		Site:    nameOf(t.names.Zones, endpoint.Zone),
+		Kind:    nameOf(t.names.Kinds, endpoint.Kind),
+		Mode:    streamMode,
+		Cell:    endpoint.Cell,
+		Size:    endpoint.Size,
+		Labels:  endpoint.Labels,
+	}
+	if endpoint.Batch {
+		description.Mode = batchMode
+	}
+	return description
+}
+
+func nameOf(names []string, i int) string {
+	if i < 0 || i >= len(names) {
+		return ""
+	}
+	return names[i]
+}
+
+// Listed implements node.Pools.
+func (t *Tracker) Listed(list node.List) {
+	if list.Kind == standpoint.ListLost {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	listed := map[string]bool{}
+	for _, endpoint := range list.Entries {
+		listed[endpoint.Name] = true
+		if endpoint.State == standpoint.Gone {
+			delete(t.backends, endpoint.Name)
+			continue
+		}
+		// It is unknown if the same list also has it as gone.
+		if backend := t.backends[endpoint.Name]; backend != nil {
+			backend.state = endpoint.State
+			backend.readyAt = endpoint.ReadyAt
+		}
+	}
+	if list.Kind == standpoint.ListFull {
+		maps.DeleteFunc(t.backends, func(name string, _ *backendState) bool { return !listed[name] })
+	}
+	t.warnOfPlacement()
+}
+
+// warnOfPlacement logs the endpoints that no selector matches or several do, when they have changed.
+func (t *Tracker) warnOfPlacement() {
+	var none, several []string
+	for name, backend := range t.backends {
+		switch {
+		case backend.pool == 0:
+			none = append(none, name)
+		case len(backend.alsoFits) > 0:
+			first := t.set.Name(backend.pool)
+			several = append(several, fmt.Sprintf("%s (%s; also %s)", name, first, strings.Join(backend.alsoFits, ", ")))
+		}
+	}
+	slices.Sort(none)
+	slices.Sort(several)
+	warning := fmt.Sprint(none, several)
+	if warning == t.lastWarning {
+		return
+	}
+	t.lastWarning = warning
+	if len(none) > 0 {
+		t.log.Warn("endpoints in no pool", zap.Strings("endpoints", none))
+	}
+	if len(several) > 0 {
+		t.log.Warn("endpoints in several pools, the first counts", zap.Strings("endpoints", several))
+	}
+}
+
+// Health is the health of the pool of that name.
+func (t *Tracker) Health(name string, now time.Time) migration.Health {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.health(t.set.Number(name), now)
+}
+
+func (t *Tracker) health(number int, now time.Time) migration.Health {
+	var health migration.Health
+	for _, backend := range t.backends {
+		if backend.pool != number || number == 0 {
+			continue
+		}
+		health.Backends++
+		if backend.state != standpoint.Ready {
+			continue
+		}
+		health.Ready++
+		health.Capacity += backend.description.Size
+		health.WarmCapacity += backend.description.Size * t.warmFraction(backend, now)
+	}
+	return health
+}
+
+// warmFraction is the fraction of a backend's capacity that has warmed up; 1 if its start is unknown.
+func (t *Tracker) warmFraction(backend *backendState, now time.Time) float64 {
+	if backend.readyAt <= 0 {
+		return 1
+	}
+	return t.plan.WarmFraction(now.Sub(clock.Time(backend.readyAt)))
+}
+
+// Members is a pool and its backends.
+type Members struct {
+	Pool       string   `json:"pool"` // empty for the backends that are in no pool
+	Select     string   `json:"select,omitempty"`
+	Share      float64  `json:"share"` // as configured
+	Backends   []Member `json:"boxes"`
+	Overflowed int64    `json:"fell_over"` // requests sent to another pool, since no backend of this one was eligible
+}
+
+// Member is a backend in a pool.
+type Member struct {
+	Name    string   `json:"name"`
+	State   string   `json:"state"`
+	Warmth  float64  `json:"warmth"`              // the fraction of its capacity that has warmed up
+	AlsoFit []string `json:"also_fits,omitempty"` // further pools whose selectors match
+}
+
+// Members lists all pools, and last the backends that are in none, if there are any.
+func (t *Tracker) Members(now time.Time) []Members {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := make([]Members, t.set.Len()+1)
+	unplaced := len(all) - 1
+	for i, definition := range t.set.Definitions() {
+		all[i] = Members{
+			Pool:       definition.Name,
+			Select:     definition.Select.String(),
+			Share:      definition.Share,
+			Overflowed: t.overflowed[i+1],
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(t.backends)) {
+		backend := t.backends[name]
+		index := unplaced
+		if backend.pool > 0 && backend.pool <= t.set.Len() {
+			index = backend.pool - 1
+		}
+		all[index].Backends = append(all[index].Backends, Member{
+			Name:    name,
+			State:   [...]string{"ready", "draining", "gone"}[backend.state],
+			Warmth:  t.warmFraction(backend, now),
+			AlsoFit: backend.alsoFits,
+		})
+	}
+	if len(all[unplaced].Backends) == 0 {
+		all = all[:unplaced]
+	}
+	return all
+}
--- a/internal/migration/controller/story_test.go
+++ b/internal/migration/controller/story_test.go
@@ -79,7 +79,7 @@
 func (n *one) share() float64 {
 	moved := 0
 	for key := range uint64(2000) {
-		if n.Tracker.Assign(&standpoint.Request{Session: key + 1}) == 2 {
+		if n.options.Tracker.Assign(&standpoint.Request{Session: key + 1}) == 2 {
 			moved++
 		}
 	}
@@ -110,18 +110,18 @@
 		case <-tick.C:
 		}
 		r := &standpoint.Request{ID: id, Session: uint64(id)*2654435761 + 1, PromptTokens: 500}
-		r.Pool = n.Tracker.Assign(r)
+		r.Pool = n.options.Tracker.Assign(r)
 		server := fmt.Sprintf("box-%d", r.Pool)
-		n.Tracker.Sent(r, server, 0)
+		n.options.Tracker.Sent(r, server, 0)
 		o := node.Observation{Request: r, Server: server, First: 200 * time.Millisecond, Own: 200 * time.Millisecond, Decode: time.Second,
 			Result: node.Result{Code: standpoint.Served, Tokens: 50, Report: &standpoint.Report{Slots: 0.3}}}
 		if r.Pool == 2 && n.errors.Load() {
 			o.First, o.Own, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
-			n.Tracker.Finished(o)
-			n.Tracker.Rejected(r)
+			n.options.Tracker.Finished(o)
+			n.options.Tracker.Rejected(r)
 			continue
 		}
-		n.Tracker.Finished(o)
+		n.options.Tracker.Finished(o)
 	}
 }
 
@@ -221,7 +221,7 @@
 func (n *one) reaches(t testing.TB, done func(Status) bool) Status {
 	var s Status
 	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(window / 2) {
-		if s = n.status(t); s.Move != nil && done(s) {
+		if s = n.status(t); s.Migration != nil && done(s) {
 			return s
 		}
 	}
@@ -237,17 +237,17 @@
 	leader := leading(t, all)
 	witness := all[(leader+1)%3]
 	witness.start(t, StartRequest{From: "old", To: "new"})
-	witness.reaches(t, func(s Status) bool { return s.Move.Step >= 0 && s.Move.State == migration.Holding })
-	before := witness.status(t).Move
+	witness.reaches(t, func(s Status) bool { return s.Migration.Step >= 0 && s.Migration.State == migration.Holding })
+	before := witness.status(t).Migration
 	all[leader].kill()
 	all[leader] = nil
 	var versions []uint64
 	var steps []int
 	witness.reaches(t, func(s Status) bool {
-		if n := len(versions); n == 0 || versions[n-1] != s.Move.Version {
-			versions, steps = append(versions, s.Move.Version), append(steps, s.Move.Step)
+		if n := len(versions); n == 0 || versions[n-1] != s.Migration.Version {
+			versions, steps = append(versions, s.Migration.Version), append(steps, s.Migration.Step)
 		}
-		return s.Move.State == migration.Done
+		return s.Migration.State == migration.Done
 	})
 	require.GreaterOrEqual(t, steps[0], before.Step)
 	for i := 1; i < len(steps); i++ {
@@ -259,7 +259,7 @@
 			require.Eventually(t, func() bool { return n.share() == 1 }, patient, window)
 		}
 	}
-	require.Equal(t, before.ID, witness.status(t).Move.ID)
+	require.Equal(t, before.ID, witness.status(t).Migration.ID)
 }
 
 // No step goes on until the live nodes have taken the last; one that is cut off keeps its shares, and stops counting
@@ -269,7 +269,7 @@
 	leader := leading(t, all)
 	n, cut := all[leader], all[(leader+1)%3]
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Move.Step == 0 && s.Move.State == migration.Holding && len(s.Nodes) == 3 })
+	n.reaches(t, func(s Status) bool { return s.Migration.Step == 0 && s.Migration.State == migration.Holding && len(s.Nodes) == 3 })
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/pause", struct{}{}, nil))
 	require.Eventually(t, func() bool { return cut.share() > 0.2 && cut.share() < 0.3 }, patient, window)
 	kept := cut.share()
@@ -277,7 +277,7 @@
 	cut.stop()
 	<-cut.stopped
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/resume", struct{}{}, nil))
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
 	require.Equal(t, kept, cut.share())
 	require.Len(t, n.status(t).Nodes, 2)
 }
@@ -299,8 +299,8 @@
 	require.NoError(t, err)
 	n := begin(t, "n1", keys, nil, "127.0.0.1:0", cfg)
 	require.Eventually(t, func() bool { s := n.share(); return s > 0.45 && s < 0.55 }, patient, time.Millisecond)
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Holding && s.Move.Step == 1 })
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Holding && s.Migration.Step == 1 })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
 }
 
 // A node whose store is on disk has the recorded shares before it assigns any flow.
@@ -337,14 +337,14 @@
 	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &refused)
 	require.Equal(t, control.CodeMigrationRunning, refused.Code)
 	require.Contains(t, refused.Message, first.ID)
-	n.reaches(t, func(s Status) bool { return s.Move.Step == 1 && s.Move.State == migration.Holding })
+	n.reaches(t, func(s Status) bool { return s.Migration.Step == 1 && s.Migration.State == migration.Holding })
 	n.errors.Store(true)
-	s := n.reaches(t, func(s Status) bool { return s.Move.State == migration.Undone })
+	s := n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Undone })
 	require.Zero(t, n.share())
-	require.NotEmpty(t, s.Move.Cause)
+	require.NotEmpty(t, s.Migration.Cause)
 	n.errors.Store(false)
 	n.start(t, StartRequest{To: "new", Steps: []float64{0.5, 1}, Hold: "2s"})
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
 	require.Equal(t, 1.0, n.share())
 	var history []migration.Record
 	require.NoError(t, n.client.Call(t.Context(), http.MethodGet, "/v1/move/history", nil, &history))
@@ -354,7 +354,7 @@
 	// And back again, as a move of its own: the pool that has the flows now is the new one.
 	back := n.start(t, StartRequest{To: "old", Hold: "2s"})
 	require.Equal(t, "new", back.Plan.From)
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
 	require.Zero(t, n.share())
 }
 
@@ -383,8 +383,8 @@
 	var planned migration.Record
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/plan", StartRequest{To: "new"}, &planned))
 	require.Equal(t, migration.Planned, planned.State)
-	require.Nil(t, n.status(t).Move, "a plan starts nothing")
-	tell(n.Tracker, entry("box-1", "v1"))
+	require.Nil(t, n.status(t).Migration, "a plan starts nothing")
+	tell(n.options.Tracker, entry("box-1", "v1"))
 	var e *control.Error
 	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &e)
 	require.Contains(t, e.Message, "no box that is ready")
@@ -394,14 +394,14 @@
 func TestAChangedFileInTheMiddleOfAMove(t *testing.T) {
 	n := alone(t, file(t, nil))
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Holding })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Holding })
 	without := file(t, func(cfg *config.OperatorFile) {
 		s, err := pool.Parse(`true`)
 		require.NoError(t, err)
 		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Select: s}})
 		require.NoError(t, err)
 	})
-	require.ErrorContains(t, n.Tracker.Check(without), `pool: "new" cannot be taken away while move m-`)
+	require.ErrorContains(t, n.options.Tracker.Check(without), `pool: "new" cannot be taken away while move m-`)
 	wider := file(t, func(cfg *config.OperatorFile) {
 		a, err := pool.Parse(`version == "v1"`)
 		require.NoError(t, err)
@@ -410,37 +410,37 @@
 		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Select: a}, {Name: "new", Select: b}})
 		require.NoError(t, err)
 	})
-	require.NoError(t, n.Tracker.Check(wider))
-	n.Tracker.Adjust(wider)
-	tell(n.Tracker, entry("box-1", "v1"), entry("box-2", "v2"), entry("box-3", "v3"), entry("box-4", "v9"))
-	members := n.Tracker.Members(time.Now())
+	require.NoError(t, n.options.Tracker.Check(wider))
+	n.options.Tracker.Adjust(wider)
+	tell(n.options.Tracker, entry("box-1", "v1"), entry("box-2", "v2"), entry("box-3", "v3"), entry("box-4", "v9"))
+	members := n.options.Tracker.Members(time.Now())
 	require.Len(t, members, 3)
 	require.Equal(t, []string{"box-2", "box-3"}, []string{members[1].Backends[0].Name, members[1].Backends[1].Name})
 	require.Equal(t, "box-4", members[2].Backends[0].Name)
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
-	require.NoError(t, n.Tracker.Check(without), "the move is over")
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
+	require.NoError(t, n.options.Tracker.Check(without), "the move is over")
 }
 
 // Nodes whose files differ in their pools do not carry a move on together.
 func TestNodesWithOtherPoolsHoldTheMove(t *testing.T) {
 	n := alone(t, file(t, nil))
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Holding && s.Move.Step == 0 })
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Holding && s.Migration.Step == 0 })
 	ctx, cancel := context.WithCancel(t.Context())
 	told := make(chan struct{})
 	go func() { // a second node, whose pools are others
 		defer close(told)
 		for ctx.Err() == nil {
-			_ = n.client.Call(ctx, http.MethodPost, "/v1/move/report", []Report{{Node: "n2", Move: n.status(t).Move.ID, Version: 99, Digest: 1}}, nil)
+			_ = n.client.Call(ctx, http.MethodPost, "/v1/move/report", []Report{{Node: "n2", Migration: n.status(t).Migration.ID, Version: 99, Digest: 1}}, nil)
 			time.Sleep(window / 2)
 		}
 	}()
 	n.reaches(t, func(s Status) bool { return len(s.Nodes) == 2 })
-	s := n.reaches(t, func(s Status) bool { return s.Move.Reason == "waiting for [n2 (its pools differ)]" })
+	s := n.reaches(t, func(s Status) bool { return s.Migration.Reason == "waiting for [n2 (its pools differ)]" })
 	cancel()
 	<-told
-	require.Less(t, s.Move.Shares.Share, 1.0)
-	n.reaches(t, func(s Status) bool { return s.Move.State == migration.Done })
+	require.Less(t, s.Migration.Shares.Share, 1.0)
+	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
 }
 
 func TestFlowsThatFallOverAreCounted(t *testing.T) {
@@ -478,7 +478,7 @@
 		shares[r.Version] = r.Shares.Share
 		require.LessOrEqual(t, r.Step, step+1)
 		step = r.Step
-		return s.Move.State == migration.Done
+		return s.Migration.State == migration.Done
 	})
 	require.Len(t, keys.List(historyPrefix), 1)
 }
--- a/internal/migration/machine_test.go
+++ b/internal/migration/machine_test.go
@@ -396,7 +396,7 @@
 		for wish, want := range wishes {
 			m, s := reach[state]()
 			before := m.Record()
-			err := m.Command(clock, wish)
+			err := m.Execute(clock, Command(wish))
 			if want == "" {
 				require.Error(t, err, "%s while %s", wish, state)
 				require.Equal(t, before, m.Record(), "%s while %s", wish, state)
@@ -421,7 +421,7 @@
 				require.Empty(t, m.Record().Shares.Moved)
 			}
 		}
-		require.ErrorContains(t, func() error { m, _ := reach[state](); return m.Command(clock, "jump") }(), "jump")
+		require.ErrorContains(t, func() error { m, _ := reach[state](); return m.Execute(clock, "jump") }(), "jump")
 	}
 }
 
@@ -485,7 +485,7 @@
 	for range 12 {
 		j.observe(window(0.7))
 	}
-	for _, process := range []int{byErrors, byService} {
+	for _, process := range []criterion{byErrors, byService} {
 		for _, l := range j.evidence[process] {
 			require.Less(t, l, 0.7*j.alarmLevel(), processNames[process])
 		}
@@ -520,8 +520,8 @@
 	m := start(t, s, nil)
 	until(t, m, s, 100, in(Holding))
 	for range 500 {
-		require.NoError(t, m.Command(clock, "pause"))
-		require.NoError(t, m.Command(clock, "resume"))
+		require.NoError(t, m.Execute(clock, CommandPause))
+		require.NoError(t, m.Execute(clock, CommandResume))
 	}
 	require.Len(t, m.Record().Events, maxEvents)
 	require.Equal(t, "planned", m.Record().Events[0].Text)
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -1,227 +1,201 @@
-// Package mover decides how traffic moves from one pool to another, a step at a time, and when it must go back. It
-// has no clock and no I/O: its time is the number of windows that it was shown, a second each.
+// Package migration decides how traffic migrates from one pool of backends to another, a step at a time, and when it has to return.
+// It has no clock and does no I/O: its time is the number of windows that it has been shown, each WindowTime long.
 package migration
 
 import (
 	"fmt"
 	"math"
-	"slices"
 	"time"
 )
 
-// WindowTime is what one window covers.
+// WindowTime is the length of a window.
 const WindowTime = time.Second
 
-// What is done once the new pool is found worse.
+// The values of Plan.OnWorse: what is done once the new pool is found worse.
 const (
-	Return = "return" // traffic goes back
-	Stay   = "stay"   // the share stays as it is until somebody decides
+	Return = "return" // traffic moves back
+	Stay   = "stay"   // the share stays as it is until an operator decides
 )
 
-// Plan says how a move is carried on. Spans count in whole windows.
+// The limits of a plan's values.
+const (
+	maxSteps       = 100
+	minFloor       = 0.01
+	maxFactor      = 100 // of FirstToken, Pace and FallFactor
+	minErrors      = 0.0001
+	maxErrors      = 0.5
+	minAlarm       = 100
+	maxAlarm       = 1e9
+	maxPlanSamples = 1e6
+	minFallFactor  = 0.1
+	minHold        = 2 * WindowTime
+	maxSpan        = time.Hour
+)
+
+// Plan is how a migration is carried out. Durations count in whole windows.
 type Plan struct {
 	From    string        `json:"from"`
 	To      string        `json:"to"`
-	Steps   []float64     `json:"steps"`   // shares of From's flows, growing; the last is 1 for a whole move
+	Steps   []float64     `json:"steps"`   // shares of From's requests, ascending; the last is 1 for a complete migration
 	Trickle float64       `json:"trickle"` // the share while the new pool warms up
-	Warm    time.Duration `json:"warm"`    // for which it does so at the least
-	Hold    time.Duration `json:"hold"`    // for which each step is watched at the least
-	Samples int           `json:"samples"` // flows that must have ended in each pool before a step is passed
-
-	// What counts as worse. Floor is the part of the old pool's worth in time that the new one must bring; FirstToken
-	// and Pace are the factors by which an answer must be slower than a like one of the old pool to count against the
-	// new; Errors is the share of failed attempts allowed beyond the old pool's.
-	Floor      float64 `json:"floor"`
+	Warm    time.Duration `json:"warm"`    // minimum duration of the warm-up
+	Hold    time.Duration `json:"hold"`    // minimum duration of the analysis of each step
+	Samples int           `json:"samples"` // requests that must have ended in each pool before a step is passed
+
+	// Floor is the fraction of the old pool's on-time weight that the new one must reach.
+	Floor float64 `json:"floor"`
+	// FirstToken and Pace are the factors by which an answer must be slower than a comparable one of the old pool to count against
+	// the new one: in its time to first token, and in its time for each token.
 	FirstToken float64 `json:"first_token"`
 	Pace       float64 `json:"pace"`
-	Errors     float64 `json:"errors"`
-	// Stall is a disturbance that never ends a move by itself, however bad, if it is shorter.
+	// Errors is the fraction of failed attempts that is allowed beyond the old pool's.
+	Errors float64 `json:"errors"`
+	// Stall is the longest disturbance that never ends a migration by itself, however bad it is.
 	Stall time.Duration `json:"stall"`
-	// Alarm is the mean number of windows between two false alarms, at the least, while the pools are alike.
+	// Alarm is the minimum mean number of windows between two false alarms while the pools are alike.
 	Alarm float64 `json:"alarm"`
 
-	OnWorse     string        `json:"on_worse"`
-	ReturnSteps int           `json:"return_steps"` // in which traffic goes back
-	ReturnEvery time.Duration `json:"return_every"`
+	OnWorse     string        `json:"on_worse"`     // Return or Stay
+	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic moves back
+	ReturnEvery time.Duration `json:"return_every"` // between two of them
 
-	// What a cold box can do (the module's rule on fail-back).
+	// ColdShare is the fraction of its capacity that a backend has at its start, WarmUp the time until it has all of it, and
+	// FallFactor the multiple of its cold capacity at which it collapses.
 	ColdShare  float64       `json:"cold_share"`
 	WarmUp     time.Duration `json:"warm_up"`
 	FallFactor float64       `json:"fall_factor"`
 }
 
-// Default is the plan that holds where nothing else is said.
+// Default returns the plan that applies where the configuration says nothing else.
 func Default() Plan {
-	return Plan{Steps: []float64{0.05, 0.25, 0.5, 0.75, 1}, Trickle: 0.02, Warm: 10 * time.Second, Hold: 20 * time.Second,
-		Samples: 30, Floor: 0.9, FirstToken: 1.25, Pace: 1.15, Errors: 0.01, Stall: 5 * time.Second, Alarm: 10000,
-		OnWorse: Return, ReturnSteps: 3, ReturnEvery: 2 * time.Second, ColdShare: 0.13, WarmUp: 20 * time.Second, FallFactor: 4}
+	return Plan{
+		Steps:       []float64{0.05, 0.25, 0.5, 0.75, 1},
+		Trickle:     0.02,
+		Warm:        10 * time.Second,
+		Hold:        20 * time.Second,
+		Samples:     30,
+		Floor:       0.9,
+		FirstToken:  1.25,
+		Pace:        1.15,
+		Errors:      0.01,
+		Stall:       5 * time.Second,
+		Alarm:       10000,
+		OnWorse:     Return,
+		ReturnSteps: 3,
+		ReturnEvery: 2 * time.Second,
+		ColdShare:   0.13,
+		WarmUp:      20 * time.Second,
+		FallFactor:  4,
+	}
 }
 
-// PlanError is a plan's wrong key.
-type PlanError struct{ Key, Reason string }
+// PlanError tells which key of a plan is wrong.
+type PlanError struct {
+	Key    string
+	Reason string
+}
 
 // Error implements error.
-func (f *PlanError) Error() string { return f.Key + ": " + f.Reason }
+func (e *PlanError) Error() string { return e.Key + ": " + e.Reason }
+
+func planError(key, format string, args ...any) error {
+	return &PlanError{Key: key, Reason: fmt.Sprintf(format, args...)}
+}
 
-// Check finds the first key of a plan that cannot be carried out. Its errors are *Fault.
+// Check returns a *PlanError for the first key of the plan that cannot be carried out.
 func (p Plan) Check() error {
-	fault := func(key, form string, args ...any) error { return &PlanError{key, fmt.Sprintf(form, args...)} }
-	between := func(v, least, most float64) bool { return v >= least && v <= most } // false for NaN
-	switch {
-	case p.From == p.To && p.From != "":
-		return fault("to", "%q is the pool that traffic is to leave", p.To)
-	case len(p.Steps) == 0 || len(p.Steps) > 100:
-		return fault("steps", "%d steps are not from 1 to 100", len(p.Steps))
-	}
-	for i, s := range p.Steps {
-		if !between(s, 0, 1) || s == 0 {
-			return fault(fmt.Sprintf("steps[%d]", i), "%g is no share above 0 and up to 1", s)
-		}
-		if i > 0 && s <= p.Steps[i-1] {
-			return fault(fmt.Sprintf("steps[%d]", i), "%g is not more than the step before", s)
-		}
-	}
-	switch {
-	case !between(p.Trickle, 0, p.Steps[0]):
-		return fault("trickle", "%g is not from 0 to the first step", p.Trickle)
-	case p.Trickle == 0:
-		return fault("trickle", "0 leaves the new pool without requests to warm up with")
-	case !between(p.Floor, 0.01, 1):
-		return fault("floor", "%g is not from 0.01 to 1", p.Floor)
-	case !between(p.FirstToken, 1, 100):
-		return fault("first_token", "%g is not from 1 to 100", p.FirstToken)
-	case !between(p.Pace, 1, 100):
-		return fault("pace", "%g is not from 1 to 100", p.Pace)
-	case !between(p.Errors, 0.0001, 0.5):
-		return fault("errors", "%g is not from 0.0001 to 0.5", p.Errors)
-	case !between(p.Alarm, 100, 1e9):
-		return fault("alarm", "%g is not from 100 to 1e9 windows", p.Alarm)
-	case p.Samples < 1 || p.Samples > 1e6:
-		return fault("samples", "%d is not from 1 to 1000000", p.Samples)
-	case p.OnWorse != Return && p.OnWorse != Stay:
-		return fault("on_worse", "%q is neither %q nor %q", p.OnWorse, Return, Stay)
-	case p.ReturnSteps < 1 || p.ReturnSteps > 100:
-		return fault("return_steps", "%d is not from 1 to 100", p.ReturnSteps)
-	case !between(p.ColdShare, 0, 1):
-		return fault("cold_share", "%g is not from 0 to 1", p.ColdShare)
-	case !between(p.FallFactor, 0.1, 100):
-		return fault("fall_factor", "%g is not from 0.1 to 100", p.FallFactor)
-	}
-	for _, s := range []struct {
-		key         string
-		span, least time.Duration
-	}{{"hold", p.Hold, 2 * WindowTime}, {"warm", p.Warm, 0}, {"stall", p.Stall, 0}, {"return_every", p.ReturnEvery, WindowTime},
-		{"warm_up", p.WarmUp, 0}} {
-		if s.span < s.least || s.span > time.Hour {
-			return fault(s.key, "%v is not from %v to 1h", s.span, s.least)
+	for _, check := range []func() error{p.checkSteps, p.checkAnalysis, p.checkReturn, p.checkDurations} {
+		if err := check(); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// MinimumDuration is how long a move takes that nothing holds up.
-func (p Plan) MinimumDuration() time.Duration {
-	return p.Warm + time.Duration(len(p.Steps))*(p.Hold+2*WindowTime)
-}
-
-func windowCount(span time.Duration) int { return int(math.Ceil(float64(span) / float64(WindowTime))) }
+// between is false for a value that is not a number.
+func between(value, minimum, maximum float64) bool { return value >= minimum && value <= maximum }
 
-// Health is what is known of a pool's boxes.
-type Health struct {
-	Backends     int     `json:"boxes"` // listed, draining ones included
-	Ready        int     `json:"ready"`
-	Capacity     float64 `json:"size"` // of the ready ones together
-	WarmCapacity float64 `json:"able"` // likewise, each counted by the part of its capacity that it has by now
-}
-
-// WarmFraction is the part of a box's capacity that it has, a time after its start.
-func (p Plan) WarmFraction(age time.Duration) float64 {
-	if p.WarmUp <= 0 || age >= p.WarmUp {
-		return 1
+func (p Plan) checkSteps() error {
+	if p.From == p.To && p.From != "" {
+		return planError("to", "%q is the pool that traffic is to leave", p.To)
 	}
-	return p.ColdShare + (1-p.ColdShare)*max(0, float64(age)/float64(p.WarmUp))
-}
-
-// warmThreshold is the part of its capacity from which a pool counts as warm: it is then no longer capped.
-const warmThreshold = 0.9
-
-// coldBudgetFraction is the part of rule 4's allowance that a move grants a cold pool, all nodes together; the modules grant
-// their own starting boxes as much (coldMargin in router.go).
-const coldBudgetFraction = 0.4
-
-// maximumShare is the greatest share of From's flows that To can take now. What a box can do is not told; what the boxes of
-// the old pool carry by their size is the guide, and a cold box is taken to do its warm part of that. Never more than
-// it can do, and less where it would fall over from less than that.
-func (p Plan) maximumShare(from, to Health, fromSize float64) float64 {
-	if to.Capacity <= 0 {
-		return 0
+	if len(p.Steps) == 0 || len(p.Steps) > maxSteps {
+		return planError("steps", "%d steps are not from 1 to 100", len(p.Steps))
 	}
-	if to.WarmCapacity >= warmThreshold*to.Capacity {
-		return 1
+	for i, step := range p.Steps {
+		if !between(step, 0, 1) || step == 0 {
+			return planError(fmt.Sprintf("steps[%d]", i), "%g is no share above 0 and up to 1", step)
+		}
+		if i > 0 && step <= p.Steps[i-1] {
+			return planError(fmt.Sprintf("steps[%d]", i), "%g is not more than the step before", step)
+		}
 	}
-	return min(1, min(1, coldBudgetFraction*p.FallFactor)*to.WarmCapacity/max(from.Capacity, fromSize, 1e-9))
-}
-
-// Sample is an answer served whole, as it is compared with those of the other pool.
-type Sample struct {
-	Class          int     `json:"c"`
-	Kind           int     `json:"k"`
-	UncachedTokens float64 `json:"u"` // prompt tokens that the box had to read
-	Load           float64 `json:"l"` // share of its slots in use
-	FirstToken     float64 `json:"f"` // seconds to the first token
-	TokenGap       float64 `json:"g"` // seconds a token after that; 0: not known
+	if !between(p.Trickle, 0, p.Steps[0]) {
+		return planError("trickle", "%g is not from 0 to the first step", p.Trickle)
+	}
+	if p.Trickle == 0 {
+		return planError("trickle", "0 leaves the new pool without requests to warm up with")
+	}
+	return nil
 }
 
-// MaxSamples bounds the samples of one pool in one window.
-const MaxSamples = 64
-
-// PoolWindow is one pool in one window. Flows count for the pool that they were assigned to, attempts for the pool that the
-// box is in.
-type PoolWindow struct {
-	Requests      int      `json:"flows"` // ended
-	OfferedWeight float64  `json:"asked"` // worth of those
-	OnTimeWeight  float64  `json:"in_time"`
-	Rejected      int      `json:"refused"`  // flows turned down, or failed without a box
-	Overflowed    int      `json:"fallen"`   // flows that went to another pool, nothing being fit in theirs
-	Attempts      int      `json:"attempts"` // ended, those called off left out
-	Errors        int      `json:"errors"`   // of them
-	Samples       []Sample `json:"samples,omitempty"`
-	Health        Health   `json:"health"`
+func (p Plan) checkAnalysis() error {
+	switch {
+	case !between(p.Floor, minFloor, 1):
+		return planError("floor", "%g is not from 0.01 to 1", p.Floor)
+	case !between(p.FirstToken, 1, maxFactor):
+		return planError("first_token", "%g is not from 1 to 100", p.FirstToken)
+	case !between(p.Pace, 1, maxFactor):
+		return planError("pace", "%g is not from 1 to 100", p.Pace)
+	case !between(p.Errors, minErrors, maxErrors):
+		return planError("errors", "%g is not from 0.0001 to 0.5", p.Errors)
+	case !between(p.Alarm, minAlarm, maxAlarm):
+		return planError("alarm", "%g is not from 100 to 1e9 windows", p.Alarm)
+	case p.Samples < 1 || p.Samples > maxPlanSamples:
+		return planError("samples", "%d is not from 1 to 1000000", p.Samples)
+	}
+	return nil
 }
 
-// Add joins what another node saw in the same window.
-func (s PoolWindow) Add(o PoolWindow) PoolWindow {
-	s.Requests += o.Requests
-	s.OfferedWeight += o.OfferedWeight
-	s.OnTimeWeight += o.OnTimeWeight
-	s.Rejected += o.Rejected
-	s.Overflowed += o.Overflowed
-	s.Attempts += o.Attempts
-	s.Errors += o.Errors
-	s.Samples = append(slices.Clip(s.Samples), o.Samples...)
-	s.Health = s.Health.merge(o.Health)
-	return s
+func (p Plan) checkReturn() error {
+	switch {
+	case p.OnWorse != Return && p.OnWorse != Stay:
+		return planError("on_worse", "%q is neither %q nor %q", p.OnWorse, Return, Stay)
+	case p.ReturnSteps < 1 || p.ReturnSteps > maxSteps:
+		return planError("return_steps", "%d is not from 1 to 100", p.ReturnSteps)
+	case !between(p.ColdShare, 0, 1):
+		return planError("cold_share", "%g is not from 0 to 1", p.ColdShare)
+	case !between(p.FallFactor, minFallFactor, maxFactor):
+		return planError("fall_factor", "%g is not from 0.1 to 100", p.FallFactor)
+	}
+	return nil
 }
 
-// merge makes one view of two nodes'. A node that has lost sight of a pool does not speak for the others, who see it;
-// of how warm its boxes are the colder view holds.
-func (h Health) merge(o Health) Health {
-	if o.Capacity == 0 || h.Capacity == 0 {
-		if h.Capacity == 0 {
-			o.Backends = max(h.Backends, o.Backends)
-			return o
+func (p Plan) checkDurations() error {
+	for _, duration := range []struct {
+		key     string
+		value   time.Duration
+		minimum time.Duration
+	}{
+		{"hold", p.Hold, minHold},
+		{"warm", p.Warm, 0},
+		{"stall", p.Stall, 0},
+		{"return_every", p.ReturnEvery, WindowTime},
+		{"warm_up", p.WarmUp, 0},
+	} {
+		if duration.value < duration.minimum || duration.value > maxSpan {
+			return planError(duration.key, "%v is not from %v to 1h", duration.value, duration.minimum)
 		}
-		h.Backends = max(h.Backends, o.Backends)
-		return h
 	}
-	warm := min(h.WarmCapacity/h.Capacity, o.WarmCapacity/o.Capacity)
-	size := max(h.Capacity, o.Capacity)
-	return Health{max(h.Backends, o.Backends), max(h.Ready, o.Ready), size, warm * size}
+	return nil
+}
+
+// MinimumDuration is how long a migration takes if nothing delays it.
+func (p Plan) MinimumDuration() time.Duration {
+	return p.Warm + time.Duration(len(p.Steps))*(p.Hold+2*WindowTime)
 }
 
-// Window is what all live nodes saw in one window.
-type Window struct {
-	From, To PoolWindow
-	Nodes    int
-	Lagging  []string // live nodes that have not taken the shares in force
+// windowCount is the number of windows that cover a span.
+func windowCount(span time.Duration) int {
+	return int(math.Ceil(float64(span) / float64(WindowTime)))
 }
