--- a/internal/fleet/counter/counter.go
+++ b/internal/fleet/counter/counter.go
@@ -1,42 +1,36 @@
-// Package tally is counts that a fleet's nodes keep together: each life of a node counts what it did itself, everybody passes on
-// what it has heard, and a reading says between which bounds the sum lies. It is pure: time is passed in.
+// Package counter keeps counts that the nodes of a fleet add to together. Each incarnation of a node counts what it
+// did itself, every node forwards the snapshots that it has received, and a reading gives the bounds between which
+// the sum lies. It is pure: the time is an argument.
 //
-// A life's counts only grow, and are replaced by later ones of the same life; so what is told twice, late or out of order, and
-// what a node that was started anew told before, counts once.
+// The counts of an incarnation only grow, and a snapshot is replaced by later ones of the same incarnation, as in a
+// grow-only counter (G-counter). So a snapshot that is received twice, late or out of order counts once, as does
+// what a node did before it was restarted.
 package counter
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 
 	"standpoint/internal/fleet/invariant"
 	"standpoint/internal/fleet/quota"
 )
 
-// MaxIncarnations is how many lives of a seat are kept apart; earlier ones are added up.
+// MaxIncarnations is how many incarnations of a slot are kept apart. The counts of earlier ones are summed up.
 const MaxIncarnations = 4
 
-// Snapshot is one life's counts, as it told them at a time of its own clock.
+// Snapshot is the counts of one incarnation at a time of its own clock, in Unix nanoseconds.
 type Snapshot struct {
 	Owner  quota.Owner `cbor:"1,keyasint"`
 	At     int64       `cbor:"2,keyasint"`
 	Counts []int64     `cbor:"3,keyasint"`
 }
 
-// slotState is what is known of a seat: its latest lives, the newest first, and those before them added up. Lives up to past are
-// in there; what is told of them any more changes nothing.
-type slotState struct {
-	incarnations  []Snapshot
-	mergedThrough uint64
-	sums          []int64
-	heard         int64 // by this node's clock, when news of the seat came last
-}
-
-// Table is what one node knows of all counts.
+// Table is what one node knows of all counts. A count is named by its key, an index. It is not safe for concurrent use.
 type Table struct {
-	MaxRates   []int64 // by key: what a life can add in a second, as configured; what is not heard lies between 0 and that
-	ClockError int64   // of clocks
+	// MaxRates is what an incarnation adds to each count in a second at the most, as configured. What it has added
+	// since its last snapshot lies between 0 and that.
+	MaxRates   []int64
+	ClockError int64 // nanoseconds by which two clocks may differ
 	Invariants *invariant.Monitor
 
 	own       Snapshot
@@ -44,155 +38,124 @@
 	startedAt int64
 }
 
-// New makes the table of a life that begins now.
-func New(seats int, most []int64, own quota.Owner, clockError, now int64, g *invariant.Monitor) *Table {
-	return &Table{MaxRates: most, ClockError: clockError, Invariants: g, own: Snapshot{Owner: own, Counts: make([]int64, len(most))}, slots: make([]slotState, seats), startedAt: now}
+// slotState is what is known of a member slot.
+type slotState struct {
+	incarnations []Snapshot // the latest ones, the newest first
+	// mergedThrough is the last incarnation that is summed up in mergedCounts. Snapshots of it, or of one before
+	// it, change nothing any more.
+	mergedThrough uint64
+	mergedCounts  []int64 // nil: none
 }
 
-// Add counts something that this node did.
-func (t *Table) Add(key int, n int64) {
-	if key >= 0 && key < len(t.own.Counts) && n > 0 {
-		t.own.Counts[key] += n
+// New returns the table of an incarnation that begins now, in Unix nanoseconds.
+func New(slots int, maxRates []int64, owner quota.Owner, clockError, now int64, monitor *invariant.Monitor) *Table {
+	return &Table{
+		MaxRates:   maxRates,
+		ClockError: clockError,
+		Invariants: monitor,
+		own:        Snapshot{Owner: owner, Counts: make([]int64, len(maxRates))},
+		slots:      make([]slotState, slots),
+		startedAt:  now,
 	}
 }
 
-// OwnSnapshot is this life's row, to be passed on.
+// Add adds to one of this node's own counts. Keys that do not exist and amounts that are not positive are ignored.
+func (t *Table) Add(key int, amount int64) {
+	if key >= 0 && key < len(t.own.Counts) && amount > 0 {
+		t.own.Counts[key] += amount
+	}
+}
+
+// OwnSnapshot returns the counts of this incarnation, to be sent to others.
 func (t *Table) OwnSnapshot(now int64) Snapshot {
-	r := t.own
-	r.At, r.Counts = now, slices.Clone(r.Counts)
-	return r
+	return Snapshot{Owner: t.own.Owner, At: now, Counts: slices.Clone(t.own.Counts)}
 }
 
-// Merge takes in a row. It tells whether it was news: of a life that is not over and done with, and later than what is known.
-func (t *Table) Merge(r Snapshot, now int64) bool {
-	if r.Owner.Slot < 0 || r.Owner.Slot >= len(t.slots) || r.Owner == t.own.Owner || len(r.Counts) != len(t.MaxRates) || r.At > now+t.ClockError {
-		return false
-	}
-	if slices.ContainsFunc(r.Counts, func(n int64) bool { return n < 0 || n > quota.MaxAmount }) {
+// Merge takes in a snapshot. It reports whether that was news: well-formed, of an incarnation that is still kept
+// apart, and later than what is known of it.
+func (t *Table) Merge(snapshot Snapshot, now int64) bool {
+	if !t.wellFormed(snapshot, now) {
 		return false
 	}
-	s := &t.slots[r.Owner.Slot]
-	if r.Owner.Incarnation <= s.mergedThrough {
+	slot := &t.slots[snapshot.Owner.Slot]
+	incarnation := snapshot.Owner.Incarnation
+	if incarnation <= slot.mergedThrough {
 		return false
 	}
-	i, known := slices.BinarySearchFunc(s.incarnations, r.Owner.Incarnation, func(a Snapshot, inc uint64) int { return -cmp.Compare(a.Owner.Incarnation, inc) })
-	if known {
-		if r.At <= s.incarnations[i].At {
-			return false
-		}
-		for k, n := range s.incarnations[i].Counts {
-			if r.Counts[k] < n { // a life's counts do not fall: this is none of its rows
-				return false
-			}
-		}
-		s.incarnations[i] = r
-	} else {
-		s.incarnations = slices.Insert(s.incarnations, i, r)
+	position, known := slices.BinarySearchFunc(slot.incarnations, incarnation, func(s Snapshot, target uint64) int {
+		return -cmp.Compare(s.Owner.Incarnation, target)
+	})
+	if !known {
+		slot.incarnations = slices.Insert(slot.incarnations, position, snapshot)
+		slot.mergeOldest()
+		return true
 	}
-	if i == 0 {
-		s.heard = now
-	}
-	for len(s.incarnations) > MaxIncarnations {
-		last := s.incarnations[len(s.incarnations)-1]
-		if s.sums == nil {
-			s.sums = make([]int64, len(t.MaxRates))
-		}
-		for k, n := range last.Counts {
-			s.sums[k] += n
-		}
-		s.mergedThrough, s.incarnations = last.Owner.Incarnation, s.incarnations[:len(s.incarnations)-1]
+	if !snapshot.follows(slot.incarnations[position]) {
+		return false
 	}
+	slot.incarnations[position] = snapshot
 	return true
 }
 
-// Age is how old the newest row of a seat is, by this node's clock; false: there is none.
-func (t *Table) Age(seat int, now int64) (int64, bool) {
-	if seat == t.own.Owner.Slot {
-		return 0, true
+// wellFormed tells whether a snapshot is one that another node of this fleet can have taken by now.
+func (t *Table) wellFormed(snapshot Snapshot, now int64) bool {
+	slot := snapshot.Owner.Slot
+	if slot < 0 || slot >= len(t.slots) || snapshot.Owner == t.own.Owner {
+		return false
 	}
-	s := &t.slots[seat]
-	if len(s.incarnations) == 0 {
-		return 0, false
+	if len(snapshot.Counts) != len(t.MaxRates) || snapshot.At > now+t.ClockError {
+		return false
 	}
-	return max(0, now-s.incarnations[0].At), true
+	return !slices.ContainsFunc(snapshot.Counts, func(count int64) bool { return count < 0 || count > quota.MaxAmount })
 }
 
-// Latest is the newest row of a seat; false: there is none.
-func (t *Table) Latest(seat int) (Snapshot, bool) {
-	if s := &t.slots[seat]; len(s.incarnations) > 0 {
-		return s.incarnations[0], true
+// follows tells whether a snapshot was taken after another of the same incarnation. Counts do not fall: one with a
+// lower count is not of this incarnation at all.
+func (s Snapshot) follows(known Snapshot) bool {
+	if s.At <= known.At {
+		return false
 	}
-	return Snapshot{}, false
-}
-
-// Reading is a sum over the fleet. The true one was between Lower and Upper; Upper has all that seats can have added since they
-// were last heard, and those that never were since this node began.
-type Reading struct {
-	Lower      int64 `json:"lower"`
-	Upper      int64 `json:"upper"`
-	Age        int64 `json:"age"`    // nanoseconds: of the oldest row in it
-	Reported   int   `json:"heard"`  // seats whose rows are in it
-	Unreported int   `json:"silent"` // those that were never heard
+	for key, count := range known.Counts {
+		if s.Counts[key] < count {
+			return false
+		}
+	}
+	return true
 }
 
-// Read sums a count up.
-func (t *Table) Read(key int, now int64) Reading {
-	var r Reading
-	if key < 0 || key >= len(t.MaxRates) {
-		return r
-	}
-	add := func(n int64) { r.Lower, r.Upper = r.Lower+n, r.Upper+n }
-	widen := func(age int64) {
-		r.Upper += int64(float64(age+2*t.ClockError) / 1e9 * float64(t.MaxRates[key]))
-		r.Age = max(r.Age, age)
-	}
-	for i := range t.slots {
-		s := &t.slots[i]
-		if i == t.own.Owner.Slot {
-			add(t.own.Counts[key])
-			r.Reported++
-		}
-		if s.sums != nil {
-			add(s.sums[key])
-		}
-		for _, l := range s.incarnations {
-			add(l.Counts[key])
+// mergeOldest sums up the oldest incarnations where there are more than MaxIncarnations.
+func (s *slotState) mergeOldest() {
+	for len(s.incarnations) > MaxIncarnations {
+		last := len(s.incarnations) - 1
+		oldest := s.incarnations[last]
+		if s.mergedCounts == nil {
+			s.mergedCounts = make([]int64, len(oldest.Counts))
 		}
-		switch {
-		case i == t.own.Owner.Slot:
-		case len(s.incarnations) > 0:
-			r.Reported++
-			widen(max(0, now-s.incarnations[0].At))
-		default:
-			r.Unreported++
-			widen(max(0, now-t.startedAt))
+		for key, count := range oldest.Counts {
+			s.mergedCounts[key] += count
 		}
+		s.mergedThrough = oldest.Owner.Incarnation
+		s.incarnations = s.incarnations[:last]
+	}
+}
+
+// Age returns how old the latest snapshot of a slot is, in nanoseconds by this node's clock. False: there is none.
+func (t *Table) Age(slot int, now int64) (int64, bool) {
+	if slot == t.own.Owner.Slot {
+		return 0, true
 	}
-	if r.Lower > r.Upper || r.Lower < 0 {
-		t.Invariants.Violated(invariant.CounterBounds, fmt.Sprintf("key %d: from %d to %d", key, r.Lower, r.Upper))
+	latest, ok := t.Latest(slot)
+	if !ok {
+		return 0, false
 	}
-	return r
+	return max(0, now-latest.At), true
 }
 
-// LiveMembers is how many nodes are up: at least those heard within so long, at most all but those that have never been heard.
-func (t *Table) LiveMembers(now, within int64) Reading {
-	r := Reading{Lower: 1, Upper: 1, Reported: 1}
-	for i := range t.slots {
-		if i == t.own.Owner.Slot {
-			continue
-		}
-		age, heard := t.Age(i, now)
-		if !heard {
-			r.Unreported++
-			r.Upper++
-			continue
-		}
-		r.Reported++
-		r.Upper++
-		if age <= within {
-			r.Lower++
-			r.Age = max(r.Age, age)
-		}
+// Latest returns the snapshot of the latest incarnation in another node's slot. False: there is none.
+func (t *Table) Latest(slot int) (Snapshot, bool) {
+	known := t.slots[slot].incarnations
+	if len(known) == 0 {
+		return Snapshot{}, false
 	}
-	return r
+	return known[0], true
 }
--- a/internal/fleet/counter/counter_test.go
+++ b/internal/fleet/counter/counter_test.go
@@ -13,77 +13,120 @@
 
 const second = int64(time.Second)
 
-// A restart, a node replaced under the same seat, a message told twice, late or out of order: nothing counts twice, and the true
-// sum lies within the bounds, wider the longer nothing is heard.
+const (
+	slots      = 4
+	clockError = second / 4
+)
+
+var maxRates = []int64{50, 1}
+
+// simulation is nodes that count, and a reader that is up throughout and receives their snapshots in any order.
+type simulation struct {
+	monitor      *invariant.Monitor
+	now          int64
+	incarnations []uint64 // by slot
+	nodes        []*Table // by slot; that of the reader is not used
+	reader       *Table
+	snapshots    []Snapshot // that were sent
+	total        int64      // that was counted under key 0
+}
+
+func newSimulation() *simulation {
+	s := &simulation{
+		monitor:      &invariant.Monitor{},
+		now:          1000 * second,
+		incarnations: make([]uint64, slots),
+		nodes:        make([]*Table, slots),
+	}
+	for slot := range s.nodes {
+		s.start(slot)
+	}
+	s.reader = New(slots, maxRates, quota.Owner{Slot: 0, Incarnation: 1000}, clockError, s.now, s.monitor)
+	return s
+}
+
+func (s *simulation) start(slot int) {
+	s.incarnations[slot]++
+	owner := quota.Owner{Slot: slot, Incarnation: s.incarnations[slot]}
+	s.nodes[slot] = New(slots, maxRates, owner, clockError, s.now, s.monitor)
+}
+
+// advance moves on. Nobody adds faster than its stated rate, over any time.
+func (s *simulation) advance(t *rapid.T) {
+	by := rapid.Int64Range(0, second).Draw(t, "by")
+	s.now += by
+	maxAmount := int64(float64(by) / 1e9 * float64(maxRates[0]))
+	for slot := 1; slot < slots; slot++ {
+		amount := rapid.Int64Range(0, maxAmount).Draw(t, "amount")
+		s.nodes[slot].Add(0, amount)
+		s.total += amount
+	}
+}
+
+func (s *simulation) send(t *rapid.T) {
+	node := s.nodes[rapid.IntRange(1, slots-1).Draw(t, "node")]
+	at := s.now + rapid.Int64Range(-clockError, clockError).Draw(t, "clock offset")
+	s.snapshots = append(s.snapshots, node.OwnSnapshot(at))
+}
+
+// receive hands the reader any of the snapshots. It is called any number of times.
+func (s *simulation) receive(t *rapid.T) {
+	if len(s.snapshots) > 0 {
+		i := rapid.IntRange(0, len(s.snapshots)-1).Draw(t, "snapshot")
+		s.reader.Merge(s.snapshots[i], s.now)
+	}
+}
+
+// restart restarts a node. Its last snapshot is received first: what an incarnation did after that is not known to
+// anybody.
+func (s *simulation) restart(t *rapid.T) {
+	slot := rapid.IntRange(1, slots-1).Draw(t, "node")
+	s.now += 2 * clockError
+	s.reader.Merge(s.nodes[slot].OwnSnapshot(s.now), s.now)
+	s.start(slot)
+}
+
+func (s *simulation) check(t *rapid.T) {
+	reading := s.reader.Read(0, s.now)
+	if reading.Lower > s.total || s.total > reading.Upper || len(s.monitor.Violations()) > 0 {
+		t.Fatalf("%d counted, read as %d to %d", s.total, reading.Lower, reading.Upper)
+	}
+	for slot := range s.reader.slots {
+		if len(s.reader.slots[slot].incarnations) > MaxIncarnations {
+			t.Fatal("too many incarnations are kept")
+		}
+	}
+}
+
+// A restart, a node replaced in the same slot, a snapshot received twice, late or out of order: nothing counts twice, and
+// the true sum lies within the bounds, wider the longer nothing is received.
 func TestReadingBoundsTheTrueSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const seats, clockError = 4, second / 4
-		g := &invariant.Monitor{}
-		most := []int64{50, 1}
-		now := 1000 * second
-		inc := make([]uint64, seats)
-		start := func(i int) *Table {
-			inc[i]++
-			return New(seats, most, quota.Owner{Slot: i, Incarnation: inc[i]}, clockError, now, g)
-		}
-		nodes := make([]*Table, seats)
-		for i := range nodes {
-			nodes[i] = start(i)
-		}
-		reader := New(seats, most, quota.Owner{Slot: 0, Incarnation: 1000}, clockError, now, g) // it lives throughout
-		var mail []Snapshot
-		total := int64(0)
+		s := newSimulation()
 		t.Repeat(map[string]func(*rapid.T){
-			"advance": func(t *rapid.T) {
-				by := rapid.Int64Range(0, second).Draw(t, "by")
-				now += by
-				// Nobody adds faster than its stated rate, over any time.
-				for i := 1; i < seats; i++ {
-					n := rapid.Int64Range(0, int64(float64(by)/1e9*float64(most[0]))).Draw(t, "n")
-					nodes[i].Add(0, n)
-					total += n
-				}
-			},
-			"tell": func(t *rapid.T) {
-				mail = append(mail, nodes[rapid.IntRange(1, seats-1).Draw(t, "node")].OwnSnapshot(now+rapid.Int64Range(-clockError, clockError).Draw(t, "off")))
-			},
-			"hear": func(t *rapid.T) {
-				if len(mail) > 0 {
-					reader.Merge(mail[rapid.IntRange(0, len(mail)-1).Draw(t, "row")], now) // any of them, any number of times
-				}
-			},
-			"restart": func(t *rapid.T) {
-				// Its last row is heard first: what a life that ended unheard did is not known to anybody.
-				i := rapid.IntRange(1, seats-1).Draw(t, "node")
-				now += 2 * clockError
-				reader.Merge(nodes[i].OwnSnapshot(now), now)
-				nodes[i] = start(i)
-			},
-			"": func(t *rapid.T) {
-				r := reader.Read(0, now)
-				if r.Lower > total || total > r.Upper || len(g.Violations()) > 0 {
-					t.Fatalf("%d counted, read as %d to %d", total, r.Lower, r.Upper)
-				}
-				for i := range reader.slots {
-					if len(reader.slots[i].incarnations) > MaxIncarnations {
-						t.Fatal("too many lives are kept")
-					}
-				}
-			},
+			"advance": s.advance,
+			"send":    s.send,
+			"receive": s.receive,
+			"restart": s.restart,
+			"":        s.check,
 		})
 	})
 }
 
 // Who is up, as far as known: a node that fell silent may be up or not.
 func TestLiveMembersAndStaleSnapshots(t *testing.T) {
-	a := New(3, []int64{1}, quota.Owner{Slot: 0, Incarnation: 1}, 0, 0, nil)
-	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 1, Unreported: 2}, a.LiveMembers(second, 3*second))
-	require.True(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: second, Counts: []int64{5}}, second))
-	require.Equal(t, Reading{Lower: 2, Upper: 3, Age: second, Reported: 2, Unreported: 1}, a.LiveMembers(2*second, 3*second))
-	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 2, Unreported: 1}, a.LiveMembers(9*second, 3*second))
-	require.False(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: 2 * second, Counts: []int64{4}}, 2*second), "counts that fall")
-	require.False(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: second / 2, Counts: []int64{5}}, 2*second), "older news")
-	age, _ := a.Age(1, 2*second)
+	table := New(3, []int64{1}, quota.Owner{Slot: 0, Incarnation: 1}, 0, 0, nil)
+	merge := func(at, count, now int64) bool {
+		return table.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: at, Counts: []int64{count}}, now)
+	}
+	live := func(now int64) Reading { return table.LiveMembers(now, 3*second) }
+	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 1, Unreported: 2}, live(second))
+	require.True(t, merge(second, 5, second))
+	require.Equal(t, Reading{Lower: 2, Upper: 3, Age: second, Reported: 2, Unreported: 1}, live(2*second))
+	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 2, Unreported: 1}, live(9*second))
+	require.False(t, merge(2*second, 4, 2*second), "counts that fall")
+	require.False(t, merge(second/2, 5, 2*second), "an older snapshot")
+	age, _ := table.Age(1, 2*second)
 	require.Equal(t, second, age)
-	require.False(t, a.Merge(Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 1}, At: 90 * second, Counts: []int64{6}}, 2*second), "told from the time to come")
+	require.False(t, merge(90*second, 6, 2*second), "a snapshot from the future")
 }
--- a/internal/fleet/counter/golden_test.go
+++ b/internal/fleet/counter/golden_test.go
@@ -12,7 +12,8 @@
 )
 
 func TestGoldenRow(t *testing.T) {
-	golden.RoundTrip(t, "row.cbor", Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 2}, At: 3, Counts: []int64{4, 5, 6}},
+	snapshot := Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 2}, At: 3, Counts: []int64{4, 5, 6}}
+	golden.RoundTrip(t, "row.cbor", snapshot,
 		func(v Snapshot) ([]byte, error) { return cbor.Marshal(v) },
 		func(b []byte) (v Snapshot, err error) { return v, cbor.Unmarshal(b, &v) })
 }
