--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -1,5 +1,5 @@
-// Package mode says, for one node, how it stands to the others of its fleet: by one table of named modes. It is pure: time
-// is passed in, and nothing is drawn here.
+// Package connectivity tells, for one node, how it is connected to the other nodes of its fleet. It is a pure state
+// machine with one table of transitions: the time is an argument, and nothing is random.
 package connectivity
 
 import (
@@ -10,24 +10,33 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// State is how a node stands to the others.
+// State is how a node is connected to the others.
 type State uint8
 
+// The states.
 const (
-	Joining    State = iota // it has started and has not heard most of the others yet
+	Joining    State = iota // it has started, and has not heard a majority yet
 	Standalone              // no other node is configured
-	Majority                // it hears most of the fleet, itself included
-	Minority                // it hears some others, and not most
+	Majority                // it hears a majority of the fleet, itself included
+	Minority                // it hears some others, but no majority
 	Isolated                // it hears nobody
-	Recovering              // it hears most again, and does its part of everything by and by
+	Recovering              // it hears a majority again, and ramps up to its usual rate
 )
 
-var stateNames = [...]string{"joining", "alone", "together", "cut off with others", "hearing nothing", "healing"}
+// stateNames are read by operators, and must not change.
+var stateNames = [...]string{
+	Joining:    "joining",
+	Standalone: "alone",
+	Majority:   "together",
+	Minority:   "cut off with others",
+	Isolated:   "hearing nothing",
+	Recovering: "healing",
+}
 
 // String implements fmt.Stringer.
-func (m State) String() string { return stateNames[m] }
+func (s State) String() string { return stateNames[s] }
 
-// predecessors is the table: from which modes each may be entered.
+// predecessors is the table of transitions: the states from which each may be entered.
 var predecessors = [...][]State{
 	Joining:    {},
 	Standalone: {Joining},
@@ -37,73 +46,83 @@
 	Recovering: {Minority, Isolated},
 }
 
-// Timing are the spans of the machine.
+// Timing configures a Machine.
 type Timing struct {
-	JoinTimeout  time.Duration // for which a node that has started looks for the others
-	SettleTime   time.Duration // for which what is heard must have changed before the mode does: hysteresis
-	RecoveryRamp time.Duration // over which a node that hears most again returns to its usual pace
+	JoinTimeout  time.Duration // for which a node that has started waits for a majority
+	SettleTime   time.Duration // for which what is heard must have changed before the state does: hysteresis
+	RecoveryRamp time.Duration // over which a node that hears a majority again returns to its usual rate
 }
 
-// Machine is one node's mode.
+// Machine is the state machine of one node. Times are Unix nanoseconds. It is not safe for concurrent use.
 type Machine struct {
 	Timing
 	Invariants *invariant.Monitor
 
 	state       State
-	since       int64 // when it was entered; Unix nanoseconds, as all times here
-	target      State // what is heard speaks for this one
+	since       int64
+	target      State // that what is heard now speaks for
 	targetSince int64
 }
 
-// New makes the machine of a node that starts now.
-func New(l Timing, now int64, g *invariant.Monitor) *Machine {
-	return &Machine{Timing: l, Invariants: g, since: now, targetSince: now}
+// New returns the machine of a node that starts now, in Joining.
+func New(timing Timing, now int64, monitor *invariant.Monitor) *Machine {
+	return &Machine{Timing: timing, Invariants: monitor, since: now, targetSince: now}
 }
 
-// Current is the mode, and since when it holds.
-func (m *Machine) Current() (State, int64) { return m.state, m.since }
+// Current returns the state, and since when it holds.
+func (m *Machine) Current() (state State, since int64) { return m.state, m.since }
 
-// Update takes in how many of the other seats of the fleet are heard now, and how many there are. It tells whether the mode
-// has changed.
+// Update takes in how many of the other member slots are heard now, of so many. It reports whether the state has
+// changed.
 func (m *Machine) Update(now int64, heard, others int) bool {
 	now = max(now, m.since)
-	wish := Isolated
+	if target := stateFor(heard, others); target != m.target {
+		m.target = target
+		m.targetSince = now
+	}
+	return m.transition(now, m.next(now))
+}
+
+// stateFor is the state that a number of slots that are heard speaks for, apart from any history.
+func stateFor(heard, others int) State {
 	switch {
 	case others == 0:
-		wish = Standalone
+		return Standalone
 	case 2*(heard+1) > others+1:
-		wish = Majority
+		return Majority
 	case heard > 0:
-		wish = Minority
-	}
-	if wish != m.target {
-		m.target, m.targetSince = wish, now
+		return Minority
 	}
+	return Isolated
+}
+
+// next is the state that follows from the target and the time.
+func (m *Machine) next(now int64) State {
 	settled := now-m.targetSince >= int64(m.SettleTime)
-	next := m.state
 	switch m.state {
 	case Joining:
-		if wish == Standalone || wish == Majority || now-m.since >= int64(m.JoinTimeout) {
-			next = wish
+		if m.target == Standalone || m.target == Majority || now-m.since >= int64(m.JoinTimeout) {
+			return m.target
 		}
 	case Majority, Minority, Isolated:
-		if settled && wish != m.state {
-			next = wish
-			if wish == Majority {
-				next = Recovering
+		if settled && m.target != m.state {
+			if m.target == Majority {
+				return Recovering
 			}
+			return m.target
 		}
 	case Recovering:
-		switch {
-		case wish != Majority && settled:
-			next = wish
-		case wish == Majority && now-m.since >= int64(m.RecoveryRamp):
-			next = Majority
+		if m.target != Majority && settled {
+			return m.target
+		}
+		if m.target == Majority && now-m.since >= int64(m.RecoveryRamp) {
+			return Majority
 		}
 	}
-	return m.transition(now, next)
+	return m.state
 }
 
+// transition enters the next state, if the table allows that.
 func (m *Machine) transition(now int64, next State) bool {
 	if next == m.state {
 		return false
@@ -112,18 +131,23 @@
 		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("%v after %v", next, m.state))
 		return false
 	}
-	m.state, m.since = next, now
+	m.state = next
+	m.since = now
 	return true
 }
 
-// RateFactor is the part of its usual pace at which the node asks, grants, resumes and retries now: all of it together with the
-// others, nothing where nobody hears it, and by and by more while it heals.
+// minRampFactor is where the ramp of a recovering node begins.
+const minRampFactor = 0.05
+
+// RateFactor is the part of its usual rate, from 0 to 1, at which the node requests and grants quota, resumes
+// sessions and retries now: 0 where nobody hears it, and growing while it recovers.
 func (m *Machine) RateFactor(now int64) float64 {
 	switch m.state {
 	case Isolated, Standalone:
 		return 0
 	case Recovering:
-		return min(1, max(0.05, float64(now-m.since)/max(1, float64(m.RecoveryRamp))))
+		elapsed := float64(now - m.since)
+		return min(1, max(minRampFactor, elapsed/max(1, float64(m.RecoveryRamp))))
 	}
 	return 1
 }
--- a/internal/lab/proof/proof.go
+++ b/internal/lab/proof/proof.go
@@ -47,7 +47,7 @@
 	{"evidence that never expires", fleet + "outlier/detector.go", "return now-evidence.ObservedAt <= d.EvidenceLifetime", "return true", "outlier"},
 	{"evidence on an earlier process", fleet + "outlier/detector.go", "return !listed || backend.StartedAt != evidence.StartedAt", "_ = backend\n\treturn !listed", "outlier"},
 	{"a whole zone ejected", fleet + "outlier/ejection.go", "return ranked[e.Backend.Zone] > d.maxEjected(backends[e.Backend.Zone])", "return false", "outlier"},
-	{"a mode that changes at once", fleet + "connectivity/connectivity.go", "settled := now-m.targetSince >= int64(m.SettleTime)", "settled := true", "connectivity"},
+	{"a connectivity state that changes at once", fleet + "connectivity/connectivity.go", "settled := now-m.targetSince >= int64(m.SettleTime)", "settled := true", "connectivity"},
 	{"a fence that is not compared", fleet + "session/session.go", "o.FencingToken == r.FencingToken && o.Owner == r.Owner\n\tswitch", "o.Owner == r.Owner\n\tswitch", "session"},
 	{"a claim that ends by the leader's clock alone", fleet + "session/session.go", "now >= r.Deadline+2*clockError", "now >= r.Deadline", "session"},
 	{"a key that is used twice", fleet + "session/session.go", "case o.Turn < r.Turn:\n\t\treturn r, ErrKeyUsed", "", "session"},
