--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -1,4 +1,6 @@
-// Package site says how a building site's node stands to the halls: by one table of named modes, with hysteresis. It is pure.
+// Package site tells how the node of a remote site is connected to the core sites, whose store decides for the
+// fleet ("halls" in the operator's file). It is a pure state machine with one table of transitions, and hysteresis:
+// the time is an argument.
 package site
 
 import (
@@ -9,23 +11,30 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// State is how a site stands to the halls.
+// State is how a site is connected to the core.
 type State uint8
 
-// The modes.
+// The states.
 const (
-	Connected   State = iota // it hears a hall
-	Suspect                  // it has heard none for a while: nothing has changed yet
-	Isolated                 // it goes on by itself: its own boxes, its last list, rights that were granted ahead
-	Reconciling              // it hears a hall again, and both take what they lack
+	Connected State = iota // it hears a core node
+	Suspect                // it has heard none for a while; nothing has changed yet
+	// Isolated: it goes on by itself, with its own backends, the last endpoint list and quota that was granted ahead.
+	Isolated
+	Reconciling // it hears a core node again, and both sides fetch what they lack
 )
 
-var stateNames = [...]string{"connected", "doubtful", "alone", "reconciling"}
+// stateNames are read by operators, and must not change.
+var stateNames = [...]string{
+	Connected:   "connected",
+	Suspect:     "doubtful",
+	Isolated:    "alone",
+	Reconciling: "reconciling",
+}
 
 // String implements fmt.Stringer.
-func (m State) String() string { return stateNames[m] }
+func (s State) String() string { return stateNames[s] }
 
-// predecessors is the table: from which modes each may be entered.
+// predecessors is the table of transitions: the states from which each may be entered.
 var predecessors = [...][]State{
 	Connected:   {Suspect, Reconciling},
 	Suspect:     {Connected, Reconciling},
@@ -33,65 +42,79 @@
 	Reconciling: {Isolated},
 }
 
-// Timing are the spans of the machine.
+// Timing configures a Machine.
 type Timing struct {
-	SuspectAfter  time.Duration // without a hall, until the site doubts
-	IsolatedAfter time.Duration // of doubt, until it is alone
-	SettleTime    time.Duration // for which a hall must have been heard, until it is not alone any more
+	SuspectAfter  time.Duration // without a core node, until a connected site is suspect
+	IsolatedAfter time.Duration // of being suspect, until the site is isolated
+	SettleTime    time.Duration // for which a core node must have been heard until an isolated site reconciles
 }
 
-// Machine is one site's mode. A site begins alone: it has heard nobody.
+// Machine is the state machine of one site. Times are Unix nanoseconds. It is not safe for concurrent use.
 type Machine struct {
 	Timing
 	Invariants *invariant.Monitor
 
 	state            State
 	since            int64
-	reachableSince   int64 // since when halls are heard without a break; 0: they are not
-	unreachableSince int64 // since when none is
+	reachableSince   int64 // since when core nodes are heard without a break; 0: they are not
+	unreachableSince int64 // since when none is heard; 0: one is
 }
 
-// New makes the machine of a site that starts now.
-func New(l Timing, now int64, g *invariant.Monitor) *Machine {
-	return &Machine{Timing: l, Invariants: g, state: Isolated, since: now, unreachableSince: now}
+// New returns the machine of a site that starts now. It has heard nobody, so it begins isolated.
+func New(timing Timing, now int64, monitor *invariant.Monitor) *Machine {
+	return &Machine{Timing: timing, Invariants: monitor, state: Isolated, since: now, unreachableSince: now}
 }
 
-// Current is the mode, and since when it holds.
-func (m *Machine) Current() (State, int64) { return m.state, m.since }
+// Current returns the state, and since when it holds.
+func (m *Machine) Current() (state State, since int64) { return m.state, m.since }
 
-// Update takes in whether a hall is heard, and whether either side lacks something of the other. It tells whether the mode has
-// changed.
-func (m *Machine) Update(now int64, heard, lacking bool) bool {
+// Update takes in whether a core node is heard, and whether either side still lacks data of the other. It reports
+// whether the state has changed.
+func (m *Machine) Update(now int64, coreHeard, dataMissing bool) bool {
 	now = max(now, m.since)
 	switch {
-	case heard && m.reachableSince == 0:
-		m.reachableSince, m.unreachableSince = now, 0
-	case !heard && m.unreachableSince == 0:
-		m.reachableSince, m.unreachableSince = 0, now
+	case coreHeard && m.reachableSince == 0:
+		m.reachableSince = now
+		m.unreachableSince = 0
+	case !coreHeard && m.unreachableSince == 0:
+		m.reachableSince = 0
+		m.unreachableSince = now
 	}
-	next := m.state
+	return m.transition(now, m.next(now, coreHeard, dataMissing))
+}
+
+// next is the state that follows from what is heard and the time.
+func (m *Machine) next(now int64, coreHeard, dataMissing bool) State {
+	lost := !coreHeard && now-m.unreachableSince >= int64(m.SuspectAfter)
 	switch m.state {
 	case Connected:
-		if !heard && now-m.unreachableSince >= int64(m.SuspectAfter) {
-			next = Suspect
+		if lost {
+			return Suspect
 		}
 	case Suspect:
-		if heard {
-			next = Connected
-		} else if now-m.since >= int64(m.IsolatedAfter) {
-			next = Isolated
+		if coreHeard {
+			return Connected
+		}
+		if now-m.since >= int64(m.IsolatedAfter) {
+			return Isolated
 		}
 	case Isolated:
-		if heard && now-m.reachableSince >= int64(m.SettleTime) {
-			next = Reconciling
+		if coreHeard && now-m.reachableSince >= int64(m.SettleTime) {
+			return Reconciling
 		}
 	case Reconciling:
-		if !heard && now-m.unreachableSince >= int64(m.SuspectAfter) {
-			next = Suspect
-		} else if heard && !lacking {
-			next = Connected
+		if lost {
+			return Suspect
+		}
+		if coreHeard && !dataMissing {
+			return Connected
 		}
 	}
+	return m.state
+}
+
+// transition enters the next state, if the table allows that.
+func (m *Machine) transition(now int64, next State) bool {
 	if next == m.state {
 		return false
 	}
@@ -99,6 +122,7 @@
 		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("site: %v after %v", next, m.state))
 		return false
 	}
-	m.state, m.since = next, now
+	m.state = next
+	m.since = now
 	return true
 }
