--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -72,25 +72,25 @@
 // Current returns the state, and since when it holds.
 func (m *Machine) Current() (state State, since int64) { return m.state, m.since }
 
-// Update takes in how many of the other member slots are heard now, of so many. It reports whether the state has
+// Update takes in how many of the other member slots are live, of so many. It reports whether the state has
 // changed.
-func (m *Machine) Update(now int64, heard, others int) bool {
+func (m *Machine) Update(now int64, live, others int) bool {
 	now = max(now, m.since)
-	if target := stateFor(heard, others); target != m.target {
+	if target := stateFor(live, others); target != m.target {
 		m.target = target
 		m.targetSince = now
 	}
 	return m.transition(now, m.next(now))
 }
 
-// stateFor is the state that a number of slots that are heard speaks for, apart from any history.
-func stateFor(heard, others int) State {
+// stateFor is the state that a number of live slots speaks for, apart from any history.
+func stateFor(live, others int) State {
 	switch {
 	case others == 0:
 		return Standalone
-	case 2*(heard+1) > others+1:
+	case 2*(live+1) > others+1:
 		return Majority
-	case heard > 0:
+	case live > 0:
 		return Minority
 	}
 	return Isolated
--- a/internal/fleet/connectivity/connectivity_test.go
+++ b/internal/fleet/connectivity/connectivity_test.go
@@ -17,9 +17,9 @@
 // A node joins, is cut off with another, hears nothing, hears a majority again and recovers.
 func TestStatesOfANode(t *testing.T) {
 	machine := New(timing, 0, nil)
-	expect := func(want State, at int64, heard int) {
+	expect := func(want State, at int64, live int) {
 		t.Helper()
-		machine.Update(at, heard, 4)
+		machine.Update(at, live, 4)
 		state, _ := machine.Current()
 		require.Equal(t, want, state)
 	}
@@ -57,7 +57,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Int64Range(-second, 2*second).Draw(t, "ahead")
 			before, _ := machine.Current()
-			if machine.Update(now, rapid.IntRange(0, max(0, others)).Draw(t, "heard"), others) {
+			if machine.Update(now, rapid.IntRange(0, max(0, others)).Draw(t, "live"), others) {
 				after, since := machine.Current()
 				unsettled := since-changed < int64(timing.SettleTime)
 				if before != Joining && before != Recovering && after != Majority && unsettled {
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -70,43 +70,43 @@
 
 // Update takes in whether a core node is heard, and whether either side still lacks data of the other. It reports
 // whether the state has changed.
-func (m *Machine) Update(now int64, coreHeard, dataMissing bool) bool {
+func (m *Machine) Update(now int64, coreReachable, dataMissing bool) bool {
 	now = max(now, m.since)
 	switch {
-	case coreHeard && m.reachableSince == 0:
+	case coreReachable && m.reachableSince == 0:
 		m.reachableSince = now
 		m.unreachableSince = 0
-	case !coreHeard && m.unreachableSince == 0:
+	case !coreReachable && m.unreachableSince == 0:
 		m.reachableSince = 0
 		m.unreachableSince = now
 	}
-	return m.transition(now, m.next(now, coreHeard, dataMissing))
+	return m.transition(now, m.next(now, coreReachable, dataMissing))
 }
 
 // next is the state that follows from what is heard and the time.
-func (m *Machine) next(now int64, coreHeard, dataMissing bool) State {
-	lost := !coreHeard && now-m.unreachableSince >= int64(m.SuspectAfter)
+func (m *Machine) next(now int64, coreReachable, dataMissing bool) State {
+	lost := !coreReachable && now-m.unreachableSince >= int64(m.SuspectAfter)
 	switch m.state {
 	case Connected:
 		if lost {
 			return Suspect
 		}
 	case Suspect:
-		if coreHeard {
+		if coreReachable {
 			return Connected
 		}
 		if now-m.since >= int64(m.IsolatedAfter) {
 			return Isolated
 		}
 	case Isolated:
-		if coreHeard && now-m.reachableSince >= int64(m.SettleTime) {
+		if coreReachable && now-m.reachableSince >= int64(m.SettleTime) {
 			return Reconciling
 		}
 	case Reconciling:
 		if lost {
 			return Suspect
 		}
-		if coreHeard && !dataMissing {
+		if coreReachable && !dataMissing {
 			return Connected
 		}
 	}
--- a/internal/fleet/site/site_test.go
+++ b/internal/fleet/site/site_test.go
@@ -18,9 +18,9 @@
 // sides have fetched what they lack.
 func TestStatesOfASite(t *testing.T) {
 	machine := New(timing, 0, nil)
-	expect := func(at int64, coreHeard, dataMissing bool, want State) {
+	expect := func(at int64, coreReachable, dataMissing bool, want State) {
 		t.Helper()
-		machine.Update(at*second, coreHeard, dataMissing)
+		machine.Update(at*second, coreReachable, dataMissing)
 		state, _ := machine.Current()
 		require.Equal(t, want, state)
 	}
@@ -50,7 +50,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Int64Range(-second, 3*second).Draw(t, "by")
 			before, since := machine.Current()
-			if machine.Update(now, rapid.Bool().Draw(t, "core heard"), rapid.Bool().Draw(t, "data missing")) {
+			if machine.Update(now, rapid.Bool().Draw(t, "core reachable"), rapid.Bool().Draw(t, "data missing")) {
 				after, at := machine.Current()
 				if after == Isolated && at-since < int64(timing.IsolatedAfter) {
 					t.Fatalf("isolated after %v of being suspect, from %v", time.Duration(at-since), before)
