--- a/internal/fleet/invariant/invariant.go
+++ b/internal/fleet/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant is told, by the code that runs, of what must always hold and does not. In tests a violation ends the
-// process; in service it is counted and logged, and whoever found it contains it: it refuses, drops or sets apart.
+// Package invariant receives violations of what must always hold from the code that checks it as it runs. In tests
+// a violation ends the process. In service it is counted and logged, and whoever found it contains it: it rejects,
+// drops or quarantines what is at fault.
 package invariant
 
 import (
@@ -12,63 +13,77 @@
 // Rule is what must hold.
 type Rule uint8
 
-// The rules. Each is checked where its name says.
+// The rules, each with the package that checks it.
 const (
-	SpentOverQuota    Rule = iota // rights: what a node has spent in a window is at most what it holds there
-	LentOverBaseQuota             // rights: what a node has lent of a window is at most its own share of it
-	StateTransition               // mode: a mode follows only one that its table names
-	CounterBounds                 // tally: a reading's lower bound is at most its upper one, and falls for nobody
-	EjectionLimit                 // judge: of a zone at most the stated share is left out
-	SingleClaim                   // session: a session has one claim at a time, and fences only grow
+	SpentOverQuota    Rule = iota // quota: what a node has spent in a window is at most the quota that it has there
+	LentOverBaseQuota             // quota: what a node has lent of a window is at most its base quota of it
+	StateTransition               // connectivity, site: a state follows only one that its table names
+	CounterBounds                 // counter: a reading's lower bound is at most its upper one, and not negative
+	EjectionLimit                 // outlier: of a zone at most the configured share is ejected
+	SingleClaim                   // session: a session has one claim at a time, and fencing tokens only grow
 	SessionTransition             // session: a state follows only one that its table names
 	LedgerSums                    // ledger: sums are those of the entries, each counted once
 	ruleCount
 )
 
-var ruleNames = [ruleCount]string{"spent_over_rights", "lent_over_share", "mode_table", "count_bounds", "left_out_share", "one_claim", "session_table",
-	"ledger_sums"}
+// ruleNames are keys of what operators read, and must not change.
+var ruleNames = [ruleCount]string{
+	SpentOverQuota:    "spent_over_rights",
+	LentOverBaseQuota: "lent_over_share",
+	StateTransition:   "mode_table",
+	CounterBounds:     "count_bounds",
+	EjectionLimit:     "left_out_share",
+	SingleClaim:       "one_claim",
+	SessionTransition: "session_table",
+	LedgerSums:        "ledger_sums",
+}
 
 // String implements fmt.Stringer.
 func (r Rule) String() string { return ruleNames[r] }
 
-// ExitCode is the code with which a process ends at a violation, where it is strict.
+// ExitCode is the code with which a strict process ends at a violation.
 const ExitCode = 70
 
-// Monitor hears of violations. Its zero value counts.
+// Monitor receives violations. Its zero value counts them. It is safe for concurrent use; its exported fields are
+// set before it is first used.
 type Monitor struct {
 	// Strict has the first violation end the process.
 	Strict bool
-	// Log, if not nil, is told of each violation.
+	// Log, if not nil, receives each violation.
 	Log *zap.Logger
 
 	counts [ruleCount]atomic.Uint64
 }
 
-// Violated is called where a rule does not hold. A nil guard hears nothing.
-func (g *Monitor) Violated(r Rule, detail string) {
-	if g == nil {
+// Violated reports that a rule does not hold. A nil monitor ignores it.
+func (m *Monitor) Violated(rule Rule, detail string) {
+	if m == nil {
 		return
 	}
-	g.counts[r].Add(1)
-	if g.Log != nil {
-		g.Log.Error("an invariant does not hold", zap.Stringer("rule", r), zap.String("detail", detail))
+	m.counts[rule].Add(1)
+	if m.Log != nil {
+		m.Log.Error("invariant violated", zap.Stringer("rule", rule), zap.String("detail", detail))
 	}
-	if g.Strict {
-		if g.Log != nil {
-			_ = g.Log.Sync()
-		}
-		os.Stderr.WriteString("invariant " + r.String() + ": " + detail + "\n")
-		os.Exit(ExitCode)
+	if m.Strict {
+		m.exit(rule, detail)
+	}
+}
+
+func (m *Monitor) exit(rule Rule, detail string) {
+	if m.Log != nil {
+		_ = m.Log.Sync() // the process ends whether or not it succeeds
 	}
+	os.Stderr.WriteString("invariant " + rule.String() + ": " + detail + "\n")
+	os.Exit(ExitCode)
 }
 
-// Violations are the violations so far, by rule; rules that held are left out.
-func (g *Monitor) Violations() map[string]uint64 {
-	all := map[string]uint64{}
-	for r := range ruleCount {
-		if n := g.counts[r].Load(); n > 0 {
-			all[r.String()] = n
+// Violations returns how often each rule was violated, by its name. Rules that held are left out.
+func (m *Monitor) Violations() map[string]uint64 {
+	violations := map[string]uint64{}
+	for rule := range ruleCount {
+		if count := m.counts[rule].Load(); count > 0 {
+			violations[rule.String()] = count
 		}
 	}
-	return all
+	return violations
 }
