--- /dev/null
+++ b/internal/fleet/admission.go
@@ -0,0 +1,199 @@
+package fleet
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/fleet/ledger"
+	"standpoint/internal/fleet/quota"
+	"standpoint/internal/node"
+)
+
+// ledgerFullWait is the Retry-After of a request that is rejected because the ledger takes no entries for now.
+const ledgerFullWait = 500 * time.Millisecond
+
+// maxRetrySpread bounds the random part of a Retry-After.
+const maxRetrySpread = 500 * time.Millisecond
+
+// noBudget is the budget of a charge that counts against none.
+const noBudget = -1
+
+// Admit reserves the most that a request may cost from its tenant's budget. False: there is not enough, and the
+// client should come back after the wait.
+func (f *Fleet) Admit(request *standpoint.Request) (charge node.Charge, wait time.Duration, ok bool) {
+	if f.LedgerFull != nil && f.LedgerFull() {
+		return node.Charge{}, ledgerFullWait, false
+	}
+	if request.Tenant < 0 || request.Tenant >= len(f.TokenBudgets) || f.TokenBudgets[request.Tenant] < 0 {
+		return node.Charge{Budget: noBudget}, 0, true
+	}
+	budget := f.TokenBudgets[request.Tenant]
+	amount := int64(request.PromptTokens + request.MaxTokens)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.member.Advance(f.Now())
+	allocation := f.member.Allocations[budget]
+	if !allocation.Spend(amount, 0) && !(f.mayOverdraw(request.Class) && allocation.Overdraw(amount, 0)) {
+		f.rejectedRequests++
+		return node.Charge{}, f.retryAfter(allocation), false
+	}
+	window := allocation.CurrentWindow()
+	f.logSpending(messageSpent, allocation.Name, window, amount)
+	return node.Charge{Budget: budget, Window: window, Amount: amount}, 0, true
+}
+
+// mayOverdraw tells whether requests of a class may use the overdraft now. f.mu is held.
+func (f *Fleet) mayOverdraw(class int) bool {
+	return class < len(f.OverdraftClasses) && f.OverdraftClasses[class] && f.isolated()
+}
+
+// retryAfter is when the client of a rejected request should come back: when the next window has begun, and not all
+// clients at that moment.
+func (f *Fleet) retryAfter(allocation *quota.Allocation) time.Duration {
+	nextWindow := max(0, time.Duration(allocation.NextWindowStart()-f.Now()))
+	spread := max(time.Millisecond, min(allocation.Window/4, maxRetrySpread))
+	return nextWindow + rand.N(spread)
+}
+
+// Settle takes in the outcome of a request that was admitted: what it did not cost is refunded, and what it did is
+// counted.
+func (f *Fleet) Settle(request *standpoint.Request, charge node.Charge, answer node.Answer) {
+	promptTokens := request.PromptTokens
+	if charge.Fresh > 0 {
+		promptTokens = charge.Fresh
+	}
+	cost := tokenCost(promptTokens, request, answer)
+	if f.RecordUsage != nil && (answer.Kind == node.Served || answer.Kind == node.Broken) {
+		if !f.RecordUsage(f.ledgerEntry(promptTokens, request, answer)) {
+			f.Log.Error("usage not recorded", zap.String("reason", "too many entries wait to be written"))
+		}
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.member.Counters.Add(RequestCounter, 1)
+	f.member.Counters.Add(TokenCounter, cost)
+	f.member.Counters.Add(FirstTenantCounter+request.Tenant, cost)
+	f.refund(charge, cost)
+}
+
+// tokenCost is what a request has cost. Where that is not known it is the most that it can have been.
+func tokenCost(promptTokens float64, request *standpoint.Request, answer node.Answer) int64 {
+	switch answer.Kind {
+	case node.Served:
+		if answer.Usage.Known {
+			return int64(promptTokens + answer.Usage.Out)
+		}
+	case node.Broken, node.Moved:
+	case node.ClientGone:
+		if !answer.Usage.Begun {
+			return 0
+		}
+	default:
+		return 0
+	}
+	return int64(promptTokens + request.MaxTokens)
+}
+
+// ledgerEntry is the entry of a request that was served, at least in part.
+func (f *Fleet) ledgerEntry(promptTokens float64, request *standpoint.Request, answer node.Answer) ledger.Entry {
+	entry := ledger.Entry{
+		Session:      request.Session,
+		InputTokens:  int64(promptTokens),
+		CachedTokens: int64(answer.Usage.Kept),
+		OutputTokens: int64(answer.Usage.Out),
+	}
+	if request.Tenant >= 0 && request.Tenant < len(f.TenantNames) {
+		entry.Tenant = f.TenantNames[request.Tenant]
+	}
+	if request.Class >= 0 && request.Class < len(f.ClassNames) {
+		entry.Class = f.ClassNames[request.Class]
+	}
+	switch {
+	case answer.Kind == node.Broken:
+		entry.Outcome = ledger.Interrupted
+	case answer.Usage.Paused:
+		entry.Outcome = ledger.Paused
+	}
+	return entry
+}
+
+// refund gives back what a request was charged beyond its cost. f.mu is held.
+func (f *Fleet) refund(charge node.Charge, cost int64) {
+	if charge.Budget < 0 || cost >= charge.Amount {
+		return
+	}
+	allocation := f.member.Allocations[charge.Budget]
+	if charge.Window < allocation.CurrentWindow() {
+		return
+	}
+	f.logSpending(messageRefunded, allocation.Name, charge.Window, charge.Amount-cost)
+	allocation.Refund(charge.Amount-cost, charge.Window, charge.Window)
+}
+
+// Messages of logSpending. The multi-process tests sum up what nodes of this and of earlier versions spent by them.
+const (
+	messageSpent    = "spent"
+	messageRefunded = "given back"
+)
+
+// logSpending logs what is spent, at debug level, before anything comes of it.
+func (f *Fleet) logSpending(message, budget string, window, amount int64) {
+	if entry := f.Log.Check(zap.DebugLevel, message); entry != nil {
+		entry.Write(zap.String("budget", budget), zap.Int64("window", window), zap.Int64("amount", amount))
+	}
+}
+
+// reservation is one of a budget's units, held in each window from first to last.
+type reservation struct {
+	allocation *quota.Allocation
+	first      int64
+	last       int64
+}
+
+// ReserveSession reserves room for a paused session of a tenant in each window of its wait, in every budget that it
+// counts against or in none. False: there is not enough. release gives it back, and is called once.
+func (f *Fleet) ReserveSession(tenant int, wait time.Duration) (release func(), ok bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.member.Advance(f.Now())
+	var reservations []reservation
+	for _, budget := range f.SessionBudgets {
+		if budget.Tenant >= 0 && budget.Tenant != tenant {
+			continue
+		}
+		allocation := f.member.Allocations[budget.Budget]
+		first := allocation.CurrentWindow()
+		last := allocation.WindowAt(now + int64(wait))
+		if !allocation.Spend(1, int(last-first)) {
+			releaseAll(reservations)
+			return nil, false
+		}
+		reservations = append(reservations, reservation{allocation: allocation, first: first, last: last})
+	}
+	return func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.member.Advance(f.Now())
+		releaseAll(reservations)
+	}, true
+}
+
+func releaseAll(reservations []reservation) {
+	for _, r := range reservations {
+		r.allocation.Refund(1, r.first, r.last)
+	}
+}
+
+// Again tells whether a retry may be made, and charges the budget of retries for it.
+func (f *Fleet) Again() bool {
+	if f.RetryBudget < 0 {
+		return true
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.member.Advance(f.Now())
+	return f.member.Allocations[f.RetryBudget].Spend(1, 0)
+}
--- /dev/null
+++ b/internal/fleet/backends.go
@@ -0,0 +1,123 @@
+package fleet
+
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"standpoint"
+	"standpoint/internal/fleet/outlier"
+	"standpoint/internal/node"
+)
+
+// minConsecutiveErrors is how many errors in a row speak against a backend: one may be the request's fault.
+const minConsecutiveErrors = 2
+
+// Listed takes in a change of the endpoint list: the backends that are ready are those that evidence is collected on.
+func (f *Fleet) Listed(list node.List) {
+	if list.Kind == standpoint.ListLost {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if list.Kind == standpoint.ListFull {
+		clear(f.backendStarts)
+		clear(f.backendNames)
+		clear(f.backendZones)
+	}
+	for _, endpoint := range list.Entries {
+		if endpoint.State == standpoint.Ready {
+			f.addBackend(endpoint)
+		} else {
+			f.removeBackend(endpoint.Name)
+		}
+	}
+	for name := range f.consecutiveErrors {
+		if _, listed := f.backendStarts[name]; !listed {
+			delete(f.consecutiveErrors, name)
+		}
+	}
+	f.member.Detector.SetBackends(f.backends())
+}
+
+func (f *Fleet) addBackend(endpoint node.Endpoint) {
+	f.backendStarts[endpoint.Name] = endpoint.ReadyAt
+	f.backendNames[xxhash.Sum64String(endpoint.Name)] = endpoint.Name
+	f.backendZones[endpoint.Name] = endpoint.Zone
+}
+
+func (f *Fleet) removeBackend(name string) {
+	delete(f.backendStarts, name)
+	delete(f.backendNames, xxhash.Sum64String(name))
+	delete(f.backendZones, name)
+}
+
+// backends are the backends that may be used, as the detector takes them. f.mu is held.
+func (f *Fleet) backends() []outlier.Backend {
+	var backends []outlier.Backend
+	for name, startedAt := range f.backendStarts {
+		backends = append(backends, outlier.Backend{
+			Hash:      xxhash.Sum64String(name),
+			Zone:      f.backendZones[name],
+			StartedAt: startedAt,
+		})
+	}
+	return backends
+}
+
+// BackendStart is when a backend's process was started, as listed; 0 where it is not.
+func (f *Fleet) BackendStart(backend string) int64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.backendStarts[backend]
+}
+
+// Ended takes in how an attempt ended, as evidence on its backend.
+func (f *Fleet) Ended(observation node.Observation) {
+	name := observation.Server
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	startedAt, listed := f.backendStarts[name]
+	if !listed || observation.Asked || observation.Result.Rejected != 0 {
+		return
+	}
+	kind, ok := f.evidenceKind(name, observation.Result.Code)
+	if !ok {
+		return
+	}
+	f.member.Detector.Observe(outlier.Evidence{
+		BackendHash: xxhash.Sum64String(name),
+		StartedAt:   startedAt,
+		Kind:        kind,
+		ObservedAt:  f.Now(),
+	})
+}
+
+// evidenceKind is what the result of an attempt says of its backend, and counts errors in a row. False: it says
+// nothing. f.mu is held.
+func (f *Fleet) evidenceKind(backend string, code standpoint.Code) (outlier.Kind, bool) {
+	switch code {
+	case standpoint.Served:
+		f.consecutiveErrors[backend] = 0
+		return outlier.Healthy, true
+	case standpoint.NoConnection:
+		return outlier.Unreachable, true
+	case standpoint.ServerError, standpoint.ConnectionLost, standpoint.NoAnswer:
+		f.consecutiveErrors[backend]++
+		return outlier.BackendFault, f.consecutiveErrors[backend] >= minConsecutiveErrors
+	}
+	return 0, false
+}
+
+// outlierAdvice is what other nodes' evidence says of the backends, for the decision module to weigh. f.mu is held.
+func (f *Fleet) outlierAdvice() *standpoint.Advice {
+	advice := &standpoint.Advice{}
+	for _, ejection := range f.member.Detector.Ejections(f.Now()) {
+		if name, ok := f.backendNames[ejection.Backend.Hash]; ok {
+			advice.Doubts = append(advice.Doubts, standpoint.Doubt{
+				Engine:  name,
+				ReadyAt: ejection.Backend.StartedAt,
+				At:      ejection.LatestEvidence - int64(f.ClockOffset),
+			})
+		}
+	}
+	return advice
+}
--- a/internal/fleet/counter/counter_test.go
+++ b/internal/fleet/counter/counter_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// A restart, a node replaced in the same slot, a snapshot received twice, late or out of order: nothing counts twice, and
-// the true sum lies within the bounds, wider the longer nothing is received.
+// A restart, a node replaced in the same slot, a snapshot received twice, late or out of order: nothing counts twice,
+// and the true sum lies within the bounds, wider the longer nothing is received.
 func TestReadingBoundsTheTrueSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -1,10 +1,8 @@
 package fleet
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -16,9 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"standpoint/internal/fleet/connectivity"
 	"standpoint/internal/fleet/counter"
-	"standpoint/internal/fleet/invariant"
 	"standpoint/internal/fleet/lease"
 	"standpoint/internal/fleet/member"
 	"standpoint/internal/fleet/outlier"
@@ -45,11 +41,14 @@
 }
 
 func TestGoldenCall(t *testing.T) {
-	golden.RoundTrip(t, "call.bin", rpcRequest{ID: 1, From: 2, Method: "seat", Body: []byte(`{"name":"a"}`)}, encodeFrame[rpcRequest](kindRequest), decodeFrame[rpcRequest](kindRequest))
+	request := rpcRequest{ID: 1, From: 2, Method: "seat", Body: []byte(`{"name":"a"}`)}
+	golden.RoundTrip(t, "call.bin", request, encodeFrame[rpcRequest](kindRequest), decodeFrame[rpcRequest](kindRequest))
 }
 
 func TestGoldenAnswer(t *testing.T) {
-	golden.RoundTrip(t, "answer.bin", rpcResponse{ID: 1, Body: []byte("{}"), Error: "no", NotLeader: true, Leader: "b"}, encodeFrame[rpcResponse](kindResponse), decodeFrame[rpcResponse](kindResponse))
+	response := rpcResponse{ID: 1, Body: []byte("{}"), Error: "no", NotLeader: true, Leader: "b"}
+	golden.RoundTrip(t, "answer.bin", response,
+		encodeFrame[rpcResponse](kindResponse), decodeFrame[rpcResponse](kindResponse))
 }
 
 // A packet of the build before is read as it comes from the network.
@@ -60,13 +59,26 @@
 		FirstSlot:     1,
 		HeartbeatAges: []byte{3, 1, 2},
 		Updates: []member.Update{{
-			Counters:  counter.Snapshot{Owner: quota.Owner{Slot: 2, Incarnation: 4}, At: 5, Counts: []int64{6, 7, 8, 9}},
+			Counters: counter.Snapshot{
+				Owner:  quota.Owner{Slot: 2, Incarnation: 4},
+				At:     5,
+				Counts: []int64{6, 7, 8, 9},
+			},
 			Surpluses: []member.Surplus{{Budget: 1, Amount: 10}},
 			Evidence:  []outlier.Evidence{{BackendHash: 11, StartedAt: 12, Kind: outlier.Unreachable, ObservedAt: 13}},
 		}},
-		QuotaMessages: []member.QuotaMessage{{Kind: member.GrantTransfer, BudgetHash: 14, To: quota.Owner{Slot: 3, Incarnation: 15}, Number: 16, Amount: 17, FirstWindow: 18, LastWindow: 19}},
+		QuotaMessages: []member.QuotaMessage{{
+			Kind:        member.GrantTransfer,
+			BudgetHash:  14,
+			To:          quota.Owner{Slot: 3, Incarnation: 15},
+			Number:      16,
+			Amount:      17,
+			FirstWindow: 18,
+			LastWindow:  19,
+		}},
 	}
-	golden.RoundTrip(t, "packet.bin", packet, encodeFrame[member.Packet](kindPacket), decodeFrame[member.Packet](kindPacket))
+	golden.RoundTrip(t, "packet.bin", packet,
+		encodeFrame[member.Packet](kindPacket), decodeFrame[member.Packet](kindPacket))
 	f := newTestFleet(t, 1, 0, true)
 	f.handleMessage(t.Context(), golden.Read(t, "packet.bin", nil))
 	require.Equal(t, 2, f.member.LivePeers())
@@ -80,14 +92,26 @@
 	f := newTestFleet(t, 1, 0, true)
 	f.Store = store.NewMemory()
 	record := golden.Read(t, "seat-record.json", func() []byte {
-		raw, err := json.Marshal(lease.Record{Incarnation: 5, FencingToken: 7, ValidFrom: 11, ExpiresAt: 13, Successor: true})
+		raw, err := json.Marshal(lease.Record{
+			Incarnation:  5,
+			FencingToken: 7,
+			ValidFrom:    11,
+			ExpiresAt:    13,
+			Successor:    true,
+		})
 		require.NoError(t, err)
 		return raw
 	})
 	_, err := f.Store.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: record})
 	require.NoError(t, err)
 	claim := golden.Read(t, "seat-claim.json", func() []byte {
-		raw, err := json.Marshal(lease.Claim{Slot: "b", Incarnation: 9, Predecessors: []uint64{4, 5}, Duration: time.Minute, ClaimantTime: 1})
+		raw, err := json.Marshal(lease.Claim{
+			Slot:         "b",
+			Incarnation:  9,
+			Predecessors: []uint64{4, 5},
+			Duration:     time.Minute,
+			ClaimantTime: 1,
+		})
 		require.NoError(t, err)
 		return raw
 	})
@@ -112,9 +136,30 @@
 		RateFactor:     0.5,
 		LeaseRemaining: 8.5,
 		FencingToken:   9,
-		Peers:          []PeerStatus{{Slot: "b", Listed: true, Alive: true, ReportAge: 10.5, Incarnation: 11, Tokens: 12}},
-		Budgets: []quota.Usage{{Budget: "tokens/acme", Window: 13, Quota: 14, Spent: 15, BaseQuota: 16, Lent: 17, Borrowed: 18, Demand: 19.5, Debt: 20,
-			LentTransfers: 21, BorrowedTransfers: 22, FencingToken: 23, LeaseValidFrom: 24, LeaseExpiresAt: 25}},
+		Peers: []PeerStatus{{
+			Slot:        "b",
+			Listed:      true,
+			Alive:       true,
+			ReportAge:   10.5,
+			Incarnation: 11,
+			Tokens:      12,
+		}},
+		Budgets: []quota.Usage{{
+			Budget:            "tokens/acme",
+			Window:            13,
+			Quota:             14,
+			Spent:             15,
+			BaseQuota:         16,
+			Lent:              17,
+			Borrowed:          18,
+			Demand:            19.5,
+			Debt:              20,
+			LentTransfers:     21,
+			BorrowedTransfers: 22,
+			FencingToken:      23,
+			LeaseValidFrom:    24,
+			LeaseExpiresAt:    25,
+		}},
 		Leader:           "c",
 		Counters:         map[string]counter.Reading{"requests": reading},
 		LiveMembers:      counter.Reading{Lower: 26, Upper: 27, Age: 28, Reported: 29, Unreported: 30},
@@ -129,54 +174,6 @@
 		func(b []byte) (v Status, err error) { return v, json.Unmarshal(b, &v) })
 }
 
-// start opens and runs the seat called name, of seats at free addresses.
-func start(t *testing.T, name string, seats []SlotAddress) *Fleet {
-	t.Helper()
-	b := &quota.Budget{Name: "tokens/acme", Amount: 100, Window: time.Second, TransferWindows: 2, Weights: make([]int64, len(seats))}
-	for i := range seats {
-		b.Weights[i] = 1
-	}
-	require.NoError(t, b.Complete())
-	f, err := Open(Options{
-		MemberConfig: member.Config{Slots: make([]member.Slot, len(seats)), Budgets: []*quota.Budget{b}, MaxRates: []int64{10, 10, 10}, GossipInterval: 50 * time.Millisecond, GossipFanout: 2,
-			HeartbeatTimeout: time.Second, ConnectivityTiming: connectivity.Timing{JoinTimeout: time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: 100 * time.Millisecond, RequestInterval: time.Second,
-			OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.6}},
-		SlotName:      name,
-		Listen:        seats[slices.IndexFunc(seats, func(s SlotAddress) bool { return s.Name == name })].Address,
-		Dir:           filepath.Join(t.TempDir(), "fleet"),
-		Slots:         seats,
-		LeaseDuration: time.Minute,
-		RetryBudget:   -1,
-		Store:         store.NewMemory(),
-		Invariants:    &invariant.Monitor{},
-		Log:           zap.NewNop(),
-	})
-	require.NoError(t, err)
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		f.Run(ctx)
-	}()
-	t.Cleanup(func() {
-		stop()
-		<-ended
-		_ = f.Close() // it fails where nobody heard in time that the seat is left
-	})
-	return f
-}
-
-func freeSeats(t *testing.T, names ...string) (seats []SlotAddress) {
-	t.Helper()
-	for _, name := range names {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		seats = append(seats, SlotAddress{Name: name, Address: l.Addr().String()})
-		require.NoError(t, l.Close())
-	}
-	return seats
-}
-
 // shape lists the keys of a JSON value, sorted; of lists that of their first element.
 func shape(value any, path string) []string {
 	switch value := value.(type) {
@@ -198,7 +195,7 @@
 
 // The keys of a running node's status, those of maps included.
 func TestGoldenStatusOfANode(t *testing.T) {
-	raw, err := json.Marshal(start(t, "a", freeSeats(t, "a", "b")).Status())
+	raw, err := json.Marshal(startNode(t, "a", freeSlots(t, "a", "b")).Status())
 	require.NoError(t, err)
 	var value any
 	require.NoError(t, json.Unmarshal(raw, &value))
@@ -214,8 +211,8 @@
 	}
 	say(ErrNoLeader)
 
-	seats := freeSeats(t, "a", "b", "c")
-	a, b := start(t, "a", seats), start(t, "b", seats)
+	slots := freeSlots(t, "a", "b", "c")
+	a, b := startNode(t, "a", slots), startNode(t, "b", slots)
 	var back string
 	say(a.CallMember(t.Context(), "nobody", "x", 1, &back))
 	say(a.CallMember(t.Context(), "a", "x", 1, &back))
@@ -238,7 +235,7 @@
 	f.Slots[1].Name = "other"
 	say(f.CallLeader(t.Context(), "seat", 1, nil))
 
-	_, err = Open(Options{MemberConfig: a.MemberConfig, Dir: a.Dir, Slots: seats, SlotName: "a", Log: zap.NewNop()})
+	_, err = Open(Options{MemberConfig: a.MemberConfig, Dir: a.Dir, Slots: slots, SlotName: "a", Log: zap.NewNop()})
 	require.Error(t, err)
 	say(fmt.Errorf("%s", strings.ReplaceAll(err.Error(), a.Dir, "DIR")))
 	o := a.Options
@@ -249,7 +246,7 @@
 	o.Listen = "127.0.0.1:port"
 	_, err = Open(o)
 	say(err)
-	o.Listen = seats[1].Address
+	o.Listen = slots[1].Address
 	_, err = Open(o)
 	require.ErrorContains(t, err, "fleet.listen: ")
 	golden.Bytes(t, "errors.txt", []byte(text.String()))
@@ -259,8 +256,11 @@
 
 // The names of what a node does for others, and of what its own seat is kept under.
 func TestGoldenNames(t *testing.T) {
-	a := start(t, "a", freeSeats(t, "a"))
+	a := startNode(t, "a", freeSlots(t, "a"))
 	require.Contains(t, a.handlers, "seat")
-	require.Eventually(t, func() bool { return a.Store.Get("fleet/seat/a").Version != 0 }, 10*time.Second, 10*time.Millisecond)
-	golden.Bytes(t, "names.txt", fmt.Appendf(nil, "packet %d\ncall %d\nanswer %d\nkey %s\n", kindPacket, kindRequest, kindResponse, leaseKeyPrefix))
+	leased := func() bool { return a.Store.Get("fleet/seat/a").Version != 0 }
+	require.Eventually(t, leased, 10*time.Second, 10*time.Millisecond)
+	names := fmt.Appendf(nil, "packet %d\ncall %d\nanswer %d\n", kindPacket, kindRequest, kindResponse)
+	names = fmt.Appendf(names, "key %s\n", leaseKeyPrefix)
+	golden.Bytes(t, "names.txt", names)
 }
--- a/internal/fleet/rpc.go
+++ b/internal/fleet/rpc.go
@@ -6,114 +6,122 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"go.uber.org/zap"
 
-	"standpoint/internal/fleet/lease"
-	"standpoint/internal/fleet/quota"
 	"standpoint/internal/store"
 )
 
-// Kinds of messages.
 const (
-	kindPacket = iota + 1
-	kindRequest
-	kindResponse
+	callTimeout        = 1500 * time.Millisecond // after which a response is not waited for any more
+	maxConcurrentCalls = 32                      // of other nodes that are handled at once
 )
 
-const callTimeout = 1500 * time.Millisecond // in which a call has its answer, or none is waited for
-
-// rpcRequest is something that only the store's leader can do. It may be carried out although its answer is lost: whatever is done
-// by calls may be done twice.
+// rpcRequest calls a method of another node, mostly one that only the store's leader has. It may be carried out
+// although its response is lost, so methods have to be idempotent.
 type rpcRequest struct {
 	ID     uint64 `cbor:"1,keyasint"`
-	From   int    `cbor:"2,keyasint"`
+	From   int    `cbor:"2,keyasint"` // the caller's slot
 	Method string `cbor:"3,keyasint"`
-	Body   []byte `cbor:"4,keyasint"`
+	Body   []byte `cbor:"4,keyasint"` // JSON
 }
 
 type rpcResponse struct {
-	ID   uint64 `cbor:"1,keyasint"`
-	Body []byte `cbor:"2,keyasint"`
-	// Error is why it was not done. Elsewhere tells that this node does not lead.
+	ID        uint64 `cbor:"1,keyasint"`
+	Body      []byte `cbor:"2,keyasint"` // JSON
 	Error     string `cbor:"3,keyasint,omitempty"`
-	NotLeader bool   `cbor:"4,keyasint,omitempty"`
-	Leader    string `cbor:"5,keyasint,omitempty"` // who does, as far as known here
+	NotLeader bool   `cbor:"4,keyasint,omitempty"` // nothing was done: the node does not lead
+	Leader    string `cbor:"5,keyasint,omitempty"` // the node that does, as far as known there
 }
 
-// ErrNoLeader is returned where nobody who leads can be reached: this node cannot know, nor change, what the fleet agrees on.
+// ErrNoLeader is returned where no leader can be reached: this node can neither know nor change what the fleet
+// agrees on.
 var ErrNoLeader = errors.New("no leader of the store can be reached")
 
-// RejectedError is a leader's no.
-type RejectedError string
+// RejectedError is returned where another node has rejected a call.
+type RejectedError struct {
+	Method string
+	Reason string
+}
+
+// Error implements error. It is the reason alone, as the other node gave it.
+func (e *RejectedError) Error() string { return e.Reason }
 
-// Error implements error.
-func (r RejectedError) Error() string { return string(r) }
+// handlerFunc carries out a call. Its body and its result are JSON.
+type handlerFunc func(ctx context.Context, body []byte) ([]byte, error)
 
-// handler is what a node does when it is called for it: everywhere, or where it leads alone.
+// handler is a method that other nodes may call.
 type handler struct {
-	handle      func(context.Context, []byte) ([]byte, error)
-	onAnyMember bool
+	handle      handlerFunc
+	onAnyMember bool // false: only where this node leads
 }
 
-// HandleOnLeader says what this node does, once it leads, when it is called for it.
-func (f *Fleet) HandleOnLeader(what string, do func(context.Context, []byte) ([]byte, error)) {
-	f.callsMu.Lock()
-	defer f.callsMu.Unlock()
-	f.handlers[what] = handler{do, false}
+// HandleOnLeader registers a method that other nodes may call while this node leads.
+func (f *Fleet) HandleOnLeader(method string, handle func(context.Context, []byte) ([]byte, error)) {
+	f.register(method, handler{handle: handle})
 }
 
-// HandleOnAnyMember says what this node answers whoever asks it, whether or not it leads.
-func HandleOnAnyMember[In, Out any](f *Fleet, what string, do func(In) (Out, error)) {
-	f.callsMu.Lock()
-	defer f.callsMu.Unlock()
-	f.handlers[what] = handler{func(_ context.Context, body []byte) ([]byte, error) {
+// HandleOnAnyMember registers a method that other nodes may call whether or not this node leads.
+func HandleOnAnyMember[In, Out any](f *Fleet, method string, handle func(In) (Out, error)) {
+	f.register(method, handler{onAnyMember: true, handle: func(_ context.Context, body []byte) ([]byte, error) {
 		var in In
 		if err := json.Unmarshal(body, &in); err != nil {
 			return nil, err
 		}
-		out, err := do(in)
+		out, err := handle(in)
 		if err != nil {
 			return nil, err
 		}
 		return json.Marshal(out)
-	}, true}
+	}})
 }
 
-// CallMember asks one seat.
-func (f *Fleet) CallMember(ctx context.Context, name, what string, in, out any) error {
+func (f *Fleet) register(method string, h handler) {
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	f.handlers[method] = h
+}
+
+func (f *Fleet) handlerOf(method string) handler {
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	return f.handlers[method]
+}
+
+// CallMember calls a method of the node in a slot. in is encoded as JSON, and the result decoded into out. The
+// error is a *RejectedError where that node has rejected the call, and wraps ErrNoLeader where it cannot be
+// reached.
+func (f *Fleet) CallMember(ctx context.Context, slotName, method string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	seat := slices.IndexFunc(f.Slots, func(s SlotAddress) bool { return s.Name == name })
-	if seat < 0 || seat == f.MemberConfig.Owner.Slot {
-		return fmt.Errorf("%q is no other seat", name)
+	slot := f.slotIndex(slotName)
+	if slot < 0 || slot == f.MemberConfig.Owner.Slot {
+		return fmt.Errorf("%q is no other seat", slotName)
 	}
-	a, err := f.roundTrip(ctx, seat, what, body)
+	response, err := f.roundTrip(ctx, slot, method, body)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(a.Body, out)
+	return json.Unmarshal(response.Body, out)
 }
 
-// CallLeader has the store's leader do something. An error that is no Refusal leaves open whether it was done.
-func (f *Fleet) CallLeader(ctx context.Context, what string, in, out any) error {
+// CallLeader calls a method of the store's leader, which may be this node. in is encoded as JSON, and the result
+// decoded into out, if that is not nil. An error that is no *RejectedError leaves open whether the call was carried
+// out.
+func (f *Fleet) CallLeader(ctx context.Context, method string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	var back []byte
+	var result []byte
 	if _, leads := f.Store.Leadership(); leads && !f.IsSite() {
-		f.callsMu.Lock()
-		d := f.handlers[what]
-		f.callsMu.Unlock()
-		back, err = d.handle(ctx, body)
+		result, err = f.handlerOf(method).handle(ctx, body)
 	} else {
-		back, err = f.callRemoteLeader(ctx, what, body)
+		result, err = f.callRemoteLeader(ctx, method, body)
 	}
 	if err != nil {
 		return err
@@ -121,214 +129,172 @@
 	if out == nil {
 		return nil
 	}
-	return json.Unmarshal(back, out)
+	return json.Unmarshal(result, out)
 }
 
-// IsSite tells that this node's seat is none of the halls': its own store decides nothing for the fleet.
-func (f *Fleet) IsSite() bool {
-	return len(f.CoreSlots) > 0 && !slices.Contains(f.CoreSlots, f.SlotName)
-}
-
-// callRemoteLeader asks the leader of the halls' store, found by asking the halls where it is not known.
-func (f *Fleet) callRemoteLeader(ctx context.Context, what string, body []byte) ([]byte, error) {
-	leader := f.Store.Leader()
-	if f.IsSite() {
-		f.callsMu.Lock()
-		leader = f.coreLeader
-		f.callsMu.Unlock()
-		if leader == "" {
-			leader = f.CoreSlots[rand.IntN(len(f.CoreSlots))]
-		}
-	}
+// callRemoteLeader calls the leader of the core's store. A site that does not know it asks a core node, which names it.
+func (f *Fleet) callRemoteLeader(ctx context.Context, method string, body []byte) ([]byte, error) {
+	leader := f.presumedLeader()
 	for range 2 {
-		seat := slices.IndexFunc(f.Slots, func(s SlotAddress) bool { return s.Name == leader })
-		if seat < 0 || seat == f.MemberConfig.Owner.Slot {
+		slot := f.slotIndex(leader)
+		if slot < 0 || slot == f.MemberConfig.Owner.Slot {
 			break
 		}
-		a, err := f.roundTrip(ctx, seat, what, body)
-		f.callsMu.Lock()
-		f.coreLeader = ""
-		if err == nil && !a.NotLeader {
-			f.coreLeader = leader
+		response, err := f.roundTrip(ctx, slot, method, body)
+		if err != nil || !response.NotLeader {
+			f.rememberLeader(leader, err == nil)
+			return response.Body, err
 		}
-		f.callsMu.Unlock()
-		if err != nil || !a.NotLeader {
-			return a.Body, err
-		}
-		if !f.IsSite() || a.Leader == "" {
+		f.rememberLeader(leader, false)
+		if !f.IsSite() || response.Leader == "" {
 			break
 		}
-		leader = a.Leader
+		leader = response.Leader
 	}
 	return nil, ErrNoLeader
 }
 
-// roundTrip asks a seat, and waits for its answer.
-func (f *Fleet) roundTrip(ctx context.Context, seat int, what string, body []byte) (rpcResponse, error) {
+// presumedLeader is the node to call first: the leader as far as known, or, at a site that does not know it, any
+// core node.
+func (f *Fleet) presumedLeader() string {
+	if !f.IsSite() {
+		return f.Store.Leader()
+	}
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	if f.coreLeader != "" {
+		return f.coreLeader
+	}
+	return f.CoreSlots[rand.IntN(len(f.CoreSlots))]
+}
+
+// rememberLeader notes whether a node answered as the leader. Where it did not the leader is not known.
+func (f *Fleet) rememberLeader(name string, leads bool) {
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	f.coreLeader = ""
+	if leads {
+		f.coreLeader = name
+	}
+}
+
+// roundTrip sends a request to a slot, and waits for the response.
+func (f *Fleet) roundTrip(ctx context.Context, slot int, method string, body []byte) (rpcResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	came := make(chan rpcResponse, 1)
-	f.callsMu.Lock()
-	f.nextCallID++
-	c := rpcRequest{ID: f.nextCallID, From: f.MemberConfig.Owner.Slot, Method: what, Body: body}
-	f.pendingCalls[c.ID] = came
-	f.callsMu.Unlock()
-	defer func() {
-		f.callsMu.Lock()
-		defer f.callsMu.Unlock()
-		delete(f.pendingCalls, c.ID)
-	}()
-	failed := make(chan error, 1)
-	go func() { failed <- f.sendReliable(seat, kindRequest, c) }()
+	id, responses := f.beginCall()
+	defer f.endCall(id)
+	request := rpcRequest{ID: id, From: f.MemberConfig.Owner.Slot, Method: method, Body: body}
+	sent := make(chan error, 1)
+	go func() { sent <- f.sendReliable(slot, kindRequest, request) }() // it ends by the library's timeout
 	for {
 		select {
 		case <-ctx.Done():
-			return rpcResponse{}, fmt.Errorf("%w: no answer from %s", ErrNoLeader, f.Slots[seat].Name)
-		case err := <-failed:
+			return rpcResponse{}, fmt.Errorf("%w: no answer from %s", ErrNoLeader, f.Slots[slot].Name)
+		case err := <-sent:
 			if err != nil {
-				return rpcResponse{}, fmt.Errorf("%w: %v", ErrNoLeader, err)
+				return rpcResponse{}, fmt.Errorf("%w: %w", ErrNoLeader, err)
 			}
-		case a := <-came:
-			if a.Error != "" {
-				return a, RejectedError(a.Error)
+		case response := <-responses:
+			if response.Error != "" {
+				return response, &RejectedError{Method: method, Reason: response.Error}
 			}
-			return a, nil
+			return response, nil
 		}
 	}
 }
 
-// sendReliable sends a message that the library has to bring there, or say that it could not.
-func (f *Fleet) sendReliable(to int, kind byte, v any) error {
-	raw, err := cbor.Marshal(v)
+// beginCall registers a call, so that handleResponse hands its response on.
+func (f *Fleet) beginCall() (id uint64, responses chan rpcResponse) {
+	responses = make(chan rpcResponse, 1)
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	f.nextCallID++
+	f.pendingCalls[f.nextCallID] = responses
+	return f.nextCallID, responses
+}
+
+func (f *Fleet) endCall(id uint64) {
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	delete(f.pendingCalls, id)
+}
+
+// sendReliable sends a message over TCP. It returns an error where the library could not bring it to the node.
+func (f *Fleet) sendReliable(slot int, kind byte, message any) error {
+	encoded, err := cbor.Marshal(message)
 	if err != nil {
 		return err
 	}
-	f.sentBytes.Add(uint64(len(raw)))
-	return f.memberlist.SendReliable(f.memberNode(to), append([]byte{kind}, raw...))
+	f.sentBytes.Add(uint64(len(encoded)))
+	return f.memberlist.SendReliable(f.memberNode(slot), frame(kind, encoded))
 }
 
-// handleRequest carries a call of another node out, beside what else is read.
-func (f *Fleet) handleRequest(ctx context.Context, raw []byte) {
-	var c rpcRequest
-	if err := decoding.Unmarshal(raw, &c); err != nil || c.From < 0 || c.From >= len(f.Slots) || c.From == f.MemberConfig.Owner.Slot {
-		f.Log.Info("a call that cannot be read", zap.Error(err))
+// handleRequest carries out a call of another node, on a goroutine of its own. Where too many are being handled the
+// request is dropped: its caller hears nothing, and calls again.
+func (f *Fleet) handleRequest(ctx context.Context, encoded []byte) {
+	var request rpcRequest
+	err := decoding.Unmarshal(encoded, &request)
+	if err != nil || request.From < 0 || request.From >= len(f.Slots) || request.From == f.MemberConfig.Owner.Slot {
+		f.Log.Info("malformed request", zap.Error(err))
 		return
 	}
 	select {
 	case f.callSemaphore <- struct{}{}:
 	default:
-		return // the caller hears nothing, and calls again
+		return
 	}
 	go func() {
 		defer func() { <-f.callSemaphore }()
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		a := rpcResponse{ID: c.ID}
-		f.callsMu.Lock()
-		d := f.handlers[c.Method]
-		f.callsMu.Unlock()
-		var err error
-		_, leads := f.Store.Leadership()
-		switch {
-		case d.handle == nil:
-			err = fmt.Errorf("nobody here does %q", c.Method)
-		case !d.onAnyMember && (!leads || f.IsSite()):
-			a.NotLeader, a.Leader = true, f.Store.Leader()
-		default:
-			a.Body, err = d.handle(ctx, c.Body)
-		}
-		switch {
-		case errors.Is(err, store.ErrNotLeader):
-			a.NotLeader = true
-		case err != nil:
-			a.Error = err.Error()
-		}
-		if err := f.sendReliable(c.From, kindResponse, a); err != nil {
-			f.Log.Info("an answer could not be given", zap.String("to", f.Slots[c.From].Name), zap.Error(err))
+		response := f.carryOut(ctx, request)
+		if err := f.sendReliable(request.From, kindResponse, response); err != nil {
+			f.Log.Info("response not sent", zap.String("to", f.Slots[request.From].Name), zap.Error(err))
 		}
 	}()
 }
 
-func (f *Fleet) handleResponse(raw []byte) {
-	var a rpcResponse
-	if err := decoding.Unmarshal(raw, &a); err != nil {
-		return
+// carryOut calls the handler of a request.
+func (f *Fleet) carryOut(ctx context.Context, request rpcRequest) rpcResponse {
+	response := rpcResponse{ID: request.ID}
+	h := f.handlerOf(request.Method)
+	_, leads := f.Store.Leadership()
+	if h.handle == nil {
+		response.Error = fmt.Sprintf("nobody here does %q", request.Method)
+		return response
 	}
-	f.callsMu.Lock()
-	defer f.callsMu.Unlock()
-	if came := f.pendingCalls[a.ID]; came != nil {
-		select {
-		case came <- a:
-		default:
-		}
+	if !h.onAnyMember && (!leads || f.IsSite()) {
+		response.NotLeader = true
+		response.Leader = f.Store.Leader()
+		return response
 	}
+	var err error
+	response.Body, err = h.handle(ctx, request.Body)
+	switch {
+	case errors.Is(err, store.ErrNotLeader):
+		response.NotLeader = true
+	case err != nil:
+		response.Error = err.Error()
+	}
+	return response
 }
 
-// ---- the seat ----
-
-const leaseKeyPrefix = "fleet/seat/"
-
-// handleLeaseClaim gives a seat, or gives it anew, where this node leads.
-func (f *Fleet) handleLeaseClaim(ctx context.Context, body []byte) ([]byte, error) {
-	var c lease.Claim
-	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, err
-	}
-	if !slices.ContainsFunc(f.Slots, func(s SlotAddress) bool { return s.Name == c.Slot }) {
-		return nil, fmt.Errorf("%q is no seat of this fleet", c.Slot)
-	}
-	v := f.Store.Get(leaseKeyPrefix + c.Slot)
-	var r lease.Record
-	if v.Version != 0 {
-		if err := json.Unmarshal(v.Data, &r); err != nil {
-			return nil, fmt.Errorf("the record of seat %q cannot be read: %w", c.Slot, err)
-		}
-	}
-	next, err := lease.Decide(r, c, f.Now(), f.MemberConfig.ClockError)
-	if err != nil {
-		return nil, err
-	}
-	raw, err := json.Marshal(next)
-	if err != nil {
-		return nil, err
+// handleResponse hands a response to the call that waits for it.
+func (f *Fleet) handleResponse(encoded []byte) {
+	var response rpcResponse
+	if err := decoding.Unmarshal(encoded, &response); err != nil {
+		f.Log.Info("malformed response", zap.Error(err))
+		return
 	}
-	if _, err := f.Store.Write(ctx, store.Op{Key: leaseKeyPrefix + c.Slot, Data: raw, ExpectedVersion: v.Version}); err != nil {
-		return nil, err
+	f.callsMu.Lock()
+	defer f.callsMu.Unlock()
+	responses := f.pendingCalls[response.ID]
+	if responses == nil {
+		return // the call has timed out
 	}
-	return raw, nil
-}
-
-// maintainLease claims the node's seat, and claims it anew in time. A node that cannot goes on by its last lease until that ends.
-func (f *Fleet) maintainLease(ctx context.Context) {
-	again := claimRetryInterval / 8
-	for {
-		var r lease.Record
-		err := f.CallLeader(ctx, "seat", lease.Claim{Slot: f.SlotName, Incarnation: f.incarnation, Predecessors: f.predecessors, Duration: f.LeaseDuration, ClaimantTime: f.Now()}, &r)
-		if err == nil && r.Incarnation == f.incarnation {
-			f.mu.Lock()
-			if r.FencingToken != f.lease.FencingToken {
-				f.Log.Info("this life has its seat", zap.String("seat", f.SlotName), zap.Uint64("epoch", r.FencingToken), zap.Bool("heir", r.Successor))
-			}
-			f.lease = quota.Lease{FencingToken: r.FencingToken, ValidFrom: r.ValidFrom, ExpiresAt: r.ExpiresAt, Successor: r.Successor}
-			f.member.SetLease(f.lease)
-			f.mu.Unlock()
-			if err := f.directory.ConfirmGrant(f.incarnation); err != nil {
-				f.Log.Error("fleet.dir: whose the seat is cannot be noted", zap.Error(err))
-			}
-			again = f.LeaseDuration / 3
-		} else {
-			if ctx.Err() == nil {
-				f.Log.Info("the seat was not given", zap.String("seat", f.SlotName), zap.Error(err))
-			}
-			again = min(claimRetryInterval, 2*again, f.LeaseDuration/3)
-		}
-		// All nodes of a fleet may have started together.
-		timer := time.NewTimer(again/2 + time.Duration(float64(again)/2*f.draw()))
-		select {
-		case <-ctx.Done():
-			timer.Stop()
-			return
-		case <-timer.C:
-		}
+	select {
+	case responses <- response:
+	default: // it has a response already
 	}
 }
