--- a/internal/lab/proof/proof.go
+++ b/internal/lab/proof/proof.go
@@ -53,9 +53,9 @@
 	{"a key that is used twice", fleet + "session/session.go", "case o.Turn < r.Turn:\n\t\treturn r, ErrKeyUsed", "", "session"},
 	{"a claim beside another", fleet + "session/session.go", "case r.State != Paused && !dead && !claimLapsed(r, now, clockError):", "case false && !dead:", "session"},
 	{"results that are not those of the calls", fleet + "session/session.go", "if !slices.Contains(o.ResultIDs, c.ID) {", "if false {", "session"},
-	{"an entry counted by its arrival", fleet + "ledger/book.go", "if found {\n\t\treturn all, false\n\t}", "if found {\n\t\treturn all, true\n\t}", "ledger"},
-	{"a checksum that is not compared", fleet + "ledger/file.go", "if checksum(raw[:4], payload) != binary.BigEndian.Uint32(raw[4:]) {", "if false {", "ledger"},
-	{"a torn tail that is written behind", fleet + "ledger/file.go", "if err = f.current.Truncate(f.currentBytes); err == nil {\n\t\t_, err = f.current.Seek(f.currentBytes, io.SeekStart)", "if err == nil {\n\t\t_, err = f.current.Seek(0, io.SeekEnd)", "ledger"},
+	{"an entry counted by its arrival", fleet + "ledger/range.go", "if found {\n\t\treturn ranges, false\n\t}", "if found {\n\t\treturn ranges, true\n\t}", "ledger"},
+	{"a checksum that is not compared", fleet + "ledger/record.go", "if checksum(b[:lengthBytes], payload) != binary.BigEndian.Uint32(b[lengthBytes:]) {", "if false {", "ledger"},
+	{"a torn tail that is written behind", fleet + "ledger/segmented_log.go", "err := l.current.Truncate(l.currentBytes)\n\tif err == nil {\n\t\t_, err = l.current.Seek(l.currentBytes, io.SeekStart)", "var err error\n\tif err == nil {\n\t\t_, err = l.current.Seek(0, io.SeekEnd)", "ledger"},
 	{"a site alone at the first silence", fleet + "site/site.go", "now-m.since >= int64(m.IsolatedAfter)", "true", "site"},
 	{"loans between definitions that differ", fleet + "member/member.go", "return b.DefinitionHash() == o.BudgetHash })", "return b.Name == \"b\" })", "member"},
 }
