--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -12,19 +12,38 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-func roundTrip[T any](t *testing.T, name string, value T) {
-	t.Helper()
-	golden.RoundTrip(t, name, value, func(v T) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v T, err error) {
-		return v, json.Unmarshal(raw, &v)
-	})
-}
-
 // A session as the store has it, and what a node asks of the leader.
 func TestGoldenRecordAndOperation(t *testing.T) {
-	roundTrip(t, "record.json", Record{ID: id, Turn: 2, State: Claimed, FencingToken: 3, Deadline: 4, ToolDeadline: 5, Tenant: 6, Owner: Owner{Slot: "node-1", Incarnation: 7}, ClaimID: "trace-8",
-		Calls: []ToolCall{{ID: "call-9", Name: "hours"}}, Data: []byte("packed"), EndReason: "served"})
-	roundTrip(t, "operation.json", Command{Kind: Claim, ID: id, Turn: 2, FencingToken: 3, ClaimID: "trace-4", Owner: Owner{Slot: "node-1", Incarnation: 5}, Predecessors: []uint64{6, 7}, Tenant: 8, ToolTimeout: 9, ClaimDuration: 10,
-		ResultIDs: []string{"call-11"}, Calls: []ToolCall{{ID: "call-12", Name: "hours"}}, Data: []byte("packed"), EndReason: "served"})
+	golden.JSON(t, "record.json", Record{
+		ID:           id,
+		Turn:         2,
+		State:        Claimed,
+		FencingToken: 3,
+		Deadline:     4,
+		ToolDeadline: 5,
+		Tenant:       6,
+		Owner:        Owner{Slot: "node-1", Incarnation: 7},
+		ClaimID:      "trace-8",
+		Calls:        []ToolCall{{ID: "call-9", Name: "hours"}},
+		Data:         []byte("packed"),
+		EndReason:    "served",
+	})
+	golden.JSON(t, "operation.json", Command{
+		Kind:          Claim,
+		ID:            id,
+		Turn:          2,
+		FencingToken:  3,
+		ClaimID:       "trace-4",
+		Owner:         Owner{Slot: "node-1", Incarnation: 5},
+		Predecessors:  []uint64{6, 7},
+		Tenant:        8,
+		ToolTimeout:   9,
+		ClaimDuration: 10,
+		ResultIDs:     []string{"call-11"},
+		Calls:         []ToolCall{{ID: "call-12", Name: "hours"}},
+		Data:          []byte("packed"),
+		EndReason:     "served",
+	})
 	raw, err := json.Marshal([]any{Record{}, Command{}})
 	require.NoError(t, err)
 	golden.Bytes(t, "empty.json", raw)
@@ -40,7 +59,19 @@
 		lines = append(lines, "operation "+string(k))
 	}
 	lines = append(lines, "key "+ResumeKey(id, 2))
-	for _, err := range []error{ErrMalformedKey, ErrUnknownKey, ErrKeyUsed, ErrExpired, ErrEnded, ErrClaimed, ErrStaleFencingToken, ErrTooManyPaused, ErrInvalidTransition, ErrResultsMismatch, ErrTooLarge} {
+	for _, err := range []error{
+		ErrMalformedKey,
+		ErrUnknownKey,
+		ErrKeyUsed,
+		ErrExpired,
+		ErrEnded,
+		ErrClaimed,
+		ErrStaleFencingToken,
+		ErrTooManyPaused,
+		ErrInvalidTransition,
+		ErrResultsMismatch,
+		ErrTooLarge,
+	} {
 		lines = append(lines, "error "+err.Error())
 	}
 	_, _, err := ParseResumeKey("spoilt")
@@ -55,9 +86,9 @@
 	}
 	require.True(t, errors.Is(step(t, &r, one, second), ErrResultsMismatch))
 	require.NoError(t, step(t, &r, Command{Kind: Cancel}, second))
-	lines = append(lines, "last "+r.EndReason)
+	lines = append(lines, "last "+string(r.EndReason))
 	r = paused(t)
 	require.NoError(t, step(t, &r, Command{Kind: Expire}, 30*second))
-	lines = append(lines, "last "+r.EndReason)
+	lines = append(lines, "last "+string(r.EndReason))
 	golden.Bytes(t, "words.txt", fmt.Appendln(nil, strings.Join(lines, "\n")))
 }
