--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -5,10 +5,12 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"sync"
 	"time"
+	"unicode/utf8"
 
 	"go.uber.org/zap"
 
@@ -17,31 +19,47 @@
 	"standpoint/internal/node"
 )
 
-// hook looks at one answer: it gathers what is produced, and has the decoding end at a call that pauses. The attempt that has
-// claimed the flow calls it, one call at a time; Over comes behind all others.
+// Bounds of an answer that can be paused.
+const (
+	maxTextBytes   = 128 << 10 // produced before a call, and of a call's arguments
+	maxCalls       = 16
+	maxCallIDBytes = 128
+)
+
+var (
+	dataPrefix = []byte("data:")
+	doneMarker = []byte("[DONE]")
+)
+
+// finishToolCalls is the finish reason of an answer that ends with tool calls.
+const finishToolCalls = "tool_calls"
+
+// hook inspects one answer: it collects what is produced, and has the decoding end at a call that pauses the session.
+// It implements node.Hook; its methods are called one at a time, Over after all others.
 type hook struct {
-	s       *Service
+	service *Service
 	request standpoint.Request
-	body    []byte
-	server  func() string
+	body    []byte        // of the request
+	backend func() string // that decodes the answer
 
-	content  strings.Builder
-	calls    map[int]*toolCall
-	tooLarge bool
-	refused  string // the tool that may not be called
-	ended    bool   // the final answer is on record
+	content      strings.Builder
+	calls        map[int]*toolCall // by their index in the answer
+	tooLarge     bool
+	rejectedTool string // the tool that may not be called; "": none was
+	ended        bool   // the end of the session is recorded
+	paused       bool   // the session is recorded as paused
 
-	// Of an answer that goes on with a session.
-	id     string
-	turn   int
-	fence  uint64
-	before continuation
-	once   sync.Once
-	timer  *time.Timer
-	done   func()
-	paused bool
+	// Of an answer of a resumed session; the zero values stand for the first part of an answer.
+	id           string
+	turn         int
+	fencingToken uint64
+	previous     continuation
+	beginOnce    sync.Once
+	timer        *time.Timer // breaks the answer off at the claim's end
+	done         func()      // takes the request off those in flight
 }
 
+// toolCall is a call as the model makes it. Streams bring its parts one after the other.
 type toolCall struct {
 	ID       string `json:"id"`
 	Type     string `json:"type"`
@@ -51,82 +69,83 @@
 	} `json:"function"`
 }
 
-type delta struct {
+// chunk is what the hook reads of a streamed event.
+type chunk struct {
 	Choices []struct {
 		Delta struct {
-			Content   string `json:"content"`
-			ToolCalls []struct {
-				Index int `json:"index"`
-				toolCall
-			} `json:"tool_calls"`
+			Content   string          `json:"content"`
+			ToolCalls []toolCallDelta `json:"tool_calls"`
 		} `json:"delta"`
 		Finish string `json:"finish_reason"`
 	} `json:"choices"`
 }
 
-// Hook is what looks at the answer of a first part.
-func (s *Service) Hook(q standpoint.Request, body []byte, server func() string) node.Hook {
-	return &hook{s: s, request: q, body: body, server: server, calls: map[int]*toolCall{}}
+// toolCallDelta is a part of a call.
+type toolCallDelta struct {
+	Index int `json:"index"`
+	toolCall
 }
 
-var (
-	dataMark = []byte("data:")
-	doneMark = []byte("[DONE]")
-)
+// Hook returns what inspects the answer to a request that resumes no session. backend returns who decodes it.
+func (s *Service) Hook(request standpoint.Request, body []byte, backend func() string) node.Hook {
+	return &hook{service: s, request: request, body: body, backend: backend, calls: map[int]*toolCall{}}
+}
+
+// resumed reports whether the answer is that of a resumed session, on which this node holds a claim.
+func (h *hook) resumed() bool { return h.fencingToken > 0 }
 
 // Event implements node.Hook.
-func (h *hook) Event(b []byte) ([]byte, node.Then) {
-	if h.fence > 0 {
-		h.once.Do(func() { go h.begin() })
+func (h *hook) Event(event []byte) ([]byte, node.Then) {
+	if h.resumed() {
+		// Nothing waits for it, and it needs no answer: the claim says as much without it.
+		h.beginOnce.Do(func() { go h.recordBegin() })
 	}
-	for line := range bytes.Lines(b) {
-		data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), dataMark)
-		data = bytes.TrimSpace(data)
+	for line := range bytes.Lines(event) {
+		data, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), dataPrefix)
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, doneMark) {
-			// The final answer of a session is on record before it is out: its key gets no second one.
-			if h.fence > 0 && !h.end() {
+		data = bytes.TrimSpace(data)
+		if bytes.Equal(data, doneMarker) {
+			// The final answer of a session is recorded before it is passed on: its key gets no second one.
+			if h.resumed() && !h.recordEnd() {
 				return nil, node.Break
 			}
 			continue
 		}
-		var d delta
-		if json.Unmarshal(data, &d) != nil {
+		var c chunk
+		if json.Unmarshal(data, &c) != nil {
 			continue // passed on as it is
 		}
-		for _, c := range d.Choices {
-			h.gather(c.Delta.Content)
-			for _, t := range c.Delta.ToolCalls {
-				if len(h.calls) >= maxCalls && h.calls[t.Index] == nil {
-					h.tooLarge = true
-					continue
-				}
-				if h.calls[t.Index] == nil {
-					h.calls[t.Index] = &toolCall{Type: "function"}
-				}
-				whole := h.calls[t.Index]
-				whole.ID += t.ID
-				whole.Function.Name += t.Function.Name
-				whole.Function.Arguments += t.Function.Arguments
-				h.tooLarge = h.tooLarge || len(whole.Function.Arguments) > maxTextBytes || len(whole.ID) > maxCallIDBytes
-			}
-			if c.Finish == "tool_calls" {
-				switch h.does() {
-				case RejectCall:
-					return h.refuse(), node.Stop
-				case PauseSession:
-					return b, node.Stop
-				}
-				clear(h.calls)
-			}
+		switch h.observe(&c) {
+		case RejectCall:
+			return h.rejection(), node.Stop
+		case PauseSession:
+			return event, node.Stop
+		}
+	}
+	return event, node.GoOn
+}
+
+// observe collects a chunk, and returns what happens to the answer.
+func (h *hook) observe(c *chunk) ToolAction {
+	for _, choice := range c.Choices {
+		h.addContent(choice.Delta.Content)
+		for i := range choice.Delta.ToolCalls {
+			h.addCall(&choice.Delta.ToolCalls[i])
+		}
+		if choice.Finish != finishToolCalls {
+			continue
 		}
+		if action := h.action(); action != PassThrough {
+			return action
+		}
+		clear(h.calls)
 	}
-	return b, node.GoOn
+	return PassThrough
 }
 
-func (h *hook) gather(text string) {
+func (h *hook) addContent(text string) {
 	if h.content.Len()+len(text) > maxTextBytes {
 		h.tooLarge = true
 		return
@@ -134,198 +153,129 @@
 	h.content.WriteString(text)
 }
 
-// does is what the calls that were made do together: one that is refused ends the answer, else one that pauses pauses it.
-func (h *hook) does() ToolAction {
-	does := PassThrough
-	for _, c := range h.sorted() {
-		t := h.s.tool(c.Function.Name)
+func (h *hook) addCall(delta *toolCallDelta) {
+	call := h.calls[delta.Index]
+	if call == nil {
+		if len(h.calls) >= maxCalls {
+			h.tooLarge = true
+			return
+		}
+		call = &toolCall{Type: "function"}
+		h.calls[delta.Index] = call
+	}
+	call.ID += delta.ID
+	call.Function.Name += delta.Function.Name
+	call.Function.Arguments += delta.Function.Arguments
+	if len(call.Function.Arguments) > maxTextBytes || len(call.ID) > maxCallIDBytes {
+		h.tooLarge = true
+	}
+}
+
+// action returns what the collected calls do together: one that is rejected ends the answer, else one that pauses the
+// session does.
+func (h *hook) action() ToolAction {
+	action := PassThrough
+	for _, call := range h.sortedCalls() {
+		tool := h.service.tool(call.Function.Name)
 		switch {
-		case t == nil || t.Action == PassThrough:
-		case t.Action == RejectCall:
-			h.refused = c.Function.Name
+		case tool == nil || tool.Action == PassThrough:
+		case tool.Action == RejectCall:
+			h.rejectedTool = call.Function.Name
 			return RejectCall
 		default:
-			does = PauseSession
+			action = PauseSession
 		}
 	}
-	return does
+	return action
 }
 
-func (h *hook) sorted() []*toolCall {
-	var at []int
-	for i := range h.calls {
-		at = append(at, i)
-	}
-	sort.Ints(at)
-	var all []*toolCall
-	for _, i := range at {
-		all = append(all, h.calls[i])
+func (h *hook) sortedCalls() []*toolCall {
+	var calls []*toolCall
+	for _, index := range slices.Sorted(maps.Keys(h.calls)) {
+		calls = append(calls, h.calls[index])
 	}
-	return all
+	return calls
 }
 
-// refuse is passed on in place of a call that may not be made.
-func (h *hook) refuse() []byte {
-	return fmt.Appendf(nil, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],\"error\":{\"message\":%q,\"type\":\"tool_refused\"}}\n\n", "the tool "+h.refused+" may not be called here")
+// rejection is passed on in place of a call that may not be made.
+func (h *hook) rejection() []byte {
+	message := "the tool " + h.rejectedTool + " may not be called here"
+	return fmt.Appendf(nil, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],"+
+		"\"error\":{\"message\":%q,\"type\":\"tool_refused\"}}\n\n", message)
 }
 
-// made are the tokens of this part, by the page's four characters.
-func (h *hook) made() float64 {
-	chars := len([]rune(h.content.String()))
-	for _, c := range h.calls {
-		chars += len([]rune(c.Function.Arguments))
+// producedTokens estimates the tokens of this part of the answer.
+func (h *hook) producedTokens() float64 {
+	characters := utf8.RuneCountInString(h.content.String())
+	for _, call := range h.calls {
+		characters += utf8.RuneCountInString(call.Function.Arguments)
 	}
-	return tokensOf(chars)
+	return tokensOf(characters)
 }
 
-// Stopped implements node.Hook: the decoding has ended. The session is put on record, and its client gets the key; where that
-// cannot be, the client has the call all the same, and sends the conversation again with its result.
+// Stopped implements node.Hook: the decoding has ended at a call. Where the session cannot be recorded its client
+// gets the call without a key, and sends the conversation again with the call's result.
 func (h *hook) Stopped() ([]byte, node.Usage) {
-	made := h.made()
-	usage := node.Usage{Known: true, Begun: true, Out: made}
-	last := fmt.Appendf(nil, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%.0f,\"completion_tokens\":%.0f}}\n\ndata: [DONE]\n\n", h.request.PromptTokens, made)
-	if h.refused != "" {
-		if h.fence > 0 {
-			h.end()
+	produced := h.producedTokens()
+	usage := node.Usage{Known: true, Begun: true, Out: produced}
+	last := fmt.Appendf(nil, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%.0f,\"completion_tokens\":%.0f}}\n\n"+
+		"data: [DONE]\n\n", h.request.PromptTokens, produced)
+	if h.rejectedTool != "" {
+		if h.resumed() {
+			h.recordEnd()
 		}
 		return last, usage
 	}
-	key, until, err := h.pause(made)
+	key, deadline, err := h.pause(produced)
 	if err != nil {
-		h.s.Unrecorded.Add(1)
-		h.s.Log.Info("a call could not be put on record; its client got no key", zap.Error(err))
-		if h.fence > 0 {
-			// Nor may the session go on from the pause before: what came since is with the client alone.
-			h.end()
+		h.service.Unrecorded.Add(1)
+		h.service.Log.Info("pause not recorded", zap.Error(err))
+		if h.resumed() {
+			// Nor may the session be resumed from the pause before: what came since is with the client alone.
+			h.recordEnd()
 		}
 		return last, usage
 	}
-	h.s.Paused.Add(1)
+	h.service.Paused.Add(1)
 	h.paused = true
-	return append(fmt.Appendf(nil, "data: {\"choices\":[],\"standpoint\":{\"resume\":%q,\"within_ms\":%d}}\n\n", key, time.Until(until).Milliseconds()), last...), usage
-}
-
-func (h *hook) pause(made float64) (string, time.Time, error) {
-	if h.tooLarge {
-		return "", time.Time{}, session.ErrTooLarge
-	}
-	all := h.sorted()
-	var wait time.Duration
-	o := session.Command{Kind: session.Pause, ID: h.id, Turn: h.turn, FencingToken: h.fence, Tenant: h.request.Tenant}
-	k := continuation{Class: h.request.Class, Tenant: h.request.Tenant, Session: h.request.Session, Prefix: h.request.Prefix, PrefixTokens: h.request.PrefixTokens,
-		MaxTokens: max(1, h.request.MaxTokens-made), Backend: h.server(), PromptTokens: h.request.PromptTokens + made, ProducedTokens: h.before.ProducedTokens + made, Parts: h.before.Parts + 1}
-	k.BackendStart = h.s.BackendStart(k.Backend)
-	for _, c := range all {
-		if c.ID == "" {
-			return "", time.Time{}, fmt.Errorf("%w: a call without an id", session.ErrResultsMismatch)
-		}
-		o.Calls = append(o.Calls, session.ToolCall{ID: c.ID, Name: c.Function.Name})
-		if t := h.s.tool(c.Function.Name); t != nil {
-			wait, k.MaxResultBytes = max(wait, t.ResultTimeout), k.MaxResultBytes+t.MaxResultBytes
-			if t.Class >= 0 {
-				k.Class = t.Class
-			}
-		}
-	}
-	var err error
-	if k.Body, err = extend(h.body, assistant(h.content.String(), all)); err != nil {
-		return "", time.Time{}, err
-	}
-	if o.Data, err = h.s.encode(k); err != nil {
-		return "", time.Time{}, err
-	}
-	if len(o.Data) > maxRecordBytes {
-		return "", time.Time{}, session.ErrTooLarge
-	}
-	free := func() {}
-	if h.s.ReserveSession != nil {
-		var ok bool
-		if free, ok = h.s.ReserveSession(h.request.Tenant, wait); !ok {
-			return "", time.Time{}, session.ErrTooManyPaused
-		}
-	}
-	if o.ID == "" {
-		o.ID = newID()
-	}
-	o.ToolTimeout = int64(wait)
-	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
-	defer cancel()
-	r, err := h.s.executeWithRetry(ctx, o)
-	if err != nil {
-		free()
-		return "", time.Time{}, err
-	}
-	h.id = o.ID
-	h.s.mu.Lock()
-	if old := h.s.reservations[o.ID]; old != nil {
-		old()
-	}
-	h.s.reservations[o.ID] = free
-	h.s.mu.Unlock()
-	return session.ResumeKey(o.ID, r.Turn), time.Now().Add(wait), nil
-}
-
-// assistant is the message that the model made, up to its calls.
-func assistant(content string, calls []*toolCall) any {
-	return struct {
-		Role    string      `json:"role"`
-		Content string      `json:"content"`
-		Calls   []*toolCall `json:"tool_calls"`
-	}{"assistant", content, calls}
+	resume := fmt.Appendf(nil, "data: {\"choices\":[],\"standpoint\":{\"resume\":%q,\"within_ms\":%d}}\n\n",
+		key, time.Until(deadline).Milliseconds())
+	return append(resume, last...), usage
 }
 
-// extend adds messages to a request's body, which stays as it is otherwise.
-func extend(body []byte, more ...any) ([]byte, error) {
-	var whole map[string]json.RawMessage
-	if err := json.Unmarshal(body, &whole); err != nil {
-		return nil, err
-	}
-	var messages []json.RawMessage
-	if err := json.Unmarshal(whole["messages"], &messages); err != nil {
-		return nil, err
-	}
-	for _, m := range more {
-		raw, err := json.Marshal(m)
-		if err != nil {
-			return nil, err
-		}
-		messages = append(messages, raw)
-	}
-	var err error
-	if whole["messages"], err = json.Marshal(messages); err != nil {
-		return nil, err
-	}
-	raw, err := json.Marshal(whole)
-	if err == nil && len(raw) > maxBodyBytes {
-		err = session.ErrTooLarge
-	}
-	return raw, err
-}
-
-func (h *hook) begin() {
+// recordBegin records that output is passed on.
+func (h *hook) recordBegin() {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	_, _ = h.s.execute(ctx, session.Command{Kind: session.Begin, ID: h.id, FencingToken: h.fence}) // the claim says as much without it
+	begin := session.Command{Kind: session.Begin, ID: h.id, FencingToken: h.fencingToken}
+	_, _ = h.service.execute(ctx, begin) // the claim says as much without it
 }
 
-// end puts the final answer on record. False: that is not known to have been done, and the answer may not end here.
-func (h *hook) end() bool {
+// recordEnd records the end of the session. It returns false where that is not known to have been done: the answer
+// may not be completed then.
+func (h *hook) recordEnd() bool {
 	if h.ended {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	_, err := h.s.executeWithRetry(ctx, session.Command{Kind: session.End, ID: h.id, FencingToken: h.fence, EndReason: "served"})
-	if err != nil {
-		h.s.Log.Info("the end of a session could not be put on record; its answer is broken off", zap.String("session", h.id), zap.Error(err))
+	end := session.Command{
+		Kind:         session.End,
+		ID:           h.id,
+		FencingToken: h.fencingToken,
+		EndReason:    session.ReasonServed,
+	}
+	if _, err := h.service.executeWithRetry(ctx, end); err != nil {
+		h.service.Log.Info("session end not recorded; answer broken off", zap.String("session", h.id), zap.Error(err))
+		return false
 	}
-	h.ended = err == nil
-	return h.ended
+	h.ended = true
+	return true
 }
 
-// Over implements node.Hook: what was claimed and neither ended nor paused anew is given back.
+// Over implements node.Hook: a claim that has neither ended the session nor paused it anew is released.
 func (h *hook) Over(node.Answer) {
-	if h.fence == 0 {
+	if !h.resumed() {
 		return
 	}
 	h.timer.Stop()
@@ -333,11 +283,15 @@
 	if h.ended || h.paused {
 		return
 	}
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
-		defer cancel()
-		if _, err := h.s.executeWithRetry(ctx, session.Command{Kind: session.Release, ID: h.id, FencingToken: h.fence}); err != nil {
-			h.s.Log.Info("a claim could not be given back; it ends by itself", zap.String("session", h.id), zap.Error(err))
-		}
-	}()
+	// Nothing waits for it: it ends in time, and a claim that is not released lapses by itself.
+	go h.release()
+}
+
+func (h *hook) release() {
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
+	defer cancel()
+	release := session.Command{Kind: session.Release, ID: h.id, FencingToken: h.fencingToken}
+	if _, err := h.service.executeWithRetry(ctx, release); err != nil {
+		h.service.Log.Info("claim not released", zap.String("session", h.id), zap.Error(err))
+	}
 }
--- a/internal/fleet/session/service/resume.go
+++ b/internal/fleet/session/service/resume.go
@@ -6,7 +6,9 @@
 	"errors"
 	"fmt"
 	"math"
+	"net/http"
 	"time"
+	"unicode/utf8"
 
 	"standpoint"
 	"standpoint/internal/fleet"
@@ -14,133 +16,212 @@
 	"standpoint/internal/node"
 )
 
-// ResumedSession is a session that this node has claimed: what it goes on with.
+const (
+	// breakOffMargin is what breaking an answer off may take, besides what clocks may differ by.
+	breakOffMargin = 500 * time.Millisecond
+	minResumeRate  = 0.1 // sessions a second
+)
+
+// ResumedSession is a session that this node has claimed. Its Hook has to inspect the answer: else the claim lasts
+// until it lapses.
 type ResumedSession struct {
-	Request        standpoint.Request // as far as the session says; id and deadline are the caller's
+	Request        standpoint.Request // without an ID and a deadline, which are the caller's
 	Body           []byte
-	UncachedTokens float64 // tokens of the prompt that no part has been charged for: the results'
-	Backend        string  // that is taken to hold the rest
-	BackendStart   int64
-	CachedTokens   float64   // tokens of that
-	Deadline       time.Time // when nothing of it may be decoded any more; the flow has to be answered, or have begun, before
-	hook           *hook
+	UncachedTokens float64 // tokens of the prompt that no earlier part was charged for: the results'
+	Backend        string  // that is expected to have cached the rest
+	BackendStart   int64   // when it was started, as far as known
+	CachedTokens   float64 // tokens of the rest
+	// Deadline is when nothing of the answer may be decoded any more.
+	Deadline time.Time
+	hook     *hook
 }
 
-// Hook is what looks at the answer. The flow must have it: else the claim lasts to its end.
-func (r *ResumedSession) Hook(server func() string, breakOff func()) node.Hook {
-	r.hook.server = server
-	// By the claim's end, by any clock, nothing of it is decoded any more.
+// Hook returns what inspects the answer. backend returns who decodes it; breakOff is called at the deadline.
+func (r *ResumedSession) Hook(backend func() string, breakOff func()) node.Hook {
+	r.hook.backend = backend
 	r.hook.timer = time.AfterFunc(time.Until(r.Deadline), breakOff)
 	return r.hook
 }
 
-// endMargin is what an answer that is broken off may take for that, besides what clocks may differ.
-const endMargin = 500 * time.Millisecond
+// toolMessage is a tool's result, as a client resumes a session with it.
+type toolMessage struct {
+	Role    string          `json:"role"`
+	ID      string          `json:"tool_call_id"`
+	Content json.RawMessage `json:"content"`
+}
 
-// results are the messages that a client resumes with.
-type results struct {
-	Messages []struct {
-		Role    string          `json:"role"`
-		ID      string          `json:"tool_call_id"`
-		Content json.RawMessage `json:"content"`
-	} `json:"messages"`
+// parseResults decodes the results of a request that resumes a session. The error wraps session.ErrResultsMismatch.
+func parseResults(body []byte) ([]toolMessage, error) {
+	var request struct {
+		Messages []toolMessage `json:"messages"`
+	}
+	if err := json.Unmarshal(body, &request); err != nil {
+		return nil, fmt.Errorf("%w: %v", session.ErrResultsMismatch, err)
+	}
+	for _, message := range request.Messages {
+		if message.Role != "tool" || message.ID == "" {
+			return nil, fmt.Errorf("%w: a message that is no tool's", session.ErrResultsMismatch)
+		}
+	}
+	return request.Messages, nil
 }
 
-// Cancel calls a paused session off.
+// Cancel ends a paused session for its client.
 func (s *Service) Cancel(ctx context.Context, key string) *RequestError {
 	id, turn, err := session.ParseResumeKey(key)
 	if err == nil {
 		_, err = s.execute(ctx, session.Command{Kind: session.Cancel, ID: id, Turn: turn})
 	}
 	if err != nil {
-		return s.requestError(err)
+		return newRequestError(err)
 	}
 	return nil
 }
 
-// Resume claims the session that a key names, with its tools' results. claim names the request that does: the same once more is
-// the same claim.
-// tenant is whose request it is: nobody resumes another's session.
-func (s *Service) Resume(ctx context.Context, key, claim string, tenant int, body []byte) (*ResumedSession, *RequestError) {
+// Resume claims the session that a key names, with its tools' results in body. claimID names the request that resumes
+// it: resuming once more by the same request is the same claim. tenant is the request's: another tenant's session is
+// unknown to it.
+func (s *Service) Resume(
+	ctx context.Context, key, claimID string, tenant int, body []byte,
+) (*ResumedSession, *RequestError) {
 	id, turn, err := session.ParseResumeKey(key)
 	if err != nil {
-		return nil, s.requestError(err)
-	}
-	var given results
-	if err := json.Unmarshal(body, &given); err != nil {
-		return nil, s.requestError(fmt.Errorf("%w: %v", session.ErrResultsMismatch, err))
+		return nil, newRequestError(err)
 	}
-	o := session.Command{Kind: session.Claim, ID: id, Turn: turn, ClaimID: claim, ClaimDuration: int64(s.DecodeTimeout), Predecessors: s.Predecessors}
-	size := 0
-	for _, m := range given.Messages {
-		if m.Role != "tool" || m.ID == "" {
-			return nil, s.requestError(fmt.Errorf("%w: a message that is no tool's", session.ErrResultsMismatch))
-		}
-		o.ResultIDs = append(o.ResultIDs, m.ID)
-		size += len(m.Content)
+	results, err := parseResults(body)
+	if err != nil {
+		return nil, newRequestError(err)
 	}
 	if wait, ok := s.admitResume(); !ok {
 		s.Rejected.Add(1)
-		return nil, &RequestError{Status: 503, Message: "sessions are resumed at a pace; this one's turn comes", RetryAfter: wait}
+		return nil, &RequestError{
+			Status:     http.StatusServiceUnavailable,
+			Message:    "sessions are resumed at a pace; this one's turn comes",
+			RetryAfter: wait,
+		}
 	}
-	give := func() { s.inFlight.Add(-1) }
-	ends := time.Now().Add(s.DecodeTimeout - 2*s.ClockError - endMargin)
-	record, err := s.execute(ctx, o)
+	// Before the claim is made, so that it is early rather than late.
+	deadline := time.Now().Add(s.DecodeTimeout - 2*s.ClockError - breakOffMargin)
+	record, err := s.claim(ctx, id, turn, claimID, results)
 	if err != nil {
-		give()
+		s.finishResume()
 		s.Rejected.Add(1)
-		f := s.requestError(err)
-		if errors.Is(err, fleet.ErrNoLeader) {
-			f.Message = "this node cannot reach those who know whether the session may go on"
-		}
-		return nil, f
+		return nil, claimError(err)
 	}
-	release := func(err error) (*ResumedSession, *RequestError) {
-		give()
-		_, _ = s.execute(ctx, session.Command{Kind: session.Release, ID: id, FencingToken: record.FencingToken}) // else the claim ends by itself
-		return nil, s.requestError(err)
+	resumed, err := s.rebuild(record, results, tenant)
+	if err != nil {
+		s.finishResume()
+		release := session.Command{Kind: session.Release, ID: id, FencingToken: record.FencingToken}
+		_, _ = s.execute(ctx, release) // a claim that is not released lapses by itself
+		return nil, newRequestError(err)
 	}
-	k, err := s.decode(record.Data)
+	resumed.Deadline = deadline
+	resumed.hook.id = id
+	resumed.hook.turn = turn
+	s.Resumed.Add(1)
+	return resumed, nil
+}
+
+func (s *Service) claim(
+	ctx context.Context, id string, turn int, claimID string, results []toolMessage,
+) (*session.Record, error) {
+	command := session.Command{
+		Kind:          session.Claim,
+		ID:            id,
+		Turn:          turn,
+		ClaimID:       claimID,
+		ClaimDuration: int64(s.DecodeTimeout),
+		Predecessors:  s.Predecessors,
+	}
+	for _, result := range results {
+		command.ResultIDs = append(command.ResultIDs, result.ID)
+	}
+	return s.execute(ctx, command)
+}
+
+// claimError returns what a client is told of a claim that was not given.
+func claimError(err error) *RequestError {
+	rejection := newRequestError(err)
+	if errors.Is(err, fleet.ErrNoLeader) {
+		rejection.Message = "this node cannot reach those who know whether the session may go on"
+	}
+	return rejection
+}
+
+// rebuild returns the request that a claimed session is resumed with, whose prompt ends with the tools' results.
+func (s *Service) rebuild(record *session.Record, results []toolMessage, tenant int) (*ResumedSession, error) {
+	previous, err := s.decode(record.Data)
 	if err != nil {
-		return release(fmt.Errorf("what is on record of the session cannot be read: %w", err))
+		return nil, fmt.Errorf("what is on record of the session cannot be read: %w", err)
 	}
-	if k.Tenant != tenant {
-		return release(session.ErrUnknownKey)
+	if previous.Tenant != tenant {
+		return nil, session.ErrUnknownKey
 	}
-	if size > k.MaxResultBytes {
-		return release(fmt.Errorf("%w: results of %d bytes, %d are taken", session.ErrTooLarge, size, k.MaxResultBytes))
+	var messages []any
+	size := 0
+	characters := 0
+	for _, result := range results {
+		messages = append(messages, result)
+		size += len(result.Content)
+		characters += utf8.RuneCount(result.Content)
 	}
-	var more []any
-	chars := 0
-	for _, m := range given.Messages {
-		more = append(more, m)
-		chars += len([]rune(string(m.Content)))
+	if size > previous.MaxResultBytes {
+		return nil, fmt.Errorf("%w: results of %d bytes, %d are taken",
+			session.ErrTooLarge, size, previous.MaxResultBytes)
 	}
-	r := &ResumedSession{Backend: k.Backend, BackendStart: k.BackendStart, CachedTokens: k.PromptTokens, UncachedTokens: tokensOf(chars), Deadline: ends}
-	if r.Body, err = extend(k.Body, more...); err != nil {
-		return release(err)
+	body, err := appendMessages(previous.Body, messages...)
+	if err != nil {
+		return nil, err
 	}
-	r.Request = standpoint.Request{Class: k.Class, Tenant: k.Tenant, Session: k.Session, Prefix: k.Prefix, PrefixTokens: k.PrefixTokens, PromptTokens: k.PromptTokens + r.UncachedTokens, MaxTokens: k.MaxTokens, Again: false}
-	r.hook = &hook{s: s, request: r.Request, body: r.Body, calls: map[int]*toolCall{}, id: id, turn: turn, fence: record.FencingToken, before: k, done: give}
-	s.Resumed.Add(1)
-	return r, nil
+	uncached := tokensOf(characters)
+	request := standpoint.Request{
+		Class:        previous.Class,
+		Tenant:       previous.Tenant,
+		Session:      previous.Session,
+		Prefix:       previous.Prefix,
+		PrefixTokens: previous.PrefixTokens,
+		PromptTokens: previous.PromptTokens + uncached,
+		MaxTokens:    previous.MaxTokens,
+	}
+	return &ResumedSession{
+		Request:        request,
+		Body:           body,
+		UncachedTokens: uncached,
+		Backend:        previous.Backend,
+		BackendStart:   previous.BackendStart,
+		CachedTokens:   previous.PromptTokens,
+		hook: &hook{
+			service:      s,
+			request:      request,
+			body:         body,
+			calls:        map[int]*toolCall{},
+			fencingToken: record.FencingToken,
+			previous:     previous,
+			done:         s.finishResume,
+		},
+	}, nil
 }
 
-// admitResume lets so many resumes through, fewer while the fleet heals, and no more at once than leaves room for fresh requests.
+// admitResume admits a resume, which finishResume has to follow, or returns how long to wait for it. Resumes are
+// admitted at a rate, which is lower while the fleet heals, and no more at once than leaves room for other requests.
 func (s *Service) admitResume() (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	rate := max(0.1, s.ResumeRate*s.RateFactor())
-	s.tokens = math.Min(max(1, rate), s.tokens+rate*float64(max(0, now-s.at))/1e9)
-	s.at = max(s.at, now)
+	rate := max(minResumeRate, s.ResumeRate*s.RateFactor())
+	earned := rate * float64(max(0, now-s.tokensAt)) / 1e9
+	s.resumeTokens = math.Min(max(1, rate), s.resumeTokens+earned)
+	s.tokensAt = max(s.tokensAt, now)
 	if s.inFlight.Load() >= int64(s.MaxConcurrentResumes) {
 		return defaultRetryAfter, false
 	}
-	if s.tokens < 1 {
-		return time.Duration((1 - s.tokens) / rate * 1e9), false
+	if s.resumeTokens < 1 {
+		return time.Duration((1 - s.resumeTokens) / rate * 1e9), false
 	}
-	s.tokens--
+	s.resumeTokens--
 	s.inFlight.Add(1)
 	return 0, true
 }
+
+// finishResume takes a resumed request off those in flight.
+func (s *Service) finishResume() { s.inFlight.Add(-1) }
--- /dev/null
+++ b/internal/fleet/session/service/resume_test.go
@@ -0,0 +1,197 @@
+package service
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/node"
+)
+
+// requireRejected has a node reject a resume: with a status, and with or without a time after which it may be tried
+// again.
+func requireRejected(t *testing.T, s *Service, key string, tenant int, body []byte, status int, retry bool) {
+	t.Helper()
+	resumed, rejection := s.Resume(t.Context(), key, "q", tenant, body)
+	require.Nil(t, resumed)
+	require.Equal(t, status, rejection.Status, rejection.Message)
+	require.Equal(t, retry, rejection.RetryAfter > 0)
+}
+
+// Wrong results, and another tenant's request, leave a session as it was.
+func TestRejectedResumes(t *testing.T) {
+	c := newCluster(t, 2, nil)
+	key := c.pause(t, 0, "hours", "roster")
+	long := strings.Replace(string(resultsFor("c0", "c1")), "Aidar", strings.Repeat("x", 200), 1)
+	requireRejected(t, c.nodes[1], key, 2, resultsFor("c0"), 400, false)
+	requireRejected(t, c.nodes[1], key, 2, resultsFor("c0", "c1", "c2"), 400, false)
+	requireRejected(t, c.nodes[1], key, 2, []byte(`{"messages":[{"role":"user","content":"c0"}]}`), 400, false)
+	requireRejected(t, c.nodes[1], key, 2, []byte(long), 413, false)
+	requireRejected(t, c.nodes[1], key, 1, resultsFor("c0", "c1"), 404, false)
+	_, rejection := c.nodes[1].Resume(t.Context(), key, "q", 2, resultsFor("c0", "c1"))
+	require.Nil(t, rejection)
+	require.Empty(t, c.monitor.Violations())
+}
+
+// A session is resumed at another node, with its prompt rebuilt, charged for the results alone and by its tool's class.
+func TestResumeRebuildsTheRequest(t *testing.T) {
+	c := newCluster(t, 2, nil)
+	key := c.pause(t, 0, "hours", "roster")
+	resumed, rejection := c.nodes[1].Resume(t.Context(), key, "q", 2, resultsFor("c0", "c1"))
+	require.Nil(t, rejection)
+	var body struct {
+		Model    string
+		Messages []struct {
+			Role, Content string
+			ToolCallID    string     `json:"tool_call_id"`
+			ToolCalls     []toolCall `json:"tool_calls"`
+		}
+	}
+	require.NoError(t, json.Unmarshal(resumed.Body, &body))
+	require.Equal(t, "m", body.Model)
+	require.Len(t, body.Messages, 4)
+	require.Equal(t, "the crew is ", body.Messages[1].Content)
+	require.Equal(t, `{"crew":1}`, body.Messages[1].ToolCalls[1].Function.Arguments)
+	require.Equal(t, "c1", body.Messages[3].ToolCallID)
+	require.Equal(t, 1, resumed.Request.Class)
+	require.EqualValues(t, 4, resumed.UncachedTokens, "two results of seven characters, as they stand")
+	require.EqualValues(t, 7, resumed.BackendStart)
+	require.Equal(t, "box", resumed.Backend)
+}
+
+// A session is claimed by one request at a time; it may pause again at the node that resumed it, under a new key; and
+// each key is used once.
+func TestResumedSessionsPauseAgain(t *testing.T) {
+	c := newCluster(t, 2, nil)
+	backend := func() string { return "box" }
+	first := c.pause(t, 0, "hours", "roster")
+	resumed, rejection := c.nodes[1].Resume(t.Context(), first, "q", 2, resultsFor("c0", "c1"))
+	require.Nil(t, rejection)
+	_, rejection = c.nodes[0].Resume(t.Context(), first, "another", 2, resultsFor("c0", "c1"))
+	require.Equal(t, 409, rejection.Status)
+	require.Positive(t, rejection.RetryAfter, "it is claimed now")
+	h := resumed.Hook(backend, func() {})
+	_, then := h.Event([]byte(contentEvent("and ") + callEvents("hours")))
+	require.Equal(t, node.Stop, then)
+	last, _ := h.Stopped()
+	h.Over(node.Answer{Kind: node.Served})
+	second := resumeKeyIn(last)
+	require.NotEmpty(t, second)
+	requireRejected(t, c.nodes[1], first, 2, resultsFor("c0", "c1"), 409, false)
+	resumed, rejection = c.nodes[0].Resume(t.Context(), second, "q2", 2, resultsFor("c0"))
+	require.Nil(t, rejection)
+	h = resumed.Hook(backend, func() {})
+	_, then = h.Event([]byte(contentEvent("done") + "data: [DONE]\n\n"))
+	require.Equal(t, node.GoOn, then)
+	h.Over(node.Answer{Kind: node.Served})
+	requireRejected(t, c.nodes[1], second, 2, resultsFor("c0"), 409, false)
+	require.Empty(t, c.monitor.Violations())
+}
+
+// A tool that never answers, a cancel that races the result, and sessions that are over.
+func TestSessionsEnd(t *testing.T) {
+	c := newCluster(t, 1, nil)
+	s := c.nodes[0]
+	late := c.pause(t, 0, "hours")
+	cancelled := c.pause(t, 0, "hours")
+	raced := c.pause(t, 0, "hours")
+	require.Nil(t, s.Cancel(t.Context(), cancelled))
+	require.Nil(t, s.Cancel(t.Context(), cancelled))
+	_, rejection := s.Resume(t.Context(), cancelled, "q", 2, resultsFor("c0"))
+	require.Equal(t, 410, rejection.Status)
+	_, rejection = s.Resume(t.Context(), raced, "q", 2, resultsFor("c0"))
+	require.Nil(t, rejection)
+	require.Equal(t, 409, s.Cancel(t.Context(), raced).Status, "the result was first")
+	c.now.Add(int64(31 * time.Second))
+	s.registry.sweep(t.Context())
+	_, rejection = s.Resume(t.Context(), late, "q", 2, resultsFor("c0"))
+	require.Equal(t, 410, rejection.Status)
+	require.Zero(t, rejection.RetryAfter)
+	require.Equal(t, 1, s.registry.pausedCount(), "the one whose claim lapsed is paused again")
+	c.now.Add(int64(2 * time.Minute))
+	for range 3 {
+		s.registry.sweep(t.Context())
+		c.now.Add(int64(2 * time.Minute))
+	}
+	require.Empty(t, c.store.List(keyPrefix), "what is over is forgotten")
+	_, rejection = s.Resume(t.Context(), late, "q", 2, resultsFor("c0"))
+	require.Equal(t, 404, rejection.Status)
+}
+
+// A node that reaches no leader gives no key and claims nothing, and says at once when to try again.
+func TestWithoutALeader(t *testing.T) {
+	c := newCluster(t, 2, nil)
+	key := c.pause(t, 0, "hours")
+	c.leaderless.Store(true)
+	began := time.Now()
+	_, rejection := c.nodes[1].Resume(t.Context(), key, "q", 2, resultsFor("c0"))
+	require.Equal(t, 503, rejection.Status)
+	require.Positive(t, rejection.RetryAfter)
+	require.Less(t, time.Since(began), time.Second)
+	require.Empty(t, c.pause(t, 0, "hours"), "the call is passed on, without a key")
+	require.EqualValues(t, 1, c.nodes[0].Unrecorded.Load())
+	c.leaderless.Store(false)
+	_, rejection = c.nodes[1].Resume(t.Context(), key, "q", 2, resultsFor("c0"))
+	require.Nil(t, rejection)
+}
+
+// Resumes are admitted at a rate, which is lower while the fleet heals, and up to a number in flight.
+func TestResumeRate(t *testing.T) {
+	c := newCluster(t, 1, func(o *Options) {
+		o.ResumeRate = 10
+		o.MaxConcurrentResumes = 3
+	})
+	s := c.nodes[0]
+	var keys []string
+	for range 60 {
+		keys = append(keys, c.pause(t, 0, "hours"))
+	}
+	const interval = 10 * time.Millisecond
+	admitted := func(span time.Duration) (count int) {
+		for range span / interval {
+			c.now.Add(int64(interval))
+			if resumed, _ := s.Resume(t.Context(), keys[0], "q"+keys[0], 2, resultsFor("c0")); resumed != nil {
+				keys = keys[1:]
+				resumed.Hook(noBackend, func() {}).Over(node.Answer{Kind: node.Served})
+				count++
+			}
+		}
+		return count
+	}
+	admitted(2 * time.Second) // what was saved up
+	require.InDelta(t, 10, admitted(time.Second), 1)
+	c.rateFactor = 0.2
+	require.InDelta(t, 2, admitted(time.Second), 1)
+	c.rateFactor = 1
+	s.MaxConcurrentResumes = 0
+	require.Zero(t, admitted(time.Second))
+}
+
+// The leader bounds the sessions that are paused; and 10,000 sessions that were paused at one node are resumed at
+// another, each once.
+func TestManySessions(t *testing.T) {
+	c := newCluster(t, 2, nil)
+	var keys []string
+	for range 10_000 {
+		keys = append(keys, c.pause(t, 0, "hours"))
+	}
+	bounded := c.nodes[0].Options
+	bounded.Limits.MaxPaused = 10_000
+	c.nodes[0].registry = newRegistry(&bounded) // that of another leader
+	require.Empty(t, c.pause(t, 0, "hours"), "as many are paused as may be")
+	c.nodes[0] = nil // the node that paused them has left
+	restarted, err := New(c.nodes[1].Options, nil)
+	require.NoError(t, err)
+	c.nodes[0] = restarted
+	for i, key := range keys {
+		_, rejection := c.nodes[1].Resume(t.Context(), key, fmt.Sprint("q", i), 2, resultsFor("c0"))
+		require.Nil(t, rejection)
+		_, rejection = c.nodes[0].Resume(t.Context(), key, fmt.Sprint("p", i), 2, resultsFor("c0"))
+		require.NotNil(t, rejection)
+	}
+	require.Empty(t, c.monitor.Violations())
+}
