--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -338,7 +338,7 @@
 // The store's keys and values of the shared configuration.
 func TestGoldenSettingsInTheStore(t *testing.T) {
 	cfg := config.OperatorFile{}
-	cfg.Store.Settings = true
+	cfg.Store.SharedSettings = true
 	keys := store.NewMemory()
 	a := &assembly{deployment: deployment{operator: &cfg}, store: keys, settingsRequests: make(chan settingsRequest), log: zap.NewNop()}
 	f := &settingsFollower{assembly: a}
--- a/internal/migration/controller/story_test.go
+++ b/internal/migration/controller/story_test.go
@@ -89,8 +89,8 @@
 func (n *one) kill() {
 	n.stop()
 	<-n.stopped
-	n.server.Close()
-	n.keys.Close()
+	_ = n.server.Close()
+	_ = n.keys.Close()
 }
 
 func (n *one) status(t testing.TB) Status {
@@ -151,7 +151,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-n.stopped
-		n.server.Close()
+		_ = n.server.Close()
 		n.client.Close()
 	})
 	return n
@@ -323,7 +323,7 @@
 	require.NoError(t, err)
 	require.NoError(t, keys.Close())
 	keys = open(nil)
-	defer keys.Close()
+	defer func() { _ = keys.Close() }()
 	tr := NewTracker(file(t, nil), zap.NewNop())
 	New(Options{Name: "n1", Tracker: tr, Store: keys, Log: zap.NewNop()}).AwaitStore(t.Context(), patient)
 	require.Equal(t, 2, tr.Assign(&standpoint.Request{Session: 1}))
@@ -335,7 +335,7 @@
 	require.Equal(t, "old", first.Plan.From, "the pool that has the flows")
 	var refused *control.Error
 	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &refused)
-	require.Equal(t, "move_running", refused.Code)
+	require.Equal(t, control.CodeMigrationRunning, refused.Code)
 	require.Contains(t, refused.Message, first.ID)
 	n.reaches(t, func(s Status) bool { return s.Move.Step == 1 && s.Move.State == migration.Holding })
 	n.errors.Store(true)
@@ -361,8 +361,10 @@
 func TestWishesThatCannotBeHad(t *testing.T) {
 	n := alone(t, file(t, nil))
 	for _, c := range []struct {
-		path, code, key string
-		body            any
+		path string
+		code control.Code
+		key  string
+		body any
 	}{
 		{"start", "bad_plan", "to", StartRequest{To: "green"}},
 		{"start", "bad_plan", "from", StartRequest{From: "blue", To: "new"}},
