--- a/internal/fleet/ledger/replication/replicator_test.go
+++ b/internal/fleet/ledger/replication/replicator_test.go
@@ -201,7 +201,7 @@
 // Entries from a peer that were not asked for, or are not valid, are not taken.
 func TestMalformedEntriesAreNotTaken(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1, "b")
-	defer r.Close()
+	t.Cleanup(func() { require.NoError(t, r.Close()) })
 	source := ledger.Source{Slot: "b", Incarnation: 1}
 	malformed := []*ledger.Entry{
 		{Slot: "b", Incarnation: 1, Sequence: 1, Tenant: "t", InputTokens: -5},
--- a/internal/fleet/ledger/segmented_log_test.go
+++ b/internal/fleet/ledger/segmented_log_test.go
@@ -82,7 +82,7 @@
 // and a log takes no entry beyond its size.
 func TestReadAndBounds(t *testing.T) {
 	log, _, _ := open(t, t.TempDir())
-	defer log.Close()
+	t.Cleanup(func() { require.NoError(t, log.Close()) })
 	var entries []*Entry
 	for sequence := uint64(1); sequence <= 1000; sequence++ {
 		entries = append(entries, entry("a", 1, sequence))
@@ -105,7 +105,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer log.Close()
+	b.Cleanup(func() { _ = log.Close() })
 	sequence := uint64(0)
 	for b.Loop() {
 		var batch []*Entry
