--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -232,7 +232,7 @@
 	second := p.start()
 	require.Eventually(t, second.ready, 6*time.Second, 5*time.Millisecond)
 	require.Eventually(t, second.shows("app.hosts_down=1"), 2*time.Second, 5*time.Millisecond)
-	learned := second.logged("what the process before has learned")
+	learned := second.logged("learned state restored")
 	require.Contains(t, learned, `"servers":3`)
 	require.NotContains(t, learned, `"error"`)
 	status, _ = first.says("POST", "/ops/engines/down?id=box-3")
@@ -253,7 +253,7 @@
 	}()
 	require.Eventually(t, func() bool { return ledger.Sent()["late"] > 0 }, 2*time.Second, time.Millisecond)
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return first.logged("streams move to the other process") != "" }, 4*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return first.logged("streams passed to sibling process") != "" }, 4*time.Second, time.Millisecond)
 	close(begin)
 	require.NoError(t, first.Wait(), first.said)
 	require.True(t, quietSince("box-2", out))
@@ -294,7 +294,7 @@
 	require.NoError(t, third.Process.Kill())
 	_ = third.Wait() // killed
 	require.Eventually(t, func() bool {
-		return strings.Contains(last.logged("processes of this node beside this one"), `"others":0,"limits":{"cores":1,"memory_mb":128,"sockets":512}`)
+		return strings.Contains(last.logged("sibling process count changed"), `"siblings":0,"limits":{"cores":1,"memory_mb":128,"sockets":512}`)
 	}, 2*time.Second, 5*time.Millisecond)
 	require.True(t, last.shows("app.hosts_down=1")())
 	turnedBack.Range(func(id, what any) bool {
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -66,7 +66,7 @@
 	}
 	require.Equal(t, 1, ledger.Most())
 	require.True(t, next.shows("app.hosts_down=1")())
-	require.Contains(t, next.said.String(), `"servers":3`, "what the process before has learned")
+	require.Contains(t, next.said.String(), `"servers":3`, "learned state restored")
 }
 
 // answerOnceReleased is a backend that holds the second half of the answer to the request "long" back until release is closed.
--- /dev/null
+++ b/internal/daemon/backends.go
@@ -0,0 +1,36 @@
+package daemon
+
+import (
+	"time"
+
+	"standpoint/internal/backend"
+)
+
+// backendsComponent sends attempts to backends.
+func backendsComponent(a *assembly) (component, error) {
+	_, names, _ := a.requestSettings()
+	options := backend.Options{
+		DialTimeout: names.DialTimeout,
+		ConnIdle:    names.IdleTimeout,
+		MaxIdle:     a.limits.MaxIdleConnections(),
+		MaxLinks:    a.limits.MaxRequests(),
+		Wrote:       a.counters.CountAttempt,
+		Log:         a.log,
+	}
+	if a.operator != nil {
+		cfg := &a.operator.BatchBackend
+		options.Batch = backend.BatchOptions{
+			Gather: time.Duration(cfg.GatherDelay),
+			Lines:  cfg.MaxLines,
+			Poll:   time.Duration(cfg.PollInterval),
+			Lost:   time.Duration(cfg.LostTimeout),
+		}
+	}
+	a.backends = backend.New(options)
+	reload := func(next deployment) {
+		_, names, _ := next.requestSettings()
+		limits := next.limits
+		a.backends.Adjust(names.DialTimeout, names.IdleTimeout, limits.MaxIdleConnections(), limits.MaxRequests())
+	}
+	return component{name: "backends", reload: reload}, nil
+}
--- /dev/null
+++ b/internal/daemon/console.go
@@ -0,0 +1,80 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"go.uber.org/zap"
+
+	"standpoint/internal/console"
+	"standpoint/internal/endpoints"
+	"standpoint/internal/node"
+)
+
+// consoleComponent serves the operations console, where the deployment names an address for it. It answers before the
+// other components have started, and until all have stopped.
+func consoleComponent(a *assembly) (component, error) {
+	if a.console == "" {
+		return component{}, nil
+	}
+	operations := console.Operations{
+		Ready:   func() bool { return a.lifecycle.Now() == node.Serving },
+		Metrics: a.counters.Text,
+		Down:    a.overrideOperation(func(id string) error { return a.overrides.Down(id) }),
+		Up:      a.overrideOperation(func(id string) error { return a.overrides.Up(id) }),
+		Drain:   a.requestDrain,
+	}
+	server, err := console.Listen(a.console, operations, a.log)
+	if err != nil {
+		return component{}, fmt.Errorf("console: %w", err)
+	}
+	start := func(context.Context) {
+		go func() { // ends with stop
+			if err := server.Serve(); err != nil {
+				a.log.Error("console server failed", zap.Error(err))
+			}
+		}()
+	}
+	return component{name: "console", start: start, run: a.applyOverrides, stop: server.Close}, nil
+}
+
+// overrideRequest asks for a change of a backend's override by an operator.
+type overrideRequest struct {
+	apply  func() error
+	result chan error // buffered for one
+}
+
+// applyOverrides applies one override after the other until the context ends.
+func (a *assembly) applyOverrides(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case request := <-a.overrideRequests:
+			request.result <- request.apply()
+		}
+	}
+}
+
+// overrideOperation returns an operation that has applyOverrides run apply for a backend. It gives up when its context
+// ends, after which the override may still be applied.
+func (a *assembly) overrideOperation(apply func(id string) error) func(context.Context, string) error {
+	return func(ctx context.Context, id string) error {
+		request := overrideRequest{apply: func() error { return apply(id) }, result: make(chan error, 1)}
+		select {
+		case a.overrideRequests <- request:
+		case <-ctx.Done():
+			return context.Cause(ctx)
+		}
+		select {
+		case err := <-request.result:
+			if errors.Is(err, endpoints.ErrNeverListed) {
+				return console.ErrUnknownBackend
+			}
+			return err
+		case <-ctx.Done():
+			return context.Cause(ctx)
+		}
+	}
+}
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -18,16 +18,20 @@
 	"standpoint/internal/testpeer"
 )
 
-// withConsole is an operator's file with a console, and its address.
+// withConsole returns an operator's file with a console, and the console's address.
 func withConsole(t *testing.T, listen, server string) (path, console string) {
-	path, console = operatorFile(t, listen, server), testpeer.FreeAddress(t)
+	t.Helper()
+	path = operatorFile(t, listen, server)
+	console = testpeer.FreeAddress(t)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, append([]byte("console = \""+console+"\"\n"), raw...), 0o600))
 	return path, console
 }
 
-func ops(t *testing.T, console, method, target string) (int, string) {
+// callConsole returns the status and text of an answer; status 0 where there is none.
+func callConsole(t *testing.T, console, method, target string) (int, string) {
+	t.Helper()
 	r, err := http.NewRequest(method, "http://"+console+target, nil)
 	require.NoError(t, err)
 	response, err := (&http.Client{Timeout: time.Second}).Do(r)
@@ -40,87 +44,137 @@
 	return response.StatusCode, string(body)
 }
 
-// A whole node and its staff: ready, figures that are read again, sent away and called back more than once, told to
-// stop in the middle, after which there is no way back; a console's address that is taken is named.
-func TestStaff(t *testing.T) {
-	release := make(chan struct{})
-	var sent atomic.Int32
+// operatedNode is a daemon with a console, before one backend that holds the answer to the request "held" back until
+// release is closed.
+type operatedNode struct {
+	t       *testing.T
+	listen  string
+	console string
+	logs    *observer.ObservedLogs
+	exit    chan error
+	release chan struct{}
+	sent    atomic.Int32 // requests that the backend got
+}
+
+func startOperatedNode(t *testing.T) *operatedNode {
+	t.Helper()
+	n := &operatedNode{t: t, listen: testpeer.FreeAddress(t), exit: make(chan error, 1), release: make(chan struct{})}
 	server := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
-		sent.Add(1)
+		n.sent.Add(1)
 		testpeer.Event(w, "x")
 		if r.Header.Get("X-Trace-Id") == "held" {
-			<-release
+			<-n.release
 		}
 		testpeer.Finish(w)
 	})
-	listen := testpeer.FreeAddress(t)
-	path, console := withConsole(t, listen, server)
-	taken, err := net.Listen("tcp", console)
+	var path string
+	path, n.console = withConsole(t, n.listen, server)
+	taken, err := net.Listen("tcp", n.console)
 	require.NoError(t, err)
-	require.ErrorContains(t, Run(Options{ConfigFile: path, Log: zap.NewNop()}), "console: ")
+	require.ErrorContains(t, Run(Options{ConfigFile: path, Log: zap.NewNop()}), "console: ",
+		"an address in use is named")
 	require.NoError(t, taken.Close())
-	exit := make(chan error, 1)
-	seen, logs := observer.New(zap.InfoLevel)
-	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
-	health := func() int {
-		response, err := http.Get("http://" + listen + "/_health")
-		require.NoError(t, err)
-		response.Body.Close()
-		return response.StatusCode
-	}
-	says := func(method, target string) int {
-		status, _ := ops(t, console, method, target)
-		return status
-	}
-	require.Eventually(t, func() bool { return says("GET", "/ops/readiness") == 200 }, 5*time.Second, 5*time.Millisecond)
-	require.Equal(t, 200, health())
+	core, logs := observer.New(zap.InfoLevel)
+	n.logs = logs
+	go func() { n.exit <- Run(Options{ConfigFile: path, Log: zap.New(core)}) }()
+	n.eventually(func() bool { return n.status("GET", "/ops/readiness") == 200 })
+	return n
+}
+
+func (n *operatedNode) status(method, target string) int {
+	status, _ := callConsole(n.t, n.console, method, target)
+	return status
+}
+
+func (n *operatedNode) statistics() string {
+	status, text := callConsole(n.t, n.console, "GET", "/ops/stats")
+	require.Equal(n.t, 200, status)
+	return text
+}
+
+func (n *operatedNode) health() int {
+	response, err := http.Get("http://" + n.listen + "/_health")
+	require.NoError(n.t, err)
+	require.NoError(n.t, response.Body.Close())
+	return response.StatusCode
+}
+
+func (n *operatedNode) eventually(condition func() bool) {
+	n.t.Helper()
+	require.Eventually(n.t, condition, 5*time.Second, 5*time.Millisecond)
+}
+
+func (n *operatedNode) signal(s syscall.Signal) {
+	n.t.Helper()
+	require.NoError(n.t, syscall.Kill(os.Getpid(), s))
+}
+
+// Draining by hand can be repeated and ended, more than once.
+func (n *operatedNode) drainAndResume() {
 	for range 2 {
 		for range 2 {
-			require.Equal(t, 200, says("POST", "/ops/drain/start"))
-			require.Equal(t, 503, health())
-			require.Equal(t, 503, says("GET", "/ops/readiness"))
+			require.Equal(n.t, 200, n.status("POST", "/ops/drain/start"))
+			require.Equal(n.t, 503, n.health())
+			require.Equal(n.t, 503, n.status("GET", "/ops/readiness"))
 		}
 		for range 2 {
-			require.Equal(t, 200, says("POST", "/ops/drain/stop"))
-			require.Equal(t, 200, health())
+			require.Equal(n.t, 200, n.status("POST", "/ops/drain/stop"))
+			require.Equal(n.t, 200, n.health())
 		}
 	}
-	held, err := http.DefaultClient.Do(testpeer.Ask(t, listen, "held", "3000m"))
-	require.NoError(t, err)
-	defer held.Body.Close()
-	_, text := ops(t, console, "GET", "/ops/stats")
-	require.Contains(t, text, "app.inflight=1\n")
-	// The only server is out: who asks waits, and is sent on once it is back, cold as it is.
-	require.Equal(t, 200, says("POST", "/ops/engines/down?id=box-1"))
-	waits := make(chan string, 1)
+}
+
+// While the only backend is marked down a request waits, also over a reload, which lists the backend as ready. It is
+// sent once the backend is marked up.
+func (n *operatedNode) markDownAndUp() {
+	require.Equal(n.t, 200, n.status("POST", "/ops/engines/down?id=box-1"))
+	answer := make(chan string, 1)
 	go func() {
-		response, err := http.DefaultClient.Do(testpeer.Ask(t, listen, "waits", "4900m"))
+		response, err := http.DefaultClient.Do(testpeer.Ask(n.t, n.listen, "waits", "4900m"))
 		if err != nil {
-			waits <- err.Error()
+			answer <- err.Error()
 			return
 		}
 		defer response.Body.Close()
 		body, _ := io.ReadAll(response.Body)
-		waits <- string(body)
+		answer <- string(body)
 	}()
-	require.Eventually(t, func() bool {
-		_, text := ops(t, console, "GET", "/ops/stats")
+	require.Eventually(n.t, func() bool {
+		text := n.statistics()
 		return strings.Contains(text, "app.inflight=2\n") && strings.Contains(text, "app.hosts_down=1\n")
 	}, 2*time.Second, 5*time.Millisecond)
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP)) // the list is told anew, the server as ready
-	require.Eventually(t, func() bool { return logs.FilterMessage("the configuration was read again").Len() == 1 }, 5*time.Second, time.Millisecond)
-	require.EqualValues(t, 1, sent.Load(), "what it has runs on, and nothing new comes")
-	require.Equal(t, 200, says("POST", "/ops/engines/up?id=box-1"))
-	require.Contains(t, <-waits, "[DONE]")
-	require.EqualValues(t, 2, sent.Load())
-	require.Equal(t, 200, says("POST", "/ops/drain/start"))
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	require.Eventually(t, func() bool { return says("POST", "/ops/drain/stop") == 409 }, 5*time.Second, 5*time.Millisecond)
-	require.Equal(t, 200, says("POST", "/ops/drain/start"))
-	close(release)
+	n.signal(syscall.SIGHUP)
+	n.eventually(func() bool { return n.logs.FilterMessage("configuration reloaded").Len() == 1 })
+	require.EqualValues(n.t, 1, n.sent.Load(), "the attempt in progress goes on, and no new one is sent")
+	require.Equal(n.t, 200, n.status("POST", "/ops/engines/up?id=box-1"))
+	require.Contains(n.t, <-answer, "[DONE]")
+	require.EqualValues(n.t, 2, n.sent.Load())
+}
+
+// A node that was told to stop stays drained, and answers the console until it exits.
+func (n *operatedNode) stopWhileDrained() {
+	require.Equal(n.t, 200, n.status("POST", "/ops/drain/start"))
+	require.Equal(n.t, 503, n.health())
+	n.signal(syscall.SIGTERM)
+	n.eventually(func() bool { return n.status("POST", "/ops/drain/stop") == 409 })
+	require.Equal(n.t, 200, n.status("POST", "/ops/drain/start"))
+}
+
+// A daemon and its operators: readiness, statistics, drains by hand, a backend that is marked down, and the end.
+func TestConsoleOperations(t *testing.T) {
+	n := startOperatedNode(t)
+	require.Equal(t, 200, n.health())
+	n.drainAndResume()
+	held, err := http.DefaultClient.Do(testpeer.Ask(t, n.listen, "held", "3000m"))
+	require.NoError(t, err)
+	defer held.Body.Close()
+	require.Contains(t, n.statistics(), "app.inflight=1\n")
+	n.markDownAndUp()
+	n.stopWhileDrained()
+	close(n.release)
 	body, err := io.ReadAll(held.Body)
 	require.NoError(t, err)
 	require.True(t, strings.Contains(string(body), "[DONE]"))
-	require.NoError(t, <-exit)
-	require.Zero(t, says("GET", "/ops/readiness"), "nobody listens any longer")
+	require.NoError(t, <-n.exit)
+	require.Zero(t, n.status("GET", "/ops/readiness"), "the console is closed")
 }
--- /dev/null
+++ b/internal/daemon/control.go
@@ -0,0 +1,79 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"runtime"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint/internal/config"
+	"standpoint/internal/control"
+)
+
+// statusAnswer is the answer of GET /v1/status.
+type statusAnswer struct {
+	Name          string  `json:"name"`
+	Version       string  `json:"version"`
+	Phase         string  `json:"phase"`
+	OpenRequests  int     `json:"open_flows"`
+	Endpoints     int     `json:"service_entries"` // in use
+	UptimeSeconds float64 `json:"up_s"`
+}
+
+// controlComponent serves the control interface, where the file names an address for it. It is constructed after the
+// components that add routes.
+func controlComponent(a *assembly) (component, error) {
+	cfg := &a.operator.Control
+	if cfg.Listen == "" {
+		return component{}, nil
+	}
+	started := time.Now()
+	status := control.Route{
+		Pattern: "GET /v1/status",
+		Handle:  func(*http.Request, []byte) (any, error) { return a.status(started), nil },
+	}
+	routes := append([]control.Route{status}, a.routes...)
+	address := cfg.Listen
+	if path, ok := strings.CutPrefix(address, config.UnixPrefix); ok {
+		address = config.UnixPrefix + a.operator.ResolvePath(a.baseDirectory, path)
+	}
+	server, err := control.Listen(address, a.operator.ResolvePath(a.baseDirectory, cfg.TokenFile), routes, a.log)
+	if err != nil {
+		return component{}, err
+	}
+	return component{
+		name: "control",
+		run: func(context.Context) { // ends with stop
+			if err := server.Serve(); err != nil {
+				a.log.Error("control server failed", zap.Error(err))
+			}
+		},
+		reload: func(deployment) {
+			if err := server.ReloadToken(); err != nil {
+				a.log.Error("control token reload failed", zap.Error(err))
+			}
+		},
+		stop: func() error {
+			if err := server.Close(); err != nil && !errors.Is(err, http.ErrServerClosed) {
+				return fmt.Errorf("control: %w", err)
+			}
+			return nil
+		},
+	}, nil
+}
+
+func (a *assembly) status(started time.Time) statusAnswer {
+	return statusAnswer{
+		Name:          a.name,
+		Version:       Version + " " + runtime.Version(),
+		Phase:         a.lifecycle.Now().String(),
+		OpenRequests:  a.core.Open(),
+		Endpoints:     len(a.endpointCache.Current()),
+		UptimeSeconds: time.Since(started).Seconds(),
+	}
+}
--- /dev/null
+++ b/internal/daemon/edge.go
@@ -0,0 +1,51 @@
+package daemon
+
+import (
+	"net/http"
+	"slices"
+	"strings"
+
+	"standpoint/internal/edge"
+	"standpoint/internal/node"
+)
+
+// edgeComponent creates the HTTP front for single requests.
+func edgeComponent(a *assembly) (component, error) {
+	_, names, _ := a.requestSettings()
+	a.front = &edge.Front{
+		Core:     a.core,
+		Names:    names,
+		Life:     a.lifecycle,
+		Bodies:   node.NewShares(a.limits.MaxBodyBytes(), len(names.Tenants)),
+		Metrics:  a.counters,
+		Sessions: a.sessions,
+		Log:      a.log,
+	}
+	reload := func(next deployment) {
+		_, names, _ := next.requestSettings()
+		a.front.Rename(names)
+		a.front.Bodies.Set(next.limits.MaxBodyBytes(), len(names.Tenants))
+	}
+	return component{name: "edge", reload: reload}, nil
+}
+
+// handler serves all paths that clients use.
+func (a *assembly) handler() http.Handler {
+	front := a.front.Handler()
+	if len(a.handlers) == 0 {
+		return front
+	}
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		for _, h := range a.handlers {
+			if h.matches(r.URL.Path) {
+				h.handler.ServeHTTP(w, r)
+				return
+			}
+		}
+		front.ServeHTTP(w, r)
+	})
+}
+
+func (h *prefixHandler) matches(path string) bool {
+	return slices.ContainsFunc(h.prefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
+}
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -10,12 +10,13 @@
 	"standpoint/internal/config"
 )
 
+// Of the lines with the same message and level in one second, the first are written, and then every so many-th.
 const (
-	sampledFirst      = 20  // lines of one message in a second, and every
-	sampledThereafter = 200 // so many further ones
+	sampledFirst      = 20
+	sampledThereafter = 200
 )
 
-// logging is the level and the form of the log.
+// logging is the level and the format of the log.
 type logging struct {
 	level   zapcore.Level
 	console bool
@@ -29,8 +30,8 @@
 	return logging{level, d.operator.Log.Format == config.LogConsole}
 }
 
-// newLog writes to standard error. A client may be wrong thousands of times a second, and must not fill the log or
-// hold the node up with it: repeated lines are sampled.
+// newLog returns a log that writes to standard error. Its level can be changed through level. Repeated lines are
+// sampled, since a faulty client may cause thousands a second, which would fill the log and slow the node down.
 func newLog(l logging, level zap.AtomicLevel) *zap.Logger {
 	level.SetLevel(l.level)
 	encoding := zap.NewProductionEncoderConfig()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -1,55 +1,135 @@
 package daemon
 
 import (
+	"context"
 	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+	"go.uber.org/zap"
 
+	"standpoint/internal/find/discovery"
 	"standpoint/internal/metrics"
+	"standpoint/internal/transient"
 )
 
-// counterCollector shows the figures, read where the console reads them.
-type counterCollector struct{ *metrics.Counters }
+// Bounds of the metrics' listener.
+const (
+	maxMetricsRequests    = 4
+	metricsTimeout        = 5 * time.Second
+	metricsReadTimeout    = 5 * time.Second
+	metricsWriteTimeout   = 10 * time.Second
+	maxMetricsHeaderBytes = 16 << 10
+)
 
 var (
-	requestsDesc = prometheus.NewDesc("standpoint_requests_total", "Requests that ended, by class and end.", []string{"class", "end"}, nil)
-	attemptsDesc = prometheus.NewDesc("standpoint_attempts_total", "Attempts written whole to backends.", nil, nil)
-	listedDesc   = prometheus.NewDesc("standpoint_real_servers_listed", "Backends in the list.", nil, nil)
-	avoidedDesc  = prometheus.NewDesc("standpoint_real_servers_avoided", "Listed backends that the module avoids.", nil, nil)
+	requestsDesc = prometheus.NewDesc("standpoint_requests_total",
+		"Requests that ended, by class and end.", []string{"class", "end"}, nil)
+	attemptsDesc = prometheus.NewDesc("standpoint_attempts_total",
+		"Attempts written whole to backends.", nil, nil)
+	listedDesc = prometheus.NewDesc("standpoint_real_servers_listed",
+		"Backends in the list.", nil, nil)
+	avoidedDesc = prometheus.NewDesc("standpoint_real_servers_avoided",
+		"Listed backends that the module avoids.", nil, nil)
 )
 
+// registryComponent creates the registry of metrics, before the components that register theirs. metricsComponent
+// serves it.
+func registryComponent(a *assembly) (component, error) {
+	if a.operator.Metrics.Listen == "" {
+		return component{}, nil
+	}
+	var err error
+	if a.registry, err = newRegistry(a); err != nil {
+		return component{}, err
+	}
+	a.discoveryMetrics, err = discovery.NewMetrics(a.registry)
+	return component{}, err
+}
+
+// newRegistry registers the metrics of the runtime and of the daemon itself.
+func newRegistry(a *assembly) (*prometheus.Registry, error) {
+	registry := prometheus.NewRegistry()
+	gauge := func(name, help string, value func() float64) prometheus.Collector {
+		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "standpoint_" + name, Help: help}, value)
+	}
+	openRequests := func() float64 { return float64(a.core.Open()) }
+	usedEndpoints := func() float64 { return float64(len(a.endpointCache.Current())) }
+	nodes := func() float64 { return float64(max(1, a.nodeCount.Load())) }
+	return registry, errors.Join(
+		registry.Register(collectors.NewGoCollector()),
+		registry.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})),
+		registry.Register(gauge("open_flows", "Flows that wait for their answer.", openRequests)),
+		registry.Register(gauge("service_entries", "Endpoints in use.", usedEndpoints)),
+		registry.Register(counterCollector{a.counters}),
+		registry.Register(gauge("nodes", "Nodes by which the module divides.", nodes)),
+	)
+}
+
+// counterCollector collects the counters that the console shows too.
+type counterCollector struct{ *metrics.Counters }
+
 // Describe implements prometheus.Collector.
 func (c counterCollector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{requestsDesc, attemptsDesc, listedDesc, avoidedDesc} {
-		to <- d
+	for _, desc := range []*prometheus.Desc{requestsDesc, attemptsDesc, listedDesc, avoidedDesc} {
+		to <- desc
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c counterCollector) Collect(to chan<- prometheus.Metric) {
+	send := func(desc *prometheus.Desc, kind prometheus.ValueType, value float64, labels ...string) {
+		to <- prometheus.MustNewConstMetric(desc, kind, value, labels...)
+	}
 	for _, class := range c.Classes() {
-		for e, word := range metrics.OutcomeNames {
-			to <- prometheus.MustNewConstMetric(requestsDesc, prometheus.CounterValue, float64(class.Count(metrics.Outcome(e))), class.Name, word)
+		for outcome, name := range metrics.OutcomeNames {
+			count := class.Count(metrics.Outcome(outcome))
+			send(requestsDesc, prometheus.CounterValue, float64(count), class.Name, name)
 		}
 	}
-	to <- prometheus.MustNewConstMetric(attemptsDesc, prometheus.CounterValue, float64(c.Attempts()))
-	to <- prometheus.MustNewConstMetric(listedDesc, prometheus.GaugeValue, float64(c.Listed()))
-	to <- prometheus.MustNewConstMetric(avoidedDesc, prometheus.GaugeValue, float64(c.Avoided()))
+	send(attemptsDesc, prometheus.CounterValue, float64(c.Attempts()))
+	send(listedDesc, prometheus.GaugeValue, float64(c.Listed()))
+	send(avoidedDesc, prometheus.GaugeValue, float64(c.Avoided()))
 }
 
-// newRegistry has what the daemon says of itself.
-func newRegistry(a *assembly) (*prometheus.Registry, error) {
-	r := prometheus.NewRegistry()
-	gauge := func(name, help string, value func() float64) prometheus.Collector {
-		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "standpoint_" + name, Help: help}, value)
+// metricsComponent serves GET /metrics, where there is a registry.
+func metricsComponent(a *assembly) (component, error) {
+	if a.registry == nil {
+		return component{}, nil
 	}
-	return r, errors.Join(
-		r.Register(collectors.NewGoCollector()),
-		r.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})),
-		r.Register(gauge("open_flows", "Flows that wait for their answer.", func() float64 { return float64(a.core.Open()) })),
-		r.Register(gauge("service_entries", "Endpoints in use.", func() float64 { return float64(len(a.endpointCache.Current())) })),
-		r.Register(counterCollector{a.counters}),
-		r.Register(gauge("nodes", "Nodes by which the module divides.", func() float64 { return float64(max(1, a.nodeCount.Load())) })),
-	)
+	listener, err := transient.Listen("tcp", a.operator.Metrics.Listen, a.log)
+	if err != nil {
+		return component{}, fmt.Errorf("metrics.listen: %w", err)
+	}
+	handlerOptions := promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsRequests, Timeout: metricsTimeout}
+	mux := http.NewServeMux()
+	mux.Handle("GET /metrics", promhttp.HandlerFor(a.registry, handlerOptions))
+	server := &http.Server{
+		Handler:        mux,
+		ReadTimeout:    metricsReadTimeout,
+		WriteTimeout:   metricsWriteTimeout,
+		MaxHeaderBytes: maxMetricsHeaderBytes,
+	}
+	run := func(ctx context.Context) {
+		cancelClose := context.AfterFunc(ctx, func() { server.Close() })
+		defer cancelClose()
+		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			a.log.Error("metrics server failed", zap.Error(err))
+		}
+	}
+	stop := func() error { return errors.Join(server.Close(), closeListener(listener)) }
+	return component{name: "metrics", run: run, stop: stop}, nil
+}
+
+// closeListener closes a listener that its server may have closed already.
+func closeListener(l net.Listener) error {
+	if err := l.Close(); !errors.Is(err, net.ErrClosed) {
+		return err
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/daemon/operatorendpoints.go
@@ -0,0 +1,199 @@
+package daemon
+
+import (
+	"context"
+	"crypto/tls"
+	"crypto/x509"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/clock"
+	"standpoint/internal/config"
+	"standpoint/internal/control"
+	"standpoint/internal/endpoints"
+	"standpoint/internal/find/discovery"
+	"standpoint/internal/find/dnssd"
+	"standpoint/internal/node"
+)
+
+// operatorEndpointsComponent has the endpoint list from the operator's file, or from the services that it browses.
+func operatorEndpointsComponent(a *assembly) (component, error) {
+	a.createEndpointCache()
+	if a.operator.Endpoints.Source == config.SourceDNSSD {
+		return browsedEndpointsComponent(a)
+	}
+	return listedEndpointsComponent(a)
+}
+
+// listedEndpointsComponent has the endpoint list from the operator's file.
+func listedEndpointsComponent(a *assembly) (component, error) {
+	a.endpointSource = endpoints.Fixed{List: listedEndpoints(a.operator), News: a.updateEndpoints}
+	a.addEntriesRoute(func() []endpoints.Origin {
+		origins := []endpoints.Origin{}
+		for _, e := range a.endpointCache.Current() {
+			origins = append(origins, endpoints.Describe(e))
+		}
+		return origins
+	})
+	replaced := replacedBackends{}
+	return component{
+		name: "endpoints",
+		run:  runTogether(a.endpointCache.Run, a.endpointSource.Run),
+		reload: func(next deployment) {
+			list := listedEndpoints(next.operator)
+			replaced.apply(&list, a.endpointCache.Current())
+			a.updateEndpoints(list)
+		},
+	}, nil
+}
+
+func (a *assembly) addEntriesRoute(origins func() []endpoints.Origin) {
+	a.routes = append(a.routes, control.Route{
+		Pattern: "GET /v1/entries",
+		Handle:  func(*http.Request, []byte) (any, error) { return origins(), nil },
+	})
+}
+
+// listedEndpoints is the endpoint list of an operator's file.
+func listedEndpoints(cfg *config.OperatorFile) node.List {
+	list := node.List{Kind: standpoint.ListFull}
+	for _, b := range cfg.Backends {
+		list.Entries = append(list.Entries, node.Endpoint{
+			Address: b.Address,
+			Batch:   b.Mode == config.BackendBatch,
+			Labels:  b.Labels,
+			Engine: standpoint.Engine{
+				Name:    b.Name,
+				Size:    b.Capacity,
+				Zone:    max(0, slices.Index(cfg.Names.Zones, b.Zone)),
+				Kind:    max(0, slices.Index(cfg.Names.Kinds, b.Kind)),
+				State:   b.State(),
+				ReadyAt: b.ReadyAt(),
+			},
+		})
+	}
+	return list
+}
+
+// replacedBackends notes when a listed backend that states no start was given another address. It is then another
+// backend, which starts cold: nothing that was learned of the old one holds for it.
+type replacedBackends map[string]int64
+
+// apply sets the starts of the list's backends, given the endpoints as they were. It keeps no more names than the list
+// has.
+func (r replacedBackends) apply(list *node.List, previous []node.Endpoint) {
+	addresses := map[string]string{}
+	for _, e := range previous {
+		addresses[e.Name] = e.Address
+	}
+	for i := range list.Entries {
+		e := &list.Entries[i]
+		if address, known := addresses[e.Name]; known && address != e.Address {
+			r[e.Name] = clock.Now()
+		}
+		if e.ReadyAt == 0 {
+			e.ReadyAt = r[e.Name]
+		}
+	}
+	maps.DeleteFunc(r, func(name string, _ int64) bool {
+		return !slices.ContainsFunc(list.Entries, func(e node.Endpoint) bool { return e.Name == name })
+	})
+}
+
+// browsedEndpointsComponent has the endpoint list from DNS-SD.
+func browsedEndpointsComponent(a *assembly) (component, error) {
+	all, err := a.newBrowsers(a.operator)
+	if err != nil {
+		return component{}, err
+	}
+	browsers := endpoints.NewBrowsers(a.updateEndpoints, all...)
+	a.endpointSource = browsers
+	a.endpointCache.Ages = browsers.Until
+	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, browsers.Origins()...) })
+	var next []*endpoints.Browser // made by check, for reload
+	return component{
+		name: "endpoints",
+		run:  runTogether(a.endpointCache.Run, browsers.Run),
+		start: func(context.Context) {
+			if known, ok := a.endpointCache.Known(time.Now()); ok {
+				browsers.Known(known)
+				a.updateEndpoints(known)
+			}
+		},
+		check: func(to deployment) (err error) {
+			next, err = a.newBrowsers(to.operator)
+			return err
+		},
+		reload: func(deployment) { browsers.Replace(next) },
+	}, nil
+}
+
+// newBrowsers returns a browser for each service that a file browses.
+func (a *assembly) newBrowsers(cfg *config.OperatorFile) ([]*endpoints.Browser, error) {
+	var all []*endpoints.Browser
+	for i := range cfg.Endpoints.Browses {
+		roots, err := cfg.RootCertificates(a.baseDirectory, i)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, a.newBrowser(cfg, i, roots))
+	}
+	return all, nil
+}
+
+func (a *assembly) newBrowser(cfg *config.OperatorFile, i int, roots *x509.CertPool) *endpoints.Browser {
+	section := &cfg.Endpoints
+	browse := section.Browses[i]
+	log := a.log.With(zap.String("domain", browse.Domain))
+	find := discovery.Options{
+		Service:     dnssd.Service{Type: browse.Service, Subtype: browse.Subtype, Domain: browse.Domain},
+		Server:      browse.Server,
+		Way:         discovery.Way(browse.Updates),
+		Every:       time.Duration(section.PollInterval),
+		Refresh:     time.Duration(section.RefreshInterval),
+		PushAddress: browse.PushAddress,
+		TLS:         pushTLS(roots, browse.PushServerName),
+		Metrics:     a.discoveryMetrics,
+		Log:         log,
+	}
+	if find.Way == discovery.MDNS {
+		find.Dial = func() (discovery.Transport, error) { return discovery.DialUnicast(browse.Server) }
+	}
+	browser := &endpoints.Browser{
+		Find:   find,
+		Key:    browse.Key(),
+		Config: browserConfig(section, browse),
+		Site:   browse.Site,
+		Guard:  dnssd.Guard{Part: section.GuardFraction, Hold: int64(section.GuardHold)},
+		Damper: dnssd.Damper{Half: int64(*section.FlapHalfLife), Most: section.MaxFlaps},
+		Names:  endpointNames(cfg.Names),
+		Log:    log,
+	}
+	if len(section.Browses) > 1 { // the same name in two domains is two backends
+		browser.Suffix = "@" + strings.TrimSuffix(browse.Domain, ".")
+	}
+	return browser
+}
+
+// browserConfig has all that a browser is configured by, to tell whether a new one would differ.
+func browserConfig(section *config.Endpoints, browse config.Browse) string {
+	several := len(section.Browses) > 1
+	return fmt.Sprint(browse, section.PollInterval, section.RefreshInterval, section.GuardHold, section.GuardFraction,
+		*section.FlapHalfLife, section.MaxFlaps, several)
+}
+
+func pushTLS(roots *x509.CertPool, serverName string) *tls.Config {
+	if roots == nil {
+		return nil
+	}
+	return &tls.Config{RootCAs: roots, ServerName: serverName, MinVersion: tls.VersionTLS12}
+}
+
+var _ node.Entries = (*endpoints.Browsers)(nil)
--- /dev/null
+++ b/internal/daemon/run.go
@@ -0,0 +1,139 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint/internal/config"
+	"standpoint/internal/edge"
+	"standpoint/internal/node"
+)
+
+// Version is the daemon's version. A build may set it.
+var Version = "0.3.0-dev"
+
+// Options configure Run.
+type Options struct {
+	// ConfigFile is the path of an operator's file; "" stands for the platform's variables.
+	ConfigFile string
+	// Log, if not nil, is used in place of the log that the configuration describes.
+	Log *zap.Logger
+}
+
+// ConfigError wraps the error of a configuration that cannot be served. Its message begins with the key at fault.
+type ConfigError struct{ error }
+
+// Unwrap implements errors.Unwrap.
+func (e *ConfigError) Unwrap() error { return e.error }
+
+// Run serves until SIGTERM or SIGINT, and returns once every accepted request is answered. SIGHUP has it reload its
+// configuration. An unusable configuration is a *ConfigError.
+func Run(o Options) error {
+	started := time.Now()
+	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
+	hangup := make(chan os.Signal, 1) // signals that come before one has been handled are the same request
+	signal.Notify(hangup, syscall.SIGHUP)
+	// After the return nothing is left to do but to exit with success, so a further signal must not kill the process.
+	defer signal.Ignore(syscall.SIGHUP, syscall.SIGTERM)
+
+	d, err := readDeployment(o.ConfigFile)
+	if err != nil {
+		return &ConfigError{err}
+	}
+	a := newAssembly(d, o)
+	a.joinSiblings()
+	if err := a.assemble(a.constructors()); err != nil {
+		return err
+	}
+	defer func() {
+		if err := a.stop(); err != nil {
+			a.processLog.Warn("component stop failed", zap.Error(err))
+		}
+	}()
+	return a.serve(stop, hangup, started)
+}
+
+// serve starts the components, opens the clients' listener, and returns when the process is to exit.
+func (a *assembly) serve(stop context.Context, hangup <-chan os.Signal, started time.Time) error {
+	applyLimits(a.limits)
+	var listener net.Listener
+	var err error
+	if a.inheritsListener() { // a sibling may serve at the socket meanwhile
+		if listener, err = a.openListener(); err != nil {
+			return err
+		}
+	}
+	running, endComponents := context.WithCancel(context.Background())
+	defer endComponents()
+	a.startComponents(stop)
+	a.runComponents(running)
+	a.awaitEndpoints(stop)
+	a.restoreLearned(stop, started)
+	if listener == nil { // not earlier: clients that connect before the process serves would wait up to their deadline
+		if listener, err = a.openListener(); err != nil {
+			return err
+		}
+	}
+	serveErrors := a.openFront(listener)
+	if err := a.lifecycle.Move(node.Serving); err != nil {
+		return err
+	}
+	a.processLog.Info("serving", zap.String("listen", a.listen), zap.Any("limits", a.limits))
+	return a.supervise(stop, hangup, serveErrors)
+}
+
+// openFront has the HTTP front accept clients. The channel tells when, and why, it has ended.
+func (a *assembly) openFront(listener net.Listener) <-chan error {
+	a.clients = edge.NewRoom(listener, a.current.limits.MaxClientConnections(), a.processLog)
+	a.clients.Metrics = a.counters
+	server := edge.NewServer(a.handler(), a.clients, a.processLog)
+	serveErrors := make(chan error, 1)
+	go func() { serveErrors <- server.Serve(a.clients) }()
+	return serveErrors
+}
+
+// supervise handles signals and requests until the process has drained. It alone changes the deployment in force, and
+// goes on to do so while draining: a new configuration may say where the endpoint list is, and drains in that list are
+// to be kept until the end.
+func (a *assembly) supervise(stop context.Context, hangup <-chan os.Signal, serveErrors <-chan error) error {
+	stopRequested := stop.Done()
+	drained := make(chan error, 1)
+	for {
+		select {
+		case err := <-serveErrors:
+			if stopRequested != nil {
+				return fmt.Errorf("serving: %w", err)
+			}
+			serveErrors = nil // draining closes the listener
+		case <-stopRequested:
+			stopRequested = nil
+			a.beginShutdown(drained)
+		case err := <-drained:
+			return err
+		case <-hangup:
+			_ = a.reloadConfiguration() // logged there; the configuration in force stays
+		case count := <-a.siblingCounts:
+			a.setSiblingCount(count)
+		case request := <-a.drainRequests:
+			request.result <- a.setDrained(request.drained)
+		case request := <-a.settingsRequests:
+			request.result <- a.handleSettings(request)
+		}
+	}
+}
+
+// applyLimits bounds the heap to six tenths of the memory, and the threads that run Go code to the cores.
+func applyLimits(l config.Limits) {
+	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 6 / 10)
+	runtime.GOMAXPROCS(max(1, int(l.Cores+0.5)))
+}
--- /dev/null
+++ b/internal/daemon/siblings.go
@@ -0,0 +1,142 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"os"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/handover"
+)
+
+const (
+	siblingPollInterval = 100 * time.Millisecond
+	learnedTimeout      = 500 * time.Millisecond // for the learned state of a sibling
+	learnedPollInterval = 10 * time.Millisecond
+)
+
+// siblingsName stands in errors of the process's exit.
+const siblingsName = "company"
+
+// joinSiblings finds the other processes of this node. Operators may start a second process beside a running one; both
+// find each other in the directory of temporary files, and divide the node's limits.
+func (a *assembly) joinSiblings() {
+	dir := os.Getenv("TMPDIR")
+	if dir == "" || a.console == "" && !a.inheritsListener() {
+		return
+	}
+	var err error
+	if a.siblings, err = handover.Open(dir, a.name); err != nil {
+		a.log.Error("sibling directory unavailable", zap.String("TMPDIR", dir), zap.Error(err))
+		return
+	}
+	a.siblingCount = a.siblings.SiblingCount()
+	a.limits = a.nodeLimits.PerProcess(1 + a.siblingCount)
+	a.current.limits = a.limits
+}
+
+// siblingsComponent watches the other processes, applies overrides that they record, and adopts their streams.
+func siblingsComponent(a *assembly) (component, error) {
+	if a.siblings == nil {
+		return component{}, nil
+	}
+	known := a.siblingCount // read here, since run is another goroutine
+	watch := func(ctx context.Context) { a.watchSiblings(ctx, known) }
+	return component{name: siblingsName, run: runTogether(a.acceptStreams, watch), stop: a.siblings.Close}, nil
+}
+
+// watchSiblings polls the number of siblings and their record until the context ends.
+func (a *assembly) watchSiblings(ctx context.Context, known int) {
+	ticker := time.NewTicker(siblingPollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		a.overrides.Sync()
+		count := a.siblings.SiblingCount()
+		if count == known {
+			continue
+		}
+		if count > known { // the new process goes on by what this one knows
+			a.overrides.Keep()
+			a.publishLearned(ctx)
+		}
+		known = count
+		select {
+		case a.siblingCounts <- count:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// setSiblingCount divides the node's limits among its processes.
+func (a *assembly) setSiblingCount(count int) {
+	a.siblingCount = count
+	next := a.current
+	next.limits = next.nodeLimits.PerProcess(1 + count)
+	if err := a.reload(next); err != nil {
+		a.processLog.Error("limits not changed", zap.Error(err))
+		return
+	}
+	a.applyProcessLimits()
+	a.processLog.Info("sibling process count changed", zap.Int("siblings", count), zap.Any("limits", next.limits))
+}
+
+// publishLearned leaves the decision module's learned state to a process that takes over.
+func (a *assembly) publishLearned(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, learnedTimeout)
+	defer cancel()
+	learned := a.core.Learned(ctx)
+	if learned == nil {
+		return
+	}
+	raw, err := json.Marshal(learned)
+	if err == nil {
+		err = a.siblings.WriteLearned(raw)
+	}
+	if err != nil {
+		a.log.Warn("learned state not published", zap.Error(err))
+	}
+}
+
+// restoreLearned loads the learned state that a serving sibling publishes once it has seen this process. started is
+// when this process was started: state that is older was meant for another.
+func (a *assembly) restoreLearned(stop context.Context, started time.Time) {
+	if a.siblings == nil || a.siblingCount == 0 {
+		return
+	}
+	ctx, cancel := context.WithTimeout(stop, learnedTimeout)
+	defer cancel()
+	for ctx.Err() == nil {
+		if raw, ok := a.siblings.ReadLearned(started); ok {
+			a.applyLearned(ctx, raw)
+			return
+		}
+		select {
+		case <-time.After(learnedPollInterval):
+		case <-ctx.Done():
+		}
+	}
+	a.log.Info("no learned state available")
+}
+
+func (a *assembly) applyLearned(ctx context.Context, raw []byte) {
+	var learned standpoint.Learned
+	err := json.Unmarshal(raw, &learned)
+	if err == nil {
+		err = a.core.Recall(ctx, &learned)
+	}
+	if err != nil {
+		a.log.Warn("learned state rejected", zap.Error(err))
+		return
+	}
+	a.log.Info("learned state restored", zap.Int("prompts", len(learned.Prompts)),
+		zap.Int("servers", len(learned.Engines)))
+}
--- /dev/null
+++ b/internal/daemon/streams.go
@@ -0,0 +1,75 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+
+	"go.uber.org/zap"
+
+	"standpoint/internal/backend"
+	"standpoint/internal/node"
+)
+
+// streamTransfer describes a stream that is passed to a sibling. The class goes by its name: the sibling's
+// configuration may number classes otherwise.
+type streamTransfer struct {
+	Class  string          `json:"class"`
+	Stream json.RawMessage `json:"stream"`
+}
+
+// passStreams passes the unfinished streams to the sibling that serves.
+func (a *assembly) passStreams() {
+	count := a.backends.Move(func(stream backend.Stream, clientFD, backendFD int) error {
+		err := a.passStream(stream, clientFD, backendFD)
+		if err != nil {
+			a.processLog.Warn("stream not passed", zap.String("trace", stream.Trace), zap.Error(err))
+		}
+		return err
+	})
+	a.processLog.Info("streams passed to sibling process", zap.Int("streams", count))
+}
+
+func (a *assembly) passStream(stream backend.Stream, clientFD, backendFD int) error {
+	encoded, err := json.Marshal(stream)
+	if err != nil {
+		return err
+	}
+	text, err := json.Marshal(streamTransfer{Class: a.front.ClassName(stream.Class), Stream: encoded})
+	if err != nil {
+		return err
+	}
+	return a.siblings.PassStream(text, clientFD, backendFD)
+}
+
+// acceptStreams adopts streams that siblings pass, until the context ends.
+func (a *assembly) acceptStreams(ctx context.Context) {
+	adopt := func(text []byte, client, server net.Conn) bool { return a.adoptStream(ctx, text, client, server) }
+	if err := a.siblings.AcceptStreams(ctx, adopt); err != nil {
+		a.log.Warn("stream adoption unavailable", zap.Error(err))
+	}
+}
+
+// adoptStream carries on with a stream of a sibling. It returns false where it does not take the connections.
+func (a *assembly) adoptStream(ctx context.Context, text []byte, client, server net.Conn) bool {
+	transfer, stream, err := decodeTransfer(text)
+	if phase := a.lifecycle.Now(); err != nil || phase > node.DrainedByHand {
+		a.log.Warn("stream not adopted", zap.Stringer("phase", phase), zap.Error(err))
+		return false
+	}
+	a.adoptedStreams.Go(func() {
+		defer server.Close() // where the core does not admit the request, nothing else closes it
+		carry := func(attempt *node.Attempt) { a.backends.Carry(stream, server, attempt) }
+		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.Held, carry)
+	})
+	return true
+}
+
+func decodeTransfer(text []byte) (streamTransfer, backend.Stream, error) {
+	var transfer streamTransfer
+	if err := json.Unmarshal(text, &transfer); err != nil {
+		return transfer, backend.Stream{}, err
+	}
+	stream, err := backend.DecodeStream(transfer.Stream)
+	return transfer, stream, err
+}
