--- a/internal/lab/proof/proof.go
+++ b/internal/lab/proof/proof.go
@@ -25,29 +25,29 @@
 
 // Guards are those that are taken out.
 var Guards = []Guard{
-	{"a lease without an end", fleet + "quota/purse.go", "|| p.WindowStart(w+1) > p.lease.ExpiresAt {", "{", "quota"},
-	{"an heir that spends at once", fleet + "quota/purse.go", "if p.lease.Successor {", "if false {", "quota"},
-	{"what is lent stays spendable", fleet + "quota/purse.go", "max(0, p.leasedQuota(w)-p.lentAmount(w)-p.debtRepayment(w)) + p.borrowedAmount(w)", "max(0, p.leasedQuota(w)-p.debtRepayment(w)) + p.borrowedAmount(w)", "quota"},
-	{"a loan taken as often as it is told", fleet + "quota/purse.go", "h.Lender == l.Lender && h.Number == l.Number", "false", "quota"},
-	{"a returned loan forgotten at its return", fleet + "quota/purse.go", "func(l transferRecord) bool { return l.originalLast < w })\n\tp.lent", "func(l transferRecord) bool { return l.LastWindow < w })\n\tp.lent", "quota"},
-	{"what was lent used again while a clock may be before the end", fleet + "quota/purse.go", "p.WindowStart(last+1) + p.ClockError}", "0}", "quota"},
-	{"a loan of another life taken", fleet + "quota/purse.go", "if l.Borrower != p.Owner || l.LastWindow < p.currentWindow", "if l.Borrower.Slot != p.Owner.Slot || l.LastWindow < p.currentWindow", "quota"},
-	{"a lender that forgets loans it has no room for", fleet + "quota/purse.go", "if len(p.lent) >= MaxTransfers {\n\t\treturn Transfer{}, false\n\t}", "if len(p.lent) >= MaxTransfers {\n\t\tp.lent = p.lent[1:]\n\t}", "quota"},
-	{"windows that come back with the clock", fleet + "quota/purse.go", "p.now = max(p.now, now)\n\tw := p.WindowAt(p.now)\n\tif w <= p.currentWindow {", "p.now = now\n\tw := p.WindowAt(p.now)\n\tif w < p.currentWindow {\n\t\tp.currentWindow = w\n\t\tclear(p.spent)\n\t}\n\tif w <= p.currentWindow {", "quota"},
-	{"an overdraft that is nobody's debt", fleet + "quota/purse.go", "p.debt += max(0, p.spent[0]-p.Quota(p.currentWindow))", "", "quota"},
-	{"a seat given while another life has it", fleet + "lease/seat.go", "case now < r.ExpiresAt+2*int64(clockError):", "case false:", "lease"},
-	{"a seat's fence that does not grow", fleet + "lease/seat.go", "FencingToken: r.FencingToken + 1,", "FencingToken: 1,", "lease"},
-	{"a life that is not on record before it claims", fleet + "lease/seat.go", "if err := f.write(); err != nil {\n\t\treturn fail(err)\n\t}\n\treturn f, inc", "return f, inc", "lease"},
-	{"older counts taken for news", fleet + "counter/tally.go", "if r.At <= s.incarnations[i].At {\n\t\t\treturn false\n\t\t}", "", "counter"},
-	{"lives counted again that had been added up", fleet + "counter/tally.go", "if r.Owner.Incarnation <= s.mergedThrough {\n\t\treturn false\n\t}", "", "counter"},
-	{"bounds that do not widen with silence", fleet + "counter/tally.go", "r.Upper += int64(float64(age+2*t.ClockError) / 1e9 * float64(t.MaxRates[key]))", "", "counter"},
-	{"one source that counts as several", fleet + "outlier/judge.go", "return s.owner.Slot == who.Slot })", "return false })", "outlier"},
-	{"hearsay that outweighs own evidence", fleet + "outlier/judge.go", "if seen && own.Kind == Healthy", "if false && own.Kind == Healthy", "outlier"},
-	{"a witness that is cut off itself", fleet + "outlier/judge.go", "case !b.current(s, now) || b.exceedsIsolationShare(badBy[s.owner.Slot], len(b.backends)):", "case !b.current(s, now):", "outlier"},
-	{"evidence that never expires", fleet + "outlier/judge.go", "return now-s.ObservedAt <= b.EvidenceLifetime\n", "return true\n", "outlier"},
-	{"evidence on the process before", fleet + "outlier/judge.go", "return !listed || s.StartedAt != e.StartedAt", "_ = s\n\treturn !listed", "outlier"},
-	{"a whole zone left out", fleet + "outlier/judge.go", "return out[j.Backend.Zone] > b.maxEjected(zones[j.Backend.Zone])", "return false", "outlier"},
-	{"a mode that changes at once", fleet + "connectivity/mode.go", "settled := now-m.targetSince >= int64(m.SettleTime)", "settled := true", "connectivity"},
+	{"a lease without an end", fleet + "quota/allocation.go", "|| a.WindowStart(window+1) > a.lease.ExpiresAt {", "{", "quota"},
+	{"a successor that spends at once", fleet + "quota/allocation.go", "if a.lease.Successor {", "if false {", "quota"},
+	{"quota that is lent and stays spendable", fleet + "quota/allocation.go", "own := a.leasedQuota(window) - a.lentAmount(window) - a.debtRepayment(window)", "own := a.leasedQuota(window) - a.debtRepayment(window)", "quota"},
+	{"a transfer accepted as often as it is announced", fleet + "quota/transfer.go", "b.Lender == transfer.Lender && b.Number == transfer.Number", "false", "quota"},
+	{"a returned transfer forgotten at its return", fleet + "quota/transfer.go", "return t.originalLast < window })\n\ta.lent", "return t.LastWindow < window })\n\ta.lent", "quota"},
+	{"quota reclaimed while a clock may be before the end of its transfer", fleet + "quota/transfer.go", "a.WindowStart(last+1) + a.ClockError,", "0,", "quota"},
+	{"a transfer to another incarnation accepted", fleet + "quota/transfer.go", "if transfer.Borrower != a.Owner || transfer.LastWindow < a.currentWindow", "if transfer.Borrower.Slot != a.Owner.Slot || transfer.LastWindow < a.currentWindow", "quota"},
+	{"a lender that forgets transfers it has no room for", fleet + "quota/transfer.go", "if len(a.lent) >= MaxTransfers {\n\t\treturn Transfer{}, false\n\t}", "if len(a.lent) >= MaxTransfers {\n\t\ta.lent = a.lent[1:]\n\t}", "quota"},
+	{"windows that a clock reopens", fleet + "quota/allocation.go", "a.now = max(a.now, now)\n\twindow := a.WindowAt(a.now)\n\tif window <= a.currentWindow {", "a.now = now\n\twindow := a.WindowAt(a.now)\n\tif window < a.currentWindow {\n\t\ta.currentWindow = window\n\t\tclear(a.spent)\n\t}\n\tif window <= a.currentWindow {", "quota"},
+	{"an overdraft that is no debt", fleet + "quota/allocation.go", "a.debt += max(0, a.spent[0]-a.Quota(a.currentWindow))", "", "quota"},
+	{"a slot granted while another incarnation holds it", fleet + "lease/lease.go", "case now < record.ExpiresAt+2*int64(clockError):", "case false:", "lease"},
+	{"a fencing token that does not grow", fleet + "lease/lease.go", "FencingToken: record.FencingToken + 1,", "FencingToken: 1,", "lease"},
+	{"an incarnation that is not persisted before it claims", fleet + "lease/directory.go", "if err := d.save(); err != nil {\n\t\treturn 0, nil, err\n\t}\n\treturn incarnation", "return incarnation", "lease"},
+	{"older counts taken for news", fleet + "counter/counter.go", "if r.At <= s.incarnations[i].At {\n\t\t\treturn false\n\t\t}", "", "counter"},
+	{"lives counted again that had been added up", fleet + "counter/counter.go", "if r.Owner.Incarnation <= s.mergedThrough {\n\t\treturn false\n\t}", "", "counter"},
+	{"bounds that do not widen with silence", fleet + "counter/counter.go", "r.Upper += int64(float64(age+2*t.ClockError) / 1e9 * float64(t.MaxRates[key]))", "", "counter"},
+	{"one source that counts as several", fleet + "outlier/detector.go", "return s.owner.Slot == who.Slot })", "return false })", "outlier"},
+	{"hearsay that outweighs own evidence", fleet + "outlier/detector.go", "if seen && own.Kind == Healthy", "if false && own.Kind == Healthy", "outlier"},
+	{"a witness that is cut off itself", fleet + "outlier/detector.go", "case !b.current(s, now) || b.exceedsIsolationShare(badBy[s.owner.Slot], len(b.backends)):", "case !b.current(s, now):", "outlier"},
+	{"evidence that never expires", fleet + "outlier/detector.go", "return now-s.ObservedAt <= b.EvidenceLifetime\n", "return true\n", "outlier"},
+	{"evidence on the process before", fleet + "outlier/detector.go", "return !listed || s.StartedAt != e.StartedAt", "_ = s\n\treturn !listed", "outlier"},
+	{"a whole zone left out", fleet + "outlier/detector.go", "return out[j.Backend.Zone] > b.maxEjected(zones[j.Backend.Zone])", "return false", "outlier"},
+	{"a mode that changes at once", fleet + "connectivity/connectivity.go", "settled := now-m.targetSince >= int64(m.SettleTime)", "settled := true", "connectivity"},
 	{"a fence that is not compared", fleet + "session/session.go", "o.FencingToken == r.FencingToken && o.Owner == r.Owner\n\tswitch", "o.Owner == r.Owner\n\tswitch", "session"},
 	{"a claim that ends by the leader's clock alone", fleet + "session/session.go", "now >= r.Deadline+2*clockError", "now >= r.Deadline", "session"},
 	{"a key that is used twice", fleet + "session/session.go", "case o.Turn < r.Turn:\n\t\treturn r, ErrKeyUsed", "", "session"},
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer os.RemoveAll(dir) // its own
+	defer func() { _ = os.RemoveAll(dir) }() // its own
 	if err := copyTree(root, dir); err != nil {
 		return 0, err
 	}
