--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -62,7 +62,8 @@
 		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
-		fmt.Fprintf(&transcript, "%s %s\n\t%s; Content-Type %q; Retry-After %q; close %v\n\t%s", c.method, c.target, response.Status,
+		fmt.Fprintf(&transcript, "%s %s\n\t%s; Content-Type %q; Retry-After %q; close %v\n\t%s", c.method, c.target,
+			response.Status,
 			response.Header.Get("Content-Type"), response.Header.Get("Retry-After"), response.Close, body)
 	}
 	fmt.Fprintln(&transcript, strings.Join(given, "; "))
--- a/internal/console/console_test.go
+++ b/internal/console/server_test.go
@@ -17,7 +17,9 @@
 	"go.uber.org/zap"
 )
 
+// start serves a console until the test ends, and returns its address.
 func start(t *testing.T, n Operations) string {
+	t.Helper()
 	if n.Ready == nil {
 		n.Ready = func() bool { return true }
 	}
@@ -36,7 +38,9 @@
 	return s.Address()
 }
 
+// call returns the status and text of an answer.
 func call(t *testing.T, address, method, target string) (int, string) {
+	t.Helper()
 	r, err := http.NewRequest(method, "http://"+address+target, nil)
 	require.NoError(t, err)
 	response, err := (&http.Client{Timeout: time.Second}).Do(r)
@@ -48,8 +52,8 @@
 	return response.StatusCode, string(body)
 }
 
-// Every call has its answer, and one that says what nobody can mean a 4xx.
-func TestCalls(t *testing.T) {
+// Every call has its answer, and one that cannot be understood a 4xx.
+func TestAnswers(t *testing.T) {
 	address := start(t, Operations{Drain: func(_ context.Context, on bool) error {
 		if !on {
 			return ErrStopping
@@ -63,7 +67,8 @@
 		{"GET", "/ops/readiness", 200}, {"GET", "/ops/stats", 200},
 		{"POST", "/ops/engines/down?id=s-1", 200}, {"POST", "/ops/engines/up?id=s-1", 200},
 		{"POST", "/ops/engines/down?id=s-9", 404}, {"POST", "/ops/engines/up?id=s-9", 404},
-		{"POST", "/ops/engines/down", 400}, {"POST", "/ops/engines/down?id=", 400}, {"POST", "/ops/engines/down?id=s-1&id=s-2", 400},
+		{"POST", "/ops/engines/down", 400}, {"POST", "/ops/engines/down?id=", 400}, {"POST",
+			"/ops/engines/down?id=s-1&id=s-2", 400},
 		{"POST", "/ops/engines/down?id=" + strings.Repeat("x", 300), 400}, {"POST", "/ops/engines/down?id=%zz", 400},
 		{"POST", "/ops/drain/start", 200}, {"POST", "/ops/drain/stop", 409},
 		{"GET", "/ops/drain/start", 405}, {"GET", "/ops/engines/down?id=s-1", 405}, {"POST", "/ops/stats", 405},
@@ -90,8 +95,8 @@
 	}
 }
 
-// Callers who connect and finish no call hold nobody up, however many they are, and go themselves.
-func TestCallersWhoFinishNoCall(t *testing.T) {
+// Callers who connect and send no whole call block nobody, however many they are, and are closed in the end.
+func TestUnfinishedCallsDoNotBlockOthers(t *testing.T) {
 	address := start(t, Operations{})
 	var hanging []net.Conn
 	for i := range 3 * maxConnections {
@@ -112,8 +117,8 @@
 	}
 }
 
-// A command that its owner does not get to is answered within the caller's second, and what only reads goes on.
-func TestOwnerWhoDoesNotCome(t *testing.T) {
+// A command that is not carried out in time is answered within the second that a caller waits. Reads go on.
+func TestCommandTimesOut(t *testing.T) {
 	address := start(t, Operations{Drain: func(ctx context.Context, _ bool) error {
 		<-ctx.Done()
 		return ctx.Err()
@@ -128,7 +133,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, <-answered)
 }
 
-func FuzzID(f *testing.F) {
+func FuzzParseID(f *testing.F) {
 	for _, seed := range []string{"id=s-1", "id=", "id=a&id=b", "id=%zz", "id=%00", ";", "id=a;b"} {
 		f.Add(seed)
 	}
--- a/internal/control/token.go
+++ b/internal/control/token.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	info, err := file.Stat()
 	if err != nil {
 		return "", err
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("descriptor %d is no listening socket", fd)
 	}
 	file := os.NewFile(uintptr(fd), "clients")
-	defer file.Close() // FileListener duplicates the descriptor
+	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
 	l, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,7 +21,7 @@
 // servers.
 func TestReloadOnHangup(t *testing.T) {
 	server := func(name string) string {
-		return testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+		return testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
 			testpeer.Event(w, name)
 			testpeer.Finish(w)
 		})
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -34,7 +34,7 @@
 	s, err := control.Listen("127.0.0.1:0", token, a.routes, zap.NewNop())
 	require.NoError(t, err)
 	go func() { _ = s.Serve() }()
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	change := func(token string) error {
 		c := control.NewClient(s.Address(), token)
 		defer c.Close()
--- a/internal/handover/clock_test.go
+++ b/internal/handover/clock_test.go
@@ -16,7 +16,7 @@
 func TestRecordsAndClocks(t *testing.T) {
 	s, err := Open(t.TempDir(), "n")
 	require.NoError(t, err)
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	at := clock.Now() - int64(2*time.Second)
 	_, err = s.UpdateRecord(func(r *Record) { r.RestoredAt["a"], r.DownSince["b"] = at, at })
 	require.NoError(t, err)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -119,7 +119,7 @@
 		} else {
 			n++
 		}
-		f.Close()
+		_ = f.Close()
 	}
 	return n
 }
@@ -195,7 +195,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	defer lock.Close()
+	defer func() { _ = lock.Close() }()
 	if err := transient.IgnoringEINTR(func() error { return unix.Flock(int(lock.Fd()), unix.LOCK_EX) }); err != nil {
 		return Record{}, err
 	}
--- a/internal/handover/passing.go
+++ b/internal/handover/passing.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	defer context.AfterFunc(ctx, func() { l.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
 	places := make(chan struct{}, maxConcurrentPasses)
 	for {
 		c, err := l.AcceptUnix()
@@ -43,7 +43,7 @@
 		places <- struct{}{}
 		go func() {
 			defer func() { <-places }()
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			if err := receiveStream(c, take); err == nil {
 				_, _ = c.Write([]byte{accepted})
 			}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path)), func() { folder.Close() }, nil
+	return fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path)), func() { _ = folder.Close() }, nil
 }
 
 func receiveStream(c *net.UnixConn, take StreamHandler) error {
@@ -89,7 +89,7 @@
 	var fds []int
 	defer func() {
 		for _, fd := range fds {
-			unix.Close(fd)
+			_ = unix.Close(fd)
 		}
 	}()
 	messages, err := unix.ParseSocketControlMessage(rights[:m])
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	file := os.NewFile(uintptr(own), "passed")
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	return net.FileConn(file)
 }
 
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	if _, _, err := c.WriteMsgUnix(binary.BigEndian.AppendUint32(nil, uint32(len(text))), unix.UnixRights(first, second), nil); err != nil {
 		return err
