--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,7 +21,8 @@
 
 // The record's keys, as processes of other builds read and write them.
 func TestGoldenRecord(t *testing.T) {
-	value := Record{Version: 1, Boot: "boot-1", DownSince: map[string]int64{"s-1": 11}, RestoredAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
+	value := Record{Version: 1, Boot: "boot-1", DownSince: map[string]int64{"s-1": 11},
+		RestoredAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
 	golden.RoundTrip(t, "record.json", value, func(r Record) ([]byte, error) { return json.Marshal(r) }, DecodeRecord)
 }
 
@@ -34,7 +35,8 @@
 	tooMany, err := json.Marshal(Record{Version: recordVersion, Listed: many})
 	require.NoError(t, err)
 	var said strings.Builder
-	for _, raw := range []string{strings.Repeat(" ", maxFileBytes+1), "{", `{"version":2}`, `{"version":1,"down":{"":1}}`, string(tooMany)} {
+	for _, raw := range []string{strings.Repeat(" ", maxFileBytes+1), "{", `{"version":2}`,
+		`{"version":1,"down":{"":1}}`, string(tooMany)} {
 		_, err := DecodeRecord([]byte(raw))
 		require.Error(t, err)
 		fmt.Fprintf(&said, "%.40s\n\t%s\n", raw, err)
