--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -6,7 +6,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// The console's figures: their names, order and form. Each has another value, so that exchanged ones show.
+// The counters as the console shows them: names, order and form. Each has another value, so that exchanged ones show.
 func TestGoldenText(t *testing.T) {
 	f := New([]string{"chat", "import"}, func() int { return 70 })
 	times := 0
