--- a/internal/endpoints/byhand.go
+++ b/internal/endpoints/byhand.go
@@ -195,10 +195,3 @@
 	defer b.commands.Unlock()
 	_ = b.keep(func(*handover.Record) {}) // logged
 }
-
-// Out is how many backends are out by hand.
-func (b *ByHand) Out() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.record.DownSince)
-}
--- a/internal/lab/labcli/dns.go
+++ b/internal/lab/labcli/dns.go
@@ -81,11 +81,11 @@
 				o.Program = beside("standpoint")
 			}
 			o.Ways = strings.Split(ways, ",")
-			if _, err := numbers(loss, &o.Loss); err != nil {
+			if err := numbers(loss, &o.Loss); err != nil {
 				return fmt.Errorf("--loss: %w", err)
 			}
 			var n []float64
-			if _, err := numbers(sizes, &n); err != nil {
+			if err := numbers(sizes, &n); err != nil {
 				return fmt.Errorf("--sizes: %w", err)
 			}
 			for _, v := range n {
@@ -110,13 +110,13 @@
 }
 
 // numbers reads a list with commas.
-func numbers(text string, to *[]float64) (int, error) {
+func numbers(text string, to *[]float64) error {
 	for _, part := range strings.Split(text, ",") {
 		var v float64
 		if _, err := fmt.Sscanf(part, "%g", &v); err != nil {
-			return 0, fmt.Errorf("%q is no number", part)
+			return fmt.Errorf("%q is no number", part)
 		}
 		*to = append(*to, v)
 	}
-	return len(*to), nil
+	return nil
 }
--- a/internal/lab/labcli/scale.go
+++ b/internal/lab/labcli/scale.go
@@ -22,10 +22,10 @@
 		Example: "  lab scale --sizes 10,100,1000,3000 --seeds 4\n  lab scale --sizes 1000 --nodes 50 --per-box 20 --for 5s --seeds 1",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var boxes, tiers []float64
-			if _, err := numbers(sizes, &boxes); err != nil {
+			if err := numbers(sizes, &boxes); err != nil {
 				return fmt.Errorf("--sizes: %w", err)
 			}
-			if _, err := numbers(nodes, &tiers); err != nil {
+			if err := numbers(nodes, &tiers); err != nil {
 				return fmt.Errorf("--nodes: %w", err)
 			}
 			for i, n := range boxes {
--- a/internal/lab/rig/box.go
+++ b/internal/lab/rig/box.go
@@ -28,7 +28,6 @@
 type Ledger struct {
 	mu     sync.Mutex
 	out    map[string]int
-	tries  map[string]int
 	Twice  []string       // requests of which two attempts were out at once
 	Served map[string]int // tokens made and told to the end, by request
 	Asked  int
@@ -42,14 +41,13 @@
 
 // NewLedger makes an empty one.
 func NewLedger() *Ledger {
-	return &Ledger{out: map[string]int{}, tries: map[string]int{}, Served: map[string]int{}, decoding: map[string]int{}, Tokens: map[string]int{}}
+	return &Ledger{out: map[string]int{}, Served: map[string]int{}, decoding: map[string]int{}, Tokens: map[string]int{}}
 }
 
 func (l *Ledger) begin(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Asked++
-	l.tries[id]++
 	if l.out[id]++; l.out[id] > 1 {
 		l.Twice = append(l.Twice, id)
 	}
@@ -64,17 +62,6 @@
 	}
 }
 
-// MostTries is how often a request was sent at the most.
-func (l *Ledger) MostTries() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	most := 0
-	for _, n := range l.tries {
-		most = max(most, n)
-	}
-	return most
-}
-
 // StartBox starts a box.
 func StartBox(l *Ledger, token time.Duration) (*Box, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -253,7 +253,7 @@
 	}
 	n.meant = true
 	_ = n.process.Process.Kill()
-	_ = <-n.ended
+	n.rig.Log("%s ended by a kill: %v", n.Name, <-n.ended)
 	_ = n.out.Close()
 	n.process = nil
 }
@@ -495,13 +495,3 @@
 	return all, nil
 }
 
-// Logged counts the lines of all logs with a message.
-func (r *Rig) Logged(msg string) int {
-	n := 0
-	for _, node := range r.Nodes {
-		if raw, err := os.ReadFile(node.log); err == nil {
-			n += bytes.Count(raw, []byte(`"msg":"`+msg+`"`))
-		}
-	}
-	return n
-}
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -49,20 +49,18 @@
 type arrivals struct {
 	mu   sync.Mutex
 	last time.Time
-	n    int
 }
 
 func (a *arrivals) note() {
 	a.mu.Lock()
 	a.last = time.Now()
-	a.n++
 	a.mu.Unlock()
 }
 
-func (a *arrivals) latest() (time.Time, int) {
+func (a *arrivals) latest() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last, a.n
+	return a.last
 }
 
 // simpleBox answers at once, with a short stream.
@@ -320,11 +318,11 @@
 			// A box that is still sent to when its time is over stays away until that ends, and counts as it is.
 			for limit := ended.Add(10 * time.Second); time.Now().Before(limit); {
 				time.Sleep(awayFor)
-				if last, _ := h.came[k].latest(); time.Since(last) > awayFor {
+				if last := h.came[k].latest(); time.Since(last) > awayFor {
 					break
 				}
 			}
-			last, _ := h.came[k].latest()
+			last := h.came[k].latest()
 			mu.Lock()
 			delays = append(delays, max(0, last.Sub(ended)))
 			mu.Unlock()
