--- /dev/null
+++ b/internal/batch/batch_handlers.go
@@ -0,0 +1,145 @@
+package batch
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"standpoint/internal/store"
+)
+
+const (
+	maxBodyBytes = 64 << 10 // of a request that creates a batch
+	minWindow    = time.Second
+	maxWindow    = 7 * 24 * time.Hour
+)
+
+// createRequest is the body of a request that creates a batch.
+type createRequest struct {
+	InputFileID      string            `json:"input_file_id"`
+	Endpoint         string            `json:"endpoint"`
+	CompletionWindow string            `json:"completion_window"`
+	Metadata         map[string]string `json:"metadata"`
+}
+
+func (s *Service) handleCreateBatch(w http.ResponseWriter, r *http.Request) {
+	var request createRequest
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request); err != nil {
+		writeInvalid(w, "", "the body is not a JSON object of this form: "+err.Error())
+		return
+	}
+	window, param, message := s.checkCreate(&request)
+	if message != "" {
+		writeInvalid(w, param, message)
+		return
+	}
+	created := time.Now()
+	b := Batch{
+		ID:               newID("batch_"),
+		Object:           "batch",
+		Endpoint:         request.Endpoint,
+		InputFileID:      request.InputFileID,
+		CompletionWindow: request.CompletionWindow,
+		Status:           Validating,
+		CreatedAt:        unixSeconds(created),
+		ExpiresAt:        unixSeconds(created.Add(window)),
+		Metadata:         request.Metadata,
+	}
+	raw, err := json.Marshal(b)
+	if err == nil {
+		_, err = s.Store.Write(r.Context(), store.Op{Key: batchKey(b.ID), Data: raw})
+	}
+	if err != nil {
+		s.writeStoreError(w, err)
+		return
+	}
+	notify(s.wake)
+	writeJSON(w, http.StatusOK, b)
+}
+
+// checkCreate returns the completion window of a request that creates a batch, or which parameter is at fault, and why.
+func (s *Service) checkCreate(request *createRequest) (window time.Duration, param, message string) {
+	window, err := time.ParseDuration(request.CompletionWindow)
+	file, ok := s.file(request.InputFileID)
+	switch {
+	case !ok:
+		return 0, "input_file_id", fmt.Sprintf("no such file: %q", request.InputFileID)
+	case file.Purpose != purposeInput:
+		return 0, "input_file_id", fmt.Sprintf("the file's purpose is %q, not %q", file.Purpose, purposeInput)
+	case request.Endpoint != Endpoint:
+		return 0, "endpoint", fmt.Sprintf("endpoint %q; only %q is served", request.Endpoint, Endpoint)
+	case err != nil || window < minWindow || window > maxWindow:
+		return 0, "completion_window", fmt.Sprintf(
+			"completion_window %q; a span such as \"24h\", from 1s to 168h, is taken", request.CompletionWindow)
+	}
+	return window, "", ""
+}
+
+// withCounts fills in how many lines of a batch have their result by now.
+func (s *Service) withCounts(b Batch) Batch {
+	if b.Status.Terminal() {
+		return b
+	}
+	b.RequestCounts.Completed = 0
+	b.RequestCounts.Failed = 0
+	for _, key := range s.Store.List(lineKeys(b.ID)) {
+		record, _, _ := read[lineRecord](s.Store, key)
+		switch record.State {
+		case lineDone:
+			b.RequestCounts.Completed++
+		case lineFailed:
+			b.RequestCounts.Failed++
+		}
+	}
+	return b
+}
+
+func (s *Service) handleListBatches(w http.ResponseWriter, r *http.Request) {
+	batches := []Batch{}
+	for _, id := range s.list(batchKeyPrefix) {
+		if b, _, ok := s.batch(id); ok {
+			batches = append(batches, s.withCounts(b))
+		}
+	}
+	writeListing(w, r, batches)
+}
+
+func (s *Service) handleGetBatch(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("id")
+	b, _, ok := s.batch(id)
+	if !ok {
+		writeNotFound(w, "batch", id)
+		return
+	}
+	writeJSON(w, http.StatusOK, s.withCounts(b))
+}
+
+// handleCancel ends what has not been sent; lines in flight end by themselves.
+func (s *Service) handleCancel(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("id")
+	if _, _, ok := s.batch(id); !ok {
+		writeNotFound(w, "batch", id)
+		return
+	}
+	tooLate := false
+	err := s.changeBatch(r.Context(), id, func(b *Batch) {
+		tooLate = b.Status.Terminal() || b.Status == Finalizing
+		if !tooLate && b.Status != Cancelling {
+			b.Status = Cancelling
+			b.CancellingAt = unixNow()
+		}
+	})
+	if err != nil {
+		s.writeStoreError(w, err)
+		return
+	}
+	b, _, _ := s.batch(id)
+	if tooLate {
+		writeError(w, http.StatusConflict, invalidRequest, "id",
+			fmt.Sprintf("a batch that is %s cannot be cancelled", b.Status))
+		return
+	}
+	notify(s.changed(id))
+	writeJSON(w, http.StatusOK, s.withCounts(b))
+}
--- a/internal/batch/fuzz_test.go
+++ b/internal/batch/fuzz_test.go
@@ -6,36 +6,51 @@
 	"testing"
 )
 
-// Whatever a file holds, each line is a task with its flow, or has a fault that names a line of the file.
+// Whatever a file holds, each line is a task with its request, or has an error that names a line of the file.
 func FuzzLines(f *testing.F) {
-	const good = `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"model":"m","messages":[{"content":"x"},{"content":[1]}],"max_tokens":5,"metadata":{"class":"chat"}}}`
-	for _, s := range []string{good, good + "\n" + good, "{not json\n\r\n\x00", `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"messages":[{}],"max_tokens":1e308}}`,
-		`{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"messages":[{}],"max_tokens":-5,"metadata":{"class":3}}}`} {
-		f.Add([]byte(s))
+	const (
+		begin = `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":`
+		valid = begin + `{"model":"m","messages":[{"content":"x"},{"content":[1]}],` +
+			`"max_tokens":5,"metadata":{"class":"chat"}}}`
+	)
+	for _, seed := range []string{
+		valid,
+		valid + "\n" + valid,
+		"{not json\n\r\n\x00",
+		begin + `{"messages":[{}],"max_tokens":1e308}}`,
+		begin + `{"messages":[{}],"max_tokens":-5,"metadata":{"class":3}}}`,
+	} {
+		f.Add([]byte(seed))
 	}
-	front := New(Options{Classes: []string{"chat"}, Fields: RequestFields{Class: "class", Prefix: "prefix"}, Defaults: RequestFields{Class: "chat", MaxTokens: 64}})
+	service := New(Options{
+		Classes:  []string{"chat"},
+		Fields:   RequestFields{Class: "class", Prefix: "prefix"},
+		Defaults: RequestFields{Class: "chat", MaxTokens: 64},
+	})
 	f.Fuzz(func(t *testing.T, content []byte) {
-		tasks, faults := front.validate(content, Endpoint)
-		for _, fault := range faults {
-			if fault.Message == "" || fault.Line < 0 {
-				t.Fatalf("%+v", fault)
+		tasks, invalid := service.validate(content, Endpoint)
+		for _, e := range invalid {
+			if e.Message == "" || e.Line < 0 {
+				t.Fatalf("%+v", e)
 			}
 		}
-		if len(faults) > 0 {
+		if len(invalid) > 0 {
 			return
 		}
 		for _, task := range tasks {
-			q, body, err := front.requestFor(task.Body)
-			if err != nil || !json.Valid(body) || math.IsInf(q.PromptTokens+q.PrefixTokens+q.MaxTokens, 0) || q.MaxTokens <= 0 {
-				t.Fatalf("%+v %+v %s", q, err, body)
+			request, body, err := service.requestFor(task.Body)
+			tokens := request.PromptTokens + request.PrefixTokens + request.MaxTokens
+			if err != nil || !json.Valid(body) || math.IsInf(tokens, 0) || request.MaxTokens <= 0 {
+				t.Fatalf("%+v %+v %s", request, err, body)
 			}
 		}
 	})
 }
 
-// Whatever events a line's answer is made of, it is put together or refused.
+// Whatever events a line's answer is made of, it is put together or rejected.
 func FuzzAnswer(f *testing.F) {
-	f.Add([]byte("data: {\"model\":\"m\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}],\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n"))
+	f.Add([]byte("data: {\"model\":\"m\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]," +
+		"\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"usage\":null}\n\ndata: [1]\n\n"))
 	f.Fuzz(func(t *testing.T, events []byte) {
 		c := &collector{}
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -20,31 +20,75 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-func roundTrip[T any](t *testing.T, name string, value T, unset ...string) {
-	t.Helper()
-	golden.RoundTrip(t, name, value, func(v T) ([]byte, error) { return json.Marshal(v) }, func(raw []byte) (v T, err error) {
-		return v, json.Unmarshal(raw, &v)
-	}, unset...)
-}
-
 // goldenBatch has all fields set, each to a value of its own.
 func goldenBatch() Batch {
-	return Batch{ID: "batch_1", Object: "batch", Endpoint: Endpoint, Errors: &ValidationErrors{Object: "list", Data: []ValidationError{{Code: "invalid_url", Message: "a message", Param: "url", Line: 2}}},
-		InputFileID: "file-3", CompletionWindow: "24h", Status: Cancelled, OutputFileID: "file-4", ErrorFileID: "file-5", CreatedAt: 6, InProgressAt: 7, ExpiresAt: 8,
-		FinalizingAt: 9, CompletedAt: 10, FailedAt: 11, ExpiredAt: 12, CancellingAt: 13, CancelledAt: 14, RequestCounts: RequestCounts{Total: 15, Completed: 16, Failed: 17},
-		Metadata: map[string]string{"office": "payroll"}}
+	return Batch{
+		ID:       "batch_1",
+		Object:   "batch",
+		Endpoint: Endpoint,
+		Errors: &ValidationErrors{
+			Object: "list",
+			Data:   []ValidationError{{Code: "invalid_url", Message: "a message", Param: "url", Line: 2}},
+		},
+		InputFileID:      "file-3",
+		CompletionWindow: "24h",
+		Status:           Cancelled,
+		OutputFileID:     "file-4",
+		ErrorFileID:      "file-5",
+		CreatedAt:        6,
+		InProgressAt:     7,
+		ExpiresAt:        8,
+		FinalizingAt:     9,
+		CompletedAt:      10,
+		FailedAt:         11,
+		ExpiredAt:        12,
+		CancellingAt:     13,
+		CancelledAt:      14,
+		RequestCounts:    RequestCounts{Total: 15, Completed: 16, Failed: 17},
+		Metadata:         map[string]string{"office": "payroll"},
+	}
 }
 
 // Batches, files, lines and their results, as they lie in the store and in files.
 func TestGoldenRecords(t *testing.T) {
-	roundTrip(t, "batch.json", goldenBatch())
-	roundTrip(t, "file.json", File{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a.jsonl", Purpose: "batch", Status: "processed"})
-	roundTrip(t, "line.json", lineRecord{State: lineOut, Until: 1796121600000, Attempts: 2})
-	roundTrip(t, "task.json", Task{CustomID: "sheet-1", Method: "POST", URL: Endpoint, Body: json.RawMessage(`{"model":"m"}`)})
-	roundTrip(t, "result.json", Result{ID: "batch_req_1", CustomID: "sheet-1", Response: &Response{StatusCode: 200, RequestID: "r", Body: json.RawMessage(`{"a":1}`)},
-		Error: &LineError{Code: "batch_expired", Message: "a message"}})
-	roundTrip(t, "page.json", listing[File]{Object: "list", Data: []File{{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a", Purpose: "batch", Status: "processed"}},
-		FirstID: "file-1", LastID: "file-2", HasMore: true})
+	golden.JSON(t, "batch.json", goldenBatch())
+	golden.JSON(t, "file.json", File{
+		ID:        "file-1",
+		Object:    "file",
+		Bytes:     2,
+		CreatedAt: 3,
+		Filename:  "a.jsonl",
+		Purpose:   "batch",
+		Status:    "processed",
+	})
+	golden.JSON(t, "line.json", lineRecord{State: lineOut, Until: 1796121600000, Attempts: 2})
+	golden.JSON(t, "task.json", Task{
+		CustomID: "sheet-1",
+		Method:   "POST",
+		URL:      Endpoint,
+		Body:     json.RawMessage(`{"model":"m"}`),
+	})
+	golden.JSON(t, "result.json", Result{
+		ID:       "batch_req_1",
+		CustomID: "sheet-1",
+		Response: &Response{StatusCode: 200, RequestID: "r", Body: json.RawMessage(`{"a":1}`)},
+		Error:    &LineError{Code: "batch_expired", Message: "a message"},
+	})
+	golden.JSON(t, "page.json", listing[File]{
+		Object: "list",
+		Data: []File{{
+			ID:        "file-1",
+			Object:    "file",
+			Bytes:     2,
+			CreatedAt: 3,
+			Filename:  "a",
+			Purpose:   "batch",
+			Status:    "processed",
+		}},
+		FirstID: "file-1",
+		LastID:  "file-2",
+		HasMore: true,
+	})
 	least, err := json.Marshal([]any{Batch{}, File{}, lineRecord{}, Result{}, ValidationError{}, listing[Batch]{}})
 	require.NoError(t, err)
 	golden.Bytes(t, "least.json", least)
@@ -55,15 +99,28 @@
 	for _, s := range []lineState{lineWaiting, lineOut, lineDone, lineFailed} {
 		words = append(words, "line "+string(s))
 	}
-	words = append(words, batchKey("b"), fileKey("f"), lineKey("b", 7), resultKey("b", 7), chunkKey("f", 7), lineKeys("b"), resultKeys("b"), chunkKeys)
+	words = append(words,
+		batchKey("b"), fileKey("f"), lineKey("b", 7), resultKey("b", 7), chunkKey("f", 7),
+		lineKeys("b"), resultKeys("b"), chunkKeyPrefix)
 	golden.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
 }
 
-func goldenFront(t *testing.T, keys store.Store, edit func(*Options)) *Service {
+func goldenService(t *testing.T, keys store.Store, edit func(*Options)) *Service {
 	t.Helper()
-	o := Options{Store: keys, Log: zap.NewNop(), Classes: []string{"chat", "import"}, Tenants: []string{"acme", "bolt"}, Fields: RequestFields{Class: "class", Tenant: "tenant", Session: "session",
-		Prefix: "prefix"}, Defaults: RequestFields{Class: "chat", Tenant: "acme", MaxTokens: 64}, MaxConcurrentLines: 4, LineTimeout: time.Second, MaxAttempts: 4, MaxFileBytes: 1 << 20, MaxTotalFileBytes: 2 << 20,
-		MemberAddresses: map[string]string{"other": "10.0.0.2:80"}}
+	o := Options{
+		Store:              keys,
+		Log:                zap.NewNop(),
+		Classes:            []string{"chat", "import"},
+		Tenants:            []string{"acme", "bolt"},
+		Fields:             RequestFields{Class: "class", Tenant: "tenant", Session: "session", Prefix: "prefix"},
+		Defaults:           RequestFields{Class: "chat", Tenant: "acme", MaxTokens: 64},
+		MaxConcurrentLines: 4,
+		LineTimeout:        time.Second,
+		MaxAttempts:        4,
+		MaxFileBytes:       1 << 20,
+		MaxTotalFileBytes:  2 << 20,
+		MemberAddresses:    map[string]string{"other": "10.0.0.2:80"},
+	}
 	if edit != nil {
 		edit(&o)
 	}
@@ -73,37 +130,44 @@
 // A file's pieces and its record, as the store has them.
 func TestGoldenStore(t *testing.T) {
 	keys := store.NewMemory()
-	f := goldenFront(t, keys, nil)
-	content := strings.Repeat("x", chunkSize) + "tail"
-	require.NoError(t, f.store(t.Context(), File{ID: "file-1", Filename: "a.jsonl", Purpose: "batch"}, []byte(content)))
+	service := goldenService(t, keys, nil)
+	content := strings.Repeat("x", chunkBytes) + "tail"
+	input := File{ID: "file-1", Filename: "a.jsonl", Purpose: "batch"}
+	require.NoError(t, service.storeFile(t.Context(), input, []byte(content)))
 	require.Equal(t, []string{"data/file-1/000000", "data/file-1/000001", "file/file-1"}, keys.List(""))
 	require.Equal(t, "tail", string(keys.Get("data/file-1/000001").Data))
-	file, ok := f.file("file-1")
+	file, ok := service.file("file-1")
 	require.True(t, ok)
 	file.CreatedAt = 3
 	raw, err := json.Marshal(file)
 	require.NoError(t, err)
 	golden.Bytes(t, "stored_file.json", raw)
-	whole, err := f.content("file-1")
+	stored, err := service.fileContent("file-1")
 	require.NoError(t, err)
-	require.Equal(t, content, string(whole))
+	require.Equal(t, content, string(stored))
 	_, err = keys.Write(t.Context(), store.Op{Key: "data/file-1/000001", ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
-	_, torn := f.content("file-1")
-	_, none := f.content("file-2")
+	_, torn := service.fileContent("file-1")
+	_, none := service.fileContent("file-2")
 	golden.Bytes(t, "content_errors.txt", []byte(torn.Error()+"\n"+none.Error()+"\n"))
 }
 
 // What a line's record and its result are once it has failed.
 func TestGoldenFailedLines(t *testing.T) {
 	keys := store.NewMemory()
-	f := goldenFront(t, keys, nil)
+	service := goldenService(t, keys, nil)
 	var out []string
-	for i, code := range []string{"batch_cancelled", "batch_expired", "server_error"} {
-		l := &line{number: i, task: Task{CustomID: "sheet"}, key: lineKey("b", i), result: resultKey("b", i), record: lineRecord{Attempts: 3}}
-		require.NoError(t, f.fail(t.Context(), l, code))
+	for i, code := range []LineErrorCode{"batch_cancelled", "batch_expired", "server_error"} {
+		l := &line{
+			number:    i,
+			task:      Task{CustomID: "sheet"},
+			key:       lineKey("b", i),
+			resultKey: resultKey("b", i),
+			record:    lineRecord{Attempts: 3},
+		}
+		require.NoError(t, service.failLine(t.Context(), l, code))
 		var r Result
-		raw := keys.Get(l.result).Data
+		raw := keys.Get(l.resultKey).Data
 		require.NoError(t, json.Unmarshal(raw, &r))
 		require.Len(t, r.ID, len("batch_req_")+24)
 		out = append(out, string(keys.Get(l.key).Data), strings.ReplaceAll(string(raw), r.ID, "ID"))
@@ -113,28 +177,44 @@
 
 // What is sent for a line, and the answer that is put together of the events.
 func TestGoldenLineRequestAndCompletion(t *testing.T) {
-	f := goldenFront(t, store.NewMemory(), nil)
-	q, body, fault := f.requestFor(json.RawMessage(`{"model":"m","messages":[{"content":"an opening"},{"content":"x"}],"max_tokens":5,"metadata":{"class":"import","tenant":"bolt","session":"s","prefix":"00000000000000ff"}}`))
-	require.Nil(t, fault)
+	service := goldenService(t, store.NewMemory(), nil)
+	line := `{"model":"m","messages":[{"content":"an opening"},{"content":"x"}],"max_tokens":5,` +
+		`"metadata":{"class":"import","tenant":"bolt","session":"s","prefix":"00000000000000ff"}}`
+	request, body, invalid := service.requestFor(json.RawMessage(line))
+	require.Nil(t, invalid)
 	c := &collector{}
-	require.NoError(t, c.Event([]byte("data: {\"model\":\"m2\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}],\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n")))
+	events := "data: {\"model\":\"m2\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]," +
+		"\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n"
+	require.NoError(t, c.Event([]byte(events)))
 	completion, err := c.completion("id", "m", 1)
 	require.NoError(t, err)
-	golden.Bytes(t, "line_request.txt", fmt.Appendf(nil, "class %d tenant %d session %x prefix %x prompt %v opening %v answer %v\n%s\n%s\n", q.Class, q.Tenant, q.Session, q.Prefix,
-		q.PromptTokens, q.PrefixTokens, q.MaxTokens, body, completion))
+	golden.Bytes(t, "line_request.txt", fmt.Appendf(nil,
+		"class %d tenant %d session %x prefix %x prompt %v opening %v answer %v\n%s\n%s\n",
+		request.Class, request.Tenant, request.Session, request.Prefix,
+		request.PromptTokens, request.PrefixTokens, request.MaxTokens, body, completion))
 }
 
 // Faults of an input file's lines: codes, parameters and texts.
 func TestGoldenFaults(t *testing.T) {
-	f := goldenFront(t, store.NewMemory(), nil)
+	service := goldenService(t, store.NewMemory(), nil)
 	const good = `{"custom_id":"%s","method":"POST","url":"/v1/chat/completions","body":%s}`
 	body := `{"model":"m","messages":[{"content":"x"}]}`
-	lines := []string{fmt.Sprintf(good, "a", body), "{not json", fmt.Sprintf(good, "a", body), fmt.Sprintf(good, "", body), strings.Replace(fmt.Sprintf(good, "b", body), "POST", "GET", 1),
-		strings.Replace(fmt.Sprintf(good, "c", body), "chat/completions", "embeddings", 1), fmt.Sprintf(good, "d", `{"messages":[]}`), fmt.Sprintf(good, "e", `[]`),
-		fmt.Sprintf(good, "f", `{"messages":[{}],"metadata":{"class":"none"}}`), fmt.Sprintf(good, "g", `{"messages":[{}],"metadata":{"tenant":"none"}}`), strings.Repeat("x", maxLineBytes+1)}
-	_, faults := f.validate([]byte(strings.Join(lines, "\n")), Endpoint)
-	_, empty := f.validate(nil, Endpoint)
-	_, many := f.validate(bytes.Repeat([]byte("{}\n"), maxLines+1), Endpoint)
+	lines := []string{
+		fmt.Sprintf(good, "a", body),
+		"{not json",
+		fmt.Sprintf(good, "a", body),
+		fmt.Sprintf(good, "", body),
+		strings.Replace(fmt.Sprintf(good, "b", body), "POST", "GET", 1),
+		strings.Replace(fmt.Sprintf(good, "c", body), "chat/completions", "embeddings", 1),
+		fmt.Sprintf(good, "d", `{"messages":[]}`),
+		fmt.Sprintf(good, "e", `[]`),
+		fmt.Sprintf(good, "f", `{"messages":[{}],"metadata":{"class":"none"}}`),
+		fmt.Sprintf(good, "g", `{"messages":[{}],"metadata":{"tenant":"none"}}`),
+		strings.Repeat("x", maxLineBytes+1),
+	}
+	_, faults := service.validate([]byte(strings.Join(lines, "\n")), Endpoint)
+	_, empty := service.validate(nil, Endpoint)
+	_, many := service.validate(bytes.Repeat([]byte("{}\n"), maxLines+1), Endpoint)
 	raw, err := json.MarshalIndent(append(append(faults, empty...), many...), "", " ")
 	require.NoError(t, err)
 	golden.Bytes(t, "faults.json", raw)
@@ -156,89 +236,155 @@
 	return 0, errors.New("store: the write broke off")
 }
 
-// Answers of the batch API: statuses, headers and bodies.
-func TestGoldenAPI(t *testing.T) {
-	var out []string
-	var front *Service
-	call := func(method, path, kind, body string) {
-		t.Helper()
-		r := httptest.NewRequest(method, path, strings.NewReader(body))
-		if kind != "" {
-			r.Header.Set("Content-Type", kind)
-		}
-		w := httptest.NewRecorder()
-		front.Handler().ServeHTTP(w, r)
-		out = append(out, fmt.Sprintf("%s %s %d %q %q %q %s", method, path, w.Code, w.Header().Get("Content-Type"), w.Header().Get("Retry-After"), w.Header().Get("Location"), w.Body))
-	}
-	upload := func(purpose, content string, file bool) {
-		t.Helper()
-		var body bytes.Buffer
-		form := multipart.NewWriter(&body)
-		require.NoError(t, form.SetBoundary("boundary"))
-		require.NoError(t, form.WriteField("purpose", purpose))
-		if file {
-			part, err := form.CreateFormFile("file", "a.jsonl")
-			require.NoError(t, err)
-			_, err = part.Write([]byte(content))
-			require.NoError(t, err)
-		}
-		require.NoError(t, form.Close())
-		call(http.MethodPost, "/v1/files", form.FormDataContentType(), body.String())
+// apiCalls records the answers of a service's API.
+type apiCalls struct {
+	service *Service
+	answers []string
+}
+
+func (c *apiCalls) call(method, path, contentType, body string) {
+	r := httptest.NewRequest(method, path, strings.NewReader(body))
+	if contentType != "" {
+		r.Header.Set("Content-Type", contentType)
 	}
-	keys := store.NewMemory()
-	put := func(key string, value any) {
-		t.Helper()
-		raw, err := json.Marshal(value)
+	w := httptest.NewRecorder()
+	c.service.Handler().ServeHTTP(w, r)
+	header := w.Header()
+	c.answers = append(c.answers, fmt.Sprintf("%s %s %d %q %q %q %s", method, path, w.Code,
+		header.Get("Content-Type"), header.Get("Retry-After"), header.Get("Location"), w.Body))
+}
+
+func (c *apiCalls) create(fileID, endpoint, window string) {
+	const body = `{"input_file_id":%q,"endpoint":%q,"completion_window":%q}`
+	c.call(http.MethodPost, "/v1/batches", "", fmt.Sprintf(body, fileID, endpoint, window))
+}
+
+// upload uploads a form, with or without a file.
+func (c *apiCalls) upload(t *testing.T, purpose, content string, withFile bool) {
+	t.Helper()
+	var body bytes.Buffer
+	form := multipart.NewWriter(&body)
+	require.NoError(t, form.SetBoundary("boundary"))
+	require.NoError(t, form.WriteField("purpose", purpose))
+	if withFile {
+		part, err := form.CreateFormFile("file", "a.jsonl")
 		require.NoError(t, err)
-		_, err = keys.Write(t.Context(), store.Op{Key: key, Data: raw, ExpectedVersion: store.AnyVersion})
+		_, err = part.Write([]byte(content))
 		require.NoError(t, err)
 	}
-	front = goldenFront(t, keys, nil)
-	put(fileKey("file-1"), File{ID: "file-1", Object: "file", Bytes: 2, CreatedAt: 3, Filename: "a.jsonl", Purpose: "batch", Status: "processed"})
-	put(fileKey("file-2"), File{ID: "file-2", Object: "file", Bytes: 2, CreatedAt: 4, Filename: "b.jsonl", Purpose: "batch_output", Status: "processed"})
-	_, err := keys.Write(t.Context(), store.Op{Key: chunkKey("file-1", 0), Data: []byte("{}"), ExpectedVersion: store.AnyVersion})
+	require.NoError(t, form.Close())
+	c.call(http.MethodPost, "/v1/files", form.FormDataContentType(), body.String())
+}
+
+// putJSON sets a key.
+func putJSON(t *testing.T, keys store.Store, key string, value any) {
+	t.Helper()
+	raw, err := json.Marshal(value)
+	require.NoError(t, err)
+	_, err = keys.Write(t.Context(), store.Op{Key: key, Data: raw, ExpectedVersion: store.AnyVersion})
+	require.NoError(t, err)
+}
+
+// Answers of the batch API: statuses, headers and bodies.
+func TestGoldenAPI(t *testing.T) {
+	keys := store.NewMemory()
+	c := &apiCalls{service: goldenService(t, keys, nil)}
+	putJSON(t, keys, fileKey("file-1"), File{
+		ID:        "file-1",
+		Object:    "file",
+		Bytes:     2,
+		CreatedAt: 3,
+		Filename:  "a.jsonl",
+		Purpose:   "batch",
+		Status:    "processed",
+	})
+	putJSON(t, keys, fileKey("file-2"), File{
+		ID:        "file-2",
+		Object:    "file",
+		Bytes:     2,
+		CreatedAt: 4,
+		Filename:  "b.jsonl",
+		Purpose:   "batch_output",
+		Status:    "processed",
+	})
+	_, err := keys.Write(t.Context(), store.Op{
+		Key:             chunkKey("file-1", 0),
+		Data:            []byte("{}"),
+		ExpectedVersion: store.AnyVersion,
+	})
 	require.NoError(t, err)
 	over := goldenBatch()
-	put(batchKey(over.ID), over)
-	running := Batch{ID: "batch_2", Object: "batch", Endpoint: Endpoint, InputFileID: "file-1", CompletionWindow: "1h", Status: InProgress, CreatedAt: 9, ExpiresAt: 10, RequestCounts: RequestCounts{Total: 3}}
-	put(batchKey(running.ID), running)
-	put(lineKey(running.ID, 0), lineRecord{State: lineDone})
-	put(lineKey(running.ID, 1), lineRecord{State: lineFailed})
+	putJSON(t, keys, batchKey(over.ID), over)
+	running := Batch{
+		ID:               "batch_2",
+		Object:           "batch",
+		Endpoint:         Endpoint,
+		InputFileID:      "file-1",
+		CompletionWindow: "1h",
+		Status:           InProgress,
+		CreatedAt:        9,
+		ExpiresAt:        10,
+		RequestCounts:    RequestCounts{Total: 3},
+	}
+	putJSON(t, keys, batchKey(running.ID), running)
+	putJSON(t, keys, lineKey(running.ID, 0), lineRecord{State: lineDone})
+	putJSON(t, keys, lineKey(running.ID, 1), lineRecord{State: lineFailed})
 	ending := running
 	ending.ID, ending.Status = "batch_3", Finalizing
-	put(batchKey(ending.ID), ending)
-	for _, path := range []string{"/v1/files", "/v1/files?limit=1", "/v1/files?limit=0", "/v1/files?after=none", "/v1/files?after=file-2", "/v1/files/file-1", "/v1/files/file-1/content",
-		"/v1/files/none", "/v1/files/file-2/content", "/v1/batches", "/v1/batches?limit=1", "/v1/batches/batch_2", "/v1/batches/none"} {
-		call(http.MethodGet, path, "", "")
+	putJSON(t, keys, batchKey(ending.ID), ending)
+	for _, path := range []string{
+		"/v1/files",
+		"/v1/files?limit=1",
+		"/v1/files?limit=0",
+		"/v1/files?after=none",
+		"/v1/files?after=file-2",
+		"/v1/files/file-1",
+		"/v1/files/file-1/content",
+		"/v1/files/none",
+		"/v1/files/file-2/content",
+		"/v1/batches",
+		"/v1/batches?limit=1",
+		"/v1/batches/batch_2",
+		"/v1/batches/none",
+	} {
+		c.call(http.MethodGet, path, "", "")
 	}
-	call(http.MethodDelete, "/v1/files/none", "", "")
-	call(http.MethodDelete, "/v1/files/file-1", "", "")
-	call(http.MethodDelete, "/v1/files/file-2", "", "")
-	call(http.MethodPost, "/v1/batches/none/cancel", "", "")
-	call(http.MethodPost, "/v1/batches/batch_1/cancel", "", "")
-	call(http.MethodPost, "/v1/batches/batch_3/cancel", "", "")
-	call(http.MethodPost, "/v1/files", "text/plain", "x")
-	call(http.MethodPost, "/v1/files", "multipart/form-data; boundary=boundary", "--boundary\r\nbroken")
-	upload("fine-tune", "x", true)
-	upload("batch", "", false)
-	upload("batch", "", true)
-	upload("batch", strings.Repeat("x", 1<<20+1), true)
-	call(http.MethodPost, "/v1/batches", "", "{")
-	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"none","endpoint":"/v1/chat/completions","completion_window":"24h"}`)
-	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-1","endpoint":"/v1/x","completion_window":"24h"}`)
-	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-1","endpoint":"/v1/chat/completions","completion_window":"ever"}`)
-	put(fileKey("file-9"), File{ID: "file-9", Object: "file", Bytes: 2 << 20, CreatedAt: 5, Filename: "c", Purpose: "other", Status: "processed"})
-	call(http.MethodPost, "/v1/batches", "", `{"input_file_id":"file-9","endpoint":"/v1/chat/completions","completion_window":"24h"}`)
-	upload("batch", "x", true)
+	c.call(http.MethodDelete, "/v1/files/none", "", "")
+	c.call(http.MethodDelete, "/v1/files/file-1", "", "")
+	c.call(http.MethodDelete, "/v1/files/file-2", "", "")
+	c.call(http.MethodPost, "/v1/batches/none/cancel", "", "")
+	c.call(http.MethodPost, "/v1/batches/batch_1/cancel", "", "")
+	c.call(http.MethodPost, "/v1/batches/batch_3/cancel", "", "")
+	c.call(http.MethodPost, "/v1/files", "text/plain", "x")
+	c.call(http.MethodPost, "/v1/files", "multipart/form-data; boundary=boundary", "--boundary\r\nbroken")
+	c.upload(t, "fine-tune", "x", true)
+	c.upload(t, "batch", "", false)
+	c.upload(t, "batch", "", true)
+	c.upload(t, "batch", strings.Repeat("x", 1<<20+1), true)
+	c.call(http.MethodPost, "/v1/batches", "", "{")
+	c.create("none", "/v1/chat/completions", "24h")
+	c.create("file-1", "/v1/x", "24h")
+	c.create("file-1", "/v1/chat/completions", "ever")
+	putJSON(t, keys, fileKey("file-9"), File{
+		ID:        "file-9",
+		Object:    "file",
+		Bytes:     2 << 20,
+		CreatedAt: 5,
+		Filename:  "c",
+		Purpose:   "other",
+		Status:    "processed",
+	})
+	c.create("file-9", "/v1/chat/completions", "24h")
+	c.upload(t, "batch", "x", true)
 	for range maxUploads {
-		front.uploadSlots <- struct{}{}
+		c.service.uploadSlots <- struct{}{}
 	}
-	upload("batch", "x", true)
-	front = goldenFront(t, led{keys, "other"}, nil)
-	call(http.MethodDelete, "/v1/files/file-1?a=b", "", "")
-	front = goldenFront(t, led{keys, "nobody"}, nil)
-	call(http.MethodDelete, "/v1/files/file-1", "", "")
-	front = goldenFront(t, unwritable{keys}, nil)
-	call(http.MethodPost, "/v1/batches/batch_2/cancel", "", "")
-	golden.Bytes(t, "api.txt", []byte(strings.Join(out, "\n")+"\n"))
+	c.upload(t, "batch", "x", true)
+	c.service = goldenService(t, led{keys, "other"}, nil)
+	c.call(http.MethodDelete, "/v1/files/file-1?a=b", "", "")
+	c.service = goldenService(t, led{keys, "nobody"}, nil)
+	c.call(http.MethodDelete, "/v1/files/file-1", "", "")
+	c.service = goldenService(t, unwritable{keys}, nil)
+	c.call(http.MethodPost, "/v1/batches/batch_2/cancel", "", "")
+	golden.Bytes(t, "api.txt", []byte(strings.Join(c.answers, "\n")+"\n"))
 }
--- /dev/null
+++ b/internal/batch/input.go
@@ -0,0 +1,214 @@
+package batch
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"net/http"
+	"strconv"
+
+	"standpoint"
+)
+
+const (
+	// Endpoint is the one endpoint that lines may name.
+	Endpoint            = "/v1/chat/completions"
+	maxLines            = 50_000
+	maxLineBytes        = 256 << 10 // what a backend accepts as one body
+	maxReportedErrors   = 20
+	charactersPerToken  = 4
+	hexKeyLength        = 16
+	streamOptions       = `{"include_usage":true}`
+	minMessagesToPrefix = 2 // of a prompt whose first message is the prefix that it may share with others
+)
+
+// numberedLine is a line of a file that is not empty.
+type numberedLine struct {
+	number int // from 1, empty lines counted
+	text   []byte
+}
+
+func splitLines(content []byte) []numberedLine {
+	var lines []numberedLine
+	number := 0
+	for text := range bytes.Lines(content) {
+		number++
+		if text = bytes.TrimSpace(text); len(text) > 0 {
+			lines = append(lines, numberedLine{number: number, text: text})
+		}
+	}
+	return lines
+}
+
+// validator collects the errors of an input file, the first maxReportedErrors of them.
+type validator struct {
+	service   *Service
+	endpoint  string
+	firstUses map[string]int // line numbers, by custom_id
+	errors    []ValidationError
+}
+
+func (v *validator) report(line int, code ValidationCode, param, format string, args ...any) {
+	if len(v.errors) < maxReportedErrors {
+		message := fmt.Sprintf(format, args...)
+		v.errors = append(v.errors, ValidationError{Code: code, Message: message, Param: param, Line: line})
+	}
+}
+
+// validate reads and checks every line of an input file. The tasks are of use only where there are no errors.
+func (s *Service) validate(content []byte, endpoint string) ([]Task, []ValidationError) {
+	v := &validator{service: s, endpoint: endpoint, firstUses: map[string]int{}}
+	lines := splitLines(content)
+	if len(lines) == 0 {
+		v.report(0, CodeEmptyFile, "input_file_id", "the input file holds no requests")
+	}
+	if len(lines) > maxLines {
+		v.report(0, CodeTooManyLines, "input_file_id", "%d requests; at most %d are taken", len(lines), maxLines)
+		return nil, v.errors
+	}
+	tasks := make([]Task, len(lines))
+	for i, line := range lines {
+		v.parse(line, &tasks[i])
+	}
+	return tasks, v.errors
+}
+
+// parse reads a line into a task.
+func (v *validator) parse(line numberedLine, task *Task) {
+	if len(line.text) > maxLineBytes {
+		v.report(line.number, CodeLineTooLarge, "body",
+			"the line has %d bytes; at most %d are taken", len(line.text), maxLineBytes)
+		return
+	}
+	if err := json.Unmarshal(line.text, task); err != nil {
+		v.report(line.number, CodeInvalidJSON, "", "this line is not a valid JSON object: %v", err)
+		return
+	}
+	if first, used := v.firstUses[task.CustomID]; used {
+		v.report(line.number, CodeDuplicateID, "custom_id",
+			"custom_id %q was used on line %d already", task.CustomID, first)
+	}
+	v.firstUses[task.CustomID] = line.number
+	v.check(line.number, task)
+}
+
+// check reports the first thing that is wrong with a task.
+func (v *validator) check(number int, task *Task) {
+	switch {
+	case task.CustomID == "":
+		v.report(number, CodeMissingParameter, "custom_id", "custom_id is missing")
+	case task.Method != http.MethodPost:
+		v.report(number, CodeInvalidMethod, "method", "method %q; only POST is taken", task.Method)
+	case task.URL != v.endpoint:
+		v.report(number, CodeInvalidURL, "url", "url %q is not the batch's endpoint %q", task.URL, v.endpoint)
+	default:
+		if _, _, invalid := v.service.requestFor(task.Body); invalid != nil {
+			v.report(number, CodeInvalidRequest, invalid.Param, "%s", invalid.Message)
+		}
+	}
+}
+
+// chatRequest is what the service reads of a line's body; the rest goes to the backend as it is.
+type chatRequest struct {
+	Model    string `json:"model"` // read so that one which is no string is rejected
+	Messages []struct {
+		Content json.RawMessage `json:"content"`
+	} `json:"messages"`
+	MaxTokens           float64           `json:"max_tokens"`
+	MaxCompletionTokens float64           `json:"max_completion_tokens"`
+	Metadata            map[string]string `json:"metadata"`
+}
+
+// field returns what the metadata states under a key, or a default.
+func (c *chatRequest) field(key, standard string) string {
+	if value := c.Metadata[key]; value != "" {
+		return value
+	}
+	return standard
+}
+
+// requestFor returns the request for a line's body, without its deadline, and the body to send. Class, tenant,
+// session and prefix stand in the body's metadata under the keys that the operator's file states; what is not stated
+// there has the file's defaults.
+func (s *Service) requestFor(body json.RawMessage) (standpoint.Request, []byte, *ValidationError) {
+	var request standpoint.Request
+	var chat chatRequest
+	var fields map[string]json.RawMessage
+	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(body, &chat) != nil || fields == nil {
+		return request, nil, &ValidationError{Param: "body", Message: "body is not a chat completion request"}
+	}
+	if len(chat.Messages) == 0 {
+		return request, nil, &ValidationError{Param: "body.messages", Message: "body.messages is missing or empty"}
+	}
+	if invalid := s.setMetadata(&request, &chat); invalid != nil {
+		return request, nil, invalid
+	}
+	s.estimateTokens(&request, &chat)
+	// Backends stream; the answer is put together here.
+	fields["stream"] = json.RawMessage("true")
+	fields["stream_options"] = json.RawMessage(streamOptions)
+	raw, err := json.Marshal(fields)
+	if err != nil {
+		return request, nil, &ValidationError{Param: "body", Message: err.Error()}
+	}
+	return request, raw, nil
+}
+
+// setMetadata sets what a body's metadata states. Tenants are not checked where the operator's file names none.
+func (s *Service) setMetadata(request *standpoint.Request, chat *chatRequest) *ValidationError {
+	var ok bool
+	class := chat.field(s.Fields.Class, s.Defaults.Class)
+	if request.Class, ok = s.classes[class]; !ok {
+		return &ValidationError{
+			Param:   "body.metadata." + s.Fields.Class,
+			Message: fmt.Sprintf("unknown class %q", class),
+		}
+	}
+	tenant := chat.field(s.Fields.Tenant, s.Defaults.Tenant)
+	if request.Tenant, ok = s.tenants[tenant]; !ok && len(s.tenants) > 0 {
+		return &ValidationError{
+			Param:   "body.metadata." + s.Fields.Tenant,
+			Message: fmt.Sprintf("unknown tenant %q", tenant),
+		}
+	}
+	request.Session = hashKey(chat.field(s.Fields.Session, s.Defaults.Session))
+	request.Prefix = hashKey(chat.field(s.Fields.Prefix, s.Defaults.Prefix))
+	return nil
+}
+
+// estimateTokens sets the tokens of a request by the length of its messages as they stand in JSON.
+func (s *Service) estimateTokens(request *standpoint.Request, chat *chatRequest) {
+	characters := 0
+	for _, message := range chat.Messages {
+		characters += len(message.Content)
+	}
+	request.PromptTokens = float64(characters) / charactersPerToken
+	if len(chat.Messages) >= minMessagesToPrefix {
+		prefix := chat.Messages[0].Content
+		request.PrefixTokens = float64(len(prefix)) / charactersPerToken
+		if request.Prefix == 0 {
+			request.Prefix = hashKey(string(prefix))
+		}
+	}
+	request.MaxTokens = max(chat.MaxTokens, chat.MaxCompletionTokens)
+	if request.MaxTokens <= 0 {
+		request.MaxTokens = s.Defaults.MaxTokens
+	}
+}
+
+// hashKey turns the name of a session or prefix into a request's key: itself if it is one of 16 hexadecimal digits,
+// else its hash; 0 for no name.
+func hashKey(name string) uint64 {
+	if name == "" {
+		return 0
+	}
+	if len(name) == hexKeyLength {
+		if key, err := strconv.ParseUint(name, 16, 64); err == nil {
+			return key
+		}
+	}
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(name)) // never fails
+	return h.Sum64()
+}
--- a/internal/batch/model.go
+++ b/internal/batch/model.go
@@ -1,11 +1,10 @@
-// Package batch is the front for work that comes as files, in the form of the public batch API: /v1/files
-// and /v1/batches. A line of a file is an ordinary flow, under the same rules as a single request.
 package batch
 
 import (
 	"crypto/rand"
 	"encoding/hex"
 	"encoding/json"
+	"time"
 )
 
 // Status is the state of a batch, as the public API names it.
@@ -23,12 +22,12 @@
 	Cancelled  Status = "cancelled"
 )
 
-// Terminal tells that a batch will not change any more.
+// Terminal reports whether a batch will not change any more.
 func (s Status) Terminal() bool {
 	return s == Failed || s == Completed || s == Expired || s == Cancelled
 }
 
-// File is the file object.
+// File is the file object. Times are Unix seconds.
 type File struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
@@ -46,12 +45,29 @@
 	Failed    int `json:"failed"`
 }
 
-// ValidationError is one error of validation; Line counts from 1.
+// ValidationCode says what is wrong with an input file.
+type ValidationCode string
+
+// The codes of validation errors.
+const (
+	CodeEmptyFile        ValidationCode = "empty_file"
+	CodeFileIncomplete   ValidationCode = "file_not_whole"
+	CodeTooManyLines     ValidationCode = "too_many_tasks"
+	CodeLineTooLarge     ValidationCode = "request_too_large"
+	CodeInvalidJSON      ValidationCode = "invalid_json_line"
+	CodeDuplicateID      ValidationCode = "duplicate_custom_id"
+	CodeMissingParameter ValidationCode = "missing_required_parameter"
+	CodeInvalidMethod    ValidationCode = "invalid_method"
+	CodeInvalidURL       ValidationCode = "invalid_url"
+	CodeInvalidRequest   ValidationCode = "invalid_request"
+)
+
+// ValidationError is what is wrong with an input file, or one line of it.
 type ValidationError struct {
-	Code    string `json:"code"`
-	Message string `json:"message"`
-	Param   string `json:"param,omitempty"`
-	Line    int    `json:"line,omitempty"`
+	Code    ValidationCode `json:"code"`
+	Message string         `json:"message"`
+	Param   string         `json:"param,omitempty"`
+	Line    int            `json:"line,omitempty"` // from 1; 0: the file as a whole
 }
 
 // ValidationErrors is the list of them.
@@ -84,6 +100,9 @@
 	Metadata         map[string]string `json:"metadata,omitempty"`
 }
 
+// expiry returns when the batch's completion window ends.
+func (b *Batch) expiry() time.Time { return time.Unix(b.ExpiresAt, 0) }
+
 // Task is one line of an input file.
 type Task struct {
 	CustomID string          `json:"custom_id"`
@@ -100,40 +119,39 @@
 	Error    *LineError `json:"error"`
 }
 
-// Response is what a real server answered.
+// Response is what a backend answered.
 type Response struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// LineError says why a line has no answer.
-type LineError struct {
-	Code    string `json:"code"`
-	Message string `json:"message"`
-}
-
-// lineState is where a line stands. One that has no record waits and was never sent.
-type lineState string
+// LineErrorCode says why a line has no answer.
+type LineErrorCode string
 
+// The reasons for which a line has no answer.
 const (
-	lineWaiting lineState = "waiting"
-	lineOut     lineState = "out"
-	lineDone    lineState = "completed"
-	lineFailed  lineState = "failed"
+	CodeBatchCancelled LineErrorCode = "batch_cancelled"
+	CodeBatchExpired   LineErrorCode = "batch_expired"
+	CodeServerError    LineErrorCode = "server_error"
 )
 
-// lineRecord is a line's state in the store. Its result stands under a key of its own, written in the same step.
-type lineRecord struct {
-	State lineState `json:"state"`
-	// Until: of a line that is out, when at the latest no attempt of it is out any more; of one that waits,
-	// when it may be sent. Unix milliseconds.
-	Until    int64 `json:"until,omitempty"`
-	Attempts int   `json:"tries,omitempty"`
+// LineError is the error of a line that has no answer.
+type LineError struct {
+	Code    LineErrorCode `json:"code"`
+	Message string        `json:"message"`
 }
 
+const idRandomBytes = 12
+
+// newID returns a random ID with a prefix.
 func newID(prefix string) string {
-	var b [12]byte
-	_, _ = rand.Read(b[:]) // never fails, by its own word
+	var b [idRandomBytes]byte
+	_, _ = rand.Read(b[:]) // never fails
 	return prefix + hex.EncodeToString(b[:])
 }
+
+// unixSeconds is how objects show a time.
+func unixSeconds(t time.Time) int64 { return t.Unix() }
+
+func unixNow() int64 { return unixSeconds(time.Now()) }
--- a/walltime_test.go
+++ b/walltime_test.go
@@ -14,8 +14,8 @@
 // wallTimeAllowed are the files that may turn times into Unix numbers, and why. What is marked open is not mended yet; ROADMAP lists it.
 var wallTimeAllowed = map[string]string{
 	"internal/clock/clock.go":          "owns time",
-	"internal/batch/api.go":            "created_at and expires_at are shown as Unix seconds",
-	"internal/batch/runner.go":         "open: windows and lines' times are kept as wall time",
+	"internal/batch/model.go":          "created_at and expires_at are shown as Unix seconds",
+	"internal/batch/line.go":           "open: windows and lines' times are kept as wall time",
 	"internal/config/endpoints.go":     "a start that an operator's file tells is a wall time",
 	"internal/endpoints/keeper.go":     "a time that is past; open: ends of records are kept as wall time",
 	"internal/endpoints/dnssd.go":      "shows starts and waits to people",
