--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,7 +21,8 @@
 
 // The record's keys, as processes of other builds read and write them.
 func TestGoldenRecord(t *testing.T) {
-	value := Record{Version: 1, Boot: "boot-1", DownSince: map[string]int64{"s-1": 11}, RestoredAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
+	value := Record{Version: 1, Boot: "boot-1", DownSince: map[string]int64{"s-1": 11},
+		RestoredAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
 	golden.RoundTrip(t, "record.json", value, func(r Record) ([]byte, error) { return json.Marshal(r) }, DecodeRecord)
 }
 
@@ -34,7 +35,8 @@
 	tooMany, err := json.Marshal(Record{Version: recordVersion, Listed: many})
 	require.NoError(t, err)
 	var said strings.Builder
-	for _, raw := range []string{strings.Repeat(" ", maxFileBytes+1), "{", `{"version":2}`, `{"version":1,"down":{"":1}}`, string(tooMany)} {
+	for _, raw := range []string{strings.Repeat(" ", maxFileBytes+1), "{", `{"version":2}`,
+		`{"version":1,"down":{"":1}}`, string(tooMany)} {
 		_, err := DecodeRecord([]byte(raw))
 		require.Error(t, err)
 		fmt.Fprintf(&said, "%.40s\n\t%s\n", raw, err)
@@ -84,17 +86,17 @@
 	dir := t.TempDir()
 	s, err := open(dir, "node-a", 1)
 	require.NoError(t, err)
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	first, second := streams(t)
 	require.EqualError(t, s.PassStream([]byte("text"), first, second), "no other process takes anything")
 	peer, err := net.ListenUnix("unix", &net.UnixAddr{Name: s.pathPrefix + ".2.live.take", Net: "unix"})
 	require.NoError(t, err)
-	defer peer.Close()
+	defer func() { _ = peer.Close() }()
 	passed := make(chan error, 1)
 	go func() { passed <- s.PassStream([]byte(`{"class":"chat"}`), first, second) }()
 	c, err := peer.AcceptUnix()
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	head, rights := make([]byte, 64), make([]byte, unix.CmsgSpace(8))
 	n, m, _, _, err := c.ReadMsgUnix(head, rights)
 	require.NoError(t, err)
@@ -131,7 +133,7 @@
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 5*time.Second, time.Millisecond)
 	to, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
-	defer to.Close()
+	defer func() { _ = to.Close() }()
 	_, _, err = to.WriteMsgUnix(raw[:4], unix.UnixRights(first, second), nil)
 	require.NoError(t, err)
 	_, err = to.Write(raw[4:])
