--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -68,8 +68,8 @@
 	return f
 }
 
-// ownAddress is a node's of this process alone: on an address that was free a moment ago another run's node, of the same name, might
-// listen by now, and its sends be taken for this one's.
+// ownAddress is a node's of this process alone: on an address that was free a moment ago another run's node, of the
+// same name, might listen by now, and its sends be taken for this one's.
 func ownAddress(node, port int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8&63, pid&255, 1+node, port)
@@ -166,9 +166,10 @@
 	return found
 }
 
-// Faults of a few dozen real processes' discovery, one behind the other, and a server that leaves in each: watches that fall silent, come
-// in pieces, whole or late; discovery down, and back with a queue that turns callers away; SIGHUP to another discovery that is behind the
-// first; processes killed and started anew with an old list; processes that get no processor time for a while.
+// Faults of a few dozen real processes' discovery, one behind the other, and a server that leaves in each: watches
+// that fall silent, come in pieces, whole or late; discovery down, and back with a queue that turns callers away;
+// SIGHUP to another discovery that is behind the first; processes killed and started anew with an old list; processes
+// that get no processor time for a while.
 func TestNothingIsSentToServersThatLeave(t *testing.T) {
 	t.Parallel()
 	program := build(t)
@@ -302,8 +303,8 @@
 	until(19500)
 }
 
-// A process that starts with an old list serves nobody before it has heard discovery, as long as its call stands in the line there: the
-// server that was told to drain meanwhile gets nothing.
+// A process that starts with an old list serves nobody before it has heard discovery, as long as its call stands in
+// the line there: the server that was told to drain meanwhile gets nothing.
 func TestAnOldListIsNotServedFrom(t *testing.T) {
 	t.Parallel()
 	const inLine = 800 * time.Millisecond
--- /dev/null
+++ b/internal/cli/endpoints.go
@@ -0,0 +1,158 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"standpoint/internal/endpoints"
+	"standpoint/internal/find/dnssd"
+	"standpoint/internal/find/lookup"
+)
+
+const entriesPath = "/v1/entries"
+
+func (o *options) endpointsCommand() *cobra.Command {
+	c := group("entries", "Show the endpoints, and where they come from", "")
+	o.registerDaemonFlags(c)
+	c.AddCommand(
+		o.endpointsListCommand(),
+		o.endpointsExplainCommand(),
+		o.endpointsWatchCommand(),
+		o.servicesCommand(),
+	)
+	return c
+}
+
+// origins returns all endpoints, those that are left out too.
+func (o *options) origins(ctx context.Context) ([]endpoints.Origin, error) {
+	var all []endpoints.Origin
+	err := o.call(ctx, http.MethodGet, entriesPath, nil, &all)
+	return all, err
+}
+
+func (o *options) endpointsListCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:     "list",
+		Short:   "List all entries, those that are left out too",
+		Example: "  standpoint entries list --config deploy/operator.toml",
+		Args:    usageArgs(cobra.NoArgs),
+		RunE:    printAnswer(o, entriesPath, o.writeOrigins),
+	}
+}
+
+func (o *options) writeOrigins(all []endpoints.Origin) {
+	o.writeTable("ENTRY\tADDRESS\tSTATE\tNEWS\tTTL\tCHANGED\tLEFT OUT", func(w io.Writer) {
+		for _, e := range all {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, orDash(e.Address), formatState(e), orDash(e.News),
+				formatTTL(e), formatAge(e.Changed), e.Fault)
+		}
+	})
+}
+
+func (o *options) endpointsExplainCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "explain NAME",
+		Short: "Say where an entry comes from, and why it is left out if it is",
+		Args:  usageArgs(cobra.ExactArgs(1)),
+		RunE: func(c *cobra.Command, args []string) error {
+			all, err := o.origins(c.Context())
+			if err != nil {
+				return err
+			}
+			named := func(e endpoints.Origin) bool { return e.Name == args[0] || e.Instance == args[0] }
+			i := slices.IndexFunc(all, named)
+			if i < 0 {
+				return exitError{Failed, fmt.Errorf("no entry %q; standpoint entries list has all", args[0])}
+			}
+			return o.print(all[i], func() { explain(o.Out, all[i]) })
+		},
+	}
+}
+
+// explain writes where an endpoint comes from, and its state.
+func explain(w io.Writer, e endpoints.Origin) {
+	explainSource(w, e)
+	if e.Fault != "" {
+		fmt.Fprintf(w, "  left out since %s: %s\n", formatAge(e.Changed), e.Fault)
+		return
+	}
+	fmt.Fprintf(w, "  %s at %s, unchanged since %s\n", e.State, e.Address, formatAge(e.Changed))
+	if e.TTL > 0 {
+		fmt.Fprintf(w, "  its records live %s, until %s\n", formatTTL(e), e.Until.Format(time.TimeOnly))
+	}
+	if e.Stale {
+		fmt.Fprintf(w, "  stale: its records' time is over, so it is tried last\n")
+	}
+	if !e.Started.IsZero() {
+		fmt.Fprintf(w, "  last started %s\n", formatAge(e.Started))
+	}
+}
+
+func explainSource(w io.Writer, e endpoints.Origin) {
+	switch {
+	case e.News == "store":
+		fmt.Fprintf(w, "%s is as the store last had it; %s has not told since this node started\n", e.Name, e.Server)
+	case e.Instance == "":
+		fmt.Fprintf(w, "%s is listed by the operator's file, or by the list that it names\n", e.Name)
+	default:
+		fmt.Fprintf(w, "%s is the DNS-SD instance %s\n", e.Name, e.Instance)
+		fmt.Fprintf(w, "  told by %s, which last answered %s; news comes by %s\n", e.Server, formatAge(e.Looked),
+			e.News)
+	}
+}
+
+// servicesCommand queries a server for the services of a domain (RFC 6763, section 9).
+func (o *options) servicesCommand() *cobra.Command {
+	var server string
+	c := &cobra.Command{
+		Use:     "services DOMAIN",
+		Short:   "Ask a DNS server which services a domain offers",
+		Example: "  standpoint entries services hall-a.example.org --server 127.0.0.1:5353",
+		Args:    usageArgs(cobra.ExactArgs(1)),
+		RunE: func(c *cobra.Command, args []string) error {
+			client := &lookup.Client{Server: server}
+			answer, err := client.Ask(c.Context(), dnssd.Enumeration(args[0]), dnssd.PTR)
+			if err != nil {
+				return exitError{Failed, err}
+			}
+			var services []string
+			for _, record := range answer.Records {
+				services = append(services, record.Target)
+			}
+			slices.Sort(services)
+			return o.printLines(services)
+		},
+	}
+	c.Flags().StringVar(&server, "server", "127.0.0.1:53", "the server")
+	return c
+}
+
+func orDash(text string) string { return firstNonEmpty(text, "-") }
+
+func formatState(e endpoints.Origin) string {
+	if e.Stale {
+		return e.State + ", stale"
+	}
+	return orDash(e.State)
+}
+
+func formatTTL(e endpoints.Origin) string {
+	if e.TTL == 0 {
+		return "-"
+	}
+	return (time.Duration(e.TTL) * time.Second).String()
+}
+
+// formatAge is how long ago a time was; "-" for the zero time.
+func formatAge(t time.Time) string {
+	if t.IsZero() {
+		return "-"
+	}
+	return time.Since(t).Round(100*time.Millisecond).String() + " ago"
+}
--- /dev/null
+++ b/internal/cli/endpointswatch.go
@@ -0,0 +1,120 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"standpoint/internal/endpoints"
+)
+
+const (
+	defaultWatchInterval = 250 * time.Millisecond
+	minWatchInterval     = 50 * time.Millisecond
+)
+
+// ChangeKind is what has happened to an endpoint.
+type ChangeKind string
+
+// The kinds of changes.
+const (
+	EndpointPresent ChangeKind = "there" // in the first list
+	EndpointNew     ChangeKind = "new"
+	EndpointChanged ChangeKind = "changed"
+	EndpointGone    ChangeKind = "gone"
+)
+
+// EndpointChange is a line of entries watch.
+type EndpointChange struct {
+	At       time.Time        `json:"at"`
+	Kind     ChangeKind       `json:"what"`
+	Endpoint endpoints.Origin `json:"entry"`
+}
+
+// String implements fmt.Stringer.
+func (c EndpointChange) String() string {
+	line := fmt.Sprintf("%s %-7s %s", c.At.Format("15:04:05.000"), c.Kind, c.Endpoint.Name)
+	switch {
+	case c.Kind == EndpointGone:
+		return line
+	case c.Endpoint.Fault != "":
+		return line + ", left out: " + c.Endpoint.Fault
+	}
+	return line + fmt.Sprintf(" %s at %s, by %s", formatState(c.Endpoint), c.Endpoint.Address, orDash(c.Endpoint.News))
+}
+
+func (o *options) endpointsWatchCommand() *cobra.Command {
+	var interval time.Duration
+	c := &cobra.Command{
+		Use:   "watch",
+		Short: "Print every change of the entries as it is seen, until Ctrl-C",
+		Long: `Prints a line for each entry that comes, goes, or changes its address, its state, the way its news comes or why it
+is left out. With -o json each line is an object.`,
+		Args: usageArgs(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error { return o.watchEndpoints(c.Context(), interval) },
+	}
+	c.Flags().DurationVar(&interval, "every", defaultWatchInterval, "between two looks")
+	return c
+}
+
+// watchEndpoints prints changes, one a line, until the context ends.
+func (o *options) watchEndpoints(ctx context.Context, interval time.Duration) error {
+	if interval < minWatchInterval {
+		return exitError{InvalidUsage, fmt.Errorf("--every: %v is shorter than %v", interval, minWatchInterval)}
+	}
+	known := map[string]endpoints.Origin{}
+	for first := true; ; first = false {
+		all, err := o.origins(ctx)
+		if err != nil {
+			if ctx.Err() != nil {
+				return nil
+			}
+			return err
+		}
+		for _, change := range endpointChanges(known, all, first) {
+			if err := o.print(change, func() { fmt.Fprintln(o.Out, change) }); err != nil {
+				return err
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(interval):
+		}
+	}
+}
+
+// endpointChanges compares a list with the known endpoints, and updates these.
+func endpointChanges(known map[string]endpoints.Origin, all []endpoints.Origin, first bool) []EndpointChange {
+	now := time.Now()
+	var changes []EndpointChange
+	listed := map[string]bool{}
+	for _, e := range all {
+		listed[e.Name] = true
+		old, isKnown := known[e.Name]
+		known[e.Name] = e
+		switch {
+		case first:
+			changes = append(changes, EndpointChange{now, EndpointPresent, e})
+		case !isKnown:
+			changes = append(changes, EndpointChange{now, EndpointNew, e})
+		case !sameEndpoint(old, e):
+			changes = append(changes, EndpointChange{now, EndpointChanged, e})
+		}
+	}
+	for name, e := range known {
+		if !listed[name] {
+			delete(known, name)
+			changes = append(changes, EndpointChange{now, EndpointGone, e})
+		}
+	}
+	return changes
+}
+
+// sameEndpoint compares what a change is printed for.
+func sameEndpoint(a, b endpoints.Origin) bool {
+	return a.Address == b.Address && a.State == b.State && a.Fault == b.Fault && a.News == b.News &&
+		a.Started.Equal(b.Started) && a.Stale == b.Stale
+}
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -428,7 +428,7 @@
 func TestGoldenEntryChanges(t *testing.T) {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	var text strings.Builder
-	for i, what := range []string{"there", "new", "changed", "gone"} {
+	for i, what := range []ChangeKind{EndpointPresent, EndpointNew, EndpointChanged, EndpointGone} {
 		change := EndpointChange{At: at, Kind: what, Endpoint: goldenEntries()[i]}
 		raw, err := json.Marshal(change)
 		require.NoError(t, err)
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -114,9 +114,9 @@
 	return http.DefaultClient.Do(testpeer.Ask(v.t, strings.TrimPrefix(v.url, "http://"), trace, "15000m").WithContext(ctx))
 }
 
-// A node is killed while a request waits at a box, a stream is passed on, and lines of a batch are out. What it held is
-// the client's to ask again, and ends at the box; what its store had acknowledged holds after the restart: the file, the
-// batch, and that no line is sent again before the time until which it was out.
+// A node is killed while a request waits at a box, a stream is passed on, and lines of a batch are out. What it held
+// is the client's to ask again, and ends at the box; what its store had acknowledged holds after the restart: the
+// file, the batch, and that no line is sent again before the time until which it was out.
 func TestKilledInTheMiddle(t *testing.T) {
 	t.Parallel()
 	const lineTime = 3 * time.Second
--- a/internal/cli/ledger.go
+++ b/internal/cli/ledger.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"maps"
-	"net/http"
 	"os"
 	"slices"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -16,60 +15,70 @@
 )
 
 func (o *options) ledgerCommand() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Show what tenants have used, as far as this node knows, and how its ledger stands", Args: invalidUsageArgs(cobra.NoArgs),
-		RunE: func(c *cobra.Command, _ []string) error {
-			var s replication.Status
-			if err := o.call(c.Context(), http.MethodGet, "/v1/ledger", nil, &s); err != nil {
-				return err
-			}
-			return o.print(s, func() {
-				o.showSums(s.Totals)
-				fmt.Fprintf(o.Out, "%d entries of %d lives, %d bytes; %d charged here, %d from others, %d lacking; %d wait to be written\n",
-					s.Entries, s.Sources, s.Bytes, s.Charged, s.Received, s.Missing, s.Queued)
-				for _, d := range s.Corruptions {
-					fmt.Fprintln(o.Out, "DAMAGE", d)
-				}
-			})
-		}}
-	o.daemonFlags(c)
-	c.AddCommand(&cobra.Command{Use: "verify DIR", Short: "Read a ledger's folder, that no process has open, and say whether it holds",
+	c := &cobra.Command{
+		Use:   "ledger",
+		Short: "Show what tenants have used, as far as this node knows, and how its ledger stands",
+		Args:  usageArgs(cobra.NoArgs),
+		RunE:  printAnswer(o, "/v1/ledger", o.writeLedger),
+	}
+	o.registerDaemonFlags(c)
+	c.AddCommand(o.ledgerVerifyCommand())
+	return c
+}
+
+func (o *options) writeLedger(s replication.Status) {
+	o.writeTotals(s.Totals)
+	fmt.Fprintf(o.Out,
+		"%d entries of %d lives, %d bytes; %d charged here, %d from others, %d lacking; %d wait to be written\n",
+		s.Entries, s.Sources, s.Bytes, s.Charged, s.Received, s.Missing, s.Queued)
+	for _, corruption := range s.Corruptions {
+		fmt.Fprintln(o.Out, "DAMAGE", corruption)
+	}
+}
+
+func (o *options) writeTotals(totals map[string]ledger.Totals) {
+	o.writeTable("TENANT\tENTRIES\tIN\tKEPT\tOUT", func(w io.Writer) {
+		for _, tenant := range slices.Sorted(maps.Keys(totals)) {
+			t := totals[tenant]
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", tenant, t.Entries, t.InputTokens, t.CachedTokens, t.OutputTokens)
+		}
+	})
+}
+
+func (o *options) ledgerVerifyCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "verify DIR",
+		Short: "Read a ledger's folder, that no process has open, and say whether it holds",
 		Long: `Reads every segment of a ledger and holds each record against its checksum, and the sums against the entries. Exit code 1: something
 does not hold; it is named. A last write that was not finished is no damage: it was charged to nobody.`,
-		Example: "  standpoint ledger verify state/ledger", Args: invalidUsageArgs(cobra.ExactArgs(1)),
-		RunE: func(_ *cobra.Command, args []string) error {
-			if _, err := os.Stat(args[0]); err != nil {
-				return exit{InvalidUsage, err}
-			}
-			book := ledger.NewIndex(nil)
-			damages, err := ledger.Inspect(args[0], func(e *ledger.Entry) { book.Add(e) })
-			if err != nil {
-				return err
-			}
-			o.showSums(book.Totals())
-			bad := 0
-			for _, d := range damages {
-				if d.Torn {
-					fmt.Fprintln(o.Out, "not finished:", d)
-					continue
-				}
-				bad++
-				fmt.Fprintln(o.Out, "DAMAGE", d)
-			}
-			if bad > 0 || !book.Verify() {
-				return errors.New("the ledger does not hold")
-			}
-			fmt.Fprintf(o.Out, "%d entries hold\n", book.Count())
-			return nil
-		}})
-	return c
+		Example: "  standpoint ledger verify state/ledger",
+		Args:    usageArgs(cobra.ExactArgs(1)),
+		RunE:    func(_ *cobra.Command, args []string) error { return o.verifyLedger(args[0]) },
+	}
 }
 
-func (o *options) showSums(sums map[string]ledger.Totals) {
-	w := tabwriter.NewWriter(o.Out, 2, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "TENANT\tENTRIES\tIN\tKEPT\tOUT")
-	for _, tenant := range slices.Sorted(maps.Keys(sums)) {
-		s := sums[tenant]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", tenant, s.Entries, s.InputTokens, s.CachedTokens, s.OutputTokens)
+func (o *options) verifyLedger(dir string) error {
+	if _, err := os.Stat(dir); err != nil {
+		return exitError{InvalidUsage, err}
+	}
+	index := ledger.NewIndex(nil)
+	corruptions, err := ledger.Inspect(dir, func(e *ledger.Entry) { index.Add(e) })
+	if err != nil {
+		return err
+	}
+	o.writeTotals(index.Totals())
+	corrupt := false
+	for _, c := range corruptions {
+		if c.Torn { // a write that a crash cut off
+			fmt.Fprintln(o.Out, "not finished:", c)
+			continue
+		}
+		corrupt = true
+		fmt.Fprintln(o.Out, "DAMAGE", c)
+	}
+	if corrupt || !index.Verify() {
+		return errors.New("the ledger does not hold")
 	}
-	w.Flush()
+	fmt.Fprintf(o.Out, "%d entries hold\n", index.Count())
+	return nil
 }
--- a/internal/cli/moments_test.go
+++ b/internal/cli/moments_test.go
@@ -42,7 +42,7 @@
 	go func() { l.ended <- l.Wait() }()
 	t.Cleanup(func() {
 		_ = l.Process.Kill()
-		_ = <-l.ended
+		<-l.ended
 	})
 	return l
 }
