--- a/internal/cli/liveview.go
+++ b/internal/cli/liveview.go
@@ -69,7 +69,7 @@
 	if view.err != nil {
 		return view.err
 	}
-	if record := view.status.Move; record != nil && record.State.Terminal() {
+	if record := view.status.Migration; record != nil && record.State.Terminal() {
 		return endError(record)
 	}
 	return nil
@@ -115,13 +115,13 @@
 
 func (m liveView) updateStatus(status controller.Status) (tea.Model, tea.Cmd) {
 	m.status = status
-	if status.Move == nil {
+	if status.Migration == nil {
 		m.err = exitError{Failed, errNoMigration}
 		return m, tea.Quit
 	}
-	m.shareHistory = append(m.shareHistory, status.Move.CurrentShare())
+	m.shareHistory = append(m.shareHistory, status.Migration.CurrentShare())
 	m.shareHistory = m.shareHistory[max(0, len(m.shareHistory)-maxShareHistory):]
-	if status.Move.State.Terminal() {
+	if status.Migration.State.Terminal() {
 		return m, tea.Quit
 	}
 	return m, m.fetchStatus(migrationWaitPath)
@@ -144,7 +144,7 @@
 
 // View implements tea.Model.
 func (m liveView) View() tea.View {
-	record := m.status.Move
+	record := m.status.Migration
 	if record == nil {
 		return tea.NewView("asking the daemon ...\n")
 	}
--- a/internal/cli/migration.go
+++ b/internal/cli/migration.go
@@ -170,10 +170,10 @@
 		if err := o.call(ctx, http.MethodGet, migrationWaitPath, nil, &status); err != nil {
 			return err
 		}
-		if status.Move == nil {
+		if status.Migration == nil {
 			return exitError{Failed, errNoMigration}
 		}
-		record := status.Move
+		record := status.Migration
 		line := fmt.Sprintf("%s %.1f%% %s", record.State, 100*record.CurrentShare(), record.Reason)
 		if line != printed {
 			printed = line
--- a/internal/cli/migrationtext.go
+++ b/internal/cli/migrationtext.go
@@ -39,11 +39,11 @@
 }
 
 func writeStatus(w io.Writer, s controller.Status) {
-	if s.Move == nil {
+	if s.Migration == nil {
 		fmt.Fprintln(w, errNoMigration)
 		return
 	}
-	writeRecord(w, *s.Move, s.Evidence)
+	writeRecord(w, *s.Migration, s.Evidence)
 	for _, n := range s.Nodes {
 		lagging := ""
 		if n.Lagging {
