--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -494,4 +494,3 @@
 	}
 	return all, nil
 }
-
