--- a/docs_test.go
+++ b/docs_test.go
@@ -62,7 +62,7 @@
 func documents(t *testing.T) []string {
 	t.Helper()
 	pages := []string{"README.md", "CHANGELOG.md"}
-	err := filepath.WalkDir("docs", func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir("docs", func(path string, _ fs.DirEntry, err error) error {
 		if err == nil && strings.HasSuffix(path, ".md") {
 			pages = append(pages, path)
 		}
@@ -75,7 +75,7 @@
 func declaredTests(t *testing.T) []string {
 	t.Helper()
 	var names []string
-	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(".", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
--- a/internal/fleet/invariant/invariant.go
+++ b/internal/fleet/invariant/invariant.go
@@ -73,7 +73,7 @@
 	if m.Log != nil {
 		_ = m.Log.Sync() // the process ends whether or not it succeeds
 	}
-	os.Stderr.WriteString("invariant " + rule.String() + ": " + detail + "\n")
+	_, _ = os.Stderr.WriteString("invariant " + rule.String() + ": " + detail + "\n")
 	os.Exit(ExitCode)
 }
 
