--- a/internal/fleet/invariant/invariant.go
+++ b/internal/fleet/invariant/invariant.go
@@ -4,6 +4,7 @@
 package invariant
 
 import (
+	"fmt"
 	"os"
 	"sync/atomic"
 
@@ -73,7 +74,7 @@
 	if m.Log != nil {
 		_ = m.Log.Sync() // the process ends whether or not it succeeds
 	}
-	os.Stderr.WriteString("invariant " + rule.String() + ": " + detail + "\n")
+	fmt.Fprintf(os.Stderr, "invariant %s: %s\n", rule, detail)
 	os.Exit(ExitCode)
 }
 
--- /dev/null
+++ b/internal/fleet/invariant/invariant_test.go
@@ -0,0 +1,34 @@
+package invariant
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"os/exec"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestNilMonitorIgnoresViolations(t *testing.T) {
+	var monitor *Monitor
+	require.NotPanics(t, func() { monitor.Violated(LedgerSums, "in this test") })
+}
+
+// A strict monitor ends its process with a code of its own, and says on standard error what does not hold.
+func TestStrictMonitorEndsTheProcess(t *testing.T) {
+	const inChild = "STRICT_MONITOR"
+	if os.Getenv(inChild) != "" {
+		monitor := &Monitor{Strict: true}
+		monitor.Violated(StateTransition, "in this test")
+		return
+	}
+	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^"+t.Name()+"$")
+	command.Env = append(os.Environ(), inChild+"=1")
+	var stderr bytes.Buffer
+	command.Stderr = &stderr
+	var exit *exec.ExitError
+	require.True(t, errors.As(command.Run(), &exit))
+	require.Equal(t, ExitCode, exit.ExitCode())
+	require.Equal(t, "invariant mode_table: in this test\n", stderr.String())
+}
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -152,7 +152,7 @@
 			"spend": func(t *rapid.T) {
 				s.spend(slot.Draw(t, "slot"), amount.Draw(t, "amount"), rapid.IntRange(0, 3).Draw(t, "further"))
 			},
-			"spend all": func(t *rapid.T) {
+			"spend all": func(*rapid.T) {
 				for i := range s.nodes {
 					for s.spend(i, 1, 0) {
 					}
