--- a/internal/batch/input.go
+++ b/internal/batch/input.go
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// estimateTokens sets the tokens of a request by the length of its messages as they stand in JSON.
+// estimateTokens sets the tokens of a request by the length of its messages in JSON.
 func (s *Service) estimateTokens(request *standpoint.Request, chat *chatRequest) {
 	characters := 0
 	for _, message := range chat.Messages {
--- a/internal/fleet/ledger/index.go
+++ b/internal/fleet/ledger/index.go
@@ -50,8 +50,8 @@
 	return len(uncovered(x.sources[source], Range{First: sequence, Last: sequence})) == 0
 }
 
-// Verify reports whether each known number is one entry in some tenant's totals. Where it is not, the invariants is
-// told.
+// Verify reports whether each known number is one entry in some tenant's totals. Where it is not, the violation is
+// reported to the monitor.
 func (x *Index) Verify() bool {
 	known := uint64(0)
 	for _, ranges := range x.sources {
--- a/internal/fleet/ledger/range.go
+++ b/internal/fleet/ledger/range.go
@@ -52,7 +52,7 @@
 // uncovered returns the parts of a range that are in none of the sorted ranges.
 func uncovered(ranges []Range, r Range) []Range {
 	var parts []Range
-	first := r.First // of what is not covered by the ranges looked at so far
+	first := r.First // of what the ranges so far do not cover
 	for _, covered := range ranges {
 		if !covered.overlaps(Range{First: first, Last: r.Last}) {
 			continue
--- a/internal/fleet/ledger/replication/replicator.go
+++ b/internal/fleet/ledger/replication/replicator.go
@@ -27,7 +27,7 @@
 	Now         func() int64 // Unix nanoseconds
 	// SyncInterval is the mean time between two comparisons with another member's ledger.
 	SyncInterval time.Duration
-	// SyncRate is how fast entries are taken from other members, at a rate factor of 1.
+	// SyncRate is how many entries a second are taken from other members, at a rate factor of 1.
 	SyncRate float64
 	// RateFactor slows replication down: 1 is the usual rate, 0 pauses it.
 	RateFactor func() float64
@@ -51,11 +51,11 @@
 	lastSequence uint64             // of the latest entry; only the writer's goroutine uses it
 
 	mu          sync.Mutex // guards the ledger and its index
-	log         *ledger.SegmentedLog
+	segments    *ledger.SegmentedLog
 	index       *ledger.Index
 	corruptions []*ledger.CorruptionError // found by Open; not changed afterwards
 
-	charged       atomic.Uint64 // entries of this incarnation that were written
+	charged       atomic.Uint64 // entries that were written, received ones included
 	dropped       atomic.Uint64 // entries for which the queue had no room
 	received      atomic.Uint64 // entries of other members that were written
 	writeFailures atomic.Uint64 // in a row, by now
@@ -67,7 +67,7 @@
 func Open(o Options) (*Replicator, error) {
 	r := &Replicator{Options: o, queue: make(chan *ledger.Entry, maxQueued), index: ledger.NewIndex(o.Invariants)}
 	var err error
-	r.log, r.corruptions, err = ledger.Open(o.Dir, o.MaxBytes, func(e *ledger.Entry) { r.index.Add(e) })
+	r.segments, r.corruptions, err = ledger.Open(o.Dir, o.MaxBytes, func(e *ledger.Entry) { r.index.Add(e) })
 	if err != nil {
 		return nil, fmt.Errorf("ledger.dir: %w", err)
 	}
@@ -119,5 +119,5 @@
 func (r *Replicator) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.log.Close()
+	return r.segments.Close()
 }
--- a/internal/fleet/ledger/replication/replicator_test.go
+++ b/internal/fleet/ledger/replication/replicator_test.go
@@ -164,13 +164,13 @@
 // that is queued.
 func TestAFullDisk(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1)
-	r.log.MaxBytes = r.log.Bytes() + 10
+	r.segments.MaxBytes = r.segments.Bytes() + 10
 	defer run(r)()
 	require.True(t, r.Charge(ledger.Entry{Tenant: "t"}))
 	require.Eventually(t, r.Full, 5*time.Second, time.Millisecond)
 	require.Zero(t, r.Status().Charged)
 	r.mu.Lock()
-	r.log.MaxBytes = 1 << 30
+	r.segments.MaxBytes = 1 << 30
 	r.mu.Unlock()
 	require.Eventually(t, func() bool { return r.Status().Charged == 1 && !r.Full() }, 5*time.Second, time.Millisecond)
 }
@@ -235,8 +235,8 @@
 		dirs := []string{b.TempDir(), b.TempDir()}
 		from := open(b, n, dirs[0], "a", 1, "c")
 		to := open(b, n, dirs[1], "c", 1, "a")
-		from.log.MaxBytes = 1 << 40
-		to.log.MaxBytes = 1 << 40
+		from.segments.MaxBytes = 1 << 40
+		to.segments.MaxBytes = 1 << 40
 		appendMany(b, from, count)
 		began := time.Now()
 		if err := to.syncWith(context.Background(), "a"); err != nil {
--- a/internal/fleet/ledger/replication/status.go
+++ b/internal/fleet/ledger/replication/status.go
@@ -17,7 +17,7 @@
 	Bytes       int64                    `json:"bytes"`
 	Totals      map[string]ledger.Totals `json:"sums"` // by tenant, as far as known here
 	Sources     int                      `json:"sources"`
-	Charged     uint64                   `json:"charged"` // written here, by this incarnation
+	Charged     uint64                   `json:"charged"` // written by this process, received ones included
 	Received    uint64                   `json:"taken"`   // from other members
 	Dropped     uint64                   `json:"lost"`    // for which the queue had no room
 	Queued      int                      `json:"waiting"`
@@ -28,7 +28,7 @@
 	Corruptions      []string `json:"damages"`
 }
 
-// Status returns how the ledger stands.
+// Status returns the state of the ledger.
 func (r *Replicator) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,7 +36,7 @@
 		Slot:             r.Slot,
 		Incarnation:      r.Incarnation,
 		Entries:          r.index.Count(),
-		Bytes:            r.log.Bytes(),
+		Bytes:            r.segments.Bytes(),
 		Totals:           r.index.Totals(),
 		Sources:          len(r.index.Digest()),
 		Charged:          r.charged.Load(),
--- a/internal/fleet/ledger/replication/sync.go
+++ b/internal/fleet/ledger/replication/sync.go
@@ -66,7 +66,7 @@
 func (r *Replicator) Fetch(request FetchRequest) (FetchResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	entries, err := r.log.Read(request.Source, request.Sequences, maxFetchEntries)
+	entries, err := r.segments.Read(request.Source, request.Sequences, maxFetchEntries)
 	return FetchResponse{Entries: entries}, err
 }
 
--- a/internal/fleet/ledger/replication/writer.go
+++ b/internal/fleet/ledger/replication/writer.go
@@ -85,7 +85,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.log.Append(entries); err != nil {
+	if err := r.segments.Append(entries); err != nil {
 		r.writeFailures.Add(1)
 		// Full reports it, so that no further requests are admitted meanwhile.
 		r.Log.Error("ledger write failed", zap.Int("entries", len(entries)), zap.Error(err))
--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -49,7 +49,7 @@
 	golden.Bytes(t, "empty.json", raw)
 }
 
-// The words that stand in records and operations, keys, and the texts that clients get.
+// The words in records and commands, keys, and the texts that clients get.
 func TestGoldenWords(t *testing.T) {
 	var lines []string
 	for _, s := range []State{Running, Pausing, Paused, Claimed, Resuming, Ended, Expired} {
--- a/internal/fleet/session/service/golden_test.go
+++ b/internal/fleet/session/service/golden_test.go
@@ -15,7 +15,8 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// What a session needs to go on, as it stands on record, packed and plain; the leader's answer; and what a node shows.
+// What a session is resumed with, as its record holds it, compressed and plain; the leader's answer; and what a node
+// shows.
 func TestGoldenFormats(t *testing.T) {
 	s := newCluster(t, 1, nil).nodes[0]
 	k := continuation{
--- a/internal/fleet/session/service/leader_call.go
+++ b/internal/fleet/session/service/leader_call.go
@@ -100,7 +100,7 @@
 // Unwrap returns the error that the request is rejected for, nil where it has none.
 func (e *RequestError) Unwrap() error { return e.cause }
 
-// newRequestError returns what a client is told of an error.
+// newRequestError returns the answer to a client for an error.
 func newRequestError(err error) *RequestError {
 	rejection := &RequestError{
 		Status:     http.StatusServiceUnavailable,
--- a/internal/fleet/session/service/resume.go
+++ b/internal/fleet/session/service/resume.go
@@ -139,7 +139,7 @@
 	return s.execute(ctx, command)
 }
 
-// claimError returns what a client is told of a claim that was not given.
+// claimError returns the answer to a client whose claim was not granted.
 func claimError(err error) *RequestError {
 	rejection := newRequestError(err)
 	if errors.Is(err, fleet.ErrNoLeader) {
--- a/internal/fleet/session/service/tool.go
+++ b/internal/fleet/session/service/tool.go
@@ -12,7 +12,7 @@
 // What a call may do.
 const (
 	PauseSession ToolAction = iota // the decoding ends, and the session waits for the result
-	PassThrough                    // nothing: the decoding goes on, and the client sees the call
+	PassThrough                    // the decoding continues, and the client sees the call
 	RejectCall                     // the answer ends there
 )
 
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -1,5 +1,5 @@
 // Package session decides what may happen to a session that pauses for a tool: who may resume it, and when it ends.
-// It is pure: the store's leader applies commands, one after the other, each to the record as it stands, and time is
+// It is pure: the store's leader applies commands, one after the other, each to the present record, and time is
 // passed in.
 //
 // A session is never decoded twice at once, over all nodes: whoever decodes holds a claim, under a fencing token that
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -38,9 +38,11 @@
 // RaftOptions configure one member.
 type RaftOptions struct {
 	ID            string
-	ListenAddress string   // of this member's listener
-	Dir           string   // directory of the log and the snapshots; "" keeps them in memory
-	Members       []Member // all members, this one included; used at the first start alone
+	ListenAddress string // of this member's listener
+	Dir           string // directory of the log and the snapshots; "" keeps them in memory
+	// Members are all members, this one included. A first start replicates them; later starts use their DialAddress
+	// alone.
+	Members []Member
 	// Listener, if set, is used in place of a new one at ListenAddress.
 	Listener  net.Listener
 	LogOutput io.Writer // the library's log; nil is os.Stderr
@@ -205,7 +207,7 @@
 	return string(id)
 }
 
-// Write implements Store. It returns once the write is applied here. ctx is looked at before the write is begun, not
+// Write implements Store. It returns once the write is applied here. ctx is checked before the write is begun, not
 // while it is under way: a write that is in the log cannot be taken back.
 func (r *Raft) Write(ctx context.Context, ops ...Op) (uint64, error) {
 	if err := ctx.Err(); err != nil {
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -9,7 +9,7 @@
 )
 
 // countingStreamLayer carries the members' connections. It counts the bytes that this member writes, and dials
-// members at other addresses than the replicated configuration has, where it is told to. It implements
+// members at other addresses than the replicated configuration has, where dialAddresses has one. It implements
 // raft.StreamLayer.
 type countingStreamLayer struct {
 	net.Listener
