--- a/internal/backend/batchserver.go
+++ b/internal/backend/batchserver.go
@@ -63,7 +63,7 @@
 		p := &parcel{attempts: map[string]*node.Attempt{}}
 		p.cancel, p.stop = context.WithCancel(context.Background())
 		for _, a := range waiting {
-			p.attempts[a.Request.Work.TraceID+"-"+strconv.Itoa(a.Leg)] = a
+			p.attempts[a.Request.Work.TraceID+"-"+strconv.Itoa(a.Number)] = a
 		}
 		waiting = nil
 		s.out[p] = true
@@ -95,7 +95,7 @@
 			case draining, gone:
 				_, leaving = m.(gone)
 				for _, a := range waiting { // not uploaded: never ran
-					a.End(node.Result{Code: standpoint.TurnedAway})
+					a.Finish(node.Result{Code: standpoint.TurnedAway})
 				}
 				waiting = nil
 				for p := range s.out {
@@ -334,21 +334,21 @@
 		return node.Result{Code: standpoint.ServerError}
 	}
 	events := append(append([]byte("data: "), raw...), "\n\ndata: [DONE]\n\n"...)
-	if !a.First() {
+	if !a.Claim() {
 		return node.Result{Code: failure(a.Context(), true, nil)}
 	}
 	end := tail{}
 	if err := end.note(events); err != nil {
 		return node.Result{Code: standpoint.ServerError}
 	}
-	if a.Event(events) != nil {
+	if a.Forward(events) != nil {
 		return node.Result{Code: standpoint.Cancelled}
 	}
-	return node.Result{Code: standpoint.Served, Kept: end.kept}
+	return node.Result{Code: standpoint.Served, CachedTokens: end.kept}
 }
 
 func (s *batchServer) end(p *parcel, id string, r node.Result) {
-	p.attempts[id].End(r)
+	p.attempts[id].Finish(r)
 	delete(p.attempts, id)
 }
 
@@ -400,7 +400,7 @@
 	defer cancel()
 	if may != nil {
 		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-			if l, ok := info.Conn.(*link); ok {
+			if l, ok := info.Conn.(*connection); ok {
 				l.begin(0, may)
 			}
 		}})
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -40,7 +40,7 @@
 
 // New makes an empty fleet.
 func New(o Options) *Fleet {
-	f := &Fleet{Options: o, servers: map[string]actor{}, live: &live{all: map[*link]bool{}}}
+	f := &Fleet{Options: o, servers: map[string]actor{}, live: &live{all: map[*connection]bool{}}}
 	f.opens = f.open
 	return f
 }
@@ -59,19 +59,19 @@
 	return sync.OnceFunc(func() { f.links.Add(-1) })
 }
 
-// Links is how many connections to servers are open, or being opened.
-func (f *Fleet) Links() int { return int(f.links.Load()) }
+// Connections is how many connections to servers are open, or being opened.
+func (f *Fleet) Connections() int { return int(f.links.Load()) }
 
 // Update takes in news of the endpoints: new servers get an actor, moved ones hear of it, those gone
 // are let go of; attempts that are out at them run on.
-func (f *Fleet) Update(l node.List) {
+func (f *Fleet) Update(l node.EndpointList) {
 	if l.Kind == standpoint.ListLost {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	listed := map[string]bool{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		listed[e.Name] = e.State != standpoint.Gone
 		s, known := f.servers[e.Name]
 		if !known {
@@ -137,12 +137,12 @@
 // Send hands an attempt to its server's actor, without waiting.
 func (f *Fleet) Send(a *node.Attempt) bool {
 	f.mu.Lock()
-	s, known := f.servers[a.Server]
+	s, known := f.servers[a.Backend]
 	f.mu.Unlock()
 	if !known {
 		return false
 	}
-	a.Barred = s.gate.Load
+	a.BackendDraining = s.gate.Load
 	return s.tell(a)
 }
 
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -46,7 +46,7 @@
 	f.Add([]byte("\r\n0\r\n0\r\n\r\n\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("\r\n0\r\r\n0\r\n\r\n"), uint8(2))
 	f.Fuzz(func(t *testing.T, raw []byte, piece uint8) {
-		l := &link{Conn: &pieces{rest: raw, most: 1 + int(piece)}, keep: &keep{}}
+		l := &connection{Conn: &eventSplitter{rest: raw, most: 1 + int(piece)}, keep: &keep{}}
 		got, err := io.ReadAll(l)
 		want := raw
 		if i := bytes.Index(raw, []byte(lastChunk)); i >= 0 {
@@ -58,14 +58,14 @@
 	})
 }
 
-// pieces is a connection that hands on a few bytes at a time.
-type pieces struct {
+// eventSplitter is a connection that hands on a few bytes at a time.
+type eventSplitter struct {
 	net.Conn
 	rest []byte
 	most int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *eventSplitter) Read(b []byte) (int, error) {
 	if len(p.rest) == 0 {
 		return 0, io.EOF
 	}
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -12,17 +12,17 @@
 // A stream that one process leaves to another.
 func TestGoldenStream(t *testing.T) {
 	golden.RoundTrip(t, "stream.json", Stream{
-		Trace:  "t-1",
-		Class:  1,
-		Server: "box-1",
-		Begun:  []byte(`data: {"ch`),
-		Size:   500,
-		Kept:   12.5,
-		Tokens: 7.5,
-		Report: &standpoint.Report{Memory: 0.25, Unread: 3, Slots: 0.5},
-		Done:   true,
-		Held:   250 * time.Millisecond,
-		Chunks: chunks{Phase: inData, Size: 100, Line: 4, Other: true, Matched: 2, Head: 300, Early: true},
+		Trace:        "t-1",
+		Class:        1,
+		Server:       "box-1",
+		Partial:      []byte(`data: {"ch`),
+		Size:         500,
+		CachedTokens: 12.5,
+		Tokens:       7.5,
+		Report:       &standpoint.Report{Memory: 0.25, Unread: 3, Slots: 0.5},
+		Done:         true,
+		ClientStall:  250 * time.Millisecond,
+		Chunks:       chunks{Phase: inData, Size: 100, Line: 4, Other: true, Matched: 2, Head: 300, Early: true},
 	},
 		func(s Stream) ([]byte, error) { return json.MarshalIndent(s, "", "  ") },
 		DecodeStream)
--- a/internal/backend/link.go
+++ b/internal/backend/link.go
@@ -60,9 +60,9 @@
 	k.lost.Store(clock.Now())
 }
 
-// link is one connection to a backend. It keeps what comes behind an answer from being taken for the
+// connection is one connection to a backend. It keeps what comes behind an answer from being taken for the
 // answer to the next request: http.Transport looks for that only once nobody waits for a connection.
-type link struct {
+type connection struct {
 	net.Conn
 	keep   *keep
 	most   time.Duration // that it may rest
@@ -89,7 +89,7 @@
 }
 
 // Close implements net.Conn.
-func (l *link) Close() error {
+func (l *connection) Close() error {
 	if l.closed != nil {
 		defer l.closed()
 	}
@@ -97,7 +97,7 @@
 }
 
 // Read hands on the answer and nothing behind it.
-func (l *link) Read(b []byte) (int, error) {
+func (l *connection) Read(b []byte) (int, error) {
 	if l.frozen.Load() {
 		return 0, errFrozen
 	}
@@ -116,7 +116,7 @@
 }
 
 // answer is how many of the bytes that came are the answer's, and what the reader is told.
-func (l *link) answer(b []byte, err error) (int, error) {
+func (l *connection) answer(b []byte, err error) (int, error) {
 	n := len(b)
 	l.broken = l.broken || err != nil
 	if l.spent || n > 0 && l.ended {
@@ -146,7 +146,7 @@
 }
 
 // freeze has the answer's reader find errFrozen once it has taken all that was read. False: the answer is over, or nearly.
-func (l *link) freeze() bool {
+func (l *connection) freeze() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.frozen.Load() || l.ended || l.spent || l.broken {
@@ -157,7 +157,7 @@
 }
 
 // leave has the answer's reader find errLeft once it has taken all that has come. False: it is over, or ends in another way.
-func (l *link) leave() bool {
+func (l *connection) leave() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.frozen.Load() || l.ended || l.spent || l.broken {
@@ -169,7 +169,7 @@
 }
 
 // behind reads on past the deadline of an answer that is handed back, while the socket holds something.
-func (l *link) behind(b []byte, deadline error) (int, error) {
+func (l *connection) behind(b []byte, deadline error) (int, error) {
 	l.mu.Lock()
 	leaves := l.leaves
 	l.mu.Unlock()
@@ -191,7 +191,7 @@
 }
 
 // where is where the answer stands. False: that is not known, or there is nothing left of it.
-func (l *link) where() (chunks, bool) {
+func (l *connection) where() (chunks, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.chunks, !l.lost && l.chunks.Phase > inHead && l.chunks.Phase < isOver
@@ -199,7 +199,7 @@
 
 // begin tells that the next write is the first of a request with such a body, which may asks before it is done. A server may
 // answer before the last.
-func (l *link) begin(body int, may func() error) {
+func (l *connection) begin(body int, may func() error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.may, l.barred = may, false
@@ -209,7 +209,7 @@
 
 // note follows a request that is written to its last byte, which alone says that it may run: http.Transport says that a
 // request is written when it stands in its buffer. It tells whether that byte was among these.
-func (l *link) note(b []byte) bool {
+func (l *connection) note(b []byte) bool {
 	if l.owed == 0 {
 		return false
 	}
@@ -236,7 +236,7 @@
 
 // Write begins a request only where nothing waits to be read, not even the connection's end. One that is not
 // begun never ran, and goes out on another connection.
-func (l *link) Write(b []byte) (int, error) {
+func (l *connection) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	if l.starts || l.ended {
 		if early := restLeast - time.Since(l.heard); l.ended && early > 0 {
@@ -274,31 +274,31 @@
 }
 
 // wasBarred tells that the request was kept back, and nothing of it written.
-func (l *link) wasBarred() bool {
+func (l *connection) wasBarred() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.barred
 }
 
 // sent tells that the request's last byte is written.
-func (l *link) sent() bool {
+func (l *connection) sent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.owed == 0
 }
 
 // stirring looks, without waiting or taking anything, whether the socket has bytes or its end to read.
-func (l *link) stirring() bool {
+func (l *connection) stirring() bool {
 	if _, ok := l.Conn.(syscall.Conn); !ok {
 		return false
 	}
-	_, err := Peek(l.Conn)
+	_, err := UnreadBytes(l.Conn)
 	return err != syscall.EAGAIN
 }
 
-// Peek looks, without waiting or taking anything, whether the socket has bytes to read: 0 and no error at its end, EAGAIN where
+// UnreadBytes looks, without waiting or taking anything, whether the socket has bytes to read: 0 and no error at its end, EAGAIN where
 // nothing has come.
-func Peek(c net.Conn) (n int, err error) {
+func UnreadBytes(c net.Conn) (n int, err error) {
 	failed := control(c, func(fd int) {
 		err = transient.IgnoringEINTR(func() (failed error) {
 			n, _, failed = syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -311,9 +311,9 @@
 	return max(0, n), err
 }
 
-// HungUp tells, without waiting, whether the other side is known to have ended the connection, or its sending, though what it sent
+// PeerClosed tells, without waiting, whether the other side is known to have ended the connection, or its sending, though what it sent
 // before may not have been read.
-func HungUp(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	look := []unix.PollFd{{Events: unix.POLLRDHUP}}
 	if err := control(c, func(fd int) {
 		look[0].Fd = int32(fd)
@@ -327,7 +327,7 @@
 	if look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
 		return true
 	}
-	n, err := Peek(c)
+	n, err := UnreadBytes(c)
 	return n == 0 && err == nil
 }
 
@@ -345,7 +345,7 @@
 }
 
 // dropped notes, after a failure, that the server had let go of a link that had rested.
-func (l *link) dropped() {
+func (l *connection) dropped() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.rest > 0 && !l.answered && l.broken {
@@ -355,7 +355,7 @@
 
 // unreadable tells, after a failure, that bytes came on a connection that is still whole: the server is there,
 // and what it sent is no answer.
-func (l *link) unreadable() bool {
+func (l *connection) unreadable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.answered && !l.broken
--- a/internal/backend/moments_test.go
+++ b/internal/backend/moments_test.go
@@ -69,12 +69,12 @@
 		},
 		"drains, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
 			chosen.State = standpoint.Draining
-			n.Core.News(node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{chosen}})
+			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
 		"is gone": func(n *testpeer.Node, _, other node.Endpoint) { n.Tell(other) },
 		"is gone, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
 			chosen.State, chosen.Address = standpoint.Gone, ""
-			n.Core.News(node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{chosen}})
+			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
 		"is another process by now": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
@@ -160,7 +160,7 @@
 			<-held.Up
 			leave()
 			<-gone
-			require.Eventually(t, func() bool { return n.Core.Open() == 0 }, 2*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, 2*time.Second, time.Millisecond)
 			held.Go <- struct{}{}
 			n.Heard()
 			time.Sleep(20 * time.Millisecond) // for what must not come
@@ -300,8 +300,8 @@
 			})
 		}
 		all.Wait()
-		peak = max(peak, n.Servers.Links())
-		require.LessOrEqual(t, n.Servers.Links(), most+2*atOnce)
+		peak = max(peak, n.Servers.Connections())
+		require.LessOrEqual(t, n.Servers.Connections(), most+2*atOnce)
 	}
 	require.Greater(t, peak, most/2, "they are kept while there are few")
 }
@@ -500,7 +500,7 @@
 			status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
 			answered <- status
 		}()
-		require.Eventually(t, func() bool { return n.Core.Open() == 1 }, time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
 		a.State = standpoint.Ready
 		n.Tell(a)
 		require.Equal(t, a.Address, <-held.Up)
@@ -530,13 +530,13 @@
 			response.Body.Close()
 		}
 	}()
-	require.Eventually(t, func() bool { return n.Core.Open() == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
 	leave()
 	<-gone
 	a := testpeer.Entry("a", met.server(t, testpeer.Answer("whole")))
 	n.Tell(a) // in the very moment
 	n.Heard()
-	require.Eventually(t, func() bool { return n.Core.Open() == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
 	time.Sleep(20 * time.Millisecond) // for what must not come
 	require.Zero(t, met.at(a.Address))
 }
--- a/internal/backend/moving.go
+++ b/internal/backend/moving.go
@@ -21,17 +21,17 @@
 // Stream is an answer that is being passed on, as one process leaves it to another: with the two connections, of the
 // client and of the backend, the other goes on from the next byte.
 type Stream struct {
-	Trace  string             `json:"trace"`
-	Class  int                `json:"class"`
-	Server string             `json:"server"`
-	Begun  []byte             `json:"begun"` // of an event that is not whole yet
-	Size   int                `json:"size"`  // of all that came
-	Kept   float64            `json:"kept"`
-	Tokens float64            `json:"tokens"`
-	Report *standpoint.Report `json:"report"`
-	Done   bool               `json:"done"` // its last event has come
-	Held   time.Duration      `json:"held"`
-	Chunks chunks             `json:"chunks"`
+	Trace        string             `json:"trace"`
+	Class        int                `json:"class"`
+	Server       string             `json:"server"`
+	Partial      []byte             `json:"begun"` // of an event that is not whole yet
+	Size         int                `json:"size"`  // of all that came
+	CachedTokens float64            `json:"kept"`
+	Tokens       float64            `json:"tokens"`
+	Report       *standpoint.Report `json:"report"`
+	Done         bool               `json:"done"` // its last event has come
+	ClientStall  time.Duration      `json:"held"`
+	Chunks       chunks             `json:"chunks"`
 }
 
 // DecodeStream reads a stream that another process leaves.
@@ -41,7 +41,7 @@
 		return Stream{}, fmt.Errorf("a stream that cannot be read: %w", err)
 	}
 	c := &s.Chunks
-	if len(s.Begun) > eventMost || s.Size < 0 || s.Size > streamMost || s.Held < 0 || s.Trace == "" || c.Phase < inSize || c.Phase >= isOver ||
+	if len(s.Partial) > eventMost || s.Size < 0 || s.Size > streamMost || s.ClientStall < 0 || s.Trace == "" || c.Phase < inSize || c.Phase >= isOver ||
 		c.Size < 0 || c.Size > streamMost || c.Line < 0 || c.Line > chunkLine || c.Phase == inData && c.Size == 0 {
 		return Stream{}, errors.New("a stream that cannot be")
 	}
@@ -77,12 +77,12 @@
 // live are the streams that are passed on now, and where they move to once they do.
 type live struct {
 	mu  sync.Mutex
-	all map[*link]bool
+	all map[*connection]bool
 	to  func(s Stream, client, server int) error // nil: they stay
 }
 
 // add takes in a stream that has begun. One that begins after the others were asked to move does so too.
-func (v *live) add(l *link) {
+func (v *live) add(l *connection) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.all[l] = true
@@ -91,15 +91,15 @@
 	}
 }
 
-func (v *live) remove(l *link) {
+func (v *live) remove(l *connection) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.all, l)
 }
 
-// Move has all begun streams that can move leave this process: to takes each, with its client's and its server's descriptor, and
+// HandOver has all begun streams that can move leave this process: to takes each, with its client's and its server's descriptor, and
 // an error says that it was not taken. It returns how many are asked to move.
-func (f *Fleet) Move(to func(s Stream, client, server int) error) int {
+func (f *Fleet) HandOver(to func(s Stream, client, server int) error) int {
 	f.live.mu.Lock()
 	defer f.live.mu.Unlock()
 	f.live.to = to
@@ -113,7 +113,7 @@
 }
 
 // leave moves a stream whose link was frozen. It ends here in any case: moved, or broken off.
-func (v *live) leave(p *passage, a *node.Attempt, l *link) (node.Result, error) {
+func (v *live) leave(p *passage, a *node.Attempt, l *connection) (node.Result, error) {
 	v.mu.Lock()
 	to := v.to
 	v.mu.Unlock()
@@ -132,8 +132,8 @@
 		return lost, err
 	}
 	defer func() { _ = unix.Close(client) }()
-	err = to(Stream{Trace: a.Request.Work.TraceID, Class: a.Request.Spec.Class, Server: a.Server, Begun: p.buffer, Size: p.size, Kept: p.end.kept,
-		Tokens: p.end.tokens, Report: p.end.report, Done: p.end.done, Held: p.held, Chunks: where}, client, server)
+	err = to(Stream{Trace: a.Request.Work.TraceID, Class: a.Request.Spec.Class, Server: a.Backend, Partial: p.buffer, Size: p.size, CachedTokens: p.end.kept,
+		Tokens: p.end.tokens, Report: p.end.report, Done: p.end.done, ClientStall: p.held, Chunks: where}, client, server)
 	return node.Result{Code: standpoint.Cancelled, Moved: err == nil}, err
 }
 
@@ -155,33 +155,33 @@
 	return fd, failed
 }
 
-// Duplicate is duplicate, for the clients' side.
-func Duplicate(c net.Conn) (int, error) { return duplicate(c) }
+// DuplicateSocket is duplicate, for the clients' side.
+func DuplicateSocket(c net.Conn) (int, error) { return duplicate(c) }
 
-// Carry passes on a stream that another process has begun, from the next byte of its server's connection to its end.
-func (f *Fleet) Carry(s Stream, server net.Conn, a *node.Attempt) {
+// Continue passes on a stream that another process has begun, from the next byte of its server's connection to its end.
+func (f *Fleet) Continue(s Stream, server net.Conn, a *node.Attempt) {
 	defer server.Close()
 	ctx, cancel := context.WithCancelCause(a.Context())
 	defer cancel(nil)
-	l := &link{Conn: server, keep: &keep{}, chunks: s.Chunks}
+	l := &connection{Conn: server, keep: &keep{}, chunks: s.Chunks}
 	defer context.AfterFunc(ctx, func() { _ = server.SetReadDeadline(time.Now()) })()
-	p := &passage{begun: true, buffer: append(make([]byte, 0, readSize), s.Begun...), size: s.Size, held: s.Held,
-		end: tail{kept: s.Kept, tokens: s.Tokens, report: s.Report, done: s.Done}}
-	result, err := f.live.pass(ctx, cancel, &rest{link: l, chunks: s.Chunks}, p, a, l)
+	p := &passage{begun: true, buffer: append(make([]byte, 0, readSize), s.Partial...), size: s.Size, held: s.ClientStall,
+		end: tail{kept: s.CachedTokens, tokens: s.Tokens, report: s.Report, done: s.Done}}
+	result, err := f.live.pass(ctx, cancel, &remainder{link: l, chunks: s.Chunks}, p, a, l)
 	if err != nil {
 		f.Log.Info("a stream that was taken over ended", zap.String("server", s.Server), zap.String("trace", s.Trace), zap.Bool("moved", result.Moved), zap.Error(err))
 	}
-	a.End(result)
+	a.Finish(result)
 }
 
-// rest is what is still to come of an answer in chunks.
-type rest struct {
-	link    *link
+// remainder is what is still to come of an answer in chunks.
+type remainder struct {
+	link    *connection
 	chunks  chunks
 	payload []byte // read and not asked for yet
 }
 
-func (r *rest) Read(b []byte) (int, error) {
+func (r *remainder) Read(b []byte) (int, error) {
 	for len(r.payload) == 0 {
 		if r.chunks.Phase == isOver {
 			return 0, io.EOF
--- a/internal/backend/moving_test.go
+++ b/internal/backend/moving_test.go
@@ -39,7 +39,7 @@
 			_, _ = io.WriteString(far, wholeAnswer[at:])
 			far.Close()
 		}()
-		left, err := io.ReadAll(&rest{link: &link{Conn: near, keep: &keep{}, chunks: there}, chunks: there})
+		left, err := io.ReadAll(&remainder{link: &connection{Conn: near, keep: &keep{}, chunks: there}, chunks: there})
 		require.NoError(t, err, "from byte %d", at)
 		require.Equal(t, wholePayload, payload.String()+string(left), "from byte %d", at)
 		near.Close()
@@ -61,7 +61,7 @@
 			_, _ = io.WriteString(far, wholeAnswer[begin:at])
 			far.Close()
 		}()
-		_, err := io.ReadAll(&rest{link: &link{Conn: near, keep: &keep{}, chunks: c}, chunks: c})
+		_, err := io.ReadAll(&remainder{link: &connection{Conn: near, keep: &keep{}, chunks: c}, chunks: c})
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "at byte %d", at)
 	}
 }
@@ -80,7 +80,7 @@
 			_, _ = io.WriteString(far, wholeAnswer)
 			far.Close()
 		}()
-		got, _ := io.ReadAll(&rest{link: &link{Conn: near, keep: &keep{}, chunks: s.Chunks}, chunks: s.Chunks}) // any end will do
+		got, _ := io.ReadAll(&remainder{link: &connection{Conn: near, keep: &keep{}, chunks: s.Chunks}, chunks: s.Chunks}) // any end will do
 		require.LessOrEqual(t, len(got), len(wholeAnswer))
 		near.Close()
 	})
@@ -92,7 +92,7 @@
 		near, far := socketPair(t)
 		_, err := io.WriteString(far, sent)
 		require.NoError(t, err)
-		l := &link{Conn: near, keep: &keep{}}
+		l := &connection{Conn: near, keep: &keep{}}
 		require.NoError(t, unreadBytes(near, len(sent)))
 		require.True(t, l.leave())
 		require.NoError(t, near.SetReadDeadline(time.Unix(1, 0))) // the time for what is under way is over
--- a/internal/backend/pass.go
+++ b/internal/backend/pass.go
@@ -14,7 +14,7 @@
 // stream passes an answer on, whole events at a time, as they come. The first claims the request. What is no event
 // is not passed on, and the stream ends there, broken.
 func (s *server) stream(ctx context.Context, cancel context.CancelCauseFunc, response *http.Response,
-	a *node.Attempt, l *link) (node.Result, error) {
+	a *node.Attempt, l *connection) (node.Result, error) {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return node.Result{Code: standpoint.ServerError}, errors.New("an answer whose end cannot be told from a break")
 	}
@@ -26,7 +26,7 @@
 }
 
 // pass carries a stream on to its end. l, if not nil, is the link that it can move with.
-func (v *live) pass(ctx context.Context, cancel context.CancelCauseFunc, body io.Reader, p *passage, a *node.Attempt, l *link) (node.Result, error) {
+func (v *live) pass(ctx context.Context, cancel context.CancelCauseFunc, body io.Reader, p *passage, a *node.Attempt, l *connection) (node.Result, error) {
 	if l != nil {
 		defer v.remove(l)
 		a.OnHandBack(l.leave)
@@ -60,7 +60,7 @@
 	cancel  context.CancelCauseFunc
 	body    io.Reader
 	attempt *node.Attempt
-	link    *link       // that it can move with; nil: it cannot
+	link    *connection // that it can move with; nil: it cannot
 	quiet   *time.Timer // ends it once it is silent: connections to a machine that vanished stay open, and its client is not left waiting
 }
 
@@ -73,7 +73,7 @@
 // begin notes that the first event has come, here or in the process before.
 func (c *carrying) begin() {
 	c.begun = true
-	c.quiet = time.AfterFunc(c.silence(c.attempt.Resumes), func() { c.cancel(errQuiet) })
+	c.quiet = time.AfterFunc(c.silence(c.attempt.ClientResumes), func() { c.cancel(errQuiet) })
 	if c.link != nil {
 		c.live.add(c.link)
 	}
@@ -106,7 +106,7 @@
 		c.pause = max(c.pause, time.Since(c.passed))
 	}
 	if !c.begun {
-		if !c.attempt.First() {
+		if !c.attempt.Claim() {
 			return &outcome{node.Result{Code: failure(c.ctx, true, nil)}, errors.New("the request is over")}
 		}
 		c.quiet.Stop()
@@ -127,12 +127,12 @@
 func (c *carrying) write(whole int) error {
 	c.quiet.Stop()
 	from := time.Now()
-	err := c.attempt.Event(c.buffer[:whole])
-	if wait := time.Since(from); wait > node.HeldLeast {
+	err := c.attempt.Forward(c.buffer[:whole])
+	if wait := time.Since(from); wait > node.MinClientStall {
 		c.held += wait
 	}
 	c.passed = time.Now()
-	c.quiet.Reset(c.silence(c.attempt.Resumes) - from.Sub(c.came)) // comments are no signs of an answer
+	c.quiet.Reset(c.silence(c.attempt.ClientResumes) - from.Sub(c.came)) // comments are no signs of an answer
 	return err
 }
 
@@ -143,14 +143,14 @@
 	if body, ok := c.body.(io.Closer); ok {
 		_ = body.Close()
 	}
-	return &outcome{c.attempt.Stopped(), nil}
+	return &outcome{c.attempt.ForwardStopped(), nil}
 }
 
 // ended tells how the stream ended, by what the last read came to. Nil: it goes on.
 func (c *carrying) ended(err error) *outcome {
 	switch {
 	case err == io.EOF && c.begun && c.end.done:
-		return &outcome{node.Result{Code: standpoint.Served, Kept: c.end.kept, Tokens: c.end.tokens, Report: c.end.report, Held: c.held}, nil}
+		return &outcome{node.Result{Code: standpoint.Served, CachedTokens: c.end.kept, OutputTokens: c.end.tokens, Report: c.end.report, ClientStall: c.held}, nil}
 	case err == io.EOF:
 		return &outcome{node.Result{Code: standpoint.ServerError, Report: c.end.report}, errors.New("the answer ends before its last event")}
 	case errors.Is(err, errFrozen) && c.link != nil:
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -92,7 +92,7 @@
 				closed()
 				return nil, err
 			}
-			return &link{Conn: c, keep: k, most: o.ConnIdle / 2, wrote: o.Wrote, closed: closed}, nil
+			return &connection{Conn: c, keep: k, most: o.ConnIdle / 2, wrote: o.Wrote, closed: closed}, nil
 		},
 		MaxResponseHeaderBytes: headMost,
 		// Half of the server's own idle time: a request written to a connection that the server is closing
@@ -120,10 +120,10 @@
 	result, err := s.try(transport, address, a)
 	if err != nil && result.Code != standpoint.Cancelled {
 		s.Log.Info("attempt failed", zap.String("server", s.name), zap.String("trace", a.Request.Work.TraceID),
-			zap.Int("leg", a.Leg), zap.Stringer("code", result.Code),
+			zap.Int("leg", a.Number), zap.Stringer("code", result.Code),
 			zap.Duration("after", time.Since(a.Sent)), zap.Error(err))
 	}
-	a.End(result)
+	a.Finish(result)
 }
 
 func (s *server) try(transport *http.Transport, address string, a *node.Attempt) (node.Result, error) {
@@ -141,14 +141,14 @@
 
 // once sends the request over one connection, a kept one where there is one, and carries its answer.
 func (s *server) once(transport *http.Transport, address string, a *node.Attempt) (result node.Result, kept bool, err error) {
-	var used atomic.Pointer[link]
+	var used atomic.Pointer[connection]
 	var request *http.Request
 	// Whether the request may have run is told by its last byte: before that is written no server starts.
 	ctx := httptrace.WithClientTrace(a.Context(), &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			kept = info.Reused
 			expiresIn(request, a) // the connection may have come up late; the head is written behind this call
-			if l, ok := info.Conn.(*link); ok {
+			if l, ok := info.Conn.(*connection); ok {
 				l.begin(len(a.Request.Work.Body), a.MayBegin)
 				used.Store(l)
 			}
@@ -172,7 +172,7 @@
 			l.dropped()
 		}
 		wrote := l != nil && l.sent()
-		if transient.LocalShortage(err) && ctx.Err() == nil {
+		if transient.IsLocalShortage(err) && ctx.Err() == nil {
 			return shortage(wrote), kept, err
 		}
 		return node.Result{Code: failure(ctx, wrote, l)}, kept, err
@@ -187,7 +187,7 @@
 	case response.Header.Get(neverRan) == "1":
 		result.Code = standpoint.TurnedAway
 	case slices.Contains(ofRequest, response.StatusCode):
-		result.Code, result.Rejected = standpoint.Cancelled, response.StatusCode
+		result.Code, result.InvalidStatus = standpoint.Cancelled, response.StatusCode
 	}
 	// So that the connection can be kept; but a body that does not come must not hold up the next attempt.
 	defer time.AfterFunc(drainTime, func() { cancel(errQuiet) }).Stop()
@@ -234,11 +234,11 @@
 
 // failure says how an attempt without a whole answer ended. An answer that cannot be read shows, unlike a lost
 // connection, that the server is there: it is an error of this one request.
-func failure(ctx context.Context, wrote bool, l *link) standpoint.Code {
+func failure(ctx context.Context, wrote bool, l *connection) standpoint.Code {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, node.ErrNoAnswer):
 		return standpoint.NoAnswer
-	case errors.Is(cause, node.ErrCalledOff), errors.Is(cause, node.ErrClientGone),
+	case errors.Is(cause, node.ErrCancelled), errors.Is(cause, node.ErrClientGone),
 		errors.Is(cause, node.ErrHandedBack):
 		return standpoint.Cancelled
 	case !wrote:
--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -89,14 +89,14 @@
 	log           *zap.Logger // of the components
 	processLog    *zap.Logger // of the process's phases: log with the node's name
 	level         zap.AtomicLevel
-	lifecycle     *node.Life
+	lifecycle     *node.Lifecycle
 	components    []component
 
 	// The supervising goroutine alone uses these.
-	current        deployment // in force
-	sharedSettings string     // the shared configuration that is laid over the operator's file; "" for none
-	siblingCount   int        // other live processes of this node
-	clients        *edge.Room // nil until clients are accepted
+	current        deployment              // in force
+	sharedSettings string                  // the shared configuration that is laid over the operator's file; "" for none
+	siblingCount   int                     // other live processes of this node
+	clients        *edge.ConnectionTracker // nil until clients are accepted
 
 	// Requests to the supervising goroutine.
 	settingsRequests chan settingsRequest
@@ -120,10 +120,10 @@
 	handlers   []prefixHandler // of paths that the front does not serve
 	routes     []control.Route // of the control interface
 
-	endpointCache     *endpoints.Keeper
-	overrides         *endpoints.ByHand
+	endpointCache     *endpoints.Cache
+	overrides         *endpoints.Overrides
 	endpointSource    runnableSource
-	updateEndpoints   func(node.List)
+	updateEndpoints   func(node.EndpointList)
 	endpointsReceived chan struct{} // closed at the source's first list; nil for a source that is not waited for
 	discoveryFailing  func() bool   // whether the source refuses, or cannot be reached
 
@@ -138,7 +138,7 @@
 
 // runnableSource is a source of the endpoint list that runs until its context ends.
 type runnableSource interface {
-	node.Entries
+	node.EndpointWatcher
 	Run(context.Context)
 }
 
@@ -156,7 +156,7 @@
 		baseDirectory:    filepath.Dir(o.ConfigFile),
 		log:              o.Log,
 		level:            zap.NewAtomicLevel(),
-		lifecycle:        &node.Life{},
+		lifecycle:        &node.Lifecycle{},
 		settingsRequests: make(chan settingsRequest),
 		drainRequests:    make(chan drainRequest),
 		overrideRequests: make(chan overrideRequest),
@@ -167,7 +167,7 @@
 	}
 	a.processLog = a.log.With(zap.String("node", a.name))
 	_, names, _ := d.requestSettings()
-	a.counters = metrics.New(names.Classes, func() int { return a.core.Open() })
+	a.counters = metrics.New(names.Classes, func() int { return a.core.OpenRequests() })
 	return a
 }
 
--- a/internal/daemon/console.go
+++ b/internal/daemon/console.go
@@ -19,10 +19,10 @@
 		return component{}, nil
 	}
 	operations := console.Operations{
-		Ready:   func() bool { return a.lifecycle.Now() == node.Serving },
+		Ready:   func() bool { return a.lifecycle.Phase() == node.Serving },
 		Metrics: a.counters.Text,
-		Down:    a.overrideOperation(func(id string) error { return a.overrides.Down(id) }),
-		Up:      a.overrideOperation(func(id string) error { return a.overrides.Up(id) }),
+		Down:    a.overrideOperation(func(id string) error { return a.overrides.Disable(id) }),
+		Up:      a.overrideOperation(func(id string) error { return a.overrides.Enable(id) }),
 		Drain:   a.requestDrain,
 	}
 	server, err := console.Listen(a.console, operations, a.log)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -71,8 +71,8 @@
 	return statusAnswer{
 		Name:          a.name,
 		Version:       Version + " " + runtime.Version(),
-		Phase:         a.lifecycle.Now().String(),
-		OpenRequests:  a.core.Open(),
+		Phase:         a.lifecycle.Phase().String(),
+		OpenRequests:  a.core.OpenRequests(),
 		Endpoints:     len(a.endpointCache.Current()),
 		UptimeSeconds: time.Since(started).Seconds(),
 	}
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -15,8 +15,8 @@
 		Settings:    settings,
 		Seed:        seed,
 		MaxRequests: a.limits.MaxRequests(),
-		Servers:     a.backends,
-		Entries:     a.endpointSource,
+		Backends:    a.backends,
+		Watcher:     a.endpointSource,
 		Pools:       a.pools,
 		Metrics:     a.counters,
 		Log:         a.log,
@@ -33,7 +33,7 @@
 	if exchange == nil {
 		return component{name: "core", run: a.core.Run, reload: func(next deployment) { a.adjustCore(&next) }}, nil
 	}
-	runExchange := func(ctx context.Context) { exchange.Run(ctx, a.core.Heard) }
+	runExchange := func(ctx context.Context) { exchange.Run(ctx, a.core.ReceivePeerMessage) }
 	reload := func(next deployment) {
 		exchange.SetPeers(next.platform.Peers)
 		a.adjustCore(&next)
--- a/internal/daemon/edge.go
+++ b/internal/daemon/edge.go
@@ -16,15 +16,15 @@
 		Core:     a.core,
 		Names:    names,
 		Life:     a.lifecycle,
-		Bodies:   node.NewShares(a.limits.MaxBodyBytes(), len(names.Tenants)),
+		Bodies:   node.NewTenantLimiter(a.limits.MaxBodyBytes(), len(names.Tenants)),
 		Metrics:  a.counters,
 		Sessions: a.sessions,
 		Log:      a.log,
 	}
 	reload := func(next deployment) {
 		_, names, _ := next.requestSettings()
-		a.front.Rename(names)
-		a.front.Bodies.Set(next.limits.MaxBodyBytes(), len(names.Tenants))
+		a.front.SetNames(names)
+		a.front.Bodies.SetCapacity(next.limits.MaxBodyBytes(), len(names.Tenants))
 	}
 	return component{name: "edge", reload: reload}, nil
 }
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -27,10 +27,10 @@
 // lists go on to the core.
 func (a *assembly) createEndpointCache() {
 	_, names, _ := a.requestSettings()
-	a.endpointCache = endpoints.NewKeeper(a.store, a.log)
+	a.endpointCache = endpoints.NewCache(a.store, a.log)
 	a.endpointCache.Names = endpointNames(names)
-	a.overrides = endpoints.NewByHand(a.endpointCache, func(l node.List) { a.core.News(l) }, a.siblings, a.log)
-	a.updateEndpoints = a.overrides.News
+	a.overrides = endpoints.NewOverrides(a.endpointCache, func(l node.EndpointList) { a.core.UpdateEndpoints(l) }, a.siblings, a.log)
+	a.updateEndpoints = a.overrides.Update
 }
 
 func endpointNames(names config.Names) endpoints.Names {
@@ -47,7 +47,7 @@
 	a.createEndpointCache()
 	a.endpointsReceived = make(chan struct{})
 	var first sync.Once
-	update := func(l node.List) {
+	update := func(l node.EndpointList) {
 		a.updateEndpoints(l)
 		first.Do(func() { close(a.endpointsReceived) })
 	}
@@ -56,10 +56,10 @@
 		watcher.Pushed = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
 	}
 	watcher.Nodes = cfg.Settings.Balancers
-	watcher.Knows(known)
+	watcher.Restore(known)
 	watcher.Watch() // before anything else that the start waits for, since the known list is old
 	if a.siblingCount > 0 {
-		watcher.Anew() // a serving sibling knows a newer list than the one this process was started with
+		watcher.RequestFullList() // a serving sibling knows a newer list than the one this process was started with
 	}
 	a.endpointSource = watcher
 	a.discoveryFailing = watcher.Failing
@@ -70,21 +70,21 @@
 		reload: func(next deployment) {
 			old, now := a.current.platform, next.platform
 			if now.Discovery != old.Discovery || !reflect.DeepEqual(now.Names, old.Names) {
-				watcher.Move(now.Discovery, endpointNames(now.Names))
+				watcher.SetDiscovery(now.Discovery, endpointNames(now.Names))
 			}
 		},
 	}, nil
 }
 
 // knownEndpoints decodes the list that the process was started with, and its sequence number.
-func (a *assembly) knownEndpoints() (int64, node.List, error) {
+func (a *assembly) knownEndpoints() (int64, node.EndpointList, error) {
 	cfg := a.platform
 	if len(cfg.KnownEndpoints) == 0 {
-		return 0, node.List{Kind: standpoint.ListFull}, nil
+		return 0, node.EndpointList{Kind: standpoint.ListFull}, nil
 	}
 	sequence, known, faults, err := endpoints.Decode(cfg.KnownEndpoints, endpointNames(cfg.Names))
 	if err != nil {
-		return 0, node.List{}, fmt.Errorf("known: %w", err)
+		return 0, node.EndpointList{}, fmt.Errorf("known: %w", err)
 	}
 	if len(faults) > 0 {
 		a.log.Warn("known endpoints skipped", zap.Errors("errors", faults))
--- a/internal/daemon/golden_metrics_test.go
+++ b/internal/daemon/golden_metrics_test.go
@@ -41,7 +41,7 @@
 	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
 	a := &assembly{deployment: fromOperator(cfg), store: store.NewMemory(), log: zap.NewNop()}
-	a.counters = metrics.New([]string{"chat", "import"}, func() int { return a.core.Open() })
+	a.counters = metrics.New([]string{"chat", "import"}, func() int { return a.core.OpenRequests() })
 	_, err = backendsComponent(a)
 	require.NoError(t, err)
 	_, err = operatorEndpointsComponent(a)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -58,7 +58,7 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "standpoint_" + name, Help: help}, value)
 	}
-	openRequests := func() float64 { return float64(a.core.Open()) }
+	openRequests := func() float64 { return float64(a.core.OpenRequests()) }
 	usedEndpoints := func() float64 { return float64(len(a.endpointCache.Current())) }
 	nodes := func() float64 { return float64(max(1, a.nodeCount.Load())) }
 	return registry, errors.Join(
--- a/internal/daemon/migrations.go
+++ b/internal/daemon/migrations.go
@@ -48,7 +48,7 @@
 			plan.Store(&next.operator.MigrationPlan)
 			a.tracker.Adjust(next.operator)
 			// The core assigns endpoints to pools as it gets them, so it gets them all again.
-			a.endpointCache.Again(func(l node.List) { a.core.News(l) })
+			a.endpointCache.Resend(func(l node.EndpointList) { a.core.UpdateEndpoints(l) })
 		},
 	}, nil
 }
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -62,10 +62,10 @@
 }
 
 // listedEndpoints is the endpoint list of an operator's file.
-func listedEndpoints(cfg *config.OperatorFile) node.List {
-	list := node.List{Kind: standpoint.ListFull}
+func listedEndpoints(cfg *config.OperatorFile) node.EndpointList {
+	list := node.EndpointList{Kind: standpoint.ListFull}
 	for _, b := range cfg.Backends {
-		list.Entries = append(list.Entries, node.Endpoint{
+		list.Endpoints = append(list.Endpoints, node.Endpoint{
 			Address: b.Address,
 			Batch:   b.Mode == config.BackendBatch,
 			Labels:  b.Labels,
@@ -88,13 +88,13 @@
 
 // apply sets the starts of the list's backends, given the endpoints as they were. It keeps no more names than the list
 // has.
-func (r replacedBackends) apply(list *node.List, previous []node.Endpoint) {
+func (r replacedBackends) apply(list *node.EndpointList, previous []node.Endpoint) {
 	addresses := map[string]string{}
 	for _, e := range previous {
 		addresses[e.Name] = e.Address
 	}
-	for i := range list.Entries {
-		e := &list.Entries[i]
+	for i := range list.Endpoints {
+		e := &list.Endpoints[i]
 		if address, known := addresses[e.Name]; known && address != e.Address {
 			r[e.Name] = clock.Now()
 		}
@@ -103,7 +103,7 @@
 		}
 	}
 	maps.DeleteFunc(r, func(name string, _ int64) bool {
-		return !slices.ContainsFunc(list.Entries, func(e node.Endpoint) bool { return e.Name == name })
+		return !slices.ContainsFunc(list.Endpoints, func(e node.Endpoint) bool { return e.Name == name })
 	})
 }
 
@@ -115,15 +115,15 @@
 	}
 	browsers := endpoints.NewBrowsers(a.updateEndpoints, all...)
 	a.endpointSource = browsers
-	a.endpointCache.Ages = browsers.Until
+	a.endpointCache.Ages = browsers.ExpiryTimes
 	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, browsers.Origins()...) })
 	var next []*endpoints.Browser // made by check, for reload
 	return component{
 		name: "endpoints",
 		run:  runTogether(a.endpointCache.Run, browsers.Run),
 		start: func(context.Context) {
-			if known, ok := a.endpointCache.Known(time.Now()); ok {
-				browsers.Known(known)
+			if known, ok := a.endpointCache.Load(time.Now()); ok {
+				browsers.Restore(known)
 				a.updateEndpoints(known)
 			}
 		},
@@ -196,4 +196,4 @@
 	return &tls.Config{RootCAs: roots, ServerName: serverName, MinVersion: tls.VersionTLS12}
 }
 
-var _ node.Entries = (*endpoints.Browsers)(nil)
+var _ node.EndpointWatcher = (*endpoints.Browsers)(nil)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -85,7 +85,7 @@
 		}
 	}
 	serveErrors := a.openFront(listener)
-	if err := a.lifecycle.Move(node.Serving); err != nil {
+	if err := a.lifecycle.Enter(node.Serving); err != nil {
 		return err
 	}
 	a.processLog.Info("serving", zap.String("listen", a.listen), zap.Any("limits", a.limits))
@@ -94,7 +94,7 @@
 
 // openFront has the HTTP front accept clients. The channel tells when, and why, it has ended.
 func (a *assembly) openFront(listener net.Listener) <-chan error {
-	a.clients = edge.NewRoom(listener, a.current.limits.MaxClientConnections(), a.processLog)
+	a.clients = edge.NewConnectionTracker(listener, a.current.limits.MaxClientConnections(), a.processLog)
 	a.clients.Metrics = a.counters
 	server := edge.NewServer(a.handler(), a.clients, a.processLog)
 	serveErrors := make(chan error, 1)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -37,16 +37,16 @@
 // drain accepts while clients may still come, then closes the listener and waits for what was accepted. What the
 // platform would kill is handed back in time; where it kills nothing, what is left after timeout is answered instead.
 func (a *assembly) drain(killDelay, timeout time.Duration) error {
-	if err := a.lifecycle.Move(node.Draining); err != nil {
+	if err := a.lifecycle.Enter(node.Draining); err != nil {
 		return err
 	}
-	a.processLog.Info("draining", zap.Int("open", a.core.Open()))
+	a.processLog.Info("draining", zap.Int("open", a.core.OpenRequests()))
 	end := timeout
 	if killDelay > 0 {
 		end = killDelay
 		handBack := min(handBackDelay, killDelay-killMargin)
 		defer time.AfterFunc(handBack, func() { a.core.HandBack(false) }).Stop()
-		defer time.AfterFunc(killDelay-exitMargin, a.clients.Clear).Stop()
+		defer time.AfterFunc(killDelay-exitMargin, a.clients.CloseIdle).Stop()
 	}
 	defer time.AfterFunc(end-killMargin, func() { a.core.HandBack(true) }).Stop()
 	time.Sleep(acceptAfterStop)
@@ -56,14 +56,14 @@
 // handOver drains while a sibling serves at the same socket. It stops accepting before it closes any connection, so
 // that clients who connect again reach the sibling.
 func (a *assembly) handOver(killDelay time.Duration) error {
-	if err := a.lifecycle.Move(node.HandingOver); err != nil {
+	if err := a.lifecycle.Enter(node.HandingOver); err != nil {
 		return err
 	}
-	a.processLog.Info("handing over", zap.Int("open", a.core.Open()))
+	a.processLog.Info("handing over", zap.Int("open", a.core.OpenRequests()))
 	if err := a.clients.Close(); err != nil {
 		a.processLog.Warn("listener close failed", zap.Error(err))
 	}
-	a.clients.SendAway(true)
+	a.clients.SetDraining(true)
 	end := shutdownTimeout
 	if killDelay > 0 {
 		end = killDelay
@@ -80,7 +80,7 @@
 func (a *assembly) finishDraining(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	err := a.clients.Leave(ctx)
+	err := a.clients.Drain(ctx)
 	adoptedFinished := make(chan struct{})
 	go func() {
 		a.adoptedStreams.Wait()
@@ -92,9 +92,9 @@
 		err = errors.Join(err, ctx.Err())
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = fmt.Errorf("draining: %d flows were left: %w", a.core.Open(), err)
+		err = fmt.Errorf("draining: %d flows were left: %w", a.core.OpenRequests(), err)
 	}
-	if moveErr := a.lifecycle.Move(node.Stopped); moveErr != nil {
+	if moveErr := a.lifecycle.Enter(node.Stopped); moveErr != nil {
 		return moveErr
 	}
 	a.processLog.Info("stopped")
@@ -121,24 +121,24 @@
 // setDrained drains the node by hand, or ends that. A node that has been told to stop has sent its clients away for
 // good.
 func (a *assembly) setDrained(drained bool) error {
-	phase := a.lifecycle.Now()
-	if phase > node.DrainedByHand {
+	phase := a.lifecycle.Phase()
+	if phase > node.ManuallyDrained {
 		if drained {
 			return nil
 		}
 		return console.ErrStopping
 	}
-	if drained == (phase == node.DrainedByHand) {
+	if drained == (phase == node.ManuallyDrained) {
 		return nil
 	}
 	next := node.Serving
 	if drained {
-		next = node.DrainedByHand
+		next = node.ManuallyDrained
 	}
-	if err := a.lifecycle.Move(next); err != nil {
+	if err := a.lifecycle.Enter(next); err != nil {
 		return err
 	}
-	a.clients.SendAway(drained)
-	a.processLog.Info("phase changed by operator", zap.Stringer("phase", next), zap.Int("open", a.core.Open()))
+	a.clients.SetDraining(drained)
+	a.processLog.Info("phase changed by operator", zap.Stringer("phase", next), zap.Int("open", a.core.OpenRequests()))
 	return nil
 }
--- a/internal/daemon/siblings.go
+++ b/internal/daemon/siblings.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		if count > known { // the new process goes on by what this one knows
-			a.overrides.Keep()
+			a.overrides.Persist()
 			a.publishLearned(ctx)
 		}
 		known = count
@@ -93,7 +93,7 @@
 func (a *assembly) publishLearned(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, learnedTimeout)
 	defer cancel()
-	learned := a.core.Learned(ctx)
+	learned := a.core.ExportLearned(ctx)
 	if learned == nil {
 		return
 	}
@@ -131,7 +131,7 @@
 	var learned standpoint.Learned
 	err := json.Unmarshal(raw, &learned)
 	if err == nil {
-		err = a.core.Recall(ctx, &learned)
+		err = a.core.ImportLearned(ctx, &learned)
 	}
 	if err != nil {
 		a.log.Warn("learned state rejected", zap.Error(err))
--- a/internal/daemon/streams.go
+++ b/internal/daemon/streams.go
@@ -20,7 +20,7 @@
 
 // passStreams passes the unfinished streams to the sibling that serves.
 func (a *assembly) passStreams() {
-	count := a.backends.Move(func(stream backend.Stream, clientFD, backendFD int) error {
+	count := a.backends.HandOver(func(stream backend.Stream, clientFD, backendFD int) error {
 		err := a.passStream(stream, clientFD, backendFD)
 		if err != nil {
 			a.processLog.Warn("stream not passed", zap.String("trace", stream.Trace), zap.Error(err))
@@ -53,14 +53,14 @@
 // adoptStream carries on with a stream of a sibling. It returns false where it does not take the connections.
 func (a *assembly) adoptStream(ctx context.Context, text []byte, client, server net.Conn) bool {
 	transfer, stream, err := decodeTransfer(text)
-	if phase := a.lifecycle.Now(); err != nil || phase > node.DrainedByHand {
+	if phase := a.lifecycle.Phase(); err != nil || phase > node.ManuallyDrained {
 		a.log.Warn("stream not adopted", zap.Stringer("phase", phase), zap.Error(err))
 		return false
 	}
 	a.adoptedStreams.Go(func() {
 		defer server.Close() // where the core does not admit the request, nothing else closes it
-		carry := func(attempt *node.Attempt) { a.backends.Carry(stream, server, attempt) }
-		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.Held, carry)
+		carry := func(attempt *node.Attempt) { a.backends.Continue(stream, server, attempt) }
+		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.ClientStall, carry)
 	})
 	return true
 }
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Tell sends a message to a node, without waiting. One that is too long, or finds the queue full, is dropped.
-func (x *Exchange) Tell(to int, data string) {
+// Send sends a message to a node, without waiting. One that is too long, or finds the queue full, is dropped.
+func (x *Exchange) Send(to int, data string) {
 	if len(data) == 0 || len(data) > SizeMost {
 		return
 	}
@@ -108,7 +108,7 @@
 		switch {
 		case err == nil:
 			x.take(from, buffer[:n])
-		case transient.Momentary(err):
+		case transient.IsTransient(err):
 			transient.Sleep(serving, time.Millisecond)
 		default:
 			return
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -50,7 +50,7 @@
 // until repeats a message until it is received: the other side may not be bound yet.
 func until(t *testing.T, x *Exchange, to int, data string, got chan received) received {
 	for range 500 {
-		x.Tell(to, data)
+		x.Send(to, data)
 		select {
 		case r := <-got:
 			return r
@@ -72,10 +72,10 @@
 	defer stranger.Close()
 	_, err = stranger.Write([]byte("strange"))
 	require.NoError(t, err)
-	first.Tell(1, strings.Repeat("x", SizeMost+1))
-	first.Tell(1, "")
-	first.Tell(2, "nobody")
-	first.Tell(-1, "nobody")
+	first.Send(1, strings.Repeat("x", SizeMost+1))
+	first.Send(1, "")
+	first.Send(2, "nobody")
+	first.Send(-1, "nobody")
 	for {
 		r := until(t, first, 1, "last", got)
 		require.Contains(t, []string{"hello", "last"}, r.data)
@@ -93,7 +93,7 @@
 	first, _ := run(t, peers[0], peers)
 	_, got := run(t, peers[1], peers)
 	for range 2 * queueSize { // nobody is waited for
-		first.Tell(1, "lost")
+		first.Send(1, "lost")
 	}
 	require.Empty(t, got)
 	require.NoError(t, other.Close())
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -26,7 +26,7 @@
 // then, meet under its lock: either nothing has been read and nothing will be, or the request is read on and gets its answer.
 type clientConn struct {
 	net.Conn
-	room          *Room
+	room          *ConnectionTracker
 	heard         atomic.Bool // something has come on it
 	busy, leaving bool        // under the room's lock, like asked, cleared and since. busy: a request is open, else it has rested since then
 	asked         bool        // a whole head has come on it
@@ -219,7 +219,7 @@
 }
 
 // hasLeft tells that the client has ended the connection, whether the server has come to see that or not.
-func (p *clientConn) hasLeft() bool { return p.gone.Load() || backend.HungUp(p.Conn) }
+func (p *clientConn) hasLeft() bool { return p.gone.Load() || backend.PeerClosed(p.Conn) }
 
 // saidMore tells that the client has sent something behind its open request.
 func (p *clientConn) saidMore() bool {
@@ -242,7 +242,7 @@
 func (p *clientConn) Close() error {
 	p.stopAhead()
 	p.dropAhead()
-	if n, _ := backend.Peek(p.Conn); n == 0 || !p.answered.Load() || !p.room.linger(p) {
+	if n, _ := backend.UnreadBytes(p.Conn); n == 0 || !p.answered.Load() || !p.room.linger(p) {
 		return p.Conn.Close()
 	}
 	half, ok := p.Conn.(interface{ CloseWrite() error })
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -44,9 +44,9 @@
 // Front is the platform's front.
 type Front struct {
 	Core    *node.Core
-	Life    *node.Life
+	Life    *node.Lifecycle
 	Names   config.Names
-	Bodies  *node.Shares // bytes of the bodies that are held at once
+	Bodies  *node.TenantLimiter // bytes of the bodies that are held at once
 	Metrics *metrics.Counters
 	// Sessions, if not nil, pause at calls of tools and go on with their results.
 	Sessions *service.Service
@@ -60,7 +60,7 @@
 
 // NewServer makes the server whose connections the room holds. A client that does not bring its request whole
 // within readTime of connecting is shut out: an answer or a close is owed within 3 s.
-func NewServer(h http.Handler, room *Room, log *zap.Logger) *http.Server {
+func NewServer(h http.Handler, room *ConnectionTracker, log *zap.Logger) *http.Server {
 	ending := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body == http.NoBody {
 			cameWhole(r)
@@ -77,7 +77,7 @@
 		h.ServeHTTP(w, r)
 	})
 	return &http.Server{Handler: ending, ReadTimeout: readTime, IdleTimeout: idleTime, MaxHeaderBytes: headMost,
-		ConnState: room.Note, ErrorLog: zap.NewStdLog(log),
+		ConnState: room.ConnState, ErrorLog: zap.NewStdLog(log),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, clientConnKey{}, c)
 		}}
@@ -85,15 +85,15 @@
 
 // Handler returns the front's HTTP handler.
 func (f *Front) Handler() http.Handler {
-	f.Rename(f.Names)
+	f.SetNames(f.Names)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_health", f.health)
 	mux.HandleFunc("POST "+chatTarget, f.chat)
 	return mux
 }
 
-// Rename changes the names that requests may give, from the next request on.
-func (f *Front) Rename(names config.Names) {
+// SetNames changes the names that requests may give, from the next request on.
+func (f *Front) SetNames(names config.Names) {
 	f.indexes.Store(&indexes{index(names.Classes), index(names.Tenants)})
 	if f.Metrics != nil {
 		f.Metrics.SetClasses(names.Classes)
@@ -109,7 +109,7 @@
 }
 
 func (f *Front) health(w http.ResponseWriter, r *http.Request) {
-	phase := f.Life.Now()
+	phase := f.Life.Phase()
 	f.parting(w, r, phase)
 	if phase != node.Serving && phase != node.HandingOver { // handing over, it is another process of this node that serves
 		refuse(w, http.StatusServiceUnavailable, "node is "+phase.String())
@@ -176,7 +176,7 @@
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	control := http.NewResponseController(w)
-	f.parting(w, r, f.Life.Now())
+	f.parting(w, r, f.Life.Phase())
 	request, err := f.decode(r, began)
 	if err == nil {
 		of := &counted{ReadCloser: r.Body, bodies: f.Bodies, tenant: request.Tenant}
@@ -190,7 +190,7 @@
 			// readTime is for the request; from here on the server must be able to notice a client that leaves.
 			_ = control.SetReadDeadline(time.Time{})
 			phase, since := f.Life.Since()
-			if f.parting(w, r, phase); phase == node.DrainedByHand && time.Since(since) > awayTime {
+			if f.parting(w, r, phase); phase == node.ManuallyDrained && time.Since(since) > awayTime {
 				f.ended(r, metrics.Rejected)
 				turnDown(w, busyWait)
 				return
@@ -262,7 +262,7 @@
 // counted is a body whose bytes count as they come: one that is announced and does not come takes nothing.
 type counted struct {
 	io.ReadCloser
-	bodies *node.Shares
+	bodies *node.TenantLimiter
 	tenant int
 	taken  int
 }
@@ -272,7 +272,7 @@
 func (c *counted) Read(b []byte) (int, error) {
 	n, err := c.ReadCloser.Read(b)
 	if n > 0 {
-		if !c.bodies.Take(c.tenant, n) {
+		if !c.bodies.Acquire(c.tenant, n) {
 			return 0, errFull
 		}
 		c.taken += n
@@ -280,7 +280,7 @@
 	return n, err
 }
 
-func (c *counted) give() { c.bodies.Give(c.tenant, c.taken) }
+func (c *counted) give() { c.bodies.Release(c.tenant, c.taken) }
 
 // turnDown refuses, and says when to come back, if the module says so.
 func turnDown(w http.ResponseWriter, wait time.Duration) {
@@ -488,14 +488,20 @@
 	from := time.Now()
 	_ = deadline(from.Add(writeTime - p.held))
 	err := write()
-	if wait := time.Since(from); wait > node.HeldLeast {
+	if wait := time.Since(from); wait > node.MinClientStall {
 		p.held += wait
 	}
 	return err
 }
 
-// Gone implements node.Leaver.
-func (c *connection) Gone() bool { return c.conn != nil && c.conn.hasLeft() }
+var (
+	_ node.ClientConnection   = (*connection)(nil)
+	_ node.DisconnectDetector = (*connection)(nil)
+	_ node.Detacher           = (*connection)(nil)
+)
+
+// Disconnected implements node.DisconnectDetector.
+func (c *connection) Disconnected() bool { return c.conn != nil && c.conn.hasLeft() }
 
 func (c *connection) Begin() error {
 	c.w.Header().Set("Content-Type", "text/event-stream")
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -31,8 +31,8 @@
 		f.Add([]byte(head + more))
 	}
 	core := node.New(node.Options{Settings: standpoint.Settings{}, MaxRequests: 1, Log: zap.NewNop()})
-	front := &Front{Core: core, Names: config.Names{Classes: []string{"chat"}, Tenants: []string{"acme"}}, Bodies: node.NewShares(1<<30, 1), Log: zap.NewNop()}
-	front.Rename(front.Names)
+	front := &Front{Core: core, Names: config.Names{Classes: []string{"chat"}, Tenants: []string{"acme"}}, Bodies: node.NewTenantLimiter(1<<30, 1), Log: zap.NewNop()}
+	front.SetNames(front.Names)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 		if err != nil {
--- a/internal/edge/leaving_test.go
+++ b/internal/edge/leaving_test.go
@@ -56,7 +56,7 @@
 	r := n.Chat(t.Context(), nil)
 	require.NoError(t, r.Write(busy))
 	<-came
-	n.Room.Clear()
+	n.Room.CloseIdle()
 	_, err := silent.Read(make([]byte, 1))
 	require.Error(t, err)
 	var late net.Error
--- a/internal/edge/moments_test.go
+++ b/internal/edge/moments_test.go
@@ -54,10 +54,10 @@
 
 // The ways in which a node ends connections that rest.
 var closers = map[string]func(n *testpeer.Node){
-	"as it ends":        func(n *testpeer.Node) { _ = n.Room.Leave(once()) },
-	"before the kill":   func(n *testpeer.Node) { n.Room.Clear() },
+	"as it ends":        func(n *testpeer.Node) { _ = n.Room.Drain(once()) },
+	"before the kill":   func(n *testpeer.Node) { n.Room.CloseIdle() },
 	"to have room":      func(n *testpeer.Node) { n.Room.Resize(1); n.Dial() },
-	"sent away by hand": func(n *testpeer.Node) { n.Room.SendAway(true); time.Sleep(600 * time.Millisecond) }, // by its own clock
+	"sent away by hand": func(n *testpeer.Node) { n.Room.SetDraining(true); time.Sleep(600 * time.Millisecond) }, // by its own clock
 }
 
 // A request on a resting connection that the node ends at that moment: its bytes have left the socket, and the server has not got
@@ -125,9 +125,9 @@
 	n := testpeer.StartHeld(t, held.Conn, nil, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, always)))
 	c := n.Dial()
 	<-held.Accepted
-	require.NoError(t, n.Life.Move(node.Draining))
+	require.NoError(t, n.Life.Enter(node.Draining))
 	left := make(chan error, 1)
-	go func() { left <- n.Room.Leave(t.Context()) }()
+	go func() { left <- n.Room.Drain(t.Context()) }()
 	require.Eventually(t, func() bool {
 		late, err := net.Dial("tcp", n.Address)
 		if err == nil {
@@ -164,7 +164,7 @@
 	require.NoError(t, err)
 	require.False(t, response.Close)
 	left := make(chan error, 1)
-	go func() { left <- n.Room.Leave(t.Context()) }()
+	go func() { left <- n.Room.Drain(t.Context()) }()
 	close(release)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
@@ -204,7 +204,7 @@
 				}
 				leave(c)
 				began := time.Now()
-				require.Eventually(t, func() bool { return n.Core.Open() == 0 }, 2*time.Second, time.Millisecond, "nobody noticed that it left")
+				require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, 2*time.Second, time.Millisecond, "nobody noticed that it left")
 				require.Less(t, time.Since(began), 500*time.Millisecond)
 				held.Go <- struct{}{}
 				n.Heard()
@@ -263,9 +263,9 @@
 			left := make(chan error, 1)
 			if c.ending {
 				require.NoError(t, <-sent)
-				require.Eventually(t, func() bool { return n.Room.Ahead() == 1 }, time.Second, time.Millisecond)
-				require.NoError(t, n.Life.Move(node.Draining))
-				go func() { left <- n.Room.Leave(t.Context()) }()
+				require.Eventually(t, func() bool { return n.Room.Pipelined() == 1 }, time.Second, time.Millisecond)
+				require.NoError(t, n.Life.Enter(node.Draining))
+				go func() { left <- n.Room.Drain(t.Context()) }()
 			}
 			close(release)
 			for range c.sizes {
--- a/internal/edge/moving.go
+++ b/internal/edge/moving.go
@@ -32,7 +32,7 @@
 	if !ours || buffered.Reader.Buffered() > 0 {
 		return 0, errors.New("a client that has said more already")
 	}
-	return backend.Duplicate(p.Conn)
+	return backend.DuplicateSocket(p.Conn)
 }
 
 // ClassName is the name of a class by its index; "" for one that there is not.
@@ -92,4 +92,4 @@
 }
 
 // Detach implements node.Detacher.
-func (c *adopted) Detach() (int, error) { return backend.Duplicate(c.conn) }
+func (c *adopted) Detach() (int, error) { return backend.DuplicateSocket(c.conn) }
--- a/internal/edge/operating_test.go
+++ b/internal/edge/operating_test.go
@@ -73,7 +73,7 @@
 	require.Error(t, <-gone)
 	holds(at(5, 0, 3, 8, 0))
 	close(release)
-	require.Eventually(t, func() bool { return n.Bodies.Take(0, 8<<20) }, 3*time.Second, time.Millisecond, "all room for bodies is taken")
+	require.Eventually(t, func() bool { return n.Bodies.Acquire(0, 8<<20) }, 3*time.Second, time.Millisecond, "all room for bodies is taken")
 	status, header, _, _ := n.Do(n.Chat(t.Context(), nil))
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
@@ -150,9 +150,9 @@
 	_, restsIn := idle(t, n, "rests")
 	asks, asksIn := idle(t, n, "asks")
 	silent := n.Dial()
-	require.NoError(t, n.Life.Move(node.DrainedByHand))
-	n.Room.SendAway(true)
-	n.Room.SendAway(true) // the call may be repeated
+	require.NoError(t, n.Life.Enter(node.ManuallyDrained))
+	n.Room.SetDraining(true)
+	n.Room.SetDraining(true) // the call may be repeated
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, health())
 	last := askOn(t, n, asks, asksIn, "last")
@@ -181,8 +181,8 @@
 	_, err = io.ReadAll(stream)
 	require.NoError(t, err)
 	require.Less(t, time.Since(began), 200*time.Millisecond)
-	require.NoError(t, n.Life.Move(node.Serving))
-	n.Room.SendAway(false)
+	require.NoError(t, n.Life.Enter(node.Serving))
+	n.Room.SetDraining(false)
 	require.Equal(t, http.StatusOK, health())
 	idle(t, n, "again")
 	time.Sleep(600 * time.Millisecond) // longer than a connection rests while clients are sent away
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -31,10 +31,10 @@
 	clearTime = 30 * time.Millisecond // for the rest of a request that comes as connections are cleared
 )
 
-// Room is the listener's side of the client connections: it keeps them within their share of the descriptors.
+// ConnectionTracker is the listener's side of the client connections: it keeps them within their share of the descriptors.
 // While places are short the connection that has rested longest gives up its own, so that clients who keep
 // connections that they do not use, or say nothing on them, cannot shut others out.
-type Room struct {
+type ConnectionTracker struct {
 	net.Listener
 	// Metrics, if not nil, counts the connections that are closed without an answer. It is set before the room is in use.
 	Metrics *metrics.Counters
@@ -57,14 +57,14 @@
 	log     *zap.Logger
 }
 
-// NewRoom wraps a listener, and accepts on while accepts fail for a moment; the server's ConnState must be the room's Note.
-func NewRoom(l net.Listener, most int, log *zap.Logger) *Room {
-	return &Room{Listener: transient.NewListener(l, log), most: most, log: log, closed: make(chan struct{}),
+// NewConnectionTracker wraps a listener, and accepts on while accepts fail for a moment; the server's ConnState must be the room's Note.
+func NewConnectionTracker(l net.Listener, most int, log *zap.Logger) *ConnectionTracker {
+	return &ConnectionTracker{Listener: transient.NewListener(l, log), most: most, log: log, closed: make(chan struct{}),
 		freed: make(chan struct{}, 1), conns: map[*clientConn]bool{}}
 }
 
-// SendAway has the connections that rest end, until it is told that clients may stay, or the last one of a closed room went.
-func (r *Room) SendAway(on bool) {
+// SetDraining has the connections that rest end, until it is told that clients may stay, or the last one of a closed room went.
+func (r *ConnectionTracker) SetDraining(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -79,7 +79,7 @@
 
 // sweep ends what rests once the time for it has come. An answer that began before the word could not say that its connection
 // ends: from then on that ends with the answer.
-func (r *Room) sweep(from time.Time, stop <-chan struct{}) {
+func (r *ConnectionTracker) sweep(from time.Time, stop <-chan struct{}) {
 	tick := time.NewTicker(awayLook)
 	defer tick.Stop()
 	for {
@@ -98,7 +98,7 @@
 }
 
 // endRests ends the connections that have rested for so long, and tells how many there are.
-func (r *Room) endRests(now time.Time, rest time.Duration, stop <-chan struct{}) int {
+func (r *ConnectionTracker) endRests(now time.Time, rest time.Duration, stop <-chan struct{}) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -115,10 +115,10 @@
 	return len(r.conns)
 }
 
-// Leave closes the room, and has every connection end on which no request is open, until none is left or ctx ends. What has come of
+// Drain closes the room, and has every connection end on which no request is open, until none is left or ctx ends. What has come of
 // a request is read on and answered. One on which nothing has come at all may stay until it is shut out: its client may be about to
 // send.
-func (r *Room) Leave(ctx context.Context) error {
+func (r *ConnectionTracker) Drain(ctx context.Context) error {
 	if err := r.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (r *Room) isClosed() bool {
+func (r *ConnectionTracker) isClosed() bool {
 	select {
 	case <-r.closed:
 		return true
@@ -145,16 +145,16 @@
 
 // ask has a connection that rests end, unless something of a request has come. It is not closed: the server does so once it has
 // found that nothing comes any more.
-func (r *Room) ask(p *clientConn, now time.Time) {
+func (r *ConnectionTracker) ask(p *clientConn, now time.Time) {
 	if p.end(now) {
 		p.leaving = true
 		r.leaving++
 	}
 }
 
-// Clear ends the connections on which no request is open. A request that crosses that comes again elsewhere; one that came a moment
+// CloseIdle ends the connections on which no request is open. A request that crosses that comes again elsewhere; one that came a moment
 // before the process is killed would get no answer. One of which something has come is given a moment to be whole.
-func (r *Room) Clear() {
+func (r *ConnectionTracker) CloseIdle() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -171,7 +171,7 @@
 }
 
 // linger takes one of the few places for connections that end slowly, where a request has been open until now; lingered gives it back.
-func (r *Room) linger(p *clientConn) bool {
+func (r *ConnectionTracker) linger(p *clientConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !p.busy || r.lingers.Load() >= lingerMost {
@@ -181,17 +181,17 @@
 	return true
 }
 
-func (r *Room) lingered() { r.lingers.Add(-1) }
+func (r *ConnectionTracker) lingered() { r.lingers.Add(-1) }
 
 // Resize changes how many connections there may be.
-func (r *Room) Resize(most int) {
+func (r *ConnectionTracker) Resize(most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.most = most
 }
 
 // Accept waits for a place, then for a connection.
-func (r *Room) Accept() (net.Conn, error) {
+func (r *ConnectionTracker) Accept() (net.Conn, error) {
 	for !r.free(time.Now()) {
 		select {
 		case <-r.closed:
@@ -212,14 +212,14 @@
 }
 
 // Close ends the accepting.
-func (r *Room) Close() error {
+func (r *ConnectionTracker) Close() error {
 	r.once.Do(func() { close(r.closed) })
 	return r.Listener.Close()
 }
 
 // free tells that there is a place. Once the last eighth is being given out it asks the longest rests to end, as
 // many as it takes to have that eighth back.
-func (r *Room) free(now time.Time) bool {
+func (r *ConnectionTracker) free(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	short := len(r.conns) - r.leaving - (r.most - r.most/8)
@@ -246,7 +246,7 @@
 }
 
 // tell says who holds the places while there is none to give.
-func (r *Room) tell(now time.Time) {
+func (r *ConnectionTracker) tell(now time.Time) {
 	var busy, silent, fresh, longest = 0, 0, 0, time.Duration(0)
 	for p := range r.conns {
 		switch {
@@ -266,21 +266,21 @@
 
 // filling tells that half of the places are given out. Answers then end their connections: those who come by the
 // hundred, ask once and stay would otherwise hold all places for as long as a rest may last.
-func (r *Room) filling() bool {
+func (r *ConnectionTracker) filling() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns) >= r.most/2
 }
 
 // count counts a connection that ends without an answer.
-func (r *Room) count(p *clientConn) {
+func (r *ConnectionTracker) count(p *clientConn) {
 	if why, ok := p.unheard(r.away != nil || r.isClosed()); ok {
 		r.Metrics.CountSilentClose(why)
 	}
 }
 
-// Note follows the connections' states.
-func (r *Room) Note(c net.Conn, state http.ConnState) {
+// ConnState follows the connections' states.
+func (r *ConnectionTracker) ConnState(c net.Conn, state http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ours := c.(*clientConn)
@@ -313,8 +313,8 @@
 	}
 }
 
-// Ahead is how many clients have sent something behind their open requests.
-func (r *Room) Ahead() int {
+// Pipelined is how many clients have sent something behind their open requests.
+func (r *ConnectionTracker) Pipelined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
--- a/internal/edge/room_test.go
+++ b/internal/edge/room_test.go
@@ -59,7 +59,7 @@
 	health, err := http.Get(n.URL + "/_health")
 	require.NoError(t, err)
 	health.Body.Close()
-	n.Room.Clear()
+	n.Room.CloseIdle()
 	_, err = silent.Read(make([]byte, 1))
 	require.Error(t, err)
 	require.Eventually(t, count(metrics.Stopping), 10*time.Second, time.Millisecond)
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -46,8 +46,8 @@
 	}
 	q := resumed.Request
 	q.Expires = min(flow.Spec.Expires, f.Core.ExpiresAt(resumed.Deadline))
-	flow.Spec, flow.Work.Body, flow.Fresh = q, resumed.Body, resumed.UncachedTokens
-	flow.Holder, flow.Start, flow.Holds = resumed.Backend, resumed.BackendStart, resumed.CachedTokens
+	flow.Spec, flow.Work.Body, flow.UncachedTokens = q, resumed.Body, resumed.UncachedTokens
+	flow.CacheHolder, flow.HolderStartedAt, flow.HeldTokens = resumed.Backend, resumed.BackendStart, resumed.CachedTokens
 	flow.Hook = resumed.Hook(flow.Server, flow.BreakOff)
 	return false
 }
--- a/internal/edge/story_test.go
+++ b/internal/edge/story_test.go
@@ -150,7 +150,7 @@
 	case <-time.After(time.Second):
 		t.Fatal("the attempt is still out")
 	}
-	require.Eventually(t, func() bool { return n.Core.Open() == 0 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
 }
 
 // Nothing new goes to a server once its drain was told.
@@ -468,7 +468,7 @@
 		came <- struct{}{}
 		<-r.Context().Done()
 	})))
-	n.Bodies.Set(500<<10, 1)
+	n.Bodies.SetCapacity(500<<10, 1)
 	body := `{"messages":["` + strings.Repeat("x", 200<<10) + `"]}`
 	large := func(ctx context.Context) *http.Request {
 		return n.Chat(ctx, func(r *http.Request) {
@@ -493,5 +493,5 @@
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
 	leave()
-	require.Eventually(t, func() bool { return n.Bodies.Taken() == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return n.Bodies.InUse() == 0 }, 5*time.Second, time.Millisecond)
 }
--- a/internal/endpoints/browsers.go
+++ b/internal/endpoints/browsers.go
@@ -16,7 +16,7 @@
 // Browsers are several services and domains in one, a hall each, say. What one of them cannot tell costs its own
 // boxes alone: the others' news goes on.
 type Browsers struct {
-	News func(node.List)
+	News func(node.EndpointList)
 
 	mu      sync.Mutex
 	all     []*running
@@ -35,7 +35,7 @@
 }
 
 // NewBrowsers makes the actor of several.
-func NewBrowsers(news func(node.List), all ...*Browser) *Browsers {
+func NewBrowsers(news func(node.EndpointList), all ...*Browser) *Browsers {
 	b := &Browsers{News: news}
 	for _, one := range all {
 		b.all = append(b.all, &running{Browser: one})
@@ -43,12 +43,12 @@
 	return b
 }
 
-// Known hands in the list that the store has, before Run: each source's part stands until the source itself tells.
-func (b *Browsers) Known(l node.List) {
+// Restore hands in the list that the store has, before Run: each source's part stands until the source itself tells.
+func (b *Browsers) Restore(l node.EndpointList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, one := range b.all {
-		for _, e := range l.Entries {
+		for _, e := range l.Endpoints {
 			if e.Source == one.Key {
 				one.part, one.has = append(one.part, e), true
 			}
@@ -85,13 +85,13 @@
 func (b *Browsers) begin(one *running) {
 	var ctx context.Context
 	ctx, one.stop = context.WithCancel(b.context)
-	one.News = func(l node.List) {
+	one.News = func(l node.EndpointList) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if !slices.Contains(b.all, one) {
 			return // taken away a moment ago
 		}
-		one.part, one.has, one.own = l.Entries, true, true
+		one.part, one.has, one.own = l.Endpoints, true, true
 		if b.open || !slices.ContainsFunc(b.all, func(r *running) bool { return !r.own }) {
 			b.tell()
 		}
@@ -140,9 +140,9 @@
 // tell tells the whole list. Lists go out one after the other, the lock held, so that an older one never comes last.
 func (b *Browsers) tell() {
 	b.open = true
-	l := node.List{Kind: standpoint.ListFull}
+	l := node.EndpointList{Kind: standpoint.ListFull}
 	for _, one := range b.all {
-		l.Entries = append(l.Entries, one.part...)
+		l.Endpoints = append(l.Endpoints, one.part...)
 	}
 	b.News(l)
 }
@@ -166,8 +166,8 @@
 	return all
 }
 
-// Until is when each entry's records come to the end of their time, by the entry's name.
-func (b *Browsers) Until() map[string]time.Time {
+// ExpiryTimes is when each entry's records come to the end of their time, by the entry's name.
+func (b *Browsers) ExpiryTimes() map[string]time.Time {
 	until := map[string]time.Time{}
 	for _, o := range b.Origins() {
 		if !o.Until.IsZero() {
--- a/internal/endpoints/byhand.go
+++ b/internal/endpoints/byhand.go
@@ -18,21 +18,21 @@
 // ErrNeverListed is the answer to a command about a backend that no source ever told of.
 var ErrNeverListed = errors.New("never listed")
 
-// ErrNotKept is the answer to a command that is carried out here, but could not be written where other processes of
+// ErrNotPersisted is the answer to a command that is carried out here, but could not be written where other processes of
 // this node, and the one after this, will look.
-var ErrNotKept = errors.New("carried out, but not kept for a process that takes over")
+var ErrNotPersisted = errors.New("carried out, but not kept for a process that takes over")
 
 const (
 	seenMost = 8192 // names that were ever listed; of more, the oldest are forgotten
 	backMost = 1024 // names that were put back; likewise
 )
 
-// ByHand is the overlay of what staff decide: whatever the sources tell of a backend that is out, the core is told
+// Overrides is the overlay of what staff decide: whatever the sources tell of a backend that is out, the core is told
 // that it drains. It holds until the server is put back: over its end, its new start or address, and the end of any
 // source. Put back it is told of as started at that moment: cold, and nothing is believed of what it was.
-type ByHand struct {
-	keeper *Keeper
-	to     func(node.List)
+type Overrides struct {
+	keeper *Cache
+	to     func(node.EndpointList)
 	share  *handover.Channel // nil: nobody to share with
 	log    *zap.Logger
 
@@ -45,25 +45,25 @@
 	seen   map[string]bool // the names in record.Seen
 }
 
-// NewByHand makes the overlay over what the keeper is told, with what an earlier process left.
-func NewByHand(k *Keeper, to func(node.List), share *handover.Channel, log *zap.Logger) *ByHand {
-	b := &ByHand{keeper: k, to: to, share: share, log: log, seen: map[string]bool{},
+// NewOverrides makes the overlay over what the keeper is told, with what an earlier process left.
+func NewOverrides(k *Cache, to func(node.EndpointList), share *handover.Channel, log *zap.Logger) *Overrides {
+	b := &Overrides{keeper: k, to: to, share: share, log: log, seen: map[string]bool{},
 		record: handover.Record{DownSince: map[string]int64{}, RestoredAt: map[string]int64{}}}
 	k.lay = b.lay
 	b.Sync()
 	return b
 }
 
-// News notes what a source tells, and hands it on as staff would have it.
-func (b *ByHand) News(l node.List) { b.keeper.Tell(l, b.to) }
+// Update notes what a source tells, and hands it on as staff would have it.
+func (b *Overrides) Update(l node.EndpointList) { b.keeper.Update(l, b.to) }
 
 // lay is the list as staff would have it. The keeper calls it in the order of telling.
-func (b *ByHand) lay(l node.List) node.List {
+func (b *Overrides) lay(l node.EndpointList) node.EndpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	laid := node.List{Kind: l.Kind, Entries: slices.Clone(l.Entries)}
-	for i := range laid.Entries {
-		e := &laid.Entries[i]
+	laid := node.EndpointList{Kind: l.Kind, Endpoints: slices.Clone(l.Endpoints)}
+	for i := range laid.Endpoints {
+		e := &laid.Endpoints[i]
 		b.note(e.Name)
 		if e.State == standpoint.Gone {
 			continue
@@ -78,7 +78,7 @@
 }
 
 // note remembers a name that was listed.
-func (b *ByHand) note(name string) {
+func (b *Overrides) note(name string) {
 	if b.seen[name] {
 		return
 	}
@@ -90,8 +90,8 @@
 	b.record.Listed = append(b.record.Listed, name)
 }
 
-// Down takes a backend out, at once; it may be said again.
-func (b *ByHand) Down(name string) error {
+// Disable takes a backend out, at once; it may be said again.
+func (b *Overrides) Disable(name string) error {
 	return b.command(name, func(r *handover.Record, now int64) {
 		if r.DownSince[name] == 0 {
 			r.DownSince[name] = now
@@ -100,8 +100,8 @@
 	})
 }
 
-// Up puts one back.
-func (b *ByHand) Up(name string) error {
+// Enable puts one back.
+func (b *Overrides) Enable(name string) error {
 	return b.command(name, func(r *handover.Record, now int64) {
 		if r.DownSince[name] != 0 {
 			delete(r.DownSince, name)
@@ -111,7 +111,7 @@
 }
 
 // command carries out a change of one name: here and in the core at once, then in the record that processes share.
-func (b *ByHand) command(name string, change func(r *handover.Record, now int64)) error {
+func (b *Overrides) command(name string, change func(r *handover.Record, now int64)) error {
 	b.commands.Lock()
 	defer b.commands.Unlock()
 	b.mu.Lock()
@@ -128,7 +128,7 @@
 }
 
 // keep changes the record in the shared file, where there is one, and takes what it then says. The commands' lock is held.
-func (b *ByHand) keep(change func(*handover.Record)) error {
+func (b *Overrides) keep(change func(*handover.Record)) error {
 	if b.share == nil {
 		return nil
 	}
@@ -142,14 +142,14 @@
 	})
 	if err != nil {
 		b.log.Error("what staff decided is not kept for a process that takes over", zap.Error(err))
-		return fmt.Errorf("%w: %w", ErrNotKept, err)
+		return fmt.Errorf("%w: %w", ErrNotPersisted, err)
 	}
 	b.take(r)
 	return nil
 }
 
 // take makes a record the one that holds, and tells the core anew of the names in which it differs.
-func (b *ByHand) take(r handover.Record) {
+func (b *Overrides) take(r handover.Record) {
 	b.keeper.order.Lock()
 	defer b.keeper.order.Unlock()
 	b.mu.Lock()
@@ -175,7 +175,7 @@
 
 // Sync takes in what another process of this node was told, where there is news. While a command is carried out it leaves that for the
 // next time.
-func (b *ByHand) Sync() {
+func (b *Overrides) Sync() {
 	if b.share == nil || !b.commands.TryLock() {
 		return
 	}
@@ -189,8 +189,8 @@
 	}
 }
 
-// Keep writes down all that was ever listed, for a process that takes over.
-func (b *ByHand) Keep() {
+// Persist writes down all that was ever listed, for a process that takes over.
+func (b *Overrides) Persist() {
 	b.commands.Lock()
 	defer b.commands.Unlock()
 	_ = b.keep(func(*handover.Record) {}) // logged
--- a/internal/endpoints/byhand_test.go
+++ b/internal/endpoints/byhand_test.go
@@ -19,20 +19,20 @@
 // coreSaw is what the core has been told of each name.
 type coreSaw map[string]node.Endpoint
 
-func (c coreSaw) take(l node.List) {
+func (c coreSaw) take(l node.EndpointList) {
 	if l.Kind == standpoint.ListFull {
 		clear(c)
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		c[e.Name] = e
 	}
 }
 
-func overlay(t *testing.T, share *handover.Channel) (*ByHand, coreSaw) {
+func overlay(t *testing.T, share *handover.Channel) (*Overrides, coreSaw) {
 	core := coreSaw{}
 	keys := store.NewMemory()
 	t.Cleanup(func() { _ = keys.Close() })
-	return NewByHand(NewKeeper(keys, zap.NewNop()), core.take, share, zap.NewNop()), core
+	return NewOverrides(NewCache(keys, zap.NewNop()), core.take, share, zap.NewNop()), core
 }
 
 func entry(name string, state standpoint.State, start int64) node.Endpoint {
@@ -42,17 +42,17 @@
 // Out by hand holds whatever the sources tell; back is a fresh start, which an older one told late does not undo.
 func TestOutAndBackByHand(t *testing.T) {
 	b, core := overlay(t, nil)
-	full := func(all ...node.Endpoint) { b.News(node.List{Kind: standpoint.ListFull, Entries: all}) }
+	full := func(all ...node.Endpoint) { b.Update(node.EndpointList{Kind: standpoint.ListFull, Endpoints: all}) }
 	delta := func(e node.Endpoint) {
-		b.News(node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{e}})
+		b.Update(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{e}})
 	}
 	full(entry("a", standpoint.Ready, 5), entry("b", standpoint.Ready, 0))
-	require.ErrorIs(t, b.Down("c"), ErrNeverListed)
-	require.ErrorIs(t, b.Up("c"), ErrNeverListed)
-	require.NoError(t, b.Up("a"), "in use already")
+	require.ErrorIs(t, b.Disable("c"), ErrNeverListed)
+	require.ErrorIs(t, b.Enable("c"), ErrNeverListed)
+	require.NoError(t, b.Enable("a"), "in use already")
 	require.EqualValues(t, 5, core["a"].ReadyAt)
 	for range 3 {
-		require.NoError(t, b.Down("a"))
+		require.NoError(t, b.Disable("a"))
 		require.Equal(t, standpoint.Draining, core["a"].State)
 	}
 	moved := entry("a", standpoint.Ready, clock.Now())
@@ -66,17 +66,17 @@
 			delta(moved)
 		},
 		func() { full(entry("b", standpoint.Ready, 0)); full(moved, entry("b", standpoint.Ready, 0)) },
-		func() { b.News(node.List{Kind: standpoint.ListLost}) },
-		func() { b.keeper.Again(core.take) },
+		func() { b.Update(node.EndpointList{Kind: standpoint.ListLost}) },
+		func() { b.keeper.Resend(core.take) },
 	} {
 		tell()
 		require.Equal(t, standpoint.Draining, core["a"].State)
 		require.Equal(t, standpoint.Ready, core["b"].State)
 	}
 	full(entry("b", standpoint.Ready, 0))
-	require.NoError(t, b.Down("a"), "it was listed")
+	require.NoError(t, b.Disable("a"), "it was listed")
 	before := clock.Now()
-	require.NoError(t, b.Up("a"))
+	require.NoError(t, b.Enable("a"))
 	require.NotContains(t, core, "a")
 	delta(entry("a", standpoint.Ready, 5))
 	require.Equal(t, standpoint.Ready, core["a"].State)
@@ -101,26 +101,26 @@
 	}
 	first := open()
 	old, oldCore := overlay(t, first)
-	list := node.List{Kind: standpoint.ListFull, Entries: []node.Endpoint{entry("a", standpoint.Ready, 5), entry("b", standpoint.Ready, 5)}}
-	old.News(list)
-	require.NoError(t, old.Down("a"))
+	list := node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{entry("a", standpoint.Ready, 5), entry("b", standpoint.Ready, 5)}}
+	old.Update(list)
+	require.NoError(t, old.Disable("a"))
 	require.NoError(t, first.Close()) // this process's mark; a second one of the same number cannot be made beside it
 	next, core := overlay(t, open())
-	next.News(list)
+	next.Update(list)
 	require.Equal(t, standpoint.Draining, core["a"].State)
 	require.Equal(t, standpoint.Ready, core["b"].State)
-	require.NoError(t, next.Down("b"))
+	require.NoError(t, next.Disable("b"))
 	old.Sync()
 	require.Equal(t, standpoint.Draining, oldCore["b"].State)
-	require.NoError(t, old.Up("a"))
+	require.NoError(t, old.Enable("a"))
 	next.Sync()
 	require.Equal(t, standpoint.Ready, core["a"].State)
 	require.True(t, core["a"].Back)
 	require.Equal(t, oldCore["a"].ReadyAt, core["a"].ReadyAt)
-	old.News(node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{entry("once", standpoint.Ready, 0)}})
-	old.Keep()
+	old.Update(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{entry("once", standpoint.Ready, 0)}})
+	old.Persist()
 	next.Sync()
-	require.NoError(t, next.Down("once"))
+	require.NoError(t, next.Disable("once"))
 
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	require.NoError(t, err)
@@ -128,9 +128,9 @@
 	require.NoError(t, os.Chmod(dir, 0o500))
 	defer func() { _ = os.Chmod(dir, 0o700) }()
 	if os.Geteuid() != 0 { // root may write all the same
-		require.ErrorIs(t, next.Up("b"), ErrNotKept)
+		require.ErrorIs(t, next.Enable("b"), ErrNotPersisted)
 	} else {
-		require.NoError(t, next.Up("b"))
+		require.NoError(t, next.Enable("b"))
 	}
 	require.Equal(t, standpoint.Ready, core["b"].State, "carried out in any case")
 }
--- a/internal/endpoints/decode.go
+++ b/internal/endpoints/decode.go
@@ -38,12 +38,12 @@
 
 // Decode reads discovery's form of the list. An entry that says what nobody can mean costs itself alone: faults name it,
 // and it is taken to drain, for what else is told, other boxes' drains above all, must not wait for it.
-func Decode(raw []byte, names Names) (seq int64, l node.List, faults []error, err error) {
+func Decode(raw []byte, names Names) (seq int64, l node.EndpointList, faults []error, err error) {
 	var w catalog
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return 0, node.List{}, nil, fmt.Errorf("list of endpoints: %w", err)
+		return 0, node.EndpointList{}, nil, fmt.Errorf("list of endpoints: %w", err)
 	}
-	l = node.List{Kind: standpoint.ListDelta}
+	l = node.EndpointList{Kind: standpoint.ListDelta}
 	if w.Whole {
 		l.Kind = standpoint.ListFull
 	}
@@ -58,11 +58,11 @@
 		}
 		if i, twice := at[e.Name]; twice {
 			faults = append(faults, fmt.Errorf("endpoint %q: listed twice", e.Name))
-			l.Entries[i].State = max(l.Entries[i].State, e.State)
+			l.Endpoints[i].State = max(l.Endpoints[i].State, e.State)
 			continue
 		}
-		at[e.Name] = len(l.Entries)
-		l.Entries = append(l.Entries, e)
+		at[e.Name] = len(l.Endpoints)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	return w.Seq, l, faults, nil
 }
--- a/internal/endpoints/dnssd.go
+++ b/internal/endpoints/dnssd.go
@@ -34,7 +34,7 @@
 	Guard  dnssd.Guard
 	Damper dnssd.Damper
 	Names  Names
-	News   func(node.List)
+	News   func(node.EndpointList)
 	Log    *zap.Logger
 
 	sights chan discovery.Sight // the newest that is not looked at yet
@@ -202,7 +202,7 @@
 	if b.first || !reflect.DeepEqual(list, b.told) {
 		b.first = false
 		b.told = list
-		b.News(node.List{Kind: standpoint.ListFull, Entries: slices.Clone(list)})
+		b.News(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
 	}
 	if earliest < math.MaxInt64 {
 		return time.Duration(earliest-clock.Of(now)) + time.Millisecond
--- a/internal/endpoints/dnssd_test.go
+++ b/internal/endpoints/dnssd_test.go
@@ -27,14 +27,14 @@
 type stage struct {
 	*Browser
 	now  time.Time
-	news []node.List
+	news []node.EndpointList
 }
 
 func newStage() *stage {
 	s := &stage{now: time.Unix(1_800_000_000, 0)}
 	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: dnssd.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
 		Damper: dnssd.Damper{Half: int64(time.Minute), Most: 3}, News: nil, first: true, seen: map[string]sighting{}}
-	s.Browser.News = func(l node.List) { s.news = append(s.news, l) }
+	s.Browser.News = func(l node.EndpointList) { s.news = append(s.news, l) }
 	return s
 }
 
@@ -200,7 +200,7 @@
 					t.Fatalf("%s is in use", e.Name)
 				}
 			}
-			if last := s.news[len(s.news)-1]; len(last.Entries) != len(s.told) {
+			if last := s.news[len(s.news)-1]; len(last.Endpoints) != len(s.told) {
 				t.Fatal("the core was told something else")
 			}
 		}
@@ -228,8 +228,8 @@
 			Every: 50 * time.Millisecond, Refresh: time.Second, Service: dnssd.Service{Type: "_engine._tcp", Domain: domain}}}
 }
 
-func told(l node.List) (all []string) {
-	for _, e := range l.Entries {
+func told(l node.EndpointList) (all []string) {
+	for _, e := range l.Endpoints {
 		all = append(all, e.Name)
 	}
 	return all
@@ -241,9 +241,9 @@
 	a, b := serve(t, "a.test", "box-1", "box-2"), serve(t, "b.test", "box-1")
 	c := serve(t, "c.test", "box-1")
 	c.Set(responder.Faults{Silent: true})
-	news := make(chan node.List, 100)
-	all := NewBrowsers(func(l node.List) { news <- l }, browse(a.Address, "a.test", "a"), browse(b.Address, "b.test", "b"), browse(c.Address, "c.test", "a"))
-	all.Known(node.List{Entries: []node.Endpoint{{Source: "_engine._tcp.c.test", Engine: standpoint.Engine{Name: "box-9@c.test", Stale: true}}}})
+	news := make(chan node.EndpointList, 100)
+	all := NewBrowsers(func(l node.EndpointList) { news <- l }, browse(a.Address, "a.test", "a"), browse(b.Address, "b.test", "b"), browse(c.Address, "c.test", "a"))
+	all.Restore(node.EndpointList{Endpoints: []node.Endpoint{{Source: "_engine._tcp.c.test", Engine: standpoint.Engine{Name: "box-9@c.test", Stale: true}}}})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { all.Run(ctx); close(ended) }()
@@ -253,7 +253,7 @@
 	c.Set(responder.Faults{})
 	last := <-news
 	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-1@c.test"}, told(last))
-	require.False(t, last.Entries[2].Stale)
+	require.False(t, last.Endpoints[2].Stale)
 	// a stays as it is, b is told otherwise, c goes, d comes.
 	d := serve(t, "d.test", "box-7")
 	all.Replace([]*Browser{browse(a.Address, "a.test", "a"), browse(b.Address, "b.test", "a"), browse(d.Address, "d.test", "a")})
@@ -262,7 +262,7 @@
 		names := told(last)
 		require.Contains(t, names, "box-2@a.test", "never away")
 		require.Contains(t, names, "box-1@b.test", "never away")
-		return len(names) == 3 && names[2] == "box-7@d.test" && last.Entries[1].Zone == 0
+		return len(names) == 3 && names[2] == "box-7@d.test" && last.Endpoints[1].Zone == 0
 	}, 10*time.Second, time.Millisecond)
 	cancel()
 	<-ended
@@ -271,7 +271,7 @@
 // The store's list has its ages: what is past its time is stale, and what was never told anew stays so.
 func TestTheListIsKeptWithItsAges(t *testing.T) {
 	s := store.NewMemory()
-	k := NewKeeper(s, zap.NewNop())
+	k := NewCache(s, zap.NewNop())
 	now := time.Now()
 	k.Ages = func() map[string]time.Time {
 		return map[string]time.Time{"new": now.Add(time.Minute), "old": now.Add(-time.Minute)}
@@ -279,15 +279,15 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go k.Run(ctx)
-	k.Take(node.List{Kind: standpoint.ListFull, Entries: []node.Endpoint{{Engine: standpoint.Engine{Name: "new"}},
+	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{{Engine: standpoint.Engine{Name: "new"}},
 		{Engine: standpoint.Engine{Name: "old"}}, {Engine: standpoint.Engine{Name: "unsaid", Stale: true}}, {Engine: standpoint.Engine{Name: "file"}}}})
 	stale := map[string]bool{}
 	require.Eventually(t, func() bool {
-		l, ok := k.Known(now)
-		for _, e := range l.Entries {
+		l, ok := k.Load(now)
+		for _, e := range l.Endpoints {
 			stale[e.Name] = e.Stale
 		}
-		return ok && len(l.Entries) == 4
+		return ok && len(l.Endpoints) == 4
 	}, 10*time.Second, time.Millisecond)
 	require.Equal(t, map[string]bool{"new": false, "old": true, "unsaid": true, "file": false}, stale)
 }
@@ -314,9 +314,9 @@
 	_, err := keys.Write(t.Context(), store.Op{Key: lastKey, Data: []byte(`[{"host":"a","dial":"127.0.0.1:1","health":"ready"},{"ho`)})
 	require.NoError(t, err)
 	seen, logs := observer.New(zap.ErrorLevel)
-	l, ok := NewKeeper(keys, zap.New(seen)).Known(time.Now())
+	l, ok := NewCache(keys, zap.New(seen)).Load(time.Now())
 	require.False(t, ok)
-	require.Empty(t, l.Entries)
+	require.Empty(t, l.Endpoints)
 	require.Equal(t, lastKey, logs.All()[0].ContextMap()["key"])
 }
 
@@ -337,26 +337,26 @@
 func TestALastListThatWasNotTaken(t *testing.T) {
 	keys := &failing{Memory: store.NewMemory()}
 	keys.left.Store(1)
-	k := NewKeeper(keys, zap.NewNop())
+	k := NewCache(keys, zap.NewNop())
 	go k.Run(t.Context())
-	k.Take(node.List{Kind: standpoint.ListFull, Entries: []node.Endpoint{{Engine: standpoint.Engine{Name: "a"}}}})
+	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{{Engine: standpoint.Engine{Name: "a"}}}})
 	require.Eventually(t, func() bool { return keys.Get(lastKey).Version != 0 }, 10*time.Second, time.Millisecond)
 }
 
 // What was kept is read by the words of the file that holds then: another order of halls and kinds takes no box elsewhere.
 func TestAListIsKeptInWords(t *testing.T) {
 	keys := store.NewMemory()
-	k := NewKeeper(keys, zap.NewNop())
+	k := NewCache(keys, zap.NewNop())
 	k.Names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
 	go k.Run(t.Context())
 	e := node.Endpoint{Address: "127.0.0.1:1", Batch: true, Labels: map[string]string{"v": "1"}, Source: "hall",
 		Engine: standpoint.Engine{Name: "s", Zone: 1, Kind: 0, Cell: 3, State: standpoint.Draining, Size: 2, ReadyAt: 5e6}}
-	k.Take(node.List{Kind: standpoint.ListFull, Entries: []node.Endpoint{e}})
+	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{e}})
 	require.Eventually(t, func() bool { return keys.Get(lastKey).Version != 0 }, 10*time.Second, time.Millisecond)
-	next := NewKeeper(keys, zap.NewNop())
+	next := NewCache(keys, zap.NewNop())
 	next.Names = Names{Zones: []string{"b", "a"}, Kinds: []string{"slow", "fast"}}
-	l, ok := next.Known(time.Now())
+	l, ok := next.Load(time.Now())
 	require.True(t, ok)
 	e.Zone, e.Kind = 0, 1
-	require.Equal(t, []node.Endpoint{e}, l.Entries)
+	require.Equal(t, []node.Endpoint{e}, l.Endpoints)
 }
--- a/internal/endpoints/fuzz_test.go
+++ b/internal/endpoints/fuzz_test.go
@@ -21,7 +21,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, l, _, err := Decode(raw, names)
-		for _, e := range l.Entries {
+		for _, e := range l.Endpoints {
 			if err != nil || e.Name == "" || e.State == standpoint.Ready && e.Address == "" || !(e.Size >= 0 && e.Size <= sizeMost) && e.State != standpoint.Gone ||
 				e.ReadyAt < 0 && e.State != standpoint.Gone {
 				t.Fatalf("%+v, %v", e, err)
@@ -40,8 +40,8 @@
 		if _, err := keys.Write(t.Context(), store.Op{Key: lastKey, Data: raw}); err != nil {
 			t.Fatal(err)
 		}
-		l, ok := NewKeeper(keys, zap.NewNop()).Known(time.Now())
-		for _, e := range l.Entries {
+		l, ok := NewCache(keys, zap.NewNop()).Load(time.Now())
+		for _, e := range l.Endpoints {
 			if !ok || e.Name == "" || e.ReadyAt < 0 || e.State > standpoint.Gone {
 				t.Fatalf("%+v of what cannot be read", e)
 			}
--- a/internal/endpoints/golden_test.go
+++ b/internal/endpoints/golden_test.go
@@ -10,7 +10,7 @@
 
 // An endpoint of the last list, in the store under entries/last.
 func TestGoldenLastList(t *testing.T) {
-	golden.RoundTrip(t, "last.json", []kept{{
+	golden.RoundTrip(t, "last.json", []storedEndpoint{{
 		Host:   "box-1",
 		Dial:   "127.0.0.1:9000",
 		Site:   "a",
@@ -24,8 +24,8 @@
 		Source: "dnssd",
 		Until:  time.Date(2026, 11, 1, 10, 0, 0, 0, time.UTC),
 	}},
-		func(all []kept) ([]byte, error) { return json.MarshalIndent(all, "", "  ") },
-		func(raw []byte) (all []kept, err error) { err = json.Unmarshal(raw, &all); return all, err })
+		func(all []storedEndpoint) ([]byte, error) { return json.MarshalIndent(all, "", "  ") },
+		func(raw []byte) (all []storedEndpoint, err error) { err = json.Unmarshal(raw, &all); return all, err })
 	golden.Bytes(t, "keys.txt", []byte(lastKey+"\n"))
 }
 
--- a/internal/endpoints/keeper.go
+++ b/internal/endpoints/keeper.go
@@ -24,9 +24,9 @@
 	keepAgain = time.Second      // after a write that the store did not take
 )
 
-// kept is an endpoint as the store has it, in the words of the platform's list: what indexes stand for may be in
+// storedEndpoint is an endpoint as the store has it, in the words of the platform's list: what indexes stand for may be in
 // another order in the file by which the next start reads it.
-type kept struct {
+type storedEndpoint struct {
 	Host   string            `json:"host"`
 	Dial   string            `json:"dial"`
 	Site   string            `json:"site,omitempty"`
@@ -41,8 +41,8 @@
 	Until  time.Time         `json:"until,omitzero"` // the end of its records' time; absent where the source tells none
 }
 
-func (k *Keeper) write(e node.Endpoint, until time.Time) kept {
-	one := kept{Host: e.Name, Dial: e.Address, Site: word(k.Names.Zones, e.Zone), Class: word(k.Names.Kinds, e.Kind), Block: e.Cell,
+func (k *Cache) write(e node.Endpoint, until time.Time) storedEndpoint {
+	one := storedEndpoint{Host: e.Name, Dial: e.Address, Site: word(k.Names.Zones, e.Zone), Class: word(k.Names.Kinds, e.Kind), Block: e.Cell,
 		Health: word(healths, int(e.State)), Share: e.Size, BornMS: e.ReadyAt / int64(time.Millisecond), Labels: e.Labels, Source: e.Source, Until: until}
 	if e.Batch {
 		one.Mode = "batch"
@@ -53,7 +53,7 @@
 	return one
 }
 
-func (k *Keeper) read(one kept, now time.Time) (node.Endpoint, error) {
+func (k *Cache) read(one storedEndpoint, now time.Time) (node.Endpoint, error) {
 	e := node.Endpoint{Address: one.Dial, Batch: one.Mode == "batch", Labels: one.Labels, Source: one.Source,
 		Engine: standpoint.Engine{Name: one.Host, Zone: index(k.Names.Zones, one.Site), Kind: index(k.Names.Kinds, one.Class), Cell: one.Block,
 			Size: one.Share, ReadyAt: one.BornMS * int64(time.Millisecond), Stale: !one.Until.IsZero() && now.After(one.Until)}}
@@ -71,31 +71,31 @@
 	return words[i]
 }
 
-// Keeper keeps the last endpoints in the store, with their ages, so that a node that starts anew has some.
-type Keeper struct {
+// Cache keeps the last endpoints in the store, with their ages, so that a node that starts anew has some.
+type Cache struct {
 	Names Names
 	// Ages says when the entries' records come to the end of their time, by name; nil: nobody knows.
 	Ages func() map[string]time.Time
 
 	store store.Store
 	log   *zap.Logger
-	lay   func(node.List) node.List // what is handed on of what is told; nil: that itself
-	order sync.Mutex                // held while a change is noted and handed on, so that both happen in one order
+	lay   func(node.EndpointList) node.EndpointList // what is handed on of what is told; nil: that itself
+	order sync.Mutex                                // held while a change is noted and handed on, so that both happen in one order
 	mu    sync.Mutex
 	all   map[string]node.Endpoint
 	dirty chan struct{}
 }
 
-// NewKeeper makes the actor; Run writes.
-func NewKeeper(s store.Store, log *zap.Logger) *Keeper {
-	return &Keeper{store: s, log: log, all: map[string]node.Endpoint{}, dirty: make(chan struct{}, 1)}
+// NewCache makes the actor; Run writes.
+func NewCache(s store.Store, log *zap.Logger) *Cache {
+	return &Cache{store: s, log: log, all: map[string]node.Endpoint{}, dirty: make(chan struct{}, 1)}
 }
 
-// Known is the list as the store has it. Entries past their time are marked stale: they are tried last.
-func (k *Keeper) Known(now time.Time) (node.List, bool) {
-	l := node.List{Kind: standpoint.ListFull}
+// Load is the list as the store has it. Entries past their time are marked stale: they are tried last.
+func (k *Cache) Load(now time.Time) (node.EndpointList, bool) {
+	l := node.EndpointList{Kind: standpoint.ListFull}
 	v := k.store.Get(lastKey)
-	var all []kept
+	var all []storedEndpoint
 	if v.Version == 0 {
 		return l, false
 	}
@@ -103,26 +103,26 @@
 	for i := 0; i < len(all) && err == nil; i++ {
 		var e node.Endpoint
 		e, err = k.read(all[i], now)
-		l.Entries = append(l.Entries, e)
+		l.Endpoints = append(l.Endpoints, e)
 	}
 	if err != nil {
-		l.Entries = nil
+		l.Endpoints = nil
 		k.log.Error("the last list of endpoints cannot be read; none of it is used", zap.String("key", lastKey), zap.Error(err))
 		return l, false
 	}
 	return l, true
 }
 
-// Tell notes a change and hands it on. Changes are handed on in the order in which they are noted: an older list
+// Update notes a change and hands it on. Changes are handed on in the order in which they are noted: an older list
 // must not come behind the news of a drain.
-func (k *Keeper) Tell(l node.List, to func(node.List)) {
+func (k *Cache) Update(l node.EndpointList, to func(node.EndpointList)) {
 	k.order.Lock()
 	defer k.order.Unlock()
-	k.Take(l)
+	k.Store(l)
 	to(k.laid(l))
 }
 
-func (k *Keeper) laid(l node.List) node.List {
+func (k *Cache) laid(l node.EndpointList) node.EndpointList {
 	if k.lay == nil {
 		return l
 	}
@@ -130,39 +130,39 @@
 }
 
 // amend hands on once more those that are listed of the names that the test lets through. The order is held.
-func (k *Keeper) amend(test func(string) bool, to func(node.List)) {
+func (k *Cache) amend(test func(string) bool, to func(node.EndpointList)) {
 	all := slices.DeleteFunc(k.sorted(), func(e node.Endpoint) bool { return !test(e.Name) })
 	if len(all) > 0 {
-		to(k.laid(node.List{Kind: standpoint.ListDelta, Entries: all}))
+		to(k.laid(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}))
 	}
 }
 
-// Again hands the whole list on once more, as it was last told.
-func (k *Keeper) Again(to func(node.List)) {
+// Resend hands the whole list on once more, as it was last told.
+func (k *Cache) Resend(to func(node.EndpointList)) {
 	k.order.Lock()
 	defer k.order.Unlock()
-	to(k.laid(node.List{Kind: standpoint.ListFull, Entries: k.sorted()}))
+	to(k.laid(node.EndpointList{Kind: standpoint.ListFull, Endpoints: k.sorted()}))
 }
 
 // Current is the list as last told, by name.
-func (k *Keeper) Current() []node.Endpoint { return k.sorted() }
+func (k *Cache) Current() []node.Endpoint { return k.sorted() }
 
-func (k *Keeper) sorted() []node.Endpoint {
+func (k *Cache) sorted() []node.Endpoint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.SortedFunc(maps.Values(k.all), func(a, b node.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Take notes a change. It never waits for the store: the watch must go on at once.
-func (k *Keeper) Take(l node.List) {
-	if l.Kind == standpoint.ListLost || l.Kind == standpoint.ListDelta && len(l.Entries) == 0 {
+// Store notes a change. It never waits for the store: the watch must go on at once.
+func (k *Cache) Store(l node.EndpointList) {
+	if l.Kind == standpoint.ListLost || l.Kind == standpoint.ListDelta && len(l.Endpoints) == 0 {
 		return
 	}
 	k.mu.Lock()
 	if l.Kind == standpoint.ListFull {
 		clear(k.all)
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if e.State == standpoint.Gone {
 			delete(k.all, e.Name)
 		} else {
@@ -177,7 +177,7 @@
 }
 
 // Run writes what has changed, where this member may write.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Cache) Run(ctx context.Context) {
 	ages, again := time.NewTicker(keepEvery), time.NewTicker(keepAgain)
 	defer ages.Stop()
 	defer again.Stop()
@@ -207,12 +207,12 @@
 }
 
 // aged is the list with its ages. Entries that are themselves from the store keep none: they were not told anew.
-func (k *Keeper) aged() []kept {
+func (k *Cache) aged() []storedEndpoint {
 	var until map[string]time.Time
 	if k.Ages != nil {
 		until = k.Ages()
 	}
-	all := []kept{}
+	all := []storedEndpoint{}
 	for _, e := range k.sorted() {
 		all = append(all, k.write(e, until[e.Name]))
 	}
@@ -221,8 +221,8 @@
 
 // Fixed is the source of a list that an operator wrote by hand.
 type Fixed struct {
-	List node.List
-	News func(node.List)
+	List node.EndpointList
+	News func(node.EndpointList)
 }
 
 // Watch does nothing: the list does not change.
--- a/internal/endpoints/order.go
+++ b/internal/endpoints/order.go
@@ -24,7 +24,7 @@
 	line  int   // of versions, at which the call was made
 	after int64 // the version held then
 	seq   int64
-	list  node.List
+	list  node.EndpointList
 }
 
 // order decides what of discovery's answers holds. Versions order the answers of one line: of one discovery, for as long as its
@@ -50,7 +50,7 @@
 func newOrder(seq int64) *order { return &order{seq: seq, members: map[string]member{}} }
 
 // know takes in the list that the first version stands for.
-func (o *order) know(l node.List, now time.Time) { o.note(l, o.line, now) }
+func (o *order) know(l node.EndpointList, now time.Time) { o.note(l, o.line, now) }
 
 // begin starts another line of versions, of which nothing is known.
 func (o *order) begin() {
@@ -59,13 +59,13 @@
 }
 
 // take says what is to be told of an answer; false: nothing.
-func (o *order) take(a answer, now time.Time) (node.List, bool) {
+func (o *order) take(a answer, now time.Time) (node.EndpointList, bool) {
 	whole := a.list.Kind == standpoint.ListFull
 	switch {
 	case a.line != o.line:
 		return o.departures(a.list, now)
 	case a.seq < o.seq && !o.unordered && a.after != o.seq:
-		return node.List{}, false // another answer, newer than this one, has come meanwhile
+		return node.EndpointList{}, false // another answer, newer than this one, has come meanwhile
 	case !whole && (o.unordered || a.seq < a.after):
 		if !o.unordered {
 			o.begin() // its versions have begun anew
@@ -84,18 +84,18 @@
 }
 
 // departures are those of a list that nothing orders: of it only they count.
-func (o *order) departures(l node.List, now time.Time) (node.List, bool) {
-	told := node.List{Kind: standpoint.ListDelta}
-	for _, e := range l.Entries {
+func (o *order) departures(l node.EndpointList, now time.Time) (node.EndpointList, bool) {
+	told := node.EndpointList{Kind: standpoint.ListDelta}
+	for _, e := range l.Endpoints {
 		if e.State == standpoint.Ready {
 			continue
 		}
 		if m, known := o.members[e.Name]; known && e.ReadyAt < m.start && e.ReadyAt != 0 {
 			continue // of the process before
 		}
-		told.Entries = append(told.Entries, e)
+		told.Endpoints = append(told.Endpoints, e)
 	}
-	if len(told.Entries) == 0 {
+	if len(told.Endpoints) == 0 {
 		return told, false
 	}
 	o.note(told, o.line-1, now)
@@ -106,13 +106,13 @@
 }
 
 // held is a list in which servers that another line told to leave do so still.
-func (o *order) held(l node.List, now time.Time) node.List {
+func (o *order) held(l node.EndpointList, now time.Time) node.EndpointList {
 	if !o.holding(now) {
 		return l
 	}
-	l.Entries = slices.Clone(l.Entries)
-	for i := range l.Entries {
-		e := &l.Entries[i]
+	l.Endpoints = slices.Clone(l.Endpoints)
+	for i := range l.Endpoints {
+		e := &l.Endpoints[i]
 		m, known := o.members[e.Name]
 		if known && m.leaving && m.line < o.line && e.State == standpoint.Ready && e.ReadyAt <= m.start {
 			e.State = standpoint.Draining
@@ -141,9 +141,9 @@
 }
 
 // note remembers what a line tells. A server that is held keeps the line that told it to leave.
-func (o *order) note(l node.List, line int, now time.Time) {
+func (o *order) note(l node.EndpointList, line int, now time.Time) {
 	listed := map[string]bool{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		listed[e.Name] = true
 		m := member{start: e.ReadyAt, leaving: e.State != standpoint.Ready, gone: e.State == standpoint.Gone, line: line, at: now}
 		if was, known := o.members[e.Name]; known && m.leaving && was.leaving {
--- a/internal/endpoints/order_test.go
+++ b/internal/endpoints/order_test.go
@@ -16,16 +16,18 @@
 	return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state, ReadyAt: start}}
 }
 
-func whole(all ...node.Endpoint) node.List { return node.List{Kind: standpoint.ListFull, Entries: all} }
+func whole(all ...node.Endpoint) node.EndpointList {
+	return node.EndpointList{Kind: standpoint.ListFull, Endpoints: all}
+}
 
-func changes(all ...node.Endpoint) node.List {
-	return node.List{Kind: standpoint.ListDelta, Entries: all}
+func changes(all ...node.Endpoint) node.EndpointList {
+	return node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}
 }
 
 // statesOf are a list's states by name.
-func statesOf(l node.List) map[string]standpoint.State {
+func statesOf(l node.EndpointList) map[string]standpoint.State {
 	states := map[string]standpoint.State{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		states[e.Name] = e.State
 	}
 	return states
@@ -41,7 +43,7 @@
 		line  int
 		after int64
 		seq   int64
-		list  node.List
+		list  node.EndpointList
 		tells map[string]standpoint.State // nil: nothing
 	}
 	for name, steps := range map[string][]step{
@@ -128,7 +130,7 @@
 	require.True(t, o.released(start.Add(departHold)), "the whole list is wanted")
 	require.False(t, o.released(start.Add(departHold)), "once")
 	l, _ := o.take(answer{1, 1, 1, whole(endpoint("s", standpoint.Ready, 0))}, start.Add(departHold))
-	require.Equal(t, standpoint.Ready, l.Entries[0].State)
+	require.Equal(t, standpoint.Ready, l.Endpoints[0].State)
 }
 
 // What is gone is forgotten in time, and there is never too much of it.
@@ -158,14 +160,14 @@
 				o.begin()
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond) // within the hold, all of them
-			l := node.List{Kind: rapid.SampledFrom([]standpoint.ListKind{standpoint.ListFull, standpoint.ListDelta}).Draw(t, "kind"),
-				Entries: []node.Endpoint{endpoint("s", standpoint.Ready, 1)}}
+			l := node.EndpointList{Kind: rapid.SampledFrom([]standpoint.ListKind{standpoint.ListFull, standpoint.ListDelta}).Draw(t, "kind"),
+				Endpoints: []node.Endpoint{endpoint("s", standpoint.Ready, 1)}}
 			seq := rapid.Int64Range(0, 11).Draw(t, "seq")
 			if o.line == 0 && !o.unordered {
 				seq = min(seq, 10) // not newer than the drain
 			}
 			got, _ := o.take(answer{rapid.IntRange(0, o.line).Draw(t, "line"), rapid.Int64Range(0, 11).Draw(t, "after"), seq, l}, now)
-			for _, e := range got.Entries {
+			for _, e := range got.Endpoints {
 				if e.State == standpoint.Ready {
 					t.Fatalf("step %d: told ready", i)
 				}
--- a/internal/endpoints/silent_test.go
+++ b/internal/endpoints/silent_test.go
@@ -22,8 +22,8 @@
 )
 
 // watched starts a watcher of a scripted discovery, with short waits. pushed, if not 0: the list is pushed there.
-func watched(t *testing.T, pushed time.Duration, script func(call int, w http.ResponseWriter, r *http.Request)) (*Watcher, chan node.List, chan string) {
-	asked, news := make(chan string, 100), make(chan node.List, 100)
+func watched(t *testing.T, pushed time.Duration, script func(call int, w http.ResponseWriter, r *http.Request)) (*Watcher, chan node.EndpointList, chan string) {
+	asked, news := make(chan string, 100), make(chan node.EndpointList, 100)
 	var calls atomic.Int32
 	discovery := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := int(calls.Add(1)) // one that came to nothing may still be out
@@ -35,7 +35,7 @@
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
-	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.List) { news <- l }, zap.NewNop())
+	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
 	w.Pushed, w.wait, w.slack = pushed, 300*time.Millisecond, 100*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
@@ -87,7 +87,7 @@
 			})
 			for l := range news {
 				require.NotEqual(t, standpoint.ListLost, l.Kind)
-				if len(l.Entries) > 0 {
+				if len(l.Endpoints) > 0 {
 					break
 				}
 			}
@@ -102,7 +102,7 @@
 			}
 			fmt.Fprintf(w, drainAt, 43)
 		})
-		require.Equal(t, "s", (<-news).Entries[0].Name, "and nobody has to wish for it")
+		require.Equal(t, "s", (<-news).Endpoints[0].Name, "and nobody has to wish for it")
 		require.GreaterOrEqual(t, len(asked), 4)
 	})
 }
@@ -141,8 +141,8 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			began := time.Now()
-			news := make(chan node.List, 100)
-			w := NewWatcher(l.Addr().String(), names, 41, func(l node.List) { news <- l }, zap.NewNop())
+			news := make(chan node.EndpointList, 100)
+			w := NewWatcher(l.Addr().String(), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
 			if c.pushed {
 				w.Pushed = 250 * time.Millisecond
 			}
@@ -190,7 +190,7 @@
 			for {
 				select {
 				case l := <-news:
-					if len(l.Entries) == 1 && l.Entries[0].State == standpoint.Draining {
+					if len(l.Endpoints) == 1 && l.Endpoints[0].State == standpoint.Draining {
 						return
 					}
 				case <-time.After(time.Until(began.Add(c.lasts + within))):
@@ -243,8 +243,8 @@
 		<-second
 	})
 	t.Cleanup(func() { close(second) })
-	require.Equal(t, "s", (<-news).Entries[0].Name)
-	require.Equal(t, "t", (<-news).Entries[0].Name, "the second call's own answer")
+	require.Equal(t, "s", (<-news).Endpoints[0].Name)
+	require.Equal(t, "t", (<-news).Endpoints[0].Name, "the second call's own answer")
 }
 
 // Where lists are pushed nobody needs to wish for a watch, and one that fails is opened anew by itself.
@@ -260,7 +260,7 @@
 			<-r.Context().Done()
 		}
 	})
-	require.Equal(t, "s", (<-news).Entries[0].Name, "and no word of what failed: nobody is to ask later for it")
+	require.Equal(t, "s", (<-news).Endpoints[0].Name, "and no word of what failed: nobody is to ask later for it")
 	require.GreaterOrEqual(t, len(asked), 3)
 }
 
@@ -278,11 +278,11 @@
 		}
 	})
 	l := <-news
-	require.Equal(t, node.List{Kind: standpoint.ListDelta, Entries: l.Entries}, l)
-	require.Equal(t, standpoint.Draining, l.Entries[0].State, "that it is written counts, of whatever list it is")
+	require.Equal(t, node.EndpointList{Kind: standpoint.ListDelta, Endpoints: l.Endpoints}, l)
+	require.Equal(t, standpoint.Draining, l.Endpoints[0].State, "that it is written counts, of whatever list it is")
 	l = <-news
 	require.Equal(t, standpoint.ListFull, l.Kind)
-	require.Equal(t, "t", l.Entries[0].Name)
+	require.Equal(t, "t", l.Endpoints[0].Name)
 }
 
 // A discovery that handles calls in turn and turns away whoever waited too long, back after all nodes lost it: those that it
@@ -324,8 +324,8 @@
 		all.Go(func() {
 			heard := make(chan struct{})
 			var once sync.Once
-			w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.List) {
-				if len(l.Entries) > 0 {
+			w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) {
+				if len(l.Endpoints) > 0 {
 					once.Do(func() { close(heard) })
 				}
 			}, zap.NewNop())
--- a/internal/endpoints/story_test.go
+++ b/internal/endpoints/story_test.go
@@ -40,14 +40,14 @@
 		}
 	}))
 	defer discovery.Close()
-	news := make(chan node.List, 10)
-	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.List) { news <- l }, zap.NewNop())
+	news := make(chan node.EndpointList, 10)
+	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go w.Run(ctx)
 	w.Watch()
 	first := <-news
-	require.Equal(t, node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{{Address: "127.0.0.1:1",
+	require.Equal(t, node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{{Address: "127.0.0.1:1",
 		Engine: standpoint.Engine{Name: "s", Zone: 1, Kind: 1, Cell: 3, State: standpoint.Draining, Size: 2, ReadyAt: 5e6}}}}, first)
 	require.Less(t, (<-calls).Sub(<-calls).Abs(), 200*time.Millisecond)
 	failed := time.Now()
@@ -72,24 +72,24 @@
 		require.NoError(t, err)
 		require.Len(t, faults, 1)
 		require.ErrorContains(t, faults[0], says)
-		require.Len(t, l.Entries, 2, "the other's drain is heard")
-		require.Equal(t, standpoint.Draining, l.Entries[0].State, "it gets nothing new")
+		require.Len(t, l.Endpoints, 2, "the other's drain is heard")
+		require.Equal(t, standpoint.Draining, l.Endpoints[0].State, "it gets nothing new")
 	}
 }
 
 // What the keeper wrote is there for the next start, without what has gone.
 func TestKeeper(t *testing.T) {
 	keys := store.NewMemory()
-	k := NewKeeper(keys, zap.NewNop())
+	k := NewCache(keys, zap.NewNop())
 	go k.Run(t.Context())
 	entry := func(name string, state standpoint.State) node.Endpoint {
 		return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state}}
 	}
-	k.Take(node.List{Kind: standpoint.ListFull, Entries: []node.Endpoint{entry("a", standpoint.Ready), entry("b", standpoint.Ready)}})
-	k.Take(node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{entry("a", standpoint.Gone)}})
+	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{entry("a", standpoint.Ready), entry("b", standpoint.Ready)}})
+	k.Store(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{entry("a", standpoint.Gone)}})
 	require.Eventually(t, func() bool {
-		l, ok := NewKeeper(keys, zap.NewNop()).Known(time.Now())
-		return ok && len(l.Entries) == 1 && l.Entries[0].Name == "b"
+		l, ok := NewCache(keys, zap.NewNop()).Load(time.Now())
+		return ok && len(l.Endpoints) == 1 && l.Endpoints[0].Name == "b"
 	}, time.Second, time.Millisecond)
 }
 
@@ -111,16 +111,16 @@
 		}
 	}))
 	defer next.Close()
-	news := make(chan node.List, 10)
-	w := NewWatcher(strings.TrimPrefix(old.URL, "http://"), names, 41, func(l node.List) { news <- l }, zap.NewNop())
+	news := make(chan node.EndpointList, 10)
+	w := NewWatcher(strings.TrimPrefix(old.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go w.Run(ctx)
 	w.Watch()
-	w.Move(strings.TrimPrefix(next.URL, "http://"), names)
+	w.SetDiscovery(strings.TrimPrefix(next.URL, "http://"), names)
 	l := <-news
 	require.Equal(t, standpoint.ListFull, l.Kind)
-	require.Equal(t, "t", l.Entries[0].Name)
+	require.Equal(t, "t", l.Endpoints[0].Name)
 	require.Eventually(t, func() bool { return len(asked) == 3 }, 5*time.Second, time.Millisecond)
 	require.Empty(t, <-asked)
 	require.Empty(t, <-asked)
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -53,7 +53,7 @@
 
 // Watcher is the actor. Its mailbox holds one wish to watch, more being the same wish, and the newest address.
 type Watcher struct {
-	news  func(node.List)
+	news  func(node.EndpointList)
 	log   *zap.Logger
 	wish  chan struct{}
 	moves chan place
@@ -107,13 +107,13 @@
 // reply is what a call came to.
 type reply struct {
 	call *call
-	list node.List
+	list node.EndpointList
 	seq  int64
 	err  error
 }
 
 // NewWatcher makes the actor; seq is the version of the list that the core holds already.
-func NewWatcher(address string, names Names, seq int64, news func(node.List), log *zap.Logger) *Watcher {
+func NewWatcher(address string, names Names, seq int64, news func(node.EndpointList), log *zap.Logger) *Watcher {
 	dial := transient.DialFunc((&net.Dialer{Timeout: dialTime, KeepAlive: -1}).DialContext)
 	return &Watcher{at: place{listAt(address), names}, dial: dial, http: caller(dial), order: newOrder(seq), news: news, log: log, wait: watchWait,
 		slack: watchSlack, wish: make(chan struct{}, 1), moves: make(chan place, 1), replies: make(chan reply, callsMost)}
@@ -129,14 +129,14 @@
 		DisableCompression: true, DisableKeepAlives: true}}
 }
 
-// Knows tells the list that the version of NewWatcher stands for. It is called before Run.
-func (w *Watcher) Knows(l node.List) { w.order.know(l, time.Now()) }
+// Restore tells the list that the version of NewWatcher stands for. It is called before Run.
+func (w *Watcher) Restore(l node.EndpointList) { w.order.know(l, time.Now()) }
 
 // Failing tells that discovery turns calls away or cannot be reached: nothing is waited for in its line.
 func (w *Watcher) Failing() bool { return w.failing.Load() }
 
-// Anew has the first call ask for the whole list, however new the one that is held: the answer does not wait for a change.
-func (w *Watcher) Anew() { w.anew = true }
+// RequestFullList has the first call ask for the whole list, however new the one that is held: the answer does not wait for a change.
+func (w *Watcher) RequestFullList() { w.anew = true }
 
 // Watch asks for a standing watch, without waiting; once it stands that changes nothing.
 func (w *Watcher) Watch() {
@@ -146,8 +146,8 @@
 	}
 }
 
-// Move changes to another discovery, without waiting. Moves are told one after the other.
-func (w *Watcher) Move(address string, names Names) {
+// SetDiscovery changes to another discovery, without waiting. Moves are told one after the other.
+func (w *Watcher) SetDiscovery(address string, names Names) {
 	select {
 	case <-w.moves: // not begun, and no longer wanted
 	default:
--- a/internal/endpoints/written_test.go
+++ b/internal/endpoints/written_test.go
@@ -24,9 +24,9 @@
 )
 
 // watching starts a watcher of a discovery.
-func watching(t *testing.T, discovery *httptest.Server) (*Watcher, chan node.List) {
-	news := make(chan node.List, 100)
-	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.List) { news <- l }, zap.NewNop())
+func watching(t *testing.T, discovery *httptest.Server) (*Watcher, chan node.EndpointList) {
+	news := make(chan node.EndpointList, 100)
+	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go w.Run(ctx)
@@ -60,7 +60,7 @@
 	t.Cleanup(func() { next.CloseClientConnections(); next.Close() })
 	w, news := watching(t, old)
 	<-asked
-	w.Move(strings.TrimPrefix(next.URL, "http://"), names)
+	w.SetDiscovery(strings.TrimPrefix(next.URL, "http://"), names)
 	require.Eventually(t, func() bool { return len(w.moves) == 0 }, 5*time.Second, time.Millisecond)
 	close(moved)
 	l := <-news
@@ -100,11 +100,11 @@
 	t.Cleanup(func() { next.CloseClientConnections(); next.Close() })
 	w, news := watching(t, old)
 	<-asked
-	w.Move(strings.TrimPrefix(next.URL, "http://"), names)
+	w.SetDiscovery(strings.TrimPrefix(next.URL, "http://"), names)
 	for states := map[string]standpoint.State{}; states["s"] != standpoint.Draining; states = statesOf(<-news) {
 	}
 	open.Store(true)
-	var l node.List
+	var l node.EndpointList
 	for l = <-news; l.Kind != standpoint.ListFull; l = <-news {
 	}
 	require.Equal(t, map[string]standpoint.State{"s": standpoint.Draining}, statesOf(l), "the new one does not know yet")
@@ -143,7 +143,7 @@
 	for i := range nodes {
 		heard[i] = make(chan struct{})
 		once := sync.OnceFunc(func() { close(heard[i]) })
-		w := NewWatcher(d.Listen(fmt.Sprint("n", i)), names, 41, func(l node.List) {
+		w := NewWatcher(d.Listen(fmt.Sprint("n", i)), names, 41, func(l node.EndpointList) {
 			if statesOf(l)["s"] == standpoint.Draining {
 				once()
 			}
@@ -191,7 +191,7 @@
 		require.NoError(t, err)
 		require.Len(t, faults, 1)
 		require.Equal(t, map[string]standpoint.State{"s": standpoint.Draining}, statesOf(l))
-		require.Len(t, l.Entries, 1)
+		require.Len(t, l.Endpoints, 1)
 	}
 }
 
@@ -203,11 +203,11 @@
 	share, err := handover.Open(dir, "n")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = share.Close() })
-	told := make(chan node.List, 10)
-	b := NewByHand(NewKeeper(nil, zap.NewNop()), func(l node.List) { told <- l }, share, zap.NewNop())
-	b.News(whole(endpoint("s", standpoint.Ready, 0), endpoint("t", standpoint.Ready, 0)))
+	told := make(chan node.EndpointList, 10)
+	b := NewOverrides(NewCache(nil, zap.NewNop()), func(l node.EndpointList) { told <- l }, share, zap.NewNop())
+	b.Update(whole(endpoint("s", standpoint.Ready, 0), endpoint("t", standpoint.Ready, 0)))
 	<-told
-	require.NoError(t, b.Up("s")) // makes the file of the lock
+	require.NoError(t, b.Enable("s")) // makes the file of the lock
 	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
 	require.NoError(t, err)
 	require.Len(t, locks, 1)
@@ -216,10 +216,10 @@
 	defer func() { _ = lock.Close() }()
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_EX))
 	done := make(chan error, 1)
-	go func() { done <- b.Down("t") }()
+	go func() { done <- b.Disable("t") }()
 	require.Equal(t, map[string]standpoint.State{"t": standpoint.Draining}, statesOf(<-told))
 	b.Sync()
-	b.News(changes(endpoint("s", standpoint.Draining, 0)))
+	b.Update(changes(endpoint("s", standpoint.Draining, 0)))
 	require.Equal(t, map[string]standpoint.State{"s": standpoint.Draining}, statesOf(<-told))
 	require.Empty(t, done)
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_UN))
--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -62,8 +62,8 @@
 // counted.
 func (f *Fleet) Settle(request *standpoint.Request, charge node.Charge, answer node.Answer) {
 	promptTokens := request.PromptTokens
-	if charge.Fresh > 0 {
-		promptTokens = charge.Fresh
+	if charge.UncachedTokens > 0 {
+		promptTokens = charge.UncachedTokens
 	}
 	cost := tokenCost(promptTokens, request, answer)
 	if f.RecordUsage != nil && (answer.Kind == node.Served || answer.Kind == node.Broken) {
@@ -84,7 +84,7 @@
 	switch answer.Kind {
 	case node.Served:
 		if answer.Usage.Known {
-			return int64(promptTokens + answer.Usage.Out)
+			return int64(promptTokens + answer.Usage.OutputTokens)
 		}
 	case node.Broken, node.Moved:
 	case node.ClientGone:
@@ -102,8 +102,8 @@
 	entry := ledger.Entry{
 		Session:      request.Session,
 		InputTokens:  int64(promptTokens),
-		CachedTokens: int64(answer.Usage.Kept),
-		OutputTokens: int64(answer.Usage.Out),
+		CachedTokens: int64(answer.Usage.CachedTokens),
+		OutputTokens: int64(answer.Usage.OutputTokens),
 	}
 	if request.Tenant >= 0 && request.Tenant < len(f.TenantNames) {
 		entry.Tenant = f.TenantNames[request.Tenant]
--- a/internal/fleet/admission_test.go
+++ b/internal/fleet/admission_test.go
@@ -25,7 +25,7 @@
 	full := false
 	f.LedgerFull = func() bool { return full }
 	served := func(out float64) node.Answer {
-		return node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Begun: true, Kept: 3, Out: out}}
+		return node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Begun: true, CachedTokens: 3, OutputTokens: out}}
 	}
 	charge, _, ok := f.Admit(request(20, 60))
 	require.True(t, ok)
@@ -36,8 +36,8 @@
 	require.EqualValues(t, 30, spent())
 	charge, _, ok = f.Admit(request(20, 50))
 	require.True(t, ok, "what was not needed is there again")
-	charge.Fresh = 5 // the rest of the prompt was charged with an earlier part
-	paused := node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Paused: true, Out: 7}}
+	charge.UncachedTokens = 5 // the rest of the prompt was charged with an earlier part
+	paused := node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Paused: true, OutputTokens: 7}}
 	f.Settle(request(20, 50), charge, paused)
 	charge, _, ok = f.Admit(request(20, 38))
 	require.True(t, ok)
@@ -101,7 +101,7 @@
 func BenchmarkRequest(b *testing.B) {
 	f := newTestFleet(b, 1<<50, 0, true)
 	r := request(100, 50)
-	answer := node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Out: 20}}
+	answer := node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, OutputTokens: 20}}
 	f.RecordUsage = func(ledger.Entry) bool { return true }
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -12,7 +12,7 @@
 const minConsecutiveErrors = 2
 
 // Listed takes in a change of the endpoint list: the backends that are ready are those that evidence is collected on.
-func (f *Fleet) Listed(list node.List) {
+func (f *Fleet) Listed(list node.EndpointList) {
 	if list.Kind == standpoint.ListLost {
 		return
 	}
@@ -23,7 +23,7 @@
 		clear(f.backendNames)
 		clear(f.backendZones)
 	}
-	for _, endpoint := range list.Entries {
+	for _, endpoint := range list.Endpoints {
 		if endpoint.State == standpoint.Ready {
 			f.addBackend(endpoint)
 		} else {
@@ -72,11 +72,11 @@
 
 // Ended takes in how an attempt ended, as evidence on its backend.
 func (f *Fleet) Ended(observation node.Observation) {
-	name := observation.Server
+	name := observation.Backend
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	startedAt, listed := f.backendStarts[name]
-	if !listed || observation.Asked || observation.Result.Rejected != 0 {
+	if !listed || observation.Inconclusive || observation.Result.InvalidStatus != 0 {
 		return
 	}
 	kind, ok := f.evidenceKind(name, observation.Result.Code)
--- a/internal/fleet/backends_test.go
+++ b/internal/fleet/backends_test.go
@@ -15,9 +15,9 @@
 // What others have observed of a backend becomes advice; a success here, or a restart of the backend, outweighs it.
 func TestAdviceFromOthers(t *testing.T) {
 	f := newTestFleet(t, 1, 0, true)
-	list := node.List{Kind: standpoint.ListFull}
+	list := node.EndpointList{Kind: standpoint.ListFull}
 	for _, name := range []string{"p", "q", "r", "s"} {
-		list.Entries = append(list.Entries, node.Endpoint{Engine: standpoint.Engine{Name: name, ReadyAt: 7}})
+		list.Endpoints = append(list.Endpoints, node.Endpoint{Engine: standpoint.Engine{Name: name, ReadyAt: 7}})
 	}
 	f.Listed(list)
 	for slot := 1; slot < 3; slot++ {
@@ -31,11 +31,11 @@
 	doubts := f.outlierAdvice().Doubts
 	require.Len(t, doubts, 1)
 	require.Equal(t, "p", doubts[0].Engine)
-	f.Ended(node.Observation{Server: "p", Result: node.Result{Code: standpoint.Served}})
+	f.Ended(node.Observation{Backend: "p", Result: node.Result{Code: standpoint.Served}})
 	require.Empty(t, f.outlierAdvice().Doubts)
-	f.Ended(node.Observation{Server: "q", Result: node.Result{Code: standpoint.ServerError}})
+	f.Ended(node.Observation{Backend: "q", Result: node.Result{Code: standpoint.ServerError}})
 	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "one error may be the request's")
-	list.Entries[0].ReadyAt = 8
+	list.Endpoints[0].ReadyAt = 8
 	f.Listed(list)
 	require.Empty(t, f.outlierAdvice().Doubts)
 }
--- a/internal/fleet/session/service/cluster_test.go
+++ b/internal/fleet/session/service/cluster_test.go
@@ -105,12 +105,12 @@
 	t.Helper()
 	h := c.hook(at)
 	passed, then := h.Event([]byte(contentEvent("the crew is ") + callEvents(tools...)))
-	require.Equal(t, node.Stop, then)
+	require.Equal(t, node.HookStop, then)
 	require.Contains(t, string(passed), "tool_calls")
 	last, usage := h.Stopped()
 	require.Contains(t, string(last), "[DONE]")
-	require.EqualValues(t, 3+(len(tools)*10+3)/4, usage.Out, "four characters a token")
-	h.Over(node.Answer{Kind: node.Served})
+	require.EqualValues(t, 3+(len(tools)*10+3)/4, usage.OutputTokens, "four characters a token")
+	h.Finished(node.Answer{Kind: node.Served})
 	return resumeKeyIn(last)
 }
 
--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -95,7 +95,7 @@
 func (h *hook) resumed() bool { return h.fencingToken > 0 }
 
 // Event implements node.Hook.
-func (h *hook) Event(event []byte) ([]byte, node.Then) {
+func (h *hook) Event(event []byte) ([]byte, node.HookAction) {
 	if h.resumed() {
 		// Nothing waits for it, and it needs no answer: the claim says as much without it.
 		h.beginOnce.Do(func() { go h.recordBegin() })
@@ -109,7 +109,7 @@
 		if bytes.Equal(data, doneMarker) {
 			// The final answer of a session is recorded before it is passed on: its key gets no second one.
 			if h.resumed() && !h.recordEnd() {
-				return nil, node.Break
+				return nil, node.HookBreak
 			}
 			continue
 		}
@@ -119,12 +119,12 @@
 		}
 		switch h.observe(&c) {
 		case RejectCall:
-			return h.rejection(), node.Stop
+			return h.rejection(), node.HookStop
 		case PauseSession:
-			return event, node.Stop
+			return event, node.HookStop
 		}
 	}
-	return event, node.GoOn
+	return event, node.HookContinue
 }
 
 // observe collects a chunk, and returns what happens to the answer.
@@ -217,7 +217,7 @@
 // gets the call without a key, and sends the conversation again with the call's result.
 func (h *hook) Stopped() ([]byte, node.Usage) {
 	produced := h.producedTokens()
-	usage := node.Usage{Known: true, Begun: true, Out: produced}
+	usage := node.Usage{Known: true, Begun: true, OutputTokens: produced}
 	last := fmt.Appendf(nil, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%.0f,\"completion_tokens\":%.0f}}\n\n"+
 		"data: [DONE]\n\n", h.request.PromptTokens, produced)
 	if h.rejectedTool != "" {
@@ -273,8 +273,8 @@
 	return true
 }
 
-// Over implements node.Hook: a claim that has neither ended the session nor paused it anew is released.
-func (h *hook) Over(node.Answer) {
+// Finished implements node.Hook: a claim that has neither ended the session nor paused it anew is released.
+func (h *hook) Finished(node.Answer) {
 	if !h.resumed() {
 		return
 	}
--- a/internal/fleet/session/service/hook_test.go
+++ b/internal/fleet/session/service/hook_test.go
@@ -16,13 +16,13 @@
 // one that may not be made ends it, else one that pauses the session does.
 func TestWhatCallsDo(t *testing.T) {
 	c := newCluster(t, 1, nil)
-	for tools, want := range map[string]node.Then{
-		"look":       node.GoOn,
-		"unknown":    node.GoOn,
-		"hours":      node.Stop,
-		"look,hours": node.Stop,
-		"pay":        node.Stop,
-		"hours,pay":  node.Stop,
+	for tools, want := range map[string]node.HookAction{
+		"look":       node.HookContinue,
+		"unknown":    node.HookContinue,
+		"hours":      node.HookStop,
+		"look,hours": node.HookStop,
+		"pay":        node.HookStop,
+		"hours,pay":  node.HookStop,
 	} {
 		h := c.hook(0)
 		events := callEvents(strings.Split(tools, ",")...)
@@ -54,7 +54,7 @@
 		if i == 1 {
 			_, _ = h.Event([]byte(contentEvent("half")))
 		}
-		h.Over(node.Answer{Kind: node.Broken})
+		h.Finished(node.Answer{Kind: node.Broken})
 		require.Eventually(t, func() bool {
 			id, _, _ := session.ParseResumeKey(key)
 			record, _, err := readRecord(c.store, id)
--- a/internal/fleet/session/service/resume_test.go
+++ b/internal/fleet/session/service/resume_test.go
@@ -76,9 +76,9 @@
 	require.Positive(t, rejection.RetryAfter, "it is claimed now")
 	h := resumed.Hook(backend, func() {})
 	_, then := h.Event([]byte(contentEvent("and ") + callEvents("hours")))
-	require.Equal(t, node.Stop, then)
+	require.Equal(t, node.HookStop, then)
 	last, _ := h.Stopped()
-	h.Over(node.Answer{Kind: node.Served})
+	h.Finished(node.Answer{Kind: node.Served})
 	second := resumeKeyIn(last)
 	require.NotEmpty(t, second)
 	requireRejected(t, c.nodes[1], first, 2, resultsFor("c0", "c1"), 409, false)
@@ -86,8 +86,8 @@
 	require.Nil(t, rejection)
 	h = resumed.Hook(backend, func() {})
 	_, then = h.Event([]byte(contentEvent("done") + "data: [DONE]\n\n"))
-	require.Equal(t, node.GoOn, then)
-	h.Over(node.Answer{Kind: node.Served})
+	require.Equal(t, node.HookContinue, then)
+	h.Finished(node.Answer{Kind: node.Served})
 	requireRejected(t, c.nodes[1], second, 2, resultsFor("c0"), 409, false)
 	require.Empty(t, c.monitor.Violations())
 }
@@ -156,7 +156,7 @@
 			c.now.Add(int64(interval))
 			if resumed, _ := s.Resume(t.Context(), keys[0], "q"+keys[0], 2, resultsFor("c0")); resumed != nil {
 				keys = keys[1:]
-				resumed.Hook(noBackend, func() {}).Over(node.Answer{Kind: node.Served})
+				resumed.Hook(noBackend, func() {}).Finished(node.Answer{Kind: node.Served})
 				count++
 			}
 		}
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -66,7 +66,7 @@
 		w.boxes, w.byName[fresh.name] = append(w.boxes, fresh), fresh
 		for _, g := range w.nodes {
 			w.At(w.now+s.Late*rng.Float64(), func() {
-				g.news(node.List{Kind: standpoint.ListDelta, Entries: []node.Endpoint{{Address: fresh.name,
+				g.news(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{{Address: fresh.name,
 					Engine: standpoint.Engine{Name: fresh.name, Kind: kind, Size: 1, ReadyAt: fresh.readyAt}}}})
 			})
 		}
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -32,16 +32,16 @@
 }
 
 // news tells the node of endpoints, as the core would.
-func (g *gateway) news(l node.List) {
-	entries := make([]node.Endpoint, len(l.Entries))
-	copy(entries, l.Entries)
-	l.Entries = entries
+func (g *gateway) news(l node.EndpointList) {
+	entries := make([]node.Endpoint, len(l.Endpoints))
+	copy(entries, l.Endpoints)
+	l.Endpoints = entries
 	list := &standpoint.EngineList{Kind: l.Kind}
-	for i := range l.Entries {
+	for i := range l.Endpoints {
 		if g.tracker != nil {
-			l.Entries[i].Pool = g.tracker.Place(&l.Entries[i])
+			l.Endpoints[i].Pool = g.tracker.Place(&l.Endpoints[i])
 		}
-		list.Engines = append(list.Engines, l.Entries[i].Engine)
+		list.Engines = append(list.Engines, l.Endpoints[i].Engine)
 	}
 	if g.tracker != nil {
 		g.tracker.Listed(l)
@@ -246,16 +246,16 @@
 			t.box.Cancel(t.id)
 		}
 	}
-	o := node.Observation{Request: &a.request, Server: t.box.name, Sent: time.Unix(0, epoch+int64(t.sent*1e9)), Asked: code == standpoint.Cancelled,
-		Result: node.Result{Code: code, Kept: kept}}
+	o := node.Observation{Request: &a.request, Backend: t.box.name, Sent: time.Unix(0, epoch+int64(t.sent*1e9)), Inconclusive: code == standpoint.Cancelled,
+		Result: node.Result{Code: code, CachedTokens: kept}}
 	if t.begun > 0 {
-		o.First, o.Own, o.Decode = span(t.begun-a.arrivedHere()), span(t.begun-t.sent), span(w.now-t.begun)
+		o.FirstToken, o.AttemptFirstToken, o.Decode = span(t.begun-a.arrivedHere()), span(t.begun-t.sent), span(w.now-t.begun)
 	}
 	if code == standpoint.Served && (w.ReportLost == 0 || w.lost.Float64() >= w.ReportLost) {
 		o.Result.Report = w.reported(t.box)
 	}
 	if code == standpoint.Served {
-		o.Result.Tokens = float64(t.made)
+		o.Result.OutputTokens = float64(t.made)
 	}
 	over := a.done || t.begun > 0
 	if t.begun > 0 && !a.done {
@@ -269,7 +269,7 @@
 	if g.tracker != nil {
 		g.tracker.Finished(o)
 	}
-	g.handle(&standpoint.Outcome{Request: a.request.ID, Attempt: t.leg, Last: over, Code: code, Kept: kept, Tokens: o.Result.Tokens,
+	g.handle(&standpoint.Outcome{Request: a.request.ID, Attempt: t.leg, Last: over, Code: code, Kept: kept, Tokens: o.Result.OutputTokens,
 		Engine: t.box.name, Elapsed: int64((w.now - t.sent) * 1e9), Report: o.Result.Report})
 	g.forget(a)
 }
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -293,9 +293,9 @@
 
 // relist tells all nodes the list as it is.
 func (w *World) relist() {
-	l := node.List{Kind: standpoint.ListFull}
+	l := node.EndpointList{Kind: standpoint.ListFull}
 	for _, m := range w.boxes {
-		l.Entries = append(l.Entries, node.Endpoint{Address: m.name, Labels: map[string]string{"version": []string{"", "v1", "v2"}[m.pool]},
+		l.Endpoints = append(l.Endpoints, node.Endpoint{Address: m.name, Labels: map[string]string{"version": []string{"", "v1", "v2"}[m.pool]},
 			Engine: standpoint.Engine{Name: m.name, Kind: m.kind, Size: 1, ReadyAt: m.readyAt, State: m.state}})
 	}
 	for _, g := range w.nodes {
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -259,7 +259,7 @@
 		cfg.Names.Kinds = append(cfg.Names.Kinds, []string{"fast", "standard", "slow", "other"}[min(i, 3)])
 	}
 	cfg.PoolSet, _ = pool.NewSet(poolDefinitions())
-	list := node.List{Kind: standpoint.ListFull}
+	list := node.EndpointList{Kind: standpoint.ListFull}
 	for i := range s.Old + s.New {
 		number, label, started := 1, "v1", box.LongAgo
 		if i >= s.Old {
@@ -278,7 +278,7 @@
 		}
 		w.boxes = append(w.boxes, m)
 		w.byName[m.name] = m
-		list.Entries = append(list.Entries, node.Endpoint{Address: m.name, Labels: map[string]string{"version": label},
+		list.Endpoints = append(list.Endpoints, node.Endpoint{Address: m.name, Labels: map[string]string{"version": label},
 			Engine: standpoint.Engine{Name: m.name, Kind: kind, Size: 1, ReadyAt: m.readyAt}})
 	}
 	for i := range s.Nodes {
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -56,21 +56,21 @@
 func (t *Tracker) Finished(o node.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	backend := t.backends[o.Server]
+	backend := t.backends[o.Backend]
 	if backend != nil && backend.readyAt > clock.Of(o.Sent) {
 		backend = nil // the attempt went to the process before, and says nothing of this one
 	}
 	if backend != nil && o.Result.Report != nil {
 		backend.load = o.Result.Report.Slots
 	}
-	if o.Asked || t.from == 0 {
+	if o.Inconclusive || t.from == 0 {
 		return
 	}
 	served := o.Result.Code == standpoint.Served
 	if backend != nil {
 		t.countAttempt(backend, &o)
 	}
-	if served || o.First > 0 { // complete, or broken after its first event: the request's final answer
+	if served || o.FirstToken > 0 { // complete, or broken after its first event: the request's final answer
 		t.countRequest(o.Request, served && t.onTime(&o))
 	}
 }
@@ -133,7 +133,7 @@
 	}
 	class := &t.classes[o.Request.Class]
 	firstToken := float64(class.TTFTAim) + float64(class.AimPer1000)*o.Request.PromptTokens/1000
-	if class.TTFTAim > 0 && float64(o.First) > firstToken {
+	if class.TTFTAim > 0 && float64(o.FirstToken) > firstToken {
 		return false
 	}
 	gap := tokenGap(o)
@@ -142,10 +142,10 @@
 
 // tokenGap is the time for each token after the first, in seconds; 0 if the answer's length is not known.
 func tokenGap(o *node.Observation) float64 {
-	if o.Result.Tokens < 2 || o.Request.Again {
+	if o.Result.OutputTokens < 2 || o.Request.Again {
 		return 0
 	}
-	return o.Decode.Seconds() / (o.Result.Tokens - 1)
+	return o.Decode.Seconds() / (o.Result.OutputTokens - 1)
 }
 
 // sample keeps the answer among at most migration.MaxSamples of the window, each with the same probability.
@@ -157,9 +157,9 @@
 	sample := migration.Sample{
 		Class:          o.Request.Class,
 		Kind:           kind,
-		UncachedTokens: max(0, o.Request.PromptTokens-o.Result.Kept),
+		UncachedTokens: max(0, o.Request.PromptTokens-o.Result.CachedTokens),
 		Load:           backend.load,
-		FirstToken:     o.Own.Seconds(),
+		FirstToken:     o.AttemptFirstToken.Seconds(),
 		TokenGap:       tokenGap(o),
 	}
 	counters := &t.counters[index]
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -75,14 +75,14 @@
 }
 
 // Listed implements node.Pools.
-func (t *Tracker) Listed(list node.List) {
+func (t *Tracker) Listed(list node.EndpointList) {
 	if list.Kind == standpoint.ListLost {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	listed := map[string]bool{}
-	for _, endpoint := range list.Entries {
+	for _, endpoint := range list.Endpoints {
 		listed[endpoint.Name] = true
 		if endpoint.State == standpoint.Gone {
 			delete(t.backends, endpoint.Name)
--- a/internal/migration/controller/story_test.go
+++ b/internal/migration/controller/story_test.go
@@ -62,7 +62,7 @@
 	for i := range entries {
 		entries[i].Pool = tr.Place(&entries[i])
 	}
-	tr.Listed(node.List{Kind: standpoint.ListFull, Entries: entries})
+	tr.Listed(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
 }
 
 // one is a node of a story: an actor with its tracker, control interface, and traffic of its own.
@@ -113,10 +113,10 @@
 		r.Pool = n.options.Tracker.Assign(r)
 		server := fmt.Sprintf("box-%d", r.Pool)
 		n.options.Tracker.Sent(r, server, 0)
-		o := node.Observation{Request: r, Server: server, First: 200 * time.Millisecond, Own: 200 * time.Millisecond, Decode: time.Second,
-			Result: node.Result{Code: standpoint.Served, Tokens: 50, Report: &standpoint.Report{Slots: 0.3}}}
+		o := node.Observation{Request: r, Backend: server, FirstToken: 200 * time.Millisecond, AttemptFirstToken: 200 * time.Millisecond, Decode: time.Second,
+			Result: node.Result{Code: standpoint.Served, OutputTokens: 50, Report: &standpoint.Report{Slots: 0.3}}}
 		if r.Pool == 2 && n.errors.Load() {
-			o.First, o.Own, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
+			o.FirstToken, o.AttemptFirstToken, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
 			n.options.Tracker.Finished(o)
 			n.options.Tracker.Rejected(r)
 			continue
@@ -503,7 +503,7 @@
 	tell(tr, entry("box-1", "v1"), again)
 	tr.Follow(migration.Record{ID: "m", State: migration.Holding, Plan: migration.Plan{From: "old", To: "new"}})
 	for i, sent := range []time.Time{now.Add(-time.Second), now.Add(time.Second)} {
-		tr.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Server: "box-2", Sent: sent,
+		tr.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Backend: "box-2", Sent: sent,
 			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{Slots: 0.9}}})
 		_, to := tr.TakeWindow(now)
 		require.Equal(t, i, to.Errors)
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -27,10 +27,10 @@
 	require.True(t, send())
 	require.False(t, send(), "one is out")
 	for _, a := range f.attempts {
-		a.out = false
+		a.inFlight = false
 	}
 	require.True(t, send(), "the third")
-	f.attempts[2].out = false
+	f.attempts[2].inFlight = false
 	require.False(t, send(), "the fourth")
 	f.attempts = nil
 	require.True(t, f.settle(Answer{Kind: Failed}))
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -26,20 +26,20 @@
 	Source  string            // which source of several told it; "" where there is one
 }
 
-// List is news of the endpoints.
-type List struct {
-	Kind    standpoint.ListKind
-	Entries []Endpoint
+// EndpointList is news of the endpoints.
+type EndpointList struct {
+	Kind      standpoint.ListKind
+	Endpoints []Endpoint
 }
 
 // Backends carries attempts. Neither call may block on a peer.
 type Backends interface {
-	Update(List)
+	Update(EndpointList)
 	Send(*Attempt) bool // false: not taken, nothing was sent
 }
 
-// Entries is the actor of the endpoints. Watch must not block.
-type Entries interface{ Watch() }
+// EndpointWatcher is the actor of the endpoints. Watch must not block.
+type EndpointWatcher interface{ Watch() }
 
 // Pools say where requests belong, and hear what came of them. The core calls them from the module's actor alone; no
 // call may wait.
@@ -47,7 +47,7 @@
 	// Place says which pool an entry is in, from its labels: 0 for none.
 	Place(e *Endpoint) int
 	// Listed tells of the entries as the module has them now.
-	Listed(l List)
+	Listed(l EndpointList)
 	// Assign says to which pool a request belongs: 0 for any.
 	Assign(r *standpoint.Request) int
 	// Sent tells of an attempt.
@@ -71,33 +71,33 @@
 	// Ended tells how an attempt ended.
 	Ended(o Observation)
 	// Listed tells of the entries as the module has them now.
-	Listed(l List)
+	Listed(l EndpointList)
 }
 
 // Peers carries the module's messages to the other nodes of its tier. Tell must not wait.
 type Peers interface {
-	Tell(to int, data string)
+	Send(to int, data string)
 }
 
 // Charge is what a request was admitted for: an amount of a budget in one of its windows. Budget -1: it counts against none.
 // Fresh, if not 0, are the tokens of its prompt that nobody has been charged for.
 type Charge struct {
-	Budget int
-	Window int64
-	Amount int64
-	Fresh  float64
+	Budget         int
+	Window         int64
+	Amount         int64
+	UncachedTokens float64
 }
 
 // Observation is the end of an attempt as the core saw it.
 type Observation struct {
-	Request *standpoint.Request
-	Server  string
-	Sent    time.Time
-	Result  Result
-	First   time.Duration // from the request's arrival to its first event; 0: there was none
-	Own     time.Duration // likewise from the attempt's sending
-	Decode  time.Duration // from the first event to the last; 0: its client was slow to take it
-	Asked   bool          // given up or failed by this node, or its client: it says nothing of the server
+	Request           *standpoint.Request
+	Backend           string
+	Sent              time.Time
+	Result            Result
+	FirstToken        time.Duration // from the request's arrival to its first event; 0: there was none
+	AttemptFirstToken time.Duration // likewise from the attempt's sending
+	Decode            time.Duration // from the first event to the last; 0: its client was slow to take it
+	Inconclusive      bool          // given up or failed by this node, or its client: it says nothing of the server
 }
 
 // ErrBusy is returned for a request beyond what the node, or the request's tenant, may hold at once.
@@ -107,25 +107,25 @@
 // ever hands on without waiting, so it always comes back to empty it.
 const mailboxSize = 1024
 
-// newsMost is how many lists may wait for the module's actor.
-const newsMost = 16
+// maxPendingLists is how many lists may wait for the module's actor.
+const maxPendingLists = 16
 
-// timersLeast is how many timers there may be before those are looked for that nothing waits for any more.
-const timersLeast = 1024
+// timerSweepMinimum is how many timers there may be before those are looked for that nothing waits for any more.
+const timerSweepMinimum = 1024
 
-// censusEvery is the pause between two looks at how many backends the module avoids.
-const censusEvery = 100 * time.Millisecond
+// healthCountInterval is the pause between two looks at how many backends the module avoids.
+const healthCountInterval = 100 * time.Millisecond
 
-// handBackWait is when a client should come again whose request was handed back; by then it finds another node.
-const handBackWait = 300 * time.Millisecond
+// handBackRetryAfter is when a client should come again whose request was handed back; by then it finds another node.
+const handBackRetryAfter = 300 * time.Millisecond
 
 // Options are a core's settings and neighbours.
 type Options struct {
 	Settings    standpoint.Settings
 	Seed        int64
 	MaxRequests int
-	Servers     Backends
-	Entries     Entries
+	Backends    Backends
+	Watcher     EndpointWatcher
 	Pools       Pools             // nil: none
 	Fleet       Fleet             // nil: this node shares nothing
 	Peers       Peers             // nil: the module's messages to other nodes go nowhere
@@ -136,56 +136,56 @@
 // Core is the module's actor.
 type Core struct {
 	Options
-	router   *standpoint.Router
-	news     chan List // goes before the mailbox: a server's departure must not stand behind ordinary work
-	mail     chan any
-	stopped  chan struct{}
-	requests map[int64]*Request
-	timers   timerHeap
-	thin     int // timers from which those are dropped that nothing waits for
-	actions  []standpoint.Action
-	pending  []standpoint.Event // events the core itself owes the module
-	nextID   int64
-	places   *Shares
-	census   int64 // when the backends were last counted
-	leaving  bool  // all has been handed back: what still comes is rejected at once
+	router          *standpoint.Router
+	endpointUpdates chan EndpointList // goes before the mailbox: a server's departure must not stand behind ordinary work
+	mailbox         chan any
+	stopped         chan struct{}
+	requests        map[int64]*Request
+	timers          timerHeap
+	timerSweepAt    int // timers from which those are dropped that nothing waits for
+	actions         []standpoint.Action
+	pending         []standpoint.Event // events the core itself owes the module
+	nextID          int64
+	limiter         *TenantLimiter
+	healthCountedAt int64 // when the backends were last counted
+	handedBack      bool  // all has been handed back: what still comes is rejected at once
 }
 
 // Messages of the mailbox.
 type (
-	adjusted    struct{ settings standpoint.Settings }
-	adopted     struct{ f *Request }
-	advised     struct{ a *standpoint.Advice }
-	learned     struct{ to chan<- *standpoint.Learned }
-	peerMessage struct {
+	updateSettings struct{ settings standpoint.Settings }
+	adoptRequest   struct{ request *Request }
+	updateAdvice   struct{ advice *standpoint.Advice }
+	exportLearned  struct{ reply chan<- *standpoint.Learned }
+	peerMessage    struct {
 		from int
 		data string
 	}
-	recalled struct {
-		l    *standpoint.Learned
-		done chan<- error
+	importLearned struct {
+		learned *standpoint.Learned
+		reply   chan<- error
 	}
-	handBack   struct{ all bool }
-	taken      struct{ f *Request }
-	left       struct{ f *Request }
-	firstEvent struct {
-		a       *Attempt
+	handBackRequests   struct{ all bool }
+	submitRequest      struct{ request *Request }
+	clientDisconnected struct{ request *Request }
+	firstEventReceived struct {
+		attempt *Attempt
 		elapsed time.Duration
 	}
-	ended struct {
-		a       *Attempt
-		r       Result
+	attemptFinished struct {
+		attempt *Attempt
+		result  Result
 		elapsed time.Duration
 	}
 )
 
-func (m ended) observation() Observation {
-	f := m.a.Request
-	o := Observation{Request: &f.Spec, Server: m.a.Server, Sent: m.a.Sent, Result: m.r, Asked: m.r.Code == standpoint.Cancelled || m.r.Local}
-	if m.a.first > 0 {
-		o.First, o.Own = m.a.Sent.Add(m.a.first).Sub(f.arrived), m.a.first
-		if m.r.Held == 0 {
-			o.Decode = m.elapsed - m.a.first
+func (m attemptFinished) observation() Observation {
+	f := m.attempt.Request
+	o := Observation{Request: &f.Spec, Backend: m.attempt.Backend, Sent: m.attempt.Sent, Result: m.result, Inconclusive: m.result.Code == standpoint.Cancelled || m.result.Local}
+	if m.attempt.first > 0 {
+		o.FirstToken, o.AttemptFirstToken = m.attempt.Sent.Add(m.attempt.first).Sub(f.arrived), m.attempt.first
+		if m.result.ClientStall == 0 {
+			o.Decode = m.elapsed - m.attempt.first
 		}
 	}
 	return o
@@ -193,9 +193,9 @@
 
 // New makes a core; Run starts it.
 func New(o Options) *Core {
-	c := &Core{Options: o, router: standpoint.New(o.Settings, o.Seed), news: make(chan List, newsMost),
-		mail: make(chan any, mailboxSize), stopped: make(chan struct{}), requests: map[int64]*Request{}}
-	c.places = NewShares(o.MaxRequests, len(o.Settings.Tenants))
+	c := &Core{Options: o, router: standpoint.New(o.Settings, o.Seed), endpointUpdates: make(chan EndpointList, maxPendingLists),
+		mailbox: make(chan any, mailboxSize), stopped: make(chan struct{}), requests: map[int64]*Request{}}
+	c.limiter = NewTenantLimiter(o.MaxRequests, len(o.Settings.Tenants))
 	return c
 }
 
@@ -212,40 +212,40 @@
 
 func (c *Core) post(m any) {
 	select {
-	case c.mail <- m:
+	case c.mailbox <- m:
 	case <-c.stopped:
 	}
 }
 
-// News hands a change of the endpoints to the module, before whatever else waits for it.
-func (c *Core) News(l List) {
+// UpdateEndpoints hands a change of the endpoints to the module, before whatever else waits for it.
+func (c *Core) UpdateEndpoints(l EndpointList) {
 	select {
-	case c.news <- l:
+	case c.endpointUpdates <- l:
 	case <-c.stopped:
 	}
 }
 
 // Adjust takes on new settings. Requests that are open keep the deadlines that they came with.
 func (c *Core) Adjust(settings standpoint.Settings, maxFlows int) {
-	c.places.Set(maxFlows, len(settings.Tenants))
-	c.post(adjusted{settings})
+	c.limiter.SetCapacity(maxFlows, len(settings.Tenants))
+	c.post(updateSettings{settings})
 }
 
 // Advise has the module weigh what other nodes have seen of the backends.
-func (c *Core) Advise(a *standpoint.Advice) { c.post(advised{a}) }
+func (c *Core) Advise(a *standpoint.Advice) { c.post(updateAdvice{a}) }
 
-// Heard takes a message of another node's module. Where the mailbox is full it is lost, as on the way.
-func (c *Core) Heard(from int, data string) {
+// ReceivePeerMessage takes a message of another node's module. Where the mailbox is full it is lost, as on the way.
+func (c *Core) ReceivePeerMessage(from int, data string) {
 	select {
-	case c.mail <- peerMessage{from, data}:
+	case c.mailbox <- peerMessage{from, data}:
 	default:
 	}
 }
 
-// Learned is a copy of what the module has learned; nil if it is not to be had before ctx ends.
-func (c *Core) Learned(ctx context.Context) *standpoint.Learned {
+// ExportLearned is a copy of what the module has learned; nil if it is not to be had before ctx ends.
+func (c *Core) ExportLearned(ctx context.Context) *standpoint.Learned {
 	to := make(chan *standpoint.Learned, 1)
-	c.post(learned{to})
+	c.post(exportLearned{to})
 	select {
 	case l := <-to:
 		return l
@@ -254,10 +254,10 @@
 	}
 }
 
-// Recall has the module take what another process of this node learned.
-func (c *Core) Recall(ctx context.Context, l *standpoint.Learned) error {
+// ImportLearned has the module take what another process of this node learned.
+func (c *Core) ImportLearned(ctx context.Context, l *standpoint.Learned) error {
 	done := make(chan error, 1)
-	c.post(recalled{l, done})
+	c.post(importLearned{l, done})
 	select {
 	case err := <-done:
 		return err
@@ -269,20 +269,20 @@
 // HandBack gives up what this node cannot bring to an end: begun streams, whose clients ask another node for the
 // rest, and, with all, requests that still wait, which are rejected, as is from then on whatever comes. Where clients do not ask
 // for the rest, streams run on.
-func (c *Core) HandBack(all bool) { c.post(handBack{all}) }
+func (c *Core) HandBack(all bool) { c.post(handBackRequests{all}) }
 
 // Stopped is closed when the core has stopped.
 func (c *Core) Stopped() <-chan struct{} { return c.stopped }
 
-// Open is the number of requests that wait for their answer.
-func (c *Core) Open() int { return c.places.Taken() }
+// OpenRequests is the number of requests that wait for their answer.
+func (c *Core) OpenRequests() int { return c.limiter.InUse() }
 
 // Serve takes a request on and returns its one final answer. When ctx ends, the client has gone. It is here that the end
 // of every request is counted.
 func (c *Core) Serve(ctx context.Context, f *Request) (Answer, error) {
 	a, err := c.serve(ctx, f)
 	if f.Hook != nil {
-		f.Hook.Over(a)
+		f.Hook.Finished(a)
 	}
 	c.count(f, a, err)
 	return a, err
@@ -305,14 +305,14 @@
 // Adopt takes on a request whose answer another process of this node has begun, and returns its end. carry carries it, as the
 // one attempt that has claimed it; the module is not asked about it.
 func (c *Core) Adopt(ctx context.Context, f *Request, carry func(*Attempt)) (Answer, error) {
-	if !c.places.Take(f.Spec.Tenant, 1) {
+	if !c.limiter.Acquire(f.Spec.Tenant, 1) {
 		return Answer{}, ErrBusy
 	}
-	defer c.places.Give(f.Spec.Tenant, 1)
-	a := &Attempt{Request: f, Sent: time.Now(), post: c.post, out: true, timer: time.NewTimer(0)}
+	defer c.limiter.Release(f.Spec.Tenant, 1)
+	a := &Attempt{Request: f, Sent: time.Now(), post: c.post, inFlight: true, timer: time.NewTimer(0)}
 	a.ctx, a.stop = context.WithCancelCause(context.Background())
 	f.claimed, f.attempts = a, []*Attempt{a}
-	c.post(adopted{f})
+	c.post(adoptRequest{f})
 	go carry(a)
 	answer := Answer{}
 	select {
@@ -326,33 +326,33 @@
 }
 
 func (c *Core) serve(ctx context.Context, f *Request) (Answer, error) {
-	if !c.places.Take(f.Spec.Tenant, 1) {
+	if !c.limiter.Acquire(f.Spec.Tenant, 1) {
 		return Answer{}, ErrBusy
 	}
-	defer c.places.Give(f.Spec.Tenant, 1)
+	defer c.limiter.Release(f.Spec.Tenant, 1)
 	if c.Fleet == nil {
-		return c.carry(ctx, f), nil
+		return c.submit(ctx, f), nil
 	}
 	charge, wait, ok := c.Fleet.Admit(&f.Spec)
 	if !ok {
 		return Answer{Kind: Rejected, Wait: wait, Unsent: true}, nil
 	}
-	charge.Fresh = f.Fresh
-	a := c.carry(ctx, f)
+	charge.UncachedTokens = f.UncachedTokens
+	a := c.submit(ctx, f)
 	c.Fleet.Settle(&f.Spec, charge, a)
 	return a, nil
 }
 
-// carry has the module's actor take the request, and waits for its answer.
-func (c *Core) carry(ctx context.Context, f *Request) Answer {
-	c.post(taken{f})
+// submit has the module's actor take the request, and waits for its answer.
+func (c *Core) submit(ctx context.Context, f *Request) Answer {
+	c.post(submitRequest{f})
 	select {
 	case a := <-f.done:
 		return a
 	case <-ctx.Done():
 	}
-	if f.leave() {
-		c.post(left{f})
+	if f.disconnect() {
+		c.post(clientDisconnected{f})
 	}
 	return <-f.done
 }
@@ -363,8 +363,8 @@
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for c.step(ctx, alarm) {
-		if now := c.clock(); now-c.census >= int64(censusEvery) {
-			c.census = now
+		if now := c.clock(); now-c.healthCountedAt >= int64(healthCountInterval) {
+			c.healthCountedAt = now
 			c.Metrics.SetBackends(c.router.Census())
 		}
 	}
@@ -373,8 +373,8 @@
 // step takes one message or timer, or waits for it; news goes first. False: ctx has ended.
 func (c *Core) step(ctx context.Context, alarm *time.Timer) bool {
 	select {
-	case l := <-c.news:
-		c.listed(l)
+	case l := <-c.endpointUpdates:
+		c.applyEndpoints(l)
 		return true
 	default:
 	}
@@ -386,9 +386,9 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case l := <-c.news:
-		c.listed(l)
-	case m := <-c.mail:
+	case l := <-c.endpointUpdates:
+		c.applyEndpoints(l)
+	case m := <-c.mailbox:
 		c.receive(m)
 	case <-alarm.C:
 		if len(c.timers) > 0 && c.timers[0].at <= c.clock() {
@@ -399,13 +399,13 @@
 	return true
 }
 
-// listed takes in a change of the endpoints. The servers hear of it first: nothing that was decided on before begins at one that
+// applyEndpoints takes in a change of the endpoints. The servers hear of it first: nothing that was decided on before begins at one that
 // leaves.
-func (c *Core) listed(l List) {
-	c.Servers.Update(l)
+func (c *Core) applyEndpoints(l EndpointList) {
+	c.Backends.Update(l)
 	if c.Pools != nil {
-		for i := range l.Entries {
-			l.Entries[i].Pool = c.Pools.Place(&l.Entries[i])
+		for i := range l.Endpoints {
+			l.Endpoints[i].Pool = c.Pools.Place(&l.Endpoints[i])
 		}
 		c.Pools.Listed(l)
 	}
@@ -413,7 +413,7 @@
 		c.Fleet.Listed(l)
 	}
 	news := &standpoint.EngineList{Kind: l.Kind}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		news.Engines = append(news.Engines, e.Engine)
 	}
 	c.decide(news)
@@ -421,84 +421,84 @@
 
 func (c *Core) receive(m any) {
 	switch m := m.(type) {
-	case adjusted:
+	case updateSettings:
 		c.Settings = m.settings
 		c.router.Adjust(m.settings)
-	case adopted:
+	case adoptRequest:
 		c.nextID++
-		m.f.Spec.ID = c.nextID
-		c.requests[c.nextID] = m.f
-		m.f.arrived = time.Now()
-		if c.leaving { // another process passed it on as this one gave back all that it has
-			c.giveBack(m.f, true)
+		m.request.Spec.ID = c.nextID
+		c.requests[c.nextID] = m.request
+		m.request.arrived = time.Now()
+		if c.handedBack { // another process passed it on as this one gave back all that it has
+			c.handBackRequest(m.request, true)
 		}
 	case peerMessage:
 		c.decide(&standpoint.PeerMessage{From: m.from, Data: m.data})
-	case advised:
-		c.decide(m.a)
-	case learned:
-		m.to <- c.router.Learned()
-	case recalled:
-		m.done <- c.router.Recall(m.l, c.clock())
-	case handBack:
-		c.leaving = c.leaving || m.all
+	case updateAdvice:
+		c.decide(m.advice)
+	case exportLearned:
+		m.reply <- c.router.Learned()
+	case importLearned:
+		m.reply <- c.router.Recall(m.learned, c.clock())
+	case handBackRequests:
+		c.handedBack = c.handedBack || m.all
 		for _, f := range c.requests {
-			c.giveBack(f, m.all)
+			c.handBackRequest(f, m.all)
 		}
-	case taken:
+	case submitRequest:
 		// Clients go on sending on every connection that is open until the kill, which is near.
-		if c.leaving && m.f.settle(Answer{Kind: Rejected, Wait: handBackWait}) {
-			close(m.f.idle)
+		if c.handedBack && m.request.settle(Answer{Kind: Rejected, Wait: handBackRetryAfter}) {
+			close(m.request.idle)
 			return
 		}
 		c.nextID++
-		m.f.Spec.ID = c.nextID
-		c.requests[c.nextID] = m.f
+		m.request.Spec.ID = c.nextID
+		c.requests[c.nextID] = m.request
 		if c.Pools != nil {
-			m.f.Spec.Pool = c.Pools.Assign(&m.f.Spec)
+			m.request.Spec.Pool = c.Pools.Assign(&m.request.Spec)
 		}
-		m.f.arrived = time.Now()
-		if m.f.Holder != "" {
-			c.router.Holds(&m.f.Spec, m.f.Holder, m.f.Start, m.f.Holds, c.clock())
+		m.request.arrived = time.Now()
+		if m.request.CacheHolder != "" {
+			c.router.Holds(&m.request.Spec, m.request.CacheHolder, m.request.HolderStartedAt, m.request.HeldTokens, c.clock())
 		}
-		request := m.f.Spec
+		request := m.request.Spec
 		c.decide(&request)
-		c.forget(m.f)
-	case left:
-		c.decide(&standpoint.Left{Request: m.f.Spec.ID})
-		c.forget(m.f)
-	case firstEvent:
-		m.a.first = m.elapsed
-		c.decide(&standpoint.FirstToken{Request: m.a.Request.Spec.ID, Attempt: m.a.Leg,
+		c.release(m.request)
+	case clientDisconnected:
+		c.decide(&standpoint.Left{Request: m.request.Spec.ID})
+		c.release(m.request)
+	case firstEventReceived:
+		m.attempt.first = m.elapsed
+		c.decide(&standpoint.FirstToken{Request: m.attempt.Request.Spec.ID, Attempt: m.attempt.Number,
 			Elapsed: int64(m.elapsed)})
-	case ended:
-		m.a.out = false
+	case attemptFinished:
+		m.attempt.inFlight = false
 		if c.Pools != nil {
 			c.Pools.Finished(m.observation())
 		}
 		if c.Fleet != nil {
 			c.Fleet.Ended(m.observation())
 		}
-		c.decide(&standpoint.Outcome{Request: m.a.Request.Spec.ID, Attempt: m.a.Leg, Last: m.a.Request.isOver(),
-			Code: m.r.Code, Kept: m.r.Kept, Tokens: m.r.Tokens, Engine: m.a.Server, Elapsed: int64(m.elapsed), Held: m.r.Held > 0,
-			Report: m.r.Report, Local: m.r.Local})
-		c.forget(m.a.Request)
+		c.decide(&standpoint.Outcome{Request: m.attempt.Request.Spec.ID, Attempt: m.attempt.Number, Last: m.attempt.Request.isSettled(),
+			Code: m.result.Code, Kept: m.result.CachedTokens, Tokens: m.result.OutputTokens, Engine: m.attempt.Backend, Elapsed: int64(m.elapsed), Held: m.result.ClientStall > 0,
+			Report: m.result.Report, Local: m.result.Local})
+		c.release(m.attempt.Request)
 	}
 }
 
-// giveBack ends a request that this node cannot bring to an end: one that has begun, where its client asks another node for the rest,
+// handBackRequest ends a request that this node cannot bring to an end: one that has begun, where its client asks another node for the rest,
 // and, with all, one that waits. That trying again is harmless is said only where it is true: an attempt may have run.
-func (c *Core) giveBack(f *Request, all bool) {
+func (c *Core) handBackRequest(f *Request, all bool) {
 	var answer *Answer
 	switch {
 	case all && c.router.MayShed(f.Spec.ID):
-		answer = &Answer{Kind: Rejected, Wait: handBackWait, Unsent: len(f.attempts) == 0}
+		answer = &Answer{Kind: Rejected, Wait: handBackRetryAfter, Unsent: len(f.attempts) == 0}
 	case all:
 		answer = &Answer{Kind: Failed}
 	}
 	if f.handBack(answer, c.Settings.Resume) {
 		c.decide(&standpoint.Left{Request: f.Spec.ID})
-		c.forget(f)
+		c.release(f)
 	}
 }
 
@@ -509,31 +509,31 @@
 		ev, c.pending = c.pending[0], c.pending[1:]
 		c.actions = c.router.Handle(c.clock(), ev, c.actions[:0])
 		for _, a := range c.actions {
-			c.carryOut(a)
+			c.execute(a)
 		}
 	}
 }
 
-func (c *Core) carryOut(a standpoint.Action) {
+func (c *Core) execute(a standpoint.Action) {
 	switch a.Kind {
 	case standpoint.Timer:
-		if len(c.timers) >= max(c.thin, timersLeast) {
+		if len(c.timers) >= max(c.timerSweepAt, timerSweepMinimum) {
 			c.timers = slices.DeleteFunc(c.timers, func(t timer) bool { return !c.router.Awaits(t.token) })
 			heap.Init(&c.timers)
-			c.thin = 2 * len(c.timers)
+			c.timerSweepAt = 2 * len(c.timers)
 		}
 		heap.Push(&c.timers, timer{c.clock() + a.Wait, a.Token})
 	case standpoint.Tell:
 		if c.Peers != nil {
-			c.Peers.Tell(a.Peer, a.Data)
+			c.Peers.Send(a.Peer, a.Data)
 		}
 	case standpoint.Subscribe:
-		c.Entries.Watch()
+		c.Watcher.Watch()
 	case standpoint.Send:
 		c.send(c.requests[a.Request], a)
 	case standpoint.Cancel:
 		if f := c.requests[a.Request]; f != nil && a.Attempt < len(f.attempts) {
-			f.attempts[a.Attempt].giveUp(ErrCalledOff)
+			f.attempts[a.Attempt].giveUp(ErrCancelled)
 		}
 	case standpoint.Shed, standpoint.Fail:
 		answer := Answer{Kind: Failed}
@@ -546,7 +546,7 @@
 			if f.settle(answer) && c.Pools != nil {
 				c.Pools.Rejected(&f.Spec)
 			}
-			c.forget(f)
+			c.release(f)
 		}
 	default:
 		c.Log.Warn("the module asked for what this node does not do", zap.Uint8("action", uint8(a.Kind)))
@@ -559,30 +559,30 @@
 	if f == nil {
 		return
 	}
-	a := &Attempt{Request: f, Leg: len(f.attempts), Server: act.Engine, Sent: time.Now(), Resumes: c.Settings.Resume, post: c.post}
+	a := &Attempt{Request: f, Number: len(f.attempts), Backend: act.Engine, Sent: time.Now(), ClientResumes: c.Settings.Resume, post: c.post}
 	a.Until = a.Sent.Add(time.Duration(act.Until - c.clock()))
 	if act.By != 0 {
-		a.By = a.Sent.Add(time.Duration(act.By - c.clock()))
+		a.BeginBy = a.Sent.Add(time.Duration(act.By - c.clock()))
 	}
-	refuse := f.isOver() || !a.Until.After(a.Sent) || c.attemptsSpent(f)
+	refuse := f.isSettled() || !a.Until.After(a.Sent) || c.attemptsSpent(f)
 	for _, other := range f.attempts {
-		refuse = refuse || other.out && !c.Settings.SecondCopies
+		refuse = refuse || other.inFlight && !c.Settings.SecondCopies
 	}
-	refuse = refuse || a.Leg > 0 && c.Fleet != nil && !c.Fleet.Again()
+	refuse = refuse || a.Number > 0 && c.Fleet != nil && !c.Fleet.Again()
 	f.attempts = append(f.attempts, a)
 	a.ctx, a.stop = context.WithCancelCause(context.Background())
 	a.timer = time.AfterFunc(time.Until(a.Until), func() { a.giveUp(ErrNoAnswer) })
-	a.out = true
-	if !refuse && c.Servers.Send(a) {
+	a.inFlight = true
+	if !refuse && c.Backends.Send(a) {
 		if c.Pools != nil {
-			c.Pools.Sent(&f.Spec, act.Engine, a.Leg)
+			c.Pools.Sent(&f.Spec, act.Engine, a.Number)
 		}
 		return
 	}
-	a.out = false
+	a.inFlight = false
 	a.timer.Stop()
 	a.stop(nil)
-	c.pending = append(c.pending, &standpoint.Outcome{Request: act.Request, Attempt: a.Leg, Last: f.isOver(),
+	c.pending = append(c.pending, &standpoint.Outcome{Request: act.Request, Attempt: a.Number, Last: f.isSettled(),
 		Code: standpoint.NotSent, Engine: act.Engine})
 }
 
@@ -591,17 +591,17 @@
 	return c.Settings.MaxAttempts > 0 && len(f.attempts) >= c.Settings.MaxAttempts
 }
 
-// forget drops a request that is over once none of its attempts is out. Those that are have nobody to answer
+// release drops a request that is over once none of its attempts is out. Those that are have nobody to answer
 // any more and are given up.
-func (c *Core) forget(f *Request) {
-	if !f.isOver() {
+func (c *Core) release(f *Request) {
+	if !f.isSettled() {
 		return
 	}
 	waits := false
 	for _, a := range f.attempts {
-		if a.out {
+		if a.inFlight {
 			waits = true
-			a.giveUp(ErrCalledOff)
+			a.giveUp(ErrCancelled)
 		}
 	}
 	if !waits && c.requests[f.Spec.ID] == f {
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -14,12 +14,12 @@
 // held are backends that take every attempt and hold it until it is given up.
 type held struct{ sent chan *Attempt }
 
-func (held) Update(List) {}
+func (held) Update(EndpointList) {}
 func (h held) Send(a *Attempt) bool {
 	h.sent <- a
 	go func() {
 		<-a.Context().Done()
-		a.End(Result{Code: standpoint.Cancelled})
+		a.Finish(Result{Code: standpoint.Cancelled})
 	}()
 	return true
 }
@@ -32,8 +32,8 @@
 	s := standpoint.Settings{Balancers: 1, MaxAttempts: 3, Tick: 1e6, Cancel: true, Kinds: 1, Tenants: make([]standpoint.Tenant, tenants),
 		Classes: []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}}}
 	h := held{make(chan *Attempt, 20_000)}
-	c := New(Options{Settings: s, Seed: 1, MaxRequests: most, Servers: h, Entries: quiet{}, Log: zap.NewNop()})
-	c.News(List{Kind: standpoint.ListFull, Entries: []Endpoint{{Address: "127.0.0.1:1", Engine: standpoint.Engine{Name: "s", Size: 1}}}})
+	c := New(Options{Settings: s, Seed: 1, MaxRequests: most, Backends: h, Watcher: quiet{}, Log: zap.NewNop()})
+	c.UpdateEndpoints(EndpointList{Kind: standpoint.ListFull, Endpoints: []Endpoint{{Address: "127.0.0.1:1", Engine: standpoint.Engine{Name: "s", Size: 1}}}})
 	go c.Run(ctx)
 	return c, h
 }
@@ -78,7 +78,7 @@
 	}
 	end()
 	<-c.Stopped()
-	require.LessOrEqual(t, len(c.timers), 2*timersLeast)
+	require.LessOrEqual(t, len(c.timers), 2*timerSweepMinimum)
 }
 
 // An answer begins in the very moment in which all is handed back: before it, behind it, or while its request's lock is held until both
@@ -98,16 +98,16 @@
 		first := make(chan bool, 1)
 		switch i % 3 {
 		case 0:
-			first <- a.First()
+			first <- a.Claim()
 			c.HandBack(true)
 		case 1:
 			c.HandBack(true)
 			<-a.Context().Done()
-			first <- a.First()
+			first <- a.Claim()
 		case 2: // either order is right
 			f.mu.Lock()
 			c.HandBack(true)
-			go func() { first <- a.First() }()
+			go func() { first <- a.Claim() }()
 			time.Sleep(time.Duration(i%4) * 100 * time.Microsecond)
 			f.mu.Unlock()
 		}
@@ -137,7 +137,7 @@
 	c.HandBack(true)
 	a, err := c.Adopt(t.Context(), flow(c, 0, time.Minute), func(a *Attempt) {
 		<-a.Context().Done()
-		a.End(Result{Code: standpoint.Cancelled})
+		a.Finish(Result{Code: standpoint.Cancelled})
 	})
 	require.NoError(t, err)
 	require.Equal(t, Broken, a.Kind)
@@ -160,12 +160,12 @@
 type noPools struct{}
 
 func (noPools) Place(*Endpoint) int                   { return 0 }
-func (noPools) Listed(List)                           {}
+func (noPools) Listed(EndpointList)                   {}
 func (noPools) Sent(*standpoint.Request, string, int) {}
 func (noPools) Finished(Observation)                  {}
 func (noPools) Rejected(*standpoint.Request)          {}
 func (n noted) Assign(*standpoint.Request) int        { <-n.let; n.note <- "request"; return 0 }
-func (n noted) Update(List)                           { n.note <- "list" }
+func (n noted) Update(EndpointList)                   { n.note <- "list" }
 func (noted) Send(_ *Attempt) bool                    { return false }
 
 // A list does not wait behind what the mailbox holds: the servers hear of it once the message in hand is done with.
@@ -174,14 +174,14 @@
 	n := noted{let: make(chan struct{}), note: make(chan string, 1000)}
 	s := standpoint.Settings{Balancers: 1, MaxAttempts: 3, Tick: 1e6, Kinds: 1, Tenants: make([]standpoint.Tenant, 1),
 		Classes: []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}}}
-	c := New(Options{Settings: s, Seed: 1, MaxRequests: 1000, Servers: n, Pools: n, Entries: quiet{}, Log: zap.NewNop()})
+	c := New(Options{Settings: s, Seed: 1, MaxRequests: 1000, Backends: n, Pools: n, Watcher: quiet{}, Log: zap.NewNop()})
 	go c.Run(t.Context())
 	const waiting = 500
 	for range waiting {
 		go func() { _, _ = c.Serve(t.Context(), flow(c, 0, time.Minute)) }()
 	}
-	require.Eventually(t, func() bool { return len(c.mail) == waiting-1 }, 10*time.Second, time.Millisecond, "one is in hand")
-	c.News(List{Kind: standpoint.ListFull})
+	require.Eventually(t, func() bool { return len(c.mailbox) == waiting-1 }, 10*time.Second, time.Millisecond, "one is in hand")
+	c.UpdateEndpoints(EndpointList{Kind: standpoint.ListFull})
 	for range waiting {
 		n.let <- struct{}{}
 	}
--- a/internal/node/phase.go
+++ b/internal/node/phase.go
@@ -13,12 +13,12 @@
 
 // The phases of the program, in the order in which they usually follow each other.
 const (
-	Starting      Phase = iota // the list is being seeded; clients are not admitted yet
-	Serving                    // clients are admitted
-	DrainedByHand              // staff send clients away; there is a way back
-	HandingOver                // told to stop while another process of this node serves at the same socket
-	Draining                   // told to stop: takes what still comes, answers all of it
-	Stopped                    // nothing is taken any more
+	Starting        Phase = iota // the list is being seeded; clients are not admitted yet
+	Serving                      // clients are admitted
+	ManuallyDrained              // staff send clients away; there is a way back
+	HandingOver                  // told to stop while another process of this node serves at the same socket
+	Draining                     // told to stop: takes what still comes, answers all of it
+	Stopped                      // nothing is taken any more
 )
 
 // String implements fmt.Stringer.
@@ -28,35 +28,35 @@
 
 // follows says from which phases each may be entered.
 var follows = [...][]Phase{
-	Serving:       {Starting, DrainedByHand},
-	DrainedByHand: {Serving},
-	HandingOver:   {Serving, DrainedByHand},
-	Draining:      {Starting, Serving, DrainedByHand},
-	Stopped:       {Starting, Serving, DrainedByHand, HandingOver, Draining},
+	Serving:         {Starting, ManuallyDrained},
+	ManuallyDrained: {Serving},
+	HandingOver:     {Serving, ManuallyDrained},
+	Draining:        {Starting, Serving, ManuallyDrained},
+	Stopped:         {Starting, Serving, ManuallyDrained, HandingOver, Draining},
 }
 
-// Life holds the program's phase.
-type Life struct {
+// Lifecycle holds the program's phase.
+type Lifecycle struct {
 	mu    sync.Mutex
 	phase Phase
 	since time.Time
 }
 
-// Now returns the present phase.
-func (l *Life) Now() Phase {
+// Phase returns the present phase.
+func (l *Lifecycle) Phase() Phase {
 	p, _ := l.Since()
 	return p
 }
 
 // Since returns the present phase and when it was entered.
-func (l *Life) Since() (Phase, time.Time) {
+func (l *Lifecycle) Since() (Phase, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase, l.since
 }
 
-// Move enters another phase.
-func (l *Life) Move(to Phase) error {
+// Enter enters another phase.
+func (l *Lifecycle) Enter(to Phase) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !slices.Contains(follows[to], l.phase) {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -23,25 +23,25 @@
 	Event(b []byte) error // whole events of the answer, to be passed on at once
 }
 
-// Then is what follows events that a hook has seen.
-type Then uint8
+// HookAction is what follows events that a hook has seen.
+type HookAction uint8
 
 // What may follow.
 const (
-	GoOn  Then = iota // the rest
-	Stop              // nothing more of the decoding, and what Stopped returns
-	Break             // nothing: the answer is broken off
+	HookContinue HookAction = iota // the rest
+	HookStop                       // nothing more of the decoding, and what Stopped returns
+	HookBreak                      // nothing: the answer is broken off
 )
 
 // Hook looks at the answer of one request as it is passed on. Event and Stopped are called by the attempt that has claimed the request,
 // one at a time; Over once, behind all of them, by whoever serves it.
 type Hook interface {
 	// Event sees whole events; what it returns is passed on in their place.
-	Event(b []byte) (pass []byte, then Then)
+	Event(b []byte) (pass []byte, then HookAction)
 	// Stopped is called once the decoding has ended where Event had it stop; what it returns ends the answer.
 	Stopped() (last []byte, usage Usage)
-	// Over tells the request's final answer.
-	Over(a Answer)
+	// Finished tells the request's final answer.
+	Finished(a Answer)
 }
 
 // ErrStopped is an attempt's whose answer ends where its hook had it stop; ErrBroken, where that had it broken off.
@@ -50,11 +50,11 @@
 	ErrBroken  = errors.New("the answer is broken off here")
 )
 
-// Leaver is a client connection that can be asked whether its client has left. It is asked before each attempt begins: that nobody has
+// DisconnectDetector is a client connection that can be asked whether its client has left. It is asked before each attempt begins: that nobody has
 // told of it yet does not mean that the client is there.
-type Leaver interface {
-	// Gone must not wait.
-	Gone() bool
+type DisconnectDetector interface {
+	// Disconnected must not wait.
+	Disconnected() bool
 }
 
 // AnswerKind says how a request ended for its client.
@@ -83,25 +83,25 @@
 
 // Usage is what an answer took of a backend, as far as known.
 type Usage struct {
-	Known     bool    // the server told it
-	Begun     bool    // something of the answer was passed on
-	Paused    bool    // it was ended at a call
-	Kept, Out float64 // tokens of the prompt that it held, and of the answer
+	Known                      bool    // the server told it
+	Begun                      bool    // something of the answer was passed on
+	Paused                     bool    // it was ended at a call
+	CachedTokens, OutputTokens float64 // tokens of the prompt that it held, and of the answer
 }
 
 // Reasons for which an attempt is given up; the last two may come after its first event.
 var (
 	ErrNoAnswer   = errors.New("no answer in time")
-	ErrCalledOff  = errors.New("called off")
+	ErrCancelled  = errors.New("called off")
 	ErrClientGone = errors.New("the client has gone")
 	ErrHandedBack = errors.New("handed back to the client, to go on elsewhere")
 )
 
 // Reasons for which an attempt that was decided on is not begun. What was true then may have changed on the way to the socket.
 var (
-	ErrLeaving = errors.New("the backend is to get nothing new")
-	ErrTooLate = errors.New("the time in which repeats are dropped is over")
-	ErrOver    = errors.New("the request is over")
+	ErrBackendDraining = errors.New("the backend is to get nothing new")
+	ErrTooLate         = errors.New("the time in which repeats are dropped is over")
+	ErrRequestOver     = errors.New("the request is over")
 )
 
 // Request is one request taken on, which is owed one final answer.
@@ -110,27 +110,27 @@
 	Work Work
 	// Hook, if not nil, looks at the answer.
 	Hook Hook
-	// Fresh, if not 0, are the tokens of the prompt that are charged: the others were, with an earlier part of the session.
-	Fresh float64
-	// Holder is the backend's process that is taken to hold so many tokens of the prompt, as somebody else knows; "": nobody.
-	Holder string
-	Start  int64
-	Holds  float64
+	// UncachedTokens, if not 0, are the tokens of the prompt that are charged: the others were, with an earlier part of the session.
+	UncachedTokens float64
+	// CacheHolder is the backend's process that is taken to hold so many tokens of the prompt, as somebody else knows; "": nobody.
+	CacheHolder     string
+	HolderStartedAt int64
+	HeldTokens      float64
 
-	edge ClientConnection
-	done chan Answer // holds one: the final answer
-	idle chan struct{}
+	client ClientConnection
+	done   chan Answer // holds one: the final answer
+	idle   chan struct{}
 
 	mu       sync.Mutex
 	arrived  time.Time // the core's alone
-	over     bool      // the final answer is decided
+	settled  bool      // the final answer is decided
 	claimed  *Attempt
 	attempts []*Attempt // the core's alone
 }
 
 // NewRequest makes a request that is to be answered over edge.
 func NewRequest(request standpoint.Request, work Work, edge ClientConnection) *Request {
-	return &Request{Spec: request, Work: work, edge: edge, done: make(chan Answer, 1),
+	return &Request{Spec: request, Work: work, client: edge, done: make(chan Answer, 1),
 		idle: make(chan struct{})}
 }
 
@@ -142,22 +142,22 @@
 func (f *Request) settle(a Answer) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.over || f.claimed != nil {
+	if f.settled || f.claimed != nil {
 		return false
 	}
-	f.over = true
+	f.settled = true
 	f.done <- a
 	return true
 }
 
-func (f *Request) isOver() bool {
+func (f *Request) isSettled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.over
+	return f.settled
 }
 
-// leave is called when the client has gone. A claimed request's attempt is stopped; its end settles the request.
-func (f *Request) leave() bool {
+// disconnect is called when the client has gone. A claimed request's attempt is stopped; its end settles the request.
+func (f *Request) disconnect() bool {
 	if f.settle(Answer{Kind: ClientGone}) {
 		return true
 	}
@@ -167,11 +167,11 @@
 
 // clientGone asks whether the client has left, and settles the request if so.
 func (f *Request) clientGone() bool {
-	client, ok := f.edge.(Leaver)
-	if !ok || !client.Gone() {
+	client, ok := f.client.(DisconnectDetector)
+	if !ok || !client.Disconnected() {
 		return false
 	}
-	f.leave()
+	f.disconnect()
 	return true
 }
 
@@ -192,8 +192,8 @@
 func (f *Request) handBack(answer *Answer, begun bool) (settled bool) {
 	f.mu.Lock()
 	a := f.claimed
-	if a == nil && answer != nil && !f.over {
-		f.over, settled = true, true
+	if a == nil && answer != nil && !f.settled {
+		f.settled, settled = true, true
 		f.done <- *answer
 	}
 	f.mu.Unlock()
@@ -206,31 +206,31 @@
 // Attempt is one try of a request at a backend. A backend's actor calls Context, First, Event and End.
 type Attempt struct {
 	Request *Request
-	Leg     int
-	Server  string
+	Number  int
+	Backend string
 	Until   time.Time
 	Sent    time.Time
-	// By is the moment from which the attempt may not begin any more; zero: none.
-	By time.Time
-	// Barred, if not nil, tells that its server may get nothing new. The actors of the backends set it before the attempt
+	// BeginBy is the moment from which the attempt may not begin any more; zero: none.
+	BeginBy time.Time
+	// BackendDraining, if not nil, tells that its server may get nothing new. The actors of the backends set it before the attempt
 	// is on its way.
-	Barred func() bool
-	// Resumes tells that the client, should the stream break, asks for the rest of it.
-	Resumes bool
-
-	ctx   context.Context
-	stop  context.CancelCauseFunc
-	timer *time.Timer
-	post  func(any)
-	out   bool          // the core's alone: no outcome yet
-	first time.Duration // likewise: from the sending to the first event; 0: none yet
-	given bool          // under the request's lock: given up
-	leave func() bool   // likewise: ends the stream once what has come of it is passed on; nil: by its context alone
+	BackendDraining func() bool
+	// ClientResumes tells that the client, should the stream break, asks for the rest of it.
+	ClientResumes bool
+
+	ctx       context.Context
+	stop      context.CancelCauseFunc
+	timer     *time.Timer
+	post      func(any)
+	inFlight  bool          // the core's alone: no outcome yet
+	first     time.Duration // likewise: from the sending to the first event; 0: none yet
+	givenUp   bool          // under the request's lock: given up
+	endStream func() bool   // likewise: ends the stream once what has come of it is passed on; nil: by its context alone
 }
 
 func (a *Attempt) breakOff(why error) {
 	a.Request.mu.Lock()
-	leave := a.leave
+	leave := a.endStream
 	a.Request.mu.Unlock()
 	if !errors.Is(why, ErrHandedBack) || leave == nil || !leave() {
 		a.stop(why)
@@ -242,29 +242,29 @@
 func (a *Attempt) OnHandBack(leave func() bool) {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
-	a.leave = leave
+	a.endStream = leave
 }
 
-// HeldLeast is from when on a client counts as slow to take an event; less may be this machine's own delay.
-const HeldLeast = 100 * time.Millisecond
+// MinClientStall is from when on a client counts as slow to take an event; less may be this machine's own delay.
+const MinClientStall = 100 * time.Millisecond
 
 // Result is how an attempt ended, as the backend's actor saw it.
 type Result struct {
-	Code   standpoint.Code
-	Kept   float64
-	Tokens float64 // of the answer; 0: not told
-	Report *standpoint.Report
-	// Held is for how long in all the client kept the stream waiting; 0: it took events as they came.
-	Held time.Duration
-	// Rejected, if not 0, is the status by which the server found the request itself wrong. It speaks against the
+	Code         standpoint.Code
+	CachedTokens float64
+	OutputTokens float64 // of the answer; 0: not told
+	Report       *standpoint.Report
+	// ClientStall is for how long in all the client kept the stream waiting; 0: it took events as they came.
+	ClientStall time.Duration
+	// InvalidStatus, if not 0, is the status by which the server found the request itself wrong. It speaks against the
 	// request alone, whatever the code, and is the request's answer.
-	Rejected int
+	InvalidStatus int
 	// Local tells that the attempt failed for a shortage of this machine: it says nothing of the server.
 	Local bool
 	// Moved tells that another process goes on with the stream.
 	Moved bool
-	// Whole tells that the answer is whole though the server did not end it: its decoding was ended here.
-	Whole bool
+	// Complete tells that the answer is whole though the server did not end it: its decoding was ended here.
+	Complete bool
 }
 
 // MayBegin tells whether the attempt may still begin: nil, or why not. It is asked as its first byte is about to be written,
@@ -273,13 +273,13 @@
 	switch {
 	case a.ctx.Err() != nil:
 		return context.Cause(a.ctx)
-	case a.Request.isOver():
-		return ErrOver
-	case a.Barred != nil && a.Barred():
-		return ErrLeaving
+	case a.Request.isSettled():
+		return ErrRequestOver
+	case a.BackendDraining != nil && a.BackendDraining():
+		return ErrBackendDraining
 	case a.Request.clientGone():
 		return ErrClientGone
-	case !a.By.IsZero() && !time.Now().Before(a.By):
+	case !a.BeginBy.IsZero() && !time.Now().Before(a.BeginBy):
 		return ErrTooLate
 	}
 	return nil
@@ -293,19 +293,19 @@
 func (a *Attempt) giveUp(why error) {
 	a.Request.mu.Lock()
 	claimed := a.Request.claimed == a
-	a.given = a.given || !claimed
+	a.givenUp = a.givenUp || !claimed
 	a.Request.mu.Unlock()
 	if !claimed {
 		a.stop(why)
 	}
 }
 
-// First claims the request for this attempt at its first event. False: the request is over or the attempt was
+// Claim claims the request for this attempt at its first event. False: the request is over or the attempt was
 // given up, and nothing of it may reach the client.
-func (a *Attempt) First() bool {
+func (a *Attempt) Claim() bool {
 	f := a.Request
 	f.mu.Lock()
-	ok := !f.over && f.claimed == nil && !a.given
+	ok := !f.settled && f.claimed == nil && !a.givenUp
 	if ok {
 		f.claimed = a
 	}
@@ -314,39 +314,39 @@
 		return false
 	}
 	a.timer.Stop()
-	a.post(firstEvent{a, time.Since(a.Sent)})
-	return f.edge.Begin() == nil
+	a.post(firstEventReceived{a, time.Since(a.Sent)})
+	return f.client.Begin() == nil
 }
 
-// Event passes whole events on to the client, as the request's hook has it.
-func (a *Attempt) Event(b []byte) error {
+// Forward passes whole events on to the client, as the request's hook has it.
+func (a *Attempt) Forward(b []byte) error {
 	f := a.Request
 	if f.Hook == nil {
-		return f.edge.Event(b)
+		return f.client.Event(b)
 	}
 	b, then := f.Hook.Event(b)
-	if then == Break {
+	if then == HookBreak {
 		return ErrBroken
 	}
 	if len(b) > 0 {
-		if err := f.edge.Event(b); err != nil {
+		if err := f.client.Event(b); err != nil {
 			return err
 		}
 	}
-	if then == Stop {
+	if then == HookStop {
 		return ErrStopped
 	}
 	return nil
 }
 
-// Stopped passes on what ends an answer whose decoding has ended where its hook had it stop. It is called once nothing of the
+// ForwardStopped passes on what ends an answer whose decoding has ended where its hook had it stop. It is called once nothing of the
 // attempt is out any more.
-func (a *Attempt) Stopped() Result {
+func (a *Attempt) ForwardStopped() Result {
 	last, usage := a.Request.Hook.Stopped()
-	if err := a.Request.edge.Event(last); err != nil {
+	if err := a.Request.client.Event(last); err != nil {
 		return Result{Code: standpoint.Cancelled}
 	}
-	return Result{Code: standpoint.Cancelled, Whole: true, Tokens: usage.Out}
+	return Result{Code: standpoint.Cancelled, Complete: true, OutputTokens: usage.OutputTokens}
 }
 
 // BreakOff ends the answer where it stands, if something of it has been passed on.
@@ -359,7 +359,7 @@
 	if f.claimed == nil {
 		return ""
 	}
-	return f.claimed.Server
+	return f.claimed.Backend
 }
 
 // Detacher is a client connection that another process can go on with.
@@ -370,34 +370,34 @@
 
 // Detach takes the client's connection out of this process's hands, where it can be.
 func (a *Attempt) Detach() (int, error) {
-	if d, ok := a.Request.edge.(Detacher); ok {
+	if d, ok := a.Request.client.(Detacher); ok {
 		return d.Detach()
 	}
 	return 0, errors.New("a client whose connection cannot move")
 }
 
-// End tells how the attempt ended. Where it had claimed the request, that is the request's final answer too.
+// Finish tells how the attempt ended. Where it had claimed the request, that is the request's final answer too.
 // It is called last, when nothing of the attempt is out on an open connection any more.
-func (a *Attempt) End(r Result) {
+func (a *Attempt) Finish(r Result) {
 	a.timer.Stop()
 	a.stop(nil)
 	f := a.Request
 	f.mu.Lock()
-	if f.claimed == a && !f.over {
-		f.over = true
+	if f.claimed == a && !f.settled {
+		f.settled = true
 		kind := Broken
 		switch {
 		case r.Moved:
 			kind = Moved
-		case r.Code == standpoint.Served, r.Whole:
+		case r.Code == standpoint.Served, r.Complete:
 			kind = Served
 		}
-		f.done <- Answer{Kind: kind, Usage: Usage{Known: r.Tokens > 0 || r.Whole, Begun: true, Paused: r.Whole, Kept: r.Kept, Out: r.Tokens}}
+		f.done <- Answer{Kind: kind, Usage: Usage{Known: r.OutputTokens > 0 || r.Complete, Begun: true, Paused: r.Complete, CachedTokens: r.CachedTokens, OutputTokens: r.OutputTokens}}
 	}
-	if r.Rejected != 0 && f.claimed == nil && !f.over {
-		f.over = true
-		f.done <- Answer{Kind: Invalid, Status: r.Rejected}
+	if r.InvalidStatus != 0 && f.claimed == nil && !f.settled {
+		f.settled = true
+		f.done <- Answer{Kind: Invalid, Status: r.InvalidStatus}
 	}
 	f.mu.Unlock()
-	a.post(ended{a, r, time.Since(a.Sent)})
+	a.post(attemptFinished{a, r, time.Since(a.Sent)})
 }
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -47,9 +47,9 @@
 type Node struct {
 	Core    *node.Core
 	Servers *backend.Fleet
-	Life    *node.Life
-	Room    *edge.Room
-	Bodies  *node.Shares
+	Life    *node.Lifecycle
+	Room    *edge.ConnectionTracker
+	Bodies  *node.TenantLimiter
 	Metrics *metrics.Counters
 	Server  *http.Server
 	URL     string // of its edge
@@ -139,19 +139,19 @@
 	fleet := backend.New(backend.Options{DialTimeout: 100 * time.Millisecond, ConnIdle: 15 * time.Second, MaxIdle: 10, Dial: dial, Log: log,
 		Batch: backend.BatchOptions{Gather: 30 * time.Millisecond, Lines: 50, Poll: 20 * time.Millisecond,
 			Lost: 500 * time.Millisecond}})
-	n := &Node{Servers: fleet, Life: &node.Life{}, t: t}
-	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.Open() })
+	n := &Node{Servers: fleet, Life: &node.Lifecycle{}, t: t}
+	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.OpenRequests() })
 	fleet.Wrote = n.Metrics.CountAttempt
-	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Servers: fleet, Entries: noEntries{}, Metrics: n.Metrics, Log: log})
+	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Backends: fleet, Watcher: noEntries{}, Metrics: n.Metrics, Log: log})
 	n.Tell(entries...)
 	ctx, cancel := context.WithCancel(context.Background())
 	go n.Core.Run(ctx)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	n.Address, n.URL = listener.Addr().String(), "http://"+listener.Addr().String()
-	n.Room = edge.NewRoom(listen(listener), 300, log)
+	n.Room = edge.NewConnectionTracker(listen(listener), 300, log)
 	n.Room.Metrics = n.Metrics
-	n.Bodies = node.NewShares(8<<20, 1)
+	n.Bodies = node.NewTenantLimiter(8<<20, 1)
 	n.Server = edge.NewServer((&edge.Front{Core: n.Core, Life: n.Life, Names: Names, Bodies: n.Bodies, Metrics: n.Metrics, Log: log}).Handler(), n.Room, log)
 	go func() { _ = n.Server.Serve(n.Room) }()
 	t.Cleanup(func() {
@@ -160,7 +160,7 @@
 		n.Server.Close()
 		cancel()
 	})
-	require.NoError(t, n.Life.Move(node.Serving))
+	require.NoError(t, n.Life.Enter(node.Serving))
 	return n
 }
 
@@ -174,12 +174,12 @@
 
 // Tell gives the node a whole list.
 func (n *Node) Tell(entries ...node.Endpoint) {
-	n.Core.News(node.List{Kind: standpoint.ListFull, Entries: entries})
+	n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
 }
 
 // Heard waits until the node's core has taken in all that it was told before.
 func (n *Node) Heard() {
-	require.NotNil(n.t, n.Core.Learned(n.t.Context()))
+	require.NotNil(n.t, n.Core.ExportLearned(n.t.Context()))
 }
 
 // HeldDials is a Dial whose connections come up and are then held back, for so many of the first dials. Each tells its address on
--- a/internal/transient/listener.go
+++ b/internal/transient/listener.go
@@ -67,7 +67,7 @@
 			}
 		}
 		l.report(err)
-		if failures < acceptsAtOnce && !LocalShortage(err) {
+		if failures < acceptsAtOnce && !IsLocalShortage(err) {
 			continue
 		}
 		if !Sleep(l.ctx, pauses.next()) {
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -27,8 +27,8 @@
 // shortages are the errors by which the system says that this machine, or this process, has run out of something.
 var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// LocalShortage reports whether an error is a shortage of this machine, which says nothing about the other side.
-func LocalShortage(err error) bool {
+// IsLocalShortage reports whether an error is a shortage of this machine, which says nothing about the other side.
+func IsLocalShortage(err error) bool {
 	for _, shortage := range shortages {
 		if errors.Is(err, shortage) {
 			return true
@@ -37,8 +37,8 @@
 	return false
 }
 
-// Momentary reports whether a call that failed so is worth repeating.
-func Momentary(err error) bool { return LocalShortage(err) || errors.Is(err, syscall.EINTR) }
+// IsTransient reports whether a call that failed so is worth repeating.
+func IsTransient(err error) bool { return IsLocalShortage(err) || errors.Is(err, syscall.EINTR) }
 
 // backoff yields the pauses between the repeats of one call.
 type backoff struct{ pause time.Duration }
@@ -54,7 +54,7 @@
 	var pauses backoff
 	for {
 		err := op()
-		if err == nil || !Momentary(err) {
+		if err == nil || !IsTransient(err) {
 			return err
 		}
 		pause := pauses.next()
@@ -106,7 +106,7 @@
 func Read(c net.Conn, b []byte) (n int, err error) {
 	err = Retry(context.Background(), transferTime, func() (failed error) {
 		n, failed = c.Read(b)
-		if n > 0 && Momentary(failed) {
+		if n > 0 && IsTransient(failed) {
 			return nil // what came is handed on first
 		}
 		return failed
