--- a/internal/node/phase.go
+++ b/internal/node/lifecycle.go
@@ -7,18 +7,17 @@
 	"time"
 )
 
-// Phase is a named state of the program, from start to exit. What the edge does in each stands in
-// docs/architecture.md.
+// Phase is the state of the program, from start to exit. docs/architecture.md has what the HTTP front does in each.
 type Phase int
 
 // The phases of the program, in the order in which they usually follow each other.
 const (
-	Starting        Phase = iota // the list is being seeded; clients are not admitted yet
+	Starting        Phase = iota // the endpoint list is awaited; no client is admitted yet
 	Serving                      // clients are admitted
-	ManuallyDrained              // staff send clients away; there is a way back
-	HandingOver                  // told to stop while another process of this node serves at the same socket
-	Draining                     // told to stop: takes what still comes, answers all of it
-	Stopped                      // nothing is taken any more
+	ManuallyDrained              // an operator drains the node, and may undo it
+	HandingOver                  // terminating while another process of this node serves at the same socket
+	Draining                     // terminating: what still arrives is served
+	Stopped                      // nothing is accepted any more
 )
 
 // String implements fmt.Stringer.
@@ -26,7 +25,7 @@
 	return [...]string{"starting", "serving", "drained by hand", "handing over", "draining", "stopped"}[p]
 }
 
-// follows says from which phases each may be entered.
+// follows lists the phases from which each may be entered.
 var follows = [...][]Phase{
 	Serving:         {Starting, ManuallyDrained},
 	ManuallyDrained: {Serving},
@@ -35,9 +34,9 @@
 	Stopped:         {Starting, Serving, ManuallyDrained, HandingOver, Draining},
 }
 
-// Lifecycle holds the program's phase.
+// Lifecycle holds the phase of the program. It is safe for concurrent use.
 type Lifecycle struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the rest
 	phase Phase
 	since time.Time
 }
@@ -62,6 +61,7 @@
 	if !slices.Contains(follows[to], l.phase) {
 		return fmt.Errorf("phase %v cannot follow %v", to, l.phase)
 	}
-	l.phase, l.since = to, time.Now()
+	l.phase = to
+	l.since = time.Now()
 	return nil
 }
