--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -12,6 +12,7 @@
 	"standpoint/internal/fleet/lease"
 	"standpoint/internal/fleet/quota"
 	"standpoint/internal/store"
+	"standpoint/internal/transient"
 )
 
 const (
@@ -72,24 +73,12 @@
 			interval = min(claimRetryInterval, 2*interval, f.LeaseDuration/renewalsPerLease)
 		}
 		// Half of the interval is random: all nodes of a fleet may have started together.
-		if !sleep(ctx, interval/2+time.Duration(float64(interval)/2*rand.Float64())) {
+		if !transient.Sleep(ctx, interval/2+time.Duration(float64(interval)/2*rand.Float64())) {
 			return
 		}
 	}
 }
 
-// sleep waits for a span. It returns false where ctx has ended before.
-func sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
 // claimSlot asks the leader for the node's slot.
 func (f *Fleet) claimSlot(ctx context.Context) (lease.Record, error) {
 	claim := lease.Claim{
