--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -45,7 +45,7 @@
 	return node.Charge{Budget: budget, Window: window, Amount: amount}, 0, true
 }
 
-// mayOverdraw tells whether requests of a class may use the overdraft now. f.mu is held.
+// mayOverdraw reports whether requests of a class may use the overdraft now. f.mu is held.
 func (f *Fleet) mayOverdraw(class int) bool {
 	return class < len(f.OverdraftClasses) && f.OverdraftClasses[class] && f.isolated()
 }
@@ -187,7 +187,7 @@
 	}
 }
 
-// Again tells whether a retry may be made, and charges the budget of retries for it.
+// Again reports whether a retry may be made, and charges the budget of retries for it.
 func (f *Fleet) Again() bool {
 	if f.RetryBudget < 0 {
 		return true
--- a/internal/fleet/counter/counter.go
+++ b/internal/fleet/counter/counter.go
@@ -97,7 +97,7 @@
 	return true
 }
 
-// wellFormed tells whether a snapshot is one that another node of this fleet can have taken by now.
+// wellFormed reports whether a snapshot is one that another node of this fleet can have taken by now.
 func (t *Table) wellFormed(snapshot Snapshot, now int64) bool {
 	slot := snapshot.Owner.Slot
 	if slot < 0 || slot >= len(t.slots) || snapshot.Owner == t.own.Owner {
@@ -109,7 +109,7 @@
 	return !slices.ContainsFunc(snapshot.Counts, func(count int64) bool { return count < 0 || count > quota.MaxAmount })
 }
 
-// follows tells whether a snapshot was taken after another of the same incarnation. Counts do not fall: one with a
+// follows reports whether a snapshot was taken after another of the same incarnation. Counts do not fall: one with a
 // lower count is not of this incarnation at all.
 func (s Snapshot) follows(known Snapshot) bool {
 	if s.At <= known.At {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -61,7 +61,7 @@
 
 	RecordUsage func(ledger.Entry) bool // nil: there is no ledger
 	LedgerFull  func() bool             // nil: it never is
-	// LedgerBehind tells whether this ledger or that of the core lacks entries of the other; nil: neither does.
+	// LedgerBehind reports whether this ledger or that of the core lacks entries of the other; nil: neither does.
 	LedgerBehind func() bool
 
 	Store       store.Store
@@ -205,7 +205,7 @@
 	return f.SlotName, f.incarnation, f.predecessors
 }
 
-// IsSite tells that this node's slot is none of the core's: its own store decides nothing for the fleet.
+// IsSite reports that this node's slot is none of the core's: its own store decides nothing for the fleet.
 func (f *Fleet) IsSite() bool {
 	return len(f.CoreSlots) > 0 && !slices.Contains(f.CoreSlots, f.SlotName)
 }
@@ -220,7 +220,7 @@
 	return f.member.Connectivity.RateFactor(f.Now())
 }
 
-// isolated tells that this node is cut off from a majority of the others, or, if it is a site's, from the core.
+// isolated reports that this node is cut off from a majority of the others, or, if it is a site's, from the core.
 // f.mu is held.
 func (f *Fleet) isolated() bool {
 	if f.siteConnectivity != nil {
@@ -231,7 +231,7 @@
 	return state == connectivity.Minority || state == connectivity.Isolated
 }
 
-// coreAlive tells that a core slot is alive. f.mu is held.
+// coreAlive reports that a core slot is alive. f.mu is held.
 func (f *Fleet) coreAlive() bool {
 	for i, slot := range f.Slots {
 		if slices.Contains(f.CoreSlots, slot.Name) && f.member.IsAlive(i) {
--- a/internal/fleet/member/gossip.go
+++ b/internal/fleet/member/gossip.go
@@ -49,7 +49,7 @@
 	return packet
 }
 
-// forwards tells whether there is an update of a slot that may be forwarded to another.
+// forwards reports whether there is an update of a slot that may be forwarded to another.
 func (m *Member) forwards(slot, to int) bool {
 	return slot != to && slot != m.Owner.Slot && m.incarnations[slot] != 0
 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// IsAlive tells whether a slot has been alive within the heartbeat timeout.
+// IsAlive reports whether a slot has been alive within the heartbeat timeout.
 func (m *Member) IsAlive(slot int) bool {
 	return m.lastAlive[slot] > 0 && m.now-m.lastAlive[slot] <= int64(m.HeartbeatTimeout)
 }
@@ -130,7 +130,7 @@
 }
 
 // Tick is called once in each GossipInterval. It returns the packets that the node sends of its own accord, by
-// slot. listed tells whether a slot is taken to be there by other means; nil: every one is.
+// slot. listed reports whether a slot is taken to be there by other means; nil: every one is.
 func (m *Member) Tick(now int64, listed func(slot int) bool) []Outgoing {
 	now = m.Advance(now)
 	m.Connectivity.Update(now, m.LivePeers(), len(m.Slots)-1)
@@ -186,7 +186,7 @@
 	return []Outgoing{{To: packet.From.Slot, Packet: Packet{From: m.Owner, QuotaMessages: replies}}}
 }
 
-// wellFormed tells whether a packet keeps its bounds. What is in it is checked where it is taken in.
+// wellFormed reports whether a packet keeps its bounds. What is in it is checked where it is taken in.
 func (m *Member) wellFormed(packet Packet) bool {
 	slots := len(m.Slots)
 	switch {
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// obsolete tells that evidence is about no process that is listed.
+// obsolete reports that evidence is about no process that is listed.
 func (d *Detector) obsolete(evidence Evidence) bool {
 	backend, listed := d.backends[evidence.BackendHash]
 	return !listed || backend.StartedAt != evidence.StartedAt
@@ -155,12 +155,12 @@
 	return current[:min(len(current), MaxEvidencePerNode)]
 }
 
-// current tells whether evidence has not expired.
+// current reports whether evidence has not expired.
 func (d *Detector) current(evidence Evidence, now int64) bool {
 	return now-evidence.ObservedAt <= d.EvidenceLifetime
 }
 
-// isolated tells that this node finds so many backends at fault that it is more likely isolated itself.
+// isolated reports that this node finds so many backends at fault that it is more likely isolated itself.
 func (d *Detector) isolated(now int64) bool {
 	faults := 0
 	for _, evidence := range d.own {
--- a/internal/fleet/outlier/evidence.go
+++ b/internal/fleet/outlier/evidence.go
@@ -35,7 +35,7 @@
 	Evidence
 }
 
-// isNewerThan tells whether evidence replaces other evidence of the same source.
+// isNewerThan reports whether evidence replaces other evidence of the same source.
 func (r receivedEvidence) isNewerThan(known receivedEvidence) bool {
 	if r.owner.Incarnation != known.owner.Incarnation {
 		return r.owner.Incarnation > known.owner.Incarnation
--- a/internal/fleet/quota/budget.go
+++ b/internal/fleet/quota/budget.go
@@ -9,7 +9,6 @@
 package quota
 
 import (
-	"errors"
 	"fmt"
 	"math/bits"
 	"time"
@@ -45,8 +44,7 @@
 	definitionHash     uint64
 }
 
-// Complete checks the budget and computes what follows from its fields. The error begins with the key at fault, as
-// it stands in the operator's file.
+// Complete checks the budget and computes what follows from its fields. The error is a *BudgetError.
 func (b *Budget) Complete() error {
 	if err := b.validate(); err != nil {
 		return err
@@ -67,23 +65,43 @@
 	return nil
 }
 
+// BudgetError reports a field of a budget that is missing or out of range.
+type BudgetError struct {
+	// Key is the field as the operator's file names it; "" where the fault is in no single one.
+	Key string
+	// Reason says what is wrong with its value.
+	Reason string
+}
+
+// Error implements error.
+func (e *BudgetError) Error() string {
+	if e.Key == "" {
+		return e.Reason
+	}
+	return e.Key + ": " + e.Reason
+}
+
+func budgetError(key, format string, args ...any) error {
+	return &BudgetError{Key: key, Reason: fmt.Sprintf(format, args...)}
+}
+
 // validate checks the fields, but for the weights.
 func (b *Budget) validate() error {
 	switch {
 	case b.Name == "":
-		return errors.New("name: missing")
+		return budgetError("name", "missing")
 	case b.Amount < 0 || b.Amount > MaxAmount:
-		return fmt.Errorf("amount: %d is not from 0 to %d", b.Amount, MaxAmount)
+		return budgetError("amount", "%d is not from 0 to %d", b.Amount, MaxAmount)
 	case b.Overdraft < 0 || b.Overdraft > MaxAmount:
-		return fmt.Errorf("overdraft: %d is not from 0 to %d", b.Overdraft, MaxAmount)
+		return budgetError("overdraft", "%d is not from 0 to %d", b.Overdraft, MaxAmount)
 	case b.Window < minWindow || b.Window > maxWindow:
-		return fmt.Errorf("window: %v is not from 10ms to a year", b.Window)
+		return budgetError("window", "%v is not from 10ms to a year", b.Window)
 	case b.WindowsAhead < 0 || b.WindowsAhead >= MaxWindows:
-		return fmt.Errorf("ahead: %d is not from 0 to %d windows", b.WindowsAhead, MaxWindows-1)
+		return budgetError("ahead", "%d is not from 0 to %d windows", b.WindowsAhead, MaxWindows-1)
 	case b.TransferWindows < 1 || b.TransferWindows > MaxWindows:
-		return fmt.Errorf("loan: %d is not from 1 to %d windows", b.TransferWindows, MaxWindows)
+		return budgetError("loan", "%d is not from 1 to %d windows", b.TransferWindows, MaxWindows)
 	case len(b.Weights) == 0 || len(b.Weights) > maxSlots:
-		return fmt.Errorf("%d seats; it takes 1 to 65,536", len(b.Weights))
+		return budgetError("", "%d seats; it takes 1 to 65,536", len(b.Weights))
 	}
 	return nil
 }
@@ -93,12 +111,12 @@
 	b.totalWeight = 0
 	for slot, weight := range b.Weights {
 		if weight < 0 || weight > maxWeight {
-			return fmt.Errorf("seat[%d].weight: %d is not from 0 to %d", slot, weight, maxWeight)
+			return budgetError(fmt.Sprintf("seat[%d].weight", slot), "%d is not from 0 to %d", weight, maxWeight)
 		}
 		b.totalWeight += weight
 	}
 	if b.totalWeight == 0 {
-		return errors.New("no seat has a weight")
+		return budgetError("", "no seat has a weight")
 	}
 	return nil
 }
--- a/internal/fleet/quota/budget_test.go
+++ b/internal/fleet/quota/budget_test.go
@@ -70,6 +70,9 @@
 	} {
 		budget := valid
 		edit(&budget)
-		require.ErrorContains(t, budget.Complete(), message)
+		err := budget.Complete()
+		require.ErrorContains(t, err, message)
+		var invalid *BudgetError
+		require.ErrorAs(t, err, &invalid)
 	}
 }
--- a/internal/fleet/quota/owner.go
+++ b/internal/fleet/quota/owner.go
@@ -12,7 +12,7 @@
 	FencingToken uint64 // under which the lease was granted; 0: there is none
 	ValidFrom    int64  // the moment from which on the slot is this owner's
 	ExpiresAt    int64  // the moment at which it stops being so, unless the lease is renewed
-	// Successor tells that another incarnation of the same node may have held the slot until ValidFrom. What that
+	// Successor reports that another incarnation of the same node may have held the slot until ValidFrom. What that
 	// one spent and lent is not known.
 	Successor bool
 }
--- a/internal/fleet/quota/transfer.go
+++ b/internal/fleet/quota/transfer.go
@@ -45,7 +45,7 @@
 	return total
 }
 
-// awaitsReclaim tells whether a transfer has ended before a window, but a clock in the fleet may still be before
+// awaitsReclaim reports whether a transfer has ended before a window, but a clock in the fleet may still be before
 // its end.
 func (a *Allocation) awaitsReclaim(transfer *transferRecord, window int64) bool {
 	return window > transfer.LastWindow && a.now < transfer.reclaimAt && window <= a.WindowAt(transfer.reclaimAt)
@@ -146,7 +146,7 @@
 	return true
 }
 
-// wellFormed tells whether a transfer is one that a lender of this budget can have granted by now.
+// wellFormed reports whether a transfer is one that a lender of this budget can have granted by now.
 func (a *Allocation) wellFormed(transfer Transfer) bool {
 	if transfer.Amount <= 0 || transfer.Amount > MaxAmount || transfer.FirstWindow > transfer.LastWindow {
 		return false
