--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// Again reports whether a retry may be made, and charges the budget of retries for it.
-func (f *Fleet) Again() bool {
+// AllowRetry reports whether a retry may be made, and charges the budget of retries for it.
+func (f *Fleet) AllowRetry() bool {
 	if f.RetryBudget < 0 {
 		return true
 	}
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -70,8 +70,8 @@
 	return f.backendStarts[backend]
 }
 
-// Ended takes in how an attempt ended, as evidence on its backend.
-func (f *Fleet) Ended(observation node.Observation) {
+// Finished takes in how an attempt ended, as evidence on its backend.
+func (f *Fleet) Finished(observation node.Observation) {
 	name := observation.Server
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/backends_test.go
+++ b/internal/fleet/backends_test.go
@@ -31,9 +31,9 @@
 	doubts := f.outlierAdvice().Doubts
 	require.Len(t, doubts, 1)
 	require.Equal(t, "p", doubts[0].Engine)
-	f.Ended(node.Observation{Server: "p", Result: node.Result{Code: standpoint.Served}})
+	f.Finished(node.Observation{Server: "p", Result: node.Result{Code: standpoint.Served}})
 	require.Empty(t, f.outlierAdvice().Doubts)
-	f.Ended(node.Observation{Server: "q", Result: node.Result{Code: standpoint.ServerError}})
+	f.Finished(node.Observation{Server: "q", Result: node.Result{Code: standpoint.ServerError}})
 	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "one error may be the request's")
 	list.Entries[0].ReadyAt = 8
 	f.Listed(list)
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -66,10 +66,10 @@
 	Admit(r *standpoint.Request) (Charge, time.Duration, bool)
 	// Settle tells what became of a request that was admitted.
 	Settle(r *standpoint.Request, c Charge, a Answer)
-	// Again tells whether a further attempt may be made.
-	Again() bool
-	// Ended tells how an attempt ended.
-	Ended(o Observation)
+	// AllowRetry reports whether a retry may be made.
+	AllowRetry() bool
+	// Finished tells how an attempt ended.
+	Finished(o Observation)
 	// Listed tells of the entries as the module has them now.
 	Listed(l List)
 }
@@ -477,7 +477,7 @@
 			c.Pools.Finished(m.observation())
 		}
 		if c.Fleet != nil {
-			c.Fleet.Ended(m.observation())
+			c.Fleet.Finished(m.observation())
 		}
 		c.decide(&standpoint.Outcome{Request: m.a.Request.Spec.ID, Attempt: m.a.Leg, Last: m.a.Request.isOver(),
 			Code: m.r.Code, Kept: m.r.Kept, Tokens: m.r.Tokens, Engine: m.a.Server, Elapsed: int64(m.elapsed), Held: m.r.Held > 0,
@@ -568,7 +568,7 @@
 	for _, other := range f.attempts {
 		refuse = refuse || other.out && !c.Settings.SecondCopies
 	}
-	refuse = refuse || a.Leg > 0 && c.Fleet != nil && !c.Fleet.Again()
+	refuse = refuse || a.Leg > 0 && c.Fleet != nil && !c.Fleet.AllowRetry()
 	f.attempts = append(f.attempts, a)
 	a.ctx, a.stop = context.WithCancelCause(context.Background())
 	a.timer = time.AfterFunc(time.Until(a.Until), func() { a.giveUp(ErrNoAnswer) })
