--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -112,7 +112,7 @@
 	if !c.Settings.SecondCopies && request.hasAttemptInFlight() {
 		return false
 	}
-	return attempt.Number == 0 || c.Fleet == nil || c.Fleet.Again()
+	return attempt.Number == 0 || c.Fleet == nil || c.Fleet.AllowRetry()
 }
 
 // attemptsSpent reports whether the request has had all its attempts.
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -60,10 +60,10 @@
 	Admit(request *standpoint.Request) (Charge, time.Duration, bool)
 	// Settle corrects the charge of an admitted request by what it cost.
 	Settle(request *standpoint.Request, charge Charge, answer Answer)
-	// Again reports whether a retry is allowed.
-	Again() bool
-	// Ended notifies of how an attempt ended.
-	Ended(o Observation)
+	// AllowRetry reports whether a retry is allowed, and charges it.
+	AllowRetry() bool
+	// Finished notifies of how an attempt ended.
+	Finished(o Observation)
 	// Listed notifies of the endpoints as the module has them now.
 	Listed(list EndpointList)
 }
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -225,7 +225,7 @@
 		c.Pools.Finished(m.observation())
 	}
 	if c.Fleet != nil {
-		c.Fleet.Ended(m.observation())
+		c.Fleet.Finished(m.observation())
 	}
 	request := m.attempt.Request
 	c.decide(&standpoint.Outcome{
