--- a/internal/migration/advance.go
+++ b/internal/migration/advance.go
@@ -98,7 +98,8 @@
 	m.transition(Stepping, "step %d of %d: %.0f%%", m.record.Step+1, len(m.record.Plan.Steps), 100*m.targetShare())
 }
 
-// observeStepping raises the share as the new pool's backends warm up, and holds it once the step is in force at all nodes.
+// observeStepping raises the share as the new pool's backends warm up, and holds it once the step is in force at all
+// nodes.
 func (m *Machine) observeStepping(window *Window, attainable float64) {
 	target := m.targetShare()
 	share := m.record.Shares.Share
@@ -116,8 +117,8 @@
 	}
 }
 
-// observeHolding passes the step once it has been held for long enough, over enough samples, without a sign that the new pool is
-// worse.
+// observeHolding passes the step once it has been held for long enough, over enough samples, without a sign that the
+// new pool is worse.
 func (m *Machine) observeHolding(window *Window) {
 	plan := &m.record.Plan
 	from, _ := m.recent()
--- a/internal/migration/analysis.go
+++ b/internal/migration/analysis.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// The analysis gathers evidence that the new pool is worse than the old one in the same windows. Each criterion is an e-detector
-// (Shin, Ramdas, Rinaldo 2022): in every window a bet against "the new pool is no worse" multiplies a capital by a factor whose mean
-// is at most 1 while that is true, and a capital below 1 starts again at 1. So the mean number of windows up to a false alarm is at
-// least the capital that raises one, however often it is looked at. Limiting what one window may win preserves that, and keeps a short
-// stall from winning enough.
+// The analysis gathers evidence that the new pool is worse than the old one in the same windows. Each criterion is an
+// e-detector (Shin, Ramdas, Rinaldo 2022): in every window a bet against "the new pool is no worse" multiplies a
+// capital by a factor whose mean is at most 1 while that is true, and a capital below 1 starts again at 1. So the
+// mean number of windows up to a false alarm is at least the capital that raises one, however often it is looked at.
+// Limiting what one window may win preserves that, and keeps a short stall from winning enough.
 //
 //   - errors: failed attempts, one by one, against the old pool's fraction of them and what is allowed beyond it;
 //   - service: the fraction of the weight that is not answered on time, against the old pool's and the floor;
-//   - first token, token gap: each answer against comparable ones of the old pool, the nearest in time first (the same class, prompt
-//     tokens to read and load), less what the old pool itself has slowed down meanwhile. Only whether it is slower by more than the
-//     allowed factor counts, so a long tail or a single long prompt weighs no more than any other answer.
+//   - first token, token gap: each answer against comparable ones of the old pool, the nearest in time first (the same
+//     class, prompt tokens to read and load), less what the old pool itself has slowed down meanwhile. Only whether it
+//     is slower by more than the allowed factor counts, so a long tail or a single long prompt weighs no more than any
+//     other answer.
 const (
 	toleratedAdvantage = 0.1  // mean advantage of the old pool, from -1 to 1, that means nothing
 	referenceWindows   = 15   // over which the old pool's errors and late weight are taken
@@ -51,8 +52,8 @@
 // alarmLevel is the logarithm of the mean capital that raises an alarm.
 func (a *analysis) alarmLevel() float64 { return math.Log(a.plan.Alarm) }
 
-// windowLimit is the most that one window may add to one capital, so that no stall of the tolerated length is enough. A capital that
-// is alone in growing has to make up for the others' part of the mean too.
+// windowLimit is the most that one window may add to one capital, so that no stall of the tolerated length is enough.
+// A capital that is alone in growing has to make up for the others' part of the mean too.
 func (a *analysis) windowLimit() float64 {
 	alone := a.alarmLevel() + math.Log(float64(criteria*betsPerCriterion))
 	return alone / float64(windowCount(a.plan.Stall)+stallAftermath)
@@ -93,9 +94,9 @@
 	a.drift[criterion][a.window%commonWindows] = drift
 }
 
-// reference is the old pool's fraction of bad events: in the latest windows, or over the migration if there are too few; and not less
-// than in the very same windows, so that what both pools suffer together is not held against the new one. unit is the weight of one
-// event.
+// reference is the old pool's fraction of bad events: in the latest windows, or over the migration if there are too
+// few; and not less than in the very same windows, so that what both pools suffer together is not held against the
+// new one. unit is the weight of one event.
 func (a *analysis) reference(recent *[referenceWindows]ratio, longTerm ratio, unit float64) float64 {
 	var sum, common ratio
 	for i := range referenceWindows {
@@ -124,7 +125,8 @@
 	}
 }
 
-// betOnErrors counts a request that overflowed as a failed attempt once the new pool is warm, since none of its backends was eligible.
+// betOnErrors counts a request that overflowed as a failed attempt once the new pool is warm, since none of its
+// backends was eligible.
 func (a *analysis) betOnErrors(pool *PoolWindow) {
 	failed := pool.Errors
 	attempts := pool.Attempts
--- a/internal/migration/comparison.go
+++ b/internal/migration/comparison.go
@@ -16,7 +16,7 @@
 	gapLoadTolerance  = 0.5  // error of that conversion, for each unit of load between them
 	similarityRange   = 0.5  // of a doubling of the tokens to read; classes differ by more
 	minSimilarTokens  = 64   // prompts with fewer tokens to read are alike
-	slopePrior        = 1.0  // relative rise of the token gap over the whole range of load, before the old pool has shown it
+	slopePrior        = 1.0  // relative rise of the token gap over the range of load, before the old pool shows it
 	slopePriorWeight  = 1.0  // its weight, as a sum of squares of load
 	minRelativeGap    = 0.1  // to which the fitted token gap may fall
 	maxLoadConversion = 2    // factor by which a token gap is converted to another load, and its inverse
@@ -31,8 +31,8 @@
 	window     int
 }
 
-// measure extracts the observation of an answer. The first token waits for the prompt to be read, behind what else runs; each further
-// token takes the longer, the more runs.
+// measure extracts the observation of an answer. The first token waits for the prompt to be read, behind what else
+// runs; each further token takes the longer, the more runs.
 func measure(sample Sample, criterion criterion, window int) observation {
 	o := observation{load: sample.Load, kind: sample.Kind, window: window}
 	if criterion == byFirstToken {
@@ -107,7 +107,8 @@
 	return differences
 }
 
-// comparisons sums how an answer compares with others: one for each that it is slower than, less one for each that it is not.
+// comparisons sums how an answer compares with others: one for each that it is slower than, less one for each that it
+// is not.
 type comparisons struct {
 	sum   float64
 	count float64
@@ -118,10 +119,11 @@
 	c.count++
 }
 
-// compare is how far an answer is slower than comparable ones of the old pool, from -1 to 1: the fraction that it is slower than by
-// more than the allowed factor, less the fraction that it is not. A pool that is slower by just the factor has a mean of 0, so one
-// that is a little slower, as backends are, gathers no evidence however long it is observed. Backends of the same kind are preferred;
-// if the old pool has none, those of other kinds count. It is false if there are too few.
+// compare is how far an answer is slower than comparable ones of the old pool, from -1 to 1: the fraction that it is
+// slower than by more than the allowed factor, less the fraction that it is not. A pool that is slower by just the
+// factor has a mean of 0, so one that is a little slower, as backends are, gathers no evidence however long it is
+// observed. Backends of the same kind are preferred; if the old pool has none, those of other kinds count. It is
+// false if there are too few.
 func (a *analysis) compare(o observation, criterion criterion) (float64, bool) {
 	if o.value <= 0 || !a.hasRecentBaseline(criterion) {
 		return 0, false
@@ -156,8 +158,8 @@
 		baseline[len(baseline)-recentMinAnswers].window > a.window-recentWindows
 }
 
-// comparePair is 1 if an answer is slower than one of the old pool by more than the allowed factor, and -1 if not. It is false if the
-// two are not comparable.
+// comparePair is 1 if an answer is slower than one of the old pool by more than the allowed factor, and -1 if not. It
+// is false if the two are not comparable.
 func (a *analysis) comparePair(o, old *observation, criterion criterion) (float64, bool) {
 	below, above := loadBelow, loadAbove
 	factor := a.plan.FirstToken
--- a/internal/migration/controller/calls.go
+++ b/internal/migration/controller/calls.go
@@ -103,7 +103,10 @@
 	}
 	for _, report := range reports {
 		if report.Node == "" || len(report.From.Samples)+len(report.To.Samples) > 2*migration.MaxSamples {
-			return nil, &control.Error{Code: control.CodeBadRequest, Message: "a report without a node, or with too many samples"}
+			return nil, &control.Error{
+				Code:    control.CodeBadRequest,
+				Message: "a report without a node, or with too many samples",
+			}
 		}
 	}
 	if _, leads := c.options.Store.Leadership(); !leads {
--- a/internal/migration/controller/controller.go
+++ b/internal/migration/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller carries traffic migrations out. On every node a Tracker assigns requests to pools and counts what becomes of
-// them, and a Controller follows the stored record of the migration; on the node that leads the store the Controller also runs the
-// state machine of package migration with the counts that all nodes report.
+// Package controller carries traffic migrations out. On every node a Tracker assigns requests to pools and counts
+// what becomes of them, and a Controller follows the stored record of the migration; on the node that leads the store
+// the Controller also runs the state machine of package migration with the counts that all nodes report.
 package controller
 
 import (
@@ -39,8 +39,8 @@
 	Log  *zap.Logger
 }
 
-// Controller follows the record of the latest migration, and carries the migration out while this node leads the store. Its state
-// belongs to the goroutine of Run; all other methods but AwaitStore send it messages.
+// Controller follows the record of the latest migration, and carries the migration out while this node leads the
+// store. Its state belongs to the goroutine of Run; all other methods but AwaitStore send it messages.
 type Controller struct {
 	options Options
 	mailbox chan message
@@ -110,8 +110,9 @@
 	}
 }
 
-// AwaitStore waits until a store that restarts has caught up with what it held, for at most the given time, and then follows the
-// record, so that no request is assigned as though there had been no migration. It has to be called before Run.
+// AwaitStore waits until a store that restarts has caught up with what it held, for at most the given time, and then
+// follows the record, so that no request is assigned as though there had been no migration. It has to be called
+// before Run.
 func (c *Controller) AwaitStore(ctx context.Context, maximum time.Duration) {
 	restarting, ok := c.options.Store.(interface{ CaughtUp() bool })
 	deadline := time.Now().Add(maximum)
--- a/internal/migration/controller/fuzz_test.go
+++ b/internal/migration/controller/fuzz_test.go
@@ -13,7 +13,8 @@
 	"standpoint/internal/store"
 )
 
-// Whatever comes by the control interface as a wish or as reports, it is refused, or the move and its figures stay whole.
+// Whatever comes by the control interface as a wish or as reports, it is refused, or the move and its figures stay
+// whole.
 func FuzzCalls(f *testing.F) {
 	f.Add([]byte(`{"to":"new","steps":[0.1,1],"hold":"1s","warm":"1s","trickle":0.05,"samples":30,"floor":0.9,"on_worse":"undo","by":"kim"}`))
 	f.Add([]byte(`{"to":"new","steps":[],"hold":"-1s"}`))
@@ -70,7 +71,7 @@
 // begun is an actor with a move that has just begun.
 func begun(t testing.TB) (*Controller, *migration.Machine) {
 	tr := NewTracker(file(t, nil), zap.NewNop())
-	tell(tr, entry("box-1", "v1"), entry("box-2", "v2"))
+	updateEndpoints(tr, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
 	a := New(Options{Name: "n", Tracker: tr, Store: store.NewMemory(), Plan: func() migration.Plan { return migration.Default() }, Log: zap.NewNop()})
 	m, err := a.newMachine(StartRequest{To: "new"}, a.record.Shares)
 	if err != nil {
--- a/internal/migration/controller/record.go
+++ b/internal/migration/controller/record.go
@@ -21,8 +21,8 @@
 // maxHistory is the number of migrations that are over and kept.
 const maxHistory = 50
 
-// follow puts the stored record in force. Every node does so, the leader included: what is stored is in force, and nothing else is.
-// A store that holds nothing yet, or has lost its quorum, changes nothing here.
+// follow puts the stored record in force. Every node does so, the leader included: what is stored is in force, and
+// nothing else is. A store that holds nothing yet, or has lost its quorum, changes nothing here.
 func (c *Controller) follow() {
 	stored := c.options.Store.Get(currentKey)
 	if stored.Version == c.version || stored.Version == 0 {
@@ -30,7 +30,8 @@
 	}
 	var record migration.Record
 	if err := json.Unmarshal(stored.Data, &record); err != nil {
-		c.options.Log.Error("migration record is not readable, shares stay in force", zap.String("key", currentKey), zap.Error(err))
+		c.options.Log.Error("migration record is not readable, shares stay in force",
+			zap.String("key", currentKey), zap.Error(err))
 		c.version = stored.Version
 		return
 	}
@@ -82,8 +83,8 @@
 	c.recordVersion = c.version
 }
 
-// persist stores the machine's record, which puts it in force, here too. If another node has changed the record meanwhile, the
-// machine is dropped: whoever leads now resumes from the stored record.
+// persist stores the machine's record, which puts it in force, here too. If another node has changed the record
+// meanwhile, the machine is dropped: whoever leads now resumes from the stored record.
 func (c *Controller) persist(ctx context.Context) error {
 	record := c.machine.Record()
 	version, err := c.writeRecord(ctx, &record)
--- a/internal/migration/controller/report.go
+++ b/internal/migration/controller/report.go
@@ -43,8 +43,8 @@
 	return r.migration != record.ID || r.version != record.Version
 }
 
-// closeWindow ends a window: this node's counts go to the leader, or, if this node leads, into the machine together with what the
-// other nodes have reported.
+// closeWindow ends a window: this node's counts go to the leader, or, if this node leads, into the machine together
+// with what the other nodes have reported.
 func (c *Controller) closeWindow(ctx context.Context) {
 	now := time.Now()
 	from, to := c.options.Tracker.TakeWindow(now)
@@ -72,8 +72,8 @@
 	}
 }
 
-// knowsLiveNodes reports whether a leader can tell which nodes are live: it has heard all members, or has led for as long as a silent
-// node counts as live.
+// knowsLiveNodes reports whether a leader can tell which nodes are live: it has heard all members, or has led for as
+// long as a silent node counts as live.
 func (c *Controller) knowsLiveNodes(now time.Time) bool {
 	return len(c.reports) >= len(c.options.Peers) || now.Sub(c.leaderSince) >= c.options.Live
 }
--- a/internal/migration/controller/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -14,8 +14,8 @@
 	"standpoint/internal/pool"
 )
 
-// Tracker assigns requests to pools and counts, for the pools of the followed migration, what becomes of them. It implements
-// node.Pools. All methods are safe for concurrent use; Assign takes no lock.
+// Tracker assigns requests to pools and counts, for the pools of the followed migration, what becomes of them. It
+// implements node.Pools. All methods are safe for concurrent use; Assign takes no lock.
 type Tracker struct {
 	log   *zap.Logger
 	table atomic.Pointer[pool.Table]
@@ -51,7 +51,8 @@
 	t.plan = file.MigrationPlan
 }
 
-// Check returns an error if the migration in progress does not allow a changed file to be adopted: it has to keep its pools.
+// Check returns an error if the migration in progress does not allow a changed file to be adopted: it has to keep its
+// pools.
 func (t *Tracker) Check(file *config.OperatorFile) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +75,8 @@
 	t.bind()
 }
 
-// Follow puts the shares of a record in force for requests that arrive from now on, and counts the pools of its migration.
+// Follow puts the shares of a record in force for requests that arrive from now on, and counts the pools of its
+// migration.
 func (t *Tracker) Follow(record migration.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/migration/evidence.go
+++ b/internal/migration/evidence.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// criterion is something in which the new pool may be worse than the old one. Its value is an index into Evidence, which is stored.
+// criterion is something in which the new pool may be worse than the old one. Its value is an index into Evidence,
+// which is stored.
 type criterion int
 
 const (
@@ -19,8 +20,8 @@
 // betsPerCriterion is the number of detectors of a criterion, each with a stake of its own.
 const betsPerCriterion = 3
 
-// bets are the fractions of the capital that each detector stakes. Failed attempts are rare, so a small excess of them shows only to
-// small stakes.
+// bets are the fractions of the capital that each detector stakes. Failed attempts are rare, so a small excess of
+// them shows only to small stakes.
 var bets = [criteria][betsPerCriterion]float64{
 	{0.02, 0.08, 0.3},
 	{0.1, 0.3, 0.8},
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -5,8 +5,8 @@
 const (
 	// warmThreshold is the fraction of its capacity from which a pool counts as warm: it is then no longer limited.
 	warmThreshold = 0.9
-	// coldBudgetFraction is the fraction of the slow-start allowance that a migration gives to a cold pool, all nodes together; the
-	// decision modules give their own starting backends as much (coldMargin).
+	// coldBudgetFraction is the fraction of the slow-start allowance that a migration gives to a cold pool, all nodes
+	// together; the decision modules give their own starting backends as much (coldMargin).
 	coldBudgetFraction = 0.4
 	// minCapacity keeps a division by an unknown capacity defined.
 	minCapacity = 1e-9
@@ -28,9 +28,9 @@
 	return p.ColdShare + (1-p.ColdShare)*max(0, float64(age)/float64(p.WarmUp))
 }
 
-// maximumShare is the largest share of From's requests that To can take now. The capacity of a backend in requests is not known, so
-// what the old pool carries for its capacity is the guide, and a cold backend is taken to carry its warm fraction of that. The share
-// is smaller still where a cold pool would be overloaded by less.
+// maximumShare is the largest share of From's requests that To can take now. The capacity of a backend in requests is
+// not known, so what the old pool carries for its capacity is the guide, and a cold backend is taken to carry its
+// warm fraction of that. The share is smaller still where a cold pool would be overloaded by less.
 func (p Plan) maximumShare(from, to Health, fromCapacity float64) float64 {
 	if to.Capacity <= 0 {
 		return 0
@@ -42,8 +42,8 @@
 	return min(1, coldBudget*to.WarmCapacity/max(from.Capacity, fromCapacity, minCapacity))
 }
 
-// merge combines the views of two nodes. A node that sees no backend of a pool does not outweigh one that does; of the warm
-// fractions the smaller counts.
+// merge combines the views of two nodes. A node that sees no backend of a pool does not outweigh one that does; of
+// the warm fractions the smaller counts.
 func (h Health) merge(other Health) Health {
 	backends := max(h.Backends, other.Backends)
 	if h.Capacity == 0 {
--- a/internal/migration/machine.go
+++ b/internal/migration/machine.go
@@ -30,8 +30,8 @@
 	CommandUndo   Command = "undo"   // move all traffic back
 )
 
-// Machine is the state machine of one migration. It has no clock and does no I/O: Observe shows it one window after another, and the
-// record that it then holds is put in force by storing it. It is not safe for concurrent use.
+// Machine is the state machine of one migration. It has no clock and does no I/O: Observe shows it one window after
+// another, and the record that it then holds is put in force by storing it. It is not safe for concurrent use.
 type Machine struct {
 	record         Record
 	analysis       *analysis
@@ -39,8 +39,8 @@
 	sincePersisted int // windows since Observe last asked for the record to be stored
 }
 
-// Start begins a migration on top of the shares in force. from and to are the present health of the plan's pools. The error is a
-// *PlanError if the plan cannot be carried out.
+// Start begins a migration on top of the shares in force. from and to are the present health of the plan's pools. The
+// error is a *PlanError if the plan cannot be carried out.
 func Start(id string, plan Plan, base pool.Shares, from, to Health, now time.Time) (*Machine, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -90,7 +90,8 @@
 	m.record.Note = note
 }
 
-// Execute carries out an operator's command. A command that the present state does not allow changes nothing and returns an error.
+// Execute carries out an operator's command. A command that the present state does not allow changes nothing and
+// returns an error.
 func (m *Machine) Execute(now time.Time, command Command) error {
 	m.now = now
 	switch command {
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// Observe takes the next window in and advances the migration as far as it allows. It reports whether the record should be stored now:
-// storing it is what puts a step in force, since all nodes follow the stored record.
+// Observe takes the next window in and advances the migration as far as it allows. It reports whether the record
+// should be stored now: storing it is what puts a step in force, since all nodes follow the stored record.
 func (m *Machine) Observe(now time.Time, window Window) bool {
 	m.now = now
 	if m.record.State.Terminal() {
@@ -185,7 +186,8 @@
 	return m.persistDue(&before)
 }
 
-// persistDue reports whether the record has to be stored: it has changed since before, or it has not been stored for a while.
+// persistDue reports whether the record has to be stored: it has changed since before, or it has not been stored for
+// a while.
 func (m *Machine) persistDue(before *Record) bool {
 	m.sincePersisted++
 	due := m.record.State != before.State ||
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -1,5 +1,6 @@
-// Package migration decides how traffic migrates from one pool of backends to another, a step at a time, and when it has to return.
-// It has no clock and does no I/O: its time is the number of windows that it has been shown, each WindowTime long.
+// Package migration decides how traffic migrates from one pool of backends to another, a step at a time, and when it
+// has to return. It has no clock and does no I/O: its time is the number of windows that it has been shown, each
+// WindowTime long.
 package migration
 
 import (
@@ -44,8 +45,8 @@
 
 	// Floor is the fraction of the old pool's on-time weight that the new one must reach.
 	Floor float64 `json:"floor"`
-	// FirstToken and Pace are the factors by which an answer must be slower than a comparable one of the old pool to count against
-	// the new one: in its time to first token, and in its time for each token.
+	// FirstToken and Pace are the factors by which an answer must be slower than a comparable one of the old pool to
+	// count against the new one: in its time to first token, and in its time for each token.
 	FirstToken float64 `json:"first_token"`
 	Pace       float64 `json:"pace"`
 	// Errors is the fraction of failed attempts that is allowed beyond the old pool's.
@@ -59,8 +60,8 @@
 	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic moves back
 	ReturnEvery time.Duration `json:"return_every"` // between two of them
 
-	// ColdShare is the fraction of its capacity that a backend has at its start, WarmUp the time until it has all of it, and
-	// FallFactor the multiple of its cold capacity at which it collapses.
+	// ColdShare is the fraction of its capacity that a backend has at its start, WarmUp the time until it has all of
+	// it, and FallFactor the multiple of its cold capacity at which it collapses.
 	ColdShare  float64       `json:"cold_share"`
 	WarmUp     time.Duration `json:"warm_up"`
 	FallFactor float64       `json:"fall_factor"`
--- /dev/null
+++ b/internal/migration/plan_test.go
@@ -0,0 +1,39 @@
+package migration
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestInvalidPlansNameTheKey(t *testing.T) {
+	for key, edit := range map[string]func(*Plan){
+		"to":           func(p *Plan) { p.To = p.From },
+		"steps":        func(p *Plan) { p.Steps = nil },
+		"steps[1]":     func(p *Plan) { p.Steps = []float64{0.5, 0.5} },
+		"steps[0]":     func(p *Plan) { p.Steps = []float64{math.NaN()} },
+		"trickle":      func(p *Plan) { p.Trickle = 0.2 },
+		"floor":        func(p *Plan) { p.Floor = 1.5 },
+		"first_token":  func(p *Plan) { p.FirstToken = 0.5 },
+		"pace":         func(p *Plan) { p.Pace = math.Inf(1) },
+		"errors":       func(p *Plan) { p.Errors = 0 },
+		"alarm":        func(p *Plan) { p.Alarm = 1 },
+		"samples":      func(p *Plan) { p.Samples = 0 },
+		"on_worse":     func(p *Plan) { p.OnWorse = "panic" },
+		"return_steps": func(p *Plan) { p.ReturnSteps = 0 },
+		"hold":         func(p *Plan) { p.Hold = time.Millisecond },
+		"stall":        func(p *Plan) { p.Stall = -1 },
+		"warm_up":      func(p *Plan) { p.WarmUp = 48 * time.Hour },
+	} {
+		p := Default()
+		p.From, p.To = "old", "new"
+		require.NoError(t, p.Check())
+		edit(&p)
+		var fault *PlanError
+		require.ErrorAs(t, p.Check(), &fault, key)
+		require.Equal(t, key, fault.Key, fmt.Sprint(fault))
+	}
+}
--- a/internal/migration/rollback.go
+++ b/internal/migration/rollback.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// The rules that halt a migration without waiting for evidence, and those that tell a pool to be unable to take traffic.
+// The rules that halt a migration without waiting for evidence, and those that tell a pool to be unable to take
+// traffic.
 const (
 	severeWindows        = 8   // the latest windows that the rules look at
 	severeMinRequests    = 10  // that each pool must have ended in them
@@ -16,8 +17,8 @@
 	failedFraction       = 0.5 // of them that must have failed
 )
 
-// checkDegradation halts the migration if the new pool is worse than the old one, and starts the return if the plan wants it and the
-// old pool can take the traffic. It reports whether it did.
+// checkDegradation halts the migration if the new pool is worse than the old one, and starts the return if the plan
+// wants it and the old pool can take the traffic. It reports whether it did.
 func (m *Machine) checkDegradation(window *Window) bool {
 	from, to := m.recent()
 	cause := m.degradation(window, to)
@@ -32,7 +33,8 @@
 	}
 	m.startReturn("returning: %s", cause)
 	if m.clientsAffected(window, to) {
-		// Otherwise the return takes its steps, which gives the old pool time to read prompts again that it no longer has cached.
+		// Otherwise the return takes its steps, which gives the old pool time to read prompts again that it no longer
+		// has cached.
 		m.setShare(m.minimumReturnShare(window))
 	}
 	return true
@@ -64,8 +66,8 @@
 	return 1 - m.analysis.longLate.estimate()
 }
 
-// farBelowFloor reports whether the new pool is so far below the floor that evidence need not be waited for. Both pools have to be
-// seen in the same windows, and the old one has to do well in them.
+// farBelowFloor reports whether the new pool is so far below the floor that evidence need not be waited for. Both
+// pools have to be seen in the same windows, and the old one has to do well in them.
 func (m *Machine) farBelowFloor() bool {
 	from, to := m.recent()
 	if to.Requests < severeMinRequests || to.LateWindows < severeMinLateWindows || to.OfferedWeight <= 0 {
@@ -93,7 +95,8 @@
 	return ""
 }
 
-// observeHalted waits for an operator. If only the old pool's state prevented the return, it starts once that pool has recovered.
+// observeHalted waits for an operator. If only the old pool's state prevented the return, it starts once that pool
+// has recovered.
 func (m *Machine) observeHalted(window *Window) {
 	from, _ := m.recent()
 	oldUnfit := unfitReason(window.From.Health, from)
@@ -144,7 +147,8 @@
 		(from.Failed > to.Failed || window.From.Health.Ready == 0)
 }
 
-// nextReturnShare is the share after the next step of the return. A last step of less than a half is taken with the one before it.
+// nextReturnShare is the share after the next step of the return. A last step of less than a half is taken with the
+// one before it.
 func (m *Machine) nextReturnShare(share float64) float64 {
 	step := m.record.ReturnFromShare / float64(m.record.Plan.ReturnSteps)
 	next := share - step
@@ -154,8 +158,8 @@
 	return next
 }
 
-// minimumReturnShare is the smallest share that the new pool has to keep: if some of the old pool's backends are gone by now, not
-// all traffic can return.
+// minimumReturnShare is the smallest share that the new pool has to keep: if some of the old pool's backends are gone
+// by now, not all traffic can return.
 func (m *Machine) minimumReturnShare(window *Window) float64 {
 	if m.record.FromCapacity <= 0 {
 		return 0
--- a/internal/migration/window.go
+++ b/internal/migration/window.go
@@ -15,8 +15,8 @@
 	TokenGap       float64 `json:"g"` // seconds for each token after that; 0 if unknown
 }
 
-// PoolWindow is what one window shows of a pool. Requests count for the pool that they were assigned to, attempts for the pool of the
-// backend that they were sent to.
+// PoolWindow is what one window shows of a pool. Requests count for the pool that they were assigned to, attempts for
+// the pool of the backend that they were sent to.
 type PoolWindow struct {
 	Requests      int      `json:"flows"` // that ended
 	OfferedWeight float64  `json:"asked"` // their priority weight
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -64,8 +64,8 @@
 	c.release(request)
 }
 
-// send starts an attempt. Whatever the module asks for, a request never has two attempts in flight, nor more than MaxAttempts in all,
-// and none once it is answered.
+// send starts an attempt. Whatever the module asks for, a request never has two attempts in flight, nor more than
+// MaxAttempts in all, and none once it is answered.
 func (c *Core) send(request *Request, action standpoint.Action) {
 	now := time.Now()
 	attempt := &Attempt{
@@ -103,8 +103,8 @@
 	})
 }
 
-// mayAttempt reports whether a request may have the attempt. It charges a retry to the fleet's budget for retries, so it is called
-// once, and the charge comes last.
+// mayAttempt reports whether a request may have the attempt. It charges a retry to the fleet's budget for retries, so
+// it is called once, and the charge comes last.
 func (c *Core) mayAttempt(request *Request, attempt *Attempt) bool {
 	if request.isSettled() || !attempt.Until.After(attempt.Sent) || c.attemptsSpent(request) {
 		return false
@@ -120,8 +120,8 @@
 	return c.Settings.MaxAttempts > 0 && len(request.attempts) >= c.Settings.MaxAttempts
 }
 
-// release forgets a settled request once none of its attempts is in flight. Those that are have nobody to answer any more, and are
-// given up.
+// release forgets a settled request once none of its attempts is in flight. Those that are have nobody to answer any
+// more, and are given up.
 func (c *Core) release(request *Request) {
 	if !request.isSettled() {
 		return
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -10,7 +10,8 @@
 	"standpoint"
 )
 
-// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its answer.
+// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its
+// answer.
 func TestTheCoresOwnBounds(t *testing.T) {
 	stopped, end := context.WithCancel(t.Context())
 	end()
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -1,6 +1,6 @@
-// Package node is the core of a node: requests, attempts, their outcomes and deadlines, around the decision module. It knows no wire
-// protocol. Fronts submit requests, backends carry attempts, and a watcher brings the endpoint list; the Core owns the decision module
-// and is the only one to call it.
+// Package node is the core of a node: requests, attempts, their outcomes and deadlines, around the decision module.
+// It knows no wire protocol. Fronts submit requests, backends carry attempts, and a watcher brings the endpoint list;
+// the Core owns the decision module and is the only one to call it.
 package node
 
 import (
@@ -16,8 +16,8 @@
 )
 
 const (
-	// mailboxSize bounds the mailbox. Senders wait for room in it; the Core itself never waits for anybody, so it always comes back
-	// to empty it.
+	// mailboxSize bounds the mailbox. Senders wait for room in it; the Core itself never waits for anybody, so it
+	// always comes back to empty it.
 	mailboxSize = 1024
 	// maxPendingLists is how many endpoint lists may wait.
 	maxPendingLists = 16
@@ -144,8 +144,8 @@
 	c.decide(&standpoint.TimerFired{Token: due.token})
 }
 
-// applyEndpoints takes an endpoint list in. The backends get it first: no attempt that was decided before begins at a backend that
-// drains.
+// applyEndpoints takes an endpoint list in. The backends get it first: no attempt that was decided before begins at a
+// backend that drains.
 func (c *Core) applyEndpoints(list EndpointList) {
 	c.Backends.Update(list)
 	if c.Pools != nil {
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -47,8 +47,8 @@
 	_, _ = c.Serve(t.Context(), flow(c, tenant, time.Minute))
 }
 
-// A tenant that holds its requests open leaves places for the others. Without the bound, as where there is one tenant, it
-// has them all.
+// A tenant that holds its requests open leaves places for the others. Without the bound, as where there is one
+// tenant, it has them all.
 func TestALoudTenantLeavesPlaces(t *testing.T) {
 	for tenants, want := range map[int]int{2: 4, 1: 8} {
 		c, h := start(t.Context(), tenants, 8)
@@ -81,8 +81,9 @@
 	require.LessOrEqual(t, len(c.timers), 2*timerSweepMinimum)
 }
 
-// An answer begins in the very moment in which all is handed back: before it, behind it, or while its request's lock is held until both
-// stand before that. In each case the client has one end of it, and a stream that began does not run on into the kill.
+// An answer begins in the very moment in which all is handed back: before it, behind it, or while its request's lock
+// is held until both stand before that. In each case the client has one end of it, and a stream that began does not
+// run on into the kill.
 func TestAnAnswerBeginsAsAllIsHandedBack(t *testing.T) {
 	t.Parallel()
 	for i := range 300 {
@@ -149,7 +150,8 @@
 func (begins) Begin() error       { return nil }
 func (begins) Event([]byte) error { return nil }
 
-// noted are pools of which each request is assigned when the test lets it, and backends; both note what they hear in turn.
+// noted are pools of which each request is assigned when the test lets it, and backends; both note what they hear in
+// turn.
 type noted struct {
 	noPools
 	let  chan struct{}
--- a/internal/node/hook.go
+++ b/internal/node/hook.go
@@ -12,8 +12,8 @@
 	HookBreak                      // the answer is broken off
 )
 
-// Hook sees the answer of one request as it is forwarded. Event and Stopped are called by the attempt that has claimed the request, one
-// at a time; Finished once, after them, by whoever serves the request.
+// Hook sees the answer of one request as it is forwarded. Event and Stopped are called by the attempt that has
+// claimed the request, one at a time; Finished once, after them, by whoever serves the request.
 type Hook interface {
 	// Event sees complete events; what it returns is forwarded in their place.
 	Event(events []byte) (forward []byte, action HookAction)
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -35,8 +35,8 @@
 	Watch()
 }
 
-// Pools assigns requests to pools of backends, and is notified of what becomes of them. The Core calls it from one goroutine; no
-// method blocks.
+// Pools assigns requests to pools of backends, and is notified of what becomes of them. The Core calls it from one
+// goroutine; no method blocks.
 type Pools interface {
 	// Place returns the number of the pool that an endpoint is in, by its labels; 0 for none.
 	Place(endpoint *Endpoint) int
@@ -52,11 +52,11 @@
 	Rejected(request *standpoint.Request)
 }
 
-// Fleet is what the nodes of an installation share. Admit and Settle are called by whoever serves a request, the other methods by the
-// Core; none blocks on a peer.
+// Fleet is what the nodes of an installation share. Admit and Settle are called by whoever serves a request, the
+// other methods by the Core; none blocks on a peer.
 type Fleet interface {
-	// Admit charges the budgets that a request counts against with the most that it may cost. If it is false, there is not enough
-	// left, and the client should retry after the returned time.
+	// Admit charges the budgets that a request counts against with the most that it may cost. If it is false, there
+	// is not enough left, and the client should retry after the returned time.
 	Admit(request *standpoint.Request) (Charge, time.Duration, bool)
 	// Settle corrects the charge of an admitted request by what it cost.
 	Settle(request *standpoint.Request, charge Charge, answer Answer)
@@ -89,8 +89,8 @@
 	Backend string
 	Sent    time.Time
 	Result  Result
-	// FirstToken is the time from the request's arrival to its first event, and AttemptFirstToken that from the attempt's start; 0 if
-	// there was none.
+	// FirstToken is the time from the request's arrival to its first event, and AttemptFirstToken that from the
+	// attempt's start; 0 if there was none.
 	FirstToken        time.Duration
 	AttemptFirstToken time.Duration
 	// Decode is the time from the first event to the last; 0 if the client was slow to take them.
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// TenantLimiter bounds what requests take of something that a node has a fixed amount of: open requests, or bytes of bodies. If there
-// are several tenants, none gets more than half, so one that holds on to what it has cannot shut the others out. It is safe for
-// concurrent use.
+// TenantLimiter bounds what requests take of something that a node has a fixed amount of: open requests, or bytes of
+// bodies. If there are several tenants, none gets more than half, so one that holds on to what it has cannot shut the
+// others out. It is safe for concurrent use.
 type TenantLimiter struct {
 	mu       sync.Mutex // guards all below
 	capacity int
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -88,7 +88,8 @@
 // Advise has the module weigh what other nodes have observed of the backends.
 func (c *Core) Advise(advice *standpoint.Advice) { c.post(updateAdvice{advice}) }
 
-// ReceivePeerMessage takes a message of another node's module. It does not block: a message is dropped if the mailbox is full.
+// ReceivePeerMessage takes a message of another node's module. It does not block: a message is dropped if the mailbox
+// is full.
 func (c *Core) ReceivePeerMessage(from int, data string) {
 	select {
 	case c.mailbox <- peerMessage{from, data}:
@@ -120,9 +121,9 @@
 	}
 }
 
-// HandBack gives up what this node cannot finish: streams that have begun, whose clients request the rest from another node, and, with
-// all, requests that still wait, which are rejected, as is whatever arrives from then on. If clients do not request the rest, streams
-// continue.
+// HandBack gives up what this node cannot finish: streams that have begun, whose clients request the rest from
+// another node, and, with all, requests that still wait, which are rejected, as is whatever arrives from then on. If
+// clients do not request the rest, streams continue.
 func (c *Core) HandBack(all bool) { c.post(handBackRequests{all}) }
 
 func (c *Core) receive(m message) {
@@ -194,8 +195,9 @@
 	}
 }
 
-// handBackRequest ends a request that this node cannot finish: one that has begun, if its client requests the rest from another node,
-// and, with all, one that waits. A retry is said to be harmless only if it is: an attempt may have run.
+// handBackRequest ends a request that this node cannot finish: one that has begun, if its client requests the rest
+// from another node, and, with all, one that waits. A retry is said to be harmless only if it is: an attempt may have
+// run.
 func (c *Core) handBackRequest(request *Request, all bool) {
 	var answer *Answer
 	switch {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -18,8 +18,8 @@
 	MaxTokens   float64 // that the body allows for its answer; 0 if it does not say
 }
 
-// ClientConnection is the client's side of a request. Its methods are called by the attempt that has claimed the request, one at a time,
-// and never after the request's answer.
+// ClientConnection is the client's side of a request. Its methods are called by the attempt that has claimed the
+// request, one at a time, and never after the request's answer.
 type ClientConnection interface {
 	// Begin begins the answer.
 	Begin() error
@@ -27,8 +27,8 @@
 	Event(events []byte) error
 }
 
-// DisconnectDetector is a ClientConnection that can tell whether its client has gone. It is asked before each attempt begins: the end of
-// the connection may not have been noticed yet.
+// DisconnectDetector is a ClientConnection that can tell whether its client has gone. It is asked before each attempt
+// begins: the end of the connection may not have been noticed yet.
 type DisconnectDetector interface {
 	// Disconnected does not block.
 	Disconnected() bool
@@ -48,7 +48,8 @@
 	ErrHandedBack = errors.New("handed back to the client, to go on elsewhere")
 )
 
-// Reasons for which an attempt that was decided on does not begin: the state may have changed before it reached the socket.
+// Reasons for which an attempt that was decided on does not begin: the state may have changed before it reached the
+// socket.
 var (
 	ErrBackendDraining = errors.New("the backend is to get nothing new")
 	ErrTooLate         = errors.New("the time in which repeats are dropped is over")
@@ -61,11 +62,11 @@
 	Work Work
 	// Hook sees the answer; nil if there is none.
 	Hook Hook
-	// UncachedTokens are the prompt tokens that are charged, if an earlier part of the session was charged for the others; 0 stands for
-	// all.
+	// UncachedTokens are the prompt tokens that are charged, if an earlier part of the session was charged for the
+	// others; 0 stands for all.
 	UncachedTokens float64
-	// CacheHolder is the backend that is known to have HeldTokens of the prompt cached, in its process that started at HolderStartedAt;
-	// empty if none is.
+	// CacheHolder is the backend that is known to have HeldTokens of the prompt cached, in its process that started
+	// at HolderStartedAt; empty if none is.
 	CacheHolder     string
 	HolderStartedAt int64
 	HeldTokens      float64
@@ -94,8 +95,8 @@
 	}
 }
 
-// Idle is closed once the request is settled and none of its attempts is in flight. A caller that retries the same work after it cannot
-// have two attempts in flight.
+// Idle is closed once the request is settled and none of its attempts is in flight. A caller that retries the same
+// work after it cannot have two attempts in flight.
 func (r *Request) Idle() <-chan struct{} { return r.idle }
 
 // Server is the backend whose answer is forwarded; empty before one is.
@@ -139,8 +140,8 @@
 	return false
 }
 
-// disconnect is called when the client has gone. It reports whether that settled the request. The attempt of a claimed request is
-// stopped instead; its end settles the request.
+// disconnect is called when the client has gone. It reports whether that settled the request. The attempt of a
+// claimed request is stopped instead; its end settles the request.
 func (r *Request) disconnect() bool {
 	if r.settle(Answer{Kind: ClientGone}) {
 		return true
@@ -169,9 +170,10 @@
 	}
 }
 
-// handBack settles the request with the answer, if there is one, or, with begun, breaks off the attempt that has claimed it, and
-// reports whether the request was settled. Which of the two happens is decided at once: an attempt that claims the request meanwhile
-// either came first, and is broken off, or comes later, and finds the request settled.
+// handBack settles the request with the answer, if there is one, or, with begun, breaks off the attempt that has
+// claimed it, and reports whether the request was settled. Which of the two happens is decided at once: an attempt
+// that claims the request meanwhile either came first, and is broken off, or comes later, and finds the request
+// settled.
 func (r *Request) handBack(answer *Answer, begun bool) (settled bool) {
 	r.mu.Lock()
 	attempt := r.claimed
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -11,8 +11,8 @@
 // ErrBusy is the error of a request beyond what the node, or the request's tenant, may have open at once.
 var ErrBusy = errors.New("too many requests at once")
 
-// Serve serves a request and returns its one final answer. That ctx ends means that the client has gone. The end of every request is
-// counted here.
+// Serve serves a request and returns its one final answer. That ctx ends means that the client has gone. The end of
+// every request is counted here.
 func (c *Core) Serve(ctx context.Context, request *Request) (Answer, error) {
 	answer, err := c.admit(ctx, request)
 	if request.Hook != nil {
@@ -22,8 +22,8 @@
 	return answer, err
 }
 
-// Adopt serves a request whose answer another process of this node has begun, and returns its end. The attempt that has claimed it is
-// run by run; the module does not decide on it.
+// Adopt serves a request whose answer another process of this node has begun, and returns its end. The attempt that
+// has claimed it is run by run; the module does not decide on it.
 func (c *Core) Adopt(ctx context.Context, request *Request, run func(*Attempt)) (Answer, error) {
 	if !c.limiter.Acquire(request.Spec.Tenant, 1) {
 		return Answer{}, ErrBusy
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what the program stores, sends and prints with files that an earlier build wrote, which lie under
-// testdata/golden of the package under test. It is for tests alone.
+// Package golden compares what the program stores, sends and prints with files that an earlier build wrote, which lie
+// under testdata/golden of the package under test. It is for tests alone.
 //
-// A file that is missing fails the test, unless UPDATE_GOLDEN is set in the environment: then it is written. A file that exists is
-// never written over; to change a format on purpose, remove its file first.
+// A file that is missing fails the test, unless UPDATE_GOLDEN is set in the environment: then it is written. A file
+// that exists is never written over; to change a format on purpose, remove its file first.
 package golden
 
 import (
@@ -24,7 +24,8 @@
 // Path is the place of the golden file called name.
 func Path(name string) string { return filepath.Join(directory, name) }
 
-// Read returns the golden file called name. Where it is missing and UPDATE_GOLDEN is set, it is first written with what write returns.
+// Read returns the golden file called name. Where it is missing and UPDATE_GOLDEN is set, it is first written with
+// what write returns.
 func Read(t testing.TB, name string, write func() []byte) []byte {
 	t.Helper()
 	path := Path(name)
@@ -46,9 +47,9 @@
 	require.Equal(t, string(want), string(got), "%s differs", Path(name))
 }
 
-// RoundTrip fails the test unless the golden file called name decodes to value, and value encodes to the file's bytes. Every
-// exported field within value has to be set, since a field at its zero value would not show that its name has changed;
-// unset names the paths of those that may be left, as Unset reports them.
+// RoundTrip fails the test unless the golden file called name decodes to value, and value encodes to the file's
+// bytes. Every exported field within value has to be set, since a field at its zero value would not show that its
+// name has changed; unset names the paths of those that may be left, as Unset reports them.
 func RoundTrip[T any](t testing.TB, name string, value T, encode func(T) ([]byte, error), decode func([]byte) (T, error), unset ...string) {
 	t.Helper()
 	for _, path := range Unset(value) {
@@ -63,7 +64,8 @@
 	require.Equal(t, string(want), string(encoded), "%s is encoded otherwise", Path(name))
 }
 
-// Unset lists the paths of the exported fields within value that are at their zero value, such as "Lease.Until" or "Loans[0].Last".
+// Unset lists the paths of the exported fields within value that are at their zero value, such as "Lease.Until" or
+// "Loans[0].Last".
 func Unset(value any) []string {
 	var paths []string
 	walk(reflect.ValueOf(value), "", &paths)
--- a/internal/testpeer/release/release.go
+++ b/internal/testpeer/release/release.go
@@ -1,5 +1,5 @@
-// Package release builds the program as it was before the names of the tree were made readable, for tests that run it beside the
-// present one. It is for tests alone.
+// Package release builds the program as it was before the names of the tree were made readable, for tests that run it
+// beside the present one. It is for tests alone.
 package release
 
 import (
@@ -13,7 +13,8 @@
 // Commit is what the earlier program is built from.
 const Commit = "9cb399972a5c60b9fc543e6b5aa7a4a5bb4d0b3d"
 
-// Program builds the program of Commit from the repository's history and returns its path. A clone without that history skips the test.
+// Program builds the program of Commit from the repository's history and returns its path. A clone without that
+// history skips the test.
 func Program(t testing.TB) string {
 	t.Helper()
 	root := output(t, "", "git", "rev-parse", "--show-toplevel")
