--- a/internal/migration/analysis_test.go
+++ b/internal/migration/analysis_test.go
@@ -74,7 +74,14 @@
 func TestCommonSlowdownIsNoEvidence(t *testing.T) {
 	j := newAnalysis(Default())
 	window := func(late float64) *Window {
-		side := PoolWindow{Requests: 10, OfferedWeight: 10, OnTimeWeight: 10 * (1 - late), Attempts: 10, Errors: int(10 * late), Health: warm}
+		side := PoolWindow{
+			Requests:      10,
+			OfferedWeight: 10,
+			OnTimeWeight:  10 * (1 - late),
+			Attempts:      10,
+			Errors:        int(10 * late),
+			Health:        warm,
+		}
 		return &Window{From: side, To: side}
 	}
 	for range 60 {
@@ -100,7 +107,15 @@
 			side := PoolWindow{Health: warm}
 			for range n {
 				load := least + (most-least)*rng.Float64()
-				side.Samples = append(side.Samples, Sample{UncachedTokens: 500, Load: load, FirstToken: 0.2, TokenGap: slow * 0.018 * (1 + 3*load) * math.Exp(0.05*rng.NormFloat64())})
+				side.Samples = append(
+					side.Samples,
+					Sample{
+						UncachedTokens: 500,
+						Load:           load,
+						FirstToken:     0.2,
+						TokenGap:       slow * 0.018 * (1 + 3*load) * math.Exp(0.05*rng.NormFloat64()),
+					},
+				)
 			}
 			return side
 		}
--- a/internal/migration/controller/command.go
+++ b/internal/migration/controller/command.go
@@ -63,7 +63,11 @@
 		return c.applyStart(request.start)
 	}
 	if c.record.State == "" {
-		return &control.Error{Status: http.StatusNotFound, Code: control.CodeNoMigration, Message: "no move was ever started"}
+		return &control.Error{
+			Status:  http.StatusNotFound,
+			Code:    control.CodeNoMigration,
+			Message: "no move was ever started",
+		}
 	}
 	if c.machine == nil {
 		c.resumeMachine()
--- a/internal/migration/controller/command_test.go
+++ b/internal/migration/controller/command_test.go
@@ -18,7 +18,11 @@
 	first := n.start(t, StartRequest{To: "new", By: "operator", Note: "build 118"})
 	require.Equal(t, "old", first.Plan.From, "the pool that has the flows")
 	var refused *control.Error
-	require.ErrorAs(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil), &refused)
+	require.ErrorAs(
+		t,
+		n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", StartRequest{To: "new"}, nil),
+		&refused,
+	)
 	require.Equal(t, control.CodeMigrationRunning, refused.Code)
 	require.Contains(t, refused.Message, first.ID)
 	n.reaches(t, func(s Status) bool { return s.Migration.Step == 1 && s.Migration.State == migration.Holding })
@@ -33,7 +37,11 @@
 	var history []migration.Record
 	require.NoError(t, n.client.Call(t.Context(), http.MethodGet, "/v1/move/history", nil, &history))
 	require.Len(t, history, 2)
-	require.Equal(t, []migration.State{migration.Done, migration.Undone}, []migration.State{history[0].State, history[1].State})
+	require.Equal(
+		t,
+		[]migration.State{migration.Done, migration.Undone},
+		[]migration.State{history[0].State, history[1].State},
+	)
 	require.Equal(t, "build 118", history[1].Note)
 	// And back again, as a move of its own: the pool that has the flows now is the new one.
 	back := n.start(t, StartRequest{To: "old", Hold: "2s"})
@@ -96,7 +104,13 @@
 	})
 	require.NoError(t, n.options.Tracker.Check(wider))
 	n.options.Tracker.Adjust(wider)
-	updateEndpoints(n.options.Tracker, endpoint("box-1", "v1"), endpoint("box-2", "v2"), endpoint("box-3", "v3"), endpoint("box-4", "v9"))
+	updateEndpoints(
+		n.options.Tracker,
+		endpoint("box-1", "v1"),
+		endpoint("box-2", "v2"),
+		endpoint("box-3", "v3"),
+		endpoint("box-4", "v9"),
+	)
 	members := n.options.Tracker.Members(time.Now())
 	require.Len(t, members, 3)
 	require.Equal(t, []string{"box-2", "box-3"}, []string{members[1].Backends[0].Name, members[1].Backends[1].Name})
--- a/internal/migration/controller/controller_test.go
+++ b/internal/migration/controller/controller_test.go
@@ -105,14 +105,30 @@
 	members := []store.Member{{ID: "n1", Address: l.Addr().String()}}
 	dir := t.TempDir()
 	open := func(l net.Listener) *store.Raft {
-		keys, err := store.OpenRaft(store.RaftOptions{ID: "n1", Listener: l, ListenAddress: members[0].Address, Dir: dir, Members: members, LogOutput: io.Discard,
-			HeartbeatTimeout: 300 * time.Millisecond})
+		keys, err := store.OpenRaft(
+			store.RaftOptions{
+				ID:               "n1",
+				Listener:         l,
+				ListenAddress:    members[0].Address,
+				Dir:              dir,
+				Members:          members,
+				LogOutput:        io.Discard,
+				HeartbeatTimeout: 300 * time.Millisecond,
+			},
+		)
 		require.NoError(t, err)
 		return keys
 	}
 	keys := open(l)
 	require.Eventually(t, func() bool { _, ok := keys.Leadership(); return ok }, patient, 5*time.Millisecond)
-	raw, err := json.Marshal(migration.Record{ID: "m-1", State: migration.Done, Shares: pool.Shares{Moved: map[string]string{"old": "new"}}, Version: 9})
+	raw, err := json.Marshal(
+		migration.Record{
+			ID:      "m-1",
+			State:   migration.Done,
+			Shares:  pool.Shares{Moved: map[string]string{"old": "new"}},
+			Version: 9,
+		},
+	)
 	require.NoError(t, err)
 	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw})
 	require.NoError(t, err)
@@ -134,7 +150,13 @@
 	go func() { // a second node, whose pools are others
 		defer close(told)
 		for ctx.Err() == nil {
-			_ = n.client.Call(ctx, http.MethodPost, "/v1/move/report", []Report{{Node: "n2", Migration: n.status(t).Migration.ID, Version: 99, Digest: 1}}, nil)
+			_ = n.client.Call(
+				ctx,
+				http.MethodPost,
+				"/v1/move/report",
+				[]Report{{Node: "n2", Migration: n.status(t).Migration.ID, Version: 99, Digest: 1}},
+				nil,
+			)
 			time.Sleep(window / 2)
 		}
 	}()
--- a/internal/migration/controller/fuzz_test.go
+++ b/internal/migration/controller/fuzz_test.go
@@ -16,10 +16,16 @@
 // Whatever comes by the control interface as a wish or as reports, it is refused, or the move and its figures stay
 // whole.
 func FuzzCalls(f *testing.F) {
-	f.Add([]byte(`{"to":"new","steps":[0.1,1],"hold":"1s","warm":"1s","trickle":0.05,"samples":30,"floor":0.9,"on_worse":"undo","by":"kim"}`))
+	f.Add(
+		[]byte(
+			`{"to":"new","steps":[0.1,1],"hold":"1s","warm":"1s","trickle":0.05,"samples":30,"floor":0.9,"on_worse":"undo","by":"kim"}`,
+		),
+	)
 	f.Add([]byte(`{"to":"new","steps":[],"hold":"-1s"}`))
 	f.Add([]byte(`{"to":"new","steps":[1e308,-1],"floor":-1e308}`))
-	f.Add([]byte(`[{"node":"b","move":"m","version":1,"digest":1,"from":{"Flows":-9,"Samples":[{"Class":-1}]},"to":{}}]`))
+	f.Add(
+		[]byte(`[{"node":"b","move":"m","version":1,"digest":1,"from":{"Flows":-9,"Samples":[{"Class":-1}]},"to":{}}]`),
+	)
 	f.Add([]byte(`[{"node":"b"},{"node":"b"}] x`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, m := begun(t)
@@ -51,7 +57,11 @@
 		f.Fatal(err)
 	}
 	f.Add(raw)
-	f.Add([]byte(`{"id":"m","state":"holding","step":99,"plan":{"From":"old","To":"new","Steps":[]},"shares":{"Share":-1}}`))
+	f.Add(
+		[]byte(
+			`{"id":"m","state":"holding","step":99,"plan":{"From":"old","To":"new","Steps":[]},"shares":{"Share":-1}}`,
+		),
+	)
 	f.Add([]byte(`{"id":"m","state":"stepping","step":-7}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		a, _ := begun(t)
@@ -72,7 +82,15 @@
 func begun(t testing.TB) (*Controller, *migration.Machine) {
 	tr := NewTracker(file(t, nil), zap.NewNop())
 	updateEndpoints(tr, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
-	a := New(Options{Name: "n", Tracker: tr, Store: store.NewMemory(), Plan: func() migration.Plan { return migration.Default() }, Log: zap.NewNop()})
+	a := New(
+		Options{
+			Name:    "n",
+			Tracker: tr,
+			Store:   store.NewMemory(),
+			Plan:    func() migration.Plan { return migration.Default() },
+			Log:     zap.NewNop(),
+		},
+	)
 	m, err := a.newMachine(StartRequest{To: "new"}, a.record.Shares)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/migration/controller/golden_test.go
+++ b/internal/migration/controller/golden_test.go
@@ -27,16 +27,23 @@
 	Overflowed:    2,
 	Attempts:      33,
 	Errors:        1,
-	Samples:       []migration.Sample{{Class: 1, Kind: 2, UncachedTokens: 300, Load: 0.5, FirstToken: 0.25, TokenGap: 0.02}},
-	Health:        goldenHealth,
+	Samples: []migration.Sample{
+		{Class: 1, Kind: 2, UncachedTokens: 300, Load: 0.5, FirstToken: 0.25, TokenGap: 0.02},
+	},
+	Health: goldenHealth,
 }
 
 // What a node reports to the one that carries the move on.
 func TestGoldenReport(t *testing.T) {
 	other := goldenSide
 	other.Requests = 31
-	golden.RoundTrip(t, "report.json", Report{Node: "n1", Migration: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
-		encodeJSON[Report], decodeJSON[Report])
+	golden.RoundTrip(
+		t,
+		"report.json",
+		Report{Node: "n1", Migration: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
+		encodeJSON[Report],
+		decodeJSON[Report],
+	)
 }
 
 // What an operator's start says.
@@ -59,7 +66,11 @@
 
 // What is shown of a move.
 func TestGoldenStatus(t *testing.T) {
-	record := migration.Record{ID: "m-7", State: migration.Holding, Shares: pool.Shares{From: "old", To: "new", Share: 0.25}}
+	record := migration.Record{
+		ID:     "m-7",
+		State:  migration.Holding,
+		Shares: pool.Shares{From: "old", To: "new", Share: 0.25},
+	}
 	value := Status{
 		Node:      "n1",
 		Leads:     true,
@@ -79,13 +90,23 @@
 // The record of a move, in the store under move/current and move/history/.
 func TestGoldenRecord(t *testing.T) {
 	at := time.Date(2026, 11, 1, 10, 0, 0, 500, time.UTC)
-	machine, err := migration.Start("m-7", goldenPlan(), pool.Shares{Moved: map[string]string{"a": "b"}}, goldenHealth, goldenHealth, at)
+	machine, err := migration.Start(
+		"m-7",
+		goldenPlan(),
+		pool.Shares{Moved: map[string]string{"a": "b"}},
+		goldenHealth,
+		goldenHealth,
+		at,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	machine.SetAuthor("staff", "a release")
 	for i := range 30 {
-		machine.Observe(at.Add(time.Duration(i)*time.Second), migration.Window{From: goldenSide, To: goldenSide, Nodes: 3})
+		machine.Observe(
+			at.Add(time.Duration(i)*time.Second),
+			migration.Window{From: goldenSide, To: goldenSide, Nodes: 3},
+		)
 	}
 	record := machine.Record()
 	record.Paused = true
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -109,7 +109,10 @@
 			none = append(none, name)
 		case len(backend.alsoFits) > 0:
 			first := t.set.Name(backend.pool)
-			several = append(several, fmt.Sprintf("%s (%s; also %s)", name, first, strings.Join(backend.alsoFits, ", ")))
+			several = append(
+				several,
+				fmt.Sprintf("%s (%s; also %s)", name, first, strings.Join(backend.alsoFits, ", ")),
+			)
 		}
 	}
 	slices.Sort(none)
--- a/internal/migration/controller/node_test.go
+++ b/internal/migration/controller/node_test.go
@@ -30,7 +30,9 @@
 	plan := migration.Default()
 	plan.Steps, plan.Trickle, plan.Warm, plan.Hold, plan.Samples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
 	cfg := &config.OperatorFile{MigrationPlan: plan}
-	cfg.Settings.Classes = []standpoint.Class{{Streamed: true, TTFTAim: int64(time.Second), TPOTAim: int64(50 * time.Millisecond), Worth: 2}}
+	cfg.Settings.Classes = []standpoint.Class{
+		{Streamed: true, TTFTAim: int64(time.Second), TPOTAim: int64(50 * time.Millisecond), Worth: 2},
+	}
 	cfg.Names.Kinds = []string{"fast"}
 	var all []pool.Definition
 	for i, text := range []string{`version == "v1"`, `version == "v2"`} {
@@ -48,7 +50,11 @@
 }
 
 func endpoint(name, version string) node.Endpoint {
-	return node.Endpoint{Address: "127.0.0.1:1", Labels: map[string]string{"version": version}, Engine: standpoint.Engine{Name: name, Size: 1}}
+	return node.Endpoint{
+		Address: "127.0.0.1:1",
+		Labels:  map[string]string{"version": version},
+		Engine:  standpoint.Engine{Name: name, Size: 1},
+	}
 }
 
 // updateEndpoints tells a tracker of a whole list, as the core would.
@@ -107,8 +113,18 @@
 		r.Pool = n.options.Tracker.Assign(r)
 		server := fmt.Sprintf("box-%d", r.Pool)
 		n.options.Tracker.Sent(r, server, 0)
-		o := node.Observation{Request: r, Backend: server, FirstToken: 200 * time.Millisecond, AttemptFirstToken: 200 * time.Millisecond, Decode: time.Second,
-			Result: node.Result{Code: standpoint.Served, OutputTokens: 50, Report: &standpoint.Report{Slots: 0.3}}}
+		o := node.Observation{
+			Request:           r,
+			Backend:           server,
+			FirstToken:        200 * time.Millisecond,
+			AttemptFirstToken: 200 * time.Millisecond,
+			Decode:            time.Second,
+			Result: node.Result{
+				Code:         standpoint.Served,
+				OutputTokens: 50,
+				Report:       &standpoint.Report{Slots: 0.3},
+			},
+		}
 		if r.Pool == 2 && n.errors.Load() {
 			o.FirstToken, o.AttemptFirstToken, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
 			n.options.Tracker.Finished(o)
@@ -122,14 +138,32 @@
 const secret = "a token of the members"
 
 // startNode starts a node over a store.
-func startNode(t testing.TB, name string, keys store.Store, peers map[string]string, listen string, cfg *config.OperatorFile) *testNode {
+func startNode(
+	t testing.TB,
+	name string,
+	keys store.Store,
+	peers map[string]string,
+	listen string,
+	cfg *config.OperatorFile,
+) *testNode {
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte(secret), 0o600))
 	tr := NewTracker(cfg, zap.NewNop())
 	updateEndpoints(tr, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
 	n := &testNode{keys: keys, stopped: make(chan struct{})}
-	n.Controller = New(Options{Name: name, Tracker: tr, Store: keys, Peers: peers, Plan: func() migration.Plan { return cfg.MigrationPlan },
-		Token: func() string { return secret }, Window: window, Live: 2 * time.Second, Log: zap.NewNop()})
+	n.Controller = New(
+		Options{
+			Name:    name,
+			Tracker: tr,
+			Store:   keys,
+			Peers:   peers,
+			Plan:    func() migration.Plan { return cfg.MigrationPlan },
+			Token:   func() string { return secret },
+			Window:  window,
+			Live:    2 * time.Second,
+			Log:     zap.NewNop(),
+		},
+	)
 	var err error
 	n.server, err = control.Listen(listen, token, n.Routes(), zap.NewNop())
 	require.NoError(t, err)
@@ -172,7 +206,15 @@
 	}
 	var all []*testNode
 	for i := range 3 {
-		keys, err := store.OpenRaft(store.RaftOptions{ID: members[i].ID, Listener: raft[i], Members: members, LogOutput: io.Discard, HeartbeatTimeout: 300 * time.Millisecond})
+		keys, err := store.OpenRaft(
+			store.RaftOptions{
+				ID:               members[i].ID,
+				Listener:         raft[i],
+				Members:          members,
+				LogOutput:        io.Discard,
+				HeartbeatTimeout: 300 * time.Millisecond,
+			},
+		)
 		require.NoError(t, err)
 		require.NoError(t, front[i].Close())
 		n := startNode(t, members[i].ID, keys, peers, peers[members[i].ID], file(t, nil))
--- a/internal/migration/controller/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -61,7 +61,12 @@
 	}
 	for _, name := range []string{t.followed.Plan.From, t.followed.Plan.To} {
 		if file.PoolSet.Number(name) == 0 {
-			return fmt.Errorf("pool: %q cannot be taken away while move %s is %s", name, t.followed.ID, t.followed.State)
+			return fmt.Errorf(
+				"pool: %q cannot be taken away while move %s is %s",
+				name,
+				t.followed.ID,
+				t.followed.State,
+			)
 		}
 	}
 	return nil
--- a/internal/migration/machine.go
+++ b/internal/migration/machine.go
@@ -150,7 +150,12 @@
 		return nil
 	case Done:
 		// The traffic that From had is returned by the same means as from an unfinished migration.
-		m.record.Shares = pool.Shares{Moved: m.record.BaseMoved, From: m.record.Plan.From, To: m.record.Plan.To, Share: 1}
+		m.record.Shares = pool.Shares{
+			Moved: m.record.BaseMoved,
+			From:  m.record.Plan.From,
+			To:    m.record.Plan.To,
+			Share: 1,
+		}
 		m.record.Version++
 	}
 	m.record.Paused = false
--- a/internal/migration/machine_test.go
+++ b/internal/migration/machine_test.go
@@ -95,7 +95,9 @@
 			s.new.health = health()
 			m.Observe(clock, s.nextWindow(m))
 			h, share := s.new.health, m.record.Shares.Share
-			if h.WarmCapacity < warmThreshold*h.Capacity && m.record.State != Returning && share > h.WarmCapacity/9+1e-9 && share > 0.02 {
+			if h.WarmCapacity < warmThreshold*h.Capacity && m.record.State != Returning &&
+				share > h.WarmCapacity/9+1e-9 &&
+				share > 0.02 {
 				r.Fatalf("%.3f in force, and the boxes can do %.2f of 9: %s", share, h.WarmCapacity, m.record.State)
 			}
 			for j := range ages {
@@ -198,7 +200,13 @@
 				m = Resume(back)
 			}
 			if m.record.Step > step+1 || m.record.Step < step || m.record.Version < version {
-				r.Fatalf("from step %d, version %d to step %d, version %d", step, version, m.record.Step, m.record.Version)
+				r.Fatalf(
+					"from step %d, version %d to step %d, version %d",
+					step,
+					version,
+					m.record.Step,
+					m.record.Version,
+				)
 			}
 			step, version = m.record.Step, m.record.Version
 		}
--- a/internal/migration/scenario_test.go
+++ b/internal/migration/scenario_test.go
@@ -37,7 +37,12 @@
 }
 
 func newScenario(seed uint64) *scenario {
-	return &scenario{rng: rand.New(rand.NewPCG(seed, 1)), rate: 18, old: condition{health: warm}, new: condition{health: warm}}
+	return &scenario{
+		rng:  rand.New(rand.NewPCG(seed, 1)),
+		rate: 18,
+		old:  condition{health: warm},
+		new:  condition{health: warm},
+	}
 }
 
 func (s *scenario) poisson(mean float64) int {
@@ -67,7 +72,12 @@
 			}
 			continue
 		}
-		a := Sample{Class: s.rng.IntN(2), Kind: s.rng.IntN(3), UncachedTokens: 900 * math.Exp(0.7*s.rng.NormFloat64()), Load: 0.2 + 0.2*s.rng.Float64()}
+		a := Sample{
+			Class:          s.rng.IntN(2),
+			Kind:           s.rng.IntN(3),
+			UncachedTokens: 900 * math.Exp(0.7*s.rng.NormFloat64()),
+			Load:           0.2 + 0.2*s.rng.Float64(),
+		}
 		a.FirstToken = slow * (0.1 + a.UncachedTokens/15_000) * math.Exp(0.5*s.rng.NormFloat64())
 		a.TokenGap = slow * (0.02 + 0.02*a.Load) * math.Exp(0.15*s.rng.NormFloat64())
 		if c.stall {
@@ -111,7 +121,17 @@
 		m.Observe(clock, s.nextWindow(m))
 	}
 	r := m.Record()
-	require.True(t, done(r), "after %d windows the move is %s, step %d, %.3f: %s; %v", most, r.State, r.Step, r.Shares.Share, r.Reason, r.Events)
+	require.True(
+		t,
+		done(r),
+		"after %d windows the move is %s, step %d, %.3f: %s; %v",
+		most,
+		r.State,
+		r.Step,
+		r.Shares.Share,
+		r.Reason,
+		r.Events,
+	)
 	return most
 }
 
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -22,7 +22,10 @@
 	c.requests[1] = f
 	send := func() bool {
 		before := len(h.sent)
-		c.send(f, standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)})
+		c.send(
+			f,
+			standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)},
+		)
 		return len(h.sent) > before
 	}
 	require.True(t, send())
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -29,17 +29,33 @@
 func (quiet) Watch() {}
 
 func start(ctx context.Context, tenants, most int) (*Core, held) {
-	s := standpoint.Settings{Balancers: 1, MaxAttempts: 3, Tick: 1e6, Cancel: true, Kinds: 1, Tenants: make([]standpoint.Tenant, tenants),
-		Classes: []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}}}
+	s := standpoint.Settings{
+		Balancers:   1,
+		MaxAttempts: 3,
+		Tick:        1e6,
+		Cancel:      true,
+		Kinds:       1,
+		Tenants:     make([]standpoint.Tenant, tenants),
+		Classes:     []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}},
+	}
 	h := held{make(chan *Attempt, 20_000)}
 	c := New(Options{Settings: s, Seed: 1, MaxRequests: most, Backends: h, Watcher: quiet{}, Log: zap.NewNop()})
-	c.UpdateEndpoints(EndpointList{Kind: standpoint.ListFull, Endpoints: []Endpoint{{Address: "127.0.0.1:1", Engine: standpoint.Engine{Name: "s", Size: 1}}}})
+	c.UpdateEndpoints(
+		EndpointList{
+			Kind:      standpoint.ListFull,
+			Endpoints: []Endpoint{{Address: "127.0.0.1:1", Engine: standpoint.Engine{Name: "s", Size: 1}}},
+		},
+	)
 	go c.Run(ctx)
 	return c, h
 }
 
 func flow(c *Core, tenant int, wait time.Duration) *Request {
-	return NewRequest(standpoint.Request{Tenant: tenant, PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), wait)}, Work{}, nil)
+	return NewRequest(
+		standpoint.Request{Tenant: tenant, PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), wait)},
+		Work{},
+		nil,
+	)
 }
 
 // serve has the core serve a request of a tenant. How it ends is not looked at.
@@ -89,7 +105,11 @@
 	for i := range 300 {
 		c, h := start(t.Context(), 1, 10)
 		c.Settings.Resume = true
-		f := NewRequest(standpoint.Request{PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), time.Minute)}, Work{}, begins{})
+		f := NewRequest(
+			standpoint.Request{PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), time.Minute)},
+			Work{},
+			begins{},
+		)
 		over := make(chan Answer, 1)
 		go func() {
 			a, _ := c.Serve(t.Context(), f)
@@ -176,13 +196,21 @@
 	n := noted{let: make(chan struct{}), note: make(chan string, 1000)}
 	s := standpoint.Settings{Balancers: 1, MaxAttempts: 3, Tick: 1e6, Kinds: 1, Tenants: make([]standpoint.Tenant, 1),
 		Classes: []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}}}
-	c := New(Options{Settings: s, Seed: 1, MaxRequests: 1000, Backends: n, Pools: n, Watcher: quiet{}, Log: zap.NewNop()})
+	c := New(
+		Options{Settings: s, Seed: 1, MaxRequests: 1000, Backends: n, Pools: n, Watcher: quiet{}, Log: zap.NewNop()},
+	)
 	go c.Run(t.Context())
 	const waiting = 500
 	for range waiting {
 		go func() { _, _ = c.Serve(t.Context(), flow(c, 0, time.Minute)) }()
 	}
-	require.Eventually(t, func() bool { return len(c.mailbox) == waiting-1 }, 10*time.Second, time.Millisecond, "one is in hand")
+	require.Eventually(
+		t,
+		func() bool { return len(c.mailbox) == waiting-1 },
+		10*time.Second,
+		time.Millisecond,
+		"one is in hand",
+	)
 	c.UpdateEndpoints(EndpointList{Kind: standpoint.ListFull})
 	for range waiting {
 		n.let <- struct{}{}
