--- a/internal/migration/controller/story_test.go
+++ b/internal/migration/controller/story_test.go
@@ -269,7 +269,9 @@
 	leader := leading(t, all)
 	n, cut := all[leader], all[(leader+1)%3]
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Migration.Step == 0 && s.Migration.State == migration.Holding && len(s.Nodes) == 3 })
+	n.reaches(t, func(s Status) bool {
+		return s.Migration.Step == 0 && s.Migration.State == migration.Holding && len(s.Nodes) == 3
+	})
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/pause", struct{}{}, nil))
 	require.Eventually(t, func() bool { return cut.share() > 0.2 && cut.share() < 0.3 }, patient, window)
 	kept := cut.share()
