--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -24,68 +24,54 @@
 	"standpoint/internal/testpeer"
 )
 
-// yard is boxes that note what they get; a flow whose id begins with "hold" or "queue" is kept until release, the
-// first after its first event.
-type yard struct {
-	mu      sync.Mutex
-	last    map[string]time.Time
-	count   map[string]int
-	begun   chan string
+// notingBackends are backends that note their requests. A request whose id begins with "hold" or "queue" is not answered
+// before release is closed; the first has had one event by then.
+type notingBackends struct {
+	begun   chan string // a request that is not answered yet
 	release chan struct{}
+
+	mu    sync.Mutex // guards the maps
+	last  map[string]time.Time
+	count map[string]int
 }
 
-func (y *yard) box(t *testing.T, name string) netip.AddrPort {
+func (b *notingBackends) start(t *testing.T, name string) netip.AddrPort {
+	t.Helper()
 	return netip.MustParseAddrPort(testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		y.mu.Lock()
-		y.last[name] = time.Now()
-		y.count[name]++
-		y.mu.Unlock()
+		b.mu.Lock()
+		b.last[name] = time.Now()
+		b.count[name]++
+		b.mu.Unlock()
 		id := r.Header.Get("X-Trace-Id")
 		if strings.HasPrefix(id, "hold") {
 			testpeer.Event(w, name)
 		}
 		if strings.HasPrefix(id, "hold") || strings.HasPrefix(id, "queue") {
-			y.begun <- name
-			<-y.release
+			b.begun <- name
+			<-b.release
 		}
 		testpeer.Event(w, name)
 		testpeer.Finish(w)
 	}))
 }
 
-func (y *yard) seen(name string) (time.Time, int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.last[name], y.count[name]
+// requests is when a backend got its last request, and how many it has got.
+func (b *notingBackends) requests(name string) (time.Time, int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.last[name], b.count[name]
 }
 
-func responding(t *testing.T, domain string) *responder.Server {
+func startResponder(t *testing.T, domain string) *responder.Server {
+	t.Helper()
 	s, err := responder.Start(responder.NewZone(domain, 7), "127.0.0.1:0", nil)
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
 	return s
 }
 
-// Boxes by DNS-SD on the whole daemon, under load: a box is withdrawn with a stream and a waiting flow on it, which
-// both run to their end while nothing new comes; SIGHUP changes the domains; the nodes are counted.
-func TestDiscovery(t *testing.T) {
-	y := &yard{last: map[string]time.Time{}, count: map[string]int{}, begun: make(chan string, 100), release: make(chan struct{})}
-	a, b := responding(t, "hall-a.test"), responding(t, "hall-b.test")
-	boxes := map[string]responder.Box{}
-	publish := func(to *responder.Server, label string, service string, at netip.AddrPort) {
-		boxes[label] = responder.Box{Label: label, Service: service, Address: at, TTL: 60}
-		require.NoError(t, to.Zone.Publish(boxes[label]))
-	}
-	for _, label := range []string{"a-1", "a-2", "a-3"} {
-		publish(a, label, "_engine._tcp", y.box(t, label))
-	}
-	publish(b, "b-1", "_engine._tcp", y.box(t, "b-1"))
-	publish(b, "b-2", "_engine._tcp", y.box(t, "b-2"))
-	listen, metrics := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
-	path := filepath.Join(t.TempDir(), "operator.toml")
-	write := func(browse string) {
-		require.NoError(t, os.WriteFile(path, []byte(fmt.Sprintf(`name = "node-1"
+const discoveryTestFile = `name = "node-1"
 listen = %q
 [control]
 listen = "unix:c.sock"
@@ -104,136 +90,246 @@
 [entries]
 source = "dns-sd"
 poll = "50ms"
-%s`, listen, metrics, a.Address, browse)), 0o600))
-	}
-	one := func(s *responder.Server) string {
-		return fmt.Sprintf("[[entries.browse]]\nserver = %q\nservice = \"_engine._tcp\"\ndomain = %q\npush = %q\n", s.Address, s.Zone.Domain, s.Address)
+%s`
+
+// discoveryTest is a daemon that finds its backends in two domains, hall-a.test and hall-b.test; at first in the one.
+type discoveryTest struct {
+	t        *testing.T
+	listen   string
+	metrics  string
+	path     string // of the operator's file
+	exit     chan error
+	backends *notingBackends
+	hallA    *responder.Server
+	hallB    *responder.Server
+	records  map[string]responder.Box
+}
+
+func startDiscoveryTest(t *testing.T) *discoveryTest {
+	t.Helper()
+	d := &discoveryTest{
+		t:       t,
+		listen:  testpeer.FreeAddress(t),
+		metrics: testpeer.FreeAddress(t),
+		path:    filepath.Join(t.TempDir(), "operator.toml"),
+		exit:    make(chan error, 1),
+		backends: &notingBackends{
+			begun:   make(chan string, 100),
+			release: make(chan struct{}),
+			last:    map[string]time.Time{},
+			count:   map[string]int{},
+		},
+		hallA:   startResponder(t, "hall-a.test"),
+		hallB:   startResponder(t, "hall-b.test"),
+		records: map[string]responder.Box{},
 	}
-	write(one(a))
-	ended := make(chan error, 1)
-	go func() { ended <- daemon.Run(daemon.Options{ConfigFile: path, Log: zap.NewNop()}) }()
-	command := func(args ...string) string {
-		var out, errs bytes.Buffer
-		Main(t.Context(), append(args, "--config", path), Streams{Out: &out, Err: &errs})
-		return out.String() + errs.String()
+	for _, label := range []string{"a-1", "a-2", "a-3"} {
+		d.publish(d.hallA, label, "_engine._tcp", d.backends.start(t, label))
 	}
-	shows := func(want string, args ...string) {
-		t.Helper()
-		require.Eventually(t, func() bool { return strings.Contains(command(args...), want) }, 30*time.Second, 20*time.Millisecond, want)
+	for _, label := range []string{"b-1", "b-2"} {
+		d.publish(d.hallB, label, "_engine._tcp", d.backends.start(t, label))
 	}
-	shows("a-3", "entries", "list")
-	shows("push", "entries", "list")
+	d.write(browseSection(d.hallA))
+	go func() { d.exit <- daemon.Run(daemon.Options{ConfigFile: d.path, Log: zap.NewNop()}) }()
+	d.eventuallyShows("a-3", "entries", "list")
+	d.eventuallyShows("push", "entries", "list")
+	return d
+}
 
-	ask := func(id string) (string, error) {
-		r, err := http.NewRequest("POST", "http://"+listen+"/v1/chat/completions", strings.NewReader(`{"messages":[]}`))
-		if err != nil {
-			return "", err
-		}
-		for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "chat", "X-Expires-In": "30000m"} {
-			r.Header.Set(k, v)
-		}
-		response, err := http.DefaultClient.Do(r)
-		if err != nil {
-			return "", err
-		}
-		defer response.Body.Close()
-		body, err := io.ReadAll(response.Body)
-		return string(body), err
+func browseSection(s *responder.Server) string {
+	return fmt.Sprintf("[[entries.browse]]\nserver = %q\nservice = \"_engine._tcp\"\ndomain = %q\npush = %q\n",
+		s.Address, s.Zone.Domain, s.Address)
+}
+
+func (d *discoveryTest) publish(to *responder.Server, label, service string, at netip.AddrPort) {
+	d.t.Helper()
+	d.records[label] = responder.Box{Label: label, Service: service, Address: at, TTL: 60}
+	require.NoError(d.t, to.Zone.Publish(d.records[label]))
+}
+
+// write writes the operator's file with these browsed services.
+func (d *discoveryTest) write(browse string) {
+	d.t.Helper()
+	text := fmt.Sprintf(discoveryTestFile, d.listen, d.metrics, d.hallA.Address, browse)
+	require.NoError(d.t, os.WriteFile(d.path, []byte(text), 0o600))
+}
+
+func (d *discoveryTest) reload(browse string) {
+	d.t.Helper()
+	d.write(browse)
+	require.NoError(d.t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
+}
+
+// command runs a command line, and returns what it prints.
+func (d *discoveryTest) command(args ...string) string {
+	var out, errs bytes.Buffer
+	Main(d.t.Context(), append(args, "--config", d.path), Streams{Out: &out, Err: &errs})
+	return out.String() + errs.String()
+}
+
+func (d *discoveryTest) eventuallyShows(text string, args ...string) {
+	d.t.Helper()
+	require.Eventually(d.t, func() bool { return strings.Contains(d.command(args...), text) },
+		30*time.Second, 20*time.Millisecond, text)
+}
+
+func (d *discoveryTest) eventuallyUnlisted(text string, interval time.Duration) {
+	d.t.Helper()
+	require.Eventually(d.t, func() bool { return !strings.Contains(d.command("entries", "list"), text) },
+		30*time.Second, interval)
+}
+
+// request sends a request, and tells whether it was answered in full.
+func (d *discoveryTest) request(id string) bool {
+	r, err := http.NewRequest("POST", "http://"+d.listen+"/v1/chat/completions", strings.NewReader(`{"messages":[]}`))
+	if err != nil {
+		return false
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	var clients sync.WaitGroup
-	var asked, served atomic.Int64
-	for c := range 6 {
-		clients.Go(func() {
-			for i := 0; ctx.Err() == nil; i++ {
-				asked.Add(1)
-				if body, err := ask(fmt.Sprintf("c%d-%d", c, i)); err == nil && strings.Contains(body, "[DONE]") {
-					served.Add(1)
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
-		})
+	r.Header.Set("X-Trace-Id", id)
+	r.Header.Set("X-Qos", "chat")
+	r.Header.Set("X-Expires-In", "30000m")
+	response, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return false
 	}
-	// Flows that stay: streams that have begun, and flows whose box has said nothing yet.
-	var held sync.WaitGroup
-	var whole atomic.Int64
-	for i := range 6 {
-		held.Go(func() {
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	return err == nil && strings.Contains(string(body), "[DONE]")
+}
+
+// requestsInFlight are requests that are not answered before the backends are released: streams that have begun, and
+// requests whose backend has sent nothing.
+type requestsInFlight struct {
+	running  sync.WaitGroup
+	answered atomic.Int64
+}
+
+func (d *discoveryTest) holdRequests(count int) *requestsInFlight {
+	held := &requestsInFlight{}
+	for i := range count {
+		held.running.Go(func() {
 			kind := []string{"hold", "queue"}[i%2]
-			if body, err := ask(fmt.Sprintf("%s-%d", kind, i)); err == nil && strings.Contains(body, "[DONE]") {
-				whole.Add(1)
+			if d.request(fmt.Sprintf("%s-%d", kind, i)) {
+				held.answered.Add(1)
 			}
 		})
 	}
-	for range 6 {
-		<-y.begun
+	for range count {
+		<-d.backends.begun
 	}
+	return held
+}
+
+// Nothing new is sent to a backend after its withdrawal was learnt, and work in flight goes on to its end.
+func (d *discoveryTest) withdrawEach() {
+	const inFlight = 6
+	held := d.holdRequests(inFlight)
 	best := time.Hour
 	for _, label := range []string{"a-1", "a-2", "a-3"} {
-		require.NoError(t, a.Zone.Withdraw(boxes[label]))
-		ended := time.Now()
-		require.Eventually(t, func() bool { return !strings.Contains(command("entries", "list"), label+" ") }, 30*time.Second, 5*time.Millisecond)
-		time.Sleep(200 * time.Millisecond) // what was on its way
-		last, n := y.seen(label)
-		best = min(best, last.Sub(ended))
-		time.Sleep(300 * time.Millisecond)
-		_, later := y.seen(label)
-		require.Equal(t, n, later, "nothing new after its withdrawal was told")
-		require.NoError(t, a.Zone.Publish(boxes[label]))
-		shows(label+" ", "entries", "list")
+		best = min(best, d.withdraw(label))
 	}
-	require.Less(t, best, 500*time.Millisecond)
-	require.Zero(t, whole.Load())
-	close(y.release)
-	held.Wait()
-	require.EqualValues(t, 6, whole.Load(), "work in flight goes on to its end")
-
-	// Another hall, under load: first beside, then in place of the first.
-	write(one(a) + one(b))
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	shows("b-2@hall-b.test", "entries", "list")
-	shows("a-1@hall-a.test", "entries", "list")
-	write(one(b))
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Eventually(t, func() bool { return !strings.Contains(command("entries", "list"), "a-1") }, 30*time.Second, 20*time.Millisecond)
+	require.Less(d.t, best, 500*time.Millisecond)
+	require.Zero(d.t, held.answered.Load())
+	close(d.backends.release)
+	held.running.Wait()
+	require.EqualValues(d.t, inFlight, held.answered.Load(), "work in flight goes on to its end")
+}
+
+// withdraw returns how long after a backend's withdrawal it got its last request. The backend is published again.
+func (d *discoveryTest) withdraw(label string) time.Duration {
+	d.t.Helper()
+	require.NoError(d.t, d.hallA.Zone.Withdraw(d.records[label]))
+	withdrawn := time.Now()
+	d.eventuallyUnlisted(label+" ", 5*time.Millisecond)
+	time.Sleep(200 * time.Millisecond) // for what was on its way
+	last, count := d.backends.requests(label)
 	time.Sleep(300 * time.Millisecond)
-	_, was := y.seen("a-1")
-	hallB := func() int { // which of its boxes is taken is the module's matter: the one that has just appeared may come first
-		_, one := y.seen("b-1")
-		_, two := y.seen("b-2")
-		return one + two
-	}
-	wasB := hallB()
-	require.Eventually(t, func() bool { return hallB() >= wasB+3 }, 10*time.Second, 10*time.Millisecond)
-	_, is := y.seen("a-1")
-	require.Equal(t, was, is)
-	// A file that is faulty changes nothing.
-	write(strings.Replace(one(b), "_engine._tcp", "engine", 1))
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
+	_, later := d.backends.requests(label)
+	require.Equal(d.t, count, later, "nothing new after its withdrawal was learnt")
+	require.NoError(d.t, d.hallA.Zone.Publish(d.records[label]))
+	d.eventuallyShows(label+" ", "entries", "list")
+	return last.Sub(withdrawn)
+}
+
+// requestsInHallB counts the requests of both backends: which of them is chosen is up to the decision module.
+func (d *discoveryTest) requestsInHallB() int {
+	_, first := d.backends.requests("b-1")
+	_, second := d.backends.requests("b-2")
+	return first + second
+}
+
+// Another domain, under load: first beside, then in place of the first. A faulty file changes nothing.
+func (d *discoveryTest) changeDomains() {
+	d.reload(browseSection(d.hallA) + browseSection(d.hallB))
+	d.eventuallyShows("b-2@hall-b.test", "entries", "list")
+	d.eventuallyShows("a-1@hall-a.test", "entries", "list")
+	d.reload(browseSection(d.hallB))
+	d.eventuallyUnlisted("a-1", 20*time.Millisecond)
+	time.Sleep(300 * time.Millisecond)
+	_, before := d.backends.requests("a-1")
+	beforeInHallB := d.requestsInHallB()
+	require.Eventually(d.t, func() bool { return d.requestsInHallB() >= beforeInHallB+3 },
+		10*time.Second, 10*time.Millisecond)
+	_, after := d.backends.requests("a-1")
+	require.Equal(d.t, before, after)
+
+	d.reload(strings.Replace(browseSection(d.hallB), "_engine._tcp", "engine", 1))
 	time.Sleep(200 * time.Millisecond)
-	require.Contains(t, command("check", path), "entries.browse[0].service:")
-	write(one(b))
-	shows("b-1", "entries", "list")
-
-	shows("node-1", "nodes")
-	shows("divided by 1", "nodes")
-	publish(a, "node-2", "_standpoint._tcp", netip.MustParseAddrPort("127.0.0.1:2"))
-	shows("divided by 2", "nodes")
-	require.NoError(t, a.Zone.Withdraw(boxes["node-2"]))
-	shows("divided by 1", "nodes")
-	shows("_engine._tcp.hall-a.test.", "entries", "services", "hall-a.test", "--server", a.Address)
-	response, err := http.Get("http://" + metrics + "/metrics")
-	require.NoError(t, err)
+	require.Contains(d.t, d.command("check", d.path), "entries.browse[0].service:")
+	d.write(browseSection(d.hallB))
+	d.eventuallyShows("b-1", "entries", "list")
+}
+
+// The node registers itself, and counts the others.
+func (d *discoveryTest) countNodes() {
+	d.eventuallyShows("node-1", "nodes")
+	d.eventuallyShows("divided by 1", "nodes")
+	d.publish(d.hallA, "node-2", "_standpoint._tcp", netip.MustParseAddrPort("127.0.0.1:2"))
+	d.eventuallyShows("divided by 2", "nodes")
+	require.NoError(d.t, d.hallA.Zone.Withdraw(d.records["node-2"]))
+	d.eventuallyShows("divided by 1", "nodes")
+	d.eventuallyShows("_engine._tcp.hall-a.test.", "entries", "services", "hall-a.test", "--server", d.hallA.Address)
+}
+
+func (d *discoveryTest) readMetrics() string {
+	d.t.Helper()
+	response, err := http.Get("http://" + d.metrics + "/metrics")
+	require.NoError(d.t, err)
 	text, err := io.ReadAll(response.Body)
-	response.Body.Close()
-	require.NoError(t, err)
-	require.Contains(t, string(text), `standpoint_discovery_lookups_total{domain="hall-b.test.",service="_engine._tcp"}`)
-	require.Contains(t, string(text), "standpoint_nodes 1")
-	require.Regexp(t, `standpoint_requests_total\{class="chat",end="success"\} [1-9]`, string(text))
+	require.NoError(d.t, response.Body.Close())
+	require.NoError(d.t, err)
+	return string(text)
+}
+
+// Backends by DNS-SD on a whole daemon, under load: withdrawals, a change of the domains, the number of nodes, metrics.
+func TestDiscovery(t *testing.T) {
+	d := startDiscoveryTest(t)
+	ctx, cancel := context.WithCancel(t.Context())
+	var clients sync.WaitGroup
+	var sent, served atomic.Int64
+	for c := range 6 {
+		clients.Go(func() {
+			for i := 0; ctx.Err() == nil; i++ {
+				sent.Add(1)
+				if d.request(fmt.Sprintf("c%d-%d", c, i)) {
+					served.Add(1)
+				}
+				time.Sleep(5 * time.Millisecond)
+			}
+		})
+	}
+	d.withdrawEach()
+	d.changeDomains()
+	d.countNodes()
+	text := d.readMetrics()
+	require.Contains(t, text, `standpoint_discovery_lookups_total{domain="hall-b.test.",service="_engine._tcp"}`)
+	require.Contains(t, text, "standpoint_nodes 1")
+	require.Regexp(t, `standpoint_requests_total\{class="chat",end="success"\} [1-9]`, text)
 	cancel()
 	clients.Wait()
-	require.Equal(t, asked.Load(), served.Load())
+	require.Equal(t, sent.Load(), served.Load())
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	require.NoError(t, <-ended)
-	require.NotContains(t, fmt.Sprint(a.Zone.Labels("_standpoint._tcp")), "node-1", "a node that ends takes its record back")
+	require.NoError(t, <-d.exit)
+	labels := fmt.Sprint(d.hallA.Zone.Labels("_standpoint._tcp"))
+	require.NotContains(t, labels, "node-1", "a node that exits withdraws its record")
 }
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -42,7 +42,7 @@
 	go func() { l.ended <- l.Wait() }()
 	t.Cleanup(func() {
 		_ = l.Process.Kill()
-		<-l.ended
+		t.Log("the process ended:", <-l.ended)
 	})
 	return l
 }
