--- a/internal/find/discovery/multicast.go
+++ b/internal/find/discovery/multicast.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/miekg/dns"
+
 	"standpoint/internal/clock"
 	"standpoint/internal/find/mdns"
 )
