--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,81 +14,58 @@
 	"standpoint/internal/node"
 )
 
-// Detach implements node.Detacher: between two events everything is written, and the next byte is another process's.
-func (c *connection) Detach() (int, error) {
-	if !c.chunked {
-		return 0, errors.New("a client that does not take chunks")
-	}
-	if c.conn != nil && c.conn.saidMore() {
-		return 0, errors.New("a client that has said more already")
-	}
-	conn, buffered, err := c.control.Hijack()
-	if err != nil {
-		return 0, err
-	}
-	defer conn.Close()
-	p, ours := conn.(*clientConn)
-	if !ours || buffered.Reader.Buffered() > 0 {
-		return 0, errors.New("a client that has said more already")
-	}
-	return backend.DuplicateSocket(p.Conn)
-}
-
-// ClassName is the name of a class by its index; "" for one that there is not.
-func (f *Front) ClassName(class int) string {
-	for name, i := range f.indexes.Load().classes {
-		if i == class {
-			return name
-		}
-	}
-	return ""
-}
-
-// Adopt goes on with a client whose answer another process of this node has begun, until the end. held is for how long it has kept that waiting. Its connection is closed
-// then: it is none of the server's, and its next request may open another.
-func (f *Front) Adopt(ctx context.Context, client net.Conn, trace, class string, held time.Duration, carry func(*node.Attempt)) {
+// Adopt goes on with the answer to a client that another process of this node has begun, until its end. waited is how
+// long the client has kept that answer waiting. The connection is closed then: it is none of the server's, and the
+// client's next request may open another.
+func (f *Front) Adopt(ctx context.Context, client net.Conn, traceID, class string, waited time.Duration,
+	carry func(*node.Attempt)) {
 	defer client.Close()
-	if f.ids.open(trace, time.Now()) {
-		defer f.ids.close(trace)
+	if f.ids.open(traceID, time.Now()) {
+		defer f.ids.close(traceID)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	request := standpoint.Request{Class: -1, Tenant: -1}
+	spec := standpoint.Request{Class: -1, Tenant: -1}
 	if i, ok := f.indexes.Load().classes[class]; ok {
-		request.Class = i
+		spec.Class = i
 	}
-	go func() { // nothing is to come but the connection's end
+	go func() { // nothing is to come but the connection's end, which the deferred Close brings about at the latest
 		_, _ = io.Copy(io.Discard, client)
 		cancel()
 	}()
-	c := &adopted{client, patience{held}}
-	answer, err := f.Core.Adopt(ctx, node.NewRequest(request, node.Work{TraceID: trace}, c), carry)
+	stream := &adoptedStream{client, writeAllowance{waited}}
+	answer, err := f.Core.Adopt(ctx, node.NewRequest(spec, node.Work{TraceID: traceID}, stream), carry)
 	if err != nil {
-		f.Log.Warn("a stream was not taken over", zap.String("trace", trace), zap.Error(err))
+		f.Log.Warn("adopting a stream failed", zap.String("trace", traceID), zap.Error(err))
 		return
 	}
 	if answer.Kind == node.Served {
-		_ = client.SetWriteDeadline(time.Now().Add(writeTime))
-		_, _ = io.WriteString(client, "0\r\n\r\n")
+		_ = client.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+		_, _ = io.WriteString(client, "0\r\n\r\n") // the last chunk; a client that does not take it has gone
 	}
 }
 
-// adopted is the client connection of a request whose answer another process has begun.
-type adopted struct {
+// adoptedStream writes the rest of an answer that another process has begun.
+type adoptedStream struct {
 	conn net.Conn
-	patience
+	writeAllowance
 }
 
+var (
+	_ node.ClientConnection = (*adoptedStream)(nil)
+	_ node.Detacher         = (*adoptedStream)(nil)
+)
+
 // Begin does nothing: the answer has begun.
-func (c *adopted) Begin() error { return nil }
+func (s *adoptedStream) Begin() error { return nil }
 
 // Event writes a chunk, in one piece.
-func (c *adopted) Event(b []byte) error {
-	return c.spend(c.conn.SetWriteDeadline, func() error {
-		_, err := fmt.Fprintf(c.conn, "%x\r\n%s\r\n", len(b), b)
+func (s *adoptedStream) Event(event []byte) error {
+	return s.spend(s.conn.SetWriteDeadline, func() error {
+		_, err := fmt.Fprintf(s.conn, "%x\r\n%s\r\n", len(event), event)
 		return err
 	})
 }
 
 // Detach implements node.Detacher.
-func (c *adopted) Detach() (int, error) { return backend.DuplicateSocket(c.conn) }
+func (s *adoptedStream) Detach() (int, error) { return backend.DuplicateSocket(s.conn) }
--- /dev/null
+++ b/internal/edge/chat.go
@@ -0,0 +1,123 @@
+package edge
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/metrics"
+	"standpoint/internal/node"
+)
+
+const (
+	// busyRetryAfter is when the client of a request that found no capacity should retry.
+	busyRetryAfter = 500 * time.Millisecond
+	// rejectedBodyGrace is how long the rest of a malformed request may take to arrive.
+	rejectedBodyGrace = 100 * time.Millisecond
+	// drainRejectAfter is how long after a node was drained by hand requests that come all the same are rejected.
+	drainRejectAfter = 1900 * time.Millisecond
+)
+
+// chat answers a chat request.
+func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
+	began := time.Now()
+	control := http.NewResponseController(w)
+	f.closeUnlessServing(w, r, f.Life.Phase())
+	request, err := f.decode(r, began)
+	if err != nil {
+		f.rejectUnreadable(w, r, control, err)
+		return
+	}
+	metered := &meteredBody{ReadCloser: r.Body, limiter: f.Bodies, tenant: request.Tenant}
+	defer metered.release()
+	r.Body = metered
+	raw, body, err := readBody(w, r)
+	if err != nil {
+		f.rejectUnreadable(w, r, control, err)
+		return
+	}
+	body.bound(&request)
+	// The read timeout is for the request; from here on the server must be able to notice a client that disconnects.
+	_ = control.SetReadDeadline(time.Time{})
+	phase, since := f.Life.Since()
+	f.closeUnlessServing(w, r, phase)
+	if phase == node.ManuallyDrained && time.Since(since) > drainRejectAfter {
+		f.countUnsent(r, metrics.Rejected)
+		writeRejection(w, busyRetryAfter)
+		return
+	}
+	id := r.Header.Get(traceHeader)
+	if !f.ids.open(id, began) {
+		duplicate := &requestError{http.StatusConflict, "X-Trace-Id: that of another request"}
+		f.rejectUnreadable(w, r, control, duplicate)
+		return
+	}
+	defer f.ids.close(id)
+	f.serve(w, r, control, request, node.Work{Body: raw, MaxTokens: body.maxTokens()})
+}
+
+// rejectUnreadable answers a request that could not be read or decoded, and is not forwarded.
+func (f *Front) rejectUnreadable(w http.ResponseWriter, r *http.Request, control *http.ResponseController, err error) {
+	if errors.Is(err, errBodyCapacity) {
+		f.countUnsent(r, metrics.Rejected)
+		w.Header().Set("Connection", "close") // the rest of its body is not read
+		writeRejection(w, busyRetryAfter)
+		return
+	}
+	var malformed *requestError
+	if !errors.As(err, &malformed) {
+		panic(http.ErrAbortHandler) // the client broke off its own request
+	}
+	if r.ContentLength < 0 || malformed.status == http.StatusRequestTimeout {
+		w.Header().Set("Connection", "close") // where its body ends is unsure, and the rest is not waited for
+		_ = control.SetReadDeadline(time.Now().Add(rejectedBodyGrace))
+	}
+	f.countUnsent(r, metrics.Failed)
+	f.Metrics.CountFailedUnsent(malformed.cause())
+	f.Log.Info("malformed request", zap.Error(malformed))
+	writeError(w, malformed.status, malformed.message)
+}
+
+// countUnsent counts a request that is answered without the core, if its class is known.
+func (f *Front) countUnsent(r *http.Request, outcome metrics.Outcome) {
+	if class, ok := f.indexes.Load().classes[r.Header.Get(classHeader)]; ok {
+		f.Metrics.CountRequest(class, outcome)
+	}
+}
+
+// serve has the core serve a decoded request, and ends its answer.
+func (f *Front) serve(w http.ResponseWriter, r *http.Request, control *http.ResponseController,
+	decoded standpoint.Request, work node.Work) {
+	work.Method = r.Method
+	work.Target = r.URL.RequestURI()
+	work.TraceID = r.Header.Get(traceHeader)
+	work.ContentType = r.Header.Get(contentTypeHeader)
+	conn, _ := clientConnOf(r)
+	stream := &clientStream{w: w, control: control, conn: conn, chunked: r.ProtoAtLeast(1, 1)}
+	request := node.NewRequest(decoded, work, stream)
+	if answered := f.handleSession(w, r, request); answered {
+		return
+	}
+	answer, err := f.Core.Serve(r.Context(), request)
+	if err != nil {
+		answer = node.Answer{Kind: node.Rejected, Wait: busyRetryAfter}
+	}
+	switch answer.Kind {
+	case node.Served:
+		// The last chunk has a time of its own, whatever the events took.
+		_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	case node.Moved:
+	case node.Broken, node.ClientGone:
+		// The connection ends without the last chunk, or without any answer: an empty one would be nobody's.
+		panic(http.ErrAbortHandler)
+	case node.Rejected:
+		writeRejection(w, answer.Wait)
+	case node.Invalid:
+		writeError(w, answer.Status, "a backend found the request itself wrong")
+	default:
+		writeError(w, http.StatusBadGateway, "failed")
+	}
+}
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -15,279 +15,197 @@
 )
 
 const (
-	aheadStart = 4 << 10
-	aheadKept  = 1 << 20                // bytes read of what a client sends behind an open request; one that sends more does not wait for its answer
-	aheadAll   = 8 << 20                // and of what all do; beyond them nothing is read ahead
-	lingerTime = 500 * time.Millisecond // for a client to take its answer from a connection that it has sent more on
-	lingerMost = 32                     // connections that do so at once
+	// lingerTime is how long a client that has sent more may take its answer from a connection that is being closed.
+	lingerTime = 500 * time.Millisecond
+	// maxLingering is how many connections may linger at once.
+	maxLingering = 32
 )
 
-// clientConn is one client connection. Those who close one that rests, and the server, which may be reading a request from it just
-// then, meet under its lock: either nothing has been read and nothing will be, or the request is read on and gets its answer.
+// clientConn is a client's connection. Those who close an idle one, and the server, which may be reading a request from
+// it just then, meet under its lock: either nothing has been read and nothing will be, or the request is read on and
+// gets its answer. It is safe for concurrent use, as net.Conn demands.
 type clientConn struct {
 	net.Conn
-	room          *ConnectionTracker
-	heard         atomic.Bool // something has come on it
-	busy, leaving bool        // under the room's lock, like asked, cleared and since. busy: a request is open, else it has rested since then
-	asked         bool        // a whole head has come on it
-	cleared       bool        // ended because the node stops
-	answered      atomic.Bool
-	gone          atomic.Bool // its client has ended it
-	late          atomic.Bool // its time to be read from is over
-	head          head        // of the request that comes
-	since         time.Time
-
-	mu     sync.Mutex
-	begun  bool               // something has come of a request that the server has not taken yet
-	going  bool               // it is to end unless something comes first
-	until  time.Time          // until when the server would read; zero: for good
-	left   context.CancelFunc // told when the client leaves while its request is open; nil: none is
-	ahead  []byte             // read behind the open request, for the next
-	failed error              // behind ahead
-	pump   chan struct{}      // closed when what reads ahead has ended; nil: nothing does
-}
-
-// Read implements net.Conn. Behind an open request net/http reads one byte to find out whether the client leaves. Once one has
-// come it looks no further, so that what leaves behind it would not be noticed: the place then reads ahead itself.
-func (p *clientConn) Read(b []byte) (int, error) {
-	p.stopAhead()
-	if n, err := p.fromAhead(b); n > 0 || err != nil {
+	tracker *ConnectionTracker
+	head    headParser // of the request that is being read
+
+	received     atomic.Bool // something has come on it
+	responded    atomic.Bool // something has been written on it
+	peerClosed   atomic.Bool // its client has ended it
+	readTimedOut atomic.Bool // a read deadline has passed
+
+	// The tracker's lock guards these.
+	active       bool      // a request is open
+	since        time.Time // since when it is active, or idle
+	headReceived bool      // a complete head has come on it
+	closing      bool      // it was asked to close, and counts no longer against the limit
+	stopped      bool      // it was closed because the node stops
+
+	mu             sync.Mutex         // guards all below
+	requestBegun   bool               // something has come of a request that the server has not taken yet
+	closeRequested bool               // it closes unless something comes first
+	readDeadline   time.Time          // the server's; zero: none
+	onDisconnect   context.CancelFunc // called when the client disconnects from its open request; nil: none is open
+	buffered       []byte             // read behind the open request, for the next
+	readErr        error              // what a read returns after buffered
+	readAheadDone  chan struct{}      // closed when the reading ahead has ended; nil: there is none
+}
+
+// Read implements net.Conn. Behind an open request net/http reads one byte to find out whether the client disconnects.
+// Once one has come it looks no further, so that a disconnection behind it would go unnoticed: clientConn then reads
+// ahead itself.
+func (c *clientConn) Read(b []byte) (int, error) {
+	c.stopReadAhead()
+	if n, err := c.readBuffered(b); n > 0 || err != nil {
 		return n, err
 	}
-	n, err := transient.Read(p.Conn, b)
+	n, err := transient.Read(c.Conn, b)
 	if n > 0 {
-		p.came()
-		p.heard.Store(true)
+		c.noteReceived()
+		c.received.Store(true)
 	}
-	p.head.note(b[:n])
-	p.ended(err)
+	c.head.observe(b[:n])
+	c.noteReadError(err)
 	if n == 1 && len(b) == 1 {
-		p.readAhead()
+		c.startReadAhead()
 	}
 	return n, err
 }
 
-// ended notes why nothing more comes, if that is so.
-func (p *clientConn) ended(err error) {
+// noteReadError notes why nothing more comes, if that is so.
+func (c *clientConn) noteReadError(err error) {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		p.late.Store(true)
+		c.readTimedOut.Store(true)
 	case err != nil && !errors.Is(err, net.ErrClosed):
-		p.gone.Store(true)
+		c.peerClosed.Store(true)
 	}
 }
 
-// came notes that something of a request has: whoever asked the connection to go meanwhile was too late.
-func (p *clientConn) came() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.begun = true
-	if p.going {
-		p.going = false
-		_ = p.Conn.SetReadDeadline(p.until)
+// noteReceived notes that something of a request has come: whoever asked the connection to close meanwhile was too
+// late.
+func (c *clientConn) noteReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requestBegun = true
+	if c.closeRequested {
+		c.closeRequested = false
+		_ = c.Conn.SetReadDeadline(c.readDeadline) // fails on a closed connection alone, as does the next read
 	}
 }
 
-// SetReadDeadline implements net.Conn. The server takes the deadline away once the first bytes of a request have come; of those
-// behind the request before they may have come with it.
-func (p *clientConn) SetReadDeadline(t time.Time) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.until = t
+// SetReadDeadline implements net.Conn. The server takes the deadline away once the first bytes of a request have come;
+// bytes behind the request before may have come with that one.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readDeadline = t
 	if t.IsZero() {
-		p.begun, p.going = true, false
+		c.requestBegun = true
+		c.closeRequested = false
 	}
-	if p.going {
+	if c.closeRequested {
 		return nil
 	}
-	return p.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(t)
 }
 
-// rests tells that its request is over.
-func (p *clientConn) rests() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.begun = false
+// requestFinished tells that its request is over.
+func (c *clientConn) requestFinished() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requestBegun = false
 }
 
-// end has the connection end if nothing of a request has come. False: something has.
-func (p *clientConn) end(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.begun {
+// closeIfIdle has the connection close if nothing of a request has come, and reports whether that is so. It is not
+// closed here: the server does that once its read has failed.
+func (c *clientConn) closeIfIdle(now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestBegun {
 		return false
 	}
-	p.going = true
-	_ = p.Conn.SetReadDeadline(now)
+	c.closeRequested = true
+	_ = c.Conn.SetReadDeadline(now) // fails on a closed connection alone
 	return true
 }
 
-// watch has left told if the client leaves while its request is open, until the returned function is called.
-func (p *clientConn) watch(left context.CancelFunc) (done func()) {
+// watchDisconnect has cancel called if the client disconnects while its request is open, until the returned function
+// is called.
+func (c *clientConn) watchDisconnect(cancel context.CancelFunc) (stop func()) {
 	set := func(f context.CancelFunc) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.left = f
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.onDisconnect = f
 	}
-	set(left)
+	set(cancel)
 	return func() { set(nil) }
 }
 
-// readAhead begins to read what comes behind an open request.
-func (p *clientConn) readAhead() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.left == nil {
-		return
-	}
-	over := make(chan struct{})
-	p.pump = over
-	go func() {
-		defer close(over)
-		p.takeAhead()
-	}()
-}
-
-// takeAhead reads until the client leaves, or is taken to, or its request is over.
-func (p *clientConn) takeAhead() {
-	b := make([]byte, aheadStart)
-	for kept := 0; p.room.ahead.Load() < aheadAll; {
-		n, err := transient.Read(p.Conn, b)
-		p.room.ahead.Add(int64(n))
-		kept += n
-		late := errors.Is(err, os.ErrDeadlineExceeded) // stopAhead, or the server, whose request is over
-		p.mu.Lock()
-		p.ahead = append(p.ahead, b[:n]...)
-		if err != nil && !late {
-			p.failed = err
-		}
-		p.mu.Unlock()
-		switch {
-		case late:
-			return
-		case err != nil || kept > aheadKept:
-			p.ended(err)
-			p.leave()
-			return
-		}
-	}
-}
-
-// leave tells the open request that its client has left.
-func (p *clientConn) leave() {
-	p.mu.Lock()
-	left := p.left
-	p.mu.Unlock()
-	if left != nil {
-		left()
-	}
-}
-
-// stopAhead ends the reading ahead, if there is any.
-func (p *clientConn) stopAhead() {
-	p.mu.Lock()
-	over := p.pump
-	if over == nil {
-		p.mu.Unlock()
-		return
-	}
-	_ = p.Conn.SetReadDeadline(time.Unix(1, 0))
-	p.mu.Unlock()
-	<-over
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pump = nil
-	if !p.going { // else the deadline is over, and is to be
-		_ = p.Conn.SetReadDeadline(p.until)
-	}
-}
-
-// fromAhead hands out what was read ahead.
-func (p *clientConn) fromAhead(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.ahead) == 0 {
-		return 0, p.failed
-	}
-	n := copy(b, p.ahead)
-	if p.ahead = p.ahead[n:]; len(p.ahead) == 0 {
-		p.ahead = nil
+// notifyDisconnect tells the open request that its client has disconnected.
+func (c *clientConn) notifyDisconnect() {
+	c.mu.Lock()
+	cancel := c.onDisconnect
+	c.mu.Unlock()
+	if cancel != nil {
+		cancel()
 	}
-	p.room.ahead.Add(int64(-n))
-	p.head.note(b[:n])
-	return n, nil
 }
 
-// hasLeft tells that the client has ended the connection, whether the server has come to see that or not.
-func (p *clientConn) hasLeft() bool { return p.gone.Load() || backend.PeerClosed(p.Conn) }
-
-// saidMore tells that the client has sent something behind its open request.
-func (p *clientConn) saidMore() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.pump != nil || len(p.ahead) > 0
-}
+// disconnected reports whether the client has ended the connection, even if the server has not come to see that.
+func (c *clientConn) disconnected() bool { return c.peerClosed.Load() || backend.PeerClosed(c.Conn) }
 
 // Write implements net.Conn.
-func (p *clientConn) Write(b []byte) (int, error) {
-	if !p.answered.Load() {
-		p.answered.Store(true)
+func (c *clientConn) Write(b []byte) (int, error) {
+	if !c.responded.Load() {
+		c.responded.Store(true)
 	}
-	return transient.Write(p.Conn, b)
+	return transient.Write(c.Conn, b)
 }
 
-// Close implements net.Conn. A close over bytes that nobody has read resets the connection, and what its client has not taken of
-// its answer may go with it: behind an answer only the sending ends at first. A connection that rests is closed at once: what comes
-// on it then nobody has read, and its client sends it again.
-func (p *clientConn) Close() error {
-	p.stopAhead()
-	p.dropAhead()
-	if n, _ := backend.UnreadBytes(p.Conn); n == 0 || !p.answered.Load() || !p.room.linger(p) {
-		return p.Conn.Close()
+// Close implements net.Conn. To close a connection with unread bytes resets it, and what its client has not taken of
+// its answer may be lost: behind an answer only the sending side is closed at first. An idle connection is closed at
+// once: what comes on it then nobody has read, and its client sends it again.
+func (c *clientConn) Close() error {
+	c.stopReadAhead()
+	c.discardBuffered()
+	if unread, _ := backend.UnreadBytes(c.Conn); unread == 0 || !c.responded.Load() || !c.tracker.acquireLinger(c) {
+		return c.Conn.Close()
 	}
-	half, ok := p.Conn.(interface{ CloseWrite() error })
+	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
-		p.room.lingered()
-		return p.Conn.Close()
+		c.tracker.releaseLinger()
+		return c.Conn.Close()
 	}
 	time.AfterFunc(lingerTime, func() {
-		defer p.room.lingered()
-		_ = p.Conn.Close()
+		defer c.tracker.releaseLinger()
+		_ = c.Conn.Close() // the client has had its time; nobody is left to tell
 	})
 	return nil
 }
 
-// dropAhead forgets what was read ahead; nobody will ask for it.
-func (p *clientConn) dropAhead() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.room.ahead.Add(int64(-len(p.ahead)))
-	p.ahead = nil
-	if p.failed == nil {
-		p.failed = net.ErrClosed
-	}
-}
-
-// unheard says why a connection was closed by this node with no answer; false: it was not.
-func (p *clientConn) unheard(stopping bool) (metrics.SilentCloseCause, bool) {
+// silentCloseCause returns why this node has closed the connection without an answer; false if that is not so. The
+// caller holds the tracker's lock.
+func (c *clientConn) silentCloseCause(nodeStopping bool) (metrics.SilentCloseCause, bool) {
 	switch {
-	case p.answered.Load() || p.gone.Load():
+	case c.responded.Load() || c.peerClosed.Load():
 		return 0, false
-	case stopping || p.cleared:
+	case nodeStopping || c.stopped:
 		return metrics.Stopping, true
-	case p.leaving:
+	case c.closing:
 		return metrics.NoCapacity, true
-	case p.late.Load():
+	case c.readTimedOut.Load():
 		return metrics.SlowHeader, true
 	}
 	return metrics.Unreadable, true
 }
 
-// mayGo tells that the connection has rested for long enough to be closed where places are short.
-func (p *clientConn) mayGo(now time.Time) bool {
-	rest := restTime
-	if !p.heard.Load() {
-		rest = silentTime
+// evictable reports whether the connection has been idle for long enough to be closed for others. The caller holds the
+// tracker's lock.
+func (c *clientConn) evictable(now time.Time) bool {
+	minimumIdle := minimumIdleTime
+	if !c.received.Load() {
+		minimumIdle = minimumSilentTime
 	}
-	return !p.busy && !p.leaving && now.Sub(p.since) >= rest
+	return !c.active && !c.closing && now.Sub(c.since) >= minimumIdle
 }
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -40,9 +40,9 @@
 		}
 		began := time.Now()
 		q, err := front.decode(r, began)
-		var bad *fault
+		var bad *requestError
 		if err != nil {
-			if !errors.As(err, &bad) || bad.status < 400 || bad.text == "" {
+			if !errors.As(err, &bad) || bad.status < 400 || bad.message == "" {
 				t.Fatalf("%v", err)
 			}
 			return
@@ -52,11 +52,11 @@
 			c.bound(&q)
 		}
 		for _, v := range []float64{q.PromptTokens, q.PrefixTokens, q.MaxTokens} {
-			if math.IsNaN(v) || v < 0 || v > answerMost {
+			if math.IsNaN(v) || v < 0 || v > maxOutputTokens {
 				t.Fatalf("%+v", q)
 			}
 		}
-		if wait := q.Expires - core.Expires(began, 0); wait > int64(spanMost) || wait < -int64(margin) {
+		if wait := q.Expires - core.Expires(began, 0); wait > int64(maxClientTimeout) || wait < -int64(responseMargin) {
 			t.Fatalf("expires in %v", time.Duration(wait))
 		}
 	})
@@ -65,7 +65,7 @@
 // Lengths are held against the body: what is told truly passes as it is told, lies stay near what was sent.
 func TestToldLengths(t *testing.T) {
 	body := `{"messages":[{"content":"` + strings.Repeat("ә", 400) + `"},{"content":[{"text":"` + strings.Repeat("x", 400) + `"}]},{"content":null}],"max_tokens":80}`
-	var c chat
+	var c chatBody
 	if err := json.Unmarshal([]byte(body), &c); err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	} {
 		_, c, err := readBody(httptest.NewRecorder(), httptest.NewRequest("POST", "/", strings.NewReader(body)))
 		q := standpoint.Request{PromptTokens: 1e6}
-		if c.bound(&q); err != nil || q.PromptTokens != 1+2*want/tokenChars {
+		if c.bound(&q); err != nil || q.PromptTokens != 1+2*want/charsPerToken {
 			t.Errorf("%s: %v tokens at the most, %v", body, q.PromptTokens, err)
 		}
 	}
--- a/internal/edge/request_head.go
+++ b/internal/edge/request_head.go
@@ -6,97 +6,105 @@
 	"sync"
 )
 
-// head follows the head of a request as it comes. net/http drops a Content-Length that stands beside a Transfer-Encoding,
-// so that the pair, which may hide a second request in the body, cannot be told from chunks alone by what it hands on.
-type head struct {
-	mu sync.Mutex
-	sight
+// headParser follows the head of a request as it is read from the connection. net/http drops a Content-Length that
+// stands beside a Transfer-Encoding, so that the pair, which may smuggle a second request in the body, cannot be told
+// from chunks alone by what it hands on.
+type headParser struct {
+	mu sync.Mutex // guards headState
+	headState
 }
 
-type sight struct {
-	line            []byte // the one that comes, up to its colon, as far as it may matter
-	named           bool   // its colon has come
-	some            bool   // it has anything
-	first           string // the request's own line, likewise
-	length, chunked bool   // there are such lines
-	whole           bool
-	ahead           bool // it began anew before its connection came to rest
+// headState is what is known of the head so far.
+type headState struct {
+	line              []byte // the present line up to its colon, as far as it may matter
+	colonSeen         bool   // in the present line
+	lineStarted       bool   // the present line has any byte
+	requestLine       string // up to its colon, as far as it may matter
+	contentLength     bool   // there is such a line
+	transferEncoding  bool   // there is such a line
+	complete          bool   // the empty line has come
+	startedBeforeIdle bool   // it began before the server had its connection idle
 }
 
-const lineMost = len("transfer-encoding") + 1
+// maxHeaderNameKept is how much of a line is kept: more than that is none of the names that are looked for.
+const maxHeaderNameKept = len("transfer-encoding") + 1
 
-// next tells that the request has come whole: the next byte is another's. Its client may send that as soon as it has the
-// answer, before the server takes the connection to rest.
-func (h *head) next() {
+// requestComplete tells that all of the request has been read: the next byte is another's. The client may send that as
+// soon as it has the answer, before the server has the connection idle.
+func (h *headParser) requestComplete() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sight = sight{line: h.line[:0], ahead: true}
+	h.headState = headState{line: h.line[:0], startedBeforeIdle: true}
 }
 
-// rests tells that the connection does; what came of a request that nobody read whole is over then.
-func (h *head) rests() {
+// connectionIdle tells that the server has the connection idle; what came of a request that was not read completely is
+// over then.
+func (h *headParser) connectionIdle() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.ahead {
-		h.sight = sight{line: h.line[:0]}
+	if !h.startedBeforeIdle {
+		h.headState = headState{line: h.line[:0]}
 	}
-	h.ahead = false
+	h.startedBeforeIdle = false
 }
 
-func (h *head) note(b []byte) {
+// observe takes in bytes that were read.
+func (h *headParser) observe(read []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, c := range b {
+	for _, c := range read {
 		switch {
-		case h.whole:
+		case h.complete:
 			return
 		case c == '\n':
-			h.end()
+			h.endLine()
 		case c == '\r':
 		case c == ':':
-			h.named, h.some = true, true
+			h.colonSeen = true
+			h.lineStarted = true
 		default:
-			h.some = true
-			if !h.named && len(h.line) < lineMost {
+			h.lineStarted = true
+			if !h.colonSeen && len(h.line) < maxHeaderNameKept {
 				h.line = append(h.line, c)
 			}
 		}
 	}
 }
 
-// end takes in a line.
-func (h *head) end() {
+// endLine takes in a line.
+func (h *headParser) endLine() {
 	switch line := string(h.line); {
-	case !h.some: // before the first line it means nothing
-		h.whole = h.first != ""
-	case h.first == "":
-		h.first = line
-	case h.named:
-		h.length = h.length || strings.EqualFold(line, "Content-Length")
-		h.chunked = h.chunked || strings.EqualFold(line, "Transfer-Encoding")
+	case !h.lineStarted: // before the request line an empty one means nothing
+		h.complete = h.requestLine != ""
+	case h.requestLine == "":
+		h.requestLine = line
+	case h.colonSeen:
+		h.contentLength = h.contentLength || strings.EqualFold(line, "Content-Length")
+		h.transferEncoding = h.transferEncoding || strings.EqualFold(line, "Transfer-Encoding")
 	}
-	h.line, h.named, h.some = h.line[:0], false, false
+	h.line = h.line[:0]
+	h.colonSeen = false
+	h.lineStarted = false
 }
 
-type clientConnKey struct{}
-
-// cameWhole tells that all of a request has been read.
-func cameWhole(r *http.Request) {
-	if p, ok := r.Context().Value(clientConnKey{}).(*clientConn); ok {
-		p.head.next()
+// requestComplete tells the connection that all of a request has been read.
+func requestComplete(r *http.Request) {
+	if conn, ok := clientConnOf(r); ok {
+		conn.head.requestComplete()
 	}
 }
 
-// plainChunks tells that a request's body comes in chunks and that nothing else says how long it is. The head must have
-// been seen from its first byte on: of one that came behind another request's body nothing is known, and a part of it
-// does not begin with a request's own line, which no other line of a good head can be taken for.
+// plainChunks reports whether a request's body comes in chunks, and nothing else states its length. The head must have
+// been observed from its first byte on: of one that came behind another request's body nothing is known, and a part of
+// it does not begin with a request line, which no other line of a good head can be taken for.
 func plainChunks(r *http.Request) bool {
-	p, ok := r.Context().Value(clientConnKey{}).(*clientConn)
+	conn, ok := clientConnOf(r)
 	if !ok {
 		return false
 	}
-	p.head.mu.Lock()
-	defer p.head.mu.Unlock()
-	h := p.head.sight
-	return h.whole && h.chunked && !h.length && strings.HasPrefix(r.Method+" "+r.RequestURI, h.first)
+	conn.head.mu.Lock()
+	defer conn.head.mu.Unlock()
+	head := conn.head.headState
+	return head.complete && head.transferEncoding && !head.contentLength &&
+		strings.HasPrefix(r.Method+" "+r.RequestURI, head.requestLine)
 }
--- a/internal/edge/request_ids.go
+++ b/internal/edge/request_ids.go
@@ -6,40 +6,47 @@
 )
 
 const (
-	idsKept = 30 * time.Second // an id is known for at least as long after its request, and at most twice as long
-	idsMost = 4096             // unless so many come in that time
+	// requestIDRetention is how long an id is known after its request at the least; at the most it is twice as long.
+	requestIDRetention = 30 * time.Second
+	// maxRecentRequestIDs is how many ids may come before the older ones are forgotten sooner than that.
+	maxRecentRequestIDs = 4096
 )
 
-// ids knows the open requests and the latest that are over by their X-Trace-Id. It is fresh on every request, and
-// a second attempt under the same id would be taken for a second copy of the first.
-type ids struct {
-	mu           sync.Mutex
-	live         map[string]bool
-	young, older map[string]bool
-	turned       time.Time
+// requestIDs knows the ids of open requests and of the latest that are over. Every request has a new one, and an
+// attempt under the id of another request would be taken for a hedged copy of that. The zero value is ready to use; it
+// is safe for concurrent use.
+type requestIDs struct {
+	mu      sync.Mutex // guards all below
+	active  map[string]bool
+	recent  map[string]bool // opened or closed since the last rotation
+	older   map[string]bool // those of the time before it
+	rotated time.Time
 }
 
-// open claims an id, unless it is known.
-func (d *ids) open(id string, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.live[id] || d.young[id] || d.older[id] {
+// open claims an id; false if it is known.
+func (i *requestIDs) open(id string, now time.Time) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.active[id] || i.recent[id] || i.older[id] {
 		return false
 	}
-	if d.live == nil {
-		d.live = map[string]bool{}
+	if i.active == nil {
+		i.active = map[string]bool{}
 	}
-	if d.young == nil || now.Sub(d.turned) > idsKept || len(d.young) >= idsMost {
-		d.young, d.older, d.turned = map[string]bool{}, d.young, now
+	if i.recent == nil || now.Sub(i.rotated) > requestIDRetention || len(i.recent) >= maxRecentRequestIDs {
+		i.older = i.recent
+		i.recent = map[string]bool{}
+		i.rotated = now
 	}
-	d.live[id], d.young[id] = true, true
+	i.active[id] = true
+	i.recent[id] = true
 	return true
 }
 
 // close tells that the id's request is over.
-func (d *ids) close(id string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.live, id)
-	d.young[id] = true
+func (i *requestIDs) close(id string) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	delete(i.active, id)
+	i.recent[id] = true
 }
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -2,66 +2,78 @@
 
 import (
 	"net/http"
-	"strconv"
 
 	"standpoint/internal/fleet/session/service"
 	"standpoint/internal/metrics"
 	"standpoint/internal/node"
 )
 
-// The headers of requests that go on with a session that paused, or call it off. Their bodies hold the tools' messages alone.
-const (
-	resumeKey = "X-Resume"
-	cancelKey = "X-Resume-Cancel"
-)
-
-// session makes of a request one that goes on with a session, where the request names one, or has its answer looked at where it
-// names tools. True: the request has been answered.
-func (f *Front) session(w http.ResponseWriter, r *http.Request, flow *node.Request) bool {
-	key := r.Header.Get(resumeKey)
+// handleSession prepares a request that has to do with sessions: it makes the resumption of one that names a session,
+// and has the answer inspected of one that offers tools. It reports whether the request has been answered already.
+func (f *Front) handleSession(w http.ResponseWriter, r *http.Request, request *node.Request) (answered bool) {
+	key := r.Header.Get(resumeHeader)
 	switch {
-	case key == "" && f.Sessions != nil && f.Sessions.InspectsResponse(flow.Work.Body):
-		flow.Hook = f.Sessions.Hook(flow.Spec, flow.Work.Body, flow.Server)
+	case key == "" && f.Sessions != nil && f.Sessions.InspectsResponse(request.Work.Body):
+		request.Hook = f.Sessions.Hook(request.Spec, request.Work.Body, request.Server)
 		return false
 	case key == "":
 		return false
 	case f.Sessions == nil:
-		f.ended(r, metrics.Failed)
+		f.countUnsent(r, metrics.Failed)
 		f.Metrics.CountFailedUnsent(metrics.Malformed)
-		refuse(w, http.StatusBadRequest, resumeKey+": no sessions are kept here")
+		writeError(w, http.StatusBadRequest, resumeHeader+": no sessions are kept here")
 		return true
-	case r.Header.Get(cancelKey) == "1":
-		if fault := f.Sessions.Cancel(r.Context(), key); fault != nil {
-			f.fault(w, r, fault)
-			return true
-		}
-		f.ended(r, metrics.Succeeded)
-		w.WriteHeader(http.StatusNoContent)
+	case r.Header.Get(cancelHeader) == "1":
+		f.cancelSession(w, r, key)
 		return true
 	}
-	resumed, fault := f.Sessions.Resume(r.Context(), key, r.Header.Get("X-Trace-Id"), flow.Spec.Tenant, flow.Work.Body)
-	if fault != nil {
-		f.fault(w, r, fault)
+	return f.resumeSession(w, r, request, key)
+}
+
+// cancelSession answers a request that cancels a session.
+func (f *Front) cancelSession(w http.ResponseWriter, r *http.Request, key string) {
+	if err := f.Sessions.Cancel(r.Context(), key); err != nil {
+		f.writeSessionError(w, r, err)
+		return
+	}
+	f.countUnsent(r, metrics.Succeeded)
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// resumeSession makes the request that resumes a session. It reports whether the request has been answered, since that
+// session cannot be resumed.
+func (f *Front) resumeSession(
+	w http.ResponseWriter,
+	r *http.Request,
+	request *node.Request,
+	key string,
+) (answered bool) {
+	traceID := r.Header.Get(traceHeader)
+	resumed, err := f.Sessions.Resume(r.Context(), key, traceID, request.Spec.Tenant, request.Work.Body)
+	if err != nil {
+		f.writeSessionError(w, r, err)
 		return true
 	}
-	q := resumed.Request
-	q.Expires = min(flow.Spec.Expires, f.Core.ExpiresAt(resumed.Deadline))
-	flow.Spec, flow.Work.Body, flow.UncachedTokens = q, resumed.Body, resumed.UncachedTokens
-	flow.CacheHolder, flow.HolderStartedAt, flow.HeldTokens = resumed.Backend, resumed.BackendStart, resumed.CachedTokens
-	flow.Hook = resumed.Hook(flow.Server, flow.BreakOff)
+	spec := resumed.Request
+	spec.Expires = min(request.Spec.Expires, f.Core.ExpiresAt(resumed.Deadline))
+	request.Spec = spec
+	request.Work.Body = resumed.Body
+	request.UncachedTokens = resumed.UncachedTokens
+	request.CacheHolder = resumed.Backend
+	request.HolderStartedAt = resumed.BackendStart
+	request.HeldTokens = resumed.CachedTokens
+	request.Hook = resumed.Hook(request.Server, request.BreakOff)
 	return false
 }
 
-// fault answers a request about a session that cannot go on: now, with when to come again, or ever.
-func (f *Front) fault(w http.ResponseWriter, r *http.Request, fault *service.RequestError) {
-	if fault.Status >= 500 || fault.RetryAfter > 0 {
-		f.ended(r, metrics.Rejected)
+// writeSessionError answers a request for a session that cannot go on now, or ever.
+func (f *Front) writeSessionError(w http.ResponseWriter, r *http.Request, err *service.RequestError) {
+	if err.Status >= 500 || err.RetryAfter > 0 {
+		f.countUnsent(r, metrics.Rejected)
 	} else {
-		f.ended(r, metrics.Failed)
+		f.countUnsent(r, metrics.Failed)
 		f.Metrics.CountFailedUnsent(metrics.Malformed)
 	}
-	if fault.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(fault.RetryAfter.Seconds(), 'f', 3, 64))
-	}
-	refuse(w, fault.Status, fault.Message)
+	setRetryAfter(w, err.RetryAfter)
+	writeError(w, err.Status, err.Message)
 }
--- a/walltime_test.go
+++ b/walltime_test.go
@@ -19,7 +19,7 @@
 	"internal/config/endpoints.go":     "a start that an operator's file tells is a wall time",
 	"internal/endpoints/keeper.go":     "a time that is past; open: ends of records are kept as wall time",
 	"internal/endpoints/dnssd.go":      "shows starts and waits to people",
-	"internal/edge/clientconn.go":      "a deadline that is past",
+	"internal/edge/read_ahead.go":      "a deadline that is past",
 	"internal/find/lookup/lookup.go":   "a deadline that is past",
 	"internal/fleet/lease/lease.go":    "shows a lease's end in an error",
 	"internal/testpeer/batchserver.go": "a stand-in",
