--- /dev/null
+++ b/internal/edge/pipelining_test.go
@@ -0,0 +1,103 @@
+package edge_test
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/node"
+	"standpoint/internal/testpeer"
+)
+
+// TestPipelinedRequestsAreAnsweredInTurn sends requests before the answers to those ahead of them, of various sizes and
+// in pieces, and while the node shuts down as well: what it has read it answers.
+func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		sizes  []int
+		ending bool
+	}{
+		"small":            {sizes: []int{10, 10, 10}},
+		"of some size":     {sizes: []int{10, 20 << 10, 30 << 10, 10}},
+		"much":             {sizes: []int{10, 200 << 10, 200 << 10, 10}},
+		"as the node ends": {sizes: []int{10, 20 << 10, 20 << 10}, ending: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			came, release := make(chan struct{}, len(test.sizes)), make(chan struct{})
+			n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
+				_, _ = io.Copy(io.Discard, r.Body)
+				came <- struct{}{}
+				<-release
+				answerAlways(w, r)
+			})
+			conn := n.Dial()
+			reader := bufio.NewReader(conn)
+			_, err := conn.Write(rawRequest(t, n, test.sizes[0], nil))
+			require.NoError(t, err)
+			<-came
+			sent := make(chan error, 1)
+			go func() {
+				var all []byte
+				for _, size := range test.sizes[1:] {
+					all = append(all, rawRequest(t, n, size, nil)...)
+				}
+				for i := 0; i < len(all); i += 7000 {
+					if _, err := conn.Write(all[i:min(len(all), i+7000)]); err != nil {
+						sent <- err
+						return
+					}
+				}
+				sent <- nil
+			}()
+			left := make(chan error, 1)
+			if test.ending {
+				require.NoError(t, <-sent)
+				require.Eventually(t, func() bool { return n.Room.Pipelined() == 1 }, time.Second, time.Millisecond)
+				require.NoError(t, n.Life.Enter(node.Draining))
+				go func() { left <- n.Room.Drain(t.Context()) }()
+			}
+			close(release)
+			for range test.sizes {
+				status, _ := readAnswer(t, conn, reader)
+				require.Equal(t, http.StatusOK, status)
+			}
+			if test.ending {
+				require.NoError(t, <-left)
+			} else {
+				require.NoError(t, <-sent)
+			}
+		})
+	}
+}
+
+// TestAnswerBeforeCloseOverUnreadBytes guards a client that takes its answer slowly against the reset that a close with
+// unread bytes is: it gets all of its answer.
+func TestAnswerBeforeCloseOverUnreadBytes(t *testing.T) {
+	t.Parallel()
+	const events = 150
+	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body)
+		for range events {
+			testpeer.Event(w, strings.Repeat("y", 10<<10))
+		}
+		testpeer.Finish(w)
+	})
+	conn := n.Dial().(*net.TCPConn)
+	_, err := conn.Write(rawRequest(t, n, 10, func(r *http.Request) { r.Close = true }))
+	require.NoError(t, err)
+	_, err = conn.Write(bytes.Repeat([]byte("z"), 300<<10)) // more than is read ahead
+	require.NoError(t, err)
+	time.Sleep(100 * time.Millisecond) // it takes its time
+	status, body := readAnswer(t, conn, bufio.NewReader(conn))
+	require.Equal(t, http.StatusOK, status)
+	require.Equal(t, events, strings.Count(body, "yyy\""))
+	require.Contains(t, body, "[DONE]")
+}
--- /dev/null
+++ b/internal/edge/retry_test.go
@@ -0,0 +1,153 @@
+package edge_test
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"standpoint"
+	"standpoint/internal/testpeer"
+)
+
+// TestResetsAreNotRetriedByTransport guards against retries that the transport makes by itself: each backend that
+// resets gets the request once, on a reused connection too, and the module's own attempts are three at the most.
+func TestResetsAreNotRetriedByTransport(t *testing.T) {
+	var good atomic.Bool
+	good.Store(true)
+	var sent [4]atomic.Int32
+	server := func(i int) string {
+		return testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+			sent[i].Add(1)
+			if !good.Load() {
+				panic(http.ErrAbortHandler)
+			}
+			testpeer.Event(w, "x")
+			testpeer.Finish(w)
+		})
+	}
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", server(0)), testpeer.Entry("b", server(1)),
+		testpeer.Entry("c", server(2)), testpeer.Entry("d", server(3)))
+	status, _, _, _ := n.Do(n.Chat(t.Context(), nil)) // leaves a connection to keep
+	require.Equal(t, http.StatusOK, status)
+	good.Store(false)
+	var before, after int32
+	for i := range sent {
+		before += sent[i].Swap(0)
+	}
+	require.EqualValues(t, 1, before)
+	status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
+	require.Equal(t, http.StatusServiceUnavailable, status)
+	for i := range sent {
+		require.LessOrEqual(t, sent[i].Load(), int32(1))
+		after += sent[i].Load()
+	}
+	require.LessOrEqual(t, after, int32(3))
+}
+
+// TestRejectedAttemptIsRetried has a backend reject a request, which proves that nothing ran: it is retried.
+func TestRejectedAttemptIsRetried(t *testing.T) {
+	var sent atomic.Int32
+	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		if sent.Add(1) == 1 {
+			w.Header().Set("X-Never-Ran", "1")
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		testpeer.Event(w, "here")
+		testpeer.Finish(w)
+	})
+	status, _, body, err := n.Do(n.Chat(t.Context(), nil))
+	require.NoError(t, err)
+	require.Equal(t, http.StatusOK, status)
+	require.Contains(t, body, "here")
+	require.EqualValues(t, 2, sent.Load())
+}
+
+// TestAnswerBeforeClientTimeout guards against a silent backend that costs the client its answer: that comes before the
+// client gives up, with a Retry-After.
+func TestAnswerBeforeClientTimeout(t *testing.T) {
+	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // only then does the server notice a close
+		<-r.Context().Done()
+	})
+	began := time.Now()
+	status, header, _, _ := n.Do(n.Chat(t.Context(), withHeader("X-Expires-In", "300000u")))
+	require.Less(t, time.Since(began), 350*time.Millisecond, "the client's 300 ms and the protocol's slack of 50 ms")
+	require.Equal(t, http.StatusServiceUnavailable, status)
+	require.NotEmpty(t, header.Get("Retry-After"))
+}
+
+// TestDrainingBackendGetsNoRequests sends requests once a backend is listed as draining.
+func TestDrainingBackendGetsNoRequests(t *testing.T) {
+	var drained atomic.Int32
+	a := testpeer.Entry("a", testpeer.Server(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
+	b := testpeer.Entry("b", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+		testpeer.Event(w, "b")
+		testpeer.Finish(w)
+	}))
+	n := testpeer.Start(t, testpeer.Settings(), a, b)
+	a.State = standpoint.Draining
+	n.Tell(a, b)
+	for range 20 {
+		status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
+		require.Equal(t, http.StatusOK, status)
+	}
+	require.Zero(t, drained.Load())
+}
+
+// TestRefusedConnectionIsRetried has no server listen where two backends are listed: nothing ran, and the others are
+// tried at once.
+func TestRefusedConnectionIsRetried(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	dead := l.Addr().String()
+	l.Close()
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", dead), testpeer.Entry("b", dead),
+		testpeer.Entry("c", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+			testpeer.Event(w, "c")
+			testpeer.Finish(w)
+		})))
+	status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
+	require.Equal(t, http.StatusOK, status)
+}
+
+// TestInvalidRequestIsNotRetried passes on what a backend finds wrong with a request itself: there is no second
+// attempt, and no backend is avoided for it.
+func TestInvalidRequestIsNotRetried(t *testing.T) {
+	var rejected, served atomic.Int32
+	server := func(w http.ResponseWriter, r *http.Request) {
+		raw, _ := io.ReadAll(r.Body)
+		if strings.Contains(string(raw), "poison") {
+			rejected.Add(1)
+			w.WriteHeader(http.StatusUnprocessableEntity)
+			return
+		}
+		served.Add(1)
+		testpeer.Event(w, "x")
+		testpeer.Finish(w)
+	}
+	seen, logs := observer.New(zap.InfoLevel)
+	n := testpeer.StartLogged(t, zap.New(seen), testpeer.Settings(),
+		testpeer.Entry("a", testpeer.Server(t, server)), testpeer.Entry("b", testpeer.Server(t, server)))
+	const poison = `{"messages":["poison"]}`
+	for range 10 {
+		status, _, answer, _ := n.Do(n.Chat(t.Context(), withBody(poison)))
+		require.Equal(t, http.StatusUnprocessableEntity, status)
+		require.Contains(t, answer, "request itself")
+	}
+	require.EqualValues(t, 10, rejected.Load(), "one attempt each")
+	for range 10 {
+		status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
+		require.Equal(t, http.StatusOK, status)
+	}
+	require.EqualValues(t, 10, served.Load())
+	require.Len(t, logs.FilterMessage("attempt failed").All(), 0)
+}
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -13,45 +13,47 @@
 	"standpoint/internal/testpeer"
 )
 
-// Clients go on sending on every connection that stays open, up to the kill. What comes once all has been handed back is
-// rejected at once, on a kept connection too, and says when to come back; nothing of it is sent on.
-func TestRequestsAfterAllIsHandedBack(t *testing.T) {
+// TestRequestsAfterHandBackAreRejected guards clients that go on sending on every open connection up to the kill: a
+// request that comes once all have been handed back is rejected at once, on a reused connection too, with a
+// Retry-After, and is not forwarded.
+func TestRequestsAfterHandBackAreRejected(t *testing.T) {
 	sent := make(chan string, 10)
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		sent <- r.Header.Get("X-Trace-Id")
 		testpeer.Event(w, "hello")
 		testpeer.Finish(w)
-	})))
-	c := n.Dial()
-	in := bufio.NewReader(c)
-	ask := func(id string) *http.Response {
-		r := n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Trace-Id", id) })
-		require.NoError(t, r.Write(c))
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(1500*time.Millisecond))) // the request itself has 2 s
-		response, err := http.ReadResponse(in, r)
+	})
+	conn := n.Dial()
+	reader := bufio.NewReader(conn)
+	send := func(id string) *http.Response {
+		r := n.Chat(t.Context(), withTraceID(id))
+		require.NoError(t, r.Write(conn))
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(1500*time.Millisecond))) // the request itself has 2 s
+		response, err := http.ReadResponse(reader, r)
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
 		return response
 	}
-	require.Equal(t, http.StatusOK, ask("before").StatusCode)
+	require.Equal(t, http.StatusOK, send("before").StatusCode)
 	n.Core.HandBack(true)
-	after := ask("after")
+	after := send("after")
 	require.Equal(t, http.StatusServiceUnavailable, after.StatusCode)
 	require.NotEmpty(t, after.Header.Get("Retry-After"))
 	require.Equal(t, "before", <-sent)
 	require.Empty(t, sent)
 }
 
-// Before the kill the connections without a request are closed, silent ones too; one with a request keeps its answer.
-func TestClearedBeforeTheKill(t *testing.T) {
+// TestCloseIdleKeepsOpenRequests closes the connections without a request, silent ones too; one with a request gets its
+// answer.
+func TestCloseIdleKeepsOpenRequests(t *testing.T) {
 	release, came := make(chan struct{}), make(chan struct{})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(came)
 		<-release
 		testpeer.Event(w, "hello")
 		testpeer.Finish(w)
-	})))
+	})
 	silent, busy := n.Dial(), n.Dial()
 	r := n.Chat(t.Context(), nil)
 	require.NoError(t, r.Write(busy))
@@ -59,10 +61,60 @@
 	n.Room.CloseIdle()
 	_, err := silent.Read(make([]byte, 1))
 	require.Error(t, err)
-	var late net.Error
-	require.NotErrorAs(t, err, &late)
+	var timeout net.Error
+	require.NotErrorAs(t, err, &timeout)
 	close(release)
 	response, err := http.ReadResponse(bufio.NewReader(busy), r)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
 }
+
+// TestHandBackOfOpenRequests ends begun streams without the last chunk before the kill, so that their clients resume
+// elsewhere, and rejects what still waits; where clients do not resume, streams run on.
+func TestHandBackOfOpenRequests(t *testing.T) {
+	for _, resume := range []bool{true, false} {
+		settings := testpeer.Settings()
+		settings.Resume = resume
+		release, came := make(chan struct{}), make(chan struct{}, 2)
+		n := testpeer.Start(
+			t,
+			settings,
+			testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+				_, _ = io.Copy(io.Discard, r.Body)
+				came <- struct{}{}
+				if r.Header.Get("X-Trace-Id") == "waits" {
+					<-r.Context().Done()
+					return
+				}
+				testpeer.Event(w, "begun")
+				select {
+				case <-release:
+					testpeer.Finish(w)
+				case <-r.Context().Done():
+				}
+			})),
+		)
+		begun, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
+		require.NoError(t, err)
+		defer begun.Body.Close()
+		go func() {
+			<-came
+			<-came
+			n.Core.HandBack(true)
+		}()
+		status, header, _, _ := n.Do(n.Chat(t.Context(), withTraceID("waits")))
+		require.Equal(t, http.StatusServiceUnavailable, status)
+		require.NotEmpty(t, header.Get("Retry-After"))
+		if !resume {
+			close(release)
+		}
+		start := time.Now()
+		body, err := io.ReadAll(begun.Body)
+		if resume {
+			require.ErrorIs(t, err, io.ErrUnexpectedEOF)
+			require.Less(t, time.Since(start), 2*time.Second, "handed back, not found silent after 3 s")
+		} else {
+			require.Contains(t, string(body), "[DONE]")
+		}
+	}
+}
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -6,44 +6,61 @@
 	"net"
 	"net/http"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"standpoint"
+
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
 	"standpoint/internal/testpeer"
 )
 
-// acceptErrors are what accept4 may say on Linux of a connection, of the network, or of the machine, and be well a moment later.
-var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
-	syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
-	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR}
+// acceptErrors are the errors of accept4 on Linux that tell of one connection, of the network, or of the machine, and
+// may be over a moment later.
+var acceptErrors = []syscall.Errno{
+	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
+	syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR,
+}
+
+// connectErrors are errors of connect(2) that may be over a moment later.
+var connectErrors = []syscall.Errno{
+	syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT,
+	syscall.ECONNREFUSED,
+}
+
+// transferErrors are errors of read(2) and write(2) that take nothing away.
+var transferErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
 
-// Guards against a server that leaves off accepting for good, or for a second, on an error that was over at once: net/http ends its
-// loop on what does not call itself temporary.
-func TestAcceptsThatFail(t *testing.T) {
+// TestAcceptRecoversFromErrors guards against a server that stops accepting for good, or for a second, on an error that
+// was over at once: net/http ends its loop on an error that does not call itself temporary.
+func TestAcceptRecoversFromErrors(t *testing.T) {
 	t.Parallel()
 	for _, errno := range acceptErrors {
-		for name, place := range map[string]func(*testpeer.Faults){
-			"one call":      func(f *testpeer.Faults) { f.Next(testpeer.Accept, errno, 1) },
-			"a few calls":   func(f *testpeer.Faults) { f.Next(testpeer.Accept, errno, 20) },
-			"half a second": func(f *testpeer.Faults) { f.For(testpeer.Accept, errno, 500*time.Millisecond) },
+		for name, place := range map[string]func(faults *testpeer.Faults){
+			"one call":      func(faults *testpeer.Faults) { faults.Next(testpeer.Accept, errno, 1) },
+			"a few calls":   func(faults *testpeer.Faults) { faults.Next(testpeer.Accept, errno, 20) },
+			"half a second": func(faults *testpeer.Faults) { faults.For(testpeer.Accept, errno, 500*time.Millisecond) },
 		} {
 			t.Run(fmt.Sprintf("%v for %s", errno, name), func(t *testing.T) {
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				place(faults)
-				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Entry("a", testpeer.Server(t, always)))
+				backend := testpeer.Server(t, answerAlways)
+				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Entry("a", backend))
 				began := time.Now()
-				c := n.Dial()
-				_, err := c.Write(raw(t, n, 10, nil))
+				conn := n.Dial()
+				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
-				status, _ := answer(t, c, bufio.NewReader(c))
+				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Positive(t, faults.Placed(testpeer.Accept))
-				require.Less(t, time.Since(began), 500*time.Millisecond+700*time.Millisecond, "no pause of a second behind the shortage")
+				require.Less(t, time.Since(began), 500*time.Millisecond+700*time.Millisecond,
+					"no pause of a second behind the shortage")
 				status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
 				require.Equal(t, http.StatusOK, status)
 			})
@@ -51,32 +68,34 @@
 	}
 }
 
-// A read or a write on a client's connection that fails for want of memory takes nothing away: its request gets its one answer.
-func TestClientConnectionsThatFailForAMoment(t *testing.T) {
+// TestClientConnectionRecoversFromErrors fails reads and writes on a client's connection for want of memory: its
+// request gets its one answer.
+func TestClientConnectionRecoversFromErrors(t *testing.T) {
 	t.Parallel()
 	for _, call := range []testpeer.SystemCall{testpeer.Read, testpeer.Write} {
-		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
+		for _, errno := range transferErrors {
 			t.Run(fmt.Sprintf("%v of %d", errno, call), func(t *testing.T) {
 				t.Parallel()
-				faults, begun := testpeer.NewFaults(1), make(chan struct{})
+				faults := testpeer.NewFaults(1)
+				begun := make(chan struct{})
 				server := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
 					begun <- struct{}{}
 					<-begun
-					always(w, r)
+					answerAlways(w, r)
 				})
 				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Entry("a", server))
 				faults.Next(call, errno, 2)
-				c := n.Dial()
-				_, err := c.Write(raw(t, n, 10, nil))
+				conn := n.Dial()
+				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
 				<-begun
 				faults.Next(call, errno, 3)
 				if call == testpeer.Read { // bytes behind the request have the node read, and fail, while it is open
-					_, err = c.Write([]byte("\r\n"))
+					_, err = conn.Write([]byte("\r\n"))
 					require.NoError(t, err)
 				}
 				begun <- struct{}{}
-				status, body := answer(t, c, bufio.NewReader(c))
+				status, body := readAnswer(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Contains(t, body, "[DONE]")
 				require.Positive(t, faults.Placed(call))
@@ -85,54 +104,52 @@
 	}
 }
 
-// All calls fail now and then, by a seed, and reads bring single bytes, while clients ask and one server drains. Every request gets
-// its one answer in its time, has three attempts at the most, never two at once, and none at the server that was told to leave.
-func TestRulesHoldWhileSystemCallsFail(t *testing.T) {
+// TestGuaranteesHoldWhileSystemCallsFail fails all system calls now and then, by a seed, and has reads return single
+// bytes, while clients send requests and one backend drains. Every request gets its one answer in time, has three
+// attempts at the most, never two at once, and none at the backend that drains.
+func TestGuaranteesHoldWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			const clients, each, deadline, grace = 20, 10, 2 * time.Second, 500 * time.Millisecond
-			faults, ledger := testpeer.NewFaults(seed), testpeer.NewLedger()
+			faults := testpeer.NewFaults(seed)
+			ledger := testpeer.NewLedger()
 			faults.Short = seed%2 == 1
-			var mu sync.Mutex
-			var last time.Time // a request began at the server that drains
-			serve := func(drains bool) http.HandlerFunc {
-				return func(w http.ResponseWriter, r *http.Request) {
-					if drains {
-						mu.Lock()
-						last = time.Now()
-						mu.Unlock()
-					}
-					id := r.Header.Get("X-Trace-Id")
-					ledger.Begin(id)
-					defer ledger.End(id, true)
-					time.Sleep(5 * time.Millisecond)
-					always(w, r)
-				}
+			var last atomic.Pointer[time.Time] // when a request last began at the backend that drains
+			last.Store(&time.Time{})
+			serve := func(w http.ResponseWriter, r *http.Request) {
+				id := r.Header.Get("X-Trace-Id")
+				ledger.Begin(id)
+				defer ledger.End(id, true)
+				time.Sleep(5 * time.Millisecond) // the time that a backend takes
+				answerAlways(w, r)
 			}
-			a := testpeer.Entry("a", testpeer.Server(t, serve(true)))
-			b, c := testpeer.Entry("b", testpeer.Server(t, serve(false))), testpeer.Entry("c", testpeer.Server(t, serve(false)))
+			a := testpeer.Entry("a", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+				now := time.Now()
+				last.Store(&now)
+				serve(w, r)
+			}))
+			b := testpeer.Entry("b", testpeer.Server(t, serve))
+			c := testpeer.Entry("c", testpeer.Server(t, serve))
 			n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), a, b, c)
 			faults.Share(testpeer.Accept, 0.3, acceptErrors...)
-			faults.Share(testpeer.Connect, 0.3, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNREFUSED)
-			faults.Share(testpeer.Read, 0.05, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR)
-			faults.Share(testpeer.Write, 0.05, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR)
+			faults.Share(testpeer.Connect, 0.3, connectErrors...)
+			faults.Share(testpeer.Read, 0.05, transferErrors...)
+			faults.Share(testpeer.Write, 0.05, transferErrors...)
 			var all sync.WaitGroup
 			statuses := make(chan int, clients*each)
-			var drained time.Time
+			var drained time.Time // written by the first client, and read once all have ended
 			for i := range clients {
 				all.Go(func() {
 					for j := range each {
 						if i == 0 && j == each/2 {
-							left := a
-							left.State = 1
-							n.Tell(left, b, c)
-							mu.Lock()
+							draining := a
+							draining.State = standpoint.Draining
+							n.Tell(draining, b, c)
 							drained = time.Now()
-							mu.Unlock()
 						}
-						statuses <- askOnce(t, n, deadline)
+						statuses <- requestOnce(t, n, deadline)
 					}
 				})
 			}
@@ -150,23 +167,23 @@
 			for id, sent := range ledger.Sent() {
 				require.LessOrEqual(t, sent, 3, id)
 			}
-			mu.Lock()
-			defer mu.Unlock()
-			require.Less(t, last.Sub(drained), grace, "an attempt at a server that drains")
+			require.Less(t, last.Load().Sub(drained), grace, "an attempt at a backend that drains")
 		})
 	}
 }
 
-// askOnce asks on a connection of its own, and returns the answer's status, which has come before the deadline.
-func askOnce(t *testing.T, n *testpeer.Node, deadline time.Duration) int {
-	request := raw(t, n, 10, func(r *http.Request) { r.Header.Set("X-Expires-In", fmt.Sprintf("%dm", deadline.Milliseconds())) })
+// requestOnce sends a request on a connection of its own, and returns the status of its answer, which has come before
+// the deadline.
+func requestOnce(t *testing.T, n *testpeer.Node, deadline time.Duration) int {
+	t.Helper()
+	request := rawRequest(t, n, 10, withHeader("X-Expires-In", fmt.Sprintf("%dm", deadline.Milliseconds())))
 	began := time.Now()
-	c, err := net.Dial("tcp", n.Address)
+	conn, err := net.Dial("tcp", n.Address)
 	require.NoError(t, err)
-	defer c.Close()
-	_, err = c.Write(request)
+	defer conn.Close()
+	_, err = conn.Write(request)
 	require.NoError(t, err)
-	status, _ := answer(t, c, bufio.NewReader(c))
+	status, _ := readAnswer(t, conn, bufio.NewReader(conn))
 	require.Less(t, time.Since(began), deadline)
 	return status
 }
