--- a/admission.go
+++ b/admission.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	tenantSpan = 3.0  // seconds over which a tenant's requests are counted
-	overQuota  = 1.5  // times its quota from which a tenant is taken to be over it
-	answerCost = 2.0  // work of a token made, in tokens read
-	cutSpan    = 0.8  // rise of the refused part in a second of missed aims
-	cutLeast   = 12.0 // requests a second that one missed aim is weighed against at the least
-	cutMost    = 0.8  // never refuse more
-	starveMost = 0.5  // part of a class's, or a tenant's, requests that may be refused for others
-	bandLeast  = 0.8  // of a class's answered share, that of its longest prompts
-	cutSpeed   = 0.7  // log slowness from which an engine's misses are its own
+	tenantRateSpan    = 3.0  // seconds over which a tenant's requests are counted
+	overQuotaRatio    = 1.5  // times its quota from which a tenant is taken to be over it
+	outputTokenCost   = 2.0  // work of a token made, in tokens read
+	shedStep          = 0.8  // rise of the refused part in a second of missed aims
+	minObjectiveRate  = 12.0 // requests a second that one missed aim is weighed against at the least
+	maxShedFraction   = 0.8  // never refuse more
+	maxShedOfGroup    = 0.5  // part of a class's, or a tenant's, requests that may be refused for others
+	minBandShare      = 0.8  // of a class's answered share, that of its longest prompts
+	maxSharedSlowness = 0.7  // log slowness from which an engine's misses are its own
 )
 
 // density is the request's worth for each token of work that it is taken to need.
@@ -25,11 +25,11 @@
 		match = max(match, r.match(q, e))
 	}
 	if q.Session != 0 {
-		match = max(match, r.assumed(q))
+		match = max(match, r.expectedMatch(q))
 	}
-	answer := q.MaxTokens * min(1, 1.3*math.Exp(r.gaps[r.classIndex(q)].mean)/r.gap)
+	answer := q.MaxTokens * min(1, 1.3*math.Exp(r.classGaps[r.classIndex(q)].mean)/r.tokenGap)
 	tie := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be refused at once
-	return tie * r.class(q).Worth * r.tenantWorth(q) / (100 + q.PromptTokens*(1-match) + answerCost*answer)
+	return tie * r.class(q).Worth * r.tenantWorth(q) / (100 + q.PromptTokens*(1-match) + outputTokenCost*answer)
 }
 
 // tenantWorth is what a request counts, as a part of its worth, while its tenant sends more than its
@@ -38,45 +38,45 @@
 	if q.Tenant >= 0 && q.Tenant < len(r.tenants) {
 		r.tenants[q.Tenant].count(r.now)
 	}
-	over := r.over(q)
-	if over < overQuota {
+	over := r.quotaRatio(q)
+	if over < overQuotaRatio {
 		return 1
 	}
-	return (1 + (over-1)*r.set.OverShareWorth) / over
+	return (1 + (over-1)*r.settings.OverShareWorth) / over
 }
 
-// tooPoor tells that the fleet cannot serve all in time and this request is among the poorest part.
-func (r *Router) tooPoor(q *request) bool {
+// shedsForDensity tells that the fleet cannot serve all in time and this request is among the poorest part.
+func (r *Router) shedsForDensity(q *request) bool {
 	d := r.density(q)
-	below, n := r.note(d)
-	r.cut, r.cutAt = max(0, r.cut-r.fade()*seconds(r.now-r.cutAt)), r.now
-	poor := n >= r.known() && r.cut > 0 && float64(below) < r.cut*float64(n)
-	return r.refuse(q, poor)
+	below, n := r.rankDensity(d)
+	r.shedFraction, r.shedFractionAt = max(0, r.shedFraction-r.shedDecayRate()*seconds(r.now-r.shedFractionAt)), r.now
+	poor := n >= r.minRankedRequests() && r.shedFraction > 0 && float64(below) < r.shedFraction*float64(n)
+	return r.shed(q, poor)
 }
 
-// pressed moves the part that is refused: up with each aim missed, down with each one met.
-func (r *Router) pressed(e *engine, missed bool) {
-	if e.speed > cutSpeed {
+// adjustShedding moves the part that is refused: up with each aim missed, down with each one met.
+func (r *Router) adjustShedding(e *engine, missed bool) {
+	if e.slowness > maxSharedSlowness {
 		return // this engine is slow, not the fleet
 	}
-	step := cutSpan / max(cutLeast, r.rate)
+	step := shedStep / max(minObjectiveRate, r.requestRate)
 	if !missed {
-		step /= -r.metWeight()
+		step /= -r.metObjectiveWeight()
 	}
-	r.cut = min(cutMost, max(0, r.cut+step))
+	r.shedFraction = min(maxShedFraction, max(0, r.shedFraction+step))
 }
 
 // tenantRate counts a tenant's own recent requests, each second, and how many of them fail.
 type tenantRate struct {
-	rate float64
-	at   int64
-	sour float64 // share of errors among its latest answers, from all engines
-	cut  float64 // share of its latest requests that were refused as the poorest
+	rate      float64
+	at        int64
+	errorRate float64 // share of errors among its latest answers, from all engines
+	shedRate  float64 // share of its latest requests that were refused as the poorest
 }
 
 // count takes in a request of the tenant.
 func (t *tenantRate) count(now int64) {
-	t.rate = t.rate*math.Exp(-seconds(now-t.at)/tenantSpan) + 1/tenantSpan
+	t.rate = t.rate*math.Exp(-seconds(now-t.at)/tenantRateSpan) + 1/tenantRateSpan
 	t.at = now
 }
 
@@ -84,56 +84,56 @@
 // the others.
 func (r *Router) tenant(q *request) *tenantRate {
 	if len(r.tenants) < 2 || q.Tenant < 0 || q.Tenant >= len(r.tenants) {
-		r.nobody = tenantRate{}
-		return &r.nobody
+		r.unknownTenant = tenantRate{}
+		return &r.unknownTenant
 	}
 	return &r.tenants[q.Tenant]
 }
 
-// note keeps a request's worth for its work among the latest, and tells how many there were and how many of
+// rankDensity keeps a request's worth for its work among the latest, and tells how many there were and how many of
 // them less.
-func (r *Router) note(density float64) (below, all int) {
-	for _, other := range r.lately {
+func (r *Router) rankDensity(density float64) (below, all int) {
+	for _, other := range r.recentDensities {
 		if other < density {
 			below++
 		}
 	}
-	all = len(r.lately)
-	if all < densities {
-		r.lately = append(r.lately, density)
+	all = len(r.recentDensities)
+	if all < rankedRequests {
+		r.recentDensities = append(r.recentDensities, density)
 		return below, all
 	}
-	r.lately[r.latelyAt] = density
-	r.latelyAt = (r.latelyAt + 1) % densities
+	r.recentDensities[r.nextDensity] = density
+	r.nextDensity = (r.nextDensity + 1) % rankedRequests
 	return below, all
 }
 
-// over is what the request's tenant sends, in times its quota, as this gateway takes it; 0 where it has none.
-func (r *Router) over(q *request) float64 {
-	if q.Tenant < 0 || q.Tenant >= len(r.tenants) || !(r.set.Tenants[q.Tenant].QuotaRPS > 0) {
+// quotaRatio is what the request's tenant sends, in times its quota, as this gateway takes it; 0 where it has none.
+func (r *Router) quotaRatio(q *request) float64 {
+	if q.Tenant < 0 || q.Tenant >= len(r.tenants) || !(r.settings.Tenants[q.Tenant].QuotaRPS > 0) {
 		return 0
 	}
-	return r.tenants[q.Tenant].rate * float64(r.set.Balancers) / r.set.Tenants[q.Tenant].QuotaRPS
+	return r.tenants[q.Tenant].rate * float64(r.settings.Balancers) / r.settings.Tenants[q.Tenant].QuotaRPS
 }
 
-// cutRate is that of a request in the shares refused.
-const cutRate = 0.05
+// shedRateWeight is that of a request in the shares refused.
+const shedRateWeight = 0.05
 
-// bands are the parts of a class's requests by their prompts: the longest tenth, the next fifth, further
+// promptBands are the parts of a class's requests by their prompts: the longest tenth, the next fifth, further
 // ones, and the shortest.
-var bands = [...]float64{0.1, 0.3, 0.6, 1}
+var promptBands = [...]float64{0.1, 0.3, 0.6, 1}
 
-// cuts are the shares of a class's latest requests that were refused as the poorest: of all, and of each
+// classShedRates are the shares of a class's latest requests that were refused as the poorest: of all, and of each
 // band.
-type cuts struct {
-	all     float64
-	bands   [len(bands)]float64
-	prompts []float64 // lengths of the latest, by which the bands go
-	at      int
+type classShedRates struct {
+	all        float64
+	bands      [len(promptBands)]float64
+	prompts    []float64 // lengths of the latest, by which the bands go
+	nextPrompt int
 }
 
 // band tells in which band a prompt is, and keeps its length among the latest.
-func (c *cuts) band(prompt float64) int {
+func (c *classShedRates) band(prompt float64) int {
 	longer := 0
 	for _, other := range c.prompts {
 		if other > prompt {
@@ -141,77 +141,77 @@
 		}
 	}
 	share := float64(longer) / max(1, float64(len(c.prompts)))
-	if len(c.prompts) < densities {
+	if len(c.prompts) < rankedRequests {
 		c.prompts = append(c.prompts, prompt)
 	} else {
-		c.prompts[c.at] = prompt
-		c.at = (c.at + 1) % densities
+		c.prompts[c.nextPrompt] = prompt
+		c.nextPrompt = (c.nextPrompt + 1) % rankedRequests
 	}
-	for i, most := range bands {
+	for i, most := range promptBands {
 		if share < most {
 			return i
 		}
 	}
-	return len(bands) - 1
+	return len(promptBands) - 1
 }
 
-// refuse tells whether a request that is among the poorest is refused, and takes that in. What is beyond its
+// shed tells whether a request that is among the poorest is refused, and takes that in. What is beyond its
 // tenant's quota may be refused whole; else neither its class nor its tenant loses too much, nor those with
 // the longest prompts of its class, which promise the least for their work, much more than the class does.
-func (r *Router) refuse(q *request, poor bool) bool {
-	if r.over(q) >= overQuota {
+func (r *Router) shed(q *request, poor bool) bool {
+	if r.quotaRatio(q) >= overQuotaRatio {
 		return poor
 	}
-	class, tenant := &r.cuts[r.classIndex(q)], &r.tenant(q).cut
+	class, tenant := &r.shedRates[r.classIndex(q)], &r.tenant(q).shedRate
 	band := &class.bands[class.band(q.PromptTokens)]
-	refused := poor && max(class.all, *tenant) < starveMost && 1-*band > bandLeast*(1-class.all)
+	refused := poor && max(class.all, *tenant) < maxShedOfGroup && 1-*band > minBandShare*(1-class.all)
 	x := 0.0
 	if refused {
 		x = 1
 	}
 	for _, share := range []*float64{&class.all, tenant, band} {
-		*share += cutRate * (x - *share)
+		*share += shedRateWeight * (x - *share)
 	}
 	return refused
 }
 
-// fade is how fast the refused part falls, in parts a second.
-func (r *Router) fade() float64 {
-	if r.blind() {
-		return blindFade
+// shedDecayRate is how fast the refused part falls, in parts a second.
+func (r *Router) shedDecayRate() float64 {
+	if r.lacksReports() {
+		return unreportedShedDecay
 	}
 	// What a thin gateway has seen is not undone by time in which it sees nothing.
-	if r.hearsOf() && r.rate < cutLeast {
-		return cutFade * min(1, r.rate/cutLeast)
+	if r.hearsFromDirectory() && r.requestRate < minObjectiveRate {
+		return shedDecay * min(1, r.requestRate/minObjectiveRate)
 	}
-	return cutFade
+	return shedDecay
 }
 
-// metWeight is how many aims met undo one missed.
-func (r *Router) metWeight() float64 {
-	if r.hearsOf() && r.rate < cutLeast {
-		return toldMet
+// metObjectiveWeight is how many aims met undo one missed.
+func (r *Router) metObjectiveWeight() float64 {
+	if r.hearsFromDirectory() && r.requestRate < minObjectiveRate {
+		return sparseMetPerMissed
 	}
-	return cutDown
+	return metPerMissed
 }
 
-// known is how many requests must have come before the poorest are refused. Where no load is told a gateway
+// minRankedRequests is how many requests must have come before the poorest are refused. Where no load is told a gateway
 // that has just started must not add to an overload for long.
-func (r *Router) known() int {
-	if r.blind() {
-		return blindLeast
+func (r *Router) minRankedRequests() int {
+	if r.lacksReports() {
+		return unreportedMinRanked
 	}
-	return knownLeast
+	return minRanked
 }
 
-// inVain tells that the request would come too late even at the best engine, by what registrars told of the
+// isFutile tells that the request would come too late even at the best engine, by what registrars told of the
 // prompts that wait there, and is refused: its work would only make others late. No class, tenant or length
 // loses too much by it.
-func (r *Router) inVain(q *request, best *option) bool {
-	aim := r.aim(q)
-	if aim <= 0 || r.class(q).LateWorth > 0 || best.soonest+seconds(r.now-q.at) <= aim {
+func (r *Router) isFutile(q *request, best *option) bool {
+	aim := r.latencyObjective(q)
+	if aim <= 0 || r.class(q).LateWorth > 0 || best.unloadedTTFT+seconds(r.now-q.arrivedAt) <= aim {
 		return false
 	}
-	r.pressed(best.e, true)
-	return r.refuse(q, true)
+	r.adjustShedding(best.engine, true)
+	return r.shed(q, true)
 }
--- a/affinity.go
+++ b/affinity.go
@@ -10,64 +10,64 @@
 func (r *Router) match(q *request, e *engine) float64 {
 	var tokens float64
 	if q.Session != 0 {
-		tokens = r.look(mix(q.Session, e.hash+sessionSalt), e.since)
+		tokens = r.lookupMatch(mix(q.Session, e.hash+sessionSalt), e.firstSeenAt)
 	}
 	if q.Prefix != 0 && tokens < q.PrefixTokens {
-		tokens = max(tokens, min(q.PrefixTokens, r.look(mix(q.Prefix, e.hash+prefixSalt), e.since)))
+		tokens = max(tokens, min(q.PrefixTokens, r.lookupMatch(mix(q.Prefix, e.hash+prefixSalt), e.firstSeenAt)))
 	}
-	return min(1, max(tokens, q.told[e])/q.PromptTokens)
+	return min(1, max(tokens, q.keptByEngine[e])/q.PromptTokens)
 }
 
-// assumed is the share of the prompt that the session's home keeps, as far as the class has shown.
-func (r *Router) assumed(q *request) float64 {
+// expectedMatch is the share of the prompt that the session's home keeps, as far as the class has shown.
+func (r *Router) expectedMatch(q *request) float64 {
 	share := q.PrefixTokens / q.PromptTokens
-	return share + (1-share)*r.gain[r.classIndex(q)]
+	return share + (1-share)*r.sessionGain[r.classIndex(q)]
 }
 
-// correct learns from the kept tokens that an answer told.
-func (r *Router) correct(a *attempt, told float64) {
-	share := clamp(told/a.q.PromptTokens, 1)
-	prefix := a.q.PrefixTokens / a.q.PromptTokens
+// observeMatch learns from the kept tokens that an answer told.
+func (r *Router) observeMatch(a *attempt, told float64) {
+	share := clamp(told/a.request.PromptTokens, 1)
+	prefix := a.request.PrefixTokens / a.request.PromptTokens
 	if a.home && prefix < 1 {
-		g := &r.gain[r.classIndex(a.q)]
+		g := &r.sessionGain[r.classIndex(a.request)]
 		*g += 0.05 * (max(0, share-prefix)/(1-prefix) - *g)
 	}
 	if a.match >= 0.3 && !a.home {
 		if share < a.match/2 {
-			r.shorts++
+			r.matchShortfalls++
 		} else {
-			r.shorts = 0
+			r.matchShortfalls = 0
 		}
-		r.trust += 0.1 * (min(1, share/a.match) - r.trust)
-		if r.shorts >= 4 { // a run of shortfalls: kept prompts were lost at once
-			r.shorts, r.flushAt, r.trust = 0, r.now, 0.2
+		r.matchTrust += 0.1 * (min(1, share/a.match) - r.matchTrust)
+		if r.matchShortfalls >= 4 { // a run of shortfalls: kept prompts were lost at once
+			r.matchShortfalls, r.flushAt, r.matchTrust = 0, r.now, 0.2
 		}
 	}
 }
 
-type kept struct {
+type matchEntry struct {
 	tokens float64
 	at     int64
 }
 
-// put stores in the younger generation; a full one replaces the older, which bounds the table.
-func (r *Router) put(key uint64, tokens float64) {
-	if len(r.table[0]) >= tableSize {
-		r.table[0], r.table[1] = map[uint64]kept{}, r.table[0]
+// storeMatch stores in the younger generation; a full one replaces the older, which bounds the table.
+func (r *Router) storeMatch(key uint64, tokens float64) {
+	if len(r.matchTable[0]) >= tableSize {
+		r.matchTable[0], r.matchTable[1] = map[uint64]matchEntry{}, r.matchTable[0]
 	}
-	r.table[0][key] = kept{tokens, r.now}
+	r.matchTable[0][key] = matchEntry{tokens, r.now}
 }
 
-func (r *Router) look(key uint64, since int64) float64 {
-	k, ok := r.table[0][key]
+func (r *Router) lookupMatch(key uint64, since int64) float64 {
+	k, ok := r.matchTable[0][key]
 	if !ok {
-		k, ok = r.table[1][key]
+		k, ok = r.matchTable[1][key]
 	}
 	if !ok || k.at < since {
 		return 0
 	}
 	if k.at < r.flushAt { // a flush was noticed: what was kept before it is doubtful
-		return k.tokens * r.trust
+		return k.tokens * r.matchTrust
 	}
 	return k.tokens
 }
@@ -78,22 +78,22 @@
 		return
 	}
 	if q.Session != 0 {
-		r.put(mix(q.Session, e.hash+sessionSalt), tokens)
+		r.storeMatch(mix(q.Session, e.hash+sessionSalt), tokens)
 	}
 	if q.Prefix != 0 {
 		key := mix(q.Prefix, e.hash+prefixSalt)
 		// Another's word for a shorter one takes nothing away.
-		r.put(key, max(q.PrefixTokens, r.look(key, e.since)))
+		r.storeMatch(key, max(q.PrefixTokens, r.lookupMatch(key, e.firstSeenAt)))
 	}
 }
 
-// disown forgets that an engine keeps the prompt of an attempt that never reached it, unless that was noted
+// forgetMatch forgets that an engine keeps the prompt of an attempt that never reached it, unless that was noted
 // anew since.
-func (r *Router) disown(a *attempt) {
-	keys := []uint64{mix(a.q.Session, a.e.hash+sessionSalt), mix(a.q.Prefix, a.e.hash+prefixSalt)}
+func (r *Router) forgetMatch(a *attempt) {
+	keys := []uint64{mix(a.request.Session, a.engine.hash+sessionSalt), mix(a.request.Prefix, a.engine.hash+prefixSalt)}
 	for _, key := range keys {
-		if k, known := r.table[0][key]; known && k.at == a.sent {
-			delete(r.table[0], key)
+		if k, known := r.matchTable[0][key]; known && k.at == a.sent {
+			delete(r.matchTable[0], key)
 		}
 	}
 }
--- a/directory.go
+++ b/directory.go
@@ -12,44 +12,48 @@
 // gone: then a gateway goes by what it knows.
 
 const (
-	consultMost   = 3          // engines whose registrars are asked for one request
-	consultWait   = 80 * ms    // for their answers
-	consultFresh  = 30 * ms    // an engine of which something was told so lately is not asked for
-	registrarRest = 2 * second // a registrar that did not answer is not asked for so long
+	maxConsulted          = 3          // engines whose registrars are asked for one request
+	consultTimeout        = 80 * ms    // for their answers
+	directoryLoadLifetime = 30 * ms    // an engine of which something was told so lately is not asked for
+	silentOwnerPause      = 2 * second // a registrar that did not answer is not asked for so long
 	// Part of its aim that the reading of a prompt takes on average, from which there is a directory.
-	burdenUsual = 0.2
-	burdenLeast = 0.15 // and that of one prompt, from which the directory is kept of it
-	burdenRate  = 0.05 // of a request in the average
+	minMeanPrefillBurden = 0.2
+	minPrefillBurden     = 0.15 // and that of one prompt, from which the directory is kept of it
+	prefillBurdenWeight  = 0.05 // of a request in the average
 	// Seconds that the gated best may trail the best overall, where registrars told of both.
-	toldBreak = 0.1
+	directoryAffinityPenalty = 0.1
 	// Aims that are foretold to be met, by what registrars told, that undo one that is not.
-	toldMet       = 10.0
-	directorySalt = 0xd6e8feb86659fd93
+	sparseMetPerMissed = 10.0
+	directorySalt      = 0xd6e8feb86659fd93
 )
 
 // sharing tells whether the gateways of this tier keep a directory.
-func (r *Router) sharing() bool { return r.set.Peers && r.set.Balancers > 1 && !r.blind() }
+func (r *Router) sharing() bool {
+	return r.settings.Peers && r.settings.Balancers > 1 && !r.lacksReports()
+}
 
-// burden is the part of a request's aim that the reading of its whole prompt takes.
-func (r *Router) burden(q *request) float64 {
-	if aim := r.aim(q); aim > 0 {
+// prefillBurdenOf is the part of a request's aim that the reading of its whole prompt takes.
+func (r *Router) prefillBurdenOf(q *request) float64 {
+	if aim := r.latencyObjective(q); aim > 0 {
 		return q.PromptTokens / assumedSpeed / aim
 	}
 	return 0
 }
 
-// shares tells whether the directory is kept of a request: where reading its prompt takes a good part of its
+// usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good part of its
 // aim, as it does for most requests. What short prompts add to an engine's load is not worth the messages.
-func (r *Router) shares(q *request) bool {
-	return r.sharing() && r.burdens.mean >= burdenUsual && r.burden(q) >= burdenLeast
+func (r *Router) usesDirectory(q *request) bool {
+	return r.sharing() && r.prefillBurden.mean >= minMeanPrefillBurden && r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
-// hearsOf tells that registrars have told this gateway something lately.
-func (r *Router) hearsOf() bool { return r.toldAt != 0 && r.now-r.toldAt < pendingKeep }
+// hearsFromDirectory tells that registrars have told this gateway something lately.
+func (r *Router) hearsFromDirectory() bool {
+	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingTimeout
+}
 
-// registrar is the gateway that keeps an engine's place in the directory.
-func (r *Router) registrar(e *engine) int {
-	return int(mix(e.hash, directorySalt) % uint64(r.set.Balancers))
+// directoryOwner is the gateway that keeps an engine's place in the directory.
+func (r *Router) directoryOwner(e *engine) int {
+	return int(mix(e.hash, directorySalt) % uint64(r.settings.Balancers))
 }
 
 func shortHash(key uint64) uint32 {
@@ -62,24 +66,24 @@
 func shortEngine(e *engine) uint32 { return uint32(e.hash) }
 
 // byShortHash finds an engine from a message.
-func (r *Router) byShortHash(hash uint32) *engine { return r.shortHashes[hash] }
+func (r *Router) byShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
 
-// tell hands a message to an engine's registrar, which may be this gateway itself.
-func (r *Router) tell(e *engine, m directoryMessage) {
+// notifyOwner hands a message to an engine's registrar, which may be this gateway itself.
+func (r *Router) notifyOwner(e *engine, m directoryMessage) {
 	m.engine = shortEngine(e)
-	if to := r.registrar(e); to != r.set.Ordinal {
-		r.do(Action{Kind: Tell, Peer: to, Data: m.encode()})
+	if to := r.directoryOwner(e); to != r.settings.Ordinal {
+		r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
 		return
 	}
-	r.startSpeed(e)
-	r.register(r.set.Ordinal, e, &m)
+	r.initReadingSpeed(e)
+	r.register(r.settings.Ordinal, e, &m)
 }
 
-// startSpeed assumes, before it is known, that an engine reads as fast as its registered size says beside the
+// initReadingSpeed assumes, before it is known, that an engine reads as fast as its registered size says beside the
 // others'.
-func (r *Router) startSpeed(e *engine) {
+func (r *Router) initReadingSpeed(e *engine) {
 	if e.backlog.speed == 0 {
-		e.backlog.speed = assumedSpeed * r.part(e)
+		e.backlog.speed = assumedSpeed * r.relativeSize(e)
 	}
 }
 
@@ -89,10 +93,10 @@
 	case directorySent:
 		e.backlog.add(pendingPrompt{from, m.id, m.tokens, r.now})
 		if m.session != 0 {
-			r.put(directoryKey(e, m.session), m.prompt)
+			r.storeMatch(directoryKey(e, m.session), m.prompt)
 		}
 		if key := directoryKey(e, m.prefix); m.prefix != 0 {
-			r.put(key, max(m.shared, r.look(key, e.since)))
+			r.storeMatch(key, max(m.shared, r.lookupMatch(key, e.firstSeenAt)))
 		}
 	case directoryRead, directoryOver:
 		e.backlog.end(from, m.id, m.kind == directoryRead, r.now)
@@ -101,14 +105,14 @@
 
 func directoryKey(e *engine, hash uint32) uint64 { return mix(uint64(hash), e.hash+directorySalt) }
 
-// keeps is how many tokens of a prompt an engine keeps, as its registrar has it.
-func (r *Router) keeps(e *engine, session, prefix uint32) float64 {
+// cachedTokens is how many tokens of a prompt an engine keeps, as its registrar has it.
+func (r *Router) cachedTokens(e *engine, session, prefix uint32) float64 {
 	tokens := 0.0
 	if session != 0 {
-		tokens = r.look(directoryKey(e, session), e.since)
+		tokens = r.lookupMatch(directoryKey(e, session), e.firstSeenAt)
 	}
 	if prefix != 0 {
-		tokens = max(tokens, r.look(directoryKey(e, prefix), e.since))
+		tokens = max(tokens, r.lookupMatch(directoryKey(e, prefix), e.firstSeenAt))
 	}
 	return tokens
 }
@@ -116,14 +120,14 @@
 // onPeer takes in a message of the directory.
 func (r *Router) onPeer(from int, data string) {
 	m, ok := decodeDirectory(data)
-	if !ok || !r.sharing() || from < 0 || from >= r.set.Balancers {
+	if !ok || !r.sharing() || from < 0 || from >= r.settings.Balancers {
 		return
 	}
 	e := r.byShortHash(m.engine)
 	if e == nil {
 		return
 	}
-	r.startSpeed(e)
+	r.initReadingSpeed(e)
 	switch m.kind {
 	case directoryAnswer:
 		r.onAnswer(e, &m)
@@ -137,120 +141,120 @@
 // answer tells a gateway what this one knows of an engine that it is the registrar of.
 func (r *Router) answer(to int, e *engine, ask *directoryMessage) {
 	m := directoryMessage{kind: directoryAnswer, id: ask.id, engine: ask.engine, load: e.backlog.load(r.now)}
-	m.tokens = r.keeps(e, ask.session, ask.prefix)
-	r.do(Action{Kind: Tell, Peer: to, Data: m.encode()})
+	m.tokens = r.cachedTokens(e, ask.session, ask.prefix)
+	r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
 }
 
 // consult asks the registrars of the engines that rank first for a request, and tells whether their answers
 // are waited for.
 func (r *Router) consult(q *request) bool {
-	if !r.shares(q) || q.consulted || len(q.attempts) > 0 {
+	if !r.usesDirectory(q) || q.consulted || len(q.attempts) > 0 {
 		return false
 	}
 	q.consulted = true
-	some := r.usable(q, r.sample(q), r.sharedTrouble())
-	for range min(consultMost, len(some)) {
+	some := r.usable(q, r.sample(q), r.hasSharedFault())
+	for range min(maxConsulted, len(some)) {
 		best := 0
 		for i := range some {
 			if some[i].rank > some[best].rank {
 				best = i
 			}
 		}
-		r.askOf(q, some[best].e)
+		r.consultOwner(q, some[best].engine)
 		some[best].rank = math.Inf(-1)
 	}
-	if len(q.askedOf) == 0 {
+	if len(q.awaitedEngines) == 0 {
 		return false
 	}
-	r.waiting[uint32(q.ID)] = q
-	r.do(Action{Kind: Timer, Wait: consultWait, Token: q.ID*tokenStep + tokenConsult})
+	r.awaitingDirectory[uint32(q.ID)] = q
+	r.emit(Action{Kind: Timer, Wait: consultTimeout, Token: q.ID*tokenStep + tokenConsult})
 	return true
 }
 
-// askOf asks for one engine.
-func (r *Router) askOf(q *request, e *engine) {
-	to := r.registrar(e)
-	if to == r.set.Ordinal {
-		r.startSpeed(e)
-		kept := r.keeps(e, shortHash(q.Session), shortHash(q.Prefix))
-		r.heardOf(q, e, e.backlog.load(r.now), kept)
+// consultOwner asks for one engine.
+func (r *Router) consultOwner(q *request, e *engine) {
+	to := r.directoryOwner(e)
+	if to == r.settings.Ordinal {
+		r.initReadingSpeed(e)
+		kept := r.cachedTokens(e, shortHash(q.Session), shortHash(q.Prefix))
+		r.recordDirectoryLoad(q, e, e.backlog.load(r.now), kept)
 		return
 	}
-	if r.now-r.unanswering[to] < registrarRest && r.unanswering[to] != 0 {
+	if r.now-r.silentOwners[to] < silentOwnerPause && r.silentOwners[to] != 0 {
 		return
 	}
-	q.askedOf = append(q.askedOf, e)
+	q.awaitedEngines = append(q.awaitedEngines, e)
 	m := directoryMessage{kind: directoryAsk, id: uint32(q.ID), engine: shortEngine(e)}
 	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
-	r.do(Action{Kind: Tell, Peer: to, Data: m.encode()})
+	r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
 }
 
-// heardOf notes what is told of an engine, and of the request's prompt there.
-func (r *Router) heardOf(q *request, e *engine, load engineLoad, kept float64) {
-	e.toldLoad, e.toldAt = load, r.now
-	r.toldAt = r.now
-	if q.told == nil {
-		q.told = map[*engine]float64{}
+// recordDirectoryLoad notes what is told of an engine, and of the request's prompt there.
+func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, kept float64) {
+	e.directoryLoad, e.directoryLoadAt = load, r.now
+	r.directoryAnswerAt = r.now
+	if q.keptByEngine == nil {
+		q.keptByEngine = map[*engine]float64{}
 	}
-	q.told[e] = min(kept, q.PromptTokens)
+	q.keptByEngine[e] = min(kept, q.PromptTokens)
 }
 
 func (r *Router) onAnswer(e *engine, m *directoryMessage) {
-	q := r.waiting[m.id]
-	if q == nil || q.done {
+	q := r.awaitingDirectory[m.id]
+	if q == nil || q.settled {
 		return
 	}
-	for i, asked := range q.askedOf {
+	for i, asked := range q.awaitedEngines {
 		if asked == e {
-			q.askedOf = append(q.askedOf[:i], q.askedOf[i+1:]...)
-			r.heardOf(q, e, m.load, m.tokens)
+			q.awaitedEngines = append(q.awaitedEngines[:i], q.awaitedEngines[i+1:]...)
+			r.recordDirectoryLoad(q, e, m.load, m.tokens)
 			break
 		}
 	}
-	if len(q.askedOf) == 0 {
-		r.consultOver(q)
+	if len(q.awaitedEngines) == 0 {
+		r.consultFinished(q)
 	}
 }
 
-// consultOver places a request that waited for registrars' answers. Those that did not answer are left alone
+// consultFinished places a request that waited for registrars' answers. Those that did not answer are left alone
 // for a while.
-func (r *Router) consultOver(q *request) {
-	if r.waiting[uint32(q.ID)] != q {
+func (r *Router) consultFinished(q *request) {
+	if r.awaitingDirectory[uint32(q.ID)] != q {
 		return
 	}
-	delete(r.waiting, uint32(q.ID))
-	for _, e := range q.askedOf {
-		r.unanswering[r.registrar(e)] = r.now
+	delete(r.awaitingDirectory, uint32(q.ID))
+	for _, e := range q.awaitedEngines {
+		r.silentOwners[r.directoryOwner(e)] = r.now
 	}
-	q.askedOf = nil
-	if !q.done {
-		r.place(q)
+	q.awaitedEngines = nil
+	if !q.settled {
+		r.dispatch(q)
 	}
 }
 
-// tellSent tells an engine's registrar of a prompt that goes there.
-func (r *Router) tellSent(a *attempt) {
-	q := a.q
-	if !r.shares(q) {
+// notifySent tells an engine's registrar of a prompt that goes there.
+func (r *Router) notifySent(a *attempt) {
+	q := a.request
+	if !r.usesDirectory(q) {
 		return
 	}
-	a.listed = true
+	a.inDirectory = true
 	m := directoryMessage{kind: directorySent, id: uint32(q.ID)}
 	m.prompt, m.shared = q.PromptTokens, q.PrefixTokens
 	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
 	m.tokens = q.PromptTokens * (1 - a.match)
-	r.tell(a.e, m)
+	r.notifyOwner(a.engine, m)
 }
 
-// tellEnd tells it, once, that the prompt has been read, or that the attempt ended without.
-func (r *Router) tellEnd(a *attempt, read bool) {
-	if !a.listed {
+// notifyEnd tells it, once, that the prompt has been read, or that the attempt ended without.
+func (r *Router) notifyEnd(a *attempt, read bool) {
+	if !a.inDirectory {
 		return
 	}
-	a.listed = false
-	m := directoryMessage{kind: directoryOver, id: uint32(a.q.ID)}
+	a.inDirectory = false
+	m := directoryMessage{kind: directoryOver, id: uint32(a.request.ID)}
 	if read {
 		m.kind = directoryRead
 	}
-	r.tell(a.e, m)
+	r.notifyOwner(a.engine, m)
 }
--- a/directory_test.go
+++ b/directory_test.go
@@ -113,18 +113,18 @@
 	near(1, b.wait(5*second)) // of the first alone it is known that it is being read
 	b.end(1, 1, true, 2*second)
 	near(1, float64(len(b.prompts)))
-	near(10000+speedPart*(5000-10000), b.speed)
+	near(10000+speedWeight*(5000-10000), b.speed)
 	b.end(2, 2, true, 2*second) // another gateway's
 	near(1, float64(len(b.prompts)))
 	b.end(1, 2, false, 2*second)
 	near(0, b.wait(2*second))
 	near(8000+0.2*5000, b.speed)
 	b.add(pendingPrompt{id: 9, tokens: 5000, at: 3 * second})
-	near(0, b.wait(3*second+pendingKeep+1)) // nobody told its end
-	for i := range 2 * pendingMost {
+	near(0, b.wait(3*second+pendingTimeout+1)) // nobody told its end
+	for i := range 2 * maxPending {
 		b.add(pendingPrompt{id: uint32(i), at: 20 * second})
 	}
-	near(pendingMost, float64(len(b.prompts)))
+	near(maxPending, float64(len(b.prompts)))
 }
 
 // Of many gateways each sends long prompts with the same beginning to where another sent them before, unless that engine has more to
@@ -164,15 +164,15 @@
 	if told == 0 {
 		t.Fatal("nobody was asked")
 	}
-	expect(t, n.give(0, second+consultWait, &TimerFired{Token: tokenStep + tokenConsult}), "send ")
-	expect(t, n.give(0, second+consultWait+ms, long(2, second, 77)), "send ")
-	if again := n.give(0, second+consultWait+registrarRest+ms, long(3, second, 77)); len(again) > 0 {
+	expect(t, n.give(0, second+consultTimeout, &TimerFired{Token: tokenStep + tokenConsult}), "send ")
+	expect(t, n.give(0, second+consultTimeout+ms, long(2, second, 77)), "send ")
+	if again := n.give(0, second+consultTimeout+silentOwnerPause+ms, long(3, second, 77)); len(again) > 0 {
 		t.Fatalf("after a while they are asked again, and this had %v", again)
 	}
 	// A client that leaves meanwhile, and an answer behind that, leave nothing.
-	n.give(0, second+consultWait+registrarRest+2*ms, &Left{Request: 3})
-	if r := n.gateways[0]; len(r.waiting) != 0 {
-		t.Fatalf("%d requests still wait for answers", len(r.waiting))
+	n.give(0, second+consultTimeout+silentOwnerPause+2*ms, &Left{Request: 3})
+	if r := n.gateways[0]; len(r.awaitingDirectory) != 0 {
+		t.Fatalf("%d requests still wait for answers", len(r.awaitingDirectory))
 	}
 }
 
@@ -210,12 +210,12 @@
 	}
 	got := feed(r, second+2*ms, &Outcome{Request: 1, Attempt: 0, Code: NotSent})
 	expect(t, got, "send ") // at once, and the budget allows it
-	if len(r.table[0]) > 2 {
-		t.Fatalf("%d entries of what is kept", len(r.table[0]))
+	if len(r.matchTable[0]) > 2 {
+		t.Fatalf("%d entries of what is kept", len(r.matchTable[0]))
 	}
 	feed(r, second+3*ms, &Outcome{Request: 1, Attempt: 1, Code: ConnectionLost, Local: true})
-	if e.sour != 0 || e.suspect || e.down {
-		t.Fatalf("a shortage of this gateway's machine was held against the engine: %v %v %v", e.sour, e.suspect, e.down)
+	if e.errorRate != 0 || e.suspect || e.unreachable {
+		t.Fatalf("a shortage of this gateway's machine was held against the engine: %v %v %v", e.errorRate, e.suspect, e.unreachable)
 	}
 }
 
@@ -224,7 +224,7 @@
 func TestRefusedWhereItWouldBeTooLate(t *testing.T) {
 	n := newTier(20, "a", "b", "c")
 	for _, r := range n.gateways {
-		r.set.RetryAfter, r.set.MaxRetryAfter = true, 2*second
+		r.settings.RetryAfter, r.settings.MaxRetryAfter = true, 2*second
 	}
 	sent, refused := 0, 0
 	for i := range int64(60) { // all at once: nothing is read meanwhile
--- a/rules.go
+++ b/eligibility.go
@@ -10,14 +10,14 @@
 func (r *Router) mayUse(q *request, e *engine) bool {
 	c := r.class(q)
 	for _, a := range q.attempts {
-		if a.out && !r.set.SecondCopies || a.ran && c.Effect == Unsafe || a.e == e && (a.out || a.ran) {
+		if a.inFlight && !r.settings.SecondCopies || a.mayHaveRun && c.Effect == Unsafe || a.engine == e && (a.inFlight || a.mayHaveRun) {
 			return false
 		}
-		if a.ran && c.Effect == Keyed && (!sameGroup(c.Group, a.e, e) || r.now-a.sent >= c.Window) {
+		if a.mayHaveRun && c.Effect == Keyed && (!sameGroup(c.Group, a.engine, e) || r.now-a.sent >= c.Window) {
 			return false
 		}
 	}
-	return !e.told
+	return !e.notReady
 }
 
 // mayShed tells whether saying "try again, it is harmless" is true.
@@ -26,7 +26,7 @@
 	if c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
 		return true
 	}
-	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.ran })
+	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
 func sameGroup(g Group, a, b *engine) bool {
@@ -41,6 +41,6 @@
 
 // MayShed tells whether it is true of an open request that trying it again is harmless.
 func (r *Router) MayShed(id int64) bool {
-	q := r.open[id]
+	q := r.requests[id]
 	return q == nil || r.mayShed(q)
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -102,7 +102,7 @@
 			if got = nil; a.Kind == Send {
 				f.sent[a.Engine]++
 				o := answer(a.Engine)
-				o.Request, o.Attempt = a.Request, len(r.open[a.Request].attempts)-1
+				o.Request, o.Attempt = a.Request, len(r.requests[a.Request].attempts)-1
 				o.Last = o.Code == Served
 				got = feed(r, f.now, &o)
 			}
@@ -232,19 +232,19 @@
 	list := twoZones(8)
 	list.Engines[0].ReadyAt = 100 * second
 	feed(r, 100*second, list)
-	if w := r.warm(r.engines[name(0)]); w != 0 {
+	if w := r.warmFraction(r.engines[name(0)]); w != 0 {
 		t.Errorf("a server that has just started is taken to have %g of its capacity, and none is told", w)
 	}
 	list.Engines[0].ReadyAt = 1e6 * second
 	feed(r, 101*second, list)
 	list.Engines[0].ReadyAt = 0
 	feed(r, 102*second, list)
-	if r.coldUntil > 102*second {
+	if r.fleetWarmAt > 102*second {
 		t.Error("a start that is told no longer is still believed")
 	}
-	r.lost[0] = lostZone
+	r.unreachableByZone[0] = lostZoneEngines
 	r.Adjust(s)
-	if len(r.with(r.engines[name(0)])) != 1 {
+	if len(r.failureDomain(r.engines[name(0)])) != 1 {
 		t.Error("a zone is lost that may be another by now")
 	}
 }
@@ -280,7 +280,7 @@
 		asked, refused := 0.0, 0.0
 		for i := int64(1); i <= 1200; i++ { // 100 a second
 			now := i * 10 * ms
-			r.cut, r.cutAt = 0.45, now
+			r.shedFraction, r.shedFractionAt = 0.45, now
 			q := ask(i, now+2*second)
 			mine := poor(i, q)
 			got := kinds(feed(r, now, q))
@@ -291,7 +291,7 @@
 				}
 			}
 		}
-		if part := refused / asked; name == "beyond its quota" && part < 0.7 || name != "beyond its quota" && (part < 0.3 || part > starveMost+0.05) {
+		if part := refused / asked; name == "beyond its quota" && part < 0.7 || name != "beyond its quota" && (part < 0.3 || part > maxShedOfGroup+0.05) {
 			t.Errorf("%s: %.2f of the poorest refused", name, part)
 		}
 	}
@@ -325,7 +325,7 @@
 		}
 		f := newFleet(s, list)
 		for i, r := range f.nodes {
-			r.set.Balancers = thought
+			r.settings.Balancers = thought
 			if uneven && i%5 == 0 { // six times what the others have
 				f.nodes = append(f.nodes, r, r, r, r, r)
 			}
@@ -380,7 +380,7 @@
 			rng := rand.New(rand.NewPCG(7, 7))
 			for i := int64(1); i <= 6000; i++ { // 100 a second
 				now := i * 10 * ms
-				r.cut, r.cutAt = cut, now
+				r.shedFraction, r.shedFractionAt = cut, now
 				q := ask(i, now+2*second)
 				q.Class, q.Session = int(i-1)%classes, uint64(1+(i-1)%1500) // of four turns each
 				q.PromptTokens = 500 * math.Exp(1.2*rand.New(rand.NewPCG(q.Session, 7)).NormFloat64()+0.2*rng.NormFloat64())
--- a/numeric.go
+++ b/hash.go
@@ -48,9 +48,9 @@
 func seconds(ns int64) float64 { return float64(ns) / 1e9 }
 
 // clamp returns v within [0, most]; what is no number counts as 0.
-func clamp(v, most float64) float64 {
+func clamp(v, maximum float64) float64 {
 	if !(v >= 0) {
 		return 0
 	}
-	return min(v, most)
+	return min(v, maximum)
 }
--- a/memory.go
+++ b/learned_state.go
@@ -84,24 +84,24 @@
 
 // Learned copies what the router has learned.
 func (r *Router) Learned() *Learned {
-	l := &Learned{Version: learnedVersion, At: r.now, Classes: len(r.set.Classes), Kinds: r.set.Kinds, Gap: r.gap, Told: r.told,
-		GapUsual: learnedMean(r.gapUsual), GapNow: learnedMean(r.gapNow),
-		Decode: learnedMean(r.decode), Gain: slices.Clone(r.gain), Fleet: r.fleet, Trust: r.trust, FlushAt: r.flushAt,
-		Usual: r.usual, Rate: r.rate, Cut: r.cut, Lately: slices.Clone(r.lately)}
-	for i := range r.ttft {
-		l.TTFT, l.Pace = append(l.TTFT, r.ttft[i].learned()), append(l.Pace, r.pace[i].learned())
-	}
-	for _, m := range r.gaps {
+	l := &Learned{Version: learnedVersion, At: r.now, Classes: len(r.settings.Classes), Kinds: r.settings.Kinds, Gap: r.tokenGap, Told: r.lengthsKnown,
+		GapUsual: learnedMean(r.usualGap), GapNow: learnedMean(r.recentGap),
+		Decode: learnedMean(r.decodeTime), Gain: slices.Clone(r.sessionGain), Fleet: r.meanReport, Trust: r.matchTrust, FlushAt: r.flushAt,
+		Usual: r.usualReady, Rate: r.requestRate, Cut: r.shedFraction, Lately: slices.Clone(r.recentDensities)}
+	for i := range r.ttftModels {
+		l.TTFT, l.Pace = append(l.TTFT, r.ttftModels[i].learned()), append(l.Pace, r.paceModels[i].learned())
+	}
+	for _, m := range r.classGaps {
 		l.Gaps = append(l.Gaps, learnedMean(m))
 	}
 	for _, e := range r.engines {
 		if len(l.Engines) < learnedEngines && e.State != Gone {
-			l.Engines = append(l.Engines, LearnedEngine{Name: e.Name, ReadyAt: e.ReadyAt, Since: e.since, Speed: e.speed,
-				Drag: learnedMean(e.drag), Sour: e.sour, Suspect: e.suspect, Down: e.down, TrialAt: e.trialAt, Report: e.report,
-				ReportAt: e.reportAt, ColdTokens: e.coldTokens, ColdAt: e.coldAt, Due: e.due})
+			l.Engines = append(l.Engines, LearnedEngine{Name: e.Name, ReadyAt: e.ReadyAt, Since: e.firstSeenAt, Speed: e.slowness,
+				Drag: learnedMean(e.gapSlowness), Sour: e.errorRate, Suspect: e.suspect, Down: e.unreachable, TrialAt: e.trialAt, Report: e.report,
+				ReportAt: e.reportAt, ColdTokens: e.coldTokens, ColdAt: e.coldAt, Due: e.reinstated})
 		}
 	}
-	for _, table := range r.table {
+	for _, table := range r.matchTable {
 		for key, k := range table {
 			l.Prompts = append(l.Prompts, LearnedPrompt{key, float32(k.tokens), k.at})
 		}
@@ -138,7 +138,7 @@
 	case l.Classes != len(s.Classes) || l.Kinds != s.Kinds:
 		return errors.New("it was learned under other settings")
 	case len(l.TTFT) != models || len(l.Pace) != models || len(l.Gaps) != len(s.Classes)+1 || len(l.Gain) != len(s.Classes)+1,
-		len(l.Lately) > densities, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
+		len(l.Lately) > rankedRequests, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
 		return errors.New("parts of it are missing, or too many")
 	}
 	numbers := append(slices.Clone(l.Gain), l.Gap, l.Trust, l.Usual, l.Rate, l.Cut, l.Fleet.Memory, l.Fleet.Unread, l.Fleet.Slots)
@@ -169,35 +169,35 @@
 // Recall takes what another router has learned, in place of what this one has. What is believed of an engine is taken where
 // this router lists the same process.
 func (r *Router) Recall(l *Learned, now int64) error {
-	if err := l.Check(&r.set, now); err != nil {
+	if err := l.Check(&r.settings, now); err != nil {
 		return err
 	}
 	r.now = now
-	for i := range r.ttft {
-		r.ttft[i].recall(&l.TTFT[i])
-		r.pace[i].recall(&l.Pace[i])
+	for i := range r.ttftModels {
+		r.ttftModels[i].recall(&l.TTFT[i])
+		r.paceModels[i].recall(&l.Pace[i])
 	}
 	for i, m := range l.Gaps {
-		r.gaps[i] = mean{m.Mean, m.N}
-	}
-	r.gap, r.told, r.gain = l.Gap, l.Told, slices.Clone(l.Gain)
-	r.gapUsual, r.gapNow = mean{l.GapUsual.Mean, l.GapUsual.N}, mean{l.GapNow.Mean, l.GapNow.N}
-	r.decode = mean{l.Decode.Mean, l.Decode.N} // how many streams are usual it learns anew: those that run are not its own
-	r.fleet, r.trust, r.flushAt = l.Fleet, l.Trust, l.FlushAt
-	r.usual, r.usualAt = max(r.usual, l.Usual), now
-	r.rate, r.rateAt, r.firstAt = l.Rate, now, now-int64(rateSpan*1e9)
-	r.cut, r.cutAt, r.lately, r.latelyAt = l.Cut, now, slices.Clone(l.Lately), 0
+		r.classGaps[i] = mean{m.Mean, m.N}
+	}
+	r.tokenGap, r.lengthsKnown, r.sessionGain = l.Gap, l.Told, slices.Clone(l.Gain)
+	r.usualGap, r.recentGap = mean{l.GapUsual.Mean, l.GapUsual.N}, mean{l.GapNow.Mean, l.GapNow.N}
+	r.decodeTime = mean{l.Decode.Mean, l.Decode.N} // how many streams are usual it learns anew: those that run are not its own
+	r.meanReport, r.matchTrust, r.flushAt = l.Fleet, l.Trust, l.FlushAt
+	r.usualReady, r.usualReadyAt = max(r.usualReady, l.Usual), now
+	r.requestRate, r.requestRateAt, r.firstRequestAt = l.Rate, now, now-int64(rateSpan*1e9)
+	r.shedFraction, r.shedFractionAt, r.recentDensities, r.nextDensity = l.Cut, now, slices.Clone(l.Lately), 0
 	for _, p := range l.Engines {
 		e := r.engines[p.Name]
 		if e == nil || e.ReadyAt != p.ReadyAt {
 			continue
 		}
-		e.since, e.speed, e.drag, e.sour = p.Since, p.Speed, mean{p.Drag.Mean, p.Drag.N}, p.Sour
-		e.suspect, e.down, e.trialAt, e.due = p.Suspect, p.Down, p.TrialAt, p.Due
+		e.firstSeenAt, e.slowness, e.gapSlowness, e.errorRate = p.Since, p.Speed, mean{p.Drag.Mean, p.Drag.N}, p.Sour
+		e.suspect, e.unreachable, e.trialAt, e.reinstated = p.Suspect, p.Down, p.TrialAt, p.Due
 		e.report, e.reportAt, e.coldTokens, e.coldAt = p.Report, p.ReportAt, p.ColdTokens, p.ColdAt
 	}
 	for _, p := range l.Prompts {
-		r.table[0][p.Key] = kept{float64(p.Tokens), p.At}
+		r.matchTable[0][p.Key] = matchEntry{float64(p.Tokens), p.At}
 	}
 	return nil
 }
--- a/memory_test.go
+++ b/learned_state_test.go
@@ -54,27 +54,27 @@
 		}
 	}
 	for i := int64(1); i <= 20; i++ { // the same question to both
-		q := &request{Request: *ask(i*20, now+4*second), at: now}
+		q := &request{Request: *ask(i*20, now+4*second), arrivedAt: now}
 		for _, name := range []string{"a", "b"} {
-			was, is := option{e: r.engines[name]}, option{e: next.engines[name]}
-			was.match, is.match = r.match(q, was.e), next.match(q, is.e)
+			was, is := option{engine: r.engines[name]}, option{engine: next.engines[name]}
+			was.match, is.match = r.match(q, was.engine), next.match(q, is.engine)
 			near("match", was.match, is.match, 1e-3)
 			r.predict(q, &was)
 			next.predict(q, &is)
-			near("first token at "+name, was.wide, is.wide, 1e-3)
-			near("pace at "+name, was.slow, is.slow, 0.15)
+			near("first token at "+name, was.ttftUpper, is.ttftUpper, 1e-3)
+			near("pace at "+name, was.paceUpper, is.paceUpper, 0.15)
 		}
 	}
-	near("rate", r.rate, next.rate, 1e-3)
-	if next.engines["b"].speed <= next.engines["a"].speed {
+	near("rate", r.requestRate, next.requestRate, 1e-3)
+	if next.engines["b"].slowness <= next.engines["a"].slowness {
 		t.Error("the slow one is not known")
 	}
-	if c := next.engines["c"]; c.speed != 0 || c.reportAt != 0 {
+	if c := next.engines["c"]; c.slowness != 0 || c.reportAt != 0 {
 		t.Error("something is believed of one that nobody knew")
 	}
 	restarted := New(s, 3)
 	feed(restarted, now, &EngineList{Kind: ListFull, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now - second}}})
-	if err := restarted.Recall(&l, now); err != nil || restarted.engines["b"].speed != 0 {
+	if err := restarted.Recall(&l, now); err != nil || restarted.engines["b"].slowness != 0 {
 		t.Errorf("%v: believed of another process", err)
 	}
 }
@@ -93,7 +93,7 @@
 		"number":   func(l *Learned) { l.TTFT[0].Coef[2] = math.NaN() },
 		"gap":      func(l *Learned) { l.Gap = 0 },
 		"endless":  func(l *Learned) { l.Engines[0].Speed = math.Inf(1) },
-		"too many": func(l *Learned) { l.Lately = make([]float64, densities+1) },
+		"too many": func(l *Learned) { l.Lately = make([]float64, rankedRequests+1) },
 	} {
 		l := r.Learned()
 		spoil(l)
@@ -102,7 +102,7 @@
 		if err := next.Recall(l, now); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if next.gap != New(s, 2).gap || next.engines["b"].speed != 0 {
+		if next.tokenGap != New(s, 2).tokenGap || next.engines["b"].slowness != 0 {
 			t.Errorf("%s: taken in part", name)
 		}
 	}
--- a/placement.go
+++ b/placement.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	gateMatch   = 0.80  // share of the prompt kept that opens the gate (DESIGN)
-	exploreRate = 0.01  // chance of leaving the gate out (DESIGN)
-	breakTTFT   = 5.0   // seconds the gated best may trail the best overall (DESIGN)
-	ttftWeight  = 0.8   // of headroom; the rest is pace (DESIGN)
-	sampleSize  = 3     // engines of the highest rank that are looked at, besides matches
-	thinWait    = 0.1   // share of the warm-up in which a gateway that is not thin weighs each engine
-	thinSpill   = 0.5   // part of its sessions that a thin gateway ranks without regard to its zone
-	reserve     = 0.5   // share of an aim that must be left for headroom to count
-	reserveFew  = 8.0   // engines weighed; of more, the least headroom is a worse guess
-	homeTokens  = 300.0 // prompt tokens expected kept at the assumed home, to go there
+	gateMatch              = 0.80  // share of the prompt kept that opens the gate (DESIGN)
+	exploreRate            = 0.01  // chance of leaving the gate out (DESIGN)
+	maxAffinityTTFT        = 5.0   // seconds the gated best may trail the best overall (DESIGN)
+	ttftWeight             = 0.8   // of headroom; the rest is pace (DESIGN)
+	sampleSize             = 3     // engines of the highest rank that are looked at, besides matches
+	sparseWait             = 0.1   // share of the warm-up in which a gateway that is not thin weighs each engine
+	sparseSpill            = 0.5   // part of its sessions that a thin gateway ranks without regard to its zone
+	headroomReserve        = 0.5   // share of an aim that must be left for headroom to count
+	headroomReserveEngines = 8.0   // engines weighed; of more, the least headroom is a worse guess
+	minHomeAdvantage       = 300.0 // prompt tokens expected kept at the assumed home, to go there
 )
 
 // pick chooses an engine for the request, or nil.
 func (r *Router) pick(q *request) *option {
 	wide := r.rng.Float64() < exploreRate
-	all := r.options(q, wide)
+	all := r.buildOptions(q, wide)
 	if len(all) == 0 {
 		return nil
 	}
 	top := best(all, nil)
 	gated := best(all, func(o *option) bool { return o.match >= gateMatch })
-	if gated == nil && len(q.told) == 0 && r.set.Balancers > 1 && r.atHomeTokens(q) > homeTokens {
+	if gated == nil && len(q.keptByEngine) == 0 && r.settings.Balancers > 1 && r.homeAdvantage(q) > minHomeAdvantage {
 		// Exception: this gateway knows of no engine that keeps the prompt, but other turns of the session
 		// may have come through other gateways, which assume the same home.
 		gated = best(all, func(o *option) bool { return o.home })
 	}
-	if wide || gated == nil || gated.ttft-top.ttft > r.breaks(q) {
+	if wide || gated == nil || gated.ttft-top.ttft > r.maxAffinityPenalty(q) {
 		return top
 	}
 	return gated
 }
 
-// atHomeTokens are the prompt tokens that the request's home is expected to keep, and other engines not.
-func (r *Router) atHomeTokens(q *request) float64 {
-	kept := r.assumed(q) * q.PromptTokens
+// homeAdvantage are the prompt tokens that the request's home is expected to keep, and other engines not.
+func (r *Router) homeAdvantage(q *request) float64 {
+	kept := r.expectedMatch(q) * q.PromptTokens
 	if q.byPrefix {
 		return kept
 	}
@@ -59,31 +59,31 @@
 		if gate != nil && !gate(o) {
 			continue
 		}
-		better := best == nil || o.ok && !best.ok
-		if better || o.ok == best.ok && (o.ok && o.head < best.head || !o.ok && o.head > best.head) {
+		better := best == nil || o.hasHeadroom && !best.hasHeadroom
+		if better || o.hasHeadroom == best.hasHeadroom && (o.hasHeadroom && o.headroom < best.headroom || !o.hasHeadroom && o.headroom > best.headroom) {
 			best = o
 		}
 	}
 	return best
 }
 
-// options predicts for every engine that may be used.
-func (r *Router) options(q *request, wide bool) []option {
-	ignore := r.sharedTrouble()
-	aim, c := r.aim(q), r.class(q)
-	left := aim - seconds(r.now-q.at)
+// buildOptions predicts for every engine that may be used.
+func (r *Router) buildOptions(q *request, wide bool) []option {
+	ignore := r.hasSharedFault()
+	aim, c := r.latencyObjective(q), r.class(q)
+	left := aim - seconds(r.now-q.arrivedAt)
 	some := r.usable(q, r.sample(q), ignore)
 	if len(some) == 0 {
 		some = r.usable(q, r.ready, ignore)
 	}
 	if len(q.attempts) > 0 { // not where it failed, nor in a zone that it could not reach, if others do
-		some = prefer(some, func(e *engine) bool { return !q.tried(e) })
+		some = prefer(some, func(e *engine) bool { return !q.wasTriedAt(e) })
 		some = prefer(some, func(e *engine) bool { return q.mayReach(e) })
 	}
 	some = prefer(some, func(e *engine) bool { return !e.Stale })
-	some = prefer(some, func(e *engine) bool { return e.due })
+	some = prefer(some, func(e *engine) bool { return e.reinstated })
 	// A thin gateway uses its budget for a cold engine with the first request that may.
-	if r.thin() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
+	if r.isSparse() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
 		some = prefer(some, func(e *engine) bool { return e.coldAt != 0 })
 	}
 	if q.Pool != 0 { // a pool in which nothing will do falls over to the others at once
@@ -91,119 +91,119 @@
 	}
 	slices.SortStableFunc(some, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
 	// The more of the traffic this gateway sees, the more of the fleet it can tell apart.
-	scored := max(sampleSize, len(some)/max(1, r.set.Balancers))
-	all := r.all[:0]
+	scored := max(sampleSize, len(some)/max(1, r.settings.Balancers))
+	all := r.options[:0]
 	for i, c := range some {
 		if i < scored || c.match >= gateMatch || wide {
-			all = append(all, option{e: c.e, match: c.match, home: i == 0})
+			all = append(all, option{engine: c.engine, match: c.match, home: i == 0})
 		}
 	}
 	for i := range all {
 		o := &all[i]
-		if _, told := q.told[o.e]; o.home && !told && (q.Session != 0 || q.byPrefix) {
-			o.match = max(o.match, min(gateMatch-0.01, r.assumed(q)))
+		if _, told := q.keptByEngine[o.engine]; o.home && !told && (q.Session != 0 || q.byPrefix) {
+			o.match = max(o.match, min(gateMatch-0.01, r.expectedMatch(q)))
 		}
 		r.predict(q, o)
 		if aim > 0 {
-			o.head = ttftWeight * (left - o.wide) / aim
-			room := (left - o.wide) / aim
+			o.headroom = ttftWeight * (left - o.ttftUpper) / aim
+			room := (left - o.ttftUpper) / aim
 			if c.TPOTAim > 0 {
-				pace := 1 - o.slow/seconds(c.TPOTAim)
-				o.head += (1 - ttftWeight) * pace
+				pace := 1 - o.paceUpper/seconds(c.TPOTAim)
+				o.headroom += (1 - ttftWeight) * pace
 				room = min(room, pace)
 			}
-			o.ok = room > 1-(1-reserve)*math.Sqrt(min(1, reserveFew/float64(len(all))))
+			o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(min(1, headroomReserveEngines/float64(len(all))))
 		} else {
-			o.head = -ttftWeight*o.wide - (1-ttftWeight)*o.slow*q.MaxTokens
+			o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.paceUpper*q.MaxTokens
 		}
 	}
-	r.all = all
+	r.options = all
 	return all
 }
 
 // usable are the engines that the rules and their state let a request go to.
 func (r *Router) usable(q *request, among []*engine, ignore bool) []candidate {
-	some, home := r.some[:0], r.atHome(q)
+	some, home := r.candidates[:0], r.prefersOwnZone(q)
 	for _, e := range among {
-		if r.mayUse(q, e) && r.coldRoom(e) && !r.shut(e, ignore) {
+		if r.mayUse(q, e) && r.hasColdBudget(e) && !r.isExcluded(e, ignore) {
 			c := candidate{e, r.match(q, e), rank(q.key(), e)}
-			if home && !r.near(e) { // below all of the own zone, in their own order
+			if home && !r.isInOwnZone(e) { // below all of the own zone, in their own order
 				c.rank = -1 / c.rank
 			}
 			some = append(some, c)
 		}
 	}
-	r.some = some
+	r.candidates = some
 	return some
 }
 
 // prefer keeps the candidates that the test lets through, or all where it lets none through.
 func prefer(all []candidate, test func(*engine) bool) []candidate {
-	if !slices.ContainsFunc(all, func(c candidate) bool { return test(c.e) }) {
+	if !slices.ContainsFunc(all, func(c candidate) bool { return test(c.engine) }) {
 		return all
 	}
-	return slices.DeleteFunc(all, func(c candidate) bool { return !test(c.e) })
+	return slices.DeleteFunc(all, func(c candidate) bool { return !test(c.engine) })
 }
 
-// thin tells that this gateway weighs a given engine but seldom, and so knows little of its load.
-func (r *Router) thin() bool {
-	return r.rate*sampleSize*thinWait*seconds(r.set.WarmUp) < float64(len(r.ready))
+// isSparse tells that this gateway weighs a given engine but seldom, and so knows little of its load.
+func (r *Router) isSparse() bool {
+	return r.requestRate*sampleSize*sparseWait*seconds(r.settings.WarmUp) < float64(len(r.ready))
 }
 
-// atHome tells whether the session is ranked in the own zone first: none where crossing is free, else all
+// prefersOwnZone tells whether the session is ranked in the own zone first: none where crossing is free, else all
 // but what the own zone lacks of an even share of the fleet's size. While engines are cold a thin gateway
 // cannot see whether its zone bears its traffic, and all of that zone would press on what is left together.
-func (r *Router) atHome(q *request) bool {
-	spill := 1 - r.ownPart*float64(r.set.Zones)
-	if r.thin() && r.now < r.coldUntil {
-		spill = max(spill, thinSpill)
+func (r *Router) prefersOwnZone(q *request) bool {
+	spill := 1 - r.ownZoneFraction*float64(r.settings.Zones)
+	if r.isSparse() && r.now < r.fleetWarmAt {
+		spill = max(spill, sparseSpill)
 	}
 	if q.byPrefix {
 		return false // one home for all gateways: a second copy of a long beginning costs more than crossings
 	}
-	return r.set.CrossZonePrice > r.blindCross() && r.set.Zones > 1 && unit(mix(q.key(), prefixSalt)) >= spill
+	return r.settings.CrossZonePrice > r.ownZonePrice() && r.settings.Zones > 1 && unit(mix(q.key(), prefixSalt)) >= spill
 }
 
 // candidate is an engine that a request may go to, before anything is predicted of it.
 type candidate struct {
-	e     *engine
-	match float64 // share of the prompt that it is taken to keep
-	rank  float64
+	engine *engine
+	match  float64 // share of the prompt that it is taken to keep
+	rank   float64
 }
 
 type option struct {
-	e     *engine
-	x     vec
-	match float64
-	home  bool
+	engine   *engine
+	features vec
+	match    float64
+	home     bool
 	// Predicted seconds to the first token by what registrars told, before that is weighed; 0: nothing was
 	// told.
-	soonest    float64
-	ttft, wide float64 // predicted seconds to the first token; and widened by the measured error
-	pace       float64
-	slow       float64 // that widened likewise
-	head       float64
-	ok         bool // headroom is positive
+	unloadedTTFT    float64
+	ttft, ttftUpper float64 // predicted seconds to the first token; and widened by the measured error
+	pace            float64
+	paceUpper       float64 // that widened likewise
+	headroom        float64
+	hasHeadroom     bool // headroom is positive
 }
 
-// part is an engine's registered size, in that of the ready ones' mean.
-func (r *Router) part(e *engine) float64 {
+// relativeSize is an engine's registered size, in that of the ready ones' mean.
+func (r *Router) relativeSize(e *engine) float64 {
 	if !(e.Size > 0) || !(r.meanSize > 0) {
 		return 1
 	}
 	return e.Size / r.meanSize
 }
 
-func (r *Router) near(e *engine) bool { return e.Zone == r.set.Zone }
+func (r *Router) isInOwnZone(e *engine) bool { return e.Zone == r.settings.Zone }
 
-// breaks is how far, in seconds, the gated best may trail the best overall: where no load is told no further
+// maxAffinityPenalty is how far, in seconds, the gated best may trail the best overall: where no load is told no further
 // than the aim, for what is known of it comes from waits that are over.
-func (r *Router) breaks(q *request) float64 {
-	if len(q.told) > 0 {
-		return toldBreak
+func (r *Router) maxAffinityPenalty(q *request) float64 {
+	if len(q.keptByEngine) > 0 {
+		return directoryAffinityPenalty
 	}
-	if aim := r.aim(q); r.blind() && aim > 0 {
-		return min(breakTTFT, aim)
+	if aim := r.latencyObjective(q); r.lacksReports() && aim > 0 {
+		return min(maxAffinityTTFT, aim)
 	}
-	return breakTTFT
+	return maxAffinityTTFT
 }
--- a/backlog.go
+++ b/prefill_backlog.go
@@ -5,12 +5,12 @@
 import "math"
 
 const (
-	pendingMost = 512 // prompts that are counted as unread at one engine
-	pendingKeep = 10 * second
-	busySpan    = 3.0 // seconds over which the part of its time that an engine reads is taken
-	speedPart   = 0.2 // of a sample in an engine's reading speed
-	speedLeast  = 0.2 // of the speed that is assumed at first, and the inverse the most
-	speedTokens = 500 // read at once that show a speed
+	maxPending     = 512 // prompts that are counted as unread at one engine
+	pendingTimeout = 10 * second
+	readingSpan    = 3.0 // seconds over which the part of its time that an engine reads is taken
+	speedWeight    = 0.2 // of a sample in an engine's reading speed
+	minSpeedFactor = 0.2 // of the speed that is assumed at first, and the inverse the most
+	minSpeedTokens = 500 // read at once that show a speed
 )
 
 // assumedSpeed is how many tokens a second an engine reads until that is known; the prior of the first-token
@@ -72,7 +72,7 @@
 // expire drops prompts of which nobody has told an end.
 func (b *backlog) expire(now int64) {
 	old := 0
-	for old < len(b.prompts) && now-b.prompts[old].at > pendingKeep {
+	for old < len(b.prompts) && now-b.prompts[old].at > pendingTimeout {
 		old++
 	}
 	if old > 0 {
@@ -83,15 +83,15 @@
 // reading is the part of its time that the engine reads prompts, over the latest seconds. Nothing is made of
 // answers meanwhile.
 func (b *backlog) reading(now int64) float64 {
-	return b.busy * math.Exp(-seconds(now-b.busyAt)/busySpan)
+	return b.busy * math.Exp(-seconds(now-b.busyAt)/readingSpan)
 }
 
 func (b *backlog) add(p pendingPrompt) {
-	b.busy, b.busyAt = b.reading(p.at)+p.tokens/b.rate()/busySpan, p.at
+	b.busy, b.busyAt = b.reading(p.at)+p.tokens/b.rate()/readingSpan, p.at
 	if len(b.prompts) == 0 {
 		b.since = p.at
 	}
-	if len(b.prompts) < pendingMost {
+	if len(b.prompts) < maxPending {
 		b.prompts = append(b.prompts, p)
 	}
 }
@@ -110,9 +110,9 @@
 		for _, before := range b.prompts[:i+1] {
 			tokens += before.tokens
 		}
-		if took := seconds(now - b.since); tokens >= speedTokens && took > 0 {
-			sample := min(assumedSpeed/speedLeast, max(assumedSpeed*speedLeast, tokens/took))
-			b.speed = b.rate() + speedPart*(sample-b.rate())
+		if took := seconds(now - b.since); tokens >= minSpeedTokens && took > 0 {
+			sample := min(assumedSpeed/minSpeedFactor, max(assumedSpeed*minSpeedFactor, tokens/took))
+			b.speed = b.rate() + speedWeight*(sample-b.rate())
 		}
 		b.prompts, b.since = b.prompts[i+1:], now
 		return
--- a/probes.go
+++ b/probes.go
@@ -3,28 +3,28 @@
 // Probes, where they are allowed.
 
 func (r *Router) probe() {
-	if !r.set.Probes || r.set.Reports == ReportNone || len(r.ready) == 0 ||
-		r.rng.Float64() > min(1, r.rate*seconds(tickEvery)) {
+	if !r.settings.Probes || r.settings.Reports == ReportNone || len(r.ready) == 0 ||
+		r.rng.Float64() > min(1, r.requestRate*seconds(tickInterval)) {
 		return
 	}
 	var oldest *engine
 	for _, e := range r.ready {
-		may := !e.probing && (r.near(e) || r.set.CrossZonePrice <= 0)
+		may := !e.probing && (r.isInOwnZone(e) || r.settings.CrossZonePrice <= 0)
 		if may && (oldest == nil || e.probedAt < oldest.probedAt) {
 			oldest = e
 		}
 	}
 	if oldest != nil {
 		oldest.probing, oldest.probedAt = true, r.now
-		r.do(Action{Kind: Probe, Engine: oldest.Name})
+		r.emit(Action{Kind: Probe, Engine: oldest.Name})
 	}
 }
 
 func (r *Router) onProbed(ev *Probed) {
 	if e := r.engines[ev.Engine]; e != nil {
 		if e.probing = false; ev.OK {
-			e.heard = r.now
-			if ev.Report != nil && r.set.Reports != ReportNone {
+			e.lastSignOfLife = r.now
+			if ev.Report != nil && r.settings.Reports != ReportNone {
 				r.takeReport(e, ev.Report)
 			}
 		}
--- a/fit.go
+++ b/regression.go
@@ -21,11 +21,11 @@
 // model is a ridge fit over coarse buckets, each a small sliding window, so that a regime not seen lately
 // is not forgotten. The ridge pulls towards base: the fleet's fit for a kind, the prior for the fleet.
 type model struct {
-	buckets [10 * 4 * 3]bucket
-	base    vec
-	coef    vec
-	fresh   int
-	err     float64 // mean relative error
+	buckets         [10 * 4 * 3]bucket
+	base            vec
+	coef            vec
+	samplesSinceFit int
+	err             float64 // mean relative error
 }
 
 func (m *model) init(prior vec) { m.base, m.coef, m.err = prior, prior, 0.5 }
@@ -49,13 +49,13 @@
 		b.ring[b.next] = sample{*x, y}
 		b.next = (b.next + 1) % bucketDepth
 	}
-	m.fresh++
+	m.samplesSinceFit++
 }
 
 // fit solves the weighted ridge around base; samples count in inverse square of their base prediction, so
 // that long waits do not drown short ones. Load never makes a prediction smaller.
 func (m *model) fit(base vec) {
-	m.base, m.fresh = base, 0
+	m.base, m.samplesSinceFit = base, 0
 	var a [ttftFeatures][ttftFeatures + 1]float64
 	for bi := range m.buckets {
 		for _, s := range m.buckets[bi].ring {
--- a/request.go
+++ b/request.go
@@ -7,279 +7,279 @@
 )
 
 const (
-	comeLeast = 0.3 // seconds after which a refused client may come again at the earliest
+	minRetryAfter = 0.3 // seconds after which a refused client may come again at the earliest
 	// Of a prompt from which a shared beginning, not the session, says where the request is at home.
-	prefixShare  = 0.5
-	overdueTimes = 4.0      // a first token later than so many predictions is a sign of trouble
-	overdueLeast = 800 * ms // and never sooner than this
-	retryShare   = 0.15     // further attempts per request, on average
+	prefixHomeFraction    = 0.5
+	overdueFactor         = 4.0      // a first token later than so many predictions is a sign of trouble
+	minOverdue            = 800 * ms // and never sooner than this
+	retryBudgetPerRequest = 0.15     // further attempts per request, on average
 )
 
 func (r *Router) onRequest(ev *Request) {
-	q := &request{Request: *ev, at: r.now}
+	q := &request{Request: *ev, arrivedAt: r.now}
 	q.PromptTokens = max(1, clamp(q.PromptTokens, 1e9))
 	q.PrefixTokens = clamp(q.PrefixTokens, q.PromptTokens)
 	q.MaxTokens = max(1, clamp(q.MaxTokens, 1e9))
 	if q.Prefix == 0 {
 		q.PrefixTokens = 0
 	}
-	r.burdens.add(r.burden(q), burdenRate)
-	q.byPrefix = r.shares(q) && q.Prefix != 0 && q.PrefixTokens >= prefixShare*q.PromptTokens
-	r.open[q.ID] = q
-	r.retries = min(retryBurst, r.retries+retryShare)
-	if r.tooPoor(q) {
-		r.end(q)
+	r.prefillBurden.add(r.prefillBurdenOf(q), prefillBurdenWeight)
+	q.byPrefix = r.usesDirectory(q) && q.Prefix != 0 && q.PrefixTokens >= prefixHomeFraction*q.PromptTokens
+	r.requests[q.ID] = q
+	r.retryBudget = min(maxRetryBudget, r.retryBudget+retryBudgetPerRequest)
+	if r.shedsForDensity(q) {
+		r.finalAnswer(q)
 		return
 	}
-	r.count()
-	r.do(Action{Kind: Timer, Wait: max(0, q.Expires-r.now-2*r.set.Tick), Token: q.ID*tokenStep + tokenExpire})
+	r.countRequest()
+	r.emit(Action{Kind: Timer, Wait: max(0, q.Expires-r.now-2*r.settings.Tick), Token: q.ID*tokenStep + tokenExpire})
 	if !r.consult(q) {
-		r.place(q)
+		r.dispatch(q)
 	}
 }
 
-// place sends the request where the pick says, holds it while no engine will do, or ends it.
-func (r *Router) place(q *request) {
-	if q.done || q.begun != nil {
+// dispatch sends the request where the pick says, holds it while no engine will do, or ends it.
+func (r *Router) dispatch(q *request) {
+	if q.settled || q.claimed != nil {
 		return
 	}
-	if len(q.attempts) >= max(1, r.set.MaxAttempts) || r.hopeless(q) || r.barred(q) {
-		r.end(q)
+	if len(q.attempts) >= max(1, r.settings.MaxAttempts) || r.isWorthless(q) || r.mayNotRepeat(q) {
+		r.finalAnswer(q)
 		return
 	}
 	best := r.pick(q)
 	if best == nil {
-		if q.outstanding() == 0 && !q.held {
+		if q.attemptsInFlight() == 0 && !q.held {
 			q.held, r.held = true, append(r.held, q)
 		}
 		return
 	}
-	if len(q.attempts) == 0 && r.inVain(q, best) {
-		r.end(q)
+	if len(q.attempts) == 0 && r.isFutile(q, best) {
+		r.finalAnswer(q)
 		return
 	}
 	if aim := seconds(r.class(q).TPOTAim); aim > 0 && len(q.attempts) == 0 {
-		r.pressed(best.e, best.pace > aim || len(q.told) > 0 && (best.slow > aim || best.wide > r.aim(q)))
+		r.adjustShedding(best.engine, best.pace > aim || len(q.keptByEngine) > 0 && (best.paceUpper > aim || best.ttftUpper > r.latencyObjective(q)))
 	}
 	r.send(q, best)
 }
 
 func (r *Router) send(q *request, o *option) {
-	e := o.e
-	a := &attempt{q: q, leg: len(q.attempts), e: e, sent: r.now, x: o.x, ttft: o.ttft, match: o.match,
-		home: o.home, due: e.due, out: true, ran: true}
+	e := o.engine
+	a := &attempt{request: q, number: len(q.attempts), engine: e, sent: r.now, features: o.features, ttft: o.ttft, match: o.match,
+		home: o.home, reinstated: e.reinstated, inFlight: true, mayHaveRun: true}
 	q.attempts, q.held = append(q.attempts, a), false
-	e.out++
-	e.tokens += q.PromptTokens
-	e.sentTokens = r.sentUnread(e) + q.PromptTokens*(1-o.match)
+	e.attemptsInFlight++
+	e.tokensInFlight += q.PromptTokens
+	e.sentUnread = r.sentUnread(e) + q.PromptTokens*(1-o.match)
 	e.sentAt = r.now
-	e.waiting = append(e.waiting, a)
-	e.trialAt, e.due = r.now, false
+	e.unanswered = append(e.unanswered, a)
+	e.trialAt, e.reinstated = r.now, false
 	if e.coldAt != 0 {
 		e.coldTokens--
 	}
 	r.remember(q, e, q.PromptTokens)
-	r.tellSent(a)
-	r.do(Action{Kind: Send, Request: q.ID, Engine: e.Name, Until: q.Expires, By: r.begunBy(q)})
+	r.notifySent(a)
+	r.emit(Action{Kind: Send, Request: q.ID, Engine: e.Name, Until: q.Expires, By: r.beginBy(q)})
 }
 
 // unsend takes back what was noted as the attempt was decided on: nothing of it reached its engine.
 func (r *Router) unsend(a *attempt) {
-	e := a.e
+	e := a.engine
 	if e.coldAt != 0 {
 		e.coldTokens++
 	}
-	e.sentTokens = max(0, r.sentUnread(e)-a.q.PromptTokens*(1-a.match))
+	e.sentUnread = max(0, r.sentUnread(e)-a.request.PromptTokens*(1-a.match))
 	e.sentAt = r.now
-	e.due = e.due || a.due
-	r.disown(a)
+	e.reinstated = e.reinstated || a.reinstated
+	r.forgetMatch(a)
 }
 
-func (r *Router) onFirst(ev *FirstToken) {
+func (r *Router) onFirstToken(ev *FirstToken) {
 	q, a := r.attempt(ev.Request, ev.Attempt)
 	if a == nil {
 		return
 	}
-	a.first = r.now
-	r.tellEnd(a, true)
-	r.alive(a)
+	a.firstTokenAt = r.now
+	r.notifyEnd(a, true)
+	r.recordSignOfLife(a)
 	r.observeTTFT(a, seconds(ev.Elapsed))
-	if aim := r.aim(q); aim > 0 && a.leg == 0 { // a miss after a failed attempt is not the fleet's load
-		r.pressed(a.e, seconds(r.now-q.at) > aim)
+	if aim := r.latencyObjective(q); aim > 0 && a.number == 0 { // a miss after a failed attempt is not the fleet's load
+		r.adjustShedding(a.engine, seconds(r.now-q.arrivedAt) > aim)
 	}
-	if q.done {
+	if q.settled {
 		return
 	}
-	q.begun = a
+	q.claimed = a
 	r.streams++
-	r.begun, r.begunAt = r.usualStreams()+1, r.now
+	r.expectedStreams, r.expectedStreamsAt = r.usualStreams()+1, r.now
 	r.cancelOthers(q, a)
 }
 
 // cancelOthers stops waiting for the attempts that lost.
 func (r *Router) cancelOthers(q *request, winner *attempt) {
-	if !r.set.Cancel {
+	if !r.settings.Cancel {
 		return
 	}
 	for _, a := range q.attempts {
-		if a != winner && a.out && !a.calling && a.first == 0 {
-			a.calling = true
-			r.do(Action{Kind: Cancel, Request: q.ID, Attempt: a.leg})
+		if a != winner && a.inFlight && !a.cancelling && a.firstTokenAt == 0 {
+			a.cancelling = true
+			r.emit(Action{Kind: Cancel, Request: q.ID, Attempt: a.number})
 		}
 	}
 }
 
 func (r *Router) onOutcome(ev *Outcome) {
 	q, a := r.attempt(ev.Request, ev.Attempt)
-	if a == nil || !a.out {
+	if a == nil || !a.inFlight {
 		return
 	}
-	if ev.Report != nil && r.set.Reports == ReportReplies {
-		r.takeReport(a.e, ev.Report)
+	if ev.Report != nil && r.settings.Reports == ReportReplies {
+		r.takeReport(a.engine, ev.Report)
 	}
-	a.out, a.code, a.ran, a.e.out = false, ev.Code, !ev.Code.NeverRan(), a.e.out-1
-	a.e.tokens = max(0, a.e.tokens-q.PromptTokens)
-	if q.begun == a {
+	a.inFlight, a.code, a.mayHaveRun, a.engine.attemptsInFlight = false, ev.Code, !ev.Code.NeverRan(), a.engine.attemptsInFlight-1
+	a.engine.tokensInFlight = max(0, a.engine.tokensInFlight-q.PromptTokens)
+	if q.claimed == a {
 		r.streams--
 	}
-	r.tellEnd(a, false)
+	r.notifyEnd(a, false)
 	r.dropWaiting(a)
-	r.unanswered(a, ev.Code)
+	r.recordVainWait(a, ev.Code)
 	switch ev.Code {
 	case Served:
-		r.alive(a)
+		r.recordSignOfLife(a)
 		r.observeServed(a, ev)
 	case ServerError, TurnedAway, ConnectionLost: // one connection is not the engine: the next connect tells
 		if !ev.Local {
-			r.refused(a, ev.Code)
+			r.recordRejection(a, ev.Code)
 		}
 	case NotSent:
 		r.unsend(a)
 	case NoAnswer, NoConnection:
 		if ev.Code == NoConnection || a.overdue(r.now) {
-			r.suspect(a.e, ev.Code == NoConnection)
+			r.suspect(a.engine, ev.Code == NoConnection)
 		}
 	}
-	if ev.Last || (ev.Code == Served && !q.done) || (q.begun == a && !q.done) {
+	if ev.Last || (ev.Code == Served && !q.settled) || (q.claimed == a && !q.settled) {
 		r.finish(q, a)
 	}
-	if q.done {
-		r.forget(q)
-	} else if q.begun == nil {
-		r.again(q, ev.Code)
+	if q.settled {
+		r.release(q)
+	} else if q.claimed == nil {
+		r.afterFailure(q, ev.Code)
 	}
 }
 
-// again decides what follows an attempt that failed.
-func (r *Router) again(q *request, code Code) {
-	if q.outstanding() > 0 {
+// afterFailure decides what follows an attempt that failed.
+func (r *Router) afterFailure(q *request, code Code) {
+	if q.attemptsInFlight() > 0 {
 		return
 	}
 	paid := code == NotSent || code == Cancelled // it cost nothing, or was paid for as it was called off
-	poor := r.retries < 1 && code != NoConnection && !paid
-	if poor || r.now >= q.Expires-2*r.set.Tick || r.hopeless(q) {
-		r.end(q)
+	poor := r.retryBudget < 1 && code != NoConnection && !paid
+	if poor || r.now >= q.Expires-2*r.settings.Tick || r.isWorthless(q) {
+		r.finalAnswer(q)
 		return
 	}
 	if !paid {
-		r.retries--
+		r.retryBudget--
 	}
-	r.place(q)
+	r.dispatch(q)
 }
 
-// hopeless tells that no worth is left to earn.
-func (r *Router) hopeless(q *request) bool {
-	return r.class(q).LateWorth <= 0 && r.aim(q) > 0 && seconds(r.now-q.at) > r.aim(q)
+// isWorthless tells that no worth is left to earn.
+func (r *Router) isWorthless(q *request) bool {
+	return r.class(q).LateWorth <= 0 && r.latencyObjective(q) > 0 && seconds(r.now-q.arrivedAt) > r.latencyObjective(q)
 }
 
-// end gives the final answer: a refusal where that is true, else a failure.
-func (r *Router) end(q *request) {
-	if q.done || q.begun != nil {
+// finalAnswer gives the final answer: a refusal where that is true, else a failure.
+func (r *Router) finalAnswer(q *request) {
+	if q.settled || q.claimed != nil {
 		return
 	}
 	kind := Fail
 	if r.mayShed(q) {
 		kind = Shed
 	}
-	r.do(Action{Kind: kind, Request: q.ID, Wait: r.comeBack(kind)})
+	r.emit(Action{Kind: kind, Request: q.ID, Wait: r.retryAfter(kind)})
 	r.finish(q, nil)
 }
 
-// comeBack is when a client that was refused should try again: once the part that is refused has faded.
-func (r *Router) comeBack(kind ActionKind) int64 {
-	if kind != Shed || !r.set.RetryAfter {
+// retryAfter is when a client that was refused should try again: once the part that is refused has faded.
+func (r *Router) retryAfter(kind ActionKind) int64 {
+	if kind != Shed || !r.settings.RetryAfter {
 		return 0
 	}
-	return min(r.set.MaxRetryAfter, int64(max(comeLeast, r.cut/cutFade)*1e9))
+	return min(r.settings.MaxRetryAfter, int64(max(minRetryAfter, r.shedFraction/shedDecay)*1e9))
 }
 
 // finish marks the request as over; it is forgotten once its last attempt has ended.
 func (r *Router) finish(q *request, winner *attempt) {
-	if !q.done {
-		q.done, q.held = true, false
-		delete(r.waiting, uint32(q.ID))
+	if !q.settled {
+		q.settled, q.held = true, false
+		delete(r.awaitingDirectory, uint32(q.ID))
 		r.cancelOthers(q, winner)
 	}
-	r.forget(q)
+	r.release(q)
 }
 
 func (r *Router) drainHeld() {
 	waiting := r.held
 	r.held = nil
 	for _, q := range waiting {
-		if !q.done && q.held {
+		if !q.settled && q.held {
 			q.held = false
-			r.place(q)
+			r.dispatch(q)
 		}
 	}
 }
 
 type attempt struct {
-	q       *request
-	leg     int
-	e       *engine
-	sent    int64
-	x       vec
-	ttft    float64 // predicted, seconds
-	match   float64
-	home    bool // chosen as the session's assumed home
-	due     bool // its engine was put back by hand, and not in use since
-	listed  bool // its engine's registrar counts its prompt as unread
-	out     bool // no outcome yet
-	code    Code // how it ended
-	ran     bool // may have run
-	first   int64
-	calling bool // cancel asked for
+	request      *request
+	number       int
+	engine       *engine
+	sent         int64
+	features     vec
+	ttft         float64 // predicted, seconds
+	match        float64
+	home         bool // chosen as the session's assumed home
+	reinstated   bool // its engine was put back by hand, and not in use since
+	inDirectory  bool // its engine's registrar counts its prompt as unread
+	inFlight     bool // no outcome yet
+	code         Code // how it ended
+	mayHaveRun   bool // may have run
+	firstTokenAt int64
+	cancelling   bool // cancel asked for
 }
 
 type request struct {
 	Request
-	at       int64
-	attempts []*attempt
-	begun    *attempt
-	done     bool // final answer given or known
-	held     bool // waiting for an engine
+	arrivedAt int64
+	attempts  []*attempt
+	claimed   *attempt
+	settled   bool // final answer given or known
+	held      bool // waiting for an engine
 	// Its home hangs on its shared beginning, which is the larger part of its prompt.
-	byPrefix  bool
-	consulted bool                // registrars were asked
-	askedOf   []*engine           // those of which nothing has been told yet
-	told      map[*engine]float64 // prompt tokens kept, as registrars told
+	byPrefix       bool
+	consulted      bool                // registrars were asked
+	awaitedEngines []*engine           // those of which nothing has been told yet
+	keptByEngine   map[*engine]float64 // prompt tokens kept, as registrars told
 }
 
-func (q *request) outstanding() int {
+func (q *request) attemptsInFlight() int {
 	n := 0
 	for _, a := range q.attempts {
-		if a.out {
+		if a.inFlight {
 			n++
 		}
 	}
 	return n
 }
 
-// tried tells that an attempt of the request went to e.
-func (q *request) tried(e *engine) bool {
+// wasTriedAt tells that an attempt of the request went to e.
+func (q *request) wasTriedAt(e *engine) bool {
 	for _, a := range q.attempts {
-		if a.e == e {
+		if a.engine == e {
 			return true
 		}
 	}
@@ -290,7 +290,7 @@
 // that belongs to a pool looks for others there alone.
 func (q *request) mayReach(e *engine) bool {
 	for _, a := range q.attempts {
-		if !a.out && a.code == NoConnection && a.e.Zone == e.Zone {
+		if !a.inFlight && a.code == NoConnection && a.engine.Zone == e.Zone {
 			return false
 		}
 	}
@@ -308,61 +308,61 @@
 	return uint64(q.ID)
 }
 
-func (r *Router) forget(q *request) {
-	if q.outstanding() == 0 {
-		delete(r.open, q.ID)
+func (r *Router) release(q *request) {
+	if q.attemptsInFlight() == 0 {
+		delete(r.requests, q.ID)
 	}
 }
 
 func (r *Router) class(q *request) *Class {
-	if q.Class < 0 || q.Class >= len(r.set.Classes) {
+	if q.Class < 0 || q.Class >= len(r.settings.Classes) {
 		return &Class{Effect: Unsafe}
 	}
-	return &r.set.Classes[q.Class]
+	return &r.settings.Classes[q.Class]
 }
 
 func (r *Router) classIndex(q *request) int {
-	if q.Class < 0 || q.Class >= len(r.gain) {
-		return len(r.gain) - 1
+	if q.Class < 0 || q.Class >= len(r.sessionGain) {
+		return len(r.sessionGain) - 1
 	}
 	return q.Class
 }
 
-// aim is the time wanted to the first token, in seconds from arrival; 0: none.
-func (r *Router) aim(q *request) float64 {
+// latencyObjective is the time wanted to the first token, in seconds from arrival; 0: none.
+func (r *Router) latencyObjective(q *request) float64 {
 	c := r.class(q)
 	return seconds(c.TTFTAim) + seconds(c.AimPer1000)*q.PromptTokens/1000
 }
 
 func (a *attempt) overdue(now int64) bool {
-	return now-a.sent > max(overdueLeast, int64(overdueTimes*a.ttft*1e9))
+	return now-a.sent > max(minOverdue, int64(overdueFactor*a.ttft*1e9))
 }
 
 // attempt is one of a request's, and the request; nil where there is none such.
 func (r *Router) attempt(id int64, leg int) (*request, *attempt) {
-	q := r.open[id]
+	q := r.requests[id]
 	if q == nil || leg < 0 || leg >= len(q.attempts) {
 		return nil, nil
 	}
 	return q, q.attempts[leg]
 }
 
-// barred tells that no attempt may follow, wherever: one may have run whose class must not be repeated, or
+// mayNotRepeat tells that no attempt may follow, wherever: one may have run whose class must not be repeated, or
 // not any more.
-func (r *Router) barred(q *request) bool {
+func (r *Router) mayNotRepeat(q *request) bool {
 	c := r.class(q)
-	return q.outstanding() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
-		return a.ran && (c.Effect == Unsafe || c.Effect == Keyed && r.now-a.sent >= c.Window)
+	return q.attemptsInFlight() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
+		return a.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && r.now-a.sent >= c.Window)
 	})
 }
 
-// begunBy is the moment from which a further attempt of the request may not begin any more; 0: there is none.
+// beginBy is the moment from which a further attempt of the request may not begin any more; 0: there is none.
 // A repeat that is decided on in time may still be on its way to a connection when the window closes.
-func (r *Router) begunBy(q *request) int64 {
+func (r *Router) beginBy(q *request) int64 {
 	by, c := int64(0), r.class(q)
 	for _, a := range q.attempts {
-		until := a.sent + c.Window - 2*r.set.Tick
-		if a.ran && !a.out && c.Effect == Keyed && (by == 0 || until < by) {
+		until := a.sent + c.Window - 2*r.settings.Tick
+		if a.mayHaveRun && !a.inFlight && c.Effect == Keyed && (by == 0 || until < by) {
 			by = until
 		}
 	}
--- a/router.go
+++ b/router.go
@@ -1,9 +1,10 @@
 package standpoint
 
-// The router takes events and hands them to where they are decided on. Reading order: discovery.go,
-// request.go, admission.go, rules.go, slowstart.go, placement.go with sampling.go, affinity.go, directory.go
-// and prediction.go, health.go, probes.go, blind.go. Events, actions and settings are in api.go; state.go
-// says what is remembered.
+// The Router takes events and hands them to the code that decides on them. The files, in reading order: discovery.go
+// (the endpoint list), request.go (a request's attempts), admission.go (load shedding), eligibility.go (what may be
+// sent), slow_start.go, placement.go with sampling.go (choosing a backend), affinity.go (cached prompts), directory.go
+// and prefill_backlog.go (the load directory), prediction.go with regression.go, health.go, probes.go and
+// unreported_load.go. Events, actions and settings are in api.go; state.go says what is remembered.
 
 import (
 	"math/rand/v2"
@@ -14,21 +15,21 @@
 	ms     = int64(1e6)
 	second = int64(1e9)
 
-	wholeFleet  = 64      // a fleet up to this size is gone over whole for each request
-	densities   = 64      // requests that a new one's worth for its work is ranked among
-	cutDown     = 4.0     // aims met that undo one missed
-	cutFade     = 0.15    // fall of the refused part in a second
-	tickEvery   = 50 * ms // pace of the health, probe and queue rounds
-	bucketDepth = 10      // samples kept in one bucket
-	retryBurst  = 2.0     // and how many may come at once
-	hedgeCut    = 0.1     // refused part from which no second copies are sent
+	maxFullScan       = 64      // a fleet up to this size is gone over whole for each request
+	rankedRequests    = 64      // requests that a new one's worth for its work is ranked among
+	metPerMissed      = 4.0     // aims met that undo one missed
+	shedDecay         = 0.15    // fall of the refused part in a second
+	tickInterval      = 50 * ms // pace of the health, probe and queue rounds
+	bucketDepth       = 10      // samples kept in one bucket
+	maxRetryBudget    = 2.0     // and how many may come at once
+	maxShedForHedging = 0.1     // refused part from which no second copies are sent
 
-	gapStart     = 0.03 // seconds; first guess of the token gap where no class has an aim
-	gapShare     = 0.6  // else this part of the tightest aim, which a healthy fleet keeps
-	ttftFeatures = 7    // see features
-	priorWeight  = 2.0  // ridge strength, in samples of ordinary size
-	sessionSalt  = 0x9e3779b97f4a7c15
-	prefixSalt   = 0xc2b2ae3d27d4eb4f
+	initialTokenGap  = 0.03 // seconds; first guess of the token gap where no class has an aim
+	tokenGapFraction = 0.6  // else this part of the tightest aim, which a healthy fleet keeps
+	ttftFeatures     = 7    // see features
+	priorWeight      = 2.0  // ridge strength, in samples of ordinary size
+	sessionSalt      = 0x9e3779b97f4a7c15
+	prefixSalt       = 0xc2b2ae3d27d4eb4f
 )
 
 // Timer tokens: request id times tokenStep plus one of these. Ids stay below 2^52.
@@ -41,31 +42,31 @@
 
 // New returns a router for one gateway.
 func New(settings Settings, seed int64) *Router {
-	r := &Router{set: settings, rng: rand.New(rand.NewPCG(uint64(seed), sessionSalt)), lost: map[int]int{},
-		engines: map[string]*engine{}, open: map[int64]*request{},
-		shortHashes: map[uint32]*engine{}, unanswering: map[int]int64{}, waiting: map[uint32]*request{},
-		retries: retryBurst, trust: 1,
-		tenants: make([]tenantRate, len(settings.Tenants)), cuts: make([]cuts, len(settings.Classes)+1),
-		gain: slices.Repeat([]float64{0.5}, len(settings.Classes)+1),
-		ttft: make([]model, settings.Kinds+1), pace: make([]model, settings.Kinds+1),
-		gaps: make([]mean, len(settings.Classes)+1), gap: gapStart}
-	if aim := r.leastPace(); aim > 0 {
-		r.gap = gapShare * aim
+	r := &Router{settings: settings, rng: rand.New(rand.NewPCG(uint64(seed), sessionSalt)), unreachableByZone: map[int]int{},
+		engines: map[string]*engine{}, requests: map[int64]*request{},
+		enginesByShortHash: map[uint32]*engine{}, silentOwners: map[int]int64{}, awaitingDirectory: map[uint32]*request{},
+		retryBudget: maxRetryBudget, matchTrust: 1,
+		tenants: make([]tenantRate, len(settings.Tenants)), shedRates: make([]classShedRates, len(settings.Classes)+1),
+		sessionGain: slices.Repeat([]float64{0.5}, len(settings.Classes)+1),
+		ttftModels:  make([]model, settings.Kinds+1), paceModels: make([]model, settings.Kinds+1),
+		classGaps: make([]mean, len(settings.Classes)+1), tokenGap: initialTokenGap}
+	if aim := r.tightestTokenGap(); aim > 0 {
+		r.tokenGap = tokenGapFraction * aim
 	}
-	r.table[0], r.table[1] = map[uint64]kept{}, map[uint64]kept{}
-	for i := range r.ttft {
-		r.ttft[i].init(ttftPrior)
-		r.pace[i].init(pacePrior)
+	r.matchTable[0], r.matchTable[1] = map[uint64]matchEntry{}, map[uint64]matchEntry{}
+	for i := range r.ttftModels {
+		r.ttftModels[i].init(ttftPrior)
+		r.paceModels[i].init(pacePrior)
 	}
 	return r
 }
 
 // Handle takes one event and appends what is to be done about it to actions.
 func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
-	r.now, r.acts = now, actions
+	r.now, r.actions = now, actions
 	if !r.ticking {
 		r.ticking = true
-		r.do(Action{Kind: Timer, Wait: tickEvery + r.rng.Int64N(tickEvery), Token: tokenTick})
+		r.emit(Action{Kind: Timer, Wait: tickInterval + r.rng.Int64N(tickInterval), Token: tokenTick})
 	}
 	switch ev := event.(type) {
 	case *EngineList:
@@ -75,9 +76,9 @@
 	case *Outcome:
 		r.onOutcome(ev)
 	case *FirstToken:
-		r.onFirst(ev)
+		r.onFirstToken(ev)
 	case *Left:
-		if q := r.open[ev.Request]; q != nil {
+		if q := r.requests[ev.Request]; q != nil {
 			r.finish(q, nil)
 		}
 	case *Probed:
@@ -89,25 +90,25 @@
 	case *TimerFired:
 		r.onTimer(ev.Token)
 	}
-	actions, r.acts = r.acts, nil
+	actions, r.actions = r.actions, nil
 	return actions
 }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
 func (r *Router) onTimer(token int64) {
-	if q := r.open[token/tokenStep]; token == tokenTick {
+	if q := r.requests[token/tokenStep]; token == tokenTick {
 		r.tick()
 	} else if q != nil && token%tokenStep == tokenConsult {
-		r.consultOver(q)
+		r.consultFinished(q)
 	} else if q != nil {
-		r.end(q)
+		r.finalAnswer(q)
 	}
 }
 
 func (r *Router) tick() {
-	r.do(Action{Kind: Timer, Wait: tickEvery, Token: tokenTick})
-	r.ask()
+	r.emit(Action{Kind: Timer, Wait: tickInterval, Token: tokenTick})
+	r.subscribe()
 	r.checkHealth()
 	r.drainHeld()
 	r.probe()
--- a/router_test.go
+++ b/router_test.go
@@ -71,10 +71,10 @@
 	feed(r, 0, ready("a"))
 	q := &request{Request: *ask(1, second)}
 	e := r.engines["a"]
-	light := option{e: e}
+	light := option{engine: e}
 	r.predict(q, &light)
-	e.report, e.reportAt, e.tokens = Report{Memory: 0.9, Unread: 20, Slots: 0.9}, r.now, 50000
-	heavy := option{e: e}
+	e.report, e.reportAt, e.tokensInFlight = Report{Memory: 0.9, Unread: 20, Slots: 0.9}, r.now, 50000
+	heavy := option{engine: e}
 	r.predict(q, &heavy)
 	if !(heavy.ttft > 2*light.ttft && heavy.pace > light.pace) {
 		t.Fatalf("TTFT %.3f then %.3f, pace %.4f then %.4f", light.ttft, heavy.ttft, light.pace, heavy.pace)
@@ -94,7 +94,7 @@
 	for _, c := range cases {
 		var all []option
 		for i := range c.heads {
-			all = append(all, option{head: c.heads[i], ok: c.ok[i]})
+			all = append(all, option{headroom: c.heads[i], hasHeadroom: c.ok[i]})
 		}
 		if got := best(all, nil); got != &all[c.want] {
 			t.Errorf("headroom %v (%v): not option %d", c.heads, c.ok, c.want)
@@ -137,7 +137,7 @@
 		holder.report, holder.reportAt = Report{Memory: 1, Unread: 200, Slots: 1}, r.now
 	})
 	if got != 0 {
-		t.Fatalf("%d of 200 kept to an engine that is over %v s behind", got, breakTTFT)
+		t.Fatalf("%d of 200 kept to an engine that is over %v s behind", got, maxAffinityTTFT)
 	}
 }
 
@@ -150,7 +150,7 @@
 		r.remember(q, e, 1000)
 		r.now += second
 		if i > 1 {
-			r.correct(&attempt{q: q, e: e, match: 1}, 0)
+			r.observeMatch(&attempt{request: q, engine: e, match: 1}, 0)
 		}
 	}
 	old := &request{Request: *ask(1, second)}
@@ -209,7 +209,7 @@
 		}
 		got := tick(r, 1050*ms)
 		expect(t, got, want)
-		if want != "" && got[0].Wait < int64(comeLeast*1e9) {
+		if want != "" && got[0].Wait < int64(minRetryAfter*1e9) {
 			t.Errorf("refused without a time to come back: %v", got[0])
 		}
 	}
@@ -237,7 +237,7 @@
 		feed(r, 500*ms, &FirstToken{Request: 1, Elapsed: 500 * ms})
 		expect(t, expire(r, second, 1), "")
 		expect(t, feed(r, 3*second, &Outcome{Request: 1, Code: Served, Last: true}), "")
-		if len(r.open) != 0 {
+		if len(r.requests) != 0 {
 			t.Fatal("a served request is still held")
 		}
 	})
@@ -250,7 +250,7 @@
 		r := start(nil)
 		expect(t, expire(r, second, 1), "shed cancel ")
 		expect(t, feed(r, second+ms, &Outcome{Request: 1, Code: Served, Last: true}), "")
-		if len(r.open) != 0 {
+		if len(r.requests) != 0 {
 			t.Fatal("the request is still held")
 		}
 	})
@@ -272,7 +272,7 @@
 	back := one(Ready)
 	back.Engines[0].ReadyAt = ms // gone, then back with a new start
 	feed(r, 3*ms, back)
-	if r.engines["a"] == nil || r.engines["a"].told {
+	if r.engines["a"] == nil || r.engines["a"].notReady {
 		t.Fatal("an engine that came back is not used")
 	}
 	r = New(base(), 1)
@@ -440,7 +440,7 @@
 	feed(r, 0, ready("a", "b", "c"))
 	shed := map[int]int{}
 	for i := int64(1); i <= 200; i++ {
-		r.cut, r.cutAt = 0.5, i*ms
+		r.shedFraction, r.shedFractionAt = 0.5, i*ms
 		q := ask(i, 2*second)
 		q.Class = int(i % 2)
 		for _, a := range feed(r, i*ms, q) {
@@ -470,9 +470,9 @@
 					Report: &Report{Memory: p, Unread: v, Slots: p}})
 		}
 	}
-	o := option{e: r.engines["a"]}
+	o := option{engine: r.engines["a"]}
 	r.predict(&request{Request: *ask(1, second)}, &o)
-	if !finite(o.ttft, o.wide, o.pace, r.gap, r.trust, r.fleet.Memory, r.engines["a"].tokens) {
+	if !finite(o.ttft, o.ttftUpper, o.pace, r.tokenGap, r.matchTrust, r.meanReport.Memory, r.engines["a"].tokensInFlight) {
 		t.Fatalf("a decision input is not finite: %+v", o)
 	}
 }
@@ -483,7 +483,7 @@
 	r := New(s, 1)
 	feed(r, 0, ready("a", "b"))
 	r.engines["a"].report, r.engines["a"].reportAt = Report{Memory: 0.9, Unread: 30, Slots: 0.9}, 1
-	r.gain[0] = 0
+	r.sessionGain[0] = 0
 	toB := 0
 	for i := int64(1); i <= 20; i++ {
 		acts := feed(r, ms, ask(i, second))
@@ -518,8 +518,8 @@
 	for i, e := range r.ready[:2] {
 		q := ask(int64(i+1), 4*second)
 		feed(r, 0, q)
-		a := r.open[q.ID].attempts[0]
-		a.e = e
+		a := r.requests[q.ID].attempts[0]
+		a.engine = e
 		r.suspect(e, true)
 	}
 	for i := int64(10); i < 40; i++ {
@@ -553,12 +553,12 @@
 			running = running[1:]
 		}
 	}
-	calm := r.gapSway()
+	calm := r.gapDrift()
 	for until := now + 3*second; now < until; now += 100 * ms {
 		start() // none ends any more
 	}
-	if r.gapSway() < calm+0.3 {
-		t.Fatalf("pace is taken %.2f slower (log) after 3 s in which no stream ended, was %.2f", r.gapSway(), calm)
+	if r.gapDrift() < calm+0.3 {
+		t.Fatalf("pace is taken %.2f slower (log) after 3 s in which no stream ended, was %.2f", r.gapDrift(), calm)
 	}
 }
 
@@ -568,9 +568,9 @@
 		r := New(base(), 1)
 		feed(r, 0, ready("a", "b", "c"))
 		feed(r, 0, ask(1, 4*second))
-		r.cut, r.now, r.open[1].attempts[0].ttft = cut, second, 0.01
-		r.rescue(r.open[1].attempts[0])
-		if got := len(r.open[1].attempts); (cut > 0) != (got == 1) {
+		r.shedFraction, r.now, r.requests[1].attempts[0].ttft = cut, second, 0.01
+		r.rescue(r.requests[1].attempts[0])
+		if got := len(r.requests[1].attempts); (cut > 0) != (got == 1) {
 			t.Fatalf("refused part %.1f: %d attempts", cut, got)
 		}
 	}
@@ -582,7 +582,7 @@
 	feed(r, 0, ready("a", "b", "c"))
 	refused := 0
 	for i := int64(1); i <= 300; i++ {
-		r.cut, r.cutAt = 0.4, r.now
+		r.shedFraction, r.shedFractionAt = 0.4, r.now
 		q := ask(i, 2*second)
 		q.Session = 0
 		if kinds(feed(r, i*ms, q)) == "shed " {
@@ -691,7 +691,7 @@
 	refused := [2]int{}
 	for i := int64(1); i <= 600; i++ { // 100 a second: 83 of tenant 0, 17 of tenant 1
 		now := i * 10 * ms
-		r.cut, r.cutAt = 0.3, now
+		r.shedFraction, r.shedFractionAt = 0.3, now
 		q := ask(i, now+2*second)
 		if i%6 == 0 {
 			q.Tenant = 1
@@ -712,7 +712,7 @@
 		s.Balancers = balancers
 		r := New(s, 1)
 		feed(r, 0, ready("a", "b", "c", "d", "e", "f", "g", "h"))
-		if got := len(r.options(&request{Request: *ask(1, second)}, false)); got != want {
+		if got := len(r.buildOptions(&request{Request: *ask(1, second)}, false)); got != want {
 			t.Errorf("%d gateways: %d engines looked at, want %d", balancers, got, want)
 		}
 	}
@@ -730,12 +730,12 @@
 		}
 		feed(r, 0, ready(names...))
 		q := &request{Request: *ask(1, second)}
-		idle := r.options(q, false)[0].wide
+		idle := r.buildOptions(q, false)[0].ttftUpper
 		for _, e := range r.ready {
-			e.speed = math.Log(0.4 / idle) // of an aim of 1 s
+			e.slowness = math.Log(0.4 / idle) // of an aim of 1 s
 		}
-		if o := r.options(q, false)[0]; math.Abs(o.wide-0.4) > 0.01 || o.ok != want {
-			t.Errorf("%d engines: 0.6 of the aim left (predicted %.2f s) counts as headroom: %v", n, o.wide, o.ok)
+		if o := r.buildOptions(q, false)[0]; math.Abs(o.ttftUpper-0.4) > 0.01 || o.hasHeadroom != want {
+			t.Errorf("%d engines: 0.6 of the aim left (predicted %.2f s) counts as headroom: %v", n, o.ttftUpper, o.hasHeadroom)
 		}
 	}
 }
@@ -802,7 +802,7 @@
 	a.Handle(0, list, nil)
 	b.Handle(0, list, nil)
 	first := looked(a)
-	if len(first) < sampleKey || len(first) > sampleKey+2*samplePrefix {
+	if len(first) < sampleByKey || len(first) > sampleByKey+2*sampleByPrefix {
 		t.Fatalf("%d engines are looked at", len(first))
 	}
 	for name := range looked(b) {
@@ -828,7 +828,7 @@
 	for name := range first {
 		b.Handle(ms, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, ReadyAt: ms}}}, nil)
 	}
-	b.set.WarmUp, b.set.FallFactor = 20*second, 4
+	b.settings.WarmUp, b.settings.FallFactor = 20*second, 4
 	sent := false
 	for _, act := range b.Handle(2*ms, &Request{ID: 9, Expires: second, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}, nil) {
 		sent = sent || act.Kind == Send
@@ -847,10 +847,10 @@
 	now := 100 * second
 	feed(r, now, ready("a", "b"))
 	send := func(id int64, start int64) *request {
-		q := &request{Request: *ask(id, now+9*second), at: now}
+		q := &request{Request: *ask(id, now+9*second), arrivedAt: now}
 		q.Prefix, q.PrefixTokens = 77, 500
-		r.now, r.open[id] = start, q
-		r.send(q, &option{e: r.engines["a"], x: vec{1}, ttft: 0.1})
+		r.now, r.requests[id] = start, q
+		r.send(q, &option{engine: r.engines["a"], features: vec{1}, ttft: 0.1})
 		return q
 	}
 	for id := int64(1); id <= 6; id++ {
@@ -860,8 +860,8 @@
 	now += second
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", Size: 1, ReadyAt: now - 100*ms}}})
 	a := r.engines["a"]
-	if a.tokens != 0 || a.out != 0 || a.coldAt == 0 {
-		t.Fatalf("the new process has %v tokens of the old one, %d out, cold %v", a.tokens, a.out, a.coldAt)
+	if a.tokensInFlight != 0 || a.attemptsInFlight != 0 || a.coldAt == 0 {
+		t.Fatalf("the new process has %v tokens of the old one, %d out, cold %v", a.tokensInFlight, a.attemptsInFlight, a.coldAt)
 	}
 	report := &Report{Memory: 0.9, Unread: 50, Slots: 0.9}
 	now += second
@@ -873,12 +873,12 @@
 	tick(r, now+5*second)
 	q := &request{Request: *ask(1, now+9*second)}
 	q.Prefix, q.PrefixTokens = 77, 500
-	if a.reportAt != 0 || a.speed != 0 || a.drag.n != 0 || a.sour != 0 || a.suspect || r.match(q, a) != 0 {
+	if a.reportAt != 0 || a.slowness != 0 || a.gapSlowness.n != 0 || a.errorRate != 0 || a.suspect || r.match(q, a) != 0 {
 		t.Fatalf("told of the old process and held of the new: report %v, speed %v, drag %v, sour %v, suspect %v, match %v",
-			a.reportAt, a.speed, a.drag.n, a.sour, a.suspect, r.match(q, a))
+			a.reportAt, a.slowness, a.gapSlowness.n, a.errorRate, a.suspect, r.match(q, a))
 	}
-	if old.out != 1 || a.out != 0 {
-		t.Fatalf("%d out at the old process, %d at the new", old.out, a.out)
+	if old.attemptsInFlight != 1 || a.attemptsInFlight != 0 {
+		t.Fatalf("%d out at the old process, %d at the new", old.attemptsInFlight, a.attemptsInFlight)
 	}
 }
 
@@ -925,7 +925,7 @@
 			feed(r, now+4*second, &Outcome{Request: id, Last: true, Engine: send[0].Engine, Tokens: 50, Elapsed: 100*ms + 50*gap,
 				Held: gap > 20*ms})
 		}
-		o := option{e: r.engines["a"]}
+		o := option{engine: r.engines["a"]}
 		r.predict(&request{Request: *ask(999, now+9*second)}, &o)
 		return o.pace
 	}
--- a/sampling.go
+++ b/sampling.go
@@ -7,59 +7,59 @@
 )
 
 const (
-	sampleKey    = 32 // engines of a larger one, by the request's key
-	samplePrefix = 8  // and by the key of its shared beginning
+	sampleByKey    = 32 // engines of a larger one, by the request's key
+	sampleByPrefix = 8  // and by the key of its shared beginning
 )
 
 // sample is the engines among which a request is weighed. Of a large fleet these follow its keys on the
 // rings of its pool, the same ones at every gateway; a session at home looks in its own zone first.
 func (r *Router) sample(q *request) []*engine {
-	if len(r.ready) <= wholeFleet {
+	if len(r.ready) <= maxFullScan {
 		return r.ready
 	}
-	r.seen, r.looked = r.seen+1, r.looked[:0]
-	r.after(place{q.Pool, r.atHome(q)}, q.key(), sampleKey)
-	r.after(place{q.Pool, false}, q.key(), samplePrefix)
+	r.sampleNumber, r.sampled = r.sampleNumber+1, r.sampled[:0]
+	r.addFromRing(ringKey{q.Pool, r.prefersOwnZone(q)}, q.key(), sampleByKey)
+	r.addFromRing(ringKey{q.Pool, false}, q.key(), sampleByPrefix)
 	if q.Prefix != 0 {
-		r.after(place{q.Pool, false}, q.Prefix, samplePrefix)
+		r.addFromRing(ringKey{q.Pool, false}, q.Prefix, sampleByPrefix)
 	}
-	return r.looked
+	return r.sampled
 }
 
-// place is where engines are looked for: a pool, 0 for all; in the own zone alone, or everywhere.
-type place struct {
-	pool int
-	own  bool
+// ringKey is where engines are looked for: a pool, 0 for all; in the own zone alone, or everywhere.
+type ringKey struct {
+	pool    int
+	ownZone bool
 }
 
-// rering puts the engines of a fleet that is not gone over whole on rings, by their hashes: one for each pool
+// rebuildRings puts the engines of a fleet that is not gone over whole on rings, by their hashes: one for each pool
 // and for all, everywhere and in the own zone.
-func (r *Router) rering() {
-	r.rings = map[place][]*engine{}
+func (r *Router) rebuildRings() {
+	r.rings = map[ringKey][]*engine{}
 	var own, all float64
 	for _, e := range r.ready {
 		all += e.Size
-		if r.near(e) {
+		if r.isInOwnZone(e) {
 			own += e.Size
 		}
 	}
-	r.ownPart, r.meanSize = 0, all/max(1, float64(len(r.ready)))
+	r.ownZoneFraction, r.meanSize = 0, all/max(1, float64(len(r.ready)))
 	if all > 0 {
-		r.ownPart = own / all
+		r.ownZoneFraction = own / all
 	}
-	if len(r.ready) <= wholeFleet {
+	if len(r.ready) <= maxFullScan {
 		return
 	}
-	add := func(at place, e *engine) { r.rings[at] = append(r.rings[at], e) }
+	add := func(at ringKey, e *engine) { r.rings[at] = append(r.rings[at], e) }
 	for _, e := range r.ready {
-		add(place{}, e)
+		add(ringKey{}, e)
 		if e.Pool != 0 {
-			add(place{pool: e.Pool}, e)
+			add(ringKey{pool: e.Pool}, e)
 		}
-		if r.near(e) {
-			add(place{own: true}, e)
+		if r.isInOwnZone(e) {
+			add(ringKey{ownZone: true}, e)
 			if e.Pool != 0 {
-				add(place{e.Pool, true}, e)
+				add(ringKey{e.Pool, true}, e)
 			}
 		}
 	}
@@ -68,9 +68,9 @@
 	}
 }
 
-// after adds to what is looked at the n engines of a ring that follow a key, but for those that are there
+// addFromRing adds to what is looked at the n engines of a ring that follow a key, but for those that are there
 // already.
-func (r *Router) after(at place, key uint64, n int) {
+func (r *Router) addFromRing(at ringKey, key uint64, n int) {
 	ring := r.rings[at]
 	if len(ring) == 0 {
 		return
@@ -79,9 +79,9 @@
 	from := sort.Search(len(ring), func(i int) bool { return ring[i].hash >= key })
 	for i := range min(n, len(ring)) {
 		e := ring[(from+i)%len(ring)]
-		if e.seen != r.seen {
-			e.seen = r.seen
-			r.looked = append(r.looked, e)
+		if e.sampleNumber != r.sampleNumber {
+			e.sampleNumber = r.sampleNumber
+			r.sampled = append(r.sampled, e)
 		}
 	}
 }
--- a/rules_test.go
+++ b/simulation_test.go
@@ -302,15 +302,15 @@
 		w.give(&Left{Request: id})
 	}
 	w.give(&TimerFired{Token: tokenTick})
-	if len(w.r.open) != 0 || len(w.r.held) != 0 {
-		t.Fatalf("%d requests and %d held remain", len(w.r.open), len(w.r.held))
+	if len(w.r.requests) != 0 || len(w.r.held) != 0 {
+		t.Fatalf("%d requests and %d held remain", len(w.r.requests), len(w.r.held))
 	}
 	for _, e := range w.r.engines {
-		if e.out != 0 || len(e.waiting) != 0 {
-			t.Fatalf("%s: %d out, %d waiting remain", e.Name, e.out, len(e.waiting))
+		if e.attemptsInFlight != 0 || len(e.unanswered) != 0 {
+			t.Fatalf("%s: %d out, %d waiting remain", e.Name, e.attemptsInFlight, len(e.unanswered))
 		}
 	}
-	if n := len(w.r.table[0]) + len(w.r.table[1]); n > 2*tableSize {
+	if n := len(w.r.matchTable[0]) + len(w.r.matchTable[1]); n > 2*tableSize {
 		t.Fatalf("match table of %d entries", n)
 	}
 }
@@ -352,7 +352,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	noDecisions := []string{"api.go", "fit.go", "memory.go", "numeric.go"}
+	noDecisions := []string{"api.go", "hash.go", "learned_state.go", "regression.go"}
 	for _, name := range all {
 		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(noDecisions, name) && !slices.Contains(listed, name) {
 			t.Errorf("%s is not listed as policy", name)
@@ -372,8 +372,8 @@
 			id++
 			now += 5 * second
 			q := &request{Request: *ask(id, now+9*second)}
-			r.now, r.open[id] = now, q
-			r.send(q, &option{e: r.engines[name], x: vec{1}})
+			r.now, r.requests[id] = now, q
+			r.send(q, &option{engine: r.engines[name], features: vec{1}})
 			feed(r, now+100*ms, &FirstToken{Request: id, Elapsed: 100 * ms})
 			tokens := 20 + id%3*40
 			feed(r, now+4*second, &Outcome{Request: id, Last: true, Engine: name, Tokens: float64(tokens),
@@ -382,7 +382,7 @@
 	}
 	q := &request{Request: *ask(999, now+9*second)}
 	for name, gap := range map[string]float64{"fast": 0.010, "slow": 0.045} {
-		o := option{e: r.engines[name]}
+		o := option{engine: r.engines[name]}
 		if r.predict(q, &o); o.pace < gap*0.6 || o.pace > gap*1.7 {
 			t.Errorf("%s: %.3f s between tokens predicted, are %.3f", name, o.pace, gap)
 		}
@@ -398,15 +398,15 @@
 	a := r.engines["a"]
 	for i, code := range []Code{ConnectionLost, TurnedAway, ServerError} {
 		q := &request{Request: *ask(int64(i+1), 9*second)}
-		r.open[q.ID] = q
-		r.send(q, &option{e: a})
+		r.requests[q.ID] = q
+		r.send(q, &option{engine: a})
 		feed(r, second, &Outcome{Request: q.ID, Code: code, Engine: "a"})
-		if shut := r.shut(a, false); shut != (i > 0) {
+		if shut := r.isExcluded(a, false); shut != (i > 0) {
 			t.Fatalf("left out after %d: %v", i+1, shut)
 		}
 	}
-	r.now += trialEvery
-	if r.shut(a, false) {
+	r.now += trialInterval
+	if r.isExcluded(a, false) {
 		t.Fatal("no trial")
 	}
 }
@@ -421,10 +421,10 @@
 	q := ask(1, 5*second)
 	q.Class = 1
 	expect(t, feed(r, second, q), "send ")
-	r.gain[0], r.ttft[0].coef[0] = 0.9, 7
+	r.sessionGain[0], r.ttftModels[0].coef[0] = 0.9, 7
 	set.Tenants[0].QuotaRPS = 5
 	r.Adjust(set)
-	if r.gain[0] != 0.9 || r.ttft[0].coef[0] != 7 || r.set.Tenants[0].QuotaRPS != 5 {
+	if r.sessionGain[0] != 0.9 || r.ttftModels[0].coef[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
 		t.Fatal("what was learned is lost, or the new figure not taken")
 	}
 	set.Classes, set.Tenants, set.Kinds = set.Classes[:1], nil, 1
@@ -432,7 +432,7 @@
 	e := feed(r, second, ask(2, 5*second))
 	expect(t, e, "send ")
 	feed(r, 2*second, &FirstToken{Request: 1, Elapsed: second}, &Outcome{Request: 1, Last: true, Engine: e[0].Engine})
-	if len(r.open) != 1 || len(r.ttft) != 2 || len(r.gain) != 2 {
-		t.Fatalf("%d open, %d models, %d gains", len(r.open), len(r.ttft), len(r.gain))
+	if len(r.requests) != 1 || len(r.ttftModels) != 2 || len(r.sessionGain) != 2 {
+		t.Fatalf("%d open, %d models, %d gains", len(r.requests), len(r.ttftModels), len(r.sessionGain))
 	}
 }
--- a/slowstart_test.go
+++ b/slow_start_test.go
@@ -15,17 +15,17 @@
 		l.Engines[0].ReadyAt = told
 		feed(r, now, l)
 		a, b := r.engines["a"], r.engines["b"]
-		if got := r.warm(a); got > r.set.ColdShare+0.01 {
+		if got := r.warmFraction(a); got > r.settings.ColdShare+0.01 {
 			t.Errorf("%s: just started, and taken to have %.2f of its capacity", name, got)
 		}
-		if r.warm(b) != 1 {
+		if r.warmFraction(b) != 1 {
 			t.Errorf("%s: the other one is cold too", name)
 		}
-		feed(r, now+r.set.WarmUp+r.set.Fall+second, l) // told again, the same start
-		if got := r.warm(a); got != 1 {
+		feed(r, now+r.settings.WarmUp+r.settings.Fall+second, l) // told again, the same start
+		if got := r.warmFraction(a); got != 1 {
 			t.Errorf("%s: %.2f of its capacity long after the warm-up", name, got)
 		}
-		if !r.coldRoom(a) {
+		if !r.hasColdBudget(a) {
 			t.Errorf("%s: no room long after the warm-up", name)
 		}
 	}
@@ -39,7 +39,7 @@
 	l := ready("a", "b")
 	l.Engines[1].ReadyAt = now - 60*second
 	feed(r, now, l)
-	if got := r.warm(r.engines["b"]); got != 1 {
+	if got := r.warmFraction(r.engines["b"]); got != 1 {
 		t.Errorf("started a minute ago, and taken to have %.2f of its capacity", got)
 	}
 }
@@ -51,12 +51,12 @@
 	l := ready("old", "young", "future")
 	l.Engines[0].ReadyAt, l.Engines[1].ReadyAt, l.Engines[2].ReadyAt = now-3600*second, now-second, now+3600*second
 	feed(r, now, l)
-	if r.warm(r.engines["old"]) != 1 || r.warm(r.engines["young"]) > 0.6 || r.warm(r.engines["future"]) > r.set.ColdShare {
-		t.Errorf("taken to have %.2f, %.2f and %.2f of their capacity", r.warm(r.engines["old"]), r.warm(r.engines["young"]), r.warm(r.engines["future"]))
+	if r.warmFraction(r.engines["old"]) != 1 || r.warmFraction(r.engines["young"]) > 0.6 || r.warmFraction(r.engines["future"]) > r.settings.ColdShare {
+		t.Errorf("taken to have %.2f, %.2f and %.2f of their capacity", r.warmFraction(r.engines["old"]), r.warmFraction(r.engines["young"]), r.warmFraction(r.engines["future"]))
 	}
-	feed(r, now+r.set.WarmUp+second)
-	feed(r, now+r.set.WarmUp+second, &TimerFired{Token: tokenTick})
-	if got := r.warm(r.engines["future"]); got != 1 {
+	feed(r, now+r.settings.WarmUp+second)
+	feed(r, now+r.settings.WarmUp+second, &TimerFired{Token: tokenTick})
+	if got := r.warmFraction(r.engines["future"]); got != 1 {
 		t.Errorf("%.2f of its capacity after the warm-up", got)
 	}
 }
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -11,7 +11,7 @@
 	feed(r, second, ready("a", "b"))
 	return r, func(now int64) float64 {
 		r.now = now
-		o := option{e: r.engines["a"]}
+		o := option{engine: r.engines["a"]}
 		r.predict(&request{Request: *ask(1<<40, now+9*second)}, &o)
 		return o.ttft
 	}
@@ -39,7 +39,7 @@
 	if r.match(quiet, a) != 1 {
 		t.Fatal("the quiet tenant's session is forgotten")
 	}
-	if n := len(r.table[0]) + len(r.table[1]); n > 2*tableSize {
+	if n := len(r.matchTable[0]) + len(r.matchTable[1]); n > 2*tableSize {
 		t.Fatalf("%d entries", n)
 	}
 }
@@ -63,7 +63,7 @@
 		t.Fatalf("%.2f s to the first token predicted, %.2f before the leavers", after, before)
 	}
 	for _, e := range r.engines {
-		if e.suspect || e.out != 0 || e.tokens != 0 || len(e.waiting) != 0 || len(r.open) != 0 {
+		if e.suspect || e.attemptsInFlight != 0 || e.tokensInFlight != 0 || len(e.unanswered) != 0 || len(r.requests) != 0 {
 			t.Fatalf("%s is held to account: %+v", e.Name, e)
 		}
 	}
@@ -77,7 +77,7 @@
 		now := 2 * second
 		for id := int64(1); id <= 4000; id++ {
 			now += 2 * ms
-			r.cut, r.cutAt = 0.5, now
+			r.shedFraction, r.shedFractionAt = 0.5, now
 			q := ask(id, now+9*second)
 			if q.Tenant = 1; id%100 == 0 { // 5 a second, beside 495
 				q.Tenant = 0
@@ -109,9 +109,9 @@
 	ask := func(tenant int, at *engine, code Code) {
 		id++
 		now += 100 * ms
-		q := &request{Request: *loud(id, now+9*second), at: now}
-		q.Tenant, r.now, r.open[id] = tenant, now, q
-		r.send(q, &option{e: at, x: vec{1}})
+		q := &request{Request: *loud(id, now+9*second), arrivedAt: now}
+		q.Tenant, r.now, r.requests[id] = tenant, now, q
+		r.send(q, &option{engine: at, features: vec{1}})
 		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: at.Name})
 	}
 	a, b := r.engines["a"], r.engines["b"]
@@ -141,22 +141,22 @@
 // beyond the attempts that a request may have.
 func TestNothingIsPickedBeyondTheRules(t *testing.T) {
 	r, _ := beside(0)
-	q := &request{Request: *ask(1, 9*second), at: second}
-	r.open[1] = q
+	q := &request{Request: *ask(1, 9*second), arrivedAt: second}
+	r.requests[1] = q
 	r.now = second
-	r.send(q, &option{e: r.engines["a"], x: vec{1}})
+	r.send(q, &option{engine: r.engines["a"], features: vec{1}})
 	if r.pick(q) != nil {
 		t.Fatal("picked while an attempt is out")
 	}
-	for len(q.attempts) < r.set.MaxAttempts {
-		q.attempts[len(q.attempts)-1].out, q.attempts[len(q.attempts)-1].ran = false, false
-		r.send(q, &option{e: r.engines["b"], x: vec{1}})
+	for len(q.attempts) < r.settings.MaxAttempts {
+		q.attempts[len(q.attempts)-1].inFlight, q.attempts[len(q.attempts)-1].mayHaveRun = false, false
+		r.send(q, &option{engine: r.engines["b"], features: vec{1}})
 	}
-	q.attempts[len(q.attempts)-1].out = false
-	r.acts = nil
-	r.place(q)
-	if len(r.acts) != 1 || r.acts[0].Kind == Send {
-		t.Fatalf("after %d attempts: %+v", len(q.attempts), r.acts)
+	q.attempts[len(q.attempts)-1].inFlight = false
+	r.actions = nil
+	r.dispatch(q)
+	if len(r.actions) != 1 || r.actions[0].Kind == Send {
+		t.Fatalf("after %d attempts: %+v", len(q.attempts), r.actions)
 	}
 }
 
@@ -166,7 +166,7 @@
 		r := New(base(), seed)
 		now := 100 * second
 		feed(r, now, ready("a", "b"), &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}})
-		if r.coldRoom(r.engines["b"]) {
+		if r.hasColdBudget(r.engines["b"]) {
 			t.Fatalf("seed %d has room at once", seed)
 		}
 	}
@@ -184,7 +184,7 @@
 	for from := now; from < now+24*second; from += set.Fall {
 		sent := 0.0
 		for r.now = from; r.now < from+set.Fall; r.now += 10 * ms {
-			if r.rate = 20; r.coldRoom(e) { // 10 a second for each of two boxes, which they can do when warm
+			if r.requestRate = 20; r.hasColdBudget(e) { // 10 a second for each of two boxes, which they can do when warm
 				e.coldTokens--
 				sent++
 			}
@@ -231,7 +231,7 @@
 	if first["d"] == 0 || first["d"]-from > 5*second {
 		t.Fatalf("not in use again: %v", first)
 	}
-	if e.due {
+	if e.reinstated {
 		t.Fatal("still preferred")
 	}
 }
@@ -246,7 +246,7 @@
 		now += second / 12
 		feed(r, now, ask(id, now+4*second))
 	}
-	if r.rate < 9 || r.rate > 13 {
-		t.Fatalf("rate of 12 a second is taken to be %.1f", r.rate)
+	if r.requestRate < 9 || r.requestRate > 13 {
+		t.Fatalf("rate of 12 a second is taken to be %.1f", r.requestRate)
 	}
 }
--- a/blind_test.go
+++ b/unreported_load_test.go
@@ -87,11 +87,11 @@
 	}
 	now += 2500 * ms // both waits are over without a token
 	feed(r, now, &Outcome{Request: 2, Code: NoAnswer, Engine: busy, Elapsed: 4 * second})
-	if w := r.waits(r.engines[busy]); w < 4 {
+	if w := r.vainWaitOf(r.engines[busy]); w < 4 {
 		t.Errorf("%v s are forgotten", w)
 	}
 	tick(r, now+10*second)
-	if w := r.waits(r.engines[busy]); w > 0.2 {
+	if w := r.vainWaitOf(r.engines[busy]); w > 0.2 {
 		t.Errorf("%v s are remembered for ever", w)
 	}
 }
@@ -116,7 +116,7 @@
 					case a.Kind == Send && answered:
 						feed(r, now+50*ms, &FirstToken{Request: id, Elapsed: 50 * ms}, &Outcome{Request: id, Code: Served, Engine: a.Engine, Elapsed: 90 * ms})
 					case a.Kind == Send:
-						r.engines[a.Engine].speed = 0 // the fleet's trouble, not its own
+						r.engines[a.Engine].slowness = 0 // the fleet's trouble, not its own
 						feed(r, now+4*second, &Outcome{Request: id, Code: NoAnswer, Last: true, Engine: a.Engine, Elapsed: 4 * second})
 					}
 				}
@@ -125,7 +125,7 @@
 		}
 		early := play(7, false) // before there are as many as others wait for
 		soon := play(8, false)
-		if reports == ReportNone && (early < 1 || soon < 2 || !r.vain()) || reports != ReportNone && early+soon > 0 {
+		if reports == ReportNone && (early < 1 || soon < 2 || !r.isVain()) || reports != ReportNone && early+soon > 0 {
 			t.Errorf("%v: %d of 7, then %d of 8 refused", reports, early, soon)
 		}
 		play(80, true)
@@ -144,10 +144,10 @@
 		s.Reports = reports
 		r := New(s, 1)
 		feed(r, second, ready("a"))
-		r.cut, r.cutAt = 0.5, second
+		r.shedFraction, r.shedFractionAt = 0.5, second
 		feed(r, 6*second, ask(1, 9*second))
-		if r.cut < least || least == 0 && r.cut > 0 {
-			t.Errorf("%v: %.2f after 5 s", reports, r.cut)
+		if r.shedFraction < least || least == 0 && r.shedFraction > 0 {
+			t.Errorf("%v: %.2f after 5 s", reports, r.shedFraction)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 		feed(r, second, ready("a"))
 		expect(t, feed(r, second, ask(1, 9*second)), "send ")
 		feed(r, second, ready("a", "b", "c", "d"))
-		r.cut, r.cutAt = c.cut, second
+		r.shedFraction, r.shedFractionAt = c.cut, second
 		expect(t, tick(r, 4*second), c.want)
 	}
 }
@@ -182,7 +182,7 @@
 	for id := range int64(6) {
 		expect(t, feed(r, second, ask(id+1, 9*second)), "send ")
 	}
-	r.retries = 2
+	r.retryBudget = 2
 	feed(r, second, ready("a", "b", "c", "d"))
 	called := feed(r, 8*second, &TimerFired{Token: tokenTick})
 	expect(t, called, "cancel cancel ")
