--- a/admission.go
+++ b/admission.go
@@ -9,6 +9,7 @@
 const (
 	tenantRateSpan    = 3.0  // seconds over which a tenant's requests are counted
 	overQuotaRatio    = 1.5  // times its quota from which a tenant is taken to be over it
+	requestCost       = 100  // work of a request besides its tokens
 	outputTokenCost   = 2.0  // work of a token made, in tokens read
 	shedStep          = 0.8  // rise of the refused part in a second of missed aims
 	minObjectiveRate  = 12.0 // requests a second that one missed aim is weighed against at the least
@@ -29,7 +30,8 @@
 	}
 	answer := q.MaxTokens * min(1, 1.3*math.Exp(r.classGaps[r.classIndex(q)].mean)/r.tokenGap)
 	tie := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be refused at once
-	return tie * r.class(q).Worth * r.tenantWorth(q) / (100 + q.PromptTokens*(1-match) + outputTokenCost*answer)
+	work := requestCost + q.PromptTokens*(1-match) + outputTokenCost*answer
+	return tie * r.class(q).Worth * r.tenantWorth(q) / work
 }
 
 // tenantWorth is what a request counts, as a part of its worth, while its tenant sends more than its
@@ -49,7 +51,8 @@
 func (r *Router) shedsForDensity(q *request) bool {
 	d := r.density(q)
 	below, n := r.rankDensity(d)
-	r.shedFraction, r.shedFractionAt = max(0, r.shedFraction-r.shedDecayRate()*seconds(r.now-r.shedFractionAt)), r.now
+	r.shedFraction = max(0, r.shedFraction-r.shedDecayRate()*seconds(r.now-r.shedFractionAt))
+	r.shedFractionAt = r.now
 	poor := n >= r.minRankedRequests() && r.shedFraction > 0 && float64(below) < r.shedFraction*float64(n)
 	return r.shed(q, poor)
 }
@@ -90,8 +93,8 @@
 	return &r.tenants[q.Tenant]
 }
 
-// rankDensity keeps a request's worth for its work among the latest, and tells how many there were and how many of
-// them less.
+// rankDensity keeps a request's worth for its work among the latest, and tells how many there were and
+// how many of them less.
 func (r *Router) rankDensity(density float64) (below, all int) {
 	for _, other := range r.recentDensities {
 		if other < density {
@@ -108,7 +111,8 @@
 	return below, all
 }
 
-// quotaRatio is what the request's tenant sends, in times its quota, as this gateway takes it; 0 where it has none.
+// quotaRatio is what the request's tenant sends, in times its quota, as this gateway takes it; 0 where it
+// has none.
 func (r *Router) quotaRatio(q *request) float64 {
 	if q.Tenant < 0 || q.Tenant >= len(r.tenants) || !(r.settings.Tenants[q.Tenant].QuotaRPS > 0) {
 		return 0
@@ -119,12 +123,12 @@
 // shedRateWeight is that of a request in the shares refused.
 const shedRateWeight = 0.05
 
-// promptBands are the parts of a class's requests by their prompts: the longest tenth, the next fifth, further
-// ones, and the shortest.
+// promptBands are the parts of a class's requests by their prompts: the longest tenth, the next fifth,
+// further ones, and the shortest.
 var promptBands = [...]float64{0.1, 0.3, 0.6, 1}
 
-// classShedRates are the shares of a class's latest requests that were refused as the poorest: of all, and of each
-// band.
+// classShedRates are the shares of a class's latest requests that were refused as the poorest: of all,
+// and of each band.
 type classShedRates struct {
 	all        float64
 	bands      [len(promptBands)]float64
@@ -195,8 +199,8 @@
 	return metPerMissed
 }
 
-// minRankedRequests is how many requests must have come before the poorest are refused. Where no load is told a gateway
-// that has just started must not add to an overload for long.
+// minRankedRequests is how many requests must have come before the poorest are refused. Where no load is
+// told a gateway that has just started must not add to an overload for long.
 func (r *Router) minRankedRequests() int {
 	if r.lacksReports() {
 		return unreportedMinRanked
--- a/affinity.go
+++ b/affinity.go
@@ -13,7 +13,8 @@
 		tokens = r.lookupMatch(mix(q.Session, e.hash+sessionSalt), e.firstSeenAt)
 	}
 	if q.Prefix != 0 && tokens < q.PrefixTokens {
-		tokens = max(tokens, min(q.PrefixTokens, r.lookupMatch(mix(q.Prefix, e.hash+prefixSalt), e.firstSeenAt)))
+		prefix := r.lookupMatch(mix(q.Prefix, e.hash+prefixSalt), e.firstSeenAt)
+		tokens = max(tokens, min(q.PrefixTokens, prefix))
 	}
 	return min(1, max(tokens, q.keptByEngine[e])/q.PromptTokens)
 }
@@ -40,7 +41,9 @@
 		}
 		r.matchTrust += 0.1 * (min(1, share/a.match) - r.matchTrust)
 		if r.matchShortfalls >= 4 { // a run of shortfalls: kept prompts were lost at once
-			r.matchShortfalls, r.flushAt, r.matchTrust = 0, r.now, 0.2
+			r.matchShortfalls = 0
+			r.flushAt = r.now
+			r.matchTrust = 0.2
 		}
 	}
 }
@@ -87,10 +90,13 @@
 	}
 }
 
-// forgetMatch forgets that an engine keeps the prompt of an attempt that never reached it, unless that was noted
-// anew since.
+// forgetMatch forgets that an engine keeps the prompt of an attempt that never reached it, unless that
+// was noted anew since.
 func (r *Router) forgetMatch(a *attempt) {
-	keys := []uint64{mix(a.request.Session, a.engine.hash+sessionSalt), mix(a.request.Prefix, a.engine.hash+prefixSalt)}
+	keys := []uint64{
+		mix(a.request.Session, a.engine.hash+sessionSalt),
+		mix(a.request.Prefix, a.engine.hash+prefixSalt),
+	}
 	for _, key := range keys {
 		if k, known := r.matchTable[0][key]; known && k.at == a.sent {
 			delete(r.matchTable[0], key)
--- a/api.go
+++ b/api.go
@@ -41,7 +41,7 @@
 	Group       Group   `json:"Group"`
 	Window      int64   `json:"Window"`
 	Streamed    bool    `json:"Streamed"`
-	TTFTAim     int64   `json:"TTFTAim"`    // first token (or whole answer, where not streamed) wanted within this
+	TTFTAim     int64   `json:"TTFTAim"`    // first token, or whole answer if not streamed, wanted within this
 	AimPer1000  int64   `json:"AimPer1000"` // added to TTFTAim for each 1,000 prompt tokens
 	TPOTAim     int64   `json:"TPOTAim"`    // wanted gap between tokens; 0: none
 	AimStretch  float64 `json:"AimStretch"`
@@ -169,8 +169,16 @@
 	NotSent                    // nothing of it was
 )
 
-var codeNames = [...]string{"served", "server_error", "turned_away", "no_answer", "no_connection", "connection_lost",
-	"called_off", "not_sent"}
+var codeNames = [...]string{
+	"served",
+	"server_error",
+	"turned_away",
+	"no_answer",
+	"no_connection",
+	"connection_lost",
+	"called_off",
+	"not_sent",
+}
 
 // String is the code's name on the wire and in logs.
 func (c Code) String() string {
@@ -216,8 +224,8 @@
 	Report  *Report
 }
 
-// Doubt is that other gateways' evidence speaks against an engine's process. At is the latest of it: a sign of life since then
-// outweighs it.
+// Doubt is that other gateways' evidence speaks against an engine's process. At is the latest of it: a
+// sign of life since then outweighs it.
 type Doubt struct {
 	Engine  string
 	ReadyAt int64
--- a/directory.go
+++ b/directory.go
@@ -40,10 +40,13 @@
 	return 0
 }
 
-// usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good part of its
-// aim, as it does for most requests. What short prompts add to an engine's load is not worth the messages.
+// usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good
+// part of its aim, as it does for most requests. What short prompts add to an engine's load is not worth
+// the messages.
 func (r *Router) usesDirectory(q *request) bool {
-	return r.sharing() && r.prefillBurden.mean >= minMeanPrefillBurden && r.prefillBurdenOf(q) >= minPrefillBurden
+	return r.sharing() &&
+		r.prefillBurden.mean >= minMeanPrefillBurden &&
+		r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
 // hearsFromDirectory tells that registrars have told this gateway something lately.
@@ -79,8 +82,8 @@
 	r.register(r.settings.Ordinal, e, &m)
 }
 
-// initReadingSpeed assumes, before it is known, that an engine reads as fast as its registered size says beside the
-// others'.
+// initReadingSpeed assumes, before it is known, that an engine reads as fast as its registered size says
+// beside the others'.
 func (r *Router) initReadingSpeed(e *engine) {
 	if e.backlog.speed == 0 {
 		e.backlog.speed = assumedSpeed * r.relativeSize(e)
@@ -191,7 +194,8 @@
 
 // recordDirectoryLoad notes what is told of an engine, and of the request's prompt there.
 func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, kept float64) {
-	e.directoryLoad, e.directoryLoadAt = load, r.now
+	e.directoryLoad = load
+	e.directoryLoadAt = r.now
 	r.directoryAnswerAt = r.now
 	if q.keptByEngine == nil {
 		q.keptByEngine = map[*engine]float64{}
@@ -216,8 +220,8 @@
 	}
 }
 
-// consultFinished places a request that waited for registrars' answers. Those that did not answer are left alone
-// for a while.
+// consultFinished places a request that waited for registrars' answers. Those that did not answer are
+// left alone for a while.
 func (r *Router) consultFinished(q *request) {
 	if r.awaitingDirectory[uint32(q.ID)] != q {
 		return
@@ -240,7 +244,8 @@
 	}
 	a.inDirectory = true
 	m := directoryMessage{kind: directorySent, id: uint32(q.ID)}
-	m.prompt, m.shared = q.PromptTokens, q.PrefixTokens
+	m.prompt = q.PromptTokens
+	m.shared = q.PrefixTokens
 	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
 	m.tokens = q.PromptTokens * (1 - a.match)
 	r.notifyOwner(a.engine, m)
--- a/directory_message.go
+++ b/directory_message.go
@@ -74,7 +74,8 @@
 	if err != nil || len(b) == 0 {
 		return m, false
 	}
-	m.kind, b = directoryKind(b[0]), b[1:]
+	m.kind = directoryKind(b[0])
+	b = b[1:]
 	if want, known := lengths[m.kind]; !known || len(b) != want {
 		return m, false
 	}
--- a/discovery.go
+++ b/discovery.go
@@ -14,7 +14,8 @@
 		return
 	}
 	if l.Kind == ListDelta || r.subscribeAt != 0 { // a full list may answer too, to one far behind
-		r.failedSubscribes, r.subscribed = 0, true
+		r.failedSubscribes = 0
+		r.subscribed = true
 	}
 	seen := map[string]bool{}
 	for _, entry := range l.Engines {
@@ -23,10 +24,12 @@
 	}
 	for _, e := range r.engines {
 		if l.Kind == ListFull && !seen[e.Name] {
-			e.State, e.notReady = Gone, true
+			e.State = Gone
+			e.notReady = true
 		}
 	}
-	r.listsReceived, r.lastListAt = r.listsReceived+1, r.now
+	r.listsReceived++
+	r.lastListAt = r.now
 	r.rebuildReady()
 	r.drainHeld()
 }
@@ -36,11 +39,17 @@
 	e := r.engines[entry.Name]
 	if e == nil || entry.ReadyAt != e.ReadyAt && entry.State == Ready {
 		// What is out at the process before stays with that one: its end tells nothing of this one.
-		e = &engine{hash: hashName(entry.Name), firstSeenAt: r.now, lastSignOfLife: r.now, reinstated: entry.Back}
+		e = &engine{
+			hash:           hashName(entry.Name),
+			firstSeenAt:    r.now,
+			lastSignOfLife: r.now,
+			reinstated:     entry.Back,
+		}
 		r.engines[entry.Name] = e
 	}
 	if entry.ReadyAt != e.ReadyAt {
-		e.coldTokens, e.coldAt = r.rng.Float64(), r.now
+		e.coldTokens = r.rng.Float64()
+		e.coldAt = r.now
 		if r.startIsImplausible(entry.ReadyAt) {
 			e.startNoticedAt = r.now
 		}
@@ -48,24 +57,27 @@
 			e.coldTokens = 1 - e.coldTokens/2*(1-1/max(1, float64(r.settings.Balancers)))
 		}
 	}
-	e.Engine, e.notReady = entry, entry.State != Ready
+	e.Engine = entry
+	e.notReady = entry.State != Ready
 }
 
 // maxNoticeDelay is the longest that discovery may take to tell what it has.
 const maxNoticeDelay = 6 * second
 
-// startIsImplausible tells that a start that was just heard of cannot have been when it is told to: it is in the
-// future, or so long ago that the list told before would have had it. Clocks may be stepped; then the start
-// counts from now. The list that a gateway starts with may be of any age, and shows nothing.
+// startIsImplausible tells that a start that was just heard of cannot have been when it is told to: it is
+// in the future, or so long ago that the list told before would have had it. Clocks may be stepped; then
+// the start counts from now. The list that a gateway starts with may be of any age, and shows nothing.
 func (r *Router) startIsImplausible(told int64) bool {
 	if told <= 0 {
 		return false
 	}
-	known := r.listsReceived >= 2 && r.now-told > max(r.settings.WarmUp+r.settings.Fall, r.now-r.lastListAt+maxNoticeDelay)
-	return told > r.now || known
+	longAgo := max(r.settings.WarmUp+r.settings.Fall, r.now-r.lastListAt+maxNoticeDelay)
+	knownEarlier := r.listsReceived >= 2 && r.now-told > longAgo
+	return told > r.now || knownEarlier
 }
 
-// subscribe keeps the subscription where discovery tells only who asks. It backs off, with jitter, after failures.
+// subscribe keeps the subscription where discovery tells only who asks. It backs off, with jitter, after
+// failures.
 func (r *Router) subscribe() {
 	wait := min(r.settings.AskWithin*2, 500*ms<<min(r.failedSubscribes, 4))
 	if !r.settings.AskDiscovery || r.subscribeAt != 0 && (r.subscribed || r.now-r.subscribeAt < wait) {
@@ -77,7 +89,8 @@
 
 // rebuildReady forgets engines that are gone and idle, and orders the ready ones by name.
 func (r *Router) rebuildReady() {
-	r.ready, r.fleetWarmAt = r.ready[:0], 0
+	r.ready = r.ready[:0]
+	r.fleetWarmAt = 0
 	clear(r.enginesByShortHash)
 	for name, e := range r.engines {
 		if e.State == Gone && e.attemptsInFlight == 0 {
@@ -90,7 +103,8 @@
 		}
 	}
 	fade := math.Exp2(-seconds(r.now-r.usualReadyAt) / 60)
-	r.usualReady, r.usualReadyAt = max(float64(len(r.ready)), r.usualReady*fade), r.now
+	r.usualReady = max(float64(len(r.ready)), r.usualReady*fade)
+	r.usualReadyAt = r.now
 	sort.Slice(r.ready, func(i, j int) bool { return r.ready[i].Name < r.ready[j].Name })
 	r.rebuildRings()
 }
--- a/eligibility.go
+++ b/eligibility.go
@@ -10,10 +10,16 @@
 func (r *Router) mayUse(q *request, e *engine) bool {
 	c := r.class(q)
 	for _, a := range q.attempts {
-		if a.inFlight && !r.settings.SecondCopies || a.mayHaveRun && c.Effect == Unsafe || a.engine == e && (a.inFlight || a.mayHaveRun) {
+		switch {
+		case a.inFlight && !r.settings.SecondCopies:
 			return false
-		}
-		if a.mayHaveRun && c.Effect == Keyed && (!sameGroup(c.Group, a.engine, e) || r.now-a.sent >= c.Window) {
+		case a.engine == e && (a.inFlight || a.mayHaveRun):
+			return false
+		case a.mayHaveRun && c.Effect == Unsafe:
+			return false
+		case a.mayHaveRun && c.Effect == Keyed && r.now-a.sent >= c.Window:
+			return false
+		case a.mayHaveRun && c.Effect == Keyed && !sameGroup(c.Group, a.engine, e):
 			return false
 		}
 	}
--- a/health.go
+++ b/health.go
@@ -22,44 +22,51 @@
 	r.dropWaiting(a)
 	r.recordRecovery(a.engine)
 	a.engine.lastSignOfLife = r.now
-	a.engine.suspect, a.engine.unreachable = false, false
+	a.engine.suspect = false
+	a.engine.unreachable = false
 	a.engine.errorRate -= errorRateWeight * a.engine.errorRate
 	r.tenant(a.request).errorRate *= 1 - tenantErrorRateWeight
 }
 
-// recordRecovery takes an engine that answers, after it could not be reached, to have been started anew: discovery
-// tells that seconds later, when all have gone back to it. Of a lost zone, all is taken so.
+// recordRecovery takes an engine that answers, after it could not be reached, to have been started anew:
+// discovery tells that seconds later, when all have gone back to it. Of a lost zone, all is taken so.
 func (r *Router) recordRecovery(e *engine) {
 	if e.unreachable {
 		for _, o := range r.failureDomain(e) {
 			if o.unreachable && seconds(r.now-o.unreachableSince) >= minOutage {
 				o.recoveredAt, o.firstSeenAt, o.coldTokens, o.coldAt = r.now, r.now, r.rng.Float64(), r.now
 			}
-			o.suspect, o.unreachable = o.suspect && !o.unreachable, false
+			o.suspect = o.suspect && !o.unreachable
+			o.unreachable = false
 		}
 	}
 	r.unreachableByZone[e.Zone] = 0
 }
 
-// recordUnreachable notes an engine that could not be connected to. Several of a zone in a row, no sign of life
-// in between, show that it is lost: one trial then stands for all, or each would have to be found out.
+// recordUnreachable notes an engine that could not be connected to. Several of a zone in a row, no sign
+// of life in between, show that it is lost: one trial then stands for all, or each would have to be found
+// out.
 func (r *Router) recordUnreachable(e *engine) {
 	if !e.unreachable {
-		e.unreachable, e.unreachableSince = true, r.now
+		e.unreachable = true
+		e.unreachableSince = r.now
 		r.unreachableByZone[e.Zone]++
 	}
 	for _, o := range r.failureDomain(e) {
 		if !o.unreachable {
 			o.unreachableSince = r.now
 		}
-		o.suspect, o.unreachable, o.trialAt = true, true, r.now
+		o.suspect = true
+		o.unreachable = true
+		o.trialAt = r.now
 	}
 }
 
 // suspect leaves the engine out but for trials. A connection that is refused shows that it is down.
 func (r *Router) suspect(e *engine, down bool) {
 	if !e.suspect || down {
-		e.suspect, e.trialAt = true, r.now
+		e.suspect = true
+		e.trialAt = r.now
 	}
 	if down {
 		r.recordUnreachable(e)
@@ -75,9 +82,10 @@
 	}
 }
 
-// recordRejection notes an error, a turn-down or a lost connection. An engine that fails at once carries little,
-// looks idle and draws ever more; once most of its answers are such it is left out. What it has taken on may
-// still be well. A tenant most of whose requests fail wherever they go has itself to blame, not the engines.
+// recordRejection notes an error, a turn-down or a lost connection. An engine that fails at once carries
+// little, looks idle and draws ever more; once most of its answers are such it is left out. What it has
+// taken on may still be well. A tenant most of whose requests fail wherever they go has itself to blame,
+// not the engines.
 func (r *Router) recordRejection(a *attempt, code Code) {
 	e, t := a.engine, r.tenant(a.request)
 	e.lastSignOfLife = r.now
@@ -97,7 +105,8 @@
 	return e.notReady || e.suspect && (e.unreachable || !ignore)
 }
 
-// isExcluded tells that a suspect engine is not due for a trial. One that is silent gets a single trial at a time.
+// isExcluded tells that a suspect engine is not due for a trial. One that is silent gets a single trial
+// at a time.
 func (r *Router) isExcluded(e *engine, ignore bool) bool {
 	return r.avoids(e, ignore) &&
 		(r.now-e.trialAt < trialInterval || len(e.unanswered) > 0 && e.errorRate <= maxErrorRate)
@@ -114,7 +123,8 @@
 			n++
 		}
 	}
-	r.sharedFault, r.sharedFaultAt = float64(n) > maxSuspectFraction*float64(len(r.ready)), r.now
+	r.sharedFault = float64(n) > maxSuspectFraction*float64(len(r.ready))
+	r.sharedFaultAt = r.now
 	return r.sharedFault
 }
 
@@ -123,7 +133,7 @@
 func (r *Router) checkHealth() {
 	shared := r.hasSharedFault()
 	for _, e := range r.ready {
-		if len(e.unanswered) > 0 && e.unanswered[0].overdue(r.now) && e.lastSignOfLife <= e.unanswered[0].sent {
+		if e.isSilent(r.now) {
 			r.suspect(e, false)
 		}
 		if e.suspect && !shared {
@@ -134,14 +144,25 @@
 	}
 }
 
+// isSilent tells that the engine owes a first token for long, and gave no sign of life since it got the
+// request.
+func (e *engine) isSilent(now int64) bool {
+	if len(e.unanswered) == 0 {
+		return false
+	}
+	oldest := e.unanswered[0]
+	return oldest.overdue(now) && e.lastSignOfLife <= oldest.sent
+}
+
 // rescue tries elsewhere what waits on a suspect engine.
 func (r *Router) rescue(a *attempt) {
 	q := a.request
 	if q.settled || q.claimed != nil || a.cancelling || !a.overdue(r.now) || r.retryBudget < 1 {
 		return
 	}
+	mayHedge := r.settings.SecondCopies && q.attemptsInFlight() == 1
 	switch {
-	case r.settings.SecondCopies && q.attemptsInFlight() == 1 && !r.isWorthless(q) && r.shedFraction <= maxShedForHedging: // a further copy
+	case mayHedge && !r.isWorthless(q) && r.shedFraction <= maxShedForHedging:
 		r.retryBudget--
 		r.dispatch(q)
 	case !r.settings.SecondCopies && r.settings.Cancel && r.class(q).Effect == Safe && !r.isVain():
--- a/learned_state.go
+++ b/learned_state.go
@@ -49,7 +49,8 @@
 	N    float64 `json:"n"`
 }
 
-// LearnedModel is a model's fit and its samples: each is what it was predicted from, and at its end what came.
+// LearnedModel is a model's fit and its samples: each is what it was predicted from, and at its end what
+// came.
 type LearnedModel struct {
 	Base    vec         `json:"base"`
 	Coef    vec         `json:"coef"`
@@ -84,21 +85,35 @@
 
 // Learned copies what the router has learned.
 func (r *Router) Learned() *Learned {
-	l := &Learned{Version: learnedVersion, At: r.now, Classes: len(r.settings.Classes), Kinds: r.settings.Kinds, Gap: r.tokenGap, Told: r.lengthsKnown,
-		GapUsual: learnedMean(r.usualGap), GapNow: learnedMean(r.recentGap),
-		Decode: learnedMean(r.decodeTime), Gain: slices.Clone(r.sessionGain), Fleet: r.meanReport, Trust: r.matchTrust, FlushAt: r.flushAt,
-		Usual: r.usualReady, Rate: r.requestRate, Cut: r.shedFraction, Lately: slices.Clone(r.recentDensities)}
+	l := &Learned{
+		Version:  learnedVersion,
+		At:       r.now,
+		Classes:  len(r.settings.Classes),
+		Kinds:    r.settings.Kinds,
+		Gap:      r.tokenGap,
+		Told:     r.lengthsKnown,
+		GapUsual: learnedMean(r.usualGap),
+		GapNow:   learnedMean(r.recentGap),
+		Decode:   learnedMean(r.decodeTime),
+		Gain:     slices.Clone(r.sessionGain),
+		Fleet:    r.meanReport,
+		Trust:    r.matchTrust,
+		FlushAt:  r.flushAt,
+		Usual:    r.usualReady,
+		Rate:     r.requestRate,
+		Cut:      r.shedFraction,
+		Lately:   slices.Clone(r.recentDensities),
+	}
 	for i := range r.ttftModels {
-		l.TTFT, l.Pace = append(l.TTFT, r.ttftModels[i].learned()), append(l.Pace, r.paceModels[i].learned())
+		l.TTFT = append(l.TTFT, r.ttftModels[i].learned())
+		l.Pace = append(l.Pace, r.paceModels[i].learned())
 	}
 	for _, m := range r.classGaps {
 		l.Gaps = append(l.Gaps, learnedMean(m))
 	}
 	for _, e := range r.engines {
 		if len(l.Engines) < learnedEngines && e.State != Gone {
-			l.Engines = append(l.Engines, LearnedEngine{Name: e.Name, ReadyAt: e.ReadyAt, Since: e.firstSeenAt, Speed: e.slowness,
-				Drag: learnedMean(e.gapSlowness), Sour: e.errorRate, Suspect: e.suspect, Down: e.unreachable, TrialAt: e.trialAt, Report: e.report,
-				ReportAt: e.reportAt, ColdTokens: e.coldTokens, ColdAt: e.coldAt, Due: e.reinstated})
+			l.Engines = append(l.Engines, e.learned())
 		}
 	}
 	for _, table := range r.matchTable {
@@ -111,6 +126,26 @@
 	return l
 }
 
+// learned copies what is believed of an engine's process.
+func (e *engine) learned() LearnedEngine {
+	return LearnedEngine{
+		Name:       e.Name,
+		ReadyAt:    e.ReadyAt,
+		Since:      e.firstSeenAt,
+		Speed:      e.slowness,
+		Drag:       learnedMean(e.gapSlowness),
+		Sour:       e.errorRate,
+		Suspect:    e.suspect,
+		Down:       e.unreachable,
+		TrialAt:    e.trialAt,
+		Report:     e.report,
+		ReportAt:   e.reportAt,
+		ColdTokens: e.coldTokens,
+		ColdAt:     e.coldAt,
+		Due:        e.reinstated,
+	}
+}
+
 func learnedMean(m mean) LearnedMean { return LearnedMean{m.mean, m.n} }
 
 func (m *model) learned() LearnedModel {
@@ -137,11 +172,13 @@
 		return errors.New("it is too old")
 	case l.Classes != len(s.Classes) || l.Kinds != s.Kinds:
 		return errors.New("it was learned under other settings")
-	case len(l.TTFT) != models || len(l.Pace) != models || len(l.Gaps) != len(s.Classes)+1 || len(l.Gain) != len(s.Classes)+1,
+	case len(l.TTFT) != models || len(l.Pace) != models,
+		len(l.Gaps) != len(s.Classes)+1 || len(l.Gain) != len(s.Classes)+1,
 		len(l.Lately) > rankedRequests, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
 		return errors.New("parts of it are missing, or too many")
 	}
-	numbers := append(slices.Clone(l.Gain), l.Gap, l.Trust, l.Usual, l.Rate, l.Cut, l.Fleet.Memory, l.Fleet.Unread, l.Fleet.Slots)
+	numbers := append(slices.Clone(l.Gain), l.Gap, l.Trust, l.Usual, l.Rate, l.Cut)
+	numbers = append(numbers, l.Fleet.Memory, l.Fleet.Unread, l.Fleet.Slots)
 	numbers = append(numbers, l.Lately...)
 	for _, m := range append(slices.Clone(l.Gaps), l.GapUsual, l.GapNow, l.Decode) {
 		numbers = append(numbers, m.Mean, m.N)
@@ -158,16 +195,18 @@
 		}
 	}
 	for _, e := range l.Engines {
-		numbers = append(numbers, e.Speed, e.Drag.Mean, e.Drag.N, e.Sour, e.Report.Memory, e.Report.Unread, e.Report.Slots, e.ColdTokens)
+		numbers = append(numbers, e.Speed, e.Drag.Mean, e.Drag.N, e.Sour, e.ColdTokens)
+		numbers = append(numbers, e.Report.Memory, e.Report.Unread, e.Report.Slots)
 	}
-	if slices.ContainsFunc(numbers, func(v float64) bool { return math.IsNaN(v) || math.Abs(v) > 1e9 }) || l.Gap <= 0 {
+	invalid := func(v float64) bool { return math.IsNaN(v) || math.Abs(v) > 1e9 }
+	if slices.ContainsFunc(numbers, invalid) || l.Gap <= 0 {
 		return errors.New("a number of it cannot be")
 	}
 	return nil
 }
 
-// Recall takes what another router has learned, in place of what this one has. What is believed of an engine is taken where
-// this router lists the same process.
+// Recall takes what another router has learned, in place of what this one has. What is believed of an
+// engine is taken where this router lists the same process.
 func (r *Router) Recall(l *Learned, now int64) error {
 	if err := l.Check(&r.settings, now); err != nil {
 		return err
@@ -181,20 +220,36 @@
 		r.classGaps[i] = mean{m.Mean, m.N}
 	}
 	r.tokenGap, r.lengthsKnown, r.sessionGain = l.Gap, l.Told, slices.Clone(l.Gain)
-	r.usualGap, r.recentGap = mean{l.GapUsual.Mean, l.GapUsual.N}, mean{l.GapNow.Mean, l.GapNow.N}
-	r.decodeTime = mean{l.Decode.Mean, l.Decode.N} // how many streams are usual it learns anew: those that run are not its own
-	r.meanReport, r.matchTrust, r.flushAt = l.Fleet, l.Trust, l.FlushAt
-	r.usualReady, r.usualReadyAt = max(r.usualReady, l.Usual), now
-	r.requestRate, r.requestRateAt, r.firstRequestAt = l.Rate, now, now-int64(rateSpan*1e9)
+	r.usualGap = mean{l.GapUsual.Mean, l.GapUsual.N}
+	r.recentGap = mean{l.GapNow.Mean, l.GapNow.N}
+	// How many streams are usual is learned anew: those that run are not this router's own.
+	r.decodeTime = mean{l.Decode.Mean, l.Decode.N}
+	r.meanReport = l.Fleet
+	r.matchTrust = l.Trust
+	r.flushAt = l.FlushAt
+	r.usualReady = max(r.usualReady, l.Usual)
+	r.usualReadyAt = now
+	r.requestRate = l.Rate
+	r.requestRateAt = now
+	r.firstRequestAt = now - int64(rateSpan*1e9)
 	r.shedFraction, r.shedFractionAt, r.recentDensities, r.nextDensity = l.Cut, now, slices.Clone(l.Lately), 0
 	for _, p := range l.Engines {
 		e := r.engines[p.Name]
 		if e == nil || e.ReadyAt != p.ReadyAt {
 			continue
 		}
-		e.firstSeenAt, e.slowness, e.gapSlowness, e.errorRate = p.Since, p.Speed, mean{p.Drag.Mean, p.Drag.N}, p.Sour
-		e.suspect, e.unreachable, e.trialAt, e.reinstated = p.Suspect, p.Down, p.TrialAt, p.Due
-		e.report, e.reportAt, e.coldTokens, e.coldAt = p.Report, p.ReportAt, p.ColdTokens, p.ColdAt
+		e.firstSeenAt = p.Since
+		e.slowness = p.Speed
+		e.gapSlowness = mean{p.Drag.Mean, p.Drag.N}
+		e.errorRate = p.Sour
+		e.suspect = p.Suspect
+		e.unreachable = p.Down
+		e.trialAt = p.TrialAt
+		e.reinstated = p.Due
+		e.report = p.Report
+		e.reportAt = p.ReportAt
+		e.coldTokens = p.ColdTokens
+		e.coldAt = p.ColdAt
 	}
 	for _, p := range l.Prompts {
 		r.matchTable[0][p.Key] = matchEntry{float64(p.Tokens), p.At}
--- a/placement.go
+++ b/placement.go
@@ -14,8 +14,8 @@
 	maxAffinityTTFT        = 5.0   // seconds the gated best may trail the best overall (DESIGN)
 	ttftWeight             = 0.8   // of headroom; the rest is pace (DESIGN)
 	sampleSize             = 3     // engines of the highest rank that are looked at, besides matches
-	sparseWait             = 0.1   // share of the warm-up in which a gateway that is not thin weighs each engine
-	sparseSpill            = 0.5   // part of its sessions that a thin gateway ranks without regard to its zone
+	sparseWait             = 0.1   // of the warm-up: a gateway that weighs each engine in it is not sparse
+	sparseSpill            = 0.5   // part of its sessions that a sparse gateway ranks regardless of its zone
 	headroomReserve        = 0.5   // share of an aim that must be left for headroom to count
 	headroomReserveEngines = 8.0   // engines weighed; of more, the least headroom is a worse guess
 	minHomeAdvantage       = 300.0 // prompt tokens expected kept at the assumed home, to go there
@@ -30,7 +30,8 @@
 	}
 	top := best(all, nil)
 	gated := best(all, func(o *option) bool { return o.match >= gateMatch })
-	if gated == nil && len(q.keptByEngine) == 0 && r.settings.Balancers > 1 && r.homeAdvantage(q) > minHomeAdvantage {
+	othersMayKeep := len(q.keptByEngine) == 0 && r.settings.Balancers > 1
+	if gated == nil && othersMayKeep && r.homeAdvantage(q) > minHomeAdvantage {
 		// Exception: this gateway knows of no engine that keeps the prompt, but other turns of the session
 		// may have come through other gateways, which assume the same home.
 		gated = best(all, func(o *option) bool { return o.home })
@@ -59,14 +60,25 @@
 		if gate != nil && !gate(o) {
 			continue
 		}
-		better := best == nil || o.hasHeadroom && !best.hasHeadroom
-		if better || o.hasHeadroom == best.hasHeadroom && (o.hasHeadroom && o.headroom < best.headroom || !o.hasHeadroom && o.headroom > best.headroom) {
+		if best == nil || o.isBetterThan(best) {
 			best = o
 		}
 	}
 	return best
 }
 
+// isBetterThan compares two options: one with headroom beats one without; of two with headroom the
+// smaller one wins, of two without the larger.
+func (o *option) isBetterThan(other *option) bool {
+	if o.hasHeadroom != other.hasHeadroom {
+		return o.hasHeadroom
+	}
+	if o.hasHeadroom {
+		return o.headroom < other.headroom
+	}
+	return o.headroom > other.headroom
+}
+
 // buildOptions predicts for every engine that may be used.
 func (r *Router) buildOptions(q *request, wide bool) []option {
 	ignore := r.hasSharedFault()
@@ -112,7 +124,8 @@
 				o.headroom += (1 - ttftWeight) * pace
 				room = min(room, pace)
 			}
-			o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(min(1, headroomReserveEngines/float64(len(all))))
+			few := min(1, headroomReserveEngines/float64(len(all)))
+			o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(few)
 		} else {
 			o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.paceUpper*q.MaxTokens
 		}
@@ -150,9 +163,10 @@
 	return r.requestRate*sampleSize*sparseWait*seconds(r.settings.WarmUp) < float64(len(r.ready))
 }
 
-// prefersOwnZone tells whether the session is ranked in the own zone first: none where crossing is free, else all
-// but what the own zone lacks of an even share of the fleet's size. While engines are cold a thin gateway
-// cannot see whether its zone bears its traffic, and all of that zone would press on what is left together.
+// prefersOwnZone tells whether the session is ranked in the own zone first: none where crossing is free,
+// else all but what the own zone lacks of an even share of the fleet's size. While engines are cold a
+// thin gateway cannot see whether its zone bears its traffic, and all of that zone would press on what is
+// left together.
 func (r *Router) prefersOwnZone(q *request) bool {
 	spill := 1 - r.ownZoneFraction*float64(r.settings.Zones)
 	if r.isSparse() && r.now < r.fleetWarmAt {
@@ -161,7 +175,9 @@
 	if q.byPrefix {
 		return false // one home for all gateways: a second copy of a long beginning costs more than crossings
 	}
-	return r.settings.CrossZonePrice > r.ownZonePrice() && r.settings.Zones > 1 && unit(mix(q.key(), prefixSalt)) >= spill
+	return r.settings.CrossZonePrice > r.ownZonePrice() &&
+		r.settings.Zones > 1 &&
+		unit(mix(q.key(), prefixSalt)) >= spill
 }
 
 // candidate is an engine that a request may go to, before anything is predicted of it.
@@ -196,8 +212,8 @@
 
 func (r *Router) isInOwnZone(e *engine) bool { return e.Zone == r.settings.Zone }
 
-// maxAffinityPenalty is how far, in seconds, the gated best may trail the best overall: where no load is told no further
-// than the aim, for what is known of it comes from waits that are over.
+// maxAffinityPenalty is how far, in seconds, the gated best may trail the best overall: where no load is
+// told no further than the aim, for what is known of it comes from waits that are over.
 func (r *Router) maxAffinityPenalty(q *request) float64 {
 	if len(q.keptByEngine) > 0 {
 		return directoryAffinityPenalty
--- a/prediction.go
+++ b/prediction.go
@@ -46,7 +46,8 @@
 	f := math.Exp(o.engine.slowness)
 	o.ttft = max(r.ttftModels[k].at(&o.features)*f, r.vainWaitOf(o.engine))
 	sway := r.gapDrift() + max(0, o.engine.slowness)
-	if own := o.engine.gapSlowness.n / (o.engine.gapSlowness.n + engineGapPrior); own > 0 { // told gaps show this engine's own
+	own := o.engine.gapSlowness.n / (o.engine.gapSlowness.n + engineGapPrior)
+	if own > 0 { // answers of known length show this engine's own gap
 		sway += own * (o.engine.gapSlowness.mean - sway)
 	}
 	o.pace = r.paceModels[k].at(&o.features) * r.tokenGap * math.Exp(sway)
@@ -199,7 +200,8 @@
 	return e.sentUnread * math.Exp2(-seconds(r.now-e.sentAt)/unreadHalfLife)
 }
 
-// streamExcess compares, in logarithm, the own streams that run with those that would if each took the usual time.
+// streamExcess compares, in logarithm, the own streams that run with those that would if each took the
+// usual time.
 func (r *Router) streamExcess() float64 {
 	return math.Log((float64(r.streams) + streamPrior) / (r.usualStreams() + streamPrior))
 }
@@ -216,6 +218,7 @@
 
 func (r *Router) takeReport(e *engine, rep *Report) {
 	e.report = Report{clamp(rep.Memory, 2), clamp(rep.Unread, 1000), clamp(rep.Slots, 2)}
-	e.reportAt, e.sentUnread = r.now, 0
+	e.reportAt = r.now
+	e.sentUnread = 0
 	r.meanReport.blend(&e.report, 0.05)
 }
--- a/prefill_backlog.go
+++ b/prefill_backlog.go
@@ -76,7 +76,8 @@
 		old++
 	}
 	if old > 0 {
-		b.prompts, b.since = b.prompts[old:], now
+		b.prompts = b.prompts[old:]
+		b.since = now
 	}
 }
 
@@ -87,7 +88,8 @@
 }
 
 func (b *backlog) add(p pendingPrompt) {
-	b.busy, b.busyAt = b.reading(p.at)+p.tokens/b.rate()/readingSpan, p.at
+	b.busy = b.reading(p.at) + p.tokens/b.rate()/readingSpan
+	b.busyAt = p.at
 	if len(b.prompts) == 0 {
 		b.since = p.at
 	}
@@ -114,7 +116,8 @@
 			sample := min(assumedSpeed/minSpeedFactor, max(assumedSpeed*minSpeedFactor, tokens/took))
 			b.speed = b.rate() + speedWeight*(sample-b.rate())
 		}
-		b.prompts, b.since = b.prompts[i+1:], now
+		b.prompts = b.prompts[i+1:]
+		b.since = now
 		return
 	}
 }
--- a/probes.go
+++ b/probes.go
@@ -15,7 +15,8 @@
 		}
 	}
 	if oldest != nil {
-		oldest.probing, oldest.probedAt = true, r.now
+		oldest.probing = true
+		oldest.probedAt = r.now
 		r.emit(Action{Kind: Probe, Engine: oldest.Name})
 	}
 }
--- a/regression.go
+++ b/regression.go
@@ -28,7 +28,11 @@
 	err             float64 // mean relative error
 }
 
-func (m *model) init(prior vec) { m.base, m.coef, m.err = prior, prior, 0.5 }
+func (m *model) init(prior vec) {
+	m.base = prior
+	m.coef = prior
+	m.err = 0.5
+}
 
 func (m *model) at(x *vec) float64 {
 	var y, p float64
@@ -55,7 +59,8 @@
 // fit solves the weighted ridge around base; samples count in inverse square of their base prediction, so
 // that long waits do not drown short ones. Load never makes a prediction smaller.
 func (m *model) fit(base vec) {
-	m.base, m.samplesSinceFit = base, 0
+	m.base = base
+	m.samplesSinceFit = 0
 	var a [ttftFeatures][ttftFeatures + 1]float64
 	for bi := range m.buckets {
 		for _, s := range m.buckets[bi].ring {
--- a/request.go
+++ b/request.go
@@ -32,7 +32,11 @@
 		return
 	}
 	r.countRequest()
-	r.emit(Action{Kind: Timer, Wait: max(0, q.Expires-r.now-2*r.settings.Tick), Token: q.ID*tokenStep + tokenExpire})
+	r.emit(Action{
+		Kind:  Timer,
+		Wait:  max(0, q.Expires-r.now-2*r.settings.Tick),
+		Token: q.ID*tokenStep + tokenExpire,
+	})
 	if !r.consult(q) {
 		r.dispatch(q)
 	}
@@ -50,7 +54,8 @@
 	best := r.pick(q)
 	if best == nil {
 		if q.attemptsInFlight() == 0 && !q.held {
-			q.held, r.held = true, append(r.held, q)
+			q.held = true
+			r.held = append(r.held, q)
 		}
 		return
 	}
@@ -59,22 +64,37 @@
 		return
 	}
 	if aim := seconds(r.class(q).TPOTAim); aim > 0 && len(q.attempts) == 0 {
-		r.adjustShedding(best.engine, best.pace > aim || len(q.keptByEngine) > 0 && (best.paceUpper > aim || best.ttftUpper > r.latencyObjective(q)))
+		upperMissed := best.paceUpper > aim || best.ttftUpper > r.latencyObjective(q)
+		missed := best.pace > aim || len(q.keptByEngine) > 0 && upperMissed
+		r.adjustShedding(best.engine, missed)
 	}
 	r.send(q, best)
 }
 
 func (r *Router) send(q *request, o *option) {
 	e := o.engine
-	a := &attempt{request: q, number: len(q.attempts), engine: e, sent: r.now, features: o.features, ttft: o.ttft, match: o.match,
-		home: o.home, reinstated: e.reinstated, inFlight: true, mayHaveRun: true}
-	q.attempts, q.held = append(q.attempts, a), false
+	a := &attempt{
+		request:    q,
+		number:     len(q.attempts),
+		engine:     e,
+		sent:       r.now,
+		features:   o.features,
+		ttft:       o.ttft,
+		match:      o.match,
+		home:       o.home,
+		reinstated: e.reinstated,
+		inFlight:   true,
+		mayHaveRun: true,
+	}
+	q.attempts = append(q.attempts, a)
+	q.held = false
 	e.attemptsInFlight++
 	e.tokensInFlight += q.PromptTokens
 	e.sentUnread = r.sentUnread(e) + q.PromptTokens*(1-o.match)
 	e.sentAt = r.now
 	e.unanswered = append(e.unanswered, a)
-	e.trialAt, e.reinstated = r.now, false
+	e.trialAt = r.now
+	e.reinstated = false
 	if e.coldAt != 0 {
 		e.coldTokens--
 	}
@@ -104,7 +124,8 @@
 	r.notifyEnd(a, true)
 	r.recordSignOfLife(a)
 	r.observeTTFT(a, seconds(ev.Elapsed))
-	if aim := r.latencyObjective(q); aim > 0 && a.number == 0 { // a miss after a failed attempt is not the fleet's load
+	// A miss after a failed attempt is not the fleet's load.
+	if aim := r.latencyObjective(q); aim > 0 && a.number == 0 {
 		r.adjustShedding(a.engine, seconds(r.now-q.arrivedAt) > aim)
 	}
 	if q.settled {
@@ -112,7 +133,8 @@
 	}
 	q.claimed = a
 	r.streams++
-	r.expectedStreams, r.expectedStreamsAt = r.usualStreams()+1, r.now
+	r.expectedStreams = r.usualStreams() + 1
+	r.expectedStreamsAt = r.now
 	r.cancelOthers(q, a)
 }
 
@@ -137,7 +159,10 @@
 	if ev.Report != nil && r.settings.Reports == ReportReplies {
 		r.takeReport(a.engine, ev.Report)
 	}
-	a.inFlight, a.code, a.mayHaveRun, a.engine.attemptsInFlight = false, ev.Code, !ev.Code.NeverRan(), a.engine.attemptsInFlight-1
+	a.inFlight = false
+	a.code = ev.Code
+	a.mayHaveRun = !ev.Code.NeverRan()
+	a.engine.attemptsInFlight--
 	a.engine.tokensInFlight = max(0, a.engine.tokensInFlight-q.PromptTokens)
 	if q.claimed == a {
 		r.streams--
@@ -149,7 +174,8 @@
 	case Served:
 		r.recordSignOfLife(a)
 		r.observeServed(a, ev)
-	case ServerError, TurnedAway, ConnectionLost: // one connection is not the engine: the next connect tells
+	case ServerError, TurnedAway, ConnectionLost:
+		// One lost connection says little of the engine: the next connect will tell.
 		if !ev.Local {
 			r.recordRejection(a, ev.Code)
 		}
@@ -189,7 +215,8 @@
 
 // isWorthless tells that no worth is left to earn.
 func (r *Router) isWorthless(q *request) bool {
-	return r.class(q).LateWorth <= 0 && r.latencyObjective(q) > 0 && seconds(r.now-q.arrivedAt) > r.latencyObjective(q)
+	objective := r.latencyObjective(q)
+	return r.class(q).LateWorth <= 0 && objective > 0 && seconds(r.now-q.arrivedAt) > objective
 }
 
 // finalAnswer gives the final answer: a refusal where that is true, else a failure.
@@ -216,7 +243,8 @@
 // finish marks the request as over; it is forgotten once its last attempt has ended.
 func (r *Router) finish(q *request, winner *attempt) {
 	if !q.settled {
-		q.settled, q.held = true, false
+		q.settled = true
+		q.held = false
 		delete(r.awaitingDirectory, uint32(q.ID))
 		r.cancelOthers(q, winner)
 	}
@@ -347,8 +375,8 @@
 	return q, q.attempts[leg]
 }
 
-// mayNotRepeat tells that no attempt may follow, wherever: one may have run whose class must not be repeated, or
-// not any more.
+// mayNotRepeat tells that no attempt may follow, wherever: one may have run whose class must not be
+// repeated, or not any more.
 func (r *Router) mayNotRepeat(q *request) bool {
 	c := r.class(q)
 	return q.attemptsInFlight() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
--- a/router.go
+++ b/router.go
@@ -1,10 +1,11 @@
 package standpoint
 
-// The Router takes events and hands them to the code that decides on them. The files, in reading order: discovery.go
-// (the endpoint list), request.go (a request's attempts), admission.go (load shedding), eligibility.go (what may be
-// sent), slow_start.go, placement.go with sampling.go (choosing a backend), affinity.go (cached prompts), directory.go
-// and prefill_backlog.go (the load directory), prediction.go with regression.go, health.go, probes.go and
-// unreported_load.go. Events, actions and settings are in api.go; state.go says what is remembered.
+// The Router takes events and hands them to the code that decides on them. The files, in reading order:
+// discovery.go (the endpoint list), request.go (a request's attempts), admission.go (load shedding),
+// eligibility.go (what may be sent), slow_start.go, placement.go with sampling.go (choosing a backend),
+// affinity.go (cached prompts), directory.go and prefill_backlog.go (the load directory), prediction.go
+// with regression.go, health.go, probes.go and unreported_load.go. Events, actions and settings are in
+// api.go; state.go says what is remembered.
 
 import (
 	"math/rand/v2"
@@ -42,14 +43,27 @@
 
 // New returns a router for one gateway.
 func New(settings Settings, seed int64) *Router {
-	r := &Router{settings: settings, rng: rand.New(rand.NewPCG(uint64(seed), sessionSalt)), unreachableByZone: map[int]int{},
-		engines: map[string]*engine{}, requests: map[int64]*request{},
-		enginesByShortHash: map[uint32]*engine{}, silentOwners: map[int]int64{}, awaitingDirectory: map[uint32]*request{},
-		retryBudget: maxRetryBudget, matchTrust: 1,
-		tenants: make([]tenantRate, len(settings.Tenants)), shedRates: make([]classShedRates, len(settings.Classes)+1),
-		sessionGain: slices.Repeat([]float64{0.5}, len(settings.Classes)+1),
-		ttftModels:  make([]model, settings.Kinds+1), paceModels: make([]model, settings.Kinds+1),
-		classGaps: make([]mean, len(settings.Classes)+1), tokenGap: initialTokenGap}
+	classes := len(settings.Classes) + 1 // the last one stands for requests of an unknown class
+	kinds := settings.Kinds + 1          // the last one stands for the whole fleet
+	r := &Router{
+		settings:           settings,
+		rng:                rand.New(rand.NewPCG(uint64(seed), sessionSalt)),
+		unreachableByZone:  map[int]int{},
+		engines:            map[string]*engine{},
+		requests:           map[int64]*request{},
+		enginesByShortHash: map[uint32]*engine{},
+		silentOwners:       map[int]int64{},
+		awaitingDirectory:  map[uint32]*request{},
+		retryBudget:        maxRetryBudget,
+		matchTrust:         1,
+		tenants:            make([]tenantRate, len(settings.Tenants)),
+		shedRates:          make([]classShedRates, classes),
+		sessionGain:        slices.Repeat([]float64{0.5}, classes),
+		ttftModels:         make([]model, kinds),
+		paceModels:         make([]model, kinds),
+		classGaps:          make([]mean, classes),
+		tokenGap:           initialTokenGap,
+	}
 	if aim := r.tightestTokenGap(); aim > 0 {
 		r.tokenGap = tokenGapFraction * aim
 	}
@@ -63,7 +77,8 @@
 
 // Handle takes one event and appends what is to be done about it to actions.
 func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
-	r.now, r.actions = now, actions
+	r.now = now
+	r.actions = actions
 	if !r.ticking {
 		r.ticking = true
 		r.emit(Action{Kind: Timer, Wait: tickInterval + r.rng.Int64N(tickInterval), Token: tokenTick})
@@ -90,7 +105,8 @@
 	case *TimerFired:
 		r.onTimer(ev.Token)
 	}
-	actions, r.actions = r.actions, nil
+	actions = r.actions
+	r.actions = nil
 	return actions
 }
 
--- a/sampling.go
+++ b/sampling.go
@@ -17,7 +17,8 @@
 	if len(r.ready) <= maxFullScan {
 		return r.ready
 	}
-	r.sampleNumber, r.sampled = r.sampleNumber+1, r.sampled[:0]
+	r.sampleNumber++
+	r.sampled = r.sampled[:0]
 	r.addFromRing(ringKey{q.Pool, r.prefersOwnZone(q)}, q.key(), sampleByKey)
 	r.addFromRing(ringKey{q.Pool, false}, q.key(), sampleByPrefix)
 	if q.Prefix != 0 {
@@ -32,8 +33,8 @@
 	ownZone bool
 }
 
-// rebuildRings puts the engines of a fleet that is not gone over whole on rings, by their hashes: one for each pool
-// and for all, everywhere and in the own zone.
+// rebuildRings puts the engines of a fleet that is not gone over whole on rings, by their hashes: one for
+// each pool and for all, everywhere and in the own zone.
 func (r *Router) rebuildRings() {
 	r.rings = map[ringKey][]*engine{}
 	var own, all float64
@@ -43,7 +44,8 @@
 			own += e.Size
 		}
 	}
-	r.ownZoneFraction, r.meanSize = 0, all/max(1, float64(len(r.ready)))
+	r.ownZoneFraction = 0
+	r.meanSize = all / max(1, float64(len(r.ready)))
 	if all > 0 {
 		r.ownZoneFraction = own / all
 	}
@@ -68,8 +70,8 @@
 	}
 }
 
-// addFromRing adds to what is looked at the n engines of a ring that follow a key, but for those that are there
-// already.
+// addFromRing adds to what is looked at the n engines of a ring that follow a key, but for those that are
+// there already.
 func (r *Router) addFromRing(at ringKey, key uint64, n int) {
 	ring := r.rings[at]
 	if len(ring) == 0 {
--- a/slow_start.go
+++ b/slow_start.go
@@ -10,7 +10,8 @@
 // the same start; each takes its share of what the rule allows, measured against its own mean rate for
 // each engine, and saves it up from a random beginning so that they do not all send at once.
 func (r *Router) hasColdBudget(e *engine) bool {
-	if start := r.startedAt(e); start <= 0 || r.now-start > r.settings.WarmUp+r.settings.Fall || r.settings.WarmUp <= 0 {
+	start := r.startedAt(e)
+	if start <= 0 || r.now-start > r.settings.WarmUp+r.settings.Fall || r.settings.WarmUp <= 0 {
 		e.coldAt = 0
 		return true
 	}
@@ -20,13 +21,16 @@
 	// The divisor is the fleet's usual size: when most engines are down, what is left of them must not be
 	// taken to be able to do all the work (guards against cold engines pushed over in a joint failure).
 	perEngine := r.requestRate / max(1, r.usualReady) * r.relativeSize(e)
-	e.coldTokens += perEngine * r.warmFraction(e) * r.settings.FallFactor * coldMargin * seconds(r.now-e.coldAt)
-	e.coldTokens, e.coldAt = min(e.coldTokens, 1.5), r.now
+	refill := perEngine * r.warmFraction(e) * r.settings.FallFactor * coldMargin
+	e.coldTokens += refill * seconds(r.now-e.coldAt)
+	e.coldTokens = min(e.coldTokens, 1.5)
+	e.coldAt = r.now
 	return e.coldTokens >= 1
 }
 
-// startedAt is the engine's last start, as told, or as taken from its coming back; 0: long ago. What is told of
-// a start comes within the time in which discovery must be asked: one that is not told by then was none.
+// startedAt is the engine's last start, as told, or as taken from its coming back; 0: long ago. What is
+// told of a start comes within the time in which discovery must be asked: one that is not told by then
+// was none.
 func (r *Router) startedAt(e *engine) int64 {
 	told := e.ReadyAt
 	if e.startNoticedAt > 0 {
@@ -44,5 +48,6 @@
 	if start <= 0 || r.settings.WarmUp <= 0 {
 		return 1
 	}
-	return r.settings.ColdShare + (1-r.settings.ColdShare)*clamp(float64(r.now-start)/float64(r.settings.WarmUp), 1)
+	age := clamp(float64(r.now-start)/float64(r.settings.WarmUp), 1)
+	return r.settings.ColdShare + (1-r.settings.ColdShare)*age
 }
--- a/state.go
+++ b/state.go
@@ -119,21 +119,25 @@
 func (r *Router) Adjust(settings Settings) {
 	blank := New(settings, 0)
 	if len(blank.sessionGain) != len(r.sessionGain) {
-		r.sessionGain, r.classGaps, r.shedRates = blank.sessionGain, blank.classGaps, blank.shedRates
+		r.sessionGain = blank.sessionGain
+		r.classGaps = blank.classGaps
+		r.shedRates = blank.shedRates
 	}
 	if len(blank.ttftModels) != len(r.ttftModels) {
-		r.ttftModels, r.paceModels = blank.ttftModels, blank.paceModels
+		r.ttftModels = blank.ttftModels
+		r.paceModels = blank.paceModels
 	}
 	if len(blank.tenants) != len(r.tenants) {
 		r.tenants = blank.tenants
 	}
-	r.settings, r.unreachableByZone = settings, blank.unreachableByZone // zones may have other numbers
+	r.settings = settings
+	r.unreachableByZone = blank.unreachableByZone // zones may have other numbers
 	r.rebuildRings()
 }
 
-// countRequest follows the rate of own requests taken on, over the latest rateSpan seconds; over what there was of
-// them where the router is younger, or it would take itself for one that has little to do, and cold engines
-// for weaker than they are.
+// countRequest follows the rate of own requests taken on, over the latest rateSpan seconds; over what
+// there was of them where the router is younger, or it would take itself for one that has little to do,
+// and cold engines for weaker than they are.
 func (r *Router) countRequest() {
 	if r.requestRateAt == 0 {
 		r.firstRequestAt = r.now
--- a/unreported_load.go
+++ b/unreported_load.go
@@ -28,8 +28,8 @@
 	return 0
 }
 
-// vainWaitOf is how long a first token takes at the engine at the least, in seconds, where no load is told: as
-// long as the oldest attempt there has waited, or as one did that ended without.
+// vainWaitOf is how long a first token takes at the engine at the least, in seconds, where no load is
+// told: as long as the oldest attempt there has waited, or as one did that ended without.
 func (r *Router) vainWaitOf(e *engine) float64 {
 	if !r.lacksReports() {
 		return 0
@@ -45,15 +45,17 @@
 // tells, have read it for nothing, and read it again elsewhere.
 func (r *Router) isVain() bool { return r.lacksReports() && r.shedFraction > maxShedForHedging }
 
-// recordVainWait notes, where no load is told, an attempt that ended without a first token. Behind its aim that
-// shows an overload as a late one does, and more: its server's work was in vain, so as many aims are set
-// against it as undo one.
+// recordVainWait notes, where no load is told, an attempt that ended without a first token. Behind its
+// aim that shows an overload as a late one does, and more: its server's work was in vain, so as many aims
+// are set against it as undo one.
 func (r *Router) recordVainWait(a *attempt, code Code) {
 	if !r.lacksReports() || a.firstTokenAt != 0 || code != NoAnswer && code != Cancelled {
 		return
 	}
 	waited, aim := seconds(r.now-a.sent), r.latencyObjective(a.request)
-	a.engine.vainWait, a.engine.vainWaitAt = max(waited, a.engine.vainWait*math.Exp2(-seconds(r.now-a.engine.vainWaitAt)/vainWaitHalfLife)), r.now
+	decay := math.Exp2(-seconds(r.now-a.engine.vainWaitAt) / vainWaitHalfLife)
+	a.engine.vainWait = max(waited, a.engine.vainWait*decay)
+	a.engine.vainWaitAt = r.now
 	for i := 0.0; i < metPerMissed && aim > 0 && waited > aim; i++ {
 		r.adjustShedding(a.engine, true)
 	}
