--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -73,7 +73,8 @@
 		token := filepath.Join(c.dir, id, "token")
 		require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
 		batch := map[string]string{"c": "[batch]\nenabled = true\n"}[id]
-		text := fmt.Sprintf(sharedConfigurationTestFile, id, testpeer.FreeAddress(t), controls[id], backend, batch, id, members)
+		text := fmt.Sprintf(sharedConfigurationTestFile, id, testpeer.FreeAddress(t), controls[id], backend, batch,
+			id, members)
 		require.NoError(t, os.WriteFile(c.file(id), []byte(text), 0o600))
 		c.start(id)
 	}
@@ -166,8 +167,8 @@
 	c.eventuallyAllServeBy(4)
 }
 
-// c carries batches, and cannot rename its classes while they run. It says so and goes on by the version before. Where c
-// leads, the change is rejected at once.
+// c carries batches, and cannot rename its classes while they run. It says so and goes on by the version before.
+// Where c leads, the change is rejected at once.
 func (c *configurationCluster) changeThatOneMemberRejects() {
 	c.t.Helper()
 	var text string
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -24,8 +24,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// notingBackends are backends that note their requests. A request whose id begins with "hold" or "queue" is not answered
-// before release is closed; the first has had one event by then.
+// notingBackends are backends that note their requests. A request whose id begins with "hold" or "queue" is not
+// answered before release is closed; the first has had one event by then.
 type notingBackends struct {
 	begun   chan string // a request that is not answered yet
 	release chan struct{}
--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -51,11 +51,13 @@
 
 // newDrainFleet puts a fleet together: nothing runs yet.
 func newDrainFleet(t *testing.T, program, mode string, port int, seed uint64, nodes, servers int) *drainFleet {
-	f := &drainFleet{t: t, program: program, mode: mode, rng: rand.New(rand.NewPCG(seed, 34)), stop: make(chan struct{})}
+	f := &drainFleet{t: t, program: program, mode: mode, rng: rand.New(rand.NewPCG(seed, 34)),
+		stop: make(chan struct{})}
 	f.record = drain.NewRecord(f.stop)
 	for i := range servers {
 		name := fmt.Sprint("s", i)
-		f.hosts = append(f.hosts, drain.Host{Host: name, Dial: drain.StartBackend(t, name, f.record), Site: "a", Class: "m", Health: "ready", Share: 1})
+		f.hosts = append(f.hosts, drain.Host{Host: name, Dial: drain.StartBackend(t, name, f.record), Site: "a",
+			Class: "m", Health: "ready", Share: 1})
 	}
 	f.first = drain.NewDiscovery(t, f.record, 41, f.hosts)
 	f.second = drain.NewDiscovery(t, f.record, 7, f.hosts) // versions of its own, lower ones
@@ -161,7 +163,8 @@
 	close(f.stop)
 	f.clients.Wait()
 	found := f.record.Violations(append(f.first.Due(), f.second.Due()...), drainGrace+socketsSlack)
-	f.t.Logf("%d sends judged, %d violations, %v late at most; calls %v and %v", len(f.record.Sends()), len(found), f.record.MostLag(),
+	f.t.Logf("%d sends judged, %d violations, %v late at most; calls %v and %v", len(f.record.Sends()), len(found),
+		f.record.MostLag(),
 		f.first.Counts(), f.second.Counts())
 	return found
 }
@@ -214,7 +217,8 @@
 			}
 		}
 	}
-	f.t.Logf("told at %s, sent at %s", v.Told.At.UTC().Format(time.RFC3339Nano), v.Send.At.UTC().Format(time.RFC3339Nano))
+	f.t.Logf("told at %s, sent at %s", v.Told.At.UTC().Format(time.RFC3339Nano),
+		v.Send.At.UTC().Format(time.RFC3339Nano))
 }
 
 // drainSeeds are the plays of the test, or what DRAIN_SEEDS says: "first-last".
@@ -311,7 +315,8 @@
 	record := drain.NewRecord(t.Context().Done())
 	var hosts []drain.Host
 	for _, name := range []string{"leaves", "stays"} {
-		hosts = append(hosts, drain.Host{Host: name, Dial: drain.StartBackend(t, name, record), Site: "a", Class: "m", Health: "ready", Share: 1})
+		hosts = append(hosts, drain.Host{Host: name, Dial: drain.StartBackend(t, name, record), Site: "a",
+			Class: "m", Health: "ready", Share: 1})
 	}
 	d := drain.NewDiscovery(t, record, 41, hosts)
 	d.Set("leaves", "draining")
@@ -335,7 +340,8 @@
 		c, err := net.Dial("tcp", l.listen)
 		if err == nil {
 			c.Close()
-			require.GreaterOrEqual(t, time.Since(began), inLine, "a client that connects before would wait for its answer")
+			require.GreaterOrEqual(t, time.Since(began), inLine,
+				"a client that connects before would wait for its answer")
 		}
 		require.Less(t, time.Since(began), 10*time.Second)
 	}
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -88,13 +88,16 @@
 
 func goldenRecord() migration.Record {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	r := migration.Record{ID: "m-7", By: "kim", Note: "build 118", State: migration.Holding, Paused: true, Reason: "hold: 4 s more", Step: 1, Version: 9,
-		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03, Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
+	r := migration.Record{ID: "m-7", By: "kim", Note: "build 118", State: migration.Holding, Paused: true,
+		Reason: "hold: 4 s more", Step: 1, Version: 9,
+		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03,
+			Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
 			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000, OnWorse: migration.Return, ReturnSteps: 4,
 			ReturnEvery: 3 * time.Second, ColdShare: 0.17, WarmUp: 25 * time.Second, FallFactor: 4},
 		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
 		Started: at, Changed: at.Add(90 * time.Second),
-		Events:    []migration.Event{{At: at, State: migration.Warming, Share: 0.03, Text: "begun"}, {At: at.Add(30 * time.Second), State: migration.Halted, Share: 0.6, Text: "late"}},
+		Events: []migration.Event{{At: at, State: migration.Warming, Share: 0.03, Text: "begun"},
+			{At: at.Add(30 * time.Second), State: migration.Halted, Share: 0.6, Text: "late"}},
 		BaseMoved: map[string]string{"older": "old"}, FromCapacity: 3.5, StateWindows: 41, ShareWindows: 42, StepRequests: [2]int{43, 44}, StepWeight: [2]float64{4.5, 4.6}, ReturnFromShare: 0.47, Cause: "late"}
 	r.LongTerm[0].Bad, r.LongTerm[0].Total = 1.5, 2.5
 	return r
@@ -103,38 +106,49 @@
 func goldenMove() controller.Status {
 	r := goldenRecord()
 	return controller.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Migration: &r, Evidence: 0.25,
-		Nodes: []controller.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5}, {Name: "node-b", Version: 8, Age: 1.5, Lagging: true}}}
+		Nodes: []controller.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5},
+			{Name: "node-b", Version: 8, Age: 1.5, Lagging: true}}}
 }
 
 func goldenFleet() fleet.Status {
-	return fleet.Status{Slot: "node-a", Incarnation: 3, State: "together", SiteState: "trusting", StateAge: 61.5, RateFactor: 0.75, LeaseRemaining: 540, FencingToken: 12, Leader: "127.0.0.1:7001",
-		Peers: []fleet.PeerStatus{{Slot: "node-b", Listed: true, Alive: true, ReportAge: 0.25, Incarnation: 5, Tokens: 700}, {Slot: "node-c", ReportAge: -1}},
-		Budgets: []quota.Usage{{Budget: "tokens/office", Window: 88, Quota: 1001, Spent: 102, BaseQuota: 1003, Lent: 104, Borrowed: 105, Demand: 106.5, Debt: 107, LentTransfers: 8,
+	return fleet.Status{Slot: "node-a", Incarnation: 3, State: "together", SiteState: "trusting", StateAge: 61.5,
+		RateFactor: 0.75, LeaseRemaining: 540, FencingToken: 12, Leader: "127.0.0.1:7001",
+		Peers: []fleet.PeerStatus{{Slot: "node-b", Listed: true, Alive: true, ReportAge: 0.25, Incarnation: 5,
+			Tokens: 700}, {Slot: "node-c", ReportAge: -1}},
+		Budgets: []quota.Usage{{Budget: "tokens/office", Window: 88, Quota: 1001, Spent: 102, BaseQuota: 1003,
+			Lent: 104, Borrowed: 105, Demand: 106.5, Debt: 107, LentTransfers: 8,
 			BorrowedTransfers: 9, FencingToken: 10, LeaseValidFrom: 11, LeaseExpiresAt: 12}},
-		Counters:    map[string]counter.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Reported: 24, Unreported: 25}},
-		LiveMembers: counter.Reading{Lower: 31, Upper: 32, Age: 33, Reported: 34, Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42, DroppedMessages: 43,
+		Counters: map[string]counter.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Reported: 24,
+			Unreported: 25}},
+		LiveMembers: counter.Reading{Lower: 31, Upper: 32, Age: 33, Reported: 34,
+			Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42, DroppedMessages: 43,
 		Violations: map[string]uint64{"rights": 44}}
 }
 
 func goldenLedger() replication.Status {
-	return replication.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52, Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63, OutputTokens: 64}}, Sources: 53,
+	return replication.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52,
+		Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63,
+			OutputTokens: 64}}, Sources: 53,
 		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Missing: 58, SyncedSecondsAgo: 5.5, Consistent: true, Corruptions: []string{"000001.seg, byte 16: a checksum that does not fit"}}
 }
 
 func goldenEntries() []endpoints.Origin {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	return []endpoints.Origin{
-		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "push", Address: "127.0.0.1:9001", State: "ready", Started: at,
+		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "push",
+			Address: "127.0.0.1:9001", State: "ready", Started: at,
 			TTL: 75, Until: at.Add(75 * time.Second), Changed: at.Add(time.Second), Looked: at.Add(2 * time.Second), Stale: true},
-		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "poll", Fault: "no SRV record", Changed: at},
+		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "poll",
+			Fault: "no SRV record", Changed: at},
 		{Name: "box-3", Address: "127.0.0.1:9003", State: "draining"},
 		{Name: "box-4", Server: "127.0.0.1:53", News: "store", Address: "127.0.0.1:9004", State: "ready"},
 	}
 }
 
 func goldenVersion(number uint64) settings.Version {
-	return settings.Version{Number: number, Author: "kim", Note: "why", CreatedAt: time.Date(2026, 12, 1, 12, 0, int(number), 0, time.UTC),
-		Text: fmt.Sprintf("[module]\ncold_share = 0.%d\n", number)}
+	return settings.Version{Number: number, Author: "kim", Note: "why",
+		CreatedAt: time.Date(2026, 12, 1, 12, 0, int(number), 0, time.UTC),
+		Text:      fmt.Sprintf("[module]\ncold_share = 0.%d\n", number)}
 }
 
 // fakeDaemon answers the control interface's calls from typed samples, and notes what it is sent.
@@ -155,7 +169,9 @@
 	back.RollbackTo, back.Text = 1, ""
 	s, err := control.Listen("127.0.0.1:0", d.token, []control.Route{
 		{Pattern: "GET /v1/pools", Handle: fixed([]controller.Members{
-			{Pool: "old", Select: `version == "v1"`, Share: 1, Backends: []controller.Member{{Name: "box-1", State: "ready", Warmth: 0.5, AlsoFit: []string{"new", "spare"}}}, Overflowed: 7},
+			{Pool: "old", Select: `version == "v1"`, Share: 1,
+				Backends: []controller.Member{{Name: "box-1", State: "ready", Warmth: 0.5,
+					AlsoFit: []string{"new", "spare"}}}, Overflowed: 7},
 			{Pool: "new", Backends: []controller.Member{}},
 			{Backends: []controller.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
 		})},
@@ -174,8 +190,10 @@
 		{Pattern: "GET /v1/fleet", Handle: fixed(goldenFleet())},
 		{Pattern: "GET /v1/ledger", Handle: fixed(goldenLedger())},
 		{Pattern: "GET /v1/entries", Handle: fixed(goldenEntries())},
-		{Pattern: "GET /v1/nodes", Handle: fixed(map[string]any{"reckoned": 2, "nodes": []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})},
-		{Pattern: "GET /v1/config", Handle: fixed(daemon.SettingsStatus{Node: "node-a", Latest: 3, Applied: 2, Rejected: "module.zone: no", Version: third})},
+		{Pattern: "GET /v1/nodes", Handle: fixed(map[string]any{"reckoned": 2,
+			"nodes": []peers.Node{{Name: "node-a", Address: "127.0.0.1:8443"}}})},
+		{Pattern: "GET /v1/config", Handle: fixed(daemon.SettingsStatus{Node: "node-a", Latest: 3, Applied: 2,
+			Rejected: "module.zone: no", Version: third})},
 		{Pattern: "GET /v1/config/history", Handle: fixed([]settings.Version{third, back})},
 		{Pattern: "GET /v1/config/version/{number}", Handle: func(r *http.Request, _ []byte) (any, error) {
 			switch r.PathValue("number") {
@@ -184,7 +202,8 @@
 			case "3":
 				return third, nil
 			}
-			return nil, &control.Error{Status: http.StatusNotFound, Code: "no_version", Message: "there is no such version"}
+			return nil, &control.Error{Status: http.StatusNotFound, Code: "no_version",
+				Message: "there is no such version"}
 		}},
 		{Pattern: "POST /v1/config", Handle: func(r *http.Request, body []byte) (any, error) {
 			d.sent = append(d.sent, r.URL.Path+" "+string(body))
@@ -352,13 +371,15 @@
 		d.sent = nil
 		t.Setenv("EDITOR", editor)
 		out, errs, code := run("config", "edit", "--config", file)
-		fmt.Fprintf(&text, "==== config edit by %s: exit %d\n%s%s%s\n", editor, code, out, errs, strings.Join(d.sent, "\n"))
+		fmt.Fprintf(&text, "==== config edit by %s: exit %d\n%s%s%s\n", editor, code, out, errs,
+			strings.Join(d.sent, "\n"))
 	}
 	own, err := os.Executable()
 	require.NoError(t, err)
 	for _, command := range []string{"lab", "load"} {
 		out, errs, code := run(command, "plan")
-		fmt.Fprintf(&text, "==== %s: exit %d\n%s%s", command, code, out, strings.ReplaceAll(errs, filepath.Dir(own), "BIN"))
+		fmt.Fprintf(&text, "==== %s: exit %d\n%s%s", command, code, out,
+			strings.ReplaceAll(errs, filepath.Dir(own), "BIN"))
 	}
 	golden.Bytes(t, "files.txt", []byte(d.plain(text.String())))
 	checked, err := os.ReadFile("../config/testdata/golden/operator-full.toml")
@@ -377,7 +398,8 @@
 		state  migration.State
 		cause  string
 		wishes string
-	}{{migration.Done, "", migration.Return}, {migration.Undone, "late", migration.Return}, {migration.Undone, "", migration.Return}, {migration.Halted, "late", migration.Stay}} {
+	}{{migration.Done, "", migration.Return}, {migration.Undone, "late", migration.Return}, {migration.Undone, "",
+		migration.Return}, {migration.Halted, "late", migration.Stay}} {
 		r := goldenRecord()
 		r.State, r.Cause, r.Plan.OnWorse = end.state, end.cause, end.wishes
 		d.move.Migration = &r
@@ -402,8 +424,10 @@
 	for _, output := range []string{"text", "json"} {
 		ctx, cancel := context.WithCancel(t.Context())
 		printed := &cancelling{cancel: cancel, after: len(goldenEntries())}
-		code := Main(ctx, []string{"entries", "watch", "--control", d.address, "-o", output}, Streams{Out: printed, Err: printed})
-		fmt.Fprintf(&text, "==== entries watch -o %s: exit %d\n%s", output, code, atKey.ReplaceAllString(printed.String(), `  "at": "AT"`))
+		code := Main(ctx, []string{"entries", "watch", "--control", d.address, "-o", output},
+			Streams{Out: printed, Err: printed})
+		fmt.Fprintf(&text, "==== entries watch -o %s: exit %d\n%s", output, code,
+			atKey.ReplaceAllString(printed.String(), `  "at": "AT"`))
 	}
 	out, errs, code := run("entries", "watch", "--every", "1ms", "--control", d.address)
 	fmt.Fprintf(&text, "==== entries watch --every 1ms: exit %d\n%s%s", code, out, errs)
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -38,7 +38,8 @@
 }
 
 func newVictim(t *testing.T, box, lineTime string) *victim {
-	v := &victim{t: t, program: build(t), file: filepath.Join(t.TempDir(), "node.toml"), url: "http://" + testpeer.FreeAddress(t)}
+	v := &victim{t: t, program: build(t), file: filepath.Join(t.TempDir(), "node.toml"), url: "http://" +
+		testpeer.FreeAddress(t)}
 	require.NoError(t, os.WriteFile(v.file, []byte(fmt.Sprintf(`listen = %q
 [log]
 level = "error"
@@ -111,7 +112,8 @@
 }
 
 func (v *victim) chat(ctx context.Context, trace string) (*http.Response, error) {
-	return http.DefaultClient.Do(testpeer.Ask(v.t, strings.TrimPrefix(v.url, "http://"), trace, "15000m").WithContext(ctx))
+	return http.DefaultClient.Do(testpeer.Ask(v.t, strings.TrimPrefix(v.url, "http://"), trace,
+		"15000m").WithContext(ctx))
 }
 
 // A node is killed while a request waits at a box, a stream is passed on, and lines of a batch are out. What it held
@@ -151,11 +153,13 @@
 	v := newVictim(t, box, lineTime.String())
 	var content strings.Builder
 	for i := range 3 {
-		fmt.Fprintf(&content, `{"custom_id":"c%d","method":"POST","url":"/v1/chat/completions","body":{"messages":[{"role":"user","content":"line %d"}]}}`+"\n", i, i)
+		fmt.Fprintf(&content,
+			`{"custom_id":"c%d","method":"POST","url":"/v1/chat/completions","body":{"messages":[{"role":"user","content":"line %d"}]}}`+"\n", i, i)
 	}
 	file, ok := v.upload(content.String())
 	require.True(t, ok)
-	status, said := v.call("POST", "/v1/batches", "application/json", strings.NewReader(fmt.Sprintf(`{"input_file_id":%q,"endpoint":"/v1/chat/completions","completion_window":"1h"}`, file)))
+	status, said := v.call("POST", "/v1/batches", "application/json",
+		strings.NewReader(fmt.Sprintf(`{"input_file_id":%q,"endpoint":"/v1/chat/completions","completion_window":"1h"}`, file)))
 	require.Equal(t, http.StatusOK, status, said)
 	var b struct {
 		ID, Status   string
@@ -230,7 +234,8 @@
 		v.start()
 		for id, content := range kept {
 			_, back := v.call("GET", "/v1/files/"+id+"/content", "", nil)
-			require.True(t, content == back, "round %d: %s of %d bytes came back with %d", round, id, len(content), len(back))
+			require.True(t, content == back, "round %d: %s of %d bytes came back with %d", round, id, len(content),
+				len(back))
 		}
 	}
 	_, said := v.call("GET", "/v1/files?limit=100", "", nil)
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -207,8 +207,8 @@
 	require.Eventually(m.t, func() bool { return m.status().Migration.Step == 1 }, 60*time.Second, 50*time.Millisecond)
 }
 
-// While a migration runs, a file without the new pool is rejected; one in which a backend drains is applied, and nothing
-// new goes there 500 ms later.
+// While a migration runs, a file without the new pool is rejected; one in which a backend drains is applied, and
+// nothing new goes there 500 ms later.
 func (m *migrationTest) reloadDuringMigration() {
 	m.write(m.head + oldPool + m.backends)
 	m.signal(syscall.SIGHUP)
@@ -236,8 +236,8 @@
 	require.Equal(m.t, before, after, "nothing goes to the new pool any more")
 }
 
-// A migration on a whole daemon, by an operator's commands: traffic moves, the new backends begin to fail, and all of it
-// goes back.
+// A migration on a whole daemon, by an operator's commands: traffic moves, the new backends begin to fail, and all of
+// it goes back.
 func TestMigration(t *testing.T) {
 	m := startMigrationTest(t)
 	clients := m.startClients(6)
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -33,7 +33,8 @@
 
 // startLone starts one with a list of its own to begin with, at the discovery; sockets is its limit of descriptors.
 func startLone(t *testing.T, program, discovery, server string, sockets int, settings map[string]any) *lone {
-	l := &lone{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"), said: &log{}, ended: make(chan error, 1)}
+	l := &lone{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"), said: &log{},
+		ended: make(chan error, 1)}
 	l.configure(t, discovery, server, sockets, settings)
 	l.Cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; trap '' HUP; exec %s", sockets, program))
 	l.Env = append(os.Environ(), "PROXY_CONFIG="+l.file, "TMPDIR="+t.TempDir())
@@ -49,7 +50,8 @@
 
 func (l *lone) configure(t *testing.T, discovery, server string, sockets int, settings map[string]any) {
 	known := json.RawMessage(fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","class":"m","health":"ready","share":1}]}`, server))
-	config := platformConfig(l.listen, discovery, map[string]any{"known": known, "limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": sockets}})
+	config := platformConfig(l.listen, discovery, map[string]any{"known": known,
+		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": sockets}})
 	for k, v := range settings {
 		config["settings"].(map[string]any)[k] = v
 	}
@@ -60,7 +62,8 @@
 }
 
 func (l *lone) ready() bool {
-	response, err := (&http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + l.listen + "/_health")
+	response, err := (&http.Client{Timeout: time.Second,
+		Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + l.listen + "/_health")
 	if err != nil {
 		return false
 	}
@@ -132,9 +135,9 @@
 	}
 }
 
-// A server is told to drain, to the process that serves alone: discovery says nothing to the one that is to take over until its third
-// call. Both were started with a list in which the server stands ready. Nothing more goes there from either, before, in and behind the
-// hand-over, and the new one is ready within 6 s.
+// A server is told to drain, to the process that serves alone: discovery says nothing to the one that is to take over
+// until its third call. Both were started with a list in which the server stands ready. Nothing more goes there from
+// either, before, in and behind the hand-over, and the new one is ready within 6 s.
 func TestADrainBeforeAnUpgradesHandOver(t *testing.T) {
 	t.Parallel()
 	asked, stays := make(chan string, 1000), make(chan string, 1000)
@@ -149,7 +152,8 @@
 	p := newPlatform(t, nil)
 	list := func(seq int, health string) string {
 		host := `{"host":%q,"dial":%q,"site":"a","class":"m","health":%q,"share":1}`
-		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[`+host+`,`+host+`]}`, seq, "leaves", server(asked), health, "stays", server(stays), "ready")
+		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[`+host+`,`+host+`]}`, seq, "leaves", server(asked),
+			health, "stays", server(stays), "ready")
 	}
 	p.known = json.RawMessage(list(1, "ready"))
 	drained := strings.Replace(strings.Replace(string(p.known), `"ready"`, `"draining"`, 1), `"seq":1`, `"seq":2`, 1)
@@ -160,10 +164,12 @@
 		switch {
 		case err != nil:
 		case r.URL.Query().Get("after") == "1": // the first process has the list that it was started with
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(drained), drained)
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
+				len(drained), drained)
 			close(told)
 		case r.URL.Query().Get("after") == "" && wholes.Add(1) > 2:
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(drained), drained)
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
+				len(drained), drained)
 		default:
 			held <- struct{}{}
 			silent(c)
@@ -216,7 +222,8 @@
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	t.Parallel()
 	program := build(t)
-	for name, manner := range map[string]func(net.Conn){"resets": resets, "is silent": silent, "has too many callers": busy} {
+	for name, manner := range map[string]func(net.Conn){"resets": resets, "is silent": silent,
+		"has too many callers": busy} {
 		for _, mode := range []string{"on_request", "pushed"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
 				t.Parallel()
@@ -230,8 +237,8 @@
 	}
 }
 
-// Idle clients, more than there are descriptors, come while discovery is down. The node keeps what it needs to call discovery and its
-// servers: once discovery is back it is heard, and a client that has a request is served.
+// Idle clients, more than there are descriptors, come while discovery is down. The node keeps what it needs to call
+// discovery and its servers: once discovery is back it is heard, and a client that has a request is served.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	const sockets = 128
@@ -287,8 +294,8 @@
 	}
 }
 
-// SIGTERM, and another, with SIGHUPs between: what is under way ends whole, what still comes on a kept connection is answered, and the
-// exit is a good one. SIGHUP from the first moment of a process on ends nothing.
+// SIGTERM, and another, with SIGHUPs between: what is under way ends whole, what still comes on a kept connection is
+// answered, and the exit is a good one. SIGHUP from the first moment of a process on ends nothing.
 func TestSignalsAcrossEachOther(t *testing.T) {
 	t.Parallel()
 	came, release := make(chan struct{}, 100), make(chan struct{})
@@ -331,7 +338,8 @@
 	require.Equal(t, http.StatusOK, once("before").StatusCode)
 	signal(syscall.SIGTERM)
 	signal(syscall.SIGHUP)
-	require.Eventually(t, func() bool { return strings.Contains(l.said.String(), "draining") }, 3*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(l.said.String(), "draining") }, 3*time.Second,
+		time.Millisecond)
 	signal(syscall.SIGTERM)
 	signal(syscall.SIGHUP)
 	require.Equal(t, http.StatusOK, once("after").StatusCode)
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -17,8 +17,9 @@
 	"standpoint/internal/testpeer/release"
 )
 
-// The earlier program is upgraded to this one under clients, and rolled back, with nothing lost on the way: what was learned and
-// what staff decided goes over, a stream that has begun moves, and every request has one whole answer and went out once.
+// The earlier program is upgraded to this one under clients, and rolled back, with nothing lost on the way: what was
+// learned and what staff decided goes over, a stream that has begun moves, and every request has one whole answer and
+// went out once.
 func TestUpgradeBetweenVersions(t *testing.T) {
 	earlier, present := release.Program(t), build(t)
 	for name, programs := range map[string][2]string{
@@ -69,7 +70,8 @@
 	require.Contains(t, next.said.String(), `"servers":3`, "learned state restored")
 }
 
-// answerOnceReleased is a backend that holds the second half of the answer to the request "long" back until release is closed.
+// answerOnceReleased is a backend that holds the second half of the answer to the request "long" back until release
+// is closed.
 func answerOnceReleased(ledger *testpeer.Ledger, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Trace-Id")
@@ -117,7 +119,8 @@
 	} else {
 		body, err := io.ReadAll(response.Body)
 		response.Body.Close()
-		if err != nil || response.StatusCode != http.StatusOK || !strings.Contains(string(body), "[DONE]") || !strings.Contains(string(body), id) {
+		if err != nil || response.StatusCode != http.StatusOK || !strings.Contains(string(body),
+			"[DONE]") || !strings.Contains(string(body), id) {
 			problem = fmt.Sprint(response.StatusCode, err, string(body))
 		}
 	}
