--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -45,7 +45,7 @@
 	return node.Charge{Budget: budget, Window: window, Amount: amount}, 0, true
 }
 
-// mayOverdraw tells whether requests of a class may use the overdraft now. f.mu is held.
+// mayOverdraw reports whether requests of a class may use the overdraft now. f.mu is held.
 func (f *Fleet) mayOverdraw(class int) bool {
 	return class < len(f.OverdraftClasses) && f.OverdraftClasses[class] && f.isolated()
 }
@@ -62,8 +62,8 @@
 // counted.
 func (f *Fleet) Settle(request *standpoint.Request, charge node.Charge, answer node.Answer) {
 	promptTokens := request.PromptTokens
-	if charge.Fresh > 0 {
-		promptTokens = charge.Fresh
+	if charge.UncachedTokens > 0 {
+		promptTokens = charge.UncachedTokens
 	}
 	cost := tokenCost(promptTokens, request, answer)
 	if f.RecordUsage != nil && (answer.Kind == node.Served || answer.Kind == node.Broken) {
@@ -84,7 +84,7 @@
 	switch answer.Kind {
 	case node.Served:
 		if answer.Usage.Known {
-			return int64(promptTokens + answer.Usage.Out)
+			return int64(promptTokens + answer.Usage.OutputTokens)
 		}
 	case node.Broken, node.Moved:
 	case node.ClientGone:
@@ -102,8 +102,8 @@
 	entry := ledger.Entry{
 		Session:      request.Session,
 		InputTokens:  int64(promptTokens),
-		CachedTokens: int64(answer.Usage.Kept),
-		OutputTokens: int64(answer.Usage.Out),
+		CachedTokens: int64(answer.Usage.CachedTokens),
+		OutputTokens: int64(answer.Usage.OutputTokens),
 	}
 	if request.Tenant >= 0 && request.Tenant < len(f.TenantNames) {
 		entry.Tenant = f.TenantNames[request.Tenant]
@@ -187,8 +187,8 @@
 	}
 }
 
-// Again tells whether a retry may be made, and charges the budget of retries for it.
-func (f *Fleet) Again() bool {
+// AllowRetry reports whether a retry may be made, and charges the budget of retries for it.
+func (f *Fleet) AllowRetry() bool {
 	if f.RetryBudget < 0 {
 		return true
 	}
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -10,7 +10,8 @@
 	"standpoint"
 )
 
-// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its answer.
+// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its
+// answer.
 func TestTheCoresOwnBounds(t *testing.T) {
 	stopped, end := context.WithCancel(t.Context())
 	end()
@@ -21,16 +22,19 @@
 	c.requests[1] = f
 	send := func() bool {
 		before := len(h.sent)
-		c.send(f, standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)})
+		c.send(
+			f,
+			standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)},
+		)
 		return len(h.sent) > before
 	}
 	require.True(t, send())
 	require.False(t, send(), "one is out")
 	for _, a := range f.attempts {
-		a.out = false
+		a.inFlight = false
 	}
 	require.True(t, send(), "the third")
-	f.attempts[2].out = false
+	f.attempts[2].inFlight = false
 	require.False(t, send(), "the fourth")
 	f.attempts = nil
 	require.True(t, f.settle(Answer{Kind: Failed}))
