--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -49,8 +49,8 @@
 func (o *options) writeOrigins(all []endpoints.Origin) {
 	o.writeTable("ENTRY\tADDRESS\tSTATE\tNEWS\tTTL\tCHANGED\tLEFT OUT", func(w io.Writer) {
 		for _, e := range all {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, orDash(e.Address), formatState(e), orDash(e.News),
-				formatTTL(e), formatAge(e.Changed), e.Fault)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, orDash(e.Address), formatState(e), orDash(e.Mechanism),
+				formatTTL(e), formatAge(e.ChangedAt), e.Fault)
 		}
 	})
 }
@@ -79,31 +79,31 @@
 func explain(w io.Writer, e endpoints.Origin) {
 	explainSource(w, e)
 	if e.Fault != "" {
-		fmt.Fprintf(w, "  left out since %s: %s\n", formatAge(e.Changed), e.Fault)
+		fmt.Fprintf(w, "  left out since %s: %s\n", formatAge(e.ChangedAt), e.Fault)
 		return
 	}
-	fmt.Fprintf(w, "  %s at %s, unchanged since %s\n", e.State, e.Address, formatAge(e.Changed))
+	fmt.Fprintf(w, "  %s at %s, unchanged since %s\n", e.State, e.Address, formatAge(e.ChangedAt))
 	if e.TTL > 0 {
-		fmt.Fprintf(w, "  its records live %s, until %s\n", formatTTL(e), e.Until.Format(time.TimeOnly))
+		fmt.Fprintf(w, "  its records live %s, until %s\n", formatTTL(e), e.ExpiresAt.Format(time.TimeOnly))
 	}
 	if e.Stale {
 		fmt.Fprintf(w, "  stale: its records' time is over, so it is tried last\n")
 	}
-	if !e.Started.IsZero() {
-		fmt.Fprintf(w, "  last started %s\n", formatAge(e.Started))
+	if !e.StartedAt.IsZero() {
+		fmt.Fprintf(w, "  last started %s\n", formatAge(e.StartedAt))
 	}
 }
 
 func explainSource(w io.Writer, e endpoints.Origin) {
 	switch {
-	case e.News == "store":
+	case e.Mechanism == "store":
 		fmt.Fprintf(w, "%s is as the store last had it; %s has not told since this node started\n", e.Name, e.Server)
 	case e.Instance == "":
 		fmt.Fprintf(w, "%s is listed by the operator's file, or by the list that it names\n", e.Name)
 	default:
 		fmt.Fprintf(w, "%s is the DNS-SD instance %s\n", e.Name, e.Instance)
-		fmt.Fprintf(w, "  told by %s, which last answered %s; news comes by %s\n", e.Server, formatAge(e.Looked),
-			e.News)
+		fmt.Fprintf(w, "  told by %s, which last answered %s; news comes by %s\n", e.Server, formatAge(e.CheckedAt),
+			e.Mechanism)
 	}
 }
 
--- a/internal/cli/endpointswatch.go
+++ b/internal/cli/endpointswatch.go
@@ -42,7 +42,7 @@
 	case c.Endpoint.Fault != "":
 		return line + ", left out: " + c.Endpoint.Fault
 	}
-	return line + fmt.Sprintf(" %s at %s, by %s", formatState(c.Endpoint), c.Endpoint.Address, orDash(c.Endpoint.News))
+	return line + fmt.Sprintf(" %s at %s, by %s", formatState(c.Endpoint), c.Endpoint.Address, orDash(c.Endpoint.Mechanism))
 }
 
 func (o *options) endpointsWatchCommand() *cobra.Command {
@@ -115,6 +115,6 @@
 
 // sameEndpoint compares what a change is printed for.
 func sameEndpoint(a, b endpoints.Origin) bool {
-	return a.Address == b.Address && a.State == b.State && a.Fault == b.Fault && a.News == b.News &&
-		a.Started.Equal(b.Started) && a.Stale == b.Stale
+	return a.Address == b.Address && a.State == b.State && a.Fault == b.Fault && a.Mechanism == b.Mechanism &&
+		a.StartedAt.Equal(b.StartedAt) && a.Stale == b.Stale
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -124,11 +124,11 @@
 func goldenEntries() []endpoints.Origin {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	return []endpoints.Origin{
-		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "push", Address: "127.0.0.1:9001", State: "ready", Started: at,
-			TTL: 75, Until: at.Add(75 * time.Second), Changed: at.Add(time.Second), Looked: at.Add(2 * time.Second), Stale: true},
-		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "poll", Fault: "no SRV record", Changed: at},
+		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", Mechanism: "push", Address: "127.0.0.1:9001", State: "ready", StartedAt: at,
+			TTL: 75, ExpiresAt: at.Add(75 * time.Second), ChangedAt: at.Add(time.Second), CheckedAt: at.Add(2 * time.Second), Stale: true},
+		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", Mechanism: "poll", Fault: "no SRV record", ChangedAt: at},
 		{Name: "box-3", Address: "127.0.0.1:9003", State: "draining"},
-		{Name: "box-4", Server: "127.0.0.1:53", News: "store", Address: "127.0.0.1:9004", State: "ready"},
+		{Name: "box-4", Server: "127.0.0.1:53", Mechanism: "store", Address: "127.0.0.1:9004", State: "ready"},
 	}
 }
 
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -53,7 +53,7 @@
 	}
 	watcher := endpoints.NewWatcher(cfg.Discovery, endpointNames(cfg.Names), sequence, update, a.log)
 	if !cfg.Settings.AskDiscovery { // a change binds at once, so it is to be known well within the grace for drains
-		watcher.Pushed = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
+		watcher.MaxPushedPause = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
 	}
 	watcher.Nodes = cfg.Settings.Balancers
 	watcher.Restore(known)
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -34,7 +34,7 @@
 
 // listedEndpointsComponent has the endpoint list from the operator's file.
 func listedEndpointsComponent(a *assembly) (component, error) {
-	a.endpointSource = endpoints.Fixed{List: listedEndpoints(a.operator), News: a.updateEndpoints}
+	a.endpointSource = endpoints.Fixed{List: listedEndpoints(a.operator), Notify: a.updateEndpoints}
 	a.addEntriesRoute(func() []endpoints.Origin {
 		origins := []endpoints.Origin{}
 		for _, e := range a.endpointCache.Current() {
@@ -115,7 +115,7 @@
 	}
 	browsers := endpoints.NewBrowsers(a.updateEndpoints, all...)
 	a.endpointSource = browsers
-	a.endpointCache.Ages = browsers.ExpiryTimes
+	a.endpointCache.ExpiryTimes = browsers.ExpiryTimes
 	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, browsers.Origins()...) })
 	var next []*endpoints.Browser // made by check, for reload
 	return component{
@@ -167,14 +167,14 @@
 		find.Dial = func() (discovery.Transport, error) { return discovery.DialUnicast(browse.Server) }
 	}
 	browser := &endpoints.Browser{
-		Find:   find,
-		Key:    browse.Key(),
-		Config: browserConfig(section, browse),
-		Site:   browse.Site,
-		Guard:  dnssd.Guard{Part: section.GuardFraction, Hold: int64(section.GuardHold)},
-		Damper: dnssd.Damper{Half: int64(*section.FlapHalfLife), Most: section.MaxFlaps},
-		Names:  endpointNames(cfg.Names),
-		Log:    log,
+		FinderOptions: find,
+		Key:           browse.Key(),
+		Config:        browserConfig(section, browse),
+		Site:          browse.Site,
+		Guard:         dnssd.Guard{Part: section.GuardFraction, Hold: int64(section.GuardHold)},
+		Damper:        dnssd.Damper{Half: int64(*section.FlapHalfLife), Most: section.MaxFlaps},
+		Names:         endpointNames(cfg.Names),
+		Log:           log,
 	}
 	if len(section.Browses) > 1 { // the same name in two domains is two backends
 		browser.Suffix = "@" + strings.TrimSuffix(browse.Domain, ".")
--- a/internal/endpoints/dnssd.go
+++ b/internal/endpoints/browser.go
@@ -26,39 +26,39 @@
 //
 // A look-up that fails changes nothing that is known, and a bad record costs its own instance alone.
 type Browser struct {
-	Find   discovery.Options // Tell is the browser's own
-	Key    string            // names the source among others, in the store too
-	Config string            // all that it was told; another means other settings
-	Site   string            // of instances that do not tell theirs; "" for the first
-	Suffix string            // behind the instances' names, to tell several services' apart
-	Guard  dnssd.Guard
-	Damper dnssd.Damper
-	Names  Names
-	News   func(node.EndpointList)
-	Log    *zap.Logger
+	FinderOptions discovery.Options // Tell is the browser's own
+	Key           string            // names the source among others, in the store too
+	Config        string            // all that it was told; another means other settings
+	Site          string            // of instances that do not tell theirs; "" for the first
+	Suffix        string            // behind the instances' names, to tell several services' apart
+	Guard         dnssd.Guard
+	Damper        dnssd.Damper
+	Names         Names
+	Notify        func(node.EndpointList)
+	Log           *zap.Logger
 
-	sights chan discovery.Sight // the newest that is not looked at yet
-	finder *discovery.Finder
+	snapshots chan discovery.Sight // the newest that is not looked at yet
+	finder    *discovery.Finder
 
 	// The actor's alone.
-	last    *discovery.Sight
-	first   bool                     // nothing was told yet
-	told    []node.Endpoint          // what the core was last told, by name
-	entries map[string]node.Endpoint // by full instance name; those that are in use
-	listed  map[string]bool
-	faults  map[string]string // why the others are not
-	serial  *uint32
-	proved  time.Time            // when the list that is in use was last told
-	changed map[string]time.Time // of an instance's entry, or of what is wrong with it
-	seen    map[string]sighting  // of instances that tell no start
-	origins atomic.Pointer[[]Origin]
+	last        *discovery.Sight
+	unpublished bool                     // nothing was told yet
+	published   []node.Endpoint          // what the core was last told, by name
+	endpoints   map[string]node.Endpoint // by full instance name; those that are in use
+	listed      map[string]bool
+	faults      map[string]string // why the others are not
+	serial      *uint32
+	proved      time.Time                   // when the list that is in use was last told
+	changed     map[string]time.Time        // of an instance's entry, or of what is wrong with it
+	observed    map[string]observedInstance // of instances that tell no start
+	origins     atomic.Pointer[[]Origin]
 }
 
-// sighting is when an instance that tells no start was first seen, and when last.
-type sighting struct {
-	start   int64 // 0: it was there before this node
-	last    time.Time
-	address string
+// observedInstance is when an instance that tells no start was first seen, and when last.
+type observedInstance struct {
+	startedAt int64 // 0: it was there before this node
+	lastSeen  time.Time
+	address   string
 }
 
 const (
@@ -70,26 +70,26 @@
 
 // Origin says where an endpoint comes from, or why an instance is none.
 type Origin struct {
-	Name     string    `json:"name"`
-	Instance string    `json:"instance,omitempty"` // its full name; "" for one that the operator's file lists
-	Server   string    `json:"server,omitempty"`
-	News     string    `json:"news,omitempty"` // by which way: poll, push or mdns
-	Address  string    `json:"address,omitempty"`
-	State    string    `json:"state,omitempty"`
-	Started  time.Time `json:"started,omitzero"`
-	TTL      uint32    `json:"ttl_s,omitempty"`
-	Until    time.Time `json:"until,omitzero"`   // the end of its records' time
-	Changed  time.Time `json:"changed,omitzero"` // when this was last found different
-	Looked   time.Time `json:"looked,omitzero"`  // when the list was last told
-	Stale    bool      `json:"stale,omitempty"`  // from the store, past its time and not told anew
-	Fault    string    `json:"fault,omitempty"`  // why it is left out
+	Name      string    `json:"name"`
+	Instance  string    `json:"instance,omitempty"` // its full name; "" for one that the operator's file lists
+	Server    string    `json:"server,omitempty"`
+	Mechanism string    `json:"news,omitempty"` // by which way: poll, push or mdns
+	Address   string    `json:"address,omitempty"`
+	State     string    `json:"state,omitempty"`
+	StartedAt time.Time `json:"started,omitzero"`
+	TTL       uint32    `json:"ttl_s,omitempty"`
+	ExpiresAt time.Time `json:"until,omitzero"`   // the end of its records' time
+	ChangedAt time.Time `json:"changed,omitzero"` // when this was last found different
+	CheckedAt time.Time `json:"looked,omitzero"`  // when the list was last told
+	Stale     bool      `json:"stale,omitempty"`  // from the store, past its time and not told anew
+	Fault     string    `json:"fault,omitempty"`  // why it is left out
 }
 
 // Describe says where an entry comes from, as far as the entry itself tells.
 func Describe(e node.Endpoint) Origin {
-	o := Origin{Name: e.Name, Address: e.Address, Stale: e.Stale, State: word(healths, int(e.State))}
+	o := Origin{Name: e.Name, Address: e.Address, Stale: e.Stale, State: word(healthNames, int(e.State))}
 	if e.ReadyAt > 0 {
-		o.Started = time.Unix(0, e.ReadyAt)
+		o.StartedAt = time.Unix(0, e.ReadyAt)
 	}
 	return o
 }
@@ -117,14 +117,14 @@
 		case <-ctx.Done():
 			<-done
 			return
-		case s := <-b.sights:
+		case s := <-b.snapshots:
 			b.last = &s
 		case <-timer.C:
 		}
 		if b.last == nil {
 			continue
 		}
-		again := b.judge(*b.last, time.Now())
+		again := b.evaluate(*b.last, time.Now())
 		if again > 0 {
 			timer.Reset(again)
 		}
@@ -132,22 +132,22 @@
 }
 
 func (b *Browser) start() {
-	b.sights, b.first = make(chan discovery.Sight, 1), true
-	b.seen = map[string]sighting{}
-	b.Find.Tell = func(s discovery.Sight) {
+	b.snapshots, b.unpublished = make(chan discovery.Sight, 1), true
+	b.observed = map[string]observedInstance{}
+	b.FinderOptions.Tell = func(s discovery.Sight) {
 		select { // the newest alone counts
-		case <-b.sights:
+		case <-b.snapshots:
 		default:
 		}
-		b.sights <- s
+		b.snapshots <- s
 	}
-	b.finder = discovery.New(b.Find)
+	b.finder = discovery.New(b.FinderOptions)
 }
 
-// judge takes in a sight, and tells the core if the list has changed. It says when the same sight is to be judged again,
+// evaluate takes in a sight, and tells the core if the list has changed. It says when the same sight is to be judged again,
 // 0 for never: what the guard or the damper holds back may be due then.
-func (b *Browser) judge(s discovery.Sight, now time.Time) (again time.Duration) {
-	if s.Over > 0 && b.Find.Log != nil {
+func (b *Browser) evaluate(s discovery.Sight, now time.Time) (again time.Duration) {
+	if s.Over > 0 && b.FinderOptions.Log != nil {
 		b.Log.Warn("more instances than are taken", zap.Int("over", s.Over), zap.Int("most", dnssd.InstancesMost))
 	}
 	still := 0
@@ -165,13 +165,13 @@
 	earliest := int64(math.MaxInt64)
 	for _, in := range s.Instances {
 		listed[in.Name] = true
-		was, known := b.entries[in.Name]
+		was, known := b.endpoints[in.Name]
 		if in.Pending && known { // not told now: what was known holds
 			entries[in.Name] = was
 			continue
 		}
 		e, err := b.entry(in, now)
-		if err == nil && !known && !b.first {
+		if err == nil && !known && !b.unpublished {
 			if until := b.Damper.Until(in.Name, clock.Of(now)); until > clock.Of(now) {
 				earliest = min(earliest, until)
 				err = fmt.Errorf("held back until %s: it came and went too often", time.Unix(0, until).UTC().Format(time.TimeOnly))
@@ -186,23 +186,23 @@
 			b.Log.Warn("an endpoint is left out", zap.String("instance", in.Name), zap.Error(err))
 		}
 	}
-	for name := range b.entries {
+	for name := range b.endpoints {
 		if _, stays := entries[name]; !stays {
 			b.Damper.Gone(name, clock.Of(now))
-			b.Find.Metrics.Gone(now.Sub(b.proved))
+			b.FinderOptions.Metrics.Gone(now.Sub(b.proved))
 		}
 	}
 	b.note(s, entries, faults)
-	b.entries, b.faults, b.listed, b.serial, b.proved = entries, faults, listed, s.Serial, s.At
+	b.endpoints, b.faults, b.listed, b.serial, b.proved = entries, faults, listed, s.Serial, s.At
 	list := make([]node.Endpoint, 0, len(entries))
 	for _, e := range entries {
 		list = append(list, e)
 	}
 	slices.SortFunc(list, func(x, y node.Endpoint) int { return strings.Compare(x.Name, y.Name) })
-	if b.first || !reflect.DeepEqual(list, b.told) {
-		b.first = false
-		b.told = list
-		b.News(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
+	if b.unpublished || !reflect.DeepEqual(list, b.published) {
+		b.unpublished = false
+		b.published = list
+		b.Notify(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
 	}
 	if earliest < math.MaxInt64 {
 		return time.Duration(earliest-clock.Of(now)) + time.Millisecond
@@ -220,15 +220,15 @@
 		same := b.faults[in.Name] == o.Fault
 		if used {
 			o = Describe(e)
-			same = reflect.DeepEqual(e, b.entries[in.Name])
+			same = reflect.DeepEqual(e, b.endpoints[in.Name])
 		}
-		if o.Changed = b.changed[in.Name]; o.Changed.IsZero() || !same {
-			o.Changed = s.At
+		if o.ChangedAt = b.changed[in.Name]; o.ChangedAt.IsZero() || !same {
+			o.ChangedAt = s.At
 		}
-		changed[in.Name] = o.Changed
-		o.Instance, o.Server, o.News, o.Looked = in.Name, b.Find.Server, string(s.Way), s.At
+		changed[in.Name] = o.ChangedAt
+		o.Instance, o.Server, o.Mechanism, o.CheckedAt = in.Name, b.FinderOptions.Server, string(s.Way), s.At
 		if !in.Pending && in.Until < math.MaxInt64 {
-			o.TTL, o.Until = in.TTL, clock.Time(in.Until)
+			o.TTL, o.ExpiresAt = in.TTL, clock.Time(in.Until)
 		}
 		all = append(all, o)
 	}
@@ -261,26 +261,26 @@
 // since is the start of an instance that tells none. One that was there when this node came may have run for long; one
 // that appears later, comes back, or is at another address has just started as far as anyone can tell, and is cold.
 func (b *Browser) since(name, address string, now time.Time) int64 {
-	was, known := b.seen[name]
+	was, known := b.observed[name]
 	switch {
 	case known && was.address != address:
-		was.start = clock.Of(now)
-	case known && now.Sub(was.last) < sameStart || known && b.listed[name]:
-	case b.first:
-		was.start = 0
+		was.startedAt = clock.Of(now)
+	case known && now.Sub(was.lastSeen) < sameStart || known && b.listed[name]:
+	case b.unpublished:
+		was.startedAt = 0
 	default:
-		was.start = clock.Of(now)
+		was.startedAt = clock.Of(now)
 	}
-	if !known && len(b.seen) >= sightingsMost {
-		for other, s := range b.seen {
-			if !b.listed[other] && now.Sub(s.last) >= sameStart {
-				delete(b.seen, other)
+	if !known && len(b.observed) >= sightingsMost {
+		for other, s := range b.observed {
+			if !b.listed[other] && now.Sub(s.lastSeen) >= sameStart {
+				delete(b.observed, other)
 			}
 		}
 	}
-	was.last, was.address = now, address
-	b.seen[name] = was
-	return was.start
+	was.lastSeen, was.address = now, address
+	b.observed[name] = was
+	return was.startedAt
 }
 
 // attribute takes in one key of a TXT record. Those that mean nothing here become labels.
--- a/internal/endpoints/dnssd_test.go
+++ b/internal/endpoints/browser_test.go
@@ -33,8 +33,8 @@
 func newStage() *stage {
 	s := &stage{now: time.Unix(1_800_000_000, 0)}
 	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: dnssd.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
-		Damper: dnssd.Damper{Half: int64(time.Minute), Most: 3}, News: nil, first: true, seen: map[string]sighting{}}
-	s.Browser.News = func(l node.EndpointList) { s.news = append(s.news, l) }
+		Damper: dnssd.Damper{Half: int64(time.Minute), Most: 3}, Notify: nil, unpublished: true, observed: map[string]observedInstance{}}
+	s.Browser.Notify = func(l node.EndpointList) { s.news = append(s.news, l) }
 	return s
 }
 
@@ -48,18 +48,18 @@
 	if serial != 0 {
 		sight.Serial = &serial
 	}
-	return s.judge(sight, s.now)
+	return s.evaluate(sight, s.now)
 }
 
 func (s *stage) use() (names []string) {
-	for _, e := range s.told {
+	for _, e := range s.published {
 		names = append(names, e.Name)
 	}
 	return names
 }
 
 // What the TXT keys mean; what is wrong with one instance costs that one alone, and is said.
-func TestBrowse(t *testing.T) {
+func TestBrowserReadsAttributes(t *testing.T) {
 	s := newStage()
 	lost := instance("lost")
 	lost.Fault = errors.New("no SRV record")
@@ -70,7 +70,7 @@
 		{Address: at, Source: "hall", Engine: standpoint.Engine{Name: "box-1", Zone: 1, Kind: 1, Size: 2.5, ReadyAt: 7e6}},
 		{Address: at, Source: "hall", Batch: true, Labels: map[string]string{"new": "1"}, Engine: standpoint.Engine{Name: "box-2", Size: 1, State: standpoint.Draining}},
 		{Address: at, Source: "hall", Engine: standpoint.Engine{Name: "box-3", Size: 1}},
-	}, s.told)
+	}, s.published)
 	why := map[string]Origin{}
 	for _, o := range s.Origins() {
 		why[o.Name] = o
@@ -85,51 +85,51 @@
 
 // A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held, until it has
 // stayed empty, or the zone's serial went up. One box that goes is believed at once.
-func TestAListThatIsLostIsHeld(t *testing.T) {
+func TestBrowserHoldsLostList(t *testing.T) {
 	all := []dnssd.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
 	s := newStage()
 	s.see(7, all...)
 	s.now = s.now.Add(30 * time.Second)
 	require.Positive(t, s.see(7))
-	require.Len(t, s.told, 3)
+	require.Len(t, s.published, 3)
 	s.now = s.now.Add(9 * time.Second)
 	s.see(0)
-	require.Len(t, s.told, 3)
+	require.Len(t, s.published, 3)
 	s.see(7, all...) // it was only a restart
 	s.now = s.now.Add(9 * time.Second)
 	s.see(6) // an older zone
-	require.Len(t, s.told, 3)
+	require.Len(t, s.published, 3)
 	s.now = s.now.Add(11 * time.Second)
 	s.see(6)
-	require.Empty(t, s.told)
+	require.Empty(t, s.published)
 
 	s = newStage()
 	s.see(7, all...)
 	s.see(8) // somebody has emptied it
-	require.Empty(t, s.told)
+	require.Empty(t, s.published)
 
 	s = newStage()
 	s.see(7, all...)
 	s.see(7, all[:2]...)
-	require.Len(t, s.told, 2)
+	require.Len(t, s.published, 2)
 }
 
 // Records that are not told for now change nothing.
-func TestPendingRecordsHoldWhatWasKnown(t *testing.T) {
+func TestBrowserKeepsEndpointsOfPendingRecords(t *testing.T) {
 	s := newStage()
 	s.see(7, instance("box-1", "site=b"))
 	pending := instance("box-1")
 	pending.Pending, pending.Fault = true, errors.New("not all records are told yet")
 	s.see(8, pending)
-	require.Len(t, s.told, 1)
-	require.Equal(t, 1, s.told[0].Zone)
+	require.Len(t, s.published, 1)
+	require.Equal(t, 1, s.published[0].Zone)
 	pending.Name, pending.Label = "new._engine._tcp.hall.test.", "new"
 	s.see(9, pending)
-	require.Empty(t, s.told, "box-1 went, and the new one is not known yet")
+	require.Empty(t, s.published, "box-1 went, and the new one is not known yet")
 }
 
 // A box that flaps is held back when it returns, never when it goes.
-func TestFlapping(t *testing.T) {
+func TestBrowserDampsFlappingInstances(t *testing.T) {
 	s := newStage()
 	steady := instance("steady")
 	for i := range 3 {
@@ -154,28 +154,28 @@
 
 // A box that tells no start is cold when it appears while this node watches, and when it comes back after a while; not
 // where it was there before, nor when a message was lost.
-func TestFreshBoxesWithoutAStart(t *testing.T) {
+func TestBrowserObservesStarts(t *testing.T) {
 	s := newStage()
 	s.see(0, instance("old"))
-	require.Zero(t, s.told[0].ReadyAt)
+	require.Zero(t, s.published[0].ReadyAt)
 	s.now = s.now.Add(time.Minute)
 	s.see(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(s.now), s.told[0].ReadyAt)
-	require.Zero(t, s.told[1].ReadyAt)
-	began := s.told[0].ReadyAt
+	require.Equal(t, clock.Of(s.now), s.published[0].ReadyAt)
+	require.Zero(t, s.published[1].ReadyAt)
+	began := s.published[0].ReadyAt
 	s.see(0, instance("old"))
 	s.now = s.now.Add(100 * time.Millisecond)
 	s.see(0, instance("old"), instance("new"))
-	require.Equal(t, began, s.told[0].ReadyAt)
+	require.Equal(t, began, s.published[0].ReadyAt)
 	s.see(0, instance("new"))
 	s.now = s.now.Add(5 * time.Second)
 	s.see(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(s.now), s.told[1].ReadyAt)
+	require.Equal(t, clock.Of(s.now), s.published[1].ReadyAt)
 }
 
 // Whatever comes and goes: a box that is not listed is never in use after the sight that says so, unless the guard
 // holds the list; and nothing is in use that is faulty.
-func TestNothingWithdrawnIsInUse(t *testing.T) {
+func TestBrowserNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStage()
 		s.Guard.Part = 1
@@ -195,12 +195,12 @@
 				}
 			}
 			s.see(0, all...)
-			for _, e := range s.told {
+			for _, e := range s.published {
 				if !listed[e.Name] {
 					t.Fatalf("%s is in use", e.Name)
 				}
 			}
-			if last := s.news[len(s.news)-1]; len(last.Endpoints) != len(s.told) {
+			if last := s.news[len(s.news)-1]; len(last.Endpoints) != len(s.published) {
 				t.Fatal("the core was told something else")
 			}
 		}
@@ -224,7 +224,7 @@
 
 func browse(server, domain, site string) *Browser {
 	return &Browser{Key: "_engine._tcp." + domain, Config: server + site, Suffix: "@" + domain, Site: site, Names: names, Log: zap.NewNop(),
-		Guard: dnssd.Guard{Part: 0.5, Hold: int64(time.Hour)}, Find: discovery.Options{Server: server, Way: discovery.Poll, Log: zap.NewNop(),
+		Guard: dnssd.Guard{Part: 0.5, Hold: int64(time.Hour)}, FinderOptions: discovery.Options{Server: server, Way: discovery.Poll, Log: zap.NewNop(),
 			Every: 50 * time.Millisecond, Refresh: time.Second, Service: dnssd.Service{Type: "_engine._tcp", Domain: domain}}}
 }
 
@@ -237,7 +237,7 @@
 
 // Several halls, each a domain of its own at a server of its own. The same name in two is two boxes; a server that does
 // not answer costs its own hall alone, and of that the store's list stands. The halls change while all runs.
-func TestSeveralHalls(t *testing.T) {
+func TestBrowsersCombineDomains(t *testing.T) {
 	a, b := serve(t, "a.test", "box-1", "box-2"), serve(t, "b.test", "box-1")
 	c := serve(t, "c.test", "box-1")
 	c.Set(responder.Faults{Silent: true})
@@ -269,11 +269,11 @@
 }
 
 // The store's list has its ages: what is past its time is stale, and what was never told anew stays so.
-func TestTheListIsKeptWithItsAges(t *testing.T) {
+func TestCachePersistsExpiryTimes(t *testing.T) {
 	s := store.NewMemory()
 	k := NewCache(s, zap.NewNop())
 	now := time.Now()
-	k.Ages = func() map[string]time.Time {
+	k.ExpiryTimes = func() map[string]time.Time {
 		return map[string]time.Time{"new": now.Add(time.Minute), "old": now.Add(-time.Minute)}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -293,31 +293,31 @@
 }
 
 // A box that tells no start and is at another address all at once is another box under the same name, and cold.
-func TestAnotherAddressUnderTheSameName(t *testing.T) {
+func TestBrowserTreatsNewAddressAsStart(t *testing.T) {
 	s := newStage()
 	s.see(0, instance("box"))
-	require.Zero(t, s.told[0].ReadyAt)
+	require.Zero(t, s.published[0].ReadyAt)
 	s.now = s.now.Add(time.Minute)
 	other := instance("box")
 	other.Address = netip.MustParseAddrPort("127.0.0.1:8002")
 	s.see(0, other)
-	require.Equal(t, clock.Of(s.now), s.told[0].ReadyAt)
+	require.Equal(t, clock.Of(s.now), s.published[0].ReadyAt)
 	began := clock.Of(s.now)
 	s.now = s.now.Add(time.Minute)
 	s.see(0, other)
-	require.Equal(t, began, s.told[0].ReadyAt)
+	require.Equal(t, began, s.published[0].ReadyAt)
 }
 
 // A last list that is torn is named, and none of it is used.
-func TestATornLastList(t *testing.T) {
+func TestCacheIgnoresTornList(t *testing.T) {
 	keys := store.NewMemory()
-	_, err := keys.Write(t.Context(), store.Op{Key: lastKey, Data: []byte(`[{"host":"a","dial":"127.0.0.1:1","health":"ready"},{"ho`)})
+	_, err := keys.Write(t.Context(), store.Op{Key: cacheKey, Data: []byte(`[{"host":"a","dial":"127.0.0.1:1","health":"ready"},{"ho`)})
 	require.NoError(t, err)
 	seen, logs := observer.New(zap.ErrorLevel)
 	l, ok := NewCache(keys, zap.New(seen)).Load(time.Now())
 	require.False(t, ok)
 	require.Empty(t, l.Endpoints)
-	require.Equal(t, lastKey, logs.All()[0].ContextMap()["key"])
+	require.Equal(t, cacheKey, logs.All()[0].ContextMap()["key"])
 }
 
 // failing is a store that does not take its first writes.
@@ -334,17 +334,17 @@
 }
 
 // A last list that the store did not take is written again, though nothing changes any more.
-func TestALastListThatWasNotTaken(t *testing.T) {
+func TestCacheRetriesFailedWrite(t *testing.T) {
 	keys := &failing{Memory: store.NewMemory()}
 	keys.left.Store(1)
 	k := NewCache(keys, zap.NewNop())
 	go k.Run(t.Context())
 	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{{Engine: standpoint.Engine{Name: "a"}}}})
-	require.Eventually(t, func() bool { return keys.Get(lastKey).Version != 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return keys.Get(cacheKey).Version != 0 }, 10*time.Second, time.Millisecond)
 }
 
 // What was kept is read by the words of the file that holds then: another order of halls and kinds takes no box elsewhere.
-func TestAListIsKeptInWords(t *testing.T) {
+func TestCachePersistsZoneAndKindNames(t *testing.T) {
 	keys := store.NewMemory()
 	k := NewCache(keys, zap.NewNop())
 	k.Names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
@@ -352,7 +352,7 @@
 	e := node.Endpoint{Address: "127.0.0.1:1", Batch: true, Labels: map[string]string{"v": "1"}, Source: "hall",
 		Engine: standpoint.Engine{Name: "s", Zone: 1, Kind: 0, Cell: 3, State: standpoint.Draining, Size: 2, ReadyAt: 5e6}}
 	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{e}})
-	require.Eventually(t, func() bool { return keys.Get(lastKey).Version != 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return keys.Get(cacheKey).Version != 0 }, 10*time.Second, time.Millisecond)
 	next := NewCache(keys, zap.NewNop())
 	next.Names = Names{Zones: []string{"b", "a"}, Kinds: []string{"slow", "fast"}}
 	l, ok := next.Load(time.Now())
--- a/internal/endpoints/browsers.go
+++ b/internal/endpoints/browserset.go
@@ -16,7 +16,7 @@
 // Browsers are several services and domains in one, a hall each, say. What one of them cannot tell costs its own
 // boxes alone: the others' news goes on.
 type Browsers struct {
-	News func(node.EndpointList)
+	notify func(node.EndpointList)
 
 	mu      sync.Mutex
 	all     []*running
@@ -36,7 +36,7 @@
 
 // NewBrowsers makes the actor of several.
 func NewBrowsers(news func(node.EndpointList), all ...*Browser) *Browsers {
-	b := &Browsers{News: news}
+	b := &Browsers{notify: news}
 	for _, one := range all {
 		b.all = append(b.all, &running{Browser: one})
 	}
@@ -85,7 +85,7 @@
 func (b *Browsers) begin(one *running) {
 	var ctx context.Context
 	ctx, one.stop = context.WithCancel(b.context)
-	one.News = func(l node.EndpointList) {
+	one.Notify = func(l node.EndpointList) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if !slices.Contains(b.all, one) {
@@ -144,7 +144,7 @@
 	for _, one := range b.all {
 		l.Endpoints = append(l.Endpoints, one.part...)
 	}
-	b.News(l)
+	b.notify(l)
 }
 
 // Origins are all instances of all services, those that are left out too.
@@ -159,7 +159,7 @@
 		}
 		for _, e := range one.part { // as the store had them
 			o := Describe(e)
-			o.Server, o.News = one.Find.Server, "store"
+			o.Server, o.Mechanism = one.FinderOptions.Server, "store"
 			all = append(all, o)
 		}
 	}
@@ -170,8 +170,8 @@
 func (b *Browsers) ExpiryTimes() map[string]time.Time {
 	until := map[string]time.Time{}
 	for _, o := range b.Origins() {
-		if !o.Until.IsZero() {
-			until[o.Name] = o.Until
+		if !o.ExpiresAt.IsZero() {
+			until[o.Name] = o.ExpiresAt
 		}
 	}
 	return until
--- a/internal/endpoints/keeper.go
+++ b/internal/endpoints/cache.go
@@ -17,11 +17,11 @@
 	"standpoint/internal/store"
 )
 
-const lastKey = "entries/last"
+const cacheKey = "entries/last"
 
 const (
-	keepEvery = 30 * time.Second // ages that alone have changed
-	keepAgain = time.Second      // after a write that the store did not take
+	refreshInterval = 30 * time.Second // ages that alone have changed
+	retryInterval   = time.Second      // after a write that the store did not take
 )
 
 // storedEndpoint is an endpoint as the store has it, in the words of the platform's list: what indexes stand for may be in
@@ -43,7 +43,7 @@
 
 func (k *Cache) write(e node.Endpoint, until time.Time) storedEndpoint {
 	one := storedEndpoint{Host: e.Name, Dial: e.Address, Site: word(k.Names.Zones, e.Zone), Class: word(k.Names.Kinds, e.Kind), Block: e.Cell,
-		Health: word(healths, int(e.State)), Share: e.Size, BornMS: e.ReadyAt / int64(time.Millisecond), Labels: e.Labels, Source: e.Source, Until: until}
+		Health: word(healthNames, int(e.State)), Share: e.Size, BornMS: e.ReadyAt / int64(time.Millisecond), Labels: e.Labels, Source: e.Source, Until: until}
 	if e.Batch {
 		one.Mode = "batch"
 	}
@@ -58,7 +58,7 @@
 		Engine: standpoint.Engine{Name: one.Host, Zone: index(k.Names.Zones, one.Site), Kind: index(k.Names.Kinds, one.Class), Cell: one.Block,
 			Size: one.Share, ReadyAt: one.BornMS * int64(time.Millisecond), Stale: !one.Until.IsZero() && now.After(one.Until)}}
 	var err error
-	if e.State, err = state(one.Health); err == nil && (one.Host == "" || !(one.Share >= 0 && one.Share <= sizeMost) || one.BornMS < 0 || one.BornMS > bornMost) {
+	if e.State, err = state(one.Health); err == nil && (one.Host == "" || !(one.Share >= 0 && one.Share <= maxSize) || one.BornMS < 0 || one.BornMS > maxBornMS) {
 		err = errors.New("an entry that is none")
 	}
 	return e, err
@@ -74,27 +74,27 @@
 // Cache keeps the last endpoints in the store, with their ages, so that a node that starts anew has some.
 type Cache struct {
 	Names Names
-	// Ages says when the entries' records come to the end of their time, by name; nil: nobody knows.
-	Ages func() map[string]time.Time
+	// ExpiryTimes says when the entries' records come to the end of their time, by name; nil: nobody knows.
+	ExpiryTimes func() map[string]time.Time
 
-	store store.Store
-	log   *zap.Logger
-	lay   func(node.EndpointList) node.EndpointList // what is handed on of what is told; nil: that itself
-	order sync.Mutex                                // held while a change is noted and handed on, so that both happen in one order
-	mu    sync.Mutex
-	all   map[string]node.Endpoint
-	dirty chan struct{}
+	keyValues store.Store
+	log       *zap.Logger
+	overlay   func(node.EndpointList) node.EndpointList // what is handed on of what is told; nil: that itself
+	notifyMu  sync.Mutex                                // held while a change is noted and handed on, so that both happen in one order
+	mu        sync.Mutex
+	endpoints map[string]node.Endpoint
+	changed   chan struct{}
 }
 
 // NewCache makes the actor; Run writes.
 func NewCache(s store.Store, log *zap.Logger) *Cache {
-	return &Cache{store: s, log: log, all: map[string]node.Endpoint{}, dirty: make(chan struct{}, 1)}
+	return &Cache{keyValues: s, log: log, endpoints: map[string]node.Endpoint{}, changed: make(chan struct{}, 1)}
 }
 
 // Load is the list as the store has it. Entries past their time are marked stale: they are tried last.
 func (k *Cache) Load(now time.Time) (node.EndpointList, bool) {
 	l := node.EndpointList{Kind: standpoint.ListFull}
-	v := k.store.Get(lastKey)
+	v := k.keyValues.Get(cacheKey)
 	var all []storedEndpoint
 	if v.Version == 0 {
 		return l, false
@@ -107,7 +107,7 @@
 	}
 	if err != nil {
 		l.Endpoints = nil
-		k.log.Error("the last list of endpoints cannot be read; none of it is used", zap.String("key", lastKey), zap.Error(err))
+		k.log.Error("the last list of endpoints cannot be read; none of it is used", zap.String("key", cacheKey), zap.Error(err))
 		return l, false
 	}
 	return l, true
@@ -116,32 +116,32 @@
 // Update notes a change and hands it on. Changes are handed on in the order in which they are noted: an older list
 // must not come behind the news of a drain.
 func (k *Cache) Update(l node.EndpointList, to func(node.EndpointList)) {
-	k.order.Lock()
-	defer k.order.Unlock()
+	k.notifyMu.Lock()
+	defer k.notifyMu.Unlock()
 	k.Store(l)
-	to(k.laid(l))
+	to(k.overlaid(l))
 }
 
-func (k *Cache) laid(l node.EndpointList) node.EndpointList {
-	if k.lay == nil {
+func (k *Cache) overlaid(l node.EndpointList) node.EndpointList {
+	if k.overlay == nil {
 		return l
 	}
-	return k.lay(l)
+	return k.overlay(l)
 }
 
 // amend hands on once more those that are listed of the names that the test lets through. The order is held.
 func (k *Cache) amend(test func(string) bool, to func(node.EndpointList)) {
 	all := slices.DeleteFunc(k.sorted(), func(e node.Endpoint) bool { return !test(e.Name) })
 	if len(all) > 0 {
-		to(k.laid(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}))
+		to(k.overlaid(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}))
 	}
 }
 
 // Resend hands the whole list on once more, as it was last told.
 func (k *Cache) Resend(to func(node.EndpointList)) {
-	k.order.Lock()
-	defer k.order.Unlock()
-	to(k.laid(node.EndpointList{Kind: standpoint.ListFull, Endpoints: k.sorted()}))
+	k.notifyMu.Lock()
+	defer k.notifyMu.Unlock()
+	to(k.overlaid(node.EndpointList{Kind: standpoint.ListFull, Endpoints: k.sorted()}))
 }
 
 // Current is the list as last told, by name.
@@ -150,7 +150,7 @@
 func (k *Cache) sorted() []node.Endpoint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.SortedFunc(maps.Values(k.all), func(a, b node.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(k.endpoints), func(a, b node.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Store notes a change. It never waits for the store: the watch must go on at once.
@@ -160,25 +160,25 @@
 	}
 	k.mu.Lock()
 	if l.Kind == standpoint.ListFull {
-		clear(k.all)
+		clear(k.endpoints)
 	}
 	for _, e := range l.Endpoints {
 		if e.State == standpoint.Gone {
-			delete(k.all, e.Name)
+			delete(k.endpoints, e.Name)
 		} else {
-			k.all[e.Name] = e
+			k.endpoints[e.Name] = e
 		}
 	}
 	k.mu.Unlock()
 	select {
-	case k.dirty <- struct{}{}:
+	case k.changed <- struct{}{}:
 	default:
 	}
 }
 
 // Run writes what has changed, where this member may write.
 func (k *Cache) Run(ctx context.Context) {
-	ages, again := time.NewTicker(keepEvery), time.NewTicker(keepAgain)
+	ages, again := time.NewTicker(refreshInterval), time.NewTicker(retryInterval)
 	defer ages.Stop()
 	defer again.Stop()
 	due := false // something has changed that the store does not have
@@ -186,19 +186,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.dirty:
+		case <-k.changed:
 			due = true
 		case <-ages.C:
-			due = due || k.Ages != nil
+			due = due || k.ExpiryTimes != nil
 		case <-again.C:
 		}
 		// A member that may not write yet may lead later; it keeps what it owes.
-		if _, leads := k.store.Leadership(); !leads || !due {
+		if _, leads := k.keyValues.Leadership(); !leads || !due {
 			continue
 		}
 		raw, err := json.Marshal(k.aged())
 		if err == nil {
-			_, err = k.store.Write(ctx, store.Op{Key: lastKey, Data: raw, ExpectedVersion: store.AnyVersion})
+			_, err = k.keyValues.Write(ctx, store.Op{Key: cacheKey, Data: raw, ExpectedVersion: store.AnyVersion})
 		}
 		if due = err != nil; due {
 			k.log.Warn("the endpoints were not kept; once more soon", zap.Error(err))
@@ -209,8 +209,8 @@
 // aged is the list with its ages. Entries that are themselves from the store keep none: they were not told anew.
 func (k *Cache) aged() []storedEndpoint {
 	var until map[string]time.Time
-	if k.Ages != nil {
-		until = k.Ages()
+	if k.ExpiryTimes != nil {
+		until = k.ExpiryTimes()
 	}
 	all := []storedEndpoint{}
 	for _, e := range k.sorted() {
@@ -221,12 +221,12 @@
 
 // Fixed is the source of a list that an operator wrote by hand.
 type Fixed struct {
-	List node.EndpointList
-	News func(node.EndpointList)
+	List   node.EndpointList
+	Notify func(node.EndpointList)
 }
 
 // Watch does nothing: the list does not change.
 func (Fixed) Watch() {}
 
 // Run tells the list once.
-func (f Fixed) Run(context.Context) { f.News(f.List) }
+func (f Fixed) Run(context.Context) { f.Notify(f.List) }
--- a/internal/endpoints/decode.go
+++ b/internal/endpoints/catalog.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	sizeMost = 1e6 // of a box, in the list's own unit
-	bornMost = math.MaxInt64 / int64(time.Millisecond)
+	maxSize   = 1e6 // of a box, in the list's own unit
+	maxBornMS = math.MaxInt64 / int64(time.Millisecond)
 )
 
 // Names turns the list's words into the module's indexes.
@@ -83,9 +83,9 @@
 	case unreadable != nil:
 		err = unreadable
 	case err != nil || e.State == standpoint.Gone:
-	case h.BornMS < 0 || h.BornMS > bornMost:
+	case h.BornMS < 0 || h.BornMS > maxBornMS:
 		err = fmt.Errorf("born_ms: %d is no time", h.BornMS)
-	case !(h.Share >= 0 && h.Share <= sizeMost):
+	case !(h.Share >= 0 && h.Share <= maxSize):
 		err = fmt.Errorf("share: %g is no size", h.Share)
 	case h.Dial == "":
 		err = errors.New("dial: missing")
@@ -97,11 +97,11 @@
 	return e, nil
 }
 
-// healths are the words for the module's states.
-var healths = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Gone: "gone"}
+// healthNames are the words for the module's states.
+var healthNames = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Gone: "gone"}
 
 func state(health string) (standpoint.State, error) {
-	if i := index(healths, health); i >= 0 {
+	if i := index(healthNames, health); i >= 0 {
 		return standpoint.State(i), nil
 	}
 	return standpoint.Gone, fmt.Errorf("unknown health %q", health)
--- a/internal/endpoints/fuzz_test.go
+++ b/internal/endpoints/fuzz_test.go
@@ -22,7 +22,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, l, _, err := Decode(raw, names)
 		for _, e := range l.Endpoints {
-			if err != nil || e.Name == "" || e.State == standpoint.Ready && e.Address == "" || !(e.Size >= 0 && e.Size <= sizeMost) && e.State != standpoint.Gone ||
+			if err != nil || e.Name == "" || e.State == standpoint.Ready && e.Address == "" || !(e.Size >= 0 && e.Size <= maxSize) && e.State != standpoint.Gone ||
 				e.ReadyAt < 0 && e.State != standpoint.Gone {
 				t.Fatalf("%+v, %v", e, err)
 			}
@@ -37,7 +37,7 @@
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		keys := store.NewMemory()
-		if _, err := keys.Write(t.Context(), store.Op{Key: lastKey, Data: raw}); err != nil {
+		if _, err := keys.Write(t.Context(), store.Op{Key: cacheKey, Data: raw}); err != nil {
 			t.Fatal(err)
 		}
 		l, ok := NewCache(keys, zap.NewNop()).Load(time.Now())
--- a/internal/endpoints/golden_test.go
+++ b/internal/endpoints/golden_test.go
@@ -26,12 +26,12 @@
 	}},
 		func(all []storedEndpoint) ([]byte, error) { return json.MarshalIndent(all, "", "  ") },
 		func(raw []byte) (all []storedEndpoint, err error) { err = json.Unmarshal(raw, &all); return all, err })
-	golden.Bytes(t, "keys.txt", []byte(lastKey+"\n"))
+	golden.Bytes(t, "keys.txt", []byte(cacheKey+"\n"))
 }
 
 // The words of a list's health.
 func TestGoldenHealthWords(t *testing.T) {
-	raw, err := json.Marshal(healths)
+	raw, err := json.Marshal(healthNames)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endpoints/order_test.go
+++ b/internal/endpoints/merge_test.go
@@ -34,7 +34,7 @@
 }
 
 // What orders lists: each step is an answer, at a time of the test's own, and what is told of it.
-func TestOrderOfLists(t *testing.T) {
+func TestMergerOrdersResponses(t *testing.T) {
 	t.Parallel()
 	ready, draining, gone := standpoint.Ready, standpoint.Draining, standpoint.Gone
 	type step struct {
@@ -63,7 +63,7 @@
 		"nor the first list of another discovery, whose versions are others": {
 			{after: 5, seq: 6, list: changes(endpoint("s", draining, 0)), tells: map[string]standpoint.State{"s": draining}},
 			{move: true, line: 1, seq: 900, list: whole(endpoint("s", ready, 0), endpoint("t", ready, 0)), tells: map[string]standpoint.State{"s": draining, "t": ready}},
-			{at: departHold, line: 1, seq: 900, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": ready}},
+			{at: departureHold, line: 1, seq: 900, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": ready}},
 		},
 		"a new start does": {
 			{after: 5, seq: 6, list: changes(endpoint("s", gone, 0)), tells: map[string]standpoint.State{"s": gone}},
@@ -101,13 +101,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			start := time.Now()
-			o := newOrder(5)
-			o.know(whole(endpoint("s", standpoint.Ready, 0), endpoint("t", standpoint.Ready, 0)), start)
+			o := newMerger(5)
+			o.restore(whole(endpoint("s", standpoint.Ready, 0), endpoint("t", standpoint.Ready, 0)), start)
 			for i, s := range steps {
 				if s.move {
-					o.begin()
+					o.beginEpoch()
 				}
-				l, ok := o.take(answer{s.line, s.after, s.seq, s.list}, start.Add(s.at))
+				l, ok := o.merge(response{s.line, s.after, s.seq, s.list}, start.Add(s.at))
 				require.Equal(t, s.tells != nil, ok, "step %d", i)
 				if ok {
 					require.Equal(t, s.tells, statesOf(l), "step %d", i)
@@ -118,55 +118,55 @@
 }
 
 // A server that is held back is looked at once more when the hold is over.
-func TestHeldServersAreReleased(t *testing.T) {
+func TestMergerEndsHold(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
-	o := newOrder(5)
-	o.take(answer{0, 5, 6, changes(endpoint("s", standpoint.Draining, 0))}, start)
-	o.begin()
-	require.False(t, o.released(start))
-	o.take(answer{1, 6, 1, whole(endpoint("s", standpoint.Ready, 0))}, start)
-	require.False(t, o.released(start.Add(departHold-1)))
-	require.True(t, o.released(start.Add(departHold)), "the whole list is wanted")
-	require.False(t, o.released(start.Add(departHold)), "once")
-	l, _ := o.take(answer{1, 1, 1, whole(endpoint("s", standpoint.Ready, 0))}, start.Add(departHold))
+	o := newMerger(5)
+	o.merge(response{0, 5, 6, changes(endpoint("s", standpoint.Draining, 0))}, start)
+	o.beginEpoch()
+	require.False(t, o.refetchDue(start))
+	o.merge(response{1, 6, 1, whole(endpoint("s", standpoint.Ready, 0))}, start)
+	require.False(t, o.refetchDue(start.Add(departureHold-1)))
+	require.True(t, o.refetchDue(start.Add(departureHold)), "the whole list is wanted")
+	require.False(t, o.refetchDue(start.Add(departureHold)), "once")
+	l, _ := o.merge(response{1, 1, 1, whole(endpoint("s", standpoint.Ready, 0))}, start.Add(departureHold))
 	require.Equal(t, standpoint.Ready, l.Endpoints[0].State)
 }
 
 // What is gone is forgotten in time, and there is never too much of it.
-func TestOrderIsBounded(t *testing.T) {
+func TestMergerIsBounded(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
-	o := newOrder(0)
-	for i := range membersMost + 100 {
-		o.take(answer{0, int64(i), int64(i + 1), changes(endpoint(fmt.Sprint(i), standpoint.Gone, 0))}, start)
+	o := newMerger(0)
+	for i := range maxKnown + 100 {
+		o.merge(response{0, int64(i), int64(i + 1), changes(endpoint(fmt.Sprint(i), standpoint.Gone, 0))}, start)
 	}
-	require.LessOrEqual(t, len(o.members), membersMost)
-	o.take(answer{0, membersMost + 100, membersMost + 101, changes(endpoint("s", standpoint.Ready, 0))}, start.Add(departKeep+1))
-	require.Len(t, o.members, 1)
+	require.LessOrEqual(t, len(o.known), maxKnown)
+	o.merge(response{0, maxKnown + 100, maxKnown + 101, changes(endpoint("s", standpoint.Ready, 0))}, start.Add(departureRetention+1))
+	require.Len(t, o.known, 1)
 }
 
 // Whatever answers come, in whatever order, of one discovery or several: as long as nothing but a newer list of the same discovery, a
 // new start or the end of the hold speaks for it, a server that was told to leave is not told to be ready.
-func TestDeparturesStand(t *testing.T) {
+func TestMergerKeepsDepartures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		o := newOrder(10)
-		o.know(whole(endpoint("s", standpoint.Ready, 1)), now)
-		o.take(answer{0, 10, 11, changes(endpoint("s", standpoint.Draining, 1))}, now)
+		o := newMerger(10)
+		o.restore(whole(endpoint("s", standpoint.Ready, 1)), now)
+		o.merge(response{0, 10, 11, changes(endpoint("s", standpoint.Draining, 1))}, now)
 		for i := range rapid.IntRange(1, 12).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "move") {
-				o.begin()
+				o.beginEpoch()
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond) // within the hold, all of them
 			l := node.EndpointList{Kind: rapid.SampledFrom([]standpoint.ListKind{standpoint.ListFull, standpoint.ListDelta}).Draw(t, "kind"),
 				Endpoints: []node.Endpoint{endpoint("s", standpoint.Ready, 1)}}
 			seq := rapid.Int64Range(0, 11).Draw(t, "seq")
-			if o.line == 0 && !o.unordered {
+			if o.epoch == 0 && !o.awaitingFull {
 				seq = min(seq, 10) // not newer than the drain
 			}
-			got, _ := o.take(answer{rapid.IntRange(0, o.line).Draw(t, "line"), rapid.Int64Range(0, 11).Draw(t, "after"), seq, l}, now)
+			got, _ := o.merge(response{rapid.IntRange(0, o.epoch).Draw(t, "line"), rapid.Int64Range(0, 11).Draw(t, "after"), seq, l}, now)
 			for _, e := range got.Endpoints {
 				if e.State == standpoint.Ready {
 					t.Fatalf("step %d: told ready", i)
--- a/internal/endpoints/byhand.go
+++ b/internal/endpoints/overrides.go
@@ -31,10 +31,10 @@
 // that it drains. It holds until the server is put back: over its end, its new start or address, and the end of any
 // source. Put back it is told of as started at that moment: cold, and nothing is believed of what it was.
 type Overrides struct {
-	keeper *Cache
-	to     func(node.EndpointList)
-	share  *handover.Channel // nil: nobody to share with
-	log    *zap.Logger
+	cache    *Cache
+	notify   func(node.EndpointList)
+	siblings *handover.Channel // nil: nobody to share with
+	log      *zap.Logger
 
 	// commands is held while the record is changed or read. The other process may hold the shared file's lock for as long as it
 	// likes, so nobody waits for that one with the keeper's order in hand: lists go on being told.
@@ -42,29 +42,29 @@
 
 	mu     sync.Mutex
 	record handover.Record
-	seen   map[string]bool // the names in record.Seen
+	listed map[string]bool // the names in record.Seen
 }
 
 // NewOverrides makes the overlay over what the keeper is told, with what an earlier process left.
 func NewOverrides(k *Cache, to func(node.EndpointList), share *handover.Channel, log *zap.Logger) *Overrides {
-	b := &Overrides{keeper: k, to: to, share: share, log: log, seen: map[string]bool{},
+	b := &Overrides{cache: k, notify: to, siblings: share, log: log, listed: map[string]bool{},
 		record: handover.Record{DownSince: map[string]int64{}, RestoredAt: map[string]int64{}}}
-	k.lay = b.lay
+	k.overlay = b.overlay
 	b.Sync()
 	return b
 }
 
 // Update notes what a source tells, and hands it on as staff would have it.
-func (b *Overrides) Update(l node.EndpointList) { b.keeper.Update(l, b.to) }
+func (b *Overrides) Update(l node.EndpointList) { b.cache.Update(l, b.notify) }
 
-// lay is the list as staff would have it. The keeper calls it in the order of telling.
-func (b *Overrides) lay(l node.EndpointList) node.EndpointList {
+// overlay is the list as staff would have it. The keeper calls it in the order of telling.
+func (b *Overrides) overlay(l node.EndpointList) node.EndpointList {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	laid := node.EndpointList{Kind: l.Kind, Endpoints: slices.Clone(l.Endpoints)}
 	for i := range laid.Endpoints {
 		e := &laid.Endpoints[i]
-		b.note(e.Name)
+		b.rememberName(e.Name)
 		if e.State == standpoint.Gone {
 			continue
 		}
@@ -77,16 +77,16 @@
 	return laid
 }
 
-// note remembers a name that was listed.
-func (b *Overrides) note(name string) {
-	if b.seen[name] {
+// rememberName remembers a name that was listed.
+func (b *Overrides) rememberName(name string) {
+	if b.listed[name] {
 		return
 	}
 	if len(b.record.Listed) >= seenMost {
-		delete(b.seen, b.record.Listed[0])
+		delete(b.listed, b.record.Listed[0])
 		b.record.Listed = b.record.Listed[1:]
 	}
-	b.seen[name] = true
+	b.listed[name] = true
 	b.record.Listed = append(b.record.Listed, name)
 }
 
@@ -115,7 +115,7 @@
 	b.commands.Lock()
 	defer b.commands.Unlock()
 	b.mu.Lock()
-	known := b.seen[name] || b.record.DownSince[name] != 0
+	known := b.listed[name] || b.record.DownSince[name] != 0
 	next := handover.Record{DownSince: maps.Clone(b.record.DownSince), RestoredAt: maps.Clone(b.record.RestoredAt), Listed: b.record.Listed}
 	b.mu.Unlock()
 	if !known {
@@ -123,20 +123,20 @@
 	}
 	now := clock.Now()
 	change(&next, now)
-	b.take(next)
-	return b.keep(func(r *handover.Record) { change(r, now) })
+	b.adopt(next)
+	return b.persist(func(r *handover.Record) { change(r, now) })
 }
 
-// keep changes the record in the shared file, where there is one, and takes what it then says. The commands' lock is held.
-func (b *Overrides) keep(change func(*handover.Record)) error {
-	if b.share == nil {
+// persist changes the record in the shared file, where there is one, and takes what it then says. The commands' lock is held.
+func (b *Overrides) persist(change func(*handover.Record)) error {
+	if b.siblings == nil {
 		return nil
 	}
-	r, err := b.share.UpdateRecord(func(r *handover.Record) {
+	r, err := b.siblings.UpdateRecord(func(r *handover.Record) {
 		change(r)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		theirs := slices.DeleteFunc(r.Listed, func(name string) bool { return b.seen[name] })
+		theirs := slices.DeleteFunc(r.Listed, func(name string) bool { return b.listed[name] })
 		r.Listed = append(theirs, b.record.Listed...)
 		r.Listed = r.Listed[max(0, len(r.Listed)-seenMost):]
 	})
@@ -144,14 +144,14 @@
 		b.log.Error("what staff decided is not kept for a process that takes over", zap.Error(err))
 		return fmt.Errorf("%w: %w", ErrNotPersisted, err)
 	}
-	b.take(r)
+	b.adopt(r)
 	return nil
 }
 
-// take makes a record the one that holds, and tells the core anew of the names in which it differs.
-func (b *Overrides) take(r handover.Record) {
-	b.keeper.order.Lock()
-	defer b.keeper.order.Unlock()
+// adopt makes a record the one that holds, and tells the core anew of the names in which it differs.
+func (b *Overrides) adopt(r handover.Record) {
+	b.cache.notifyMu.Lock()
+	defer b.cache.notifyMu.Unlock()
 	b.mu.Lock()
 	for len(r.RestoredAt) > backMost {
 		oldest := ""
@@ -165,27 +165,27 @@
 	was := b.record
 	b.record.DownSince, b.record.RestoredAt = r.DownSince, r.RestoredAt
 	for _, name := range r.Listed {
-		b.note(name)
+		b.rememberName(name)
 	}
 	b.mu.Unlock()
-	b.keeper.amend(func(name string) bool {
+	b.cache.amend(func(name string) bool {
 		return was.DownSince[name] != r.DownSince[name] || r.RestoredAt[name] != 0 && was.RestoredAt[name] != r.RestoredAt[name]
-	}, b.to)
+	}, b.notify)
 }
 
 // Sync takes in what another process of this node was told, where there is news. While a command is carried out it leaves that for the
 // next time.
 func (b *Overrides) Sync() {
-	if b.share == nil || !b.commands.TryLock() {
+	if b.siblings == nil || !b.commands.TryLock() {
 		return
 	}
 	defer b.commands.Unlock()
-	r, changed, err := b.share.ReadRecord()
+	r, changed, err := b.siblings.ReadRecord()
 	if err != nil {
 		b.log.Error("the record that processes of this node share is not used", zap.Error(err))
 	}
 	if changed {
-		b.take(r)
+		b.adopt(r)
 	}
 }
 
@@ -193,5 +193,5 @@
 func (b *Overrides) Persist() {
 	b.commands.Lock()
 	defer b.commands.Unlock()
-	_ = b.keep(func(*handover.Record) {}) // logged
+	_ = b.persist(func(*handover.Record) {}) // logged
 }
--- a/internal/endpoints/byhand_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -40,7 +40,7 @@
 }
 
 // Out by hand holds whatever the sources tell; back is a fresh start, which an older one told late does not undo.
-func TestOutAndBackByHand(t *testing.T) {
+func TestOverridesHoldUntilEnabled(t *testing.T) {
 	b, core := overlay(t, nil)
 	full := func(all ...node.Endpoint) { b.Update(node.EndpointList{Kind: standpoint.ListFull, Endpoints: all}) }
 	delta := func(e node.Endpoint) {
@@ -67,7 +67,7 @@
 		},
 		func() { full(entry("b", standpoint.Ready, 0)); full(moved, entry("b", standpoint.Ready, 0)) },
 		func() { b.Update(node.EndpointList{Kind: standpoint.ListLost}) },
-		func() { b.keeper.Resend(core.take) },
+		func() { b.cache.Resend(core.take) },
 	} {
 		tell()
 		require.Equal(t, standpoint.Draining, core["a"].State)
@@ -92,7 +92,7 @@
 }
 
 // What staff tell one process holds in the other, and in the one after both, also for what was listed once.
-func TestByHandOverAnUpgrade(t *testing.T) {
+func TestOverridesAreSharedAcrossUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *handover.Channel {
 		s, err := handover.Open(dir, "n")
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -41,7 +41,7 @@
 	bodyMost   = 4 << 20
 
 	restLeast = 50 * time.Millisecond   // behind the first call that came to nothing; doubled each time
-	restMost  = 1500 * time.Millisecond // many nodes ask one discovery
+	maxPause  = 1500 * time.Millisecond // many nodes ask one discovery
 	moveMost  = 500 * time.Millisecond  // of a new discovery, which counts as heard 4 s after the move
 
 	// Behind a call that was refused: the line is full, and each further call is one more to turn away, which takes the time of those
@@ -53,15 +53,15 @@
 
 // Watcher is the actor. Its mailbox holds one wish to watch, more being the same wish, and the newest address.
 type Watcher struct {
-	news  func(node.EndpointList)
-	log   *zap.Logger
-	wish  chan struct{}
-	moves chan place
+	news             func(node.EndpointList)
+	log              *zap.Logger
+	wish             chan struct{}
+	discoveryChanges chan place
 
-	// Pushed, set before Run, is for how long at the most the node rests between two calls where what discovery has counts as
+	// MaxPushedPause, set before Run, is for how long at the most the node rests between two calls where what discovery has counts as
 	// told whether this node asks or not; the watch then stands from the first moment on, whatever is wished for. 0: lists
 	// are asked for.
-	Pushed time.Duration
+	MaxPushedPause time.Duration
 
 	// Nodes, set before Run, is how many nodes ask this discovery; 0: nobody knows.
 	Nodes int
@@ -74,7 +74,7 @@
 	// The actor's alone.
 	at      place
 	http    *http.Client
-	order   *order
+	order   *merger
 	heard   bool       // something, since the start
 	stands  bool       // the watch: the call before was answered a moment ago
 	anew    bool       // the whole list is asked for, though the one that is held is this discovery's
@@ -115,8 +115,8 @@
 // NewWatcher makes the actor; seq is the version of the list that the core holds already.
 func NewWatcher(address string, names Names, seq int64, news func(node.EndpointList), log *zap.Logger) *Watcher {
 	dial := transient.DialFunc((&net.Dialer{Timeout: dialTime, KeepAlive: -1}).DialContext)
-	return &Watcher{at: place{listAt(address), names}, dial: dial, http: caller(dial), order: newOrder(seq), news: news, log: log, wait: watchWait,
-		slack: watchSlack, wish: make(chan struct{}, 1), moves: make(chan place, 1), replies: make(chan reply, callsMost)}
+	return &Watcher{at: place{listAt(address), names}, dial: dial, http: caller(dial), order: newMerger(seq), news: news, log: log, wait: watchWait,
+		slack: watchSlack, wish: make(chan struct{}, 1), discoveryChanges: make(chan place, 1), replies: make(chan reply, callsMost)}
 }
 
 func listAt(address string) string { return "http://" + address + "/catalog/members" }
@@ -130,7 +130,7 @@
 }
 
 // Restore tells the list that the version of NewWatcher stands for. It is called before Run.
-func (w *Watcher) Restore(l node.EndpointList) { w.order.know(l, time.Now()) }
+func (w *Watcher) Restore(l node.EndpointList) { w.order.restore(l, time.Now()) }
 
 // Failing tells that discovery turns calls away or cannot be reached: nothing is waited for in its line.
 func (w *Watcher) Failing() bool { return w.failing.Load() }
@@ -149,20 +149,20 @@
 // SetDiscovery changes to another discovery, without waiting. Moves are told one after the other.
 func (w *Watcher) SetDiscovery(address string, names Names) {
 	select {
-	case <-w.moves: // not begun, and no longer wanted
+	case <-w.discoveryChanges: // not begun, and no longer wanted
 	default:
 	}
-	w.moves <- place{listAt(address), names}
+	w.discoveryChanges <- place{listAt(address), names}
 }
 
 // Run keeps a watch standing from the first wish, or move, on; where lists are pushed from the start. It never leaves off: the
 // core need not ask for it again, and hears nothing of calls that came to nothing.
 func (w *Watcher) Run(ctx context.Context) {
-	if w.Pushed == 0 {
+	if w.MaxPushedPause == 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case to := <-w.moves:
+		case to := <-w.discoveryChanges:
 			w.move(to)
 		case <-w.wish:
 		}
@@ -174,8 +174,8 @@
 
 // call makes a call. The next must follow within 200 ms of each answer, so nothing is done behind one but handing on the news.
 func (w *Watcher) call(ctx context.Context) *call {
-	c := &call{at: w.at, client: w.http, line: w.order.line, after: w.order.seq, opens: !w.stands, wait: w.wait,
-		whole: w.anew || w.order.unordered || w.order.released(time.Now())}
+	c := &call{at: w.at, client: w.http, line: w.order.epoch, after: w.order.version, opens: !w.stands, wait: w.wait,
+		whole: w.anew || w.order.awaitingFull || w.order.refetchDue(time.Now())}
 	if c.opens {
 		c.wait = min(w.wait, openWait)
 	}
@@ -202,7 +202,7 @@
 // goOn has a watch at the discovery that was left go on, for as long as it is answered and the new one has told nothing: else
 // this node would hear of no departure while it stands in the new one's line.
 func (w *Watcher) goOn(ctx context.Context, r reply) {
-	if r.call.line < w.order.line && w.order.unordered && !r.call.whole {
+	if r.call.line < w.order.epoch && w.order.awaitingFull && !r.call.whole {
 		w.launch(ctx, &call{at: r.call.at, client: r.call.client, line: r.call.line, after: r.seq, wait: w.wait})
 	}
 }
@@ -225,7 +225,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case to := <-w.moves:
+		case to := <-w.discoveryChanges:
 			w.move(to)
 			return
 		case r := <-w.replies:
@@ -258,12 +258,12 @@
 		return false
 	}
 	w.goOn(ctx, r)
-	l, told := w.order.take(answer{r.call.line, r.call.after, r.seq, r.list}, time.Now())
+	l, told := w.order.merge(response{r.call.line, r.call.after, r.seq, r.list}, time.Now())
 	if told {
 		w.news(l)
 	}
 	whole := r.list.Kind == standpoint.ListFull
-	if heard = !w.order.unordered && r.call.line <= w.order.line && (whole || !r.call.whole); !heard {
+	if heard = !w.order.awaitingFull && r.call.line <= w.order.epoch && (whole || !r.call.whole); !heard {
 		return false
 	}
 	w.anew = w.anew && !whole
@@ -292,7 +292,7 @@
 func (w *Watcher) move(to place) {
 	w.log.Info("discovery moved", zap.String("to", to.base))
 	w.http = caller(w.dial)
-	w.order.begin()
+	w.order.beginEpoch()
 	w.at, w.stands, w.silent, w.fails, w.busy = to, false, 0, 0, 0
 }
 
@@ -302,15 +302,15 @@
 	if w.busy++; !errors.Is(why, errBusy) {
 		w.busy = 0
 	}
-	most := min(restMost, restLeast<<min(w.fails, 6))
+	most := min(maxPause, restLeast<<min(w.fails, 6))
 	switch {
-	case w.busy > 0 && w.Pushed > 0:
+	case w.busy > 0 && w.MaxPushedPause > 0:
 		most = moveMost
 	case w.busy > 0:
 		most = w.busyRest()
-	case w.Pushed > 0:
-		most = min(most, w.Pushed)
-	case w.order.unordered:
+	case w.MaxPushedPause > 0:
+		most = min(most, w.MaxPushedPause)
+	case w.order.awaitingFull:
 		most = min(most, moveMost)
 	}
 	w.fails++
@@ -338,7 +338,7 @@
 			return
 		case <-timer.C:
 			return
-		case to := <-w.moves:
+		case to := <-w.discoveryChanges:
 			w.move(to)
 			return
 		case r := <-w.replies:
--- a/internal/endpoints/silent_test.go
+++ b/internal/endpoints/watcher_silence_test.go
@@ -36,7 +36,7 @@
 		discovery.Close()
 	})
 	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
-	w.Pushed, w.wait, w.slack = pushed, 300*time.Millisecond, 100*time.Millisecond
+	w.MaxPushedPause, w.wait, w.slack = pushed, 300*time.Millisecond, 100*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go w.Run(ctx)
@@ -50,7 +50,7 @@
 
 // What discovery may do with a watch, and what the watcher makes of it. A silent one is opened anew at once, without a word
 // of a failure, and so is each that falls silent behind it.
-func TestWatchesThatFallSilent(t *testing.T) {
+func TestWatcherReopensSilentWatch(t *testing.T) {
 	t.Parallel()
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	half := func(w http.ResponseWriter, r *http.Request) { // a head and no more
@@ -110,7 +110,7 @@
 // What discovery has is heard 6 s after it had it and could be reached, whatever the calls before came to. Each discovery here plays
 // its trouble from the first call on, and has a drain to tell from then on; the clock begins once it could tell it. These are the
 // watcher's own times, on real sockets.
-func TestToldWithinSixSeconds(t *testing.T) {
+func TestWatcherLearnsOfDrainWithinSixSeconds(t *testing.T) {
 	t.Parallel()
 	const most = 6 * time.Second
 	for name, c := range map[string]struct {
@@ -144,7 +144,7 @@
 			news := make(chan node.EndpointList, 100)
 			w := NewWatcher(l.Addr().String(), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
 			if c.pushed {
-				w.Pushed = 250 * time.Millisecond
+				w.MaxPushedPause = 250 * time.Millisecond
 			}
 			var open sync.WaitGroup
 			open.Go(func() { // itself counted, so that none is added once the end is waited for
@@ -220,7 +220,7 @@
 }
 
 // An answer has nothing behind it: what discovery sends later on the connection is not the next call's answer.
-func TestASecondAnswerRightBehind(t *testing.T) {
+func TestWatcherIgnoresSurplusResponse(t *testing.T) {
 	t.Parallel()
 	second := make(chan struct{})
 	_, news, _ := watched(t, 0, func(call int, w http.ResponseWriter, r *http.Request) {
@@ -248,7 +248,7 @@
 }
 
 // Where lists are pushed nobody needs to wish for a watch, and one that fails is opened anew by itself.
-func TestPushedLists(t *testing.T) {
+func TestWatcherOfPushedListsNeedsNoRequest(t *testing.T) {
 	t.Parallel()
 	_, news, asked := watched(t, 100*time.Millisecond, func(call int, w http.ResponseWriter, r *http.Request) {
 		switch call {
@@ -265,7 +265,7 @@
 }
 
 // A discovery whose versions have begun anew tells changes of another list: the whole one is asked for.
-func TestVersionsThatBeginAnew(t *testing.T) {
+func TestWatcherFetchesFullListWhenVersionsRestart(t *testing.T) {
 	t.Parallel()
 	_, news, _ := watched(t, 0, func(call int, w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -287,7 +287,7 @@
 
 // A discovery that handles calls in turn and turns away whoever waited too long, back after all nodes lost it: those that it
 // refuses do not keep it busy with their next calls, and every one has the list within 6 s.
-func TestManyNodesBeforeABusyDiscovery(t *testing.T) {
+func TestManyNodesShareBusyDiscovery(t *testing.T) {
 	t.Parallel()
 	const nodes, each, patience = 100, 15 * time.Millisecond, 200 * time.Millisecond
 	var turn sync.Mutex
--- a/internal/endpoints/written_test.go
+++ b/internal/endpoints/watcher_switch_test.go
@@ -36,7 +36,7 @@
 
 // What a discovery writes as the node moves to another counts as told, and the other's list, which does not know of it yet, does not
 // take it back.
-func TestWrittenAsTheNodeMoves(t *testing.T) {
+func TestDepartureWrittenDuringSwitchCounts(t *testing.T) {
 	t.Parallel()
 	moved, asked := make(chan struct{}), make(chan struct{}, 100)
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -61,7 +61,7 @@
 	w, news := watching(t, old)
 	<-asked
 	w.SetDiscovery(strings.TrimPrefix(next.URL, "http://"), names)
-	require.Eventually(t, func() bool { return len(w.moves) == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(w.discoveryChanges) == 0 }, 5*time.Second, time.Millisecond)
 	close(moved)
 	l := <-news
 	for ; l.Kind != standpoint.ListFull; l = <-news { // as often as the old one says it
@@ -71,7 +71,7 @@
 }
 
 // The watch at the discovery that was left goes on while the new one turns the node away, and leaves off once that has told its list.
-func TestTheWatchGoesOnUntilTheNewOneStands(t *testing.T) {
+func TestOldWatchContinuesUntilSwitchIsDone(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int32
 	asked := make(chan string, 100)
@@ -117,7 +117,7 @@
 }
 
 // An answer that comes once its call was given up is taken, though the calls behind it bring nothing.
-func TestWrittenBehindTheCallsTime(t *testing.T) {
+func TestLateResponseIsUsed(t *testing.T) {
 	t.Parallel()
 	_, news, _ := watched(t, 0, func(call int, w http.ResponseWriter, r *http.Request) {
 		if call > 1 {
@@ -132,7 +132,7 @@
 
 // A few dozen nodes before a discovery that handles what opens a watch in turn, and turns away whoever finds the line full. All watches
 // fall silent at once, and a server begins to drain: every node hears of it within 6 s.
-func TestEveryNodeKeepsItsPlaceInTheLine(t *testing.T) {
+func TestNodesKeepTheirPositionInTheQueue(t *testing.T) {
 	t.Parallel()
 	const nodes = 30
 	record := drain.NewRecord(t.Context().Done())
@@ -167,7 +167,7 @@
 }
 
 // An entry that cannot be read costs itself alone, whatever stands in its place; of one that is listed twice the departure counts.
-func TestEntriesThatCannotBeRead(t *testing.T) {
+func TestDecodeIsolatesUnreadableEntries(t *testing.T) {
 	t.Parallel()
 	for _, bad := range []string{
 		`{"host":"bad","dial":"a","health":"ready","share":"much"}`, `{"host":"bad","dial":"a","health":"ready","born_ms":1.5}`,
@@ -197,7 +197,7 @@
 
 // The process beside this one holds the lock of the file that they share, and does not let go: lists are told all the same, and what
 // staff say here holds here at once.
-func TestListsWhileTheSharedFileIsLocked(t *testing.T) {
+func TestOverridesPassListsOnWhileSharedFileIsLocked(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	share, err := handover.Open(dir, "n")
--- a/internal/endpoints/story_test.go
+++ b/internal/endpoints/watcher_test.go
@@ -21,7 +21,7 @@
 
 // The next watch follows within 200 ms of each answer. A failed one is made anew behind a short rest, without a word to the core:
 // what discovery has counts as told soon, whoever asked last, and nobody else would ask in time.
-func TestWatch(t *testing.T) {
+func TestWatcherPollsAgainWithoutDelay(t *testing.T) {
 	calls := make(chan time.Time, 100)
 	var n int
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 		Engine: standpoint.Engine{Name: "s", Zone: 1, Kind: 1, Cell: 3, State: standpoint.Draining, Size: 2, ReadyAt: 5e6}}}}, first)
 	require.Less(t, (<-calls).Sub(<-calls).Abs(), 200*time.Millisecond)
 	failed := time.Now()
-	require.Less(t, (<-calls).Sub(failed), restMost)
+	require.Less(t, (<-calls).Sub(failed), maxPause)
 	w.Watch() // once a watch stands, a wish is no second one
 	select {
 	case <-calls:
@@ -61,7 +61,7 @@
 	require.Empty(t, news)
 }
 
-func TestDecodeNamesTheFault(t *testing.T) {
+func TestDecodeReportsInvalidEntries(t *testing.T) {
 	for entry, says := range map[string]string{
 		`{"host":"s-1","dial":"a","health":"ill"}`:                                 `endpoint "s-1": unknown health "ill"`,
 		`{"host":"s-1","dial":"a","health":"ready","born_ms":9223372036854775807}`: `endpoint "s-1": born_ms`,
@@ -78,7 +78,7 @@
 }
 
 // What the keeper wrote is there for the next start, without what has gone.
-func TestKeeper(t *testing.T) {
+func TestCachePersistsList(t *testing.T) {
 	keys := store.NewMemory()
 	k := NewCache(keys, zap.NewNop())
 	go k.Run(t.Context())
@@ -95,7 +95,7 @@
 
 // A move takes the whole list of the new discovery, though the old one's watch is open and its version is higher,
 // and though the first call fails; then the new one's watch goes on from its own version.
-func TestMove(t *testing.T) {
+func TestSwitchFetchesFullList(t *testing.T) {
 	old := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer old.Close()
 	asked := make(chan string, 100)
