--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -10,7 +10,8 @@
 	"standpoint"
 )
 
-// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its answer.
+// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its
+// answer.
 func TestTheCoresOwnBounds(t *testing.T) {
 	stopped, end := context.WithCancel(t.Context())
 	end()
@@ -21,7 +22,10 @@
 	c.requests[1] = f
 	send := func() bool {
 		before := len(h.sent)
-		c.send(f, standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)})
+		c.send(
+			f,
+			standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)},
+		)
 		return len(h.sent) > before
 	}
 	require.True(t, send())
