--- a/internal/backend/batchdrain_test.go
+++ b/internal/backend/batchdrain_test.go
@@ -34,7 +34,7 @@
 
 func startFileServer(t *testing.T) (*fileServer, node.Endpoint) {
 	f := &fileServer{uploads: make(chan struct{}, 10), let: make(chan struct{}, 10)}
-	entry := testpeer.Entry("files", testpeer.Server(t, f.ServeHTTP))
+	entry := testpeer.Endpoint("files", testpeer.Backend(t, f.ServeHTTP))
 	entry.Batch = true
 	return f, entry
 }
@@ -81,8 +81,8 @@
 	over := ask(t, n)
 	<-f.uploads
 	entry.State = standpoint.Draining
-	n.Tell(entry)
-	n.Heard()
+	n.UpdateEndpoints(entry)
+	n.WaitForCore()
 	f.let <- struct{}{}
 	require.NotEqual(t, http.StatusOK, <-over)
 	require.Zero(t, f.made.Load())
@@ -95,11 +95,11 @@
 	held := testpeer.HoldDials(1)
 	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, entry)
 	over := ask(t, n)
-	<-held.Up
+	<-held.Connected
 	entry.State = standpoint.Draining
-	n.Tell(entry)
-	n.Heard()
-	held.Go <- struct{}{}
+	n.UpdateEndpoints(entry)
+	n.WaitForCore()
+	held.Release <- struct{}{}
 	require.NotEqual(t, http.StatusOK, <-over)
 	require.Empty(t, f.uploads)
 }
--- a/internal/backend/batchmove_test.go
+++ b/internal/backend/batchmove_test.go
@@ -14,10 +14,10 @@
 // address is not read while it changes (the race detector sees it).
 func TestNewAddressWhileAFileGoesOut(t *testing.T) {
 	refuses := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	entry := testpeer.Entry("files", testpeer.Server(t, refuses))
+	entry := testpeer.Endpoint("files", testpeer.Backend(t, refuses))
 	entry.Batch = true
 	other := entry
-	other.Address = testpeer.Server(t, refuses)
+	other.Address = testpeer.Backend(t, refuses)
 	n := testpeer.Start(t, testpeer.Settings(), entry)
 	over := make(chan int, 1)
 	go func() {
@@ -25,8 +25,8 @@
 		over <- status
 	}()
 	for status := 0; status == 0; {
-		n.Tell(other)
-		n.Tell(entry)
+		n.UpdateEndpoints(other)
+		n.UpdateEndpoints(entry)
 		select {
 		case status = <-over:
 			require.NotEqual(t, http.StatusOK, status)
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -45,9 +45,9 @@
 				time.Sleep(late)
 				return net.Dial(network, address)
 			}
-			address := testpeer.Server(t, serve)
-			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dial, testpeer.Entry("a", address), testpeer.Entry("b", address),
-				testpeer.Entry("c", address))
+			address := testpeer.Backend(t, serve)
+			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dial, testpeer.Endpoint("a", address), testpeer.Endpoint("b", address),
+				testpeer.Endpoint("c", address))
 			began := time.Now()
 			status, _, body, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "2000m") }))
 			require.Equal(t, http.StatusOK, status, body)
--- a/internal/backend/moments_test.go
+++ b/internal/backend/moments_test.go
@@ -30,7 +30,7 @@
 // server starts a server that answers its requests by turns with the texts, the last one for all that follow.
 func (m *met) server(t *testing.T, answers ...string) (address string) {
 	var mu sync.Mutex
-	address = testpeer.RawServer(t, func(c net.Conn) {
+	address = testpeer.RawBackend(t, func(c net.Conn) {
 		mu.Lock()
 		defer mu.Unlock()
 		m.note(c.LocalAddr().String())
@@ -65,32 +65,32 @@
 	for name, tell := range map[string]func(n *testpeer.Node, chosen, other node.Endpoint){
 		"drains": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.State = standpoint.Draining
-			n.Tell(chosen, other)
+			n.UpdateEndpoints(chosen, other)
 		},
 		"drains, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
 			chosen.State = standpoint.Draining
 			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
-		"is gone": func(n *testpeer.Node, _, other node.Endpoint) { n.Tell(other) },
+		"is gone": func(n *testpeer.Node, _, other node.Endpoint) { n.UpdateEndpoints(other) },
 		"is gone, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
 			chosen.State, chosen.Address = standpoint.Gone, ""
 			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
 		"is another process by now": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
-			n.Tell(chosen, other)
+			n.UpdateEndpoints(chosen, other)
 		},
 		"drains and comes back": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.State = standpoint.Draining
-			n.Tell(chosen, other)
+			n.UpdateEndpoints(chosen, other)
 			chosen.State = standpoint.Ready
-			n.Tell(chosen, other)
+			n.UpdateEndpoints(chosen, other)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			met, held := newMet(), testpeer.HoldDials(1)
-			a, b := testpeer.Entry("a", met.server(t, testpeer.Answer("whole"))), testpeer.Entry("b", met.server(t, testpeer.Answer("whole")))
+			a, b := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole"))), testpeer.Endpoint("b", met.server(t, testpeer.StreamAnswer("whole")))
 			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a, b)
 			answered := make(chan int, 1)
 			go func() {
@@ -98,12 +98,12 @@
 				answered <- status
 			}()
 			chosen, other := a, b
-			if <-held.Up == b.Address {
+			if <-held.Connected == b.Address {
 				chosen, other = b, a
 			}
 			tell(n, chosen, other)
-			n.Heard()
-			held.Go <- struct{}{}
+			n.WaitForCore()
+			held.Release <- struct{}{}
 			require.Equal(t, http.StatusOK, <-answered)
 			// What comes to one that is back was decided on behind its return; what was on its way is not counted among it.
 			if name != "drains and comes back" && name != "is another process by now" {
@@ -119,18 +119,18 @@
 func TestToldToLeaveAndNoOtherThere(t *testing.T) {
 	t.Parallel()
 	met, held := newMet(), testpeer.HoldDials(1)
-	a := testpeer.Entry("a", met.server(t, testpeer.Answer("whole")))
+	a := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole")))
 	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a)
 	answered := make(chan int, 1)
 	go func() {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "600m") }))
 		answered <- status
 	}()
-	<-held.Up
+	<-held.Connected
 	a.State = standpoint.Draining
-	n.Tell(a)
-	n.Heard()
-	held.Go <- struct{}{}
+	n.UpdateEndpoints(a)
+	n.WaitForCore()
+	held.Release <- struct{}{}
 	require.Equal(t, http.StatusServiceUnavailable, <-answered)
 	require.Zero(t, met.at(a.Address))
 }
@@ -142,7 +142,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			met, held := newMet(), testpeer.HoldDials(2)
-			a, b := testpeer.Entry("a", met.server(t, failed500)), testpeer.Entry("b", met.server(t, failed500))
+			a, b := testpeer.Endpoint("a", met.server(t, failed500)), testpeer.Endpoint("b", met.server(t, failed500))
 			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a, b)
 			ctx, leave := context.WithCancel(t.Context())
 			gone := make(chan struct{})
@@ -154,15 +154,15 @@
 				}
 			}()
 			for range fails {
-				<-held.Up
-				held.Go <- struct{}{}
+				<-held.Connected
+				held.Release <- struct{}{}
 			}
-			<-held.Up
+			<-held.Connected
 			leave()
 			<-gone
 			require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, 2*time.Second, time.Millisecond)
-			held.Go <- struct{}{}
-			n.Heard()
+			held.Release <- struct{}{}
+			n.WaitForCore()
 			time.Sleep(20 * time.Millisecond) // for what must not come
 			require.Equal(t, fails, met.at(a.Address)+met.at(b.Address))
 		})
@@ -174,7 +174,7 @@
 func TestTheWindowClosesWhileARepeatIsOnItsWay(t *testing.T) {
 	t.Parallel()
 	met, held := newMet(), testpeer.HoldDials(2)
-	a, b := testpeer.Entry("a", met.server(t, failed500)), testpeer.Entry("b", met.server(t, failed500))
+	a, b := testpeer.Endpoint("a", met.server(t, failed500)), testpeer.Endpoint("b", met.server(t, failed500))
 	settings := testpeer.Settings()
 	window := 300 * time.Millisecond
 	c := &settings.Classes[0]
@@ -186,11 +186,11 @@
 		status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "9000m") }))
 		answered <- status
 	}()
-	<-held.Up
-	held.Go <- struct{}{}
-	<-held.Up
+	<-held.Connected
+	held.Release <- struct{}{}
+	<-held.Connected
 	time.Sleep(time.Until(began.Add(window + 50*time.Millisecond))) // the window is the clock's own
-	held.Go <- struct{}{}
+	held.Release <- struct{}{}
 	require.Equal(t, http.StatusBadGateway, <-answered, "an attempt has run: that trying again is harmless would not be true")
 	require.Less(t, time.Since(began), 2*time.Second)
 	require.Equal(t, 1, met.at(a.Address)+met.at(b.Address))
@@ -214,7 +214,7 @@
 			came := make(chan struct{})
 			settings := testpeer.Settings()
 			settings.Classes[0].Effect, settings.Classes[0].Group, settings.Classes[0].Window = c.effect, c.group, int64(time.Second)
-			n := testpeer.Start(t, settings, testpeer.Entry("s", testpeer.Server(t, func(_ http.ResponseWriter, r *http.Request) {
+			n := testpeer.Start(t, settings, testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				close(came)
 				<-r.Context().Done()
@@ -242,8 +242,8 @@
 				next := make(chan struct{}, 1)
 				event := func(i int) string { return fmt.Sprintf("data: {\"choices\":[{\"index\":%d}]}%s%s", i, end, end) }
 				const events = 20
-				n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) {
-					_, _ = io.WriteString(c, testpeer.OpenAnswer)
+				n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+					_, _ = io.WriteString(c, testpeer.StreamHead)
 					for i := range events {
 						text := event(i)
 						if halves {
@@ -285,10 +285,10 @@
 	const most, atOnce = 12, 6
 	var entries []node.Endpoint
 	for i := range 40 {
-		entries = append(entries, testpeer.Entry(fmt.Sprint("s", i), newMet().server(t, testpeer.Answer("whole"))))
+		entries = append(entries, testpeer.Endpoint(fmt.Sprint("s", i), newMet().server(t, testpeer.StreamAnswer("whole"))))
 	}
 	n := testpeer.Start(t, testpeer.Settings(), entries...)
-	n.Servers.Adjust(100*time.Millisecond, 15*time.Second, 10, most)
+	n.Backends.Adjust(100*time.Millisecond, 15*time.Second, 10, most)
 	peak := 0
 	for round := range 30 {
 		var all sync.WaitGroup
@@ -300,8 +300,8 @@
 			})
 		}
 		all.Wait()
-		peak = max(peak, n.Servers.Connections())
-		require.LessOrEqual(t, n.Servers.Connections(), most+2*atOnce)
+		peak = max(peak, n.Backends.Connections())
+		require.LessOrEqual(t, n.Backends.Connections(), most+2*atOnce)
 	}
 	require.Greater(t, peak, most/2, "they are kept while there are few")
 }
@@ -328,31 +328,31 @@
 	}{
 		"a head":               {"HTTP/1.1 200 OK\r\n", forever("X-More: and more\r\n", time.Millisecond), false},
 		"early heads":          {"", forever("HTTP/1.1 103 Early\r\n\r\n", time.Millisecond), false},
-		"a first line":         {testpeer.OpenAnswer, forever(testpeer.Chunk("data"), time.Millisecond), false},
-		"a chunk's size":       {testpeer.OpenAnswer, forever("0", time.Millisecond), false},
-		"a line behind events": {testpeer.OpenAnswer + event, forever(testpeer.Chunk("data"), time.Millisecond), true},
-		"events":               {testpeer.OpenAnswer + event, forever(event, time.Millisecond), true},
-		"comments":             {testpeer.OpenAnswer + event, forever(testpeer.Chunk(": there\n\n"), 10*time.Millisecond), true},
-		"nothing behind half a line": {testpeer.OpenAnswer + event + testpeer.Chunk("data: {\"choi"),
+		"a first line":         {testpeer.StreamHead, forever(testpeer.Chunk("data"), time.Millisecond), false},
+		"a chunk's size":       {testpeer.StreamHead, forever("0", time.Millisecond), false},
+		"a line behind events": {testpeer.StreamHead + event, forever(testpeer.Chunk("data"), time.Millisecond), true},
+		"events":               {testpeer.StreamHead + event, forever(event, time.Millisecond), true},
+		"comments":             {testpeer.StreamHead + event, forever(testpeer.Chunk(": there\n\n"), 10*time.Millisecond), true},
+		"nothing behind half a line": {testpeer.StreamHead + event + testpeer.Chunk("data: {\"choi"),
 			func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, true},
-		"nothing behind the last event": {testpeer.OpenAnswer + event + testpeer.Chunk("data: [DONE]\n\n"),
+		"nothing behind the last event": {testpeer.StreamHead + event + testpeer.Chunk("data: [DONE]\n\n"),
 			func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }, true},
-		"trailers": {testpeer.OpenAnswer + event + testpeer.Chunk("data: [DONE]\n\n") + "0\r\n", forever("X-More: and more\r\n", time.Millisecond), true},
+		"trailers": {testpeer.StreamHead + event + testpeer.Chunk("data: [DONE]\n\n") + "0\r\n", forever("X-More: and more\r\n", time.Millisecond), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var asked atomic.Int32
 			server := func() string {
-				return testpeer.RawServer(t, func(conn net.Conn) {
+				return testpeer.RawBackend(t, func(conn net.Conn) {
 					if asked.Add(1) > 1 {
-						_, _ = io.WriteString(conn, testpeer.Answer("good"))
+						_, _ = io.WriteString(conn, testpeer.StreamAnswer("good"))
 						return
 					}
 					_, _ = io.WriteString(conn, c.begins)
 					c.then(conn)
 				})
 			}
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", server()), testpeer.Entry("b", server()))
+			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", server()), testpeer.Endpoint("b", server()))
 			began := time.Now()
 			response, err := http.DefaultClient.Do(n.Chat(t.Context(), func(r *http.Request) {
 				body := `{"max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
@@ -393,16 +393,16 @@
 			t.Parallel()
 			var whole atomic.Int32
 			first := make(chan net.Conn, 1)
-			address := testpeer.RawServer(t, func(conn net.Conn) {
+			address := testpeer.RawBackend(t, func(conn net.Conn) {
 				if whole.Add(1) == 1 {
 					first <- conn
 				}
-				_, _ = io.WriteString(conn, testpeer.Answer("good"))
+				_, _ = io.WriteString(conn, testpeer.StreamAnswer("good"))
 			})
 			settings := testpeer.Settings()
 			settings.Classes[0].Effect = c.effect
 			held := &heldWrites{at: make(chan struct{}), on: make(chan struct{})}
-			n := testpeer.StartDialing(t, zap.NewNop(), settings, held.dial, testpeer.Entry("a", address))
+			n := testpeer.StartDialing(t, zap.NewNop(), settings, held.dial, testpeer.Endpoint("a", address))
 			status, _, _, err := n.Do(n.Chat(t.Context(), nil))
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
@@ -465,7 +465,7 @@
 		met, held := newMet(), testpeer.HoldDials(2)
 		var all []node.Endpoint
 		for _, name := range []string{"a", "b", "c"} {
-			all = append(all, testpeer.Entry(name, met.server(t, failed500, testpeer.Answer("whole"))))
+			all = append(all, testpeer.Endpoint(name, met.server(t, failed500, testpeer.StreamAnswer("whole"))))
 		}
 		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, all...)
 		answered := make(chan int, 1)
@@ -473,18 +473,18 @@
 			status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
 			answered <- status
 		}()
-		first := <-held.Up
-		held.Go <- struct{}{}
-		second := <-held.Up
+		first := <-held.Connected
+		held.Release <- struct{}{}
+		second := <-held.Connected
 		require.NotEqual(t, first, second)
 		for i := range all {
 			if all[i].Address == second {
 				all[i].State = standpoint.Draining
 			}
 		}
-		n.Tell(all...)
-		n.Heard()
-		held.Go <- struct{}{}
+		n.UpdateEndpoints(all...)
+		n.WaitForCore()
+		held.Release <- struct{}{}
 		<-answered // by the third attempt, whatever that server says
 		require.Zero(t, met.at(second))
 		require.Equal(t, 1, met.at(first))
@@ -492,7 +492,7 @@
 	t.Run("a held request", func(t *testing.T) {
 		t.Parallel()
 		met, held := newMet(), testpeer.HoldDials(1)
-		a, b := testpeer.Entry("a", met.server(t, testpeer.Answer("whole"))), testpeer.Entry("b", met.server(t, testpeer.Answer("whole")))
+		a, b := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole"))), testpeer.Endpoint("b", met.server(t, testpeer.StreamAnswer("whole")))
 		a.State = standpoint.Draining
 		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a)
 		answered := make(chan int, 1)
@@ -502,15 +502,15 @@
 		}()
 		require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
 		a.State = standpoint.Ready
-		n.Tell(a)
-		require.Equal(t, a.Address, <-held.Up)
+		n.UpdateEndpoints(a)
+		require.Equal(t, a.Address, <-held.Connected)
 		a.State = standpoint.Draining
-		n.Tell(a)
-		n.Heard()
-		held.Go <- struct{}{}
-		n.Heard()
+		n.UpdateEndpoints(a)
+		n.WaitForCore()
+		held.Release <- struct{}{}
+		n.WaitForCore()
 		require.Zero(t, met.at(a.Address))
-		n.Tell(a, b)
+		n.UpdateEndpoints(a, b)
 		require.Equal(t, http.StatusOK, <-answered)
 		require.Zero(t, met.at(a.Address))
 		require.Equal(t, 1, met.at(b.Address))
@@ -533,9 +533,9 @@
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
 	leave()
 	<-gone
-	a := testpeer.Entry("a", met.server(t, testpeer.Answer("whole")))
-	n.Tell(a) // in the very moment
-	n.Heard()
+	a := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole")))
+	n.UpdateEndpoints(a) // in the very moment
+	n.WaitForCore()
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
 	time.Sleep(20 * time.Millisecond) // for what must not come
 	require.Zero(t, met.at(a.Address))
--- a/internal/backend/story_test.go
+++ b/internal/backend/story_test.go
@@ -19,7 +19,7 @@
 	"standpoint/internal/testpeer"
 )
 
-var begun = testpeer.OpenAnswer + testpeer.Chunk("data: {\"choices\":[{}]}\n\n")
+var begun = testpeer.StreamHead + testpeer.Chunk("data: {\"choices\":[{}]}\n\n")
 
 // What cannot be read before the first event is a failed attempt: the request goes out again, and what the server
 // sent does not reach the client.
@@ -28,23 +28,23 @@
 		"noise":             "\x00\x9c noise\r\n\r\n",
 		"status":            "HTTP/1.1 2x0 what\r\n\r\n",
 		"endless head":      "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: and more\r\n", 2000),
-		"chunk size":        testpeer.OpenAnswer + "zz\r\ndata: {}\n\n\r\n",
-		"no event":          testpeer.OpenAnswer + testpeer.Chunk("noise\n\n"),
-		"half a JSON value": testpeer.OpenAnswer + testpeer.Chunk("data: {\n\n"),
-		"endless event":     testpeer.OpenAnswer + "b2d05e00\r\ndata: " + strings.Repeat("x", 100<<10),
-		"end at once":       testpeer.OpenAnswer + "0\r\n\r\n",
-		"silence":           testpeer.OpenAnswer,
+		"chunk size":        testpeer.StreamHead + "zz\r\ndata: {}\n\n\r\n",
+		"no event":          testpeer.StreamHead + testpeer.Chunk("noise\n\n"),
+		"half a JSON value": testpeer.StreamHead + testpeer.Chunk("data: {\n\n"),
+		"endless event":     testpeer.StreamHead + "b2d05e00\r\ndata: " + strings.Repeat("x", 100<<10),
+		"end at once":       testpeer.StreamHead + "0\r\n\r\n",
+		"silence":           testpeer.StreamHead,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var asked atomic.Int32
-			server := testpeer.RawServer(t, func(c net.Conn) {
+			server := testpeer.RawBackend(t, func(c net.Conn) {
 				if asked.Add(1) == 1 {
 					_, _ = io.WriteString(c, text)
 				} else {
-					_, _ = io.WriteString(c, testpeer.Answer("whole"))
+					_, _ = io.WriteString(c, testpeer.StreamAnswer("whole"))
 				}
 			})
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", server), testpeer.Entry("b", server))
+			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", server), testpeer.Endpoint("b", server))
 			status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
@@ -65,7 +65,7 @@
 		"no last event":       "0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) {
+			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
 				_, _ = io.WriteString(c, begun+text)
 			})))
 			from := time.Now()
@@ -96,8 +96,8 @@
 			t.Parallel()
 			settings := testpeer.Settings()
 			settings.Resume = c.resume
-			n := testpeer.Start(t, settings, testpeer.Entry("s", testpeer.RawServer(t, func(conn net.Conn) {
-				_, _ = io.WriteString(conn, testpeer.OpenAnswer+event)
+			n := testpeer.Start(t, settings, testpeer.Endpoint("s", testpeer.RawBackend(t, func(conn net.Conn) {
+				_, _ = io.WriteString(conn, testpeer.StreamHead+event)
 				for range 2 {
 					time.Sleep(c.pause)
 					_, _ = io.WriteString(conn, event)
@@ -128,16 +128,16 @@
 			_, _ = io.WriteString(w, strings.Replace(answer, "0\r\n\r\n", report+"0\r\n\r\n", 1))
 		},
 		"second answer behind": func(w io.Writer, answer string) {
-			_, _ = io.WriteString(w, answer+testpeer.Answer("stray"))
+			_, _ = io.WriteString(w, answer+testpeer.StreamAnswer("stray"))
 		},
 		"and in pieces": func(w io.Writer, answer string) {
 			_, _ = io.WriteString(w, answer)
-			_, _ = io.WriteString(w, testpeer.Answer("stray"))
+			_, _ = io.WriteString(w, testpeer.StreamAnswer("stray"))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) {
-				script(c, testpeer.Answer("own"))
+			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+				script(c, testpeer.StreamAnswer("own"))
 			})))
 			for range 20 {
 				status, _, body, err := n.Do(n.Chat(t.Context(), nil))
@@ -154,7 +154,7 @@
 func TestDroppedLinks(t *testing.T) {
 	var mu sync.Mutex
 	asked := map[net.Conn]bool{}
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
 		mu.Lock()
 		defer mu.Unlock()
 		if asked[c] {
@@ -163,7 +163,7 @@
 			return
 		}
 		asked[c] = true
-		_, _ = io.WriteString(c, testpeer.Answer("own"))
+		_, _ = io.WriteString(c, testpeer.StreamAnswer("own"))
 	})))
 	var lost []int
 	for i := range 12 {
@@ -193,7 +193,7 @@
 		}
 	}()
 	log, logs := observer.New(zap.InfoLevel)
-	n := testpeer.StartLogged(t, zap.New(log), testpeer.Settings(), testpeer.Entry("s", listener.Addr().String()))
+	n := testpeer.StartLogged(t, zap.New(log), testpeer.Settings(), testpeer.Endpoint("s", listener.Addr().String()))
 	body := `{"messages":["` + strings.Repeat("x", 200<<10) + `"]}`
 	status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) {
 		r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
@@ -206,11 +206,11 @@
 // A process started anew at the same address gets connections of its own: those kept to the one before lead nowhere.
 func TestLinksOfTheProcessBefore(t *testing.T) {
 	var links sync.Map
-	server := testpeer.RawServer(t, func(c net.Conn) {
+	server := testpeer.RawBackend(t, func(c net.Conn) {
 		links.Store(c, true)
-		_, _ = io.WriteString(c, testpeer.Answer("own"))
+		_, _ = io.WriteString(c, testpeer.StreamAnswer("own"))
 	})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", server))
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", server))
 	used := func() (all int) {
 		status, _, _, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
@@ -220,23 +220,23 @@
 	}
 	require.Equal(t, 1, used())
 	require.Equal(t, 1, used(), "a kept one")
-	again := testpeer.Entry("s", server)
+	again := testpeer.Endpoint("s", server)
 	again.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
-	n.Tell(again)
+	n.UpdateEndpoints(again)
 	require.Equal(t, 2, used())
 }
 
 // A box of another kind under the same name is spoken to in its own way.
 func TestAnotherKindUnderTheSameName(t *testing.T) {
-	files := testpeer.NewBatchServer(t, testpeer.NewLedger(), func(string, int) int { return http.StatusOK })
-	streams := testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.Answer("own")) }))
+	files := testpeer.NewBatchBackend(t, testpeer.NewAttemptLedger(), func(string, int) int { return http.StatusOK })
+	streams := testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.StreamAnswer("own")) }))
 	settings := testpeer.Settings()
 	settings.Cancel = false
 	n := testpeer.Start(t, settings, streams)
-	replaced := testpeer.Entry("s", files.Address)
+	replaced := testpeer.Endpoint("s", files.Address)
 	replaced.Batch = true
 	for _, e := range []node.Endpoint{streams, replaced, streams} {
-		n.Tell(e)
+		n.UpdateEndpoints(e)
 		status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
@@ -245,8 +245,8 @@
 
 // Events may be parted by carriage returns and line feeds too, as the standard for event streams has it.
 func TestEventsWithCarriageReturns(t *testing.T) {
-	answer := testpeer.OpenAnswer + testpeer.Chunk("data: {\"choices\":[{}]}\r\n\r\n") + testpeer.Chunk("data: [DONE]\r\n\r\n") + "0\r\n\r\n"
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) { _, _ = io.WriteString(c, answer) })))
+	answer := testpeer.StreamHead + testpeer.Chunk("data: {\"choices\":[{}]}\r\n\r\n") + testpeer.Chunk("data: [DONE]\r\n\r\n") + "0\r\n\r\n"
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, answer) })))
 	for range 2 { // on a kept connection too
 		status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
@@ -262,13 +262,13 @@
 	const turns, late, most = 5, 11 * time.Millisecond, 13 * time.Millisecond
 	var played atomic.Int64
 	var count atomic.Int64
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.RawServer(t, func(c net.Conn) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
 		number := count.Add(1)
 		began := time.Now()
-		_, _ = io.WriteString(c, testpeer.Answer(fmt.Sprintf("own %d.", number)))
+		_, _ = io.WriteString(c, testpeer.StreamAnswer(fmt.Sprintf("own %d.", number)))
 		time.Sleep(late)
 		if time.Since(began) < most {
-			_, _ = io.WriteString(c, testpeer.Answer("nobody's"))
+			_, _ = io.WriteString(c, testpeer.StreamAnswer("nobody's"))
 			played.Add(1)
 		}
 	})))
--- a/internal/batch/fixture_test.go
+++ b/internal/batch/fixture_test.go
@@ -162,9 +162,9 @@
 func succeed(string, int) int { return http.StatusOK }
 
 // streamingBackend is a backend that streams, and answers each line with the status that answer returns.
-func streamingBackend(t *testing.T, ledger *testpeer.Ledger, answer func(line string, attempt int) int) string {
+func streamingBackend(t *testing.T, ledger *testpeer.AttemptLedger, answer func(line string, attempt int) int) string {
 	t.Helper()
-	return testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		var body struct {
 			Messages []struct{ Content string }
 		}
@@ -183,8 +183,8 @@
 }
 
 // batchEndpoint is the endpoint of a backend that takes files.
-func batchEndpoint(name string, server *testpeer.BatchServer) node.Endpoint {
-	endpoint := testpeer.Entry(name, server.Address)
+func batchEndpoint(name string, server *testpeer.BatchBackend) node.Endpoint {
+	endpoint := testpeer.Endpoint(name, server.Address)
 	endpoint.Batch = true
 	return endpoint
 }
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -23,7 +23,7 @@
 // seventh line fails at its first attempt. Each line has its answer once, and never two attempts in flight.
 func TestTwoThousandLines(t *testing.T) {
 	const n = 2000
-	ledger := testpeer.NewLedger()
+	ledger := testpeer.NewAttemptLedger()
 	answer := func(line string, attempt int) int {
 		time.Sleep(time.Millisecond)
 		var i int
@@ -38,18 +38,18 @@
 	settings.Cancel = false
 	settings.Kinds = 2
 	var once sync.Once
-	var drained *testpeer.BatchServer
+	var drained *testpeer.BatchBackend
 	var drain func()
-	drained = testpeer.NewBatchServer(t, ledger, func(line string, attempt int) int {
+	drained = testpeer.NewBatchBackend(t, ledger, func(line string, attempt int) int {
 		if drained.Waiting() > 1 { // in the middle of a file, however many a slow machine lets come to it
 			once.Do(drain)
 		}
 		return answer(line, attempt)
 	})
-	other := testpeer.NewBatchServer(t, ledger, answer)
+	other := testpeer.NewBatchBackend(t, ledger, answer)
 	endpoints := []node.Endpoint{
-		testpeer.Entry("s1", streamingBackend(t, ledger, answer)),
-		testpeer.Entry("s2", streamingBackend(t, ledger, answer)),
+		testpeer.Endpoint("s1", streamingBackend(t, ledger, answer)),
+		testpeer.Endpoint("s2", streamingBackend(t, ledger, answer)),
 		batchEndpoint("b1", drained),
 		batchEndpoint("b2", other),
 	}
@@ -59,7 +59,7 @@
 	drain = func() {
 		draining := slices.Clone(endpoints)
 		draining[2].State = standpoint.Draining
-		core.Tell(draining...)
+		core.UpdateEndpoints(draining...)
 		time.Sleep(200 * time.Millisecond) // the line is being run while the cancel comes
 	}
 	c := start(t, core, store.NewMemory(), nil)
@@ -82,17 +82,17 @@
 		ranDrained, unrun, ranOther, n-ranDrained-ranOther)
 	require.Positive(t, unrun, "the drain found lines that had not run")
 	require.Positive(t, min(ranDrained, ranOther), "both backends that take files had work")
-	require.Equal(t, 1, ledger.Most(), "no line ever has two attempts in flight")
+	require.Equal(t, 1, ledger.MaximumInFlight(), "no line ever has two attempts in flight")
 }
 
 // A cancel, and the end of the window, leave every line with its one result all the same.
 func TestCancelAndExpiry(t *testing.T) {
-	ledger := testpeer.NewLedger()
+	ledger := testpeer.NewAttemptLedger()
 	backend := streamingBackend(t, ledger, func(string, int) int {
 		time.Sleep(50 * time.Millisecond)
 		return http.StatusOK
 	})
-	core := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", backend))
+	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	c := start(t, core, store.NewMemory(), func(o *batch.Options) { o.MaxConcurrentLines = 2 })
 	for _, test := range []struct {
 		window string
@@ -127,8 +127,8 @@
 // A line that the store has as out is not sent by the next leader until its time has passed, and a line that has its
 // result, an answer or an error, is not sent at all.
 func TestRestartWaitsForLinesThatWereOut(t *testing.T) {
-	ledger := testpeer.NewLedger()
-	core := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", streamingBackend(t, ledger, succeed)))
+	ledger := testpeer.NewAttemptLedger()
+	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", streamingBackend(t, ledger, succeed)))
 	keys := store.NewMemory()
 	until := time.Now().Add(1500 * time.Millisecond)
 	_, first := serve(t, core, keys, nil) // takes the file, and dies before it runs all of it
@@ -156,10 +156,10 @@
 // A leader that loses leadership ends its attempts at once, even a stream that has begun, and writes no result; the
 // next leader waits until the time that the store names.
 func TestLostLeadershipEndsAttempts(t *testing.T) {
-	ledger := testpeer.NewLedger()
+	ledger := testpeer.NewAttemptLedger()
 	begun := make(chan struct{})
 	ended := make(chan time.Time, 1)
-	backend := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		attempt := ledger.Begin("line 0")
 		defer ledger.End("line 0", attempt > 1)
@@ -172,7 +172,7 @@
 		}
 		testpeer.Finish(w)
 	})
-	core := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", backend))
+	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	keys := &electedStore{Memory: store.NewMemory()}
 	keys.term.Store(1)
 	c := start(t, core, keys, func(o *batch.Options) { o.LineTimeout = 2 * time.Second })
@@ -187,7 +187,7 @@
 	require.Greater(t, time.Since(sent), 2*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
 	require.Equal(t, 2, ledger.Sent()["line 0"])
-	require.Equal(t, 1, ledger.Most())
+	require.Equal(t, 1, ledger.MaximumInFlight())
 }
 
 // Whichever write of a batch fails, carried out or not, every line gets its one result, and no line has two attempts
@@ -197,9 +197,9 @@
 		for at := int64(4); at <= 12; at++ { // the first three are the client's: its file, and the batch
 			t.Run(fmt.Sprintf("%d %v", at, carriedOut), func(t *testing.T) {
 				t.Parallel()
-				ledger := testpeer.NewLedger()
+				ledger := testpeer.NewAttemptLedger()
 				backend := streamingBackend(t, ledger, succeed)
-				core := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", backend))
+				core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				keys := &interruptedStore{Memory: store.NewMemory(), at: at, carriedOut: carriedOut}
 				c := start(t, core, keys, func(o *batch.Options) { o.LineTimeout = time.Second })
 				b := c.wait(c.submit(inputLines(2), "1h").ID, 15*time.Second)
@@ -207,7 +207,7 @@
 				require.Equal(t, batch.RequestCounts{Total: 2, Completed: 2}, b.RequestCounts)
 				_, written := c.results(b.OutputFileID)
 				require.Equal(t, 2, written)
-				require.Equal(t, 1, ledger.Most())
+				require.Equal(t, 1, ledger.MaximumInFlight())
 				require.LessOrEqual(t, ledger.Total(), 3, "one line at the most was sent again")
 			})
 		}
@@ -232,10 +232,10 @@
 // over.
 func TestALineThatCannotBeCalledBack(t *testing.T) {
 	t.Parallel()
-	ledger := testpeer.NewLedger()
+	ledger := testpeer.NewAttemptLedger()
 	settings := testpeer.Settings()
 	settings.Cancel = false
-	server := testpeer.NewBatchServer(t, ledger, func(_ string, attempt int) int {
+	server := testpeer.NewBatchBackend(t, ledger, func(_ string, attempt int) int {
 		if attempt == 1 {
 			time.Sleep(2500 * time.Millisecond) // longer than a line's time: this is what is tested
 		}
@@ -246,5 +246,5 @@
 	b := c.wait(c.submit(inputLines(1), "1h").ID, 20*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
 	require.Equal(t, 2, ledger.Sent()["line 0"])
-	require.Equal(t, 1, ledger.Most())
+	require.Equal(t, 1, ledger.MaximumInFlight())
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -50,7 +50,7 @@
 func startConfigurationCluster(t *testing.T) *configurationCluster {
 	t.Helper()
 	c := &configurationCluster{t: t, dir: t.TempDir(), program: build(t), running: map[string]*exec.Cmd{}}
-	backend := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	backend := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "a")
 		testpeer.Finish(w)
 	})
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -37,7 +37,7 @@
 
 func (b *notingBackends) start(t *testing.T, name string) netip.AddrPort {
 	t.Helper()
-	return netip.MustParseAddrPort(testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	return netip.MustParseAddrPort(testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		b.mu.Lock()
 		b.last[name] = time.Now()
--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -131,7 +131,7 @@
 			return
 		case <-time.After(60 * time.Millisecond):
 		}
-		response, err := client.Do(testpeer.Ask(f.t, n.listen, drain.Trace(n.name, number), "1500m"))
+		response, err := client.Do(testpeer.ChatRequest(f.t, n.listen, drain.Trace(n.name, number), "1500m"))
 		if err != nil {
 			continue // it has not started, or was killed
 		}
@@ -347,7 +347,7 @@
 	}
 	require.GreaterOrEqual(t, time.Since(began), inLine)
 	for number := range 20 {
-		response, err := http.DefaultClient.Do(testpeer.Ask(t, l.listen, drain.Trace("n", number), "1500m"))
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, l.listen, drain.Trace("n", number), "1500m"))
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -112,7 +112,7 @@
 }
 
 func (v *victim) chat(ctx context.Context, trace string) (*http.Response, error) {
-	return http.DefaultClient.Do(testpeer.Ask(v.t, strings.TrimPrefix(v.url, "http://"), trace,
+	return http.DefaultClient.Do(testpeer.ChatRequest(v.t, strings.TrimPrefix(v.url, "http://"), trace,
 		"15000m").WithContext(ctx))
 }
 
@@ -122,12 +122,12 @@
 func TestKilledInTheMiddle(t *testing.T) {
 	t.Parallel()
 	const lineTime = 3 * time.Second
-	ledger := testpeer.NewLedger()
+	ledger := testpeer.NewAttemptLedger()
 	var healthy atomic.Bool
 	var mu sync.Mutex
 	sent := map[string][]time.Time{}
 	came, ended := make(chan string, 100), make(chan string, 100)
-	box := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	box := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		var body struct{ Messages []struct{ Content string } }
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -206,7 +206,7 @@
 		require.Greater(t, at[1].Sub(at[0]), lineTime*9/10, "the store had it out until then")
 	}
 	require.Len(t, sent["waits"], 1, "a killed node owes nothing that it held; its client asks again")
-	require.Equal(t, 1, ledger.Most())
+	require.Equal(t, 1, ledger.MaximumInFlight())
 }
 
 // A node is killed again and again in the middle of uploads. What it had acknowledged is there and whole; of the others
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -87,7 +87,7 @@
 
 // backend starts a backend that notes its requests, and returns its address.
 func (m *migrationTest) backend(name string) string {
-	return testpeer.Server(m.t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.Backend(m.t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		m.mu.Lock()
 		m.last[name] = time.Now()
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -142,7 +142,7 @@
 	t.Parallel()
 	asked, stays := make(chan string, 1000), make(chan string, 1000)
 	server := func(to chan<- string) string {
-		return testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+		return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			to <- r.Header.Get("X-Trace-Id")
 			testpeer.Event(w, "served")
@@ -180,7 +180,7 @@
 	require.Eventually(t, first.ready, 10*time.Second, 5*time.Millisecond)
 	ask := func(id string) error {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		response, err := client.Do(testpeer.Ask(t, p.listen.Addr().String(), id, "3000m"))
+		response, err := client.Do(testpeer.ChatRequest(t, p.listen.Addr().String(), id, "3000m"))
 		if err != nil {
 			return err
 		}
@@ -243,13 +243,13 @@
 	t.Parallel()
 	const sockets = 128
 	asked := make(chan string, 1000)
-	old := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	old := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		asked <- r.Header.Get("X-Trace-Id")
 		testpeer.Event(w, "old")
 		testpeer.Finish(w)
 	})
-	fresh := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	fresh := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		testpeer.Event(w, "fresh")
 		testpeer.Finish(w)
@@ -279,7 +279,7 @@
 			returned := time.Now()
 			served := func() bool {
 				client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-				response, err := client.Do(testpeer.Ask(t, l.listen, fmt.Sprint("t", time.Now().UnixNano()), "2500m"))
+				response, err := client.Do(testpeer.ChatRequest(t, l.listen, fmt.Sprint("t", time.Now().UnixNano()), "2500m"))
 				if err != nil {
 					return false
 				}
@@ -299,7 +299,7 @@
 func TestSignalsAcrossEachOther(t *testing.T) {
 	t.Parallel()
 	came, release := make(chan struct{}, 100), make(chan struct{})
-	server := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		testpeer.Event(w, "begun")
 		came <- struct{}{}
@@ -317,7 +317,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	long, err := http.DefaultClient.Do(testpeer.Ask(t, l.listen, "long", "2500m"))
+	long, err := http.DefaultClient.Do(testpeer.ChatRequest(t, l.listen, "long", "2500m"))
 	require.NoError(t, err)
 	defer long.Body.Close()
 	<-came
@@ -326,7 +326,7 @@
 	defer kept.Close()
 	in := bufio.NewReader(kept)
 	once := func(id string) *http.Response {
-		r := testpeer.Ask(t, l.listen, id, "2500m")
+		r := testpeer.ChatRequest(t, l.listen, id, "2500m")
 		require.NoError(t, r.Write(kept))
 		require.NoError(t, kept.SetReadDeadline(time.Now().Add(5*time.Second)))
 		response, err := http.ReadResponse(in, r)
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -21,9 +21,9 @@
 	t        *testing.T
 	platform *platform
 	address  string
-	ledger   *testpeer.Ledger // of the requests that reach backends
-	begin    chan struct{}    // closed: the request "late" gets its first event
-	release  chan struct{}    // closed: the requests "long" and "late" get the rest
+	ledger   *testpeer.AttemptLedger // of the requests that reach backends
+	begin    chan struct{}           // closed: the request "late" gets its first event
+	release  chan struct{}           // closed: the requests "long" and "late" get the rest
 
 	mu   sync.Mutex           // guards used
 	used map[string]time.Time // when a backend got its last request
@@ -33,14 +33,14 @@
 	t.Helper()
 	u := &upgradeTest{
 		t:       t,
-		ledger:  testpeer.NewLedger(),
+		ledger:  testpeer.NewAttemptLedger(),
 		begin:   make(chan struct{}),
 		release: make(chan struct{}),
 		used:    map[string]time.Time{},
 	}
 	backends := map[string]string{}
 	for _, name := range []string{"box-1", "box-2", "box-3"} {
-		backends[name] = testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) { u.answer(name, w, r) })
+		backends[name] = testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) { u.answer(name, w, r) })
 	}
 	u.platform = newPlatform(t, backends)
 	u.address = u.platform.listen.Addr().String()
@@ -99,7 +99,7 @@
 	u.t.Helper()
 	answer := make(chan string, 1)
 	go func() {
-		response, err := http.DefaultClient.Do(testpeer.Ask(u.t, u.address, "late", "3000m"))
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(u.t, u.address, "late", "3000m"))
 		if err != nil {
 			answer <- err.Error()
 			return
@@ -188,7 +188,7 @@
 func TestUpgradeUnderClients(t *testing.T) {
 	u := newUpgradeTest(t)
 	first := u.startReady(10 * time.Second)
-	long, err := http.DefaultClient.Do(testpeer.Ask(t, u.address, "long", "3000m"))
+	long, err := http.DefaultClient.Do(testpeer.ChatRequest(t, u.address, "long", "3000m"))
 	require.NoError(t, err)
 	defer long.Body.Close()
 	clients := startClients(t, u.address, 4)
@@ -205,7 +205,7 @@
 	u.killOld(third)
 	require.NotEmpty(t, served)
 	require.Empty(t, clients.failures)
-	require.Equal(t, 1, u.ledger.Most())
+	require.Equal(t, 1, u.ledger.MaximumInFlight())
 	for _, id := range served {
 		require.Equal(t, 1, u.ledger.Sent()[id], "%v", id)
 	}
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -32,17 +32,17 @@
 
 func upgradeBetween(t *testing.T, from, to string) {
 	t.Helper()
-	ledger := testpeer.NewLedger()
+	ledger := testpeer.NewAttemptLedger()
 	release := make(chan struct{})
 	backends := map[string]string{}
 	for _, name := range []string{"box-1", "box-2", "box-3"} {
-		backends[name] = testpeer.Server(t, answerOnceReleased(ledger, release))
+		backends[name] = testpeer.Backend(t, answerOnceReleased(ledger, release))
 	}
 	p := newPlatform(t, backends)
 	address := p.listen.Addr().String()
 	old := p.startProgram(from)
 	require.Eventually(t, old.ready, 10*time.Second, 5*time.Millisecond)
-	long, err := http.DefaultClient.Do(testpeer.Ask(t, address, "long", "8000m"))
+	long, err := http.DefaultClient.Do(testpeer.ChatRequest(t, address, "long", "8000m"))
 	require.NoError(t, err)
 	defer long.Body.Close()
 	clients := startClients(t, address, 4)
@@ -65,14 +65,14 @@
 	for _, id := range served {
 		require.Equal(t, 1, ledger.Sent()[id], id)
 	}
-	require.Equal(t, 1, ledger.Most())
+	require.Equal(t, 1, ledger.MaximumInFlight())
 	require.True(t, next.shows("app.hosts_down=1")())
 	require.Contains(t, next.said.String(), `"servers":3`, "learned state restored")
 }
 
 // answerOnceReleased is a backend that holds the second half of the answer to the request "long" back until release
 // is closed.
-func answerOnceReleased(ledger *testpeer.Ledger, release <-chan struct{}) http.HandlerFunc {
+func answerOnceReleased(ledger *testpeer.AttemptLedger, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Trace-Id")
 		ledger.Begin(id)
@@ -112,7 +112,7 @@
 }
 
 func (g *clientGroup) send(t *testing.T, client *http.Client, address, id string) {
-	response, err := client.Do(testpeer.Ask(t, address, id, "3000m"))
+	response, err := client.Do(testpeer.ChatRequest(t, address, id, "3000m"))
 	problem := ""
 	if err != nil {
 		problem = err.Error()
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -59,7 +59,7 @@
 func startOperatedNode(t *testing.T) *operatedNode {
 	t.Helper()
 	n := &operatedNode{t: t, listen: testpeer.FreeAddress(t), exit: make(chan error, 1), release: make(chan struct{})}
-	server := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		n.sent.Add(1)
 		testpeer.Event(w, "x")
 		if r.Header.Get("X-Trace-Id") == "held" {
@@ -130,7 +130,7 @@
 	require.Equal(n.t, 200, n.status("POST", "/ops/engines/down?id=box-1"))
 	answer := make(chan string, 1)
 	go func() {
-		response, err := http.DefaultClient.Do(testpeer.Ask(n.t, n.listen, "waits", "4900m"))
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(n.t, n.listen, "waits", "4900m"))
 		if err != nil {
 			answer <- err.Error()
 			return
@@ -165,7 +165,7 @@
 	n := startOperatedNode(t)
 	require.Equal(t, 200, n.health())
 	n.drainAndResume()
-	held, err := http.DefaultClient.Do(testpeer.Ask(t, n.listen, "held", "3000m"))
+	held, err := http.DefaultClient.Do(testpeer.ChatRequest(t, n.listen, "held", "3000m"))
 	require.NoError(t, err)
 	defer held.Body.Close()
 	require.Contains(t, n.statistics(), "app.inflight=1\n")
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,7 +21,7 @@
 // servers.
 func TestReloadOnHangup(t *testing.T) {
 	server := func(name string) string {
-		return testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+		return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 			testpeer.Event(w, name)
 			testpeer.Finish(w)
 		})
@@ -34,7 +34,7 @@
 	asked := 0
 	ask := func() string {
 		asked++
-		response, err := http.DefaultClient.Do(testpeer.Ask(t, listen, fmt.Sprint("t-", asked), "3000m"))
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, listen, fmt.Sprint("t-", asked), "3000m"))
 		if err != nil {
 			return ""
 		}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -48,7 +48,7 @@
 // the new file must be kept until the end.
 func TestReloadInEveryPhase(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	server := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "begun")
 		<-release
 		testpeer.Finish(w)
@@ -86,7 +86,7 @@
 	for range 5 {
 		hangup()
 	}
-	response, err := http.DefaultClient.Do(testpeer.Ask(t, listen, "t", "3000m"))
+	response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, listen, "t", "3000m"))
 	require.NoError(t, err)
 	defer response.Body.Close()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -20,7 +20,7 @@
 // stream under way too, and then exits.
 func TestDrainAcceptsLateClients(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		testpeer.Event(w, "begun")
 		if r.Header.Get("X-Trace-Id") == "slow-1" {
 			<-release
@@ -38,7 +38,7 @@
 	asked := 0
 	ask := func(trace string) *http.Response {
 		asked++
-		response, err := client.Do(testpeer.Ask(t, listen, fmt.Sprintf("%s-%d", trace, asked), "3000m"))
+		response, err := client.Do(testpeer.ChatRequest(t, listen, fmt.Sprintf("%s-%d", trace, asked), "3000m"))
 		require.NoError(t, err)
 		return response
 	}
@@ -66,13 +66,13 @@
 // back: its exit is no answer.
 func TestRequestsLeftAtTheEndAreAnswered(t *testing.T) {
 	came := make(chan struct{})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, func(_ http.ResponseWriter,
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter,
 		r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(came)
 		<-r.Context().Done()
 	})))
-	a := &assembly{core: n.Core, lifecycle: n.Life, clients: n.Room, processLog: zap.NewNop()}
+	a := &assembly{core: n.Core, lifecycle: n.Lifecycle, clients: n.Connections, processLog: zap.NewNop()}
 	ended := make(chan error, 1)
 	go func() {
 		<-came
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -25,7 +25,7 @@
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	control := http.NewResponseController(w)
-	f.closeUnlessServing(w, r, f.Life.Phase())
+	f.closeUnlessServing(w, r, f.Lifecycle.Phase())
 	request, err := f.decode(r, began)
 	if err != nil {
 		f.rejectUnreadable(w, r, control, err)
@@ -42,7 +42,7 @@
 	body.bound(&request)
 	// The read timeout is for the request; from here on the server must be able to notice a client that disconnects.
 	_ = control.SetReadDeadline(time.Time{})
-	phase, since := f.Life.Since()
+	phase, since := f.Lifecycle.Since()
 	f.closeUnlessServing(w, r, phase)
 	if phase == node.ManuallyDrained && time.Since(since) > drainRejectAfter {
 		f.countUnsent(r, metrics.Rejected)
--- a/internal/edge/connection_tracker_test.go
+++ b/internal/edge/connection_tracker_test.go
@@ -19,7 +19,7 @@
 	for name, sends := range map[string]bool{"one request": true, "silent": false} {
 		t.Run(name, func(t *testing.T) {
 			n := testpeer.Start(t, testpeer.Settings())
-			n.Room.Resize(16)
+			n.Connections.Resize(16)
 			health := func(conn net.Conn) {
 				_, err := conn.Write([]byte("GET /_health HTTP/1.1\r\nHost: n\r\n\r\n"))
 				require.NoError(t, err)
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -64,15 +64,15 @@
 				t.Parallel()
 				forwarded := make(chan string, 10)
 				held := testpeer.HoldDials(1)
-				n := testpeer.StartHeld(t, func(conn net.Conn) net.Conn { return conn }, held.Dial, testpeer.Settings(),
-					testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+				n := testpeer.StartWrapped(t, func(conn net.Conn) net.Conn { return conn }, held.Dial, testpeer.Settings(),
+					testpeer.Endpoint("s", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 						forwarded <- r.Header.Get("X-Trace-Id")
 						answerAlways(w, r)
 					})))
 				conn := n.Dial().(*net.TCPConn)
 				_, err := conn.Write(rawRequest(t, n, 10, withHeader("X-Expires-In", "30000m")))
 				require.NoError(t, err)
-				<-held.Up
+				<-held.Connected
 				if size > 0 {
 					_, _ = conn.Write(
 						rawRequest(t, n, size, nil)[:size],
@@ -88,8 +88,8 @@
 					"nobody noticed that it left",
 				)
 				require.Less(t, time.Since(began), 500*time.Millisecond)
-				held.Go <- struct{}{}
-				n.Heard()
+				held.Release <- struct{}{}
+				n.WaitForCore()
 				time.Sleep(20 * time.Millisecond) // for what must not come
 				require.Empty(t, forwarded)
 				if how == "ends its sending" {
@@ -121,11 +121,11 @@
 					<-gate
 					return conn
 				}
-				backend := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 					sent.Add(1)
 					answerAlways(w, r)
 				})
-				n := testpeer.StartHeld(t, waitForGate, nil, testpeer.Settings(), testpeer.Entry("s", backend))
+				n := testpeer.StartWrapped(t, waitForGate, nil, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				complete := func() {
 					gate <- struct{}{}
 					conn := n.Dial()
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -24,14 +24,14 @@
 
 // idleClosers are the ways in which a node closes idle connections.
 var idleClosers = map[string]func(n *testpeer.Node){
-	"shutdown":        func(n *testpeer.Node) { _ = n.Room.Drain(cancelledContext()) },
-	"before the kill": func(n *testpeer.Node) { n.Room.CloseIdle() },
+	"shutdown":        func(n *testpeer.Node) { _ = n.Connections.Drain(cancelledContext()) },
+	"before the kill": func(n *testpeer.Node) { n.Connections.CloseIdle() },
 	"connection limit": func(n *testpeer.Node) {
-		n.Room.Resize(1)
+		n.Connections.Resize(1)
 		n.Dial()
 	},
 	"manual drain": func(n *testpeer.Node) {
-		n.Room.SetDraining(true)
+		n.Connections.SetDraining(true)
 		time.Sleep(600 * time.Millisecond) // the tracker closes idle connections after a time of its own
 	},
 }
@@ -44,12 +44,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			held := testpeer.HoldReads()
-			n := testpeer.StartHeld(
+			n := testpeer.StartWrapped(
 				t,
 				held.Conn,
 				nil,
 				testpeer.Settings(),
-				testpeer.Entry("s", testpeer.Server(t, answerAlways)),
+				testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
 			)
 			conn := n.Dial()
 			reader := bufio.NewReader(conn)
@@ -60,12 +60,12 @@
 			time.Sleep(
 				2100 * time.Millisecond,
 			) // until it may be closed for the limit; the tracker has no clock of tests
-			held.Hold()
+			held.HoldNext()
 			_, err = conn.Write(rawRequest(t, n, 20<<10, nil))
 			require.NoError(t, err)
-			<-held.Came
+			<-held.Received
 			end(n)
-			held.Go <- struct{}{}
+			held.Release <- struct{}{}
 			status, _ = readAnswer(t, conn, reader)
 			require.Equal(t, http.StatusOK, status)
 		})
@@ -84,20 +84,20 @@
 			t.Run(name+", "+part, func(t *testing.T) {
 				t.Parallel()
 				held := testpeer.HoldReads()
-				n := testpeer.StartHeld(
+				n := testpeer.StartWrapped(
 					t,
 					held.Conn,
 					nil,
 					testpeer.Settings(),
-					testpeer.Entry("s", testpeer.Server(t, answerAlways)),
+					testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
 				)
 				conn := n.Dial()
 				request := rawRequest(t, n, 20<<10, nil)
-				held.Hold()
+				held.HoldNext()
 				_, err := conn.Write(request[:at])
 				require.NoError(t, err)
-				<-held.Came
-				held.Go <- struct{}{}
+				<-held.Received
+				held.Release <- struct{}{}
 				end(n)
 				_, err = conn.Write(request[at:])
 				require.NoError(t, err)
@@ -113,18 +113,18 @@
 func TestFirstRequestAfterListenerClosed(t *testing.T) {
 	t.Parallel()
 	held := testpeer.HoldReads()
-	n := testpeer.StartHeld(
+	n := testpeer.StartWrapped(
 		t,
 		held.Conn,
 		nil,
 		testpeer.Settings(),
-		testpeer.Entry("s", testpeer.Server(t, answerAlways)),
+		testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
 	)
 	conn := n.Dial()
 	<-held.Accepted
-	require.NoError(t, n.Life.Enter(node.Draining))
+	require.NoError(t, n.Lifecycle.Enter(node.Draining))
 	left := make(chan error, 1)
-	go func() { left <- n.Room.Drain(t.Context()) }()
+	go func() { left <- n.Connections.Drain(t.Context()) }()
 	require.Eventually(t, func() bool {
 		late, err := net.Dial("tcp", n.Address)
 		if err == nil {
@@ -162,7 +162,7 @@
 	require.NoError(t, err)
 	require.False(t, response.Close)
 	left := make(chan error, 1)
-	go func() { left <- n.Room.Drain(t.Context()) }()
+	go func() { left <- n.Connections.Drain(t.Context()) }()
 	close(release)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
@@ -213,9 +213,9 @@
 	_, idleReader := openIdleConnection(t, n, "idle")
 	reused, reusedReader := openIdleConnection(t, n, "reused")
 	silent := n.Dial()
-	require.NoError(t, n.Life.Enter(node.ManuallyDrained))
-	n.Room.SetDraining(true)
-	n.Room.SetDraining(true) // the call may be repeated
+	require.NoError(t, n.Lifecycle.Enter(node.ManuallyDrained))
+	n.Connections.SetDraining(true)
+	n.Connections.SetDraining(true) // the call may be repeated
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, health())
 	last := sendOn(t, n, reused, reusedReader, "last")
@@ -246,8 +246,8 @@
 	_, err = io.ReadAll(stream)
 	require.NoError(t, err)
 	require.Less(t, time.Since(began), 200*time.Millisecond)
-	require.NoError(t, n.Life.Enter(node.Serving))
-	n.Room.SetDraining(false)
+	require.NoError(t, n.Lifecycle.Enter(node.Serving))
+	n.Connections.SetDraining(false)
 	require.Equal(t, http.StatusOK, health())
 	openIdleConnection(t, n, "again")
 	time.Sleep(600 * time.Millisecond) // longer than a connection is idle while a node is drained
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -19,8 +19,8 @@
 // Front serves clients. Its fields are set before Handler is called and stay as they are. It is safe for concurrent
 // use.
 type Front struct {
-	Core *node.Core
-	Life *node.Lifecycle
+	Core      *node.Core
+	Lifecycle *node.Lifecycle
 	// Names are the classes and tenants that requests may name at first; SetNames changes them.
 	Names config.Names
 	// Bodies bounds the bytes of request bodies that are held at once.
@@ -77,7 +77,7 @@
 
 // health answers load balancers before this node.
 func (f *Front) health(w http.ResponseWriter, r *http.Request) {
-	phase := f.Life.Phase()
+	phase := f.Lifecycle.Phase()
 	f.closeUnlessServing(w, r, phase)
 	// While this process hands over, another one of this node serves.
 	if phase != node.Serving && phase != node.HandingOver {
--- a/internal/edge/helpers_test.go
+++ b/internal/edge/helpers_test.go
@@ -82,7 +82,7 @@
 // startWithBackend starts a node with one backend.
 func startWithBackend(t *testing.T, backend http.HandlerFunc) *testpeer.Node {
 	t.Helper()
-	return testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", testpeer.Server(t, backend)))
+	return testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.Backend(t, backend)))
 }
 
 // withHeader is an edit of a request.
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -89,19 +89,19 @@
 // TestAvoidedBackendsAreCounted lists a draining backend, one that fails all requests and one that is not there, which
 // the module avoids.
 func TestAvoidedBackendsAreCounted(t *testing.T) {
-	good := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	good := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "x")
 		testpeer.Finish(w)
 	})
-	bad := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	bad := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	drained := testpeer.Entry("c", good)
+	drained := testpeer.Endpoint("c", good)
 	drained.State = standpoint.Draining
 	settings := testpeer.Settings()
 	settings.Tenants = append(settings.Tenants, settings.Tenants[0])
-	n := testpeer.Start(t, settings, testpeer.Entry("a", good), testpeer.Entry("b", bad), drained,
-		testpeer.Entry("d", testpeer.FreeAddress(t)))
+	n := testpeer.Start(t, settings, testpeer.Endpoint("a", good), testpeer.Endpoint("b", bad), drained,
+		testpeer.Endpoint("d", testpeer.FreeAddress(t)))
 	require.Eventually(t, func() bool {
 		session := fmt.Sprintf("%x", time.Now().UnixNano())
 		_, _, _, _ = n.Do(n.Chat(t.Context(), withHeader("X-Object", session)))
@@ -122,16 +122,16 @@
 	_, err := late.Write([]byte("GET /_health HTTP/1.1\r\nHost:"))
 	require.NoError(t, err)
 	require.Eventually(t, count(metrics.SlowHeader), 10*time.Second, time.Millisecond)
-	n.Room.Resize(1)
+	n.Connections.Resize(1)
 	n.Dial()
 	n.Dial()
 	require.Eventually(t, count(metrics.NoCapacity), 3*time.Second, time.Millisecond, "%s", n.Metrics.Text())
-	n.Room.Resize(300)
+	n.Connections.Resize(300)
 	silent := n.Dial()
 	health, err := http.Get(n.URL + "/_health")
 	require.NoError(t, err)
 	health.Body.Close()
-	n.Room.CloseIdle()
+	n.Connections.CloseIdle()
 	_, err = silent.Read(make([]byte, 1))
 	require.Error(t, err)
 	require.Eventually(t, count(metrics.Stopping), 10*time.Second, time.Millisecond)
--- a/internal/edge/pipelining_test.go
+++ b/internal/edge/pipelining_test.go
@@ -60,9 +60,9 @@
 			left := make(chan error, 1)
 			if test.ending {
 				require.NoError(t, <-sent)
-				require.Eventually(t, func() bool { return n.Room.Pipelined() == 1 }, time.Second, time.Millisecond)
-				require.NoError(t, n.Life.Enter(node.Draining))
-				go func() { left <- n.Room.Drain(t.Context()) }()
+				require.Eventually(t, func() bool { return n.Connections.Pipelined() == 1 }, time.Second, time.Millisecond)
+				require.NoError(t, n.Lifecycle.Enter(node.Draining))
+				go func() { left <- n.Connections.Drain(t.Context()) }()
 			}
 			close(release)
 			for range test.sizes {
--- a/internal/edge/retry_test.go
+++ b/internal/edge/retry_test.go
@@ -24,7 +24,7 @@
 	good.Store(true)
 	var sent [4]atomic.Int32
 	server := func(i int) string {
-		return testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+		return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 			sent[i].Add(1)
 			if !good.Load() {
 				panic(http.ErrAbortHandler)
@@ -33,8 +33,8 @@
 			testpeer.Finish(w)
 		})
 	}
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", server(0)), testpeer.Entry("b", server(1)),
-		testpeer.Entry("c", server(2)), testpeer.Entry("d", server(3)))
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", server(0)), testpeer.Endpoint("b", server(1)),
+		testpeer.Endpoint("c", server(2)), testpeer.Endpoint("d", server(3)))
 	status, _, _, _ := n.Do(n.Chat(t.Context(), nil)) // leaves a connection to keep
 	require.Equal(t, http.StatusOK, status)
 	good.Store(false)
@@ -88,14 +88,14 @@
 // TestDrainingBackendGetsNoRequests sends requests once a backend is listed as draining.
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	var drained atomic.Int32
-	a := testpeer.Entry("a", testpeer.Server(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
-	b := testpeer.Entry("b", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	a := testpeer.Endpoint("a", testpeer.Backend(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
+	b := testpeer.Endpoint("b", testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "b")
 		testpeer.Finish(w)
 	}))
 	n := testpeer.Start(t, testpeer.Settings(), a, b)
 	a.State = standpoint.Draining
-	n.Tell(a, b)
+	n.UpdateEndpoints(a, b)
 	for range 20 {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
 		require.Equal(t, http.StatusOK, status)
@@ -110,8 +110,8 @@
 	require.NoError(t, err)
 	dead := l.Addr().String()
 	l.Close()
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", dead), testpeer.Entry("b", dead),
-		testpeer.Entry("c", testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", dead), testpeer.Endpoint("b", dead),
+		testpeer.Endpoint("c", testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 			testpeer.Event(w, "c")
 			testpeer.Finish(w)
 		})))
@@ -136,7 +136,7 @@
 	}
 	seen, logs := observer.New(zap.InfoLevel)
 	n := testpeer.StartLogged(t, zap.New(seen), testpeer.Settings(),
-		testpeer.Entry("a", testpeer.Server(t, server)), testpeer.Entry("b", testpeer.Server(t, server)))
+		testpeer.Endpoint("a", testpeer.Backend(t, server)), testpeer.Endpoint("b", testpeer.Backend(t, server)))
 	const poison = `{"messages":["poison"]}`
 	for range 10 {
 		status, _, answer, _ := n.Do(n.Chat(t.Context(), withBody(poison)))
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -58,7 +58,7 @@
 	r := n.Chat(t.Context(), nil)
 	require.NoError(t, r.Write(busy))
 	<-came
-	n.Room.CloseIdle()
+	n.Connections.CloseIdle()
 	_, err := silent.Read(make([]byte, 1))
 	require.Error(t, err)
 	var timeout net.Error
@@ -79,7 +79,7 @@
 		n := testpeer.Start(
 			t,
 			settings,
-			testpeer.Entry("s", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+			testpeer.Endpoint("s", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				came <- struct{}{}
 				if r.Header.Get("X-Trace-Id") == "waits" {
--- a/internal/edge/streaming_test.go
+++ b/internal/edge/streaming_test.go
@@ -53,8 +53,8 @@
 		testpeer.Event(w, "half")
 		panic(http.ErrAbortHandler)
 	}
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("a", testpeer.Server(t, breaks)),
-		testpeer.Entry("b", testpeer.Server(t, breaks)))
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", testpeer.Backend(t, breaks)),
+		testpeer.Endpoint("b", testpeer.Backend(t, breaks)))
 	status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 	require.Equal(t, http.StatusOK, status)
 	require.Contains(t, body, "half")
@@ -102,7 +102,7 @@
 func largeStreamBackend(t *testing.T, ended chan<- error) string {
 	t.Helper()
 	event := strings.Repeat("x", 48<<10)
-	return testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		for range 300 {
 			testpeer.Event(w, event)
@@ -121,7 +121,7 @@
 	t.Parallel()
 	seen, logs := observer.New(zap.InfoLevel)
 	n := testpeer.StartLogged(t, zap.New(seen), testpeer.Settings(),
-		testpeer.Entry("s", largeStreamBackend(t, make(chan error, 1))))
+		testpeer.Endpoint("s", largeStreamBackend(t, make(chan error, 1))))
 	response, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
 	require.NoError(t, err)
 	defer response.Body.Close()
@@ -137,7 +137,7 @@
 func TestSlowClientIsCutOffInTotal(t *testing.T) {
 	t.Parallel()
 	ended := make(chan error, 1)
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Entry("s", largeStreamBackend(t, ended)))
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", largeStreamBackend(t, ended)))
 	conn := n.Dial()
 	require.NoError(t, conn.(*net.TCPConn).SetReadBuffer(16<<10))
 	require.NoError(t, n.Chat(t.Context(), nil).Write(conn))
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -42,23 +42,23 @@
 	t.Parallel()
 	for _, errno := range acceptErrors {
 		for name, place := range map[string]func(faults *testpeer.Faults){
-			"one call":      func(faults *testpeer.Faults) { faults.Next(testpeer.Accept, errno, 1) },
-			"a few calls":   func(faults *testpeer.Faults) { faults.Next(testpeer.Accept, errno, 20) },
-			"half a second": func(faults *testpeer.Faults) { faults.For(testpeer.Accept, errno, 500*time.Millisecond) },
+			"one call":      func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 1) },
+			"a few calls":   func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 20) },
+			"half a second": func(faults *testpeer.Faults) { faults.FailFor(testpeer.Accept, errno, 500*time.Millisecond) },
 		} {
 			t.Run(fmt.Sprintf("%v for %s", errno, name), func(t *testing.T) {
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				place(faults)
-				backend := testpeer.Server(t, answerAlways)
-				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Entry("a", backend))
+				backend := testpeer.Backend(t, answerAlways)
+				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", backend))
 				began := time.Now()
 				conn := n.Dial()
 				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
 				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
-				require.Positive(t, faults.Placed(testpeer.Accept))
+				require.Positive(t, faults.Failed(testpeer.Accept))
 				require.Less(t, time.Since(began), 500*time.Millisecond+700*time.Millisecond,
 					"no pause of a second behind the shortage")
 				status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
@@ -78,18 +78,18 @@
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				begun := make(chan struct{})
-				server := testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+				server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 					begun <- struct{}{}
 					<-begun
 					answerAlways(w, r)
 				})
-				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Entry("a", server))
-				faults.Next(call, errno, 2)
+				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", server))
+				faults.FailNext(call, errno, 2)
 				conn := n.Dial()
 				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
 				<-begun
-				faults.Next(call, errno, 3)
+				faults.FailNext(call, errno, 3)
 				if call == testpeer.Read { // bytes behind the request have the node read, and fail, while it is open
 					_, err = conn.Write([]byte("\r\n"))
 					require.NoError(t, err)
@@ -98,7 +98,7 @@
 				status, body := readAnswer(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Contains(t, body, "[DONE]")
-				require.Positive(t, faults.Placed(call))
+				require.Positive(t, faults.Failed(call))
 			})
 		}
 	}
@@ -114,8 +114,8 @@
 			t.Parallel()
 			const clients, each, deadline, grace = 20, 10, 2 * time.Second, 500 * time.Millisecond
 			faults := testpeer.NewFaults(seed)
-			ledger := testpeer.NewLedger()
-			faults.Short = seed%2 == 1
+			ledger := testpeer.NewAttemptLedger()
+			faults.SingleByteReads = seed%2 == 1
 			var last atomic.Pointer[time.Time] // when a request last began at the backend that drains
 			last.Store(&time.Time{})
 			serve := func(w http.ResponseWriter, r *http.Request) {
@@ -125,18 +125,18 @@
 				time.Sleep(5 * time.Millisecond) // the time that a backend takes
 				answerAlways(w, r)
 			}
-			a := testpeer.Entry("a", testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+			a := testpeer.Endpoint("a", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 				now := time.Now()
 				last.Store(&now)
 				serve(w, r)
 			}))
-			b := testpeer.Entry("b", testpeer.Server(t, serve))
-			c := testpeer.Entry("c", testpeer.Server(t, serve))
+			b := testpeer.Endpoint("b", testpeer.Backend(t, serve))
+			c := testpeer.Endpoint("c", testpeer.Backend(t, serve))
 			n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), a, b, c)
-			faults.Share(testpeer.Accept, 0.3, acceptErrors...)
-			faults.Share(testpeer.Connect, 0.3, connectErrors...)
-			faults.Share(testpeer.Read, 0.05, transferErrors...)
-			faults.Share(testpeer.Write, 0.05, transferErrors...)
+			faults.FailFraction(testpeer.Accept, 0.3, acceptErrors...)
+			faults.FailFraction(testpeer.Connect, 0.3, connectErrors...)
+			faults.FailFraction(testpeer.Read, 0.05, transferErrors...)
+			faults.FailFraction(testpeer.Write, 0.05, transferErrors...)
 			var all sync.WaitGroup
 			statuses := make(chan int, clients*each)
 			var drained time.Time // written by the first client, and read once all have ended
@@ -146,7 +146,7 @@
 						if i == 0 && j == each/2 {
 							draining := a
 							draining.State = standpoint.Draining
-							n.Tell(draining, b, c)
+							n.UpdateEndpoints(draining, b, c)
 							drained = time.Now()
 						}
 						statuses <- requestOnce(t, n, deadline)
@@ -163,7 +163,7 @@
 				}
 			}
 			require.GreaterOrEqual(t, served, clients*each*9/10)
-			require.LessOrEqual(t, ledger.Most(), 1, "attempts of one request at once")
+			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request at once")
 			for id, sent := range ledger.Sent() {
 				require.LessOrEqual(t, sent, 3, id)
 			}
--- a/internal/testpeer/batchserver.go
+++ b/internal/testpeer/batchserver.go
@@ -11,55 +11,55 @@
 	"time"
 )
 
-// BatchServer is a stand-in for a server that takes files, after the public batch API's form: an uploaded
+// BatchBackend is a stand-in for a server that takes files, after the public batch API's form: an uploaded
 // file becomes a batch, whose lines are run one after the other; a cancel leaves the rest unrun.
-type BatchServer struct {
+type BatchBackend struct {
 	Address string
-	Ledger  *Ledger
+	Ledger  *AttemptLedger
 	// Run answers one line: the status, after as long as it takes.
 	Run func(line string, try int) int
 
-	mu      sync.Mutex
-	files   map[string]string
-	batches map[string]*standIn
-	ran     int
-	unrun   int
-	waiting int
+	mu       sync.Mutex
+	files    map[string]string
+	batches  map[string]*batchState
+	executed int
+	skipped  int
+	waiting  int
 }
 
 // Waiting is how many lines of the batches at hand have not been run yet.
-func (s *BatchServer) Waiting() int {
+func (s *BatchBackend) Waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting
 }
 
 // Lines is how many lines were run, and how many a cancel left unrun.
-func (s *BatchServer) Lines() (ran, unrun int) {
+func (s *BatchBackend) Lines() (ran, unrun int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran, s.unrun
+	return s.executed, s.skipped
 }
 
-type standIn struct {
+type batchState struct {
 	status, output, errors string
 	cancel                 bool
 }
 
-// NewBatchServer starts a stand-in.
-func NewBatchServer(t testing.TB, ledger *Ledger, run func(line string, try int) int) *BatchServer {
-	s := &BatchServer{Ledger: ledger, Run: run, files: map[string]string{}, batches: map[string]*standIn{}}
+// NewBatchBackend starts a stand-in.
+func NewBatchBackend(t testing.TB, ledger *AttemptLedger, run func(line string, try int) int) *BatchBackend {
+	s := &BatchBackend{Ledger: ledger, Run: run, files: map[string]string{}, batches: map[string]*batchState{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/files", s.upload)
 	mux.HandleFunc("GET /v1/files/{id}/content", s.content)
 	mux.HandleFunc("POST /v1/batches", s.create)
 	mux.HandleFunc("GET /v1/batches/{id}", s.get)
 	mux.HandleFunc("POST /v1/batches/{id}/cancel", s.get)
-	s.Address = Server(t, mux.ServeHTTP)
+	s.Address = Backend(t, mux.ServeHTTP)
 	return s
 }
 
-func (s *BatchServer) upload(w http.ResponseWriter, r *http.Request) {
+func (s *BatchBackend) upload(w http.ResponseWriter, r *http.Request) {
 	file, _, err := r.FormFile("file")
 	if err != nil || r.FormValue("purpose") != "batch" {
 		http.Error(w, "no file for a batch", http.StatusBadRequest)
@@ -73,13 +73,13 @@
 	fmt.Fprintf(w, `{"id":%q,"object":"file"}`, id)
 }
 
-func (s *BatchServer) content(w http.ResponseWriter, r *http.Request) {
+func (s *BatchBackend) content(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = io.WriteString(w, s.files[r.PathValue("id")])
 }
 
-func (s *BatchServer) create(w http.ResponseWriter, r *http.Request) {
+func (s *BatchBackend) create(w http.ResponseWriter, r *http.Request) {
 	var want struct {
 		File string `json:"input_file_id"`
 	}
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := fmt.Sprintf("batch_%d", len(s.batches))
-	b := &standIn{status: "in_progress"}
+	b := &batchState{status: "in_progress"}
 	s.batches[id] = b
 	defer func() { s.write(w, id, b) }()
 	type input struct {
@@ -112,9 +112,9 @@
 			cancel := b.cancel
 			s.waiting--
 			if cancel {
-				s.unrun++
+				s.skipped++
 			} else {
-				s.ran++
+				s.executed++
 			}
 			s.mu.Unlock()
 			if cancel {
@@ -147,7 +147,7 @@
 	}()
 }
 
-func (s *BatchServer) get(w http.ResponseWriter, r *http.Request) {
+func (s *BatchBackend) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.batches[r.PathValue("id")]
@@ -161,7 +161,7 @@
 	s.write(w, r.PathValue("id"), b)
 }
 
-func (s *BatchServer) write(w io.Writer, id string, b *standIn) {
+func (s *BatchBackend) write(w io.Writer, id string, b *batchState) {
 	fmt.Fprintf(w, `{"id":%q,"status":%q,"output_file_id":%q,"error_file_id":%q,"created_at":%d}`, id, b.status, b.output,
 		b.errors, time.Now().Unix())
 }
--- a/internal/testpeer/faults.go
+++ b/internal/testpeer/faults.go
@@ -33,54 +33,54 @@
 
 // Faults fail system calls as the system would: a number of the next ones, all for some time, or a share of them by a seed.
 type Faults struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	plans  [calls]plan
-	Short  bool // reads bring a single byte each; set before use
-	placed [calls]int
+	mu              sync.Mutex
+	rng             *rand.Rand
+	plans           [calls]failurePlan
+	SingleByteReads bool // reads bring a single byte each; set before use
+	failed          [calls]int
 }
 
-// plan says which of a call's next uses fail, and how.
-type plan struct {
-	errno []syscall.Errno
-	next  int       // so many
-	until time.Time // all until then
-	share float64   // that part of them
+// failurePlan says which of a call's next uses fail, and how.
+type failurePlan struct {
+	errno    []syscall.Errno
+	next     int       // so many
+	until    time.Time // all until then
+	fraction float64   // that part of them
 }
 
 // NewFaults makes faults that fail nothing yet.
 func NewFaults(seed uint64) *Faults { return &Faults{rng: rand.New(rand.NewPCG(seed, 1))} }
 
-// Next has the next n uses of a call fail.
-func (f *Faults) Next(call SystemCall, errno syscall.Errno, n int) {
-	f.set(call, plan{errno: []syscall.Errno{errno}, next: n})
+// FailNext has the next n uses of a call fail.
+func (f *Faults) FailNext(call SystemCall, errno syscall.Errno, n int) {
+	f.set(call, failurePlan{errno: []syscall.Errno{errno}, next: n})
 }
 
-// For has all uses of a call fail for some time.
-func (f *Faults) For(call SystemCall, errno syscall.Errno, span time.Duration) {
-	f.set(call, plan{errno: []syscall.Errno{errno}, until: time.Now().Add(span)})
+// FailFor has all uses of a call fail for some time.
+func (f *Faults) FailFor(call SystemCall, errno syscall.Errno, span time.Duration) {
+	f.set(call, failurePlan{errno: []syscall.Errno{errno}, until: time.Now().Add(span)})
 }
 
-// Share has a part of all uses of a call fail from now on, with errors drawn from those given.
-func (f *Faults) Share(call SystemCall, part float64, errno ...syscall.Errno) {
-	f.set(call, plan{errno: errno, share: part})
+// FailFraction has a part of all uses of a call fail from now on, with errors drawn from those given.
+func (f *Faults) FailFraction(call SystemCall, part float64, errno ...syscall.Errno) {
+	f.set(call, failurePlan{errno: errno, fraction: part})
 }
 
 // Stop has nothing fail any more.
 func (f *Faults) Stop() {
 	for call := range calls {
-		f.set(call, plan{})
+		f.set(call, failurePlan{})
 	}
 }
 
-// Placed is how many uses of a call have failed.
-func (f *Faults) Placed(call SystemCall) int {
+// Failed is how many uses of a call have failed.
+func (f *Faults) Failed(call SystemCall) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.placed[call]
+	return f.failed[call]
 }
 
-func (f *Faults) set(call SystemCall, p plan) {
+func (f *Faults) set(call SystemCall, p failurePlan) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plans[call] = p
@@ -91,11 +91,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := &f.plans[call]
-	if p.next == 0 && !time.Now().Before(p.until) && !(p.share > f.rng.Float64()) {
+	if p.next == 0 && !time.Now().Before(p.until) && !(p.fraction > f.rng.Float64()) {
 		return nil
 	}
 	p.next = max(0, p.next-1)
-	f.placed[call]++
+	f.failed[call]++
 	errno := p.errno[f.rng.IntN(len(p.errno))]
 	return &net.OpError{Op: name, Net: "tcp", Err: os.NewSyscallError(name, errno)}
 }
@@ -147,7 +147,7 @@
 
 // Read implements net.Conn.
 func (c *faultyConn) Read(b []byte) (int, error) {
-	if c.faults.Short && len(b) > 1 {
+	if c.faults.SingleByteReads && len(b) > 1 {
 		b = b[:1]
 	}
 	if err := c.faults.fail(Read, "read"); err != nil {
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -45,22 +45,22 @@
 
 // Node is a node's inside on loopback, without discovery.
 type Node struct {
-	Core    *node.Core
-	Servers *backend.Fleet
-	Life    *node.Lifecycle
-	Room    *edge.ConnectionTracker
-	Bodies  *node.TenantLimiter
-	Metrics *metrics.Counters
-	Server  *http.Server
-	URL     string // of its edge
-	Address string
-	asked   atomic.Uint64
-	t       testing.TB
+	Core         *node.Core
+	Backends     *backend.Fleet
+	Lifecycle    *node.Lifecycle
+	Connections  *edge.ConnectionTracker
+	Bodies       *node.TenantLimiter
+	Metrics      *metrics.Counters
+	Server       *http.Server
+	URL          string // of its edge
+	Address      string
+	requestCount atomic.Uint64
+	t            testing.TB
 }
 
-type noEntries struct{}
+type noWatcher struct{}
 
-func (noEntries) Watch() {}
+func (noWatcher) Watch() {}
 
 // Start wires a node to the given backends.
 func Start(t testing.TB, settings standpoint.Settings, entries ...node.Endpoint) *Node {
@@ -75,40 +75,40 @@
 // Dial opens a connection to a backend.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// StartHeld is Start with the clients' connections as accepted makes them.
-func StartHeld(t testing.TB, accepted func(net.Conn) net.Conn, dial Dial, settings standpoint.Settings, entries ...node.Endpoint) *Node {
-	return start(t, zap.NewNop(), settings, func(l net.Listener) net.Listener { return accepting{l, accepted} }, dial, entries...)
+// StartWrapped is Start with the clients' connections as accepted makes them.
+func StartWrapped(t testing.TB, wrap func(net.Conn) net.Conn, dial Dial, settings standpoint.Settings, entries ...node.Endpoint) *Node {
+	return start(t, zap.NewNop(), settings, func(l net.Listener) net.Listener { return wrappedListener{l, wrap} }, dial, entries...)
 }
 
-// accepting is a listener whose connections are made anew.
-type accepting struct {
+// wrappedListener is a listener whose connections are made anew.
+type wrappedListener struct {
 	net.Listener
-	accepted func(net.Conn) net.Conn
+	wrap func(net.Conn) net.Conn
 }
 
-func (a accepting) Accept() (net.Conn, error) {
+func (a wrappedListener) Accept() (net.Conn, error) {
 	c, err := a.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return a.accepted(c), nil
+	return a.wrap(c), nil
 }
 
 // HeldReads are a node's connections from its clients, whose reads can be held back behind the system's own: once bytes have come
 // they tell so on Came, and hand them on when Go gets one.
 type HeldReads struct {
-	Came, Go chan struct{}
-	Accepted chan struct{}
-	on       atomic.Bool
+	Received, Release chan struct{}
+	Accepted          chan struct{}
+	holding           atomic.Bool
 }
 
 // HoldReads makes them; nothing is held back before Hold.
 func HoldReads() *HeldReads {
-	return &HeldReads{Came: make(chan struct{}), Go: make(chan struct{}), Accepted: make(chan struct{}, 100)}
+	return &HeldReads{Received: make(chan struct{}), Release: make(chan struct{}), Accepted: make(chan struct{}, 100)}
 }
 
-// Hold has the next read that brings anything held back, of whichever connection.
-func (h *HeldReads) Hold() { h.on.Store(true) }
+// HoldNext has the next read that brings anything held back, of whichever connection.
+func (h *HeldReads) HoldNext() { h.holding.Store(true) }
 
 // Conn makes one of them of a connection.
 func (h *HeldReads) Conn(c net.Conn) net.Conn {
@@ -123,9 +123,9 @@
 
 func (c *heldConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if n > 0 && c.held.on.CompareAndSwap(true, false) {
-		c.held.Came <- struct{}{}
-		<-c.held.Go
+	if n > 0 && c.held.holding.CompareAndSwap(true, false) {
+		c.held.Received <- struct{}{}
+		<-c.held.Release
 	}
 	return n, err
 }
@@ -139,28 +139,28 @@
 	fleet := backend.New(backend.Options{DialTimeout: 100 * time.Millisecond, ConnIdle: 15 * time.Second, MaxIdle: 10, Dial: dial, Log: log,
 		Batch: backend.BatchOptions{Gather: 30 * time.Millisecond, Lines: 50, Poll: 20 * time.Millisecond,
 			Lost: 500 * time.Millisecond}})
-	n := &Node{Servers: fleet, Life: &node.Lifecycle{}, t: t}
+	n := &Node{Backends: fleet, Lifecycle: &node.Lifecycle{}, t: t}
 	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.OpenRequests() })
 	fleet.Wrote = n.Metrics.CountAttempt
-	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Backends: fleet, Watcher: noEntries{}, Metrics: n.Metrics, Log: log})
-	n.Tell(entries...)
+	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Backends: fleet, Watcher: noWatcher{}, Metrics: n.Metrics, Log: log})
+	n.UpdateEndpoints(entries...)
 	ctx, cancel := context.WithCancel(context.Background())
 	go n.Core.Run(ctx)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	n.Address, n.URL = listener.Addr().String(), "http://"+listener.Addr().String()
-	n.Room = edge.NewConnectionTracker(listen(listener), 300, log)
-	n.Room.Metrics = n.Metrics
+	n.Connections = edge.NewConnectionTracker(listen(listener), 300, log)
+	n.Connections.Metrics = n.Metrics
 	n.Bodies = node.NewTenantLimiter(8<<20, 1)
-	n.Server = edge.NewServer((&edge.Front{Core: n.Core, Life: n.Life, Names: Names, Bodies: n.Bodies, Metrics: n.Metrics, Log: log}).Handler(), n.Room, log)
-	go func() { _ = n.Server.Serve(n.Room) }()
+	n.Server = edge.NewServer((&edge.Front{Core: n.Core, Lifecycle: n.Lifecycle, Names: Names, Bodies: n.Bodies, Metrics: n.Metrics, Log: log}).Handler(), n.Connections, log)
+	go func() { _ = n.Server.Serve(n.Connections) }()
 	t.Cleanup(func() {
 		// In no story does a node fail requests that it never sent on beyond one in 200.
 		require.LessOrEqual(t, 200*n.Metrics.FailedUnsentCount(metrics.Abandoned), n.Metrics.RequestTotal())
 		n.Server.Close()
 		cancel()
 	})
-	require.NoError(t, n.Life.Enter(node.Serving))
+	require.NoError(t, n.Lifecycle.Enter(node.Serving))
 	return n
 }
 
@@ -172,50 +172,50 @@
 	return c
 }
 
-// Tell gives the node a whole list.
-func (n *Node) Tell(entries ...node.Endpoint) {
+// UpdateEndpoints gives the node a whole list.
+func (n *Node) UpdateEndpoints(entries ...node.Endpoint) {
 	n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
 }
 
-// Heard waits until the node's core has taken in all that it was told before.
-func (n *Node) Heard() {
+// WaitForCore waits until the node's core has taken in all that it was told before.
+func (n *Node) WaitForCore() {
 	require.NotNil(n.t, n.Core.ExportLearned(n.t.Context()))
 }
 
 // HeldDials is a Dial whose connections come up and are then held back, for so many of the first dials. Each tells its address on
 // Up, and goes on when Go gets one.
 type HeldDials struct {
-	Up chan string
-	Go chan struct{}
+	Connected chan string
+	Release   chan struct{}
 
-	left atomic.Int32
+	remaining atomic.Int32
 }
 
 // HoldDials holds the first n dials back.
 func HoldDials(n int) *HeldDials {
-	h := &HeldDials{Up: make(chan string, n), Go: make(chan struct{}, n)}
-	h.left.Store(int32(n))
+	h := &HeldDials{Connected: make(chan string, n), Release: make(chan struct{}, n)}
+	h.remaining.Store(int32(n))
 	return h
 }
 
 // Dial implements Dial.
 func (h *HeldDials) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, address)
-	if err != nil || h.left.Add(-1) < 0 {
+	if err != nil || h.remaining.Add(-1) < 0 {
 		return c, err
 	}
-	h.Up <- address
-	<-h.Go
+	h.Connected <- address
+	<-h.Release
 	return c, nil
 }
 
-// Entry is a ready endpoint.
-func Entry(name, address string) node.Endpoint {
+// Endpoint is a ready endpoint.
+func Endpoint(name, address string) node.Endpoint {
 	return node.Endpoint{Address: address, Engine: standpoint.Engine{Name: name, Size: 1}}
 }
 
-// Server starts a scripted backend and returns its address.
-func Server(t testing.TB, h http.HandlerFunc) string {
+// Backend starts a scripted backend and returns its address.
+func Backend(t testing.TB, h http.HandlerFunc) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -232,9 +232,9 @@
 	return l.Addr().String()
 }
 
-// RawServer starts a backend that answers each request by the script, which writes to the connection what it
+// RawBackend starts a backend that answers each request by the script, which writes to the connection what it
 // will. The connection stays open.
-func RawServer(t testing.TB, script func(c net.Conn)) string {
+func RawBackend(t testing.TB, script func(c net.Conn)) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -261,17 +261,17 @@
 	return listener.Addr().String()
 }
 
-// Answer is a whole answer as it stands on the wire, with some content.
-func Answer(content string) string {
-	return OpenAnswer + Chunk(fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", content)) +
+// StreamAnswer is a whole answer as it stands on the wire, with some content.
+func StreamAnswer(content string) string {
+	return StreamHead + Chunk(fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", content)) +
 		Chunk("data: [DONE]\n\n") + "0\r\n\r\n"
 }
 
 // Chunk is a piece of a stream as it stands on the wire.
 func Chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// OpenAnswer is the head of a stream.
-const OpenAnswer = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+// StreamHead is the head of a stream.
+const StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // Event writes one event of a stream with some content, and flushes it.
 func Event(w http.ResponseWriter, content string) {
@@ -292,7 +292,7 @@
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, n.URL+"/v1/chat/completions",
 		strings.NewReader(`{"model":"chat","stream":true,"messages":[{"role":"user","content":"hello"}]}`))
 	require.NoError(n.t, err)
-	id := fmt.Sprintf("%016x", 0x9b1f03aa5c7e2d40+n.asked.Add(1))
+	id := fmt.Sprintf("%016x", 0x9b1f03aa5c7e2d40+n.requestCount.Add(1))
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "chat", "X-Customer": "acme",
 		"X-Object": "7f3a9c21e0b4d655", "X-Expires-In": "2000m", "X-Props": "prompt_len=12,max_out=8"} {
 		r.Header.Set(k, v)
@@ -312,63 +312,63 @@
 	return response.StatusCode, response.Header, string(raw), err
 }
 
-// Ledger counts, at the servers, the attempts of each line that are out and the answers that it got.
-type Ledger struct {
-	mu      sync.Mutex // servers write while tests read
-	out     map[string]int
-	most    int
-	sent    map[string]int
-	answers map[string]int
+// AttemptLedger counts, at the servers, the attempts of each line that are out and the answers that it got.
+type AttemptLedger struct {
+	mu       sync.Mutex // servers write while tests read
+	inFlight map[string]int
+	maximum  int
+	sent     map[string]int
+	answers  map[string]int
 }
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{out: map[string]int{}, sent: map[string]int{}, answers: map[string]int{}}
+// NewAttemptLedger makes an empty ledger.
+func NewAttemptLedger() *AttemptLedger {
+	return &AttemptLedger{inFlight: map[string]int{}, sent: map[string]int{}, answers: map[string]int{}}
 }
 
 // Begin notes an attempt and returns how many the line has had.
-func (l *Ledger) Begin(line string) int {
+func (l *AttemptLedger) Begin(line string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out[line]++
+	l.inFlight[line]++
 	l.sent[line]++
-	l.most = max(l.most, l.out[line])
+	l.maximum = max(l.maximum, l.inFlight[line])
 	return l.sent[line]
 }
 
 // Sent are the attempts that each line has had.
-func (l *Ledger) Sent() map[string]int {
+func (l *AttemptLedger) Sent() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.sent)
 }
 
 // Answers are the answers that each line got.
-func (l *Ledger) Answers() map[string]int {
+func (l *AttemptLedger) Answers() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.answers)
 }
 
-// Most is how many attempts of one line were out at once.
-func (l *Ledger) Most() int {
+// MaximumInFlight is how many attempts of one line were out at once.
+func (l *AttemptLedger) MaximumInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.most
+	return l.maximum
 }
 
 // End notes an attempt's end.
-func (l *Ledger) End(line string, answered bool) {
+func (l *AttemptLedger) End(line string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out[line]--
+	l.inFlight[line]--
 	if answered {
 		l.answers[line]++
 	}
 }
 
 // Total is the number of answers given.
-func (l *Ledger) Total() int {
+func (l *AttemptLedger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -378,12 +378,12 @@
 	return n
 }
 
-// Ask is a request to a node that runs as a whole, with a class "chat" and no tenants; its body names it.
-func Ask(t testing.TB, address, trace, wait string) *http.Request {
+// ChatRequest is a request to a node that runs as a whole, with a class "chat" and no tenants; its body names it.
+func ChatRequest(t testing.TB, address, traceID, timeout string) *http.Request {
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions",
-		strings.NewReader(fmt.Sprintf(`{"messages":[{"content":%q}]}`, trace)))
+		strings.NewReader(fmt.Sprintf(`{"messages":[{"content":%q}]}`, traceID)))
 	require.NoError(t, err)
-	for k, v := range map[string]string{"X-Trace-Id": trace, "X-Qos": "chat", "X-Expires-In": wait} {
+	for k, v := range map[string]string{"X-Trace-Id": traceID, "X-Qos": "chat", "X-Expires-In": timeout} {
 		r.Header.Set(k, v)
 	}
 	return r
