--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
+	"standpoint/internal/dnssd/record"
+	"standpoint/internal/dnssd/resolver"
 	"standpoint/internal/endpoints"
-	"standpoint/internal/find/dnssd"
-	"standpoint/internal/find/lookup"
 )
 
 const entriesPath = "/v1/entries"
@@ -116,8 +116,8 @@
 		Example: "  standpoint entries services hall-a.example.org --server 127.0.0.1:5353",
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			client := &lookup.Client{Server: server}
-			answer, err := client.Ask(c.Context(), dnssd.Enumeration(args[0]), dnssd.PTR)
+			client := &resolver.Client{Server: server}
+			answer, err := client.Ask(c.Context(), record.Enumeration(args[0]), record.PTR)
 			if err != nil {
 				return exitError{Failed, err}
 			}
--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -14,9 +14,9 @@
 
 	"standpoint/internal/backend"
 	"standpoint/internal/control"
+	"standpoint/internal/dnssd/browser"
 	"standpoint/internal/edge"
 	"standpoint/internal/endpoints"
-	"standpoint/internal/find/discovery"
 	"standpoint/internal/fleet"
 	"standpoint/internal/fleet/ledger/replication"
 	"standpoint/internal/fleet/session/service"
@@ -129,7 +129,7 @@
 
 	counters         *metrics.Counters
 	registry         *prometheus.Registry // nil for no metrics
-	discoveryMetrics *discovery.Metrics
+	discoveryMetrics *browser.Metrics
 
 	coreMutex      sync.Mutex   // guards coreDeployment, and orders changes of the core's settings
 	coreDeployment deployment   // that the core's settings come from
--- a/internal/daemon/golden_metrics_test.go
+++ b/internal/daemon/golden_metrics_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/config"
-	"standpoint/internal/find/discovery"
+	"standpoint/internal/dnssd/browser"
 	"standpoint/internal/metrics"
 	"standpoint/internal/store"
 	"standpoint/internal/testpeer/golden"
@@ -56,7 +56,7 @@
 	a := goldenAssembly(t)
 	r, err := newRegistry(a)
 	require.NoError(t, err)
-	_, err = discovery.NewMetrics(r)
+	_, err = browser.NewMetrics(r)
 	require.NoError(t, err)
 	a.nodeCount.Store(3)
 	for range 4 {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"go.uber.org/zap"
 
-	"standpoint/internal/find/discovery"
+	"standpoint/internal/dnssd/browser"
 	"standpoint/internal/metrics"
 	"standpoint/internal/transient"
 )
@@ -48,7 +48,7 @@
 	if a.registry, err = newRegistry(a); err != nil {
 		return component{}, err
 	}
-	a.discoveryMetrics, err = discovery.NewMetrics(a.registry)
+	a.discoveryMetrics, err = browser.NewMetrics(a.registry)
 	return component{}, err
 }
 
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/control"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/peers"
 )
 
@@ -74,10 +74,10 @@
 		Lease:   time.Duration(cfg.Lease),
 		Hold:    time.Duration(cfg.ShrinkDelay),
 		Least:   a.operator.Module.Nodes,
-		Find: discovery.Options{
-			Service: dnssd.Service{Type: cfg.Service, Domain: cfg.Domain},
+		Find: browser.Options{
+			Service: record.Service{Type: cfg.Service, Domain: cfg.Domain},
 			Server:  cfg.Server,
-			Way:     discovery.Poll,
+			Way:     browser.Poll,
 			Every:   time.Duration(times.PollInterval),
 			Refresh: time.Duration(times.RefreshInterval),
 			Metrics: a.discoveryMetrics,
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -17,9 +17,9 @@
 	"standpoint/internal/clock"
 	"standpoint/internal/config"
 	"standpoint/internal/control"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/endpoints"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
 	"standpoint/internal/node"
 )
 
@@ -152,10 +152,10 @@
 	section := &cfg.Endpoints
 	browse := section.Browses[i]
 	log := a.log.With(zap.String("domain", browse.Domain))
-	find := discovery.Options{
-		Service:     dnssd.Service{Type: browse.Service, Subtype: browse.Subtype, Domain: browse.Domain},
+	find := browser.Options{
+		Service:     record.Service{Type: browse.Service, Subtype: browse.Subtype, Domain: browse.Domain},
 		Server:      browse.Server,
-		Way:         discovery.Way(browse.Updates),
+		Way:         browser.Mechanism(browse.Updates),
 		Every:       time.Duration(section.PollInterval),
 		Refresh:     time.Duration(section.RefreshInterval),
 		PushAddress: browse.PushAddress,
@@ -163,16 +163,16 @@
 		Metrics:     a.discoveryMetrics,
 		Log:         log,
 	}
-	if find.Way == discovery.MDNS {
-		find.Dial = func() (discovery.Transport, error) { return discovery.DialUnicast(browse.Server) }
+	if find.Way == browser.MDNS {
+		find.Dial = func() (browser.Transport, error) { return browser.DialUnicast(browse.Server) }
 	}
 	browser := &endpoints.Browser{
 		FinderOptions: find,
 		Key:           browse.Key(),
 		Config:        browserConfig(section, browse),
 		Site:          browse.Site,
-		Guard:         dnssd.Guard{Part: section.GuardFraction, Hold: int64(section.GuardHold)},
-		Damper:        dnssd.Damper{Half: int64(*section.FlapHalfLife), Most: section.MaxFlaps},
+		Guard:         record.Guard{Part: section.GuardFraction, Hold: int64(section.GuardHold)},
+		Damper:        record.Damper{Half: int64(*section.FlapHalfLife), Most: section.MaxFlaps},
 		Names:         endpointNames(cfg.Names),
 		Log:           log,
 	}
--- a/internal/find/discovery/discovery_test.go
+++ b/internal/dnssd/browser/discovery_test.go
@@ -1,4 +1,4 @@
-package discovery
+package browser
 
 import (
 	"context"
@@ -19,13 +19,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/lab/responder"
 )
 
 const service = "_engine._tcp"
 
-var hall = dnssd.Service{Type: service, Domain: "hall-a.test"}
+var hall = record.Service{Type: service, Domain: "hall-a.test"}
 
 func box(label string, port int) responder.Box {
 	return responder.Box{Label: label, Service: service, TTL: 120, Text: []string{"site=a"},
@@ -64,10 +64,10 @@
 }
 
 // finding runs a finder and hands on what it tells.
-func finding(t *testing.T, s *responder.Server, way Way, change func(*Options)) (*Finder, <-chan Sight) {
-	sights := make(chan Sight, 10_000)
+func finding(t *testing.T, s *responder.Server, way Mechanism, change func(*Options)) (*Browser, <-chan Snapshot) {
+	sights := make(chan Snapshot, 10_000)
 	o := Options{Service: hall, Server: s.Address, Way: way, Every: 50 * time.Millisecond, Refresh: time.Second, Log: zap.NewNop(),
-		Tell: func(s Sight) { sights <- s }}
+		Tell: func(s Snapshot) { sights <- s }}
 	switch way {
 	case Push:
 		o.PushAddress = s.Address
@@ -86,10 +86,10 @@
 }
 
 // until waits for a sight that will do.
-func until(t *testing.T, sights <-chan Sight, will func(Sight) bool) Sight {
+func until(t *testing.T, sights <-chan Snapshot, will func(Snapshot) bool) Snapshot {
 	t.Helper()
 	limit := time.After(60 * time.Second)
-	var last Sight
+	var last Snapshot
 	for {
 		select {
 		case last = <-sights:
@@ -103,7 +103,7 @@
 }
 
 // ready are the labels of the instances without a fault.
-func ready(s Sight) (labels []string) {
+func ready(s Snapshot) (labels []string) {
 	for _, in := range s.Instances {
 		if in.Fault == nil {
 			labels = append(labels, in.Label)
@@ -112,14 +112,14 @@
 	return labels
 }
 
-func has(n int, way Way) func(Sight) bool {
-	return func(s Sight) bool { return len(ready(s)) == n && s.Way == way }
+func has(n int, way Mechanism) func(Snapshot) bool {
+	return func(s Snapshot) bool { return len(ready(s)) == n && s.Way == way }
 }
 
 // Every way tells of boxes that come, change and go, and of names of any kind.
 func TestEveryWay(t *testing.T) {
 	odd := "Зал Қ. 3 \"б\"" // dots, spaces, quotes, Kazakh letters
-	for _, way := range []Way{Poll, Push, MDNS} {
+	for _, way := range []Mechanism{Poll, Push, MDNS} {
 		t.Run(string(way), func(t *testing.T) {
 			s := start(t, nil, box(odd, 8001), box("box-2", 8002))
 			_, sights := finding(t, s, way, nil)
@@ -129,7 +129,7 @@
 			six.Address = netip.MustParseAddrPort("[::1]:8003")
 			require.NoError(t, s.Zone.Publish(six))
 			three := until(t, sights, has(3, way))
-			at := slices.IndexFunc(three.Instances, func(in dnssd.Instance) bool { return in.Label == "box-3" })
+			at := slices.IndexFunc(three.Instances, func(in record.Instance) bool { return in.Label == "box-3" })
 			require.Equal(t, "[::1]:8003", three.Instances[at].Address.String())
 			require.Equal(t, "a", three.Instances[at].Attributes["site"].Value)
 			// A target that changes in one step.
@@ -138,8 +138,8 @@
 			moved, err := s.Zone.Records(box("box-2", 8099))
 			require.NoError(t, err)
 			s.Zone.Apply(responder.Change{RR: old[1], Remove: true}, responder.Change{RR: moved[1]})
-			until(t, sights, func(s Sight) bool {
-				return slices.ContainsFunc(s.Instances, func(in dnssd.Instance) bool { return in.Label == "box-2" && in.Address.Port() == 8099 })
+			until(t, sights, func(s Snapshot) bool {
+				return slices.ContainsFunc(s.Instances, func(in record.Instance) bool { return in.Label == "box-2" && in.Address.Port() == 8099 })
 			})
 			require.NoError(t, s.Zone.Withdraw(box(odd, 8001)))
 			require.ElementsMatch(t, []string{"box-2", "box-3"}, ready(until(t, sights, has(2, way))))
@@ -148,19 +148,19 @@
 }
 
 // delay is the least time of several that a withdrawal takes to be seen; a busy machine may hold one or two up.
-func delay(t *testing.T, s *responder.Server, sights <-chan Sight, n int) time.Duration {
+func delay(t *testing.T, s *responder.Server, sights <-chan Snapshot, n int) time.Duration {
 	best := time.Hour
 	for i := range 3 {
 		began := time.Now()
 		require.NoError(t, s.Zone.Withdraw(box(fmt.Sprintf("box-%d", i+1), 8001+i)))
-		until(t, sights, func(s Sight) bool { return len(ready(s)) == n-i-1 })
+		until(t, sights, func(s Snapshot) bool { return len(ready(s)) == n-i-1 })
 		best = min(best, time.Since(began))
 	}
 	return best
 }
 
 func TestWithdrawal(t *testing.T) {
-	for _, way := range []Way{Poll, Push, MDNS} {
+	for _, way := range []Mechanism{Poll, Push, MDNS} {
 		for _, every := range []int{0, 3} { // no packet is lost, or each third
 			t.Run(fmt.Sprint(way, every), func(t *testing.T) {
 				s := start(t, nil, boxes(6)...)
@@ -175,7 +175,7 @@
 
 // A zone without a serial is asked for its list; one that is published again within 100 ms is there again.
 func TestBackWithin100ms(t *testing.T) {
-	for _, way := range []Way{Poll, Push, MDNS} {
+	for _, way := range []Mechanism{Poll, Push, MDNS} {
 		t.Run(string(way), func(t *testing.T) {
 			s := start(t, nil, boxes(3)...)
 			_, sights := finding(t, s, way, nil)
@@ -319,10 +319,10 @@
 		}
 	}
 	require.Positive(t, f.client.Spoofed.Load())
-	a, err := f.client.Ask(t.Context(), "box-1."+hall.Base(), dnssd.SRV)
+	a, err := f.client.Ask(t.Context(), "box-1."+hall.Base(), record.SRV)
 	require.NoError(t, err)
 	for _, r := range a.Extra {
-		require.True(t, dnssd.Within(r.Name, "hall-a.test."), r.Name)
+		require.True(t, record.Within(r.Name, "hall-a.test."), r.Name)
 	}
 }
 
@@ -342,7 +342,7 @@
 	if testing.Short() {
 		t.Skip()
 	}
-	for _, way := range []Way{Poll, Push, MDNS} {
+	for _, way := range []Mechanism{Poll, Push, MDNS} {
 		t.Run(string(way), func(t *testing.T) {
 			n := 2000
 			if way == MDNS {
--- a/internal/find/discovery/finder.go
+++ b/internal/dnssd/browser/finder.go
@@ -1,7 +1,7 @@
-// Package discovery finds the instances of a DNS-SD service by every way that the specifications give: it asks
+// Package browser finds the instances of a DNS-SD service by every way that the specifications give: it asks
 // (unicast look-ups, cheap while nothing changes), it is told (DNS Push Notifications, RFC 8765), or it speaks mDNS
-// (RFC 6762) over a transport that is given to it. What records mean is decided in internal/find/dnssd.
-package discovery
+// (RFC 6762) over a transport that is given to it. What records mean is decided in internal/dnssd/record.
+package browser
 
 import (
 	"context"
@@ -13,73 +13,73 @@
 	"github.com/cenkalti/backoff/v5"
 	"go.uber.org/zap"
 
-	"standpoint/internal/find/dnssd"
-	"standpoint/internal/find/lookup"
+	"standpoint/internal/dnssd/record"
+	"standpoint/internal/dnssd/resolver"
 )
 
-// Way is how news comes.
-type Way string
+// Mechanism is how news comes.
+type Mechanism string
 
 // Ways. Auto is push where the domain's server offers it and the poll everywhere else.
 const (
-	Auto Way = "auto"
-	Poll Way = "poll"
-	Push Way = "push"
-	MDNS Way = "mdns"
+	Auto Mechanism = "auto"
+	Poll Mechanism = "poll"
+	Push Mechanism = "push"
+	MDNS Mechanism = "mdns"
 )
 
-// Sight is what is known of a service's instances.
-type Sight struct {
-	Instances []dnssd.Instance // by name
-	Serial    *uint32          // of the zone; nil where the server tells none
-	Way       Way
+// Snapshot is what is known of a service's instances.
+type Snapshot struct {
+	Instances []record.Instance // by name
+	Serial    *uint32           // of the zone; nil where the server tells none
+	Way       Mechanism
 	At        time.Time // when it was true at the latest
 	Over      int       // instances that are listed and not taken, being too many
 }
 
 // Options of a Finder.
 type Options struct {
-	Service dnssd.Service
+	Service record.Service
 	Server  string // host:port, for look-ups; with mDNS the peer
-	Way     Way
+	Way     Mechanism
 	// Every is the time between two questions whether anything has changed. Refresh is the time between two look-ups
 	// of what a server without a serial could change unseen.
 	Every, Refresh time.Duration
 	PushAddress    string                    // host:port; "" where the domain's SRV records are to tell it
 	TLS            *tls.Config               // nil: push goes in the clear; the caller allows it on loopback alone
 	Dial           func() (Transport, error) // of mDNS
-	Tell           func(Sight)               // never called by two goroutines at once; it may not wait
+	Tell           func(Snapshot)            // never called by two goroutines at once; it may not wait
 	Metrics        *Metrics                  // nil: none
 	Log            *zap.Logger
 }
 
-// Finder is the actor of one service in one domain.
-type Finder struct {
+// Browser is the actor of one service in one domain.
+type Browser struct {
 	Options
-	client *lookup.Client
+	client *resolver.Client
 	domain string
 
 	mu      sync.Mutex
 	failing bool
 	heard   time.Time // when the server last answered
-	way     Way
+	way     Mechanism
 }
 
 // New makes a Finder; Run starts it.
-func New(o Options) *Finder {
-	return &Finder{Options: o, domain: dnssd.Fold(o.Service.Domain), way: Poll,
-		client: &lookup.Client{Server: o.Server, Domain: o.Service.Domain}}
+func New(o Options) *Browser {
+	return &Browser{Options: o, domain: record.CanonicalName(o.Service.Domain), way: Poll,
+		client: &resolver.Client{Server: o.Server, Domain: o.Service.Domain}}
 }
 
-// Heard is when the server last answered, the zero time if it never did, and by which way.
-func (f *Finder) Heard() (time.Time, Way) {
+// LastContact is when the server last answered, the zero time if it never did, and by which way.
+func (f *Browser) LastContact() (time.Time, Mechanism) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.heard, f.way
 }
 
 // note keeps whether the server answers, and says so once when that changes.
-func (f *Finder) note(way Way, err error) {
+func (f *Browser) note(way Mechanism, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
@@ -97,7 +97,7 @@
 }
 
 // Run finds until ctx ends.
-func (f *Finder) Run(ctx context.Context) {
+func (f *Browser) Run(ctx context.Context) {
 	defer f.Metrics.watch(f)()
 	switch f.Way {
 	case MDNS:
@@ -118,7 +118,7 @@
 
 // auto polls, and tries to have a push session beside. While one stands the poll rests; the moment it ends the poll
 // goes on, so that no news waits for a session to come back.
-func (f *Finder) auto(ctx context.Context) {
+func (f *Browser) auto(ctx context.Context) {
 	p := newPoller(f)
 	again := backoff.NewExponentialBackOff()
 	again.InitialInterval, again.MaxInterval, again.Multiplier = pushSoon, pushSeldom, 2
--- a/internal/find/discovery/metrics.go
+++ b/internal/dnssd/browser/metrics.go
@@ -1,4 +1,4 @@
-package discovery
+package browser
 
 import (
 	"sync"
@@ -14,7 +14,7 @@
 	Pushed    *prometheus.CounterVec
 
 	mu  sync.Mutex
-	all map[*Finder]bool
+	all map[*Browser]bool
 
 	age, asked, again, failed, spoofed, push *prometheus.Desc
 }
@@ -25,7 +25,7 @@
 	desc := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc("standpoint_discovery_"+name, help, labels, nil)
 	}
-	m := &Metrics{all: map[*Finder]bool{},
+	m := &Metrics{all: map[*Browser]bool{},
 		Withdrawn: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "standpoint_discovery_withdrawal_delay_seconds",
 			Help:    "Time between the last word that an instance stands and the word that it is gone: the delay's upper bound.",
 			Buckets: []float64{.01, .025, .05, .1, .15, .2, .3, .4, .5, 1, 2, 5, 10}}),
@@ -61,7 +61,7 @@
 		gauge := func(d *prometheus.Desc, kind prometheus.ValueType, v float64) {
 			to <- prometheus.MustNewConstMetric(d, kind, v, f.Service.Type, f.domain)
 		}
-		heard, way := f.Heard()
+		heard, way := f.LastContact()
 		age, push := -1.0, 0.0
 		if !heard.IsZero() {
 			age = time.Since(heard).Seconds()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (m *Metrics) watch(f *Finder) func() {
+func (m *Metrics) watch(f *Browser) func() {
 	if m == nil {
 		return func() {}
 	}
@@ -97,20 +97,20 @@
 	}
 }
 
-func (m *Metrics) ended(f *Finder) {
+func (m *Metrics) ended(f *Browser) {
 	if m != nil {
 		m.Sessions.WithLabelValues(f.Service.Type, f.domain).Inc()
 	}
 }
 
-func (m *Metrics) pushed(f *Finder, n int) {
+func (m *Metrics) pushed(f *Browser, n int) {
 	if m != nil {
 		m.Pushed.WithLabelValues(f.Service.Type, f.domain).Add(float64(n))
 	}
 }
 
-// Gone notes that an instance is gone, which was last told to stand so long ago.
-func (m *Metrics) Gone(ago time.Duration) {
+// Removed notes that an instance is gone, which was last told to stand so long ago.
+func (m *Metrics) Removed(ago time.Duration) {
 	if m != nil {
 		m.Withdrawn.Observe(ago.Seconds())
 	}
--- a/internal/find/discovery/multicast.go
+++ b/internal/dnssd/browser/multicast.go
@@ -1,4 +1,4 @@
-package discovery
+package browser
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/miekg/dns"
 
 	"standpoint/internal/clock"
-	"standpoint/internal/find/mdns"
+	"standpoint/internal/dnssd/mdns"
 )
 
 // Transport carries mDNS messages. What this package has is Unicast; multicast is nobody's here.
@@ -69,7 +69,7 @@
 func (u *Unicast) Close() error { return u.conn.Close() }
 
 // listen is the actor round the querier.
-func (f *Finder) listen(ctx context.Context) {
+func (f *Browser) listen(ctx context.Context) {
 	transport, err := f.Dial()
 	if err != nil {
 		f.note(MDNS, err)
@@ -151,7 +151,7 @@
 		if heard && (changed || time.Since(told) >= tellEvery) {
 			told, changed = time.Now(), false
 			v, labels := q.View(epoch)
-			f.Tell(sight(v, f.Service, labels, Sight{Way: MDNS, At: told}))
+			f.Tell(sight(v, f.Service, labels, Snapshot{Way: MDNS, At: told}))
 		}
 		rest.took(began, time.Now())
 		timer.Reset(max(time.Millisecond, min(next-time.Since(base), tellEvery)))
--- a/internal/find/discovery/poll.go
+++ b/internal/dnssd/browser/poll.go
@@ -1,4 +1,4 @@
-package discovery
+package browser
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"standpoint/internal/clock"
-	"standpoint/internal/find/dnssd"
-	"standpoint/internal/find/lookup"
+	"standpoint/internal/dnssd/record"
+	"standpoint/internal/dnssd/resolver"
 )
 
 const (
@@ -31,8 +31,8 @@
 
 // poller asks. It belongs to one goroutine at a time.
 type poller struct {
-	*Finder
-	view   *dnssd.View
+	*Browser
+	view   *record.Cache
 	serial *uint32
 	asked  bool      // the list was had once
 	behind time.Time // since when only an older serial has been told
@@ -41,8 +41,8 @@
 	labels map[string]string
 }
 
-func newPoller(f *Finder) *poller {
-	return &poller{Finder: f, view: dnssd.NewView(), labels: map[string]string{}}
+func newPoller(f *Browser) *poller {
+	return &poller{Browser: f, view: record.NewCache(), labels: map[string]string{}}
 }
 
 // stale has everything asked for again at the next look.
@@ -70,7 +70,7 @@
 
 // zone asks for the zone's serial; nil where the server tells none that counts.
 func (p *poller) zone(ctx context.Context) (*uint32, error) {
-	a, err := p.client.Ask(ctx, p.domain, dnssd.SOA)
+	a, err := p.client.Ask(ctx, p.domain, record.SOA)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	if p.lags(serial, now) {
 		return nil
 	}
-	list := dnssd.Key{Name: p.Service.List(), Kind: dnssd.PTR}
+	list := record.Key{Name: p.Service.List(), Kind: record.PTR}
 	moved := serial == nil || p.serial == nil || *serial != *p.serial
 	if serial != nil && moved {
 		p.view.Stale(clock.Of(now))
@@ -109,8 +109,8 @@
 		changed = p.put(list, a.Records, a.Least, serial != nil)
 		p.extra(a.Extra, serial != nil)
 		for _, r := range a.Records {
-			if label, _, err := dnssd.SplitInstance(r.Target); err == nil {
-				p.labels[dnssd.Fold(r.Target)] = label
+			if label, _, err := record.SplitInstance(r.Target); err == nil {
+				p.labels[record.CanonicalName(r.Target)] = label
 			}
 		}
 		if changed && p.asked { // withdrawals do not wait for the look-ups of what is new
@@ -119,12 +119,12 @@
 	}
 	names, over := p.view.Instances(p.Service)
 	if over > 0 {
-		p.Log.Warn("more instances than are taken", zap.Int("over", over), zap.Int("most", dnssd.InstancesMost))
+		p.Log.Warn("more instances than are taken", zap.Int("over", over), zap.Int("most", record.InstancesMost))
 	}
-	wanted := map[dnssd.Key]bool{list: true}
+	wanted := map[record.Key]bool{list: true}
 	p.serial = serial
 	for wave := 0; wave < 3; wave++ { // SRV and TXT, then A, then AAAA
-		var due []dnssd.Key
+		var due []record.Key
 		for _, name := range names {
 			for _, k := range p.view.Wants(name) {
 				if s := p.view.Get(k.Name, k.Kind); !wanted[k] && (s == nil || s.Due <= clock.Of(now)) {
@@ -159,23 +159,23 @@
 
 // list asks for the list. Where the zone has a serial it is asked for again from the same socket: the list must be that
 // of a server which is no older than what told of the change.
-func (p *poller) list(ctx context.Context, k dnssd.Key, serial *uint32, _ time.Time) (lookup.Answer, error) {
+func (p *poller) list(ctx context.Context, k record.Key, serial *uint32, _ time.Time) (resolver.Answer, error) {
 	if serial == nil {
 		return p.client.Ask(ctx, k.Name, k.Kind)
 	}
 	for range listTries {
 		its, a, err := p.client.Together(ctx, p.domain, k.Name, k.Kind)
-		if err != nil || its == nil || !dnssd.Newer(*serial, *its) {
+		if err != nil || its == nil || !record.Newer(*serial, *its) {
 			return a, err
 		}
 	}
-	return lookup.Answer{}, fmt.Errorf("PTR %s: its servers differ, and the one that is ahead does not answer", k.Name)
+	return resolver.Answer{}, fmt.Errorf("PTR %s: its servers differ, and the one that is ahead does not answer", k.Name)
 }
 
 // lags tells that an answer is of a server which is behind what was known before. It is passed over, unless nothing
 // newer has been told for a while: then the zone itself was put back.
 func (p *poller) lags(serial *uint32, now time.Time) bool {
-	if serial == nil || p.serial == nil || !dnssd.Newer(*p.serial, *serial) {
+	if serial == nil || p.serial == nil || !record.Newer(*p.serial, *serial) {
 		p.behind = time.Time{}
 		return false
 	}
@@ -186,11 +186,11 @@
 }
 
 // ask asks for several sets at once.
-func (p *poller) ask(ctx context.Context, keys []dnssd.Key, serial bool) (changed bool) {
+func (p *poller) ask(ctx context.Context, keys []record.Key, serial bool) (changed bool) {
 	type found struct {
-		key     dnssd.Key
-		records []dnssd.Record
-		extra   []dnssd.Record
+		key     record.Key
+		records []record.Record
+		extra   []record.Record
 		least   uint32
 		err     error
 	}
@@ -223,7 +223,7 @@
 
 // put takes in an answer and says when to ask again: at the end of its time, or, where the server has no serial that
 // would show a change, at the next refresh.
-func (p *poller) put(k dnssd.Key, records []dnssd.Record, least uint32, serial bool) bool {
+func (p *poller) put(k record.Key, records []record.Record, least uint32, serial bool) bool {
 	now := clock.Now()
 	changed := p.view.Put(k, records, least, now)
 	s := p.view.Get(k.Name, k.Kind)
@@ -239,10 +239,10 @@
 }
 
 // extra takes in what an answer tells along, as far as it would be asked for anyway.
-func (p *poller) extra(records []dnssd.Record, serial bool) (changed bool) {
-	sets := map[dnssd.Key][]dnssd.Record{}
+func (p *poller) extra(records []record.Record, serial bool) (changed bool) {
+	sets := map[record.Key][]record.Record{}
 	for _, r := range records {
-		k := dnssd.Key{Name: r.Name, Kind: r.Kind}
+		k := record.Key{Name: r.Name, Kind: r.Kind}
 		sets[k] = append(sets[k], r)
 	}
 	now := clock.Now()
@@ -256,18 +256,18 @@
 
 func (p *poller) tell(now time.Time, serial *uint32) {
 	p.told = now
-	p.Tell(sight(p.view, p.Service, p.labels, Sight{Serial: serial, Way: Poll, At: now}))
+	p.Tell(sight(p.view, p.Service, p.labels, Snapshot{Serial: serial, Way: Poll, At: now}))
 }
 
 // sight puts all instances together.
-func sight(v *dnssd.View, service dnssd.Service, labels map[string]string, s Sight) Sight {
+func sight(v *record.Cache, service record.Service, labels map[string]string, s Snapshot) Snapshot {
 	var names []string
 	names, s.Over = v.Instances(service)
 	for _, name := range names {
 		s.Instances = append(s.Instances, v.Assemble(name, labels[name]))
 	}
 	for name := range labels {
-		if len(labels) > 2*len(names)+64 && v.Get(name, dnssd.SRV) == nil {
+		if len(labels) > 2*len(names)+64 && v.Get(name, record.SRV) == nil {
 			delete(labels, name)
 		}
 	}
--- a/internal/find/discovery/push.go
+++ b/internal/dnssd/browser/push.go
@@ -1,4 +1,4 @@
-package discovery
+package browser
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/clock"
-	"standpoint/internal/find/dnssd"
-	"standpoint/internal/find/dso"
+	"standpoint/internal/dnssd/push"
+	"standpoint/internal/dnssd/record"
 )
 
 // noPush says that the server offers no push session; retryLater that it wants to be left alone for a while.
@@ -51,9 +51,9 @@
 
 // session is one push session. Everything but the reader belongs to one goroutine.
 type session struct {
-	*Finder
+	*Browser
 	conn    net.Conn
-	view    *dnssd.View
+	view    *record.Cache
 	labels  map[string]string
 	ids     uint16
 	asked   map[uint16]subscription // SUBSCRIBE requests without a response yet
@@ -84,7 +84,7 @@
 }
 
 // push has a session, and returns when it ends. start is called once its view is whole, before it is told.
-func (f *Finder) push(ctx context.Context, start func()) error {
+func (f *Browser) push(ctx context.Context, start func()) error {
 	address, host, err := f.pushServer(ctx)
 	if err != nil {
 		return err
@@ -110,13 +110,13 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	now := time.Now()
-	s := &session{Finder: f, conn: conn, view: dnssd.NewView(), labels: map[string]string{}, asked: map[uint16]subscription{},
+	s := &session{Browser: f, conn: conn, view: record.NewCache(), labels: map[string]string{}, asked: map[uint16]subscription{},
 		subs: map[string]subscription{}, fence: map[string]bool{}, acked: map[string]bool{}, began: now, beat: keepalive}
 	return s.run(ctx, start)
 }
 
 // pushServer is where push is had: as configured, or as the domain's SRV record has it (RFC 8765, 6.1).
-func (f *Finder) pushServer(ctx context.Context) (address, host string, err error) {
+func (f *Browser) pushServer(ctx context.Context) (address, host string, err error) {
 	if f.PushAddress != "" {
 		host, _, err = net.SplitHostPort(f.PushAddress)
 		return f.PushAddress, host, err
@@ -124,19 +124,19 @@
 	if f.TLS == nil {
 		return "", "", &noPush{"no root certificate is configured, and no address"}
 	}
-	a, err := f.client.Ask(ctx, "_dns-push-tls._tcp."+f.domain, dnssd.SRV)
+	a, err := f.client.Ask(ctx, "_dns-push-tls._tcp."+f.domain, record.SRV)
 	if err != nil {
 		return "", "", err
 	}
-	var all []dnssd.Target
+	var all []record.Target
 	for _, r := range a.Records {
 		all = append(all, r.Server)
 	}
-	target, err := dnssd.Choose(all, 0)
+	target, err := record.Choose(all, 0)
 	if err != nil {
 		return "", "", &noPush{"no SRV record of _dns-push-tls._tcp." + f.domain}
 	}
-	for _, kind := range []dnssd.Kind{dnssd.A, dnssd.AAAA} {
+	for _, kind := range []record.Kind{record.A, record.AAAA} {
 		a, err := f.client.Ask(ctx, target.Host, kind)
 		if err != nil {
 			return "", "", err
@@ -193,7 +193,7 @@
 	defer close(done)
 	inbox, ended := make(chan []byte, inboxSize), make(chan error, 1)
 	go func() { ended <- read(s.conn, inbox, done) }()
-	if err := s.send(dso.KeepaliveMessage(s.id(), false, keepalive, keepalive)); err != nil {
+	if err := s.send(push.KeepaliveMessage(s.id(), false, keepalive, keepalive)); err != nil {
 		return err
 	}
 	first := s.ids
@@ -223,11 +223,11 @@
 		if raw != nil {
 			s.quiet = 0
 			if !established {
-				m, err := dso.Decode(raw)
+				m, err := push.Decode(raw)
 				switch {
-				case err == nil && m.Type == dso.RetryDelay && !m.Response:
+				case err == nil && m.Type == push.RetryDelay && !m.Response:
 					return &retryLater{min(m.Delay, retryMost)}
-				case !dso.IsDSO(raw), err == nil && m.Response && m.ID == first && m.Rcode != dns.RcodeSuccess:
+				case !push.IsDSO(raw), err == nil && m.Response && m.ID == first && m.Rcode != dns.RcodeSuccess:
 					return &noPush{"it does not speak DSO"}
 				case err != nil:
 					return err
@@ -291,7 +291,7 @@
 		return nil
 	}
 	if now.Sub(s.spoke) > s.beat {
-		if err := s.send(dso.KeepaliveMessage(s.id(), false, keepalive, keepalive)); err != nil {
+		if err := s.send(push.KeepaliveMessage(s.id(), false, keepalive, keepalive)); err != nil {
 			return err
 		}
 	}
@@ -310,22 +310,22 @@
 	return s.send(raw)
 }
 
-func (s *session) keepalive(m dso.Message) {
-	if m.Type == dso.Keepalive && m.Interval > 0 {
+func (s *session) keepalive(m push.Message) {
+	if m.Type == push.Keepalive && m.Interval > 0 {
 		s.beat = min(keepalive, m.Interval*3/4)
 	}
 }
 
 // handle takes in one message, and tells whether the view has changed.
 func (s *session) handle(raw []byte, now time.Time) (bool, error) {
-	if !dso.IsDSO(raw) {
+	if !push.IsDSO(raw) {
 		m := new(dns.Msg)
 		if err := m.Unpack(raw); err != nil {
 			return false, fmt.Errorf("a message that cannot be read: %w", err)
 		}
 		return s.answered(m, now)
 	}
-	m, err := dso.Decode(raw)
+	m, err := push.Decode(raw)
 	if err != nil {
 		return false, err
 	}
@@ -333,29 +333,29 @@
 		return s.responded(m)
 	}
 	switch m.Type {
-	case dso.Keepalive:
+	case push.Keepalive:
 		s.keepalive(m)
-	case dso.RetryDelay:
+	case push.RetryDelay:
 		return false, &retryLater{min(m.Delay, retryMost)}
-	case dso.Push:
+	case push.Push:
 		s.note(Push, nil)
-		s.Metrics.pushed(s.Finder, len(m.Changes))
+		s.Metrics.pushed(s.Browser, len(m.Changes))
 		changed := false
 		for _, c := range m.Changes {
 			changed = s.apply(c, clock.Of(now)) || changed
 		}
 		return changed, nil
-	case dso.Padding:
+	case push.Padding:
 	default:
 		if m.ID != 0 { // a request that is not known here
-			return false, s.send(dso.Response(m.ID, dns.RcodeStatefulTypeNotImplemented))
+			return false, s.send(push.Response(m.ID, dns.RcodeStatefulTypeNotImplemented))
 		}
 		return false, fmt.Errorf("an unknown unidirectional message, of type %#x", uint16(m.Type)) // RFC 8490, 5.1.2
 	}
 	return false, nil
 }
 
-func (s *session) apply(c dso.Change, now int64) bool {
+func (s *session) apply(c push.Change, now int64) bool {
 	if _, ours := s.subs[c.Record.Name]; !ours {
 		return false // nothing that was asked for
 	}
@@ -365,16 +365,16 @@
 	case c.Remove:
 		return s.view.Remove(c.Record, now)
 	}
-	if c.Record.Kind == dnssd.PTR {
-		if label, _, err := dnssd.SplitInstance(c.Record.Target); err == nil {
-			s.labels[dnssd.Fold(c.Record.Target)] = label
+	if c.Record.Kind == record.PTR {
+		if label, _, err := record.SplitInstance(c.Record.Target); err == nil {
+			s.labels[record.CanonicalName(c.Record.Target)] = label
 		}
 	}
 	return s.view.Add(c.Record, now)
 }
 
 // responded takes in the response to a request of ours.
-func (s *session) responded(m dso.Message) (bool, error) {
+func (s *session) responded(m push.Message) (bool, error) {
 	s.keepalive(m)
 	sub, ok := s.asked[m.ID]
 	if !ok {
@@ -389,8 +389,8 @@
 	if sub.name == s.Service.List() {
 		return false, &noPush{why}
 	}
-	for _, k := range []dnssd.Kind{dnssd.SRV, dnssd.TXT, dnssd.A, dnssd.AAAA} {
-		s.view.Fail(dnssd.Key{Name: sub.name, Kind: k}, why, 0)
+	for _, k := range []record.Kind{record.SRV, record.TXT, record.A, record.AAAA} {
+		s.view.Fail(record.Key{Name: sub.name, Kind: k}, why, 0)
 	}
 	return true, nil
 }
@@ -405,14 +405,14 @@
 		for name := range s.fence {
 			for _, k := range s.kinds(name) {
 				if set := s.view.Get(name, k); set == nil || set.Heard == 0 {
-					changed = s.view.Put(dnssd.Key{Name: name, Kind: k}, nil, 0, clock.Of(now)) || changed
+					changed = s.view.Put(record.Key{Name: name, Kind: k}, nil, 0, clock.Of(now)) || changed
 				}
 			}
 		}
 		s.fence = map[string]bool{}
 		for _, rr := range m.Answer {
-			soa, ok := dnssd.Decode(rr)
-			if !ok || soa.Kind != dnssd.SOA {
+			soa, ok := record.Decode(rr)
+			if !ok || soa.Kind != record.SOA {
 				continue
 			}
 			s.moved = s.moved || s.serial == nil || *s.serial != soa.Serial
@@ -430,14 +430,14 @@
 }
 
 // kinds are those that a name is subscribed for.
-func (s *session) kinds(name string) []dnssd.Kind {
+func (s *session) kinds(name string) []record.Kind {
 	if name == s.Service.List() {
-		return []dnssd.Kind{dnssd.PTR}
+		return []record.Kind{record.PTR}
 	}
-	if dnssd.Within(name, s.Service.Base()) {
-		return []dnssd.Kind{dnssd.SRV, dnssd.TXT}
+	if record.Within(name, s.Service.Base()) {
+		return []record.Kind{record.SRV, record.TXT}
 	}
-	return []dnssd.Kind{dnssd.A, dnssd.AAAA}
+	return []record.Kind{record.A, record.AAAA}
 }
 
 // compare holds the list as asked for against the list as pushed. What differs twice in a row was not pushed: the
@@ -448,14 +448,14 @@
 	}
 	asked := map[string]bool{}
 	for _, rr := range m.Answer {
-		if r, ok := dnssd.Decode(rr); ok && r.Kind == dnssd.PTR && r.Name == s.Service.List() {
-			asked[dnssd.Fold(r.Target)] = true
+		if r, ok := record.Decode(rr); ok && r.Kind == record.PTR && r.Name == s.Service.List() {
+			asked[record.CanonicalName(r.Target)] = true
 		}
 	}
 	same := 0
-	pushed := s.view.All(s.Service.List(), dnssd.PTR)
+	pushed := s.view.All(s.Service.List(), record.PTR)
 	for _, r := range pushed {
-		if asked[dnssd.Fold(r.Target)] {
+		if asked[record.CanonicalName(r.Target)] {
 			same++
 		}
 	}
@@ -475,11 +475,11 @@
 		if _, ok := s.subs[name]; ok {
 			return nil
 		}
-		if len(s.subs) >= dnssd.SetsMost/4 || len(s.asked) >= 1<<15 {
+		if len(s.subs) >= record.SetsMost/4 || len(s.asked) >= 1<<15 {
 			return nil
 		}
 		sub := subscription{s.id(), name, kind}
-		raw, err := dso.SubscribeMessage(sub.id, name, kind)
+		raw, err := push.SubscribeMessage(sub.id, name, kind)
 		if err != nil {
 			return err
 		}
@@ -510,7 +510,7 @@
 		}
 		delete(s.subs, name)
 		dropped = true
-		if err := s.send(dso.UnsubscribeMessage(sub.id)); err != nil {
+		if err := s.send(push.UnsubscribeMessage(sub.id)); err != nil {
 			return err
 		}
 	}
@@ -521,11 +521,11 @@
 }
 
 // keys are those of all names that are subscribed for.
-func (s *session) keys() map[dnssd.Key]bool {
-	keep := map[dnssd.Key]bool{}
+func (s *session) keys() map[record.Key]bool {
+	keep := map[record.Key]bool{}
 	for name := range s.subs {
-		for _, k := range []dnssd.Kind{dnssd.PTR, dnssd.SRV, dnssd.TXT, dnssd.A, dnssd.AAAA} {
-			keep[dnssd.Key{Name: name, Kind: k}] = true
+		for _, k := range []record.Kind{record.PTR, record.SRV, record.TXT, record.A, record.AAAA} {
+			keep[record.Key{Name: name, Kind: k}] = true
 		}
 	}
 	return keep
@@ -536,13 +536,13 @@
 	if !changed && s.inForce && now.Sub(s.told) < tellEvery {
 		return nil
 	}
-	if set := s.view.Get(s.Service.List(), dnssd.PTR); set == nil || set.Heard == 0 {
+	if set := s.view.Get(s.Service.List(), record.PTR); set == nil || set.Heard == 0 {
 		if !s.inForce && now.Sub(s.began) > firstTime+connectTime {
 			return errors.New("the list was not pushed")
 		}
 		return nil
 	}
-	found := sight(s.view, s.Service, s.labels, Sight{Serial: s.serial, Way: Push, At: now})
+	found := sight(s.view, s.Service, s.labels, Snapshot{Serial: s.serial, Way: Push, At: now})
 	if !s.inForce {
 		for _, in := range found.Instances {
 			if in.Pending && now.Sub(s.began) < firstTime {
--- a/internal/find/mdns/mdns.go
+++ b/internal/dnssd/mdns/mdns.go
@@ -9,7 +9,7 @@
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // Times of the querier.
@@ -32,7 +32,7 @@
 var refresh = [...]float64{0.80, 0.85, 0.90, 0.95}
 
 type entry struct {
-	record dnssd.Record
+	record record.Record
 	born   time.Duration
 	until  time.Duration
 	asked  int           // of refresh
@@ -46,20 +46,20 @@
 
 // Querier keeps the records of one service current. All times are spans since one moment of the caller's choice.
 type Querier struct {
-	Service dnssd.Service
+	Service record.Service
 	Draw    func() float64 // chance, from 0 up to 1
 
-	all       map[dnssd.Key][]*entry
+	all       map[record.Key][]*entry
 	count     int
-	questions map[dnssd.Key]*question
-	wanted    map[dnssd.Key]bool
+	questions map[record.Key]*question
+	wanted    map[record.Key]bool
 	stirred   bool
 	labels    map[string]string
 }
 
 // New makes a querier that knows nothing yet.
-func New(service dnssd.Service, draw func() float64) *Querier {
-	return &Querier{Service: service, Draw: draw, all: map[dnssd.Key][]*entry{}, questions: map[dnssd.Key]*question{},
+func New(service record.Service, draw func() float64) *Querier {
+	return &Querier{Service: service, Draw: draw, all: map[record.Key][]*entry{}, questions: map[record.Key]*question{},
 		labels: map[string]string{}, stirred: true}
 }
 
@@ -69,25 +69,25 @@
 	if !m.Response || m.Opcode != dns.OpcodeQuery || m.Rcode != dns.RcodeSuccess {
 		return false
 	}
-	domain := dnssd.Fold(q.Service.Domain)
+	domain := record.CanonicalName(q.Service.Domain)
 	changed := false
-	told := map[dnssd.Key][]dnssd.Record{}
+	told := map[record.Key][]record.Record{}
 	for _, rr := range append(slices.Clone(m.Answer), m.Extra...) {
-		r, ok := dnssd.Decode(rr)
-		if !ok || !dnssd.Within(r.Name, domain) || r.Kind == dnssd.SOA {
+		r, ok := record.Decode(rr)
+		if !ok || !record.Within(r.Name, domain) || r.Kind == record.SOA {
 			continue
 		}
-		if r.Kind == dnssd.PTR {
-			if label, _, err := dnssd.SplitInstance(r.Target); err == nil && len(q.labels) < 2*dnssd.InstancesMost {
-				q.labels[dnssd.Fold(r.Target)] = label
+		if r.Kind == record.PTR {
+			if label, _, err := record.SplitInstance(r.Target); err == nil && len(q.labels) < 2*record.InstancesMost {
+				q.labels[record.CanonicalName(r.Target)] = label
 			}
 		}
-		k := dnssd.Key{Name: r.Name, Kind: r.Kind}
+		k := record.Key{Name: r.Name, Kind: r.Kind}
 		told[k] = append(told[k], r)
 		changed = q.take(k, r, now) || changed
 	}
 	for k, records := range told {
-		if slices.ContainsFunc(records, func(r dnssd.Record) bool { return r.Flush }) {
+		if slices.ContainsFunc(records, func(r record.Record) bool { return r.Flush }) {
 			changed = q.flush(k, records, now) || changed
 		}
 	}
@@ -95,7 +95,7 @@
 	return changed
 }
 
-func (q *Querier) take(k dnssd.Key, r dnssd.Record, now time.Duration) bool {
+func (q *Querier) take(k record.Key, r record.Record, now time.Duration) bool {
 	for _, e := range q.all[k] {
 		if !alike(e.record, r) {
 			continue
@@ -134,20 +134,20 @@
 }
 
 // flush gives notice to the records of a set that was told whole and without them (the cache-flush bit).
-func (q *Querier) flush(k dnssd.Key, told []dnssd.Record, now time.Duration) (changed bool) {
+func (q *Querier) flush(k record.Key, told []record.Record, now time.Duration) (changed bool) {
 	for _, e := range q.all[k] {
 		// What came just before may be the same set's other part (RFC 6762, 10.2).
-		if e.until > now+Grace && now-e.born > Grace && !slices.ContainsFunc(told, func(r dnssd.Record) bool { return alike(e.record, r) }) {
+		if e.until > now+Grace && now-e.born > Grace && !slices.ContainsFunc(told, func(r record.Record) bool { return alike(e.record, r) }) {
 			e.until, e.next, changed = now+Grace, 0, true
 		}
 	}
 	return changed
 }
 
-func alike(a, b dnssd.Record) bool {
+func alike(a, b record.Record) bool {
 	a.TTL, a.Flush, b.TTL, b.Flush = 0, false, 0, false
-	if a.Kind == dnssd.PTR {
-		a.Target, b.Target = dnssd.Fold(a.Target), dnssd.Fold(b.Target)
+	if a.Kind == record.PTR {
+		a.Target, b.Target = record.CanonicalName(a.Target), record.CanonicalName(b.Target)
 	}
 	return a == b
 }
@@ -175,8 +175,8 @@
 }
 
 // View is what is known now, with the label of each instance. Times in it are nanoseconds from the moment epoch.
-func (q *Querier) View(epoch int64) (*dnssd.View, map[string]string) {
-	v := dnssd.NewView()
+func (q *Querier) View(epoch int64) (*record.Cache, map[string]string) {
+	v := record.NewCache()
 	for _, list := range q.all {
 		for _, e := range list {
 			v.Add(e.record, max(1, epoch+int64(e.born)))
@@ -184,8 +184,8 @@
 	}
 	// A host that has told one kind of address and not the other has none of that (RFC 6762, 6.1: it would have told).
 	for k := range q.all {
-		if k.Kind == dnssd.AAAA && len(q.all[dnssd.Key{Name: k.Name, Kind: dnssd.A}]) == 0 {
-			v.Put(dnssd.Key{Name: k.Name, Kind: dnssd.A}, nil, 1, max(1, epoch))
+		if k.Kind == record.AAAA && len(q.all[record.Key{Name: k.Name, Kind: record.A}]) == 0 {
+			v.Put(record.Key{Name: k.Name, Kind: record.A}, nil, 1, max(1, epoch))
 		}
 	}
 	return v, q.labels
@@ -198,7 +198,7 @@
 		q.stirred = false
 	}
 	next = now + askMost
-	var ask []dnssd.Key
+	var ask []record.Key
 	for k := range q.wanted {
 		s := q.questions[k]
 		if s == nil {
@@ -213,7 +213,7 @@
 			s.asked++
 		}
 		answered := len(q.all[k]) > 0
-		if k.Kind != dnssd.PTR && answered {
+		if k.Kind != record.PTR && answered {
 			due, s.gap, s.next = false, askFirst, now+askFirst // unique sets are refreshed below, not asked for again
 		}
 		for _, e := range q.all[k] {
@@ -232,7 +232,7 @@
 		if due {
 			ask = append(ask, k)
 		}
-		if k.Kind == dnssd.PTR || !answered {
+		if k.Kind == record.PTR || !answered {
 			next = min(next, s.next)
 		}
 	}
@@ -241,7 +241,7 @@
 			next = min(next, e.until)
 		}
 	}
-	slices.SortFunc(ask, func(a, b dnssd.Key) int {
+	slices.SortFunc(ask, func(a, b record.Key) int {
 		if a.Kind != b.Kind {
 			return int(a.Kind) - int(b.Kind)
 		}
@@ -256,7 +256,7 @@
 // want works out what is to be known: the list, and each instance's records.
 func (q *Querier) want() {
 	v, _ := q.View(0)
-	q.wanted = map[dnssd.Key]bool{{Name: q.Service.List(), Kind: dnssd.PTR}: true}
+	q.wanted = map[record.Key]bool{{Name: q.Service.List(), Kind: record.PTR}: true}
 	names, _ := v.Instances(q.Service)
 	for _, name := range names {
 		for _, k := range v.Wants(name) {
@@ -270,13 +270,13 @@
 	}
 	for k := range q.all {
 		// What nobody wants is kept while it lives, as it may be of an instance that is told next.
-		if k.Kind == dnssd.PTR && k.Name != q.Service.List() {
+		if k.Kind == record.PTR && k.Name != q.Service.List() {
 			q.count -= len(q.all[k])
 			delete(q.all, k)
 		}
 	}
 	for name := range q.labels {
-		if len(q.labels) > dnssd.InstancesMost && !q.wanted[dnssd.Key{Name: name, Kind: dnssd.SRV}] {
+		if len(q.labels) > record.InstancesMost && !q.wanted[record.Key{Name: name, Kind: record.SRV}] {
 			delete(q.labels, name)
 		}
 	}
@@ -284,21 +284,21 @@
 
 // write makes messages of the questions, with the list's known answers (RFC 6762, 7.1): those with more than half of
 // their time left. What does not fit one message goes on in the next, the TC bit set in all but the last (7.2).
-func (q *Querier) write(ask []dnssd.Key, now time.Duration) (messages []*dns.Msg) {
+func (q *Querier) write(ask []record.Key, now time.Duration) (messages []*dns.Msg) {
 	const questionsMost = 20
 	for part := range slices.Chunk(ask, questionsMost) {
 		m := new(dns.Msg)
 		listed := false
 		for _, k := range part {
 			m.Question = append(m.Question, dns.Question{Name: k.Name, Qtype: uint16(k.Kind), Qclass: dns.ClassINET})
-			listed = listed || k.Kind == dnssd.PTR
+			listed = listed || k.Kind == record.PTR
 		}
 		messages = append(messages, m)
 		if !listed {
 			continue
 		}
 		size := m.Len()
-		for _, e := range q.all[dnssd.Key{Name: q.Service.List(), Kind: dnssd.PTR}] {
+		for _, e := range q.all[record.Key{Name: q.Service.List(), Kind: record.PTR}] {
 			if left := e.until - now; left <= (e.until-e.born)/2 {
 				continue
 			}
--- a/internal/find/mdns/mdns_test.go
+++ b/internal/dnssd/mdns/mdns_test.go
@@ -10,10 +10,10 @@
 	"github.com/miekg/dns"
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
-var service = dnssd.Service{Type: "_engine._tcp", Domain: "local"}
+var service = record.Service{Type: "_engine._tcp", Domain: "local"}
 
 func querier() *Querier { return New(service, func() float64 { return 0 }) }
 
@@ -130,7 +130,7 @@
 	q.Handle(told(t, "!b.local. 120 IN A 127.0.0.2"), now)
 	q.Handle(told(t, "!b.local. 120 IN A 127.0.0.3"), now+Grace/2)
 	v, _ := q.View(0)
-	require.Len(t, v.All("b.local.", dnssd.A), 3)
+	require.Len(t, v.All("b.local.", record.A), 3)
 	q.Expire(now + 130*time.Second)
 	require.Empty(t, names(q))
 }
--- a/internal/find/dso/dso.go
+++ b/internal/dnssd/push/dso.go
@@ -1,6 +1,6 @@
-// Package dso reads and writes the messages of DNS Stateful Operations (RFC 8490) and DNS Push Notifications (RFC
+// Package push reads and writes the messages of DNS Stateful Operations (RFC 8490) and DNS Push Notifications (RFC
 // 8765). It has no I/O and no clock: Frame and the functions beside it turn bytes into typed messages and back.
-package dso
+package push
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // Type of a TLV.
@@ -32,7 +32,7 @@
 	Remove bool
 	// All says that everything at the name goes: of Record.Kind, or of all kinds where that is 0.
 	All    bool
-	Record dnssd.Record
+	Record record.Record
 }
 
 // Message is one DSO message. Which fields are set depends on the primary TLV's type.
@@ -45,7 +45,7 @@
 	Inactivity, Interval time.Duration // Keepalive: the client closes after the first, and speaks each second
 	Delay                time.Duration // RetryDelay
 	Name                 string        // Subscribe
-	Kind                 dnssd.Kind    // Subscribe
+	Kind                 record.Kind   // Subscribe
 	Subscription         uint16        // Unsubscribe: the SUBSCRIBE's id
 	Changes              []Change      // Push
 }
@@ -133,7 +133,7 @@
 		if len(data) != at+4 {
 			return fmt.Errorf("SUBSCRIBE: %d bytes behind the name, not 4", len(data)-at)
 		}
-		m.Name, m.Kind = dnssd.Fold(name), dnssd.Kind(binary.BigEndian.Uint16(data[at:]))
+		m.Name, m.Kind = record.CanonicalName(name), record.Kind(binary.BigEndian.Uint16(data[at:]))
 	case Push:
 		for at := 0; at < len(data); {
 			if len(m.Changes) == changesMost {
@@ -167,9 +167,9 @@
 	}
 	switch ttl {
 	case removeAll:
-		c = Change{Remove: true, All: true, Record: dnssd.Record{Name: dnssd.Fold(name)}}
+		c = Change{Remove: true, All: true, Record: record.Record{Name: record.CanonicalName(name)}}
 		if kind != dns.TypeANY {
-			c.Record.Kind = dnssd.Kind(kind)
+			c.Record.Kind = record.Kind(kind)
 		}
 		return c, next, nil
 	case removeOne:
@@ -183,7 +183,7 @@
 		return c, 0, fmt.Errorf("%s: its data ends early", name)
 	}
 	var ok bool
-	if c.Record, ok = dnssd.Decode(rr); !ok {
+	if c.Record, ok = record.Decode(rr); !ok {
 		return Change{}, next, nil
 	}
 	return c, next, nil
--- a/internal/find/dso/dso_test.go
+++ b/internal/dnssd/push/dso_test.go
@@ -1,4 +1,4 @@
-package dso
+package push
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/miekg/dns"
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // What is written is read again as it was meant.
@@ -19,7 +19,7 @@
 	require.NoError(t, err)
 	m, err = Decode(raw)
 	require.NoError(t, err)
-	require.Equal(t, Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: dnssd.Kind(dns.TypeANY)}, m)
+	require.Equal(t, Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: record.Kind(dns.TypeANY)}, m)
 	m, err = Decode(UnsubscribeMessage(6))
 	require.NoError(t, err)
 	require.Equal(t, uint16(6), m.Subscription)
@@ -59,7 +59,7 @@
 	raw[15] = byte(len(name))
 	m, err = Decode(append(raw, name...))
 	require.NoError(t, err)
-	require.Equal(t, []Change{{Remove: true, All: true, Record: dnssd.Record{Name: "a.test."}}}, m.Changes)
+	require.Equal(t, []Change{{Remove: true, All: true, Record: record.Record{Name: "a.test."}}}, m.Changes)
 }
 
 func TestWhatCannotBeRead(t *testing.T) {
@@ -105,7 +105,7 @@
 			t.Fatal("too many changes")
 		}
 		for _, c := range m.Changes {
-			if c.Record.Name == "" || dnssd.Fold(c.Record.Name) != c.Record.Name {
+			if c.Record.Name == "" || record.CanonicalName(c.Record.Name) != c.Record.Name {
 				t.Fatalf("%q is no folded name", c.Record.Name)
 			}
 		}
--- a/internal/find/dnssd/damp.go
+++ b/internal/dnssd/record/damp.go
@@ -1,4 +1,4 @@
-package dnssd
+package record
 
 import "math"
 
@@ -27,8 +27,8 @@
 	return m.merit * math.Exp2(-float64(now-m.at)/float64(d.Half))
 }
 
-// Gone notes a withdrawal.
-func (d *Damper) Gone(name string, now int64) {
+// Removed notes a withdrawal.
+func (d *Damper) Removed(name string, now int64) {
 	if d.Half <= 0 {
 		return
 	}
--- a/internal/find/dnssd/dnssd_test.go
+++ b/internal/dnssd/record/dnssd_test.go
@@ -1,4 +1,4 @@
-package dnssd
+package record
 
 import (
 	"flag"
@@ -84,17 +84,17 @@
 func TestGuard(t *testing.T) {
 	const second = int64(1e9)
 	g := Guard{Part: 0.5, Hold: 10 * second}
-	require.Equal(t, Believe, g.Judge(8, 7, false, 0))
-	require.Equal(t, Believe, g.Judge(1, 0, false, 0), "the only one")
-	require.Equal(t, Believe, g.Judge(8, 4, false, 0))
-	require.Equal(t, Wait, g.Judge(8, 0, false, second))
-	require.Equal(t, Wait, g.Judge(8, 0, false, 10*second))
-	require.Equal(t, Believe, g.Judge(8, 8, false, 10*second+1), "they are back")
-	require.Equal(t, Wait, g.Judge(8, 0, false, 12*second), "held anew")
-	require.Equal(t, Wait, g.Judge(8, 2, false, 21*second), "another loss")
-	require.Equal(t, Wait, g.Judge(8, 2, false, 30*second))
-	require.Equal(t, Believe, g.Judge(8, 2, false, 31*second))
-	require.Equal(t, Believe, g.Judge(8, 0, true, 40*second), "the zone's serial says so")
+	require.Equal(t, Accept, g.Check(8, 7, false, 0))
+	require.Equal(t, Accept, g.Check(1, 0, false, 0), "the only one")
+	require.Equal(t, Accept, g.Check(8, 4, false, 0))
+	require.Equal(t, Hold, g.Check(8, 0, false, second))
+	require.Equal(t, Hold, g.Check(8, 0, false, 10*second))
+	require.Equal(t, Accept, g.Check(8, 8, false, 10*second+1), "they are back")
+	require.Equal(t, Hold, g.Check(8, 0, false, 12*second), "held anew")
+	require.Equal(t, Hold, g.Check(8, 2, false, 21*second), "another loss")
+	require.Equal(t, Hold, g.Check(8, 2, false, 30*second))
+	require.Equal(t, Accept, g.Check(8, 2, false, 31*second))
+	require.Equal(t, Accept, g.Check(8, 0, true, 40*second), "the zone's serial says so")
 	for _, s := range []struct {
 		a, b  uint32
 		newer bool
@@ -115,7 +115,7 @@
 func TestView(t *testing.T) {
 	const second = int64(time.Second)
 	s := Service{Type: "_e._tcp", Domain: "Hall.test"}
-	v := NewView()
+	v := NewCache()
 	list := Key{s.List(), PTR}
 	require.Equal(t, "_e._tcp.hall.test.", list.Name)
 	require.Equal(t, "_big._sub._e._tcp.hall.test.", Service{Type: "_e._tcp", Subtype: "_big", Domain: "hall.test"}.List())
@@ -163,12 +163,12 @@
 	const minute = int64(time.Minute)
 	d := Damper{Half: minute, Most: 3}
 	for range 1000 {
-		d.Gone("a", 0)
+		d.Removed("a", 0)
 	}
 	require.LessOrEqual(t, d.Until("a", 0), minute+2)
 	require.Equal(t, int64(5), d.Until("b", 5))
 	require.Equal(t, 2*minute, d.Until("a", 2*minute))
 	off := Damper{}
-	off.Gone("a", 0)
+	off.Removed("a", 0)
 	require.Equal(t, int64(7), off.Until("a", 7))
 }
--- a/internal/find/dnssd/guard.go
+++ b/internal/dnssd/record/guard.go
@@ -1,4 +1,4 @@
-package dnssd
+package record
 
 // Guard tells a real emptying of a list from one that only looks so. A server that lost its zone answers "no such
 // instances" as readily as one whose boxes were all withdrawn; taking the first for the second would stop all traffic.
@@ -16,35 +16,35 @@
 	left  int
 }
 
-// Judgement is what a Guard makes of a list.
-type Judgement int
+// Decision is what a Guard makes of a list.
+type Decision int
 
 // The judgements of a Guard.
 const (
-	Believe Judgement = iota // the answer is the list
-	Wait                     // hold the last list, and ask again
+	Accept Decision = iota // the answer is the list
+	Hold                   // hold the last list, and ask again
 )
 
-// Judge is shown each whole answer: how many boxes were listed, how many of them are still, whether the zone's serial
+// Check is shown each whole answer: how many boxes were listed, how many of them are still, whether the zone's serial
 // has gone up since the list that is held, and the time in nanoseconds.
-func (g *Guard) Judge(listed, still int, changed bool, now int64) Judgement {
+func (g *Guard) Check(listed, still int, changed bool, now int64) Decision {
 	gone := listed - still
 	if listed == 0 || gone <= 1 || float64(gone) <= g.Part*float64(listed) || changed {
 		g.held = false
-		return Believe
+		return Accept
 	}
 	if !g.held || g.left != still {
 		g.held, g.since, g.left = true, now, still
 	}
 	if now-g.since >= g.Hold {
 		g.held = false
-		return Believe
+		return Accept
 	}
-	return Wait
+	return Hold
 }
 
-// Held tells whether a loss is being held, and since when.
-func (g *Guard) Held() (since int64, held bool) { return g.since, g.held }
+// HeldSince tells whether a loss is being held, and since when.
+func (g *Guard) HeldSince() (since int64, held bool) { return g.since, g.held }
 
 // Newer compares two serials of a zone (RFC 1982): whether a is later than b.
 func Newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
--- a/internal/find/dnssd/names.go
+++ b/internal/dnssd/record/names.go
@@ -1,6 +1,6 @@
-// Package dnssd is what DNS-SD records mean (RFC 6763): names, attributes, which target an instance has, and what a
+// Package record is what DNS-SD records mean (RFC 6763): names, attributes, which target an instance has, and what a
 // list of instances that has changed says. It decides alone: no clock, no I/O.
-package dnssd
+package record
 
 import (
 	"errors"
--- a/internal/find/dnssd/records.go
+++ b/internal/dnssd/record/records.go
@@ -1,4 +1,4 @@
-package dnssd
+package record
 
 import (
 	"fmt"
@@ -41,9 +41,9 @@
 	Least  uint32 // SOA: the negative TTL's bound (RFC 2308, 4)
 }
 
-// Fold is the form in which names are compared: lower case, fully qualified, escapes written one way. A name that has
+// CanonicalName is the form in which names are compared: lower case, fully qualified, escapes written one way. A name that has
 // no wire form is "".
-func Fold(name string) string {
+func CanonicalName(name string) string {
 	if plain(name) {
 		return strings.ToLower(dns.Fqdn(name))
 	}
@@ -91,7 +91,7 @@
 // Decode reads a record; ok is false for kinds that mean nothing here.
 func Decode(rr dns.RR) (r Record, ok bool) {
 	h := rr.Header()
-	r = Record{Name: Fold(h.Name), Kind: Kind(h.Rrtype), TTL: h.Ttl, Flush: h.Class&0x8000 != 0}
+	r = Record{Name: CanonicalName(h.Name), Kind: Kind(h.Rrtype), TTL: h.Ttl, Flush: h.Class&0x8000 != 0}
 	if r.Name == "" || h.Class&0x7fff != dns.ClassINET {
 		return r, false
 	}
@@ -99,7 +99,7 @@
 	case *dns.PTR:
 		r.Target = rr.Ptr
 	case *dns.SRV:
-		r.Server = Target{Priority: rr.Priority, Weight: rr.Weight, Port: rr.Port, Host: Fold(rr.Target)}
+		r.Server = Target{Priority: rr.Priority, Weight: rr.Weight, Port: rr.Port, Host: CanonicalName(rr.Target)}
 	case *dns.TXT:
 		r.Text = strings.Join(rr.Txt, "\x00")
 	case *dns.A:
@@ -120,7 +120,7 @@
 func (r Record) same(o Record) bool {
 	r.TTL, r.Flush, o.TTL, o.Flush = 0, false, 0, false
 	if r.Kind == PTR && o.Kind == PTR {
-		r.Target, o.Target = Fold(r.Target), Fold(o.Target)
+		r.Target, o.Target = CanonicalName(r.Target), CanonicalName(o.Target)
 	}
 	return r == o
 }
@@ -149,20 +149,20 @@
 	longestTTL   = 24 * time.Hour
 )
 
-// View is all that is known of a domain: a cache with the time each set lives.
-type View struct{ sets map[Key]*Set }
+// Cache is all that is known of a domain: a cache with the time each set lives.
+type Cache struct{ sets map[Key]*Set }
 
-// NewView makes one that is empty.
-func NewView() *View { return &View{sets: map[Key]*Set{}} }
+// NewCache makes one that is empty.
+func NewCache() *Cache { return &Cache{sets: map[Key]*Set{}} }
 
 // Len is the number of sets.
-func (v *View) Len() int { return len(v.sets) }
+func (v *Cache) Len() int { return len(v.sets) }
 
 // Get is the set under a key, nil if it was never told.
-func (v *View) Get(name string, kind Kind) *Set { return v.sets[Key{name, kind}] }
+func (v *Cache) Get(name string, kind Kind) *Set { return v.sets[Key{name, kind}] }
 
 // All are the records under a key.
-func (v *View) All(name string, kind Kind) []Record {
+func (v *Cache) All(name string, kind Kind) []Record {
 	if s := v.sets[Key{name, kind}]; s != nil {
 		return s.Records
 	}
@@ -171,7 +171,7 @@
 
 // Put takes in a whole answer. Without records it is the word that there are none, which is believed for least seconds,
 // bounded to 5 s: a box that is published a moment later must not wait long. It tells whether anything has changed.
-func (v *View) Put(k Key, records []Record, least uint32, now int64) bool {
+func (v *Cache) Put(k Key, records []Record, least uint32, now int64) bool {
 	s := v.sets[k]
 	if s == nil {
 		if len(v.sets) >= SetsMost {
@@ -203,10 +203,10 @@
 	if len(a) > 16 { // large sets come in any order
 		have := make(map[string]struct{}, len(a))
 		for _, r := range a {
-			have[fmt.Sprint(Fold(r.Target), r.Server, r.Text, r.IP)] = struct{}{}
+			have[fmt.Sprint(CanonicalName(r.Target), r.Server, r.Text, r.IP)] = struct{}{}
 		}
 		for _, r := range b {
-			if _, ok := have[fmt.Sprint(Fold(r.Target), r.Server, r.Text, r.IP)]; !ok {
+			if _, ok := have[fmt.Sprint(CanonicalName(r.Target), r.Server, r.Text, r.IP)]; !ok {
 				return false
 			}
 		}
@@ -221,7 +221,7 @@
 }
 
 // Fail notes that a question was not answered. What was known stays.
-func (v *View) Fail(k Key, why string, again int64) {
+func (v *Cache) Fail(k Key, why string, again int64) {
 	s := v.sets[k]
 	if s == nil {
 		if len(v.sets) >= SetsMost {
@@ -234,7 +234,7 @@
 }
 
 // Add takes in one record, as push and mDNS tell them, and tells whether it is news.
-func (v *View) Add(r Record, now int64) bool {
+func (v *Cache) Add(r Record, now int64) bool {
 	k := Key{r.Name, r.Kind}
 	s := v.sets[k]
 	if s == nil {
@@ -261,7 +261,7 @@
 }
 
 // Remove takes out one record, and tells whether it was there.
-func (v *View) Remove(r Record, now int64) bool {
+func (v *Cache) Remove(r Record, now int64) bool {
 	s := v.sets[Key{r.Name, r.Kind}]
 	if s == nil {
 		return false
@@ -273,7 +273,7 @@
 }
 
 // Clear takes out the set of a kind at a name, or with kind 0 all sets there, and tells whether there was any.
-func (v *View) Clear(name string, kind Kind, now int64) bool {
+func (v *Cache) Clear(name string, kind Kind, now int64) bool {
 	gone := false
 	for _, k := range []Kind{PTR, SRV, TXT, A, AAAA} {
 		if s := v.sets[Key{name, k}]; s != nil && (kind == 0 || kind == k) {
@@ -285,14 +285,14 @@
 }
 
 // Stale marks every set as due now: the zone has changed.
-func (v *View) Stale(now int64) {
+func (v *Cache) Stale(now int64) {
 	for _, s := range v.sets {
 		s.Due = min(s.Due, now)
 	}
 }
 
 // NextDue is when the first of all sets is to be asked for again.
-func (v *View) NextDue() int64 {
+func (v *Cache) NextDue() int64 {
 	next := int64(math.MaxInt64)
 	for _, s := range v.sets {
 		next = min(next, s.Due)
@@ -301,7 +301,7 @@
 }
 
 // Keep forgets the sets that are not among those wanted.
-func (v *View) Keep(wanted map[Key]bool) {
+func (v *Cache) Keep(wanted map[Key]bool) {
 	for k := range v.sets {
 		if !wanted[k] {
 			delete(v.sets, k)
@@ -317,18 +317,18 @@
 }
 
 // Base is the folded name that instances hang under.
-func (s Service) Base() string { return Fold(s.Type + "." + s.Domain) }
+func (s Service) Base() string { return CanonicalName(s.Type + "." + s.Domain) }
 
 // List is the folded name whose PTR records list the instances (RFC 6763, 4 and 7.1).
 func (s Service) List() string {
 	if s.Subtype != "" {
-		return Fold(s.Subtype + "._sub." + s.Type + "." + s.Domain)
+		return CanonicalName(s.Subtype + "._sub." + s.Type + "." + s.Domain)
 	}
 	return s.Base()
 }
 
 // Enumeration is the name whose PTR records list a domain's service types (RFC 6763, 9).
-func Enumeration(domain string) string { return Fold("_services._dns-sd._udp." + domain) }
+func Enumeration(domain string) string { return CanonicalName("_services._dns-sd._udp." + domain) }
 
 // InstancesMost bounds the instances of one service.
 const InstancesMost = 4096
@@ -347,11 +347,11 @@
 
 // Instances are the folded names that are listed now, with their labels, in order; the rest are passed over because
 // they are no names of the service, or too many.
-func (v *View) Instances(s Service) (names []string, over int) {
+func (v *Cache) Instances(s Service) (names []string, over int) {
 	base := s.Base()
 	seen := map[string]bool{}
 	for _, r := range v.All(s.List(), PTR) {
-		name := Fold(r.Target)
+		name := CanonicalName(r.Target)
 		switch {
 		case name == base || !Within(name, base) || seen[name]:
 		case len(names) == InstancesMost:
@@ -367,7 +367,7 @@
 
 // Wants are the keys that a listed instance needs, as far as they are known by now: its SRV and TXT, and the addresses
 // of the target that its SRV records give. AAAA is wanted only where there is no A.
-func (v *View) Wants(instance string) []Key {
+func (v *Cache) Wants(instance string) []Key {
 	keys := []Key{{instance, SRV}, {instance, TXT}}
 	target, err := v.target(instance)
 	if err != nil {
@@ -380,7 +380,7 @@
 	return keys
 }
 
-func (v *View) target(instance string) (Target, error) {
+func (v *Cache) target(instance string) (Target, error) {
 	var all []Target
 	for _, r := range v.All(instance, SRV) {
 		all = append(all, r.Server)
@@ -389,7 +389,7 @@
 }
 
 // Assemble puts an instance together from what is known.
-func (v *View) Assemble(name, label string) Instance {
+func (v *Cache) Assemble(name, label string) Instance {
 	in := Instance{Name: name, Label: label, TTL: math.MaxUint32, Until: math.MaxInt64}
 	known := func(host string, kind Kind) bool {
 		s := v.Get(host, kind)
@@ -448,7 +448,7 @@
 }
 
 // failure is why what is wanted at a name is not there.
-func (v *View) failure(name string) error {
+func (v *Cache) failure(name string) error {
 	for _, k := range []Kind{SRV, TXT, A, AAAA} {
 		if s := v.Get(name, k); s != nil && s.Failed != "" {
 			return fmt.Errorf("%s %s: %s", k, name, s.Failed)
--- a/internal/find/lookup/fuzz_test.go
+++ b/internal/dnssd/resolver/fuzz_test.go
@@ -1,11 +1,11 @@
-package lookup
+package resolver
 
 import (
 	"testing"
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // Whatever a DNS server answers, what is put together of it is an instance or says its fault, and is bounded.
@@ -30,18 +30,18 @@
 	add("_e._tcp.test. 120 IN PTR a._e._tcp.test.", "a._e._tcp.test. 120 IN SRV 0 0 80 h.test.", "a._e._tcp.test. 120 IN TXT \"share=2\" \"=\" \"x\"",
 		"h.test. 120 IN A 127.0.0.1", "test. 60 IN SOA a. b. 1 2 3 4 5")
 	add("_e._tcp.test. 4294967295 IN PTR a\\.\\000._e._tcp.test.", "h.test. 0 IN AAAA ::1")
-	service := dnssd.Service{Type: "_e._tcp", Domain: "test."}
+	service := record.Service{Type: "_e._tcp", Domain: "test."}
 	client := &Client{Domain: "test."}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		m := new(dns.Msg)
 		if m.Unpack(raw) != nil {
 			return
 		}
-		a := client.read(m, service.List(), dnssd.PTR)
-		v := dnssd.NewView()
-		v.Put(dnssd.Key{Name: service.List(), Kind: dnssd.PTR}, a.Records, a.Least, 1)
+		a := client.read(m, service.List(), record.PTR)
+		v := record.NewCache()
+		v.Put(record.Key{Name: service.List(), Kind: record.PTR}, a.Records, a.Least, 1)
 		for _, r := range a.Extra {
-			if !dnssd.Within(r.Name, "test.") {
+			if !record.Within(r.Name, "test.") {
 				t.Fatalf("%q is none of the domain's", r.Name)
 			}
 			v.Add(r, 1)
--- a/internal/find/lookup/lookup.go
+++ b/internal/dnssd/resolver/lookup.go
@@ -1,5 +1,5 @@
-// Package lookup asks a DNS server over UDP, and over TCP where an answer does not fit.
-package lookup
+// Package resolver asks a DNS server over UDP, and over TCP where an answer does not fit.
+package resolver
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 const (
@@ -64,9 +64,9 @@
 
 // Answer is what the server said.
 type Answer struct {
-	Records       []dnssd.Record // of the name and kind that were asked for
-	Extra         []dnssd.Record // others that it told along, all within the domain
-	Least         uint32         // seconds for which the lack of records may be believed (RFC 2308, 5)
+	Records       []record.Record // of the name and kind that were asked for
+	Extra         []record.Record // others that it told along, all within the domain
+	Least         uint32          // seconds for which the lack of records may be believed (RFC 2308, 5)
 	Authoritative bool
 	NoName        bool // NXDOMAIN
 }
@@ -76,7 +76,7 @@
 
 // Ask asks once, again after a while where no answer comes, with jitter. The case of the name's letters is drawn anew
 // each time and must come back, as the id must (0x20 encoding): a guess at both is no answer, and the wait goes on.
-func (c *Client) Ask(ctx context.Context, name string, kind dnssd.Kind) (Answer, error) {
+func (c *Client) Ask(ctx context.Context, name string, kind record.Kind) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, allTime)
 	defer cancel()
 	last := errors.New("no answer")
@@ -124,7 +124,7 @@
 
 // Together asks for the zone's serial and for one set from one socket, so that both answers are of one server though
 // several share its address. serial is nil where the server tells none.
-func (c *Client) Together(ctx context.Context, zone, name string, kind dnssd.Kind) (serial *uint32, a Answer, err error) {
+func (c *Client) Together(ctx context.Context, zone, name string, kind record.Kind) (serial *uint32, a Answer, err error) {
 	within, cancel := context.WithTimeout(ctx, allTime)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(within, "udp", c.Server)
@@ -132,7 +132,7 @@
 		return nil, a, err
 	}
 	defer conn.Close()
-	soa, err := c.over(within, conn, zone, dnssd.SOA)
+	soa, err := c.over(within, conn, zone, record.SOA)
 	if err != nil {
 		return nil, a, err
 	}
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, a, err
 	}
-	for _, r := range c.read(soa, zone, dnssd.SOA).Records {
+	for _, r := range c.read(soa, zone, record.SOA).Records {
 		if soa.Authoritative {
 			serial = &r.Serial
 		}
@@ -153,7 +153,7 @@
 }
 
 // over asks one question over a socket, again and again until it is answered or ctx ends.
-func (c *Client) over(ctx context.Context, conn net.Conn, name string, kind dnssd.Kind) (answer *dns.Msg, err error) {
+func (c *Client) over(ctx context.Context, conn net.Conn, name string, kind record.Kind) (answer *dns.Msg, err error) {
 	wait := c.patience()
 	for try := 0; ctx.Err() == nil; try, wait = try+1, min(2*wait, restMost) {
 		c.Asked.Add(1)
@@ -178,14 +178,14 @@
 	return nil, fmt.Errorf("%s %s: %w", kind, name, errors.Join(err, ctx.Err()))
 }
 
-func question(name string, kind dnssd.Kind) *dns.Msg {
+func question(name string, kind record.Kind) *dns.Msg {
 	q := new(dns.Msg).SetQuestion(mixCase(name), uint16(kind))
 	q.RecursionDesired = false
 	q.SetEdns0(packetMost, false)
 	return q
 }
 
-func (c *Client) once(ctx context.Context, name string, kind dnssd.Kind, wait time.Duration) (*dns.Msg, error) {
+func (c *Client) once(ctx context.Context, name string, kind record.Kind, wait time.Duration) (*dns.Msg, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	q := question(name, kind)
@@ -248,17 +248,17 @@
 		sameName(answer.Question[0].Name, q.Question[0].Name)
 }
 
-func (c *Client) read(m *dns.Msg, name string, kind dnssd.Kind) Answer {
+func (c *Client) read(m *dns.Msg, name string, kind record.Kind) Answer {
 	a := Answer{Authoritative: m.Authoritative, NoName: m.Rcode == dns.RcodeNameError}
-	own, domain := dnssd.Fold(name), dnssd.Fold(c.Domain)
+	own, domain := record.CanonicalName(name), record.CanonicalName(c.Domain)
 	take := func(rr dns.RR, extra bool) {
-		switch r, ok := dnssd.Decode(rr); {
+		switch r, ok := record.Decode(rr); {
 		case !ok:
 		case r.Name == own && r.Kind == kind:
 			if !extra {
 				a.Records = append(a.Records, r)
 			}
-		case c.Domain != "" && dnssd.Within(r.Name, domain) && r.Kind != dnssd.SOA:
+		case c.Domain != "" && record.Within(r.Name, domain) && r.Kind != record.SOA:
 			a.Extra = append(a.Extra, r)
 		}
 	}
@@ -269,7 +269,7 @@
 		take(rr, true)
 	}
 	for _, rr := range m.Ns {
-		if r, ok := dnssd.Decode(rr); ok && r.Kind == dnssd.SOA && dnssd.Within(own, r.Name) {
+		if r, ok := record.Decode(rr); ok && r.Kind == record.SOA && record.Within(own, r.Name) {
 			a.Least = r.Least
 		}
 	}
--- a/internal/find/lookup/lookup_test.go
+++ b/internal/dnssd/resolver/lookup_test.go
@@ -1,4 +1,4 @@
-package lookup
+package resolver
 
 import (
 	"net"
@@ -7,7 +7,7 @@
 	"github.com/miekg/dns"
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // Answers from another source, with the right id and name, and ones with another kind of record, are passed over: the
@@ -44,7 +44,7 @@
 	}()
 	c := &Client{Server: server.LocalAddr().String(), Domain: "hall.test"}
 	for range 20 {
-		a, err := c.Ask(t.Context(), "box.hall.test.", dnssd.A)
+		a, err := c.Ask(t.Context(), "box.hall.test.", record.A)
 		require.NoError(t, err)
 		require.Len(t, a.Records, 1)
 		require.Equal(t, "127.0.0.7", a.Records[0].IP.String())
--- a/internal/endpoints/browser.go
+++ b/internal/endpoints/browser.go
@@ -15,8 +15,8 @@
 
 	"standpoint"
 	"standpoint/internal/clock"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/node"
 )
 
@@ -26,22 +26,22 @@
 //
 // A look-up that fails changes nothing that is known, and a bad record costs its own instance alone.
 type Browser struct {
-	FinderOptions discovery.Options // Tell is the browser's own
-	Key           string            // names the source among others, in the store too
-	Config        string            // all that it was told; another means other settings
-	Site          string            // of instances that do not tell theirs; "" for the first
-	Suffix        string            // behind the instances' names, to tell several services' apart
-	Guard         dnssd.Guard
-	Damper        dnssd.Damper
+	FinderOptions browser.Options // Tell is the browser's own
+	Key           string          // names the source among others, in the store too
+	Config        string          // all that it was told; another means other settings
+	Site          string          // of instances that do not tell theirs; "" for the first
+	Suffix        string          // behind the instances' names, to tell several services' apart
+	Guard         record.Guard
+	Damper        record.Damper
 	Names         Names
 	Notify        func(node.EndpointList)
 	Log           *zap.Logger
 
-	snapshots chan discovery.Sight // the newest that is not looked at yet
-	finder    *discovery.Finder
+	snapshots chan browser.Snapshot // the newest that is not looked at yet
+	finder    *browser.Browser
 
 	// The actor's alone.
-	last        *discovery.Sight
+	last        *browser.Snapshot
 	unpublished bool                     // nothing was told yet
 	published   []node.Endpoint          // what the core was last told, by name
 	endpoints   map[string]node.Endpoint // by full instance name; those that are in use
@@ -62,7 +62,7 @@
 }
 
 const (
-	sightingsMost = 2 * dnssd.InstancesMost
+	sightingsMost = 2 * record.InstancesMost
 	// sameStart is how long an instance that tells no start may be away and still count as the one that went: longer
 	// than a lost message, shorter than a box takes to start.
 	sameStart = 2 * time.Second
@@ -132,23 +132,23 @@
 }
 
 func (b *Browser) start() {
-	b.snapshots, b.unpublished = make(chan discovery.Sight, 1), true
+	b.snapshots, b.unpublished = make(chan browser.Snapshot, 1), true
 	b.observed = map[string]observedInstance{}
-	b.FinderOptions.Tell = func(s discovery.Sight) {
+	b.FinderOptions.Tell = func(s browser.Snapshot) {
 		select { // the newest alone counts
 		case <-b.snapshots:
 		default:
 		}
 		b.snapshots <- s
 	}
-	b.finder = discovery.New(b.FinderOptions)
+	b.finder = browser.New(b.FinderOptions)
 }
 
 // evaluate takes in a sight, and tells the core if the list has changed. It says when the same sight is to be judged again,
 // 0 for never: what the guard or the damper holds back may be due then.
-func (b *Browser) evaluate(s discovery.Sight, now time.Time) (again time.Duration) {
+func (b *Browser) evaluate(s browser.Snapshot, now time.Time) (again time.Duration) {
 	if s.Over > 0 && b.FinderOptions.Log != nil {
-		b.Log.Warn("more instances than are taken", zap.Int("over", s.Over), zap.Int("most", dnssd.InstancesMost))
+		b.Log.Warn("more instances than are taken", zap.Int("over", s.Over), zap.Int("most", record.InstancesMost))
 	}
 	still := 0
 	for _, in := range s.Instances {
@@ -156,8 +156,8 @@
 			still++
 		}
 	}
-	newer := s.Serial != nil && b.serial != nil && dnssd.Newer(*s.Serial, *b.serial)
-	if b.Guard.Judge(len(b.listed), still, newer, clock.Of(now)) == dnssd.Wait {
+	newer := s.Serial != nil && b.serial != nil && record.Newer(*s.Serial, *b.serial)
+	if b.Guard.Check(len(b.listed), still, newer, clock.Of(now)) == record.Hold {
 		return 100 * time.Millisecond
 	}
 	entries, faults := map[string]node.Endpoint{}, map[string]string{}
@@ -188,8 +188,8 @@
 	}
 	for name := range b.endpoints {
 		if _, stays := entries[name]; !stays {
-			b.Damper.Gone(name, clock.Of(now))
-			b.FinderOptions.Metrics.Gone(now.Sub(b.proved))
+			b.Damper.Removed(name, clock.Of(now))
+			b.FinderOptions.Metrics.Removed(now.Sub(b.proved))
 		}
 	}
 	b.note(s, entries, faults)
@@ -211,7 +211,7 @@
 }
 
 // note keeps the origins of what was found.
-func (b *Browser) note(s discovery.Sight, entries map[string]node.Endpoint, faults map[string]string) {
+func (b *Browser) note(s browser.Snapshot, entries map[string]node.Endpoint, faults map[string]string) {
 	changed := map[string]time.Time{}
 	all := make([]Origin, 0, len(s.Instances))
 	for _, in := range s.Instances {
@@ -238,7 +238,7 @@
 }
 
 // entry reads an instance as an endpoint.
-func (b *Browser) entry(in dnssd.Instance, now time.Time) (node.Endpoint, error) {
+func (b *Browser) entry(in record.Instance, now time.Time) (node.Endpoint, error) {
 	e := node.Endpoint{Engine: standpoint.Engine{Name: in.Label + b.Suffix, Size: 1}, Source: b.Key}
 	if in.Fault != nil {
 		return e, in.Fault
--- a/internal/endpoints/browser_test.go
+++ b/internal/endpoints/browser_test.go
@@ -16,8 +16,8 @@
 
 	"standpoint"
 	"standpoint/internal/clock"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/lab/responder"
 	"standpoint/internal/node"
 	"standpoint/internal/store"
@@ -32,19 +32,19 @@
 
 func newStage() *stage {
 	s := &stage{now: time.Unix(1_800_000_000, 0)}
-	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: dnssd.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
-		Damper: dnssd.Damper{Half: int64(time.Minute), Most: 3}, Notify: nil, unpublished: true, observed: map[string]observedInstance{}}
+	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: record.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
+		Damper: record.Damper{Half: int64(time.Minute), Most: 3}, Notify: nil, unpublished: true, observed: map[string]observedInstance{}}
 	s.Browser.Notify = func(l node.EndpointList) { s.news = append(s.news, l) }
 	return s
 }
 
-func instance(label string, text ...string) dnssd.Instance {
-	return dnssd.Instance{Name: label + "._engine._tcp.hall.test.", Label: label, Address: netip.MustParseAddrPort("127.0.0.1:8001"),
-		Attributes: dnssd.ParseTXT(text), TTL: 120}
+func instance(label string, text ...string) record.Instance {
+	return record.Instance{Name: label + "._engine._tcp.hall.test.", Label: label, Address: netip.MustParseAddrPort("127.0.0.1:8001"),
+		Attributes: record.ParseTXT(text), TTL: 120}
 }
 
-func (s *stage) see(serial uint32, all ...dnssd.Instance) time.Duration {
-	sight := discovery.Sight{Instances: all, At: s.now, Way: discovery.Poll}
+func (s *stage) see(serial uint32, all ...record.Instance) time.Duration {
+	sight := browser.Snapshot{Instances: all, At: s.now, Way: browser.Poll}
 	if serial != 0 {
 		sight.Serial = &serial
 	}
@@ -86,7 +86,7 @@
 // A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held, until it has
 // stayed empty, or the zone's serial went up. One box that goes is believed at once.
 func TestBrowserHoldsLostList(t *testing.T) {
-	all := []dnssd.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
+	all := []record.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
 	s := newStage()
 	s.see(7, all...)
 	s.now = s.now.Add(30 * time.Second)
@@ -181,7 +181,7 @@
 		s.Guard.Part = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
-			var all []dnssd.Instance
+			var all []record.Instance
 			listed := map[string]bool{}
 			for i := range 5 {
 				if rapid.Bool().Draw(t, "listed") {
@@ -224,8 +224,8 @@
 
 func browse(server, domain, site string) *Browser {
 	return &Browser{Key: "_engine._tcp." + domain, Config: server + site, Suffix: "@" + domain, Site: site, Names: names, Log: zap.NewNop(),
-		Guard: dnssd.Guard{Part: 0.5, Hold: int64(time.Hour)}, FinderOptions: discovery.Options{Server: server, Way: discovery.Poll, Log: zap.NewNop(),
-			Every: 50 * time.Millisecond, Refresh: time.Second, Service: dnssd.Service{Type: "_engine._tcp", Domain: domain}}}
+		Guard: record.Guard{Part: 0.5, Hold: int64(time.Hour)}, FinderOptions: browser.Options{Server: server, Way: browser.Poll, Log: zap.NewNop(),
+			Every: 50 * time.Millisecond, Refresh: time.Second, Service: record.Service{Type: "_engine._tcp", Domain: domain}}}
 }
 
 func told(l node.EndpointList) (all []string) {
--- a/internal/lab/responder/mdns.go
+++ b/internal/lab/responder/mdns.go
@@ -7,7 +7,7 @@
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 const (
@@ -42,7 +42,7 @@
 		s.mu.Unlock()
 		var all []dns.RR
 		for _, question := range q.Question {
-			found := s.Zone.get(dnssd.Fold(question.Name), dnssd.Kind(question.Qtype))
+			found := s.Zone.get(record.CanonicalName(question.Name), record.Kind(question.Qtype))
 			for _, rr := range found {
 				if slices.ContainsFunc(q.Answer, func(known dns.RR) bool { // RFC 6762, 7.1
 					return dns.IsDuplicate(known, rr) && known.Header().Ttl >= rr.Header().Ttl/2
@@ -51,11 +51,11 @@
 				}
 				all = append(all, rr)
 				if p, ok := rr.(*dns.PTR); ok {
-					all = append(all, s.Zone.get(dnssd.Fold(p.Ptr), dnssd.SRV)...)
-					all = append(all, s.Zone.get(dnssd.Fold(p.Ptr), dnssd.TXT)...)
-					for _, rr := range s.Zone.get(dnssd.Fold(p.Ptr), dnssd.SRV) { // RFC 6763, 12.2
-						host := dnssd.Fold(rr.(*dns.SRV).Target)
-						all = append(append(all, s.Zone.get(host, dnssd.A)...), s.Zone.get(host, dnssd.AAAA)...)
+					all = append(all, s.Zone.get(record.CanonicalName(p.Ptr), record.SRV)...)
+					all = append(all, s.Zone.get(record.CanonicalName(p.Ptr), record.TXT)...)
+					for _, rr := range s.Zone.get(record.CanonicalName(p.Ptr), record.SRV) { // RFC 6763, 12.2
+						host := record.CanonicalName(rr.(*dns.SRV).Target)
+						all = append(append(all, s.Zone.get(host, record.A)...), s.Zone.get(host, record.AAAA)...)
 					}
 				}
 			}
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -14,8 +14,8 @@
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
-	"standpoint/internal/find/dso"
+	"standpoint/internal/dnssd/push"
+	"standpoint/internal/dnssd/record"
 )
 
 // Faults are what goes wrong. Parts are from 0 to 1.
@@ -296,7 +296,7 @@
 				delete(s.conns, conn)
 				s.mu.Unlock()
 			}()
-			(&connection{Server: s, conn: conn, subs: map[uint16]dnssd.Key{}}).serve()
+			(&connection{Server: s, conn: conn, subs: map[uint16]record.Key{}}).serve()
 		})
 	}
 }
@@ -307,7 +307,7 @@
 	conn    net.Conn
 	writing sync.Mutex
 	mu      sync.Mutex
-	subs    map[uint16]dnssd.Key // by id; kind 0 for all kinds
+	subs    map[uint16]record.Key // by id; kind 0 for all kinds
 	session bool
 }
 
@@ -346,7 +346,7 @@
 		if f.Silent {
 			continue
 		}
-		if dso.IsDSO(raw) && !f.NoPush {
+		if push.IsDSO(raw) && !f.NoPush {
 			if c.dso(raw) != nil {
 				return
 			}
@@ -393,7 +393,7 @@
 }
 
 func (c *connection) dso(raw []byte) error {
-	m, err := dso.Decode(raw)
+	m, err := push.Decode(raw)
 	if err != nil {
 		return err
 	}
@@ -402,46 +402,46 @@
 		c.Sessions.Add(1)
 	}
 	switch m.Type {
-	case dso.Keepalive:
-		return c.send(dso.KeepaliveMessage(m.ID, true, time.Minute, m.Interval))
-	case dso.Unsubscribe:
+	case push.Keepalive:
+		return c.send(push.KeepaliveMessage(m.ID, true, time.Minute, m.Interval))
+	case push.Unsubscribe:
 		c.mu.Lock()
 		delete(c.subs, m.Subscription)
 		c.mu.Unlock()
-	case dso.Subscribe:
+	case push.Subscribe:
 		c.Questions.Add(1)
-		if !dnssd.Within(m.Name, dnssd.Fold(c.Zone.Domain)) {
-			return c.send(dso.Response(m.ID, dns.RcodeNotAuth))
+		if !record.Within(m.Name, record.CanonicalName(c.Zone.Domain)) {
+			return c.send(push.Response(m.ID, dns.RcodeNotAuth))
 		}
-		k := dnssd.Key{Name: m.Name, Kind: m.Kind}
-		if m.Kind == dnssd.Kind(dns.TypeANY) {
+		k := record.Key{Name: m.Name, Kind: m.Kind}
+		if m.Kind == record.Kind(dns.TypeANY) {
 			k.Kind = 0
 		}
 		c.mu.Lock()
 		c.subs[m.ID] = k
 		c.mu.Unlock()
-		if err := c.send(dso.Response(m.ID, dns.RcodeSuccess)); err != nil {
+		if err := c.send(push.Response(m.ID, dns.RcodeSuccess)); err != nil {
 			return err
 		}
-		var now []dso.Pushed
-		for _, kind := range []dnssd.Kind{dnssd.PTR, dnssd.SRV, dnssd.TXT, dnssd.A, dnssd.AAAA} {
+		var now []push.Pushed
+		for _, kind := range []record.Kind{record.PTR, record.SRV, record.TXT, record.A, record.AAAA} {
 			if k.Kind == 0 || k.Kind == kind {
 				for _, rr := range c.Zone.get(k.Name, kind) {
-					now = append(now, dso.Pushed{RR: rr})
+					now = append(now, push.Pushed{RR: rr})
 				}
 			}
 		}
 		return c.write(now)
 	default:
 		if m.ID != 0 {
-			return c.send(dso.Response(m.ID, dns.RcodeStatefulTypeNotImplemented))
+			return c.send(push.Response(m.ID, dns.RcodeStatefulTypeNotImplemented))
 		}
 	}
 	return nil
 }
 
-func (c *connection) write(all []dso.Pushed) error {
-	messages, err := dso.PushMessages(all)
+func (c *connection) write(all []push.Pushed) error {
+	messages, err := push.PushMessages(all)
 	for _, m := range messages {
 		if err == nil {
 			err = c.send(m)
@@ -456,17 +456,17 @@
 	if f.Silent || f.Mute {
 		return
 	}
-	var out []dso.Pushed
+	var out []push.Pushed
 	c.mu.Lock()
-	wanted := map[dnssd.Key]bool{}
+	wanted := map[record.Key]bool{}
 	for _, k := range c.subs {
 		wanted[k] = true
 	}
 	c.mu.Unlock()
 	for _, change := range all {
 		k := keyOf(change.RR)
-		if wanted[k] || wanted[dnssd.Key{Name: k.Name}] {
-			out = append(out, dso.Pushed{RR: change.RR, Remove: change.Remove})
+		if wanted[k] || wanted[record.Key{Name: k.Name}] {
+			out = append(out, push.Pushed{RR: change.RR, Remove: change.Remove})
 		}
 	}
 	if c.write(out) != nil {
--- a/internal/lab/responder/zone.go
+++ b/internal/lab/responder/zone.go
@@ -12,7 +12,7 @@
 
 	"github.com/miekg/dns"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 const (
@@ -34,7 +34,7 @@
 	serial   uint32
 	quiet    bool // the serial stays, whatever changes
 	noSerial bool
-	records  map[dnssd.Key][]dns.RR
+	records  map[record.Key][]dns.RR
 	names    map[string]int
 	leases   map[string]*time.Timer
 	watchers map[chan []Change]bool
@@ -43,7 +43,7 @@
 
 // NewZone makes an empty zone with a serial.
 func NewZone(domain string, serial uint32) *Zone {
-	return &Zone{Domain: dns.Fqdn(domain), serial: serial, records: map[dnssd.Key][]dns.RR{}, names: map[string]int{},
+	return &Zone{Domain: dns.Fqdn(domain), serial: serial, records: map[record.Key][]dns.RR{}, names: map[string]int{},
 		leases: map[string]*time.Timer{}, watchers: map[chan []Change]bool{}}
 }
 
@@ -53,8 +53,8 @@
 // Lose has the server forget its zone, as after a restart, until it is called with false.
 func (z *Zone) Lose(lost bool) { z.mu.Lock(); z.lost = lost; z.mu.Unlock() }
 
-func keyOf(rr dns.RR) dnssd.Key {
-	return dnssd.Key{Name: dnssd.Fold(rr.Header().Name), Kind: dnssd.Kind(rr.Header().Rrtype)}
+func keyOf(rr dns.RR) record.Key {
+	return record.Key{Name: record.CanonicalName(rr.Header().Name), Kind: record.Kind(rr.Header().Rrtype)}
 }
 
 // Apply adds and removes records in one step: one new serial.
@@ -110,10 +110,10 @@
 	delete(z.watchers, w)
 }
 
-func (z *Zone) get(name string, kind dnssd.Kind) []dns.RR {
+func (z *Zone) get(name string, kind record.Kind) []dns.RR {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.records[dnssd.Key{Name: name, Kind: kind}]
+	return z.records[record.Key{Name: name, Kind: kind}]
 }
 
 func (z *Zone) soa() *dns.SOA {
@@ -133,11 +133,11 @@
 // Records are a box's: PTR, SRV, TXT and its host's address. The host is named after the instance.
 func (z *Zone) Records(b Box) ([]dns.RR, error) {
 	base := dns.Fqdn(b.Service + "." + z.Domain)
-	name, err := dnssd.JoinInstance(b.Label, base)
+	name, err := record.JoinInstance(b.Label, base)
 	if err != nil {
 		return nil, err
 	}
-	host, err := dnssd.JoinInstance(b.Label, "_hosts."+z.Domain)
+	host, err := record.JoinInstance(b.Label, "_hosts."+z.Domain)
 	if err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 		}
 		if !remove && !services[b.Service] { // RFC 6763, 9
 			services[b.Service] = true
-			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: dnssd.Enumeration(z.Domain), Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60},
+			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: record.Enumeration(z.Domain), Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60},
 				Ptr: dns.Fqdn(b.Service + "." + z.Domain)}, false})
 		}
 	}
@@ -196,21 +196,21 @@
 		m.Rcode = dns.RcodeFormatError
 		return m
 	}
-	name, kind := dnssd.Fold(q.Question[0].Name), dnssd.Kind(q.Question[0].Qtype)
+	name, kind := record.CanonicalName(q.Question[0].Name), record.Kind(q.Question[0].Qtype)
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if !dnssd.Within(name, strings.ToLower(z.Domain)) || z.lost {
+	if !record.Within(name, strings.ToLower(z.Domain)) || z.lost {
 		m.Authoritative, m.Rcode = false, dns.RcodeRefused
 		if z.lost { // it knows the zone's name, and nothing of what was in it
 			m.Rcode = dns.RcodeNameError
 		}
 		return m
 	}
-	if kind == dnssd.SOA && name == strings.ToLower(z.Domain) && !z.noSerial {
+	if kind == record.SOA && name == strings.ToLower(z.Domain) && !z.noSerial {
 		m.Answer = []dns.RR{z.soa()}
 		return m
 	}
-	m.Answer = z.records[dnssd.Key{Name: name, Kind: kind}]
+	m.Answer = z.records[record.Key{Name: name, Kind: kind}]
 	if len(m.Answer) == 0 {
 		if z.names[name] == 0 && name != strings.ToLower(z.Domain) {
 			m.Rcode = dns.RcodeNameError
@@ -228,11 +228,11 @@
 		}
 		switch rr := rr.(type) {
 		case *dns.PTR:
-			target := dnssd.Fold(rr.Ptr)
-			m.Extra = append(append(m.Extra, z.records[dnssd.Key{Name: target, Kind: dnssd.SRV}]...), z.records[dnssd.Key{Name: target, Kind: dnssd.TXT}]...)
+			target := record.CanonicalName(rr.Ptr)
+			m.Extra = append(append(m.Extra, z.records[record.Key{Name: target, Kind: record.SRV}]...), z.records[record.Key{Name: target, Kind: record.TXT}]...)
 		case *dns.SRV:
-			host := dnssd.Fold(rr.Target)
-			m.Extra = append(append(m.Extra, z.records[dnssd.Key{Name: host, Kind: dnssd.A}]...), z.records[dnssd.Key{Name: host, Kind: dnssd.AAAA}]...)
+			host := record.CanonicalName(rr.Target)
+			m.Extra = append(append(m.Extra, z.records[record.Key{Name: host, Kind: record.A}]...), z.records[record.Key{Name: host, Kind: record.AAAA}]...)
 		}
 	}
 	return m
@@ -257,7 +257,7 @@
 	for _, rr := range q.Ns {
 		h := rr.Header()
 		k := keyOf(rr)
-		if !dnssd.Within(k.Name, strings.ToLower(z.Domain)) {
+		if !record.Within(k.Name, strings.ToLower(z.Domain)) {
 			m.Rcode = dns.RcodeNotZone
 			return m
 		}
@@ -317,9 +317,9 @@
 
 // Labels are the instances of a service that are listed now.
 func (z *Zone) Labels(service string) (labels []string) {
-	for _, rr := range z.get(dnssd.Fold(service+"."+z.Domain), dnssd.PTR) {
+	for _, rr := range z.get(record.CanonicalName(service+"."+z.Domain), record.PTR) {
 		if p, ok := rr.(*dns.PTR); ok {
-			if label, _, err := dnssd.SplitInstance(p.Ptr); err == nil {
+			if label, _, err := record.SplitInstance(p.Ptr); err == nil {
 				labels = append(labels, label)
 			}
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -15,15 +15,15 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/clock"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 )
 
 // Options of the actor.
 type Options struct {
 	Name    string // of this node, its instance's label
 	Address string // of its front, host:port
-	Find    discovery.Options
+	Find    browser.Options
 	Publish bool
 	Lease   time.Duration // after which the server may forget a node that does not renew (RFC 9664)
 	Hold    time.Duration
@@ -63,8 +63,8 @@
 // Run finds until ctx ends; then the node's own record is taken back.
 func (a *Actor) Run(ctx context.Context) {
 	count := Count{Hold: int64(a.Hold), Least: a.Least}
-	sights := make(chan discovery.Sight, 1)
-	a.Find.Tell = func(s discovery.Sight) {
+	sights := make(chan browser.Snapshot, 1)
+	a.Find.Tell = func(s browser.Snapshot) {
 		select {
 		case <-sights:
 		default:
@@ -72,7 +72,7 @@
 		sights <- s
 	}
 	done, published := make(chan struct{}), make(chan struct{})
-	go func() { defer close(done); discovery.New(a.Find).Run(ctx) }()
+	go func() { defer close(done); browser.New(a.Find).Run(ctx) }()
 	go func() { defer close(published); a.publish(ctx) }()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -163,7 +163,7 @@
 	}
 	zone := dns.Fqdn(a.Find.Service.Domain)
 	base := dns.Fqdn(a.Find.Service.Type + "." + a.Find.Service.Domain)
-	instance, err := dnssd.JoinInstance(a.Name, base)
+	instance, err := record.JoinInstance(a.Name, base)
 	if err != nil {
 		return fmt.Errorf("name: %w", err)
 	}
@@ -171,7 +171,7 @@
 	head := func(name string, kind uint16) dns.RR_Header {
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: ttl}
 	}
-	target, err := dnssd.JoinInstance(a.Name, "_nodes."+zone)
+	target, err := record.JoinInstance(a.Name, "_nodes."+zone)
 	if err != nil {
 		return err
 	}
