--- a/internal/testpeer/faults.go
+++ b/internal/testpeer/faults.go
@@ -16,91 +16,96 @@
 	"standpoint/internal/node"
 )
 
-// SystemCall is a call to the system that can be made to fail.
+// SystemCall is a system call that can be made to fail.
 type SystemCall int
 
-// The calls of a node that Faults stand in front of.
+// The system calls that Faults can fail.
 const (
 	Accept SystemCall = iota
 	Connect
 	Read
 	Write
-	calls
+	systemCalls // the number of them
 )
 
-// Shortages are the errors that say that the machine has run out of something.
-var Shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+// Shortages are the errors that tell that the machine has run out of something.
+var Shortages = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+}
 
-// Faults fail system calls as the system would: a number of the next ones, all for some time, or a share of them by a seed.
+// Faults fails system calls as the kernel would: a number of the next ones, all for some time, or a fraction of them,
+// drawn by a seed. It is safe for concurrent use.
 type Faults struct {
-	mu              sync.Mutex
-	rng             *rand.Rand
-	plans           [calls]failurePlan
-	SingleByteReads bool // reads bring a single byte each; set before use
-	failed          [calls]int
+	// SingleByteReads has each read return a single byte. It is set before use.
+	SingleByteReads bool
+
+	mu     sync.Mutex // guards all below
+	rng    *rand.Rand
+	plans  [systemCalls]failurePlan
+	failed [systemCalls]int
 }
 
-// failurePlan says which of a call's next uses fail, and how.
+// failurePlan is which of the next uses of a system call fail, and how. The zero value is none.
 type failurePlan struct {
-	errno    []syscall.Errno
-	next     int       // so many
-	until    time.Time // all until then
-	fraction float64   // that part of them
+	errnos   []syscall.Errno // one of them is drawn
+	next     int             // so many fail
+	until    time.Time       // all fail until then
+	fraction float64         // that fraction fails
 }
 
-// NewFaults makes faults that fail nothing yet.
+// NewFaults creates faults that fail nothing yet.
 func NewFaults(seed uint64) *Faults { return &Faults{rng: rand.New(rand.NewPCG(seed, 1))} }
 
-// FailNext has the next n uses of a call fail.
+// FailNext fails the next n uses of a system call.
 func (f *Faults) FailNext(call SystemCall, errno syscall.Errno, n int) {
-	f.set(call, failurePlan{errno: []syscall.Errno{errno}, next: n})
+	f.set(call, failurePlan{errnos: []syscall.Errno{errno}, next: n})
 }
 
-// FailFor has all uses of a call fail for some time.
-func (f *Faults) FailFor(call SystemCall, errno syscall.Errno, span time.Duration) {
-	f.set(call, failurePlan{errno: []syscall.Errno{errno}, until: time.Now().Add(span)})
+// FailFor fails all uses of a system call for some time.
+func (f *Faults) FailFor(call SystemCall, errno syscall.Errno, duration time.Duration) {
+	f.set(call, failurePlan{errnos: []syscall.Errno{errno}, until: time.Now().Add(duration)})
 }
 
-// FailFraction has a part of all uses of a call fail from now on, with errors drawn from those given.
-func (f *Faults) FailFraction(call SystemCall, part float64, errno ...syscall.Errno) {
-	f.set(call, failurePlan{errno: errno, fraction: part})
+// FailFraction fails a fraction of all uses of a system call from now on, with errors drawn from those given.
+func (f *Faults) FailFraction(call SystemCall, fraction float64, errnos ...syscall.Errno) {
+	f.set(call, failurePlan{errnos: errnos, fraction: fraction})
 }
 
-// Stop has nothing fail any more.
+// Stop has nothing fail from now on.
 func (f *Faults) Stop() {
-	for call := range calls {
+	for call := range systemCalls {
 		f.set(call, failurePlan{})
 	}
 }
 
-// Failed is how many uses of a call have failed.
+// Failed returns how many uses of a system call have failed.
 func (f *Faults) Failed(call SystemCall) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failed[call]
 }
 
-func (f *Faults) set(call SystemCall, p failurePlan) {
+func (f *Faults) set(call SystemCall, plan failurePlan) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.plans[call] = p
+	f.plans[call] = plan
 }
 
-// fail is the error of the call that is about to be made; nil: it is made.
+// fail returns the error of a system call that is about to be made; nil if it is to be made.
 func (f *Faults) fail(call SystemCall, name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := &f.plans[call]
-	if p.next == 0 && !time.Now().Before(p.until) && !(p.fraction > f.rng.Float64()) {
+	plan := &f.plans[call]
+	if plan.next == 0 && !time.Now().Before(plan.until) && !(plan.fraction > f.rng.Float64()) {
 		return nil
 	}
-	p.next = max(0, p.next-1)
+	plan.next = max(0, plan.next-1)
 	f.failed[call]++
-	errno := p.errno[f.rng.IntN(len(p.errno))]
+	errno := plan.errnos[f.rng.IntN(len(plan.errnos))]
 	return &net.OpError{Op: name, Net: "tcp", Err: os.NewSyscallError(name, errno)}
 }
 
-// Listener has a listener's accepts fail, and its connections' reads and writes.
+// Listener wraps a listener so that its accepts fail, and its connections' reads and writes.
 func (f *Faults) Listener(l net.Listener) net.Listener { return &faultyListener{l, f} }
 
 type faultyListener struct {
@@ -108,37 +113,41 @@
 	faults *Faults
 }
 
-// Accept implements net.Listener. Like the system's own it may fail with a connection waiting, which stays.
+// Accept implements net.Listener. Like the kernel's own it may fail with a connection in the queue, which stays there.
 func (l *faultyListener) Accept() (net.Conn, error) {
 	if err := l.faults.fail(Accept, "accept4"); err != nil {
 		return nil, err
 	}
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.faults.Conn(c), nil
+	return l.faults.Conn(conn), nil
 }
 
-// StartFaulty is Start with system calls that fail as the faults say.
-func StartFaulty(t testing.TB, log *zap.Logger, f *Faults, settings standpoint.Settings, entries ...node.Endpoint) *Node {
-	return start(t, log, settings, f.Listener, f.Dial, entries...)
+// StartFaulty is StartLogged with system calls that fail by faults.
+func StartFaulty(t testing.TB, log *zap.Logger, faults *Faults, settings standpoint.Settings,
+	endpoints ...node.Endpoint) *Node {
+	t.Helper()
+	return start(t, options{
+		log: log, listen: faults.Listener, dial: faults.Dial, settings: settings, endpoints: endpoints,
+	})
 }
 
-// Dial is a Dial whose connects fail, and its connections' reads and writes.
+// Dial is a Dial function whose connects fail, and its connections' reads and writes.
 func (f *Faults) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if err := f.fail(Connect, "connect"); err != nil {
 		return nil, err
 	}
-	c, err := (&net.Dialer{Timeout: 100 * time.Millisecond}).DialContext(ctx, network, address)
+	conn, err := (&net.Dialer{Timeout: 100 * time.Millisecond}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return f.Conn(c), nil
+	return f.Conn(conn), nil
 }
 
-// Conn has a connection's reads and writes fail.
-func (f *Faults) Conn(c net.Conn) net.Conn { return &faultyConn{c.(*net.TCPConn), f} }
+// Conn wraps a TCP connection so that its reads and writes fail.
+func (f *Faults) Conn(conn net.Conn) net.Conn { return &faultyConn{conn.(*net.TCPConn), f} }
 
 type faultyConn struct {
 	*net.TCPConn
--- /dev/null
+++ b/internal/testpeer/node.go
@@ -0,0 +1,219 @@
+// Package testpeer holds what tests share: scripted backends on loopback sockets, and a node wired to them in process.
+// Only tests use it.
+package testpeer
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/backend"
+	"standpoint/internal/config"
+	"standpoint/internal/edge"
+	"standpoint/internal/metrics"
+	"standpoint/internal/node"
+)
+
+const (
+	maxRequests    = 300 // open at a node at once
+	maxConnections = 300 // of a node's clients
+	maxBodyBytes   = 8 << 20
+)
+
+// Settings returns the settings of a small deployment with one class and one tenant.
+func Settings() standpoint.Settings {
+	return standpoint.Settings{
+		Balancers:     1,
+		Zones:         1,
+		Kinds:         1,
+		MaxAttempts:   3,
+		Tick:          int64(2 * time.Millisecond),
+		Reports:       standpoint.ReportReplies,
+		Cancel:        true,
+		RetryAfter:    true,
+		MaxRetryAfter: int64(2 * time.Second),
+		Classes: []standpoint.Class{{
+			Streamed: true,
+			TTFTAim:  int64(2500 * time.Millisecond),
+			Deadline: int64(10 * time.Second),
+			Worth:    2,
+		}},
+		Tenants: []standpoint.Tenant{{Share: 1}},
+	}
+}
+
+// Names are the names that go with Settings.
+var Names = config.Names{
+	Classes: []string{"chat"},
+	Tenants: []string{"acme"},
+	Zones:   []string{"a"},
+	Kinds:   []string{"m"},
+}
+
+// Node is a node in process, on loopback and without discovery: its core, its backends and its HTTP front. It stops
+// with the test.
+type Node struct {
+	Core        *node.Core
+	Backends    *backend.Fleet
+	Lifecycle   *node.Lifecycle
+	Connections *edge.ConnectionTracker
+	Bodies      *node.TenantLimiter
+	Metrics     *metrics.Counters
+	Server      *http.Server
+	URL         string // of its front
+	Address     string // of its front
+
+	requestCount atomic.Uint64
+	t            testing.TB
+}
+
+// Dial opens a connection to a backend.
+type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Start starts a node with the given backends.
+func Start(t testing.TB, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
+	t.Helper()
+	return start(t, options{settings: settings, endpoints: endpoints})
+}
+
+// StartLogged is Start with a log that the test looks into.
+func StartLogged(t testing.TB, log *zap.Logger, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
+	t.Helper()
+	return start(t, options{log: log, settings: settings, endpoints: endpoints})
+}
+
+// StartDialing is StartLogged with a function that dials backends; nil stands for the usual one.
+func StartDialing(t testing.TB, log *zap.Logger, settings standpoint.Settings, dial Dial,
+	endpoints ...node.Endpoint) *Node {
+	t.Helper()
+	return start(t, options{log: log, dial: dial, settings: settings, endpoints: endpoints})
+}
+
+// StartWrapped is Start with a function that wraps each connection that the node accepts, and one that dials backends;
+// nil stands for the usual one.
+func StartWrapped(t testing.TB, wrap func(net.Conn) net.Conn, dial Dial, settings standpoint.Settings,
+	endpoints ...node.Endpoint) *Node {
+	t.Helper()
+	listen := func(l net.Listener) net.Listener { return wrappedListener{l, wrap} }
+	return start(t, options{listen: listen, dial: dial, settings: settings, endpoints: endpoints})
+}
+
+// options are how a node is started.
+type options struct {
+	log       *zap.Logger                     // nil: none
+	listen    func(net.Listener) net.Listener // wraps the listener for clients; nil: none does
+	dial      Dial                            // dials backends; nil: the usual one
+	settings  standpoint.Settings
+	endpoints []node.Endpoint
+}
+
+// start wires a node and starts it. The test fails if the node has failed more than one in 200 requests without an
+// attempt.
+func start(t testing.TB, o options) *Node {
+	t.Helper()
+	if o.log == nil {
+		o.log = zap.NewNop()
+	}
+	n := &Node{Lifecycle: &node.Lifecycle{}, Bodies: node.NewTenantLimiter(maxBodyBytes, 1), t: t}
+	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.OpenRequests() })
+	n.Backends = newBackends(o)
+	n.Backends.Wrote = n.Metrics.CountAttempt
+	n.Core = node.New(node.Options{
+		Settings:    o.settings,
+		Seed:        1,
+		MaxRequests: maxRequests,
+		Backends:    n.Backends,
+		Watcher:     noWatcher{},
+		Metrics:     n.Metrics,
+		Log:         o.log,
+	})
+	n.UpdateEndpoints(o.endpoints...)
+	ctx, cancel := context.WithCancel(context.Background())
+	var core sync.WaitGroup
+	core.Go(func() { n.Core.Run(ctx) })
+	n.listen(o)
+	// The server is closed, but not waited for: a test may hold an accept back, and would hang where it fails.
+	go func() { _ = n.Server.Serve(n.Connections) }()
+	t.Cleanup(func() {
+		require.LessOrEqual(t, 200*n.Metrics.FailedUnsentCount(metrics.Abandoned), n.Metrics.RequestTotal())
+		n.Server.Close()
+		cancel()
+		core.Wait()
+	})
+	require.NoError(t, n.Lifecycle.Enter(node.Serving))
+	return n
+}
+
+// newBackends creates the node's side of its backends, with short times.
+func newBackends(o options) *backend.Fleet {
+	return backend.New(backend.Options{
+		DialTimeout: 100 * time.Millisecond,
+		ConnIdle:    15 * time.Second,
+		MaxIdle:     10,
+		Dial:        o.dial,
+		Log:         o.log,
+		Batch: backend.BatchOptions{
+			Gather: 30 * time.Millisecond,
+			Lines:  50,
+			Poll:   20 * time.Millisecond,
+			Lost:   500 * time.Millisecond,
+		},
+	})
+}
+
+// listen opens the listener for clients and creates the server on it.
+func (n *Node) listen(o options) {
+	n.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(n.t, err)
+	n.Address = listener.Addr().String()
+	n.URL = "http://" + n.Address
+	if o.listen != nil {
+		listener = o.listen(listener)
+	}
+	n.Connections = edge.NewConnectionTracker(listener, maxConnections, o.log)
+	n.Connections.Metrics = n.Metrics
+	front := &edge.Front{
+		Core:      n.Core,
+		Lifecycle: n.Lifecycle,
+		Names:     Names,
+		Bodies:    n.Bodies,
+		Metrics:   n.Metrics,
+		Log:       o.log,
+	}
+	n.Server = edge.NewServer(front.Handler(), n.Connections, o.log)
+}
+
+// noWatcher is an EndpointWatcher without a source.
+type noWatcher struct{}
+
+// Watch implements node.EndpointWatcher.
+func (noWatcher) Watch() {}
+
+// Dial opens a client connection, which is closed with the test.
+func (n *Node) Dial() net.Conn {
+	n.t.Helper()
+	conn, err := net.Dial("tcp", n.Address)
+	require.NoError(n.t, err)
+	n.t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// UpdateEndpoints gives the node a full endpoint list.
+func (n *Node) UpdateEndpoints(endpoints ...node.Endpoint) {
+	n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListFull, Endpoints: endpoints})
+}
+
+// WaitForCore waits until the node's core has handled all that was sent to it before.
+func (n *Node) WaitForCore() {
+	n.t.Helper()
+	require.NotNil(n.t, n.Core.ExportLearned(n.t.Context()))
+}
