--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -92,13 +92,15 @@
 		Reason: "hold: 4 s more", Step: 1, Version: 9,
 		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03,
 			Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
-			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000, OnWorse: migration.Return, ReturnSteps: 4,
+			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000,
+			OnWorse: migration.Return, ReturnSteps: 4,
 			ReturnEvery: 3 * time.Second, ColdShare: 0.17, WarmUp: 25 * time.Second, FallFactor: 4},
 		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
 		Started: at, Changed: at.Add(90 * time.Second),
 		Events: []migration.Event{{At: at, State: migration.Warming, Share: 0.03, Text: "begun"},
 			{At: at.Add(30 * time.Second), State: migration.Halted, Share: 0.6, Text: "late"}},
-		BaseMoved: map[string]string{"older": "old"}, FromCapacity: 3.5, StateWindows: 41, ShareWindows: 42, StepRequests: [2]int{43, 44}, StepWeight: [2]float64{4.5, 4.6}, ReturnFromShare: 0.47, Cause: "late"}
+		BaseMoved: map[string]string{"older": "old"}, FromCapacity: 3.5, StateWindows: 41, ShareWindows: 42,
+		StepRequests: [2]int{43, 44}, StepWeight: [2]float64{4.5, 4.6}, ReturnFromShare: 0.47, Cause: "late"}
 	r.LongTerm[0].Bad, r.LongTerm[0].Total = 1.5, 2.5
 	return r
 }
@@ -121,15 +123,17 @@
 		Counters: map[string]counter.Reading{"requests": {Lower: 21, Upper: 22, Age: 2300000000, Reported: 24,
 			Unreported: 25}},
 		LiveMembers: counter.Reading{Lower: 31, Upper: 32, Age: 33, Reported: 34,
-			Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42, DroppedMessages: 43,
-		Violations: map[string]uint64{"rights": 44}}
+			Unreported: 35}, SuspectBackends: []string{"box-1"}, RejectedRequests: 41, SentBytes: 42,
+		DroppedMessages: 43,
+		Violations:      map[string]uint64{"rights": 44}}
 }
 
 func goldenLedger() replication.Status {
 	return replication.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52,
 		Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63,
 			OutputTokens: 64}}, Sources: 53,
-		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Missing: 58, SyncedSecondsAgo: 5.5, Consistent: true, Corruptions: []string{"000001.seg, byte 16: a checksum that does not fit"}}
+		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Missing: 58, SyncedSecondsAgo: 5.5, Consistent: true,
+		Corruptions: []string{"000001.seg, byte 16: a checksum that does not fit"}}
 }
 
 func goldenEntries() []endpoints.Origin {
@@ -137,7 +141,8 @@
 	return []endpoints.Origin{
 		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "push",
 			Address: "127.0.0.1:9001", State: "ready", Started: at,
-			TTL: 75, Until: at.Add(75 * time.Second), Changed: at.Add(time.Second), Looked: at.Add(2 * time.Second), Stale: true},
+			TTL: 75, Until: at.Add(75 * time.Second), Changed: at.Add(time.Second), Looked: at.Add(2 * time.Second),
+			Stale: true},
 		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", News: "poll",
 			Fault: "no SRV record", Changed: at},
 		{Name: "box-3", Address: "127.0.0.1:9003", State: "draining"},
@@ -474,9 +479,12 @@
 	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, []int{OK, Failed, InvalidUsage, Unreachable, Rejected, MigrationReverted})
 	var text strings.Builder
 	for _, args := range []string{
-		"-config /nowhere", "-config=/nowhere", "serve --config /nowhere", "extra", "version extra", "version --loud", "version --output xml", "version --outputs",
-		"check", "check a b", "move start", "move dance", "move status", "move status --control 127.0.0.1:1", "move status --control unix:/nowhere",
-		"move status --control a --token-file /nowhere", "move status --config /nowhere", "move start --to new --steps x", "config set a", "config rollback one --control 127.0.0.1:1",
+		"-config /nowhere", "-config=/nowhere", "serve --config /nowhere", "extra", "version extra",
+		"version --loud", "version --output xml", "version --outputs",
+		"check", "check a b", "move start", "move dance", "move status", "move status --control 127.0.0.1:1",
+		"move status --control unix:/nowhere",
+		"move status --control a --token-file /nowhere", "move status --config /nowhere",
+		"move start --to new --steps x", "config set a", "config rollback one --control 127.0.0.1:1",
 		"config init", "entries explain", "entries services", "ledger verify",
 	} {
 		out, errs, code := run(strings.Fields(args)...)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -67,9 +67,12 @@
 	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	require.Equal(t, standpoint.Settings{
-		Balancers: 4, Ordinal: 2, Zone: 1, Zones: 2, Kinds: 2, Resume: true, RetryAfter: true, Reports: standpoint.ReportReplies,
-		MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 2, Tick: int64(2 * time.Millisecond), AskWithin: int64(10 * time.Second),
-		DrainGrace: int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second), Fall: int64(3 * time.Second), ColdShare: 0.17, FallFactor: 4,
+		Balancers: 4, Ordinal: 2, Zone: 1, Zones: 2, Kinds: 2, Resume: true, RetryAfter: true,
+		Reports:       standpoint.ReportReplies,
+		MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 2, Tick: int64(2 * time.Millisecond),
+		AskWithin:  int64(10 * time.Second),
+		DrainGrace: int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second), Fall: int64(3 * time.Second),
+		ColdShare: 0.17, FallFactor: 4,
 		Classes: []standpoint.Class{
 			{Streamed: true, TTFTAim: int64(2500 * time.Millisecond), AimPer1000: int64(60 * time.Millisecond),
 				TPOTAim:  int64(50 * time.Millisecond),
@@ -105,8 +108,10 @@
 		Kinds: []string{"fast", "slow",
 			"old"}, IdleTimeout: 15 * time.Second, DialTimeout: 120 * time.Millisecond, MaxConnections: 77}, p.Names)
 	require.Equal(t, standpoint.Settings{
-		Balancers: 4, Ordinal: 3, Zone: 1, Zones: 2, Kinds: 3, OverShareWorth: 0.31, Reports: standpoint.ReportProbes, AskDiscovery: true, Resume: true,
-		SecondCopies: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001, MaxAttempts: 3, Tick: 2000002,
+		Balancers: 4, Ordinal: 3, Zone: 1, Zones: 2, Kinds: 3, OverShareWorth: 0.31,
+		Reports: standpoint.ReportProbes, AskDiscovery: true, Resume: true,
+		SecondCopies: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001,
+		MaxAttempts: 3, Tick: 2000002,
 		AskWithin: 10000003, DrainGrace: 500004, WarmUp: 20000005, Fall: 3000006, ColdShare: 0.13, FallFactor: 4.5,
 		CrossZonePrice: 0.01, LateFailPrice: 0.02, PeerPrice: 0.03, ProbePrice: 0.04, WastePrice: 0.05,
 		Classes: []standpoint.Class{
--- a/internal/config/module.go
+++ b/internal/config/module.go
@@ -153,7 +153,8 @@
 		})
 	}
 	for _, tenant := range o.Tenants {
-		o.Settings.Tenants = append(o.Settings.Tenants, standpoint.Tenant{Share: tenant.Share, QuotaRPS: tenant.QuotaRPS})
+		derived := standpoint.Tenant{Share: tenant.Share, QuotaRPS: tenant.QuotaRPS}
+		o.Settings.Tenants = append(o.Settings.Tenants, derived)
 	}
 }
 
--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -94,7 +94,7 @@
 
 	// The supervising goroutine alone uses these.
 	current        deployment              // in force
-	sharedSettings string                  // the shared configuration that is laid over the operator's file; "" for none
+	sharedSettings string                  // laid over the operator's file; "" for none
 	siblingCount   int                     // other live processes of this node
 	clients        *edge.ConnectionTracker // nil until clients are accepted
 
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -29,7 +29,8 @@
 	_, names, _ := a.requestSettings()
 	a.endpointCache = endpoints.NewCache(a.store, a.log)
 	a.endpointCache.Names = endpointNames(names)
-	a.overrides = endpoints.NewOverrides(a.endpointCache, func(l node.EndpointList) { a.core.UpdateEndpoints(l) }, a.siblings, a.log)
+	update := func(l node.EndpointList) { a.core.UpdateEndpoints(l) } // the core is constructed later
+	a.overrides = endpoints.NewOverrides(a.endpointCache, update, a.siblings, a.log)
 	a.updateEndpoints = a.overrides.Update
 }
 
