--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -96,7 +96,7 @@
 
 func explainSource(w io.Writer, e endpoints.Origin) {
 	switch {
-	case e.Mechanism == "store":
+	case e.Mechanism == endpoints.MechanismStore:
 		fmt.Fprintf(w, "%s is as the store last had it; %s has not told since this node started\n", e.Name, e.Server)
 	case e.Instance == "":
 		fmt.Fprintf(w, "%s is listed by the operator's file, or by the list that it names\n", e.Name)
--- a/internal/endpoints/browser.go
+++ b/internal/endpoints/browser.go
@@ -6,7 +6,6 @@
 	"math"
 	"reflect"
 	"slices"
-	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -20,81 +19,46 @@
 	"standpoint/internal/node"
 )
 
-// Browser is the actor of endpoints that are published as DNS-SD records (RFC 6763): it turns what a finder has
-// found into the list that the core is told. TXT keys are those of the platform's list: site, class, block, health,
-// share, born_ms; and mode, stream or batch; all others are labels.
+// guardRecheckInterval is when a list that the guard holds back is evaluated again.
+const guardRecheckInterval = 100 * time.Millisecond
+
+// Browser is a source of endpoints that are published as DNS-SD service instances (RFC 6763): it turns what a finder
+// has found into an endpoint list. The keys of TXT records are those of the platform's list, and mode; all others are
+// labels.
 //
-// A look-up that fails changes nothing that is known, and a bad record costs its own instance alone.
+// A look-up that fails changes nothing, and an invalid record affects its own instance alone. The exported fields are
+// set before Run, and not changed afterwards.
 type Browser struct {
-	FinderOptions discovery.Options // Tell is the browser's own
-	Key           string            // names the source among others, in the store too
-	Config        string            // all that it was told; another means other settings
-	Site          string            // of instances that do not tell theirs; "" for the first
-	Suffix        string            // behind the instances' names, to tell several services' apart
-	Guard         dnssd.Guard
-	Damper        dnssd.Damper
+	FinderOptions discovery.Options // Tell is set by Run
+	Key           string            // identifies the source among others, also in the persisted list
+	Config        string            // the configuration that it was made from: two that differ differ in it
+	Site          string            // of instances that publish none; empty for the first zone
+	Suffix        string            // appended to the instances' names, to tell several services' apart
+	Guard         dnssd.Guard       // holds back a list that has lost many instances at once
+	Damper        dnssd.Damper      // holds back instances that come and go too often
 	Names         Names
-	Notify        func(node.EndpointList)
+	Notify        func(node.EndpointList) // called by Run's goroutine, with full lists
 	Log           *zap.Logger
 
-	snapshots chan discovery.Sight // the newest that is not looked at yet
+	snapshots chan discovery.Sight // of capacity 1: the latest that is not evaluated yet
 	finder    *discovery.Finder
-
-	// The actor's alone.
-	last        *discovery.Sight
-	unpublished bool                     // nothing was told yet
-	published   []node.Endpoint          // what the core was last told, by name
-	endpoints   map[string]node.Endpoint // by full instance name; those that are in use
-	listed      map[string]bool
-	faults      map[string]string // why the others are not
-	serial      *uint32
-	proved      time.Time                   // when the list that is in use was last told
-	changed     map[string]time.Time        // of an instance's entry, or of what is wrong with it
-	observed    map[string]observedInstance // of instances that tell no start
-	origins     atomic.Pointer[[]Origin]
-}
-
-// observedInstance is when an instance that tells no start was first seen, and when last.
-type observedInstance struct {
-	startedAt int64 // 0: it was there before this node
-	lastSeen  time.Time
-	address   string
-}
-
-const (
-	sightingsMost = 2 * dnssd.InstancesMost
-	// sameStart is how long an instance that tells no start may be away and still count as the one that went: longer
-	// than a lost message, shorter than a box takes to start.
-	sameStart = 2 * time.Second
-)
-
-// Origin says where an endpoint comes from, or why an instance is none.
-type Origin struct {
-	Name      string    `json:"name"`
-	Instance  string    `json:"instance,omitempty"` // its full name; "" for one that the operator's file lists
-	Server    string    `json:"server,omitempty"`
-	Mechanism string    `json:"news,omitempty"` // by which way: poll, push or mdns
-	Address   string    `json:"address,omitempty"`
-	State     string    `json:"state,omitempty"`
-	StartedAt time.Time `json:"started,omitzero"`
-	TTL       uint32    `json:"ttl_s,omitempty"`
-	ExpiresAt time.Time `json:"until,omitzero"`   // the end of its records' time
-	ChangedAt time.Time `json:"changed,omitzero"` // when this was last found different
-	CheckedAt time.Time `json:"looked,omitzero"`  // when the list was last told
-	Stale     bool      `json:"stale,omitempty"`  // from the store, past its time and not told anew
-	Fault     string    `json:"fault,omitempty"`  // why it is left out
-}
-
-// Describe says where an entry comes from, as far as the entry itself tells.
-func Describe(e node.Endpoint) Origin {
-	o := Origin{Name: e.Name, Address: e.Address, Stale: e.Stale, State: word(healthNames, int(e.State))}
-	if e.ReadyAt > 0 {
-		o.StartedAt = time.Unix(0, e.ReadyAt)
-	}
-	return o
+	origins   atomic.Pointer[[]Origin] // by name
+
+	// Below is Run's goroutine's alone. Maps have the instances' full names as keys.
+
+	lastSnapshot *discovery.Sight
+	unpublished  bool                        // Notify has not been called yet
+	published    []node.Endpoint             // the list that it was last called with, by name
+	endpoints    map[string]node.Endpoint    // that are in use
+	faults       map[string]string           // why the others are not
+	listed       map[string]bool             // all instances of the last list
+	serial       *uint32                     // of the zone, in the last list
+	confirmedAt  time.Time                   // when the list that is in use was last found
+	changedAt    map[string]time.Time        // when an instance's endpoint, or its fault, last changed
+	observed     map[string]observedInstance // that publish no start
 }
 
-// Origins are all instances as last found, those that are left out too. It may be called from anywhere.
+// Origins returns all instances as last found, unused ones included. It is safe for concurrent use.
 func (b *Browser) Origins() []Origin {
 	if all := b.origins.Load(); all != nil {
 		return *all
@@ -102,9 +66,9 @@
 	return nil
 }
 
-// Run finds and tells until ctx ends. It may be run once.
+// Run browses until ctx ends, and waits for the finder. It may be called once.
 func (b *Browser) Run(ctx context.Context) {
-	b.start()
+	b.prepare()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -117,202 +81,175 @@
 		case <-ctx.Done():
 			<-done
 			return
-		case s := <-b.snapshots:
-			b.last = &s
+		case snapshot := <-b.snapshots:
+			b.lastSnapshot = &snapshot
 		case <-timer.C:
 		}
-		if b.last == nil {
+		if b.lastSnapshot == nil {
 			continue
 		}
-		again := b.evaluate(*b.last, time.Now())
-		if again > 0 {
-			timer.Reset(again)
+		recheckAfter := b.evaluate(*b.lastSnapshot, time.Now())
+		if recheckAfter > 0 {
+			timer.Reset(recheckAfter)
 		}
 	}
 }
 
-func (b *Browser) start() {
-	b.snapshots, b.unpublished = make(chan discovery.Sight, 1), true
+func (b *Browser) prepare() {
+	b.snapshots = make(chan discovery.Sight, 1)
+	b.unpublished = true
 	b.observed = map[string]observedInstance{}
-	b.FinderOptions.Tell = func(s discovery.Sight) {
-		select { // the newest alone counts
+	b.FinderOptions.Tell = func(snapshot discovery.Sight) {
+		select { // the latest replaces one that is not evaluated yet
 		case <-b.snapshots:
 		default:
 		}
-		b.snapshots <- s
+		b.snapshots <- snapshot
 	}
 	b.finder = discovery.New(b.FinderOptions)
 }
 
-// evaluate takes in a sight, and tells the core if the list has changed. It says when the same sight is to be judged again,
-// 0 for never: what the guard or the damper holds back may be due then.
-func (b *Browser) evaluate(s discovery.Sight, now time.Time) (again time.Duration) {
-	if s.Over > 0 && b.FinderOptions.Log != nil {
-		b.Log.Warn("more instances than are taken", zap.Int("over", s.Over), zap.Int("most", dnssd.InstancesMost))
+// evaluation is what a snapshot means. Maps have the instances' full names as keys.
+type evaluation struct {
+	endpoints    map[string]node.Endpoint
+	faults       map[string]string
+	listed       map[string]bool
+	dampedBefore int64 // the instant at which the first damped instance may be used; math.MaxInt64 if there is none
+}
+
+// evaluate handles a snapshot, and notifies if the list has changed. It returns after how long the same snapshot is
+// to be evaluated again, since the guard or the damper may let something through then; 0 if not at all.
+func (b *Browser) evaluate(snapshot discovery.Sight, now time.Time) (recheckAfter time.Duration) {
+	if snapshot.Over > 0 && b.FinderOptions.Log != nil {
+		b.Log.Warn("instances beyond the maximum ignored",
+			zap.Int("ignored", snapshot.Over), zap.Int("maximum", dnssd.InstancesMost))
+	}
+	if b.guardHolds(snapshot, now) {
+		return guardRecheckInterval
+	}
+	next := b.interpret(snapshot, now)
+	b.recordRemovals(next.endpoints, now)
+	b.recordOrigins(snapshot, next)
+	b.endpoints = next.endpoints
+	b.faults = next.faults
+	b.listed = next.listed
+	b.serial = snapshot.Serial
+	b.confirmedAt = snapshot.At
+	b.publish()
+	if next.dampedBefore < math.MaxInt64 {
+		return time.Duration(next.dampedBefore-clock.Of(now)) + time.Millisecond
 	}
-	still := 0
-	for _, in := range s.Instances {
-		if b.listed[in.Name] {
-			still++
+	return 0
+}
+
+// guardHolds reports whether the guard holds a snapshot back, for the instances that it has lost.
+func (b *Browser) guardHolds(snapshot discovery.Sight, now time.Time) bool {
+	remaining := 0
+	for _, instance := range snapshot.Instances {
+		if b.listed[instance.Name] {
+			remaining++
 		}
 	}
-	newer := s.Serial != nil && b.serial != nil && dnssd.Newer(*s.Serial, *b.serial)
-	if b.Guard.Judge(len(b.listed), still, newer, clock.Of(now)) == dnssd.Wait {
-		return 100 * time.Millisecond
-	}
-	entries, faults := map[string]node.Endpoint{}, map[string]string{}
-	listed := make(map[string]bool, len(s.Instances))
-	earliest := int64(math.MaxInt64)
-	for _, in := range s.Instances {
-		listed[in.Name] = true
-		was, known := b.endpoints[in.Name]
-		if in.Pending && known { // not told now: what was known holds
-			entries[in.Name] = was
+	newer := snapshot.Serial != nil && b.serial != nil && dnssd.Newer(*snapshot.Serial, *b.serial)
+	return b.Guard.Judge(len(b.listed), remaining, newer, clock.Of(now)) == dnssd.Wait
+}
+
+// interpret finds the endpoint of each instance, or why it has none.
+func (b *Browser) interpret(snapshot discovery.Sight, now time.Time) evaluation {
+	next := evaluation{
+		endpoints:    map[string]node.Endpoint{},
+		faults:       map[string]string{},
+		listed:       make(map[string]bool, len(snapshot.Instances)),
+		dampedBefore: math.MaxInt64,
+	}
+	for _, instance := range snapshot.Instances {
+		next.listed[instance.Name] = true
+		present, used := b.endpoints[instance.Name]
+		if instance.Pending && used { // its records are not known for now: what is in use stays
+			next.endpoints[instance.Name] = present
 			continue
 		}
-		e, err := b.entry(in, now)
-		if err == nil && !known && !b.unpublished {
-			if until := b.Damper.Until(in.Name, clock.Of(now)); until > clock.Of(now) {
-				earliest = min(earliest, until)
-				err = fmt.Errorf("held back until %s: it came and went too often", time.Unix(0, until).UTC().Format(time.TimeOnly))
+		endpoint, err := b.endpoint(instance, now)
+		if err == nil && !used && !b.unpublished {
+			if until := b.Damper.Until(instance.Name, clock.Of(now)); until > clock.Of(now) {
+				next.dampedBefore = min(next.dampedBefore, until)
+				err = &dampedError{until: until}
 			}
 		}
 		if err == nil {
-			entries[in.Name] = e
+			next.endpoints[instance.Name] = endpoint
 			continue
 		}
-		faults[in.Name] = err.Error()
-		if b.faults[in.Name] != faults[in.Name] && !in.Pending {
-			b.Log.Warn("an endpoint is left out", zap.String("instance", in.Name), zap.Error(err))
+		fault := err.Error()
+		next.faults[instance.Name] = fault
+		if b.faults[instance.Name] != fault && !instance.Pending {
+			b.Log.Warn("service instance not used", zap.String("instance", instance.Name), zap.Error(err))
 		}
 	}
+	return next
+}
+
+// dampedError reports an instance that came and went too often.
+type dampedError struct{ until int64 }
+
+// Error implements error.
+func (e *dampedError) Error() string {
+	until := time.Unix(0, e.until).UTC().Format(time.TimeOnly)
+	return fmt.Sprintf("held back until %s: it came and went too often", until)
+}
+
+// recordRemovals notifies the damper and the metrics of the endpoints that are no longer used.
+func (b *Browser) recordRemovals(next map[string]node.Endpoint, now time.Time) {
 	for name := range b.endpoints {
-		if _, stays := entries[name]; !stays {
+		if _, used := next[name]; !used {
 			b.Damper.Gone(name, clock.Of(now))
-			b.FinderOptions.Metrics.Gone(now.Sub(b.proved))
+			b.FinderOptions.Metrics.Gone(now.Sub(b.confirmedAt))
 		}
 	}
-	b.note(s, entries, faults)
-	b.endpoints, b.faults, b.listed, b.serial, b.proved = entries, faults, listed, s.Serial, s.At
-	list := make([]node.Endpoint, 0, len(entries))
-	for _, e := range entries {
-		list = append(list, e)
-	}
-	slices.SortFunc(list, func(x, y node.Endpoint) int { return strings.Compare(x.Name, y.Name) })
-	if b.unpublished || !reflect.DeepEqual(list, b.published) {
-		b.unpublished = false
-		b.published = list
-		b.Notify(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
-	}
-	if earliest < math.MaxInt64 {
-		return time.Duration(earliest-clock.Of(now)) + time.Millisecond
-	}
-	return 0
 }
 
-// note keeps the origins of what was found.
-func (b *Browser) note(s discovery.Sight, entries map[string]node.Endpoint, faults map[string]string) {
-	changed := map[string]time.Time{}
-	all := make([]Origin, 0, len(s.Instances))
-	for _, in := range s.Instances {
-		e, used := entries[in.Name]
-		o := Origin{Name: in.Label + b.Suffix, Fault: faults[in.Name]}
-		same := b.faults[in.Name] == o.Fault
-		if used {
-			o = Describe(e)
-			same = reflect.DeepEqual(e, b.endpoints[in.Name])
-		}
-		if o.ChangedAt = b.changed[in.Name]; o.ChangedAt.IsZero() || !same {
-			o.ChangedAt = s.At
-		}
-		changed[in.Name] = o.ChangedAt
-		o.Instance, o.Server, o.Mechanism, o.CheckedAt = in.Name, b.FinderOptions.Server, string(s.Way), s.At
-		if !in.Pending && in.Until < math.MaxInt64 {
-			o.TTL, o.ExpiresAt = in.TTL, clock.Time(in.Until)
-		}
-		all = append(all, o)
+// recordOrigins replaces what Origins returns.
+func (b *Browser) recordOrigins(snapshot discovery.Sight, next evaluation) {
+	changedAt := map[string]time.Time{}
+	all := make([]Origin, 0, len(snapshot.Instances))
+	for _, instance := range snapshot.Instances {
+		origin := Origin{Name: instance.Label + b.Suffix, Fault: next.faults[instance.Name]}
+		unchanged := b.faults[instance.Name] == origin.Fault
+		if endpoint, used := next.endpoints[instance.Name]; used {
+			origin = Describe(endpoint)
+			unchanged = reflect.DeepEqual(endpoint, b.endpoints[instance.Name])
+		}
+		origin.ChangedAt = b.changedAt[instance.Name]
+		if origin.ChangedAt.IsZero() || !unchanged {
+			origin.ChangedAt = snapshot.At
+		}
+		changedAt[instance.Name] = origin.ChangedAt
+		origin.Instance = instance.Name
+		origin.Server = b.FinderOptions.Server
+		origin.Mechanism = string(snapshot.Way)
+		origin.CheckedAt = snapshot.At
+		if !instance.Pending && instance.Until < math.MaxInt64 {
+			origin.TTL = instance.TTL
+			origin.ExpiresAt = clock.Time(instance.Until)
+		}
+		all = append(all, origin)
 	}
 	slices.SortFunc(all, func(x, y Origin) int { return strings.Compare(x.Name, y.Name) })
-	b.changed = changed
+	b.changedAt = changedAt
 	b.origins.Store(&all)
 }
 
-// entry reads an instance as an endpoint.
-func (b *Browser) entry(in dnssd.Instance, now time.Time) (node.Endpoint, error) {
-	e := node.Endpoint{Engine: standpoint.Engine{Name: in.Label + b.Suffix, Size: 1}, Source: b.Key}
-	if in.Fault != nil {
-		return e, in.Fault
-	}
-	if b.Site != "" {
-		e.Zone = index(b.Names.Zones, b.Site)
-	}
-	e.Address = in.Address.String()
-	for key, a := range in.Attributes {
-		if err := b.attribute(&e, key, a.Value); err != nil {
-			return e, fmt.Errorf("TXT %s: %w", key, err)
-		}
-	}
-	if e.ReadyAt == 0 {
-		e.ReadyAt = b.since(in.Name, e.Address, now)
-	}
-	return e, nil
-}
-
-// since is the start of an instance that tells none. One that was there when this node came may have run for long; one
-// that appears later, comes back, or is at another address has just started as far as anyone can tell, and is cold.
-func (b *Browser) since(name, address string, now time.Time) int64 {
-	was, known := b.observed[name]
-	switch {
-	case known && was.address != address:
-		was.startedAt = clock.Of(now)
-	case known && now.Sub(was.lastSeen) < sameStart || known && b.listed[name]:
-	case b.unpublished:
-		was.startedAt = 0
-	default:
-		was.startedAt = clock.Of(now)
-	}
-	if !known && len(b.observed) >= sightingsMost {
-		for other, s := range b.observed {
-			if !b.listed[other] && now.Sub(s.lastSeen) >= sameStart {
-				delete(b.observed, other)
-			}
-		}
+// publish notifies of the list in use if it has changed, and of the first in any case.
+func (b *Browser) publish() {
+	list := make([]node.Endpoint, 0, len(b.endpoints))
+	for _, endpoint := range b.endpoints {
+		list = append(list, endpoint)
 	}
-	was.lastSeen, was.address = now, address
-	b.observed[name] = was
-	return was.startedAt
-}
-
-// attribute takes in one key of a TXT record. Those that mean nothing here become labels.
-func (b *Browser) attribute(e *node.Endpoint, key, value string) (err error) {
-	switch key {
-	case "site":
-		e.Zone = index(b.Names.Zones, value)
-	case "class":
-		e.Kind = index(b.Names.Kinds, value)
-	case "block":
-		e.Cell, err = strconv.Atoi(value)
-	case "share":
-		e.Size, err = strconv.ParseFloat(value, 64)
-		if err == nil && !(e.Size > 0 && e.Size <= 1e6) {
-			err = fmt.Errorf("%q is no size", value)
-		}
-	case "born_ms":
-		var born int64
-		born, err = strconv.ParseInt(value, 10, 64)
-		if err == nil && (born < 0 || born > math.MaxInt64/int64(time.Millisecond)) {
-			err = fmt.Errorf("%q is no time", value)
-		}
-		e.ReadyAt = born * int64(time.Millisecond)
-	case "mode":
-		e.Batch = value == "batch"
-	case "health":
-		e.State, err = state(value)
-	default:
-		if e.Labels == nil {
-			e.Labels = map[string]string{}
-		}
-		e.Labels[key] = value
+	slices.SortFunc(list, func(x, y node.Endpoint) int { return strings.Compare(x.Name, y.Name) })
+	if !b.unpublished && reflect.DeepEqual(list, b.published) {
+		return
 	}
-	return err
+	b.unpublished = false
+	b.published = list
+	b.Notify(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
 }
--- a/internal/endpoints/browser_test.go
+++ b/internal/endpoints/browser_test.go
@@ -343,7 +343,8 @@
 	require.Eventually(t, func() bool { return keys.Get(cacheKey).Version != 0 }, 10*time.Second, time.Millisecond)
 }
 
-// What was kept is read by the words of the file that holds then: another order of halls and kinds takes no box elsewhere.
+// What was kept is read by the words of the file that holds then: another order of halls and kinds takes no box
+// elsewhere.
 func TestCachePersistsZoneAndKindNames(t *testing.T) {
 	keys := store.NewMemory()
 	k := NewCache(keys, zap.NewNop())
--- a/internal/endpoints/browserset.go
+++ b/internal/endpoints/browserset.go
@@ -10,169 +10,200 @@
 	"standpoint/internal/node"
 )
 
-// firstWait is how long a start waits for services that do not answer, before the others' boxes are told.
-const firstWait = 2 * time.Second
+// maxFirstWait is how long the first list waits for services that do not answer.
+const maxFirstWait = 2 * time.Second
 
-// Browsers are several services and domains in one, a hall each, say. What one of them cannot tell costs its own
-// boxes alone: the others' news goes on.
+// Browsers combines the lists of several browsers, of one service or domain each. A service that does not answer
+// affects its own endpoints alone: changes of the others are passed on. Its methods are safe for concurrent use.
 type Browsers struct {
-	notify func(node.EndpointList)
+	notify func(node.EndpointList) // called with mu held
 
-	mu      sync.Mutex
-	all     []*running
-	context context.Context // of Run; nil before
-	open    bool            // told before, or waited long enough
-	actors  sync.WaitGroup
+	mu      sync.Mutex // guards all below, and the fields of the browsers' runs
+	all     []*browserRun
+	context context.Context // Run's, for browsers that Replace starts; nil before Run
+	open    bool            // the first list was passed on, or has waited for maxFirstWait
+
+	runs sync.WaitGroup // the goroutines of all browsers; Run waits for them
 }
 
-// running is a browser and what it last told.
-type running struct {
+// browserRun is a browser and its part of the list.
+type browserRun struct {
 	*Browser
-	part []node.Endpoint
-	has  bool // it has told, or the store has had its part
-	own  bool // it has told
-	stop context.CancelFunc
+	listing   []node.Endpoint
+	hasList   bool // of its own, or of the persisted list
+	confirmed bool // the listing is the browser's own
+	stop      context.CancelFunc
 }
 
-// NewBrowsers makes the actor of several.
-func NewBrowsers(news func(node.EndpointList), all ...*Browser) *Browsers {
-	b := &Browsers{notify: news}
-	for _, one := range all {
-		b.all = append(b.all, &running{Browser: one})
+// NewBrowsers combines browsers. Lists are passed to notify, which the browsers wait for.
+func NewBrowsers(notify func(node.EndpointList), all ...*Browser) *Browsers {
+	b := &Browsers{notify: notify}
+	for _, browser := range all {
+		b.all = append(b.all, &browserRun{Browser: browser})
 	}
 	return b
 }
 
-// Restore hands in the list that the store has, before Run: each source's part stands until the source itself tells.
-func (b *Browsers) Restore(l node.EndpointList) {
+// Restore hands in the persisted list: each browser's part of it stands until the browser has its own. It must be
+// called before Run.
+func (b *Browsers) Restore(list node.EndpointList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, one := range b.all {
-		for _, e := range l.Endpoints {
-			if e.Source == one.Key {
-				one.part, one.has = append(one.part, e), true
+	for _, run := range b.all {
+		for _, endpoint := range list.Endpoints {
+			if endpoint.Source == run.Key {
+				run.listing = append(run.listing, endpoint)
+				run.hasList = true
 			}
 		}
 	}
 }
 
-// Watch does nothing: the records are looked up all the time.
+// Watch implements node.EndpointWatcher. It does nothing: the services are browsed all the time.
 func (b *Browsers) Watch() {}
 
-// Run runs all browsers until ctx ends.
+// Run runs all browsers until ctx ends, and waits for them. It may be called once.
 func (b *Browsers) Run(ctx context.Context) {
 	b.mu.Lock()
 	b.context = ctx
-	for _, one := range b.all {
-		b.begin(one)
+	for _, run := range b.all {
+		b.start(run)
 	}
 	b.mu.Unlock()
-	timer := time.AfterFunc(firstWait, func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		some := slices.ContainsFunc(b.all, func(r *running) bool { return r.own })
-		if !b.open && some {
-			b.tell()
-		}
-		b.open = true
-	})
+	timer := time.AfterFunc(maxFirstWait, b.endFirstWait)
 	defer timer.Stop()
 	<-ctx.Done()
-	b.actors.Wait()
+	b.runs.Wait()
+}
+
+// endFirstWait passes on what there is, without the services that have not answered.
+func (b *Browsers) endFirstWait() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.open && slices.ContainsFunc(b.all, func(run *browserRun) bool { return run.confirmed }) {
+		b.publish()
+	}
+	b.open = true
 }
 
-// begin starts one browser, the lock held.
-func (b *Browsers) begin(one *running) {
+// start starts one browser. The caller holds mu.
+func (b *Browsers) start(run *browserRun) {
 	var ctx context.Context
-	ctx, one.stop = context.WithCancel(b.context)
-	one.Notify = func(l node.EndpointList) {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if !slices.Contains(b.all, one) {
-			return // taken away a moment ago
-		}
-		one.part, one.has, one.own = l.Endpoints, true, true
-		if b.open || !slices.ContainsFunc(b.all, func(r *running) bool { return !r.own }) {
-			b.tell()
-		}
+	ctx, run.stop = context.WithCancel(b.context)
+	run.Notify = func(list node.EndpointList) { b.update(run, list) }
+	b.runs.Go(func() { run.Run(ctx) })
+}
+
+// update takes one browser's list.
+func (b *Browsers) update(run *browserRun, list node.EndpointList) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !slices.Contains(b.all, run) {
+		return // replaced a moment ago
+	}
+	run.listing = list.Endpoints
+	run.hasList = true
+	run.confirmed = true
+	if b.open || !slices.ContainsFunc(b.all, func(other *browserRun) bool { return !other.confirmed }) {
+		b.publish()
 	}
-	b.actors.Go(func() { one.Run(ctx) })
 }
 
-// Replace takes on another set of browsers while it runs. Those that were told the same go on as they are, with all
-// they know; of those whose settings alone are others the boxes stay until the new browser has told; the boxes of those
-// that go are withdrawn; those that are new tell when they can.
+// Replace changes to another set of browsers. One whose Key and Config stay the same continues with all that it
+// knows. If its Config alone differs, its endpoints stay until the new browser has its own list. The endpoints of
+// those that are removed are withdrawn.
 func (b *Browsers) Replace(all []*Browser) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var next []*running
-	gone := false
-	for _, old := range b.all {
-		i := slices.IndexFunc(all, func(n *Browser) bool { return n.Key == old.Key })
-		gone = gone || i < 0 && len(old.part) > 0
-		if (i < 0 || all[i].Config != old.Config) && old.stop != nil {
-			old.stop()
-		}
-	}
-	for _, n := range all {
-		one := &running{Browser: n}
-		if i := slices.IndexFunc(b.all, func(r *running) bool { return r.Key == n.Key }); i >= 0 {
-			if old := b.all[i]; old.Config == n.Config {
-				next = append(next, old)
-				continue
-			} else if old.Suffix == n.Suffix {
-				one.part, one.has = old.part, old.has
-			} else {
-				gone = true
-			}
+	withdrawn := b.stopReplaced(all)
+	var next []*browserRun
+	for _, browser := range all {
+		run := &browserRun{Browser: browser}
+		old := b.find(browser.Key)
+		switch {
+		case old == nil:
+		case old.Config == browser.Config:
+			next = append(next, old)
+			continue
+		case old.Suffix == browser.Suffix:
+			run.listing = old.listing
+			run.hasList = old.hasList
+		default: // its endpoints have other names from now on
+			withdrawn = true
 		}
-		next = append(next, one)
+		next = append(next, run)
 		if b.context != nil && b.context.Err() == nil {
-			b.begin(one)
+			b.start(run)
 		}
 	}
 	b.all = next
-	if gone && b.open {
-		b.tell()
+	if withdrawn && b.open {
+		b.publish()
+	}
+}
+
+// stopReplaced stops the browsers that are not, or not with the same configuration, among the next ones. It returns
+// whether there are endpoints of browsers that are removed. The caller holds mu.
+func (b *Browsers) stopReplaced(next []*Browser) (withdrawn bool) {
+	for _, old := range b.all {
+		i := slices.IndexFunc(next, func(browser *Browser) bool { return browser.Key == old.Key })
+		removed := i < 0
+		if removed && len(old.listing) > 0 {
+			withdrawn = true
+		}
+		if (removed || next[i].Config != old.Config) && old.stop != nil {
+			old.stop()
+		}
+	}
+	return withdrawn
+}
+
+// find returns the browser with a key; nil if there is none. The caller holds mu.
+func (b *Browsers) find(key string) *browserRun {
+	i := slices.IndexFunc(b.all, func(run *browserRun) bool { return run.Key == key })
+	if i < 0 {
+		return nil
 	}
+	return b.all[i]
 }
 
-// tell tells the whole list. Lists go out one after the other, the lock held, so that an older one never comes last.
-func (b *Browsers) tell() {
+// publish passes on the combined list. The caller holds mu, so that an older list never follows a newer one.
+func (b *Browsers) publish() {
 	b.open = true
-	l := node.EndpointList{Kind: standpoint.ListFull}
-	for _, one := range b.all {
-		l.Endpoints = append(l.Endpoints, one.part...)
+	list := node.EndpointList{Kind: standpoint.ListFull}
+	for _, run := range b.all {
+		list.Endpoints = append(list.Endpoints, run.listing...)
 	}
-	b.notify(l)
+	b.notify(list)
 }
 
-// Origins are all instances of all services, those that are left out too.
+// Origins returns all instances of all services, unused ones included.
 func (b *Browsers) Origins() []Origin {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []Origin
-	for _, one := range b.all {
-		if one.own || !one.has {
-			all = append(all, one.Browser.Origins()...)
+	for _, run := range b.all {
+		if run.confirmed || !run.hasList {
+			all = append(all, run.Browser.Origins()...)
 			continue
 		}
-		for _, e := range one.part { // as the store had them
-			o := Describe(e)
-			o.Server, o.Mechanism = one.FinderOptions.Server, "store"
-			all = append(all, o)
+		for _, endpoint := range run.listing { // from the persisted list
+			origin := Describe(endpoint)
+			origin.Server = run.FinderOptions.Server
+			origin.Mechanism = MechanismStore
+			all = append(all, origin)
 		}
 	}
 	return all
 }
 
-// ExpiryTimes is when each entry's records come to the end of their time, by the entry's name.
+// ExpiryTimes returns when the endpoints' records expire, by the endpoints' names.
 func (b *Browsers) ExpiryTimes() map[string]time.Time {
-	until := map[string]time.Time{}
-	for _, o := range b.Origins() {
-		if !o.ExpiresAt.IsZero() {
-			until[o.Name] = o.ExpiresAt
+	times := map[string]time.Time{}
+	for _, origin := range b.Origins() {
+		if !origin.ExpiresAt.IsZero() {
+			times[origin.Name] = origin.ExpiresAt
 		}
 	}
-	return until
+	return times
 }
--- a/internal/endpoints/cache.go
+++ b/internal/endpoints/cache.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"maps"
 	"slices"
 	"strings"
@@ -17,216 +16,192 @@
 	"standpoint/internal/store"
 )
 
+// cacheKey is the key of the persisted list in the store.
 const cacheKey = "entries/last"
 
 const (
-	refreshInterval = 30 * time.Second // ages that alone have changed
-	retryInterval   = time.Second      // after a write that the store did not take
+	refreshInterval = 30 * time.Second // of writes for expiry times that alone have changed
+	retryInterval   = time.Second      // of writes that the store did not take
 )
 
-// storedEndpoint is an endpoint as the store has it, in the words of the platform's list: what indexes stand for may be in
-// another order in the file by which the next start reads it.
-type storedEndpoint struct {
-	Host   string            `json:"host"`
-	Dial   string            `json:"dial"`
-	Site   string            `json:"site,omitempty"`
-	Class  string            `json:"class,omitempty"`
-	Block  int               `json:"block,omitempty"`
-	Health string            `json:"health"`
-	Share  float64           `json:"share"`
-	BornMS int64             `json:"born_ms,omitempty"`
-	Mode   string            `json:"mode,omitempty"` // batch, of one that takes files
-	Labels map[string]string `json:"labels,omitempty"`
-	Source string            `json:"source,omitempty"`
-	Until  time.Time         `json:"until,omitzero"` // the end of its records' time; absent where the source tells none
-}
-
-func (k *Cache) write(e node.Endpoint, until time.Time) storedEndpoint {
-	one := storedEndpoint{Host: e.Name, Dial: e.Address, Site: word(k.Names.Zones, e.Zone), Class: word(k.Names.Kinds, e.Kind), Block: e.Cell,
-		Health: word(healthNames, int(e.State)), Share: e.Size, BornMS: e.ReadyAt / int64(time.Millisecond), Labels: e.Labels, Source: e.Source, Until: until}
-	if e.Batch {
-		one.Mode = "batch"
-	}
-	if e.Stale {
-		one.Until = time.Unix(1, 0) // past, whenever it is read
-	}
-	return one
-}
-
-func (k *Cache) read(one storedEndpoint, now time.Time) (node.Endpoint, error) {
-	e := node.Endpoint{Address: one.Dial, Batch: one.Mode == "batch", Labels: one.Labels, Source: one.Source,
-		Engine: standpoint.Engine{Name: one.Host, Zone: index(k.Names.Zones, one.Site), Kind: index(k.Names.Kinds, one.Class), Cell: one.Block,
-			Size: one.Share, ReadyAt: one.BornMS * int64(time.Millisecond), Stale: !one.Until.IsZero() && now.After(one.Until)}}
-	var err error
-	if e.State, err = state(one.Health); err == nil && (one.Host == "" || !(one.Share >= 0 && one.Share <= maxSize) || one.BornMS < 0 || one.BornMS > maxBornMS) {
-		err = errors.New("an entry that is none")
-	}
-	return e, err
-}
-
-func word(words []string, i int) string {
-	if i < 0 || i >= len(words) {
-		return ""
-	}
-	return words[i]
-}
-
-// Cache keeps the last endpoints in the store, with their ages, so that a node that starts anew has some.
+// Cache has the endpoint list as the source last notified of it, and persists it with the expiry times of its records,
+// so that a process that starts has one before its source answers. It is safe for concurrent use.
 type Cache struct {
+	// Names, set before the first use, are the names of zones and kinds in the persisted list.
 	Names Names
-	// ExpiryTimes says when the entries' records come to the end of their time, by name; nil: nobody knows.
+	// ExpiryTimes, set before Run, returns when the endpoints' records expire, by name; nil if the source does not
+	// know.
 	ExpiryTimes func() map[string]time.Time
 
 	keyValues store.Store
 	log       *zap.Logger
-	overlay   func(node.EndpointList) node.EndpointList // what is handed on of what is told; nil: that itself
-	notifyMu  sync.Mutex                                // held while a change is noted and handed on, so that both happen in one order
-	mu        sync.Mutex
+	overlay   func(node.EndpointList) node.EndpointList // applied to each list that is passed on; nil for none
+
+	// notifyMu is held while a change is stored and passed on, so that both happen in one order. It is locked before
+	// mu.
+	notifyMu sync.Mutex
+
+	mu        sync.Mutex // guards endpoints
 	endpoints map[string]node.Endpoint
-	changed   chan struct{}
-}
 
-// NewCache makes the actor; Run writes.
-func NewCache(s store.Store, log *zap.Logger) *Cache {
-	return &Cache{keyValues: s, log: log, endpoints: map[string]node.Endpoint{}, changed: make(chan struct{}, 1)}
+	changed chan struct{} // of capacity 1: something has changed since the last write
 }
 
-// Load is the list as the store has it. Entries past their time are marked stale: they are tried last.
-func (k *Cache) Load(now time.Time) (node.EndpointList, bool) {
-	l := node.EndpointList{Kind: standpoint.ListFull}
-	v := k.keyValues.Get(cacheKey)
-	var all []storedEndpoint
-	if v.Version == 0 {
-		return l, false
+// NewCache returns a cache with no endpoints. Run persists what it holds in the store.
+func NewCache(keyValues store.Store, log *zap.Logger) *Cache {
+	return &Cache{
+		keyValues: keyValues,
+		log:       log,
+		endpoints: map[string]node.Endpoint{},
+		changed:   make(chan struct{}, 1),
 	}
-	err := json.Unmarshal(v.Data, &all)
-	for i := 0; i < len(all) && err == nil; i++ {
-		var e node.Endpoint
-		e, err = k.read(all[i], now)
-		l.Endpoints = append(l.Endpoints, e)
+}
+
+// Load returns the persisted list; false if there is none, or if it cannot be read. Endpoints whose records have
+// expired are marked stale: they are used last.
+func (c *Cache) Load(now time.Time) (node.EndpointList, bool) {
+	list := node.EndpointList{Kind: standpoint.ListFull}
+	value := c.keyValues.Get(cacheKey)
+	if value.Version == 0 {
+		return list, false
 	}
+	endpoints, err := decodeEndpoints(value.Data, c.Names, now)
 	if err != nil {
-		l.Endpoints = nil
-		k.log.Error("the last list of endpoints cannot be read; none of it is used", zap.String("key", cacheKey), zap.Error(err))
-		return l, false
+		c.log.Error("persisted endpoint list unreadable, ignored", zap.String("key", cacheKey), zap.Error(err))
+		return list, false
 	}
-	return l, true
+	list.Endpoints = endpoints
+	return list, true
 }
 
-// Update notes a change and hands it on. Changes are handed on in the order in which they are noted: an older list
-// must not come behind the news of a drain.
-func (k *Cache) Update(l node.EndpointList, to func(node.EndpointList)) {
-	k.notifyMu.Lock()
-	defer k.notifyMu.Unlock()
-	k.Store(l)
-	to(k.overlaid(l))
+// decodeEndpoints decodes the persisted list. One invalid endpoint makes all of it unusable.
+func decodeEndpoints(raw []byte, names Names, now time.Time) ([]node.Endpoint, error) {
+	var stored []storedEndpoint
+	if err := json.Unmarshal(raw, &stored); err != nil {
+		return nil, err
+	}
+	var endpoints []node.Endpoint
+	for _, one := range stored {
+		endpoint, err := one.decode(names, now)
+		if err != nil {
+			return nil, &EntryError{Endpoint: one.Host, Err: err}
+		}
+		endpoints = append(endpoints, endpoint)
+	}
+	return endpoints, nil
 }
 
-func (k *Cache) overlaid(l node.EndpointList) node.EndpointList {
-	if k.overlay == nil {
-		return l
-	}
-	return k.overlay(l)
+// Update stores a change and passes it on to notify. Changes are passed on in the order in which they are stored: an
+// older list must not follow the notice that a backend drains.
+func (c *Cache) Update(list node.EndpointList, notify func(node.EndpointList)) {
+	c.notifyMu.Lock()
+	defer c.notifyMu.Unlock()
+	c.Store(list)
+	notify(c.overlaid(list))
 }
 
-// amend hands on once more those that are listed of the names that the test lets through. The order is held.
-func (k *Cache) amend(test func(string) bool, to func(node.EndpointList)) {
-	all := slices.DeleteFunc(k.sorted(), func(e node.Endpoint) bool { return !test(e.Name) })
-	if len(all) > 0 {
-		to(k.overlaid(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}))
-	}
+// Resend passes the whole list on once more.
+func (c *Cache) Resend(notify func(node.EndpointList)) {
+	c.notifyMu.Lock()
+	defer c.notifyMu.Unlock()
+	notify(c.overlaid(node.EndpointList{Kind: standpoint.ListFull, Endpoints: c.Current()}))
 }
 
-// Resend hands the whole list on once more, as it was last told.
-func (k *Cache) Resend(to func(node.EndpointList)) {
-	k.notifyMu.Lock()
-	defer k.notifyMu.Unlock()
-	to(k.overlaid(node.EndpointList{Kind: standpoint.ListFull, Endpoints: k.sorted()}))
+// updateOverlay runs update, which changes what the overlay does, and passes on once more the endpoints for whose names
+// the function that update returns is true.
+func (c *Cache) updateOverlay(update func() (changed func(name string) bool), notify func(node.EndpointList)) {
+	c.notifyMu.Lock()
+	defer c.notifyMu.Unlock()
+	changed := update()
+	endpoints := slices.DeleteFunc(c.Current(), func(e node.Endpoint) bool { return !changed(e.Name) })
+	if len(endpoints) > 0 {
+		notify(c.overlaid(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: endpoints}))
+	}
 }
 
-// Current is the list as last told, by name.
-func (k *Cache) Current() []node.Endpoint { return k.sorted() }
+func (c *Cache) overlaid(list node.EndpointList) node.EndpointList {
+	if c.overlay == nil {
+		return list
+	}
+	return c.overlay(list)
+}
 
-func (k *Cache) sorted() []node.Endpoint {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.SortedFunc(maps.Values(k.endpoints), func(a, b node.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+// Current returns the endpoints as the source last notified of them, sorted by name.
+func (c *Cache) Current() []node.Endpoint {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.SortedFunc(maps.Values(c.endpoints), func(a, b node.Endpoint) int {
+		return strings.Compare(a.Name, b.Name)
+	})
 }
 
-// Store notes a change. It never waits for the store: the watch must go on at once.
-func (k *Cache) Store(l node.EndpointList) {
-	if l.Kind == standpoint.ListLost || l.Kind == standpoint.ListDelta && len(l.Endpoints) == 0 {
+// Store stores a change. It never waits for the store: the watch has to continue at once.
+func (c *Cache) Store(list node.EndpointList) {
+	if list.Kind == standpoint.ListLost || list.Kind == standpoint.ListDelta && len(list.Endpoints) == 0 {
 		return
 	}
-	k.mu.Lock()
-	if l.Kind == standpoint.ListFull {
-		clear(k.endpoints)
+	c.mu.Lock()
+	if list.Kind == standpoint.ListFull {
+		clear(c.endpoints)
 	}
-	for _, e := range l.Endpoints {
-		if e.State == standpoint.Gone {
-			delete(k.endpoints, e.Name)
+	for _, endpoint := range list.Endpoints {
+		if endpoint.State == standpoint.Gone {
+			delete(c.endpoints, endpoint.Name)
 		} else {
-			k.endpoints[e.Name] = e
+			c.endpoints[endpoint.Name] = endpoint
 		}
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	select {
-	case k.changed <- struct{}{}:
+	case c.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Run writes what has changed, where this member may write.
-func (k *Cache) Run(ctx context.Context) {
-	ages, again := time.NewTicker(refreshInterval), time.NewTicker(retryInterval)
-	defer ages.Stop()
-	defer again.Stop()
-	due := false // something has changed that the store does not have
+// Run persists what has changed, while this member may write to the store, until ctx ends.
+func (c *Cache) Run(ctx context.Context) {
+	refresh := time.NewTicker(refreshInterval)
+	defer refresh.Stop()
+	retry := time.NewTicker(retryInterval)
+	defer retry.Stop()
+	pending := false // something has changed that the store does not have
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.changed:
-			due = true
-		case <-ages.C:
-			due = due || k.ExpiryTimes != nil
-		case <-again.C:
+		case <-c.changed:
+			pending = true
+		case <-refresh.C:
+			pending = pending || c.ExpiryTimes != nil
+		case <-retry.C:
 		}
-		// A member that may not write yet may lead later; it keeps what it owes.
-		if _, leads := k.keyValues.Leadership(); !leads || !due {
+		// What a member may not write yet stays pending, since it may lead later.
+		if _, leads := c.keyValues.Leadership(); !leads || !pending {
 			continue
 		}
-		raw, err := json.Marshal(k.aged())
-		if err == nil {
-			_, err = k.keyValues.Write(ctx, store.Op{Key: cacheKey, Data: raw, ExpectedVersion: store.AnyVersion})
-		}
-		if due = err != nil; due {
-			k.log.Warn("the endpoints were not kept; once more soon", zap.Error(err))
+		err := c.persist(ctx)
+		if err != nil {
+			c.log.Warn("endpoint list not persisted, to be retried", zap.String("key", cacheKey), zap.Error(err))
 		}
+		pending = err != nil
 	}
 }
 
-// aged is the list with its ages. Entries that are themselves from the store keep none: they were not told anew.
-func (k *Cache) aged() []storedEndpoint {
-	var until map[string]time.Time
-	if k.ExpiryTimes != nil {
-		until = k.ExpiryTimes()
+// persist writes the list to the store. Endpoints that are themselves from the store keep no expiry time: the source
+// has not confirmed them.
+func (c *Cache) persist(ctx context.Context) error {
+	var expiryTimes map[string]time.Time
+	if c.ExpiryTimes != nil {
+		expiryTimes = c.ExpiryTimes()
 	}
-	all := []storedEndpoint{}
-	for _, e := range k.sorted() {
-		all = append(all, k.write(e, until[e.Name]))
+	stored := []storedEndpoint{}
+	for _, endpoint := range c.Current() {
+		stored = append(stored, encodeEndpoint(endpoint, c.Names, expiryTimes[endpoint.Name]))
 	}
-	return all
-}
-
-// Fixed is the source of a list that an operator wrote by hand.
-type Fixed struct {
-	List   node.EndpointList
-	Notify func(node.EndpointList)
+	raw, err := json.Marshal(stored)
+	if err != nil {
+		return err
+	}
+	_, err = c.keyValues.Write(ctx, store.Op{Key: cacheKey, Data: raw, ExpectedVersion: store.AnyVersion})
+	return err
 }
-
-// Watch does nothing: the list does not change.
-func (Fixed) Watch() {}
-
-// Run tells the list once.
-func (f Fixed) Run(context.Context) { f.Notify(f.List) }
--- a/internal/endpoints/catalog.go
+++ b/internal/endpoints/catalog.go
@@ -4,28 +4,22 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
+	"slices"
 	"time"
 
 	"standpoint"
 	"standpoint/internal/node"
 )
 
-const (
-	maxSize   = 1e6 // of a box, in the list's own unit
-	maxBornMS = math.MaxInt64 / int64(time.Millisecond)
-)
-
-// Names turns the list's words into the module's indexes.
-type Names struct{ Zones, Kinds []string }
-
+// catalog is the platform's form of an endpoint list.
 type catalog struct {
-	Seq   int64             `json:"seq"`
-	Whole bool              `json:"whole"`
-	Hosts []json.RawMessage `json:"hosts"`
+	Version int64             `json:"seq"`
+	Full    bool              `json:"whole"`
+	Entries []json.RawMessage `json:"hosts"` // decoded one by one, since an invalid one must not cost the others
 }
 
-type host struct {
+// catalogEntry is the platform's form of an endpoint.
+type catalogEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -36,82 +30,102 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// Decode reads discovery's form of the list. An entry that says what nobody can mean costs itself alone: faults name it,
-// and it is taken to drain, for what else is told, other boxes' drains above all, must not wait for it.
-func Decode(raw []byte, names Names) (seq int64, l node.EndpointList, faults []error, err error) {
-	var w catalog
-	if err := json.Unmarshal(raw, &w); err != nil {
+// EntryError reports an entry of a list that cannot be used as it stands.
+type EntryError struct {
+	Endpoint string // the name; "" if the entry has none
+	Err      error
+}
+
+// Error implements error.
+func (e *EntryError) Error() string {
+	if e.Endpoint == "" {
+		return e.Err.Error()
+	}
+	return fmt.Sprintf("endpoint %q: %v", e.Endpoint, e.Err)
+}
+
+// Unwrap implements errors.Unwrap.
+func (e *EntryError) Unwrap() error { return e.Err }
+
+// errNoName reports an entry without a name.
+var errNoName = errors.New("an endpoint without a name")
+
+// Decode decodes the platform's form of an endpoint list, and returns its version. An invalid entry affects no other:
+// faults has an *EntryError for it, and, if it has a name, its endpoint is listed as draining, since the rest of the
+// list, above all that other backends drain, must not wait for it. If err is not nil, nothing was decoded.
+func Decode(raw []byte, names Names) (version int64, list node.EndpointList, faults []error, err error) {
+	var decoded catalog
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return 0, node.EndpointList{}, nil, fmt.Errorf("list of endpoints: %w", err)
 	}
-	l = node.EndpointList{Kind: standpoint.ListDelta}
-	if w.Whole {
-		l.Kind = standpoint.ListFull
+	list.Kind = standpoint.ListDelta
+	if decoded.Full {
+		list.Kind = standpoint.ListFull
 	}
-	at := map[string]int{}
-	for _, text := range w.Hosts {
-		e, err := decodeHost(text, names)
+	positions := map[string]int{}
+	for _, text := range decoded.Entries {
+		endpoint, err := decodeEntry(text, names)
 		if err != nil {
 			faults = append(faults, err)
 		}
-		if e.Name == "" {
+		if endpoint.Name == "" {
 			continue
 		}
-		if i, twice := at[e.Name]; twice {
-			faults = append(faults, fmt.Errorf("endpoint %q: listed twice", e.Name))
-			l.Endpoints[i].State = max(l.Endpoints[i].State, e.State)
+		if i, listed := positions[endpoint.Name]; listed {
+			faults = append(faults, &EntryError{Endpoint: endpoint.Name, Err: errors.New("listed twice")})
+			list.Endpoints[i].State = max(list.Endpoints[i].State, endpoint.State) // the one that departs counts
 			continue
 		}
-		at[e.Name] = len(l.Endpoints)
-		l.Endpoints = append(l.Endpoints, e)
+		positions[endpoint.Name] = len(list.Endpoints)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
-	return w.Seq, l, faults, nil
+	return decoded.Version, list, faults, nil
 }
 
-// decodeHost reads one entry; one with a fault has no name, or drains.
-func decodeHost(text json.RawMessage, names Names) (node.Endpoint, error) {
-	var h host
-	unreadable := json.Unmarshal(text, &h) // what can be read of it is
-	if h.Host == "" {
-		return node.Endpoint{}, errors.Join(errors.New("an endpoint without a name"), unreadable)
+// decodeEntry decodes one entry. If it is invalid, the endpoint has no name, or is draining.
+func decodeEntry(text json.RawMessage, names Names) (node.Endpoint, error) {
+	var entry catalogEntry
+	unreadable := json.Unmarshal(text, &entry) // the fields that can be decoded are set all the same
+	if entry.Host == "" {
+		return node.Endpoint{}, &EntryError{Err: errors.Join(errNoName, unreadable)}
+	}
+	endpoint := node.Endpoint{
+		Address: entry.Dial,
+		Engine: standpoint.Engine{
+			Name:    entry.Host,
+			Cell:    entry.Block,
+			Zone:    slices.Index(names.Zones, entry.Site),
+			Kind:    slices.Index(names.Kinds, entry.Class),
+			Size:    entry.Share,
+			ReadyAt: entry.BornMS * int64(time.Millisecond),
+		},
 	}
-	e := node.Endpoint{Address: h.Dial, Engine: standpoint.Engine{Name: h.Host, Cell: h.Block,
-		Zone: index(names.Zones, h.Site), Kind: index(names.Kinds, h.Class), Size: h.Share,
-		ReadyAt: h.BornMS * int64(time.Millisecond)}}
-	var err error
-	e.State, err = state(h.Health)
+	state, err := parseHealth(entry.Health)
+	endpoint.State = state
 	switch {
 	case unreadable != nil:
 		err = unreadable
-	case err != nil || e.State == standpoint.Gone:
-	case h.BornMS < 0 || h.BornMS > maxBornMS:
-		err = fmt.Errorf("born_ms: %d is no time", h.BornMS)
-	case !(h.Share >= 0 && h.Share <= maxSize):
-		err = fmt.Errorf("share: %g is no size", h.Share)
-	case h.Dial == "":
-		err = errors.New("dial: missing")
+	case err == nil && state != standpoint.Gone: // of one that is gone the rest does not matter
+		err = entry.validate()
 	}
 	if err != nil {
-		e.State, e.ReadyAt, e.Size = standpoint.Draining, 0, 0
-		return e, fmt.Errorf("endpoint %q: %w", h.Host, err)
-	}
-	return e, nil
-}
-
-// healthNames are the words for the module's states.
-var healthNames = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Gone: "gone"}
-
-func state(health string) (standpoint.State, error) {
-	if i := index(healthNames, health); i >= 0 {
-		return standpoint.State(i), nil
+		endpoint.State = standpoint.Draining
+		endpoint.ReadyAt = 0
+		endpoint.Size = 0
+		return endpoint, &EntryError{Endpoint: entry.Host, Err: err}
 	}
-	return standpoint.Gone, fmt.Errorf("unknown health %q", health)
+	return endpoint, nil
 }
 
-func index(names []string, name string) int {
-	for i, n := range names {
-		if n == name {
-			return i
-		}
+// validate checks the fields that the decision module or a dial relies on.
+func (e *catalogEntry) validate() error {
+	switch {
+	case e.BornMS < 0 || e.BornMS > maxBornMS:
+		return fmt.Errorf("born_ms: %d is no time", e.BornMS)
+	case !(e.Share >= 0 && e.Share <= maxSize): // NaN is neither
+		return fmt.Errorf("share: %g is no size", e.Share)
+	case e.Dial == "":
+		return errors.New("dial: missing")
 	}
-	return -1
+	return nil
 }
--- a/internal/endpoints/merge.go
+++ b/internal/endpoints/merge.go
@@ -11,171 +11,195 @@
 )
 
 const (
-	// departureHold is for how long a departure that one line of versions told stands against a list of another, which may be older:
-	// by then whatever the other discovery had when it was first heard counts as told.
+	// departureHold is for how long a departure that was reported in one epoch stands against a list of another, which
+	// may be older: by then the node knows whatever the other discovery had when its first list came.
 	departureHold = 6 * time.Second
-	// departureRetention is for how long a server that is gone is remembered, should an older list name it once more.
+	// departureRetention is for how long a removed endpoint is remembered, in case an older list has it once more.
 	departureRetention = time.Minute
-	maxKnown           = 8192 // that are remembered; beyond it the servers that are gone are forgotten first
+	// maxKnown bounds the endpoints that are remembered; beyond it those that were removed are forgotten first.
+	maxKnown = 8192
 )
 
-// response is what a call to discovery brought.
+// response is what a poll of discovery returned.
 type response struct {
-	epoch        int   // of versions, at which the call was made
-	afterVersion int64 // the version held then
+	epoch        int   // in which the poll was sent
+	afterVersion int64 // the version that the node had then
 	version      int64
 	list         node.EndpointList
 }
 
-// merger decides what of discovery's answers holds. Versions order the answers of one line: of one discovery, for as long as its
-// versions grow. Nothing orders two lines, so between them a departure goes before a server that is ready: whatever a discovery has
-// written counts as told, also by an answer that comes late, behind a move, or is passed over for another reason. It is pure.
+// merger decides what of discovery's responses is passed on, and in which form. Versions order the responses of one
+// epoch: of one discovery, for as long as its versions grow. Nothing orders those of two epochs, so between them a
+// departure (draining, or gone) wins over a ready endpoint. A departure counts once discovery has written it, even if
+// its response comes late, after a switch to another discovery, or is otherwise discarded.
+//
+// It does no I/O, has no clock, and is not safe for concurrent use.
 type merger struct {
 	epoch        int
-	version      int64
-	awaitingFull bool      // no list of this line has come yet: the whole one is wanted
-	holdFrom     time.Time // when the first list of this line came; zero: the line is the first
+	version      int64     // of the list that is in use
+	awaitingFull bool      // no full list of this epoch has come yet
+	holdFrom     time.Time // departures of earlier epochs stand for departureHold from here; zero if there are none
 	known        map[string]knownEndpoint
 }
 
-// knownEndpoint is what was last told of a server.
+// knownEndpoint is what was last reported of an endpoint.
 type knownEndpoint struct {
 	startedAt int64 // of its process
 	departing bool
 	removed   bool // not listed any more
-	epoch     int
+	epoch     int  // that reported it, or, of a departing one, that first reported the departure
 	updatedAt time.Time
 }
 
-func newMerger(seq int64) *merger { return &merger{version: seq, known: map[string]knownEndpoint{}} }
+// newMerger returns a merger in its first epoch, of which it has a version.
+func newMerger(version int64) *merger {
+	return &merger{version: version, known: map[string]knownEndpoint{}}
+}
 
-// restore takes in the list that the first version stands for.
-func (o *merger) restore(l node.EndpointList, now time.Time) { o.remember(l, o.epoch, now) }
+// restore records the list that the first version stands for.
+func (m *merger) restore(list node.EndpointList, now time.Time) { m.remember(list, m.epoch, now) }
 
-// beginEpoch starts another line of versions, of which nothing is known.
-func (o *merger) beginEpoch() {
-	o.epoch++
-	o.awaitingFull = true
+// beginEpoch begins an epoch, of which a full list is awaited.
+func (m *merger) beginEpoch() {
+	m.epoch++
+	m.awaitingFull = true
 }
 
-// merge says what is to be told of an answer; false: nothing.
-func (o *merger) merge(a response, now time.Time) (node.EndpointList, bool) {
-	whole := a.list.Kind == standpoint.ListFull
+// merge returns the list, or the change of it, to pass on for a response; false if there is none.
+func (m *merger) merge(r response, now time.Time) (node.EndpointList, bool) {
+	full := r.list.Kind == standpoint.ListFull
 	switch {
-	case a.epoch != o.epoch:
-		return o.departures(a.list, now)
-	case a.version < o.version && !o.awaitingFull && a.afterVersion != o.version:
-		return node.EndpointList{}, false // another answer, newer than this one, has come meanwhile
-	case !whole && (o.awaitingFull || a.version < a.afterVersion):
-		if !o.awaitingFull {
-			o.beginEpoch() // its versions have begun anew
+	case r.epoch != m.epoch:
+		return m.departures(r.list, now)
+	case r.version < m.version && !m.awaitingFull && r.afterVersion != m.version:
+		return node.EndpointList{}, false // a newer response has overtaken it
+	case !full && (m.awaitingFull || r.version < r.afterVersion):
+		if !m.awaitingFull {
+			m.beginEpoch() // discovery's versions have started over
 		}
-		return o.departures(a.list, now)
-	case !o.awaitingFull && a.version < o.version:
-		o.beginEpoch() // likewise, or the list is an older one
+		return m.departures(r.list, now)
+	case !m.awaitingFull && r.version < m.version:
+		m.beginEpoch() // they have, or the list is an older one
 	}
-	if o.awaitingFull {
-		o.awaitingFull, o.holdFrom = false, now
+	if m.awaitingFull {
+		m.awaitingFull = false
+		m.holdFrom = now
 	}
-	o.version = a.version
-	l := o.holdDepartures(a.list, now)
-	o.remember(l, o.epoch, now)
-	return l, true
+	m.version = r.version
+	list := m.holdDepartures(r.list, now)
+	m.remember(list, m.epoch, now)
+	return list, true
 }
 
-// departures are those of a list that nothing orders: of it only they count.
-func (o *merger) departures(l node.EndpointList, now time.Time) (node.EndpointList, bool) {
-	told := node.EndpointList{Kind: standpoint.ListDelta}
-	for _, e := range l.Endpoints {
-		if e.State == standpoint.Ready {
+// departures returns the departures in a list that no version orders; nothing else of such a list counts.
+func (m *merger) departures(list node.EndpointList, now time.Time) (node.EndpointList, bool) {
+	departing := node.EndpointList{Kind: standpoint.ListDelta}
+	for _, endpoint := range list.Endpoints {
+		if endpoint.State == standpoint.Ready {
 			continue
 		}
-		if m, known := o.known[e.Name]; known && e.ReadyAt < m.startedAt && e.ReadyAt != 0 {
-			continue // of the process before
+		last, known := m.known[endpoint.Name]
+		if known && endpoint.ReadyAt < last.startedAt && endpoint.ReadyAt != 0 {
+			continue // the process that departs was replaced
 		}
-		told.Endpoints = append(told.Endpoints, e)
+		departing.Endpoints = append(departing.Endpoints, endpoint)
 	}
-	if len(told.Endpoints) == 0 {
-		return told, false
+	if len(departing.Endpoints) == 0 {
+		return departing, false
 	}
-	o.remember(told, o.epoch-1, now)
-	if !o.awaitingFull {
-		o.holdFrom = now // what this line says of them is looked at once more, behind the hold
+	m.remember(departing, m.epoch-1, now)
+	if !m.awaitingFull {
+		m.holdFrom = now // the present epoch's word on them is fetched once more after the hold
 	}
-	return told, true
+	return departing, true
 }
 
-// holdDepartures is a list in which servers that another line told to leave do so still.
-func (o *merger) holdDepartures(l node.EndpointList, now time.Time) node.EndpointList {
-	if !o.holdActive(now) {
-		return l
+// holdDepartures returns a list in which endpoints that depart by an earlier epoch's word still do.
+func (m *merger) holdDepartures(list node.EndpointList, now time.Time) node.EndpointList {
+	if !m.holdActive(now) {
+		return list
 	}
-	l.Endpoints = slices.Clone(l.Endpoints)
-	for i := range l.Endpoints {
-		e := &l.Endpoints[i]
-		m, known := o.known[e.Name]
-		if known && m.departing && m.epoch < o.epoch && e.State == standpoint.Ready && e.ReadyAt <= m.startedAt {
-			e.State = standpoint.Draining
+	list.Endpoints = slices.Clone(list.Endpoints)
+	for i := range list.Endpoints {
+		endpoint := &list.Endpoints[i]
+		last, known := m.known[endpoint.Name]
+		held := known && last.departing && last.epoch < m.epoch
+		if held && endpoint.State == standpoint.Ready && endpoint.ReadyAt <= last.startedAt {
+			endpoint.State = standpoint.Draining
 		}
 	}
-	return l
+	return list
 }
 
-// holdActive tells whether departures of an earlier line still stand.
-func (o *merger) holdActive(now time.Time) bool {
-	return !o.holdFrom.IsZero() && now.Before(o.holdFrom.Add(departureHold))
+// holdActive reports whether departures of earlier epochs still stand.
+func (m *merger) holdActive(now time.Time) bool {
+	return !m.holdFrom.IsZero() && now.Before(m.holdFrom.Add(departureHold))
 }
 
-// refetchDue tells, once, that departures of an earlier line stand no more: the whole list is to be asked for again.
-func (o *merger) refetchDue(now time.Time) bool {
-	if o.holdFrom.IsZero() || o.holdActive(now) {
+// endHold ends the hold if its time is over. It returns true, once, if endpoints were held: they may be ready by now,
+// so the full list is to be fetched again.
+func (m *merger) endHold(now time.Time) bool {
+	if m.holdFrom.IsZero() || m.holdActive(now) {
 		return false
 	}
-	o.holdFrom = time.Time{}
-	for _, m := range o.known {
-		if m.departing && !m.removed && m.epoch < o.epoch {
+	m.holdFrom = time.Time{}
+	for _, last := range m.known {
+		if last.departing && !last.removed && last.epoch < m.epoch {
 			return true
 		}
 	}
 	return false
 }
 
-// remember remembers what a line tells. A server that is held keeps the line that told it to leave.
-func (o *merger) remember(l node.EndpointList, line int, now time.Time) {
+// remember records what an epoch reports.
+func (m *merger) remember(list node.EndpointList, epoch int, now time.Time) {
 	listed := map[string]bool{}
-	for _, e := range l.Endpoints {
-		listed[e.Name] = true
-		m := knownEndpoint{startedAt: e.ReadyAt, departing: e.State != standpoint.Ready, removed: e.State == standpoint.Gone, epoch: line, updatedAt: now}
-		if was, known := o.known[e.Name]; known && m.departing && was.departing {
-			m.startedAt, m.epoch = max(m.startedAt, was.startedAt), was.epoch
-		} else if known && m.departing {
-			m.startedAt = max(m.startedAt, was.startedAt) // what is gone tells no start
-		}
-		o.known[e.Name] = m
+	for _, endpoint := range list.Endpoints {
+		listed[endpoint.Name] = true
+		m.rememberEndpoint(endpoint, epoch, now)
 	}
-	for name, m := range o.known {
-		if l.Kind == standpoint.ListFull && !listed[name] && !m.removed {
-			m.departing, m.removed, m.updatedAt = true, true, now
-			o.known[name] = m
+	for name, last := range m.known {
+		if list.Kind == standpoint.ListFull && !listed[name] && !last.removed {
+			last.departing = true
+			last.removed = true
+			last.updatedAt = now
+			m.known[name] = last
+		}
+		if last.removed && now.Sub(last.updatedAt) > departureRetention {
+			delete(m.known, name)
 		}
-		if m.removed && now.Sub(m.updatedAt) > departureRetention {
-			delete(o.known, name)
+	}
+	m.evictOldest()
+}
+
+func (m *merger) rememberEndpoint(endpoint node.Endpoint, epoch int, now time.Time) {
+	next := knownEndpoint{
+		startedAt: endpoint.ReadyAt,
+		departing: endpoint.State != standpoint.Ready,
+		removed:   endpoint.State == standpoint.Gone,
+		epoch:     epoch,
+		updatedAt: now,
+	}
+	if last, known := m.known[endpoint.Name]; known && next.departing {
+		next.startedAt = max(next.startedAt, last.startedAt) // one that is gone has no start
+		if last.departing {
+			next.epoch = last.epoch
 		}
 	}
-	o.evictOldest()
+	m.known[endpoint.Name] = next
 }
 
-// evictOldest forgets what there is too much of, those longest gone first.
-func (o *merger) evictOldest() {
-	if len(o.known) <= maxKnown {
+// evictOldest forgets endpoints beyond maxKnown: first those that were removed, and of them the oldest.
+func (m *merger) evictOldest() {
+	if len(m.known) <= maxKnown {
 		return
 	}
-	names := slices.SortedFunc(maps.Keys(o.known), func(a, b string) int {
-		x, y := o.known[a], o.known[b]
+	names := slices.SortedFunc(maps.Keys(m.known), func(a, b string) int {
+		x, y := m.known[a], m.known[b]
 		switch {
-		case x.removed != y.removed && x.removed:
+		case x.removed && !y.removed:
 			return -1
-		case x.removed != y.removed:
+		case y.removed && !x.removed:
 			return 1
 		case !x.updatedAt.Equal(y.updatedAt):
 			return x.updatedAt.Compare(y.updatedAt)
@@ -183,6 +207,6 @@
 		return strings.Compare(a, b)
 	})
 	for _, name := range names[:len(names)-maxKnown] {
-		delete(o.known, name)
+		delete(m.known, name)
 	}
 }
--- a/internal/endpoints/merge_test.go
+++ b/internal/endpoints/merge_test.go
@@ -124,11 +124,11 @@
 	o := newMerger(5)
 	o.merge(response{0, 5, 6, changes(endpoint("s", standpoint.Draining, 0))}, start)
 	o.beginEpoch()
-	require.False(t, o.refetchDue(start))
+	require.False(t, o.endHold(start))
 	o.merge(response{1, 6, 1, whole(endpoint("s", standpoint.Ready, 0))}, start)
-	require.False(t, o.refetchDue(start.Add(departureHold-1)))
-	require.True(t, o.refetchDue(start.Add(departureHold)), "the whole list is wanted")
-	require.False(t, o.refetchDue(start.Add(departureHold)), "once")
+	require.False(t, o.endHold(start.Add(departureHold-1)))
+	require.True(t, o.endHold(start.Add(departureHold)), "the whole list is wanted")
+	require.False(t, o.endHold(start.Add(departureHold)), "once")
 	l, _ := o.merge(response{1, 1, 1, whole(endpoint("s", standpoint.Ready, 0))}, start.Add(departureHold))
 	require.Equal(t, standpoint.Ready, l.Endpoints[0].State)
 }
@@ -146,8 +146,9 @@
 	require.Len(t, o.known, 1)
 }
 
-// Whatever answers come, in whatever order, of one discovery or several: as long as nothing but a newer list of the same discovery, a
-// new start or the end of the hold speaks for it, a server that was told to leave is not told to be ready.
+// Whatever answers come, in whatever order, of one discovery or several: as long as nothing but a newer list of the
+// same discovery, a new start or the end of the hold speaks for it, a server that was told to leave is not told to be
+// ready.
 func TestMergerKeepsDepartures(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/endpoints/overrides.go
+++ b/internal/endpoints/overrides.go
@@ -15,183 +15,214 @@
 	"standpoint/internal/node"
 )
 
-// ErrNeverListed is the answer to a command about a backend that no source ever told of.
+// ErrNeverListed reports a command for a backend that no source has ever listed.
 var ErrNeverListed = errors.New("never listed")
 
-// ErrNotPersisted is the answer to a command that is carried out here, but could not be written where other processes of
-// this node, and the one after this, will look.
+// ErrNotPersisted reports a command that is in effect in this process, but could not be written to the record that this
+// node's other processes, and those after it, read.
 var ErrNotPersisted = errors.New("carried out, but not kept for a process that takes over")
 
 const (
-	seenMost = 8192 // names that were ever listed; of more, the oldest are forgotten
-	backMost = 1024 // names that were put back; likewise
+	maxListed   = 8192 // names that were ever listed; beyond it the oldest are forgotten
+	maxRestored = 1024 // backends that were enabled again; likewise
 )
 
-// Overrides is the overlay of what staff decide: whatever the sources tell of a backend that is out, the core is told
-// that it drains. It holds until the server is put back: over its end, its new start or address, and the end of any
-// source. Put back it is told of as started at that moment: cold, and nothing is believed of what it was.
+// Overrides lays over the endpoint list what operators have disabled: whatever the source says of such a backend, the
+// core is notified that it is draining, until it is enabled again, even if it leaves the list, restarts, changes its
+// address, or the source changes. An enabled backend counts as started at that moment: it warms up, and nothing is
+// assumed of what it was. The overrides are shared with the other processes of this node. Overrides is safe for
+// concurrent use.
 type Overrides struct {
 	cache    *Cache
 	notify   func(node.EndpointList)
-	siblings *handover.Channel // nil: nobody to share with
+	siblings *handover.Channel // nil if no other process shares the record
 	log      *zap.Logger
 
-	// commands is held while the record is changed or read. The other process may hold the shared file's lock for as long as it
-	// likes, so nobody waits for that one with the keeper's order in hand: lists go on being told.
+	// commands is held while a command changes the record, or the shared one is read. Another process may hold the
+	// lock of the shared file for as long as it likes, so that one is never waited for with the cache's notifyMu
+	// held: lists are passed on meanwhile. It is locked before notifyMu, and that before mu.
 	commands sync.Mutex
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards record and listed
 	record handover.Record
-	listed map[string]bool // the names in record.Seen
+	listed map[string]bool // the names in record.Listed
 }
 
-// NewOverrides makes the overlay over what the keeper is told, with what an earlier process left.
-func NewOverrides(k *Cache, to func(node.EndpointList), share *handover.Channel, log *zap.Logger) *Overrides {
-	b := &Overrides{cache: k, notify: to, siblings: share, log: log, listed: map[string]bool{},
-		record: handover.Record{DownSince: map[string]int64{}, RestoredAt: map[string]int64{}}}
-	k.overlay = b.overlay
-	b.Sync()
-	return b
+// NewOverrides returns the overrides that an earlier process has left, laid over what passes through the cache. The
+// lists that result are passed to notify. It must be called before the cache is used.
+func NewOverrides(
+	cache *Cache, notify func(node.EndpointList), siblings *handover.Channel, log *zap.Logger,
+) *Overrides {
+	o := &Overrides{
+		cache:    cache,
+		notify:   notify,
+		siblings: siblings,
+		log:      log,
+		listed:   map[string]bool{},
+		record:   handover.Record{DownSince: map[string]int64{}, RestoredAt: map[string]int64{}},
+	}
+	cache.overlay = o.apply
+	o.Sync()
+	return o
 }
 
-// Update notes what a source tells, and hands it on as staff would have it.
-func (b *Overrides) Update(l node.EndpointList) { b.cache.Update(l, b.notify) }
-
-// overlay is the list as staff would have it. The keeper calls it in the order of telling.
-func (b *Overrides) overlay(l node.EndpointList) node.EndpointList {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	laid := node.EndpointList{Kind: l.Kind, Endpoints: slices.Clone(l.Endpoints)}
-	for i := range laid.Endpoints {
-		e := &laid.Endpoints[i]
-		b.rememberName(e.Name)
-		if e.State == standpoint.Gone {
+// Update takes a change from the source, and passes it on with the overrides applied.
+func (o *Overrides) Update(list node.EndpointList) { o.cache.Update(list, o.notify) }
+
+// apply returns a list with the overrides applied. The cache calls it with notifyMu held.
+func (o *Overrides) apply(list node.EndpointList) node.EndpointList {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	applied := node.EndpointList{Kind: list.Kind, Endpoints: slices.Clone(list.Endpoints)}
+	for i := range applied.Endpoints {
+		endpoint := &applied.Endpoints[i]
+		o.rememberName(endpoint.Name)
+		if endpoint.State == standpoint.Gone {
 			continue
 		}
-		if b.record.DownSince[e.Name] != 0 {
-			e.State = standpoint.Draining
-		} else if back := b.record.RestoredAt[e.Name]; back != 0 {
-			e.ReadyAt, e.Back = max(e.ReadyAt, back), true
+		if o.record.DownSince[endpoint.Name] != 0 {
+			endpoint.State = standpoint.Draining
+		} else if restoredAt := o.record.RestoredAt[endpoint.Name]; restoredAt != 0 {
+			endpoint.ReadyAt = max(endpoint.ReadyAt, restoredAt)
+			endpoint.Back = true
 		}
 	}
-	return laid
+	return applied
 }
 
-// rememberName remembers a name that was listed.
-func (b *Overrides) rememberName(name string) {
-	if b.listed[name] {
+// rememberName remembers a name that was listed. The caller holds mu.
+func (o *Overrides) rememberName(name string) {
+	if o.listed[name] {
 		return
 	}
-	if len(b.record.Listed) >= seenMost {
-		delete(b.listed, b.record.Listed[0])
-		b.record.Listed = b.record.Listed[1:]
+	if len(o.record.Listed) >= maxListed {
+		delete(o.listed, o.record.Listed[0])
+		o.record.Listed = o.record.Listed[1:]
 	}
-	b.listed[name] = true
-	b.record.Listed = append(b.record.Listed, name)
+	o.listed[name] = true
+	o.record.Listed = append(o.record.Listed, name)
 }
 
-// Disable takes a backend out, at once; it may be said again.
-func (b *Overrides) Disable(name string) error {
-	return b.command(name, func(r *handover.Record, now int64) {
-		if r.DownSince[name] == 0 {
-			r.DownSince[name] = now
+// Disable has a backend drain, at once and until it is enabled. It is idempotent. The errors are ErrNeverListed and
+// ErrNotPersisted.
+func (o *Overrides) Disable(name string) error {
+	return o.command(name, func(record *handover.Record, now int64) {
+		if record.DownSince[name] == 0 {
+			record.DownSince[name] = now
 		}
-		delete(r.RestoredAt, name)
+		delete(record.RestoredAt, name)
 	})
 }
 
-// Enable puts one back.
-func (b *Overrides) Enable(name string) error {
-	return b.command(name, func(r *handover.Record, now int64) {
-		if r.DownSince[name] != 0 {
-			delete(r.DownSince, name)
-			r.RestoredAt[name] = now
+// Enable undoes Disable. For a backend that is not disabled it does nothing. The errors are those of Disable.
+func (o *Overrides) Enable(name string) error {
+	return o.command(name, func(record *handover.Record, now int64) {
+		if record.DownSince[name] != 0 {
+			delete(record.DownSince, name)
+			record.RestoredAt[name] = now
 		}
 	})
 }
 
-// command carries out a change of one name: here and in the core at once, then in the record that processes share.
-func (b *Overrides) command(name string, change func(r *handover.Record, now int64)) error {
-	b.commands.Lock()
-	defer b.commands.Unlock()
-	b.mu.Lock()
-	known := b.listed[name] || b.record.DownSince[name] != 0
-	next := handover.Record{DownSince: maps.Clone(b.record.DownSince), RestoredAt: maps.Clone(b.record.RestoredAt), Listed: b.record.Listed}
-	b.mu.Unlock()
+// command carries out a change of one backend: first in this process and its core, then in the shared record.
+func (o *Overrides) command(name string, change func(record *handover.Record, now int64)) error {
+	o.commands.Lock()
+	defer o.commands.Unlock()
+	o.mu.Lock()
+	known := o.listed[name] || o.record.DownSince[name] != 0
+	next := handover.Record{
+		DownSince:  maps.Clone(o.record.DownSince),
+		RestoredAt: maps.Clone(o.record.RestoredAt),
+		Listed:     o.record.Listed,
+	}
+	o.mu.Unlock()
 	if !known {
 		return fmt.Errorf("%w: %q", ErrNeverListed, name)
 	}
 	now := clock.Now()
 	change(&next, now)
-	b.adopt(next)
-	return b.persist(func(r *handover.Record) { change(r, now) })
+	o.adopt(next)
+	return o.persist(func(record *handover.Record) { change(record, now) })
 }
 
-// persist changes the record in the shared file, where there is one, and takes what it then says. The commands' lock is held.
-func (b *Overrides) persist(change func(*handover.Record)) error {
-	if b.siblings == nil {
+// persist changes the shared record, if there is one, and adopts what it then says. The caller holds commands.
+func (o *Overrides) persist(change func(*handover.Record)) error {
+	if o.siblings == nil {
 		return nil
 	}
-	r, err := b.siblings.UpdateRecord(func(r *handover.Record) {
-		change(r)
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		theirs := slices.DeleteFunc(r.Listed, func(name string) bool { return b.listed[name] })
-		r.Listed = append(theirs, b.record.Listed...)
-		r.Listed = r.Listed[max(0, len(r.Listed)-seenMost):]
+	record, err := o.siblings.UpdateRecord(func(record *handover.Record) {
+		change(record)
+		o.mergeListed(record)
 	})
 	if err != nil {
-		b.log.Error("what staff decided is not kept for a process that takes over", zap.Error(err))
+		o.log.Error("overrides not persisted for the next process", zap.Error(err))
 		return fmt.Errorf("%w: %w", ErrNotPersisted, err)
 	}
-	b.adopt(r)
+	o.adopt(record)
 	return nil
 }
 
-// adopt makes a record the one that holds, and tells the core anew of the names in which it differs.
-func (b *Overrides) adopt(r handover.Record) {
-	b.cache.notifyMu.Lock()
-	defer b.cache.notifyMu.Unlock()
-	b.mu.Lock()
-	for len(r.RestoredAt) > backMost {
+// mergeListed adds the names that were listed in this process to a record, as the latest.
+func (o *Overrides) mergeListed(record *handover.Record) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	others := slices.DeleteFunc(record.Listed, func(name string) bool { return o.listed[name] })
+	record.Listed = append(others, o.record.Listed...)
+	record.Listed = record.Listed[max(0, len(record.Listed)-maxListed):]
+}
+
+// adopt puts a record in effect, and notifies the core of the backends for which it differs from the one before.
+func (o *Overrides) adopt(next handover.Record) {
+	o.cache.updateOverlay(func() func(name string) bool {
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		forgetOldestRestored(next.RestoredAt)
+		before := o.record
+		o.record.DownSince = next.DownSince
+		o.record.RestoredAt = next.RestoredAt
+		for _, name := range next.Listed {
+			o.rememberName(name)
+		}
+		return func(name string) bool {
+			restoredAt := next.RestoredAt[name]
+			return before.DownSince[name] != next.DownSince[name] ||
+				restoredAt != 0 && before.RestoredAt[name] != restoredAt
+		}
+	}, o.notify)
+}
+
+// forgetOldestRestored bounds the backends that count as enabled again.
+func forgetOldestRestored(restoredAt map[string]int64) {
+	for len(restoredAt) > maxRestored {
 		oldest := ""
-		for name, at := range r.RestoredAt {
-			if oldest == "" || at < r.RestoredAt[oldest] {
+		for name, at := range restoredAt {
+			if oldest == "" || at < restoredAt[oldest] {
 				oldest = name
 			}
 		}
-		delete(r.RestoredAt, oldest)
-	}
-	was := b.record
-	b.record.DownSince, b.record.RestoredAt = r.DownSince, r.RestoredAt
-	for _, name := range r.Listed {
-		b.rememberName(name)
+		delete(restoredAt, oldest)
 	}
-	b.mu.Unlock()
-	b.cache.amend(func(name string) bool {
-		return was.DownSince[name] != r.DownSince[name] || r.RestoredAt[name] != 0 && was.RestoredAt[name] != r.RestoredAt[name]
-	}, b.notify)
 }
 
-// Sync takes in what another process of this node was told, where there is news. While a command is carried out it leaves that for the
-// next time.
-func (b *Overrides) Sync() {
-	if b.siblings == nil || !b.commands.TryLock() {
+// Sync adopts what another process of this node has written to the shared record, if that has changed. While a command
+// is carried out it does nothing: the next call will.
+func (o *Overrides) Sync() {
+	if o.siblings == nil || !o.commands.TryLock() {
 		return
 	}
-	defer b.commands.Unlock()
-	r, changed, err := b.siblings.ReadRecord()
+	defer o.commands.Unlock()
+	record, changed, err := o.siblings.ReadRecord()
 	if err != nil {
-		b.log.Error("the record that processes of this node share is not used", zap.Error(err))
+		o.log.Error("shared overrides unreadable, not used", zap.Error(err))
 	}
 	if changed {
-		b.adopt(r)
+		o.adopt(record)
 	}
 }
 
-// Persist writes down all that was ever listed, for a process that takes over.
-func (b *Overrides) Persist() {
-	b.commands.Lock()
-	defer b.commands.Unlock()
-	_ = b.persist(func(*handover.Record) {}) // logged
+// Persist writes the names of all backends that were ever listed to the shared record, for a process that takes over.
+func (o *Overrides) Persist() {
+	o.commands.Lock()
+	defer o.commands.Unlock()
+	_ = o.persist(func(*handover.Record) {}) // the error is logged there, and nobody can do more about it
 }
--- /dev/null
+++ b/internal/endpoints/stored.go
@@ -0,0 +1,86 @@
+package endpoints
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"standpoint"
+	"standpoint/internal/node"
+)
+
+// errInvalidEntry reports an entry of the persisted list whose name, size or start is not possible.
+var errInvalidEntry = errors.New("an entry that is none")
+
+// storedEndpoint is the persisted form of an endpoint, with the names of the platform's list: their indexes may be
+// others in the configuration with which the next process starts.
+type storedEndpoint struct {
+	Host   string            `json:"host"`
+	Dial   string            `json:"dial"`
+	Site   string            `json:"site,omitempty"`
+	Class  string            `json:"class,omitempty"`
+	Block  int               `json:"block,omitempty"`
+	Health string            `json:"health"`
+	Share  float64           `json:"share"`
+	BornMS int64             `json:"born_ms,omitempty"`
+	Mode   string            `json:"mode,omitempty"` // modeBatch or empty
+	Labels map[string]string `json:"labels,omitempty"`
+	Source string            `json:"source,omitempty"`
+	Until  time.Time         `json:"until,omitzero"` // when its records expire; absent if the source does not know
+}
+
+// encodeEndpoint returns the persisted form of an endpoint whose records expire at a time; zero: at none.
+func encodeEndpoint(endpoint node.Endpoint, names Names, expiresAt time.Time) storedEndpoint {
+	stored := storedEndpoint{
+		Host:   endpoint.Name,
+		Dial:   endpoint.Address,
+		Site:   nameAt(names.Zones, endpoint.Zone),
+		Class:  nameAt(names.Kinds, endpoint.Kind),
+		Block:  endpoint.Cell,
+		Health: nameAt(healthNames, int(endpoint.State)),
+		Share:  endpoint.Size,
+		BornMS: endpoint.ReadyAt / int64(time.Millisecond),
+		Labels: endpoint.Labels,
+		Source: endpoint.Source,
+		Until:  expiresAt,
+	}
+	if endpoint.Batch {
+		stored.Mode = modeBatch
+	}
+	if endpoint.Stale {
+		stored.Until = time.Unix(1, 0) // expired, whenever it is read
+	}
+	return stored
+}
+
+// decode returns the endpoint, stale if its records have expired.
+func (s storedEndpoint) decode(names Names, now time.Time) (node.Endpoint, error) {
+	endpoint := node.Endpoint{
+		Address: s.Dial,
+		Batch:   s.Mode == modeBatch,
+		Labels:  s.Labels,
+		Source:  s.Source,
+		Engine: standpoint.Engine{
+			Name:    s.Host,
+			Zone:    slices.Index(names.Zones, s.Site),
+			Kind:    slices.Index(names.Kinds, s.Class),
+			Cell:    s.Block,
+			Size:    s.Share,
+			ReadyAt: s.BornMS * int64(time.Millisecond),
+			Stale:   !s.Until.IsZero() && now.After(s.Until),
+		},
+	}
+	state, err := parseHealth(s.Health)
+	endpoint.State = state
+	if err == nil && !s.valid() {
+		err = errInvalidEntry
+	}
+	return endpoint, err
+}
+
+// valid reports whether the name, the size and the start are possible.
+func (s storedEndpoint) valid() bool {
+	return s.Host != "" &&
+		s.Share >= 0 && s.Share <= maxSize && // NaN is neither
+		s.BornMS >= 0 && s.BornMS <= maxBornMS
+}
--- a/internal/endpoints/watcher_silence_test.go
+++ b/internal/endpoints/watcher_silence_test.go
@@ -36,7 +36,7 @@
 		discovery.Close()
 	})
 	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
-	w.MaxPushedPause, w.wait, w.slack = pushed, 300*time.Millisecond, 100*time.Millisecond
+	w.MaxPushedPause, w.watchWait, w.watchSlack = pushed, 300*time.Millisecond, 100*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go w.Run(ctx)
@@ -48,8 +48,8 @@
 
 const drainAt = `{"seq":%d,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// What discovery may do with a watch, and what the watcher makes of it. A silent one is opened anew at once, without a word
-// of a failure, and so is each that falls silent behind it.
+// What discovery may do with a watch, and what the watcher makes of it. A silent one is opened anew at once, without
+// a word of a failure, and so is each that falls silent behind it.
 func TestWatcherReopensSilentWatch(t *testing.T) {
 	t.Parallel()
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
@@ -107,9 +107,9 @@
 	})
 }
 
-// What discovery has is heard 6 s after it had it and could be reached, whatever the calls before came to. Each discovery here plays
-// its trouble from the first call on, and has a drain to tell from then on; the clock begins once it could tell it. These are the
-// watcher's own times, on real sockets.
+// What discovery has is heard 6 s after it had it and could be reached, whatever the calls before came to. Each
+// discovery here plays its trouble from the first call on, and has a drain to tell from then on; the clock begins
+// once it could tell it. These are the watcher's own times, on real sockets.
 func TestWatcherLearnsOfDrainWithinSixSeconds(t *testing.T) {
 	t.Parallel()
 	const most = 6 * time.Second
@@ -285,8 +285,8 @@
 	require.Equal(t, "t", l.Endpoints[0].Name)
 }
 
-// A discovery that handles calls in turn and turns away whoever waited too long, back after all nodes lost it: those that it
-// refuses do not keep it busy with their next calls, and every one has the list within 6 s.
+// A discovery that handles calls in turn and turns away whoever waited too long, back after all nodes lost it: those
+// that it refuses do not keep it busy with their next calls, and every one has the list within 6 s.
 func TestManyNodesShareBusyDiscovery(t *testing.T) {
 	t.Parallel()
 	const nodes, each, patience = 100, 15 * time.Millisecond, 200 * time.Millisecond
--- a/internal/endpoints/watcher_switch_test.go
+++ b/internal/endpoints/watcher_switch_test.go
@@ -34,8 +34,8 @@
 	return w, news
 }
 
-// What a discovery writes as the node moves to another counts as told, and the other's list, which does not know of it yet, does not
-// take it back.
+// What a discovery writes as the node moves to another counts as told, and the other's list, which does not know of
+// it yet, does not take it back.
 func TestDepartureWrittenDuringSwitchCounts(t *testing.T) {
 	t.Parallel()
 	moved, asked := make(chan struct{}), make(chan struct{}, 100)
@@ -70,7 +70,8 @@
 	require.Equal(t, map[string]standpoint.State{"s": standpoint.Draining, "t": standpoint.Ready}, statesOf(l))
 }
 
-// The watch at the discovery that was left goes on while the new one turns the node away, and leaves off once that has told its list.
+// The watch at the discovery that was left goes on while the new one turns the node away, and leaves off once that
+// has told its list.
 func TestOldWatchContinuesUntilSwitchIsDone(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int32
@@ -130,8 +131,8 @@
 	require.Equal(t, map[string]standpoint.State{"s": standpoint.Draining}, statesOf(<-news))
 }
 
-// A few dozen nodes before a discovery that handles what opens a watch in turn, and turns away whoever finds the line full. All watches
-// fall silent at once, and a server begins to drain: every node hears of it within 6 s.
+// A few dozen nodes before a discovery that handles what opens a watch in turn, and turns away whoever finds the line
+// full. All watches fall silent at once, and a server begins to drain: every node hears of it within 6 s.
 func TestNodesKeepTheirPositionInTheQueue(t *testing.T) {
 	t.Parallel()
 	const nodes = 30
@@ -166,7 +167,8 @@
 	t.Logf("calls %v", d.Counts())
 }
 
-// An entry that cannot be read costs itself alone, whatever stands in its place; of one that is listed twice the departure counts.
+// An entry that cannot be read costs itself alone, whatever stands in its place; of one that is listed twice the
+// departure counts.
 func TestDecodeIsolatesUnreadableEntries(t *testing.T) {
 	t.Parallel()
 	for _, bad := range []string{
@@ -195,8 +197,8 @@
 	}
 }
 
-// The process beside this one holds the lock of the file that they share, and does not let go: lists are told all the same, and what
-// staff say here holds here at once.
+// The process beside this one holds the lock of the file that they share, and does not let go: lists are told all the
+// same, and what staff say here holds here at once.
 func TestOverridesPassListsOnWhileSharedFileIsLocked(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/endpoints/watcher_test.go
+++ b/internal/endpoints/watcher_test.go
@@ -19,8 +19,8 @@
 
 var names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
 
-// The next watch follows within 200 ms of each answer. A failed one is made anew behind a short rest, without a word to the core:
-// what discovery has counts as told soon, whoever asked last, and nobody else would ask in time.
+// The next watch follows within 200 ms of each answer. A failed one is made anew behind a short rest, without a word
+// to the core: what discovery has counts as told soon, whoever asked last, and nobody else would ask in time.
 func TestWatcherPollsAgainWithoutDelay(t *testing.T) {
 	calls := make(chan time.Time, 100)
 	var n int
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -202,7 +202,7 @@
 		}
 		ready := 0
 		for _, e := range all {
-			if e.Fault == "" && e.Mechanism != "store" && (way != "push" || e.Mechanism == "push") {
+			if e.Fault == "" && e.Mechanism != endpoints.MechanismStore && (way != "push" || e.Mechanism == "push") {
 				ready++
 			}
 		}
