--- a/internal/backend/chunks.go
+++ b/internal/backend/chunk_parser.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// chunks follows an answer in chunks, byte by byte, so that whoever goes on reading it knows where it stands.
-type chunks struct {
+// chunkParser follows an answer in chunks, byte by byte, so that whoever goes on reading it knows where it stands.
+type chunkParser struct {
 	Phase   chunkPhase `json:"phase"`
 	Size    int64      `json:"size"`  // of the chunk: what was read of it in its line, or what is left of its data
 	Line    int        `json:"line"`  // bytes of the line that comes
@@ -17,28 +17,28 @@
 
 const (
 	inHead chunkPhase = iota
-	inSize
-	inData
-	afterData
+	inChunkSize
+	inChunkData
+	afterChunkData
 	inTrailer
-	isOver
+	answerOver
 )
 
 const (
-	statusAt  = len("HTTP/1.1 ") // of a head, where its status begins
-	chunkLine = 256              // bytes of a size's line, or a trailer's, at the most
+	statusAt     = len("HTTP/1.1 ") // of a head, where its status begins
+	maxChunkLine = 256              // bytes of a size's line, or a trailer's, at the most
 )
 
-var errChunks = errors.New("chunks that cannot be read")
+var errMalformedChunk = errors.New("chunks that cannot be read")
 
 // feed takes further bytes of the answer and hands their payload on.
-func (c *chunks) feed(b []byte, payload func([]byte)) error {
+func (c *chunkParser) feed(b []byte, payload func([]byte)) error {
 	for len(b) > 0 {
-		if c.Phase == inData {
+		if c.Phase == inChunkData {
 			n := min(int64(len(b)), c.Size)
 			payload(b[:n])
 			if b, c.Size = b[n:], c.Size-n; c.Size == 0 {
-				c.Phase = afterData
+				c.Phase = afterChunkData
 			}
 			continue
 		}
@@ -50,37 +50,37 @@
 	return nil
 }
 
-func (c *chunks) byte(x byte) error {
+func (c *chunkParser) byte(x byte) error {
 	switch c.Phase {
 	case inHead:
 		c.head(x)
-	case inSize:
+	case inChunkSize:
 		return c.size(x)
-	case afterData:
+	case afterChunkData:
 		if x == '\n' {
-			c.Phase = inSize
+			c.Phase = inChunkSize
 		} else if x != '\r' {
-			return errChunks
+			return errMalformedChunk
 		}
 	case inTrailer:
 		switch {
 		case x == '\n' && c.Line == 0:
-			c.Phase = isOver
+			c.Phase = answerOver
 		case x == '\n':
 			c.Line = 0
 		case x != '\r':
-			if c.Line++; c.Line > chunkLine {
-				return errChunks
+			if c.Line++; c.Line > maxChunkLine {
+				return errMalformedChunk
 			}
 		}
-	case isOver:
-		return errSpent
+	case answerOver:
+		return errUnusable
 	}
 	return nil
 }
 
 // head follows heads up to the last; those of 1xx answers come ahead of it.
-func (c *chunks) head(x byte) {
+func (c *chunkParser) head(x byte) {
 	if c.Head == statusAt {
 		c.Early = x == '1'
 	}
@@ -95,15 +95,17 @@
 	}
 	if c.Matched == len(headEnd) {
 		if !c.Early {
-			c.Phase = inSize
+			c.Phase = inChunkSize
 		}
-		c.Matched, c.Head, c.Early = 0, 0, false
+		c.Matched = 0
+		c.Head = 0
+		c.Early = false
 	}
 }
 
-func (c *chunks) size(x byte) error {
-	if c.Line++; c.Line > chunkLine {
-		return errChunks
+func (c *chunkParser) size(x byte) error {
+	if c.Line++; c.Line > maxChunkLine {
+		return errMalformedChunk
 	}
 	digit := int64(-1)
 	switch {
@@ -114,7 +116,9 @@
 	}
 	switch {
 	case x == '\n':
-		c.Phase, c.Line, c.Other = inData, 0, false
+		c.Phase = inChunkData
+		c.Line = 0
+		c.Other = false
 		if c.Size == 0 {
 			c.Phase = inTrailer
 		}
@@ -122,9 +126,17 @@
 	case digit < 0:
 		c.Other = true
 	default:
-		if c.Size = c.Size<<4 | digit; c.Size > streamMost {
-			return errChunks
+		if c.Size = c.Size<<4 | digit; c.Size > maxStreamBytes {
+			return errMalformedChunk
 		}
 	}
 	return nil
 }
+
+// valid reports whether the parser stands where an answer can be continued.
+func (c *chunkParser) valid() bool {
+	return c.Phase >= inChunkSize && c.Phase < answerOver &&
+		c.Size >= 0 && c.Size <= maxStreamBytes &&
+		c.Line >= 0 && c.Line <= maxChunkLine &&
+		!(c.Phase == inChunkData && c.Size == 0)
+}
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -1,3 +1,5 @@
+// Package backend carries attempts to backends over HTTP: each backend has a goroutine with a mailbox, and each attempt
+// one of its own. Backends answer as streams of events, or take files of requests in the form of the public batch API.
 package backend
 
 import (
@@ -16,175 +18,163 @@
 
 // Options are the limits under which backends are reached.
 type Options struct {
-	DialTimeout time.Duration
-	ConnIdle    time.Duration // the server closes a connection left idle for this long
-	MaxIdle     int           // connections kept to one backend between requests
-	MaxLinks    int           // connections to all, from which on those that rest are closed; 0: no bound
-	Batch       BatchOptions  // for the backends that take files
-	// Dial, if not nil, opens connections to servers that stream, in place of a plain dialer: tests hold them back by it.
-	Dial  func(ctx context.Context, network, address string) (net.Conn, error)
-	Wrote func() // an attempt is written whole; nil: nobody counts
-	Log   *zap.Logger
-
-	opens func() (closed func()) // the fleet's: a connection is about to be opened
+	DialTimeout    time.Duration
+	ConnIdle       time.Duration // after which a backend closes an idle connection
+	MaxIdle        int           // idle connections kept to one backend
+	MaxConnections int           // to all backends, from which on idle ones are closed; 0 for no limit
+	Batch          BatchOptions  // for backends that take files
+	// Dial opens connections to streaming backends in place of a plain dialer; nil but in tests.
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
+	// OnWritten is called when an attempt is written completely; it may be nil.
+	OnWritten func()
+	Log       *zap.Logger
+
+	// onOpen is called when a connection is about to be opened; closed when it is closed again.
+	onOpen func() (closed func())
 }
 
-// Fleet holds the actors of the backends. Its methods are the core's, but for Adjust.
+// Fleet is all backends. It implements node.Backends; its methods are safe for concurrent use.
 type Fleet struct {
-	mu sync.Mutex
+	mu sync.Mutex // guards Options and backends
 	Options
-	servers map[string]actor
-	live    *live
-	links   atomic.Int64 // connections to servers that are open, or being opened
+	backends        map[string]member // by name
+	streams         *runningStreams
+	openConnections atomic.Int64
 }
 
-// New makes an empty fleet.
-func New(o Options) *Fleet {
-	f := &Fleet{Options: o, servers: map[string]actor{}, live: &live{all: map[*connection]bool{}}}
-	f.opens = f.open
+// New creates a Fleet without backends.
+func New(options Options) *Fleet {
+	f := &Fleet{
+		Options:  options,
+		backends: map[string]member{},
+		streams:  &runningStreams{connections: map[*connection]bool{}},
+	}
+	f.onOpen = f.countConnection
 	return f
 }
 
-// open counts a connection that is about to be opened, until closed is called. Where there are many, those that rest are closed:
-// their descriptors are for clients, discovery and the servers that are needed now.
-func (f *Fleet) open() (closed func()) {
-	n := f.links.Add(1)
+// countConnection counts a connection from just before it is opened until closed is called. If there are many, idle ones
+// are closed: their descriptors are for clients, discovery and the backends that are needed now.
+func (f *Fleet) countConnection() (closed func()) {
+	open := f.openConnections.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.MaxLinks > 0 && n > int64(f.MaxLinks) {
-		for _, s := range f.servers {
-			s.tell(shed{}) // where the mailbox is full the next connection says so again
+	if f.MaxConnections > 0 && open > int64(f.MaxConnections) {
+		for _, backend := range f.backends {
+			backend.post(closeIdle{}) // if its mailbox is full, the next connection posts it again
 		}
 	}
-	return sync.OnceFunc(func() { f.links.Add(-1) })
+	return sync.OnceFunc(func() { f.openConnections.Add(-1) })
 }
 
-// Connections is how many connections to servers are open, or being opened.
-func (f *Fleet) Connections() int { return int(f.links.Load()) }
+// Connections is the number of connections to backends that are open, or being opened.
+func (f *Fleet) Connections() int { return int(f.openConnections.Load()) }
 
-// Update takes in news of the endpoints: new servers get an actor, moved ones hear of it, those gone
-// are let go of; attempts that are out at them run on.
-func (f *Fleet) Update(l node.EndpointList) {
-	if l.Kind == standpoint.ListLost {
+// Update takes an endpoint list in. Attempts that are in flight at a removed backend go on.
+func (f *Fleet) Update(list node.EndpointList) {
+	if list.Kind == standpoint.ListLost {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	listed := map[string]bool{}
-	for _, e := range l.Endpoints {
-		listed[e.Name] = e.State != standpoint.Gone
-		s, known := f.servers[e.Name]
-		if !known {
-			if e.State != standpoint.Gone {
-				f.servers[e.Name] = f.start(e)
-			}
-			continue
-		}
-		if e.State != standpoint.Gone && e.Batch != s.batch { // another kind of server under the same name
-			s.gate.Store(true)
-			s.must(gone{})
-			f.servers[e.Name] = f.start(e)
-			continue
-		}
-		if at := (moved{e.Address, e.ReadyAt}); e.Address != "" && at != s.at {
-			s.must(at)
-			s.gate.Store(true) // what is on its way is the process's before
-			s.at, s.gate = at, new(atomic.Bool)
+	for _, endpoint := range list.Endpoints {
+		listed[endpoint.Name] = endpoint.State != standpoint.Gone
+		backend, known := f.backends[endpoint.Name]
+		switch {
+		case known:
+			f.backends[endpoint.Name] = f.update(backend, endpoint)
+		case endpoint.State != standpoint.Gone:
+			f.backends[endpoint.Name] = f.start(endpoint)
 		}
-		if e.State == standpoint.Ready && s.gate.Load() { // back, for what is decided on from now on
-			s.gate = new(atomic.Bool)
-		}
-		if e.State != standpoint.Ready {
-			s.gate.Store(true)
-		}
-		if e.State == standpoint.Draining {
-			s.must(draining{})
-		}
-		f.servers[e.Name] = s
 	}
-	for name, s := range f.servers {
-		if on, ok := listed[name]; ok && !on || !ok && l.Kind == standpoint.ListFull {
-			s.gate.Store(true)
-			s.must(gone{})
-			delete(f.servers, name)
+	for name, backend := range f.backends {
+		present, mentioned := listed[name]
+		if mentioned && !present || !mentioned && list.Kind == standpoint.ListFull {
+			remove(backend)
+			delete(f.backends, name)
 		}
 	}
 }
 
-func (f *Fleet) start(e node.Endpoint) actor {
-	a := actor{name: e.Name, batch: e.Batch, mail: make(chan any, mailboxSize), log: f.Log, at: moved{e.Address, e.ReadyAt}, gate: new(atomic.Bool)}
-	a.gate.Store(e.State != standpoint.Ready)
-	if e.Batch {
-		s := &batchServer{Options: f.Options, actor: a, client: &http.Client{Transport: transport(f.Options, &keep{})},
-			out: map[*parcel]bool{}, ended: make(chan *parcel)}
-		go s.run(e.Address)
-	} else {
-		go (&server{f.Options, a, &keep{}, f.live}).run(a.at)
+// update applies an entry of the endpoint list to a known backend.
+func (f *Fleet) update(backend member, endpoint node.Endpoint) member {
+	if endpoint.State != standpoint.Gone && endpoint.Batch != backend.batch { // another kind under the same name
+		remove(backend)
+		return f.start(endpoint)
 	}
-	return a
-}
-
-// Adjust changes the limits under which servers are reached, from their next connections on.
-func (f *Fleet) Adjust(dial, idle time.Duration, maxIdle, maxLinks int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.DialTimeout, f.ConnIdle, f.MaxIdle, f.MaxLinks = dial, idle, maxIdle, maxLinks
-	for _, s := range f.servers {
-		s.must(limits{dial, idle, maxIdle})
+	listed := process{address: endpoint.Address, startedAt: endpoint.ReadyAt}
+	if endpoint.Address != "" && listed != backend.process {
+		backend.postReliably(processChanged{listed})
+		backend.draining.Store(true) // what is on its way is meant for the process before
+		backend.process = listed
+		backend.draining = new(atomic.Bool)
 	}
-}
-
-// Send hands an attempt to its server's actor, without waiting.
-func (f *Fleet) Send(a *node.Attempt) bool {
-	f.mu.Lock()
-	s, known := f.servers[a.Backend]
-	f.mu.Unlock()
-	if !known {
-		return false
+	if endpoint.State == standpoint.Ready && backend.draining.Load() { // it is back, for what is decided on from now on
+		backend.draining = new(atomic.Bool)
+	}
+	if endpoint.State != standpoint.Ready {
+		backend.draining.Store(true)
+	}
+	if endpoint.State == standpoint.Draining {
+		backend.postReliably(drainStarted{})
 	}
-	a.BackendDraining = s.gate.Load
-	return s.tell(a)
+	return backend
 }
 
-// actor is the mailbox of one backend.
-type actor struct {
-	name  string
-	batch bool // takes files
-	mail  chan any
-	log   *zap.Logger
-	at    moved
-	gate  *atomic.Bool // shut, for good, to attempts that were decided on before its server was told to leave
+func remove(backend member) {
+	backend.draining.Store(true)
+	backend.postReliably(backendRemoved{})
 }
 
-type (
-	// moved says where the server is, and when its process started.
-	moved struct {
-		address string
-		start   int64
+// start starts the goroutine of a backend.
+func (f *Fleet) start(endpoint node.Endpoint) member {
+	started := member{
+		name:     endpoint.Name,
+		batch:    endpoint.Batch,
+		mailbox:  make(chan message, mailboxSize),
+		log:      f.Log,
+		process:  process{address: endpoint.Address, startedAt: endpoint.ReadyAt},
+		draining: new(atomic.Bool),
 	}
-	draining struct{}
-	gone     struct{}
-	shed     struct{} // connections that rest are to be closed
-	limits   struct {
-		dial, idle time.Duration
-		maxIdle    int
+	started.draining.Store(endpoint.State != standpoint.Ready)
+	if endpoint.Batch {
+		backend := &batchBackend{
+			Options:       f.Options,
+			member:        started,
+			client:        &http.Client{Transport: transport(f.Options, &idleLimit{})},
+			filesInFlight: map[*batchFile]bool{},
+			fileEnded:     make(chan *batchFile),
+		}
+		go backend.run(endpoint.Address)
+		return started
 	}
-)
+	backend := &streamBackend{Options: f.Options, member: started, idleLimit: &idleLimit{}, streams: f.streams}
+	go backend.run(started.process)
+	return started
+}
 
-// tell never waits: the core must not stand behind a backend.
-func (a actor) tell(m any) bool {
-	select {
-	case a.mail <- m:
-		return true
-	default:
-		a.log.Warn("backend's mailbox is full", zap.String("server", a.name))
-		return false
+// Adjust changes the limits under which backends are reached, from their next connections on.
+func (f *Fleet) Adjust(dialTimeout, connIdle time.Duration, maxIdle, maxConnections int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.DialTimeout = dialTimeout
+	f.ConnIdle = connIdle
+	f.MaxIdle = maxIdle
+	f.MaxConnections = maxConnections
+	for _, backend := range f.backends {
+		backend.postReliably(limitsChanged{dialTimeout: dialTimeout, connIdle: connIdle, maxIdle: maxIdle})
 	}
 }
 
-// must tells what may not be lost, as an attempt may: where the mailbox is full it comes when there is room.
-func (a actor) must(m any) {
-	if !a.tell(m) {
-		go func() { a.mail <- m }()
+// Send hands an attempt to its backend without blocking. It is false if the backend is not listed, or its mailbox full.
+func (f *Fleet) Send(attempt *node.Attempt) bool {
+	f.mu.Lock()
+	backend, known := f.backends[attempt.Backend]
+	f.mu.Unlock()
+	if !known {
+		return false
 	}
+	attempt.BackendDraining = backend.draining.Load
+	return backend.post(sendAttempt{attempt})
 }
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -21,9 +21,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var end tail
-		_ = end.note(raw)
-		all := []float64{end.kept, end.tokens}
+		var end answerSummary
+		_ = end.scan(raw)
+		all := []float64{end.cachedTokens, end.outputTokens}
 		for _, r := range []string{string(raw), "TEXT " + string(raw)} {
 			if r := parseReport(r); r != nil {
 				all = append(all, r.Memory, r.Unread, r.Slots)
@@ -33,7 +33,7 @@
 			all = append(all, end.report.Memory, end.report.Unread, end.report.Slots)
 		}
 		for _, v := range all {
-			if math.IsNaN(v) || v < 0 || v > countMost {
+			if math.IsNaN(v) || v < 0 || v > maxTokenCount {
 				t.Fatalf("believed: %v", v)
 			}
 		}
@@ -46,13 +46,13 @@
 	f.Add([]byte("\r\n0\r\n0\r\n\r\n\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("\r\n0\r\r\n0\r\n\r\n"), uint8(2))
 	f.Fuzz(func(t *testing.T, raw []byte, piece uint8) {
-		l := &connection{Conn: &eventSplitter{rest: raw, most: 1 + int(piece)}, keep: &keep{}}
+		l := &connection{Conn: &eventSplitter{rest: raw, most: 1 + int(piece)}, idleLimit: &idleLimit{}}
 		got, err := io.ReadAll(l)
 		want := raw
 		if i := bytes.Index(raw, []byte(lastChunk)); i >= 0 {
 			want = raw[:i+len(lastChunk)]
 		}
-		if !bytes.Equal(got, want) || len(want) < len(raw) && !errors.Is(err, errSpent) {
+		if !bytes.Equal(got, want) || len(want) < len(raw) && !errors.Is(err, errUnusable) {
 			t.Fatalf("%q of %q, %v", got, raw, err)
 		}
 	})
--- a/internal/backend/moments_test.go
+++ b/internal/backend/moments_test.go
@@ -73,7 +73,8 @@
 		},
 		"is gone": func(n *testpeer.Node, _, other node.Endpoint) { n.UpdateEndpoints(other) },
 		"is gone, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
-			chosen.State, chosen.Address = standpoint.Gone, ""
+			chosen.State = standpoint.Gone
+			chosen.Address = ""
 			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
 		"is another process by now": func(n *testpeer.Node, chosen, other node.Endpoint) {
@@ -99,7 +100,8 @@
 			}()
 			chosen, other := a, b
 			if <-held.Connected == b.Address {
-				chosen, other = b, a
+				chosen = b
+				other = a
 			}
 			tell(n, chosen, other)
 			n.WaitForCore()
@@ -178,7 +180,9 @@
 	settings := testpeer.Settings()
 	window := 300 * time.Millisecond
 	c := &settings.Classes[0]
-	c.Effect, c.Group, c.Window = standpoint.Keyed, standpoint.GroupZone, int64(window)
+	c.Effect = standpoint.Keyed
+	c.Group = standpoint.GroupZone
+	c.Window = int64(window)
 	n := testpeer.StartDialing(t, zap.NewNop(), settings, held.Dial, a, b)
 	answered := make(chan int, 1)
 	began := time.Now()
@@ -213,7 +217,9 @@
 			t.Parallel()
 			came := make(chan struct{})
 			settings := testpeer.Settings()
-			settings.Classes[0].Effect, settings.Classes[0].Group, settings.Classes[0].Window = c.effect, c.group, int64(time.Second)
+			settings.Classes[0].Effect = c.effect
+			settings.Classes[0].Group = c.group
+			settings.Classes[0].Window = int64(time.Second)
 			n := testpeer.Start(t, settings, testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				close(came)
@@ -356,7 +362,8 @@
 			began := time.Now()
 			response, err := http.DefaultClient.Do(n.Chat(t.Context(), func(r *http.Request) {
 				body := `{"max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
-				r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
+				r.Body = io.NopCloser(strings.NewReader(body))
+				r.ContentLength = int64(len(body))
 				r.Header.Set("X-Expires-In", "6000m")
 			}))
 			require.NoError(t, err)
--- a/internal/backend/moving_test.go
+++ b/internal/backend/moving_test.go
@@ -21,13 +21,13 @@
 // An answer may be left at any byte: what was read and what the other process reads from there make the whole.
 func TestAnswerLeftAtAnyByte(t *testing.T) {
 	for at := 0; at <= len(wholeAnswer); at++ {
-		var c chunks
+		var c chunkParser
 		var payload bytes.Buffer
 		take := func(p []byte) { payload.Write(p) }
 		require.NoError(t, c.feed([]byte(wholeAnswer[:at]), take))
 		raw, err := json.Marshal(c)
 		require.NoError(t, err)
-		var there chunks
+		var there chunkParser
 		require.NoError(t, json.Unmarshal(raw, &there))
 		require.Equal(t, c, there)
 		if c.Phase == inHead {
@@ -39,13 +39,13 @@
 			_, _ = io.WriteString(far, wholeAnswer[at:])
 			far.Close()
 		}()
-		left, err := io.ReadAll(&remainder{link: &connection{Conn: near, keep: &keep{}, chunks: there}, chunks: there})
+		left, err := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: there}, chunks: there})
 		require.NoError(t, err, "from byte %d", at)
 		require.Equal(t, wholePayload, payload.String()+string(left), "from byte %d", at)
 		near.Close()
 	}
-	for _, bad := range []string{"7fffffffffffffff\r\n", "2000000\r\n", "1\r\nab", string(bytes.Repeat([]byte("0"), 2*chunkLine))} {
-		c := chunks{Phase: inSize}
+	for _, bad := range []string{"7fffffffffffffff\r\n", "2000000\r\n", "1\r\nab", string(bytes.Repeat([]byte("0"), 2*maxChunkLine))} {
+		c := chunkParser{Phase: inChunkSize}
 		require.Error(t, c.feed([]byte(bad), func([]byte) {}), bad)
 	}
 }
@@ -54,20 +54,20 @@
 func TestAnswerThatEndsEarly(t *testing.T) {
 	begin := len(wholeAnswer) - len("6\r\ndata: \r\n") - 60
 	for at := begin; at < len(wholeAnswer)-1; at++ {
-		c := chunks{}
+		c := chunkParser{}
 		require.NoError(t, c.feed([]byte(wholeAnswer[:begin]), func([]byte) {}))
 		near, far := net.Pipe()
 		go func() {
 			_, _ = io.WriteString(far, wholeAnswer[begin:at])
 			far.Close()
 		}()
-		_, err := io.ReadAll(&remainder{link: &connection{Conn: near, keep: &keep{}, chunks: c}, chunks: c})
+		_, err := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: c}, chunks: c})
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "at byte %d", at)
 	}
 }
 
 func FuzzDecodeStream(f *testing.F) {
-	good, _ := json.Marshal(Stream{Trace: "t", Class: 1, Chunks: chunks{Phase: inData, Size: 7}}) // a constant form: cannot fail
+	good, _ := json.Marshal(Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}}) // a constant form: cannot fail
 	f.Add(good)
 	f.Add([]byte(`{"trace":"t","chunks":{"phase":1,"size":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -80,7 +80,7 @@
 			_, _ = io.WriteString(far, wholeAnswer)
 			far.Close()
 		}()
-		got, _ := io.ReadAll(&remainder{link: &connection{Conn: near, keep: &keep{}, chunks: s.Chunks}, chunks: s.Chunks}) // any end will do
+		got, _ := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks}, chunks: s.Chunks}) // any end will do
 		require.LessOrEqual(t, len(got), len(wholeAnswer))
 		near.Close()
 	})
@@ -92,13 +92,13 @@
 		near, far := socketPair(t)
 		_, err := io.WriteString(far, sent)
 		require.NoError(t, err)
-		l := &connection{Conn: near, keep: &keep{}}
+		l := &connection{Conn: near, idleLimit: &idleLimit{}}
 		require.NoError(t, unreadBytes(near, len(sent)))
-		require.True(t, l.leave())
+		require.True(t, l.endForHandBack())
 		require.NoError(t, near.SetReadDeadline(time.Unix(1, 0))) // the time for what is under way is over
 		var got bytes.Buffer
 		_, err = io.Copy(&got, l)
-		require.ErrorIs(t, err, errLeft, name)
+		require.ErrorIs(t, err, errHandedBack, name)
 		require.Equal(t, sent, got.String(), name)
 		near.Close()
 		far.Close()
--- a/internal/backend/story_test.go
+++ b/internal/backend/story_test.go
@@ -196,7 +196,8 @@
 	n := testpeer.StartLogged(t, zap.New(log), testpeer.Settings(), testpeer.Endpoint("s", listener.Addr().String()))
 	body := `{"messages":["` + strings.Repeat("x", 200<<10) + `"]}`
 	status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) {
-		r.Body, r.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
+		r.Body = io.NopCloser(strings.NewReader(body))
+		r.ContentLength = int64(len(body))
 		r.Header.Set("X-Expires-In", "300m")
 	}))
 	require.Equal(t, http.StatusServiceUnavailable, status)
--- a/internal/daemon/backends.go
+++ b/internal/daemon/backends.go
@@ -10,12 +10,12 @@
 func backendsComponent(a *assembly) (component, error) {
 	_, names, _ := a.requestSettings()
 	options := backend.Options{
-		DialTimeout: names.DialTimeout,
-		ConnIdle:    names.IdleTimeout,
-		MaxIdle:     a.limits.MaxIdleConnections(),
-		MaxLinks:    a.limits.MaxRequests(),
-		Wrote:       a.counters.CountAttempt,
-		Log:         a.log,
+		DialTimeout:    names.DialTimeout,
+		ConnIdle:       names.IdleTimeout,
+		MaxIdle:        a.limits.MaxIdleConnections(),
+		MaxConnections: a.limits.MaxRequests(),
+		OnWritten:      a.counters.CountAttempt,
+		Log:            a.log,
 	}
 	if a.operator != nil {
 		cfg := &a.operator.BatchBackend
--- a/internal/testpeer/testpeer.go
+++ b/internal/testpeer/testpeer.go
@@ -141,7 +141,7 @@
 			Lost: 500 * time.Millisecond}})
 	n := &Node{Backends: fleet, Lifecycle: &node.Lifecycle{}, t: t}
 	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.OpenRequests() })
-	fleet.Wrote = n.Metrics.CountAttempt
+	fleet.OnWritten = n.Metrics.CountAttempt
 	n.Core = node.New(node.Options{Settings: settings, Seed: 1, MaxRequests: 300, Backends: fleet, Watcher: noWatcher{}, Metrics: n.Metrics, Log: log})
 	n.UpdateEndpoints(entries...)
 	ctx, cancel := context.WithCancel(context.Background())
