--- a/internal/testpeer/node.go
+++ b/internal/testpeer/node.go
@@ -125,7 +125,7 @@
 	n := &Node{Lifecycle: &node.Lifecycle{}, Bodies: node.NewTenantLimiter(maxBodyBytes, 1), t: t}
 	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.OpenRequests() })
 	n.Backends = newBackends(o)
-	n.Backends.Wrote = n.Metrics.CountAttempt
+	n.Backends.OnWritten = n.Metrics.CountAttempt
 	n.Core = node.New(node.Options{
 		Settings:    o.settings,
 		Seed:        1,
