--- a/internal/backend/batch_backend.go
+++ b/internal/backend/batch_backend.go
@@ -5,164 +5,204 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"strconv"
 	"time"
 
 	"standpoint"
 	"standpoint/internal/node"
 )
 
-// BatchOptions say how a backend that takes files is worked with.
+// The statuses of a batch object that are final.
+const (
+	statusCompleted = "completed"
+	statusFailed    = "failed"
+	statusExpired   = "expired"
+	statusCancelled = "cancelled"
+)
+
+// errNotBegun is the error of a file of which some attempt might not begin any more when it was sent.
+var errNotBegun = errors.New("not begun")
+
+// BatchOptions say how a backend that takes files is used.
 type BatchOptions struct {
-	Gather time.Duration // attempts are gathered for this long into one file
-	Lines  int           // and into files of so many at most
-	Poll   time.Duration // between two looks at a file's batch
-	Lost   time.Duration // without an answer for so long the server is taken to be lost
+	Gather time.Duration // for which attempts are gathered into one file
+	Lines  int           // maximum number of attempts in a file
+	Poll   time.Duration // between two polls of a batch
+	Lost   time.Duration // without an answer, after which the backend counts as lost
 }
 
-// batchBackend is the actor of a backend that takes files: it gathers attempts into one, uploads it,
-// polls its batch and joins the answers by custom_id.
+// batchBackend is a backend that takes files: it gathers attempts into one, uploads it, polls its batch and joins the
+// results by custom_id.
 type batchBackend struct {
 	Options
 	member
 	client        *http.Client
+	address       string
+	gathered      []*node.Attempt // not uploaded yet
 	filesInFlight map[*batchFile]bool
 	fileEnded     chan *batchFile
 }
 
-func (s *batchBackend) run(address string) {
-	defer s.client.CloseIdleConnections()
-	var waiting []*node.Attempt
+// run handles the mailbox, and ends once the backend is removed and no file is in flight.
+func (b *batchBackend) run(address string) {
+	defer b.client.CloseIdleConnections()
+	b.address = address
 	gather := time.NewTimer(time.Hour)
 	defer gather.Stop()
-	flush := func() {
-		if len(waiting) == 0 {
-			return
-		}
-		p := &batchFile{attempts: map[string]*node.Attempt{}}
-		p.ctx, p.stop = context.WithCancel(context.Background())
-		for _, a := range waiting {
-			p.attempts[a.Request.Work.TraceID+"-"+strconv.Itoa(a.Number)] = a
-		}
-		waiting = nil
-		s.filesInFlight[p] = true
-		at := address // of this file; the next may go elsewhere
-		go func() {
-			s.runFile(at, p)
-			p.stop()
-			s.fileEnded <- p
-		}()
-	}
-	leaving := false
-	for !leaving || len(s.filesInFlight) > 0 {
+	removed := false
+	for !removed || len(b.filesInFlight) > 0 {
 		select {
-		case p := <-s.fileEnded:
-			delete(s.filesInFlight, p)
+		case file := <-b.fileEnded:
+			delete(b.filesInFlight, file)
 		case <-gather.C:
-			flush()
-		case m := <-s.mailbox:
+			b.flush()
+		case m := <-b.mailbox:
 			switch m := m.(type) {
 			case sendAttempt:
-				waiting = append(waiting, m.attempt)
-				if len(waiting) == 1 {
-					gather.Reset(s.Batch.Gather)
-				}
-				if len(waiting) >= s.Batch.Lines {
-					flush()
-				}
+				b.gather(m.attempt, gather)
 			case processChanged:
-				address = m.process.address
-			case drainStarted, backendRemoved:
-				_, leaving = m.(backendRemoved)
-				for _, a := range waiting { // not uploaded: never ran
-					a.Finish(node.Result{Code: standpoint.TurnedAway})
-				}
-				waiting = nil
-				for p := range s.filesInFlight {
-					p.stop()
-				}
+				b.address = m.process.address
+			case drainStarted:
+				removed = false
+				b.cancelAll()
+			case backendRemoved:
+				removed = true
+				b.cancelAll()
 			}
 		}
 	}
 }
 
-// errNotBegun is that of a file of which, as it was sent, some attempt might not begin any more.
-var errNotBegun = errors.New("not begun")
+// gather adds an attempt to the next file, which is sent when it is full or the timer fires.
+func (b *batchBackend) gather(attempt *node.Attempt, timer *time.Timer) {
+	b.gathered = append(b.gathered, attempt)
+	if len(b.gathered) == 1 {
+		timer.Reset(b.Batch.Gather)
+	}
+	if len(b.gathered) >= b.Batch.Lines {
+		b.flush()
+	}
+}
+
+// flush sends the gathered attempts as one file.
+func (b *batchBackend) flush() {
+	if len(b.gathered) == 0 {
+		return
+	}
+	file := newBatchFile(b.gathered)
+	b.gathered = nil
+	b.filesInFlight[file] = true
+	address := b.address // of this file; the next may go elsewhere
+	go func() {
+		b.runFile(address, file)
+		file.cancel()
+		b.fileEnded <- file
+	}()
+}
+
+// cancelAll ends the attempts that are not uploaded, which never ran, and cancels the files in flight.
+func (b *batchBackend) cancelAll() {
+	for _, attempt := range b.gathered {
+		attempt.Finish(node.Result{Code: standpoint.TurnedAway})
+	}
+	b.gathered = nil
+	for file := range b.filesInFlight {
+		file.cancel()
+	}
+}
 
-// runFile takes a file from its upload to the last outcome. A line cannot be called back alone: where an
-// attempt is given up, the whole batch is cancelled, and no attempt ends before the server has confirmed
-// that the batch is over, or is lost. Until then a line that did not run yet may still do so.
-func (s *batchBackend) runFile(address string, p *batchFile) {
+// runFile takes a file from its upload to the last result. A line cannot be cancelled alone: if an attempt is given
+// up, the whole batch is cancelled, and no attempt ends before the backend has confirmed that the batch is over, or
+// is lost. Until then a line that has not run yet may still do so.
+func (b *batchBackend) runFile(address string, file *batchFile) {
 	base := "http://" + address
-	for _, a := range p.attempts {
-		defer context.AfterFunc(a.Context(), p.stop)()
+	for _, attempt := range file.attempts {
+		defer context.AfterFunc(attempt.Context(), file.cancel)()
 	}
-	made, status, err := s.startBatch(base, p)
+	created, status, err := b.startBatch(base, file)
 	switch {
-	case len(p.attempts) == 0:
+	case len(file.attempts) == 0:
 		return
 	case err != nil && status == 0:
-		s.finishAll(p, standpoint.ConnectionLost, err) // it may have been made all the same
+		b.finishAll(file, standpoint.ConnectionLost, err) // it may have been created all the same
 		return
 	case err != nil:
-		s.finishAll(p, standpoint.TurnedAway, err)
+		b.finishAll(file, standpoint.TurnedAway, err)
 		return
 	}
-	if s.OnWritten != nil {
-		for range p.attempts {
-			s.OnWritten()
+	if b.OnWritten != nil {
+		for range file.attempts {
+			b.OnWritten()
 		}
 	}
-	final, err := s.awaitBatch(base, made.ID, p)
+	final, err := b.awaitBatch(base, created.ID, file)
+	if err == nil {
+		err = b.joinFiles(base, final, file)
+	}
 	if err != nil {
-		s.finishAll(p, standpoint.ConnectionLost, err)
+		b.finishAll(file, standpoint.ConnectionLost, err)
 		return
 	}
+	// What is in neither file of a batch that did not complete was never run.
+	code := standpoint.TurnedAway
+	if final.Status == statusCompleted {
+		code = standpoint.ConnectionLost
+	}
+	b.finishAll(file, code, errors.New("no result for the line in a batch that is "+final.Status))
+}
+
+// joinFiles joins the results of a batch's output and error file.
+func (b *batchBackend) joinFiles(base string, final batchObject, file *batchFile) error {
 	for _, id := range []string{final.OutputFileID, final.ErrorFileID} {
 		if id == "" {
 			continue
 		}
-		if err := s.joinResults(base, id, p); err != nil {
-			s.finishAll(p, standpoint.ConnectionLost, err)
-			return
+		if err := b.joinResults(base, id, file); err != nil {
+			return err
 		}
 	}
-	// What is in neither file of a batch that did not complete was never run.
-	code := standpoint.TurnedAway
-	if final.Status == "completed" {
-		code = standpoint.ConnectionLost
-	}
-	s.finishAll(p, code, errors.New("no result for the line in a batch that is "+final.Status))
+	return nil
 }
 
-// startBatch uploads the file and has its batch made. Both are asked of the attempts as their first byte is written: where one may not
-// begin any more, for its client has gone or the server is leaving, it is dropped, and the file made anew of the others.
-func (s *batchBackend) startBatch(base string, p *batchFile) (made batchObject, status int, err error) {
+// startBatch uploads the file and has its batch created. The attempts are asked whether they may begin as the first
+// byte of either call is written. If one may not, since its client has gone or the backend drains, it is dropped, and
+// the file made again of the others.
+func (b *batchBackend) startBatch(base string, file *batchFile) (created batchObject, status int, err error) {
 	for {
-		for id, a := range p.attempts {
-			if a.MayBegin() != nil {
-				s.finish(p, id, notBegunResult(a.Context()))
+		for id, attempt := range file.attempts {
+			if attempt.MayBegin() != nil {
+				b.finish(file, id, notBegunResult(attempt.Context()))
 			}
 		}
-		if len(p.attempts) == 0 {
+		if len(file.attempts) == 0 {
 			return batchObject{}, 0, nil
 		}
-		fileID, err := s.upload(base, p)
+		fileID, err := b.upload(base, file)
 		if err == nil {
-			status, err = s.callIf(p.mayBegin(), http.MethodPost, base+"/v1/batches", map[string]string{"input_file_id": fileID,
-				"endpoint": "/v1/chat/completions", "completion_window": "24h"}, &made)
+			request := batchRequest{
+				InputFileID:      fileID,
+				Endpoint:         "/v1/chat/completions",
+				CompletionWindow: "24h",
+			}
+			status, err = b.callIf(file.mayBegin(), http.MethodPost, base+"/v1/batches", request, &created)
 			if !errors.Is(err, errNotBegun) {
-				return made, status, err
+				return created, status, err
 			}
 		}
 		if !errors.Is(err, errNotBegun) { // a file alone runs nothing
-			s.finishAll(p, standpoint.NoConnection, err)
+			b.finishAll(file, standpoint.NoConnection, err)
 			return batchObject{}, 0, nil
 		}
 	}
 }
 
-// batchObject is what this client reads of a batch object.
+// batchRequest is the body of the call that creates a batch.
+type batchRequest struct {
+	CompletionWindow string `json:"completion_window"`
+	Endpoint         string `json:"endpoint"`
+	InputFileID      string `json:"input_file_id"`
+}
+
+// batchObject is what is read of a batch object.
 type batchObject struct {
 	ID           string `json:"id"`
 	Status       string `json:"status"`
@@ -170,32 +210,39 @@
 	ErrorFileID  string `json:"error_file_id"`
 }
 
-// awaitBatch polls the batch until it is over, and has it cancelled once that is wanted.
-func (s *batchBackend) awaitBatch(base, id string, p *batchFile) (batchObject, error) {
-	heard := time.Now()
+func (o *batchObject) over() bool {
+	switch o.Status {
+	case statusCompleted, statusFailed, statusExpired, statusCancelled:
+		return true
+	}
+	return false
+}
+
+// awaitBatch polls the batch until it is over, and cancels it when the file is cancelled.
+func (b *batchBackend) awaitBatch(base, id string, file *batchFile) (batchObject, error) {
+	lastAnswer := time.Now()
 	cancelled := false
 	for {
-		var b batchObject
-		var err error
-		if p.ctx.Err() != nil && !cancelled {
-			_, err = s.call(http.MethodPost, base+"/v1/batches/"+id+"/cancel", nil, nil)
+		if file.ctx.Err() != nil && !cancelled {
+			_, err := b.call(http.MethodPost, base+"/v1/batches/"+id+"/cancel", nil, nil)
 			cancelled = err == nil
 		}
-		if _, err = s.call(http.MethodGet, base+"/v1/batches/"+id, nil, &b); err == nil {
-			heard = time.Now()
-			switch b.Status {
-			case "completed", "failed", "expired", "cancelled":
-				return b, nil
-			}
-		} else if time.Since(heard) > s.Batch.Lost {
-			return b, fmt.Errorf("lost: %w", err)
+		var object batchObject
+		_, err := b.call(http.MethodGet, base+"/v1/batches/"+id, nil, &object)
+		switch {
+		case err == nil && object.over():
+			return object, nil
+		case err == nil:
+			lastAnswer = time.Now()
+		case time.Since(lastAnswer) > b.Batch.Lost:
+			return object, fmt.Errorf("lost: %w", err)
 		}
-		wake := p.ctx.Done()
-		if p.ctx.Err() != nil {
+		wake := file.ctx.Done()
+		if file.ctx.Err() != nil {
 			wake = nil
 		}
 		select {
-		case <-time.After(s.Batch.Poll):
+		case <-time.After(b.Batch.Poll):
 		case <-wake:
 		}
 	}
--- a/internal/backend/batch_client.go
+++ b/internal/backend/batch_client.go
@@ -18,12 +18,12 @@
 )
 
 // call sends a small object and reads one. Status 0: no answer came.
-func (s *batchBackend) call(method, url string, send, receive any) (int, error) {
-	return s.callIf(nil, method, url, send, receive)
+func (b *batchBackend) call(method, url string, send, receive any) (int, error) {
+	return b.callIf(nil, method, url, send, receive)
 }
 
 // callIf is call where may, if not nil, is asked as the first byte is written.
-func (s *batchBackend) callIf(may func() error, method, url string, send, receive any) (int, error) {
+func (b *batchBackend) callIf(mayBegin func() error, method, url string, send, receive any) (int, error) {
 	var body []byte
 	if send != nil {
 		var err error
@@ -31,27 +31,37 @@
 			return 0, err
 		}
 	}
-	return s.do(may, method, url, "application/json", body, receive)
+	return b.do(mayBegin, method, url, "application/json", body, receive)
 }
 
 // do makes a call, once more where a kept connection took nothing of it.
-func (s *batchBackend) do(may func() error, method, url, contentType string, body []byte, receive any) (status int, err error) {
+func (b *batchBackend) do(
+	mayBegin func() error,
+	method, url, contentType string,
+	body []byte,
+	receive any,
+) (status int, err error) {
 	for range 1 + maxFreshConnections {
-		if status, err = s.doOnce(may, method, url, contentType, body, receive); !errors.Is(err, errUnusable) {
+		if status, err = b.doOnce(mayBegin, method, url, contentType, body, receive); !errors.Is(err, errUnusable) {
 			break
 		}
-		s.client.CloseIdleConnections()
+		b.client.CloseIdleConnections()
 	}
 	return status, err
 }
 
-func (s *batchBackend) doOnce(may func() error, method, url, contentType string, body []byte, receive any) (int, error) {
+func (b *batchBackend) doOnce(
+	mayBegin func() error,
+	method, url, contentType string,
+	body []byte,
+	receive any,
+) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	if may != nil {
+	if mayBegin != nil {
 		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-			if l, ok := info.Conn.(*connection); ok {
-				l.begin(0, may)
+			if conn, ok := info.Conn.(*connection); ok {
+				conn.begin(0, mayBegin)
 			}
 		}})
 	}
@@ -63,7 +73,7 @@
 	if contentType != "" {
 		request.Header.Set("Content-Type", contentType)
 	}
-	response, err := s.client.Do(request)
+	response, err := b.client.Do(request)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/backend/batch_file.go
+++ b/internal/backend/batch_file.go
@@ -9,6 +9,7 @@
 	"mime/multipart"
 	"net/http"
 	"slices"
+	"strconv"
 
 	"go.uber.org/zap"
 
@@ -16,19 +17,29 @@
 	"standpoint/internal/node"
 )
 
-// batchFile is one file of attempts. cancel is closed to have what has not run cancelled.
+// batchFile is one file of attempts. It belongs to the goroutine of runFile, but for cancel.
 type batchFile struct {
-	attempts map[string]*node.Attempt // by custom_id, those without an outcome
-	ctx      context.Context
-	stop     context.CancelFunc
+	attempts map[string]*node.Attempt // by custom_id: those without a result
+	ctx      context.Context          // ends when the lines that have not run are to be cancelled
+	cancel   context.CancelFunc
 }
 
-// mayBegin asks whether all attempts that are in the file now may begin.
-func (p *batchFile) mayBegin() func() error {
-	attempts := slices.Collect(maps.Values(p.attempts))
+func newBatchFile(attempts []*node.Attempt) *batchFile {
+	file := &batchFile{attempts: map[string]*node.Attempt{}}
+	file.ctx, file.cancel = context.WithCancel(context.Background())
+	for _, attempt := range attempts {
+		id := attempt.Request.Work.TraceID + "-" + strconv.Itoa(attempt.Number)
+		file.attempts[id] = attempt
+	}
+	return file
+}
+
+// mayBegin returns a check whether all attempts that are in the file now may begin. Its error wraps errNotBegun.
+func (f *batchFile) mayBegin() func() error {
+	attempts := slices.Collect(maps.Values(f.attempts))
 	return func() error {
-		for _, a := range attempts {
-			if err := a.MayBegin(); err != nil {
+		for _, attempt := range attempts {
+			if err := attempt.MayBegin(); err != nil {
 				return fmt.Errorf("%w: %w", errNotBegun, err)
 			}
 		}
@@ -36,7 +47,7 @@
 	}
 }
 
-// batchLine is one line of a file sent, or of an output or error file.
+// batchLine is a line of an input, output or error file.
 type batchLine struct {
 	CustomID string          `json:"custom_id"`
 	Method   string          `json:"method,omitempty"`
@@ -51,7 +62,8 @@
 	} `json:"error,omitempty"`
 }
 
-func (s *batchBackend) upload(base string, p *batchFile) (string, error) {
+// upload uploads the file, and returns its ID.
+func (b *batchBackend) upload(base string, file *batchFile) (string, error) {
 	var body bytes.Buffer
 	form := multipart.NewWriter(&body)
 	if err := form.WriteField("purpose", "batch"); err != nil {
@@ -61,52 +73,59 @@
 	if err != nil {
 		return "", err
 	}
-	out := json.NewEncoder(part)
-	for id, a := range p.attempts {
-		if err := out.Encode(batchLine{CustomID: id, Method: http.MethodPost, URL: a.Request.Work.Target,
-			Body: a.Request.Work.Body}); err != nil {
+	encoder := json.NewEncoder(part)
+	for id, attempt := range file.attempts {
+		if err := encoder.Encode(batchLine{CustomID: id, Method: http.MethodPost, URL: attempt.Request.Work.Target,
+			Body: attempt.Request.Work.Body}); err != nil {
 			return "", err
 		}
 	}
 	if err := form.Close(); err != nil {
 		return "", err
 	}
-	var file struct {
+	var uploaded struct {
 		ID string `json:"id"`
 	}
-	_, err = s.do(p.mayBegin(), http.MethodPost, base+"/v1/files", form.FormDataContentType(), body.Bytes(), &file)
-	return file.ID, err
+	_, err = b.do(
+		file.mayBegin(),
+		http.MethodPost,
+		base+"/v1/files",
+		form.FormDataContentType(),
+		body.Bytes(),
+		&uploaded,
+	)
+	return uploaded.ID, err
 }
 
-// joinResults ends the attempts whose results a file holds.
-func (s *batchBackend) joinResults(base, id string, p *batchFile) error {
+// joinResults finishes the attempts whose results are in a file.
+func (b *batchBackend) joinResults(base, id string, file *batchFile) error {
 	var raw []byte
-	if _, err := s.do(nil, http.MethodGet, base+"/v1/files/"+id+"/content", "", nil, &raw); err != nil {
+	if _, err := b.do(nil, http.MethodGet, base+"/v1/files/"+id+"/content", "", nil, &raw); err != nil {
 		return err
 	}
 	for text := range bytes.Lines(raw) {
-		var l batchLine
-		if err := json.Unmarshal(text, &l); err != nil {
+		var result batchLine
+		if err := json.Unmarshal(text, &result); err != nil {
 			return fmt.Errorf("line of file %s: %w", id, err)
 		}
-		a := p.attempts[l.CustomID]
+		attempt := file.attempts[result.CustomID]
 		switch {
-		case a == nil:
-		case l.Response != nil && l.Response.StatusCode == http.StatusOK:
-			s.finish(p, l.CustomID, forwardAnswer(a, l.Response.Body))
-		case l.Response != nil && l.Response.StatusCode == http.StatusTooManyRequests,
-			l.Error != nil && (l.Error.Code == "batch_cancelled" || l.Error.Code == "batch_expired"):
-			s.finish(p, l.CustomID, node.Result{Code: standpoint.TurnedAway})
+		case attempt == nil:
+		case result.Response != nil && result.Response.StatusCode == http.StatusOK:
+			b.finish(file, result.CustomID, forwardAnswer(attempt, result.Response.Body))
+		case result.Response != nil && result.Response.StatusCode == http.StatusTooManyRequests,
+			result.Error != nil && (result.Error.Code == "batch_cancelled" || result.Error.Code == "batch_expired"):
+			b.finish(file, result.CustomID, node.Result{Code: standpoint.TurnedAway})
 		default:
-			s.finish(p, l.CustomID, node.Result{Code: standpoint.ServerError})
+			b.finish(file, result.CustomID, node.Result{Code: standpoint.ServerError})
 		}
 	}
 	return nil
 }
 
-// forwardAnswer hands a whole answer to the client as the events of a stream.
-func forwardAnswer(a *node.Attempt, body json.RawMessage) node.Result {
-	var c struct {
+// forwardAnswer forwards a complete answer to the client as the events of a stream.
+func forwardAnswer(attempt *node.Attempt, body json.RawMessage) node.Result {
+	var answer struct {
 		Model   string `json:"model"`
 		Choices []struct {
 			Message struct{ Content string } `json:"message"`
@@ -114,7 +133,7 @@
 		} `json:"choices"`
 		Usage json.RawMessage `json:"usage"`
 	}
-	if err := json.Unmarshal(body, &c); err != nil || len(c.Choices) == 0 {
+	if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) == 0 {
 		return node.Result{Code: standpoint.ServerError}
 	}
 	type delta struct {
@@ -130,41 +149,42 @@
 		Choices []choice        `json:"choices"`
 		Usage   json.RawMessage `json:"usage,omitempty"`
 	}
-	raw, err := json.Marshal(event{c.Model, []choice{{0, delta{c.Choices[0].Message.Content},
-		c.Choices[0].Finish}}, c.Usage})
+	raw, err := json.Marshal(event{answer.Model, []choice{{0, delta{answer.Choices[0].Message.Content},
+		answer.Choices[0].Finish}}, answer.Usage})
 	if err != nil {
 		return node.Result{Code: standpoint.ServerError}
 	}
 	events := append(append([]byte("data: "), raw...), "\n\ndata: [DONE]\n\n"...)
-	if !a.Claim() {
-		return node.Result{Code: failureCode(a.Context(), true, nil)}
+	if !attempt.Claim() {
+		return node.Result{Code: failureCode(attempt.Context(), true, nil)}
 	}
-	end := answerSummary{}
-	if err := end.scan(events); err != nil {
+	summary := answerSummary{}
+	if err := summary.scan(events); err != nil {
 		return node.Result{Code: standpoint.ServerError}
 	}
-	if a.Forward(events) != nil {
+	if attempt.Forward(events) != nil {
 		return node.Result{Code: standpoint.Cancelled}
 	}
-	return node.Result{Code: standpoint.Served, CachedTokens: end.cachedTokens}
+	return node.Result{Code: standpoint.Served, CachedTokens: summary.cachedTokens}
 }
 
-func (s *batchBackend) finish(p *batchFile, id string, r node.Result) {
-	p.attempts[id].Finish(r)
-	delete(p.attempts, id)
+// finish ends one attempt of a file.
+func (b *batchBackend) finish(file *batchFile, id string, result node.Result) {
+	file.attempts[id].Finish(result)
+	delete(file.attempts, id)
 }
 
-// finishAll ends what is left. A given-up attempt keeps the reason for which it was given up.
-func (s *batchBackend) finishAll(p *batchFile, code standpoint.Code, err error) {
-	if len(p.attempts) > 0 {
-		s.Log.Info("attempts of a file failed", zap.String("server", s.name), zap.Int("lines", len(p.attempts)),
+// finishAll ends the attempts that are left. One that was given up keeps the reason for that.
+func (b *batchBackend) finishAll(file *batchFile, code standpoint.Code, err error) {
+	if len(file.attempts) > 0 {
+		b.Log.Info("attempts of a file failed", zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
 			zap.Stringer("code", code), zap.Error(err))
 	}
-	for id, a := range p.attempts {
-		r := node.Result{Code: code}
-		if a.Context().Err() != nil && !code.NeverRan() {
-			r.Code = failureCode(a.Context(), true, nil)
+	for id, attempt := range file.attempts {
+		result := node.Result{Code: code}
+		if attempt.Context().Err() != nil && !code.NeverRan() {
+			result.Code = failureCode(attempt.Context(), true, nil)
 		}
-		s.finish(p, id, r)
+		b.finish(file, id, result)
 	}
 }
--- a/internal/backend/batchdrain_test.go
+++ b/internal/backend/batchdrain_test.go
@@ -104,7 +104,8 @@
 	require.Empty(t, f.uploads)
 }
 
-// A client leaves while its file is uploaded: no batch is made for it. Another's, in the same file, is uploaded once more without it.
+// A client leaves while its file is uploaded: no batch is made for it. Another's, in the same file, is uploaded once
+// more without it.
 func TestNoBatchIsMadeForClientsThatLeft(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
@@ -112,7 +113,9 @@
 	leaving, leave := context.WithCancel(t.Context())
 	left := make(chan error, 1)
 	go func() {
-		response, err := http.DefaultClient.Do(n.Chat(leaving, func(r *http.Request) { r.Header.Set("X-Trace-Id", leaver) }))
+		response, err := http.DefaultClient.Do(
+			n.Chat(leaving, func(r *http.Request) { r.Header.Set("X-Trace-Id", leaver) }),
+		)
 		if err == nil {
 			response.Body.Close()
 		}
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -29,13 +29,13 @@
 
 var errUnusable = errors.New("the connection holds what no request asked for, or its end")
 
-// minPause is how long a connection is idle before it begins another request. What a backend sends right after an answer,
-// some milliseconds late, must have come by then: later it could not be told from the next answer.
+// minPause is how long a connection is idle before it begins another request. What a backend sends right after an
+// answer, some milliseconds late, must have come by then: later it could not be told from the next answer.
 const minPause = 15 * time.Millisecond
 
 // connection is a connection to a backend. It keeps what comes after an answer from being taken for the answer to the
-// next request: http.Transport checks that only while nobody waits for a connection. It also tells whether a request was
-// written to its last byte, and where an answer stands that another process is to continue.
+// next request: http.Transport checks that only while nobody waits for a connection. It also tells whether a request
+// was written to its last byte, and where an answer stands that another process is to continue.
 type connection struct {
 	net.Conn
 	idleLimit *idleLimit
@@ -70,58 +70,58 @@
 }
 
 // Close implements net.Conn.
-func (l *connection) Close() error {
-	if l.onClosed != nil {
-		defer l.onClosed()
+func (c *connection) Close() error {
+	if c.onClosed != nil {
+		defer c.onClosed()
 	}
-	return l.Conn.Close()
+	return c.Conn.Close()
 }
 
 // Read implements net.Conn. It returns the answer and nothing that comes after it.
-func (l *connection) Read(b []byte) (int, error) {
-	if l.frozen.Load() {
+func (c *connection) Read(b []byte) (int, error) {
+	if c.frozen.Load() {
 		return 0, errHandedOver
 	}
-	n, err := transient.Read(l.Conn, b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !l.frozen.Load() {
-		n, err = l.readAfterDeadline(b, err)
+	n, err := transient.Read(c.Conn, b)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !c.frozen.Load() {
+		n, err = c.readAfterDeadline(b, err)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.frozen.Load() && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.frozen.Load() && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, errHandedOver
 	}
-	own, err := l.answerBytes(b[:n], err)
-	l.positionUnknown = l.positionUnknown || l.chunks.feed(b[:own], func([]byte) {}) != nil
+	own, err := c.answerBytes(b[:n], err)
+	c.positionUnknown = c.positionUnknown || c.chunks.feed(b[:own], func([]byte) {}) != nil
 	return own, err
 }
 
 // answerBytes is how many of the bytes that came belong to the answer, and the reader's error.
-func (l *connection) answerBytes(b []byte, err error) (int, error) {
+func (c *connection) answerBytes(b []byte, err error) (int, error) {
 	n := len(b)
-	l.broken = l.broken || err != nil
-	if l.unusable || n > 0 && l.answerEnded {
-		l.unusable = true
+	c.broken = c.broken || err != nil
+	if c.unusable || n > 0 && c.answerEnded {
+		c.unusable = true
 		return 0, errUnusable
 	}
 	if n > 0 {
-		l.answered, l.lastRead = true, time.Now()
+		c.answered, c.lastRead = true, time.Now()
 	}
-	for i, c := range b[:n] {
+	for i, char := range b[:n] {
 		switch {
-		case c == lastChunk[l.lastChunkMatched]:
-			l.lastChunkMatched++
-		case c == '\r':
-			l.lastChunkMatched = 1
-		case c == '0' && l.lastChunkMatched == 5: // "\r\n0" again
-			l.lastChunkMatched = 3
+		case char == lastChunk[c.lastChunkMatched]:
+			c.lastChunkMatched++
+		case char == '\r':
+			c.lastChunkMatched = 1
+		case char == '0' && c.lastChunkMatched == 5: // "\r\n0" again
+			c.lastChunkMatched = 3
 		default:
-			l.lastChunkMatched = 0
+			c.lastChunkMatched = 0
 		}
-		if l.lastChunkMatched == len(lastChunk) {
-			l.lastChunkMatched = 0
-			l.answerEnded = true
-			l.unusable = i+1 < n
+		if c.lastChunkMatched == len(lastChunk) {
+			c.lastChunkMatched = 0
+			c.answerEnded = true
+			c.unusable = i+1 < n
 			return i + 1, err
 		}
 	}
@@ -130,45 +130,46 @@
 
 // freeze has the answer's reader get errHandedOver once it has taken all that was read. It is false if the answer has
 // ended, or its connection is of no further use.
-func (l *connection) freeze() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.frozen.Load() || l.answerEnded || l.unusable || l.broken {
+func (c *connection) freeze() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.frozen.Load() || c.answerEnded || c.unusable || c.broken {
 		return false
 	}
-	l.frozen.Store(true)
-	return l.Conn.SetReadDeadline(time.Now()) == nil
+	c.frozen.Store(true)
+	return c.Conn.SetReadDeadline(time.Now()) == nil
 }
 
-// endForHandBack has the answer's reader get errHandedBack once it has taken all that has come. It is false if the answer
-// has ended, or ends in another way.
-func (l *connection) endForHandBack() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.frozen.Load() || l.answerEnded || l.unusable || l.broken {
+// endForHandBack has the answer's reader get errHandedBack once it has taken all that has come. It is false if the
+// answer has ended, or ends in another way.
+func (c *connection) endForHandBack() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.frozen.Load() || c.answerEnded || c.unusable || c.broken {
 		return false
 	}
 	now := time.Now()
-	l.handBackUntil = now.Add(maxHandBack)
-	return l.Conn.SetReadDeadline(now.Add(handBackGrace)) == nil
+	c.handBackUntil = now.Add(maxHandBack)
+	return c.Conn.SetReadDeadline(now.Add(handBackGrace)) == nil
 }
 
-// readAfterDeadline continues past the deadline of an answer that is handed back, while the socket has something to read.
-func (l *connection) readAfterDeadline(b []byte, deadline error) (int, error) {
-	l.mu.Lock()
-	until := l.handBackUntil
-	l.mu.Unlock()
+// readAfterDeadline continues past the deadline of an answer that is handed back, while the socket has something to
+// read.
+func (c *connection) readAfterDeadline(b []byte, deadline error) (int, error) {
+	c.mu.Lock()
+	until := c.handBackUntil
+	c.mu.Unlock()
 	now := time.Now()
 	switch {
 	case until.IsZero():
 		return 0, deadline
-	case now.After(until) || !l.isReadable():
+	case now.After(until) || !c.isReadable():
 		return 0, errHandedBack
 	}
-	if err := l.Conn.SetReadDeadline(now.Add(handBackGrace)); err != nil {
+	if err := c.Conn.SetReadDeadline(now.Add(handBackGrace)); err != nil {
 		return 0, err
 	}
-	n, err := transient.Read(l.Conn, b)
+	n, err := transient.Read(c.Conn, b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		err = errHandedBack
 	}
@@ -176,132 +177,132 @@
 }
 
 // position is where the answer stands. It is false if that is not known, or nothing is left of the answer.
-func (l *connection) position() (chunkParser, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.chunks, !l.positionUnknown && l.chunks.Phase > inHead && l.chunks.Phase < answerOver
+func (c *connection) position() (chunkParser, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.chunks, !c.positionUnknown && c.chunks.Phase > inHead && c.chunks.Phase < answerOver
 }
 
 // begin announces that the next write is the first of a request with a body of that size. mayBegin is called before it,
 // and may withhold the request.
-func (l *connection) begin(bodySize int, mayBegin func() error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.mayBegin = mayBegin
-	l.withheld = false
-	l.beginsRequest = true
-	l.headEndMatched = 0
-	l.unwritten = 1 + bodySize
-	l.chunks = chunkParser{}
-	l.positionUnknown = false
+func (c *connection) begin(bodySize int, mayBegin func() error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.mayBegin = mayBegin
+	c.withheld = false
+	c.beginsRequest = true
+	c.headEndMatched = 0
+	c.unwritten = 1 + bodySize
+	c.chunks = chunkParser{}
+	c.positionUnknown = false
 }
 
-// trackWritten counts what is written of a request, and reports whether its last byte was among it. Only that byte tells
-// that the request may run: http.Transport calls a request written when it is in its buffer.
-func (l *connection) trackWritten(b []byte) bool {
-	if l.unwritten == 0 {
+// trackWritten counts what is written of a request, and reports whether its last byte was among it. Only that byte
+// tells that the request may run: http.Transport calls a request written when it is in its buffer.
+func (c *connection) trackWritten(b []byte) bool {
+	if c.unwritten == 0 {
 		return false
 	}
-	for i := 0; i < len(b) && l.headEndMatched < len(headEnd); i++ {
+	for i := 0; i < len(b) && c.headEndMatched < len(headEnd); i++ {
 		switch {
-		case b[i] == headEnd[l.headEndMatched]:
-			l.headEndMatched++
+		case b[i] == headEnd[c.headEndMatched]:
+			c.headEndMatched++
 		case b[i] == '\r':
-			l.headEndMatched = 1
+			c.headEndMatched = 1
 		default:
-			l.headEndMatched = 0
+			c.headEndMatched = 0
 		}
-		if l.headEndMatched == len(headEnd) {
+		if c.headEndMatched == len(headEnd) {
 			b = b[i+1:]
-			l.unwritten--
+			c.unwritten--
 			break
 		}
 	}
-	if l.headEndMatched == len(headEnd) {
-		l.unwritten = max(0, l.unwritten-len(b))
+	if c.headEndMatched == len(headEnd) {
+		c.unwritten = max(0, c.unwritten-len(b))
 	}
-	return l.unwritten == 0
+	return c.unwritten == 0
 }
 
-// Write implements net.Conn. It begins a request only if nothing waits to be read, not even the end of the connection. A
-// request that does not begin never ran, and may be sent over another connection.
-func (l *connection) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	if l.beginsRequest || l.answerEnded {
-		if early := minPause - time.Since(l.lastRead); l.answerEnded && early > 0 {
-			l.mu.Unlock()
+// Write implements net.Conn. It begins a request only if nothing waits to be read, not even the end of the
+// connection. A request that does not begin never ran, and may be sent over another connection.
+func (c *connection) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	if c.beginsRequest || c.answerEnded {
+		if early := minPause - time.Since(c.lastRead); c.answerEnded && early > 0 {
+			c.mu.Unlock()
 			time.Sleep(early) // in the transport's goroutine for writing; what is read meanwhile makes it unusable
-			l.mu.Lock()
+			c.mu.Lock()
 		}
-		if l.answered {
-			l.idleBefore = time.Since(l.lastRead)
-			l.unusable = l.unusable || l.idleBefore > l.idleLimit.current(l.maxIdle) || l.isReadable()
+		if c.answered {
+			c.idleBefore = time.Since(c.lastRead)
+			c.unusable = c.unusable || c.idleBefore > c.idleLimit.current(c.maxIdle) || c.isReadable()
 		}
-		l.beginsRequest = false
-		l.answered = false
-		l.lastChunkMatched = 0
-		l.answerEnded = false
+		c.beginsRequest = false
+		c.answered = false
+		c.lastChunkMatched = 0
+		c.answerEnded = false
 		// The last moment at which the request can be withheld: the connection may have come up late.
-		if l.mayBegin != nil {
-			if err := l.mayBegin(); err != nil {
-				l.withheld = true
-				l.unusable = true
-				l.mu.Unlock()
+		if c.mayBegin != nil {
+			if err := c.mayBegin(); err != nil {
+				c.withheld = true
+				c.unusable = true
+				c.mu.Unlock()
 				return 0, err
 			}
 		}
 	}
-	unusable := l.unusable
-	l.mu.Unlock()
+	unusable := c.unusable
+	c.mu.Unlock()
 	if unusable {
 		return 0, errUnusable
 	}
-	n, err := transient.Write(l.Conn, b)
-	l.mu.Lock()
-	complete := l.trackWritten(b[:n])
-	l.mu.Unlock()
-	if complete && l.onWritten != nil {
-		l.onWritten()
+	n, err := transient.Write(c.Conn, b)
+	c.mu.Lock()
+	complete := c.trackWritten(b[:n])
+	c.mu.Unlock()
+	if complete && c.onWritten != nil {
+		c.onWritten()
 	}
 	return n, err
 }
 
 // wasWithheld reports whether mayBegin withheld the request: nothing of it was written.
-func (l *connection) wasWithheld() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.withheld
+func (c *connection) wasWithheld() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.withheld
 }
 
 // isWritten reports whether the request's last byte was written.
-func (l *connection) isWritten() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.unwritten == 0
+func (c *connection) isWritten() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.unwritten == 0
 }
 
 // isReadable reports, without blocking or taking anything, whether the socket has bytes or its end to read.
-func (l *connection) isReadable() bool {
-	if _, ok := l.Conn.(syscall.Conn); !ok {
+func (c *connection) isReadable() bool {
+	if _, ok := c.Conn.(syscall.Conn); !ok {
 		return false
 	}
-	_, err := UnreadBytes(l.Conn)
+	_, err := UnreadBytes(c.Conn)
 	return err != syscall.EAGAIN
 }
 
 // recordIdleLoss notes, after a failure, that the backend had dropped the connection while it was idle.
-func (l *connection) recordIdleLoss() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.idleBefore > 0 && !l.answered && l.broken {
-		l.idleLimit.shorten(l.idleBefore, l.maxIdle)
+func (c *connection) recordIdleLoss() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.idleBefore > 0 && !c.answered && c.broken {
+		c.idleLimit.shorten(c.idleBefore, c.maxIdle)
 	}
 }
 
-// isUnreadable reports, after a failure, that bytes came on a connection that is intact: the backend is there, and what it
-// sent is no answer.
-func (l *connection) isUnreadable() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.answered && !l.broken
+// isUnreadable reports, after a failure, that bytes came on a connection that is intact: the backend is there, and
+// what it sent is no answer.
+func (c *connection) isUnreadable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.answered && !c.broken
 }
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -16,8 +16,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// What an attempt tells its server is at most what its client has left as it gets there, though the connection came up late: of a first
-// attempt, and of one behind an error.
+// What an attempt tells its server is at most what its client has left as it gets there, though the connection came
+// up late: of a first attempt, and of one behind an error.
 func TestTheDeadlineThatServersAreTold(t *testing.T) {
 	t.Parallel()
 	const asked, late, slack = 2 * time.Second, 400 * time.Millisecond, 150 * time.Millisecond
@@ -46,10 +46,19 @@
 				return net.Dial(network, address)
 			}
 			address := testpeer.Backend(t, serve)
-			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dial, testpeer.Endpoint("a", address), testpeer.Endpoint("b", address),
-				testpeer.Endpoint("c", address))
+			n := testpeer.StartDialing(
+				t,
+				zap.NewNop(),
+				testpeer.Settings(),
+				dial,
+				testpeer.Endpoint("a", address),
+				testpeer.Endpoint("b", address),
+				testpeer.Endpoint("c", address),
+			)
 			began := time.Now()
-			status, _, body, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "2000m") }))
+			status, _, body, _ := n.Do(
+				n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "2000m") }),
+			)
 			require.Equal(t, http.StatusOK, status, body)
 			got := <-seen
 			told, err := strconv.Atoi(strings.TrimSuffix(got.told, "m"))
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -9,16 +9,16 @@
 	"standpoint"
 )
 
-// maxTokenCount is above any number of tokens that an answer may tell.
+// maxTokenCount is above any number of tokens that an answer may report.
 const maxTokenCount = 1e9
 
-// answerSummary is what the last events of a stream tell: tokens found kept and made, a load report, and that there is no more.
+// answerSummary is what the events of a stream have told so far: its usage, a load report, and whether it is done.
 type answerSummary struct {
-	cachedTokens float64
+	cachedTokens float64 // of the prompt
 	outputTokens float64
 	report       *standpoint.Report
-	done         bool
-	events       int // that carry data: comments are none, and may go on without an end
+	done         bool // its last event has come
+	events       int  // with data: comments do not count, and may go on without an end
 }
 
 var (
@@ -29,41 +29,41 @@
 	otherFields   = [][]byte{[]byte(":"), []byte("event:"), []byte("id:"), []byte("retry:")}
 )
 
-// completeEvents is how many of the bytes are whole events: up to the last empty line. Lines end in LF or in CR LF.
-func completeEvents(b []byte) int {
-	plain, long := bytes.LastIndex(b, []byte("\n\n")), bytes.LastIndex(b, []byte("\n\r\n"))
+// completeEvents is how many of the bytes are complete events: up to the last empty line. Lines end in LF or in CR LF.
+func completeEvents(received []byte) int {
+	lf, crlf := bytes.LastIndex(received, []byte("\n\n")), bytes.LastIndex(received, []byte("\n\r\n"))
 	switch {
-	case plain < 0 && long < 0:
+	case lf < 0 && crlf < 0:
 		return 0
-	case long > plain:
-		return long + len("\n\r\n")
+	case crlf > lf:
+		return crlf + len("\n\r\n")
 	}
-	return plain + len("\n\n")
+	return lf + len("\n\n")
 }
 
-// scan looks through whole events: each line must be one that an event of a chat stream can have. Only the event
-// that carries the usage is decoded.
-func (t *answerSummary) scan(events []byte) error {
+// scan takes complete events in. Each line has to be one that an event of a chat stream can have. Only the event with
+// the usage is decoded.
+func (s *answerSummary) scan(events []byte) error {
 	for line := range bytes.Lines(events) {
 		line = bytes.TrimRight(line, "\r\n")
 		if report, ok := bytes.CutPrefix(line, reportComment); ok {
 			if r := parseReport(string(report)); r != nil {
-				t.report = r
+				s.report = r
 			}
 			continue
 		}
 		data, ok := bytes.CutPrefix(line, dataField)
 		data = bytes.TrimSpace(data)
 		if ok {
-			t.events++
+			s.events++
 		}
 		switch {
 		case ok && bytes.Equal(data, doneData):
-			t.done = true
-		case ok && (t.done || !json.Valid(data)):
+			s.done = true
+		case ok && (s.done || !json.Valid(data)):
 			return errors.New("an event that cannot be read, or one behind the last")
 		case ok && bytes.Contains(data, usageKey):
-			t.readUsage(data)
+			s.readUsage(data)
 		case !ok && len(line) > 0 && !slices.ContainsFunc(otherFields, func(m []byte) bool { return bytes.HasPrefix(line, m) }):
 			return errors.New("a line that is no part of an event")
 		}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-func (t *answerSummary) readUsage(data []byte) {
-	var u struct {
+func (s *answerSummary) readUsage(data []byte) {
+	var event struct {
 		Usage *struct {
 			Tokens  float64 `json:"completion_tokens"`
 			Details struct {
@@ -80,8 +80,8 @@
 			} `json:"prompt_tokens_details"`
 		} `json:"usage"`
 	}
-	if json.Unmarshal(data, &u) == nil && u.Usage != nil {
-		t.cachedTokens = max(0, min(maxTokenCount, u.Usage.Details.Cached))
-		t.outputTokens = max(0, min(maxTokenCount, u.Usage.Tokens))
+	if json.Unmarshal(data, &event) == nil && event.Usage != nil {
+		s.cachedTokens = max(0, min(maxTokenCount, event.Usage.Details.Cached))
+		s.outputTokens = max(0, min(maxTokenCount, event.Usage.Tokens))
 	}
 }
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -53,8 +53,8 @@
 	return f
 }
 
-// countConnection counts a connection from just before it is opened until closed is called. If there are many, idle ones
-// are closed: their descriptors are for clients, discovery and the backends that are needed now.
+// countConnection counts a connection from just before it is opened until closed is called. If there are many, idle
+// ones are closed: their descriptors are for clients, discovery and the backends that are needed now.
 func (f *Fleet) countConnection() (closed func()) {
 	open := f.openConnections.Add(1)
 	f.mu.Lock()
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -22,7 +22,15 @@
 		Report:       &standpoint.Report{Memory: 0.25, Unread: 3, Slots: 0.5},
 		Done:         true,
 		ClientStall:  250 * time.Millisecond,
-		Chunks:       chunkParser{Phase: inChunkData, Size: 100, Line: 4, Other: true, Matched: 2, Head: 300, Early: true},
+		Chunks: chunkParser{
+			Phase:   inChunkData,
+			Size:    100,
+			Line:    4,
+			Other:   true,
+			Matched: 2,
+			Head:    300,
+			Early:   true,
+		},
 	},
 		func(s Stream) ([]byte, error) { return json.MarshalIndent(s, "", "  ") },
 		DecodeStream)
--- a/internal/backend/idle_limit.go
+++ b/internal/backend/idle_limit.go
@@ -16,9 +16,9 @@
 	maxDoublings = 16
 )
 
-// idleLimit is how long connections to a backend may be idle before they are used again. The backend may drop one without
-// a word, and the request on it ends as a reset that may have run: such a loss shows that less is safe. A new connection
-// costs far less than an attempt. The zero value has had no loss. It is safe for concurrent use.
+// idleLimit is how long connections to a backend may be idle before they are used again. The backend may drop one
+// without a word, and the request on it ends as a reset that may have run: such a loss shows that less is safe. A new
+// connection costs far less than an attempt. The zero value has had no loss. It is safe for concurrent use.
 type idleLimit struct{ duration, lostAt atomic.Int64 }
 
 // current is the idle time that is trusted now, up to a maximum.
--- a/internal/backend/mailbox.go
+++ b/internal/backend/mailbox.go
@@ -54,8 +54,8 @@
 	mailbox chan message
 	log     *zap.Logger
 	process process
-	// draining is set, for good, when the backend is to get nothing new. Attempts that were decided on before keep theirs; a
-	// backend that comes back gets another one.
+	// draining is set, for good, when the backend is to get nothing new. Attempts that were decided on before keep
+	// theirs; a backend that comes back gets another one.
 	draining *atomic.Bool
 }
 
@@ -70,7 +70,8 @@
 	}
 }
 
-// postReliably posts what, unlike an attempt, may not be lost: if the mailbox is full, a goroutine waits for room in it.
+// postReliably posts what, unlike an attempt, may not be lost: if the mailbox is full, a goroutine waits for room in
+// it.
 func (m member) postReliably(what message) {
 	if !m.post(what) {
 		go func() { m.mailbox <- what }()
--- a/internal/backend/moments_test.go
+++ b/internal/backend/moments_test.go
@@ -58,8 +58,9 @@
 
 const failed500 = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
-// A server is told to leave while the connection of an attempt that was decided on before comes up. Nothing of the attempt is sent,
-// and the request goes elsewhere; that the server was chosen in good time is no reason to send later.
+// A server is told to leave while the connection of an attempt that was decided on before comes up. Nothing of the
+// attempt is sent, and the request goes elsewhere; that the server was chosen in good time is no reason to send
+// later.
 func TestToldToLeaveWhileAConnectionComesUp(t *testing.T) {
 	t.Parallel()
 	for name, tell := range map[string]func(n *testpeer.Node, chosen, other node.Endpoint){
@@ -91,7 +92,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			met, held := newMet(), testpeer.HoldDials(1)
-			a, b := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole"))), testpeer.Endpoint("b", met.server(t, testpeer.StreamAnswer("whole")))
+			a, b := testpeer.Endpoint(
+				"a",
+				met.server(t, testpeer.StreamAnswer("whole")),
+			), testpeer.Endpoint(
+				"b",
+				met.server(t, testpeer.StreamAnswer("whole")),
+			)
 			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a, b)
 			answered := make(chan int, 1)
 			go func() {
@@ -107,7 +114,8 @@
 			n.WaitForCore()
 			held.Release <- struct{}{}
 			require.Equal(t, http.StatusOK, <-answered)
-			// What comes to one that is back was decided on behind its return; what was on its way is not counted among it.
+			// What comes to one that is back was decided on behind its return; what was on its way is not counted
+			// among it.
 			if name != "drains and comes back" && name != "is another process by now" {
 				require.Zero(t, met.at(chosen.Address))
 				require.Equal(t, 1, met.at(other.Address))
@@ -171,8 +179,8 @@
 	}
 }
 
-// A repeat is decided on in time, and its connection comes up when the window in which repeats are dropped is over. It is not sent,
-// and the client hears at once what has become of its request.
+// A repeat is decided on in time, and its connection comes up when the window in which repeats are dropped is over.
+// It is not sent, and the client hears at once what has become of its request.
 func TestTheWindowClosesWhileARepeatIsOnItsWay(t *testing.T) {
 	t.Parallel()
 	met, held := newMet(), testpeer.HoldDials(2)
@@ -195,7 +203,12 @@
 	<-held.Connected
 	time.Sleep(time.Until(began.Add(window + 50*time.Millisecond))) // the window is the clock's own
 	held.Release <- struct{}{}
-	require.Equal(t, http.StatusBadGateway, <-answered, "an attempt has run: that trying again is harmless would not be true")
+	require.Equal(
+		t,
+		http.StatusBadGateway,
+		<-answered,
+		"an attempt has run: that trying again is harmless would not be true",
+	)
 	require.Less(t, time.Since(began), 2*time.Second)
 	require.Equal(t, 1, met.at(a.Address)+met.at(b.Address))
 }
@@ -220,11 +233,15 @@
 			settings.Classes[0].Effect = c.effect
 			settings.Classes[0].Group = c.group
 			settings.Classes[0].Window = int64(time.Second)
-			n := testpeer.Start(t, settings, testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body)
-				close(came)
-				<-r.Context().Done()
-			})))
+			n := testpeer.Start(
+				t,
+				settings,
+				testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter, r *http.Request) {
+					_, _ = io.Copy(io.Discard, r.Body)
+					close(came)
+					<-r.Context().Done()
+				})),
+			)
 			go func() {
 				<-came
 				n.Core.HandBack(true)
@@ -237,8 +254,8 @@
 	}
 }
 
-// Events are passed on one by one, as they come: the server writes each only once the client has the one before. One that comes in
-// halves waits for its second half, and for nothing else.
+// Events are passed on one by one, as they come: the server writes each only once the client has the one before. One
+// that comes in halves waits for its second half, and for nothing else.
 func TestEachEventIsPassedOnAsItComes(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]string{"LF": "\n", "CR LF": "\r\n"} {
@@ -248,20 +265,24 @@
 				next := make(chan struct{}, 1)
 				event := func(i int) string { return fmt.Sprintf("data: {\"choices\":[{\"index\":%d}]}%s%s", i, end, end) }
 				const events = 20
-				n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
-					_, _ = io.WriteString(c, testpeer.StreamHead)
-					for i := range events {
-						text := event(i)
-						if halves {
-							_, _ = io.WriteString(c, testpeer.Chunk(text[:len(text)-len(end)-3]))
-							time.Sleep(5 * time.Millisecond)
-							text = text[len(text)-len(end)-3:]
+				n := testpeer.Start(
+					t,
+					testpeer.Settings(),
+					testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+						_, _ = io.WriteString(c, testpeer.StreamHead)
+						for i := range events {
+							text := event(i)
+							if halves {
+								_, _ = io.WriteString(c, testpeer.Chunk(text[:len(text)-len(end)-3]))
+								time.Sleep(5 * time.Millisecond)
+								text = text[len(text)-len(end)-3:]
+							}
+							_, _ = io.WriteString(c, testpeer.Chunk(text))
+							<-next
 						}
-						_, _ = io.WriteString(c, testpeer.Chunk(text))
-						<-next
-					}
-					_, _ = io.WriteString(c, testpeer.Chunk("data: [DONE]"+end+end)+"0\r\n\r\n")
-				})))
+						_, _ = io.WriteString(c, testpeer.Chunk("data: [DONE]"+end+end)+"0\r\n\r\n")
+					})),
+				)
 				response, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
 				require.NoError(t, err)
 				defer response.Body.Close()
@@ -284,14 +305,17 @@
 	}
 }
 
-// Connections to servers that rest never take the descriptors that clients, discovery and other servers need: of more than are
-// provided for, those that rest are closed, whichever servers they lead to.
+// Connections to servers that rest never take the descriptors that clients, discovery and other servers need: of more
+// than are provided for, those that rest are closed, whichever servers they lead to.
 func TestRestingLinksMakeRoom(t *testing.T) {
 	t.Parallel()
 	const most, atOnce = 12, 6
 	var entries []node.Endpoint
 	for i := range 40 {
-		entries = append(entries, testpeer.Endpoint(fmt.Sprint("s", i), newMet().server(t, testpeer.StreamAnswer("whole"))))
+		entries = append(
+			entries,
+			testpeer.Endpoint(fmt.Sprint("s", i), newMet().server(t, testpeer.StreamAnswer("whole"))),
+		)
 	}
 	n := testpeer.Start(t, testpeer.Settings(), entries...)
 	n.Backends.Adjust(100*time.Millisecond, 15*time.Second, 10, most)
@@ -300,7 +324,12 @@
 		var all sync.WaitGroup
 		for i := range atOnce {
 			all.Go(func() {
-				status, _, _, err := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Object", fmt.Sprintf("%x", 1+round*atOnce+i)) }))
+				status, _, _, err := n.Do(
+					n.Chat(
+						t.Context(),
+						func(r *http.Request) { r.Header.Set("X-Object", fmt.Sprintf("%x", 1+round*atOnce+i)) },
+					),
+				)
 				require.NoError(t, err)
 				require.Equal(t, http.StatusOK, status)
 			})
@@ -312,8 +341,8 @@
 	require.Greater(t, peak, most/2, "they are kept while there are few")
 }
 
-// Answers that never end, each in another way: the request is tried elsewhere where nothing of it has reached the client, else the
-// client's answer ends, broken and in bounded time, and nothing more goes out.
+// Answers that never end, each in another way: the request is tried elsewhere where nothing of it has reached the
+// client, else the client's answer ends, broken and in bounded time, and nothing more goes out.
 func TestAnswersThatNeverEnd(t *testing.T) {
 	t.Parallel()
 	event := testpeer.Chunk("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"x\"}}]}\n\n")
@@ -358,7 +387,12 @@
 					c.then(conn)
 				})
 			}
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", server()), testpeer.Endpoint("b", server()))
+			n := testpeer.Start(
+				t,
+				testpeer.Settings(),
+				testpeer.Endpoint("a", server()),
+				testpeer.Endpoint("b", server()),
+			)
 			began := time.Now()
 			response, err := http.DefaultClient.Do(n.Chat(t.Context(), func(r *http.Request) {
 				body := `{"max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
@@ -383,8 +417,8 @@
 	}
 }
 
-// A server closes a connection that rested in the moment in which a request is written to it: the write is held until it has. The
-// request's last byte was not written, so it never ran, and it goes out afresh, whatever its effect.
+// A server closes a connection that rested in the moment in which a request is written to it: the write is held until
+// it has. The request's last byte was not written, so it never ran, and it goes out afresh, whatever its effect.
 func TestAServerClosesAsARequestIsWritten(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -463,8 +497,8 @@
 	return c.TCPConn.Write(b)
 }
 
-// A repeat is decided on, and a request that was held while there was no server for it, and the server chosen is told to leave while
-// the connection comes up: nothing is sent there, and the request goes on elsewhere.
+// A repeat is decided on, and a request that was held while there was no server for it, and the server chosen is told
+// to leave while the connection comes up: nothing is sent there, and the request goes on elsewhere.
 func TestToldToLeaveWhileARepeatOrAHeldRequestIsOnItsWay(t *testing.T) {
 	t.Parallel()
 	t.Run("a repeat", func(t *testing.T) {
@@ -499,7 +533,13 @@
 	t.Run("a held request", func(t *testing.T) {
 		t.Parallel()
 		met, held := newMet(), testpeer.HoldDials(1)
-		a, b := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole"))), testpeer.Endpoint("b", met.server(t, testpeer.StreamAnswer("whole")))
+		a, b := testpeer.Endpoint(
+			"a",
+			met.server(t, testpeer.StreamAnswer("whole")),
+		), testpeer.Endpoint(
+			"b",
+			met.server(t, testpeer.StreamAnswer("whole")),
+		)
 		a.State = standpoint.Draining
 		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a)
 		answered := make(chan int, 1)
--- a/internal/backend/moving_test.go
+++ b/internal/backend/moving_test.go
@@ -39,7 +39,9 @@
 			_, _ = io.WriteString(far, wholeAnswer[at:])
 			far.Close()
 		}()
-		left, err := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: there}, chunks: there})
+		left, err := io.ReadAll(
+			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: there}, chunks: there},
+		)
 		require.NoError(t, err, "from byte %d", at)
 		require.Equal(t, wholePayload, payload.String()+string(left), "from byte %d", at)
 		near.Close()
@@ -61,13 +63,17 @@
 			_, _ = io.WriteString(far, wholeAnswer[begin:at])
 			far.Close()
 		}()
-		_, err := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: c}, chunks: c})
+		_, err := io.ReadAll(
+			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: c}, chunks: c},
+		)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "at byte %d", at)
 	}
 }
 
 func FuzzDecodeStream(f *testing.F) {
-	good, _ := json.Marshal(Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}}) // a constant form: cannot fail
+	good, _ := json.Marshal(
+		Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}},
+	) // a constant form: cannot fail
 	f.Add(good)
 	f.Add([]byte(`{"trace":"t","chunks":{"phase":1,"size":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -80,7 +86,12 @@
 			_, _ = io.WriteString(far, wholeAnswer)
 			far.Close()
 		}()
-		got, _ := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks}, chunks: s.Chunks}) // any end will do
+		got, _ := io.ReadAll(
+			&remainder{
+				connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks},
+				chunks:     s.Chunks,
+			},
+		) // any end will do
 		require.LessOrEqual(t, len(got), len(wholeAnswer))
 		near.Close()
 	})
--- a/internal/backend/relay.go
+++ b/internal/backend/relay.go
@@ -60,8 +60,8 @@
 	body       io.Reader
 	attempt    *node.Attempt
 	connection *connection // with which it can be handed over; nil if it cannot
-	// silenceTimer ends a silent stream: connections to a machine that has vanished stay open, and the client must not be left
-	// waiting.
+	// silenceTimer ends a silent stream: connections to a machine that has vanished stay open, and the client must
+	// not be left waiting.
 	silenceTimer *time.Timer
 }
 
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -10,8 +10,8 @@
 // LoadHeader is the name of the load report, as a header and in the comment line at a stream's end.
 const LoadHeader = "Endpoint-Load-Metrics"
 
-// parseReport reads a load report in its text form: TEXT x0=0.4, x1=1.2, util=0.61. Nil: there is none, or
-// one that cannot be read; half of one would pass for a load that nobody reported.
+// parseReport parses a load report in its text form: TEXT x0=0.4, x1=1.2, util=0.61. It is nil if there is none, or
+// it is not readable: half a report would pass for a load that nobody reported.
 func parseReport(s string) *standpoint.Report {
 	s, ok := strings.CutPrefix(strings.TrimSpace(s), "TEXT ")
 	if !ok {
@@ -38,5 +38,5 @@
 	return &r
 }
 
-// maxReportValue is above any load: the largest is that of thousands of tokens unread.
+// maxReportValue is above any load: the largest is thousands of unread tokens.
 const maxReportValue = 1e6
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -10,15 +10,16 @@
 	"standpoint/internal/node"
 )
 
-func newRequest(ctx context.Context, address string, a *node.Attempt) (*http.Request, error) {
-	work := &a.Request.Work
+// newRequest creates the HTTP request of an attempt. Its expiry is set when it has a connection.
+func newRequest(ctx context.Context, address string, attempt *node.Attempt) (*http.Request, error) {
+	work := &attempt.Request.Work
 	request, err := http.NewRequestWithContext(ctx, work.Method, "http://"+address+work.Target,
 		bytes.NewReader(work.Body))
 	if err != nil {
 		return nil, err
 	}
-	// With GetBody the transport would resend on its own after a broken connection, and that counts as an
-	// attempt that the core knows nothing of.
+	// With GetBody the transport would retry by itself after a broken connection, which would be an attempt that the
+	// core knows nothing of.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", work.ContentType)
 	request.Header.Set("X-Trace-Id", work.TraceID)
@@ -26,7 +27,7 @@
 	return request, nil
 }
 
-// setExpiry tells the server how much time its client has left.
-func setExpiry(request *http.Request, a *node.Attempt) {
-	request.Header.Set("X-Expires-In", fmt.Sprintf("%dm", max(1, time.Until(a.Until).Milliseconds())))
+// setExpiry sets the header that tells how much time the client has left.
+func setExpiry(request *http.Request, attempt *node.Attempt) {
+	request.Header.Set("X-Expires-In", fmt.Sprintf("%dm", max(1, time.Until(attempt.Until).Milliseconds())))
 }
--- a/internal/backend/running_streams.go
+++ b/internal/backend/running_streams.go
@@ -10,8 +10,8 @@
 	"standpoint/internal/node"
 )
 
-// HandOverFunc takes a stream for another process, with the descriptors of its client's and its backend's connection. An
-// error means that the stream was not taken.
+// HandOverFunc takes a stream for another process, with the descriptors of its client's and its backend's connection.
+// An error means that the stream was not taken.
 type HandOverFunc = func(s Stream, client, server int) error
 
 // runningStreams are the streams that are relayed now. It is safe for concurrent use.
--- a/internal/backend/socket.go
+++ b/internal/backend/socket.go
@@ -10,8 +10,8 @@
 	"standpoint/internal/transient"
 )
 
-// UnreadBytes looks, without waiting or taking anything, whether the socket has bytes to read: 0 and no error at its end, EAGAIN where
-// nothing has come.
+// UnreadBytes returns, without blocking or taking anything, whether the socket has bytes to read: 0 and no error at its
+// end, EAGAIN if nothing has come.
 func UnreadBytes(c net.Conn) (n int, err error) {
 	failed := control(c, func(fd int) {
 		err = transient.IgnoringEINTR(func() (failed error) {
@@ -25,8 +25,8 @@
 	return max(0, n), err
 }
 
-// PeerClosed tells, without waiting, whether the other side is known to have ended the connection, or its sending, though what it sent
-// before may not have been read.
+// PeerClosed reports, without blocking, whether the other side is known to have closed the connection, or its sending
+// side, though what it sent before may not have been read.
 func PeerClosed(c net.Conn) bool {
 	look := []unix.PollFd{{Events: unix.POLLRDHUP}}
 	if err := control(c, func(fd int) {
@@ -45,7 +45,7 @@
 	return n == 0 && err == nil
 }
 
-// control has f look at the connection's descriptor.
+// control calls f with the connection's descriptor.
 func control(c net.Conn, f func(fd int)) error {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/backend/story_test.go
+++ b/internal/backend/story_test.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// Seen on zone+vast: 125 streams of a lost zone were found silent after 3 s, all at once, with no pace left to keep. Where clients
-// ask for the rest a stream is silent by its own measure; where they do not, cutting one whose events still come would lose it.
+// Seen on zone+vast: 125 streams of a lost zone were found silent after 3 s, all at once, with no pace left to keep.
+// Where clients ask for the rest a stream is silent by its own measure; where they do not, cutting one whose events
+// still come would lose it.
 func TestSilentStreams(t *testing.T) {
 	event := testpeer.Chunk("data: {\"choices\":[{}]}\n\n")
 	for name, c := range map[string]struct {
@@ -230,7 +231,10 @@
 // A box of another kind under the same name is spoken to in its own way.
 func TestAnotherKindUnderTheSameName(t *testing.T) {
 	files := testpeer.NewBatchBackend(t, testpeer.NewAttemptLedger(), func(string, int) int { return http.StatusOK })
-	streams := testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.StreamAnswer("own")) }))
+	streams := testpeer.Endpoint(
+		"s",
+		testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.StreamAnswer("own")) }),
+	)
 	settings := testpeer.Settings()
 	settings.Cancel = false
 	n := testpeer.Start(t, settings, streams)
@@ -246,8 +250,16 @@
 
 // Events may be parted by carriage returns and line feeds too, as the standard for event streams has it.
 func TestEventsWithCarriageReturns(t *testing.T) {
-	answer := testpeer.StreamHead + testpeer.Chunk("data: {\"choices\":[{}]}\r\n\r\n") + testpeer.Chunk("data: [DONE]\r\n\r\n") + "0\r\n\r\n"
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, answer) })))
+	answer := testpeer.StreamHead + testpeer.Chunk(
+		"data: {\"choices\":[{}]}\r\n\r\n",
+	) + testpeer.Chunk(
+		"data: [DONE]\r\n\r\n",
+	) + "0\r\n\r\n"
+	n := testpeer.Start(
+		t,
+		testpeer.Settings(),
+		testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, answer) })),
+	)
 	for range 2 { // on a kept connection too
 		status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
@@ -256,9 +268,9 @@
 	}
 }
 
-// A second answer that comes some milliseconds behind the first, on its own, is nobody's: the next request, which may be there
-// before it, gets its own answer. A server that is itself too late for that, on a busy machine, sends no second answer, and the turn
-// does not count.
+// A second answer that comes some milliseconds behind the first, on its own, is nobody's: the next request, which may
+// be there before it, gets its own answer. A server that is itself too late for that, on a busy machine, sends no
+// second answer, and the turn does not count.
 func TestASecondAnswerThatComesLate(t *testing.T) {
 	const turns, late, most = 5, 11 * time.Millisecond, 13 * time.Millisecond
 	var played atomic.Int64
--- a/internal/backend/stream_backend.go
+++ b/internal/backend/stream_backend.go
@@ -22,7 +22,8 @@
 
 const (
 	maxHeadBytes = 16 << 10 // of an answer, with the 1xx answers before it
-	// maxDrainBytes and drainTimeout bound what is read of an answer that is no stream, so that its connection can be kept.
+	// maxDrainBytes and drainTimeout bound what is read of an answer that is no stream, so that its connection can be
+	// kept.
 	maxDrainBytes = 16 << 10
 	drainTimeout  = 100 * time.Millisecond
 	// maxFreshConnections is the number of further connections for a request that reused ones did not take.
@@ -44,8 +45,8 @@
 	streams   *runningStreams
 }
 
-// run handles the mailbox. Each attempt waits for its connection in a goroutine of its own: a silent connection must not
-// hold up the mailbox.
+// run handles the mailbox. Each attempt waits for its connection in a goroutine of its own: a silent connection must
+// not hold up the mailbox.
 func (b *streamBackend) run(current process) {
 	connections := transport(b.Options, b.idleLimit)
 	defer func() { connections.CloseIdleConnections() }()
@@ -91,9 +92,9 @@
 	attempt.Finish(result)
 }
 
-// send sends the request, on a further connection if one took nothing of it: a reused connection that had ended or held
-// what nobody asked for, or one that broke off before the request's last byte. That is no failure of the backend, and no
-// further attempt.
+// send sends the request, on a further connection if one took nothing of it: a reused connection that had ended or
+// held what nobody asked for, or one that broke off before the request's last byte. That is no failure of the
+// backend, and no further attempt.
 func (b *streamBackend) send(
 	transport *http.Transport, address string, attempt *node.Attempt,
 ) (node.Result, error) {
@@ -146,7 +147,8 @@
 		result, err = b.stream(ctx, cancel, response, attempt, used.Load())
 		return result, reused, err
 	}
-	// The rest is read so that the connection can be kept, but a body that does not come must not hold up the next attempt.
+	// The rest is read so that the connection can be kept, but a body that does not come must not hold up the next
+	// attempt.
 	defer time.AfterFunc(drainTimeout, func() { cancel(errSilent) }).Stop()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDrainBytes))
 	return rejectedResult(response), reused, fmt.Errorf("answered %s", response.Status)
--- a/internal/backend/stream_handover.go
+++ b/internal/backend/stream_handover.go
@@ -15,8 +15,8 @@
 	"standpoint/internal/node"
 )
 
-// Stream is the state of an answer that one process hands over to another. With the client's and the backend's connection
-// the other continues from the next byte.
+// Stream is the state of an answer that one process hands over to another. With the client's and the backend's
+// connection the other continues from the next byte.
 type Stream struct {
 	Trace        string             `json:"trace"`
 	Class        int                `json:"class"`
--- a/internal/backend/stream_state.go
+++ b/internal/backend/stream_state.go
@@ -7,8 +7,8 @@
 	firstEventTimeout = time.Second
 	// maxSilence is how long a stream may be silent before it counts as broken.
 	maxSilence = 3 * time.Second
-	// A stream whose client requests the rest counts as broken earlier: after silenceFactor of its own longest pauses, but not
-	// before minResumableSilence, since backends pause for up to 600 ms.
+	// A stream whose client requests the rest counts as broken earlier: after silenceFactor of its own longest
+	// pauses, but not before minResumableSilence, since backends pause for up to 600 ms.
 	minResumableSilence = time.Second
 	silenceFactor       = 4
 
