--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"standpoint"
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 )
 
 // Policy is what decides at a node: the module, or one that it is measured against.
@@ -221,7 +221,7 @@
 	if m == nil {
 		return math.Inf(1)
 	}
-	return m.Wait(w.now, box.Job{Session: q.Session, Prefix: q.Prefix, Prompt: q.PromptTokens, Shared: q.PrefixTokens, Out: 100}) + float64(m.coming)*0.02
+	return m.Wait(w.now, emulator.Job{Session: q.Session, Prefix: q.Prefix, Prompt: q.PromptTokens, Shared: q.PrefixTokens, Out: 100}) + float64(m.coming)*0.02
 }
 
 // policy makes the one of a node.
--- a/internal/lab/box/box.go
+++ b/internal/lab/emulator/backend.go
@@ -1,7 +1,7 @@
-// Package box is the model of a real server that runs a language model: slots, a queue, steps that read prompts and
+// Package emulator is the model of a backend that runs a language model: slots, a queue, steps that read prompts and
 // make tokens, a memory with kept prompts, cold starts, pauses, errors and drains. It has no clock and no I/O; one
 // driver gives it virtual time, another sockets. It belongs to the laboratory: the daemon never imports it.
-package box
+package emulator
 
 import (
 	"container/list"
--- a/internal/lab/box/box_test.go
+++ b/internal/lab/emulator/box_test.go
@@ -1,4 +1,4 @@
-package box
+package emulator
 
 import (
 	"math"
--- a/internal/lab/boxes/fleet.go
+++ b/internal/lab/emulator/server/fleet.go
@@ -1,4 +1,4 @@
-package boxes
+package server
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 )
 
 // Fleet is a file of emulated boxes and of what happens to them.
@@ -27,7 +27,7 @@
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 	Cold    bool   `toml:"cold"`
-	box.Figures
+	emulator.Figures
 }
 
 // Event is something that happens to some boxes at a time.
@@ -162,13 +162,13 @@
 		found++
 		switch deed {
 		case "slow":
-			s.Do(func(b *box.Box, _ float64) { b.Slow(v) })
+			s.Do(func(b *emulator.Box, _ float64) { b.Slow(v) })
 		case "errors":
-			s.Do(func(b *box.Box, _ float64) { b.Fail(v) })
+			s.Do(func(b *emulator.Box, _ float64) { b.Fail(v) })
 		case "pause":
-			s.Do(func(b *box.Box, now float64) { b.Pause(now, now+v) })
+			s.Do(func(b *emulator.Box, now float64) { b.Pause(now, now+v) })
 		case "drain":
-			s.Do(func(b *box.Box, _ float64) { b.Drain() })
+			s.Do(func(b *emulator.Box, _ float64) { b.Drain() })
 		case "reset", "silence", "garbage", "half":
 			s.Spoil(deed, v)
 		case "kill":
--- a/internal/lab/boxes/groups.go
+++ b/internal/lab/emulator/server/groups.go
@@ -1,4 +1,4 @@
-package boxes
+package server
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"net"
 	"strconv"
 
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 )
 
 // Range is a figure, or the bounds that it is drawn from.
@@ -85,7 +85,7 @@
 		for n := range g.Count {
 			whole := func(r Range) int { return int(math.Round(r.draw(rng))) }
 			f.Boxes = append(f.Boxes, Box{Name: fmt.Sprintf("%s-%d", g.Name, n+1), Address: net.JoinHostPort(host, strconv.Itoa(port+n)), Cold: g.Cold,
-				Figures: box.Figures{Slots: whole(g.Slots), Queue: whole(g.Queue), Memory: g.Memory.draw(rng), Chunk: g.Chunk.draw(rng),
+				Figures: emulator.Figures{Slots: whole(g.Slots), Queue: whole(g.Queue), Memory: g.Memory.draw(rng), Chunk: g.Chunk.draw(rng),
 					Step: g.Step.draw(rng), PerSequence: g.PerSeq.draw(rng), PerContext: g.PerCtx.draw(rng), ReadPerS: g.ReadPerS.draw(rng),
 					ColdShare: g.ColdShare.draw(rng), WarmUp: g.WarmUp.draw(rng), Fall: g.Fall.draw(rng), FallFactor: g.Factor.draw(rng),
 					Capacity: g.Capacity.draw(rng), ReportEvery: g.Report.draw(rng)}})
--- a/internal/lab/boxes/server.go
+++ b/internal/lab/emulator/server/server.go
@@ -1,6 +1,6 @@
-// Package boxes drives the model of package box by sockets: each emulated box is a real server on loopback that speaks
+// Package server drives the model of package emulator by sockets: each emulated box is a real server on loopback that speaks
 // the platform's protocol for engines. It belongs to the laboratory: the daemon never imports it.
-package boxes
+package server
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 )
 
 const (
@@ -35,10 +35,10 @@
 	Address string
 
 	mu      sync.Mutex
-	box     *box.Box
+	box     *emulator.Box
 	zero    time.Time
 	timer   *time.Timer
-	jobs    map[int64]chan box.Progress
+	jobs    map[int64]chan emulator.Progress
 	nextID  int64
 	rng     *rand.Rand
 	out     float64
@@ -93,7 +93,7 @@
 type Options struct {
 	Name    string
 	Listen  string // loopback
-	Figures box.Figures
+	Figures emulator.Figures
 	Seed    uint64
 	Cold    bool    // starts now; else long ago
 	Out     float64 // tokens of an answer, on average; 0: 100
@@ -110,17 +110,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("box %s: %w", o.Name, err)
 	}
-	s := &Server{Name: o.Name, Address: l.Addr().String(), zero: time.Now(), jobs: map[int64]chan box.Progress{},
+	s := &Server{Name: o.Name, Address: l.Addr().String(), zero: time.Now(), jobs: map[int64]chan emulator.Progress{},
 		rng: rand.New(rand.NewPCG(o.Seed, 7)), out: o.Out, spread: o.Spread, served: make(chan error, 1),
 		open: map[net.Conn]struct{}{}, seen: map[string]int{}}
 	if s.out <= 0 {
 		s.out = 100
 	}
-	started := box.LongAgo
+	started := emulator.LongAgo
 	if o.Cold {
 		started = 0
 	}
-	s.box = box.New(o.Figures, o.Seed, started)
+	s.box = emulator.New(o.Figures, o.Seed, started)
 	s.timer = time.AfterFunc(time.Hour, s.advance)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", s.chat)
@@ -165,7 +165,7 @@
 func (s *Server) now() float64 { return time.Since(s.zero).Seconds() }
 
 // Do has something done to the model, such as a failure.
-func (s *Server) Do(change func(b *box.Box, now float64)) {
+func (s *Server) Do(change func(b *emulator.Box, now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catchUp()
@@ -208,7 +208,7 @@
 }
 
 // Load is the box's present report.
-func (s *Server) Load() box.Report {
+func (s *Server) Load() emulator.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.box.Load(s.now())
@@ -293,7 +293,7 @@
 		_, _ = w.Write([]byte("data: {\"choices\": [}\xff\x00\n\nno event\n\n"))
 		return
 	}
-	j := box.Job{}
+	j := emulator.Job{}
 	for i, m := range body.Messages {
 		j.Prompt += math.Ceil(float64(len(m.Content)) / tokenChars)
 		if i == 0 && len(body.Messages) > 1 {
@@ -305,22 +305,22 @@
 	}
 	news, verdict := s.submit(id, &j, body.MaxTokens)
 	switch verdict {
-	case box.Full:
+	case emulator.Full:
 		w.Header().Set("X-Never-Ran", "1")
 		s.load(w.Header())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case box.Errored:
+	case emulator.Errored:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case box.Dead:
+	case emulator.Dead:
 		panic(http.ErrAbortHandler)
 	}
 	defer s.leave(id, j.ID)
 	s.stream(r.Context(), w, &j, news, how == "half")
 }
 
-func (s *Server) submit(trace string, j *box.Job, most float64) (<-chan box.Progress, box.Verdict) {
+func (s *Server) submit(trace string, j *emulator.Job, most float64) (<-chan emulator.Progress, emulator.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.taken++
@@ -333,19 +333,19 @@
 	}
 	j.Out = int(max(2, min(out, outMost)))
 	if len(s.jobs) >= jobsMost {
-		return nil, box.Full
+		return nil, emulator.Full
 	}
 	v, fell := s.box.Submit(s.now(), *j)
 	if fell {
 		s.drop(s.box.Kill())
 	}
-	if v != box.Taken {
+	if v != emulator.Taken {
 		return nil, v
 	}
 	if s.seen[trace]++; s.seen[trace] > 1 {
 		s.doubles++
 	}
-	c := make(chan box.Progress, j.Out)
+	c := make(chan emulator.Progress, j.Out)
 	s.jobs[j.ID] = c
 	s.arm()
 	return c, v
@@ -386,7 +386,7 @@
 }
 
 // stream passes the job's tokens on as they are made.
-func (s *Server) stream(ctx context.Context, w http.ResponseWriter, j *box.Job, news <-chan box.Progress, half bool) {
+func (s *Server) stream(ctx context.Context, w http.ResponseWriter, j *emulator.Job, news <-chan emulator.Progress, half bool) {
 	waiting, made, kept, came := 0, 0, 0.0, time.Now()
 	flush := w.(http.Flusher).Flush
 	var event bytes.Buffer
--- a/internal/lab/boxes/story_test.go
+++ b/internal/lab/emulator/server/story_test.go
@@ -1,4 +1,4 @@
-package boxes
+package server
 
 import (
 	"bytes"
@@ -13,12 +13,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 )
 
-var figures = box.Figures{Slots: 4, Queue: 1, Memory: 20_000, Chunk: 1000, Step: 0.002, ReadPerS: 100_000, ColdShare: 0.2, WarmUp: 5}
+var figures = emulator.Figures{Slots: 4, Queue: 1, Memory: 20_000, Chunk: 1000, Step: 0.002, ReadPerS: 100_000, ColdShare: 0.2, WarmUp: 5}
 
-func start(t *testing.T, f box.Figures) *Server {
+func start(t *testing.T, f emulator.Figures) *Server {
 	s, err := Start(Options{Name: "box-1", Listen: "127.0.0.1:0", Figures: f, Seed: 1, Out: 12})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
@@ -66,11 +66,11 @@
 func TestFailuresOnSockets(t *testing.T) {
 	s := start(t, figures)
 	body := fmt.Sprintf(talk, "short")
-	s.Do(func(b *box.Box, _ float64) { b.Fail(1) })
+	s.Do(func(b *emulator.Box, _ float64) { b.Fail(1) })
 	status, _, _, err := ask(s, "a", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusInternalServerError, status)
-	s.Do(func(b *box.Box, _ float64) { b.Fail(0); b.Drain() })
+	s.Do(func(b *emulator.Box, _ float64) { b.Fail(0); b.Drain() })
 	status, header, _, err := ask(s, "b", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
@@ -84,7 +84,7 @@
 	require.Zero(t, doubles)
 
 	// A box that dies with a stream half out breaks it off.
-	s.Do(func(b *box.Box, _ float64) { b.Slow(100) })
+	s.Do(func(b *emulator.Box, _ float64) { b.Slow(100) })
 	broke := make(chan error, 1)
 	go func() {
 		_, _, _, err := ask(s, "e", body)
@@ -187,7 +187,7 @@
 		check(once())
 		s.Spoil(how, 0)
 	}
-	s.Do(func(_ *box.Box, _ float64) {})
+	s.Do(func(_ *emulator.Box, _ float64) {})
 	text, err := once()
 	require.NoError(t, err)
 	require.Contains(t, text, "[DONE]")
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"standpoint/internal/lab"
-	"standpoint/internal/lab/boxes"
+	"standpoint/internal/lab/emulator/server"
 	"standpoint/internal/lab/load"
 	"standpoint/internal/lab/stage"
 )
@@ -98,7 +98,7 @@
 	dir     string
 
 	mu    sync.Mutex
-	fleet *boxes.Running
+	fleet *server.Running
 	state []boxState
 	nodes []*socketNode
 	stops []func() error
@@ -170,13 +170,13 @@
 func (s *socketRun) boxes() error {
 	kinds := lab.Kinds()
 	rng := rand.New(rand.NewPCG(s.setup.Seed, 0x1ab))
-	s.fleet = &boxes.Running{}
+	s.fleet = &server.Running{}
 	s.stops = append(s.stops, func() error { return s.fleet.Close() })
 	for i := range s.setup.Old {
 		figures := kinds[i%len(kinds)]
 		figures.Capacity = lab.Capacity(figures)
 		figures.Step *= math.Exp((rng.Float64()*2 - 1) * s.setup.Spread)
-		one, err := boxes.Start(boxes.Options{Name: fmt.Sprintf("box-%d", i), Listen: "127.0.0.1:0", Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), Out: 105, Spread: 0.5})
+		one, err := server.Start(server.Options{Name: fmt.Sprintf("box-%d", i), Listen: "127.0.0.1:0", Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), Out: 105, Spread: 0.5})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/many/many_test.go
+++ b/internal/lab/fleetsim/many_test.go
@@ -1,4 +1,4 @@
-package many
+package fleetsim
 
 import (
 	"testing"
--- a/internal/lab/many/many.go
+++ b/internal/lab/fleetsim/simulation.go
@@ -1,6 +1,6 @@
-// Package many plays the members of a fleet, three or three hundred of them, in virtual time: the real deciders, messages that
+// Package fleetsim plays the members of a fleet, three or three hundred of them, in virtual time: the real deciders, messages that
 // are lost, late or cut off, nodes that are killed and come back, clocks that are off. The same seed gives the same play.
-package many
+package fleetsim
 
 import (
 	"container/heap"
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"standpoint"
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 	"standpoint/internal/node"
 )
 
@@ -62,7 +62,7 @@
 		kind := int(seed) % len(w.Kinds)
 		f := w.Kinds[kind]
 		f.Capacity = f.Able(700, 1500, 105, 0.05)
-		fresh = &machine{Box: box.New(f, seed*1000+999, w.now), name: "fresh", kind: kind, jobs: map[int64]*try{}, readyAt: w.clock()}
+		fresh = &machine{Box: emulator.New(f, seed*1000+999, w.now), name: "fresh", kind: kind, jobs: map[int64]*try{}, readyAt: w.clock()}
 		w.boxes, w.byName[fresh.name] = append(w.boxes, fresh), fresh
 		for _, g := range w.nodes {
 			w.At(w.now+s.Late*rng.Float64(), func() {
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"standpoint"
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 	"standpoint/internal/node"
 	"standpoint/internal/pool"
 )
@@ -159,7 +159,7 @@
 	}
 	t.id = int64(w.trace)
 	out := max(2, int(w.logNormal(a.class.Out, a.class.OutSpread)))
-	v, fell := m.Submit(w.now, box.Job{ID: t.id, Session: a.request.Session, Prefix: a.request.Prefix, Prompt: a.request.PromptTokens,
+	v, fell := m.Submit(w.now, emulator.Job{ID: t.id, Session: a.request.Session, Prefix: a.request.Prefix, Prompt: a.request.PromptTokens,
 		Shared: a.request.PrefixTokens, Out: min(out, int(a.class.MaxOut))})
 	if fell {
 		m.fell = true
@@ -169,14 +169,14 @@
 		w.At(w.now+hop, func() { a.node.end(t, code, 0) })
 	}
 	switch v {
-	case box.Taken:
+	case emulator.Taken:
 		m.jobs[t.id] = t
 		w.step(m)
-	case box.Full:
+	case emulator.Full:
 		back(standpoint.TurnedAway)
-	case box.Errored:
+	case emulator.Errored:
 		back(standpoint.ServerError)
-	case box.Dead:
+	case emulator.Dead:
 		back(standpoint.NoConnection)
 	}
 }
@@ -210,7 +210,7 @@
 	})
 }
 
-func (w *World) progress(m *machine, p box.Progress) {
+func (w *World) progress(m *machine, p emulator.Progress) {
 	t := m.jobs[p.ID]
 	if t == nil {
 		return
--- a/internal/lab/labcli/boxes.go
+++ b/internal/lab/labcli/boxes.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"standpoint/internal/lab/boxes"
+	"standpoint/internal/lab/emulator/server"
 	"standpoint/internal/lab/responder"
 	"standpoint/internal/lab/stage"
 )
@@ -23,7 +23,7 @@
 	c := &cobra.Command{Use: "boxes FILE", Short: "Run a fleet of emulated boxes on loopback sockets", Args: cobra.ExactArgs(1),
 		Example: "  lab boxes deploy/lab/two-pools.toml --hand 127.0.0.1:9900\n  lab poke --hand 127.0.0.1:9900 slow 2 new-1 new-2",
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := boxes.ReadFleet(args[0])
+			f, err := server.ReadFleet(args[0])
 			if err != nil {
 				return err
 			}
@@ -101,7 +101,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			form := map[string][]string{}
 			names := args[1:]
-			if value := boxes.Deeds[args[0]] + responder.Deeds[args[0]]; value != "" {
+			if value := server.Deeds[args[0]] + responder.Deeds[args[0]]; value != "" {
 				if len(names) == 0 {
 					return fmt.Errorf("%s wants %s", args[0], value)
 				}
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"standpoint/internal/lab/many"
-	"standpoint/internal/lab/proof"
+	"standpoint/internal/lab/fleetsim"
+	"standpoint/internal/lab/mutation"
 	"standpoint/internal/lab/rig"
 )
 
@@ -32,10 +32,10 @@
 			fmt.Fprintln(w, "NODES\tTROUBLE\tLOSS\tSEEDS\tOVERSPENT\tUSED (LEAST)\tIN THE CUT\tAGREED 50, 99\tTOGETHER 99\tBYTES/S\tRIGHT AFTER\tALONE\tFALSE\tALONE\tBROKEN")
 			for _, n := range nodes {
 				for _, set := range []struct {
-					trouble many.Trouble
+					trouble fleetsim.Trouble
 					loss    float64
-				}{{many.None, 0}, {many.None, 0.1}, {many.None, 0.3}, {many.Third, 0.1}, {many.OneWay, 0.1}, {many.Flap, 0.1}, {many.Killed, 0.1}} {
-					p := many.Plan{Nodes: n, Span: span, Trouble: set.trouble, Loss: set.loss, Clock: 200 * time.Millisecond, Window: time.Second, Wanted: 0.95, Few: 0.34, Servers: 12}
+				}{{fleetsim.None, 0}, {fleetsim.None, 0.1}, {fleetsim.None, 0.3}, {fleetsim.Third, 0.1}, {fleetsim.OneWay, 0.1}, {fleetsim.Flap, 0.1}, {fleetsim.Killed, 0.1}} {
+					p := fleetsim.Plan{Nodes: n, Span: span, Trouble: set.trouble, Loss: set.loss, Clock: 200 * time.Millisecond, Window: time.Second, Wanted: 0.95, Few: 0.34, Servers: 12}
 					shared, alone := plays(c.Context(), p, first, seeds)
 					if err := c.Context().Err(); err != nil {
 						return err
@@ -54,8 +54,8 @@
 }
 
 // plays plays a plan over seeds, with sharing and without; the second for what it says of servers.
-func plays(ctx context.Context, p many.Plan, first uint64, seeds int) (shared, alone []many.Result) {
-	shared, alone = make([]many.Result, seeds), make([]many.Result, seeds)
+func plays(ctx context.Context, p fleetsim.Plan, first uint64, seeds int) (shared, alone []fleetsim.Result) {
+	shared, alone = make([]fleetsim.Result, seeds), make([]fleetsim.Result, seeds)
 	var all sync.WaitGroup
 	places := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range seeds {
@@ -67,17 +67,17 @@
 			}
 			q := p
 			q.Seed, q.Sharing = first+uint64(i), true
-			shared[i] = many.Play(q)
+			shared[i] = fleetsim.Play(q)
 			q.Sharing = false
-			alone[i] = many.Play(q)
+			alone[i] = fleetsim.Play(q)
 		})
 	}
 	all.Wait()
 	return shared, alone
 }
 
-func row(w io.Writer, p many.Plan, shared, alone []many.Result) {
-	of := func(all []many.Result, value func(many.Result) float64) []float64 {
+func row(w io.Writer, p fleetsim.Plan, shared, alone []fleetsim.Result) {
+	of := func(all []fleetsim.Result, value func(fleetsim.Result) float64) []float64 {
 		var some []float64
 		for _, r := range all {
 			some = append(some, value(r))
@@ -97,14 +97,14 @@
 	for _, r := range shared {
 		over, broken = max(over, r.Overspent), broken+len(r.Broken)
 	}
-	used := of(shared, func(r many.Result) float64 { return r.Used })
-	cut := of(shared, func(r many.Result) float64 { return r.UsedInCut })
-	agreed := of(shared, func(r many.Result) float64 { return r.Agreed })
-	healed := of(shared, func(r many.Result) float64 { return r.Healed })
-	right := func(r many.Result) float64 { return r.RightAfter }
-	wrong := func(r many.Result) float64 { return float64(r.False) }
+	used := of(shared, func(r fleetsim.Result) float64 { return r.Used })
+	cut := of(shared, func(r fleetsim.Result) float64 { return r.UsedInCut })
+	agreed := of(shared, func(r fleetsim.Result) float64 { return r.Agreed })
+	healed := of(shared, func(r fleetsim.Result) float64 { return r.Healed })
+	right := func(r fleetsim.Result) float64 { return r.RightAfter }
+	wrong := func(r fleetsim.Result) float64 { return float64(r.False) }
 	fmt.Fprintf(w, "%d\t%s\t%.0f%%\t%d\t%d\t%.3f (%.3f)\t%.3f\t%.2f, %.2f s\t%.2f s\t%.0f\t%.1f s\t%.1f s\t%.2f\t%.2f\t%d\n", p.Nodes, p.Trouble, 100*p.Loss, len(shared), max(0, over),
-		mean(used), used[0], mean(cut), part(agreed, 0.5), part(agreed, 0.99), part(healed, 0.99), mean(of(shared, func(r many.Result) float64 { return r.Bytes })),
+		mean(used), used[0], mean(cut), part(agreed, 0.5), part(agreed, 0.99), part(healed, 0.99), mean(of(shared, func(r fleetsim.Result) float64 { return r.Bytes })),
 		part(of(shared, right), 0.5), part(of(alone, right), 0.5), mean(of(shared, wrong)), mean(of(alone, wrong)), broken)
 }
 
@@ -157,7 +157,7 @@
 	var root string
 	c := &cobra.Command{Use: "proof", Short: "Take the guards of the fleet's deciders out, one by one, in a copy, and show what finds it",
 		RunE: func(c *cobra.Command, _ []string) error {
-			missed, err := proof.Run(c.Context(), root, out)
+			missed, err := mutation.Run(c.Context(), root, out)
 			if err == nil && missed > 0 {
 				err = fmt.Errorf("%d guards can go without a test that finds it", missed)
 			}
--- a/internal/lab/proof/proof.go
+++ b/internal/lab/mutation/mutation.go
@@ -1,6 +1,6 @@
-// Package proof proves the proof: it takes guards out of the fleet's deciders, one by one, in a copy of the tree, and shows that
-// the tests find each. A guard whose loss nothing finds is one that nothing proves.
-package proof
+// Package mutation shows that the tests find what they are for: it takes guards out of the fleet's deciding packages, one
+// by one, in a copy of the tree, and runs the tests. A guard whose loss no test finds is one that nothing proves.
+package mutation
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Guard is one guard: a text of a file, and what stands there without it.
+// Guard is a condition or step of the code: a text of a file that occurs once, and what replaces it when it is taken out.
 type Guard struct {
 	What, File, Is, Without string
 	Test                    string // package whose tests are to find it
--- a/internal/lab/proof/proof_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -1,4 +1,4 @@
-package proof
+package mutation
 
 import (
 	"os"
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -22,7 +22,7 @@
 
 	"standpoint/internal/control"
 	"standpoint/internal/lab"
-	"standpoint/internal/lab/boxes"
+	"standpoint/internal/lab/emulator/server"
 	"standpoint/internal/migration"
 	"standpoint/internal/migration/controller"
 )
@@ -91,8 +91,8 @@
 	classes []lab.WorkClass
 	front   string
 	control *control.Client
-	old     *boxes.Running
-	new     *boxes.Running
+	old     *server.Running
+	new     *server.Running
 	client  *http.Client
 
 	mu     sync.Mutex
@@ -142,14 +142,14 @@
 	return s.finish()
 }
 
-func (s *stage) fleet(name string, n int, cold bool) (*boxes.Running, error) {
-	f := &boxes.Fleet{Seed: s.Seed, Out: 105, Spread: 0.5}
+func (s *stage) fleet(name string, n int, cold bool) (*server.Running, error) {
+	f := &server.Fleet{Seed: s.Seed, Out: 105, Spread: 0.5}
 	kinds := lab.Kinds()
-	r := &boxes.Running{}
+	r := &server.Running{}
 	for i := range n {
 		figures := kinds[i%len(kinds)]
 		figures.Capacity = figures.Able(700, 1500, 105, 0.05)
-		one, err := boxes.Start(boxes.Options{Name: fmt.Sprintf("%s-%d", name, i+1), Listen: "127.0.0.1:0", Figures: figures,
+		one, err := server.Start(server.Options{Name: fmt.Sprintf("%s-%d", name, i+1), Listen: "127.0.0.1:0", Figures: figures,
 			Seed: s.Seed + uint64(i), Cold: cold, Out: f.Out, Spread: f.Spread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
@@ -211,7 +211,7 @@
 	}
 	for _, p := range []struct {
 		version string
-		fleet   *boxes.Running
+		fleet   *server.Running
 		cold    bool
 	}{{"v1", s.old, false}, {"v2", s.new, s.Cold}} {
 		for i, one := range p.fleet.Servers {
@@ -311,7 +311,7 @@
 }
 
 // seen is the median first token since the last look, and the mean load.
-func seen(r *boxes.Running) (first, load float64) {
+func seen(r *server.Running) (first, load float64) {
 	var all []float64
 	for _, one := range r.Servers {
 		all = append(all, one.Firsts()...)
@@ -500,7 +500,7 @@
 func (s *stage) finish() (*Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, fleet := range []*boxes.Running{s.old, s.new} {
+	for _, fleet := range []*server.Running{s.old, s.new} {
 		for _, one := range fleet.Servers {
 			doubles, taken := one.Doubles()
 			s.report.Doubles += doubles
--- a/internal/lab/trial.go
+++ b/internal/lab/trial.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"standpoint"
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 )
 
 // Happening is something that befalls some of a world's boxes at a time.
@@ -185,4 +185,4 @@
 }
 
 // Capacity is what a kind of box can do warm, in requests a second, at the operators' work.
-func Capacity(f box.Figures) float64 { return f.Able(700, 1500, 105, 0.05) }
+func Capacity(f emulator.Figures) float64 { return f.Able(700, 1500, 105, 0.05) }
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -11,7 +11,7 @@
 
 	"standpoint"
 	"standpoint/internal/config"
-	"standpoint/internal/lab/box"
+	"standpoint/internal/lab/emulator"
 	"standpoint/internal/migration"
 	"standpoint/internal/migration/controller"
 	"standpoint/internal/node"
@@ -48,13 +48,13 @@
 }
 
 // Kinds are the figures of the brief's kinds of box, at the middle of their ranges.
-func Kinds() []box.Figures {
-	common := box.Figures{Queue: 40, Chunk: 2048, PerContext: 0.00005, ColdShare: 0.13, WarmUp: 20, FallFactor: 4, Fall: 3, ReportEvery: 0.8}
+func Kinds() []emulator.Figures {
+	common := emulator.Figures{Queue: 40, Chunk: 2048, PerContext: 0.00005, ColdShare: 0.13, WarmUp: 20, FallFactor: 4, Fall: 3, ReportEvery: 0.8}
 	fast, standard, slow := common, common, common
 	fast.Slots, fast.Memory, fast.Step, fast.PerSequence, fast.ReadPerS = 26, 300_000, 0.013, 0.0003, 12_000
 	standard.Slots, standard.Memory, standard.Step, standard.PerSequence, standard.ReadPerS = 24, 300_000, 0.015, 0.00035, 10_000
 	slow.Slots, slow.Memory, slow.Step, slow.PerSequence, slow.ReadPerS = 18, 250_000, 0.018, 0.0004, 9_000
-	return []box.Figures{fast, standard, slow}
+	return []emulator.Figures{fast, standard, slow}
 }
 
 // Setup is a world to be run.
@@ -65,7 +65,7 @@
 	Old, New int     // boxes in the pools "old" and "new"
 	NewCold  bool    // the new pool's boxes start at time 0
 	Classes  []WorkClass
-	Kinds    []box.Figures
+	Kinds    []emulator.Figures
 	Spread   float64 // of the boxes' true speeds, as a factor up and down
 	Pools    bool    // false: every flow may go anywhere
 	// Policy decides at each node; "" is the module. Pattern, if any, stands in for Rate.
@@ -111,7 +111,7 @@
 
 // machine is a box with its place in the world.
 type machine struct {
-	*box.Box
+	*emulator.Box
 	name    string
 	pool    int
 	kind    int
@@ -130,7 +130,7 @@
 // dated is a report and when it was made.
 type dated struct {
 	at     float64
-	report box.Report
+	report emulator.Report
 }
 
 // ask is a request of a client.
@@ -261,7 +261,7 @@
 	cfg.PoolSet, _ = pool.NewSet(poolDefinitions())
 	list := node.EndpointList{Kind: standpoint.ListFull}
 	for i := range s.Old + s.New {
-		number, label, started := 1, "v1", box.LongAgo
+		number, label, started := 1, "v1", emulator.LongAgo
 		if i >= s.Old {
 			number, label = 2, "v2"
 			if s.NewCold {
@@ -271,7 +271,7 @@
 		kind := i % len(s.Kinds)
 		f := s.Kinds[kind]
 		f.Capacity = f.Able(700, 1500, 105, 0.05)
-		m := &machine{Box: box.New(f, s.Seed*1000+uint64(i), started), name: boxName(i), pool: number, kind: kind, index: i, jobs: map[int64]*try{}}
+		m := &machine{Box: emulator.New(f, s.Seed*1000+uint64(i), started), name: boxName(i), pool: number, kind: kind, index: i, jobs: map[int64]*try{}}
 		m.Slow(math.Exp((w.rng.Float64()*2 - 1) * s.Spread))
 		if started == 0 {
 			m.readyAt = epoch
