--- a/admission.go
+++ b/admission.go
@@ -11,8 +11,8 @@
 	overQuotaRatio    = 1.5  // times its quota from which a tenant is taken to be over it
 	requestCost       = 100  // work of a request besides its tokens
 	outputTokenCost   = 2.0  // work of a token made, in tokens read
-	shedStep          = 0.8  // rise of the refused part in a second of missed aims
-	minObjectiveRate  = 12.0 // requests a second that one missed aim is weighed against at the least
+	shedStep          = 0.8  // rise of the refused part in a second of missed objectives
+	minObjectiveRate  = 12.0 // requests a second that one missed objective is weighed against at the least
 	maxShedFraction   = 0.8  // never refuse more
 	maxShedOfGroup    = 0.5  // part of a class's, or a tenant's, requests that may be refused for others
 	minBandShare      = 0.8  // of a class's answered share, that of its longest prompts
@@ -57,7 +57,7 @@
 	return r.shed(q, poor)
 }
 
-// adjustShedding moves the part that is refused: up with each aim missed, down with each one met.
+// adjustShedding moves the part that is refused: up with each objective missed, down with each one met.
 func (r *Router) adjustShedding(e *engine, missed bool) {
 	if e.slowness > maxSharedSlowness {
 		return // this engine is slow, not the fleet
@@ -184,14 +184,14 @@
 	if r.lacksReports() {
 		return unreportedShedDecay
 	}
-	// What a thin gateway has seen is not undone by time in which it sees nothing.
+	// What a sparse gateway has seen is not undone by time in which it sees nothing.
 	if r.hearsFromDirectory() && r.requestRate < minObjectiveRate {
 		return shedDecay * min(1, r.requestRate/minObjectiveRate)
 	}
 	return shedDecay
 }
 
-// metObjectiveWeight is how many aims met undo one missed.
+// metObjectiveWeight is how many objectives met undo one missed.
 func (r *Router) metObjectiveWeight() float64 {
 	if r.hearsFromDirectory() && r.requestRate < minObjectiveRate {
 		return sparseMetPerMissed
@@ -208,9 +208,9 @@
 	return minRanked
 }
 
-// isFutile tells that the request would come too late even at the best engine, by what registrars told of the
-// prompts that wait there, and is refused: its work would only make others late. No class, tenant or length
-// loses too much by it.
+// isFutile tells that the request would come too late even at the best engine, by what directory owners
+// told of the prompts that wait there, and is refused: its work would only make others late. No class,
+// tenant or length loses too much by it.
 func (r *Router) isFutile(q *request, best *option) bool {
 	aim := r.latencyObjective(q)
 	if aim <= 0 || r.class(q).LateWorth > 0 || best.unloadedTTFT+seconds(r.now-q.arrivedAt) <= aim {
--- a/directory.go
+++ b/directory.go
@@ -1,28 +1,28 @@
 package standpoint
 
 // The load directory: what the gateways of a tier tell each other of the prompts that engines have yet to
-// read, and of those that they keep. A gateway that is one of many sees little of an engine's load by itself,
-// and its reports come late. Each engine has a registrar, one of the gateways by a hash that all agree on.
-// Whoever sends a prompt tells it so, and that the prompt has been read;
+// read, and of those that they keep. A gateway that is one of many sees little of an engine's load by
+// itself, and its reports come late. Each engine has a directory owner, one of the gateways by a hash
+// that all agree on. Whoever sends a prompt tells it so, and that the prompt has been read;
 
 import "math"
 
-// whoever is about to choose asks the registrars of the engines that rank first. What is told is one more
-// input of the predictor: nothing is decided here but whom to ask. A message may be lost, and a registrar be
-// gone: then a gateway goes by what it knows.
+// whoever is about to choose asks the directory owners of the engines that rank first. What is told is
+// one more input of the predictor: nothing is decided here but whom to ask. A message may be lost, and a
+// directory owner be gone: then a gateway goes by what it knows.
 
 const (
-	maxConsulted          = 3          // engines whose registrars are asked for one request
+	maxConsulted          = 3          // engines whose directory owners are asked for one request
 	consultTimeout        = 80 * ms    // for their answers
 	directoryLoadLifetime = 30 * ms    // an engine of which something was told so lately is not asked for
-	silentOwnerPause      = 2 * second // a registrar that did not answer is not asked for so long
-	// Part of its aim that the reading of a prompt takes on average, from which there is a directory.
+	silentOwnerPause      = 2 * second // a directory owner that did not answer is not asked for so long
+	// Part of its objective that the reading of a prompt takes on average, from which there is a directory.
 	minMeanPrefillBurden = 0.2
 	minPrefillBurden     = 0.15 // and that of one prompt, from which the directory is kept of it
 	prefillBurdenWeight  = 0.05 // of a request in the average
-	// Seconds that the gated best may trail the best overall, where registrars told of both.
+	// Seconds that the gated best may trail the best overall, where directory owners told of both.
 	directoryAffinityPenalty = 0.1
-	// Aims that are foretold to be met, by what registrars told, that undo one that is not.
+	// Objectives that are foretold to be met, by what directory owners told, that undo one that is not.
 	sparseMetPerMissed = 10.0
 	directorySalt      = 0xd6e8feb86659fd93
 )
@@ -32,7 +32,7 @@
 	return r.settings.Peers && r.settings.Balancers > 1 && !r.lacksReports()
 }
 
-// prefillBurdenOf is the part of a request's aim that the reading of its whole prompt takes.
+// prefillBurdenOf is the part of a request's objective that the reading of its whole prompt takes.
 func (r *Router) prefillBurdenOf(q *request) float64 {
 	if aim := r.latencyObjective(q); aim > 0 {
 		return q.PromptTokens / assumedSpeed / aim
@@ -41,15 +41,15 @@
 }
 
 // usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good
-// part of its aim, as it does for most requests. What short prompts add to an engine's load is not worth
-// the messages.
+// part of its objective, as it does for most requests. What short prompts add to an engine's load is not
+// worth the messages.
 func (r *Router) usesDirectory(q *request) bool {
 	return r.sharing() &&
 		r.prefillBurden.mean >= minMeanPrefillBurden &&
 		r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
-// hearsFromDirectory tells that registrars have told this gateway something lately.
+// hearsFromDirectory tells that directory owners have told this gateway something lately.
 func (r *Router) hearsFromDirectory() bool {
 	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingTimeout
 }
@@ -71,7 +71,7 @@
 // byShortHash finds an engine from a message.
 func (r *Router) byShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
 
-// notifyOwner hands a message to an engine's registrar, which may be this gateway itself.
+// notifyOwner hands a message to an engine's directory owner, which may be this gateway itself.
 func (r *Router) notifyOwner(e *engine, m directoryMessage) {
 	m.engine = shortEngine(e)
 	if to := r.directoryOwner(e); to != r.settings.Ordinal {
@@ -90,7 +90,7 @@
 	}
 }
 
-// register takes in what a gateway tells of an engine that this one is the registrar of.
+// register takes in what a gateway tells of an engine that this one is the directory owner of.
 func (r *Router) register(from int, e *engine, m *directoryMessage) {
 	switch m.kind {
 	case directorySent:
@@ -108,7 +108,7 @@
 
 func directoryKey(e *engine, hash uint32) uint64 { return mix(uint64(hash), e.hash+directorySalt) }
 
-// cachedTokens is how many tokens of a prompt an engine keeps, as its registrar has it.
+// cachedTokens is how many tokens of a prompt an engine keeps, as its directory owner has it.
 func (r *Router) cachedTokens(e *engine, session, prefix uint32) float64 {
 	tokens := 0.0
 	if session != 0 {
@@ -141,15 +141,15 @@
 	}
 }
 
-// answer tells a gateway what this one knows of an engine that it is the registrar of.
+// answer tells a gateway what this one knows of an engine that it is the directory owner of.
 func (r *Router) answer(to int, e *engine, ask *directoryMessage) {
 	m := directoryMessage{kind: directoryAnswer, id: ask.id, engine: ask.engine, load: e.backlog.load(r.now)}
 	m.tokens = r.cachedTokens(e, ask.session, ask.prefix)
 	r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
 }
 
-// consult asks the registrars of the engines that rank first for a request, and tells whether their answers
-// are waited for.
+// consult asks the directory owners of the engines that rank first for a request, and tells whether their
+// answers are waited for.
 func (r *Router) consult(q *request) bool {
 	if !r.usesDirectory(q) || q.consulted || len(q.attempts) > 0 {
 		return false
@@ -220,7 +220,7 @@
 	}
 }
 
-// consultFinished places a request that waited for registrars' answers. Those that did not answer are
+// consultFinished places a request that waited for directory owners' answers. Those that did not answer are
 // left alone for a while.
 func (r *Router) consultFinished(q *request) {
 	if r.awaitingDirectory[uint32(q.ID)] != q {
@@ -236,7 +236,7 @@
 	}
 }
 
-// notifySent tells an engine's registrar of a prompt that goes there.
+// notifySent tells an engine's directory owner of a prompt that goes there.
 func (r *Router) notifySent(a *attempt) {
 	q := a.request
 	if !r.usesDirectory(q) {
--- a/health.go
+++ b/health.go
@@ -8,7 +8,7 @@
 
 const (
 	trialInterval         = 1500 * ms // pause between trials of a suspect engine
-	errorRateWeight       = 0.3       // of an error or turn-down in an engine's share of them
+	errorRateWeight       = 0.3       // of an error or rejection in an engine's share of them
 	tenantErrorRateWeight = 0.05      // of an error in a tenant's share, over all engines
 	maxErrorRate          = 0.5       // share from which it is left out but for trials
 	maxSuspectFraction    = 0.5       // more suspects than this share of the fleet: a shared cause, none is
@@ -82,7 +82,7 @@
 	}
 }
 
-// recordRejection notes an error, a turn-down or a lost connection. An engine that fails at once carries
+// recordRejection notes an error, a rejection or a lost connection. An engine that fails at once carries
 // little, looks idle and draws ever more; once most of its answers are such it is left out. What it has
 // taken on may still be well. A tenant most of whose requests fail wherever they go has itself to blame,
 // not the engines.
--- a/placement.go
+++ b/placement.go
@@ -16,7 +16,7 @@
 	sampleSize             = 3     // engines of the highest rank that are looked at, besides matches
 	sparseWait             = 0.1   // of the warm-up: a gateway that weighs each engine in it is not sparse
 	sparseSpill            = 0.5   // part of its sessions that a sparse gateway ranks regardless of its zone
-	headroomReserve        = 0.5   // share of an aim that must be left for headroom to count
+	headroomReserve        = 0.5   // share of an objective that must be left for headroom to count
 	headroomReserveEngines = 8.0   // engines weighed; of more, the least headroom is a worse guess
 	minHomeAdvantage       = 300.0 // prompt tokens expected kept at the assumed home, to go there
 )
@@ -94,7 +94,7 @@
 	}
 	some = prefer(some, func(e *engine) bool { return !e.Stale })
 	some = prefer(some, func(e *engine) bool { return e.reinstated })
-	// A thin gateway uses its budget for a cold engine with the first request that may.
+	// A sparse gateway uses its budget for a cold engine with the first request that may.
 	if r.isSparse() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
 		some = prefer(some, func(e *engine) bool { return e.coldAt != 0 })
 	}
@@ -163,17 +163,18 @@
 	return r.requestRate*sampleSize*sparseWait*seconds(r.settings.WarmUp) < float64(len(r.ready))
 }
 
-// prefersOwnZone tells whether the session is ranked in the own zone first: none where crossing is free,
-// else all but what the own zone lacks of an even share of the fleet's size. While engines are cold a
-// thin gateway cannot see whether its zone bears its traffic, and all of that zone would press on what is
-// left together.
+// prefersOwnZone tells whether the session is ranked in the own zone first: none where a cross-zone
+// request is free, else all but what the own zone lacks of an even share of the fleet's size. While
+// engines are cold a sparse gateway cannot see whether its zone bears its traffic, and all of that zone
+// would press on what is left together.
 func (r *Router) prefersOwnZone(q *request) bool {
 	spill := 1 - r.ownZoneFraction*float64(r.settings.Zones)
 	if r.isSparse() && r.now < r.fleetWarmAt {
 		spill = max(spill, sparseSpill)
 	}
 	if q.byPrefix {
-		return false // one home for all gateways: a second copy of a long beginning costs more than crossings
+		// One home for all gateways: a second copy of a long beginning costs more than cross-zone requests.
+		return false
 	}
 	return r.settings.CrossZonePrice > r.ownZonePrice() &&
 		r.settings.Zones > 1 &&
@@ -192,8 +193,8 @@
 	features vec
 	match    float64
 	home     bool
-	// Predicted seconds to the first token by what registrars told, before that is weighed; 0: nothing was
-	// told.
+	// Predicted seconds to the first token by what directory owners told, before that is weighed; 0:
+	// nothing was told.
 	unloadedTTFT    float64
 	ttft, ttftUpper float64 // predicted seconds to the first token; and widened by the measured error
 	pace            float64
@@ -213,7 +214,7 @@
 func (r *Router) isInOwnZone(e *engine) bool { return e.Zone == r.settings.Zone }
 
 // maxAffinityPenalty is how far, in seconds, the gated best may trail the best overall: where no load is
-// told no further than the aim, for what is known of it comes from waits that are over.
+// told no further than the objective, for what is known of it comes from waits that are over.
 func (r *Router) maxAffinityPenalty(q *request) float64 {
 	if len(q.keptByEngine) > 0 {
 		return directoryAffinityPenalty
--- a/prediction.go
+++ b/prediction.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// hasDirectoryLoad tells that an engine's registrar has told of it just now.
+// hasDirectoryLoad tells that an engine's directory owner has told of it just now.
 func (r *Router) hasDirectoryLoad(e *engine) bool {
 	return e.directoryLoadAt != 0 && r.now-e.directoryLoadAt < directoryLoadLifetime
 }
--- a/prefill_backlog.go
+++ b/prefill_backlog.go
@@ -1,6 +1,6 @@
 package standpoint
 
-// What an engine has yet to read, as the gateway that is its registrar reckons it.
+// What an engine has yet to read, as the gateway that is its directory owner reckons it.
 
 import "math"
 
@@ -28,14 +28,14 @@
 	at      int64
 }
 
-// engineLoad is how an engine's registrar describes its load.
+// engineLoad is how an engine's directory owner describes its load.
 type engineLoad struct {
 	wait    float64 // seconds until the turn of a prompt that comes now
 	reading float64 // part of its time that it reads prompts; it makes no tokens meanwhile
 	speed   float64 // tokens that it reads in a second
 }
 
-// backlog is what an engine has yet to read, as its registrar has it. Engines read first come first.
+// backlog is what an engine has yet to read, as its directory owner has it. Engines read first come first.
 type backlog struct {
 	prompts []pendingPrompt
 	since   int64   // the first of them has been read since then at the earliest
@@ -51,7 +51,7 @@
 	return assumedSpeed
 }
 
-// load is what the registrar tells of the engine.
+// load is what the directory owner tells of the engine.
 func (b *backlog) load(now int64) engineLoad {
 	return engineLoad{wait: b.wait(now), reading: b.reading(now), speed: b.rate()}
 }
--- a/request.go
+++ b/request.go
@@ -219,7 +219,7 @@
 	return r.class(q).LateWorth <= 0 && objective > 0 && seconds(r.now-q.arrivedAt) > objective
 }
 
-// finalAnswer gives the final answer: a refusal where that is true, else a failure.
+// finalAnswer gives the final answer: a rejection where that is true, else a failure.
 func (r *Router) finalAnswer(q *request) {
 	if q.settled || q.claimed != nil {
 		return
@@ -272,7 +272,7 @@
 	match        float64
 	home         bool // chosen as the session's assumed home
 	reinstated   bool // its engine was put back by hand, and not in use since
-	inDirectory  bool // its engine's registrar counts its prompt as unread
+	inDirectory  bool // its engine's directory owner counts its prompt as unread
 	inFlight     bool // no outcome yet
 	code         Code // how it ended
 	mayHaveRun   bool // may have run
@@ -289,9 +289,9 @@
 	held      bool // waiting for an engine
 	// Its home hangs on its shared beginning, which is the larger part of its prompt.
 	byPrefix       bool
-	consulted      bool                // registrars were asked
+	consulted      bool                // directory owners were asked
 	awaitedEngines []*engine           // those of which nothing has been told yet
-	keptByEngine   map[*engine]float64 // prompt tokens kept, as registrars told
+	keptByEngine   map[*engine]float64 // prompt tokens kept, as directory owners told
 }
 
 func (q *request) attemptsInFlight() int {
--- a/router.go
+++ b/router.go
@@ -18,15 +18,15 @@
 
 	maxFullScan       = 64      // a fleet up to this size is gone over whole for each request
 	rankedRequests    = 64      // requests that a new one's worth for its work is ranked among
-	metPerMissed      = 4.0     // aims met that undo one missed
+	metPerMissed      = 4.0     // objectives met that undo one missed
 	shedDecay         = 0.15    // fall of the refused part in a second
 	tickInterval      = 50 * ms // pace of the health, probe and queue rounds
 	bucketDepth       = 10      // samples kept in one bucket
 	maxRetryBudget    = 2.0     // and how many may come at once
 	maxShedForHedging = 0.1     // refused part from which no second copies are sent
 
-	initialTokenGap  = 0.03 // seconds; first guess of the token gap where no class has an aim
-	tokenGapFraction = 0.6  // else this part of the tightest aim, which a healthy fleet keeps
+	initialTokenGap  = 0.03 // seconds; first guess of the token gap where no class has an objective
+	tokenGapFraction = 0.6  // else this part of the tightest objective, which a healthy fleet keeps
 	ttftFeatures     = 7    // see features
 	priorWeight      = 2.0  // ridge strength, in samples of ordinary size
 	sessionSalt      = 0x9e3779b97f4a7c15
--- a/state.go
+++ b/state.go
@@ -26,7 +26,7 @@
 	unreachableSince int64   // since when
 	recoveredAt      int64   // when it answered again after that; 0: it has not
 	gapSlowness      mean    // log of told over predicted token gap
-	errorRate        float64 // share of errors and turn-downs among its latest answers
+	errorRate        float64 // share of errors and rejections among its latest answers
 	// When its start was heard of, where the clocks that tell it cannot be right; 0: they may be.
 	startNoticedAt  int64
 	trialAt         int64
@@ -35,8 +35,8 @@
 	reinstated      bool    // put back by hand and not in use since
 	coldTokens      float64 // requests the cold budget allows now
 	coldAt          int64
-	backlog         backlog    // where this gateway is its registrar
-	directoryLoad   engineLoad // as its registrar told
+	backlog         backlog    // where this gateway is its directory owner
+	directoryLoad   engineLoad // as its directory owner told
 	directoryLoadAt int64
 	probing         bool
 	probedAt        int64
@@ -52,10 +52,10 @@
 	engines            map[string]*engine
 	ready              []*engine           // listed ready, by name
 	enginesByShortHash map[uint32]*engine  // of messages between gateways
-	directoryAnswerAt  int64               // when a registrar last told something
-	prefillBurden      mean                // parts of aims that the reading of prompts takes
-	silentOwners       map[int]int64       // registrars that did not answer, and when
-	awaitingDirectory  map[uint32]*request // for registrars' answers
+	directoryAnswerAt  int64               // when a directory owner last told something
+	prefillBurden      mean                // parts of objectives that the reading of prompts takes
+	silentOwners       map[int]int64       // directory owners that did not answer, and when
+	awaitingDirectory  map[uint32]*request // for directory owners' answers
 	rings              map[ringKey][]*engine
 	unreachableByZone  map[int]int // by zone: engines that could not be reached since its last sign of life
 	ownZoneFraction    float64     // of the ready engines' size, in the own zone
--- a/unreported_load.go
+++ b/unreported_load.go
@@ -8,11 +8,11 @@
 
 // Where no load is told of the engines, a gateway knows of what the others send from its own waits alone.
 const (
-	// Of a crossing, below which such a gateway ranks without regard to its zone: it cannot see whether that
-	// bears its traffic.
+	// Of a cross-zone request, below which such a gateway ranks without regard to its zone: it cannot
+	// see whether that bears its traffic.
 	unreportedCrossPrice = 0.1
 	vainWaitHalfLife     = 2.0 // seconds in which what was waited in vain counts half
-	// Fall of the refused part in a second: aims that are met tell of the load, time does not.
+	// Fall of the refused part in a second: objectives that are met tell of the load, time does not.
 	unreportedShedDecay = 0.02
 	unreportedMinRanked = 2 // requests that the poorest are found among; others need knownLeast
 	minRanked           = 8
@@ -20,7 +20,7 @@
 
 func (r *Router) lacksReports() bool { return r.settings.Reports == ReportNone }
 
-// ownZonePrice is the price of a crossing from which the own zone comes first.
+// ownZonePrice is the price of a cross-zone request from which the own zone comes first.
 func (r *Router) ownZonePrice() float64 {
 	if r.lacksReports() {
 		return unreportedCrossPrice
@@ -46,8 +46,8 @@
 func (r *Router) isVain() bool { return r.lacksReports() && r.shedFraction > maxShedForHedging }
 
 // recordVainWait notes, where no load is told, an attempt that ended without a first token. Behind its
-// aim that shows an overload as a late one does, and more: its server's work was in vain, so as many aims
-// are set against it as undo one.
+// objective that shows an overload as a late one does, and more: its server's work was in vain, so as
+// many objectives are set against it as undo one.
 func (r *Router) recordVainWait(a *attempt, code Code) {
 	if !r.lacksReports() || a.firstTokenAt != 0 || code != NoAnswer && code != Cancelled {
 		return
