--- a/internal/backend/batchmove_test.go
+++ b/internal/backend/batch_address_test.go
@@ -12,7 +12,7 @@
 
 // A server that takes files is told a new address while a file goes out: the file goes where it was meant to, and the
 // address is not read while it changes (the race detector sees it).
-func TestNewAddressWhileAFileGoesOut(t *testing.T) {
+func TestAddressChangesDuringAnUpload(t *testing.T) {
 	refuses := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	entry := testpeer.Endpoint("files", testpeer.Backend(t, refuses))
 	entry.Batch = true
--- a/internal/backend/batchdrain_test.go
+++ b/internal/backend/batch_drain_test.go
@@ -74,7 +74,7 @@
 }
 
 // A server that takes files is told to drain while a file is uploaded to it: no batch is made of that file.
-func TestNoBatchIsMadeBehindADrain(t *testing.T) {
+func TestNoBatchIsCreatedAfterADrain(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
 	n := testpeer.Start(t, testpeer.Settings(), entry)
@@ -89,7 +89,7 @@
 }
 
 // It is told to while the connection for the upload comes up: nothing is uploaded.
-func TestNoFileIsSentBehindADrain(t *testing.T) {
+func TestNoFileIsUploadedAfterADrain(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
 	held := testpeer.HoldDials(1)
@@ -106,7 +106,7 @@
 
 // A client leaves while its file is uploaded: no batch is made for it. Another's, in the same file, is uploaded once
 // more without it.
-func TestNoBatchIsMadeForClientsThatLeft(t *testing.T) {
+func TestNoBatchIsCreatedForDisconnectedClients(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
 	n := testpeer.Start(t, testpeer.Settings(), entry)
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -18,7 +18,7 @@
 
 // What an attempt tells its server is at most what its client has left as it gets there, though the connection came
 // up late: of a first attempt, and of one behind an error.
-func TestTheDeadlineThatServersAreTold(t *testing.T) {
+func TestBackendsAreSentTheTimeThatIsLeft(t *testing.T) {
 	t.Parallel()
 	const asked, late, slack = 2 * time.Second, 400 * time.Millisecond, 150 * time.Millisecond
 	for name, failures := range map[string]int{"first attempt": 0, "second attempt": 1, "third attempt": 2} {
--- a/internal/backend/stream_test.go
+++ b/internal/backend/events_test.go
@@ -9,7 +9,7 @@
 )
 
 // The last events tell the tokens found kept and made, and the load; a report that is half readable tells nothing.
-func TestTail(t *testing.T) {
+func TestAnswerSummary(t *testing.T) {
 	var end answerSummary
 	require.NoError(
 		t,
--- a/internal/backend/moving_test.go
+++ b/internal/backend/stream_handover_test.go
@@ -19,7 +19,7 @@
 const wholePayload = "data: {\"choices\":[{\"delta\":{}}]}\n\ndata: [DONE]\n\n"
 
 // An answer may be left at any byte: what was read and what the other process reads from there make the whole.
-func TestAnswerLeftAtAnyByte(t *testing.T) {
+func TestStreamCanBeHandedOverAtAnyByte(t *testing.T) {
 	for at := 0; at <= len(wholeAnswer); at++ {
 		var c chunkParser
 		var payload bytes.Buffer
@@ -53,7 +53,7 @@
 }
 
 // A server that goes away in the middle has broken the stream off, wherever that is.
-func TestAnswerThatEndsEarly(t *testing.T) {
+func TestHandedOverStreamThatEndsEarlyIsBroken(t *testing.T) {
 	begin := len(wholeAnswer) - len("6\r\ndata: \r\n") - 60
 	for at := begin; at < len(wholeAnswer)-1; at++ {
 		c := chunkParser{}
@@ -98,7 +98,7 @@
 }
 
 // An answer that is handed back is read on as long as its server's bytes are there: the end of it may be among them.
-func TestHandedBackBehindWhatHasCome(t *testing.T) {
+func TestHandBackReadsWhatHasArrived(t *testing.T) {
 	for name, sent := range map[string]string{"to its end": wholeAnswer, "not to its end": wholeAnswer[:len(wholeAnswer)-40]} {
 		near, far := socketPair(t)
 		_, err := io.WriteString(far, sent)
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -12,7 +12,7 @@
 
 // Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its
 // answer.
-func TestTheCoresOwnBounds(t *testing.T) {
+func TestCoreBoundsAttempts(t *testing.T) {
 	stopped, end := context.WithCancel(t.Context())
 	end()
 	c, h := start(stopped, 1, 10) // its actor is this test
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -65,7 +65,7 @@
 
 // A tenant that holds its requests open leaves places for the others. Without the bound, as where there is one
 // tenant, it has them all.
-func TestALoudTenantLeavesPlaces(t *testing.T) {
+func TestOneTenantCannotTakeAllSlots(t *testing.T) {
 	for tenants, want := range map[int]int{2: 4, 1: 8} {
 		c, h := start(t.Context(), tenants, 8)
 		for range want {
@@ -82,7 +82,7 @@
 }
 
 // Requests that came with far deadlines and are over leave no timers behind.
-func TestTimersOfFlowsThatAreOver(t *testing.T) {
+func TestTimersOfSettledRequestsAreDropped(t *testing.T) {
 	ctx, end := context.WithCancel(t.Context())
 	defer end()
 	c, h := start(ctx, 1, 10)
@@ -100,7 +100,7 @@
 // An answer begins in the very moment in which all is handed back: before it, behind it, or while its request's lock
 // is held until both stand before that. In each case the client has one end of it, and a stream that began does not
 // run on into the kill.
-func TestAnAnswerBeginsAsAllIsHandedBack(t *testing.T) {
+func TestAttemptThatClaimsDuringHandBackEnds(t *testing.T) {
 	t.Parallel()
 	for i := range 300 {
 		c, h := start(t.Context(), 1, 10)
@@ -151,7 +151,7 @@
 }
 
 // A stream that another process passes on behind the moment in which all was handed back ends as those did.
-func TestAdoptedAsAllIsHandedBack(t *testing.T) {
+func TestRequestAdoptedAfterHandBackEnds(t *testing.T) {
 	t.Parallel()
 	c, _ := start(t.Context(), 1, 10)
 	c.Settings.Resume = true
@@ -191,7 +191,7 @@
 func (noted) Send(_ *Attempt) bool                    { return false }
 
 // A list does not wait behind what the mailbox holds: the servers hear of it once the message in hand is done with.
-func TestNewsGoesBeforeOrdinaryWork(t *testing.T) {
+func TestEndpointListsGoBeforeTheMailbox(t *testing.T) {
 	t.Parallel()
 	n := noted{let: make(chan struct{}), note: make(chan string, 1000)}
 	s := standpoint.Settings{Balancers: 1, MaxAttempts: 3, Tick: 1e6, Kinds: 1, Tenants: make([]standpoint.Tenant, 1),
