--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"io/fs"
@@ -15,125 +16,144 @@
 	"time"
 )
 
-// Guard is a condition or step of the code: a text of a file that occurs once, and what replaces it when it is taken out.
-type Guard struct {
-	What, File, Is, Without string
-	Test                    string // package whose tests are to find it
-}
+const (
+	fleetDirectory = "internal/fleet"
+	testTimeout    = 100 * time.Second
+	// runTimeout is for the compiler and the tests.
+	runTimeout = 2 * time.Minute
+)
 
-const fleet = "internal/fleet/"
+// ErrBaseline is the error of a package whose tests fail with all guards in place: what they find would mean nothing.
+var ErrBaseline = errors.New("tests fail with all guards in place")
 
-// Guards are those that are taken out.
-var Guards = []Guard{
-	{"a lease without an end", fleet + "quota/allocation.go", "|| a.WindowStart(window+1) > a.lease.ExpiresAt {", "{", "quota"},
-	{"a successor that spends at once", fleet + "quota/allocation.go", "if a.lease.Successor {", "if false {", "quota"},
-	{"quota that is lent and stays spendable", fleet + "quota/allocation.go", "own := a.leasedQuota(window) - a.lentAmount(window) - a.debtRepayment(window)", "own := a.leasedQuota(window) - a.debtRepayment(window)", "quota"},
-	{"a transfer accepted as often as it is announced", fleet + "quota/transfer.go", "b.Lender == transfer.Lender && b.Number == transfer.Number", "false", "quota"},
-	{"a returned transfer forgotten at its return", fleet + "quota/transfer.go", "return t.originalLast < window })\n\ta.lent", "return t.LastWindow < window })\n\ta.lent", "quota"},
-	{"quota reclaimed while a clock may be before the end of its transfer", fleet + "quota/transfer.go", "a.WindowStart(last+1) + a.ClockError,", "0,", "quota"},
-	{"a transfer to another incarnation accepted", fleet + "quota/transfer.go", "if transfer.Borrower != a.Owner || transfer.LastWindow < a.currentWindow", "if transfer.Borrower.Slot != a.Owner.Slot || transfer.LastWindow < a.currentWindow", "quota"},
-	{"a lender that forgets transfers it has no room for", fleet + "quota/transfer.go", "if len(a.lent) >= MaxTransfers {\n\t\treturn Transfer{}, false\n\t}", "if len(a.lent) >= MaxTransfers {\n\t\ta.lent = a.lent[1:]\n\t}", "quota"},
-	{"windows that a clock reopens", fleet + "quota/allocation.go", "a.now = max(a.now, now)\n\twindow := a.WindowAt(a.now)\n\tif window <= a.currentWindow {", "a.now = now\n\twindow := a.WindowAt(a.now)\n\tif window < a.currentWindow {\n\t\ta.currentWindow = window\n\t\tclear(a.spent)\n\t}\n\tif window <= a.currentWindow {", "quota"},
-	{"an overdraft that is no debt", fleet + "quota/allocation.go", "a.debt += max(0, a.spent[0]-a.Quota(a.currentWindow))", "", "quota"},
-	{"a slot granted while another incarnation holds it", fleet + "lease/lease.go", "case now < record.ExpiresAt+2*int64(clockError):", "case false:", "lease"},
-	{"a fencing token that does not grow", fleet + "lease/lease.go", "FencingToken: record.FencingToken + 1,", "FencingToken: 1,", "lease"},
-	{"an incarnation that is not persisted before it claims", fleet + "lease/directory.go", "if err := d.save(); err != nil {\n\t\treturn 0, nil, err\n\t}\n\treturn incarnation", "return incarnation", "lease"},
-	{"older counts taken for newer", fleet + "counter/counter.go", "if s.At <= known.At {\n\t\treturn false\n\t}", "", "counter"},
-	{"incarnations counted again that had been summed up", fleet + "counter/counter.go", "if incarnation <= slot.mergedThrough {\n\t\treturn false\n\t}", "", "counter"},
-	{"bounds that do not widen with time", fleet + "counter/reading.go", "reading.Upper += t.possibleGrowth(key, age)", "", "counter"},
-	{"one source that counts as several", fleet + "outlier/detector.go", "return r.owner.Slot == owner.Slot })", "return false })", "outlier"},
-	{"others' evidence that outweighs the node's own", fleet + "outlier/ejection.go", "if observed && own.Kind == Healthy", "if false && own.Kind == Healthy", "outlier"},
-	{"a source that is isolated itself", fleet + "outlier/ejection.go", "if !d.current(report.Evidence, now) || d.exceedsIsolationShare(faultsBySlot[report.owner.Slot]) {", "if !d.current(report.Evidence, now) {", "outlier"},
-	{"evidence that never expires", fleet + "outlier/detector.go", "return now-evidence.ObservedAt <= d.EvidenceLifetime", "return true", "outlier"},
-	{"evidence on an earlier process", fleet + "outlier/detector.go", "return !listed || backend.StartedAt != evidence.StartedAt", "_ = backend\n\treturn !listed", "outlier"},
-	{"a whole zone ejected", fleet + "outlier/ejection.go", "return ranked[e.Backend.Zone] > d.maxEjected(backends[e.Backend.Zone])", "return false", "outlier"},
-	{"a connectivity state that changes at once", fleet + "connectivity/connectivity.go", "settled := now-m.targetSince >= int64(m.SettleTime)", "settled := true", "connectivity"},
-	{"a fence that is not compared", fleet + "session/apply.go", "c.command.FencingToken == c.record.FencingToken && c.command.Owner == c.record.Owner", "c.command.Owner == c.record.Owner", "session"},
-	{"a claim that ends by the leader's clock alone", fleet + "session/apply.go", "c.now >= c.record.Deadline+2*c.clockError", "c.now >= c.record.Deadline", "session"},
-	{"a key that is used twice", fleet + "session/apply.go", "case turn < r.Turn:\n\t\treturn false, ErrKeyUsed", "", "session"},
-	{"a claim beside another", fleet + "session/apply.go", "case r.State != Paused && !c.ownerEnded() && !c.claimLapsed():", "case false && !c.ownerEnded():", "session"},
-	{"results that are not those of the calls", fleet + "session/apply.go", "if !slices.Contains(c.command.ResultIDs, call.ID) {", "if false {", "session"},
-	{"an entry counted by its arrival", fleet + "ledger/range.go", "if found {\n\t\treturn ranges, false\n\t}", "if found {\n\t\treturn ranges, true\n\t}", "ledger"},
-	{"a checksum that is not compared", fleet + "ledger/record.go", "if checksum(b[:lengthBytes], payload) != binary.BigEndian.Uint32(b[lengthBytes:]) {", "if false {", "ledger"},
-	{"a torn tail that is written behind", fleet + "ledger/segmented_log.go", "err := l.current.Truncate(l.currentBytes)\n\tif err == nil {\n\t\t_, err = l.current.Seek(l.currentBytes, io.SeekStart)", "var err error\n\tif err == nil {\n\t\t_, err = l.current.Seek(0, io.SeekEnd)", "ledger"},
-	{"a site isolated at the first silence", fleet + "site/site.go", "now-m.since >= int64(m.IsolatedAfter)", "true", "site"},
-	{"transfers between definitions that differ", fleet + "member/quota.go", "return b.DefinitionHash() == message.BudgetHash", "return b.Name == \"b\"", "member"},
-}
+// drawnRuns finds how many runs a property test took to fail.
+var drawnRuns = regexp.MustCompile(`failed after (\d+) tests`)
 
-var tries = regexp.MustCompile(`failed after (\d+) tests`)
-
-// Run takes each guard out in a copy of the tree at root, and writes what found it. It returns how many nothing found.
+// Run takes each guard out in a copy of the tree at root, and writes what the tests say of it. It returns how many guards
+// no test misses.
 func Run(ctx context.Context, root string, out io.Writer) (missed int, err error) {
-	dir, err := os.MkdirTemp("", "proof-")
+	directory, err := os.MkdirTemp("", "mutation-")
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // its own
-	if err := copyTree(root, dir); err != nil {
+	defer func() { _ = os.RemoveAll(directory) }() // a folder of its own
+	if err := copyTree(root, directory); err != nil {
 		return 0, err
 	}
-	for _, g := range Guards {
+	if err := checkBaseline(ctx, directory); err != nil {
+		return 0, err
+	}
+	for _, guard := range Guards {
 		if err := ctx.Err(); err != nil {
 			return missed, err
 		}
-		path := filepath.Join(dir, g.File)
-		whole, err := os.ReadFile(path)
-		if err != nil {
-			return missed, err
-		}
-		if strings.Count(string(whole), g.Is) != 1 {
-			return missed, fmt.Errorf("%s: %q stands there %d times", g.File, g.Is, strings.Count(string(whole), g.Is))
-		}
-		if err := os.WriteFile(path, []byte(strings.Replace(string(whole), g.Is, g.Without, 1)), 0o600); err != nil {
-			return missed, err
-		}
 		from := time.Now()
-		test, cancel := context.WithTimeout(ctx, 2*time.Minute)
-		c := exec.CommandContext(test, "go", "test", "-count=1", "-timeout=100s", "./"+fleet+g.Test)
-		c.Dir = dir
-		said, failed := c.CombinedOutput()
-		cancel()
-		if err := os.WriteFile(path, whole, 0o600); err != nil {
+		finding, err := takeOut(ctx, directory, guard)
+		if err != nil {
 			return missed, err
 		}
-		found := "not found"
-		switch {
-		case failed != nil && strings.Contains(string(said), "[build failed]"):
-			return missed, fmt.Errorf("%s does not build without its guard:\n%s", g.File, said)
-		case failed != nil && tries.Match(said):
-			found = "found after " + string(tries.FindSubmatch(said)[1]) + " drawn runs"
-		case failed != nil:
-			found = "found"
-		default:
+		if finding == notFound {
 			missed++
 		}
-		fmt.Fprintf(out, "%-64s %-30s %.1f s\n", g.What, found, time.Since(from).Seconds())
+		fmt.Fprintf(out, "%-64s %-30s %.1f s\n", guard.What, finding, time.Since(from).Seconds())
 	}
 	return missed, nil
 }
 
+// checkBaseline runs the tests of all packages that have guards, with the guards in place.
+func checkBaseline(ctx context.Context, directory string) error {
+	checked := map[string]bool{}
+	for _, guard := range Guards {
+		if checked[guard.Package] {
+			continue
+		}
+		checked[guard.Package] = true
+		if output, err := runTests(ctx, directory, guard.Package); err != nil {
+			return fmt.Errorf("%s: %w:\n%s", guard.Package, ErrBaseline, output)
+		}
+	}
+	return nil
+}
+
+// notFound is the finding of a guard that no test misses.
+const notFound = "not found"
+
+// takeOut takes one guard out, runs the tests of its package, and puts it back. It returns what found the loss.
+func takeOut(ctx context.Context, directory string, guard Guard) (finding string, err error) {
+	path := filepath.Join(directory, fleetDirectory, guard.Package, guard.File)
+	source, err := os.ReadFile(path)
+	if err != nil {
+		return "", err
+	}
+	if count := strings.Count(string(source), guard.Text); count != 1 {
+		return "", fmt.Errorf("%s: %q occurs %d times", guard.File, guard.Text, count)
+	}
+	mutant := strings.Replace(string(source), guard.Text, guard.Without, 1)
+	if err := os.WriteFile(path, []byte(mutant), 0o600); err != nil {
+		return "", err
+	}
+	output, failure := runTests(ctx, directory, guard.Package)
+	if err := os.WriteFile(path, source, 0o600); err != nil {
+		return "", err
+	}
+	if failure == nil {
+		return notFound, nil
+	}
+	if strings.Contains(output, "[build failed]") {
+		return "", fmt.Errorf("%s does not build without its guard:\n%s", guard.File, output)
+	}
+	if runs := drawnRuns.FindStringSubmatch(output); runs != nil {
+		return "found after " + runs[1] + " drawn runs", nil
+	}
+	return "found", nil
+}
+
+// runTests runs the tests of a package below internal/fleet, and returns what they printed.
+func runTests(ctx context.Context, directory, name string) (output string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
+	defer cancel()
+	timeout := "-timeout=" + testTimeout.String()
+	command := exec.CommandContext(ctx, "go", "test", "-count=1", timeout, "./"+fleetDirectory+"/"+name)
+	command.Dir = directory
+	printed, err := command.CombinedOutput()
+	return string(printed), err
+}
+
+// skippedDirectories hold nothing that the tests of the fleet's packages need.
+var skippedDirectories = map[string]bool{".git": true, "journal": true, "bin": true}
+
+// copyTree copies the sources, the module's files and the files that tests read.
 func copyTree(from, to string) error {
-	return filepath.WalkDir(from, func(path string, e fs.DirEntry, err error) error {
+	return filepath.WalkDir(from, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel, err := filepath.Rel(from, path)
+		relative, err := filepath.Rel(from, path)
 		if err != nil {
 			return err
 		}
-		if e.IsDir() {
-			if e.Name() == ".git" || e.Name() == "journal" || e.Name() == "bin" || e.Name() == "testdata" {
+		target := filepath.Join(to, relative)
+		if entry.IsDir() {
+			if skippedDirectories[entry.Name()] {
 				return filepath.SkipDir
 			}
-			return os.MkdirAll(filepath.Join(to, rel), 0o700)
+			return os.MkdirAll(target, 0o700)
 		}
-		if !e.Type().IsRegular() || !(strings.HasSuffix(path, ".go") || e.Name() == "go.mod" || e.Name() == "go.sum") {
+		if !entry.Type().IsRegular() || !isNeeded(relative) {
 			return nil
 		}
-		raw, err := os.ReadFile(path)
+		content, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		return os.WriteFile(filepath.Join(to, rel), raw, 0o600)
+		return os.WriteFile(target, content, 0o600)
 	})
 }
+
+func isNeeded(path string) bool {
+	name := filepath.Base(path)
+	return strings.HasSuffix(name, ".go") ||
+		name == "go.mod" ||
+		name == "go.sum" ||
+		strings.Contains(filepath.ToSlash(path), "testdata/")
+}
--- a/internal/lab/mutation/mutation_test.go
+++ b/internal/lab/mutation/mutation_test.go
@@ -13,10 +13,34 @@
 func TestEachGuardStandsOnce(t *testing.T) {
 	t.Parallel()
 	require.Len(t, Guards, 33)
-	for _, g := range Guards {
-		text, err := os.ReadFile(filepath.Join("..", "..", "..", g.File))
-		require.NoError(t, err, g.What)
-		require.Equal(t, 1, strings.Count(string(text), g.Is), "%s: %s in %s", g.What, g.Is, g.File)
-		require.DirExists(t, filepath.Join("..", "..", "fleet", g.Test), g.What)
+	for _, guard := range Guards {
+		path := filepath.Join("..", "..", "..", fleetDirectory, guard.Package, guard.File)
+		text, err := os.ReadFile(path)
+		require.NoError(t, err, guard.What)
+		require.Equal(t, 1, strings.Count(string(text), guard.Text), "%s: %s in %s", guard.What, guard.Text, guard.File)
+	}
+}
+
+// The copy in which guards are taken out has the files that tests read: without them tests would fail for that, and every
+// guard would seem to be found.
+func TestCopyHasWhatTestsRead(t *testing.T) {
+	t.Parallel()
+	from := t.TempDir()
+	to := t.TempDir()
+	files := []string{"go.mod", "a/a.go", "a/a_test.go", "a/testdata/golden/b.json"}
+	left := []string{"journal/c.go", "bin/d.go", "a/readme.md"}
+	for _, name := range append(files, left...) {
+		path := filepath.Join(from, name)
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o700))
+		require.NoError(t, os.WriteFile(path, []byte(name), 0o600))
+	}
+	require.NoError(t, copyTree(from, to))
+	for _, name := range files {
+		content, err := os.ReadFile(filepath.Join(to, name))
+		require.NoError(t, err)
+		require.Equal(t, name, string(content))
+	}
+	for _, name := range left {
+		require.NoFileExists(t, filepath.Join(to, name))
 	}
 }
