--- a/internal/backend/moving_test.go
+++ b/internal/backend/stream_handover_test.go
@@ -19,7 +19,7 @@
 const wholePayload = "data: {\"choices\":[{\"delta\":{}}]}\n\ndata: [DONE]\n\n"
 
 // An answer may be left at any byte: what was read and what the other process reads from there make the whole.
-func TestAnswerLeftAtAnyByte(t *testing.T) {
+func TestStreamCanBeHandedOverAtAnyByte(t *testing.T) {
 	for at := 0; at <= len(wholeAnswer); at++ {
 		var c chunkParser
 		var payload bytes.Buffer
@@ -39,7 +39,9 @@
 			_, _ = io.WriteString(far, wholeAnswer[at:])
 			far.Close()
 		}()
-		left, err := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: there}, chunks: there})
+		left, err := io.ReadAll(
+			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: there}, chunks: there},
+		)
 		require.NoError(t, err, "from byte %d", at)
 		require.Equal(t, wholePayload, payload.String()+string(left), "from byte %d", at)
 		near.Close()
@@ -51,7 +53,7 @@
 }
 
 // A server that goes away in the middle has broken the stream off, wherever that is.
-func TestAnswerThatEndsEarly(t *testing.T) {
+func TestHandedOverStreamThatEndsEarlyIsBroken(t *testing.T) {
 	begin := len(wholeAnswer) - len("6\r\ndata: \r\n") - 60
 	for at := begin; at < len(wholeAnswer)-1; at++ {
 		c := chunkParser{}
@@ -61,13 +63,17 @@
 			_, _ = io.WriteString(far, wholeAnswer[begin:at])
 			far.Close()
 		}()
-		_, err := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: c}, chunks: c})
+		_, err := io.ReadAll(
+			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: c}, chunks: c},
+		)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "at byte %d", at)
 	}
 }
 
 func FuzzDecodeStream(f *testing.F) {
-	good, _ := json.Marshal(Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}}) // a constant form: cannot fail
+	good, _ := json.Marshal(
+		Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}},
+	) // a constant form: cannot fail
 	f.Add(good)
 	f.Add([]byte(`{"trace":"t","chunks":{"phase":1,"size":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -80,14 +86,19 @@
 			_, _ = io.WriteString(far, wholeAnswer)
 			far.Close()
 		}()
-		got, _ := io.ReadAll(&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks}, chunks: s.Chunks}) // any end will do
+		got, _ := io.ReadAll(
+			&remainder{
+				connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks},
+				chunks:     s.Chunks,
+			},
+		) // any end will do
 		require.LessOrEqual(t, len(got), len(wholeAnswer))
 		near.Close()
 	})
 }
 
 // An answer that is handed back is read on as long as its server's bytes are there: the end of it may be among them.
-func TestHandedBackBehindWhatHasCome(t *testing.T) {
+func TestHandBackReadsWhatHasArrived(t *testing.T) {
 	for name, sent := range map[string]string{"to its end": wholeAnswer, "not to its end": wholeAnswer[:len(wholeAnswer)-40]} {
 		near, far := socketPair(t)
 		_, err := io.WriteString(far, sent)
