--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -117,7 +117,7 @@
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			client := &resolver.Client{Server: server}
-			answer, err := client.Ask(c.Context(), record.Enumeration(args[0]), record.PTR)
+			answer, err := client.Query(c.Context(), record.EnumerationName(args[0]), record.PTR)
 			if err != nil {
 				return exitError{Failed, err}
 			}
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -75,13 +75,13 @@
 		Hold:    time.Duration(cfg.ShrinkDelay),
 		Least:   a.operator.Module.Nodes,
 		Find: browser.Options{
-			Service: record.Service{Type: cfg.Service, Domain: cfg.Domain},
-			Server:  cfg.Server,
-			Way:     browser.Poll,
-			Every:   time.Duration(times.PollInterval),
-			Refresh: time.Duration(times.RefreshInterval),
-			Metrics: a.discoveryMetrics,
-			Log:     log,
+			Service:         record.Service{Type: cfg.Service, Domain: cfg.Domain},
+			Server:          cfg.Server,
+			Mechanism:       browser.Poll,
+			PollInterval:    time.Duration(times.PollInterval),
+			RefreshInterval: time.Duration(times.RefreshInterval),
+			Metrics:         a.discoveryMetrics,
+			Log:             log,
 		},
 		Changed: func(count int) {
 			a.nodeCount.Store(int64(count))
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -153,26 +153,26 @@
 	browse := section.Browses[i]
 	log := a.log.With(zap.String("domain", browse.Domain))
 	find := browser.Options{
-		Service:     record.Service{Type: browse.Service, Subtype: browse.Subtype, Domain: browse.Domain},
-		Server:      browse.Server,
-		Way:         browser.Mechanism(browse.Updates),
-		Every:       time.Duration(section.PollInterval),
-		Refresh:     time.Duration(section.RefreshInterval),
-		PushAddress: browse.PushAddress,
-		TLS:         pushTLS(roots, browse.PushServerName),
-		Metrics:     a.discoveryMetrics,
-		Log:         log,
+		Service:         record.Service{Type: browse.Service, Subtype: browse.Subtype, Domain: browse.Domain},
+		Server:          browse.Server,
+		Mechanism:       browser.Mechanism(browse.Updates),
+		PollInterval:    time.Duration(section.PollInterval),
+		RefreshInterval: time.Duration(section.RefreshInterval),
+		PushAddress:     browse.PushAddress,
+		TLS:             pushTLS(roots, browse.PushServerName),
+		Metrics:         a.discoveryMetrics,
+		Log:             log,
 	}
-	if find.Way == browser.MDNS {
-		find.Dial = func() (browser.Transport, error) { return browser.DialUnicast(browse.Server) }
+	if find.Mechanism == browser.MDNS {
+		find.DialMDNS = func() (browser.Transport, error) { return browser.DialUnicast(browse.Server) }
 	}
 	browser := &endpoints.Browser{
 		FinderOptions: find,
 		Key:           browse.Key(),
 		Config:        browserConfig(section, browse),
 		Site:          browse.Site,
-		Guard:         record.Guard{Part: section.GuardFraction, Hold: int64(section.GuardHold)},
-		Damper:        record.Damper{Half: int64(*section.FlapHalfLife), Most: section.MaxFlaps},
+		Guard:         record.Guard{MaxLossFraction: section.GuardFraction, HoldTime: int64(section.GuardHold)},
+		Damper:        record.Damper{HalfLife: int64(*section.FlapHalfLife), MaxFlaps: section.MaxFlaps},
 		Names:         endpointNames(cfg.Names),
 		Log:           log,
 	}
--- a/internal/dnssd/browser/metrics.go
+++ b/internal/dnssd/browser/metrics.go
@@ -7,39 +7,56 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics of all finders. The methods take a nil receiver, which measures nothing.
+// Metrics are those of all browsers of a process. Its methods may be called concurrently, and on nil, where they do
+// nothing.
 type Metrics struct {
-	Withdrawn prometheus.Histogram // seconds from the last word that an instance stands to the word that it is gone
-	Sessions  *prometheus.CounterVec
-	Pushed    *prometheus.CounterVec
+	WithdrawalDelay prometheus.Histogram   // seconds
+	SessionsEnded   *prometheus.CounterVec // by service and domain
+	PushedChanges   *prometheus.CounterVec // by service and domain
 
-	mu  sync.Mutex
-	all map[*Browser]bool
+	mu       sync.Mutex // guards browsers
+	browsers map[*Browser]bool
 
-	age, asked, again, failed, spoofed, push *prometheus.Desc
+	contactAge      *prometheus.Desc
+	queries         *prometheus.Desc
+	retries         *prometheus.Desc
+	failures        *prometheus.Desc
+	rejectedAnswers *prometheus.Desc
+	pushActive      *prometheus.Desc
 }
 
-// NewMetrics makes them and puts them into a registry.
-func NewMetrics(to prometheus.Registerer) (*Metrics, error) {
+var _ prometheus.Collector = (*Metrics)(nil)
+
+// NewMetrics makes the metrics and registers them.
+func NewMetrics(registerer prometheus.Registerer) (*Metrics, error) {
+	const prefix = "standpoint_discovery_"
 	labels := []string{"service", "domain"}
 	desc := func(name, help string) *prometheus.Desc {
-		return prometheus.NewDesc("standpoint_discovery_"+name, help, labels, nil)
+		return prometheus.NewDesc(prefix+name, help, labels, nil)
+	}
+	counter := func(name, help string) *prometheus.CounterVec {
+		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: prefix + name, Help: help}, labels)
 	}
-	m := &Metrics{all: map[*Browser]bool{},
-		Withdrawn: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "standpoint_discovery_withdrawal_delay_seconds",
-			Help:    "Time between the last word that an instance stands and the word that it is gone: the delay's upper bound.",
-			Buckets: []float64{.01, .025, .05, .1, .15, .2, .3, .4, .5, 1, 2, 5, 10}}),
-		Sessions: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "standpoint_discovery_push_sessions_ended_total", Help: "Push sessions that ended."}, labels),
-		Pushed:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "standpoint_discovery_push_changes_total", Help: "Changes told by push."}, labels),
-		age:      desc("news_age_seconds", "Time since the server last answered; -1 before its first answer."),
-		asked:    desc("lookups_total", "Questions sent, repeated ones among them."),
-		again:    desc("lookups_repeated_total", "Questions sent again after no answer."),
-		failed:   desc("lookups_failed_total", "Questions that were given up without an answer."),
-		spoofed:  desc("answers_refused_total", "Datagrams that were no answer to what was asked: a wrong id, name or form."),
-		push:     desc("push", "1 while news comes by a push session, else 0."),
+	m := &Metrics{
+		browsers: map[*Browser]bool{},
+		WithdrawalDelay: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: prefix + "withdrawal_delay_seconds",
+			Help: "Time between the last word that an instance stands and the word that it is gone: " +
+				"the delay's upper bound.",
+			Buckets: []float64{.01, .025, .05, .1, .15, .2, .3, .4, .5, 1, 2, 5, 10},
+		}),
+		SessionsEnded: counter("push_sessions_ended_total", "Push sessions that ended."),
+		PushedChanges: counter("push_changes_total", "Changes told by push."),
+		contactAge:    desc("news_age_seconds", "Time since the server last answered; -1 before its first answer."),
+		queries:       desc("lookups_total", "Questions sent, repeated ones among them."),
+		retries:       desc("lookups_repeated_total", "Questions sent again after no answer."),
+		failures:      desc("lookups_failed_total", "Questions that were given up without an answer."),
+		rejectedAnswers: desc("answers_refused_total",
+			"Datagrams that were no answer to what was asked: a wrong id, name or form."),
+		pushActive: desc("push", "1 while news comes by a push session, else 0."),
 	}
-	for _, c := range []prometheus.Collector{m, m.Withdrawn, m.Sessions, m.Pushed} {
-		if err := to.Register(c); err != nil {
+	for _, c := range []prometheus.Collector{m, m.WithdrawalDelay, m.SessionsEnded, m.PushedChanges} {
+		if err := registerer.Register(c); err != nil {
 			return nil, err
 		}
 	}
@@ -47,71 +64,83 @@
 }
 
 // Describe implements prometheus.Collector.
-func (m *Metrics) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{m.age, m.asked, m.again, m.failed, m.spoofed, m.push} {
-		to <- d
+func (m *Metrics) Describe(descriptions chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{
+		m.contactAge, m.queries, m.retries, m.failures, m.rejectedAnswers, m.pushActive,
+	} {
+		descriptions <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (m *Metrics) Collect(to chan<- prometheus.Metric) {
+func (m *Metrics) Collect(metrics chan<- prometheus.Metric) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for f := range m.all {
-		gauge := func(d *prometheus.Desc, kind prometheus.ValueType, v float64) {
-			to <- prometheus.MustNewConstMetric(d, kind, v, f.Service.Type, f.domain)
-		}
-		heard, way := f.LastContact()
-		age, push := -1.0, 0.0
-		if !heard.IsZero() {
-			age = time.Since(heard).Seconds()
-		}
-		if way == Push {
-			push = 1
-		}
-		gauge(m.age, prometheus.GaugeValue, age)
-		gauge(m.push, prometheus.GaugeValue, push)
-		gauge(m.asked, prometheus.CounterValue, float64(f.client.Asked.Load()))
-		gauge(m.again, prometheus.CounterValue, float64(f.client.Again.Load()))
-		gauge(m.failed, prometheus.CounterValue, float64(f.client.Failed.Load()))
-		gauge(m.spoofed, prometheus.CounterValue, float64(f.client.Spoofed.Load()))
+	for b := range m.browsers {
+		m.collect(b, metrics)
+	}
+}
+
+// collect reads the metrics of one browser.
+func (m *Metrics) collect(b *Browser, metrics chan<- prometheus.Metric) {
+	emit := func(d *prometheus.Desc, kind prometheus.ValueType, value float64) {
+		metrics <- prometheus.MustNewConstMetric(d, kind, value, b.Service.Type, b.domain)
+	}
+	lastContact, mechanism := b.LastContact()
+	age := -1.0
+	if !lastContact.IsZero() {
+		age = time.Since(lastContact).Seconds()
+	}
+	pushActive := 0.0
+	if mechanism == Push {
+		pushActive = 1
 	}
+	emit(m.contactAge, prometheus.GaugeValue, age)
+	emit(m.pushActive, prometheus.GaugeValue, pushActive)
+	emit(m.queries, prometheus.CounterValue, float64(b.client.Queries.Load()))
+	emit(m.retries, prometheus.CounterValue, float64(b.client.Retries.Load()))
+	emit(m.failures, prometheus.CounterValue, float64(b.client.Failures.Load()))
+	emit(m.rejectedAnswers, prometheus.CounterValue, float64(b.client.RejectedAnswers.Load()))
 }
 
-func (m *Metrics) watch(f *Browser) func() {
+// register has a browser collected until the returned function is called. Two browsers with the same labels would break
+// the collection: the newer replaces the older.
+func (m *Metrics) register(b *Browser) (unregister func()) {
 	if m == nil {
 		return func() {}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for other := range m.all { // two with the same labels would break the collection; the newer stays
-		if other.Service.Type == f.Service.Type && other.domain == f.domain {
-			delete(m.all, other)
+	for other := range m.browsers {
+		if other.Service.Type == b.Service.Type && other.domain == b.domain {
+			delete(m.browsers, other)
 		}
 	}
-	m.all[f] = true
+	m.browsers[b] = true
 	return func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		delete(m.all, f)
+		delete(m.browsers, b)
 	}
 }
 
-func (m *Metrics) ended(f *Browser) {
+// sessionEnded counts a push session that was active and has ended.
+func (m *Metrics) sessionEnded(b *Browser) {
 	if m != nil {
-		m.Sessions.WithLabelValues(f.Service.Type, f.domain).Inc()
+		m.SessionsEnded.WithLabelValues(b.Service.Type, b.domain).Inc()
 	}
 }
 
-func (m *Metrics) pushed(f *Browser, n int) {
+// changesPushed counts changes that a push session received.
+func (m *Metrics) changesPushed(b *Browser, n int) {
 	if m != nil {
-		m.Pushed.WithLabelValues(f.Service.Type, f.domain).Add(float64(n))
+		m.PushedChanges.WithLabelValues(b.Service.Type, b.domain).Add(float64(n))
 	}
 }
 
-// Removed notes that an instance is gone, which was last told to stand so long ago.
-func (m *Metrics) Removed(ago time.Duration) {
+// ObserveWithdrawal records that an instance was withdrawn, and how long ago it was last reported as listed.
+func (m *Metrics) ObserveWithdrawal(sinceListed time.Duration) {
 	if m != nil {
-		m.Withdrawn.Observe(ago.Seconds())
+		m.WithdrawalDelay.Observe(sinceListed.Seconds())
 	}
 }
--- a/internal/dnssd/browser/multicast.go
+++ b/internal/dnssd/browser/multicast.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
-	"net"
-	"net/netip"
 	"time"
 
 	"github.com/miekg/dns"
@@ -14,99 +11,71 @@
 	"standpoint/internal/dnssd/mdns"
 )
 
-// Transport carries mDNS messages. What this package has is Unicast; multicast is nobody's here.
-type Transport interface {
-	Send(raw []byte) error
-	// Receive waits for one message; it returns net.ErrClosed after Close. The bytes are the caller's.
-	Receive() ([]byte, error)
-	Close() error
+// multicastBrowser drives an mdns.Querier over a transport. It belongs to one goroutine.
+type multicastBrowser struct {
+	*Browser
+	transport Transport
+	querier   *mdns.Querier
+	base      time.Time // the querier's times count from here
+	epoch     int64     // base, in nanoseconds of internal/clock
+	received  bool      // a response has arrived
+	// changed tells that the records differ from the last snapshot, which was published at publishedAt.
+	changed     bool
+	publishedAt time.Time
+	throttle    throttle
 }
 
-// Unicast is a transport over UDP between loopback addresses: messages go to one peer, and only that peer's are heard.
-type Unicast struct {
-	conn *net.UDPConn
-	peer netip.AddrPort
-	buf  [9000]byte // the largest mDNS message (RFC 6762, 17)
-}
-
-// DialUnicast opens a socket for a peer. Addresses that are not loopback are refused, multicast ones above all.
-func DialUnicast(peer string) (*Unicast, error) {
-	to, err := netip.ParseAddrPort(peer)
-	if err != nil {
-		return nil, err
-	}
-	if !to.Addr().IsLoopback() {
-		return nil, fmt.Errorf("%v is no loopback address", to)
-	}
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		return nil, err
-	}
-	_ = conn.SetReadBuffer(4 << 20) // a large service comes all at once; the system may allow less
-	return &Unicast{conn: conn, peer: to}, nil
-}
-
-// Send implements Transport.
-func (u *Unicast) Send(raw []byte) error {
-	_, err := u.conn.WriteToUDPAddrPort(raw, u.peer)
-	return err
-}
-
-// Receive implements Transport.
-func (u *Unicast) Receive() ([]byte, error) {
-	for {
-		n, from, err := u.conn.ReadFromUDPAddrPort(u.buf[:])
-		if err != nil {
-			return nil, err
-		}
-		if netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) == u.peer {
-			return append([]byte(nil), u.buf[:n]...), nil
-		}
-	}
-}
-
-// Close implements Transport.
-func (u *Unicast) Close() error { return u.conn.Close() }
-
-// listen is the actor round the querier.
-func (f *Browser) listen(ctx context.Context) {
-	transport, err := f.Dial()
+// runMulticast browses by mDNS until ctx ends.
+func (f *Browser) runMulticast(ctx context.Context) {
+	transport, err := f.DialMDNS()
 	if err != nil {
-		f.note(MDNS, err)
+		f.recordContact(MDNS, err)
 		<-ctx.Done()
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { _ = transport.Close() })
 	defer stop()
+	base := time.Now()
+	b := &multicastBrowser{
+		Browser:   f,
+		transport: transport,
+		querier:   mdns.New(f.Service, rand.Float64),
+		base:      base,
+		epoch:     clock.Of(base),
+	}
 	inbox := make(chan []byte, inboxSize)
-	go func() {
-		defer close(inbox)
-		for {
-			raw, err := transport.Receive()
-			if err != nil {
-				if ctx.Err() != nil {
-					return
-				}
-				select { // such as a peer that is not there
-				case <-ctx.Done():
-					return
-				case <-time.After(f.Every):
-				}
-				continue
+	// The reader ends once ctx has ended and the transport is closed; nothing that it holds outlives that.
+	go b.receive(ctx, inbox)
+	b.run(ctx, inbox)
+}
+
+// receive passes messages on to inbox until ctx ends, and then closes it.
+func (b *multicastBrowser) receive(ctx context.Context, inbox chan<- []byte) {
+	defer close(inbox)
+	for {
+		raw, err := b.transport.Receive()
+		if err != nil {
+			if ctx.Err() != nil {
+				return
 			}
+			// A read may fail because the peer is not there yet.
 			select {
-			case inbox <- raw:
 			case <-ctx.Done():
 				return
+			case <-time.After(b.PollInterval):
 			}
+			continue
 		}
-	}()
-	base := time.Now()
-	epoch := clock.Of(base)
-	q := mdns.New(f.Service, rand.Float64)
-	var heard, changed bool
-	var told time.Time
-	var rest pace
+		select {
+		case inbox <- raw:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// run handles messages and timers until ctx ends.
+func (b *multicastBrowser) run(ctx context.Context, inbox <-chan []byte) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -117,53 +86,63 @@
 			if !ok {
 				return
 			}
-			m := new(dns.Msg)
-			if err := m.Unpack(raw); err != nil || !m.Response {
-				f.client.Spoofed.Add(1)
+			if !b.handleMessage(raw, len(inbox) == 0) {
 				continue
 			}
-			changed = q.Handle(m, time.Since(base)) || changed
-			if !heard || len(inbox) == 0 {
-				f.note(MDNS, nil)
-			}
-			heard = true
 		case <-timer.C:
 		}
-		if wait := rest.wait(time.Now()); wait > 0 {
-			timer.Reset(wait)
+		if pause := b.throttle.remaining(time.Now()); pause > 0 {
+			timer.Reset(pause)
 			continue
 		}
-		began := time.Now()
-		now := began.Sub(base)
-		changed = q.Expire(now) || changed
-		messages, next := q.Due(now)
-		for _, m := range messages {
-			raw, err := m.Pack()
-			if err == nil {
-				f.client.Asked.Add(1)
-				err = transport.Send(raw)
-			}
-			if err != nil {
-				f.client.Failed.Add(1)
-				f.note(MDNS, err)
-			}
-		}
-		if heard && (changed || time.Since(told) >= tellEvery) {
-			told, changed = time.Now(), false
-			v, labels := q.View(epoch)
-			f.Tell(sight(v, f.Service, labels, Snapshot{Way: MDNS, At: told}))
-		}
-		rest.took(began, time.Now())
-		timer.Reset(max(time.Millisecond, min(next-time.Since(base), tellEvery)))
+		timer.Reset(b.step())
 	}
 }
 
-// pace lets a piece of work that goes over everything run for a quarter of the time at the most: after each run it
-// rests for three times as long as that took, up to restMost.
-type pace struct{ until time.Time }
-
-const restMost = 100 * time.Millisecond
+// handleMessage takes in one message, and reports whether it is a response. idle tells that no other message waits.
+func (b *multicastBrowser) handleMessage(raw []byte, idle bool) bool {
+	message := new(dns.Msg)
+	if err := message.Unpack(raw); err != nil || !message.Response {
+		b.client.RejectedAnswers.Add(1)
+		return false
+	}
+	b.changed = b.querier.Handle(message, time.Since(b.base)) || b.changed
+	if !b.received || idle {
+		b.recordContact(MDNS, nil)
+	}
+	b.received = true
+	return true
+}
 
-func (p *pace) wait(now time.Time) time.Duration { return p.until.Sub(now) }
+// step expires records, sends the queries that are due and publishes a snapshot if there is one to publish. It returns
+// the time until the next step.
+func (b *multicastBrowser) step() time.Duration {
+	began := time.Now()
+	now := began.Sub(b.base)
+	b.changed = b.querier.Expire(now) || b.changed
+	messages, next := b.querier.PendingQueries(now)
+	for _, message := range messages {
+		b.send(message)
+	}
+	if b.received && (b.changed || time.Since(b.publishedAt) >= republishInterval) {
+		b.publishedAt = time.Now()
+		b.changed = false
+		cache, labels := b.querier.Cache(b.epoch)
+		b.Publish(newSnapshot(cache, b.Service, labels, Snapshot{Mechanism: MDNS, ObservedAt: b.publishedAt}))
+	}
+	b.throttle.record(began, time.Now())
+	return max(time.Millisecond, min(next-time.Since(b.base), republishInterval))
+}
 
-func (p *pace) took(began, ended time.Time) { p.until = ended.Add(min(restMost, 3*ended.Sub(began))) }
+// send sends one query. A failure is counted and recorded; the querier repeats the query by itself.
+func (b *multicastBrowser) send(message *dns.Msg) {
+	raw, err := message.Pack()
+	if err == nil {
+		b.client.Queries.Add(1)
+		err = b.transport.Send(raw)
+	}
+	if err != nil {
+		b.client.Failures.Add(1)
+		b.recordContact(MDNS, err)
+	}
+}
--- a/internal/dnssd/mdns/mdns.go
+++ b/internal/dnssd/mdns/mdns.go
@@ -14,53 +14,53 @@
 
 // Times of the querier.
 const (
-	firstLeast = 20 * time.Millisecond // of the first question (RFC 6762, 5.2)
-	firstMost  = 120 * time.Millisecond
-	askFirst   = time.Second // between the first and the second; doubled each time
-	askMost    = time.Hour
-	// Grace is how long a record lives on after a goodbye, or after its set was told anew without it. RFC 6762, 10.1
+	minInitialDelay = 20 * time.Millisecond // of the first question (RFC 6762, 5.2)
+	maxInitialDelay = 120 * time.Millisecond
+	initialInterval = time.Second // between the first and the second; doubled each time
+	maxInterval     = time.Hour
+	// GracePeriod is how long a record lives on after a goodbye, or after its set was told anew without it. RFC 6762, 10.1
 	// and 10.2 have it 1 s; work must stop within 500 ms here, and a record that is told again within the grace
 	// has never been away.
-	Grace       = 200 * time.Millisecond
-	recordsMost = 40_000
-	messageMost = 1_400 // bytes, so that a message fits a frame
-	// longest bounds a record's time, whatever it says.
-	longest = 24 * time.Hour
+	GracePeriod    = 200 * time.Millisecond
+	maxRecords     = 40_000
+	maxMessageSize = 1_400 // bytes, so that a message fits a frame
+	// maxTTL bounds a record's time, whatever it says.
+	maxTTL = 24 * time.Hour
 )
 
-// refresh are the parts of a record's time at which it is asked for again (RFC 6762, 5.2).
-var refresh = [...]float64{0.80, 0.85, 0.90, 0.95}
+// refreshPoints are the parts of a record's time at which it is asked for again (RFC 6762, 5.2).
+var refreshPoints = [...]float64{0.80, 0.85, 0.90, 0.95}
 
 type entry struct {
-	record record.Record
-	born   time.Duration
-	until  time.Duration
-	asked  int           // of refresh
-	next   time.Duration // when to ask again; 0: not any more
+	record       record.Record
+	receivedAt   time.Duration
+	expiresAt    time.Duration
+	refreshCount int           // of refresh
+	refreshAt    time.Duration // when to ask again; 0: not any more
 }
 
 type question struct {
-	next, gap time.Duration
-	asked     int
+	sendAt, interval time.Duration
+	sent             int
 }
 
 // Querier keeps the records of one service current. All times are spans since one moment of the caller's choice.
 type Querier struct {
 	Service record.Service
-	Draw    func() float64 // chance, from 0 up to 1
+	Random  func() float64 // chance, from 0 up to 1
 
-	all       map[record.Key][]*entry
-	count     int
-	questions map[record.Key]*question
-	wanted    map[record.Key]bool
-	stirred   bool
-	labels    map[string]string
+	entries     map[record.Key][]*entry
+	entryCount  int
+	questions   map[record.Key]*question
+	wanted      map[record.Key]bool
+	wantedStale bool
+	labels      map[string]string
 }
 
 // New makes a querier that knows nothing yet.
 func New(service record.Service, draw func() float64) *Querier {
-	return &Querier{Service: service, Draw: draw, all: map[record.Key][]*entry{}, questions: map[record.Key]*question{},
-		labels: map[string]string{}, stirred: true}
+	return &Querier{Service: service, Random: draw, entries: map[record.Key][]*entry{}, questions: map[record.Key]*question{},
+		labels: map[string]string{}, wantedStale: true}
 }
 
 // Handle takes in a message and tells whether any record has come, gone or been given notice. Messages that are no
@@ -78,74 +78,74 @@
 			continue
 		}
 		if r.Kind == record.PTR {
-			if label, _, err := record.SplitInstance(r.Target); err == nil && len(q.labels) < 2*record.InstancesMost {
+			if label, _, err := record.SplitInstance(r.Target); err == nil && len(q.labels) < 2*record.MaxInstances {
 				q.labels[record.CanonicalName(r.Target)] = label
 			}
 		}
 		k := record.Key{Name: r.Name, Kind: r.Kind}
 		told[k] = append(told[k], r)
-		changed = q.take(k, r, now) || changed
+		changed = q.storeRecord(k, r, now) || changed
 	}
 	for k, records := range told {
-		if slices.ContainsFunc(records, func(r record.Record) bool { return r.Flush }) {
-			changed = q.flush(k, records, now) || changed
+		if slices.ContainsFunc(records, func(r record.Record) bool { return r.CacheFlush }) {
+			changed = q.expireMissing(k, records, now) || changed
 		}
 	}
-	q.stirred = q.stirred || changed
+	q.wantedStale = q.wantedStale || changed
 	return changed
 }
 
-func (q *Querier) take(k record.Key, r record.Record, now time.Duration) bool {
-	for _, e := range q.all[k] {
-		if !alike(e.record, r) {
+func (q *Querier) storeRecord(k record.Key, r record.Record, now time.Duration) bool {
+	for _, e := range q.entries[k] {
+		if !sameRecord(e.record, r) {
 			continue
 		}
 		if r.TTL == 0 { // a goodbye
-			if e.until <= now+Grace {
+			if e.expiresAt <= now+GracePeriod {
 				return false
 			}
-			e.until, e.next = now+Grace, 0
+			e.expiresAt, e.refreshAt = now+GracePeriod, 0
 			return true
 		}
-		noticed := e.next == 0 && e.until <= now+Grace
-		e.record, e.born, e.asked = r, now, 0
-		e.until = now + min(time.Duration(r.TTL)*time.Second, longest)
-		q.plan(e)
+		noticed := e.refreshAt == 0 && e.expiresAt <= now+GracePeriod
+		e.record, e.receivedAt, e.refreshCount = r, now, 0
+		e.expiresAt = now + min(time.Duration(r.TTL)*time.Second, maxTTL)
+		q.scheduleRefresh(e)
 		return noticed
 	}
-	if r.TTL == 0 || q.count >= recordsMost {
+	if r.TTL == 0 || q.entryCount >= maxRecords {
 		return false
 	}
-	e := &entry{record: r, born: now, until: now + min(time.Duration(r.TTL)*time.Second, longest)}
-	q.plan(e)
-	q.all[k] = append(q.all[k], e)
-	q.count++
+	e := &entry{record: r, receivedAt: now, expiresAt: now + min(time.Duration(r.TTL)*time.Second, maxTTL)}
+	q.scheduleRefresh(e)
+	q.entries[k] = append(q.entries[k], e)
+	q.entryCount++
 	return true
 }
 
-// plan says when a record is asked for again, with up to 2% of its time as jitter.
-func (q *Querier) plan(e *entry) {
-	if e.asked == len(refresh) {
-		e.next = 0
+// scheduleRefresh says when a record is asked for again, with up to 2% of its time as jitter.
+func (q *Querier) scheduleRefresh(e *entry) {
+	if e.refreshCount == len(refreshPoints) {
+		e.refreshAt = 0
 		return
 	}
-	part := refresh[e.asked] + 0.02*q.Draw()
-	e.next = e.born + time.Duration(part*float64(e.until-e.born))
+	part := refreshPoints[e.refreshCount] + 0.02*q.Random()
+	e.refreshAt = e.receivedAt + time.Duration(part*float64(e.expiresAt-e.receivedAt))
 }
 
-// flush gives notice to the records of a set that was told whole and without them (the cache-flush bit).
-func (q *Querier) flush(k record.Key, told []record.Record, now time.Duration) (changed bool) {
-	for _, e := range q.all[k] {
+// expireMissing gives notice to the records of a set that was told whole and without them (the cache-flush bit).
+func (q *Querier) expireMissing(k record.Key, told []record.Record, now time.Duration) (changed bool) {
+	for _, e := range q.entries[k] {
 		// What came just before may be the same set's other part (RFC 6762, 10.2).
-		if e.until > now+Grace && now-e.born > Grace && !slices.ContainsFunc(told, func(r record.Record) bool { return alike(e.record, r) }) {
-			e.until, e.next, changed = now+Grace, 0, true
+		if e.expiresAt > now+GracePeriod && now-e.receivedAt > GracePeriod && !slices.ContainsFunc(told, func(r record.Record) bool { return sameRecord(e.record, r) }) {
+			e.expiresAt, e.refreshAt, changed = now+GracePeriod, 0, true
 		}
 	}
 	return changed
 }
 
-func alike(a, b record.Record) bool {
-	a.TTL, a.Flush, b.TTL, b.Flush = 0, false, 0, false
+func sameRecord(a, b record.Record) bool {
+	a.TTL, a.CacheFlush, b.TTL, b.CacheFlush = 0, false, 0, false
 	if a.Kind == record.PTR {
 		a.Target, b.Target = record.CanonicalName(a.Target), record.CanonicalName(b.Target)
 	}
@@ -155,90 +155,90 @@
 // Expire drops what has come to the end of its time, and tells whether there was any.
 func (q *Querier) Expire(now time.Duration) bool {
 	gone := false
-	for k, list := range q.all {
+	for k, list := range q.entries {
 		kept := list[:0]
 		for _, e := range list {
-			if e.until > now {
+			if e.expiresAt > now {
 				kept = append(kept, e)
 			}
 		}
 		if len(kept) < len(list) {
 			gone = true
-			q.count -= len(list) - len(kept)
-			if q.all[k] = kept; len(kept) == 0 {
-				delete(q.all, k)
+			q.entryCount -= len(list) - len(kept)
+			if q.entries[k] = kept; len(kept) == 0 {
+				delete(q.entries, k)
 			}
 		}
 	}
-	q.stirred = q.stirred || gone
+	q.wantedStale = q.wantedStale || gone
 	return gone
 }
 
-// View is what is known now, with the label of each instance. Times in it are nanoseconds from the moment epoch.
-func (q *Querier) View(epoch int64) (*record.Cache, map[string]string) {
+// Cache is what is known now, with the label of each instance. Times in it are nanoseconds from the moment epoch.
+func (q *Querier) Cache(epoch int64) (*record.Cache, map[string]string) {
 	v := record.NewCache()
-	for _, list := range q.all {
+	for _, list := range q.entries {
 		for _, e := range list {
-			v.Add(e.record, max(1, epoch+int64(e.born)))
+			v.Add(e.record, max(1, epoch+int64(e.receivedAt)))
 		}
 	}
 	// A host that has told one kind of address and not the other has none of that (RFC 6762, 6.1: it would have told).
-	for k := range q.all {
-		if k.Kind == record.AAAA && len(q.all[record.Key{Name: k.Name, Kind: record.A}]) == 0 {
+	for k := range q.entries {
+		if k.Kind == record.AAAA && len(q.entries[record.Key{Name: k.Name, Kind: record.A}]) == 0 {
 			v.Put(record.Key{Name: k.Name, Kind: record.A}, nil, 1, max(1, epoch))
 		}
 	}
 	return v, q.labels
 }
 
-// Due are the messages that are to be sent now, and when to ask again.
-func (q *Querier) Due(now time.Duration) (messages []*dns.Msg, next time.Duration) {
-	if q.stirred {
-		q.want()
-		q.stirred = false
+// PendingQueries are the messages that are to be sent now, and when to ask again.
+func (q *Querier) PendingQueries(now time.Duration) (messages []*dns.Msg, next time.Duration) {
+	if q.wantedStale {
+		q.updateWanted()
+		q.wantedStale = false
 	}
-	next = now + askMost
+	next = now + maxInterval
 	var ask []record.Key
 	for k := range q.wanted {
 		s := q.questions[k]
 		if s == nil {
-			wait := firstLeast + time.Duration(q.Draw()*float64(firstMost-firstLeast))
-			s = &question{next: now + wait, gap: askFirst}
+			wait := minInitialDelay + time.Duration(q.Random()*float64(maxInitialDelay-minInitialDelay))
+			s = &question{sendAt: now + wait, interval: initialInterval}
 			q.questions[k] = s
 		}
-		due := s.next <= now
+		due := s.sendAt <= now
 		if due {
-			s.next = now + s.gap
-			s.gap = min(2*s.gap, askMost)
-			s.asked++
+			s.sendAt = now + s.interval
+			s.interval = min(2*s.interval, maxInterval)
+			s.sent++
 		}
-		answered := len(q.all[k]) > 0
+		answered := len(q.entries[k]) > 0
 		if k.Kind != record.PTR && answered {
-			due, s.gap, s.next = false, askFirst, now+askFirst // unique sets are refreshed below, not asked for again
+			due, s.interval, s.sendAt = false, initialInterval, now+initialInterval // unique sets are refreshed below, not asked for again
 		}
-		for _, e := range q.all[k] {
-			if e.next == 0 {
+		for _, e := range q.entries[k] {
+			if e.refreshAt == 0 {
 				continue
 			}
-			if e.next <= now {
+			if e.refreshAt <= now {
 				due = true
-				e.asked++
-				q.plan(e)
+				e.refreshCount++
+				q.scheduleRefresh(e)
 			}
-			if e.next != 0 {
-				next = min(next, e.next)
+			if e.refreshAt != 0 {
+				next = min(next, e.refreshAt)
 			}
 		}
 		if due {
 			ask = append(ask, k)
 		}
 		if k.Kind == record.PTR || !answered {
-			next = min(next, s.next)
+			next = min(next, s.sendAt)
 		}
 	}
-	for _, list := range q.all {
+	for _, list := range q.entries {
 		for _, e := range list {
-			next = min(next, e.until)
+			next = min(next, e.expiresAt)
 		}
 	}
 	slices.SortFunc(ask, func(a, b record.Key) int {
@@ -250,16 +250,16 @@
 		}
 		return 1
 	})
-	return q.write(ask, now), max(next, now+time.Millisecond)
+	return q.buildMessages(ask, now), max(next, now+time.Millisecond)
 }
 
-// want works out what is to be known: the list, and each instance's records.
-func (q *Querier) want() {
-	v, _ := q.View(0)
-	q.wanted = map[record.Key]bool{{Name: q.Service.List(), Kind: record.PTR}: true}
+// updateWanted works out what is to be known: the list, and each instance's records.
+func (q *Querier) updateWanted() {
+	v, _ := q.Cache(0)
+	q.wanted = map[record.Key]bool{{Name: q.Service.ListName(), Kind: record.PTR}: true}
 	names, _ := v.Instances(q.Service)
 	for _, name := range names {
-		for _, k := range v.Wants(name) {
+		for _, k := range v.RequiredKeys(name) {
 			q.wanted[k] = true
 		}
 	}
@@ -268,23 +268,23 @@
 			delete(q.questions, k)
 		}
 	}
-	for k := range q.all {
+	for k := range q.entries {
 		// What nobody wants is kept while it lives, as it may be of an instance that is told next.
-		if k.Kind == record.PTR && k.Name != q.Service.List() {
-			q.count -= len(q.all[k])
-			delete(q.all, k)
+		if k.Kind == record.PTR && k.Name != q.Service.ListName() {
+			q.entryCount -= len(q.entries[k])
+			delete(q.entries, k)
 		}
 	}
 	for name := range q.labels {
-		if len(q.labels) > record.InstancesMost && !q.wanted[record.Key{Name: name, Kind: record.SRV}] {
+		if len(q.labels) > record.MaxInstances && !q.wanted[record.Key{Name: name, Kind: record.SRV}] {
 			delete(q.labels, name)
 		}
 	}
 }
 
-// write makes messages of the questions, with the list's known answers (RFC 6762, 7.1): those with more than half of
+// buildMessages makes messages of the questions, with the list's known answers (RFC 6762, 7.1): those with more than half of
 // their time left. What does not fit one message goes on in the next, the TC bit set in all but the last (7.2).
-func (q *Querier) write(ask []record.Key, now time.Duration) (messages []*dns.Msg) {
+func (q *Querier) buildMessages(ask []record.Key, now time.Duration) (messages []*dns.Msg) {
 	const questionsMost = 20
 	for part := range slices.Chunk(ask, questionsMost) {
 		m := new(dns.Msg)
@@ -298,13 +298,13 @@
 			continue
 		}
 		size := m.Len()
-		for _, e := range q.all[record.Key{Name: q.Service.List(), Kind: record.PTR}] {
-			if left := e.until - now; left <= (e.until-e.born)/2 {
+		for _, e := range q.entries[record.Key{Name: q.Service.ListName(), Kind: record.PTR}] {
+			if left := e.expiresAt - now; left <= (e.expiresAt-e.receivedAt)/2 {
 				continue
 			}
 			rr := &dns.PTR{Hdr: dns.RR_Header{Name: e.record.Name, Rrtype: dns.TypePTR, Class: dns.ClassINET,
-				Ttl: uint32((e.until - now) / time.Second)}, Ptr: e.record.Target}
-			if n := dns.Len(rr); size+n > messageMost {
+				Ttl: uint32((e.expiresAt - now) / time.Second)}, Ptr: e.record.Target}
+			if n := dns.Len(rr); size+n > maxMessageSize {
 				m.Truncated = true
 				m = new(dns.Msg)
 				messages = append(messages, m)
--- a/internal/dnssd/mdns/mdns_test.go
+++ b/internal/dnssd/mdns/mdns_test.go
@@ -47,7 +47,7 @@
 }
 
 func names(q *Querier) (all []string) {
-	v, labels := q.View(0)
+	v, labels := q.Cache(0)
 	list, _ := v.Instances(service)
 	for _, name := range list {
 		if in := v.Assemble(name, labels[name]); in.Fault == nil {
@@ -60,12 +60,12 @@
 // The first question comes after 20 to 120 ms, then they come ever more seldom; answers that are known are told along.
 func TestQuestions(t *testing.T) {
 	q := querier()
-	m, next := q.Due(0)
+	m, next := q.PendingQueries(0)
 	require.Empty(t, m)
-	require.Equal(t, firstLeast, next)
+	require.Equal(t, minInitialDelay, next)
 	var at []time.Duration
 	for now := next; now < 20*time.Second; now = next {
-		if m, next = q.Due(now); len(m) > 0 {
+		if m, next = q.PendingQueries(now); len(m) > 0 {
 			require.Equal(t, list, m[0].Question[0].Name)
 			at = append(at, now.Round(time.Second))
 		}
@@ -73,14 +73,14 @@
 	require.Equal(t, []time.Duration{0, time.Second, 3 * time.Second, 7 * time.Second, 15 * time.Second}, at)
 
 	q = querier()
-	q.Due(0)
+	q.PendingQueries(0)
 	require.True(t, q.Handle(told(t, append(box("a", 1), box("b", 2)...)...), 0))
-	m, _ = q.Due(firstLeast)
+	m, _ = q.PendingQueries(minInitialDelay)
 	require.Len(t, m, 1)
 	require.Len(t, m[0].Question, 1, "everything else is known")
 	require.Len(t, m[0].Answer, 2)
 	// Past half of its time an answer is not told along.
-	m, _ = q.Due(61 * time.Second)
+	m, _ = q.PendingQueries(61 * time.Second)
 	require.Len(t, m, 1)
 	require.Empty(t, m[0].Answer)
 }
@@ -91,8 +91,8 @@
 	for i := range 200 {
 		q.Handle(told(t, box(fmt.Sprintf("some-long-name-of-a-box-%d", i), 1+i)...), 0)
 	}
-	q.Due(0)
-	m, _ := q.Due(firstLeast)
+	q.PendingQueries(0)
+	m, _ := q.PendingQueries(minInitialDelay)
 	require.Greater(t, len(m), 2)
 	known := 0
 	for i, one := range m {
@@ -113,24 +113,24 @@
 	require.Equal(t, []string{"a 1", "b 2"}, names(q))
 	now := 10 * time.Second
 	require.True(t, q.Handle(told(t, list+" 0 IN PTR a."+list), now))
-	require.False(t, q.Expire(now+Grace/2))
-	require.True(t, q.Expire(now+Grace))
+	require.False(t, q.Expire(now+GracePeriod/2))
+	require.True(t, q.Expire(now+GracePeriod))
 	require.Equal(t, []string{"b 2"}, names(q))
 	// A goodbye and the record again within the grace: it has never been away.
 	q.Handle(told(t, list+" 0 IN PTR b."+list), now)
-	require.True(t, q.Handle(told(t, list+" 120 IN PTR b."+list), now+Grace/2))
-	require.False(t, q.Expire(now+2*Grace))
+	require.True(t, q.Handle(told(t, list+" 120 IN PTR b."+list), now+GracePeriod/2))
+	require.False(t, q.Expire(now+2*GracePeriod))
 	require.Equal(t, []string{"b 2"}, names(q))
 	// Another target: the flush bit ends the old one's time.
 	now += time.Second
 	require.True(t, q.Handle(told(t, "!b."+list+" 120 IN SRV 0 0 9 b.local."), now))
-	q.Expire(now + Grace)
+	q.Expire(now + GracePeriod)
 	require.Equal(t, []string{"b 9"}, names(q))
 	// Two records of a shared set, and of a unique set told in two messages, stand beside each other.
 	q.Handle(told(t, "!b.local. 120 IN A 127.0.0.2"), now)
-	q.Handle(told(t, "!b.local. 120 IN A 127.0.0.3"), now+Grace/2)
-	v, _ := q.View(0)
-	require.Len(t, v.All("b.local.", record.A), 3)
+	q.Handle(told(t, "!b.local. 120 IN A 127.0.0.3"), now+GracePeriod/2)
+	v, _ := q.Cache(0)
+	require.Len(t, v.Records("b.local.", record.A), 3)
 	q.Expire(now + 130*time.Second)
 	require.Empty(t, names(q))
 }
@@ -139,10 +139,10 @@
 func TestRefresh(t *testing.T) {
 	q := querier()
 	q.Handle(told(t, box("a", 1)...), 0)
-	q.Due(0)
+	q.PendingQueries(0)
 	asked := map[time.Duration]int{}
 	for now := time.Duration(0); now < 119*time.Second; now += time.Second {
-		m, _ := q.Due(now)
+		m, _ := q.PendingQueries(now)
 		for _, one := range m {
 			for _, question := range one.Question {
 				if question.Qtype == dns.TypeSRV {
@@ -185,7 +185,7 @@
 			return
 		}
 		q.Handle(m, time.Second)
-		v, labels := q.View(0)
+		v, labels := q.Cache(0)
 		list, _ := v.Instances(service)
 		for _, name := range list {
 			in := v.Assemble(name, labels[name])
@@ -195,7 +195,7 @@
 		}
 		for _, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour} {
 			q.Expire(now)
-			messages, next := q.Due(now)
+			messages, next := q.PendingQueries(now)
 			if next <= now {
 				t.Fatal("it wants to be asked again at once")
 			}
--- a/internal/dnssd/push/dso.go
+++ b/internal/dnssd/push/dso.go
@@ -51,11 +51,11 @@
 }
 
 const (
-	headerSize  = 12
-	removeOne   = 0xffffffff
-	removeAll   = 0xfffffffe
-	never       = 0xffffffff // of Keepalive's times
-	changesMost = 4096       // in a message
+	headerSize   = 12
+	removeOne    = 0xffffffff
+	removeAll    = 0xfffffffe
+	infiniteTime = 0xffffffff // of Keepalive's times
+	maxChanges   = 4096       // in a message
 )
 
 // Errors of Decode.
@@ -92,14 +92,14 @@
 			continue
 		}
 		m.Type = kind
-		if err := m.read(data); err != nil {
+		if err := m.decodeTLV(data); err != nil {
 			return m, err
 		}
 	}
 	return m, nil
 }
 
-func (m *Message) read(data []byte) error {
+func (m *Message) decodeTLV(data []byte) error {
 	want := func(n int) error {
 		if len(data) != n {
 			return fmt.Errorf("TLV %#x has %d bytes, not %d", uint16(m.Type), len(data), n)
@@ -136,8 +136,8 @@
 		m.Name, m.Kind = record.CanonicalName(name), record.Kind(binary.BigEndian.Uint16(data[at:]))
 	case Push:
 		for at := 0; at < len(data); {
-			if len(m.Changes) == changesMost {
-				return fmt.Errorf("PUSH: more than %d changes", changesMost)
+			if len(m.Changes) == maxChanges {
+				return fmt.Errorf("PUSH: more than %d changes", maxChanges)
 			}
 			c, next, err := readChange(data, at)
 			if err != nil {
@@ -189,8 +189,8 @@
 	return c, next, nil
 }
 
-// header is an empty message.
-func header(id uint16, response bool, rcode int) []byte {
+// newHeader is an empty message.
+func newHeader(id uint16, response bool, rcode int) []byte {
 	raw := make([]byte, headerSize, 64)
 	binary.BigEndian.PutUint16(raw, id)
 	raw[2] = dns.OpcodeStateful << 3
@@ -201,31 +201,31 @@
 	return raw
 }
 
-func tlv(raw []byte, kind Type, data []byte) []byte {
+func appendTLV(raw []byte, kind Type, data []byte) []byte {
 	raw = binary.BigEndian.AppendUint16(raw, uint16(kind))
 	raw = binary.BigEndian.AppendUint16(raw, uint16(len(data)))
 	return append(raw, data...)
 }
 
 // Response answers a request, without a TLV.
-func Response(id uint16, rcode int) []byte { return header(id, true, rcode) }
+func Response(id uint16, rcode int) []byte { return newHeader(id, true, rcode) }
 
-func millis(d time.Duration) uint32 {
-	if d < 0 || d.Milliseconds() >= never {
-		return never
+func encodeMillis(d time.Duration) uint32 {
+	if d < 0 || d.Milliseconds() >= infiniteTime {
+		return infiniteTime
 	}
 	return uint32(d.Milliseconds())
 }
 
 // KeepaliveMessage is a request with an id, a response to one, or with id 0 a server's word alone.
 func KeepaliveMessage(id uint16, response bool, inactivity, interval time.Duration) []byte {
-	data := binary.BigEndian.AppendUint32(nil, millis(inactivity))
-	return tlv(header(id, response, 0), Keepalive, binary.BigEndian.AppendUint32(data, millis(interval)))
+	data := binary.BigEndian.AppendUint32(nil, encodeMillis(inactivity))
+	return appendTLV(newHeader(id, response, 0), Keepalive, binary.BigEndian.AppendUint32(data, encodeMillis(interval)))
 }
 
 // RetryDelayMessage tells a client to go away for a while.
 func RetryDelayMessage(rcode int, delay time.Duration) []byte {
-	return tlv(header(0, false, rcode), RetryDelay, binary.BigEndian.AppendUint32(nil, millis(delay)))
+	return appendTLV(newHeader(0, false, rcode), RetryDelay, binary.BigEndian.AppendUint32(nil, encodeMillis(delay)))
 }
 
 // SubscribeMessage asks for all changes of a name's records of one kind, or of all with dns.TypeANY.
@@ -236,24 +236,24 @@
 		return nil, err
 	}
 	data = binary.BigEndian.AppendUint16(data[:n], kind)
-	return tlv(header(id, false, 0), Subscribe, binary.BigEndian.AppendUint16(data, dns.ClassINET)), nil
+	return appendTLV(newHeader(id, false, 0), Subscribe, binary.BigEndian.AppendUint16(data, dns.ClassINET)), nil
 }
 
 // UnsubscribeMessage ends a subscription.
 func UnsubscribeMessage(subscription uint16) []byte {
-	return tlv(header(0, false, 0), Unsubscribe, binary.BigEndian.AppendUint16(nil, subscription))
+	return appendTLV(newHeader(0, false, 0), Unsubscribe, binary.BigEndian.AppendUint16(nil, subscription))
 }
 
-// Pushed is a record of a PUSH message: added, or taken away.
-type Pushed struct {
+// PushedRecord is a record of a PUSH message: added, or taken away.
+type PushedRecord struct {
 	RR     dns.RR
 	Remove bool
 }
 
-const pushMost = 16_000 // bytes of a TLV that is filled further
+const maxPushSize = 16_000 // bytes of a TLV that is filled further
 
 // PushMessages tells changes, in as many messages as are needed. Names are not compressed (RFC 8765, 6.3.1).
-func PushMessages(all []Pushed) ([][]byte, error) {
+func PushMessages(all []PushedRecord) ([][]byte, error) {
 	var messages [][]byte
 	var data []byte
 	buffer := make([]byte, 70_000)
@@ -266,13 +266,13 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(data)+n > pushMost && len(data) > 0 {
-			messages, data = append(messages, tlv(header(0, false, 0), Push, data)), nil
+		if len(data)+n > maxPushSize && len(data) > 0 {
+			messages, data = append(messages, appendTLV(newHeader(0, false, 0), Push, data)), nil
 		}
 		data = append(data, buffer[:n]...)
 	}
 	if len(data) > 0 {
-		messages = append(messages, tlv(header(0, false, 0), Push, data))
+		messages = append(messages, appendTLV(newHeader(0, false, 0), Push, data))
 	}
 	return messages, nil
 }
--- a/internal/dnssd/push/dso_test.go
+++ b/internal/dnssd/push/dso_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, time.Minute, m.Delay)
 	ptr, err := dns.NewRR("_e._tcp.test. 9 IN PTR a._e._tcp.test.")
 	require.NoError(t, err)
-	all, err := PushMessages([]Pushed{{RR: ptr}, {RR: ptr, Remove: true}})
+	all, err := PushMessages([]PushedRecord{{RR: ptr}, {RR: ptr, Remove: true}})
 	require.NoError(t, err)
 	require.Len(t, all, 1)
 	m, err = Decode(all[0])
@@ -39,9 +39,9 @@
 	require.True(t, m.Changes[1].Remove)
 	require.Equal(t, "a._e._tcp.test.", m.Changes[1].Record.Target)
 	// Many records go out in as many messages as are needed, none of them too large.
-	many := make([]Pushed, 3000)
+	many := make([]PushedRecord, 3000)
 	for i := range many {
-		many[i] = Pushed{RR: ptr}
+		many[i] = PushedRecord{RR: ptr}
 	}
 	all, err = PushMessages(many)
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	}
 	require.Equal(t, 3000, n)
 	// A collective removal (RFC 8765, 6.3.1): all kinds at a name.
-	raw = append(header(0, false, 0), 0, 0x41, 0, 0)
+	raw = append(newHeader(0, false, 0), 0, 0x41, 0, 0)
 	name := []byte("\x01a\x04test\x00\x00\xff\x00\xff\xff\xff\xff\xfe\x00\x00")
 	raw[15] = byte(len(name))
 	m, err = Decode(append(raw, name...))
@@ -90,7 +90,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		all, err := PushMessages([]Pushed{{RR: rr}, {RR: rr, Remove: true}})
+		all, err := PushMessages([]PushedRecord{{RR: rr}, {RR: rr, Remove: true}})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 		if err != nil {
 			return
 		}
-		if len(m.Changes) > changesMost {
+		if len(m.Changes) > maxChanges {
 			t.Fatal("too many changes")
 		}
 		for _, c := range m.Changes {
--- a/internal/dnssd/record/dnssd_test.go
+++ b/internal/dnssd/record/dnssd_test.go
@@ -15,7 +15,7 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-func TestInstanceNames(t *testing.T) {
+func TestInstanceNamesRoundTrip(t *testing.T) {
 	for full, label := range map[string]string{
 		`box-1._engine._tcp.hall-a.test.`:            "box-1",
 		`box\.1._engine._tcp.hall-a.test.`:           "box.1",
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestAttributes(t *testing.T) {
+func TestParseTXTKeepsFirstValueOfEachKey(t *testing.T) {
 	all := ParseTXT([]string{"Site=hall-a", "site=hall-b", "SITE", "empty=", "bare", "=x", "", "v=a=b", "bad\x07=1"})
 	require.Equal(t, Attributes{"site": {"hall-a", true}, "empty": {"", true}, "bare": {"", false}, "v": {"a=b", true}}, all)
 	var many []string
@@ -60,7 +60,7 @@
 	require.Len(t, ParseTXT(many), 64)
 }
 
-func TestTargets(t *testing.T) {
+func TestChooseFollowsPriorityAndWeight(t *testing.T) {
 	a, b, c := Target{10, 3, 1, "a."}, Target{10, 1, 2, "b."}, Target{5, 0, 3, "c."}
 	got, err := Choose([]Target{a, b, c}, 0.5)
 	require.NoError(t, err)
@@ -81,9 +81,9 @@
 }
 
 // One box that goes is believed at once; most of them at once only when that stays so, or the zone was changed.
-func TestGuard(t *testing.T) {
+func TestGuardHoldsLargeLosses(t *testing.T) {
 	const second = int64(1e9)
-	g := Guard{Part: 0.5, Hold: 10 * second}
+	g := Guard{MaxLossFraction: 0.5, HoldTime: 10 * second}
 	require.Equal(t, Accept, g.Check(8, 7, false, 0))
 	require.Equal(t, Accept, g.Check(1, 0, false, 0), "the only one")
 	require.Equal(t, Accept, g.Check(8, 4, false, 0))
@@ -112,13 +112,13 @@
 }
 
 // A view knows what was told, that there is nothing, and what was never told apart; and it says when to ask again.
-func TestView(t *testing.T) {
+func TestCacheTracksKnownAndMissingRecords(t *testing.T) {
 	const second = int64(time.Second)
 	s := Service{Type: "_e._tcp", Domain: "Hall.test"}
 	v := NewCache()
-	list := Key{s.List(), PTR}
+	list := Key{s.ListName(), PTR}
 	require.Equal(t, "_e._tcp.hall.test.", list.Name)
-	require.Equal(t, "_big._sub._e._tcp.hall.test.", Service{Type: "_e._tcp", Subtype: "_big", Domain: "hall.test"}.List())
+	require.Equal(t, "_big._sub._e._tcp.hall.test.", Service{Type: "_e._tcp", Subtype: "_big", Domain: "hall.test"}.ListName())
 	ptr := func(to string) Record { return record(list.Name, PTR, 60, func(r *Record) { r.Target = to }) }
 	require.True(t, v.Put(list, []Record{ptr("B._e._tcp.Hall.test."), ptr("a._e._tcp.hall.test."), ptr("x.elsewhere.test."), ptr("b._e._tcp.hall.test.")}, 0, second))
 	require.False(t, v.Put(list, []Record{ptr("b._e._tcp.hall.test."), ptr("a._e._tcp.hall.test."), ptr("x.elsewhere.test."), ptr("b._e._tcp.hall.test.")}, 0, second))
@@ -130,14 +130,14 @@
 	srv := record(a, SRV, 120, func(r *Record) { r.Server = Target{Port: 1, Host: "h.test."} })
 	v.Put(Key{a, SRV}, []Record{srv}, 0, second)
 	v.Put(Key{a, TXT}, nil, 600, second)
-	require.Equal(t, second+int64(negativeMost), v.Get(a, TXT).Until, "that there is nothing is believed for 5 s at the most")
-	require.Equal(t, []Key{{a, SRV}, {a, TXT}, {"h.test.", A}}, v.Wants(a))
-	v.Fail(Key{"h.test.", A}, "SERVFAIL", 2*second)
+	require.Equal(t, second+int64(maxNegativeTTL), v.Get(a, TXT).ExpiresAt, "that there is nothing is believed for 5 s at the most")
+	require.Equal(t, []Key{{a, SRV}, {a, TXT}, {"h.test.", A}}, v.RequiredKeys(a))
+	v.RecordFailure(Key{"h.test.", A}, "SERVFAIL", 2*second)
 	in := v.Assemble(a, "a")
 	require.True(t, in.Pending)
 	require.ErrorContains(t, in.Fault, "A h.test.: SERVFAIL")
 	v.Put(Key{"h.test.", A}, nil, 1, second)
-	require.Contains(t, v.Wants(a), Key{"h.test.", AAAA})
+	require.Contains(t, v.RequiredKeys(a), Key{"h.test.", AAAA})
 	address := func(text string) Record {
 		return record("h.test.", AAAA, 30, func(r *Record) { r.IP = netip.MustParseAddr(text) })
 	}
@@ -152,23 +152,23 @@
 	require.True(t, v.Add(srv, 2*second))
 	require.False(t, v.Add(srv, 3*second))
 	require.True(t, v.Clear(a, 0, 3*second))
-	v.Stale(5 * second)
-	require.LessOrEqual(t, v.Get(list.Name, PTR).Due, 5*second)
-	v.Keep(map[Key]bool{list: true})
+	v.Invalidate(5 * second)
+	require.LessOrEqual(t, v.Get(list.Name, PTR).RefreshAt, 5*second)
+	v.Retain(map[Key]bool{list: true})
 	require.Equal(t, 1, v.Len())
 }
 
 // What a damper holds back comes again, within a time that is bounded however often a box went.
-func TestDamperIsBounded(t *testing.T) {
+func TestDamperHoldTimeIsBounded(t *testing.T) {
 	const minute = int64(time.Minute)
-	d := Damper{Half: minute, Most: 3}
+	d := Damper{HalfLife: minute, MaxFlaps: 3}
 	for range 1000 {
-		d.Removed("a", 0)
+		d.RecordWithdrawal("a", 0)
 	}
-	require.LessOrEqual(t, d.Until("a", 0), minute+2)
-	require.Equal(t, int64(5), d.Until("b", 5))
-	require.Equal(t, 2*minute, d.Until("a", 2*minute))
+	require.LessOrEqual(t, d.HeldUntil("a", 0), minute+2)
+	require.Equal(t, int64(5), d.HeldUntil("b", 5))
+	require.Equal(t, 2*minute, d.HeldUntil("a", 2*minute))
 	off := Damper{}
-	off.Removed("a", 0)
-	require.Equal(t, int64(7), off.Until("a", 7))
+	off.RecordWithdrawal("a", 0)
+	require.Equal(t, int64(7), off.HeldUntil("a", 7))
 }
--- a/internal/dnssd/record/names.go
+++ b/internal/dnssd/record/names.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const labelMost = 63 // bytes of a label (RFC 1035, 2.3.4)
+const maxLabelLength = 63 // bytes of a label (RFC 1035, 2.3.4)
 
 // SplitInstance takes a full instance name in presentation form apart: the instance's own label, unescaped, and the
 // service and domain behind it. Instance labels are UTF-8 of any kind, dots and spaces included (RFC 6763, 4.1.1).
@@ -20,15 +20,15 @@
 	for i := 0; i < len(full); i++ {
 		switch c := full[i]; c {
 		case '.':
-			if b.Len() == 0 || b.Len() > labelMost {
-				return "", "", fmt.Errorf("%q: the first label has %d bytes, not 1 to %d", full, b.Len(), labelMost)
+			if b.Len() == 0 || b.Len() > maxLabelLength {
+				return "", "", fmt.Errorf("%q: the first label has %d bytes, not 1 to %d", full, b.Len(), maxLabelLength)
 			}
 			if !utf8.ValidString(b.String()) {
 				return "", "", fmt.Errorf("%q: the first label is not UTF-8", full)
 			}
 			return b.String(), full[i+1:], nil
 		case '\\':
-			if i+3 < len(full) && digits(full[i+1:i+4]) {
+			if i+3 < len(full) && allDigits(full[i+1:i+4]) {
 				v := int(full[i+1]-'0')*100 + int(full[i+2]-'0')*10 + int(full[i+3]-'0')
 				if v > 255 {
 					return "", "", fmt.Errorf("%q: \\%s is no byte", full, full[i+1:i+4])
@@ -49,7 +49,7 @@
 	return "", "", fmt.Errorf("%q has nothing behind its first label", full)
 }
 
-func digits(s string) bool {
+func allDigits(s string) bool {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return false
@@ -60,8 +60,8 @@
 
 // JoinInstance is the presentation form of an instance's full name.
 func JoinInstance(label, behind string) (string, error) {
-	if label == "" || len(label) > labelMost || !utf8.ValidString(label) {
-		return "", fmt.Errorf("%q is no label: 1 to %d bytes of UTF-8", label, labelMost)
+	if label == "" || len(label) > maxLabelLength || !utf8.ValidString(label) {
+		return "", fmt.Errorf("%q is no label: 1 to %d bytes of UTF-8", label, maxLabelLength)
 	}
 	var b strings.Builder
 	for i := range len(label) {
@@ -83,13 +83,13 @@
 
 // Attribute is a key's value. Given tells "key=" from "key", which has none.
 type Attribute struct {
-	Value string
-	Given bool
+	Value    string
+	HasValue bool
 }
 
 const (
-	attributesMost = 64
-	keyMost        = 64 // bytes; nine are recommended
+	maxAttributes = 64
+	maxKeyLength  = 64 // bytes; nine are recommended
 )
 
 // ParseTXT reads the strings of TXT records (RFC 6763, 6.4): keys are printable ASCII without "=", in any case; the
@@ -102,7 +102,7 @@
 			continue
 		}
 		key = strings.ToLower(key)
-		if _, told := all[key]; told || len(all) == attributesMost {
+		if _, told := all[key]; told || len(all) == maxAttributes {
 			continue
 		}
 		all[key] = Attribute{value, given}
@@ -111,7 +111,7 @@
 }
 
 func validKey(key string) bool {
-	if key == "" || len(key) > keyMost {
+	if key == "" || len(key) > maxKeyLength {
 		return false
 	}
 	for i := range len(key) {
--- a/internal/dnssd/record/records.go
+++ b/internal/dnssd/record/records.go
@@ -29,22 +29,22 @@
 
 // Record is a resource record, decoded. Which fields are set depends on the kind.
 type Record struct {
-	Name   string // as Fold has it
-	Kind   Kind
-	TTL    uint32 // seconds
-	Flush  bool   // mDNS: the sender tells the whole set (RFC 6762, 10.2)
-	Target string // PTR: what it names, its letters as told
-	Server Target // SRV
-	Text   string // TXT: its strings in wire form, so that records can be compared
-	IP     netip.Addr
-	Serial uint32 // SOA
-	Least  uint32 // SOA: the negative TTL's bound (RFC 2308, 4)
+	Name        string // as Fold has it
+	Kind        Kind
+	TTL         uint32 // seconds
+	CacheFlush  bool   // mDNS: the sender tells the whole set (RFC 6762, 10.2)
+	Target      string // PTR: what it names, its letters as told
+	Server      Target // SRV
+	Text        string // TXT: its strings in wire form, so that records can be compared
+	IP          netip.Addr
+	Serial      uint32 // SOA
+	NegativeTTL uint32 // SOA: the negative TTL's bound (RFC 2308, 4)
 }
 
 // CanonicalName is the form in which names are compared: lower case, fully qualified, escapes written one way. A name that has
 // no wire form is "".
 func CanonicalName(name string) string {
-	if plain(name) {
+	if isPlainName(name) {
 		return strings.ToLower(dns.Fqdn(name))
 	}
 	var wire [256]byte
@@ -59,8 +59,8 @@
 	return strings.ToLower(one)
 }
 
-// plain tells that a name needs no second look: letters, digits, "-", "_" and dots, no empty label.
-func plain(name string) bool {
+// isPlainName tells that a name needs no second look: letters, digits, "-", "_" and dots, no empty label.
+func isPlainName(name string) bool {
 	if name == "" || len(name) > 200 || name[0] == '.' {
 		return false
 	}
@@ -73,7 +73,7 @@
 			}
 			label = 0
 		case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9', c == '-', c == '_':
-			if label++; label > labelMost {
+			if label++; label > maxLabelLength {
 				return false
 			}
 		default:
@@ -91,7 +91,7 @@
 // Decode reads a record; ok is false for kinds that mean nothing here.
 func Decode(rr dns.RR) (r Record, ok bool) {
 	h := rr.Header()
-	r = Record{Name: CanonicalName(h.Name), Kind: Kind(h.Rrtype), TTL: h.Ttl, Flush: h.Class&0x8000 != 0}
+	r = Record{Name: CanonicalName(h.Name), Kind: Kind(h.Rrtype), TTL: h.Ttl, CacheFlush: h.Class&0x8000 != 0}
 	if r.Name == "" || h.Class&0x7fff != dns.ClassINET {
 		return r, false
 	}
@@ -109,16 +109,16 @@
 		r.IP, ok = netip.AddrFromSlice(rr.AAAA.To16())
 		return r, ok
 	case *dns.SOA:
-		r.Serial, r.Least = rr.Serial, min(rr.Minttl, h.Ttl)
+		r.Serial, r.NegativeTTL = rr.Serial, min(rr.Minttl, h.Ttl)
 	default:
 		return r, false
 	}
 	return r, true
 }
 
-// same tells that two records say the same, their TTLs aside.
-func (r Record) same(o Record) bool {
-	r.TTL, r.Flush, o.TTL, o.Flush = 0, false, 0, false
+// equalIgnoringTTL tells that two records say the same, their TTLs aside.
+func (r Record) equalIgnoringTTL(o Record) bool {
+	r.TTL, r.CacheFlush, o.TTL, o.CacheFlush = 0, false, 0, false
 	if r.Kind == PTR && o.Kind == PTR {
 		r.Target, o.Target = CanonicalName(r.Target), CanonicalName(o.Target)
 	}
@@ -133,20 +133,20 @@
 
 // Set is what is known under a key.
 type Set struct {
-	Records []Record // none: there are none, as the server said (RFC 2308)
-	Heard   int64    // when, in nanoseconds
-	Until   int64    // the end of its time to live
-	Due     int64    // when it is to be asked for again
-	Failed  string   // the latest question's failure; "" where there was none
+	Records    []Record // none: there are none, as the server said (RFC 2308)
+	ReceivedAt int64    // when, in nanoseconds
+	ExpiresAt  int64    // the end of its time to live
+	RefreshAt  int64    // when it is to be asked for again
+	Failure    string   // the latest question's failure; "" where there was none
 }
 
 // Bounds of a View.
 const (
-	SetsMost    = 40_000 // keys, more are not taken
-	recordsMost = 8192   // in a set
-	// negativeMost bounds how long the lack of a record is believed, whatever the SOA says.
-	negativeMost = 5 * time.Second
-	longestTTL   = 24 * time.Hour
+	MaxSets          = 40_000 // keys, more are not taken
+	maxRecordsPerSet = 8192   // in a set
+	// maxNegativeTTL bounds how long the lack of a record is believed, whatever the SOA says.
+	maxNegativeTTL = 5 * time.Second
+	maxTTL         = 24 * time.Hour
 )
 
 // Cache is all that is known of a domain: a cache with the time each set lives.
@@ -161,8 +161,8 @@
 // Get is the set under a key, nil if it was never told.
 func (v *Cache) Get(name string, kind Kind) *Set { return v.sets[Key{name, kind}] }
 
-// All are the records under a key.
-func (v *Cache) All(name string, kind Kind) []Record {
+// Records are the records under a key.
+func (v *Cache) Records(name string, kind Kind) []Record {
 	if s := v.sets[Key{name, kind}]; s != nil {
 		return s.Records
 	}
@@ -174,25 +174,25 @@
 func (v *Cache) Put(k Key, records []Record, least uint32, now int64) bool {
 	s := v.sets[k]
 	if s == nil {
-		if len(v.sets) >= SetsMost {
+		if len(v.sets) >= MaxSets {
 			return false
 		}
 		s = &Set{}
 		v.sets[k] = s
 	}
-	live := longestTTL
+	live := maxTTL
 	if len(records) == 0 {
-		live = min(time.Duration(least)*time.Second, negativeMost)
+		live = min(time.Duration(least)*time.Second, maxNegativeTTL)
 	}
 	for _, r := range records {
 		live = min(live, time.Duration(r.TTL)*time.Second)
 	}
-	if len(records) > recordsMost {
-		records = records[:recordsMost]
+	if len(records) > maxRecordsPerSet {
+		records = records[:maxRecordsPerSet]
 	}
-	changed := s.Heard == 0 || !sameRecords(s.Records, records)
-	s.Records, s.Heard, s.Until, s.Failed = records, now, now+int64(live), ""
-	s.Due = s.Until
+	changed := s.ReceivedAt == 0 || !sameRecords(s.Records, records)
+	s.Records, s.ReceivedAt, s.ExpiresAt, s.Failure = records, now, now+int64(live), ""
+	s.RefreshAt = s.ExpiresAt
 	return changed
 }
 
@@ -213,24 +213,24 @@
 		return true
 	}
 	for _, r := range a {
-		if !slices.ContainsFunc(b, r.same) {
+		if !slices.ContainsFunc(b, r.equalIgnoringTTL) {
 			return false
 		}
 	}
 	return true
 }
 
-// Fail notes that a question was not answered. What was known stays.
-func (v *Cache) Fail(k Key, why string, again int64) {
+// RecordFailure notes that a question was not answered. What was known stays.
+func (v *Cache) RecordFailure(k Key, why string, again int64) {
 	s := v.sets[k]
 	if s == nil {
-		if len(v.sets) >= SetsMost {
+		if len(v.sets) >= MaxSets {
 			return
 		}
 		s = &Set{}
 		v.sets[k] = s
 	}
-	s.Failed, s.Due = why, again
+	s.Failure, s.RefreshAt = why, again
 }
 
 // Add takes in one record, as push and mDNS tell them, and tells whether it is news.
@@ -238,25 +238,25 @@
 	k := Key{r.Name, r.Kind}
 	s := v.sets[k]
 	if s == nil {
-		if len(v.sets) >= SetsMost {
+		if len(v.sets) >= MaxSets {
 			return false
 		}
 		s = &Set{}
 		v.sets[k] = s
 	}
-	until := now + int64(min(time.Duration(r.TTL)*time.Second, longestTTL))
+	until := now + int64(min(time.Duration(r.TTL)*time.Second, maxTTL))
 	for i, old := range s.Records {
-		if old.same(r) {
+		if old.equalIgnoringTTL(r) {
 			s.Records[i].TTL = r.TTL
-			s.Heard, s.Until, s.Failed = now, until, ""
+			s.ReceivedAt, s.ExpiresAt, s.Failure = now, until, ""
 			return false
 		}
 	}
-	if len(s.Records) >= recordsMost {
+	if len(s.Records) >= maxRecordsPerSet {
 		return false
 	}
 	s.Records = append(slices.Clone(s.Records), r)
-	s.Heard, s.Until, s.Failed = now, until, ""
+	s.ReceivedAt, s.ExpiresAt, s.Failure = now, until, ""
 	return true
 }
 
@@ -266,9 +266,9 @@
 	if s == nil {
 		return false
 	}
-	kept := slices.DeleteFunc(slices.Clone(s.Records), r.same)
+	kept := slices.DeleteFunc(slices.Clone(s.Records), r.equalIgnoringTTL)
 	gone := len(kept) < len(s.Records)
-	s.Records, s.Heard = kept, now
+	s.Records, s.ReceivedAt = kept, now
 	return gone
 }
 
@@ -278,30 +278,30 @@
 	for _, k := range []Kind{PTR, SRV, TXT, A, AAAA} {
 		if s := v.sets[Key{name, k}]; s != nil && (kind == 0 || kind == k) {
 			gone = gone || len(s.Records) > 0
-			s.Records, s.Heard = nil, now
+			s.Records, s.ReceivedAt = nil, now
 		}
 	}
 	return gone
 }
 
-// Stale marks every set as due now: the zone has changed.
-func (v *Cache) Stale(now int64) {
+// Invalidate marks every set as due now: the zone has changed.
+func (v *Cache) Invalidate(now int64) {
 	for _, s := range v.sets {
-		s.Due = min(s.Due, now)
+		s.RefreshAt = min(s.RefreshAt, now)
 	}
 }
 
-// NextDue is when the first of all sets is to be asked for again.
-func (v *Cache) NextDue() int64 {
+// NextRefresh is when the first of all sets is to be asked for again.
+func (v *Cache) NextRefresh() int64 {
 	next := int64(math.MaxInt64)
 	for _, s := range v.sets {
-		next = min(next, s.Due)
+		next = min(next, s.RefreshAt)
 	}
 	return next
 }
 
-// Keep forgets the sets that are not among those wanted.
-func (v *Cache) Keep(wanted map[Key]bool) {
+// Retain forgets the sets that are not among those wanted.
+func (v *Cache) Retain(wanted map[Key]bool) {
 	for k := range v.sets {
 		if !wanted[k] {
 			delete(v.sets, k)
@@ -316,22 +316,22 @@
 	Domain  string
 }
 
-// Base is the folded name that instances hang under.
-func (s Service) Base() string { return CanonicalName(s.Type + "." + s.Domain) }
+// BaseName is the folded name that instances hang under.
+func (s Service) BaseName() string { return CanonicalName(s.Type + "." + s.Domain) }
 
-// List is the folded name whose PTR records list the instances (RFC 6763, 4 and 7.1).
-func (s Service) List() string {
+// ListName is the folded name whose PTR records list the instances (RFC 6763, 4 and 7.1).
+func (s Service) ListName() string {
 	if s.Subtype != "" {
 		return CanonicalName(s.Subtype + "._sub." + s.Type + "." + s.Domain)
 	}
-	return s.Base()
+	return s.BaseName()
 }
 
-// Enumeration is the name whose PTR records list a domain's service types (RFC 6763, 9).
-func Enumeration(domain string) string { return CanonicalName("_services._dns-sd._udp." + domain) }
+// EnumerationName is the name whose PTR records list a domain's service types (RFC 6763, 9).
+func EnumerationName(domain string) string { return CanonicalName("_services._dns-sd._udp." + domain) }
 
-// InstancesMost bounds the instances of one service.
-const InstancesMost = 4096
+// MaxInstances bounds the instances of one service.
+const MaxInstances = 4096
 
 // Instance is one instance of a service, put together from its records.
 type Instance struct {
@@ -340,7 +340,7 @@
 	Address    netip.AddrPort
 	Attributes Attributes
 	TTL        uint32 // seconds: the shortest of its records
-	Until      int64  // the earliest end of its records' time, nanoseconds
+	ExpiresAt  int64  // the earliest end of its records' time, nanoseconds
 	Pending    bool   // some of its records are not told yet, or not answered for now
 	Fault      error  // what is wrong with its records
 }
@@ -348,13 +348,13 @@
 // Instances are the folded names that are listed now, with their labels, in order; the rest are passed over because
 // they are no names of the service, or too many.
 func (v *Cache) Instances(s Service) (names []string, over int) {
-	base := s.Base()
+	base := s.BaseName()
 	seen := map[string]bool{}
-	for _, r := range v.All(s.List(), PTR) {
+	for _, r := range v.Records(s.ListName(), PTR) {
 		name := CanonicalName(r.Target)
 		switch {
 		case name == base || !Within(name, base) || seen[name]:
-		case len(names) == InstancesMost:
+		case len(names) == MaxInstances:
 			over++
 		default:
 			seen[name] = true
@@ -365,16 +365,16 @@
 	return names, over
 }
 
-// Wants are the keys that a listed instance needs, as far as they are known by now: its SRV and TXT, and the addresses
+// RequiredKeys are the keys that a listed instance needs, as far as they are known by now: its SRV and TXT, and the addresses
 // of the target that its SRV records give. AAAA is wanted only where there is no A.
-func (v *Cache) Wants(instance string) []Key {
+func (v *Cache) RequiredKeys(instance string) []Key {
 	keys := []Key{{instance, SRV}, {instance, TXT}}
 	target, err := v.target(instance)
 	if err != nil {
 		return keys
 	}
 	keys = append(keys, Key{target.Host, A})
-	if s := v.Get(target.Host, A); s != nil && s.Heard != 0 && len(s.Records) == 0 {
+	if s := v.Get(target.Host, A); s != nil && s.ReceivedAt != 0 && len(s.Records) == 0 {
 		keys = append(keys, Key{target.Host, AAAA})
 	}
 	return keys
@@ -382,7 +382,7 @@
 
 func (v *Cache) target(instance string) (Target, error) {
 	var all []Target
-	for _, r := range v.All(instance, SRV) {
+	for _, r := range v.Records(instance, SRV) {
 		all = append(all, r.Server)
 	}
 	return Choose(all, draw(instance))
@@ -390,14 +390,14 @@
 
 // Assemble puts an instance together from what is known.
 func (v *Cache) Assemble(name, label string) Instance {
-	in := Instance{Name: name, Label: label, TTL: math.MaxUint32, Until: math.MaxInt64}
+	in := Instance{Name: name, Label: label, TTL: math.MaxUint32, ExpiresAt: math.MaxInt64}
 	known := func(host string, kind Kind) bool {
 		s := v.Get(host, kind)
-		if s == nil || s.Heard == 0 {
+		if s == nil || s.ReceivedAt == 0 {
 			in.Pending = true
 			return false
 		}
-		in.Until = min(in.Until, s.Until)
+		in.ExpiresAt = min(in.ExpiresAt, s.ExpiresAt)
 		for _, r := range s.Records {
 			in.TTL = min(in.TTL, r.TTL)
 		}
@@ -419,10 +419,10 @@
 		return in
 	}
 	var ip netip.Addr
-	if known(target.Host, A) && len(v.All(target.Host, A)) > 0 {
-		ip = first(v.All(target.Host, A))
-	} else if in.Pending = false; known(target.Host, AAAA) && len(v.All(target.Host, AAAA)) > 0 {
-		ip = first(v.All(target.Host, AAAA))
+	if known(target.Host, A) && len(v.Records(target.Host, A)) > 0 {
+		ip = lowestAddress(v.Records(target.Host, A))
+	} else if in.Pending = false; known(target.Host, AAAA) && len(v.Records(target.Host, AAAA)) > 0 {
+		ip = lowestAddress(v.Records(target.Host, AAAA))
 	}
 	if !ip.IsValid() {
 		if in.Fault = fmt.Errorf("no address of %s", target.Host); in.Pending {
@@ -435,23 +435,23 @@
 	in.Pending = false
 	in.Address = netip.AddrPortFrom(ip, target.Port)
 	var texts []string
-	for _, r := range v.All(name, TXT) {
+	for _, r := range v.Records(name, TXT) {
 		texts = append(texts, strings.Split(r.Text, "\x00")...)
 	}
 	in.Attributes = ParseTXT(texts)
 	return in
 }
 
-// first is the lowest address, so that all nodes take the same.
-func first(records []Record) netip.Addr {
+// lowestAddress is the lowest address, so that all nodes take the same.
+func lowestAddress(records []Record) netip.Addr {
 	return slices.MinFunc(records, func(a, b Record) int { return a.IP.Compare(b.IP) }).IP
 }
 
 // failure is why what is wanted at a name is not there.
 func (v *Cache) failure(name string) error {
 	for _, k := range []Kind{SRV, TXT, A, AAAA} {
-		if s := v.Get(name, k); s != nil && s.Failed != "" {
-			return fmt.Errorf("%s %s: %s", k, name, s.Failed)
+		if s := v.Get(name, k); s != nil && s.Failure != "" {
+			return fmt.Errorf("%s %s: %s", k, name, s.Failure)
 		}
 	}
 	return fmt.Errorf("not all records of %s are told yet", name)
--- a/internal/dnssd/resolver/fuzz_test.go
+++ b/internal/dnssd/resolver/fuzz_test.go
@@ -37,10 +37,10 @@
 		if m.Unpack(raw) != nil {
 			return
 		}
-		a := client.read(m, service.List(), record.PTR)
+		a := client.parseAnswer(m, service.ListName(), record.PTR)
 		v := record.NewCache()
-		v.Put(record.Key{Name: service.List(), Kind: record.PTR}, a.Records, a.Least, 1)
-		for _, r := range a.Extra {
+		v.Put(record.Key{Name: service.ListName(), Kind: record.PTR}, a.Records, a.NegativeTTL, 1)
+		for _, r := range a.Additional {
 			if !record.Within(r.Name, "test.") {
 				t.Fatalf("%q is none of the domain's", r.Name)
 			}
--- a/internal/dnssd/resolver/lookup.go
+++ b/internal/dnssd/resolver/lookup.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	allTime = 2 * time.Second // for one answer, all tries together
+	queryTimeout = 2 * time.Second // for one answer, all tries together
 	// The wait before a question is repeated: at first, and then as answers take (RFC 6298, 2).
-	firstTry = 100 * time.Millisecond
-	tryLeast = 25 * time.Millisecond
-	tryMost  = 250 * time.Millisecond
-	// packetMost is what an answer by UDP may have (EDNS(0)).
-	packetMost = 1232
-	restMost   = 500 * time.Millisecond
+	initialRetryTimeout = 100 * time.Millisecond
+	minRetryTimeout     = 25 * time.Millisecond
+	maxRetryTimeout     = 250 * time.Millisecond
+	// maxUDPSize is what an answer by UDP may have (EDNS(0)).
+	maxUDPSize       = 1232
+	maxRetryInterval = 500 * time.Millisecond
 )
 
 // Client asks one server. It is safe for concurrent use.
@@ -34,77 +34,77 @@
 	// Extra records of an answer are taken where their names are within it; "" takes none.
 	Domain string
 
-	Asked, Again, Failed, Spoofed atomic.Int64 // questions; repeated ones; without an answer; answers to other questions
+	Queries, Retries, Failures, RejectedAnswers atomic.Int64 // questions; repeated ones; without an answer; answers to other questions
 
-	mu             sync.Mutex
-	smooth, spread time.Duration // of what answers take; 0: none yet
+	mu                       sync.Mutex
+	smoothedRTT, rttVariance time.Duration // of what answers take; 0: none yet
 }
 
-// took notes how long an answer to a first try took; those to repeated questions tell nothing (Karn).
-func (c *Client) took(d time.Duration) {
+// observeRTT notes how long an answer to a first try took; those to repeated questions tell nothing (Karn).
+func (c *Client) observeRTT(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.smooth == 0 {
-		c.smooth, c.spread = d, d/2
+	if c.smoothedRTT == 0 {
+		c.smoothedRTT, c.rttVariance = d, d/2
 		return
 	}
-	c.spread = (3*c.spread + (c.smooth - d).Abs()) / 4
-	c.smooth = (7*c.smooth + d) / 8
+	c.rttVariance = (3*c.rttVariance + (c.smoothedRTT - d).Abs()) / 4
+	c.smoothedRTT = (7*c.smoothedRTT + d) / 8
 }
 
-// patience is how long the first try waits.
-func (c *Client) patience() time.Duration {
+// retryTimeout is how long the first try waits.
+func (c *Client) retryTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.smooth == 0 {
-		return firstTry
+	if c.smoothedRTT == 0 {
+		return initialRetryTimeout
 	}
-	return min(tryMost, max(tryLeast, c.smooth+4*c.spread))
+	return min(maxRetryTimeout, max(minRetryTimeout, c.smoothedRTT+4*c.rttVariance))
 }
 
 // Answer is what the server said.
 type Answer struct {
 	Records       []record.Record // of the name and kind that were asked for
-	Extra         []record.Record // others that it told along, all within the domain
-	Least         uint32          // seconds for which the lack of records may be believed (RFC 2308, 5)
+	Additional    []record.Record // others that it told along, all within the domain
+	NegativeTTL   uint32          // seconds for which the lack of records may be believed (RFC 2308, 5)
 	Authoritative bool
-	NoName        bool // NXDOMAIN
+	NameError     bool // NXDOMAIN
 }
 
-// ErrNotWhole says that an answer did not fit, not even over TCP.
-var ErrNotWhole = errors.New("the answer does not fit over TCP either; use sub-types, or push")
+// ErrTruncated says that an answer did not fit, not even over TCP.
+var ErrTruncated = errors.New("the answer does not fit over TCP either; use sub-types, or push")
 
-// Ask asks once, again after a while where no answer comes, with jitter. The case of the name's letters is drawn anew
+// Query asks once, again after a while where no answer comes, with jitter. The case of the name's letters is drawn anew
 // each time and must come back, as the id must (0x20 encoding): a guess at both is no answer, and the wait goes on.
-func (c *Client) Ask(ctx context.Context, name string, kind record.Kind) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, allTime)
+func (c *Client) Query(ctx context.Context, name string, kind record.Kind) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	last := errors.New("no answer")
-	wait := c.patience()
-	for try := 0; ctx.Err() == nil; try, wait = try+1, min(2*wait, restMost) {
-		c.Asked.Add(1)
+	wait := c.retryTimeout()
+	for try := 0; ctx.Err() == nil; try, wait = try+1, min(2*wait, maxRetryInterval) {
+		c.Queries.Add(1)
 		if try > 0 {
-			c.Again.Add(1)
+			c.Retries.Add(1)
 		}
 		spell := wait*3/4 + rand.N(wait/2)
 		began := time.Now()
-		answer, err := c.once(ctx, name, kind, spell)
+		answer, err := c.queryOnce(ctx, name, kind, spell)
 		if err == nil && try == 0 {
-			c.took(time.Since(began))
+			c.observeRTT(time.Since(began))
 		}
 		if err == nil {
 			switch answer.Rcode {
 			case dns.RcodeSuccess, dns.RcodeNameError:
-				return c.read(answer, name, kind), nil
+				return c.parseAnswer(answer, name, kind), nil
 			}
 			err = fmt.Errorf("%s", dns.RcodeToString[answer.Rcode])
 			if answer.Rcode == dns.RcodeRefused || answer.Rcode == dns.RcodeNotImplemented {
-				c.Failed.Add(1)
+				c.Failures.Add(1)
 				return Answer{}, fmt.Errorf("%s %s: %w", kind, name, err)
 			}
 		}
-		if errors.Is(err, ErrNotWhole) {
-			c.Failed.Add(1)
+		if errors.Is(err, ErrTruncated) {
+			c.Failures.Add(1)
 			return Answer{}, fmt.Errorf("%s %s: %w", kind, name, err)
 		}
 		last = err
@@ -115,54 +115,54 @@
 		}
 		timer.Stop()
 	}
-	c.Failed.Add(1)
+	c.Failures.Add(1)
 	if errors.Is(last, context.Canceled) || errors.Is(ctx.Err(), context.Canceled) {
 		return Answer{}, context.Canceled
 	}
 	return Answer{}, fmt.Errorf("%s %s: %w", kind, name, last)
 }
 
-// Together asks for the zone's serial and for one set from one socket, so that both answers are of one server though
+// QueryWithSerial asks for the zone's serial and for one set from one socket, so that both answers are of one server though
 // several share its address. serial is nil where the server tells none.
-func (c *Client) Together(ctx context.Context, zone, name string, kind record.Kind) (serial *uint32, a Answer, err error) {
-	within, cancel := context.WithTimeout(ctx, allTime)
+func (c *Client) QueryWithSerial(ctx context.Context, zone, name string, kind record.Kind) (serial *uint32, a Answer, err error) {
+	within, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(within, "udp", c.Server)
 	if err != nil {
 		return nil, a, err
 	}
 	defer conn.Close()
-	soa, err := c.over(within, conn, zone, record.SOA)
+	soa, err := c.queryConn(within, conn, zone, record.SOA)
 	if err != nil {
 		return nil, a, err
 	}
-	list, err := c.over(within, conn, name, kind)
+	list, err := c.queryConn(within, conn, name, kind)
 	if err != nil {
 		return nil, a, err
 	}
-	for _, r := range c.read(soa, zone, record.SOA).Records {
+	for _, r := range c.parseAnswer(soa, zone, record.SOA).Records {
 		if soa.Authoritative {
 			serial = &r.Serial
 		}
 	}
 	if list.Truncated || list.Rcode != dns.RcodeSuccess && list.Rcode != dns.RcodeNameError {
-		a, err = c.Ask(ctx, name, kind) // over TCP, or with its own words for the failure
+		a, err = c.Query(ctx, name, kind) // over TCP, or with its own words for the failure
 		return serial, a, err
 	}
-	return serial, c.read(list, name, kind), nil
+	return serial, c.parseAnswer(list, name, kind), nil
 }
 
-// over asks one question over a socket, again and again until it is answered or ctx ends.
-func (c *Client) over(ctx context.Context, conn net.Conn, name string, kind record.Kind) (answer *dns.Msg, err error) {
-	wait := c.patience()
-	for try := 0; ctx.Err() == nil; try, wait = try+1, min(2*wait, restMost) {
-		c.Asked.Add(1)
+// queryConn asks one question over a socket, again and again until it is answered or ctx ends.
+func (c *Client) queryConn(ctx context.Context, conn net.Conn, name string, kind record.Kind) (answer *dns.Msg, err error) {
+	wait := c.retryTimeout()
+	for try := 0; ctx.Err() == nil; try, wait = try+1, min(2*wait, maxRetryInterval) {
+		c.Queries.Add(1)
 		if try > 0 {
-			c.Again.Add(1)
+			c.Retries.Add(1)
 		}
 		began := time.Now()
 		one, cancel := context.WithTimeout(ctx, wait)
-		answer, err = c.exchange(one, conn, question(name, kind))
+		answer, err = c.exchange(one, conn, newQuestion(name, kind))
 		cancel()
 		if err == nil {
 			return answer, nil
@@ -174,21 +174,21 @@
 		}
 		timer.Stop()
 	}
-	c.Failed.Add(1)
+	c.Failures.Add(1)
 	return nil, fmt.Errorf("%s %s: %w", kind, name, errors.Join(err, ctx.Err()))
 }
 
-func question(name string, kind record.Kind) *dns.Msg {
+func newQuestion(name string, kind record.Kind) *dns.Msg {
 	q := new(dns.Msg).SetQuestion(mixCase(name), uint16(kind))
 	q.RecursionDesired = false
-	q.SetEdns0(packetMost, false)
+	q.SetEdns0(maxUDPSize, false)
 	return q
 }
 
-func (c *Client) once(ctx context.Context, name string, kind record.Kind, wait time.Duration) (*dns.Msg, error) {
+func (c *Client) queryOnce(ctx context.Context, name string, kind record.Kind, wait time.Duration) (*dns.Msg, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	q := question(name, kind)
+	q := newQuestion(name, kind)
 	conn, err := (&net.Dialer{}).DialContext(ctx, "udp", c.Server) // connected: datagrams of other sources are dropped
 	if err != nil {
 		return nil, err
@@ -199,16 +199,16 @@
 		return answer, err
 	}
 	// Over TCP the time is the whole question's: what it takes to send is not known before.
-	long, stop := context.WithTimeout(context.WithoutCancel(ctx), allTime/2)
+	long, stop := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout/2)
 	defer stop()
-	answer, _, err = (&dns.Client{Net: "tcp", Timeout: allTime / 2}).ExchangeContext(long, q, c.Server)
+	answer, _, err = (&dns.Client{Net: "tcp", Timeout: queryTimeout / 2}).ExchangeContext(long, q, c.Server)
 	switch {
 	case err != nil:
 		return nil, err
-	case !matches(answer, q):
+	case !answersQuestion(answer, q):
 		return nil, errors.New("an answer to another question over TCP")
 	case answer.Truncated:
-		return nil, ErrNotWhole
+		return nil, ErrTruncated
 	}
 	return answer, nil
 }
@@ -233,23 +233,23 @@
 			return nil, err
 		}
 		answer := new(dns.Msg)
-		if err := answer.Unpack(buffer[:n]); err != nil && !answer.Truncated || !matches(answer, q) {
-			c.Spoofed.Add(1)
+		if err := answer.Unpack(buffer[:n]); err != nil && !answer.Truncated || !answersQuestion(answer, q) {
+			c.RejectedAnswers.Add(1)
 			continue
 		}
 		return answer, nil
 	}
 }
 
-// matches tells that an answer is to the question: id, name to the letter, kind and class.
-func matches(answer, q *dns.Msg) bool {
+// answersQuestion tells that an answer is to the question: id, name to the letter, kind and class.
+func answersQuestion(answer, q *dns.Msg) bool {
 	return answer.Response && answer.Id == q.Id && answer.Opcode == dns.OpcodeQuery && len(answer.Question) == 1 &&
 		answer.Question[0].Qtype == q.Question[0].Qtype && answer.Question[0].Qclass == q.Question[0].Qclass &&
 		sameName(answer.Question[0].Name, q.Question[0].Name)
 }
 
-func (c *Client) read(m *dns.Msg, name string, kind record.Kind) Answer {
-	a := Answer{Authoritative: m.Authoritative, NoName: m.Rcode == dns.RcodeNameError}
+func (c *Client) parseAnswer(m *dns.Msg, name string, kind record.Kind) Answer {
+	a := Answer{Authoritative: m.Authoritative, NameError: m.Rcode == dns.RcodeNameError}
 	own, domain := record.CanonicalName(name), record.CanonicalName(c.Domain)
 	take := func(rr dns.RR, extra bool) {
 		switch r, ok := record.Decode(rr); {
@@ -259,7 +259,7 @@
 				a.Records = append(a.Records, r)
 			}
 		case c.Domain != "" && record.Within(r.Name, domain) && r.Kind != record.SOA:
-			a.Extra = append(a.Extra, r)
+			a.Additional = append(a.Additional, r)
 		}
 	}
 	for _, rr := range m.Answer {
@@ -270,7 +270,7 @@
 	}
 	for _, rr := range m.Ns {
 		if r, ok := record.Decode(rr); ok && r.Kind == record.SOA && record.Within(own, r.Name) {
-			a.Least = r.Least
+			a.NegativeTTL = r.NegativeTTL
 		}
 	}
 	return a
--- a/internal/dnssd/resolver/lookup_test.go
+++ b/internal/dnssd/resolver/lookup_test.go
@@ -44,10 +44,10 @@
 	}()
 	c := &Client{Server: server.LocalAddr().String(), Domain: "hall.test"}
 	for range 20 {
-		a, err := c.Ask(t.Context(), "box.hall.test.", record.A)
+		a, err := c.Query(t.Context(), "box.hall.test.", record.A)
 		require.NoError(t, err)
 		require.Len(t, a.Records, 1)
 		require.Equal(t, "127.0.0.7", a.Records[0].IP.String())
 	}
-	require.GreaterOrEqual(t, c.Spoofed.Load(), int64(20))
+	require.GreaterOrEqual(t, c.RejectedAnswers.Load(), int64(20))
 }
--- a/internal/endpoints/browser.go
+++ b/internal/endpoints/browser.go
@@ -99,7 +99,7 @@
 	b.snapshots = make(chan browser.Snapshot, 1)
 	b.unpublished = true
 	b.observed = map[string]observedInstance{}
-	b.FinderOptions.Tell = func(snapshot browser.Snapshot) {
+	b.FinderOptions.Publish = func(snapshot browser.Snapshot) {
 		select { // the latest replaces one that is not evaluated yet
 		case <-b.snapshots:
 		default:
@@ -120,9 +120,9 @@
 // evaluate handles a snapshot, and notifies if the list has changed. It returns after how long the same snapshot is
 // to be evaluated again, since the guard or the damper may let something through then; 0 if not at all.
 func (b *Browser) evaluate(snapshot browser.Snapshot, now time.Time) (recheckAfter time.Duration) {
-	if snapshot.Over > 0 && b.FinderOptions.Log != nil {
+	if snapshot.Omitted > 0 && b.FinderOptions.Log != nil {
 		b.Log.Warn("instances beyond the maximum ignored",
-			zap.Int("ignored", snapshot.Over), zap.Int("maximum", record.InstancesMost))
+			zap.Int("ignored", snapshot.Omitted), zap.Int("maximum", record.MaxInstances))
 	}
 	if b.guardHolds(snapshot, now) {
 		return guardRecheckInterval
@@ -134,7 +134,7 @@
 	b.faults = next.faults
 	b.listed = next.listed
 	b.serial = snapshot.Serial
-	b.confirmedAt = snapshot.At
+	b.confirmedAt = snapshot.ObservedAt
 	b.publish()
 	if next.dampedBefore < math.MaxInt64 {
 		return time.Duration(next.dampedBefore-clock.Of(now)) + time.Millisecond
@@ -171,7 +171,7 @@
 		}
 		endpoint, err := b.endpoint(instance, now)
 		if err == nil && !used && !b.unpublished {
-			if until := b.Damper.Until(instance.Name, clock.Of(now)); until > clock.Of(now) {
+			if until := b.Damper.HeldUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
 				next.dampedBefore = min(next.dampedBefore, until)
 				err = &dampedError{until: until}
 			}
@@ -202,8 +202,8 @@
 func (b *Browser) recordRemovals(next map[string]node.Endpoint, now time.Time) {
 	for name := range b.endpoints {
 		if _, used := next[name]; !used {
-			b.Damper.Removed(name, clock.Of(now))
-			b.FinderOptions.Metrics.Removed(now.Sub(b.confirmedAt))
+			b.Damper.RecordWithdrawal(name, clock.Of(now))
+			b.FinderOptions.Metrics.ObserveWithdrawal(now.Sub(b.confirmedAt))
 		}
 	}
 }
@@ -221,16 +221,16 @@
 		}
 		origin.ChangedAt = b.changedAt[instance.Name]
 		if origin.ChangedAt.IsZero() || !unchanged {
-			origin.ChangedAt = snapshot.At
+			origin.ChangedAt = snapshot.ObservedAt
 		}
 		changedAt[instance.Name] = origin.ChangedAt
 		origin.Instance = instance.Name
 		origin.Server = b.FinderOptions.Server
-		origin.Mechanism = string(snapshot.Way)
-		origin.CheckedAt = snapshot.At
-		if !instance.Pending && instance.Until < math.MaxInt64 {
+		origin.Mechanism = string(snapshot.Mechanism)
+		origin.CheckedAt = snapshot.ObservedAt
+		if !instance.Pending && instance.ExpiresAt < math.MaxInt64 {
 			origin.TTL = instance.TTL
-			origin.ExpiresAt = clock.Time(instance.Until)
+			origin.ExpiresAt = clock.Time(instance.ExpiresAt)
 		}
 		all = append(all, origin)
 	}
--- a/internal/endpoints/browser_test.go
+++ b/internal/endpoints/browser_test.go
@@ -32,8 +32,8 @@
 
 func newStage() *stage {
 	s := &stage{now: time.Unix(1_800_000_000, 0)}
-	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: record.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
-		Damper: record.Damper{Half: int64(time.Minute), Most: 3}, Notify: nil, unpublished: true, observed: map[string]observedInstance{}}
+	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: record.Guard{MaxLossFraction: 0.5, HoldTime: int64(10 * time.Second)},
+		Damper: record.Damper{HalfLife: int64(time.Minute), MaxFlaps: 3}, Notify: nil, unpublished: true, observed: map[string]observedInstance{}}
 	s.Browser.Notify = func(l node.EndpointList) { s.news = append(s.news, l) }
 	return s
 }
@@ -44,7 +44,7 @@
 }
 
 func (s *stage) see(serial uint32, all ...record.Instance) time.Duration {
-	sight := browser.Snapshot{Instances: all, At: s.now, Way: browser.Poll}
+	sight := browser.Snapshot{Instances: all, ObservedAt: s.now, Mechanism: browser.Poll}
 	if serial != 0 {
 		sight.Serial = &serial
 	}
@@ -178,7 +178,7 @@
 func TestBrowserNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStage()
-		s.Guard.Part = 1
+		s.Guard.MaxLossFraction = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
 			var all []record.Instance
@@ -224,8 +224,8 @@
 
 func browse(server, domain, site string) *Browser {
 	return &Browser{Key: "_engine._tcp." + domain, Config: server + site, Suffix: "@" + domain, Site: site, Names: names, Log: zap.NewNop(),
-		Guard: record.Guard{Part: 0.5, Hold: int64(time.Hour)}, FinderOptions: browser.Options{Server: server, Way: browser.Poll, Log: zap.NewNop(),
-			Every: 50 * time.Millisecond, Refresh: time.Second, Service: record.Service{Type: "_engine._tcp", Domain: domain}}}
+		Guard: record.Guard{MaxLossFraction: 0.5, HoldTime: int64(time.Hour)}, FinderOptions: browser.Options{Server: server, Mechanism: browser.Poll, Log: zap.NewNop(),
+			PollInterval: 50 * time.Millisecond, RefreshInterval: time.Second, Service: record.Service{Type: "_engine._tcp", Domain: domain}}}
 }
 
 func told(l node.EndpointList) (all []string) {
--- a/internal/endpoints/observedstart.go
+++ b/internal/endpoints/observedstart.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxObserved bounds the instances whose first and last appearance is remembered.
-	maxObserved = 2 * record.InstancesMost
+	maxObserved = 2 * record.MaxInstances
 	// maxAbsence is how long an instance that publishes no start may be missing and still count as the process that it
 	// was: longer than a lost message, shorter than a backend takes to start.
 	maxAbsence = 2 * time.Second
--- a/internal/lab/responder/zone.go
+++ b/internal/lab/responder/zone.go
@@ -180,7 +180,7 @@
 		}
 		if !remove && !services[b.Service] { // RFC 6763, 9
 			services[b.Service] = true
-			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: record.Enumeration(z.Domain), Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60},
+			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: record.EnumerationName(z.Domain), Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60},
 				Ptr: dns.Fqdn(b.Service + "." + z.Domain)}, false})
 		}
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -64,7 +64,7 @@
 func (a *Actor) Run(ctx context.Context) {
 	count := Count{Hold: int64(a.Hold), Least: a.Least}
 	sights := make(chan browser.Snapshot, 1)
-	a.Find.Tell = func(s browser.Snapshot) {
+	a.Find.Publish = func(s browser.Snapshot) {
 		select {
 		case <-sights:
 		default:
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -77,8 +77,8 @@
 	ended := make(chan struct{}, 3)
 	for _, name := range []string{"Node 1.a", "node-2", "node-3"} {
 		a := New(Options{Name: name, Address: "127.0.0.1:8443", Publish: true, Lease: 2 * time.Second, Hold: 100 * time.Millisecond,
-			Changed: func(int) {}, Log: zap.NewNop(), Find: browser.Options{Server: s.Address, Way: browser.Poll, Log: zap.NewNop(),
-				Every: 50 * time.Millisecond, Refresh: time.Second, Service: record.Service{Type: "_standpoint._tcp", Domain: "hall.test"}}})
+			Changed: func(int) {}, Log: zap.NewNop(), Find: browser.Options{Server: s.Address, Mechanism: browser.Poll, Log: zap.NewNop(),
+				PollInterval: 50 * time.Millisecond, RefreshInterval: time.Second, Service: record.Service{Type: "_standpoint._tcp", Domain: "hall.test"}}})
 		ctx, cancel := context.WithCancel(t.Context())
 		actors, stops = append(actors, a), append(stops, cancel)
 		go func() { a.Run(ctx); ended <- struct{}{} }()
