--- a/internal/dnssd/record/dnssd_test.go
+++ b/internal/dnssd/record/record_test.go
@@ -23,10 +23,10 @@
 		`\208\145\208\186._engine._tcp.hall-a.test.`: "Бк",
 		`a\\b._engine._tcp.hall-a.test.`:             `a\b`,
 	} {
-		got, behind, err := SplitInstance(full)
+		got, rest, err := SplitInstance(full)
 		require.NoError(t, err)
 		require.Equal(t, label, got)
-		require.Equal(t, "_engine._tcp.hall-a.test.", behind)
+		require.Equal(t, "_engine._tcp.hall-a.test.", rest)
 	}
 	for _, full := range []string{"", "box", `box\`, `\999.x.`, `.x.`, `\255\254.x.`} {
 		_, _, err := SplitInstance(full)
@@ -52,7 +52,11 @@
 
 func TestParseTXTKeepsFirstValueOfEachKey(t *testing.T) {
 	all := ParseTXT([]string{"Site=hall-a", "site=hall-b", "SITE", "empty=", "bare", "=x", "", "v=a=b", "bad\x07=1"})
-	require.Equal(t, Attributes{"site": {"hall-a", true}, "empty": {"", true}, "bare": {"", false}, "v": {"a=b", true}}, all)
+	require.Equal(
+		t,
+		Attributes{"site": {"hall-a", true}, "empty": {"", true}, "bare": {"", false}, "v": {"a=b", true}},
+		all,
+	)
 	var many []string
 	for i := range 1000 {
 		many = append(many, fmt.Sprintf("k%d=1", i))
@@ -80,7 +84,7 @@
 	require.ErrorContains(t, err, "no port")
 }
 
-// One box that goes is believed at once; most of them at once only when that stays so, or the zone was changed.
+// The loss of one instance is accepted at once; that of most only when it lasts, or the zone was changed.
 func TestGuardHoldsLargeLosses(t *testing.T) {
 	const second = int64(1e9)
 	g := Guard{MaxLossFraction: 0.5, HoldTime: 10 * second}
@@ -111,54 +115,89 @@
 	return r
 }
 
-// A view knows what was told, that there is nothing, and what was never told apart; and it says when to ask again.
+// A cache tells known, missing and unknown records apart, and says when to query them again.
 func TestCacheTracksKnownAndMissingRecords(t *testing.T) {
 	const second = int64(time.Second)
 	s := Service{Type: "_e._tcp", Domain: "Hall.test"}
-	v := NewCache()
+	cache := NewCache()
 	list := Key{s.ListName(), PTR}
 	require.Equal(t, "_e._tcp.hall.test.", list.Name)
-	require.Equal(t, "_big._sub._e._tcp.hall.test.", Service{Type: "_e._tcp", Subtype: "_big", Domain: "hall.test"}.ListName())
+	require.Equal(
+		t,
+		"_big._sub._e._tcp.hall.test.",
+		Service{Type: "_e._tcp", Subtype: "_big", Domain: "hall.test"}.ListName(),
+	)
 	ptr := func(to string) Record { return record(list.Name, PTR, 60, func(r *Record) { r.Target = to }) }
-	require.True(t, v.Put(list, []Record{ptr("B._e._tcp.Hall.test."), ptr("a._e._tcp.hall.test."), ptr("x.elsewhere.test."), ptr("b._e._tcp.hall.test.")}, 0, second))
-	require.False(t, v.Put(list, []Record{ptr("b._e._tcp.hall.test."), ptr("a._e._tcp.hall.test."), ptr("x.elsewhere.test."), ptr("b._e._tcp.hall.test.")}, 0, second))
-	names, over := v.Instances(s)
+	require.True(
+		t,
+		cache.Put(
+			list,
+			[]Record{
+				ptr("B._e._tcp.Hall.test."),
+				ptr("a._e._tcp.hall.test."),
+				ptr("x.elsewhere.test."),
+				ptr("b._e._tcp.hall.test."),
+			},
+			0,
+			second,
+		),
+	)
+	require.False(
+		t,
+		cache.Put(
+			list,
+			[]Record{
+				ptr("b._e._tcp.hall.test."),
+				ptr("a._e._tcp.hall.test."),
+				ptr("x.elsewhere.test."),
+				ptr("b._e._tcp.hall.test."),
+			},
+			0,
+			second,
+		),
+	)
+	names, omitted := cache.Instances(s)
 	require.Equal(t, []string{"a._e._tcp.hall.test.", "b._e._tcp.hall.test."}, names)
-	require.Zero(t, over)
+	require.Zero(t, omitted)
 	a := names[0]
-	require.True(t, v.Assemble(a, "").Pending)
+	require.True(t, cache.Assemble(a, "").Pending)
 	srv := record(a, SRV, 120, func(r *Record) { r.Server = Target{Port: 1, Host: "h.test."} })
-	v.Put(Key{a, SRV}, []Record{srv}, 0, second)
-	v.Put(Key{a, TXT}, nil, 600, second)
-	require.Equal(t, second+int64(maxNegativeTTL), v.Get(a, TXT).ExpiresAt, "that there is nothing is believed for 5 s at the most")
-	require.Equal(t, []Key{{a, SRV}, {a, TXT}, {"h.test.", A}}, v.RequiredKeys(a))
-	v.RecordFailure(Key{"h.test.", A}, "SERVFAIL", 2*second)
-	in := v.Assemble(a, "a")
+	cache.Put(Key{a, SRV}, []Record{srv}, 0, second)
+	cache.Put(Key{a, TXT}, nil, 600, second)
+	require.Equal(
+		t,
+		second+int64(maxNegativeTTL),
+		cache.Get(a, TXT).ExpiresAt,
+		"that there is nothing is believed for 5 s at the most",
+	)
+	require.Equal(t, []Key{{a, SRV}, {a, TXT}, {"h.test.", A}}, cache.RequiredKeys(a))
+	cache.RecordFailure(Key{"h.test.", A}, "SERVFAIL", 2*second)
+	in := cache.Assemble(a, "a")
 	require.True(t, in.Pending)
 	require.ErrorContains(t, in.Fault, "A h.test.: SERVFAIL")
-	v.Put(Key{"h.test.", A}, nil, 1, second)
-	require.Contains(t, v.RequiredKeys(a), Key{"h.test.", AAAA})
+	cache.Put(Key{"h.test.", A}, nil, 1, second)
+	require.Contains(t, cache.RequiredKeys(a), Key{"h.test.", AAAA})
 	address := func(text string) Record {
 		return record("h.test.", AAAA, 30, func(r *Record) { r.IP = netip.MustParseAddr(text) })
 	}
-	v.Put(Key{"h.test.", AAAA}, []Record{address("::2"), address("::1")}, 0, second)
-	in = v.Assemble(a, "a")
+	cache.Put(Key{"h.test.", AAAA}, []Record{address("::2"), address("::1")}, 0, second)
+	in = cache.Assemble(a, "a")
 	require.NoError(t, in.Fault)
 	require.Equal(t, "[::1]:1", in.Address.String())
 	require.Equal(t, uint32(30), in.TTL)
-	require.True(t, v.Remove(srv, 2*second))
-	require.False(t, v.Remove(srv, 2*second))
-	require.ErrorContains(t, v.Assemble(a, "a").Fault, "no SRV record")
-	require.True(t, v.Add(srv, 2*second))
-	require.False(t, v.Add(srv, 3*second))
-	require.True(t, v.Clear(a, 0, 3*second))
-	v.Invalidate(5 * second)
-	require.LessOrEqual(t, v.Get(list.Name, PTR).RefreshAt, 5*second)
-	v.Retain(map[Key]bool{list: true})
-	require.Equal(t, 1, v.Len())
+	require.True(t, cache.Remove(srv, 2*second))
+	require.False(t, cache.Remove(srv, 2*second))
+	require.ErrorContains(t, cache.Assemble(a, "a").Fault, "no SRV record")
+	require.True(t, cache.Add(srv, 2*second))
+	require.False(t, cache.Add(srv, 3*second))
+	require.True(t, cache.Clear(a, 0, 3*second))
+	cache.Invalidate(5 * second)
+	require.LessOrEqual(t, cache.Get(list.Name, PTR).RefreshAt, 5*second)
+	cache.Retain(map[Key]bool{list: true})
+	require.Equal(t, 1, cache.Len())
 }
 
-// What a damper holds back comes again, within a time that is bounded however often a box went.
+// An instance that is held back returns within a bounded time, however often it was withdrawn.
 func TestDamperHoldTimeIsBounded(t *testing.T) {
 	const minute = int64(time.Minute)
 	d := Damper{HalfLife: minute, MaxFlaps: 3}
