--- a/internal/dnssd/resolver/fuzz_test.go
+++ b/internal/dnssd/resolver/fuzz_test.go
@@ -27,8 +27,13 @@
 		}
 		f.Add(raw)
 	}
-	add("_e._tcp.test. 120 IN PTR a._e._tcp.test.", "a._e._tcp.test. 120 IN SRV 0 0 80 h.test.", "a._e._tcp.test. 120 IN TXT \"share=2\" \"=\" \"x\"",
-		"h.test. 120 IN A 127.0.0.1", "test. 60 IN SOA a. b. 1 2 3 4 5")
+	add(
+		"_e._tcp.test. 120 IN PTR a._e._tcp.test.",
+		"a._e._tcp.test. 120 IN SRV 0 0 80 h.test.",
+		"a._e._tcp.test. 120 IN TXT \"share=2\" \"=\" \"x\"",
+		"h.test. 120 IN A 127.0.0.1",
+		"test. 60 IN SOA a. b. 1 2 3 4 5",
+	)
 	add("_e._tcp.test. 4294967295 IN PTR a\\.\\000._e._tcp.test.", "h.test. 0 IN AAAA ::1")
 	service := record.Service{Type: "_e._tcp", Domain: "test."}
 	client := &Client{Domain: "test."}
--- a/internal/dnssd/resolver/lookup_test.go
+++ b/internal/dnssd/resolver/query_test.go
@@ -12,7 +12,7 @@
 
 // Answers from another source, with the right id and name, and ones with another kind of record, are passed over: the
 // server's own, which comes behind them, counts.
-func TestAnswersOfAnotherSource(t *testing.T) {
+func TestAnswersFromOtherSourcesAreRejected(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
@@ -33,7 +33,12 @@
 			answer := func(ip string, kind uint16) []byte {
 				m := new(dns.Msg).SetReply(q)
 				m.Question[0].Qtype = kind
-				m.Answer = []dns.RR{&dns.A{Hdr: dns.RR_Header{Name: q.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9}, A: net.ParseIP(ip)}}
+				m.Answer = []dns.RR{
+					&dns.A{
+						Hdr: dns.RR_Header{Name: q.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9},
+						A:   net.ParseIP(ip),
+					},
+				}
 				raw, _ := m.Pack()
 				return raw
 			}
