--- a/internal/lab/rig/box.go
+++ b/internal/lab/rig/backend.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Box is an emulated box that streams, and keeps a ledger of its own: what it was asked, what it gave, and whether two attempts
-// of a request were ever out at once, here or at another box of the same Ledger.
-type Box struct {
+// Backend is an emulated box that streams, and keeps a ledger of its own: what it was asked, what it gave, and
+// whether two attempts of a request were ever out at once, here or at another box of the same Ledger.
+type Backend struct {
 	Address string
 	Ledger  *Ledger
 	Token   time.Duration // between two tokens
@@ -41,7 +41,12 @@
 
 // NewLedger makes an empty one.
 func NewLedger() *Ledger {
-	return &Ledger{out: map[string]int{}, Served: map[string]int{}, decoding: map[string]int{}, Tokens: map[string]int{}}
+	return &Ledger{
+		out:      map[string]int{},
+		Served:   map[string]int{},
+		decoding: map[string]int{},
+		Tokens:   map[string]int{},
+	}
 }
 
 func (l *Ledger) begin(id string) {
@@ -62,22 +67,22 @@
 	}
 }
 
-// StartBox starts a box.
-func StartBox(l *Ledger, token time.Duration) (*Box, error) {
+// StartBackend starts a box.
+func StartBackend(l *Ledger, token time.Duration) (*Backend, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Box{Address: listener.Addr().String(), Ledger: l, Token: token, talking: map[string]int{}}
+	b := &Backend{Address: listener.Addr().String(), Ledger: l, Token: token, talking: map[string]int{}}
 	b.server = &http.Server{Handler: http.HandlerFunc(b.serve)}
 	go func() { _ = b.server.Serve(listener) }()
 	return b, nil
 }
 
 // Close ends it.
-func (b *Box) Close() { b.server.Close() }
+func (b *Backend) Close() { b.server.Close() }
 
-func (b *Box) serve(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Trace-Id")
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/lab/rig/rights.go
+++ b/internal/lab/rig/budgets.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Verdict is what a play of shared budgets came to.
-type Verdict struct {
-	Load    Load
-	Windows int // in which something was spent
-	Most    int64
-	Agreed  time.Duration // after the end of all troubles
+// BudgetVerdict is what a play of shared budgets came to.
+type BudgetVerdict struct {
+	Load     Load
+	Windows  int // in which something was spent
+	MaxSpent int64
+	Agreed   time.Duration // after the end of all troubles
 }
 
-// Rights plays shared budgets: load and troubles for a span, then all is healed, and checked. Its error says what does not
-// hold.
-func Rights(ctx context.Context, o Options, span time.Duration, each float64) (Verdict, error) {
-	var v Verdict
+// PlayBudgets plays shared budgets: load and troubles for a span, then all is healed, and checked. Its error says
+// what does not hold.
+func PlayBudgets(ctx context.Context, o Options, span time.Duration, each float64) (BudgetVerdict, error) {
+	var v BudgetVerdict
 	r, err := New(o)
 	if err != nil {
 		return v, err
@@ -32,7 +32,7 @@
 	defer stop()
 	loads := make(chan Load, 1)
 	go func() { loads <- r.Run(loaded, each, o.Seed) }()
-	r.Trouble(troubles)
+	r.Disturb(troubles)
 	if err := r.Heal(); err != nil {
 		return v, err
 	}
@@ -73,7 +73,7 @@
 		windows := spent["tokens/"+t.Name]
 		v.Windows += len(windows)
 		for w, n := range windows {
-			v.Most = max(v.Most, n)
+			v.MaxSpent = max(v.MaxSpent, n)
 			if n > t.Amount {
 				return v, fmt.Errorf("%s: %d spent in window %d of a budget of %d", t.Name, n, w, t.Amount)
 			}
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -18,11 +18,12 @@
 	Overdrawn int64 // by the site, in all windows
 }
 
-// Ledgers plays a fleet whose last node is a site: its line to the halls is cut for a span, while the halls have other troubles;
-// then all is healed, and the ledgers must come to the same sums, to the token those of the boxes.
-func Ledgers(ctx context.Context, o Options, span time.Duration, each float64) (Agreement, error) {
+// PlayLedgers plays a fleet whose last node is a site: its line to the halls is cut for a span, while the halls have
+// other troubles; then all is healed, and the ledgers must come to the same sums, to the token those of the boxes.
+func PlayLedgers(ctx context.Context, o Options, span time.Duration, each float64) (Agreement, error) {
 	var a Agreement
-	o.Sites, o.NoKills = 1, true
+	o.Sites = 1
+	o.NoKills = true
 	o.Config += "[ledger]\ndir = \"ledger-NODE\"\nevery = \"100ms\"\n"
 	r, err := New(o)
 	if err != nil {
@@ -42,7 +43,11 @@
 	for k := range len(r.Nodes) - 1 {
 		r.Net.Set(k, len(r.Nodes)-1, faults.Way{Cut: true})
 		r.Net.Set(len(r.Nodes)-1, k, faults.Way{Cut: true})
-		r.Net.Set(k, (k+1)%(len(r.Nodes)-1), faults.Way{Loss: 0.3, Double: 0.2, Delay: time.Millisecond, Spread: 30 * time.Millisecond})
+		r.Net.Set(
+			k,
+			(k+1)%(len(r.Nodes)-1),
+			faults.Way{Loss: 0.3, Double: 0.2, Delay: time.Millisecond, Spread: 30 * time.Millisecond},
+		)
 	}
 	before, err := site.Ledger(ctx)
 	if err != nil {
@@ -96,15 +101,24 @@
 			return a, err
 		}
 	}
-	a.Load.Asked, a.Load.Served, a.Load.Refused = a.Load.Asked+cut.Asked, a.Load.Served+cut.Served, a.Load.Refused+cut.Refused
+	a.Load.Asked = a.Load.Asked + cut.Asked
+	a.Load.Served = a.Load.Served + cut.Served
+	a.Load.Refused = a.Load.Refused + cut.Refused
 	spent, err := r.Spent()
 	if err != nil {
 		return a, err
 	}
 	for _, t := range o.Tenants {
 		for w, n := range spent["tokens/"+t.Name] {
-			if t.Amount > 0 && n > t.Amount+t.Over {
-				return a, fmt.Errorf("%s: %d spent in window %d of a budget of %d and an overdraft of %d", t.Name, n, w, t.Amount, t.Over)
+			if t.Amount > 0 && n > t.Amount+t.Overdraft {
+				return a, fmt.Errorf(
+					"%s: %d spent in window %d of a budget of %d and an overdraft of %d",
+					t.Name,
+					n,
+					w,
+					t.Amount,
+					t.Overdraft,
+				)
 			}
 			a.Overdrawn += max(0, n-t.Amount)
 		}
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -65,8 +65,17 @@
 	const patience = 2500 * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	body := fmt.Sprintf(`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, most, strings.Repeat("x", 4*prompt))
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Front+"/v1/chat/completions", strings.NewReader(body))
+	body := fmt.Sprintf(
+		`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
+		most,
+		strings.Repeat("x", 4*prompt),
+	)
+	request, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+n.Front+"/v1/chat/completions",
+		strings.NewReader(body),
+	)
 	if err != nil {
 		panic(err) // a constant form
 	}
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -18,50 +18,107 @@
 	return path
 }
 
-// Three processes share two tenants' budgets while they are cut off, lossy, killed and stalled, with clocks that are off: no
-// window is overspent, no invariant breaks, and once all is healed they agree and serve.
-func TestRightsOnRealProcesses(t *testing.T) {
+// Three processes share two tenants' budgets while they are cut off, lossy, killed and stalled, with clocks that are
+// off: no window is overspent, no invariant breaks, and once all is healed they agree and serve.
+func TestBudgetsOnRealProcesses(t *testing.T) {
 	path := program(t)
 	for seed := range uint64(2) {
-		v, err := Rights(t.Context(), Options{Program: path, Dir: t.TempDir(), Nodes: 3, Boxes: 3, Seed: seed + 1, Window: 400 * time.Millisecond, Clock: 150 * time.Millisecond, Token: time.Millisecond,
-			Tenants: []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}, Log: t.Logf}, 8*time.Second, 60)
+		v, err := PlayBudgets(
+			t.Context(),
+			Options{
+				Program:  path,
+				Dir:      t.TempDir(),
+				Nodes:    3,
+				Backends: 3,
+				Seed:     seed + 1,
+				Window:   400 * time.Millisecond,
+				Clock:    150 * time.Millisecond,
+				Token:    time.Millisecond,
+				Tenants: []Tenant{
+					{Name: "acme", Amount: 1500},
+					{Name: "free"},
+					{Name: "bolt", Amount: 600},
+				},
+				Log: t.Logf,
+			},
+			8*time.Second,
+			60,
+		)
 		require.NoError(t, err)
 		t.Logf("seed %d: %+v", seed+1, v)
 	}
 }
 
-// Conversations that call tools, held through any node while nodes are cut off, lossy, killed and stalled: no session is decoded
-// twice at once, each key gives one answer, and what each part is built on is what the session had come to.
+// Conversations that call tools, held through any node while nodes are cut off, lossy, killed and stalled: no session
+// is decoded twice at once, each key gives one answer, and what each part is built on is what the session had come
+// to.
 func TestSessionsOnRealProcesses(t *testing.T) {
 	path := program(t)
-	o := Options{Program: path, Nodes: 3, Boxes: 3, Seed: 1, Window: time.Second, Clock: 100 * time.Millisecond, Token: time.Millisecond, Tenants: []Tenant{{Name: "acme"}}, Log: t.Logf}
+	o := Options{
+		Program:  path,
+		Nodes:    3,
+		Backends: 3,
+		Seed:     1,
+		Window:   time.Second,
+		Clock:    100 * time.Millisecond,
+		Token:    time.Millisecond,
+		Tenants:  []Tenant{{Name: "acme"}},
+		Log:      t.Logf,
+	}
 	for _, trouble := range []bool{false, true} {
 		o.Dir = t.TempDir()
-		v, err := Sessions(t.Context(), o, 6*time.Second, 10, 3, trouble)
+		v, err := PlaySessions(t.Context(), o, 6*time.Second, 10, 3, trouble)
 		require.NoError(t, err)
-		t.Logf("trouble %v: %d begun, %d whole, %d lost, %d open; %d resumes, %d refused, %d used, %d without a key; first token after a result %v, 99th %v",
-			trouble, v.Begun, v.Whole, v.Lost, v.Open, v.Resumes, v.Refused, v.Used, v.Unkept, v.First(0.5), v.First(0.99))
+		t.Logf(
+			"trouble %v: %d begun, %d whole, %d lost, %d open; %d resumes, %d refused, %d used, %d without a key; first token after a result %v, 99th %v",
+			trouble,
+			v.Begun,
+			v.Whole,
+			v.Lost,
+			v.Open,
+			v.Resumes,
+			v.Refused,
+			v.Used,
+			v.Unkept,
+			v.First(0.5),
+			v.First(0.99),
+		)
 	}
 }
 
-// A site whose line is cut serves alone, by the rights that it holds and into its overdraft; once the line is back all ledgers
-// come to the same sums, those of the boxes to the token, whatever was lost or doubled on the way.
+// A site whose line is cut serves alone, by the rights that it holds and into its overdraft; once the line is back
+// all ledgers come to the same sums, those of the boxes to the token, whatever was lost or doubled on the way.
 func TestLedgersOnRealProcesses(t *testing.T) {
-	a, err := Ledgers(t.Context(), Options{Program: program(t), Dir: t.TempDir(), Nodes: 4, Boxes: 3, Seed: 1, Window: 400 * time.Millisecond, Clock: 100 * time.Millisecond,
-		Token: time.Millisecond, Tenants: []Tenant{{Name: "acme", Amount: 1600, Over: 400}, {Name: "free"}}, Log: t.Logf}, 4*time.Second, 60)
+	a, err := PlayLedgers(
+		t.Context(),
+		Options{
+			Program:  program(t),
+			Dir:      t.TempDir(),
+			Nodes:    4,
+			Backends: 3,
+			Seed:     1,
+			Window:   400 * time.Millisecond,
+			Clock:    100 * time.Millisecond,
+			Token:    time.Millisecond,
+			Tenants:  []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}},
+			Log:      t.Logf,
+		},
+		4*time.Second,
+		60,
+	)
 	require.NoError(t, err)
 	t.Logf("%+v", a)
 }
 
-// Of three processes one is of the earlier program: they share budgets and sessions while they are cut off, lossy, killed and stalled,
-// and every invariant of a fleet of one version holds.
-func TestAFleetOfTwoVersions(t *testing.T) {
+// Of three processes one is of the earlier program: they share budgets and sessions while they are cut off, lossy,
+// killed and stalled, and every invariant of a fleet of one version holds.
+func TestFleetOfTwoVersions(t *testing.T) {
 	options := Options{
 		Program:  program(t),
 		Previous: release.Program(t),
 		Older:    1,
 		Nodes:    3,
-		Boxes:    3,
+		Backends: 3,
 		Seed:     1,
 		Clock:    100 * time.Millisecond,
 		Token:    time.Millisecond,
@@ -72,7 +129,7 @@
 		o.Dir = t.TempDir()
 		o.Window = 400 * time.Millisecond
 		o.Tenants = []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}
-		verdict, err := Rights(t.Context(), o, 5*time.Second, 60)
+		verdict, err := PlayBudgets(t.Context(), o, 5*time.Second, 60)
 		require.NoError(t, err)
 		t.Logf("%+v", verdict)
 	})
@@ -81,7 +138,7 @@
 		o.Dir = t.TempDir()
 		o.Window = time.Second
 		o.Tenants = []Tenant{{Name: "acme"}}
-		verdict, err := Sessions(t.Context(), o, 5*time.Second, 10, 3, true)
+		verdict, err := PlaySessions(t.Context(), o, 5*time.Second, 10, 3, true)
 		require.NoError(t, err)
 		require.Positive(t, verdict.Resumes)
 		t.Logf("%+v", verdict)
@@ -91,8 +148,8 @@
 		o.Dir = t.TempDir()
 		o.Nodes = 4 // the last, a site, is the earlier program
 		o.Window = 400 * time.Millisecond
-		o.Tenants = []Tenant{{Name: "acme", Amount: 1600, Over: 400}, {Name: "free"}}
-		account, err := Ledgers(t.Context(), o, 3*time.Second, 60)
+		o.Tenants = []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}}
+		account, err := PlayLedgers(t.Context(), o, 3*time.Second, 60)
 		require.NoError(t, err)
 		t.Logf("%+v", account)
 	})
--- a/internal/lab/rig/sessions.go
+++ b/internal/lab/rig/sessions.go
@@ -51,14 +51,25 @@
 		default:
 			continue
 		}
-		c := &talker{r: r, client: client, rng: rand.New(rand.NewPCG(seed, uint64(i)+100)), name: fmt.Sprintf("s%x-%d", seed, i), calls: rng.IntN(calls + 1), tenant: r.Tenants[rng.IntN(len(r.Tenants))].Name}
+		c := &talker{
+			r:      r,
+			client: client,
+			rng:    rand.New(rand.NewPCG(seed, uint64(i)+100)),
+			name:   fmt.Sprintf("s%x-%d", seed, i),
+			calls:  rng.IntN(calls + 1),
+			tenant: r.Tenants[rng.IntN(len(r.Tenants))].Name,
+		}
 		all.Go(func() {
 			defer func() { <-places }()
 			c.run()
 			mu.Lock()
 			defer mu.Unlock()
 			t.Begun++
-			t.Resumes, t.Refused, t.Used, t.Unkept, t.Twice = t.Resumes+c.resumes, t.Refused+c.refused, t.Used+c.used, t.Unkept+c.unkept, t.Twice+c.twice
+			t.Resumes = t.Resumes + c.resumes
+			t.Refused = t.Refused + c.refused
+			t.Used = t.Used + c.used
+			t.Unkept = t.Unkept + c.unkept
+			t.Twice = t.Twice + c.twice
 			t.Firsts = append(t.Firsts, c.firsts...)
 			t.Mistakes = append(t.Mistakes, c.mistakes...)
 			t.Lengths[c.name] = c.tokens
@@ -109,7 +120,11 @@
 }
 
 func (c *talker) run() {
-	first := fmt.Sprintf(`{"stream":true,"max_tokens":200,"tools":[{"type":"function","function":{"name":"hours"}}],"messages":[{"role":"user","content":"talk %s calls %d"}]}`, c.name, c.calls)
+	first := fmt.Sprintf(
+		`{"stream":true,"max_tokens":200,"tools":[{"type":"function","function":{"name":"hours"}}],"messages":[{"role":"user","content":"talk %s calls %d"}]}`,
+		c.name,
+		c.calls,
+	)
 	until := time.Now().Add(talkTime)
 	var last reply
 	for { // the first part: asked anew under the same name until it has come whole; only the last of these counts
@@ -165,7 +180,9 @@
 				c.used++
 				c.end = "used"
 				return
-			case last.status == http.StatusGone, last.status == http.StatusNotFound, last.status == http.StatusBadRequest:
+			case last.status == http.StatusGone,
+				last.status == http.StatusNotFound,
+				last.status == http.StatusBadRequest:
 				c.end = "status " + strconv.Itoa(last.status)
 				if last.status == http.StatusBadRequest {
 					c.mistakes = append(c.mistakes, c.name+": "+last.text)
@@ -200,7 +217,12 @@
 		if k > 0 {
 			b.WriteString(",")
 		}
-		fmt.Fprintf(&b, `{"role":"tool","tool_call_id":%q,"content":%q}`, callID(c.name, part, k), result(c.name, part, k))
+		fmt.Fprintf(
+			&b,
+			`{"role":"tool","tool_call_id":%q,"content":%q}`,
+			callID(c.name, part, k),
+			result(c.name, part, k),
+		)
 	}
 	b.WriteString("]}")
 	return b.String()
@@ -227,7 +249,12 @@
 func (c *talker) do(n *Node, id, body, key string) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), askTime)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Front+"/v1/chat/completions", strings.NewReader(body))
+	request, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+n.Front+"/v1/chat/completions",
+		strings.NewReader(body),
+	)
 	if err != nil {
 		panic(err) // a constant form
 	}
@@ -286,8 +313,15 @@
 	return p
 }
 
-// Sessions plays conversations that call tools, with troubles for a span; then all is healed, and checked.
-func Sessions(ctx context.Context, o Options, span time.Duration, each float64, calls int, trouble bool) (Talks, error) {
+// PlaySessions plays conversations that call tools, with troubles for a span; then all is healed, and checked.
+func PlaySessions(
+	ctx context.Context,
+	o Options,
+	span time.Duration,
+	each float64,
+	calls int,
+	trouble bool,
+) (Talks, error) {
 	o.Config += "[sessions]\ndecode = \"6s\"\nkeep = \"60s\"\nmost = 1000\n[[tool]]\nname = \"hours\"\nwait = \"20s\"\n"
 	r, err := New(o)
 	if err != nil {
@@ -303,7 +337,7 @@
 	done := make(chan error, 1)
 	go func() {
 		if trouble {
-			r.Trouble(loaded)
+			r.Disturb(loaded)
 		} else {
 			<-loaded.Done()
 		}
--- a/internal/lab/rig/talk.go
+++ b/internal/lab/rig/talk.go
@@ -51,9 +51,9 @@
 // holdTime is for how long a box goes on with a call that nobody ends, as one does that waits for its tool.
 const holdTime = 4 * time.Second
 
-// talk answers the next part of a conversation: some words, and calls of tools or the end. Before that it holds the prompt
-// against what the conversation must have come to.
-func (b *Box) talk(w http.ResponseWriter, r *http.Request, name string, calls int, all []message) {
+// talk answers the next part of a conversation: some words, and calls of tools or the end. Before that it holds the
+// prompt against what the conversation must have come to.
+func (b *Backend) talk(w http.ResponseWriter, r *http.Request, name string, calls int, all []message) {
 	part, wrong := 0, ""
 	at := 1
 	for at < len(all) {
@@ -64,7 +64,8 @@
 			break
 		}
 		for k := range callsOf(part) {
-			if at >= len(all) || all[at].Role != "tool" || all[at].Answers != callID(name, part, k) || all[at].Content != result(name, part, k) {
+			if at >= len(all) || all[at].Role != "tool" || all[at].Answers != callID(name, part, k) ||
+				all[at].Content != result(name, part, k) {
 				wrong = fmt.Sprintf("%s: result %d of part %d is missing or another", name, k, part)
 				break
 			}
@@ -109,7 +110,10 @@
 		l.Tokens[name] += len(text) / 4
 		l.mu.Unlock()
 		say(`{"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`)
-		say(`{"choices":[],"usage":{"prompt_tokens":10,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":0}}}`, len(text)/4)
+		say(
+			`{"choices":[],"usage":{"prompt_tokens":10,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":0}}}`,
+			len(text)/4,
+		)
 		say("[DONE]")
 		return
 	}
@@ -117,7 +121,11 @@
 	l.Tokens[name] += len(text) / 4
 	l.mu.Unlock()
 	for k := range callsOf(part) {
-		say(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":%d,"id":%q,"type":"function","function":{"name":"hours","arguments":""}}]},"finish_reason":null}]}`, k, callID(name, part, k))
+		say(
+			`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":%d,"id":%q,"type":"function","function":{"name":"hours","arguments":""}}]},"finish_reason":null}]}`,
+			k,
+			callID(name, part, k),
+		)
 	}
 	say(`{"choices":[{"index":0,"delta":{},"finish_reason":"tool_calls"}]}`)
 	select { // its place is held while it waits
