--- a/internal/endpoints/browser_test.go
+++ b/internal/endpoints/browser_test.go
@@ -1,363 +1,262 @@
 package endpoints
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"net/netip"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
-	"go.uber.org/zap/zaptest/observer"
 	"pgregory.net/rapid"
 
 	"standpoint"
 	"standpoint/internal/clock"
 	"standpoint/internal/find/discovery"
 	"standpoint/internal/find/dnssd"
-	"standpoint/internal/lab/responder"
 	"standpoint/internal/node"
-	"standpoint/internal/store"
 )
 
-// stage is a browser without its finder: sights are handed in, with the time.
-type stage struct {
+// browserHarness is a browser without its finder: snapshots are handed in, with the time.
+type browserHarness struct {
 	*Browser
-	now  time.Time
-	news []node.EndpointList
+	now      time.Time
+	notified []node.EndpointList
 }
 
-func newStage() *stage {
-	s := &stage{now: time.Unix(1_800_000_000, 0)}
-	s.Browser = &Browser{Key: "hall", Names: names, Log: zap.NewNop(), Guard: dnssd.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
-		Damper: dnssd.Damper{Half: int64(time.Minute), Most: 3}, Notify: nil, unpublished: true, observed: map[string]observedInstance{}}
-	s.Browser.Notify = func(l node.EndpointList) { s.news = append(s.news, l) }
-	return s
-}
-
-func instance(label string, text ...string) dnssd.Instance {
-	return dnssd.Instance{Name: label + "._engine._tcp.hall.test.", Label: label, Address: netip.MustParseAddrPort("127.0.0.1:8001"),
-		Attributes: dnssd.ParseTXT(text), TTL: 120}
+func newBrowserHarness() *browserHarness {
+	h := &browserHarness{now: time.Unix(1_800_000_000, 0)}
+	h.Browser = &Browser{
+		Key:         "hall",
+		Names:       names,
+		Log:         zap.NewNop(),
+		Guard:       dnssd.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
+		Damper:      dnssd.Damper{Half: int64(time.Minute), Most: 3},
+		Notify:      func(list node.EndpointList) { h.notified = append(h.notified, list) },
+		unpublished: true,
+		observed:    map[string]observedInstance{},
+	}
+	return h
 }
 
-func (s *stage) see(serial uint32, all ...dnssd.Instance) time.Duration {
-	sight := discovery.Sight{Instances: all, At: s.now, Way: discovery.Poll}
+// find evaluates a snapshot with these instances, and a zone's serial if that is not 0.
+func (h *browserHarness) find(serial uint32, all ...dnssd.Instance) (recheckAfter time.Duration) {
+	snapshot := discovery.Sight{Instances: all, At: h.now, Way: discovery.Poll}
 	if serial != 0 {
-		sight.Serial = &serial
+		snapshot.Serial = &serial
 	}
-	return s.evaluate(sight, s.now)
+	return h.evaluate(snapshot, h.now)
 }
 
-func (s *stage) use() (names []string) {
-	for _, e := range s.published {
-		names = append(names, e.Name)
+func (h *browserHarness) publishedNames() []string { return endpointNames(fullList(h.published...)) }
+
+// instance returns one whose TXT record has the given text.
+func instance(label string, text ...string) dnssd.Instance {
+	return dnssd.Instance{
+		Name:       label + "._engine._tcp.hall.test.",
+		Label:      label,
+		Address:    netip.MustParseAddrPort("127.0.0.1:8001"),
+		Attributes: dnssd.ParseTXT(text),
+		TTL:        120,
 	}
-	return names
 }
 
-// What the TXT keys mean; what is wrong with one instance costs that one alone, and is said.
+// The keys of a TXT record set the endpoint's fields, and an invalid instance affects itself alone, with its fault.
 func TestBrowserReadsAttributes(t *testing.T) {
-	s := newStage()
+	h := newBrowserHarness()
 	lost := instance("lost")
 	lost.Fault = errors.New("no SRV record")
-	s.see(1, instance("box-1", "site=b", "class=slow", "share=2.5", "born_ms=7", "SITE=c"), instance("box-2", "health=draining", "mode=batch", "new=1"),
-		instance("odd", "share=much"), lost, instance("box-3"), instance("late", "born_ms=9223372036854775807"))
-	at := "127.0.0.1:8001"
+	h.find(1,
+		instance("box-1", "site=b", "class=slow", "share=2.5", "born_ms=7", "SITE=c"),
+		instance("box-2", "health=draining", "mode=batch", "new=1"),
+		instance("odd", "share=much"),
+		lost,
+		instance("box-3"),
+		instance("late", "born_ms=9223372036854775807"),
+	)
+	const address = "127.0.0.1:8001"
 	require.Equal(t, []node.Endpoint{
-		{Address: at, Source: "hall", Engine: standpoint.Engine{Name: "box-1", Zone: 1, Kind: 1, Size: 2.5, ReadyAt: 7e6}},
-		{Address: at, Source: "hall", Batch: true, Labels: map[string]string{"new": "1"}, Engine: standpoint.Engine{Name: "box-2", Size: 1, State: standpoint.Draining}},
-		{Address: at, Source: "hall", Engine: standpoint.Engine{Name: "box-3", Size: 1}},
-	}, s.published)
-	why := map[string]Origin{}
-	for _, o := range s.Origins() {
-		why[o.Name] = o
+		{
+			Address: address, Source: "hall",
+			Engine: standpoint.Engine{Name: "box-1", Zone: 1, Kind: 1, Size: 2.5, ReadyAt: 7e6},
+		},
+		{
+			Address: address, Source: "hall", Batch: true, Labels: map[string]string{"new": "1"},
+			Engine: standpoint.Engine{Name: "box-2", Size: 1, State: draining},
+		},
+		{
+			Address: address, Source: "hall",
+			Engine: standpoint.Engine{Name: "box-3", Size: 1},
+		},
+	}, h.published)
+	origins := map[string]Origin{}
+	for _, origin := range h.Origins() {
+		origins[origin.Name] = origin
+	}
+	require.Len(t, origins, 6)
+	require.Contains(t, origins["odd"].Fault, "TXT share:")
+	require.Contains(t, origins["late"].Fault, "TXT born_ms:")
+	require.Contains(t, origins["lost"].Fault, "no SRV record")
+	require.Equal(t, "draining", origins["box-2"].State)
+	require.Equal(t, uint32(120), origins["box-1"].TTL)
+}
+
+// The error of an invalid value has its key.
+func TestBrowserReportsInvalidAttributes(t *testing.T) {
+	for key, value := range map[string]string{
+		attributeBlock:  "first",
+		attributeShare:  "0",
+		attributeBornMS: "-1",
+		attributeHealth: "ill",
+	} {
+		_, err := newBrowserHarness().endpoint(instance("box-1", key+"="+value), time.Now())
+		var attributeError *AttributeError
+		require.ErrorAs(t, err, &attributeError)
+		require.Equal(t, key, attributeError.Key)
 	}
-	require.Len(t, why, 6)
-	require.Contains(t, why["odd"].Fault, "TXT share:")
-	require.Contains(t, why["late"].Fault, "TXT born_ms:")
-	require.Contains(t, why["lost"].Fault, "no SRV record")
-	require.Equal(t, "draining", why["box-2"].State)
-	require.Equal(t, uint32(120), why["box-1"].TTL)
 }
 
-// A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held, until it has
-// stayed empty, or the zone's serial went up. One box that goes is believed at once.
+// A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held until it has stayed
+// empty, or the zone's serial has grown. A single instance that is missing is removed at once.
 func TestBrowserHoldsLostList(t *testing.T) {
 	all := []dnssd.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
-	s := newStage()
-	s.see(7, all...)
-	s.now = s.now.Add(30 * time.Second)
-	require.Positive(t, s.see(7))
-	require.Len(t, s.published, 3)
-	s.now = s.now.Add(9 * time.Second)
-	s.see(0)
-	require.Len(t, s.published, 3)
-	s.see(7, all...) // it was only a restart
-	s.now = s.now.Add(9 * time.Second)
-	s.see(6) // an older zone
-	require.Len(t, s.published, 3)
-	s.now = s.now.Add(11 * time.Second)
-	s.see(6)
-	require.Empty(t, s.published)
+	h := newBrowserHarness()
+	h.find(7, all...)
+	h.now = h.now.Add(30 * time.Second)
+	require.Positive(t, h.find(7))
+	require.Len(t, h.published, 3)
+	h.now = h.now.Add(9 * time.Second)
+	h.find(0)
+	require.Len(t, h.published, 3)
+	h.find(7, all...) // it was only a restart
+	h.now = h.now.Add(9 * time.Second)
+	h.find(6) // an older zone
+	require.Len(t, h.published, 3)
+	h.now = h.now.Add(11 * time.Second)
+	h.find(6)
+	require.Empty(t, h.published)
 
-	s = newStage()
-	s.see(7, all...)
-	s.see(8) // somebody has emptied it
-	require.Empty(t, s.published)
+	h = newBrowserHarness()
+	h.find(7, all...)
+	h.find(8) // somebody has emptied it
+	require.Empty(t, h.published)
 
-	s = newStage()
-	s.see(7, all...)
-	s.see(7, all[:2]...)
-	require.Len(t, s.published, 2)
+	h = newBrowserHarness()
+	h.find(7, all...)
+	h.find(7, all[:2]...)
+	require.Len(t, h.published, 2)
 }
 
-// Records that are not told for now change nothing.
+// Records that are not known for now change nothing.
 func TestBrowserKeepsEndpointsOfPendingRecords(t *testing.T) {
-	s := newStage()
-	s.see(7, instance("box-1", "site=b"))
+	h := newBrowserHarness()
+	h.find(7, instance("box-1", "site=b"))
 	pending := instance("box-1")
-	pending.Pending, pending.Fault = true, errors.New("not all records are told yet")
-	s.see(8, pending)
-	require.Len(t, s.published, 1)
-	require.Equal(t, 1, s.published[0].Zone)
-	pending.Name, pending.Label = "new._engine._tcp.hall.test.", "new"
-	s.see(9, pending)
-	require.Empty(t, s.published, "box-1 went, and the new one is not known yet")
+	pending.Pending = true
+	pending.Fault = errors.New("not all records are told yet")
+	h.find(8, pending)
+	require.Len(t, h.published, 1)
+	require.Equal(t, 1, h.published[0].Zone)
+	pending.Name = "new._engine._tcp.hall.test."
+	pending.Label = "new"
+	h.find(9, pending)
+	require.Empty(t, h.published, "box-1 is missing, and the new one is not known yet")
 }
 
-// A box that flaps is held back when it returns, never when it goes.
+// An instance that flaps is held back when it returns, never when it disappears.
 func TestBrowserDampsFlappingInstances(t *testing.T) {
-	s := newStage()
+	h := newBrowserHarness()
 	steady := instance("steady")
 	for i := range 3 {
-		s.see(0, instance("box-1"), steady)
-		require.Equal(t, []string{"box-1", "steady"}, s.use(), i)
-		s.see(0, steady)
-		require.Equal(t, []string{"steady"}, s.use(), i)
-		s.now = s.now.Add(time.Second)
+		h.find(0, instance("box-1"), steady)
+		require.Equal(t, []string{"box-1", "steady"}, h.publishedNames(), i)
+		h.find(0, steady)
+		require.Equal(t, []string{"steady"}, h.publishedNames(), i)
+		h.now = h.now.Add(time.Second)
 	}
-	s.see(0, instance("box-1"), steady) // three times are not held against it
-	require.Equal(t, []string{"box-1", "steady"}, s.use())
-	s.see(0, steady)
-	again := s.see(0, instance("box-1"), steady)
-	require.Equal(t, []string{"steady"}, s.use())
-	require.Positive(t, again)
-	require.Contains(t, s.faults["box-1._engine._tcp.hall.test."], "held back until")
-	require.Less(t, again, time.Minute)
-	s.now = s.now.Add(again)
-	s.see(0, instance("box-1"), steady)
-	require.Equal(t, []string{"box-1", "steady"}, s.use())
+	h.find(0, instance("box-1"), steady) // three times are allowed
+	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
+	h.find(0, steady)
+	recheckAfter := h.find(0, instance("box-1"), steady)
+	require.Equal(t, []string{"steady"}, h.publishedNames())
+	require.Positive(t, recheckAfter)
+	require.Contains(t, h.faults["box-1._engine._tcp.hall.test."], "held back until")
+	require.Less(t, recheckAfter, time.Minute)
+	h.now = h.now.Add(recheckAfter)
+	h.find(0, instance("box-1"), steady)
+	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
 }
 
-// A box that tells no start is cold when it appears while this node watches, and when it comes back after a while; not
-// where it was there before, nor when a message was lost.
+// An instance that publishes no start counts as started when it appears while this node watches, or returns after a
+// while; not if it was there before, nor if a message was lost.
 func TestBrowserObservesStarts(t *testing.T) {
-	s := newStage()
-	s.see(0, instance("old"))
-	require.Zero(t, s.published[0].ReadyAt)
-	s.now = s.now.Add(time.Minute)
-	s.see(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(s.now), s.published[0].ReadyAt)
-	require.Zero(t, s.published[1].ReadyAt)
-	began := s.published[0].ReadyAt
-	s.see(0, instance("old"))
-	s.now = s.now.Add(100 * time.Millisecond)
-	s.see(0, instance("old"), instance("new"))
-	require.Equal(t, began, s.published[0].ReadyAt)
-	s.see(0, instance("new"))
-	s.now = s.now.Add(5 * time.Second)
-	s.see(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(s.now), s.published[1].ReadyAt)
+	h := newBrowserHarness()
+	h.find(0, instance("old"))
+	require.Zero(t, h.published[0].ReadyAt)
+	h.now = h.now.Add(time.Minute)
+	h.find(0, instance("old"), instance("new"))
+	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
+	require.Zero(t, h.published[1].ReadyAt)
+	startedAt := h.published[0].ReadyAt
+	h.find(0, instance("old"))
+	h.now = h.now.Add(100 * time.Millisecond)
+	h.find(0, instance("old"), instance("new"))
+	require.Equal(t, startedAt, h.published[0].ReadyAt)
+	h.find(0, instance("new"))
+	h.now = h.now.Add(5 * time.Second)
+	h.find(0, instance("old"), instance("new"))
+	require.Equal(t, clock.Of(h.now), h.published[1].ReadyAt)
 }
 
-// Whatever comes and goes: a box that is not listed is never in use after the sight that says so, unless the guard
-// holds the list; and nothing is in use that is faulty.
+// Whatever comes and goes: an instance that is not listed is never used after the snapshot without it, unless the guard
+// holds the list; and no faulty one is used.
 func TestBrowserNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newStage()
-		s.Guard.Part = 1
+		h := newBrowserHarness()
+		h.Guard.Part = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
+			elapsed := rapid.IntRange(0, 20_000).Draw(t, "ms")
+			h.now = h.now.Add(time.Duration(elapsed) * time.Millisecond)
 			var all []dnssd.Instance
 			listed := map[string]bool{}
 			for i := range 5 {
 				if rapid.Bool().Draw(t, "listed") {
-					in := instance(fmt.Sprint("box-", i))
+					found := instance(fmt.Sprint("box-", i))
 					if rapid.IntRange(0, 4).Draw(t, "fault") == 0 {
-						in.Fault = errors.New("no SRV record")
+						found.Fault = errors.New("no SRV record")
 					} else {
-						listed[in.Label] = true
+						listed[found.Label] = true
 					}
-					all = append(all, in)
+					all = append(all, found)
 				}
 			}
-			s.see(0, all...)
-			for _, e := range s.published {
-				if !listed[e.Name] {
-					t.Fatalf("%s is in use", e.Name)
+			h.find(0, all...)
+			for _, used := range h.published {
+				if !listed[used.Name] {
+					t.Fatalf("%s is in use", used.Name)
 				}
 			}
-			if last := s.news[len(s.news)-1]; len(last.Endpoints) != len(s.published) {
-				t.Fatal("the core was told something else")
+			if last := h.notified[len(h.notified)-1]; len(last.Endpoints) != len(h.published) {
+				t.Fatal("another list was passed on")
 			}
 		}
 	})
 }
 
-func serve(t *testing.T, domain string, labels ...string) *responder.Server {
-	z := responder.NewZone(domain, 7)
-	for i, label := range labels {
-		require.NoError(t, z.Publish(box(label, 8001+i)))
-	}
-	s, err := responder.Start(z, "127.0.0.1:0", nil)
-	require.NoError(t, err)
-	t.Cleanup(func() { require.NoError(t, s.Close()) })
-	return s
-}
-
-func box(label string, port int) responder.Box {
-	return responder.Box{Label: label, Service: "_engine._tcp", TTL: 60, Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))}
-}
-
-func browse(server, domain, site string) *Browser {
-	return &Browser{Key: "_engine._tcp." + domain, Config: server + site, Suffix: "@" + domain, Site: site, Names: names, Log: zap.NewNop(),
-		Guard: dnssd.Guard{Part: 0.5, Hold: int64(time.Hour)}, FinderOptions: discovery.Options{Server: server, Way: discovery.Poll, Log: zap.NewNop(),
-			Every: 50 * time.Millisecond, Refresh: time.Second, Service: dnssd.Service{Type: "_engine._tcp", Domain: domain}}}
-}
-
-func told(l node.EndpointList) (all []string) {
-	for _, e := range l.Endpoints {
-		all = append(all, e.Name)
-	}
-	return all
-}
-
-// Several halls, each a domain of its own at a server of its own. The same name in two is two boxes; a server that does
-// not answer costs its own hall alone, and of that the store's list stands. The halls change while all runs.
-func TestBrowsersCombineDomains(t *testing.T) {
-	a, b := serve(t, "a.test", "box-1", "box-2"), serve(t, "b.test", "box-1")
-	c := serve(t, "c.test", "box-1")
-	c.Set(responder.Faults{Silent: true})
-	news := make(chan node.EndpointList, 100)
-	all := NewBrowsers(func(l node.EndpointList) { news <- l }, browse(a.Address, "a.test", "a"), browse(b.Address, "b.test", "b"), browse(c.Address, "c.test", "a"))
-	all.Restore(node.EndpointList{Endpoints: []node.Endpoint{{Source: "_engine._tcp.c.test", Engine: standpoint.Engine{Name: "box-9@c.test", Stale: true}}}})
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { all.Run(ctx); close(ended) }()
-	require.Equal(t, []string{"box-1@a.test", "box-2@a.test", "box-1@b.test", "box-9@c.test"}, told(<-news))
-	require.NoError(t, a.Zone.Withdraw(box("box-1", 8001)))
-	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-9@c.test"}, told(<-news))
-	c.Set(responder.Faults{})
-	last := <-news
-	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-1@c.test"}, told(last))
-	require.False(t, last.Endpoints[2].Stale)
-	// a stays as it is, b is told otherwise, c goes, d comes.
-	d := serve(t, "d.test", "box-7")
-	all.Replace([]*Browser{browse(a.Address, "a.test", "a"), browse(b.Address, "b.test", "a"), browse(d.Address, "d.test", "a")})
-	require.Eventually(t, func() bool {
-		last = <-news
-		names := told(last)
-		require.Contains(t, names, "box-2@a.test", "never away")
-		require.Contains(t, names, "box-1@b.test", "never away")
-		return len(names) == 3 && names[2] == "box-7@d.test" && last.Endpoints[1].Zone == 0
-	}, 10*time.Second, time.Millisecond)
-	cancel()
-	<-ended
-}
-
-// The store's list has its ages: what is past its time is stale, and what was never told anew stays so.
-func TestCachePersistsExpiryTimes(t *testing.T) {
-	s := store.NewMemory()
-	k := NewCache(s, zap.NewNop())
-	now := time.Now()
-	k.ExpiryTimes = func() map[string]time.Time {
-		return map[string]time.Time{"new": now.Add(time.Minute), "old": now.Add(-time.Minute)}
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go k.Run(ctx)
-	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{{Engine: standpoint.Engine{Name: "new"}},
-		{Engine: standpoint.Engine{Name: "old"}}, {Engine: standpoint.Engine{Name: "unsaid", Stale: true}}, {Engine: standpoint.Engine{Name: "file"}}}})
-	stale := map[string]bool{}
-	require.Eventually(t, func() bool {
-		l, ok := k.Load(now)
-		for _, e := range l.Endpoints {
-			stale[e.Name] = e.Stale
-		}
-		return ok && len(l.Endpoints) == 4
-	}, 10*time.Second, time.Millisecond)
-	require.Equal(t, map[string]bool{"new": false, "old": true, "unsaid": true, "file": false}, stale)
-}
-
-// A box that tells no start and is at another address all at once is another box under the same name, and cold.
+// An instance that publishes no start, and is suddenly at another address, is another process and counts as started
+// then.
 func TestBrowserTreatsNewAddressAsStart(t *testing.T) {
-	s := newStage()
-	s.see(0, instance("box"))
-	require.Zero(t, s.published[0].ReadyAt)
-	s.now = s.now.Add(time.Minute)
+	h := newBrowserHarness()
+	h.find(0, instance("box"))
+	require.Zero(t, h.published[0].ReadyAt)
+	h.now = h.now.Add(time.Minute)
 	other := instance("box")
 	other.Address = netip.MustParseAddrPort("127.0.0.1:8002")
-	s.see(0, other)
-	require.Equal(t, clock.Of(s.now), s.published[0].ReadyAt)
-	began := clock.Of(s.now)
-	s.now = s.now.Add(time.Minute)
-	s.see(0, other)
-	require.Equal(t, began, s.published[0].ReadyAt)
-}
-
-// A last list that is torn is named, and none of it is used.
-func TestCacheIgnoresTornList(t *testing.T) {
-	keys := store.NewMemory()
-	_, err := keys.Write(t.Context(), store.Op{Key: cacheKey, Data: []byte(`[{"host":"a","dial":"127.0.0.1:1","health":"ready"},{"ho`)})
-	require.NoError(t, err)
-	seen, logs := observer.New(zap.ErrorLevel)
-	l, ok := NewCache(keys, zap.New(seen)).Load(time.Now())
-	require.False(t, ok)
-	require.Empty(t, l.Endpoints)
-	require.Equal(t, cacheKey, logs.All()[0].ContextMap()["key"])
-}
-
-// failing is a store that does not take its first writes.
-type failing struct {
-	store.Memory
-	left atomic.Int64
-}
-
-func (f *failing) Write(ctx context.Context, ops ...store.Op) (uint64, error) {
-	if f.left.Add(-1) >= 0 {
-		return 0, errors.New("store: the write broke off")
-	}
-	return f.Memory.Write(ctx, ops...)
-}
-
-// A last list that the store did not take is written again, though nothing changes any more.
-func TestCacheRetriesFailedWrite(t *testing.T) {
-	keys := &failing{Memory: store.NewMemory()}
-	keys.left.Store(1)
-	k := NewCache(keys, zap.NewNop())
-	go k.Run(t.Context())
-	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{{Engine: standpoint.Engine{Name: "a"}}}})
-	require.Eventually(t, func() bool { return keys.Get(cacheKey).Version != 0 }, 10*time.Second, time.Millisecond)
-}
-
-// What was kept is read by the words of the file that holds then: another order of halls and kinds takes no box
-// elsewhere.
-func TestCachePersistsZoneAndKindNames(t *testing.T) {
-	keys := store.NewMemory()
-	k := NewCache(keys, zap.NewNop())
-	k.Names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
-	go k.Run(t.Context())
-	e := node.Endpoint{Address: "127.0.0.1:1", Batch: true, Labels: map[string]string{"v": "1"}, Source: "hall",
-		Engine: standpoint.Engine{Name: "s", Zone: 1, Kind: 0, Cell: 3, State: standpoint.Draining, Size: 2, ReadyAt: 5e6}}
-	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{e}})
-	require.Eventually(t, func() bool { return keys.Get(cacheKey).Version != 0 }, 10*time.Second, time.Millisecond)
-	next := NewCache(keys, zap.NewNop())
-	next.Names = Names{Zones: []string{"b", "a"}, Kinds: []string{"slow", "fast"}}
-	l, ok := next.Load(time.Now())
-	require.True(t, ok)
-	e.Zone, e.Kind = 0, 1
-	require.Equal(t, []node.Endpoint{e}, l.Endpoints)
+	h.find(0, other)
+	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
+	startedAt := clock.Of(h.now)
+	h.now = h.now.Add(time.Minute)
+	h.find(0, other)
+	require.Equal(t, startedAt, h.published[0].ReadyAt)
 }
--- /dev/null
+++ b/internal/endpoints/browserset_test.go
@@ -0,0 +1,104 @@
+package endpoints
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/find/discovery"
+	"standpoint/internal/find/dnssd"
+	"standpoint/internal/lab/responder"
+	"standpoint/internal/node"
+)
+
+// serveDomain starts a DNS server with a backend for each label, until the test ends.
+func serveDomain(t *testing.T, domain string, labels ...string) *responder.Server {
+	t.Helper()
+	zone := responder.NewZone(domain, 7)
+	for i, label := range labels {
+		require.NoError(t, zone.Publish(publishedBackend(label, 8001+i)))
+	}
+	server, err := responder.Start(zone, "127.0.0.1:0", nil)
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, server.Close()) })
+	return server
+}
+
+func publishedBackend(label string, port int) responder.Box {
+	return responder.Box{
+		Label:   label,
+		Service: "_engine._tcp",
+		TTL:     60,
+		Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port)),
+	}
+}
+
+func newTestBrowser(server *responder.Server, domain, site string) *Browser {
+	return &Browser{
+		Key:    "_engine._tcp." + domain,
+		Config: server.Address + site,
+		Suffix: "@" + domain,
+		Site:   site,
+		Names:  names,
+		Log:    zap.NewNop(),
+		Guard:  dnssd.Guard{Part: 0.5, Hold: int64(time.Hour)},
+		FinderOptions: discovery.Options{
+			Server:  server.Address,
+			Way:     discovery.Poll,
+			Log:     zap.NewNop(),
+			Every:   50 * time.Millisecond,
+			Refresh: time.Second,
+			Service: dnssd.Service{Type: "_engine._tcp", Domain: domain},
+		},
+	}
+}
+
+func endpointNames(list node.EndpointList) (all []string) {
+	for _, listed := range list.Endpoints {
+		all = append(all, listed.Name)
+	}
+	return all
+}
+
+// Several domains at a server each. The same name in two of them is two endpoints. A server that does not answer
+// affects its own domain alone, whose persisted endpoints stand. The set of domains changes while all runs.
+func TestBrowsersCombineDomains(t *testing.T) {
+	a := serveDomain(t, "a.test", "box-1", "box-2")
+	b := serveDomain(t, "b.test", "box-1")
+	c := serveDomain(t, "c.test", "box-1")
+	c.Set(responder.Faults{Silent: true})
+	notify, updates := receiver(t)
+	browsers := NewBrowsers(notify,
+		newTestBrowser(a, "a.test", "a"), newTestBrowser(b, "b.test", "b"), newTestBrowser(c, "c.test", "a"))
+	persisted := node.Endpoint{
+		Source: "_engine._tcp.c.test",
+		Engine: standpoint.Engine{Name: "box-9@c.test", Stale: true},
+	}
+	browsers.Restore(node.EndpointList{Endpoints: []node.Endpoint{persisted}})
+	runUntilEnd(t, browsers.Run)
+	require.Equal(t, []string{"box-1@a.test", "box-2@a.test", "box-1@b.test", "box-9@c.test"},
+		endpointNames(receive(t, updates)))
+	require.NoError(t, a.Zone.Withdraw(publishedBackend("box-1", 8001)))
+	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-9@c.test"}, endpointNames(receive(t, updates)))
+	c.Set(responder.Faults{})
+	last := receive(t, updates)
+	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-1@c.test"}, endpointNames(last))
+	require.False(t, last.Endpoints[2].Stale)
+
+	// a stays as it is, b gets another configuration, c is removed, d is added.
+	d := serveDomain(t, "d.test", "box-7")
+	browsers.Replace([]*Browser{
+		newTestBrowser(a, "a.test", "a"), newTestBrowser(b, "b.test", "a"), newTestBrowser(d, "d.test", "a"),
+	})
+	require.Eventually(t, func() bool {
+		last = <-updates
+		listed := endpointNames(last)
+		require.Contains(t, listed, "box-2@a.test", "never withdrawn")
+		require.Contains(t, listed, "box-1@b.test", "never withdrawn")
+		return len(listed) == 3 && listed[2] == "box-7@d.test" && last.Endpoints[1].Zone == 0
+	}, 10*time.Second, time.Millisecond)
+}
--- /dev/null
+++ b/internal/endpoints/catalog_test.go
@@ -0,0 +1,67 @@
+package endpoints
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The fault of an entry has its name and field, and the entry costs no other.
+func TestDecodeReportsInvalidEntries(t *testing.T) {
+	for entry, fault := range map[string]string{
+		`{"host":"s-1","dial":"a","health":"ill"}`: `endpoint "s-1": unknown health "ill"`,
+
+		`{"host":"s-1","dial":"a","health":"ready","born_ms":9223372036854775807}`: `endpoint "s-1": born_ms`,
+		`{"host":"s-1","dial":"a","health":"ready","share":-1}`:                    `endpoint "s-1": share`,
+		`{"host":"s-1","health":"ready"}`:                                          `endpoint "s-1": dial`,
+	} {
+		raw := `{"seq":1,"hosts":[` + entry + `,{"host":"s-2","dial":"b","health":"draining"}]}`
+		_, list, faults, err := Decode([]byte(raw), names)
+		require.NoError(t, err)
+		require.Len(t, faults, 1)
+		require.ErrorContains(t, faults[0], fault)
+		var entryError *EntryError
+		require.ErrorAs(t, faults[0], &entryError)
+		require.Equal(t, "s-1", entryError.Endpoint)
+		require.Len(t, list.Endpoints, 2, "the other one's drain is known")
+		require.Equal(t, draining, list.Endpoints[0].State, "it gets no new requests")
+	}
+}
+
+// An entry that cannot be decoded affects no other, whatever is in its place.
+func TestDecodeIsolatesUnreadableEntries(t *testing.T) {
+	t.Parallel()
+	for _, unreadable := range []string{
+		`{"host":"bad","dial":"a","health":"ready","share":"much"}`,
+		`{"host":"bad","dial":"a","health":"ready","born_ms":1.5}`,
+		`{"host":"bad","dial":["a"],"health":"ready"}`,
+		`{"host":"bad","dial":"a","health":{"is":"ready"}}`,
+		`{"host":"bad","dial":"a","health":"ready","born_ms":99999999999999999999}`,
+	} {
+		raw := `{"seq":1,"whole":true,"hosts":[` + unreadable +
+			`,{"host":"s","dial":"b","health":"draining"},{"host":"t","dial":"c","health":"ready"}]}`
+		_, list, faults, err := Decode([]byte(raw), names)
+		require.NoError(t, err, unreadable)
+		require.Len(t, faults, 1, unreadable)
+		require.ErrorContains(t, faults[0], `"bad"`)
+		require.Equal(t, states{"bad": draining, "s": draining, "t": ready}, statesOf(list), unreadable)
+	}
+	for _, nameless := range []string{`7`, `null`, `"s"`, `{"host":7,"health":"ready"}`, `[]`} {
+		raw := `{"seq":1,"hosts":[` + nameless + `,{"host":"s","dial":"b","health":"gone"}]}`
+		_, list, faults, err := Decode([]byte(raw), names)
+		require.NoError(t, err, nameless)
+		require.Len(t, faults, 1, nameless)
+		require.Equal(t, states{"s": gone}, statesOf(list), nameless)
+	}
+	// Of an entry that is listed twice the departure counts.
+	for _, twice := range []string{
+		`{"host":"s","dial":"b","health":"draining"},{"host":"s","dial":"b","health":"ready"}`,
+		`{"host":"s","dial":"b","health":"ready"},{"host":"s","dial":"b","health":"draining"}`,
+	} {
+		_, list, faults, err := Decode([]byte(`{"seq":1,"hosts":[`+twice+`]}`), names)
+		require.NoError(t, err)
+		require.Len(t, faults, 1)
+		require.Equal(t, states{"s": draining}, statesOf(list))
+		require.Len(t, list.Endpoints, 1)
+	}
+}
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -4,3 +4,12 @@
 // services up, and Fixed has a list from the operator's file. From there a list passes through Overrides, which lays
 // over it what operators have disabled and enabled by command, and Cache, which persists it for the next start.
 package endpoints
+
+import "standpoint/internal/node"
+
+// The sources, as the core uses them.
+var (
+	_ node.EndpointWatcher = (*Watcher)(nil)
+	_ node.EndpointWatcher = (*Browsers)(nil)
+	_ node.EndpointWatcher = Fixed{}
+)
--- a/internal/endpoints/golden_test.go
+++ b/internal/endpoints/golden_test.go
@@ -8,7 +8,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// An endpoint of the last list, in the store under entries/last.
+// The persisted form of an endpoint, and the key under which the list is in the store.
 func TestGoldenLastList(t *testing.T) {
 	golden.RoundTrip(t, "last.json", []storedEndpoint{{
 		Host:   "box-1",
@@ -29,7 +29,7 @@
 	golden.Bytes(t, "keys.txt", []byte(cacheKey+"\n"))
 }
 
-// The words of a list's health.
+// The names of the states in lists.
 func TestGoldenHealthWords(t *testing.T) {
 	raw, err := json.Marshal(healthNames)
 	if err != nil {
--- /dev/null
+++ b/internal/endpoints/helpers_test.go
@@ -0,0 +1,143 @@
+package endpoints
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/node"
+)
+
+const (
+	ready    = standpoint.Ready
+	draining = standpoint.Draining
+	gone     = standpoint.Gone
+)
+
+// firstVersion is that of the list which a test's watcher starts with.
+const firstVersion = 41
+
+var names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
+
+// states are the states in a list, by the endpoints' names.
+type states = map[string]standpoint.State
+
+func statesOf(list node.EndpointList) states {
+	all := states{}
+	for _, endpoint := range list.Endpoints {
+		all[endpoint.Name] = endpoint.State
+	}
+	return all
+}
+
+func endpoint(name string, state standpoint.State, start int64) node.Endpoint {
+	return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state, ReadyAt: start}}
+}
+
+func fullList(all ...node.Endpoint) node.EndpointList {
+	return node.EndpointList{Kind: standpoint.ListFull, Endpoints: all}
+}
+
+func deltaList(all ...node.Endpoint) node.EndpointList {
+	return node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}
+}
+
+// runUntilEnd runs a component until the test ends, and waits for it then.
+func runUntilEnd(t *testing.T, run func(context.Context)) {
+	t.Helper()
+	var running sync.WaitGroup
+	running.Go(func() { run(t.Context()) })
+	t.Cleanup(running.Wait)
+}
+
+// receiver returns a function to be notified of lists, and the channel on which they arrive.
+func receiver(t *testing.T) (notify func(node.EndpointList), updates <-chan node.EndpointList) {
+	t.Helper()
+	lists := make(chan node.EndpointList, 100)
+	return func(list node.EndpointList) {
+		select {
+		case lists <- list:
+		case <-t.Context().Done():
+		}
+	}, lists
+}
+
+// receive returns the next list, which has to come soon.
+func receive(t *testing.T, updates <-chan node.EndpointList) node.EndpointList {
+	t.Helper()
+	select {
+	case list := <-updates:
+		return list
+	case <-time.After(20 * time.Second):
+		t.Fatal("no update")
+		return node.EndpointList{}
+	}
+}
+
+// serve starts a discovery that lives until the test ends.
+func serve(t *testing.T, handle http.HandlerFunc) *httptest.Server {
+	t.Helper()
+	server := httptest.NewServer(handle)
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return server
+}
+
+func hostPort(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
+
+// watchServer starts a watcher of a discovery.
+func watchServer(t *testing.T, discovery *httptest.Server) (*Watcher, <-chan node.EndpointList) {
+	t.Helper()
+	notify, updates := receiver(t)
+	w := NewWatcher(hostPort(discovery), names, firstVersion, notify, zap.NewNop())
+	runUntilEnd(t, w.Run)
+	w.Watch()
+	return w, updates
+}
+
+// watchScript starts a watcher, with short waits, of a discovery that handles each poll, by its number from 1 on, as a
+// script says. If pushed is not 0, discovery pushes its lists. The queries of the polls arrive on the second channel.
+func watchScript(
+	t *testing.T, pushed time.Duration, script func(poll int, w http.ResponseWriter, r *http.Request),
+) (updates <-chan node.EndpointList, queries <-chan string) {
+	t.Helper()
+	received := make(chan string, 100)
+	var polls atomic.Int32 // one that was given up may still be in flight
+	discovery := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		poll := int(polls.Add(1))
+		received <- r.URL.RawQuery
+		script(poll, w, r)
+	})
+	notify, updates := receiver(t)
+	w := NewWatcher(hostPort(discovery), names, firstVersion, notify, zap.NewNop())
+	w.MaxPushedPause = pushed
+	w.watchWait = 300 * time.Millisecond
+	w.watchSlack = 100 * time.Millisecond
+	runUntilEnd(t, w.Run)
+	if pushed == 0 {
+		w.Watch()
+	}
+	return updates, received
+}
+
+// respondDraining answers a poll with the change that s is draining.
+func respondDraining(w http.ResponseWriter, version int) { fmt.Fprint(w, drainingDelta(version)) }
+
+func drainingDelta(version int) string {
+	return fmt.Sprintf(
+		`{"seq":%d,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","health":"draining"}]}`, version)
+}
+
+// respondNothing leaves a poll without a response.
+func respondNothing(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
--- a/internal/endpoints/merge_test.go
+++ b/internal/endpoints/merge_test.go
@@ -12,165 +12,211 @@
 	"standpoint/internal/node"
 )
 
-func endpoint(name string, state standpoint.State, start int64) node.Endpoint {
-	return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state, ReadyAt: start}}
+// mergeStep is a response that a merger gets, and what it passes on.
+type mergeStep struct {
+	elapsed      time.Duration // since the test's start
+	switched     bool          // to another discovery, just before
+	epoch        int
+	afterVersion int64
+	version      int64
+	list         node.EndpointList
+	passes       states // nil: nothing is passed on
 }
 
-func whole(all ...node.Endpoint) node.EndpointList {
-	return node.EndpointList{Kind: standpoint.ListFull, Endpoints: all}
-}
-
-func changes(all ...node.Endpoint) node.EndpointList {
-	return node.EndpointList{Kind: standpoint.ListDelta, Endpoints: all}
-}
-
-// statesOf are a list's states by name.
-func statesOf(l node.EndpointList) map[string]standpoint.State {
-	states := map[string]standpoint.State{}
-	for _, e := range l.Endpoints {
-		states[e.Name] = e.State
-	}
-	return states
-}
-
-// What orders lists: each step is an answer, at a time of the test's own, and what is told of it.
+// Each case begins at version 5, with the ready endpoints s and t.
 func TestMergerOrdersResponses(t *testing.T) {
 	t.Parallel()
-	ready, draining, gone := standpoint.Ready, standpoint.Draining, standpoint.Gone
-	type step struct {
-		at    time.Duration
-		move  bool // to another discovery, before
-		line  int
-		after int64
-		seq   int64
-		list  node.EndpointList
-		tells map[string]standpoint.State // nil: nothing
-	}
-	for name, steps := range map[string][]step{
-		"a newer list may make a server ready again": {
-			{after: 5, seq: 6, list: changes(endpoint("s", draining, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{after: 6, seq: 7, list: changes(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": ready}},
+	for name, steps := range map[string][]mergeStep{
+		"a newer list may make an endpoint ready again": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
+			{afterVersion: 6, version: 7, list: deltaList(endpoint("s", ready, 0)), passes: states{"s": ready}},
 		},
-		"an older whole list does not": {
-			{after: 5, seq: 6, list: changes(endpoint("s", draining, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{after: 6, seq: 4, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{at: time.Second, line: 1, after: 4, seq: 5, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": draining}},
+		"an older full list does not": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
+			{afterVersion: 6, version: 4, list: fullList(endpoint("s", ready, 0)), passes: states{"s": draining}},
+			{
+				elapsed: time.Second, epoch: 1, afterVersion: 4, version: 5,
+				list:   fullList(endpoint("s", ready, 0)),
+				passes: states{"s": draining},
+			},
 		},
 		"nor one in which what is gone is listed": {
-			{after: 5, seq: 6, list: whole(), tells: map[string]standpoint.State{}},
-			{after: 6, seq: 4, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": draining}},
+			{afterVersion: 5, version: 6, list: fullList(), passes: states{}},
+			{afterVersion: 6, version: 4, list: fullList(endpoint("s", ready, 0)), passes: states{"s": draining}},
 		},
 		"nor the first list of another discovery, whose versions are others": {
-			{after: 5, seq: 6, list: changes(endpoint("s", draining, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{move: true, line: 1, seq: 900, list: whole(endpoint("s", ready, 0), endpoint("t", ready, 0)), tells: map[string]standpoint.State{"s": draining, "t": ready}},
-			{at: departureHold, line: 1, seq: 900, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": ready}},
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
+			{
+				switched: true, epoch: 1, version: 900,
+				list:   fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)),
+				passes: states{"s": draining, "t": ready},
+			},
+			{
+				elapsed: departureHold, epoch: 1, version: 900,
+				list:   fullList(endpoint("s", ready, 0)),
+				passes: states{"s": ready},
+			},
 		},
 		"a new start does": {
-			{after: 5, seq: 6, list: changes(endpoint("s", gone, 0)), tells: map[string]standpoint.State{"s": gone}},
-			{move: true, line: 1, seq: 1, list: whole(endpoint("s", ready, 9)), tells: map[string]standpoint.State{"s": ready}},
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", gone, 0)), passes: states{"s": gone}},
+			{
+				switched: true, epoch: 1, version: 1,
+				list:   fullList(endpoint("s", ready, 9)),
+				passes: states{"s": ready},
+			},
 		},
 		"and is drained again": {
-			{after: 5, seq: 6, list: changes(endpoint("s", gone, 3)), tells: map[string]standpoint.State{"s": gone}},
-			{after: 6, seq: 7, list: changes(endpoint("s", ready, 9)), tells: map[string]standpoint.State{"s": ready}},
-			{after: 7, seq: 8, list: changes(endpoint("s", draining, 9)), tells: map[string]standpoint.State{"s": draining}},
-			{move: true, line: 1, seq: 1, list: whole(endpoint("s", ready, 3)), tells: map[string]standpoint.State{"s": draining}},
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", gone, 3)), passes: states{"s": gone}},
+			{afterVersion: 6, version: 7, list: deltaList(endpoint("s", ready, 9)), passes: states{"s": ready}},
+			{afterVersion: 7, version: 8, list: deltaList(endpoint("s", draining, 9)), passes: states{"s": draining}},
+			{
+				switched: true, epoch: 1, version: 1,
+				list:   fullList(endpoint("s", ready, 3)),
+				passes: states{"s": draining},
+			},
 		},
 		"what the discovery before still writes counts, as departures": {
-			{move: true, line: 0, after: 5, seq: 6, list: changes(endpoint("s", draining, 0), endpoint("t", ready, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{line: 1, seq: 1, list: whole(endpoint("s", ready, 0), endpoint("t", ready, 0)), tells: map[string]standpoint.State{"s": draining, "t": ready}},
+			{
+				switched: true, epoch: 0, afterVersion: 5, version: 6,
+				list:   deltaList(endpoint("s", draining, 0), endpoint("t", ready, 0)),
+				passes: states{"s": draining},
+			},
+			{
+				epoch: 1, version: 1,
+				list:   fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)),
+				passes: states{"s": draining, "t": ready},
+			},
 		},
 		"behind the first list of the new one too": {
-			{move: true, line: 1, seq: 1, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": ready}},
-			{line: 0, after: 5, seq: 6, list: changes(endpoint("s", draining, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{at: time.Second, line: 1, after: 1, seq: 2, list: whole(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": draining}},
+			{
+				switched: true, epoch: 1, version: 1,
+				list:   fullList(endpoint("s", ready, 0)),
+				passes: states{"s": ready},
+			},
+			{
+				epoch: 0, afterVersion: 5, version: 6,
+				list:   deltaList(endpoint("s", draining, 0)),
+				passes: states{"s": draining},
+			},
+			{
+				elapsed: time.Second, epoch: 1, afterVersion: 1, version: 2,
+				list:   fullList(endpoint("s", ready, 0)),
+				passes: states{"s": draining},
+			},
 		},
 		"but not of a process that was replaced": {
-			{move: true, line: 1, seq: 1, list: whole(endpoint("s", ready, 9)), tells: map[string]standpoint.State{"s": ready}},
-			{line: 0, after: 5, seq: 6, list: changes(endpoint("s", draining, 3))},
+			{
+				switched: true, epoch: 1, version: 1,
+				list:   fullList(endpoint("s", ready, 9)),
+				passes: states{"s": ready},
+			},
+			{epoch: 0, afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 3))},
 		},
 		"an answer that comes late, of the same discovery": {
-			{after: 5, seq: 8, list: changes(endpoint("s", ready, 0)), tells: map[string]standpoint.State{"s": ready}},
-			{after: 5, seq: 7, list: changes(endpoint("s", draining, 0))}, // the newer one had it
-			{after: 5, seq: 9, list: changes(endpoint("s", draining, 0)), tells: map[string]standpoint.State{"s": draining}},
+			{afterVersion: 5, version: 8, list: deltaList(endpoint("s", ready, 0)), passes: states{"s": ready}},
+			{afterVersion: 5, version: 7, list: deltaList(endpoint("s", draining, 0))}, // the newer one had it
+			{afterVersion: 5, version: 9, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
 		},
 		"versions that begin anew: changes are departures alone, until the whole list": {
-			{after: 5, seq: 2, list: changes(endpoint("s", draining, 0), endpoint("t", ready, 0)), tells: map[string]standpoint.State{"s": draining}},
-			{line: 1, after: 5, seq: 3, list: changes(endpoint("t", ready, 0))},
-			{line: 1, after: 5, seq: 3, list: whole(endpoint("t", ready, 0)), tells: map[string]standpoint.State{"t": ready}},
+			{
+				afterVersion: 5, version: 2,
+				list:   deltaList(endpoint("s", draining, 0), endpoint("t", ready, 0)),
+				passes: states{"s": draining},
+			},
+			{epoch: 1, afterVersion: 5, version: 3, list: deltaList(endpoint("t", ready, 0))},
+			{
+				epoch: 1, afterVersion: 5, version: 3,
+				list:   fullList(endpoint("t", ready, 0)),
+				passes: states{"t": ready},
+			},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			start := time.Now()
-			o := newMerger(5)
-			o.restore(whole(endpoint("s", standpoint.Ready, 0), endpoint("t", standpoint.Ready, 0)), start)
-			for i, s := range steps {
-				if s.move {
-					o.beginEpoch()
+			m := newMerger(5)
+			m.restore(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)), start)
+			for i, step := range steps {
+				if step.switched {
+					m.beginEpoch()
 				}
-				l, ok := o.merge(response{s.line, s.after, s.seq, s.list}, start.Add(s.at))
-				require.Equal(t, s.tells != nil, ok, "step %d", i)
-				if ok {
-					require.Equal(t, s.tells, statesOf(l), "step %d", i)
+				list, passed := m.merge(response{
+					epoch:        step.epoch,
+					afterVersion: step.afterVersion,
+					version:      step.version,
+					list:         step.list,
+				}, start.Add(step.elapsed))
+				require.Equal(t, step.passes != nil, passed, "step %d", i)
+				if passed {
+					require.Equal(t, step.passes, statesOf(list), "step %d", i)
 				}
 			}
 		})
 	}
 }
 
-// A server that is held back is looked at once more when the hold is over.
+// The full list is fetched once more when the hold is over, for the endpoints that were held.
 func TestMergerEndsHold(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
-	o := newMerger(5)
-	o.merge(response{0, 5, 6, changes(endpoint("s", standpoint.Draining, 0))}, start)
-	o.beginEpoch()
-	require.False(t, o.endHold(start))
-	o.merge(response{1, 6, 1, whole(endpoint("s", standpoint.Ready, 0))}, start)
-	require.False(t, o.endHold(start.Add(departureHold-1)))
-	require.True(t, o.endHold(start.Add(departureHold)), "the whole list is wanted")
-	require.False(t, o.endHold(start.Add(departureHold)), "once")
-	l, _ := o.merge(response{1, 1, 1, whole(endpoint("s", standpoint.Ready, 0))}, start.Add(departureHold))
-	require.Equal(t, standpoint.Ready, l.Endpoints[0].State)
+	m := newMerger(5)
+	m.merge(response{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0))}, start)
+	m.beginEpoch()
+	require.False(t, m.endHold(start))
+	m.merge(response{epoch: 1, afterVersion: 6, version: 1, list: fullList(endpoint("s", ready, 0))}, start)
+	require.False(t, m.endHold(start.Add(departureHold-1)))
+	require.True(t, m.endHold(start.Add(departureHold)), "the full list is wanted")
+	require.False(t, m.endHold(start.Add(departureHold)), "once")
+	again := response{epoch: 1, afterVersion: 1, version: 1, list: fullList(endpoint("s", ready, 0))}
+	list, _ := m.merge(again, start.Add(departureHold))
+	require.Equal(t, ready, list.Endpoints[0].State)
 }
 
-// What is gone is forgotten in time, and there is never too much of it.
+// Removed endpoints are forgotten after a while, and their number is bounded.
 func TestMergerIsBounded(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
-	o := newMerger(0)
+	m := newMerger(0)
+	report := func(version int, endpoint node.Endpoint, now time.Time) {
+		m.merge(response{afterVersion: int64(version - 1), version: int64(version), list: deltaList(endpoint)}, now)
+	}
 	for i := range maxKnown + 100 {
-		o.merge(response{0, int64(i), int64(i + 1), changes(endpoint(fmt.Sprint(i), standpoint.Gone, 0))}, start)
+		report(i+1, endpoint(fmt.Sprint(i), gone, 0), start)
 	}
-	require.LessOrEqual(t, len(o.known), maxKnown)
-	o.merge(response{0, maxKnown + 100, maxKnown + 101, changes(endpoint("s", standpoint.Ready, 0))}, start.Add(departureRetention+1))
-	require.Len(t, o.known, 1)
+	require.LessOrEqual(t, len(m.known), maxKnown)
+	report(maxKnown+101, endpoint("s", ready, 0), start.Add(departureRetention+1))
+	require.Len(t, m.known, 1)
 }
 
-// Whatever answers come, in whatever order, of one discovery or several: as long as nothing but a newer list of the
-// same discovery, a new start or the end of the hold speaks for it, a server that was told to leave is not told to be
-// ready.
+// Whatever responses come, in whatever order, of one discovery or several: a departing endpoint is not passed on as
+// ready unless a newer list of the same discovery, a new start or the end of the hold speaks for it.
 func TestMergerKeepsDepartures(t *testing.T) {
 	t.Parallel()
+	kinds := []standpoint.ListKind{standpoint.ListFull, standpoint.ListDelta}
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		o := newMerger(10)
-		o.restore(whole(endpoint("s", standpoint.Ready, 1)), now)
-		o.merge(response{0, 10, 11, changes(endpoint("s", standpoint.Draining, 1))}, now)
+		m := newMerger(10)
+		m.restore(fullList(endpoint("s", ready, 1)), now)
+		m.merge(response{afterVersion: 10, version: 11, list: deltaList(endpoint("s", draining, 1))}, now)
 		for i := range rapid.IntRange(1, 12).Draw(t, "steps") {
-			if rapid.Bool().Draw(t, "move") {
-				o.beginEpoch()
+			if rapid.Bool().Draw(t, "switched") {
+				m.beginEpoch()
 			}
-			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond) // within the hold, all of them
-			l := node.EndpointList{Kind: rapid.SampledFrom([]standpoint.ListKind{standpoint.ListFull, standpoint.ListDelta}).Draw(t, "kind"),
-				Endpoints: []node.Endpoint{endpoint("s", standpoint.Ready, 1)}}
-			seq := rapid.Int64Range(0, 11).Draw(t, "seq")
-			if o.epoch == 0 && !o.awaitingFull {
-				seq = min(seq, 10) // not newer than the drain
+			elapsed := rapid.IntRange(0, 400).Draw(t, "ms") // all of them are within the hold
+			now = now.Add(time.Duration(elapsed) * time.Millisecond)
+			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
+			version := rapid.Int64Range(0, 11).Draw(t, "version")
+			if m.epoch == 0 && !m.awaitingFull {
+				version = min(version, 10) // not newer than the drain
 			}
-			got, _ := o.merge(response{rapid.IntRange(0, o.epoch).Draw(t, "line"), rapid.Int64Range(0, 11).Draw(t, "after"), seq, l}, now)
-			for _, e := range got.Endpoints {
-				if e.State == standpoint.Ready {
-					t.Fatalf("step %d: told ready", i)
+			list, _ := m.merge(response{
+				epoch:        rapid.IntRange(0, m.epoch).Draw(t, "epoch"),
+				afterVersion: rapid.Int64Range(0, 11).Draw(t, "after version"),
+				version:      version,
+				list:         node.EndpointList{Kind: kind, Endpoints: []node.Endpoint{endpoint("s", ready, 1)}},
+			}, now)
+			for _, passed := range list.Endpoints {
+				if passed.State == ready {
+					t.Fatalf("step %d: passed on as ready", i)
 				}
 			}
 		}
--- a/internal/endpoints/overrides_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
 
 	"standpoint"
 	"standpoint/internal/clock"
@@ -16,108 +17,110 @@
 	"standpoint/internal/store"
 )
 
-// coreSaw is what the core has been told of each name.
-type coreSaw map[string]node.Endpoint
+// coreView is what the core has been notified of, by the endpoints' names.
+type coreView map[string]node.Endpoint
 
-func (c coreSaw) take(l node.EndpointList) {
-	if l.Kind == standpoint.ListFull {
+func (c coreView) update(list node.EndpointList) {
+	if list.Kind == standpoint.ListFull {
 		clear(c)
 	}
-	for _, e := range l.Endpoints {
-		c[e.Name] = e
+	for _, listed := range list.Endpoints {
+		c[listed.Name] = listed
 	}
 }
 
-func overlay(t *testing.T, share *handover.Channel) (*Overrides, coreSaw) {
-	core := coreSaw{}
-	keys := store.NewMemory()
-	t.Cleanup(func() { _ = keys.Close() })
-	return NewOverrides(NewCache(keys, zap.NewNop()), core.take, share, zap.NewNop()), core
+func newTestOverrides(t *testing.T, siblings *handover.Channel) (*Overrides, coreView) {
+	t.Helper()
+	core := coreView{}
+	keyValues := store.NewMemory()
+	t.Cleanup(func() { _ = keyValues.Close() })
+	return NewOverrides(NewCache(keyValues, zap.NewNop()), core.update, siblings, zap.NewNop()), core
 }
 
-func entry(name string, state standpoint.State, start int64) node.Endpoint {
-	return node.Endpoint{Address: "127.0.0.1:1", Engine: standpoint.Engine{Name: name, State: state, ReadyAt: start, Size: 1}}
+func openChannel(t *testing.T, dir string) *handover.Channel {
+	t.Helper()
+	channel, err := handover.Open(dir, "n")
+	require.NoError(t, err)
+	return channel
 }
 
-// Out by hand holds whatever the sources tell; back is a fresh start, which an older one told late does not undo.
+// A disabled backend is draining, whatever the source says; an enabled one counts as started then, which an older start
+// from the source does not undo.
 func TestOverridesHoldUntilEnabled(t *testing.T) {
-	b, core := overlay(t, nil)
-	full := func(all ...node.Endpoint) { b.Update(node.EndpointList{Kind: standpoint.ListFull, Endpoints: all}) }
-	delta := func(e node.Endpoint) {
-		b.Update(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{e}})
-	}
-	full(entry("a", standpoint.Ready, 5), entry("b", standpoint.Ready, 0))
-	require.ErrorIs(t, b.Disable("c"), ErrNeverListed)
-	require.ErrorIs(t, b.Enable("c"), ErrNeverListed)
-	require.NoError(t, b.Enable("a"), "in use already")
+	o, core := newTestOverrides(t, nil)
+	full := func(all ...node.Endpoint) { o.Update(fullList(all...)) }
+	delta := func(changed node.Endpoint) { o.Update(deltaList(changed)) }
+	full(endpoint("a", ready, 5), endpoint("b", ready, 0))
+	require.ErrorIs(t, o.Disable("c"), ErrNeverListed)
+	require.ErrorIs(t, o.Enable("c"), ErrNeverListed)
+	require.NoError(t, o.Enable("a"), "it is not disabled")
 	require.EqualValues(t, 5, core["a"].ReadyAt)
 	for range 3 {
-		require.NoError(t, b.Disable("a"))
-		require.Equal(t, standpoint.Draining, core["a"].State)
+		require.NoError(t, o.Disable("a"))
+		require.Equal(t, draining, core["a"].State)
 	}
-	moved := entry("a", standpoint.Ready, clock.Now())
+	moved := endpoint("a", ready, clock.Now())
 	moved.Address = "127.0.0.1:2"
-	for _, tell := range []func(){
-		func() { delta(entry("a", standpoint.Ready, 5)) },
+	for _, report := range []func(){
+		func() { delta(endpoint("a", ready, 5)) },
 		func() { delta(moved) },
 		func() {
-			delta(entry("a", standpoint.Gone, 0))
-			require.Equal(t, standpoint.Gone, core["a"].State)
+			delta(endpoint("a", gone, 0))
+			require.Equal(t, gone, core["a"].State)
 			delta(moved)
 		},
-		func() { full(entry("b", standpoint.Ready, 0)); full(moved, entry("b", standpoint.Ready, 0)) },
-		func() { b.Update(node.EndpointList{Kind: standpoint.ListLost}) },
-		func() { b.cache.Resend(core.take) },
+		func() {
+			full(endpoint("b", ready, 0))
+			full(moved, endpoint("b", ready, 0))
+		},
+		func() { o.Update(node.EndpointList{Kind: standpoint.ListLost}) },
+		func() { o.cache.Resend(core.update) },
 	} {
-		tell()
-		require.Equal(t, standpoint.Draining, core["a"].State)
-		require.Equal(t, standpoint.Ready, core["b"].State)
+		report()
+		require.Equal(t, draining, core["a"].State)
+		require.Equal(t, ready, core["b"].State)
 	}
-	full(entry("b", standpoint.Ready, 0))
-	require.NoError(t, b.Disable("a"), "it was listed")
+	full(endpoint("b", ready, 0))
+	require.NoError(t, o.Disable("a"), "it was listed")
 	before := clock.Now()
-	require.NoError(t, b.Enable("a"))
+	require.NoError(t, o.Enable("a"))
 	require.NotContains(t, core, "a")
-	delta(entry("a", standpoint.Ready, 5))
-	require.Equal(t, standpoint.Ready, core["a"].State)
+	delta(endpoint("a", ready, 5))
+	require.Equal(t, ready, core["a"].State)
 	require.True(t, core["a"].Back)
-	start := core["a"].ReadyAt
-	require.GreaterOrEqual(t, start, before)
+	startedAt := core["a"].ReadyAt
+	require.GreaterOrEqual(t, startedAt, before)
 	delta(moved)
-	require.Equal(t, start, core["a"].ReadyAt, "it started while it was out")
-	later := entry("a", standpoint.Ready, start+int64(time.Second))
+	require.Equal(t, startedAt, core["a"].ReadyAt, "it started while it was disabled")
+	later := endpoint("a", ready, startedAt+int64(time.Second))
 	delta(later)
 	require.Equal(t, later.ReadyAt, core["a"].ReadyAt)
 	require.False(t, core["b"].Back)
 }
 
-// What staff tell one process holds in the other, and in the one after both, also for what was listed once.
+// A command to one process is in effect in the other, and in the one after both, also for backends that were listed
+// once.
 func TestOverridesAreSharedAcrossUpgrade(t *testing.T) {
 	dir := t.TempDir()
-	open := func() *handover.Channel {
-		s, err := handover.Open(dir, "n")
-		require.NoError(t, err)
-		return s
-	}
-	first := open()
-	old, oldCore := overlay(t, first)
-	list := node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{entry("a", standpoint.Ready, 5), entry("b", standpoint.Ready, 5)}}
+	first := openChannel(t, dir)
+	old, oldCore := newTestOverrides(t, first)
+	list := fullList(endpoint("a", ready, 5), endpoint("b", ready, 5))
 	old.Update(list)
 	require.NoError(t, old.Disable("a"))
 	require.NoError(t, first.Close()) // this process's mark; a second one of the same number cannot be made beside it
-	next, core := overlay(t, open())
+	next, core := newTestOverrides(t, openChannel(t, dir))
 	next.Update(list)
-	require.Equal(t, standpoint.Draining, core["a"].State)
-	require.Equal(t, standpoint.Ready, core["b"].State)
+	require.Equal(t, draining, core["a"].State)
+	require.Equal(t, ready, core["b"].State)
 	require.NoError(t, next.Disable("b"))
 	old.Sync()
-	require.Equal(t, standpoint.Draining, oldCore["b"].State)
+	require.Equal(t, draining, oldCore["b"].State)
 	require.NoError(t, old.Enable("a"))
 	next.Sync()
-	require.Equal(t, standpoint.Ready, core["a"].State)
+	require.Equal(t, ready, core["a"].State)
 	require.True(t, core["a"].Back)
 	require.Equal(t, oldCore["a"].ReadyAt, core["a"].ReadyAt)
-	old.Update(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{entry("once", standpoint.Ready, 0)}})
+	old.Update(deltaList(endpoint("once", ready, 0)))
 	old.Persist()
 	next.Sync()
 	require.NoError(t, next.Disable("once"))
@@ -126,11 +129,41 @@
 	require.NoError(t, err)
 	require.Len(t, files, 1)
 	require.NoError(t, os.Chmod(dir, 0o500))
-	defer func() { _ = os.Chmod(dir, 0o700) }()
+	t.Cleanup(func() { _ = os.Chmod(dir, 0o700) })
 	if os.Geteuid() != 0 { // root may write all the same
 		require.ErrorIs(t, next.Enable("b"), ErrNotPersisted)
 	} else {
 		require.NoError(t, next.Enable("b"))
 	}
-	require.Equal(t, standpoint.Ready, core["b"].State, "carried out in any case")
+	require.Equal(t, ready, core["b"].State, "carried out in any case")
+}
+
+// While another process holds the lock of the shared file, lists are passed on, and a command is in effect here at
+// once.
+func TestOverridesPassListsOnWhileSharedFileIsLocked(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	channel := openChannel(t, dir)
+	t.Cleanup(func() { _ = channel.Close() })
+	notify, updates := receiver(t)
+	o := NewOverrides(NewCache(nil, zap.NewNop()), notify, channel, zap.NewNop())
+	o.Update(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)))
+	receive(t, updates)
+	require.NoError(t, o.Enable("s")) // creates the lock's file
+	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
+	require.NoError(t, err)
+	require.Len(t, locks, 1)
+	lock, err := os.Open(locks[0])
+	require.NoError(t, err)
+	defer func() { _ = lock.Close() }()
+	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_EX))
+	done := make(chan error, 1)
+	go func() { done <- o.Disable("t") }()
+	require.Equal(t, states{"t": draining}, statesOf(receive(t, updates)))
+	o.Sync()
+	o.Update(deltaList(endpoint("s", draining, 0)))
+	require.Equal(t, states{"s": draining}, statesOf(receive(t, updates)))
+	require.Empty(t, done)
+	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_UN))
+	require.NoError(t, <-done)
 }
--- a/internal/endpoints/watcher_test.go
+++ b/internal/endpoints/watcher_test.go
@@ -1,129 +1,130 @@
 package endpoints
 
 import (
-	"context"
 	"fmt"
 	"net/http"
-	"net/http/httptest"
-	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
-	"go.uber.org/zap"
 
 	"standpoint"
 	"standpoint/internal/node"
-	"standpoint/internal/store"
 )
 
-var names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
-
-// The next watch follows within 200 ms of each answer. A failed one is made anew behind a short rest, without a word
-// to the core: what discovery has counts as told soon, whoever asked last, and nobody else would ask in time.
+// The next poll follows within 200 ms of each response. After one that failed the watch is opened again, after a short
+// pause, and nobody is notified of that: the core does not request the watch a second time.
 func TestWatcherPollsAgainWithoutDelay(t *testing.T) {
-	calls := make(chan time.Time, 100)
-	var n int
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		calls <- time.Now()
-		n++
-		switch n {
+	polls := make(chan time.Time, 100)
+	var count atomic.Int32
+	discovery := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		polls <- time.Now()
+		switch count.Add(1) {
 		case 1:
 			require.Equal(t, "41", r.URL.Query().Get("after"))
-			fmt.Fprint(w, `{"seq":43,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"b","class":"slow",`+
-				`"block":3,"health":"draining","share":2,"born_ms":5}]}`)
+			fmt.Fprint(w, `{"seq":43,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"b",`+
+				`"class":"slow","block":3,"health":"draining","share":2,"born_ms":5}]}`)
 		case 2:
 			require.Equal(t, "43", r.URL.Query().Get("after"))
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
-			<-r.Context().Done()
+			respondNothing(w, r)
 		}
-	}))
-	defer discovery.Close()
-	news := make(chan node.EndpointList, 10)
-	w := NewWatcher(strings.TrimPrefix(discovery.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go w.Run(ctx)
-	w.Watch()
-	first := <-news
-	require.Equal(t, node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{{Address: "127.0.0.1:1",
-		Engine: standpoint.Engine{Name: "s", Zone: 1, Kind: 1, Cell: 3, State: standpoint.Draining, Size: 2, ReadyAt: 5e6}}}}, first)
-	require.Less(t, (<-calls).Sub(<-calls).Abs(), 200*time.Millisecond)
+	})
+	w, updates := watchServer(t, discovery)
+	require.Equal(t, deltaList(node.Endpoint{
+		Address: "127.0.0.1:1",
+		Engine:  standpoint.Engine{Name: "s", Zone: 1, Kind: 1, Cell: 3, State: draining, Size: 2, ReadyAt: 5e6},
+	}), receive(t, updates))
+	require.Less(t, (<-polls).Sub(<-polls).Abs(), 200*time.Millisecond)
 	failed := time.Now()
-	require.Less(t, (<-calls).Sub(failed), maxPause)
-	w.Watch() // once a watch stands, a wish is no second one
+	require.Less(t, (<-polls).Sub(failed), maxPause)
+	w.Watch() // there is a watch: this requests no second one
 	select {
-	case <-calls:
-		t.Fatal("two calls at once")
+	case <-polls:
+		t.Fatal("two polls at once")
 	case <-time.After(300 * time.Millisecond):
 	}
-	require.Empty(t, news)
+	require.Empty(t, updates)
 }
 
-func TestDecodeReportsInvalidEntries(t *testing.T) {
-	for entry, says := range map[string]string{
-		`{"host":"s-1","dial":"a","health":"ill"}`:                                 `endpoint "s-1": unknown health "ill"`,
-		`{"host":"s-1","dial":"a","health":"ready","born_ms":9223372036854775807}`: `endpoint "s-1": born_ms`,
-		`{"host":"s-1","dial":"a","health":"ready","share":-1}`:                    `endpoint "s-1": share`,
-		`{"host":"s-1","health":"ready"}`:                                          `endpoint "s-1": dial`,
-	} {
-		_, l, faults, err := Decode([]byte(`{"seq":1,"hosts":[`+entry+`,{"host":"s-2","dial":"b","health":"draining"}]}`), names)
-		require.NoError(t, err)
-		require.Len(t, faults, 1)
-		require.ErrorContains(t, faults[0], says)
-		require.Len(t, l.Endpoints, 2, "the other's drain is heard")
-		require.Equal(t, standpoint.Draining, l.Endpoints[0].State, "it gets nothing new")
-	}
+// Where lists are pushed the watch begins without a request, and is opened again after failures.
+func TestWatcherOfPushedListsNeedsNoRequest(t *testing.T) {
+	t.Parallel()
+	updates, queries := watchScript(t, 100*time.Millisecond, func(poll int, w http.ResponseWriter, r *http.Request) {
+		switch poll {
+		case 1, 2:
+			w.WriteHeader(http.StatusServiceUnavailable)
+		case 3:
+			respondDraining(w, 43)
+		default:
+			respondNothing(w, r)
+		}
+	})
+	require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "there is no update for what failed")
+	require.GreaterOrEqual(t, len(queries), 3)
 }
 
-// What the keeper wrote is there for the next start, without what has gone.
-func TestCachePersistsList(t *testing.T) {
-	keys := store.NewMemory()
-	k := NewCache(keys, zap.NewNop())
-	go k.Run(t.Context())
-	entry := func(name string, state standpoint.State) node.Endpoint {
-		return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state}}
-	}
-	k.Store(node.EndpointList{Kind: standpoint.ListFull, Endpoints: []node.Endpoint{entry("a", standpoint.Ready), entry("b", standpoint.Ready)}})
-	k.Store(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{entry("a", standpoint.Gone)}})
-	require.Eventually(t, func() bool {
-		l, ok := NewCache(keys, zap.NewNop()).Load(time.Now())
-		return ok && len(l.Endpoints) == 1 && l.Endpoints[0].Name == "b"
-	}, time.Second, time.Millisecond)
+// A discovery whose versions have started over reports changes of another list: the full one is fetched.
+func TestWatcherFetchesFullListWhenVersionsRestart(t *testing.T) {
+	t.Parallel()
+	updates, _ := watchScript(t, 0, func(poll int, w http.ResponseWriter, r *http.Request) {
+		switch {
+		case poll == 1:
+			respondDraining(w, 3)
+		case r.URL.RawQuery == "":
+			fmt.Fprint(w, `{"seq":4,"whole":true,"hosts":[{"host":"t","dial":"127.0.0.1:2","health":"ready"}]}`)
+		default:
+			respondNothing(w, r)
+		}
+	})
+	list := receive(t, updates)
+	require.Equal(t, deltaList(list.Endpoints...), list)
+	require.Equal(t, draining, list.Endpoints[0].State, "a departure counts, whatever list it is in")
+	list = receive(t, updates)
+	require.Equal(t, standpoint.ListFull, list.Kind)
+	require.Equal(t, "t", list.Endpoints[0].Name)
 }
 
-// A move takes the whole list of the new discovery, though the old one's watch is open and its version is higher,
-// and though the first call fails; then the new one's watch goes on from its own version.
-func TestSwitchFetchesFullList(t *testing.T) {
-	old := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	defer old.Close()
-	asked := make(chan string, 100)
-	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
-		switch len(asked) {
-		case 1:
-			w.WriteHeader(http.StatusServiceUnavailable)
-		case 2:
-			fmt.Fprint(w, `{"seq":7,"whole":true,"hosts":[{"host":"t","dial":"127.0.0.1:2","health":"ready"}]}`)
-		default:
-			<-r.Context().Done()
+// What discovery sends after a response is not the next poll's response.
+func TestWatcherIgnoresSurplusResponse(t *testing.T) {
+	t.Parallel()
+	ended := make(chan struct{})
+	updates, _ := watchScript(t, 0, func(poll int, w http.ResponseWriter, r *http.Request) {
+		if poll == 2 {
+			fmt.Fprint(w, `{"seq":44,"whole":false,"hosts":[{"host":"t","dial":"127.0.0.1:2","health":"ready"}]}`)
+			return
+		}
+		if poll > 2 {
+			respondNothing(w, r)
+			return
+		}
+		connection, _, err := http.NewResponseController(w).Hijack()
+		if err != nil {
+			return
+		}
+		defer connection.Close()
+		body := drainingDelta(42)
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		fmt.Fprint(connection, response+response)
+		<-ended
+	})
+	t.Cleanup(func() { close(ended) })
+	require.Equal(t, "s", receive(t, updates).Endpoints[0].Name)
+	require.Equal(t, "t", receive(t, updates).Endpoints[0].Name, "the second poll's own response")
+}
+
+// A response that comes after its poll was given up is used, although the polls after it get none.
+func TestLateResponseIsUsed(t *testing.T) {
+	t.Parallel()
+	updates, _ := watchScript(t, 0, func(poll int, w http.ResponseWriter, r *http.Request) {
+		if poll > 1 {
+			respondNothing(w, r)
+			return
 		}
-	}))
-	defer next.Close()
-	news := make(chan node.EndpointList, 10)
-	w := NewWatcher(strings.TrimPrefix(old.URL, "http://"), names, 41, func(l node.EndpointList) { news <- l }, zap.NewNop())
-	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go w.Run(ctx)
-	w.Watch()
-	w.SetDiscovery(strings.TrimPrefix(next.URL, "http://"), names)
-	l := <-news
-	require.Equal(t, standpoint.ListFull, l.Kind)
-	require.Equal(t, "t", l.Endpoints[0].Name)
-	require.Eventually(t, func() bool { return len(asked) == 3 }, 5*time.Second, time.Millisecond)
-	require.Empty(t, <-asked)
-	require.Empty(t, <-asked)
-	require.Equal(t, "after=7&wait_ms=500", <-asked)
-	require.Empty(t, news, "a discovery that was left is not a failed one")
+		time.Sleep(openSlack + 400*time.Millisecond)
+		respondDraining(w, 42)
+	})
+	require.Equal(t, states{"s": draining}, statesOf(receive(t, updates)))
 }
