--- a/directory.go
+++ b/directory.go
@@ -1,28 +1,28 @@
 package standpoint
 
 // The load directory: what the gateways of a tier tell each other of the prompts that engines have yet to
-// read, and of those that they keep. A gateway that is one of many sees little of an engine's load by itself,
-// and its reports come late. Each engine has a registrar, one of the gateways by a hash that all agree on.
-// Whoever sends a prompt tells it so, and that the prompt has been read;
+// read, and of those that they keep. A gateway that is one of many sees little of an engine's load by
+// itself, and its reports come late. Each engine has a directory owner, one of the gateways by a hash
+// that all agree on. Whoever sends a prompt tells it so, and that the prompt has been read;
 
 import "math"
 
-// whoever is about to choose asks the registrars of the engines that rank first. What is told is one more
-// input of the predictor: nothing is decided here but whom to ask. A message may be lost, and a registrar be
-// gone: then a gateway goes by what it knows.
+// whoever is about to choose asks the directory owners of the engines that rank first. What is told is
+// one more input of the predictor: nothing is decided here but whom to ask. A message may be lost, and a
+// directory owner be gone: then a gateway goes by what it knows.
 
 const (
-	maxConsulted          = 3          // engines whose registrars are asked for one request
+	maxConsulted          = 3          // engines whose directory owners are asked for one request
 	consultTimeout        = 80 * ms    // for their answers
 	directoryLoadLifetime = 30 * ms    // an engine of which something was told so lately is not asked for
-	silentOwnerPause      = 2 * second // a registrar that did not answer is not asked for so long
-	// Part of its aim that the reading of a prompt takes on average, from which there is a directory.
+	silentOwnerPause      = 2 * second // a directory owner that did not answer is not asked for so long
+	// Part of its objective that the reading of a prompt takes on average, from which there is a directory.
 	minMeanPrefillBurden = 0.2
 	minPrefillBurden     = 0.15 // and that of one prompt, from which the directory is kept of it
 	prefillBurdenWeight  = 0.05 // of a request in the average
-	// Seconds that the gated best may trail the best overall, where registrars told of both.
+	// Seconds that the gated best may trail the best overall, where directory owners told of both.
 	directoryAffinityPenalty = 0.1
-	// Aims that are foretold to be met, by what registrars told, that undo one that is not.
+	// Objectives that are foretold to be met, by what directory owners told, that undo one that is not.
 	sparseMetPerMissed = 10.0
 	directorySalt      = 0xd6e8feb86659fd93
 )
@@ -32,7 +32,7 @@
 	return r.settings.Peers && r.settings.Balancers > 1 && !r.lacksReports()
 }
 
-// prefillBurdenOf is the part of a request's aim that the reading of its whole prompt takes.
+// prefillBurdenOf is the part of a request's objective that the reading of its whole prompt takes.
 func (r *Router) prefillBurdenOf(q *request) float64 {
 	if aim := r.latencyObjective(q); aim > 0 {
 		return q.PromptTokens / assumedSpeed / aim
@@ -40,13 +40,16 @@
 	return 0
 }
 
-// usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good part of its
-// aim, as it does for most requests. What short prompts add to an engine's load is not worth the messages.
+// usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good
+// part of its objective, as it does for most requests. What short prompts add to an engine's load is not
+// worth the messages.
 func (r *Router) usesDirectory(q *request) bool {
-	return r.sharing() && r.prefillBurden.mean >= minMeanPrefillBurden && r.prefillBurdenOf(q) >= minPrefillBurden
+	return r.sharing() &&
+		r.prefillBurden.mean >= minMeanPrefillBurden &&
+		r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
-// hearsFromDirectory tells that registrars have told this gateway something lately.
+// hearsFromDirectory tells that directory owners have told this gateway something lately.
 func (r *Router) hearsFromDirectory() bool {
 	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingTimeout
 }
@@ -68,7 +71,7 @@
 // byShortHash finds an engine from a message.
 func (r *Router) byShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
 
-// notifyOwner hands a message to an engine's registrar, which may be this gateway itself.
+// notifyOwner hands a message to an engine's directory owner, which may be this gateway itself.
 func (r *Router) notifyOwner(e *engine, m directoryMessage) {
 	m.engine = shortEngine(e)
 	if to := r.directoryOwner(e); to != r.settings.Ordinal {
@@ -79,15 +82,15 @@
 	r.register(r.settings.Ordinal, e, &m)
 }
 
-// initReadingSpeed assumes, before it is known, that an engine reads as fast as its registered size says beside the
-// others'.
+// initReadingSpeed assumes, before it is known, that an engine reads as fast as its registered size says
+// beside the others'.
 func (r *Router) initReadingSpeed(e *engine) {
 	if e.backlog.speed == 0 {
 		e.backlog.speed = assumedSpeed * r.relativeSize(e)
 	}
 }
 
-// register takes in what a gateway tells of an engine that this one is the registrar of.
+// register takes in what a gateway tells of an engine that this one is the directory owner of.
 func (r *Router) register(from int, e *engine, m *directoryMessage) {
 	switch m.kind {
 	case directorySent:
@@ -105,7 +108,7 @@
 
 func directoryKey(e *engine, hash uint32) uint64 { return mix(uint64(hash), e.hash+directorySalt) }
 
-// cachedTokens is how many tokens of a prompt an engine keeps, as its registrar has it.
+// cachedTokens is how many tokens of a prompt an engine keeps, as its directory owner has it.
 func (r *Router) cachedTokens(e *engine, session, prefix uint32) float64 {
 	tokens := 0.0
 	if session != 0 {
@@ -138,15 +141,15 @@
 	}
 }
 
-// answer tells a gateway what this one knows of an engine that it is the registrar of.
+// answer tells a gateway what this one knows of an engine that it is the directory owner of.
 func (r *Router) answer(to int, e *engine, ask *directoryMessage) {
 	m := directoryMessage{kind: directoryAnswer, id: ask.id, engine: ask.engine, load: e.backlog.load(r.now)}
 	m.tokens = r.cachedTokens(e, ask.session, ask.prefix)
 	r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
 }
 
-// consult asks the registrars of the engines that rank first for a request, and tells whether their answers
-// are waited for.
+// consult asks the directory owners of the engines that rank first for a request, and tells whether their
+// answers are waited for.
 func (r *Router) consult(q *request) bool {
 	if !r.usesDirectory(q) || q.consulted || len(q.attempts) > 0 {
 		return false
@@ -191,7 +194,8 @@
 
 // recordDirectoryLoad notes what is told of an engine, and of the request's prompt there.
 func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, kept float64) {
-	e.directoryLoad, e.directoryLoadAt = load, r.now
+	e.directoryLoad = load
+	e.directoryLoadAt = r.now
 	r.directoryAnswerAt = r.now
 	if q.keptByEngine == nil {
 		q.keptByEngine = map[*engine]float64{}
@@ -216,8 +220,8 @@
 	}
 }
 
-// consultFinished places a request that waited for registrars' answers. Those that did not answer are left alone
-// for a while.
+// consultFinished places a request that waited for directory owners' answers. Those that did not answer are
+// left alone for a while.
 func (r *Router) consultFinished(q *request) {
 	if r.awaitingDirectory[uint32(q.ID)] != q {
 		return
@@ -232,7 +236,7 @@
 	}
 }
 
-// notifySent tells an engine's registrar of a prompt that goes there.
+// notifySent tells an engine's directory owner of a prompt that goes there.
 func (r *Router) notifySent(a *attempt) {
 	q := a.request
 	if !r.usesDirectory(q) {
@@ -240,7 +244,8 @@
 	}
 	a.inDirectory = true
 	m := directoryMessage{kind: directorySent, id: uint32(q.ID)}
-	m.prompt, m.shared = q.PromptTokens, q.PrefixTokens
+	m.prompt = q.PromptTokens
+	m.shared = q.PrefixTokens
 	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
 	m.tokens = q.PromptTokens * (1 - a.match)
 	r.notifyOwner(a.engine, m)
--- a/internal/backend/batchdrain_test.go
+++ b/internal/backend/batch_drain_test.go
@@ -34,7 +34,7 @@
 
 func startFileServer(t *testing.T) (*fileServer, node.Endpoint) {
 	f := &fileServer{uploads: make(chan struct{}, 10), let: make(chan struct{}, 10)}
-	entry := testpeer.Entry("files", testpeer.Server(t, f.ServeHTTP))
+	entry := testpeer.Endpoint("files", testpeer.Backend(t, f.ServeHTTP))
 	entry.Batch = true
 	return f, entry
 }
@@ -74,45 +74,48 @@
 }
 
 // A server that takes files is told to drain while a file is uploaded to it: no batch is made of that file.
-func TestNoBatchIsMadeBehindADrain(t *testing.T) {
+func TestNoBatchIsCreatedAfterADrain(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
 	n := testpeer.Start(t, testpeer.Settings(), entry)
 	over := ask(t, n)
 	<-f.uploads
 	entry.State = standpoint.Draining
-	n.Tell(entry)
-	n.Heard()
+	n.UpdateEndpoints(entry)
+	n.WaitForCore()
 	f.let <- struct{}{}
 	require.NotEqual(t, http.StatusOK, <-over)
 	require.Zero(t, f.made.Load())
 }
 
 // It is told to while the connection for the upload comes up: nothing is uploaded.
-func TestNoFileIsSentBehindADrain(t *testing.T) {
+func TestNoFileIsUploadedAfterADrain(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
 	held := testpeer.HoldDials(1)
 	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, entry)
 	over := ask(t, n)
-	<-held.Up
+	<-held.Connected
 	entry.State = standpoint.Draining
-	n.Tell(entry)
-	n.Heard()
-	held.Go <- struct{}{}
+	n.UpdateEndpoints(entry)
+	n.WaitForCore()
+	held.Release <- struct{}{}
 	require.NotEqual(t, http.StatusOK, <-over)
 	require.Empty(t, f.uploads)
 }
 
-// A client leaves while its file is uploaded: no batch is made for it. Another's, in the same file, is uploaded once more without it.
-func TestNoBatchIsMadeForClientsThatLeft(t *testing.T) {
+// A client leaves while its file is uploaded: no batch is made for it. Another's, in the same file, is uploaded once
+// more without it.
+func TestNoBatchIsCreatedForDisconnectedClients(t *testing.T) {
 	t.Parallel()
 	f, entry := startFileServer(t)
 	n := testpeer.Start(t, testpeer.Settings(), entry)
 	leaving, leave := context.WithCancel(t.Context())
 	left := make(chan error, 1)
 	go func() {
-		response, err := http.DefaultClient.Do(n.Chat(leaving, func(r *http.Request) { r.Header.Set("X-Trace-Id", leaver) }))
+		response, err := http.DefaultClient.Do(
+			n.Chat(leaving, func(r *http.Request) { r.Header.Set("X-Trace-Id", leaver) }),
+		)
 		if err == nil {
 			response.Body.Close()
 		}
--- /dev/null
+++ b/internal/backend/batch_file.go
@@ -0,0 +1,190 @@
+package backend
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"mime/multipart"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"go.uber.org/zap"
+
+	"standpoint"
+	"standpoint/internal/node"
+)
+
+// batchFile is one file of attempts. It belongs to the goroutine of runFile, but for cancel.
+type batchFile struct {
+	attempts map[string]*node.Attempt // by custom_id: those without a result
+	ctx      context.Context          // ends when the lines that have not run are to be cancelled
+	cancel   context.CancelFunc
+}
+
+func newBatchFile(attempts []*node.Attempt) *batchFile {
+	file := &batchFile{attempts: map[string]*node.Attempt{}}
+	file.ctx, file.cancel = context.WithCancel(context.Background())
+	for _, attempt := range attempts {
+		id := attempt.Request.Work.TraceID + "-" + strconv.Itoa(attempt.Number)
+		file.attempts[id] = attempt
+	}
+	return file
+}
+
+// mayBegin returns a check whether all attempts that are in the file now may begin. Its error wraps errNotBegun.
+func (f *batchFile) mayBegin() func() error {
+	attempts := slices.Collect(maps.Values(f.attempts))
+	return func() error {
+		for _, attempt := range attempts {
+			if err := attempt.MayBegin(); err != nil {
+				return fmt.Errorf("%w: %w", errNotBegun, err)
+			}
+		}
+		return nil
+	}
+}
+
+// batchLine is a line of an input, output or error file.
+type batchLine struct {
+	CustomID string          `json:"custom_id"`
+	Method   string          `json:"method,omitempty"`
+	URL      string          `json:"url,omitempty"`
+	Body     json.RawMessage `json:"body,omitempty"`
+	Response *struct {
+		StatusCode int             `json:"status_code"`
+		Body       json.RawMessage `json:"body"`
+	} `json:"response,omitempty"`
+	Error *struct {
+		Code string `json:"code"`
+	} `json:"error,omitempty"`
+}
+
+// upload uploads the file, and returns its ID.
+func (b *batchBackend) upload(base string, file *batchFile) (string, error) {
+	var body bytes.Buffer
+	form := multipart.NewWriter(&body)
+	if err := form.WriteField("purpose", "batch"); err != nil {
+		return "", err
+	}
+	part, err := form.CreateFormFile("file", "lines.jsonl")
+	if err != nil {
+		return "", err
+	}
+	encoder := json.NewEncoder(part)
+	for id, attempt := range file.attempts {
+		if err := encoder.Encode(batchLine{CustomID: id, Method: http.MethodPost, URL: attempt.Request.Work.Target,
+			Body: attempt.Request.Work.Body}); err != nil {
+			return "", err
+		}
+	}
+	if err := form.Close(); err != nil {
+		return "", err
+	}
+	var uploaded struct {
+		ID string `json:"id"`
+	}
+	_, err = b.do(
+		file.mayBegin(),
+		http.MethodPost,
+		base+"/v1/files",
+		form.FormDataContentType(),
+		body.Bytes(),
+		&uploaded,
+	)
+	return uploaded.ID, err
+}
+
+// joinResults finishes the attempts whose results are in a file.
+func (b *batchBackend) joinResults(base, id string, file *batchFile) error {
+	var raw []byte
+	if _, err := b.do(nil, http.MethodGet, base+"/v1/files/"+id+"/content", "", nil, &raw); err != nil {
+		return err
+	}
+	for text := range bytes.Lines(raw) {
+		var result batchLine
+		if err := json.Unmarshal(text, &result); err != nil {
+			return fmt.Errorf("line of file %s: %w", id, err)
+		}
+		attempt := file.attempts[result.CustomID]
+		switch {
+		case attempt == nil:
+		case result.Response != nil && result.Response.StatusCode == http.StatusOK:
+			b.finish(file, result.CustomID, forwardAnswer(attempt, result.Response.Body))
+		case result.Response != nil && result.Response.StatusCode == http.StatusTooManyRequests,
+			result.Error != nil && (result.Error.Code == "batch_cancelled" || result.Error.Code == "batch_expired"):
+			b.finish(file, result.CustomID, node.Result{Code: standpoint.TurnedAway})
+		default:
+			b.finish(file, result.CustomID, node.Result{Code: standpoint.ServerError})
+		}
+	}
+	return nil
+}
+
+// forwardAnswer forwards a complete answer to the client as the events of a stream.
+func forwardAnswer(attempt *node.Attempt, body json.RawMessage) node.Result {
+	var answer struct {
+		Model   string `json:"model"`
+		Choices []struct {
+			Message struct{ Content string } `json:"message"`
+			Finish  string                   `json:"finish_reason"`
+		} `json:"choices"`
+		Usage json.RawMessage `json:"usage"`
+	}
+	if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) == 0 {
+		return node.Result{Code: standpoint.ServerError}
+	}
+	type delta struct {
+		Content string `json:"content"`
+	}
+	type choice struct {
+		Index  int    `json:"index"`
+		Delta  delta  `json:"delta"`
+		Finish string `json:"finish_reason"`
+	}
+	type event struct {
+		Model   string          `json:"model"`
+		Choices []choice        `json:"choices"`
+		Usage   json.RawMessage `json:"usage,omitempty"`
+	}
+	raw, err := json.Marshal(event{answer.Model, []choice{{0, delta{answer.Choices[0].Message.Content},
+		answer.Choices[0].Finish}}, answer.Usage})
+	if err != nil {
+		return node.Result{Code: standpoint.ServerError}
+	}
+	events := append(append([]byte("data: "), raw...), "\n\ndata: [DONE]\n\n"...)
+	if !attempt.Claim() {
+		return node.Result{Code: failureCode(attempt.Context(), true, nil)}
+	}
+	summary := answerSummary{}
+	if err := summary.scan(events); err != nil {
+		return node.Result{Code: standpoint.ServerError}
+	}
+	if attempt.Forward(events) != nil {
+		return node.Result{Code: standpoint.Cancelled}
+	}
+	return node.Result{Code: standpoint.Served, CachedTokens: summary.cachedTokens}
+}
+
+// finish ends one attempt of a file.
+func (b *batchBackend) finish(file *batchFile, id string, result node.Result) {
+	file.attempts[id].Finish(result)
+	delete(file.attempts, id)
+}
+
+// finishAll ends the attempts that are left. One that was given up keeps the reason for that.
+func (b *batchBackend) finishAll(file *batchFile, code standpoint.Code, err error) {
+	if len(file.attempts) > 0 {
+		b.Log.Info("attempts of a file failed", zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
+			zap.Stringer("code", code), zap.Error(err))
+	}
+	for id, attempt := range file.attempts {
+		result := node.Result{Code: code}
+		if attempt.Context().Err() != nil && !code.NeverRan() {
+			result.Code = failureCode(attempt.Context(), true, nil)
+		}
+		b.finish(file, id, result)
+	}
+}
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -16,9 +16,9 @@
 	"standpoint/internal/testpeer"
 )
 
-// What an attempt tells its server is at most what its client has left as it gets there, though the connection came up late: of a first
-// attempt, and of one behind an error.
-func TestTheDeadlineThatServersAreTold(t *testing.T) {
+// What an attempt tells its server is at most what its client has left as it gets there, though the connection came
+// up late: of a first attempt, and of one behind an error.
+func TestBackendsAreSentTheTimeThatIsLeft(t *testing.T) {
 	t.Parallel()
 	const asked, late, slack = 2 * time.Second, 400 * time.Millisecond, 150 * time.Millisecond
 	for name, failures := range map[string]int{"first attempt": 0, "second attempt": 1, "third attempt": 2} {
@@ -45,11 +45,20 @@
 				time.Sleep(late)
 				return net.Dial(network, address)
 			}
-			address := testpeer.Server(t, serve)
-			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dial, testpeer.Entry("a", address), testpeer.Entry("b", address),
-				testpeer.Entry("c", address))
+			address := testpeer.Backend(t, serve)
+			n := testpeer.StartDialing(
+				t,
+				zap.NewNop(),
+				testpeer.Settings(),
+				dial,
+				testpeer.Endpoint("a", address),
+				testpeer.Endpoint("b", address),
+				testpeer.Endpoint("c", address),
+			)
 			began := time.Now()
-			status, _, body, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "2000m") }))
+			status, _, body, _ := n.Do(
+				n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "2000m") }),
+			)
 			require.Equal(t, http.StatusOK, status, body)
 			got := <-seen
 			told, err := strconv.Atoi(strings.TrimSuffix(got.told, "m"))
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -50,7 +50,7 @@
 func startConfigurationCluster(t *testing.T) *configurationCluster {
 	t.Helper()
 	c := &configurationCluster{t: t, dir: t.TempDir(), program: build(t), running: map[string]*exec.Cmd{}}
-	backend := testpeer.Server(t, func(w http.ResponseWriter, _ *http.Request) {
+	backend := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "a")
 		testpeer.Finish(w)
 	})
@@ -73,7 +73,8 @@
 		token := filepath.Join(c.dir, id, "token")
 		require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
 		batch := map[string]string{"c": "[batch]\nenabled = true\n"}[id]
-		text := fmt.Sprintf(sharedConfigurationTestFile, id, testpeer.FreeAddress(t), controls[id], backend, batch, id, members)
+		text := fmt.Sprintf(sharedConfigurationTestFile, id, testpeer.FreeAddress(t), controls[id], backend, batch,
+			id, members)
 		require.NoError(t, os.WriteFile(c.file(id), []byte(text), 0o600))
 		c.start(id)
 	}
@@ -166,8 +167,8 @@
 	c.eventuallyAllServeBy(4)
 }
 
-// c carries batches, and cannot rename its classes while they run. It says so and goes on by the version before. Where c
-// leads, the change is rejected at once.
+// c carries batches, and cannot rename its classes while they run. It says so and goes on by the version before.
+// Where c leads, the change is rejected at once.
 func (c *configurationCluster) changeThatOneMemberRejects() {
 	c.t.Helper()
 	var text string
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -24,8 +24,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// notingBackends are backends that note their requests. A request whose id begins with "hold" or "queue" is not answered
-// before release is closed; the first has had one event by then.
+// notingBackends are backends that note their requests. A request whose id begins with "hold" or "queue" is not
+// answered before release is closed; the first has had one event by then.
 type notingBackends struct {
 	begun   chan string // a request that is not answered yet
 	release chan struct{}
@@ -37,7 +37,7 @@
 
 func (b *notingBackends) start(t *testing.T, name string) netip.AddrPort {
 	t.Helper()
-	return netip.MustParseAddrPort(testpeer.Server(t, func(w http.ResponseWriter, r *http.Request) {
+	return netip.MustParseAddrPort(testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		b.mu.Lock()
 		b.last[name] = time.Now()
--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -14,9 +14,9 @@
 
 	"standpoint/internal/backend"
 	"standpoint/internal/control"
+	"standpoint/internal/dnssd/browser"
 	"standpoint/internal/edge"
 	"standpoint/internal/endpoints"
-	"standpoint/internal/find/discovery"
 	"standpoint/internal/fleet"
 	"standpoint/internal/fleet/ledger/replication"
 	"standpoint/internal/fleet/session/service"
@@ -94,7 +94,7 @@
 
 	// The supervising goroutine alone uses these.
 	current        deployment              // in force
-	sharedSettings string                  // the shared configuration that is laid over the operator's file; "" for none
+	sharedSettings string                  // laid over the operator's file; "" for none
 	siblingCount   int                     // other live processes of this node
 	clients        *edge.ConnectionTracker // nil until clients are accepted
 
@@ -129,7 +129,7 @@
 
 	counters         *metrics.Counters
 	registry         *prometheus.Registry // nil for no metrics
-	discoveryMetrics *discovery.Metrics
+	discoveryMetrics *browser.Metrics
 
 	coreMutex      sync.Mutex   // guards coreDeployment, and orders changes of the core's settings
 	coreDeployment deployment   // that the core's settings come from
--- a/internal/find/dso/dso_test.go
+++ b/internal/dnssd/push/dso_test.go
@@ -1,4 +1,4 @@
-package dso
+package push
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/miekg/dns"
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // What is written is read again as it was meant.
@@ -19,7 +19,7 @@
 	require.NoError(t, err)
 	m, err = Decode(raw)
 	require.NoError(t, err)
-	require.Equal(t, Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: dnssd.Kind(dns.TypeANY)}, m)
+	require.Equal(t, Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: record.Kind(dns.TypeANY)}, m)
 	m, err = Decode(UnsubscribeMessage(6))
 	require.NoError(t, err)
 	require.Equal(t, uint16(6), m.Subscription)
@@ -28,7 +28,7 @@
 	require.Equal(t, time.Minute, m.Delay)
 	ptr, err := dns.NewRR("_e._tcp.test. 9 IN PTR a._e._tcp.test.")
 	require.NoError(t, err)
-	all, err := PushMessages([]Pushed{{RR: ptr}, {RR: ptr, Remove: true}})
+	all, err := PushMessages([]PushedRecord{{RR: ptr}, {RR: ptr, Remove: true}})
 	require.NoError(t, err)
 	require.Len(t, all, 1)
 	m, err = Decode(all[0])
@@ -39,9 +39,9 @@
 	require.True(t, m.Changes[1].Remove)
 	require.Equal(t, "a._e._tcp.test.", m.Changes[1].Record.Target)
 	// Many records go out in as many messages as are needed, none of them too large.
-	many := make([]Pushed, 3000)
+	many := make([]PushedRecord, 3000)
 	for i := range many {
-		many[i] = Pushed{RR: ptr}
+		many[i] = PushedRecord{RR: ptr}
 	}
 	all, err = PushMessages(many)
 	require.NoError(t, err)
@@ -54,12 +54,12 @@
 	}
 	require.Equal(t, 3000, n)
 	// A collective removal (RFC 8765, 6.3.1): all kinds at a name.
-	raw = append(header(0, false, 0), 0, 0x41, 0, 0)
+	raw = append(newHeader(0, false, 0), 0, 0x41, 0, 0)
 	name := []byte("\x01a\x04test\x00\x00\xff\x00\xff\xff\xff\xff\xfe\x00\x00")
 	raw[15] = byte(len(name))
 	m, err = Decode(append(raw, name...))
 	require.NoError(t, err)
-	require.Equal(t, []Change{{Remove: true, All: true, Record: dnssd.Record{Name: "a.test."}}}, m.Changes)
+	require.Equal(t, []Change{{Remove: true, All: true, Record: record.Record{Name: "a.test."}}}, m.Changes)
 }
 
 func TestWhatCannotBeRead(t *testing.T) {
@@ -90,7 +90,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		all, err := PushMessages([]Pushed{{RR: rr}, {RR: rr, Remove: true}})
+		all, err := PushMessages([]PushedRecord{{RR: rr}, {RR: rr, Remove: true}})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -101,11 +101,11 @@
 		if err != nil {
 			return
 		}
-		if len(m.Changes) > changesMost {
+		if len(m.Changes) > maxChanges {
 			t.Fatal("too many changes")
 		}
 		for _, c := range m.Changes {
-			if c.Record.Name == "" || dnssd.Fold(c.Record.Name) != c.Record.Name {
+			if c.Record.Name == "" || record.CanonicalName(c.Record.Name) != c.Record.Name {
 				t.Fatalf("%q is no folded name", c.Record.Name)
 			}
 		}
--- a/internal/find/lookup/lookup_test.go
+++ b/internal/dnssd/resolver/query_test.go
@@ -1,4 +1,4 @@
-package lookup
+package resolver
 
 import (
 	"net"
@@ -7,12 +7,12 @@
 	"github.com/miekg/dns"
 	"github.com/stretchr/testify/require"
 
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 )
 
 // Answers from another source, with the right id and name, and ones with another kind of record, are passed over: the
 // server's own, which comes behind them, counts.
-func TestAnswersOfAnotherSource(t *testing.T) {
+func TestAnswersFromOtherSourcesAreRejected(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
@@ -33,7 +33,12 @@
 			answer := func(ip string, kind uint16) []byte {
 				m := new(dns.Msg).SetReply(q)
 				m.Question[0].Qtype = kind
-				m.Answer = []dns.RR{&dns.A{Hdr: dns.RR_Header{Name: q.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9}, A: net.ParseIP(ip)}}
+				m.Answer = []dns.RR{
+					&dns.A{
+						Hdr: dns.RR_Header{Name: q.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9},
+						A:   net.ParseIP(ip),
+					},
+				}
 				raw, _ := m.Pack()
 				return raw
 			}
@@ -44,10 +49,10 @@
 	}()
 	c := &Client{Server: server.LocalAddr().String(), Domain: "hall.test"}
 	for range 20 {
-		a, err := c.Ask(t.Context(), "box.hall.test.", dnssd.A)
+		a, err := c.Query(t.Context(), "box.hall.test.", record.A)
 		require.NoError(t, err)
 		require.Len(t, a.Records, 1)
 		require.Equal(t, "127.0.0.7", a.Records[0].IP.String())
 	}
-	require.GreaterOrEqual(t, c.Spoofed.Load(), int64(20))
+	require.GreaterOrEqual(t, c.RejectedAnswers.Load(), int64(20))
 }
--- /dev/null
+++ b/internal/edge/drain_test.go
@@ -0,0 +1,257 @@
+package edge_test
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/node"
+	"standpoint/internal/testpeer"
+)
+
+// cancelledContext returns a context with which Drain closes idle connections once, and does not wait.
+func cancelledContext() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	return ctx
+}
+
+// idleClosers are the ways in which a node closes idle connections.
+var idleClosers = map[string]func(n *testpeer.Node){
+	"shutdown":        func(n *testpeer.Node) { _ = n.Connections.Drain(cancelledContext()) },
+	"before the kill": func(n *testpeer.Node) { n.Connections.CloseIdle() },
+	"connection limit": func(n *testpeer.Node) {
+		n.Connections.Resize(1)
+		n.Dial()
+	},
+	"manual drain": func(n *testpeer.Node) {
+		n.Connections.SetDraining(true)
+		time.Sleep(600 * time.Millisecond) // the tracker closes idle connections after a time of its own
+	},
+}
+
+// TestRequestReadAsConnectionCloses guards a request on an idle connection that the node closes at that moment: its
+// bytes have left the socket, and the server has not got them yet. It is answered.
+func TestRequestReadAsConnectionCloses(t *testing.T) {
+	t.Parallel()
+	for name, end := range idleClosers {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			held := testpeer.HoldReads()
+			n := testpeer.StartWrapped(
+				t,
+				held.Conn,
+				nil,
+				testpeer.Settings(),
+				testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
+			)
+			conn := n.Dial()
+			reader := bufio.NewReader(conn)
+			_, err := conn.Write(rawRequest(t, n, 10, nil))
+			require.NoError(t, err)
+			status, _ := readAnswer(t, conn, reader)
+			require.Equal(t, http.StatusOK, status)
+			time.Sleep(
+				2100 * time.Millisecond,
+			) // until it may be closed for the limit; the tracker has no clock of tests
+			held.HoldNext()
+			_, err = conn.Write(rawRequest(t, n, 20<<10, nil))
+			require.NoError(t, err)
+			<-held.Received
+			end(n)
+			held.Release <- struct{}{}
+			status, _ = readAnswer(t, conn, reader)
+			require.Equal(t, http.StatusOK, status)
+		})
+	}
+}
+
+// TestHalfReadRequestAsConnectionsClose guards a request of which half has come when the node closes idle connections:
+// the other half is read, and it is answered.
+func TestHalfReadRequestAsConnectionsClose(t *testing.T) {
+	t.Parallel()
+	for name, end := range idleClosers {
+		if name == "before the kill" { // then there is a moment for the rest, and no more
+			continue
+		}
+		for part, at := range map[string]int{"within its head": 30, "within its body": 5000} {
+			t.Run(name+", "+part, func(t *testing.T) {
+				t.Parallel()
+				held := testpeer.HoldReads()
+				n := testpeer.StartWrapped(
+					t,
+					held.Conn,
+					nil,
+					testpeer.Settings(),
+					testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
+				)
+				conn := n.Dial()
+				request := rawRequest(t, n, 20<<10, nil)
+				held.HoldNext()
+				_, err := conn.Write(request[:at])
+				require.NoError(t, err)
+				<-held.Received
+				held.Release <- struct{}{}
+				end(n)
+				_, err = conn.Write(request[at:])
+				require.NoError(t, err)
+				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+				require.Equal(t, http.StatusOK, status)
+			})
+		}
+	}
+}
+
+// TestFirstRequestAfterListenerClosed guards a connection that was accepted before the node stopped listening, and on
+// which nothing had come by then: its request is answered, and Drain ends.
+func TestFirstRequestAfterListenerClosed(t *testing.T) {
+	t.Parallel()
+	held := testpeer.HoldReads()
+	n := testpeer.StartWrapped(
+		t,
+		held.Conn,
+		nil,
+		testpeer.Settings(),
+		testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
+	)
+	conn := n.Dial()
+	<-held.Accepted
+	require.NoError(t, n.Lifecycle.Enter(node.Draining))
+	left := make(chan error, 1)
+	go func() { left <- n.Connections.Drain(t.Context()) }()
+	require.Eventually(t, func() bool {
+		late, err := net.Dial("tcp", n.Address)
+		if err == nil {
+			late.Close()
+		}
+		return err != nil
+	}, 3*time.Second, time.Millisecond)
+	_, err := conn.Write(rawRequest(t, n, 20<<10, nil))
+	require.NoError(t, err)
+	status, body := readAnswer(t, conn, bufio.NewReader(conn))
+	require.Equal(t, http.StatusOK, status)
+	require.Contains(t, body, "[DONE]")
+	require.NoError(t, <-left, "and no connection is left then")
+}
+
+// TestAnswerUnderWayClosesItsConnection guards an answer that began before the shutdown and could not say that its
+// connection closes: that closes with it. A client that sends at once is either answered, or finds a closed connection
+// on which nothing of its request was read.
+func TestAnswerUnderWayClosesItsConnection(t *testing.T) {
+	t.Parallel()
+	came, release := make(chan struct{}), make(chan struct{})
+	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body)
+		testpeer.Event(w, "begun")
+		came <- struct{}{}
+		<-release
+		testpeer.Finish(w)
+	})
+	conn := n.Dial()
+	_, err := conn.Write(rawRequest(t, n, 10, nil))
+	require.NoError(t, err)
+	<-came
+	reader := bufio.NewReader(conn)
+	response, err := http.ReadResponse(reader, nil)
+	require.NoError(t, err)
+	require.False(t, response.Close)
+	left := make(chan error, 1)
+	go func() { left <- n.Connections.Drain(t.Context()) }()
+	close(release)
+	body, err := io.ReadAll(response.Body)
+	require.NoError(t, err)
+	require.Contains(t, string(body), "[DONE]")
+	require.NoError(t, <-left)
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Second)))
+	_, err = reader.ReadByte()
+	require.ErrorIs(t, err, io.EOF)
+}
+
+// openIdleConnection opens a client connection, has one request answered on it, and keeps it.
+func openIdleConnection(t *testing.T, n *testpeer.Node, id string) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	conn := n.Dial()
+	reader := bufio.NewReader(conn)
+	response := sendOn(t, n, conn, reader, id)
+	_, err := io.Copy(io.Discard, response.Body)
+	require.NoError(t, err)
+	require.False(t, response.Close)
+	return conn, reader
+}
+
+// healthStatus returns the status that the health check answers with.
+func healthStatus(t *testing.T, n *testpeer.Node) int {
+	t.Helper()
+	response, err := http.Get(n.URL + "/_health")
+	require.NoError(t, err)
+	response.Body.Close()
+	return response.StatusCode
+}
+
+// TestManualDrain drains a node by hand and takes that back: the health check fails at once, an open stream runs to its
+// end, an idle connection takes one more request and closes with its answer, idle and silent ones close, and requests
+// that come much later are rejected with a Retry-After. Then all is as before.
+func TestManualDrain(t *testing.T) {
+	release := make(chan struct{})
+	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		testpeer.Event(w, "x")
+		if r.Header.Get("X-Trace-Id") == "stream" {
+			<-release
+		}
+		testpeer.Finish(w)
+	})
+	health := func() int { return healthStatus(t, n) }
+	require.Equal(t, http.StatusOK, health())
+	stream := n.Dial()
+	streaming := sendOn(t, n, stream, bufio.NewReader(stream), "stream")
+	_, idleReader := openIdleConnection(t, n, "idle")
+	reused, reusedReader := openIdleConnection(t, n, "reused")
+	silent := n.Dial()
+	require.NoError(t, n.Lifecycle.Enter(node.ManuallyDrained))
+	n.Connections.SetDraining(true)
+	n.Connections.SetDraining(true) // the call may be repeated
+	began := time.Now()
+	require.Equal(t, http.StatusServiceUnavailable, health())
+	last := sendOn(t, n, reused, reusedReader, "last")
+	body, err := io.ReadAll(last.Body)
+	require.NoError(t, err)
+	require.Contains(t, string(body), "[DONE]")
+	require.True(t, last.Close)
+	for _, conn := range []io.Reader{idleReader, reusedReader, silent} {
+		rest, err := io.ReadAll(conn)
+		require.NoError(t, err, "it ends, and is not reset")
+		require.Empty(t, rest)
+	}
+	require.Less(t, time.Since(began), 2*time.Second)
+	require.Eventually(t, func() bool {
+		status, header, _, err := n.Do(n.Chat(t.Context(), nil))
+		require.NoError(t, err)
+		rejected := time.Since(began) > 1900*time.Millisecond && header.Get("Retry-After") != ""
+		require.True(t, status == http.StatusOK || rejected)
+		return status == http.StatusServiceUnavailable
+	}, 4*time.Second, 20*time.Millisecond)
+	close(release)
+	whole, err := io.ReadAll(streaming.Body)
+	require.NoError(t, err)
+	require.Contains(t, string(whole), "[DONE]")
+	// Its answer began before the drain and could not say that the connection closes: it closes all the same, and is
+	// not idle first.
+	began = time.Now()
+	_, err = io.ReadAll(stream)
+	require.NoError(t, err)
+	require.Less(t, time.Since(began), 200*time.Millisecond)
+	require.NoError(t, n.Lifecycle.Enter(node.Serving))
+	n.Connections.SetDraining(false)
+	require.Equal(t, http.StatusOK, health())
+	openIdleConnection(t, n, "again")
+	time.Sleep(600 * time.Millisecond) // longer than a connection is idle while a node is drained
+	status, _, _, err := n.Do(n.Chat(t.Context(), nil))
+	require.NoError(t, err)
+	require.Equal(t, http.StatusOK, status)
+}
--- /dev/null
+++ b/internal/edge/syscall_faults_test.go
@@ -0,0 +1,189 @@
+package edge_test
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"standpoint"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"standpoint/internal/testpeer"
+)
+
+// acceptErrors are the errors of accept4 on Linux that tell of one connection, of the network, or of the machine, and
+// may be over a moment later.
+var acceptErrors = []syscall.Errno{
+	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
+	syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR,
+}
+
+// connectErrors are errors of connect(2) that may be over a moment later.
+var connectErrors = []syscall.Errno{
+	syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT,
+	syscall.ECONNREFUSED,
+}
+
+// transferErrors are errors of read(2) and write(2) that take nothing away.
+var transferErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
+
+// TestAcceptRecoversFromErrors guards against a server that stops accepting for good, or for a second, on an error that
+// was over at once: net/http ends its loop on an error that does not call itself temporary.
+func TestAcceptRecoversFromErrors(t *testing.T) {
+	t.Parallel()
+	for _, errno := range acceptErrors {
+		for name, place := range map[string]func(faults *testpeer.Faults){
+			"one call":      func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 1) },
+			"a few calls":   func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 20) },
+			"half a second": func(faults *testpeer.Faults) { faults.FailFor(testpeer.Accept, errno, 500*time.Millisecond) },
+		} {
+			t.Run(fmt.Sprintf("%v for %s", errno, name), func(t *testing.T) {
+				t.Parallel()
+				faults := testpeer.NewFaults(1)
+				place(faults)
+				backend := testpeer.Backend(t, answerAlways)
+				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", backend))
+				began := time.Now()
+				conn := n.Dial()
+				_, err := conn.Write(rawRequest(t, n, 10, nil))
+				require.NoError(t, err)
+				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+				require.Equal(t, http.StatusOK, status)
+				require.Positive(t, faults.Failed(testpeer.Accept))
+				require.Less(t, time.Since(began), 500*time.Millisecond+700*time.Millisecond,
+					"no pause of a second behind the shortage")
+				status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
+				require.Equal(t, http.StatusOK, status)
+			})
+		}
+	}
+}
+
+// TestClientConnectionRecoversFromErrors fails reads and writes on a client's connection for want of memory: its
+// request gets its one answer.
+func TestClientConnectionRecoversFromErrors(t *testing.T) {
+	t.Parallel()
+	for _, call := range []testpeer.SystemCall{testpeer.Read, testpeer.Write} {
+		for _, errno := range transferErrors {
+			t.Run(fmt.Sprintf("%v of %d", errno, call), func(t *testing.T) {
+				t.Parallel()
+				faults := testpeer.NewFaults(1)
+				begun := make(chan struct{})
+				server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+					begun <- struct{}{}
+					<-begun
+					answerAlways(w, r)
+				})
+				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", server))
+				faults.FailNext(call, errno, 2)
+				conn := n.Dial()
+				_, err := conn.Write(rawRequest(t, n, 10, nil))
+				require.NoError(t, err)
+				<-begun
+				faults.FailNext(call, errno, 3)
+				if call == testpeer.Read { // bytes behind the request have the node read, and fail, while it is open
+					_, err = conn.Write([]byte("\r\n"))
+					require.NoError(t, err)
+				}
+				begun <- struct{}{}
+				status, body := readAnswer(t, conn, bufio.NewReader(conn))
+				require.Equal(t, http.StatusOK, status)
+				require.Contains(t, body, "[DONE]")
+				require.Positive(t, faults.Failed(call))
+			})
+		}
+	}
+}
+
+// TestGuaranteesHoldWhileSystemCallsFail fails all system calls now and then, by a seed, and has reads return single
+// bytes, while clients send requests and one backend drains. Every request gets its one answer in time, has three
+// attempts at the most, never two at once, and none at the backend that drains.
+func TestGuaranteesHoldWhileSystemCallsFail(t *testing.T) {
+	t.Parallel()
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			const clients, each, deadline, grace = 20, 10, 2 * time.Second, 500 * time.Millisecond
+			faults := testpeer.NewFaults(seed)
+			ledger := testpeer.NewAttemptLedger()
+			faults.SingleByteReads = seed%2 == 1
+			var last atomic.Pointer[time.Time] // when a request last began at the backend that drains
+			last.Store(&time.Time{})
+			serve := func(w http.ResponseWriter, r *http.Request) {
+				id := r.Header.Get("X-Trace-Id")
+				ledger.Begin(id)
+				defer ledger.End(id, true)
+				time.Sleep(5 * time.Millisecond) // the time that a backend takes
+				answerAlways(w, r)
+			}
+			a := testpeer.Endpoint("a", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+				now := time.Now()
+				last.Store(&now)
+				serve(w, r)
+			}))
+			b := testpeer.Endpoint("b", testpeer.Backend(t, serve))
+			c := testpeer.Endpoint("c", testpeer.Backend(t, serve))
+			n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), a, b, c)
+			faults.FailFraction(testpeer.Accept, 0.3, acceptErrors...)
+			faults.FailFraction(testpeer.Connect, 0.3, connectErrors...)
+			faults.FailFraction(testpeer.Read, 0.05, transferErrors...)
+			faults.FailFraction(testpeer.Write, 0.05, transferErrors...)
+			var all sync.WaitGroup
+			statuses := make(chan int, clients*each)
+			var drained time.Time // written by the first client, and read once all have ended
+			for i := range clients {
+				all.Go(func() {
+					for j := range each {
+						if i == 0 && j == each/2 {
+							draining := a
+							draining.State = standpoint.Draining
+							n.UpdateEndpoints(draining, b, c)
+							drained = time.Now()
+						}
+						statuses <- requestOnce(t, n, deadline)
+					}
+				})
+			}
+			all.Wait()
+			close(statuses)
+			served := 0
+			for status := range statuses {
+				require.Contains(t, []int{http.StatusOK, http.StatusServiceUnavailable}, status)
+				if status == http.StatusOK {
+					served++
+				}
+			}
+			require.GreaterOrEqual(t, served, clients*each*9/10)
+			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request at once")
+			for id, sent := range ledger.Sent() {
+				require.LessOrEqual(t, sent, 3, id)
+			}
+			require.Less(t, last.Load().Sub(drained), grace, "an attempt at a backend that drains")
+		})
+	}
+}
+
+// requestOnce sends a request on a connection of its own, and returns the status of its answer, which has come before
+// the deadline.
+func requestOnce(t *testing.T, n *testpeer.Node, deadline time.Duration) int {
+	t.Helper()
+	request := rawRequest(t, n, 10, withHeader("X-Expires-In", fmt.Sprintf("%dm", deadline.Milliseconds())))
+	began := time.Now()
+	conn, err := net.Dial("tcp", n.Address)
+	require.NoError(t, err)
+	defer conn.Close()
+	_, err = conn.Write(request)
+	require.NoError(t, err)
+	status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+	require.Less(t, time.Since(began), deadline)
+	return status
+}
--- a/internal/endpoints/attributes.go
+++ b/internal/endpoints/attributes.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"standpoint"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/node"
 )
 
@@ -35,7 +35,7 @@
 func (e *AttributeError) Unwrap() error { return e.Err }
 
 // endpoint returns the endpoint that an instance stands for. Its errors are the instance's fault, and *AttributeError.
-func (b *Browser) endpoint(instance dnssd.Instance, now time.Time) (node.Endpoint, error) {
+func (b *Browser) endpoint(instance record.Instance, now time.Time) (node.Endpoint, error) {
 	endpoint := node.Endpoint{
 		Engine: standpoint.Engine{Name: instance.Label + b.Suffix, Size: 1},
 		Source: b.Key,
--- a/internal/endpoints/browser.go
+++ b/internal/endpoints/browser.go
@@ -14,8 +14,8 @@
 
 	"standpoint"
 	"standpoint/internal/clock"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/node"
 )
 
@@ -29,24 +29,24 @@
 // A look-up that fails changes nothing, and an invalid record affects its own instance alone. The exported fields are
 // set before Run, and not changed afterwards.
 type Browser struct {
-	FinderOptions discovery.Options // Tell is set by Run
-	Key           string            // identifies the source among others, also in the persisted list
-	Config        string            // the configuration that it was made from: two that differ differ in it
-	Site          string            // of instances that publish none; empty for the first zone
-	Suffix        string            // appended to the instances' names, to tell several services' apart
-	Guard         dnssd.Guard       // holds back a list that has lost many instances at once
-	Damper        dnssd.Damper      // holds back instances that come and go too often
+	FinderOptions browser.Options // Publish is set by Run
+	Key           string          // identifies the source among others, also in the persisted list
+	Config        string          // the configuration that it was made from: two that differ differ in it
+	Site          string          // of instances that publish none; empty for the first zone
+	Suffix        string          // appended to the instances' names, to tell several services' apart
+	Guard         record.Guard    // holds back a list that has lost many instances at once
+	Damper        record.Damper   // holds back instances that come and go too often
 	Names         Names
 	Notify        func(node.EndpointList) // called by Run's goroutine, with full lists
 	Log           *zap.Logger
 
-	snapshots chan discovery.Sight // of capacity 1: the latest that is not evaluated yet
-	finder    *discovery.Finder
+	snapshots chan browser.Snapshot // of capacity 1: the latest that is not evaluated yet
+	finder    *browser.Browser
 	origins   atomic.Pointer[[]Origin] // by name
 
 	// Below is Run's goroutine's alone. Maps have the instances' full names as keys.
 
-	lastSnapshot *discovery.Sight
+	lastSnapshot *browser.Snapshot
 	unpublished  bool                        // Notify has not been called yet
 	published    []node.Endpoint             // the list that it was last called with, by name
 	endpoints    map[string]node.Endpoint    // that are in use
@@ -96,17 +96,17 @@
 }
 
 func (b *Browser) prepare() {
-	b.snapshots = make(chan discovery.Sight, 1)
+	b.snapshots = make(chan browser.Snapshot, 1)
 	b.unpublished = true
 	b.observed = map[string]observedInstance{}
-	b.FinderOptions.Tell = func(snapshot discovery.Sight) {
+	b.FinderOptions.Publish = func(snapshot browser.Snapshot) {
 		select { // the latest replaces one that is not evaluated yet
 		case <-b.snapshots:
 		default:
 		}
 		b.snapshots <- snapshot
 	}
-	b.finder = discovery.New(b.FinderOptions)
+	b.finder = browser.New(b.FinderOptions)
 }
 
 // evaluation is what a snapshot means. Maps have the instances' full names as keys.
@@ -119,10 +119,10 @@
 
 // evaluate handles a snapshot, and notifies if the list has changed. It returns after how long the same snapshot is
 // to be evaluated again, since the guard or the damper may let something through then; 0 if not at all.
-func (b *Browser) evaluate(snapshot discovery.Sight, now time.Time) (recheckAfter time.Duration) {
-	if snapshot.Over > 0 && b.FinderOptions.Log != nil {
+func (b *Browser) evaluate(snapshot browser.Snapshot, now time.Time) (recheckAfter time.Duration) {
+	if snapshot.Omitted > 0 && b.FinderOptions.Log != nil {
 		b.Log.Warn("instances beyond the maximum ignored",
-			zap.Int("ignored", snapshot.Over), zap.Int("maximum", dnssd.InstancesMost))
+			zap.Int("ignored", snapshot.Omitted), zap.Int("maximum", record.MaxInstances))
 	}
 	if b.guardHolds(snapshot, now) {
 		return guardRecheckInterval
@@ -134,7 +134,7 @@
 	b.faults = next.faults
 	b.listed = next.listed
 	b.serial = snapshot.Serial
-	b.confirmedAt = snapshot.At
+	b.confirmedAt = snapshot.ObservedAt
 	b.publish()
 	if next.dampedBefore < math.MaxInt64 {
 		return time.Duration(next.dampedBefore-clock.Of(now)) + time.Millisecond
@@ -143,19 +143,19 @@
 }
 
 // guardHolds reports whether the guard holds a snapshot back, for the instances that it has lost.
-func (b *Browser) guardHolds(snapshot discovery.Sight, now time.Time) bool {
+func (b *Browser) guardHolds(snapshot browser.Snapshot, now time.Time) bool {
 	remaining := 0
 	for _, instance := range snapshot.Instances {
 		if b.listed[instance.Name] {
 			remaining++
 		}
 	}
-	newer := snapshot.Serial != nil && b.serial != nil && dnssd.Newer(*snapshot.Serial, *b.serial)
-	return b.Guard.Judge(len(b.listed), remaining, newer, clock.Of(now)) == dnssd.Wait
+	newer := snapshot.Serial != nil && b.serial != nil && record.Newer(*snapshot.Serial, *b.serial)
+	return b.Guard.Check(len(b.listed), remaining, newer, clock.Of(now)) == record.Hold
 }
 
 // interpret finds the endpoint of each instance, or why it has none.
-func (b *Browser) interpret(snapshot discovery.Sight, now time.Time) evaluation {
+func (b *Browser) interpret(snapshot browser.Snapshot, now time.Time) evaluation {
 	next := evaluation{
 		endpoints:    map[string]node.Endpoint{},
 		faults:       map[string]string{},
@@ -171,7 +171,7 @@
 		}
 		endpoint, err := b.endpoint(instance, now)
 		if err == nil && !used && !b.unpublished {
-			if until := b.Damper.Until(instance.Name, clock.Of(now)); until > clock.Of(now) {
+			if until := b.Damper.HeldUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
 				next.dampedBefore = min(next.dampedBefore, until)
 				err = &dampedError{until: until}
 			}
@@ -202,14 +202,14 @@
 func (b *Browser) recordRemovals(next map[string]node.Endpoint, now time.Time) {
 	for name := range b.endpoints {
 		if _, used := next[name]; !used {
-			b.Damper.Gone(name, clock.Of(now))
-			b.FinderOptions.Metrics.Gone(now.Sub(b.confirmedAt))
+			b.Damper.RecordWithdrawal(name, clock.Of(now))
+			b.FinderOptions.Metrics.ObserveWithdrawal(now.Sub(b.confirmedAt))
 		}
 	}
 }
 
 // recordOrigins replaces what Origins returns.
-func (b *Browser) recordOrigins(snapshot discovery.Sight, next evaluation) {
+func (b *Browser) recordOrigins(snapshot browser.Snapshot, next evaluation) {
 	changedAt := map[string]time.Time{}
 	all := make([]Origin, 0, len(snapshot.Instances))
 	for _, instance := range snapshot.Instances {
@@ -221,16 +221,16 @@
 		}
 		origin.ChangedAt = b.changedAt[instance.Name]
 		if origin.ChangedAt.IsZero() || !unchanged {
-			origin.ChangedAt = snapshot.At
+			origin.ChangedAt = snapshot.ObservedAt
 		}
 		changedAt[instance.Name] = origin.ChangedAt
 		origin.Instance = instance.Name
 		origin.Server = b.FinderOptions.Server
-		origin.Mechanism = string(snapshot.Way)
-		origin.CheckedAt = snapshot.At
-		if !instance.Pending && instance.Until < math.MaxInt64 {
+		origin.Mechanism = string(snapshot.Mechanism)
+		origin.CheckedAt = snapshot.ObservedAt
+		if !instance.Pending && instance.ExpiresAt < math.MaxInt64 {
 			origin.TTL = instance.TTL
-			origin.ExpiresAt = clock.Time(instance.Until)
+			origin.ExpiresAt = clock.Time(instance.ExpiresAt)
 		}
 		all = append(all, origin)
 	}
--- a/internal/endpoints/browser_test.go
+++ b/internal/endpoints/browser_test.go
@@ -13,8 +13,8 @@
 
 	"standpoint"
 	"standpoint/internal/clock"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/node"
 )
 
@@ -31,8 +31,8 @@
 		Key:         "hall",
 		Names:       names,
 		Log:         zap.NewNop(),
-		Guard:       dnssd.Guard{Part: 0.5, Hold: int64(10 * time.Second)},
-		Damper:      dnssd.Damper{Half: int64(time.Minute), Most: 3},
+		Guard:       record.Guard{MaxLossFraction: 0.5, HoldTime: int64(10 * time.Second)},
+		Damper:      record.Damper{HalfLife: int64(time.Minute), MaxFlaps: 3},
 		Notify:      func(list node.EndpointList) { h.notified = append(h.notified, list) },
 		unpublished: true,
 		observed:    map[string]observedInstance{},
@@ -41,8 +41,8 @@
 }
 
 // find evaluates a snapshot with these instances, and a zone's serial if that is not 0.
-func (h *browserHarness) find(serial uint32, all ...dnssd.Instance) (recheckAfter time.Duration) {
-	snapshot := discovery.Sight{Instances: all, At: h.now, Way: discovery.Poll}
+func (h *browserHarness) find(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
+	snapshot := browser.Snapshot{Instances: all, ObservedAt: h.now, Mechanism: browser.Poll}
 	if serial != 0 {
 		snapshot.Serial = &serial
 	}
@@ -52,12 +52,12 @@
 func (h *browserHarness) publishedNames() []string { return endpointNames(fullList(h.published...)) }
 
 // instance returns one whose TXT record has the given text.
-func instance(label string, text ...string) dnssd.Instance {
-	return dnssd.Instance{
+func instance(label string, text ...string) record.Instance {
+	return record.Instance{
 		Name:       label + "._engine._tcp.hall.test.",
 		Label:      label,
 		Address:    netip.MustParseAddrPort("127.0.0.1:8001"),
-		Attributes: dnssd.ParseTXT(text),
+		Attributes: record.ParseTXT(text),
 		TTL:        120,
 	}
 }
@@ -120,7 +120,7 @@
 // A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held until it has stayed
 // empty, or the zone's serial has grown. A single instance that is missing is removed at once.
 func TestBrowserHoldsLostList(t *testing.T) {
-	all := []dnssd.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
+	all := []record.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
 	h := newBrowserHarness()
 	h.find(7, all...)
 	h.now = h.now.Add(30 * time.Second)
@@ -214,11 +214,11 @@
 func TestBrowserNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newBrowserHarness()
-		h.Guard.Part = 1
+		h.Guard.MaxLossFraction = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			elapsed := rapid.IntRange(0, 20_000).Draw(t, "ms")
 			h.now = h.now.Add(time.Duration(elapsed) * time.Millisecond)
-			var all []dnssd.Instance
+			var all []record.Instance
 			listed := map[string]bool{}
 			for i := range 5 {
 				if rapid.Bool().Draw(t, "listed") {
--- a/internal/endpoints/browserset_test.go
+++ b/internal/endpoints/browserset_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"standpoint"
-	"standpoint/internal/find/discovery"
-	"standpoint/internal/find/dnssd"
+	"standpoint/internal/dnssd/browser"
+	"standpoint/internal/dnssd/record"
 	"standpoint/internal/lab/responder"
 	"standpoint/internal/node"
 )
@@ -45,14 +45,14 @@
 		Site:   site,
 		Names:  names,
 		Log:    zap.NewNop(),
-		Guard:  dnssd.Guard{Part: 0.5, Hold: int64(time.Hour)},
-		FinderOptions: discovery.Options{
-			Server:  server.Address,
-			Way:     discovery.Poll,
-			Log:     zap.NewNop(),
-			Every:   50 * time.Millisecond,
-			Refresh: time.Second,
-			Service: dnssd.Service{Type: "_engine._tcp", Domain: domain},
+		Guard:  record.Guard{MaxLossFraction: 0.5, HoldTime: int64(time.Hour)},
+		FinderOptions: browser.Options{
+			Server:          server.Address,
+			Mechanism:       browser.Poll,
+			Log:             zap.NewNop(),
+			PollInterval:    50 * time.Millisecond,
+			RefreshInterval: time.Second,
+			Service:         record.Service{Type: "_engine._tcp", Domain: domain},
 		},
 	}
 }
--- a/router.go
+++ b/router.go
@@ -1,10 +1,11 @@
 package standpoint
 
-// The Router takes events and hands them to the code that decides on them. The files, in reading order: discovery.go
-// (the endpoint list), request.go (a request's attempts), admission.go (load shedding), eligibility.go (what may be
-// sent), slow_start.go, placement.go with sampling.go (choosing a backend), affinity.go (cached prompts), directory.go
-// and prefill_backlog.go (the load directory), prediction.go with regression.go, health.go, probes.go and
-// unreported_load.go. Events, actions and settings are in api.go; state.go says what is remembered.
+// The Router takes events and hands them to the code that decides on them. The files, in reading order:
+// discovery.go (the endpoint list), request.go (a request's attempts), admission.go (load shedding),
+// eligibility.go (what may be sent), slow_start.go, placement.go with sampling.go (choosing a backend),
+// affinity.go (cached prompts), directory.go and prefill_backlog.go (the load directory), prediction.go
+// with regression.go, health.go, probes.go and unreported_load.go. Events, actions and settings are in
+// api.go; state.go says what is remembered.
 
 import (
 	"math/rand/v2"
@@ -17,15 +18,15 @@
 
 	maxFullScan       = 64      // a fleet up to this size is gone over whole for each request
 	rankedRequests    = 64      // requests that a new one's worth for its work is ranked among
-	metPerMissed      = 4.0     // aims met that undo one missed
+	metPerMissed      = 4.0     // objectives met that undo one missed
 	shedDecay         = 0.15    // fall of the refused part in a second
 	tickInterval      = 50 * ms // pace of the health, probe and queue rounds
 	bucketDepth       = 10      // samples kept in one bucket
 	maxRetryBudget    = 2.0     // and how many may come at once
 	maxShedForHedging = 0.1     // refused part from which no second copies are sent
 
-	initialTokenGap  = 0.03 // seconds; first guess of the token gap where no class has an aim
-	tokenGapFraction = 0.6  // else this part of the tightest aim, which a healthy fleet keeps
+	initialTokenGap  = 0.03 // seconds; first guess of the token gap where no class has an objective
+	tokenGapFraction = 0.6  // else this part of the tightest objective, which a healthy fleet keeps
 	ttftFeatures     = 7    // see features
 	priorWeight      = 2.0  // ridge strength, in samples of ordinary size
 	sessionSalt      = 0x9e3779b97f4a7c15
@@ -42,14 +43,27 @@
 
 // New returns a router for one gateway.
 func New(settings Settings, seed int64) *Router {
-	r := &Router{settings: settings, rng: rand.New(rand.NewPCG(uint64(seed), sessionSalt)), unreachableByZone: map[int]int{},
-		engines: map[string]*engine{}, requests: map[int64]*request{},
-		enginesByShortHash: map[uint32]*engine{}, silentOwners: map[int]int64{}, awaitingDirectory: map[uint32]*request{},
-		retryBudget: maxRetryBudget, matchTrust: 1,
-		tenants: make([]tenantRate, len(settings.Tenants)), shedRates: make([]classShedRates, len(settings.Classes)+1),
-		sessionGain: slices.Repeat([]float64{0.5}, len(settings.Classes)+1),
-		ttftModels:  make([]model, settings.Kinds+1), paceModels: make([]model, settings.Kinds+1),
-		classGaps: make([]mean, len(settings.Classes)+1), tokenGap: initialTokenGap}
+	classes := len(settings.Classes) + 1 // the last one stands for requests of an unknown class
+	kinds := settings.Kinds + 1          // the last one stands for the whole fleet
+	r := &Router{
+		settings:           settings,
+		rng:                rand.New(rand.NewPCG(uint64(seed), sessionSalt)),
+		unreachableByZone:  map[int]int{},
+		engines:            map[string]*engine{},
+		requests:           map[int64]*request{},
+		enginesByShortHash: map[uint32]*engine{},
+		silentOwners:       map[int]int64{},
+		awaitingDirectory:  map[uint32]*request{},
+		retryBudget:        maxRetryBudget,
+		matchTrust:         1,
+		tenants:            make([]tenantRate, len(settings.Tenants)),
+		shedRates:          make([]classShedRates, classes),
+		sessionGain:        slices.Repeat([]float64{0.5}, classes),
+		ttftModels:         make([]model, kinds),
+		paceModels:         make([]model, kinds),
+		classGaps:          make([]mean, classes),
+		tokenGap:           initialTokenGap,
+	}
 	if aim := r.tightestTokenGap(); aim > 0 {
 		r.tokenGap = tokenGapFraction * aim
 	}
@@ -63,7 +77,8 @@
 
 // Handle takes one event and appends what is to be done about it to actions.
 func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
-	r.now, r.actions = now, actions
+	r.now = now
+	r.actions = actions
 	if !r.ticking {
 		r.ticking = true
 		r.emit(Action{Kind: Timer, Wait: tickInterval + r.rng.Int64N(tickInterval), Token: tokenTick})
@@ -90,7 +105,8 @@
 	case *TimerFired:
 		r.onTimer(ev.Token)
 	}
-	actions, r.actions = r.actions, nil
+	actions = r.actions
+	r.actions = nil
 	return actions
 }
 
