--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -109,7 +109,7 @@
 func (f *drainFleet) run() {
 	for _, n := range f.nodes {
 		f.configure(n, n.first)
-		f.first.Asked(n.name, time.Now())
+		f.first.Attach(n.name, time.Now())
 		f.start(n)
 	}
 	f.t.Cleanup(func() {
@@ -131,7 +131,7 @@
 			return
 		case <-time.After(60 * time.Millisecond):
 		}
-		response, err := client.Do(testpeer.ChatRequest(f.t, n.listen, drain.Trace(n.name, number), "1500m"))
+		response, err := client.Do(testpeer.ChatRequest(f.t, n.listen, drain.TraceID(n.name, number), "1500m"))
 		if err != nil {
 			continue // it has not started, or was killed
 		}
@@ -145,8 +145,8 @@
 	for _, i := range f.rng.Perm(len(f.nodes)) {
 		n := f.nodes[i]
 		f.configure(n, n.second)
-		f.first.Left(n.name, time.Now())
-		f.second.Asked(n.name, time.Now())
+		f.first.Detach(n.name, time.Now())
+		f.second.Attach(n.name, time.Now())
 		_ = n.process.Process.Signal(syscall.SIGHUP)
 		time.Sleep(over / time.Duration(len(f.nodes)))
 	}
@@ -162,9 +162,9 @@
 func (f *drainFleet) end() []drain.Violation {
 	close(f.stop)
 	f.clients.Wait()
-	found := f.record.Violations(append(f.first.Due(), f.second.Due()...), drainGrace+socketsSlack)
+	found := f.record.Violations(append(f.first.DueNotifications(), f.second.DueNotifications()...), drainGrace+socketsSlack)
 	f.t.Logf("%d sends judged, %d violations, %v late at most; calls %v and %v", len(f.record.Sends()), len(found),
-		f.record.MostLag(),
+		f.record.MaximumLag(),
 		f.first.Counts(), f.second.Counts())
 	return found
 }
@@ -217,7 +217,7 @@
 			}
 		}
 	}
-	f.t.Logf("told at %s, sent at %s", v.Told.At.UTC().Format(time.RFC3339Nano),
+	f.t.Logf("told at %s, sent at %s", v.Notification.At.UTC().Format(time.RFC3339Nano),
 		v.Send.At.UTC().Format(time.RFC3339Nano))
 }
 
@@ -270,12 +270,12 @@
 	until(3000)
 	both("s1", "gone")
 	until(4500)
-	f.first.Down(true)
+	f.first.SetDown(true)
 	until(5500)
 	both("s2", "draining")
 	until(6000)
 	f.first.Handle(drain.Line{Each: 100 * time.Millisecond, Refused: 10 * time.Millisecond, Most: 15})
-	f.first.Down(false) // and all call at once
+	f.first.SetDown(false) // and all call at once
 	until(6500)
 	both("s3", "draining")
 	for _, n := range f.nodes {
@@ -297,8 +297,8 @@
 	for _, n := range f.nodes {
 		if f.rng.Float64() < 0.25 {
 			f.kill(n)
-			f.second.Left(n.name, time.Now())
-			f.second.Asked(n.name, time.Now()) // this process has 6 s of its own, but for what is written to it
+			f.second.Detach(n.name, time.Now())
+			f.second.Attach(n.name, time.Now()) // this process has 6 s of its own, but for what is written to it
 			f.start(n)
 		}
 	}
@@ -347,7 +347,7 @@
 	}
 	require.GreaterOrEqual(t, time.Since(began), inLine)
 	for number := range 20 {
-		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, l.listen, drain.Trace("n", number), "1500m"))
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, l.listen, drain.TraceID("n", number), "1500m"))
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
@@ -357,6 +357,6 @@
 	sends := record.Sends()
 	require.Len(t, sends, 20)
 	for _, s := range sends {
-		require.Equal(t, "stays", s.Server)
+		require.Equal(t, "stays", s.Backend)
 	}
 }
--- a/internal/testpeer/drain/backend.go
+++ b/internal/testpeer/drain/backend.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-const answer = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Trace is the id of a node's request: the servers tell by it who sent it.
-func Trace(node string, number int) string { return fmt.Sprintf("%s-%06d", node, number) }
+// TraceID is the id of a node's request: the servers tell by it who sent it.
+func TraceID(node string, number int) string { return fmt.Sprintf("%s-%06d", node, number) }
 
 // StartBackend starts a stand-in server that answers every request at once, and returns its address. Only requests whose id Trace
 // made are noted.
@@ -53,10 +53,10 @@
 		}
 		trace := r.Header.Get("X-Trace-Id")
 		if node, _, ok := strings.Cut(trace, "-"); ok {
-			record.addSend(Send{Node: node, Server: name, Trace: trace, At: came})
+			record.addSend(Send{Node: node, Backend: name, TraceID: trace, At: came})
 		}
 		events := "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n"
-		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n0\r\n\r\n", answer, len(events), events); err != nil {
+		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n0\r\n\r\n", streamHead, len(events), events); err != nil {
 			return
 		}
 	}
--- a/internal/testpeer/drain/check.go
+++ b/internal/testpeer/drain/check.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// Told is the moment from which a node counts as told that a server leaves.
-type Told struct {
-	Node, Server string
-	At           time.Time
-	By           string // what told it: "written" or "due"
+// Notification is the moment from which a node counts as told that a server leaves.
+type Notification struct {
+	Node, Backend string
+	At            time.Time
+	By            string // what told it: "written" or "due"
 }
 
 // Send is a request as a server saw it. Lag is how late this process was around that moment, by which At may be too late.
 type Send struct {
-	Node, Server, Trace string
-	At                  time.Time
-	Lag                 time.Duration
+	Node, Backend, TraceID string
+	At                     time.Time
+	Lag                    time.Duration
 }
 
 // Violation is a send to a server that its node had been told to leave alone.
 type Violation struct {
-	Send Send
-	Told Told
+	Send         Send
+	Notification Notification
 }
 
 // String implements fmt.Stringer.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s sent %s to %s %v after it was told (%s)", v.Send.Node, v.Send.Trace, v.Send.Server,
-		v.Send.At.Sub(v.Told.At).Round(time.Millisecond), v.Told.By)
+	return fmt.Sprintf("%s sent %s to %s %v after it was told (%s)", v.Send.Node, v.Send.TraceID, v.Send.Backend,
+		v.Send.At.Sub(v.Notification.At).Round(time.Millisecond), v.Notification.By)
 }
 
-// Lives are the moments in which a node's processes started, in order. What was told to one process is not held against the next.
-type Lives map[string][]time.Time
+// ProcessStarts are the moments in which a node's processes started, in order. What was told to one process is not held against the next.
+type ProcessStarts map[string][]time.Time
 
-// at is the number of the process that a node has at a moment.
-func (l Lives) at(node string, at time.Time) int {
+// process is the number of the process that a node has at a moment.
+func (l ProcessStarts) process(node string, at time.Time) int {
 	n := 0
 	for _, start := range l[node] {
 		if !start.After(at) {
@@ -52,21 +52,21 @@
 }
 
 // Check finds the sends that came more than grace after the earliest moment at which their node's process counts as told.
-func Check(told []Told, sends []Send, lives Lives, grace time.Duration) []Violation {
+func Check(told []Notification, sends []Send, lives ProcessStarts, grace time.Duration) []Violation {
 	type key struct {
 		node, server string
 		life         int
 	}
-	first := map[key]Told{}
+	first := map[key]Notification{}
 	for _, t := range told {
-		k := key{t.Node, t.Server, lives.at(t.Node, t.At)}
+		k := key{t.Node, t.Backend, lives.process(t.Node, t.At)}
 		if earlier, known := first[k]; !known || t.At.Before(earlier.At) {
 			first[k] = t
 		}
 	}
 	var found []Violation
 	for _, s := range sends {
-		t, known := first[key{s.Node, s.Server, lives.at(s.Node, s.At)}]
+		t, known := first[key{s.Node, s.Backend, lives.process(s.Node, s.At)}]
 		if known && s.At.Add(-s.Lag).After(t.At.Add(grace)) {
 			found = append(found, Violation{s, t})
 		}
@@ -77,28 +77,28 @@
 
 // Record collects what stand-ins saw.
 type Record struct {
-	mu    sync.Mutex
-	told  []Told
-	sends []Send
-	lives Lives
-	lag   lag
+	mu            sync.Mutex
+	notifications []Notification
+	sends         []Send
+	starts        ProcessStarts
+	lag           lag
 }
 
 // NewRecord starts a record; its own lateness is watched until stop is closed.
 func NewRecord(stop <-chan struct{}) *Record {
-	r := &Record{lives: Lives{}}
+	r := &Record{starts: ProcessStarts{}}
 	go r.lag.watch(stop)
 	return r
 }
 
-func (r *Record) addTold(t Told) {
+func (r *Record) addNotification(t Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, t)
+	r.notifications = append(r.notifications, t)
 }
 
 func (r *Record) addSend(s Send) {
-	s.Lag = r.lag.now()
+	s.Lag = r.lag.present()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sends = append(r.sends, s)
@@ -108,7 +108,7 @@
 func (r *Record) Started(node string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives[node] = append(r.lives[node], at)
+	r.starts[node] = append(r.starts[node], at)
 }
 
 // Sends are all sends so far.
@@ -119,26 +119,26 @@
 }
 
 // Violations checks what was recorded, and what is due.
-func (r *Record) Violations(due []Told, grace time.Duration) []Violation {
+func (r *Record) Violations(due []Notification, grace time.Duration) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Check(append(slices.Clone(r.told), due...), r.sends, r.lives, grace)
+	return Check(append(slices.Clone(r.notifications), due...), r.sends, r.starts, grace)
 }
 
-// MostLag is the longest by which this process was late.
-func (r *Record) MostLag() time.Duration { return r.lag.most() }
+// MaximumLag is the longest by which this process was late.
+func (r *Record) MaximumLag() time.Duration { return r.lag.longest() }
 
 const (
-	lagEvery = 5 * time.Millisecond
-	lagFor   = 500 * time.Millisecond
+	lagInterval = 5 * time.Millisecond
+	lagMemory   = 500 * time.Millisecond
 )
 
 // lag measures by how much a goroutine of this process is woken too late.
 type lag struct {
-	mu     sync.Mutex
-	recent time.Duration // the largest that was seen within lagFor
-	seen   time.Time     // when
-	all    time.Duration
+	mu            sync.Mutex
+	recentMaximum time.Duration // the largest that was seen within lagFor
+	recentAt      time.Time     // when
+	maximum       time.Duration
 }
 
 func (l *lag) watch(stop <-chan struct{}) {
@@ -146,26 +146,26 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(lagEvery):
+		case <-time.After(lagInterval):
 		}
-		late := time.Since(last) - lagEvery
+		late := time.Since(last) - lagInterval
 		l.mu.Lock()
-		if late > l.recent || time.Since(l.seen) > lagFor {
-			l.recent, l.seen = late, time.Now()
+		if late > l.recentMaximum || time.Since(l.recentAt) > lagMemory {
+			l.recentMaximum, l.recentAt = late, time.Now()
 		}
-		l.all = max(l.all, late)
+		l.maximum = max(l.maximum, late)
 		l.mu.Unlock()
 	}
 }
 
-func (l *lag) now() time.Duration {
+func (l *lag) present() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.recent)
+	return max(0, l.recentMaximum)
 }
 
-func (l *lag) most() time.Duration {
+func (l *lag) longest() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all
+	return l.maximum
 }
--- a/internal/testpeer/drain/check_test.go
+++ b/internal/testpeer/drain/check_test.go
@@ -12,30 +12,30 @@
 	t.Parallel()
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	told := []Told{
+	told := []Notification{
 		{"n1", "s1", at(1000), "due"}, {"n1", "s1", at(400), "written"}, {"n1", "s1", at(700), "written"},
 		{"n2", "s1", at(2000), "due"},
 		{"n4", "s1", at(100), "written"}, {"n4", "s1", at(4000), "written"},
 	}
-	lives := Lives{"n4": {at(0), at(3000)}}
+	lives := ProcessStarts{"n4": {at(0), at(3000)}}
 	sends := []Send{
-		{Node: "n1", Server: "s1", Trace: "within", At: at(900)},
-		{Node: "n1", Server: "s1", Trace: "planted", At: at(901)},
-		{Node: "n1", Server: "s1", Trace: "late judge", At: at(905), Lag: 5 * time.Millisecond},
-		{Node: "n1", Server: "s2", Trace: "stays", At: at(9000)},
-		{Node: "n2", Server: "s1", Trace: "told later", At: at(2500)},
-		{Node: "n2", Server: "s1", Trace: "planted too", At: at(2600)},
-		{Node: "n4", Server: "s1", Trace: "its process was told", At: at(2000)},
-		{Node: "n4", Server: "s1", Trace: "the next was not yet", At: at(3900)},
-		{Node: "n4", Server: "s1", Trace: "the next was", At: at(4600)},
-		{Node: "n3", Server: "s1", Trace: "never told", At: at(9000)},
+		{Node: "n1", Backend: "s1", TraceID: "within", At: at(900)},
+		{Node: "n1", Backend: "s1", TraceID: "planted", At: at(901)},
+		{Node: "n1", Backend: "s1", TraceID: "late judge", At: at(905), Lag: 5 * time.Millisecond},
+		{Node: "n1", Backend: "s2", TraceID: "stays", At: at(9000)},
+		{Node: "n2", Backend: "s1", TraceID: "told later", At: at(2500)},
+		{Node: "n2", Backend: "s1", TraceID: "planted too", At: at(2600)},
+		{Node: "n4", Backend: "s1", TraceID: "its process was told", At: at(2000)},
+		{Node: "n4", Backend: "s1", TraceID: "the next was not yet", At: at(3900)},
+		{Node: "n4", Backend: "s1", TraceID: "the next was", At: at(4600)},
+		{Node: "n3", Backend: "s1", TraceID: "never told", At: at(9000)},
 	}
 	var found []string
 	for _, v := range Check(told, sends, lives, 500*time.Millisecond) {
-		found = append(found, v.Send.Trace)
+		found = append(found, v.Send.TraceID)
 	}
 	require.Equal(t, []string{"planted", "its process was told", "planted too", "the next was"}, found)
-	require.Equal(t, "written", Check(told, sends, lives, 500*time.Millisecond)[0].Told.By, "the earliest counts")
+	require.Equal(t, "written", Check(told, sends, lives, 500*time.Millisecond)[0].Notification.By, "the earliest counts")
 }
 
 // What is due goes by the first moment from which discovery could be reached for long enough, and by whom the node asks.
@@ -44,8 +44,8 @@
 	start := time.Now()
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	d := NewDiscovery(t, nil, 1, []Host{{Host: "s", Health: "ready"}})
-	d.up = []time.Time{at(0), at(10)}
-	d.downs = []time.Time{at(8)}
+	d.upTimes = []time.Time{at(0), at(10)}
+	d.downTimes = []time.Time{at(8)}
 	for _, c := range []struct {
 		name      string
 		made      int
@@ -62,14 +62,14 @@
 		{name: "left before", made: 11, until: 15, toldNever: true},
 	} {
 		d.changes = []change{{at(c.made), Host{Host: "s", Health: "draining"}}}
-		d.reached = map[string][]reach{"n": {{from: at(c.from)}}}
+		d.attached = map[string][]span{"n": {{from: at(c.from)}}}
 		if c.until > 0 {
-			d.Left("n", at(c.until))
+			d.Detach("n", at(c.until))
 		}
 		if c.toldNever {
-			require.Empty(t, d.Due(), c.name)
+			require.Empty(t, d.DueNotifications(), c.name)
 			continue
 		}
-		require.Equal(t, []Told{{"n", "s", at(c.due), "due"}}, d.Due(), c.name)
+		require.Equal(t, []Notification{{"n", "s", at(c.due), "due"}}, d.DueNotifications(), c.name)
 	}
 }
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -31,7 +31,7 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-type list struct {
+type hostList struct {
 	Seq   int    `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
@@ -57,36 +57,36 @@
 // Discovery is a stand-in that handles calls in turn, and knows when each node counts as told.
 type Discovery struct {
 	// Fault, set before the first call, says what becomes of a node's call, which are numbered from 0; nil: nothing.
-	Fault  func(node string, call int) Fault
-	t      testing.TB
-	record *Record
-	turn   chan struct{}
-
-	mu        sync.Mutex
-	line      Line
-	waiting   int                  // that stand in line
-	debt      time.Duration        // for those that were turned away
-	answered  map[string]time.Time // the last answer to each node: a call right behind it goes on with its watch
-	changes   []change             // the n-th makes version base+n+1
-	base      int                  // the version of the first list
-	first     []Host               // that list
-	changed   chan struct{}        // closed at the next change, and as it goes down
-	down      bool
-	forgotten int         // how often all open watches were
-	up        []time.Time // when it came up, each time
-	downs     []time.Time // when it went down
-	calls     map[string]int
-	reached   map[string][]reach
-	counts    map[string]int
+	Fault   func(node string, call int) Fault
+	t       testing.TB
+	record  *Record
+	serving chan struct{}
+
+	mu           sync.Mutex
+	line         Line
+	waiting      int                  // that stand in line
+	debt         time.Duration        // for those that were turned away
+	answered     map[string]time.Time // the last answer to each node: a call right behind it goes on with its watch
+	changes      []change             // the n-th makes version base+n+1
+	firstVersion int                  // the version of the first list
+	firstHosts   []Host               // that list
+	changed      chan struct{}        // closed at the next change, and as it goes down
+	down         bool
+	forgotten    int         // how often all open watches were
+	upTimes      []time.Time // when it came up, each time
+	downTimes    []time.Time // when it went down
+	calls        map[string]int
+	attached     map[string][]span
+	counts       map[string]int
 }
 
-// reach is from when to when a node asks this discovery; a zero until: to the end.
-type reach struct{ from, until time.Time }
+// span is from when to when a node asks this discovery; a zero until: to the end.
+type span struct{ from, until time.Time }
 
 // NewDiscovery makes one that holds a list, with a version.
 func NewDiscovery(t testing.TB, record *Record, version int, hosts []Host) *Discovery {
-	return &Discovery{t: t, record: record, turn: make(chan struct{}, 1), base: version, first: hosts, changed: make(chan struct{}),
-		up: []time.Time{time.Now()}, calls: map[string]int{}, reached: map[string][]reach{}, counts: map[string]int{}, answered: map[string]time.Time{}}
+	return &Discovery{t: t, record: record, serving: make(chan struct{}, 1), firstVersion: version, firstHosts: hosts, changed: make(chan struct{}),
+		upTimes: []time.Time{time.Now()}, calls: map[string]int{}, attached: map[string][]span{}, counts: map[string]int{}, answered: map[string]time.Time{}}
 }
 
 // Listen has discovery answer one node, at the address that is returned.
@@ -106,18 +106,18 @@
 	return l.Addr().String()
 }
 
-// Asked notes from when on a node is to ask this discovery.
-func (d *Discovery) Asked(node string, from time.Time) {
+// Attach notes from when on a node is to ask this discovery.
+func (d *Discovery) Attach(node string, from time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reached[node] = append(d.reached[node], reach{from: from})
+	d.attached[node] = append(d.attached[node], span{from: from})
 }
 
-// Left notes until when a node was to ask this discovery.
-func (d *Discovery) Left(node string, until time.Time) {
+// Detach notes until when a node was to ask this discovery.
+func (d *Discovery) Detach(node string, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if all := d.reached[node]; len(all) > 0 {
+	if all := d.attached[node]; len(all) > 0 {
 		all[len(all)-1].until = until
 	}
 }
@@ -126,7 +126,7 @@
 func (d *Discovery) Set(server, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	hosts := d.hosts(len(d.changes))
+	hosts := d.hostsAfter(len(d.changes))
 	at := slices.IndexFunc(hosts, func(h Host) bool { return h.Host == server })
 	require.GreaterOrEqual(d.t, at, 0, "%s is not listed", server)
 	host := hosts[at]
@@ -135,15 +135,15 @@
 	d.wake()
 }
 
-// Down has discovery reset whatever calls, or come back.
-func (d *Discovery) Down(down bool) {
+// SetDown has discovery reset whatever calls, or come back.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
 	if down {
-		d.downs = append(d.downs, time.Now())
+		d.downTimes = append(d.downTimes, time.Now())
 	} else {
-		d.up = append(d.up, time.Now())
+		d.upTimes = append(d.upTimes, time.Now())
 	}
 	d.wake()
 }
@@ -181,20 +181,20 @@
 	return all
 }
 
-// Due is when each node counts as told at the latest, whatever became of its calls.
-func (d *Discovery) Due() []Told {
+// DueNotifications is when each node counts as told at the latest, whatever became of its calls.
+func (d *Discovery) DueNotifications() []Notification {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var all []Told
+	var all []Notification
 	for _, c := range d.changes {
 		if c.host.Health == "ready" {
 			continue
 		}
-		for node, spans := range d.reached {
+		for node, spans := range d.attached {
 			for _, r := range spans {
-				from := d.upAt(later(c.at, r.from))
+				from := d.reachableFrom(later(c.at, r.from))
 				if r.until.IsZero() || from.Add(Due).Before(r.until) {
-					all = append(all, Told{node, c.host.Host, from.Add(Due), "due"})
+					all = append(all, Notification{node, c.host.Host, from.Add(Due), "due"})
 				}
 			}
 		}
@@ -209,14 +209,14 @@
 	return b
 }
 
-// upAt is the first moment, from at on, at which discovery is up for as long as what it has needs to count as told.
-func (d *Discovery) upAt(at time.Time) time.Time {
-	for i, down := range d.downs {
+// reachableFrom is the first moment, from at on, at which discovery is up for as long as what it has needs to count as told.
+func (d *Discovery) reachableFrom(at time.Time) time.Time {
+	for i, down := range d.downTimes {
 		if !down.Before(at.Add(Due)) {
 			break
 		}
-		if i+1 < len(d.up) {
-			at = later(at, d.up[i+1])
+		if i+1 < len(d.upTimes) {
+			at = later(at, d.upTimes[i+1])
 		} else {
 			at = at.Add(time.Hour) // down to the end
 		}
@@ -229,9 +229,9 @@
 	d.changed = make(chan struct{})
 }
 
-// hosts is the list after so many changes.
-func (d *Discovery) hosts(changes int) []Host {
-	all := slices.Clone(d.first)
+// hostsAfter is the list after so many changes.
+func (d *Discovery) hostsAfter(changes int) []Host {
+	all := slices.Clone(d.firstHosts)
 	for _, c := range d.changes[:changes] {
 		at := slices.IndexFunc(all, func(h Host) bool { return h.Host == c.host.Host })
 		all[at] = c.host
@@ -239,16 +239,16 @@
 	return all
 }
 
-// answer is what is newer than a version, or all, and the servers whose departure it tells.
-func (d *Discovery) answer(after int, f Fault) (l list, leaving []string) {
+// changesSince is what is newer than a version, or all, and the servers whose departure it tells.
+func (d *Discovery) changesSince(after int, f Fault) (l hostList, leaving []string) {
 	n := len(d.changes)
 	if f.Older && n > 0 {
 		n--
 		f.Whole = true
 	}
-	l = list{Seq: d.base + n, Whole: f.Whole, Hosts: []Host{}}
+	l = hostList{Seq: d.firstVersion + n, Whole: f.Whole, Hosts: []Host{}}
 	if f.Whole {
-		for _, h := range d.hosts(n) {
+		for _, h := range d.hostsAfter(n) {
 			if h.Health != "ready" {
 				leaving = append(leaving, h.Host)
 			}
@@ -258,7 +258,7 @@
 		}
 		return l, leaving
 	}
-	for _, c := range d.changes[max(0, min(n, after-d.base)):n] {
+	for _, c := range d.changes[max(0, min(n, after-d.firstVersion)):n] {
 		l.Hosts = append(l.Hosts, c.host)
 		if c.host.Health != "ready" {
 			leaving = append(leaving, c.host.Host)
@@ -267,7 +267,7 @@
 	return l, leaving
 }
 
-func (d *Discovery) note(what string) {
+func (d *Discovery) count(what string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counts[what]++
@@ -298,17 +298,17 @@
 		f = d.Fault(node, number)
 	}
 	if !d.takeTurn(node, left) {
-		d.note("turned away")
+		d.count("turned away")
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		return
 	}
 	switch {
 	case f.Silent:
-		d.note("silent")
+		d.count("silent")
 		<-left
 		return
 	case f.Half:
-		d.note("half")
+		d.count("half")
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":")
 		<-left
 		return
@@ -318,12 +318,12 @@
 	f.Whole = f.Whole || err != nil
 	if err == nil && !f.Older {
 		switch d.await(after, time.Duration(wait)*time.Millisecond, f.Reset, left) {
-		case broken:
-			d.note("reset")
+		case waitBroken:
+			d.count("reset")
 			d.reset(c)
 			return
-		case forgotten:
-			d.note("silent")
+		case waitForgotten:
+			d.count("silent")
 			<-left
 			return
 		}
@@ -341,14 +341,14 @@
 	_ = c.(*net.TCPConn).SetLinger(0)
 }
 
-// goesOn is within what time of an answer the next call goes on with the watch.
-const goesOn = 200 * time.Millisecond
+// watchContinuation is within what time of an answer the next call goes on with the watch.
+const watchContinuation = 200 * time.Millisecond
 
 // takeTurn has the call handled behind those that came before it. False: too many did.
 func (d *Discovery) takeTurn(node string, left <-chan struct{}) bool {
 	d.mu.Lock()
 	line := d.line
-	if line.Each == 0 || time.Since(d.answered[node]) < goesOn {
+	if line.Each == 0 || time.Since(d.answered[node]) < watchContinuation {
 		d.mu.Unlock()
 		return true
 	}
@@ -365,7 +365,7 @@
 		d.mu.Unlock()
 	}()
 	select {
-	case d.turn <- struct{}{}:
+	case d.serving <- struct{}{}:
 	case <-left:
 		return true
 	}
@@ -374,21 +374,21 @@
 	d.debt = 0
 	d.mu.Unlock()
 	time.Sleep(line.Each + debt)
-	<-d.turn
+	<-d.serving
 	return true
 }
 
-// ending is how the wait of a watch ends.
-type ending int
+// waitResult is how the wait of a watch ends.
+type waitResult int
 
 const (
-	answered  ending = iota
-	broken           // discovery went down, or resets the call
-	forgotten        // it is never answered
+	waitAnswered  waitResult = iota
+	waitBroken               // discovery went down, or resets the call
+	waitForgotten            // it is never answered
 )
 
 // await waits for something newer than a version, and for the wait's end at most.
-func (d *Discovery) await(after int, wait, reset time.Duration, left <-chan struct{}) ending {
+func (d *Discovery) await(after int, wait, reset time.Duration, left <-chan struct{}) waitResult {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	var breaks <-chan time.Time
@@ -400,24 +400,24 @@
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		down, gone, newest, changed := d.down, d.forgotten > times, d.base+len(d.changes), d.changed
+		down, gone, newest, changed := d.down, d.forgotten > times, d.firstVersion+len(d.changes), d.changed
 		d.mu.Unlock()
 		switch {
 		case down:
-			return broken
+			return waitBroken
 		case gone:
-			return forgotten
+			return waitForgotten
 		case newest > after, newest < after: // versions that are not this discovery's
-			return answered
+			return waitAnswered
 		}
 		select {
 		case <-changed:
 		case <-end.C:
-			return answered
+			return waitAnswered
 		case <-breaks:
-			return broken
+			return waitBroken
 		case <-left:
-			return answered
+			return waitAnswered
 		}
 	}
 }
@@ -426,7 +426,7 @@
 // the call before.
 func (d *Discovery) write(node string, c net.Conn, after int, f Fault, left <-chan struct{}) {
 	d.mu.Lock()
-	l, leaving := d.answer(after, f)
+	l, leaving := d.changesSince(after, f)
 	d.mu.Unlock()
 	time.Sleep(f.Late)
 	body, err := json.Marshal(l)
@@ -446,7 +446,7 @@
 	}
 	select {
 	case <-left:
-		d.note("given up")
+		d.count("given up")
 		return
 	default:
 	}
@@ -454,12 +454,12 @@
 	if _, err := c.Write(raw); err != nil {
 		return
 	}
-	d.note("answered")
+	d.count("answered")
 	d.mu.Lock()
 	d.answered[node] = at
 	d.mu.Unlock()
 	for _, server := range leaving {
-		d.record.addTold(Told{node, server, at, "written"})
+		d.record.addNotification(Notification{node, server, at, "written"})
 	}
 	select { // what is closed at once would be reset if the node had sent more
 	case <-left:
