--- /dev/null
+++ b/internal/dnssd/mdns/querier_test.go
@@ -0,0 +1,224 @@
+package mdns
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/miekg/dns"
+	"github.com/stretchr/testify/require"
+
+	"standpoint/internal/dnssd/record"
+)
+
+var service = record.Service{Type: "_engine._tcp", Domain: "local"}
+
+// newTestQuerier makes a querier without jitter.
+func newTestQuerier() *Querier { return New(service, func() float64 { return 0 }) }
+
+// parseRR parses a record in presentation form.
+func parseRR(t testing.TB, text string) dns.RR {
+	t.Helper()
+	r, err := dns.NewRR(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// response makes a response; "!" before a record sets its cache-flush bit.
+func response(t testing.TB, records ...string) *dns.Msg {
+	t.Helper()
+	m := &dns.Msg{MsgHdr: dns.MsgHdr{Response: true, Authoritative: true}}
+	for _, text := range records {
+		text, flush := strings.CutPrefix(text, "!")
+		r := parseRR(t, text)
+		if flush {
+			r.Header().Class |= 0x8000
+		}
+		m.Answer = append(m.Answer, r)
+	}
+	return m
+}
+
+const listName = "_engine._tcp.local."
+
+// instanceRecords are the records of one instance: PTR, SRV, TXT and A.
+func instanceRecords(name string, port int) []string {
+	return []string{
+		listName + " 120 IN PTR " + name + "." + listName,
+		fmt.Sprintf("!%s.%s 120 IN SRV 0 0 %d %s.local.", name, listName, port, name),
+		"!" + name + "." + listName + ` 120 IN TXT "site=a"`,
+		"!" + name + ".local. 120 IN A 127.0.0.1",
+	}
+}
+
+// resolvedInstances are the labels and ports of the instances without a fault.
+func resolvedInstances(q *Querier) (all []string) {
+	v, labels := q.Cache(0)
+	list, _ := v.Instances(service)
+	for _, name := range list {
+		if in := v.Assemble(name, labels[name]); in.Fault == nil {
+			all = append(all, fmt.Sprint(in.Label, " ", in.Address.Port()))
+		}
+	}
+	return all
+}
+
+// The first question is sent after 20 to 120 ms, and the interval doubles; known answers are sent along.
+func TestQuestionsBackOffAndCarryKnownAnswers(t *testing.T) {
+	q := newTestQuerier()
+	m, next := q.PendingQueries(0)
+	require.Empty(t, m)
+	require.Equal(t, minInitialDelay, next)
+	var at []time.Duration
+	for now := next; now < 20*time.Second; now = next {
+		if m, next = q.PendingQueries(now); len(m) > 0 {
+			require.Equal(t, listName, m[0].Question[0].Name)
+			at = append(at, now.Round(time.Second))
+		}
+	}
+	require.Equal(t, []time.Duration{0, time.Second, 3 * time.Second, 7 * time.Second, 15 * time.Second}, at)
+
+	q = newTestQuerier()
+	q.PendingQueries(0)
+	require.True(t, q.Handle(response(t, append(instanceRecords("a", 1), instanceRecords("b", 2)...)...), 0))
+	m, _ = q.PendingQueries(minInitialDelay)
+	require.Len(t, m, 1)
+	require.Len(t, m[0].Question, 1, "everything else is known")
+	require.Len(t, m[0].Answer, 2)
+	// Past half of its time an answer is not sent along.
+	m, _ = q.PendingQueries(61 * time.Second)
+	require.Len(t, m, 1)
+	require.Empty(t, m[0].Answer)
+}
+
+// Known answers that do not fit go on in further messages, the TC bit set in all but the last.
+func TestKnownAnswersContinueInFurtherMessages(t *testing.T) {
+	q := newTestQuerier()
+	for i := range 200 {
+		q.Handle(response(t, instanceRecords(fmt.Sprintf("some-long-name-of-a-box-%d", i), 1+i)...), 0)
+	}
+	q.PendingQueries(0)
+	m, _ := q.PendingQueries(minInitialDelay)
+	require.Greater(t, len(m), 2)
+	known := 0
+	for i, one := range m {
+		require.Equal(t, i < len(m)-1, one.Truncated)
+		require.Equal(t, i == 0, len(one.Question) > 0)
+		raw, err := one.Pack()
+		require.NoError(t, err)
+		require.Less(t, len(raw), 1500)
+		known += len(one.Answer)
+	}
+	require.Equal(t, 200, known)
+}
+
+// Records end by a goodbye, by a set that is sent without them, and at the end of their time.
+func TestRecordsEndByGoodbyeFlushAndExpiry(t *testing.T) {
+	q := newTestQuerier()
+	q.Handle(response(t, append(instanceRecords("a", 1), instanceRecords("b", 2)...)...), 0)
+	require.Equal(t, []string{"a 1", "b 2"}, resolvedInstances(q))
+	now := 10 * time.Second
+	require.True(t, q.Handle(response(t, listName+" 0 IN PTR a."+listName), now))
+	require.False(t, q.Expire(now+GracePeriod/2))
+	require.True(t, q.Expire(now+GracePeriod))
+	require.Equal(t, []string{"b 2"}, resolvedInstances(q))
+	// A goodbye and the record again within the grace: it has never been away.
+	q.Handle(response(t, listName+" 0 IN PTR b."+listName), now)
+	require.True(t, q.Handle(response(t, listName+" 120 IN PTR b."+listName), now+GracePeriod/2))
+	require.False(t, q.Expire(now+2*GracePeriod))
+	require.Equal(t, []string{"b 2"}, resolvedInstances(q))
+	// Another target: the flush bit ends the old one's time.
+	now += time.Second
+	require.True(t, q.Handle(response(t, "!b."+listName+" 120 IN SRV 0 0 9 b.local."), now))
+	q.Expire(now + GracePeriod)
+	require.Equal(t, []string{"b 9"}, resolvedInstances(q))
+	// Two records of a shared set, and of a unique set sent in two messages, stand beside each other.
+	q.Handle(response(t, "!b.local. 120 IN A 127.0.0.2"), now)
+	q.Handle(response(t, "!b.local. 120 IN A 127.0.0.3"), now+GracePeriod/2)
+	v, _ := q.Cache(0)
+	require.Len(t, v.Records("b.local.", record.A), 3)
+	q.Expire(now + 130*time.Second)
+	require.Empty(t, resolvedInstances(q))
+}
+
+// A record is asked for again at 80, 85, 90 and 95% of its time, and no longer when it has been sent anew.
+func TestRecordsAreRefreshedBeforeTheyExpire(t *testing.T) {
+	q := newTestQuerier()
+	q.Handle(response(t, instanceRecords("a", 1)...), 0)
+	q.PendingQueries(0)
+	asked := map[time.Duration]int{}
+	for now := time.Duration(0); now < 119*time.Second; now += time.Second {
+		m, _ := q.PendingQueries(now)
+		for _, one := range m {
+			for _, question := range one.Question {
+				if question.Qtype == dns.TypeSRV {
+					asked[now]++
+				}
+			}
+		}
+	}
+	require.Equal(
+		t,
+		map[time.Duration]int{96 * time.Second: 1, 102 * time.Second: 1, 108 * time.Second: 1, 114 * time.Second: 1},
+		asked,
+	)
+}
+
+// Messages that are no responses, have an error or concern another domain change nothing.
+func TestIrrelevantMessagesAreIgnored(t *testing.T) {
+	q := newTestQuerier()
+	m := response(t, instanceRecords("a", 1)...)
+	m.Response = false
+	require.False(t, q.Handle(m, 0))
+	m = response(t, instanceRecords("a", 1)...)
+	m.Rcode = dns.RcodeServerFailure
+	require.False(t, q.Handle(m, 0))
+	require.False(t, q.Handle(response(t, "x.elsewhere. 120 IN A 127.0.0.1"), 0))
+}
+
+// FuzzHandle: whatever arrives, the querier stays within its bounds, what it sends can be packed, and instances that
+// have no fault have an address.
+func FuzzHandle(f *testing.F) {
+	for _, records := range [][]string{instanceRecords("a", 1), {listName + " 0 IN PTR a." + listName}, {"!a." + listName + " 120 IN SRV 0 0 0 ."},
+		{`!a.` + listName + ` 120 IN TXT "=x" "K=1" "k=2" "" "born_ms"`}, {"!a.local. 120 IN AAAA ::1"}, {listName + ` 9 IN PTR Hall\032A\.7\255.` + listName}} {
+		raw, err := response(f, records...).Pack()
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(raw)
+	}
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		q := newTestQuerier()
+		q.Handle(response(t, instanceRecords("known", 7)...), 0)
+		m := new(dns.Msg)
+		if m.Unpack(raw) != nil {
+			return
+		}
+		q.Handle(m, time.Second)
+		v, labels := q.Cache(0)
+		list, _ := v.Instances(service)
+		for _, name := range list {
+			in := v.Assemble(name, labels[name])
+			if in.Fault == nil &&
+				(!in.Address.IsValid() || in.Address.Port() == 0 || net.ParseIP(in.Address.Addr().String()) == nil) {
+				t.Fatalf("%+v has no address", in)
+			}
+		}
+		for _, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour} {
+			q.Expire(now)
+			messages, next := q.PendingQueries(now)
+			if next <= now {
+				t.Fatal("it wants to be called again at once")
+			}
+			for _, m := range messages {
+				if _, err := m.Pack(); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}
+	})
+}
--- a/internal/dnssd/push/dso_test.go
+++ b/internal/dnssd/push/message_test.go
@@ -10,16 +10,24 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// What is written is read again as it was meant.
-func TestMessages(t *testing.T) {
+// Every message that is written is decoded to the same meaning.
+func TestMessagesRoundTrip(t *testing.T) {
 	m, err := Decode(KeepaliveMessage(5, true, time.Minute, 15*time.Second))
 	require.NoError(t, err)
-	require.Equal(t, Message{ID: 5, Response: true, Type: Keepalive, Inactivity: time.Minute, Interval: 15 * time.Second}, m)
+	require.Equal(
+		t,
+		Message{ID: 5, Response: true, Type: Keepalive, Inactivity: time.Minute, Interval: 15 * time.Second},
+		m,
+	)
 	raw, err := SubscribeMessage(6, `Hall\032A\.7._engine._tcp.Test.`, dns.TypeANY)
 	require.NoError(t, err)
 	m, err = Decode(raw)
 	require.NoError(t, err)
-	require.Equal(t, Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: record.Kind(dns.TypeANY)}, m)
+	require.Equal(
+		t,
+		Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: record.Kind(dns.TypeANY)},
+		m,
+	)
 	m, err = Decode(UnsubscribeMessage(6))
 	require.NoError(t, err)
 	require.Equal(t, uint16(6), m.Subscription)
@@ -28,7 +36,7 @@
 	require.Equal(t, time.Minute, m.Delay)
 	ptr, err := dns.NewRR("_e._tcp.test. 9 IN PTR a._e._tcp.test.")
 	require.NoError(t, err)
-	all, err := PushMessages([]PushedRecord{{RR: ptr}, {RR: ptr, Remove: true}})
+	all, err := ChangeMessages([]RecordChange{{RR: ptr}, {RR: ptr, Remove: true}})
 	require.NoError(t, err)
 	require.Len(t, all, 1)
 	m, err = Decode(all[0])
@@ -39,11 +47,11 @@
 	require.True(t, m.Changes[1].Remove)
 	require.Equal(t, "a._e._tcp.test.", m.Changes[1].Record.Target)
 	// Many records go out in as many messages as are needed, none of them too large.
-	many := make([]PushedRecord, 3000)
+	many := make([]RecordChange, 3000)
 	for i := range many {
-		many[i] = PushedRecord{RR: ptr}
+		many[i] = RecordChange{RR: ptr}
 	}
-	all, err = PushMessages(many)
+	all, err = ChangeMessages(many)
 	require.NoError(t, err)
 	n := 0
 	for _, raw := range all {
@@ -62,7 +70,7 @@
 	require.Equal(t, []Change{{Remove: true, All: true, Record: record.Record{Name: "a.test."}}}, m.Changes)
 }
 
-func TestWhatCannotBeRead(t *testing.T) {
+func TestDecodeRejectsDamagedMessages(t *testing.T) {
 	good, err := SubscribeMessage(6, "a.test.", dns.TypePTR)
 	require.NoError(t, err)
 	for n := range good {
@@ -90,7 +98,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		all, err := PushMessages([]PushedRecord{{RR: rr}, {RR: rr, Remove: true}})
+		all, err := ChangeMessages([]RecordChange{{RR: rr}, {RR: rr, Remove: true}})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -106,7 +114,7 @@
 		}
 		for _, c := range m.Changes {
 			if c.Record.Name == "" || record.CanonicalName(c.Record.Name) != c.Record.Name {
-				t.Fatalf("%q is no folded name", c.Record.Name)
+				t.Fatalf("%q is no canonical name", c.Record.Name)
 			}
 		}
 	})
