--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -68,13 +68,13 @@
 	times := &a.operator.Endpoints
 	log := a.log.With(zap.String("domain", cfg.Domain))
 	return peers.Options{
-		Name:    a.name,
-		Address: a.listen,
-		Publish: cfg.Publish,
-		Lease:   time.Duration(cfg.Lease),
-		Hold:    time.Duration(cfg.ShrinkDelay),
-		Least:   a.operator.Module.Nodes,
-		Find: browser.Options{
+		Name:     a.name,
+		Address:  a.listen,
+		Publish:  cfg.Publish,
+		Lease:    time.Duration(cfg.Lease),
+		HoldTime: time.Duration(cfg.ShrinkDelay),
+		MinNodes: a.operator.Module.Nodes,
+		Browse: browser.Options{
 			Service:         record.Service{Type: cfg.Service, Domain: cfg.Domain},
 			Server:          cfg.Server,
 			Mechanism:       browser.Poll,
@@ -83,7 +83,7 @@
 			Metrics:         a.discoveryMetrics,
 			Log:             log,
 		},
-		Changed: func(count int) {
+		OnCountChanged: func(count int) {
 			a.nodeCount.Store(int64(count))
 			a.adjustCore(nil)
 		},
