--- a/internal/lab/emulator/server/story_test.go
+++ b/internal/lab/emulator/server/story_test.go
@@ -96,7 +96,7 @@
 }
 
 func TestFleetFilesAreChecked(t *testing.T) {
-	good, err := os.ReadFile("../../../deploy/lab/two-pools.toml")
+	good, err := os.ReadFile("../../../../deploy/lab/two-pools.toml")
 	require.NoError(t, err)
 	read := func(text string) error {
 		path := filepath.Join(t.TempDir(), "fleet.toml")
