--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -113,11 +113,11 @@
 	if err != nil {
 		return component{}, err
 	}
-	browsers := endpoints.NewBrowsers(a.updateEndpoints, all...)
+	browsers := endpoints.NewServiceSources(a.updateEndpoints, all...)
 	a.endpointSource = browsers
 	a.endpointCache.ExpiryTimes = browsers.ExpiryTimes
 	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, browsers.Origins()...) })
-	var next []*endpoints.Browser // made by check, for reload
+	var next []*endpoints.ServiceSource // made by check, for reload
 	return component{
 		name: "endpoints",
 		run:  runTogether(a.endpointCache.Run, browsers.Run),
@@ -136,8 +136,8 @@
 }
 
 // newBrowsers returns a browser for each service that a file browses.
-func (a *assembly) newBrowsers(cfg *config.OperatorFile) ([]*endpoints.Browser, error) {
-	var all []*endpoints.Browser
+func (a *assembly) newBrowsers(cfg *config.OperatorFile) ([]*endpoints.ServiceSource, error) {
+	var all []*endpoints.ServiceSource
 	for i := range cfg.Endpoints.Browses {
 		roots, err := cfg.RootCertificates(a.baseDirectory, i)
 		if err != nil {
@@ -148,7 +148,7 @@
 	return all, nil
 }
 
-func (a *assembly) newBrowser(cfg *config.OperatorFile, i int, roots *x509.CertPool) *endpoints.Browser {
+func (a *assembly) newBrowser(cfg *config.OperatorFile, i int, roots *x509.CertPool) *endpoints.ServiceSource {
 	section := &cfg.Endpoints
 	browse := section.Browses[i]
 	log := a.log.With(zap.String("domain", browse.Domain))
@@ -166,15 +166,15 @@
 	if find.Mechanism == browser.MDNS {
 		find.DialMDNS = func() (browser.Transport, error) { return browser.DialUnicast(browse.Server) }
 	}
-	browser := &endpoints.Browser{
-		FinderOptions: find,
-		Key:           browse.Key(),
-		Config:        browserConfig(section, browse),
-		Site:          browse.Site,
-		Guard:         record.Guard{MaxLossFraction: section.GuardFraction, HoldTime: int64(section.GuardHold)},
-		Damper:        record.Damper{HalfLife: int64(*section.FlapHalfLife), MaxFlaps: section.MaxFlaps},
-		Names:         endpointNames(cfg.Names),
-		Log:           log,
+	browser := &endpoints.ServiceSource{
+		BrowserOptions: find,
+		Key:            browse.Key(),
+		Config:         browserConfig(section, browse),
+		Site:           browse.Site,
+		Guard:          record.Guard{MaxLossFraction: section.GuardFraction, HoldTime: int64(section.GuardHold)},
+		Damper:         record.Damper{HalfLife: int64(*section.FlapHalfLife), MaxFlaps: section.MaxFlaps},
+		Names:          endpointNames(cfg.Names),
+		Log:            log,
 	}
 	if len(section.Browses) > 1 { // the same name in two domains is two backends
 		browser.Suffix = "@" + strings.TrimSuffix(browse.Domain, ".")
@@ -196,4 +196,4 @@
 	return &tls.Config{RootCAs: roots, ServerName: serverName, MinVersion: tls.VersionTLS12}
 }
 
-var _ node.EndpointWatcher = (*endpoints.Browsers)(nil)
+var _ node.EndpointWatcher = (*endpoints.ServiceSources)(nil)
--- a/internal/endpoints/attributes.go
+++ b/internal/endpoints/attributes.go
@@ -35,25 +35,25 @@
 func (e *AttributeError) Unwrap() error { return e.Err }
 
 // endpoint returns the endpoint that an instance stands for. Its errors are the instance's fault, and *AttributeError.
-func (b *Browser) endpoint(instance record.Instance, now time.Time) (node.Endpoint, error) {
+func (s *ServiceSource) endpoint(instance record.Instance, now time.Time) (node.Endpoint, error) {
 	endpoint := node.Endpoint{
-		Engine: standpoint.Engine{Name: instance.Label + b.Suffix, Size: 1},
-		Source: b.Key,
+		Engine: standpoint.Engine{Name: instance.Label + s.Suffix, Size: 1},
+		Source: s.Key,
 	}
 	if instance.Fault != nil {
 		return endpoint, instance.Fault
 	}
-	if b.Site != "" {
-		endpoint.Zone = slices.Index(b.Names.Zones, b.Site)
+	if s.Site != "" {
+		endpoint.Zone = slices.Index(s.Names.Zones, s.Site)
 	}
 	endpoint.Address = instance.Address.String()
 	for key, attribute := range instance.Attributes {
-		if err := applyAttribute(&endpoint, b.Names, key, attribute.Value); err != nil {
+		if err := applyAttribute(&endpoint, s.Names, key, attribute.Value); err != nil {
 			return endpoint, &AttributeError{Key: key, Err: err}
 		}
 	}
 	if endpoint.ReadyAt == 0 {
-		endpoint.ReadyAt = b.observeStart(instance.Name, endpoint.Address, now)
+		endpoint.ReadyAt = s.observeStart(instance.Name, endpoint.Address, now)
 	}
 	return endpoint, nil
 }
--- a/internal/endpoints/observedstart.go
+++ b/internal/endpoints/observedstart.go
@@ -25,32 +25,32 @@
 // observeStart returns when an instance that publishes no start counts as started. One that is in the first list may
 // have run for long: 0. One that appears later, reappears, or is at another address has just started as far as this
 // node can know, and warms up.
-func (b *Browser) observeStart(name, address string, now time.Time) int64 {
-	instance, known := b.observed[name]
+func (s *ServiceSource) observeStart(name, address string, now time.Time) int64 {
+	instance, known := s.observed[name]
 	switch {
 	case known && instance.address != address:
 		instance.startedAt = clock.Of(now)
-	case known && (b.listed[name] || now.Sub(instance.lastSeen) < maxAbsence):
+	case known && (s.listed[name] || now.Sub(instance.lastSeen) < maxAbsence):
 		// the same process
-	case b.unpublished:
+	case s.unpublished:
 		instance.startedAt = 0
 	default:
 		instance.startedAt = clock.Of(now)
 	}
-	if !known && len(b.observed) >= maxObserved {
-		b.forgetAbsent(now)
+	if !known && len(s.observed) >= maxObserved {
+		s.forgetAbsent(now)
 	}
 	instance.lastSeen = now
 	instance.address = address
-	b.observed[name] = instance
+	s.observed[name] = instance
 	return instance.startedAt
 }
 
 // forgetAbsent forgets the instances that would count as started anew if they reappeared.
-func (b *Browser) forgetAbsent(now time.Time) {
-	for name, instance := range b.observed {
-		if !b.listed[name] && now.Sub(instance.lastSeen) >= maxAbsence {
-			delete(b.observed, name)
+func (s *ServiceSource) forgetAbsent(now time.Time) {
+	for name, instance := range s.observed {
+		if !s.listed[name] && now.Sub(instance.lastSeen) >= maxAbsence {
+			delete(s.observed, name)
 		}
 	}
 }
--- a/internal/endpoints/browser.go
+++ b/internal/endpoints/service.go
@@ -22,26 +22,26 @@
 // guardRecheckInterval is when a list that the guard holds back is evaluated again.
 const guardRecheckInterval = 100 * time.Millisecond
 
-// Browser is a source of endpoints that are published as DNS-SD service instances (RFC 6763): it turns what a finder
-// has found into an endpoint list. The keys of TXT records are those of the platform's list, and mode; all others are
-// labels.
+// ServiceSource is a source of endpoints that are published as DNS-SD service instances (RFC 6763): it turns what a
+// browser has found into an endpoint list. The keys of TXT records are those of the platform's list, and mode; all
+// others are labels.
 //
 // A look-up that fails changes nothing, and an invalid record affects its own instance alone. The exported fields are
 // set before Run, and not changed afterwards.
-type Browser struct {
-	FinderOptions browser.Options // Publish is set by Run
-	Key           string          // identifies the source among others, also in the persisted list
-	Config        string          // the configuration that it was made from: two that differ differ in it
-	Site          string          // of instances that publish none; empty for the first zone
-	Suffix        string          // appended to the instances' names, to tell several services' apart
-	Guard         record.Guard    // holds back a list that has lost many instances at once
-	Damper        record.Damper   // holds back instances that come and go too often
-	Names         Names
-	Notify        func(node.EndpointList) // called by Run's goroutine, with full lists
-	Log           *zap.Logger
+type ServiceSource struct {
+	BrowserOptions browser.Options // Publish is set by Run
+	Key            string          // identifies the source among others, also in the persisted list
+	Config         string          // the configuration that it was made from: two that differ differ in it
+	Site           string          // of instances that publish none; empty for the first zone
+	Suffix         string          // appended to the instances' names, to tell several services' apart
+	Guard          record.Guard    // holds back a list that has lost many instances at once
+	Damper         record.Damper   // holds back instances that come and go too often
+	Names          Names
+	Notify         func(node.EndpointList) // called by Run's goroutine, with full lists
+	Log            *zap.Logger
 
 	snapshots chan browser.Snapshot // of capacity 1: the latest that is not evaluated yet
-	finder    *browser.Browser
+	browser   *browser.Browser
 	origins   atomic.Pointer[[]Origin] // by name
 
 	// Below is Run's goroutine's alone. Maps have the instances' full names as keys.
@@ -59,20 +59,20 @@
 }
 
 // Origins returns all instances as last found, unused ones included. It is safe for concurrent use.
-func (b *Browser) Origins() []Origin {
-	if all := b.origins.Load(); all != nil {
+func (s *ServiceSource) Origins() []Origin {
+	if all := s.origins.Load(); all != nil {
 		return *all
 	}
 	return nil
 }
 
-// Run browses until ctx ends, and waits for the finder. It may be called once.
-func (b *Browser) Run(ctx context.Context) {
-	b.prepare()
+// Run browses until ctx ends, and waits for the browser. It may be called once.
+func (s *ServiceSource) Run(ctx context.Context) {
+	s.prepare()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		b.finder.Run(ctx)
+		s.browser.Run(ctx)
 	}()
 	timer := time.NewTimer(math.MaxInt64)
 	defer timer.Stop()
@@ -81,32 +81,32 @@
 		case <-ctx.Done():
 			<-done
 			return
-		case snapshot := <-b.snapshots:
-			b.lastSnapshot = &snapshot
+		case snapshot := <-s.snapshots:
+			s.lastSnapshot = &snapshot
 		case <-timer.C:
 		}
-		if b.lastSnapshot == nil {
+		if s.lastSnapshot == nil {
 			continue
 		}
-		recheckAfter := b.evaluate(*b.lastSnapshot, time.Now())
+		recheckAfter := s.evaluate(*s.lastSnapshot, time.Now())
 		if recheckAfter > 0 {
 			timer.Reset(recheckAfter)
 		}
 	}
 }
 
-func (b *Browser) prepare() {
-	b.snapshots = make(chan browser.Snapshot, 1)
-	b.unpublished = true
-	b.observed = map[string]observedInstance{}
-	b.FinderOptions.Publish = func(snapshot browser.Snapshot) {
+func (s *ServiceSource) prepare() {
+	s.snapshots = make(chan browser.Snapshot, 1)
+	s.unpublished = true
+	s.observed = map[string]observedInstance{}
+	s.BrowserOptions.Publish = func(snapshot browser.Snapshot) {
 		select { // the latest replaces one that is not evaluated yet
-		case <-b.snapshots:
+		case <-s.snapshots:
 		default:
 		}
-		b.snapshots <- snapshot
+		s.snapshots <- snapshot
 	}
-	b.finder = browser.New(b.FinderOptions)
+	s.browser = browser.New(s.BrowserOptions)
 }
 
 // evaluation is what a snapshot means. Maps have the instances' full names as keys.
@@ -119,23 +119,23 @@
 
 // evaluate handles a snapshot, and notifies if the list has changed. It returns after how long the same snapshot is
 // to be evaluated again, since the guard or the damper may let something through then; 0 if not at all.
-func (b *Browser) evaluate(snapshot browser.Snapshot, now time.Time) (recheckAfter time.Duration) {
-	if snapshot.Omitted > 0 && b.FinderOptions.Log != nil {
-		b.Log.Warn("instances beyond the maximum ignored",
+func (s *ServiceSource) evaluate(snapshot browser.Snapshot, now time.Time) (recheckAfter time.Duration) {
+	if snapshot.Omitted > 0 && s.BrowserOptions.Log != nil {
+		s.Log.Warn("instances beyond the maximum ignored",
 			zap.Int("ignored", snapshot.Omitted), zap.Int("maximum", record.MaxInstances))
 	}
-	if b.guardHolds(snapshot, now) {
+	if s.guardHolds(snapshot, now) {
 		return guardRecheckInterval
 	}
-	next := b.interpret(snapshot, now)
-	b.recordRemovals(next.endpoints, now)
-	b.recordOrigins(snapshot, next)
-	b.endpoints = next.endpoints
-	b.faults = next.faults
-	b.listed = next.listed
-	b.serial = snapshot.Serial
-	b.confirmedAt = snapshot.ObservedAt
-	b.publish()
+	next := s.interpret(snapshot, now)
+	s.recordRemovals(next.endpoints, now)
+	s.recordOrigins(snapshot, next)
+	s.endpoints = next.endpoints
+	s.faults = next.faults
+	s.listed = next.listed
+	s.serial = snapshot.Serial
+	s.confirmedAt = snapshot.ObservedAt
+	s.publish()
 	if next.dampedBefore < math.MaxInt64 {
 		return time.Duration(next.dampedBefore-clock.Of(now)) + time.Millisecond
 	}
@@ -143,19 +143,19 @@
 }
 
 // guardHolds reports whether the guard holds a snapshot back, for the instances that it has lost.
-func (b *Browser) guardHolds(snapshot browser.Snapshot, now time.Time) bool {
+func (s *ServiceSource) guardHolds(snapshot browser.Snapshot, now time.Time) bool {
 	remaining := 0
 	for _, instance := range snapshot.Instances {
-		if b.listed[instance.Name] {
+		if s.listed[instance.Name] {
 			remaining++
 		}
 	}
-	newer := snapshot.Serial != nil && b.serial != nil && record.Newer(*snapshot.Serial, *b.serial)
-	return b.Guard.Check(len(b.listed), remaining, newer, clock.Of(now)) == record.Hold
+	newer := snapshot.Serial != nil && s.serial != nil && record.Newer(*snapshot.Serial, *s.serial)
+	return s.Guard.Check(len(s.listed), remaining, newer, clock.Of(now)) == record.Hold
 }
 
 // interpret finds the endpoint of each instance, or why it has none.
-func (b *Browser) interpret(snapshot browser.Snapshot, now time.Time) evaluation {
+func (s *ServiceSource) interpret(snapshot browser.Snapshot, now time.Time) evaluation {
 	next := evaluation{
 		endpoints:    map[string]node.Endpoint{},
 		faults:       map[string]string{},
@@ -164,14 +164,14 @@
 	}
 	for _, instance := range snapshot.Instances {
 		next.listed[instance.Name] = true
-		present, used := b.endpoints[instance.Name]
+		present, used := s.endpoints[instance.Name]
 		if instance.Pending && used { // its records are not known for now: what is in use stays
 			next.endpoints[instance.Name] = present
 			continue
 		}
-		endpoint, err := b.endpoint(instance, now)
-		if err == nil && !used && !b.unpublished {
-			if until := b.Damper.HeldUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
+		endpoint, err := s.endpoint(instance, now)
+		if err == nil && !used && !s.unpublished {
+			if until := s.Damper.HeldUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
 				next.dampedBefore = min(next.dampedBefore, until)
 				err = &dampedError{until: until}
 			}
@@ -182,8 +182,8 @@
 		}
 		fault := err.Error()
 		next.faults[instance.Name] = fault
-		if b.faults[instance.Name] != fault && !instance.Pending {
-			b.Log.Warn("service instance not used", zap.String("instance", instance.Name), zap.Error(err))
+		if s.faults[instance.Name] != fault && !instance.Pending {
+			s.Log.Warn("service instance not used", zap.String("instance", instance.Name), zap.Error(err))
 		}
 	}
 	return next
@@ -199,33 +199,33 @@
 }
 
 // recordRemovals notifies the damper and the metrics of the endpoints that are no longer used.
-func (b *Browser) recordRemovals(next map[string]node.Endpoint, now time.Time) {
-	for name := range b.endpoints {
+func (s *ServiceSource) recordRemovals(next map[string]node.Endpoint, now time.Time) {
+	for name := range s.endpoints {
 		if _, used := next[name]; !used {
-			b.Damper.RecordWithdrawal(name, clock.Of(now))
-			b.FinderOptions.Metrics.ObserveWithdrawal(now.Sub(b.confirmedAt))
+			s.Damper.RecordWithdrawal(name, clock.Of(now))
+			s.BrowserOptions.Metrics.ObserveWithdrawal(now.Sub(s.confirmedAt))
 		}
 	}
 }
 
 // recordOrigins replaces what Origins returns.
-func (b *Browser) recordOrigins(snapshot browser.Snapshot, next evaluation) {
+func (s *ServiceSource) recordOrigins(snapshot browser.Snapshot, next evaluation) {
 	changedAt := map[string]time.Time{}
 	all := make([]Origin, 0, len(snapshot.Instances))
 	for _, instance := range snapshot.Instances {
-		origin := Origin{Name: instance.Label + b.Suffix, Fault: next.faults[instance.Name]}
-		unchanged := b.faults[instance.Name] == origin.Fault
+		origin := Origin{Name: instance.Label + s.Suffix, Fault: next.faults[instance.Name]}
+		unchanged := s.faults[instance.Name] == origin.Fault
 		if endpoint, used := next.endpoints[instance.Name]; used {
 			origin = Describe(endpoint)
-			unchanged = reflect.DeepEqual(endpoint, b.endpoints[instance.Name])
+			unchanged = reflect.DeepEqual(endpoint, s.endpoints[instance.Name])
 		}
-		origin.ChangedAt = b.changedAt[instance.Name]
+		origin.ChangedAt = s.changedAt[instance.Name]
 		if origin.ChangedAt.IsZero() || !unchanged {
 			origin.ChangedAt = snapshot.ObservedAt
 		}
 		changedAt[instance.Name] = origin.ChangedAt
 		origin.Instance = instance.Name
-		origin.Server = b.FinderOptions.Server
+		origin.Server = s.BrowserOptions.Server
 		origin.Mechanism = string(snapshot.Mechanism)
 		origin.CheckedAt = snapshot.ObservedAt
 		if !instance.Pending && instance.ExpiresAt < math.MaxInt64 {
@@ -235,21 +235,21 @@
 		all = append(all, origin)
 	}
 	slices.SortFunc(all, func(x, y Origin) int { return strings.Compare(x.Name, y.Name) })
-	b.changedAt = changedAt
-	b.origins.Store(&all)
+	s.changedAt = changedAt
+	s.origins.Store(&all)
 }
 
 // publish notifies of the list in use if it has changed, and of the first in any case.
-func (b *Browser) publish() {
-	list := make([]node.Endpoint, 0, len(b.endpoints))
-	for _, endpoint := range b.endpoints {
+func (s *ServiceSource) publish() {
+	list := make([]node.Endpoint, 0, len(s.endpoints))
+	for _, endpoint := range s.endpoints {
 		list = append(list, endpoint)
 	}
 	slices.SortFunc(list, func(x, y node.Endpoint) int { return strings.Compare(x.Name, y.Name) })
-	if !b.unpublished && reflect.DeepEqual(list, b.published) {
+	if !s.unpublished && reflect.DeepEqual(list, s.published) {
 		return
 	}
-	b.unpublished = false
-	b.published = list
-	b.Notify(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
+	s.unpublished = false
+	s.published = list
+	s.Notify(node.EndpointList{Kind: standpoint.ListFull, Endpoints: slices.Clone(list)})
 }
--- a/internal/endpoints/browser_test.go
+++ b/internal/endpoints/service_test.go
@@ -18,16 +18,16 @@
 	"standpoint/internal/node"
 )
 
-// browserHarness is a browser without its finder: snapshots are handed in, with the time.
-type browserHarness struct {
-	*Browser
+// sourceHarness is a browser without its browser: snapshots are handed in, with the time.
+type sourceHarness struct {
+	*ServiceSource
 	now      time.Time
 	notified []node.EndpointList
 }
 
-func newBrowserHarness() *browserHarness {
-	h := &browserHarness{now: time.Unix(1_800_000_000, 0)}
-	h.Browser = &Browser{
+func newSourceHarness() *sourceHarness {
+	h := &sourceHarness{now: time.Unix(1_800_000_000, 0)}
+	h.ServiceSource = &ServiceSource{
 		Key:         "hall",
 		Names:       names,
 		Log:         zap.NewNop(),
@@ -41,7 +41,7 @@
 }
 
 // find evaluates a snapshot with these instances, and a zone's serial if that is not 0.
-func (h *browserHarness) find(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
+func (h *sourceHarness) find(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
 	snapshot := browser.Snapshot{Instances: all, ObservedAt: h.now, Mechanism: browser.Poll}
 	if serial != 0 {
 		snapshot.Serial = &serial
@@ -49,7 +49,7 @@
 	return h.evaluate(snapshot, h.now)
 }
 
-func (h *browserHarness) publishedNames() []string { return endpointNames(fullList(h.published...)) }
+func (h *sourceHarness) publishedNames() []string { return endpointNames(fullList(h.published...)) }
 
 // instance returns one whose TXT record has the given text.
 func instance(label string, text ...string) record.Instance {
@@ -63,8 +63,8 @@
 }
 
 // The keys of a TXT record set the endpoint's fields, and an invalid instance affects itself alone, with its fault.
-func TestBrowserReadsAttributes(t *testing.T) {
-	h := newBrowserHarness()
+func TestServiceSourceReadsAttributes(t *testing.T) {
+	h := newSourceHarness()
 	lost := instance("lost")
 	lost.Fault = errors.New("no SRV record")
 	h.find(1,
@@ -103,14 +103,14 @@
 }
 
 // The error of an invalid value has its key.
-func TestBrowserReportsInvalidAttributes(t *testing.T) {
+func TestServiceSourceReportsInvalidAttributes(t *testing.T) {
 	for key, value := range map[string]string{
 		attributeBlock:  "first",
 		attributeShare:  "0",
 		attributeBornMS: "-1",
 		attributeHealth: "ill",
 	} {
-		_, err := newBrowserHarness().endpoint(instance("box-1", key+"="+value), time.Now())
+		_, err := newSourceHarness().endpoint(instance("box-1", key+"="+value), time.Now())
 		var attributeError *AttributeError
 		require.ErrorAs(t, err, &attributeError)
 		require.Equal(t, key, attributeError.Key)
@@ -119,9 +119,9 @@
 
 // A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held until it has stayed
 // empty, or the zone's serial has grown. A single instance that is missing is removed at once.
-func TestBrowserHoldsLostList(t *testing.T) {
+func TestServiceSourceHoldsLostList(t *testing.T) {
 	all := []record.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
-	h := newBrowserHarness()
+	h := newSourceHarness()
 	h.find(7, all...)
 	h.now = h.now.Add(30 * time.Second)
 	require.Positive(t, h.find(7))
@@ -137,20 +137,20 @@
 	h.find(6)
 	require.Empty(t, h.published)
 
-	h = newBrowserHarness()
+	h = newSourceHarness()
 	h.find(7, all...)
 	h.find(8) // somebody has emptied it
 	require.Empty(t, h.published)
 
-	h = newBrowserHarness()
+	h = newSourceHarness()
 	h.find(7, all...)
 	h.find(7, all[:2]...)
 	require.Len(t, h.published, 2)
 }
 
 // Records that are not known for now change nothing.
-func TestBrowserKeepsEndpointsOfPendingRecords(t *testing.T) {
-	h := newBrowserHarness()
+func TestServiceSourceKeepsEndpointsOfPendingRecords(t *testing.T) {
+	h := newSourceHarness()
 	h.find(7, instance("box-1", "site=b"))
 	pending := instance("box-1")
 	pending.Pending = true
@@ -165,8 +165,8 @@
 }
 
 // An instance that flaps is held back when it returns, never when it disappears.
-func TestBrowserDampsFlappingInstances(t *testing.T) {
-	h := newBrowserHarness()
+func TestServiceSourceDampsFlappingInstances(t *testing.T) {
+	h := newSourceHarness()
 	steady := instance("steady")
 	for i := range 3 {
 		h.find(0, instance("box-1"), steady)
@@ -190,8 +190,8 @@
 
 // An instance that publishes no start counts as started when it appears while this node watches, or returns after a
 // while; not if it was there before, nor if a message was lost.
-func TestBrowserObservesStarts(t *testing.T) {
-	h := newBrowserHarness()
+func TestServiceSourceObservesStarts(t *testing.T) {
+	h := newSourceHarness()
 	h.find(0, instance("old"))
 	require.Zero(t, h.published[0].ReadyAt)
 	h.now = h.now.Add(time.Minute)
@@ -211,9 +211,9 @@
 
 // Whatever comes and goes: an instance that is not listed is never used after the snapshot without it, unless the guard
 // holds the list; and no faulty one is used.
-func TestBrowserNeverUsesWithdrawnInstances(t *testing.T) {
+func TestServiceSourceNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newBrowserHarness()
+		h := newSourceHarness()
 		h.Guard.MaxLossFraction = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			elapsed := rapid.IntRange(0, 20_000).Draw(t, "ms")
@@ -246,8 +246,8 @@
 
 // An instance that publishes no start, and is suddenly at another address, is another process and counts as started
 // then.
-func TestBrowserTreatsNewAddressAsStart(t *testing.T) {
-	h := newBrowserHarness()
+func TestServiceSourceTreatsNewAddressAsStart(t *testing.T) {
+	h := newSourceHarness()
 	h.find(0, instance("box"))
 	require.Zero(t, h.published[0].ReadyAt)
 	h.now = h.now.Add(time.Minute)
--- a/internal/endpoints/browserset_test.go
+++ b/internal/endpoints/services_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-func newTestBrowser(server *responder.Server, domain, site string) *Browser {
-	return &Browser{
+func newTestSource(server *responder.Server, domain, site string) *ServiceSource {
+	return &ServiceSource{
 		Key:    "_engine._tcp." + domain,
 		Config: server.Address + site,
 		Suffix: "@" + domain,
@@ -46,7 +46,7 @@
 		Names:  names,
 		Log:    zap.NewNop(),
 		Guard:  record.Guard{MaxLossFraction: 0.5, HoldTime: int64(time.Hour)},
-		FinderOptions: browser.Options{
+		BrowserOptions: browser.Options{
 			Server:          server.Address,
 			Mechanism:       browser.Poll,
 			Log:             zap.NewNop(),
@@ -66,20 +66,20 @@
 
 // Several domains at a server each. The same name in two of them is two endpoints. A server that does not answer
 // affects its own domain alone, whose persisted endpoints stand. The set of domains changes while all runs.
-func TestBrowsersCombineDomains(t *testing.T) {
+func TestServiceSourcesCombineDomains(t *testing.T) {
 	a := serveDomain(t, "a.test", "box-1", "box-2")
 	b := serveDomain(t, "b.test", "box-1")
 	c := serveDomain(t, "c.test", "box-1")
 	c.Set(responder.Faults{Silent: true})
 	notify, updates := receiver(t)
-	browsers := NewBrowsers(notify,
-		newTestBrowser(a, "a.test", "a"), newTestBrowser(b, "b.test", "b"), newTestBrowser(c, "c.test", "a"))
+	sources := NewServiceSources(notify,
+		newTestSource(a, "a.test", "a"), newTestSource(b, "b.test", "b"), newTestSource(c, "c.test", "a"))
 	persisted := node.Endpoint{
 		Source: "_engine._tcp.c.test",
 		Engine: standpoint.Engine{Name: "box-9@c.test", Stale: true},
 	}
-	browsers.Restore(node.EndpointList{Endpoints: []node.Endpoint{persisted}})
-	runUntilEnd(t, browsers.Run)
+	sources.Restore(node.EndpointList{Endpoints: []node.Endpoint{persisted}})
+	runUntilEnd(t, sources.Run)
 	require.Equal(t, []string{"box-1@a.test", "box-2@a.test", "box-1@b.test", "box-9@c.test"},
 		endpointNames(receive(t, updates)))
 	require.NoError(t, a.Zone.Withdraw(publishedBackend("box-1", 8001)))
@@ -91,8 +91,8 @@
 
 	// a stays as it is, b gets another configuration, c is removed, d is added.
 	d := serveDomain(t, "d.test", "box-7")
-	browsers.Replace([]*Browser{
-		newTestBrowser(a, "a.test", "a"), newTestBrowser(b, "b.test", "a"), newTestBrowser(d, "d.test", "a"),
+	sources.Replace([]*ServiceSource{
+		newTestSource(a, "a.test", "a"), newTestSource(b, "b.test", "a"), newTestSource(d, "d.test", "a"),
 	})
 	require.Eventually(t, func() bool {
 		last = <-updates
--- a/walltime_test.go
+++ b/walltime_test.go
@@ -18,7 +18,7 @@
 	"internal/batch/line.go":             "open: windows and lines' times are kept as wall time",
 	"internal/config/endpoints.go":       "a start that an operator's file tells is a wall time",
 	"internal/endpoints/stored.go":       "a time that is past; open: ends of records are kept as wall time",
-	"internal/endpoints/browser.go":      "shows waits to people",
+	"internal/endpoints/service.go":      "shows waits to people",
 	"internal/endpoints/origin.go":       "shows starts to people",
 	"internal/edge/read_ahead.go":        "a deadline that is past",
 	"internal/dnssd/resolver/lookup.go":  "a deadline that is past",
