--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -95,7 +95,7 @@
 // the machine understand even if the wall clock is stepped meanwhile.
 func (r Record) toShared() Record {
 	monotonic := func(instant int64) int64 { return clock.StampOf(instant).Monotonic }
-	r.Boot = clock.Boot()
+	r.Boot = clock.BootID()
 	r.DownSince = convertTimes(r.DownSince, monotonic)
 	r.RestoredAt = convertTimes(r.RestoredAt, monotonic)
 	return r
--- a/internal/transient/listener.go
+++ b/internal/transient/listener.go
@@ -5,6 +5,7 @@
 	"errors"
 	"net"
 	"os"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -13,25 +14,29 @@
 )
 
 const (
-	// acceptsAtOnce is how many accepts may fail in a row without a pause: each of them may be one client's own broken connection.
-	acceptsAtOnce = 8
-	// acceptReports is the shortest time between two lines of log about accepts that fail.
-	acceptReports = time.Second
+	// maxImmediateRetries bounds the accepts that may fail in a row before the Listener pauses: each of them may be one
+	// client's own broken connection.
+	maxImmediateRetries = 8
+	// minReportInterval is the shortest time between two log entries about failed accepts.
+	minReportInterval = time.Second
 )
 
-// broken are the errors of an accept after which the listener is of no use any more.
-var broken = []error{net.ErrClosed, os.ErrDeadlineExceeded, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT}
+// permanentErrors are the errors of an accept after which the listener is of no further use.
+var permanentErrors = []error{
+	net.ErrClosed, os.ErrDeadlineExceeded,
+	syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT,
+}
 
-// Listener accepts on while accepts fail for a moment, for whatever reason. net/http ends its loop on an error that does not call
-// itself temporary, and pauses for up to a second on one that does.
+// Listener continues to accept while accepts fail for a moment, for whatever reason. A server of net/http ends on an
+// error that is not marked as temporary, and pauses for up to a second on one that is. It is safe for concurrent use.
 type Listener struct {
 	net.Listener
 	log    *zap.Logger
-	ctx    context.Context
+	ctx    context.Context // ends with Close
 	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	reported time.Time
+	mu         sync.Mutex // guards lastReport
+	lastReport time.Time
 }
 
 // NewListener wraps a listener.
@@ -40,10 +45,10 @@
 	return &Listener{Listener: l, log: log, ctx: ctx, cancel: cancel}
 }
 
-// Listen listens at an address, and repeats that for a while where the machine is short of something.
+// Listen listens at an address, and retries that for a while if the machine is short of a resource.
 func Listen(network, address string, log *zap.Logger) (*Listener, error) {
 	var l net.Listener
-	err := Retry(context.Background(), startTime, func() (failed error) {
+	err := Retry(context.Background(), maxStartRetry, func() (failed error) {
 		l, failed = net.Listen(network, address)
 		return failed
 	})
@@ -57,17 +62,15 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	var pauses backoff
 	for failures := 1; ; failures++ {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil {
-			return c, nil
+			return conn, nil
 		}
-		for _, final := range broken {
-			if errors.Is(err, final) {
-				return nil, err
-			}
+		if isPermanent(err) {
+			return nil, err
 		}
 		l.report(err)
-		if failures < acceptsAtOnce && !IsLocalShortage(err) {
+		if failures < maxImmediateRetries && !IsLocalShortage(err) {
 			continue
 		}
 		if !Sleep(l.ctx, pauses.next()) {
@@ -76,17 +79,22 @@
 	}
 }
 
+// isPermanent reports whether a listener is of no further use after an error.
+func isPermanent(err error) bool {
+	return slices.ContainsFunc(permanentErrors, func(permanent error) bool { return errors.Is(err, permanent) })
+}
+
 // report logs a failed accept, unless another was logged just now.
 func (l *Listener) report(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); now.Sub(l.reported) >= acceptReports {
-		l.reported = now
-		l.log.Warn("accept failed; accepting goes on", zap.Stringer("at", l.Addr()), zap.Error(err))
+	if now := time.Now(); now.Sub(l.lastReport) >= minReportInterval {
+		l.lastReport = now
+		l.log.Warn("accept failed, continuing", zap.Stringer("address", l.Addr()), zap.Error(err))
 	}
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. It also ends a pause of Accept.
 func (l *Listener) Close() error {
 	l.cancel()
 	return l.Listener.Close()
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient handles system calls that fail for a moment. It tells which failures are a shortage of this machine, and
-// repeats, within a bounded time, the calls that are safe to repeat. It decides nothing about requests.
+// Package transient handles system calls that fail for a moment. It classifies the failures that are a shortage of this
+// machine, and retries, within a bounded time, the calls that are idempotent. It decides nothing about requests.
 package transient
 
 import (
@@ -12,22 +12,22 @@
 )
 
 const (
-	// firstPause is the pause before a call that failed is repeated; each further one is twice as long, up to longestPause.
-	firstPause   = time.Millisecond
-	longestPause = 50 * time.Millisecond
-
-	// transferTime bounds the repeats of one read or write.
-	transferTime = time.Second
-	// DialTime bounds the repeats of one dial: three attempts of a request outlast a shortage of a second.
-	DialTime = 400 * time.Millisecond
-	// startTime bounds the repeats of what a program needs to start or to read its configuration again.
-	startTime = 3 * time.Second
+	// minPause is the pause before a failed call is retried; each further one is twice as long, up to maxPause.
+	minPause = time.Millisecond
+	maxPause = 50 * time.Millisecond
+
+	// maxTransferRetry bounds the retries of one read or write.
+	maxTransferRetry = time.Second
+	// maxDialRetry bounds the retries of one dial: three attempts of a request outlast a shortage of a second.
+	maxDialRetry = 400 * time.Millisecond
+	// maxStartRetry bounds the retries of what a program needs to start, or to reload its configuration.
+	maxStartRetry = 3 * time.Second
 )
 
-// shortages are the errors by which the system says that this machine, or this process, has run out of something.
+// shortages are the errors that report that this machine, or this process, has run out of a resource.
 var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// IsLocalShortage reports whether an error is a shortage of this machine, which says nothing about the other side.
+// IsLocalShortage reports whether an error is a shortage of this machine. It says nothing about a peer.
 func IsLocalShortage(err error) bool {
 	for _, shortage := range shortages {
 		if errors.Is(err, shortage) {
@@ -37,20 +37,21 @@
 	return false
 }
 
-// IsTransient reports whether a call that failed so is worth repeating.
+// IsTransient reports whether a call that failed with an error is worth a retry.
 func IsTransient(err error) bool { return IsLocalShortage(err) || errors.Is(err, syscall.EINTR) }
 
-// backoff yields the pauses between the repeats of one call.
+// backoff has the pauses between the retries of one call. Its zero value is ready for use.
 type backoff struct{ pause time.Duration }
 
 func (b *backoff) next() time.Duration {
-	b.pause = min(longestPause, max(firstPause, 2*b.pause))
+	b.pause = min(maxPause, max(minPause, 2*b.pause))
 	return b.pause
 }
 
-// Retry calls op until it succeeds, fails for good, or most has passed, and returns its last error.
-func Retry(ctx context.Context, most time.Duration, op func() error) error {
-	began := time.Now()
+// Retry calls op until it succeeds, fails with an error that is not transient, ctx ends during a pause, or the next
+// pause would exceed the maximum time. It returns op's last error, or nil.
+func Retry(ctx context.Context, maximum time.Duration, op func() error) error {
+	started := time.Now()
 	var pauses backoff
 	for {
 		err := op()
@@ -58,15 +59,15 @@
 			return err
 		}
 		pause := pauses.next()
-		if time.Since(began)+pause > most || !Sleep(ctx, pause) {
+		if time.Since(started)+pause > maximum || !Sleep(ctx, pause) {
 			return err
 		}
 	}
 }
 
-// Sleep waits, and reports false if ctx ends first.
-func Sleep(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(span)
+// Sleep waits for a duration. It returns false if ctx ends first.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -76,7 +77,7 @@
 	}
 }
 
-// IgnoringEINTR calls op until it is not interrupted by a signal.
+// IgnoringEINTR calls op until no signal interrupts it, and returns its error.
 func IgnoringEINTR(op func() error) error {
 	for {
 		if err := op(); !errors.Is(err, syscall.EINTR) {
@@ -85,13 +86,13 @@
 	}
 }
 
-// DialFunc opens a connection.
+// DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial makes a dialer that repeats a dial which fails for a shortage of this machine.
+// Dial returns a dialer that retries a dial which fails for a shortage of this machine.
 func Dial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (conn net.Conn, err error) {
-		err = Retry(ctx, DialTime, func() (failed error) {
+		err = Retry(ctx, maxDialRetry, func() (failed error) {
 			conn, failed = dial(ctx, network, address)
 			return failed
 		})
@@ -102,21 +103,22 @@
 	}
 }
 
-// Read reads from a connection. A read that failed for a moment took nothing, and is repeated.
+// Read reads from a connection, as its Read does. A read with a transient failure has taken nothing, and is retried.
 func Read(c net.Conn, b []byte) (n int, err error) {
-	err = Retry(context.Background(), transferTime, func() (failed error) {
+	err = Retry(context.Background(), maxTransferRetry, func() (failed error) {
 		n, failed = c.Read(b)
 		if n > 0 && IsTransient(failed) {
-			return nil // what came is handed on first
+			return nil // the bytes that came are returned first
 		}
 		return failed
 	})
 	return n, err
 }
 
-// Write writes all of b to a connection: what a short write, or one that failed for a moment, has left is written again.
+// Write writes all of b to a connection: what a short write, or one with a transient failure, has left over is written
+// again. It returns how much was written.
 func Write(c net.Conn, b []byte) (written int, err error) {
-	err = Retry(context.Background(), transferTime, func() (failed error) {
+	err = Retry(context.Background(), maxTransferRetry, func() (failed error) {
 		for {
 			var n int
 			n, failed = c.Write(b[written:])
@@ -129,9 +131,9 @@
 	return written, err
 }
 
-// ReadFile reads a file that a program needs to start, or to go on as it is told.
+// ReadFile reads a file that a program needs to start, or to reload its configuration.
 func ReadFile(path string) (raw []byte, err error) {
-	err = Retry(context.Background(), startTime, func() (failed error) {
+	err = Retry(context.Background(), maxStartRetry, func() (failed error) {
 		raw, failed = os.ReadFile(path)
 		return failed
 	})
