--- a/internal/testpeer/drain/backend.go
+++ b/internal/testpeer/drain/backend.go
@@ -13,50 +13,55 @@
 	"github.com/stretchr/testify/require"
 )
 
-const streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+const (
+	streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	events     = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]}\n\n" +
+		"data: [DONE]\n\n"
+)
 
-// TraceID is the id of a node's request: the servers tell by it who sent it.
+// TraceID returns the id of a node's request, by which the backends know who sent it.
 func TraceID(node string, number int) string { return fmt.Sprintf("%s-%06d", node, number) }
 
-// StartBackend starts a stand-in server that answers every request at once, and returns its address. Only requests whose id Trace
-// made are noted.
+// StartBackend starts a backend that answers every request at once, and returns its address. It records the requests
+// whose ids TraceID made, with the moment of their first byte.
 func StartBackend(t testing.TB, name string, record *Record) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c, name, record)
+			go serve(conn, name, record) // ends with its connection
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func serve(c net.Conn, name string, record *Record) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+// serve answers the requests of a connection until it ends.
+func serve(conn net.Conn, name string, record *Record) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		if _, err := in.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		came := time.Now()
-		r, err := http.ReadRequest(in)
+		received := time.Now()
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		trace := r.Header.Get("X-Trace-Id")
-		if node, _, ok := strings.Cut(trace, "-"); ok {
-			record.addSend(Send{Node: node, Backend: name, TraceID: trace, At: came})
+		traceID := request.Header.Get("X-Trace-Id")
+		if node, _, ok := strings.Cut(traceID, "-"); ok {
+			record.addSend(Send{Node: node, Backend: name, TraceID: traceID, At: received})
 		}
-		events := "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n"
-		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n0\r\n\r\n", streamHead, len(events), events); err != nil {
+		if _, err := fmt.Fprintf(conn, "%s%x\r\n%s\r\n0\r\n\r\n", streamHead, len(events), events); err != nil {
 			return
 		}
 	}
--- a/internal/testpeer/drain/check.go
+++ b/internal/testpeer/drain/check.go
@@ -1,6 +1,6 @@
-// Package drain has what a test of the drain rule needs: a stand-in discovery that knows when each node counts as told that a server
-// leaves, stand-in servers that note the moment of each request's first byte, and the check of one against the other. It is used by
-// tests alone.
+// Package drain checks the drain rule in tests: a discovery that knows from when on each node counts as notified that a
+// backend drains, backends that record the moment of each request's first byte, and the check of one against the other.
+// Only tests use it.
 package drain
 
 import (
@@ -11,21 +11,31 @@
 	"time"
 )
 
-// Notification is the moment from which a node counts as told that a server leaves.
+// The ways in which a node comes to count as notified.
+const (
+	byWritten = "written" // discovery wrote it to the node
+	byDue     = "due"     // the time to learn of it is over
+)
+
+// Notification is the moment from which a node counts as notified that a backend drains.
 type Notification struct {
-	Node, Backend string
-	At            time.Time
-	By            string // what told it: "written" or "due"
+	Node    string
+	Backend string
+	At      time.Time
+	By      string // "written" or "due"
 }
 
-// Send is a request as a server saw it. Lag is how late this process was around that moment, by which At may be too late.
+// Send is a request as a backend received it.
 type Send struct {
-	Node, Backend, TraceID string
-	At                     time.Time
-	Lag                    time.Duration
+	Node    string
+	Backend string
+	TraceID string
+	At      time.Time
+	// Lag is how late this process was around that moment: At may be too late by it.
+	Lag time.Duration
 }
 
-// Violation is a send to a server that its node had been told to leave alone.
+// Violation is a request to a backend that its node was notified to drain.
 type Violation struct {
 	Send         Send
 	Notification Notification
@@ -33,17 +43,19 @@
 
 // String implements fmt.Stringer.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s sent %s to %s %v after it was told (%s)", v.Send.Node, v.Send.TraceID, v.Send.Backend,
-		v.Send.At.Sub(v.Notification.At).Round(time.Millisecond), v.Notification.By)
+	late := v.Send.At.Sub(v.Notification.At).Round(time.Millisecond)
+	return fmt.Sprintf("%s sent %s to %s %v after it was told (%s)", v.Send.Node, v.Send.TraceID, v.Send.Backend, late,
+		v.Notification.By)
 }
 
-// ProcessStarts are the moments in which a node's processes started, in order. What was told to one process is not held against the next.
+// ProcessStarts holds the moments at which each node's processes started, in order. What one process was notified of is
+// not held against the next.
 type ProcessStarts map[string][]time.Time
 
-// process is the number of the process that a node has at a moment.
-func (l ProcessStarts) process(node string, at time.Time) int {
+// process returns the number of the process that a node has at a moment, from 1 on; 0 before the first start.
+func (s ProcessStarts) process(node string, at time.Time) int {
 	n := 0
-	for _, start := range l[node] {
+	for _, start := range s[node] {
 		if !start.After(at) {
 			n++
 		}
@@ -51,121 +63,82 @@
 	return n
 }
 
-// Check finds the sends that came more than grace after the earliest moment at which their node's process counts as told.
-func Check(told []Notification, sends []Send, lives ProcessStarts, grace time.Duration) []Violation {
+// Check returns the sends that came more than grace after the earliest moment at which their node's process counts as
+// notified, in the order of time.
+func Check(notifications []Notification, sends []Send, starts ProcessStarts, grace time.Duration) []Violation {
 	type key struct {
-		node, server string
-		life         int
+		node, backend string
+		process       int
 	}
-	first := map[key]Notification{}
-	for _, t := range told {
-		k := key{t.Node, t.Backend, lives.process(t.Node, t.At)}
-		if earlier, known := first[k]; !known || t.At.Before(earlier.At) {
-			first[k] = t
+	earliest := map[key]Notification{}
+	for _, notification := range notifications {
+		process := starts.process(notification.Node, notification.At)
+		k := key{notification.Node, notification.Backend, process}
+		if known, ok := earliest[k]; !ok || notification.At.Before(known.At) {
+			earliest[k] = notification
 		}
 	}
 	var found []Violation
-	for _, s := range sends {
-		t, known := first[key{s.Node, s.Backend, lives.process(s.Node, s.At)}]
-		if known && s.At.Add(-s.Lag).After(t.At.Add(grace)) {
-			found = append(found, Violation{s, t})
+	for _, send := range sends {
+		notification, ok := earliest[key{send.Node, send.Backend, starts.process(send.Node, send.At)}]
+		if ok && send.At.Add(-send.Lag).After(notification.At.Add(grace)) {
+			found = append(found, Violation{send, notification})
 		}
 	}
 	slices.SortFunc(found, func(a, b Violation) int { return cmp.Compare(a.Send.At.UnixNano(), b.Send.At.UnixNano()) })
 	return found
 }
 
-// Record collects what stand-ins saw.
+// Record collects what the discovery and the backends of a test saw. It is safe for concurrent use.
 type Record struct {
-	mu            sync.Mutex
+	lag lagMeter
+
+	mu            sync.Mutex // guards all below
 	notifications []Notification
 	sends         []Send
 	starts        ProcessStarts
-	lag           lag
 }
 
-// NewRecord starts a record; its own lateness is watched until stop is closed.
+// NewRecord creates an empty record, which measures this process's lag until stop is closed.
 func NewRecord(stop <-chan struct{}) *Record {
 	r := &Record{starts: ProcessStarts{}}
-	go r.lag.watch(stop)
+	go r.lag.measure(stop)
 	return r
 }
 
-func (r *Record) addNotification(t Notification) {
+func (r *Record) addNotification(notification Notification) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notifications = append(r.notifications, t)
+	r.notifications = append(r.notifications, notification)
 }
 
-func (r *Record) addSend(s Send) {
-	s.Lag = r.lag.present()
+func (r *Record) addSend(send Send) {
+	send.Lag = r.lag.present()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sends = append(r.sends, s)
+	r.sends = append(r.sends, send)
 }
 
-// Started notes that a process of a node starts.
+// Started records that a process of a node starts.
 func (r *Record) Started(node string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts[node] = append(r.starts[node], at)
 }
 
-// Sends are all sends so far.
+// Sends returns all sends so far.
 func (r *Record) Sends() []Send {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.sends)
 }
 
-// Violations checks what was recorded, and what is due.
+// Violations checks what was recorded, and the notifications that are due.
 func (r *Record) Violations(due []Notification, grace time.Duration) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Check(append(slices.Clone(r.notifications), due...), r.sends, r.starts, grace)
 }
 
-// MaximumLag is the longest by which this process was late.
+// MaximumLag returns the longest by which this process was late.
 func (r *Record) MaximumLag() time.Duration { return r.lag.longest() }
-
-const (
-	lagInterval = 5 * time.Millisecond
-	lagMemory   = 500 * time.Millisecond
-)
-
-// lag measures by how much a goroutine of this process is woken too late.
-type lag struct {
-	mu            sync.Mutex
-	recentMaximum time.Duration // the largest that was seen within lagFor
-	recentAt      time.Time     // when
-	maximum       time.Duration
-}
-
-func (l *lag) watch(stop <-chan struct{}) {
-	for last := time.Now(); ; last = time.Now() {
-		select {
-		case <-stop:
-			return
-		case <-time.After(lagInterval):
-		}
-		late := time.Since(last) - lagInterval
-		l.mu.Lock()
-		if late > l.recentMaximum || time.Since(l.recentAt) > lagMemory {
-			l.recentMaximum, l.recentAt = late, time.Now()
-		}
-		l.maximum = max(l.maximum, late)
-		l.mu.Unlock()
-	}
-}
-
-func (l *lag) present() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return max(0, l.recentMaximum)
-}
-
-func (l *lag) longest() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.maximum
-}
--- a/internal/testpeer/faults.go
+++ b/internal/testpeer/faults.go
@@ -129,7 +129,7 @@
 func StartFaulty(t testing.TB, log *zap.Logger, faults *Faults, settings standpoint.Settings,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
-	return start(t, options{
+	return start(t, startOptions{
 		log: log, listen: faults.Listener, dial: faults.Dial, settings: settings, endpoints: endpoints,
 	})
 }
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -50,7 +50,14 @@
 // RoundTrip fails the test unless the golden file called name decodes to value, and value encodes to the file's
 // bytes. Every exported field within value has to be set, since a field at its zero value would not show that its
 // name has changed; unset names the paths of those that may be left, as Unset reports them.
-func RoundTrip[T any](t testing.TB, name string, value T, encode func(T) ([]byte, error), decode func([]byte) (T, error), unset ...string) {
+func RoundTrip[T any](
+	t testing.TB,
+	name string,
+	value T,
+	encode func(T) ([]byte, error),
+	decode func([]byte) (T, error),
+	unset ...string,
+) {
 	t.Helper()
 	for _, path := range Unset(value) {
 		require.Contains(t, unset, path, "a field of the sample that is not set")
--- a/internal/testpeer/node.go
+++ b/internal/testpeer/node.go
@@ -81,20 +81,20 @@
 // Start starts a node with the given backends.
 func Start(t testing.TB, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
 	t.Helper()
-	return start(t, options{settings: settings, endpoints: endpoints})
+	return start(t, startOptions{settings: settings, endpoints: endpoints})
 }
 
 // StartLogged is Start with a log that the test looks into.
 func StartLogged(t testing.TB, log *zap.Logger, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
 	t.Helper()
-	return start(t, options{log: log, settings: settings, endpoints: endpoints})
+	return start(t, startOptions{log: log, settings: settings, endpoints: endpoints})
 }
 
 // StartDialing is StartLogged with a function that dials backends; nil stands for the usual one.
 func StartDialing(t testing.TB, log *zap.Logger, settings standpoint.Settings, dial Dial,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
-	return start(t, options{log: log, dial: dial, settings: settings, endpoints: endpoints})
+	return start(t, startOptions{log: log, dial: dial, settings: settings, endpoints: endpoints})
 }
 
 // StartWrapped is Start with a function that wraps each connection that the node accepts, and one that dials backends;
@@ -103,11 +103,11 @@
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
 	listen := func(l net.Listener) net.Listener { return wrappedListener{l, wrap} }
-	return start(t, options{listen: listen, dial: dial, settings: settings, endpoints: endpoints})
+	return start(t, startOptions{listen: listen, dial: dial, settings: settings, endpoints: endpoints})
 }
 
-// options are how a node is started.
-type options struct {
+// startOptions are how a node is started.
+type startOptions struct {
 	log       *zap.Logger                     // nil: none
 	listen    func(net.Listener) net.Listener // wraps the listener for clients; nil: none does
 	dial      Dial                            // dials backends; nil: the usual one
@@ -117,29 +117,29 @@
 
 // start wires a node and starts it. The test fails if the node has failed more than one in 200 requests without an
 // attempt.
-func start(t testing.TB, o options) *Node {
+func start(t testing.TB, options startOptions) *Node {
 	t.Helper()
-	if o.log == nil {
-		o.log = zap.NewNop()
+	if options.log == nil {
+		options.log = zap.NewNop()
 	}
 	n := &Node{Lifecycle: &node.Lifecycle{}, Bodies: node.NewTenantLimiter(maxBodyBytes, 1), t: t}
 	n.Metrics = metrics.New(Names.Classes, func() int { return n.Core.OpenRequests() })
-	n.Backends = newBackends(o)
+	n.Backends = newBackends(options)
 	n.Backends.OnWritten = n.Metrics.CountAttempt
 	n.Core = node.New(node.Options{
-		Settings:    o.settings,
+		Settings:    options.settings,
 		Seed:        1,
 		MaxRequests: maxRequests,
 		Backends:    n.Backends,
 		Watcher:     noWatcher{},
 		Metrics:     n.Metrics,
-		Log:         o.log,
+		Log:         options.log,
 	})
-	n.UpdateEndpoints(o.endpoints...)
+	n.UpdateEndpoints(options.endpoints...)
 	ctx, cancel := context.WithCancel(context.Background())
 	var core sync.WaitGroup
 	core.Go(func() { n.Core.Run(ctx) })
-	n.listen(o)
+	n.listen(options)
 	// The server is closed, but not waited for: a test may hold an accept back, and would hang where it fails.
 	go func() { _ = n.Server.Serve(n.Connections) }()
 	t.Cleanup(func() {
@@ -153,13 +153,13 @@
 }
 
 // newBackends creates the node's side of its backends, with short times.
-func newBackends(o options) *backend.Fleet {
+func newBackends(options startOptions) *backend.Fleet {
 	return backend.New(backend.Options{
 		DialTimeout: 100 * time.Millisecond,
 		ConnIdle:    15 * time.Second,
 		MaxIdle:     10,
-		Dial:        o.dial,
-		Log:         o.log,
+		Dial:        options.dial,
+		Log:         options.log,
 		Batch: backend.BatchOptions{
 			Gather: 30 * time.Millisecond,
 			Lines:  50,
@@ -170,16 +170,16 @@
 }
 
 // listen opens the listener for clients and creates the server on it.
-func (n *Node) listen(o options) {
+func (n *Node) listen(options startOptions) {
 	n.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(n.t, err)
 	n.Address = listener.Addr().String()
 	n.URL = "http://" + n.Address
-	if o.listen != nil {
-		listener = o.listen(listener)
+	if options.listen != nil {
+		listener = options.listen(listener)
 	}
-	n.Connections = edge.NewConnectionTracker(listener, maxConnections, o.log)
+	n.Connections = edge.NewConnectionTracker(listener, maxConnections, options.log)
 	n.Connections.Metrics = n.Metrics
 	front := &edge.Front{
 		Core:      n.Core,
@@ -187,9 +187,9 @@
 		Names:     Names,
 		Bodies:    n.Bodies,
 		Metrics:   n.Metrics,
-		Log:       o.log,
+		Log:       options.log,
 	}
-	n.Server = edge.NewServer(front.Handler(), n.Connections, o.log)
+	n.Server = edge.NewServer(front.Handler(), n.Connections, options.log)
 }
 
 // noWatcher is an EndpointWatcher without a source.
--- a/internal/testpeer/release/release.go
+++ b/internal/testpeer/release/release.go
@@ -23,7 +23,21 @@
 	}
 	dir := t.TempDir()
 	archive := filepath.Join(dir, "source.tar")
-	output(t, root, "git", "archive", "--format=tar", "--output="+archive, Commit, "--", "go.mod", "go.sum", "*.go", "cmd", "internal")
+	output(
+		t,
+		root,
+		"git",
+		"archive",
+		"--format=tar",
+		"--output="+archive,
+		Commit,
+		"--",
+		"go.mod",
+		"go.sum",
+		"*.go",
+		"cmd",
+		"internal",
+	)
 	output(t, dir, "tar", "-xf", archive)
 	program := filepath.Join(dir, "standpoint-before")
 	output(t, dir, "go", "build", "-trimpath", "-o", program, "./cmd/standpoint")
--- a/internal/testpeer/stream.go
+++ b/internal/testpeer/stream.go
@@ -24,9 +24,11 @@
 	w.(http.Flusher).Flush()
 }
 
-// Finish writes the last events of a stream.
+// Finish writes the last events of a stream: its end, its usage and a load report.
 func Finish(w http.ResponseWriter) {
 	fmt.Fprint(w, `data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`+"\n\n"+
-		`data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":4}}}`+
-		"\n\ndata: [DONE]\n\n: Endpoint-Load-Metrics: TEXT x0=0.25, x1=1.5, util=0.5\n\n")
+		`data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,`+
+		`"prompt_tokens_details":{"cached_tokens":4}}}`+"\n\n"+
+		"data: [DONE]\n\n"+
+		": Endpoint-Load-Metrics: TEXT x0=0.25, x1=1.5, util=0.5\n\n")
 }
