--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -24,7 +24,7 @@
 
 // backendState is what the tracker knows of a backend.
 type backendState struct {
-	description pool.Box
+	description pool.Backend
 	pool        int      // 0 for none
 	alsoFits    []string // further pools whose selectors match
 	state       standpoint.State
@@ -45,13 +45,13 @@
 	if endpoint.State == standpoint.Gone && endpoint.Address == "" && backend.pool != 0 {
 		return backend.pool // a withdrawal may come without the labels
 	}
-	backend.pool, backend.alsoFits = t.set.Place(backend.description)
+	backend.pool, backend.alsoFits = t.set.PoolOf(backend.description)
 	return backend.pool
 }
 
 // describe is an endpoint as selectors see it.
-func (t *Tracker) describe(endpoint *node.Endpoint) pool.Box {
-	description := pool.Box{
+func (t *Tracker) describe(endpoint *node.Endpoint) pool.Backend {
+	description := pool.Backend{
 		Name:    endpoint.Name,
 		Address: endpoint.Address,
 		Site:    nameOf(t.names.Zones, endpoint.Zone),
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -9,13 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-var box = Box{Name: "box-7", Address: "127.0.0.1:9007", Site: "hall-a", Kind: "fast", Mode: "stream", Cell: 3, Size: 1.5,
-	Labels: map[string]string{"version": "v2", "build": "118"}}
+var testBackend = Backend{
+	Name:    "box-7",
+	Address: "127.0.0.1:9007",
+	Site:    "hall-a",
+	Kind:    "fast",
+	Mode:    "stream",
+	Cell:    3,
+	Size:    1.5,
+	Labels:  map[string]string{"version": "v2", "build": "118"},
+}
 
-// The same verdict every time: property tests draw from one seed.
+// Runs are repeatable: property tests draw from one seed.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-func TestSelectorsMatchWhatEntriesTell(t *testing.T) {
+func TestSelectorMatchesBackendDescription(t *testing.T) {
 	for text, want := range map[string]bool{
 		`kind == "fast" && site in ["hall-a"] && version == "v2"`: true,
 		`kind != "fast"`:                       false,
@@ -27,7 +35,7 @@
 		`name =~ "box"`:                        false, // the whole word
 		`name !~ "box-8.*"`:                    true,
 		`has(version) && !has(rack)`:           true,
-		`rack != "r1"`:                         false, // not told: no comparison holds
+		`rack != "r1"`:                         false, // no such label: no comparison holds
 		`size < 2 && size > 1.4`:               true,
 		`true`:                                 true,
 		`false || zone == "hall-a"`:            true,
@@ -35,12 +43,12 @@
 	} {
 		s, err := Parse(text)
 		require.NoError(t, err, text)
-		require.Equal(t, want, s.Match(box), text)
+		require.Equal(t, want, s.Match(testBackend), text)
 	}
-	require.False(t, Selector{}.Match(box))
+	require.False(t, Selector{}.Match(testBackend))
 }
 
-func TestSelectorErrorsGiveTheColumn(t *testing.T) {
+func TestSelectorErrorsNameTheColumn(t *testing.T) {
 	for text, column := range map[string]int{
 		``:                           1,
 		`kind = "fast"`:              6,
@@ -65,7 +73,9 @@
 	require.ErrorContains(t, err, "nested more than 32 deep")
 }
 
-func set(t testing.TB, shares ...float64) *Set {
+// newTestSet makes a set of the pools p1, p2, ..., which select by version.
+func newTestSet(t testing.TB, shares ...float64) *Set {
+	t.Helper()
 	var all []Definition
 	for i, share := range shares {
 		s, err := Parse(fmt.Sprintf(`version == "v%d"`, i+1))
@@ -77,15 +87,15 @@
 	return s
 }
 
-func TestABoxInTwoPoolsGoesToTheFirst(t *testing.T) {
+func TestBackendBelongsToFirstMatchingPool(t *testing.T) {
 	fast, _ := Parse(`kind == "fast"`)
 	all, _ := Parse(`true`)
 	s, err := NewSet([]Definition{{"quick", fast, 0.5}, {"every", all, 0.5}})
 	require.NoError(t, err)
-	number, also := s.Place(box)
+	number, also := s.PoolOf(testBackend)
 	require.Equal(t, 1, number)
 	require.Equal(t, []string{"every"}, also)
-	number, also = s.Place(Box{Kind: "slow"})
+	number, also = s.PoolOf(Backend{Kind: "slow"})
 	require.Equal(t, 2, number)
 	require.Empty(t, also)
 	_, err = NewSet([]Definition{{"quick", fast, 0.5}, {"quick", all, 0.5}})
@@ -94,10 +104,9 @@
 	require.ErrorContains(t, err, "pool[1].share:")
 }
 
-// A step moves only flows to the new pool, as many as it must; those of other pools never move, and nothing moves back
-// unless the share falls.
-func TestStepsMoveNoMoreThanTheyMust(t *testing.T) {
-	s := set(t, 0.7, 0, 0.3)
+// A larger share moves flows only to the new pool, and no more than it must; those of other pools never move.
+func TestLargerShareOnlyMovesFlowsToTheNewPool(t *testing.T) {
+	s := newTestSet(t, 0.7, 0, 0.3)
 	rapid.Check(t, func(r *rapid.T) {
 		a := rapid.Float64Range(0, 1).Draw(r, "share")
 		b := rapid.Float64Range(a, 1).Draw(r, "greater")
@@ -127,9 +136,9 @@
 	require.InDelta(t, 0.3*100_000, other, 700)
 }
 
-// Moves that are over leave no flow where it does not belong, however many there were.
-func TestFinishedMovesFollowOneAnother(t *testing.T) {
-	s := set(t, 1, 0, 0)
+// Finished migrations leave no flow in a pool that was emptied, however many there were.
+func TestFinishedMovesCompose(t *testing.T) {
+	s := newTestSet(t, 1, 0, 0)
 	shares := Shares{}
 	for _, m := range []struct {
 		from, to string
@@ -149,7 +158,7 @@
 			require.Equal(t, m.end, s.Bind(shares).Assign(key+1, 0, 0), "%v", shares)
 		}
 	}
-	require.Equal(t, 0, set(t).Bind(shares).Assign(1, 0, 0), "no pools, no pool")
+	require.Equal(t, 0, newTestSet(t).Bind(shares).Assign(1, 0, 0), "no pools, no pool")
 }
 
 // Whatever an operator writes as a selector, it is read, or its error names a column.
--- a/internal/pool/selector.go
+++ b/internal/pool/selector.go
@@ -1,57 +1,24 @@
-// Package pool divides real servers into pools and flows among them. It decides alone: no clock, no I/O.
 package pool
 
 import (
 	"errors"
 	"fmt"
 	"regexp"
-	"slices"
-	"strconv"
 
 	"github.com/alecthomas/participle/v2"
-	"github.com/alecthomas/participle/v2/lexer"
 )
 
 // Bounds of a selector's text.
 const (
-	textMost  = 4096
-	depthMost = 32 // of parentheses and negations
+	maxTextLength = 4096 // bytes
+	maxDepth      = 32   // of parentheses and negations
 )
 
-// Box is what an endpoint tells of a real server.
-type Box struct {
-	Name, Address, Site, Kind, Mode string
-	Cell                            int
-	Size                            float64
-	Labels                          map[string]string
-}
-
-// field is a box's word for a key: one of its own, or a label. ok is false where the box has no such label.
-func (b Box) field(key string) (text string, ok bool) {
-	switch key {
-	case "name":
-		return b.Name, true
-	case "address":
-		return b.Address, true
-	case "site", "zone":
-		return b.Site, true
-	case "kind", "class":
-		return b.Kind, true
-	case "mode":
-		return b.Mode, true
-	case "cell", "block":
-		return strconv.Itoa(b.Cell), true
-	case "size", "share":
-		return strconv.FormatFloat(b.Size, 'g', -1, 64), true
-	}
-	text, ok = b.Labels[key]
-	return text, ok
-}
-
-// SyntaxError says where a selector's text is wrong. Column counts characters from 1.
+// SyntaxError reports where a selector's text is wrong, and why. Line and Column count from 1, columns in characters.
 type SyntaxError struct {
-	Line, Column int
-	Reason       string
+	Line   int
+	Column int
+	Reason string
 }
 
 // Error implements error.
@@ -62,77 +29,17 @@
 	return fmt.Sprintf("column %d: %s", e.Column, e.Reason)
 }
 
-// The grammar:
-//
-//	either  = all { "||" all } .
-//	all     = term { "&&" term } .
-//	term    = "!" term | "(" either ")" | "has" "(" key ")" | "true" | "false" | compare .
-//	compare = key ( ("==" | "!=") value | ("=~" | "!~") string | ("<" | "<=" | ">" | ">=") number
-//	              | [ "not" ] "in" "[" value { "," value } "]" ) .
-type (
-	either struct {
-		All []*all `parser:"@@ ( '||' @@ )*"`
-	}
-	all struct {
-		Terms []*term `parser:"@@ ( '&&' @@ )*"`
-	}
-	term struct {
-		Not     *term    `parser:"  '!' @@"`
-		Group   *either  `parser:"| '(' @@ ')'"`
-		Has     *string  `parser:"| 'has' '(' @Key ')'"`
-		Truth   *truth   `parser:"| @( 'true' | 'false' )"`
-		Compare *compare `parser:"| @@"`
-	}
-	compare struct {
-		Pos     lexer.Position
-		Key     string   `parser:"@Key"`
-		Equal   *equal   `parser:"( @@"`
-		Matches *matches `parser:"| @@"`
-		Order   *order   `parser:"| @@"`
-		In      *in      `parser:"| @@ )"`
-	}
-	equal struct {
-		Sign  string `parser:"@( '==' | '!=' )"`
-		Value value  `parser:"@@"`
-	}
-	matches struct {
-		Pos  lexer.Position
-		Sign string `parser:"@( '=~' | '!~' )"`
-		Text string `parser:"@Text"`
-		form *regexp.Regexp
-	}
-	order struct {
-		Sign   string  `parser:"@( '<=' | '>=' | '<' | '>' )"`
-		Number float64 `parser:"@Number"`
-	}
-	in struct {
-		Not    bool    `parser:"@'not'? 'in' '['"`
-		Values []value `parser:"@@ ( ',' @@ )* ','? ']'"`
-	}
-	value struct {
-		Text   *string  `parser:"  @Text"`
-		Number *float64 `parser:"| @Number"`
+// newSyntaxError makes a SyntaxError of a parser's error, whose position may be missing.
+func newSyntaxError(err error) *SyntaxError {
+	var positioned participle.Error
+	if !errors.As(err, &positioned) {
+		return &SyntaxError{Line: 1, Column: 1, Reason: err.Error()}
 	}
-	truth bool
-)
-
-// Capture implements participle.Capture.
-func (t *truth) Capture(words []string) error {
-	*t = words[0] == "true"
-	return nil
+	at := positioned.Position()
+	return &SyntaxError{Line: max(1, at.Line), Column: max(1, at.Column), Reason: positioned.Message()}
 }
 
-var parser = participle.MustBuild[either](
-	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
-		{Name: "Space", Pattern: `\s+`},
-		{Name: "Text", Pattern: `"(\\.|[^"\\])*"`},
-		{Name: "Number", Pattern: `-?\d+(\.\d+)?`},
-		{Name: "Sign", Pattern: `\|\||&&|==|!=|=~|!~|<=|>=|[<>!()\[\],]`},
-		{Name: "Key", Pattern: `[A-Za-z_][A-Za-z0-9_.-]*`},
-	})),
-	participle.Elide("Space"), participle.Unquote("Text"), participle.UseLookahead(3))
-
-// Selector says which boxes belong.
+// Selector selects backends. The zero value selects none.
 type Selector struct {
 	text string
 	root *either
@@ -144,9 +51,28 @@
 //
 // Its errors are *SyntaxError.
 func Parse(text string) (Selector, error) {
-	if len(text) > textMost {
-		return Selector{}, &SyntaxError{1, textMost, fmt.Sprintf("longer than %d characters", textMost)}
+	if len(text) > maxTextLength {
+		return Selector{}, &SyntaxError{
+			Line:   1,
+			Column: maxTextLength,
+			Reason: fmt.Sprintf("longer than %d characters", maxTextLength),
+		}
+	}
+	if err := checkDepth(text); err != nil {
+		return Selector{}, err
 	}
+	root, err := parser.ParseString("", text)
+	if err != nil {
+		return Selector{}, newSyntaxError(err)
+	}
+	if err := root.check(); err != nil {
+		return Selector{}, err
+	}
+	return Selector{text: text, root: root}, nil
+}
+
+// checkDepth bounds the nesting before the text is parsed, as the parser recurses.
+func checkDepth(text string) error {
 	depth := 0
 	for i, c := range text {
 		switch c {
@@ -155,31 +81,21 @@
 		case ')':
 			depth = max(0, depth-1)
 		}
-		if depth > depthMost {
-			return Selector{}, &SyntaxError{1, i + 1, fmt.Sprintf("nested more than %d deep", depthMost)}
+		if depth > maxDepth {
+			return &SyntaxError{Line: 1, Column: i + 1, Reason: fmt.Sprintf("nested more than %d deep", maxDepth)}
 		}
 	}
-	root, err := parser.ParseString("", text)
-	if err != nil {
-		var at participle.Error
-		if errors.As(err, &at) {
-			return Selector{}, &SyntaxError{max(1, at.Position().Line), max(1, at.Position().Column), at.Message()}
-		}
-		return Selector{}, &SyntaxError{1, 1, err.Error()}
-	}
-	if err := root.check(); err != nil {
-		return Selector{}, err
-	}
-	return Selector{text, root}, nil
+	return nil
 }
 
 // String is the text as written.
 func (s Selector) String() string { return s.text }
 
-// Match tells whether a box belongs. An empty selector takes none. A comparison with a label that the box does not
-// have is false, whatever its sign; has(label) asks for the label itself.
-func (s Selector) Match(b Box) bool { return s.root != nil && s.root.match(b) }
+// Match reports whether a backend is selected. A comparison with a label that the backend does not have is false,
+// whatever its sign; has(label) tests for the label itself.
+func (s Selector) Match(b Backend) bool { return s.root != nil && s.root.match(b) }
 
+// check compiles the regular expressions, and reports those that cannot be.
 func (e *either) check() error {
 	for _, a := range e.All {
 		for _, t := range a.Terms {
@@ -199,66 +115,9 @@
 		return t.Group.check()
 	case t.Compare != nil && t.Compare.Matches != nil:
 		m := t.Compare.Matches
-		if m.form, err = regexp.Compile("^(?:" + m.Text + ")$"); err != nil {
+		if m.pattern, err = regexp.Compile("^(?:" + m.Text + ")$"); err != nil {
 			return &SyntaxError{m.Pos.Line, m.Pos.Column, fmt.Sprintf("%q is no regular expression: %v", m.Text, err)}
 		}
 	}
 	return nil
 }
-
-func (e *either) match(b Box) bool {
-	return slices.ContainsFunc(e.All, func(a *all) bool {
-		return !slices.ContainsFunc(a.Terms, func(t *term) bool { return !t.match(b) })
-	})
-}
-
-func (t *term) match(b Box) bool {
-	switch {
-	case t.Not != nil:
-		return !t.Not.match(b)
-	case t.Group != nil:
-		return t.Group.match(b)
-	case t.Has != nil:
-		_, ok := b.field(*t.Has)
-		return ok
-	case t.Truth != nil:
-		return bool(*t.Truth)
-	}
-	return t.Compare.match(b)
-}
-
-func (c *compare) match(b Box) bool {
-	own, ok := b.field(c.Key)
-	if !ok {
-		return false
-	}
-	switch {
-	case c.Equal != nil:
-		return c.Equal.Value.is(own) == (c.Equal.Sign == "==")
-	case c.Matches != nil:
-		return c.Matches.form.MatchString(own) == (c.Matches.Sign == "=~")
-	case c.In != nil:
-		return slices.ContainsFunc(c.In.Values, func(v value) bool { return v.is(own) }) != c.In.Not
-	}
-	n, err := strconv.ParseFloat(own, 64)
-	if err != nil {
-		return false
-	}
-	switch c.Order.Sign {
-	case "<":
-		return n < c.Order.Number
-	case "<=":
-		return n <= c.Order.Number
-	case ">":
-		return n > c.Order.Number
-	}
-	return n >= c.Order.Number
-}
-
-func (v value) is(own string) bool {
-	if v.Text != nil {
-		return *v.Text == own
-	}
-	n, err := strconv.ParseFloat(own, 64)
-	return err == nil && n == *v.Number
-}
