--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,5 +1,5 @@
-// Package datagram carries short messages between the nodes of a tier over UDP. They come late, in any order, or never; nobody waits
-// for one. It knows nothing of what they say.
+// Package datagram carries short messages between the nodes of a tier over UDP. They may arrive late, in any order, or
+// never, and no sender waits for one. Their content is opaque to it.
 package datagram
 
 import (
@@ -15,26 +15,29 @@
 )
 
 const (
-	// SizeMost is the largest message, in bytes.
-	SizeMost = 256
-	// queueSize bounds the messages that wait to be sent; a further one is dropped.
+	// MaxSize is the largest message in bytes.
+	MaxSize = 256
+	// queueSize bounds the messages that wait to be sent; further ones are dropped.
 	queueSize = 256
-	// bindPause is the pause before a socket that could not be bound is tried again.
-	bindPause = time.Second
+	// bindRetryDelay is the time between two attempts to bind the socket.
+	bindRetryDelay = time.Second
+	// readRetryDelay is the pause after a read that failed for a moment.
+	readRetryDelay = time.Millisecond
 )
 
-// Exchange sends messages to the nodes of a tier, and hands on those that they send. Run works it.
+// Exchange sends messages to the nodes of a tier, and passes on those that they send, while Run runs. Send and SetPeers
+// may be called concurrently with it.
 type Exchange struct {
 	address string
 	log     *zap.Logger
 	queue   chan message
 
-	mu      sync.Mutex
+	mu      sync.Mutex             // guards peers and numbers
 	peers   []netip.AddrPort       // by the nodes' numbers
-	numbers map[netip.AddrPort]int // of the nodes
-	heard   func(from int, data string)
+	numbers map[netip.AddrPort]int // by the nodes' addresses
 }
 
+// message waits to be sent to a node.
 type message struct {
 	to   int
 	data string
@@ -47,47 +50,51 @@
 	return x
 }
 
-// SetPeers changes who the other nodes are. An address that cannot be read is nobody's.
+// SetPeers replaces the nodes' addresses. A node whose address cannot be parsed is unreachable.
 func (x *Exchange) SetPeers(peers []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.peers, x.numbers = make([]netip.AddrPort, len(peers)), map[netip.AddrPort]int{}
+	x.peers = make([]netip.AddrPort, len(peers))
+	x.numbers = map[netip.AddrPort]int{}
 	for i, text := range peers {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			x.log.Warn("a peer's address cannot be read", zap.String("peer", text), zap.Error(err))
+			x.log.Warn("invalid peer address", zap.String("peer", text), zap.Error(err))
 			continue
 		}
-		x.peers[i], x.numbers[address] = address, i
+		x.peers[i] = address
+		x.numbers[address] = i
 	}
 }
 
-// Send sends a message to a node, without waiting. One that is too long, or finds the queue full, is dropped.
+// Send queues a message to a node, and never blocks. An empty or too long message is dropped, as is one that finds the
+// queue full.
 func (x *Exchange) Send(to int, data string) {
-	if len(data) == 0 || len(data) > SizeMost {
+	if len(data) == 0 || len(data) > MaxSize {
 		return
 	}
 	select {
-	case x.queue <- message{to, data}:
+	case x.queue <- message{to: to, data: data}:
 	default:
 	}
 }
 
-// Run sends and receives until ctx ends. heard is called with each message of a known node, and must not wait.
-func (x *Exchange) Run(ctx context.Context, heard func(from int, data string)) {
-	x.heard = heard
+// Run sends and receives until ctx ends. handle is called with each message of a known node, by one goroutine, and must
+// not block.
+func (x *Exchange) Run(ctx context.Context, handle func(from int, data string)) {
 	for ctx.Err() == nil {
 		conn, err := x.bind()
 		if err != nil {
-			x.log.Warn("no messages between nodes: the address cannot be bound", zap.String("address", x.address), zap.Error(err))
-			transient.Sleep(ctx, bindPause)
+			x.log.Warn("cannot bind the address for messages between nodes, retrying",
+				zap.String("address", x.address), zap.Error(err))
+			transient.Sleep(ctx, bindRetryDelay)
 			continue
 		}
-		x.serve(ctx, conn)
+		x.serve(ctx, conn, handle)
 	}
 }
 
-// bind opens the socket. Another process of this node may have it: then this one does without until that is over.
+// bind opens the socket. It fails while another process of this node has the address, as in an upgrade.
 func (x *Exchange) bind() (*net.UDPConn, error) {
 	address, err := net.ResolveUDPAddr("udp4", x.address)
 	if err != nil {
@@ -96,37 +103,39 @@
 	return net.ListenUDP("udp4", address)
 }
 
-// serve works a socket until ctx ends or it is of no further use.
-func (x *Exchange) serve(ctx context.Context, conn *net.UDPConn) {
+// serve sends and receives on a socket until ctx ends or the socket fails, and closes it.
+func (x *Exchange) serve(ctx context.Context, conn *net.UDPConn, handle func(from int, data string)) {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(serving, func() { _ = conn.Close() })()
-	go x.send(serving, conn)
-	buffer := make([]byte, SizeMost+1)
+	// The sender ends with serving; a message that it holds then is lost, as any may be.
+	go x.sendLoop(serving, conn)
+	buffer := make([]byte, MaxSize+1) // one byte more, so that a longer message is recognised
 	for serving.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case err == nil:
-			x.take(from, buffer[:n])
+			x.dispatch(from, buffer[:n], handle)
 		case transient.IsTransient(err):
-			transient.Sleep(serving, time.Millisecond)
+			transient.Sleep(serving, readRetryDelay)
 		default:
 			return
 		}
 	}
 }
 
-func (x *Exchange) take(from netip.AddrPort, data []byte) {
+// dispatch passes a message to handle, if it is of a known node and not too long.
+func (x *Exchange) dispatch(from netip.AddrPort, data []byte, handle func(from int, data string)) {
 	x.mu.Lock()
 	number, known := x.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	x.mu.Unlock()
-	if known && len(data) <= SizeMost {
-		x.heard(number, string(data))
+	if known && len(data) <= MaxSize {
+		handle(number, string(data))
 	}
 }
 
-// send writes what is queued. A message that cannot be sent is lost, like any other may be.
-func (x *Exchange) send(ctx context.Context, conn *net.UDPConn) {
+// sendLoop writes what is queued. A message that cannot be sent is lost, as any may be.
+func (x *Exchange) sendLoop(ctx context.Context, conn *net.UDPConn) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -139,6 +148,7 @@
 	}
 }
 
+// addressOf is a node's address; it is not valid if the node has none.
 func (x *Exchange) addressOf(number int) netip.AddrPort {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -11,8 +11,9 @@
 	"go.uber.org/zap"
 )
 
-// free are loopback addresses that nobody has.
-func free(t *testing.T, n int) []string {
+// freeAddresses are loopback addresses that no socket has.
+func freeAddresses(t *testing.T, n int) []string {
+	t.Helper()
 	var all []string
 	for range n {
 		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -28,9 +29,13 @@
 	data string
 }
 
-func run(t *testing.T, address string, peers []string) (*Exchange, chan received) {
+// startExchange runs an exchange until the test ends, and passes on what it receives.
+func startExchange(t *testing.T, address string, peers []string) (*Exchange, chan received) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	x, got, done := New(address, peers, zap.NewNop()), make(chan received, 100), make(chan struct{})
+	x := New(address, peers, zap.NewNop())
+	got := make(chan received, 100)
+	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		x.Run(ctx, func(from int, data string) {
@@ -47,8 +52,9 @@
 	return x, got
 }
 
-// until repeats a message until it is received: the other side may not be bound yet.
-func until(t *testing.T, x *Exchange, to int, data string, got chan received) received {
+// sendUntilReceived repeats a message until it is received: the other side may not be bound yet.
+func sendUntilReceived(t *testing.T, x *Exchange, to int, data string, got chan received) received {
+	t.Helper()
 	for range 500 {
 		x.Send(to, data)
 		select {
@@ -61,23 +67,23 @@
 	return received{}
 }
 
-// Messages come with the number of the node that sent them. Whoever is no node of the tier is not heard, nor is what is too long.
-func TestMessagesBetweenNodes(t *testing.T) {
-	peers := free(t, 2)
-	first, _ := run(t, peers[0], peers)
-	_, got := run(t, peers[1], peers)
-	require.Equal(t, received{0, "hello"}, until(t, first, 1, "hello", got))
+// Messages come with the number of their sender. Those of unknown senders, and those that are too long, are dropped.
+func TestOnlyMessagesOfKnownNodesAreReceived(t *testing.T) {
+	peers := freeAddresses(t, 2)
+	first, _ := startExchange(t, peers[0], peers)
+	_, got := startExchange(t, peers[1], peers)
+	require.Equal(t, received{0, "hello"}, sendUntilReceived(t, first, 1, "hello", got))
 	stranger, err := net.Dial("udp4", peers[1])
 	require.NoError(t, err)
 	defer stranger.Close()
 	_, err = stranger.Write([]byte("strange"))
 	require.NoError(t, err)
-	first.Send(1, strings.Repeat("x", SizeMost+1))
+	first.Send(1, strings.Repeat("x", MaxSize+1))
 	first.Send(1, "")
 	first.Send(2, "nobody")
 	first.Send(-1, "nobody")
 	for {
-		r := until(t, first, 1, "last", got)
+		r := sendUntilReceived(t, first, 1, "last", got)
 		require.Contains(t, []string{"hello", "last"}, r.data)
 		if r.data == "last" {
 			return
@@ -85,19 +91,19 @@
 	}
 }
 
-// While another process of the node has the address this one does without, and takes it once that is gone.
-func TestTheAddressIsTaken(t *testing.T) {
-	peers := free(t, 2)
+// While another process has the address the exchange drops what it should send, and binds the address once it is free.
+func TestExchangeBindsOnceTheAddressIsFree(t *testing.T) {
+	peers := freeAddresses(t, 2)
 	other, err := net.ListenPacket("udp4", peers[1])
 	require.NoError(t, err)
-	first, _ := run(t, peers[0], peers)
-	_, got := run(t, peers[1], peers)
+	first, _ := startExchange(t, peers[0], peers)
+	_, got := startExchange(t, peers[1], peers)
 	for range 2 * queueSize { // nobody is waited for
 		first.Send(1, "lost")
 	}
 	require.Empty(t, got)
 	require.NoError(t, other.Close())
-	for until(t, first, 1, "again", got).data != "again" {
+	for sendUntilReceived(t, first, 1, "again", got).data != "again" {
 		continue // what waited to be sent may come first
 	}
 }
