--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,7 +17,7 @@
 "prices":{"crossZone":0.02},"rules":{"overloadFactor":3.0,"startCapacity":0.39,"stopSendingWithin":500000000,
 "warmUp":8600000000,"fall":3000000000,"askWithin":10000000000},"tenants":[{"share":0.5,"quotaRps":7.0}],"period":4000000}`
 
-func TestDecode(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	report := &standpoint.Report{Memory: 0.5, Unread: 2.5, Slots: 0.25}
 	cases := []struct {
 		name, text string
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestDecodeFaults(t *testing.T) {
+func TestDecodeRejectsMalformedLines(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", `{"verb":"batch"}`, `{"verb":"incoming","handle":1,"expires":2}`,
 		`{"verb":"incoming","node":1,"handle":1}`, `{"verb":"dance","node":1}`, `{"verb":"first","node":1}`,
 		`{"verb":"attemptEnd","node":1,"handle":1,"code":"odd"}`, `{"verb":"members","node":1,"kind":"odd"}`,
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestAppendAction(t *testing.T) {
+func TestAppendActionEncodesEachKind(t *testing.T) {
 	cases := map[string]standpoint.Action{
 		`{"verb":"send","node":3,"handle":9,"tryUntil":11,"engine":"a\"b:1"}`: {Kind: standpoint.Send, Request: 9,
 			Until: 11, Engine: `a"b:1`},
