--- a/internal/endpoints/browser.go
+++ b/internal/endpoints/browser.go
@@ -29,7 +29,7 @@
 // A look-up that fails changes nothing, and an invalid record affects its own instance alone. The exported fields are
 // set before Run, and not changed afterwards.
 type Browser struct {
-	FinderOptions browser.Options // Tell is set by Run
+	FinderOptions browser.Options // Publish is set by Run
 	Key           string          // identifies the source among others, also in the persisted list
 	Config        string          // the configuration that it was made from: two that differ differ in it
 	Site          string          // of instances that publish none; empty for the first zone
