--- a/learned_state.go
+++ b/learned_state.go
@@ -177,6 +177,22 @@
 		len(l.Lately) > rankedRequests, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
 		return errors.New("parts of it are missing, or too many")
 	}
+	for _, m := range append(slices.Clone(l.TTFT), l.Pace...) {
+		for _, row := range m.Samples {
+			if len(row) != ttftFeatures+1 {
+				return errors.New("a sample of it has another length")
+			}
+		}
+	}
+	invalid := func(v float64) bool { return math.IsNaN(v) || math.Abs(v) > 1e9 }
+	if slices.ContainsFunc(l.numbers(), invalid) || l.Gap <= 0 {
+		return errors.New("a number of it cannot be")
+	}
+	return nil
+}
+
+// numbers are all numbers that have to be within bounds.
+func (l *Learned) numbers() []float64 {
 	numbers := append(slices.Clone(l.Gain), l.Gap, l.Trust, l.Usual, l.Rate, l.Cut)
 	numbers = append(numbers, l.Fleet.Memory, l.Fleet.Unread, l.Fleet.Slots)
 	numbers = append(numbers, l.Lately...)
@@ -186,9 +202,6 @@
 	for _, m := range append(slices.Clone(l.TTFT), l.Pace...) {
 		numbers = append(append(append(numbers, m.Base[:]...), m.Coef[:]...), m.Err)
 		for _, row := range m.Samples {
-			if len(row) != ttftFeatures+1 {
-				return errors.New("a sample of it has another length")
-			}
 			for _, v := range row {
 				numbers = append(numbers, float64(v))
 			}
@@ -198,11 +211,7 @@
 		numbers = append(numbers, e.Speed, e.Drag.Mean, e.Drag.N, e.Sour, e.ColdTokens)
 		numbers = append(numbers, e.Report.Memory, e.Report.Unread, e.Report.Slots)
 	}
-	invalid := func(v float64) bool { return math.IsNaN(v) || math.Abs(v) > 1e9 }
-	if slices.ContainsFunc(numbers, invalid) || l.Gap <= 0 {
-		return errors.New("a number of it cannot be")
-	}
-	return nil
+	return numbers
 }
 
 // Recall takes what another router has learned, in place of what this one has. What is believed of an
--- a/placement.go
+++ b/placement.go
@@ -81,26 +81,7 @@
 
 // buildOptions predicts for every engine that may be used.
 func (r *Router) buildOptions(q *request, wide bool) []option {
-	ignore := r.hasSharedFault()
-	aim, c := r.latencyObjective(q), r.class(q)
-	left := aim - seconds(r.now-q.arrivedAt)
-	some := r.usable(q, r.sample(q), ignore)
-	if len(some) == 0 {
-		some = r.usable(q, r.ready, ignore)
-	}
-	if len(q.attempts) > 0 { // not where it failed, nor in a zone that it could not reach, if others do
-		some = prefer(some, func(e *engine) bool { return !q.wasTriedAt(e) })
-		some = prefer(some, func(e *engine) bool { return q.mayReach(e) })
-	}
-	some = prefer(some, func(e *engine) bool { return !e.Stale })
-	some = prefer(some, func(e *engine) bool { return e.reinstated })
-	// A sparse gateway uses its budget for a cold engine with the first request that may.
-	if r.isSparse() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
-		some = prefer(some, func(e *engine) bool { return e.coldAt != 0 })
-	}
-	if q.Pool != 0 { // a pool in which nothing will do falls over to the others at once
-		some = prefer(some, func(e *engine) bool { return e.Pool == q.Pool })
-	}
+	some := r.preferred(q)
 	slices.SortStableFunc(some, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
 	// The more of the traffic this gateway sees, the more of the fleet it can tell apart.
 	scored := max(sampleSize, len(some)/max(1, r.settings.Balancers))
@@ -116,24 +97,54 @@
 			o.match = max(o.match, min(gateMatch-0.01, r.expectedMatch(q)))
 		}
 		r.predict(q, o)
-		if aim > 0 {
-			o.headroom = ttftWeight * (left - o.ttftUpper) / aim
-			room := (left - o.ttftUpper) / aim
-			if c.TPOTAim > 0 {
-				pace := 1 - o.paceUpper/seconds(c.TPOTAim)
-				o.headroom += (1 - ttftWeight) * pace
-				room = min(room, pace)
-			}
-			few := min(1, headroomReserveEngines/float64(len(all)))
-			o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(few)
-		} else {
-			o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.paceUpper*q.MaxTokens
-		}
+		r.rate(q, o, len(all))
 	}
 	r.options = all
 	return all
 }
 
+// preferred are the engines that may be used, but for those to which others are preferred.
+func (r *Router) preferred(q *request) []candidate {
+	ignore := r.hasSharedFault()
+	some := r.usable(q, r.sample(q), ignore)
+	if len(some) == 0 {
+		some = r.usable(q, r.ready, ignore)
+	}
+	if len(q.attempts) > 0 { // not where it failed, nor in a zone that it could not reach, if others do
+		some = prefer(some, func(e *engine) bool { return !q.wasTriedAt(e) })
+		some = prefer(some, func(e *engine) bool { return q.mayReach(e) })
+	}
+	some = prefer(some, func(e *engine) bool { return !e.Stale })
+	some = prefer(some, func(e *engine) bool { return e.reinstated })
+	// A sparse gateway uses its budget for a cold engine with the first request that may.
+	if r.isSparse() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
+		some = prefer(some, func(e *engine) bool { return e.coldAt != 0 })
+	}
+	if q.Pool != 0 { // a pool in which nothing will do falls over to the others at once
+		some = prefer(some, func(e *engine) bool { return e.Pool == q.Pool })
+	}
+	return some
+}
+
+// rate sets the headroom of an option among so many.
+func (r *Router) rate(q *request, o *option, options int) {
+	objective := r.latencyObjective(q)
+	if objective <= 0 {
+		o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.paceUpper*q.MaxTokens
+		return
+	}
+	left := objective - seconds(r.now-q.arrivedAt)
+	o.headroom = ttftWeight * (left - o.ttftUpper) / objective
+	room := (left - o.ttftUpper) / objective
+	if c := r.class(q); c.TPOTAim > 0 {
+		pace := 1 - o.paceUpper/seconds(c.TPOTAim)
+		o.headroom += (1 - ttftWeight) * pace
+		room = min(room, pace)
+	}
+	few := min(1, headroomReserveEngines/float64(options))
+	o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(few)
+}
+
 // usable are the engines that the rules and their state let a request go to.
 func (r *Router) usable(q *request, among []*engine, ignore bool) []candidate {
 	some, home := r.candidates[:0], r.prefersOwnZone(q)
--- a/request.go
+++ b/request.go
@@ -151,6 +151,7 @@
 	}
 }
 
+// onOutcome takes the end of an attempt in, and decides what follows for its request.
 func (r *Router) onOutcome(ev *Outcome) {
 	q, a := r.attempt(ev.Request, ev.Attempt)
 	if a == nil || !a.inFlight {
@@ -170,6 +171,19 @@
 	r.notifyEnd(a, false)
 	r.dropWaiting(a)
 	r.recordVainWait(a, ev.Code)
+	r.learnFrom(a, ev)
+	if ev.Last || !q.settled && (ev.Code == Served || q.claimed == a) {
+		r.finish(q, a)
+	}
+	if q.settled {
+		r.release(q)
+	} else if q.claimed == nil {
+		r.afterFailure(q, ev.Code)
+	}
+}
+
+// learnFrom takes in what the end of an attempt says of its engine.
+func (r *Router) learnFrom(a *attempt, ev *Outcome) {
 	switch ev.Code {
 	case Served:
 		r.recordSignOfLife(a)
@@ -186,14 +200,6 @@
 			r.suspect(a.engine, ev.Code == NoConnection)
 		}
 	}
-	if ev.Last || (ev.Code == Served && !q.settled) || (q.claimed == a && !q.settled) {
-		r.finish(q, a)
-	}
-	if q.settled {
-		r.release(q)
-	} else if q.claimed == nil {
-		r.afterFailure(q, ev.Code)
-	}
 }
 
 // afterFailure decides what follows an attempt that failed.
