--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -162,7 +162,10 @@
 func (f *drainFleet) end() []drain.Violation {
 	close(f.stop)
 	f.clients.Wait()
-	found := f.record.Violations(append(f.first.DueNotifications(), f.second.DueNotifications()...), drainGrace+socketsSlack)
+	found := f.record.Violations(
+		append(f.first.DueNotifications(), f.second.DueNotifications()...),
+		drainGrace+socketsSlack,
+	)
 	f.t.Logf("%d sends judged, %d violations, %v late at most; calls %v and %v", len(f.record.Sends()), len(found),
 		f.record.MaximumLag(),
 		f.first.Counts(), f.second.Counts())
@@ -239,22 +242,22 @@
 	return func(_ string, call int) drain.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		fault := drain.Fault{Whole: rng.Float64() < 0.2, Indented: rng.Float64() < 0.2}
+		fault := drain.Fault{Full: rng.Float64() < 0.2, Indented: rng.Float64() < 0.2}
 		if rng.Float64() < 0.2 {
-			fault.Pieces = time.Duration(20+rng.IntN(80)) * time.Millisecond
+			fault.PieceInterval = time.Duration(20+rng.IntN(80)) * time.Millisecond
 		}
 		if rng.Float64() < 0.1 {
-			fault.Late = time.Duration(rng.IntN(300)) * time.Millisecond
+			fault.Delay = time.Duration(rng.IntN(300)) * time.Millisecond
 		}
 		switch draw := rng.Float64(); {
 		case call < 2 && draw < 0.3, draw < 0.02:
 			fault.Silent = true
 		case draw < 0.35 && call < 2, draw < 0.03:
-			fault.Half = true
+			fault.Truncated = true
 		case draw < 0.05:
-			fault.Reset = time.Duration(1+rng.IntN(500)) * time.Millisecond
+			fault.ResetAfter = time.Duration(1+rng.IntN(500)) * time.Millisecond
 		case draw > 0.97:
-			fault.Older = true
+			fault.Stale = true
 		}
 		return fault
 	}
@@ -274,7 +277,9 @@
 	until(5500)
 	both("s2", "draining")
 	until(6000)
-	f.first.Handle(drain.Line{Each: 100 * time.Millisecond, Refused: 10 * time.Millisecond, Most: 15})
+	f.first.SetQueue(
+		drain.Queue{ServiceTime: 100 * time.Millisecond, RejectionTime: 10 * time.Millisecond, Maximum: 15},
+	)
 	f.first.SetDown(false) // and all call at once
 	until(6500)
 	both("s3", "draining")
@@ -320,7 +325,7 @@
 	}
 	d := drain.NewDiscovery(t, record, 41, hosts)
 	d.Set("leaves", "draining")
-	d.Handle(drain.Line{Each: inLine, Most: 10})
+	d.SetQueue(drain.Queue{ServiceTime: inLine, Maximum: 10})
 	l := &lone{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"), said: &log{}}
 	known, err := json.Marshal(map[string]any{"seq": 41, "whole": true, "hosts": hosts})
 	require.NoError(t, err)
--- a/internal/endpoints/watcher_load_test.go
+++ b/internal/endpoints/watcher_load_test.go
@@ -38,7 +38,9 @@
 		w.Watch()
 	}
 	time.Sleep(time.Second) // all watches are established
-	discovery.Handle(drain.Line{Each: 120 * time.Millisecond, Refused: 10 * time.Millisecond, Most: 20})
+	discovery.SetQueue(
+		drain.Queue{ServiceTime: 120 * time.Millisecond, RejectionTime: 10 * time.Millisecond, Maximum: 20},
+	)
 	discovery.Forget()
 	discovery.Set("s", "draining")
 	due := time.After(drain.Due)
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -35,7 +35,7 @@
 // hostList is the answer to a call.
 type hostList struct {
 	Seq   int    `json:"seq"`
-	Whole bool   `json:"whole"`
+	Full  bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
@@ -51,11 +51,11 @@
 	until time.Time
 }
 
-// Line is how calls that do not continue a watch are handled: one after the other.
-type Line struct {
-	Each    time.Duration // that one takes; 0: all are handled at once
-	Refused time.Duration // that it takes to reject one; whoever is served next waits for it
-	Most    int           // that wait; further ones are rejected at once
+// Queue is how calls that do not continue a watch are handled: one after the other.
+type Queue struct {
+	ServiceTime   time.Duration // that one takes; 0: all are handled at once
+	RejectionTime time.Duration // that it takes to reject one; whoever is served next waits for it
+	Maximum       int           // that wait; further ones are rejected at once
 }
 
 // Discovery is a discovery service that handles calls in turn, and knows when each node counts as notified. It is safe
@@ -70,8 +70,8 @@
 	serving chan struct{} // holds a token while a call is served in turn
 
 	mu           sync.Mutex // guards all below
-	line         Line
-	waiting      int                  // calls in line
+	queue        Queue
+	waiting      int                  // calls in queue
 	debt         time.Duration        // that rejections have taken; whoever is served next waits for it
 	answered     map[string]time.Time // the last answer to each node
 	firstVersion int
@@ -173,11 +173,11 @@
 	d.wake()
 }
 
-// Handle sets how calls are handled.
-func (d *Discovery) Handle(line Line) {
+// SetQueue sets how calls are handled.
+func (d *Discovery) SetQueue(queue Queue) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.line = line
+	d.queue = queue
 	d.debt = 0
 }
 
@@ -253,12 +253,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := len(d.changes)
-	full := fault.Whole
-	if fault.Older && n > 0 {
+	full := fault.Full
+	if fault.Stale && n > 0 {
 		n--
 		full = true
 	}
-	list = hostList{Seq: d.firstVersion + n, Whole: full, Hosts: []Host{}}
+	list = hostList{Seq: d.firstVersion + n, Full: full, Hosts: []Host{}}
 	var hosts []Host
 	if full {
 		hosts = d.hostsAfter(n)
--- a/internal/testpeer/drain/discovery_call.go
+++ b/internal/testpeer/drain/discovery_call.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// watchContinuation is how soon behind an answer a node's next call continues its watch, and waits in no line.
+	// watchContinuation is how soon behind an answer a node's next call continues its watch, and waits in no queue.
 	watchContinuation = 200 * time.Millisecond
 	// answerPieces is the number of pieces that an answer comes in.
 	answerPieces = 6
@@ -23,14 +23,14 @@
 
 // Fault is what becomes of one call. The zero value is none.
 type Fault struct {
-	Silent   bool          // never answered: discovery has forgotten it
-	Half     bool          // half of an answer, then silence
-	Reset    time.Duration // reset so long after it came; 0: not
-	Late     time.Duration // the answer is written so much later than it is made
-	Pieces   time.Duration // the answer comes in pieces, with this between them
-	Whole    bool          // the full list in place of changes
-	Older    bool          // the full list as it was before the last change, with that version, at once
-	Indented bool          // the answer's JSON
+	Silent        bool          // never answered: discovery has forgotten it
+	Truncated     bool          // half of an answer, then silence
+	ResetAfter    time.Duration // reset so long after it came; 0: not
+	Delay         time.Duration // the answer is written so much later than it is made
+	PieceInterval time.Duration // the answer comes in pieces, with this between them
+	Full          bool          // the full list in place of changes
+	Stale         bool          // the full list as it was before the last change, with that version, at once
+	Indented      bool          // the answer's JSON
 }
 
 // call is one call of a node.
@@ -70,7 +70,7 @@
 		d.count("silent")
 		<-closed
 		return
-	case polled.fault.Half:
+	case polled.fault.Truncated:
 		d.count("half")
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":")
 		<-closed
@@ -85,8 +85,8 @@
 	wait, _ := strconv.Atoi(request.URL.Query().Get("wait_ms")) // none: 0
 	polled.after = after
 	polled.wait = time.Duration(wait) * time.Millisecond
-	polled.fault.Whole = polled.fault.Whole || err != nil
-	if err == nil && !polled.fault.Older {
+	polled.fault.Full = polled.fault.Full || err != nil
+	if err == nil && !polled.fault.Stale {
 		switch d.await(polled) {
 		case waitBroken:
 			d.count("reset")
@@ -127,13 +127,13 @@
 // takeTurn waits until the calls that came before are handled. It is false if too many wait.
 func (d *Discovery) takeTurn(polled *call) bool {
 	d.mu.Lock()
-	line := d.line
-	if line.Each == 0 || time.Since(d.answered[polled.node]) < watchContinuation {
+	queue := d.queue
+	if queue.ServiceTime == 0 || time.Since(d.answered[polled.node]) < watchContinuation {
 		d.mu.Unlock()
 		return true
 	}
-	if d.waiting >= line.Most {
-		d.debt += line.Refused
+	if d.waiting >= queue.Maximum {
+		d.debt += queue.RejectionTime
 		d.mu.Unlock()
 		return false
 	}
@@ -153,7 +153,7 @@
 	debt := d.debt
 	d.debt = 0
 	d.mu.Unlock()
-	time.Sleep(line.Each + debt)
+	time.Sleep(queue.ServiceTime + debt)
 	<-d.serving
 	return true
 }
@@ -172,8 +172,8 @@
 	end := time.NewTimer(polled.wait)
 	defer end.Stop()
 	var resets <-chan time.Time
-	if polled.fault.Reset > 0 {
-		resets = time.After(polled.fault.Reset)
+	if polled.fault.ResetAfter > 0 {
+		resets = time.After(polled.fault.ResetAfter)
 	}
 	d.mu.Lock()
 	forgottenBefore := d.forgotten
@@ -209,16 +209,16 @@
 // unless the node had closed the call before.
 func (d *Discovery) write(polled *call) {
 	list, draining := d.changesSince(polled.after, polled.fault)
-	time.Sleep(polled.fault.Late)
+	time.Sleep(polled.fault.Delay)
 	raw, err := polled.fault.encode(list)
 	if err != nil {
 		d.t.Error(err)
 		return
 	}
-	if polled.fault.Pieces > 0 {
+	if polled.fault.PieceInterval > 0 {
 		for size := (len(raw) + answerPieces - 1) / answerPieces; len(raw) > size; raw = raw[size:] {
 			_, _ = polled.conn.Write(raw[:size]) // the last piece's write fails too
-			time.Sleep(polled.fault.Pieces)
+			time.Sleep(polled.fault.PieceInterval)
 		}
 	}
 	select {
