--- a/internal/dnssd/browser/poller.go
+++ b/internal/dnssd/browser/poller.go
@@ -9,6 +9,7 @@
 
 	"standpoint/internal/clock"
 	"standpoint/internal/dnssd/record"
+	"standpoint/internal/transient"
 )
 
 const (
@@ -51,12 +52,7 @@
 		}
 		p.recordContact(Poll, err)
 		// With jitter, so that nodes do not query together.
-		timer := time.NewTimer(p.PollInterval/2 + rand.N(p.PollInterval/2+1))
-		select {
-		case <-ctx.Done():
-		case <-timer.C:
-		}
-		timer.Stop()
+		transient.Sleep(ctx, p.PollInterval/2+rand.N(p.PollInterval/2+1))
 	}
 }
 
--- a/internal/dnssd/resolver/query.go
+++ b/internal/dnssd/resolver/query.go
@@ -11,6 +11,7 @@
 	"github.com/miekg/dns"
 
 	"standpoint/internal/dnssd/record"
+	"standpoint/internal/transient"
 )
 
 const (
@@ -58,7 +59,7 @@
 			return Answer{}, fmt.Errorf("%s %s: %w", kind, name, err)
 		}
 		lastErr = err
-		pause(ctx, timeout-time.Since(began)) // an attempt that fails at once must not be repeated at full speed
+		transient.Sleep(ctx, timeout-time.Since(began)) // an attempt that fails at once must not be repeated at full speed
 		interval = min(2*interval, maxRetryInterval)
 	}
 	c.Failures.Add(1)
@@ -100,16 +101,6 @@
 	return errors.Is(err, ErrTruncated)
 }
 
-// pause waits for d, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
 // QueryWithSerial queries the zone's serial and one set from one socket, so that both answers come from one server
 // though several share its address. serial is nil where the server reports none with authority.
 func (c *Client) QueryWithSerial(
@@ -156,7 +147,7 @@
 		if err == nil {
 			return message, nil
 		}
-		pause(ctx, interval-time.Since(began))
+		transient.Sleep(ctx, interval-time.Since(began))
 		interval = min(2*interval, maxRetryInterval)
 	}
 	c.Failures.Add(1)
--- a/internal/peers/registration.go
+++ b/internal/peers/registration.go
@@ -13,6 +13,7 @@
 	"go.uber.org/zap"
 
 	"standpoint/internal/dnssd/record"
+	"standpoint/internal/transient"
 )
 
 const (
@@ -45,7 +46,7 @@
 			retry.Reset()
 		}
 		failing = err != nil
-		sleep(ctx, wait)
+		transient.Sleep(ctx, wait)
 	}
 	removing, cancel := context.WithTimeout(context.WithoutCancel(ctx), updateTimeout)
 	defer cancel()
@@ -54,16 +55,6 @@
 	}
 }
 
-// sleep waits for d, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
-
 // sendUpdate adds this node's records at the server, or removes them.
 func (m *Membership) sendUpdate(ctx context.Context, remove bool) error {
 	update, err := m.newUpdate(remove)
