--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,21 +21,25 @@
 	}
 }
 
+// session is one run of the adapter: the routers of all nodes, and the batch in progress.
+type session struct {
+	out     io.Writer
+	routers map[int]*standpoint.Router // by node
+	inBatch bool
+	now     int64 // of the batch
+	reply   []byte
+	actions []standpoint.Action
+}
+
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	nodes := map[int]*standpoint.Router{}
-	var (
-		reply   []byte
-		actions []standpoint.Action
-		now     int64
-		inBatch bool
-		long    []byte
-	)
+	reader := bufio.NewReaderSize(in, 1<<20)
+	s := &session{out: out, routers: map[int]*standpoint.Router{}}
+	var long []byte
 	for number := 1; ; number++ {
-		text, err := readLine(r, &long)
+		text, err := readLine(reader, &long)
 		if errors.Is(err, io.EOF) && len(text) == 0 {
-			if inBatch {
+			if s.inBatch {
 				return fmt.Errorf("line %d: input ends inside a batch", number)
 			}
 			return nil
@@ -46,40 +50,51 @@
 		if len(text) == 0 {
 			continue
 		}
-		m, err := wire.Decode(text)
-		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
-		}
-		if inBatch == (m.Verb == wire.VerbBatch) {
-			return fmt.Errorf("line %d: %q out of place", number, m.Verb)
+		if err := s.handle(text, number); err != nil {
+			return err
 		}
-		switch m.Verb {
-		case wire.VerbBatch:
-			inBatch, now, reply = true, m.Time, reply[:0]
-		case wire.VerbEnd:
-			inBatch = false
-			if _, err := out.Write(wire.AppendOK(reply)); err != nil {
-				return fmt.Errorf("writing a reply: %w", err)
-			}
-		case wire.VerbOpen:
-			nodes[m.Node] = standpoint.New(m.Settings, m.Seed)
-		case wire.VerbStop:
-			if nodes[m.Node] == nil {
-				return fmt.Errorf("line %d: node %d was never opened", number, m.Node)
-			}
-			delete(nodes, m.Node)
-			reply = dropNode(reply, m.Node)
-		default:
-			node := nodes[m.Node]
-			if node == nil {
-				return fmt.Errorf("line %d: node %d was never opened", number, m.Node)
-			}
-			actions = node.Handle(now, m.Event, actions[:0])
-			for _, a := range actions {
-				reply = wire.AppendAction(reply, m.Node, a)
-			}
+	}
+}
+
+// handle takes one line of the input.
+func (s *session) handle(text []byte, number int) error {
+	m, err := wire.Decode(text)
+	if err != nil {
+		return fmt.Errorf("line %d: %w", number, err)
+	}
+	if s.inBatch == (m.Verb == wire.VerbBatch) {
+		return fmt.Errorf("line %d: %q out of place", number, m.Verb)
+	}
+	switch m.Verb {
+	case wire.VerbBatch:
+		s.inBatch = true
+		s.now = m.Time
+		s.reply = s.reply[:0]
+		return nil
+	case wire.VerbEnd:
+		s.inBatch = false
+		if _, err := s.out.Write(wire.AppendOK(s.reply)); err != nil {
+			return fmt.Errorf("writing a reply: %w", err)
 		}
+		return nil
+	case wire.VerbOpen:
+		s.routers[m.Node] = standpoint.New(m.Settings, m.Seed)
+		return nil
+	}
+	router := s.routers[m.Node]
+	if router == nil {
+		return fmt.Errorf("line %d: node %d was never opened", number, m.Node)
+	}
+	if m.Verb == wire.VerbStop {
+		delete(s.routers, m.Node)
+		s.reply = dropNode(s.reply, m.Node)
+		return nil
+	}
+	s.actions = router.Handle(s.now, m.Event, s.actions[:0])
+	for _, action := range s.actions {
+		s.reply = wire.AppendAction(s.reply, m.Node, action)
 	}
+	return nil
 }
 
 // dropNode is where a node stopped inside a batch loses the actions it gave earlier in that batch.
