--- a/bench_test.go
+++ b/bench_test.go
@@ -11,8 +11,18 @@
 	for _, n := range []int{10, 100, 1000, 3000} {
 		for _, pools := range []int{0, 2} {
 			b.Run(fmt.Sprintf("engines=%d/pools=%d", n, pools), func(b *testing.B) {
-				set := Settings{Balancers: 3, Zones: 1, Kinds: 3, MaxAttempts: 3, Tick: 2 * ms, Reports: ReportReplies, Cancel: true,
-					Classes: []Class{{Streamed: true, TTFTAim: 2500 * ms, TPOTAim: 50 * ms, Deadline: 10 * second, Worth: 2}}}
+				set := Settings{
+					Balancers:   3,
+					Zones:       1,
+					Kinds:       3,
+					MaxAttempts: 3,
+					Tick:        2 * ms,
+					Reports:     ReportReplies,
+					Cancel:      true,
+					Classes: []Class{
+						{Streamed: true, TTFTAim: 2500 * ms, TPOTAim: 50 * ms, Deadline: 10 * second, Worth: 2},
+					},
+				}
 				r := New(set, 1)
 				list := &EngineList{Kind: ListFull}
 				for i := range n {
@@ -27,8 +37,15 @@
 				b.ReportAllocs()
 				for id := int64(1); b.Loop(); id++ {
 					now += ms
-					q := &Request{ID: id, Expires: now + 10*second, Session: uint64(id/2 + 1), Prefix: uint64(id%7 + 1), PromptTokens: 1200,
-						PrefixTokens: 700, MaxTokens: 200}
+					q := &Request{
+						ID:           id,
+						Expires:      now + 10*second,
+						Session:      uint64(id/2 + 1),
+						Prefix:       uint64(id%7 + 1),
+						PromptTokens: 1200,
+						PrefixTokens: 700,
+						MaxTokens:    200,
+					}
 					if pools > 0 {
 						q.Pool = 1 + int(id)%pools
 					}
@@ -43,8 +60,12 @@
 						b.Fatal("nothing was sent")
 					}
 					acts = r.Handle(now, &FirstToken{Request: id, Elapsed: 100 * ms}, acts[:0])
-					acts = r.Handle(now, &Outcome{Request: id, Last: true, Engine: engine, Elapsed: 400 * ms, Kept: 700, Tokens: 60,
-						Report: &Report{Memory: 0.2, Slots: 0.3}}, acts[:0])
+					acts = r.Handle(
+						now,
+						&Outcome{Request: id, Last: true, Engine: engine, Elapsed: 400 * ms, Kept: 700, Tokens: 60,
+							Report: &Report{Memory: 0.2, Slots: 0.3}},
+						acts[:0],
+					)
 				}
 			})
 		}
--- a/comments_test.go
+++ b/comments_test.go
@@ -52,12 +52,18 @@
 	}
 	for folder := range packages {
 		if len(missing[folder]) != uncommented[folder] {
-			t.Errorf("%s: %d items may lack a doc comment, and do: %s", folder, uncommented[folder], strings.Join(missing[folder], "; "))
+			t.Errorf(
+				"%s: %d items may lack a doc comment, and do: %s",
+				folder,
+				uncommented[folder],
+				strings.Join(missing[folder], "; "),
+			)
 		}
 	}
 }
 
-// bare are a file's exported items that have no doc comment: types, functions, methods of exported types, and groups of values.
+// bare are a file's exported items that have no doc comment: types, functions, methods of exported types, and groups
+// of values.
 func bare(file *ast.File) []string {
 	var all []string
 	for _, decl := range file.Decls {
--- a/directory_test.go
+++ b/directory_test.go
@@ -8,14 +8,22 @@
 
 // longPrompts is a deployment of a few gateways whose prompts take a good part of their aims to read.
 func longPrompts(gateways int) Settings {
-	s := base()
+	s := testSettings()
 	s.Balancers, s.Peers, s.SecondCopies = gateways, true, false
 	return s
 }
 
 // long is a request with a long shared beginning.
 func long(id, now int64, prefix uint64) *Request {
-	return &Request{ID: id, Expires: now + 4*second, Session: uint64(id) * 7919, Prefix: prefix, PromptTokens: 6000, PrefixTokens: 5000, MaxTokens: 200}
+	return &Request{
+		ID:           id,
+		Expires:      now + 4*second,
+		Session:      uint64(id) * 7919,
+		Prefix:       prefix,
+		PromptTokens: 6000,
+		PrefixTokens: 5000,
+		MaxTokens:    200,
+	}
 }
 
 // tier is some gateways that reach each other. Messages arrive within the same moment, unless they are lost.
@@ -31,13 +39,14 @@
 		s := longPrompts(n)
 		s.Ordinal = i
 		r := New(s, int64(i+1))
-		feed(r, 1, ready(engines...))
+		feed(r, 1, engineList(engines...))
 		t.gateways = append(t.gateways, r)
 	}
 	return t
 }
 
-// give hands an event to a gateway, and whatever follows to the others, and returns all actions but messages and timers.
+// give hands an event to a gateway, and whatever follows to the others, and returns all actions but messages and
+// timers.
 func (t *tier) give(to int, now int64, ev Event) []Action {
 	var rest []Action
 	for _, a := range feed(t.gateways[to], now, ev) {
@@ -74,13 +83,13 @@
 	}
 	huge := directoryMessage{kind: directoryAnswer, tokens: math.Inf(1), load: engineLoad{1e9, -1, math.NaN()}}
 	got, ok := decodeDirectory(huge.encode())
-	if !ok || !finite(got.load.wait, got.tokens, got.load.reading, got.load.speed) || got.load.reading < 0 {
+	if !ok || !allFinite(got.load.wait, got.tokens, got.load.reading, got.load.speed) || got.load.reading < 0 {
 		t.Errorf("numbers that cannot be became %+v, %v", got, ok)
 	}
 }
 
 // Whatever bytes come from a peer, they change nothing that a gateway owes.
-func TestGarbageFromPeers(t *testing.T) {
+func TestMalformedPeerMessagesChangeNothing(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	n := newTier(3, "a", "b")
 	for i := range 2000 {
@@ -88,14 +97,16 @@
 		for j := range b {
 			b[j] = byte(rng.IntN(256))
 		}
-		if got := feed(n.gateways[0], int64(i+2)*ms, &PeerMessage{From: rng.IntN(6) - 1, Data: string(b)}); len(got) > 0 {
+		if got := feed(n.gateways[0], int64(i+2)*ms, &PeerMessage{From: rng.IntN(6) - 1, Data: string(b)}); len(
+			got,
+		) > 0 {
 			t.Fatalf("%q had %v", b, got)
 		}
 	}
 }
 
 // Engines read first come first: an end tells of all prompts before it, and how fast they were read.
-func TestBacklog(t *testing.T) {
+func TestPrefillBacklogIsFirstInFirstOut(t *testing.T) {
 	var b backlog
 	b.speed = 10000
 	near := func(want, got float64) {
@@ -127,9 +138,10 @@
 	near(maxPending, float64(len(b.prompts)))
 }
 
-// Of many gateways each sends long prompts with the same beginning to where another sent them before, unless that engine has more to
-// read than reading the beginning anew takes: then it goes elsewhere, and that holds the beginning too.
-func TestGatewaysShareWhereABeginningIs(t *testing.T) {
+// Of many gateways each sends long prompts with the same beginning to where another sent them before, unless that
+// engine has more to read than reading the beginning anew takes: then it goes elsewhere, and that holds the beginning
+// too.
+func TestGatewaysSharePrefixLocations(t *testing.T) {
 	n := newTier(20, "a", "b", "c", "d", "e", "f")
 	now, id := second, int64(1)
 	send := func(gateway int) string {
@@ -156,7 +168,7 @@
 }
 
 // Without an answer a request is placed once the wait for it is over, and its registrars are left alone for a while.
-func TestRegistrarsThatDoNotAnswer(t *testing.T) {
+func TestUnresponsiveRegistrarsAreSkipped(t *testing.T) {
 	n := newTier(20, "a", "b", "c")
 	n.lost = true
 	expect(t, n.give(0, second, long(1, second, 77)), "")
@@ -177,33 +189,42 @@
 }
 
 // There are no messages where they are not permitted, nobody else is there, or prompts are short for their aims.
-func TestNoDirectoryWhereItDoesNotPay(t *testing.T) {
+func TestDirectoryIsUnusedWhereItDoesNotPay(t *testing.T) {
 	alone, barred, blind := longPrompts(1), longPrompts(20), longPrompts(20)
 	barred.Peers, blind.Reports = false, ReportNone
 	for name, s := range map[string]Settings{"alone": alone, "barred": barred, "no reports": blind} {
 		r := New(s, 1)
-		feed(r, 1, ready("a", "b", "c"))
+		feed(r, 1, engineList("a", "b", "c"))
 		expect(t, feed(r, second, long(1, second, 77)), "send ")
 		t.Log(name)
 	}
 	r := New(longPrompts(20), 1)
-	feed(r, 1, ready("a", "b", "c"))
+	feed(r, 1, engineList("a", "b", "c"))
 	for i := range int64(20) {
-		expect(t, feed(r, second+i*ms, &Request{ID: i + 1, Expires: 9 * second, Session: uint64(i), PromptTokens: 800, MaxTokens: 100}), "send ")
+		expect(
+			t,
+			feed(
+				r,
+				second+i*ms,
+				&Request{ID: i + 1, Expires: 9 * second, Session: uint64(i), PromptTokens: 800, MaxTokens: 100},
+			),
+			"send ",
+		)
 	}
 }
 
-// What never left this gateway takes nothing from a cold engine's budget, leaves no trace of a kept prompt, and blames nobody.
-func TestAnAttemptThatWasNotSent(t *testing.T) {
-	s := base()
+// What never left this gateway takes nothing from a cold engine's budget, leaves no trace of a kept prompt, and
+// blames nobody.
+func TestUnsentAttemptLeavesNoTrace(t *testing.T) {
+	s := testSettings()
 	s.SecondCopies = false
 	r := New(s, 1)
-	l := ready("a")
+	l := engineList("a")
 	l.Engines[0].ReadyAt = second
 	feed(r, second, l)
 	e := r.engines["a"]
 	e.coldAt, e.coldTokens = second+ms, 1
-	q := ask(1, 9*second)
+	q := newRequest(1, 9*second)
 	expect(t, feed(r, second+ms, q), "send ")
 	if e.coldTokens >= 1 {
 		t.Fatal("the budget was not used")
@@ -215,13 +236,18 @@
 	}
 	feed(r, second+3*ms, &Outcome{Request: 1, Attempt: 1, Code: ConnectionLost, Local: true})
 	if e.errorRate != 0 || e.suspect || e.unreachable {
-		t.Fatalf("a shortage of this gateway's machine was held against the engine: %v %v %v", e.errorRate, e.suspect, e.unreachable)
+		t.Fatalf(
+			"a shortage of this gateway's machine was held against the engine: %v %v %v",
+			e.errorRate,
+			e.suspect,
+			e.unreachable,
+		)
 	}
 }
 
-// A request that would come too late wherever it went, as registrars tell, is refused at once with a time to come back, and not sent in
-// vain.
-func TestRefusedWhereItWouldBeTooLate(t *testing.T) {
+// A request that would come too late wherever it went, as registrars tell, is refused at once with a time to come
+// back, and not sent in vain.
+func TestRequestThatWouldBeLateIsShed(t *testing.T) {
 	n := newTier(20, "a", "b", "c")
 	for _, r := range n.gateways {
 		r.settings.RetryAfter, r.settings.MaxRetryAfter = true, 2*second
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// base is a small deployment that tests change as they need.
-func base() Settings {
+// testSettings is a small deployment that tests change as they need.
+func testSettings() Settings {
 	return Settings{Balancers: 2, Zones: 1, Kinds: 2, MaxAttempts: 4, Tick: 4 * ms, DrainGrace: 500 * ms,
 		WarmUp: 8 * second, Fall: 3 * second, ColdShare: 0.4, FallFactor: 3, AskWithin: 10 * second,
 		Reports: ReportReplies, SecondCopies: true, Cancel: true,
 		Classes: []Class{{Streamed: true, TTFTAim: 1000 * ms, TPOTAim: 50 * ms, Deadline: 4 * second, Worth: 1}}}
 }
 
-func ready(names ...string) *EngineList {
+// engineList is a full list of engines of size 1.
+func engineList(names ...string) *EngineList {
 	l := &EngineList{Kind: ListFull}
 	for _, n := range names {
 		l.Engines = append(l.Engines, Engine{Name: n, Size: 1})
@@ -22,7 +23,7 @@
 	return l
 }
 
-// feed hands the events to the router at one time and returns the actions, without timers.
+// feed passes the events to the router at one time and returns the actions, without timers.
 func feed(r *Router, now int64, events ...Event) []Action {
 	var all []Action
 	for _, ev := range events {
@@ -35,10 +36,12 @@
 	return all
 }
 
-func ask(id, expires int64) *Request {
+// newRequest is a request of the first class with a session of its own.
+func newRequest(id, expires int64) *Request {
 	return &Request{ID: id, Expires: expires, Session: uint64(id) * 7919, PromptTokens: 1000, MaxTokens: 200}
 }
 
+// kinds are the names of the actions' kinds, each followed by a space.
 func kinds(actions []Action) string {
 	names := map[ActionKind]string{Send: "send", Cancel: "cancel", Shed: "shed", Fail: "fail", Probe: "probe",
 		Subscribe: "subscribe", Tell: "tell"}
@@ -49,6 +52,7 @@
 	return s
 }
 
+// expect fails the test unless the actions are of the kinds that are wanted.
 func expect(t *testing.T, got []Action, want string) {
 	t.Helper()
 	if k := kinds(got); k != want {
@@ -56,13 +60,15 @@
 	}
 }
 
+// tick fires the periodic timer.
 func tick(r *Router, now int64) []Action { return feed(r, now, &TimerFired{Token: tokenTick}) }
 
+// expire fires the timer of a request's deadline.
 func expire(r *Router, now, id int64) []Action {
 	return feed(r, now, &TimerFired{Token: id*tokenStep + tokenExpire})
 }
 
-func finite(vs ...float64) bool {
+func allFinite(vs ...float64) bool {
 	for _, v := range vs {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
 			return false
@@ -71,4 +77,5 @@
 	return true
 }
 
-func name(i int) string { return fmt.Sprintf("10.0.0.%d:80", i) }
+// engineName is the address of the engine with a number.
+func engineName(i int) string { return fmt.Sprintf("10.0.0.%d:80", i) }
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The test command lets just the tests fail that KNOWN-RED.txt lists, and prints them. Its go is played here: it fails the tests that
-// are named in the file beside it.
+// The test command lets just the tests fail that KNOWN-RED.txt lists, and prints them. Its go is played here: it
+// fails the tests that are named in the file beside it.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("known-red.sh")
 	if err != nil {
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -10,10 +10,10 @@
 func taught(s Settings) (*Router, int64) {
 	r := New(s, 1)
 	now := int64(1000) * second
-	feed(r, now, ready("a", "b"))
+	feed(r, now, engineList("a", "b"))
 	for id := int64(1); id <= 400; id++ {
 		now += 50 * ms
-		for _, a := range feed(r, now, ask(id, now+4*second)) {
+		for _, a := range feed(r, now, newRequest(id, now+4*second)) {
 			if a.Kind != Send {
 				continue
 			}
@@ -21,16 +21,21 @@
 			if a.Engine == "b" {
 				took = 700 * ms
 			}
-			feed(r, now+took, &FirstToken{Request: id, Elapsed: took}, &Outcome{Request: id, Last: true, Code: Served, Engine: a.Engine,
-				Elapsed: took + 100*ms, Tokens: 20, Report: &Report{Memory: 0.3, Unread: 1, Slots: 0.4}})
+			feed(
+				r,
+				now+took,
+				&FirstToken{Request: id, Elapsed: took},
+				&Outcome{Request: id, Last: true, Code: Served, Engine: a.Engine,
+					Elapsed: took + 100*ms, Tokens: 20, Report: &Report{Memory: 0.3, Unread: 1, Slots: 0.4}},
+			)
 		}
 	}
 	return r, now
 }
 
 // What one router learned, another goes on by: predictions, paces, what is believed of engines, and what they keep.
-func TestRecall(t *testing.T) {
-	s := base()
+func TestRecallRestoresLearnedState(t *testing.T) {
+	s := testSettings()
 	r, now := taught(s)
 	raw, err := json.Marshal(r.Learned())
 	if err != nil {
@@ -44,7 +49,7 @@
 		t.Fatal(err)
 	}
 	next := New(s, 2)
-	feed(next, now, ready("a", "b", "c"))
+	feed(next, now, engineList("a", "b", "c"))
 	if err := next.Recall(&l, now); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +59,7 @@
 		}
 	}
 	for i := int64(1); i <= 20; i++ { // the same question to both
-		q := &request{Request: *ask(i*20, now+4*second), arrivedAt: now}
+		q := &request{Request: *newRequest(i*20, now+4*second), arrivedAt: now}
 		for _, name := range []string{"a", "b"} {
 			was, is := option{engine: r.engines[name]}, option{engine: next.engines[name]}
 			was.match, is.match = r.match(q, was.engine), next.match(q, is.engine)
@@ -80,8 +85,8 @@
 }
 
 // What does not hold is not taken, in no part of it.
-func TestRecallOfWhatDoesNotHold(t *testing.T) {
-	s := base()
+func TestRecallRejectsInvalidState(t *testing.T) {
+	s := testSettings()
 	r, now := taught(s)
 	for name, spoil := range map[string]func(*Learned){
 		"version":  func(l *Learned) { l.Version++ },
@@ -98,7 +103,7 @@
 		l := r.Learned()
 		spoil(l)
 		next := New(s, 2)
-		feed(next, now, ready("a", "b"))
+		feed(next, now, engineList("a", "b"))
 		if err := next.Recall(l, now); err == nil {
 			t.Errorf("%s: taken", name)
 		}
@@ -109,7 +114,7 @@
 }
 
 func FuzzRecall(f *testing.F) {
-	s := base()
+	s := testSettings()
 	r, now := taught(s)
 	raw, err := json.Marshal(r.Learned())
 	if err != nil {
@@ -123,13 +128,13 @@
 			return
 		}
 		next := New(s, 2)
-		feed(next, now, ready("a", "b"))
+		feed(next, now, engineList("a", "b"))
 		if next.Recall(&l, now) != nil {
 			return
 		}
 		for id := int64(1); id < 20; id++ {
 			sent := 0
-			for _, a := range feed(next, now+id*10*ms, ask(id, now+4*second)) {
+			for _, a := range feed(next, now+id*10*ms, newRequest(id, now+4*second)) {
 				if a.Kind == Send || a.Kind == Shed {
 					sent++
 				}
--- a/router_test.go
+++ b/router_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestFitRemembersRareRegime(t *testing.T) {
+func TestFitRetainsRareRegime(t *testing.T) {
 	var m model
 	m.init(ttftPrior)
 	rare := vec{1, 0.95, 9, 0.9, 2, 2, 10}
@@ -67,9 +67,9 @@
 }
 
 func TestYoungRouterPredictionGrowsWithLoad(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a"))
-	q := &request{Request: *ask(1, second)}
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a"))
+	q := &request{Request: *newRequest(1, second)}
 	e := r.engines["a"]
 	light := option{engine: e}
 	r.predict(q, &light)
@@ -106,9 +106,9 @@
 func picks(t *testing.T, n int, prepare func(r *Router, q *Request, holder *engine)) (atHolder int) {
 	t.Helper()
 	for i := range n {
-		r := New(base(), int64(i))
-		feed(r, ms, ready("a", "b", "c", "d"))
-		q := ask(int64(i+1), 4*second)
+		r := New(testSettings(), int64(i))
+		feed(r, ms, engineList("a", "b", "c", "d"))
+		q := newRequest(int64(i+1), 4*second)
 		holder := r.engines["c"]
 		r.remember(&request{Request: *q}, holder, q.PromptTokens)
 		prepare(r, q, holder)
@@ -121,7 +121,7 @@
 	return atHolder
 }
 
-func TestGateKeepsMatchAndExplores(t *testing.T) {
+func TestAffinityGateKeepsMatchAndExplores(t *testing.T) {
 	const n = 3000
 	// The holder is busier, so without the gate another engine would be taken.
 	got := picks(t, n, func(r *Router, _ *Request, holder *engine) {
@@ -141,38 +141,38 @@
 	}
 }
 
-func TestFlushIsNoticed(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a"))
+func TestPrefixCacheFlushIsDetected(t *testing.T) {
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a"))
 	e := r.engines["a"]
 	for i := int64(1); i <= 6; i++ {
-		q := &request{Request: *ask(i, second)}
+		q := &request{Request: *newRequest(i, second)}
 		r.remember(q, e, 1000)
 		r.now += second
 		if i > 1 {
 			r.observeMatch(&attempt{request: q, engine: e, match: 1}, 0)
 		}
 	}
-	old := &request{Request: *ask(1, second)}
+	old := &request{Request: *newRequest(1, second)}
 	if got := r.match(old, e); got > 0.3 {
 		t.Fatalf("after a run of shortfalls an old entry still counts %.2f", got)
 	}
 	r.now += second
-	fresh := &request{Request: *ask(99, second)}
+	fresh := &request{Request: *newRequest(99, second)}
 	r.remember(fresh, e, 1000)
 	if got := r.match(fresh, e); got < 0.99 {
 		t.Fatalf("an entry made after the flush counts %.2f", got)
 	}
 }
 
-func TestHomesAgreeAcrossNodes(t *testing.T) {
-	a, b := New(base(), 1), New(base(), 2)
-	list := ready("a", "b", "c", "d", "e")
+func TestHomeEnginesAgreeAcrossNodes(t *testing.T) {
+	a, b := New(testSettings(), 1), New(testSettings(), 2)
+	list := engineList("a", "b", "c", "d", "e")
 	feed(a, 0, list)
 	feed(b, 0, list)
 	same := 0
 	for i := int64(1); i <= 200; i++ {
-		x, y := feed(a, i*second, ask(i, i*second+second)), feed(b, i*second, ask(i, i*second+second))
+		x, y := feed(a, i*second, newRequest(i, i*second+second)), feed(b, i*second, newRequest(i, i*second+second))
 		if x[0].Engine == y[0].Engine {
 			same++
 		}
@@ -182,28 +182,28 @@
 	}
 }
 
-func TestNoEngineHoldsThenAnswers(t *testing.T) {
-	r := New(base(), 1)
-	expect(t, feed(r, 0, ask(1, second), ask(2, second)), "")
-	acts := feed(r, 100*ms, ready("a"))
+func TestRequestWithoutEngineIsHeldThenShed(t *testing.T) {
+	r := New(testSettings(), 1)
+	expect(t, feed(r, 0, newRequest(1, second), newRequest(2, second)), "")
+	acts := feed(r, 100*ms, engineList("a"))
 	expect(t, acts, "send send ")
-	r = New(base(), 1)
-	expect(t, feed(r, 0, ask(1, second)), "")
+	r = New(testSettings(), 1)
+	expect(t, feed(r, 0, newRequest(1, second)), "")
 	expect(t, expire(r, second-8*ms, 1), "shed ")
-	expect(t, feed(r, second, ready("a")), "") // nothing is sent after the answer
+	expect(t, feed(r, second, engineList("a")), "") // nothing is sent after the answer
 }
 
-// A request that nothing may be used for waits as long as something can be earned by it, and is then refused at once with
-// a time to come back; it is not kept for its deadline so that its client stays quiet.
-func TestHeldRequestsAreAnsweredOnceNothingIsLeft(t *testing.T) {
-	s := base()
+// A request that nothing may be used for waits as long as something can be earned by it, and is then refused at once
+// with a time to come back; it is not kept for its deadline so that its client stays quiet.
+func TestHeldRequestIsShedOnceItIsWorthNothing(t *testing.T) {
+	s := testSettings()
 	s.RetryAfter, s.MaxRetryAfter = true, 2*second
 	for worth, want := range map[float64]string{0: "shed ", 0.5: ""} {
 		s.Classes[0].LateWorth = worth
 		r := New(s, 1)
-		list := ready("a")
+		list := engineList("a")
 		list.Engines[0].State = Draining
-		feed(r, 0, list, ask(1, 4*second))
+		feed(r, 0, list, newRequest(1, 4*second))
 		for now := int64(0); now <= second; now += 50 * ms {
 			expect(t, tick(r, now), "")
 		}
@@ -215,16 +215,16 @@
 	}
 }
 
-func TestAnswerTraps(t *testing.T) {
+func TestEachRequestIsAnsweredOnce(t *testing.T) {
 	start := func(change func(*Settings)) *Router {
-		s := base()
+		s := testSettings()
 		s.MaxAttempts = 1
 		if change != nil {
 			change(&s)
 		}
 		r := New(s, 1)
-		feed(r, 0, ready("a", "b"))
-		expect(t, feed(r, 0, ask(1, second)), "send ")
+		feed(r, 0, engineList("a", "b"))
+		expect(t, feed(r, 0, newRequest(1, second)), "send ")
 		return r
 	}
 	t.Run("no_answer at the deadline still owes one", func(t *testing.T) {
@@ -261,13 +261,13 @@
 	})
 }
 
-func TestDrainsAreKept(t *testing.T) {
+func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
 	one := func(state State) *EngineList {
 		return &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", State: state, Size: 1}}}
 	}
-	r := New(base(), 1)
-	feed(r, 0, ready("a"), one(Draining))
-	expect(t, feed(r, ms, ask(1, second)), "") // held, not sent
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a"), one(Draining))
+	expect(t, feed(r, ms, newRequest(1, second)), "") // held, not sent
 	expect(t, feed(r, 2*ms, one(Gone)), "")
 	back := one(Ready)
 	back.Engines[0].ReadyAt = ms // gone, then back with a new start
@@ -275,10 +275,10 @@
 	if r.engines["a"] == nil || r.engines["a"].notReady {
 		t.Fatal("an engine that came back is not used")
 	}
-	r = New(base(), 1)
-	feed(r, 0, ready("a", "b"), ready("b")) // removed by a full list
+	r = New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b"), engineList("b")) // removed by a full list
 	for i := int64(1); i < 40; i++ {
-		for _, a := range feed(r, i*ms, ask(i, second)) {
+		for _, a := range feed(r, i*ms, newRequest(i, second)) {
 			if a.Engine == "a" {
 				t.Fatal("sent to an engine that a full list left out")
 			}
@@ -286,7 +286,7 @@
 	}
 }
 
-func TestEffects(t *testing.T) {
+func TestRetryFollowsEffectAndGroup(t *testing.T) {
 	cases := []struct {
 		name   string
 		effect Effect
@@ -298,7 +298,15 @@
 	}{
 		{"safe is repeated", Safe, GroupAll, 0, ConnectionLost, Engine{Name: "b"}, "send "},
 		{"unsafe after no_connection", Unsafe, GroupAll, 0, NoConnection, Engine{Name: "b"}, "send "},
-		{"unsafe after connection_lost", Unsafe, GroupAll, 0, ConnectionLost, Engine{Name: "b"}, "fail "}, // at once: nothing may follow
+		{
+			"unsafe after connection_lost",
+			Unsafe,
+			GroupAll,
+			0,
+			ConnectionLost,
+			Engine{Name: "b"},
+			"fail ",
+		}, // at once: nothing may follow
 		{"keyed inside its zone", Keyed, GroupZone, second, ServerError, Engine{Name: "b"}, "send "},
 		{"keyed outside its zone", Keyed, GroupZone, second, ServerError, Engine{Name: "b", Zone: 1}, ""},
 		{"keyed outside its cell", Keyed, GroupCell, second, ServerError, Engine{Name: "b", Cell: 1}, ""},
@@ -307,13 +315,13 @@
 		{"keyed of a zone, after its window", Keyed, GroupZone, 10 * ms, ServerError, Engine{Name: "b"}, "fail "},
 	}
 	for _, c := range cases {
-		s := base()
+		s := testSettings()
 		s.Zones = 2
 		s.Classes[0].Effect, s.Classes[0].Group, s.Classes[0].Window = c.effect, c.group, c.window
 		r := New(s, 1)
 		c.other.Size = 1
-		feed(r, 0, ready("a"))
-		expect(t, feed(r, 0, ask(1, second)), "send ")
+		feed(r, 0, engineList("a"))
+		expect(t, feed(r, 0, newRequest(1, second)), "send ")
 		feed(r, ms, &EngineList{Kind: ListDelta, Engines: []Engine{c.other}})
 		if got := kinds(feed(r, 50*ms, &Outcome{Request: 1, Code: c.code, Engine: "a"})); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
@@ -330,12 +338,12 @@
 	}
 }
 
-func TestNoTwoCopiesWhereForbidden(t *testing.T) {
-	s := base()
+func TestNoHedgingWhereForbidden(t *testing.T) {
+	s := testSettings()
 	s.SecondCopies = false
 	r := New(s, 1)
-	feed(r, 0, ready("a", "b", "c"))
-	expect(t, feed(r, 0, ask(1, 3*second)), "send ")
+	feed(r, 0, engineList("a", "b", "c"))
+	expect(t, feed(r, 0, newRequest(1, 3*second)), "send ")
 	for now := 50 * ms; now < 3*second; now += 50 * ms {
 		for _, a := range tick(r, now) {
 			if a.Kind == Send {
@@ -345,10 +353,10 @@
 	}
 }
 
-func TestHungEngineIsLeftAndTried(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b", "c", "d"))
-	acts := feed(r, 0, ask(1, 4*second))
+func TestHungEngineIsEjectedAndProbed(t *testing.T) {
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b", "c", "d"))
+	acts := feed(r, 0, newRequest(1, 4*second))
 	hung := acts[0].Engine
 	var moved []Action
 	now := int64(0)
@@ -360,7 +368,7 @@
 	}
 	to := 0
 	for i := int64(10); i < 40; i++ {
-		for _, a := range feed(r, now, ask(i, now+4*second)) {
+		for _, a := range feed(r, now, newRequest(i, now+4*second)) {
 			if a.Kind == Send && a.Engine == hung {
 				to++
 			}
@@ -375,26 +383,26 @@
 	}
 }
 
-func TestSharedTroubleEjectsNone(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b"))
+func TestCommonFaultEjectsNoEngine(t *testing.T) {
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b"))
 	for _, e := range r.engines {
 		e.suspect = true
 	}
-	expect(t, feed(r, ms, ask(1, second)), "send ")
+	expect(t, feed(r, ms, newRequest(1, second)), "send ")
 }
 
 func TestColdBudget(t *testing.T) {
-	s := base()
+	s := testSettings()
 	r := New(s, 1)
-	list := ready("a", "b", "c", "d")
+	list := engineList("a", "b", "c", "d")
 	list.Engines[0].ReadyAt = 100 * second
 	now := 100 * second
 	feed(r, now, list)
 	sent, all := 0, 0
 	for ; now < 103*second; now += 20 * ms {
 		all++
-		q := ask(now, now+second)
+		q := newRequest(now, now+second)
 		for _, a := range feed(r, now, q, &Outcome{Request: q.ID, Code: TurnedAway, Engine: ""}) {
 			if a.Kind == Send && a.Engine == "a" {
 				sent++
@@ -408,10 +416,10 @@
 }
 
 func TestDiscoveryIsAskedForAndBacksOff(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.AskDiscovery = true
 	r := New(s, 1)
-	feed(r, 0, ready("a"))
+	feed(r, 0, engineList("a"))
 	asks := 0
 	for now := int64(0); now < 60*second; now += 50 * ms {
 		for _, a := range tick(r, now) {
@@ -424,7 +432,7 @@
 	if asks < 4 || asks > 30 {
 		t.Fatalf("%d calls in a minute in which all fail", asks)
 	}
-	feed(r, 60*second, ready("a")) // the whole list may answer
+	feed(r, 60*second, engineList("a")) // the whole list may answer
 	for now := 60 * second; now < 90*second; now += 50 * ms {
 		if acts := tick(r, now); len(acts) > 0 {
 			t.Fatalf("a live subscription is asked for again: %q", kinds(acts))
@@ -432,16 +440,16 @@
 	}
 }
 
-func TestPoorestAreRefusedUnderPressure(t *testing.T) {
-	s := base()
+func TestLeastValuableRequestsAreShedFirst(t *testing.T) {
+	s := testSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Worth = 5
 	r := New(s, 1)
-	feed(r, 0, ready("a", "b", "c"))
+	feed(r, 0, engineList("a", "b", "c"))
 	shed := map[int]int{}
 	for i := int64(1); i <= 200; i++ {
 		r.shedFraction, r.shedFractionAt = 0.5, i*ms
-		q := ask(i, 2*second)
+		q := newRequest(i, 2*second)
 		q.Class = int(i % 2)
 		for _, a := range feed(r, i*ms, q) {
 			if a.Kind == Shed {
@@ -454,10 +462,10 @@
 	}
 }
 
-func TestAbsurdNumbersStayFinite(t *testing.T) {
+func TestExtremeInputsStayFinite(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b"))
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b"))
 	odd := []float64{nan, inf, -inf, -1, 0, 1e300}
 	id := int64(0)
 	for _, p := range odd {
@@ -471,22 +479,30 @@
 		}
 	}
 	o := option{engine: r.engines["a"]}
-	r.predict(&request{Request: *ask(1, second)}, &o)
-	if !finite(o.ttft, o.ttftUpper, o.pace, r.tokenGap, r.matchTrust, r.meanReport.Memory, r.engines["a"].tokensInFlight) {
+	r.predict(&request{Request: *newRequest(1, second)}, &o)
+	if !allFinite(
+		o.ttft,
+		o.ttftUpper,
+		o.pace,
+		r.tokenGap,
+		r.matchTrust,
+		r.meanReport.Memory,
+		r.engines["a"].tokensInFlight,
+	) {
 		t.Fatalf("a decision input is not finite: %+v", o)
 	}
 }
 
-func TestNoAimsTakesLowestPrediction(t *testing.T) {
-	s := base()
+func TestWithoutObjectivesLowestPredictionIsChosen(t *testing.T) {
+	s := testSettings()
 	s.Classes = []Class{{Streamed: true}}
 	r := New(s, 1)
-	feed(r, 0, ready("a", "b"))
+	feed(r, 0, engineList("a", "b"))
 	r.engines["a"].report, r.engines["a"].reportAt = Report{Memory: 0.9, Unread: 30, Slots: 0.9}, 1
 	r.sessionGain[0] = 0
 	toB := 0
 	for i := int64(1); i <= 20; i++ {
-		acts := feed(r, ms, ask(i, second))
+		acts := feed(r, ms, newRequest(i, second))
 		if acts[0].Engine == "b" {
 			toB++
 		}
@@ -499,7 +515,7 @@
 func TestSameSeedSameActions(t *testing.T) {
 	run := func() []Action {
 		var all []Action
-		w := newWorld(5, base())
+		w := newSimulation(5, testSettings())
 		for range 600 {
 			all = append(all, w.step(nil)...)
 		}
@@ -512,18 +528,18 @@
 }
 
 // Incident i1270be: a zone was lost, and "most look bad, so eject none" went on sending to it.
-func TestDownEnginesAreLeftOutEvenWhenMostAre(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b", "c"))
+func TestDownEnginesAreEjectedEvenIfMostAre(t *testing.T) {
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b", "c"))
 	for i, e := range r.ready[:2] {
-		q := ask(int64(i+1), 4*second)
+		q := newRequest(int64(i+1), 4*second)
 		feed(r, 0, q)
 		a := r.requests[q.ID].attempts[0]
 		a.engine = e
 		r.suspect(e, true)
 	}
 	for i := int64(10); i < 40; i++ {
-		for _, a := range feed(r, 10*ms, ask(i, 4*second)) {
+		for _, a := range feed(r, 10*ms, newRequest(i, 4*second)) {
 			if a.Kind == Send && a.Engine != "c" {
 				t.Fatalf("sent to %s, which is down", a.Engine)
 			}
@@ -532,13 +548,13 @@
 }
 
 // Incidents ie6d3d0 and i3e9f87: the pace was known only when answers ended, seconds after it had dropped.
-func TestStreamsThatRunOnSlowThePace(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b"))
+func TestRunningStreamsSlowThePredictedPace(t *testing.T) {
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b"))
 	now, id := int64(0), int64(0)
 	start := func() int64 {
 		id++
-		feed(r, now, ask(id, now+4*second))
+		feed(r, now, newRequest(id, now+4*second))
 		feed(r, now, &FirstToken{Request: id, Elapsed: 50 * ms})
 		return id
 	}
@@ -563,11 +579,11 @@
 }
 
 // Incidents ie6d3d0 and id6991c: second copies took what an overloaded fleet lacked.
-func TestNoSecondCopiesWhileRefusing(t *testing.T) {
+func TestNoHedgingWhileShedding(t *testing.T) {
 	for _, cut := range []float64{0, 0.5} {
-		r := New(base(), 1)
-		feed(r, 0, ready("a", "b", "c"))
-		feed(r, 0, ask(1, 4*second))
+		r := New(testSettings(), 1)
+		feed(r, 0, engineList("a", "b", "c"))
+		feed(r, 0, newRequest(1, 4*second))
 		r.shedFraction, r.now, r.requests[1].attempts[0].ttft = cut, second, 0.01
 		r.rescue(r.requests[1].attempts[0])
 		if got := len(r.requests[1].attempts); (cut > 0) != (got == 1) {
@@ -577,13 +593,13 @@
 }
 
 // Requests that are alike must be thinned, not all refused.
-func TestAlikeRequestsAreThinned(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b", "c"))
+func TestAlikeRequestsAreShedInPart(t *testing.T) {
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b", "c"))
 	refused := 0
 	for i := int64(1); i <= 300; i++ {
 		r.shedFraction, r.shedFractionAt = 0.4, r.now
-		q := ask(i, 2*second)
+		q := newRequest(i, 2*second)
 		q.Session = 0
 		if kinds(feed(r, i*ms, q)) == "shed " {
 			refused++
@@ -594,36 +610,36 @@
 	}
 }
 
-// A joint failure: what is left of the fleet, cold, must not be taken to be able to do all the work.
-// A gateway that is one of many has budget for a cold engine once in a while. The next request uses it, whatever its rank
-// says, but for one whose prompt another engine keeps.
-func TestColdBudgetIsUsedByThinGateways(t *testing.T) {
+// A joint failure: what is left of the fleet, cold, must not be taken to be able to do all the work. A gateway that
+// is one of many has budget for a cold engine once in a while. The next request uses it, whatever its rank says, but
+// for one whose prompt another engine keeps.
+func TestColdBudgetIsUsedByLowTrafficGateways(t *testing.T) {
 	for seed := range int64(20) {
-		s := base()
+		s := testSettings()
 		s.Balancers = 300
 		r := New(s, seed)
 		var names []string
 		for i := range 40 {
-			names = append(names, name(i))
+			names = append(names, engineName(i))
 		}
-		feed(r, 100*second, ready(names...))
-		first := feed(r, 100*second, ask(1, 104*second))
+		feed(r, 100*second, engineList(names...))
+		first := feed(r, 100*second, newRequest(1, 104*second))
 		feed(r, 100*second, &Outcome{Request: 1, Code: Served, Kept: 0, Elapsed: 10 * ms, Last: true})
-		list := ready(append(names, "cold")...)
+		list := engineList(append(names, "cold")...)
 		list.Engines[40].ReadyAt = 101 * second
 		feed(r, 101*second, list)
 		for i := range r.ready {
 			r.ready[i].coldTokens = 1
 		}
-		again := ask(2, 105*second)
+		again := newRequest(2, 105*second)
 		again.Session = 7919 // the first one's
 		if got := feed(r, 101*second, again); got[0].Engine != first[0].Engine {
 			t.Fatalf("seed %d: a kept prompt went to %s, it is kept at %s", seed, got[0].Engine, first[0].Engine)
 		}
-		if got := feed(r, 101*second, ask(3, 105*second)); got[0].Engine != "cold" {
+		if got := feed(r, 101*second, newRequest(3, 105*second)); got[0].Engine != "cold" {
 			t.Fatalf("seed %d: the budget was not used: %v", seed, got)
 		}
-		if got := feed(r, 101*second, ask(4, 105*second)); got[0].Engine == "cold" {
+		if got := feed(r, 101*second, newRequest(4, 105*second)); got[0].Engine == "cold" {
 			t.Fatalf("seed %d: the budget was used twice", seed)
 		}
 	}
@@ -634,19 +650,19 @@
 func TestColdBudgetIsNotForcedByBusyGateways(t *testing.T) {
 	forced := 0
 	for seed := range int64(20) {
-		r := New(base(), seed)
+		r := New(testSettings(), seed)
 		names := []string{"a", "b", "c", "d", "e", "f", "g"}
-		feed(r, 100*second, ready(names...))
+		feed(r, 100*second, engineList(names...))
 		now := 100 * second
 		for i := int64(1); i <= 40; i++ {
 			now += 100 * ms
-			feed(r, now, ask(i, now+4*second), &Outcome{Request: i, Code: Served, Elapsed: 10 * ms, Last: true})
+			feed(r, now, newRequest(i, now+4*second), &Outcome{Request: i, Code: Served, Elapsed: 10 * ms, Last: true})
 		}
-		list := ready(append(names, "cold")...)
+		list := engineList(append(names, "cold")...)
 		list.Engines[7].ReadyAt = now
 		feed(r, now, list)
 		r.engines["cold"].coldTokens = 1
-		if got := feed(r, now, ask(1000, now+4*second)); got[0].Engine == "cold" {
+		if got := feed(r, now, newRequest(1000, now+4*second)); got[0].Engine == "cold" {
 			forced++
 		}
 	}
@@ -656,20 +672,20 @@
 }
 
 func TestColdBudgetInJointFailure(t *testing.T) {
-	r := New(base(), 1)
-	feed(r, 0, ready("a", "b", "c", "d", "e", "f"))
+	r := New(testSettings(), 1)
+	feed(r, 0, engineList("a", "b", "c", "d", "e", "f"))
 	now := 10 * second
 	for i := int64(1); i < 200; i++ {
 		now += 20 * ms
-		feed(r, now, ask(i, now+second), &Outcome{Request: i, Code: TurnedAway})
+		feed(r, now, newRequest(i, now+second), &Outcome{Request: i, Code: TurnedAway})
 	}
-	left := ready("a")
+	left := engineList("a")
 	left.Engines[0].ReadyAt = now
 	feed(r, now, left)
 	sent := 0
 	for i := int64(1000); i < 1150; i++ {
 		now += 20 * ms
-		for _, a := range feed(r, now, ask(i, now+second)) {
+		for _, a := range feed(r, now, newRequest(i, now+second)) {
 			if a.Kind == Send {
 				sent++
 			}
@@ -683,16 +699,16 @@
 
 // Hunt day h7ec13f: one tenant sent several times its quota, and the others were refused alike.
 func TestOverQuotaIsRefusedFirst(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Balancers, s.OverShareWorth = 1, 0.1
 	s.Tenants = []Tenant{{QuotaRPS: 20}, {QuotaRPS: 20}}
 	r := New(s, 1)
-	feed(r, 0, ready("a", "b", "c"))
+	feed(r, 0, engineList("a", "b", "c"))
 	refused := [2]int{}
 	for i := int64(1); i <= 600; i++ { // 100 a second: 83 of tenant 0, 17 of tenant 1
 		now := i * 10 * ms
 		r.shedFraction, r.shedFractionAt = 0.3, now
-		q := ask(i, now+2*second)
+		q := newRequest(i, now+2*second)
 		if i%6 == 0 {
 			q.Tenant = 1
 		}
@@ -706,44 +722,50 @@
 }
 
 // Twins of one gateway and six engines stood below random choice: three engines of six were looked at.
-func TestLoneGatewayLooksAtAllEngines(t *testing.T) {
+func TestLoneGatewayConsidersAllEngines(t *testing.T) {
 	for balancers, want := range map[int]int{1: 8, 2: 4, 30: sampleSize} {
-		s := base()
+		s := testSettings()
 		s.Balancers = balancers
 		r := New(s, 1)
-		feed(r, 0, ready("a", "b", "c", "d", "e", "f", "g", "h"))
-		if got := len(r.buildOptions(&request{Request: *ask(1, second)}, false)); got != want {
+		feed(r, 0, engineList("a", "b", "c", "d", "e", "f", "g", "h"))
+		if got := len(r.buildOptions(&request{Request: *newRequest(1, second)}, false)); got != want {
 			t.Errorf("%d gateways: %d engines looked at, want %d", balancers, got, want)
 		}
 	}
 }
 
-// Of many engines the one with the least headroom is the one whose prediction is most wrong: more of the aim must be left.
-func TestMoreRoomIsLeftWhereManyAreWeighed(t *testing.T) {
+// Of many engines the one with the least headroom is the one whose prediction is most wrong: more of the aim must be
+// left.
+func TestSafetyMarginGrowsWithCandidates(t *testing.T) {
 	for n, want := range map[int]bool{8: true, 40: false} {
-		s := base()
+		s := testSettings()
 		s.Balancers, s.Classes[0].TPOTAim = 1, 0
 		r := New(s, 1)
 		var names []string
 		for i := range n {
-			names = append(names, name(i))
+			names = append(names, engineName(i))
 		}
-		feed(r, 0, ready(names...))
-		q := &request{Request: *ask(1, second)}
+		feed(r, 0, engineList(names...))
+		q := &request{Request: *newRequest(1, second)}
 		idle := r.buildOptions(q, false)[0].ttftUpper
 		for _, e := range r.ready {
 			e.slowness = math.Log(0.4 / idle) // of an aim of 1 s
 		}
 		if o := r.buildOptions(q, false)[0]; math.Abs(o.ttftUpper-0.4) > 0.01 || o.hasHeadroom != want {
-			t.Errorf("%d engines: 0.6 of the aim left (predicted %.2f s) counts as headroom: %v", n, o.ttftUpper, o.hasHeadroom)
+			t.Errorf(
+				"%d engines: 0.6 of the aim left (predicted %.2f s) counts as headroom: %v",
+				n,
+				o.ttftUpper,
+				o.hasHeadroom,
+			)
 		}
 	}
 }
 
 // An engine that was last heard of long ago and not told anew gets nothing while another can be used, and is tried
 // before nothing is.
-func TestStaleEnginesAreTriedLast(t *testing.T) {
-	r := New(base(), 1)
+func TestStaleEnginesAreUsedLast(t *testing.T) {
+	r := New(testSettings(), 1)
 	list := &EngineList{Kind: ListFull}
 	for _, name := range []string{"a", "b", "c"} {
 		list.Engines = append(list.Engines, Engine{Name: name, Size: 1, Stale: name != "c"})
@@ -782,7 +804,14 @@
 	const n = 1000
 	list := &EngineList{Kind: ListFull}
 	for i := range n {
-		list.Engines = append(list.Engines, Engine{Name: "e" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), Size: 1, Pool: 1 + i%2})
+		list.Engines = append(
+			list.Engines,
+			Engine{
+				Name: "e" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)),
+				Size: 1,
+				Pool: 1 + i%2,
+			},
+		)
 	}
 	q := &request{Request: Request{ID: 1, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}}
 	looked := func(r *Router) map[string]bool {
@@ -798,7 +827,7 @@
 		}
 		return names
 	}
-	a, b := New(base(), 1), New(base(), 2)
+	a, b := New(testSettings(), 1), New(testSettings(), 2)
 	a.Handle(0, list, nil)
 	b.Handle(0, list, nil)
 	first := looked(a)
@@ -812,7 +841,11 @@
 	}
 	// One that goes is made up for by one other.
 	for name := range first {
-		a.Handle(1, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, State: Draining}}}, nil)
+		a.Handle(
+			1,
+			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, State: Draining}}},
+			nil,
+		)
 		same := 0
 		for other := range looked(a) {
 			if first[other] {
@@ -840,14 +873,14 @@
 
 // A process that was started anew under the same name is neither trusted nor blamed for what is still out at the one
 // before: not its late report, nor what it kept, nor its silence, nor its errors; and it is cold.
-func TestAProcessStartedAnewIsItsOwn(t *testing.T) {
-	set := base()
+func TestRestartedEngineInheritsNothing(t *testing.T) {
+	set := testSettings()
 	set.SecondCopies, set.Balancers = false, 1
 	r := New(set, 1)
 	now := 100 * second
-	feed(r, now, ready("a", "b"))
+	feed(r, now, engineList("a", "b"))
 	send := func(id int64, start int64) *request {
-		q := &request{Request: *ask(id, now+9*second), arrivedAt: now}
+		q := &request{Request: *newRequest(id, now+9*second), arrivedAt: now}
 		q.Prefix, q.PrefixTokens = 77, 500
 		r.now, r.requests[id] = start, q
 		r.send(q, &option{engine: r.engines["a"], features: vec{1}, ttft: 0.1})
@@ -861,7 +894,12 @@
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", Size: 1, ReadyAt: now - 100*ms}}})
 	a := r.engines["a"]
 	if a.tokensInFlight != 0 || a.attemptsInFlight != 0 || a.coldAt == 0 {
-		t.Fatalf("the new process has %v tokens of the old one, %d out, cold %v", a.tokensInFlight, a.attemptsInFlight, a.coldAt)
+		t.Fatalf(
+			"the new process has %v tokens of the old one, %d out, cold %v",
+			a.tokensInFlight,
+			a.attemptsInFlight,
+			a.coldAt,
+		)
 	}
 	report := &Report{Memory: 0.9, Unread: 50, Slots: 0.9}
 	now += second
@@ -871,11 +909,19 @@
 		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: "a", Report: report})
 	}
 	tick(r, now+5*second)
-	q := &request{Request: *ask(1, now+9*second)}
+	q := &request{Request: *newRequest(1, now+9*second)}
 	q.Prefix, q.PrefixTokens = 77, 500
-	if a.reportAt != 0 || a.slowness != 0 || a.gapSlowness.n != 0 || a.errorRate != 0 || a.suspect || r.match(q, a) != 0 {
-		t.Fatalf("told of the old process and held of the new: report %v, speed %v, drag %v, sour %v, suspect %v, match %v",
-			a.reportAt, a.slowness, a.gapSlowness.n, a.errorRate, a.suspect, r.match(q, a))
+	if a.reportAt != 0 || a.slowness != 0 || a.gapSlowness.n != 0 || a.errorRate != 0 || a.suspect ||
+		r.match(q, a) != 0 {
+		t.Fatalf(
+			"told of the old process and held of the new: report %v, speed %v, drag %v, sour %v, suspect %v, match %v",
+			a.reportAt,
+			a.slowness,
+			a.gapSlowness.n,
+			a.errorRate,
+			a.suspect,
+			r.match(q, a),
+		)
 	}
 	if old.attemptsInFlight != 1 || a.attemptsInFlight != 0 {
 		t.Fatalf("%d out at the old process, %d at the new", old.attemptsInFlight, a.attemptsInFlight)
@@ -883,14 +929,14 @@
 }
 
 // What one request says of a shared beginning's length is not believed for another's.
-func TestLyingPrefixLengths(t *testing.T) {
-	set := base()
+func TestPrefixLengthIsNotTrustedAcrossRequests(t *testing.T) {
+	set := testSettings()
 	set.Balancers = 1
 	r := New(set, 1)
-	feed(r, second, ready("a"))
+	feed(r, second, engineList("a"))
 	a := r.engines["a"]
 	with := func(length float64) *request {
-		q := &request{Request: *ask(1, 9*second)}
+		q := &request{Request: *newRequest(1, 9*second)}
 		q.Session, q.Prefix, q.PrefixTokens = 0, 77, length
 		return q
 	}
@@ -907,26 +953,30 @@
 }
 
 // A stream that its client was slow to take says nothing of the engine's pace.
-func TestHeldStreamsTeachNoPace(t *testing.T) {
-	set := base()
+func TestStreamsSlowedByClientsTeachNoPace(t *testing.T) {
+	set := testSettings()
 	set.SecondCopies, set.Balancers = false, 1
 	pace := func(held bool) float64 {
 		r := New(set, 1)
-		feed(r, second, ready("a"))
+		feed(r, second, engineList("a"))
 		now := second
 		for id := int64(1); id <= 60; id++ {
 			now += 5 * second
-			send := feed(r, now, ask(id, now+9*second))
+			send := feed(r, now, newRequest(id, now+9*second))
 			gap := 20 * ms
 			if loud := id%2 == 0; loud && held {
 				gap = 200 * ms
 			}
 			feed(r, now+100*ms, &FirstToken{Request: id, Elapsed: 100 * ms})
-			feed(r, now+4*second, &Outcome{Request: id, Last: true, Engine: send[0].Engine, Tokens: 50, Elapsed: 100*ms + 50*gap,
-				Held: gap > 20*ms})
+			feed(
+				r,
+				now+4*second,
+				&Outcome{Request: id, Last: true, Engine: send[0].Engine, Tokens: 50, Elapsed: 100*ms + 50*gap,
+					Held: gap > 20*ms},
+			)
 		}
 		o := option{engine: r.engines["a"]}
-		r.predict(&request{Request: *ask(999, now+9*second)}, &o)
+		r.predict(&request{Request: *newRequest(999, now+9*second)}, &o)
 		return o.pace
 	}
 	if quiet, loud := pace(false), pace(true); loud > 1.2*quiet {
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// Clocks may be stepped by an hour, this gateway's or the one that tells starts. A start that is heard of after a list was told has
-// happened since: the engine is cold, whatever time the start is told to have had.
-func TestStartsThatClocksTellWrong(t *testing.T) {
+// Clocks may be stepped by an hour, this gateway's or the one that tells starts. A start that is heard of after a
+// list was told has happened since: the engine is cold, whatever time the start is told to have had.
+func TestStartTimesSurviveClockSteps(t *testing.T) {
 	const now = 1_000_000 * second
 	const hour = 3600 * second
 	for name, told := range map[string]int64{"clock right": now, "clock forward": now - hour, "clock back": now + hour} {
-		r := New(base(), 1)
-		feed(r, now-20*second, ready("a", "b")) // what it starts with
-		feed(r, now-15*second, ready("a", "b"))
-		l := ready("a", "b")
+		r := New(testSettings(), 1)
+		feed(r, now-20*second, engineList("a", "b")) // what it starts with
+		feed(r, now-15*second, engineList("a", "b"))
+		l := engineList("a", "b")
 		l.Engines[0].ReadyAt = told
 		feed(r, now, l)
 		a, b := r.engines["a"], r.engines["b"]
@@ -32,11 +32,11 @@
 }
 
 // A gateway may start with an old list: what is new in the next one may have started long ago.
-func TestStartsBehindAnOldList(t *testing.T) {
+func TestStartsBehindOutdatedList(t *testing.T) {
 	const now = 1_000_000 * second
-	r := New(base(), 1)
-	feed(r, now-second, ready("a"))
-	l := ready("a", "b")
+	r := New(testSettings(), 1)
+	feed(r, now-second, engineList("a"))
+	l := engineList("a", "b")
 	l.Engines[1].ReadyAt = now - 60*second
 	feed(r, now, l)
 	if got := r.warmFraction(r.engines["b"]); got != 1 {
@@ -47,12 +47,18 @@
 // In the first list of all a start may be as old as it is told to be; one in the future counts from now.
 func TestStartsInTheFirstList(t *testing.T) {
 	const now = 1_000_000 * second
-	r := New(base(), 1)
-	l := ready("old", "young", "future")
+	r := New(testSettings(), 1)
+	l := engineList("old", "young", "future")
 	l.Engines[0].ReadyAt, l.Engines[1].ReadyAt, l.Engines[2].ReadyAt = now-3600*second, now-second, now+3600*second
 	feed(r, now, l)
-	if r.warmFraction(r.engines["old"]) != 1 || r.warmFraction(r.engines["young"]) > 0.6 || r.warmFraction(r.engines["future"]) > r.settings.ColdShare {
-		t.Errorf("taken to have %.2f, %.2f and %.2f of their capacity", r.warmFraction(r.engines["old"]), r.warmFraction(r.engines["young"]), r.warmFraction(r.engines["future"]))
+	if r.warmFraction(r.engines["old"]) != 1 || r.warmFraction(r.engines["young"]) > 0.6 ||
+		r.warmFraction(r.engines["future"]) > r.settings.ColdShare {
+		t.Errorf(
+			"taken to have %.2f, %.2f and %.2f of their capacity",
+			r.warmFraction(r.engines["old"]),
+			r.warmFraction(r.engines["young"]),
+			r.warmFraction(r.engines["future"]),
+		)
 	}
 	feed(r, now+r.settings.WarmUp+second)
 	feed(r, now+r.settings.WarmUp+second, &TimerFired{Token: tokenTick})
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -4,32 +4,32 @@
 
 // beside is a router with two engines, and what it predicts of a quiet tenant's request.
 func beside(quota float64) (r *Router, predicted func(now int64) float64) {
-	set := base()
+	set := testSettings()
 	set.SecondCopies, set.Balancers, set.MaxAttempts = false, 1, 3
 	set.Tenants = []Tenant{{Share: 0.5, QuotaRPS: quota}, {Share: 0.5, QuotaRPS: quota}}
 	r = New(set, 1)
-	feed(r, second, ready("a", "b"))
+	feed(r, second, engineList("a", "b"))
 	return r, func(now int64) float64 {
 		r.now = now
 		o := option{engine: r.engines["a"]}
-		r.predict(&request{Request: *ask(1<<40, now+9*second)}, &o)
+		r.predict(&request{Request: *newRequest(1<<40, now+9*second)}, &o)
 		return o.ttft
 	}
 }
 
 // loud is a request of the loud tenant, in a session of its own.
 func loud(id, expires int64) *Request {
-	q := ask(id, expires)
+	q := newRequest(id, expires)
 	q.Tenant, q.PromptTokens = 1, 30_000
 	return q
 }
 
 // A flood of sessions and shared beginnings pushes a quiet session out of the table only after as many entries as a
 // generation holds: at 500 requests a second after half a minute, longer than anybody thinks.
-func TestAFloodOfSessions(t *testing.T) {
+func TestSessionFloodDoesNotEvictQuietSession(t *testing.T) {
 	r, _ := beside(0)
 	a := r.engines["a"]
-	quiet := &request{Request: *ask(1<<40, 9*second)}
+	quiet := &request{Request: *newRequest(1<<40, 9*second)}
 	r.remember(quiet, a, quiet.PromptTokens)
 	for id := int64(1); id < tableSize/2; id++ {
 		q := &request{Request: *loud(id, 9*second)}
@@ -44,9 +44,9 @@
 	}
 }
 
-// Clients that leave at once hold nothing against the box that they left: what they would have had it read fades by half
-// in 0.4 s, so that five seconds after 300 of them others see it as before.
-func TestEarlyLeavers(t *testing.T) {
+// Clients that leave at once hold nothing against the box that they left: what they would have had it read fades by
+// half in 0.4 s, so that five seconds after 300 of them others see it as before.
+func TestEarlyDisconnectsAreForgotten(t *testing.T) {
 	r, predicted := beside(0)
 	now, before := 2*second, predicted(2*second)
 	for id := int64(1); id <= 300; id++ {
@@ -63,22 +63,23 @@
 		t.Fatalf("%.2f s to the first token predicted, %.2f before the leavers", after, before)
 	}
 	for _, e := range r.engines {
-		if e.suspect || e.attemptsInFlight != 0 || e.tokensInFlight != 0 || len(e.unanswered) != 0 || len(r.requests) != 0 {
+		if e.suspect || e.attemptsInFlight != 0 || e.tokensInFlight != 0 || len(e.unanswered) != 0 ||
+			len(r.requests) != 0 {
 			t.Fatalf("%s is held to account: %+v", e.Name, e)
 		}
 	}
 }
 
-// A tenant that comes again at once when it is refused is refused first, and the quiet one is not; without quotas, which
-// are the guard, half of the quiet one's requests go too.
-func TestInstantRetries(t *testing.T) {
+// A tenant that comes again at once when it is refused is refused first, and the quiet one is not; without quotas,
+// which are the guard, half of the quiet one's requests go too.
+func TestInstantRetriesAreShedFirst(t *testing.T) {
 	refused := func(quota float64) (n int) {
 		r, _ := beside(quota)
 		now := 2 * second
 		for id := int64(1); id <= 4000; id++ {
 			now += 2 * ms
 			r.shedFraction, r.shedFractionAt = 0.5, now
-			q := ask(id, now+9*second)
+			q := newRequest(id, now+9*second)
 			if q.Tenant = 1; id%100 == 0 { // 5 a second, beside 495
 				q.Tenant = 0
 			}
@@ -87,7 +88,12 @@
 					n++
 				}
 				if act.Kind == Send {
-					feed(r, now, &Left{Request: id}, &Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine})
+					feed(
+						r,
+						now,
+						&Left{Request: id},
+						&Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine},
+					)
 				}
 			}
 		}
@@ -101,9 +107,9 @@
 	}
 }
 
-// Requests that every box answers with 500 leave no box out for the others, once it shows that they fail wherever they go;
-// errors of a box, whoever asks there, go on leaving it out.
-func TestRequestsThatFailEverywhere(t *testing.T) {
+// Requests that every box answers with 500 leave no box out for the others, once it shows that they fail wherever
+// they go; errors of a box, whoever asks there, go on leaving it out.
+func TestRequestsThatFailEverywhereEjectNoEngine(t *testing.T) {
 	r, _ := beside(0)
 	now, id := 2*second, int64(0)
 	ask := func(tenant int, at *engine, code Code) {
@@ -137,11 +143,11 @@
 	}
 }
 
-// The rules' second line: whatever asks for it, nothing is picked while an attempt is out where copies are forbidden, nor
-// beyond the attempts that a request may have.
-func TestNothingIsPickedBeyondTheRules(t *testing.T) {
+// The rules' second line: whatever asks for it, nothing is picked while an attempt is out where copies are forbidden,
+// nor beyond the attempts that a request may have.
+func TestNoAttemptBeyondLimits(t *testing.T) {
 	r, _ := beside(0)
-	q := &request{Request: *ask(1, 9*second), arrivedAt: second}
+	q := &request{Request: *newRequest(1, 9*second), arrivedAt: second}
 	r.requests[1] = q
 	r.now = second
 	r.send(q, &option{engine: r.engines["a"], features: vec{1}})
@@ -161,11 +167,16 @@
 }
 
 // However many gateways hear of a start together, none sends at once: each has saved up less than a request.
-func TestNoGatewaySendsToAFreshBoxAtOnce(t *testing.T) {
+func TestNoGatewaySendsToStartedEngineAtOnce(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
-		r := New(base(), seed)
+		r := New(testSettings(), seed)
 		now := 100 * second
-		feed(r, now, ready("a", "b"), &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}})
+		feed(
+			r,
+			now,
+			engineList("a", "b"),
+			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
+		)
 		if r.hasColdBudget(r.engines["b"]) {
 			t.Fatalf("seed %d has room at once", seed)
 		}
@@ -174,40 +185,53 @@
 
 // A box is sent by what it can do at that moment: at its start a seventh of what it can when warm, times what the rule
 // allows, and no more in any of its windows.
-func TestAColdBoxIsSentByItsWarmth(t *testing.T) {
-	set := base()
+func TestColdEngineGetsRequestsByItsWarmth(t *testing.T) {
+	set := testSettings()
 	set.Balancers, set.WarmUp, set.ColdShare, set.FallFactor = 1, 24*second, 0.13, 4
 	r := New(set, 1)
 	now := 100 * second
-	feed(r, now, ready("a", "b"), &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}})
+	feed(
+		r,
+		now,
+		engineList("a", "b"),
+		&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
+	)
 	e := r.engines["b"]
 	for from := now; from < now+24*second; from += set.Fall {
 		sent := 0.0
 		for r.now = from; r.now < from+set.Fall; r.now += 10 * ms {
-			if r.requestRate = 20; r.hasColdBudget(e) { // 10 a second for each of two boxes, which they can do when warm
+			if r.requestRate = 20; r.hasColdBudget(
+				e,
+			) { // 10 a second for each of two boxes, which they can do when warm
 				e.coldTokens--
 				sent++
 			}
 		}
 		can := 10 * seconds(set.Fall) * (set.ColdShare + (1-set.ColdShare)*seconds(from-now)/seconds(set.WarmUp))
 		if most := set.FallFactor * can; sent > most+1 || sent == 0 {
-			t.Fatalf("%v sent in the window %d s after its start, of %.1f that push it over", sent, (from-now)/second, most)
+			t.Fatalf(
+				"%v sent in the window %d s after its start, of %.1f that push it over",
+				sent,
+				(from-now)/second,
+				most,
+			)
 		}
 	}
 }
 
-// An engine that staff put back is the next one used, within its cold budget, and that once: then it is one among others.
-func TestPutBackIsUsedSoon(t *testing.T) {
-	s := base()
+// An engine that staff put back is the next one used, within its cold budget, and that once: then it is one among
+// others.
+func TestReinstatedEngineIsUsedNext(t *testing.T) {
+	s := testSettings()
 	s.WarmUp, s.ColdShare, s.FallFactor = 24*second, 0.13, 4
 	r := New(s, 1)
 	now := int64(1000) * second
-	feed(r, now, ready("a", "b", "c", "d"))
+	feed(r, now, engineList("a", "b", "c", "d"))
 	id, first := int64(0), map[string]int64{}
 	run := func(until int64) {
 		for ; now < until; now += 100 * ms {
 			id++
-			q := ask(id, now+4*second)
+			q := newRequest(id, now+4*second)
 			q.Session, q.PromptTokens = 7, 1000 // a conversation that has its engine
 			for _, a := range feed(r, now, q) {
 				if a.Kind != Send {
@@ -238,13 +262,13 @@
 
 // A router that takes over in the middle of the traffic knows its rate within seconds: it would else allow cold engines
 // next to nothing while the warm ones drown.
-func TestRateOfAYoungRouter(t *testing.T) {
-	r := New(base(), 1)
+func TestNewRouterLearnsItsRateWithinSeconds(t *testing.T) {
+	r := New(testSettings(), 1)
 	now := int64(1000) * second
-	feed(r, now, ready("a"))
+	feed(r, now, engineList("a"))
 	for id := int64(1); id <= 36; id++ { // 12 a second for 3 s
 		now += second / 12
-		feed(r, now, ask(id, now+4*second))
+		feed(r, now, newRequest(id, now+4*second))
 	}
 	if r.requestRate < 9 || r.requestRate > 13 {
 		t.Fatalf("rate of 12 a second is taken to be %.1f", r.requestRate)
--- a/unreported_load_test.go
+++ b/unreported_load_test.go
@@ -6,7 +6,7 @@
 
 // blind is a deployment whose engines tell nobody their load.
 func blind() Settings {
-	s := base()
+	s := testSettings()
 	s.Reports, s.SecondCopies, s.Zones, s.CrossZonePrice, s.Balancers = ReportNone, false, 5, 0.015, 10
 	return s
 }
@@ -15,14 +15,14 @@
 func inZones(n, zones int) *EngineList {
 	l := &EngineList{Kind: ListFull}
 	for i := range n {
-		l.Engines = append(l.Engines, Engine{Name: name(i), Size: 1, Zone: i % zones})
+		l.Engines = append(l.Engines, Engine{Name: engineName(i), Size: 1, Zone: i % zones})
 	}
 	return l
 }
 
-// A gateway that sees no load does not know whether its zone bears its traffic: it uses the whole fleet, unless crossing costs more
-// than that. With reports it prefers its own zone.
-func TestWithoutLoadsTheOwnZoneIsNotPreferred(t *testing.T) {
+// A gateway that sees no load does not know whether its zone bears its traffic: it uses the whole fleet, unless
+// crossing costs more than that. With reports it prefers its own zone.
+func TestWithoutReportsOwnZoneIsNotPreferred(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		reports ReportMode
@@ -37,13 +37,18 @@
 		own, all := 0, 0
 		for id := range int64(400) {
 			now := second + id*100*ms
-			for _, a := range feed(r, now, ask(id+1, now+4*second)) {
+			for _, a := range feed(r, now, newRequest(id+1, now+4*second)) {
 				if a.Kind == Send {
 					all++
 					if r.engines[a.Engine].Zone == s.Zone {
 						own++
 					}
-					feed(r, now+50*ms, &FirstToken{Request: id + 1, Elapsed: 50 * ms}, &Outcome{Request: id + 1, Code: Served, Engine: a.Engine, Elapsed: 90 * ms})
+					feed(
+						r,
+						now+50*ms,
+						&FirstToken{Request: id + 1, Elapsed: 50 * ms},
+						&Outcome{Request: id + 1, Code: Served, Engine: a.Engine, Elapsed: 90 * ms},
+					)
 				}
 			}
 		}
@@ -54,19 +59,24 @@
 	}
 }
 
-// An engine that keeps its requests waiting is not sent more on the word of those that it answered before: neither by its rank, nor
-// since it keeps the prompt.
-func TestWithoutLoadsWaitsShowThem(t *testing.T) {
+// An engine that keeps its requests waiting is not sent more on the word of those that it answered before: neither by
+// its rank, nor since it keeps the prompt.
+func TestWithoutReportsWaitsRevealLoad(t *testing.T) {
 	t.Parallel()
 	s := blind()
 	s.Zones, s.CrossZonePrice, s.Balancers, s.Cancel = 1, 0, 1, false
 	r := New(s, 1)
-	feed(r, second, ready("a", "b"))
+	feed(r, second, engineList("a", "b"))
 	kept := &Request{ID: 1, Expires: 5 * second, Session: 7, PromptTokens: 4000, MaxTokens: 100}
 	first := feed(r, second, kept)
 	expect(t, first, "send ")
 	busy := first[0].Engine
-	feed(r, second+50*ms, &FirstToken{Request: 1, Elapsed: 50 * ms}, &Outcome{Request: 1, Code: Served, Engine: busy, Kept: 4000, Elapsed: 90 * ms})
+	feed(
+		r,
+		second+50*ms,
+		&FirstToken{Request: 1, Elapsed: 50 * ms},
+		&Outcome{Request: 1, Code: Served, Engine: busy, Kept: 4000, Elapsed: 90 * ms},
+	)
 	now := 2 * second
 	again := func(id int64) string {
 		q := *kept
@@ -96,9 +106,10 @@
 	}
 }
 
-// Attempts that end without a first token show an overload: a part is refused at once, soon after the start too, and nothing is called
-// off to be read again elsewhere. Aims that are met bring it back. With reports they count as before.
-func TestWithoutLoadsWhatIsInVainIsRefused(t *testing.T) {
+// Attempts that end without a first token show an overload: a part is refused at once, soon after the start too, and
+// nothing is called off to be read again elsewhere. Aims that are met bring it back. With reports they count as
+// before.
+func TestWithoutReportsHopelessRequestsAreShed(t *testing.T) {
 	t.Parallel()
 	for _, reports := range []ReportMode{ReportNone, ReportReplies} {
 		s := blind()
@@ -109,15 +120,24 @@
 		play := func(n int, answered bool) (refused int) {
 			for range n {
 				id, now = id+1, now+300*ms
-				for _, a := range feed(r, now, ask(id, now+4*second)) {
+				for _, a := range feed(r, now, newRequest(id, now+4*second)) {
 					switch {
 					case a.Kind == Shed:
 						refused++
 					case a.Kind == Send && answered:
-						feed(r, now+50*ms, &FirstToken{Request: id, Elapsed: 50 * ms}, &Outcome{Request: id, Code: Served, Engine: a.Engine, Elapsed: 90 * ms})
+						feed(
+							r,
+							now+50*ms,
+							&FirstToken{Request: id, Elapsed: 50 * ms},
+							&Outcome{Request: id, Code: Served, Engine: a.Engine, Elapsed: 90 * ms},
+						)
 					case a.Kind == Send:
 						r.engines[a.Engine].slowness = 0 // the fleet's trouble, not its own
-						feed(r, now+4*second, &Outcome{Request: id, Code: NoAnswer, Last: true, Engine: a.Engine, Elapsed: 4 * second})
+						feed(
+							r,
+							now+4*second,
+							&Outcome{Request: id, Code: NoAnswer, Last: true, Engine: a.Engine, Elapsed: 4 * second},
+						)
 					}
 				}
 			}
@@ -135,26 +155,26 @@
 	}
 }
 
-// The part that is refused falls as aims are met; where no load is told time alone hardly changes it, for the next requests find
-// the servers as the last ones left them.
-func TestWithoutLoadsTimeTellsNothing(t *testing.T) {
+// The part that is refused falls as aims are met; where no load is told time alone hardly changes it, for the next
+// requests find the servers as the last ones left them.
+func TestWithoutReportsSheddingDoesNotDecayWithTime(t *testing.T) {
 	t.Parallel()
 	for reports, least := range map[ReportMode]float64{ReportNone: 0.35, ReportReplies: 0} {
 		s := blind()
 		s.Reports = reports
 		r := New(s, 1)
-		feed(r, second, ready("a"))
+		feed(r, second, engineList("a"))
 		r.shedFraction, r.shedFractionAt = 0.5, second
-		feed(r, 6*second, ask(1, 9*second))
+		feed(r, 6*second, newRequest(1, 9*second))
 		if r.shedFraction < least || least == 0 && r.shedFraction > 0 {
 			t.Errorf("%v: %.2f after 5 s", reports, r.shedFraction)
 		}
 	}
 }
 
-// What waits on an engine that says nothing is called off, to be tried elsewhere; not while the fleet is overloaded and nobody tells the
-// load, for its engines would read it twice.
-func TestWithoutLoadsNothingIsCalledOffInAnOverload(t *testing.T) {
+// What waits on an engine that says nothing is called off, to be tried elsewhere; not while the fleet is overloaded
+// and nobody tells the load, for its engines would read it twice.
+func TestWithoutReportsNoCancelInOverload(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		reports ReportMode
@@ -164,29 +184,38 @@
 		s := blind()
 		s.Reports, s.Classes[0].LateWorth = c.reports, 0.5
 		r := New(s, 1)
-		feed(r, second, ready("a"))
-		expect(t, feed(r, second, ask(1, 9*second)), "send ")
-		feed(r, second, ready("a", "b", "c", "d"))
+		feed(r, second, engineList("a"))
+		expect(t, feed(r, second, newRequest(1, 9*second)), "send ")
+		feed(r, second, engineList("a", "b", "c", "d"))
 		r.shedFraction, r.shedFractionAt = c.cut, second
 		expect(t, tick(r, 4*second), c.want)
 	}
 }
 
-// Calling an attempt off is paid for with the right to repeat it: none is called off that then could not be tried elsewhere.
-func TestCallingOffIsPaidFor(t *testing.T) {
+// Calling an attempt off is paid for with the right to repeat it: none is called off that then could not be tried
+// elsewhere.
+func TestCancelConsumesRetryBudget(t *testing.T) {
 	t.Parallel()
-	s := base()
+	s := testSettings()
 	s.SecondCopies, s.Balancers, s.Classes[0].LateWorth = false, 1, 0.5
 	r := New(s, 1)
-	feed(r, second, ready("a"))
+	feed(r, second, engineList("a"))
 	for id := range int64(6) {
-		expect(t, feed(r, second, ask(id+1, 9*second)), "send ")
+		expect(t, feed(r, second, newRequest(id+1, 9*second)), "send ")
 	}
 	r.retryBudget = 2
-	feed(r, second, ready("a", "b", "c", "d"))
+	feed(r, second, engineList("a", "b", "c", "d"))
 	called := feed(r, 8*second, &TimerFired{Token: tokenTick})
 	expect(t, called, "cancel cancel ")
 	for _, a := range called {
-		expect(t, feed(r, 8*second, &Outcome{Request: a.Request, Attempt: 0, Code: Cancelled, Engine: "a", Elapsed: 7 * second}), "send ")
+		expect(
+			t,
+			feed(
+				r,
+				8*second,
+				&Outcome{Request: a.Request, Attempt: 0, Code: Cancelled, Engine: "a", Elapsed: 7 * second},
+			),
+			"send ",
+		)
 	}
 }
