--- a/walltime_test.go
+++ b/walltime_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// wallTimeAllowed are the files that may turn times into Unix numbers, and why. What is marked open is not mended yet; ROADMAP lists it.
+// wallTimeAllowed are the files that may turn times into Unix numbers, and why. What is marked open is not mended
+// yet; ROADMAP lists it.
 var wallTimeAllowed = map[string]string{
 	"internal/clock/clock.go":             "owns time",
 	"internal/batch/model.go":             "created_at and expires_at are shown as Unix seconds",
@@ -27,12 +28,13 @@
 	"internal/testpeer/drain/check.go":    "compares moments of one process",
 }
 
-// Guards against instants that are numbers of the wall clock, which may be stepped: internal/clock alone makes them. The laboratory has
-// a time of its own.
+// Guards against instants that are numbers of the wall clock, which may be stepped: internal/clock alone makes them.
+// The laboratory has a time of its own.
 func TestNoWallTime(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasPrefix(path, "internal/lab/") {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") ||
+			strings.HasPrefix(path, "internal/lab/") {
 			return err
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
