--- a/internal/dnssd/browser/multicast.go
+++ b/internal/dnssd/browser/multicast.go
@@ -26,27 +26,27 @@
 }
 
 // runMulticast browses by mDNS until ctx ends.
-func (f *Browser) runMulticast(ctx context.Context) {
-	transport, err := f.DialMDNS()
+func (b *Browser) runMulticast(ctx context.Context) {
+	transport, err := b.DialMDNS()
 	if err != nil {
-		f.recordContact(MDNS, err)
+		b.recordContact(MDNS, err)
 		<-ctx.Done()
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { _ = transport.Close() })
 	defer stop()
 	base := time.Now()
-	b := &multicastBrowser{
-		Browser:   f,
+	m := &multicastBrowser{
+		Browser:   b,
 		transport: transport,
-		querier:   mdns.New(f.Service, rand.Float64),
+		querier:   mdns.New(b.Service, rand.Float64),
 		base:      base,
 		epoch:     clock.Of(base),
 	}
 	inbox := make(chan []byte, inboxSize)
 	// The reader ends once ctx has ended and the transport is closed; nothing that it holds outlives that.
-	go b.receive(ctx, inbox)
-	b.run(ctx, inbox)
+	go m.receive(ctx, inbox)
+	m.run(ctx, inbox)
 }
 
 // receive passes messages on to inbox until ctx ends, and then closes it.
