--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// SetReadDeadline implements net.Conn. While the connection is asked to close the server's deadline is kept, and not set.
-// A zero time tells that the server has come to a request, whose bytes may have been read behind the one before.
+// SetReadDeadline implements net.Conn. While the connection is asked to close the server's deadline is kept, and not
+// set. A zero time tells that the server has come to a request, whose bytes may have been read behind the one before.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
 
 	"standpoint/internal/testpeer"
 )
@@ -64,11 +65,12 @@
 				t.Parallel()
 				forwarded := make(chan string, 10)
 				held := testpeer.HoldDials(1)
-				n := testpeer.StartWrapped(t, func(conn net.Conn) net.Conn { return conn }, held.Dial, testpeer.Settings(),
-					testpeer.Endpoint("s", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
-						forwarded <- r.Header.Get("X-Trace-Id")
-						answerAlways(w, r)
-					})))
+				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+					forwarded <- r.Header.Get("X-Trace-Id")
+					answerAlways(w, r)
+				})
+				n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial,
+					testpeer.Endpoint("s", backend))
 				conn := n.Dial().(*net.TCPConn)
 				_, err := conn.Write(rawRequest(t, n, 10, withHeader("X-Expires-In", "30000m")))
 				require.NoError(t, err)
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -65,8 +65,8 @@
 	requireMetrics(counts(5, 1, 3, 8, 0))
 }
 
-// scriptedBackend answers by the request's id: "held" closes hold and waits for release, "cut" is broken off, "wrong" is
-// rejected as invalid, and any other is served.
+// scriptedBackend answers by the request's id: "held" closes hold and waits for release, "cut" is broken off, "wrong"
+// is rejected as invalid, and any other is served.
 func scriptedBackend(hold chan<- struct{}, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/internal/edge/pipelining_test.go
+++ b/internal/edge/pipelining_test.go
@@ -60,7 +60,8 @@
 			left := make(chan error, 1)
 			if test.ending {
 				require.NoError(t, <-sent)
-				require.Eventually(t, func() bool { return n.Connections.Pipelined() == 1 }, time.Second, time.Millisecond)
+				pipelined := func() bool { return n.Connections.Pipelined() == 1 }
+				require.Eventually(t, pipelined, time.Second, time.Millisecond)
 				require.NoError(t, n.Lifecycle.Enter(node.Draining))
 				go func() { left <- n.Connections.Drain(t.Context()) }()
 			}
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -42,9 +42,11 @@
 	t.Parallel()
 	for _, errno := range acceptErrors {
 		for name, place := range map[string]func(faults *testpeer.Faults){
-			"one call":      func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 1) },
-			"a few calls":   func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 20) },
-			"half a second": func(faults *testpeer.Faults) { faults.FailFor(testpeer.Accept, errno, 500*time.Millisecond) },
+			"one call":    func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 1) },
+			"a few calls": func(faults *testpeer.Faults) { faults.FailNext(testpeer.Accept, errno, 20) },
+			"half a second": func(faults *testpeer.Faults) {
+				faults.FailFor(testpeer.Accept, errno, 500*time.Millisecond)
+			},
 		} {
 			t.Run(fmt.Sprintf("%v for %s", errno, name), func(t *testing.T) {
 				t.Parallel()
