--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -163,7 +163,13 @@
 
 // Whatever an operator writes as a selector, it is read, or its error names a column.
 func FuzzSelector(f *testing.F) {
-	for _, s := range []string{`version == "v1"`, `site in ("a", "b") and not (kind == "fast")`, `label["x"] != ""`, `((((`, `a == "\x00`} {
+	for _, s := range []string{
+		`version == "v1"`,
+		`site in ("a", "b") and not (kind == "fast")`,
+		`label["x"] != ""`,
+		`((((`,
+		`a == "\x00`,
+	} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
