--- a/internal/dnssd/mdns/querier_test.go
+++ b/internal/dnssd/mdns/querier_test.go
@@ -183,8 +183,14 @@
 // FuzzHandle: whatever arrives, the querier stays within its bounds, what it sends can be packed, and instances that
 // have no fault have an address.
 func FuzzHandle(f *testing.F) {
-	for _, records := range [][]string{instanceRecords("a", 1), {listName + " 0 IN PTR a." + listName}, {"!a." + listName + " 120 IN SRV 0 0 0 ."},
-		{`!a.` + listName + ` 120 IN TXT "=x" "K=1" "k=2" "" "born_ms"`}, {"!a.local. 120 IN AAAA ::1"}, {listName + ` 9 IN PTR Hall\032A\.7\255.` + listName}} {
+	for _, records := range [][]string{
+		instanceRecords("a", 1),
+		{listName + " 0 IN PTR a." + listName},
+		{"!a." + listName + " 120 IN SRV 0 0 0 ."},
+		{`!a.` + listName + ` 120 IN TXT "=x" "K=1" "k=2" "" "born_ms"`},
+		{"!a.local. 120 IN AAAA ::1"},
+		{listName + ` 9 IN PTR Hall\032A\.7\255.` + listName},
+	} {
 		raw, err := response(f, records...).Pack()
 		if err != nil {
 			f.Fatal(err)
--- a/internal/dnssd/push/message_test.go
+++ b/internal/dnssd/push/message_test.go
@@ -93,7 +93,12 @@
 	f.Add(KeepaliveMessage(1, false, time.Minute, time.Minute))
 	f.Add(RetryDelayMessage(2, time.Minute))
 	f.Add(UnsubscribeMessage(3))
-	for _, text := range []string{"a.test. 9 IN SRV 1 2 3 b.test.", "a.test. 9 IN TXT \"k=v\" \"\"", "a.test. 9 IN A 127.0.0.1", "a.test. 9 IN AAAA ::1"} {
+	for _, text := range []string{
+		"a.test. 9 IN SRV 1 2 3 b.test.",
+		"a.test. 9 IN TXT \"k=v\" \"\"",
+		"a.test. 9 IN A 127.0.0.1",
+		"a.test. 9 IN AAAA ::1",
+	} {
 		rr, err := dns.NewRR(text)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/peers/membership_test.go
+++ b/internal/peers/membership_test.go
@@ -84,8 +84,14 @@
 				HoldTime:       100 * time.Millisecond,
 				OnCountChanged: func(int) {},
 				Log:            zap.NewNop(),
-				Browse: browser.Options{Server: s.Address, Mechanism: browser.Poll, Log: zap.NewNop(),
-					PollInterval: 50 * time.Millisecond, RefreshInterval: time.Second, Service: record.Service{Type: "_standpoint._tcp", Domain: "hall.test"}},
+				Browse: browser.Options{
+					Service:         record.Service{Type: "_standpoint._tcp", Domain: "hall.test"},
+					Server:          s.Address,
+					Mechanism:       browser.Poll,
+					PollInterval:    50 * time.Millisecond,
+					RefreshInterval: time.Second,
+					Log:             zap.NewNop(),
+				},
 			},
 		)
 		ctx, cancel := context.WithCancel(t.Context())
