--- a/internal/dnssd/resolver/query.go
+++ b/internal/dnssd/resolver/query.go
@@ -59,7 +59,8 @@
 			return Answer{}, fmt.Errorf("%s %s: %w", kind, name, err)
 		}
 		lastErr = err
-		transient.Sleep(ctx, timeout-time.Since(began)) // an attempt that fails at once must not be repeated at full speed
+		// An attempt that fails at once must not be repeated at full speed.
+		transient.Sleep(ctx, timeout-time.Since(began))
 		interval = min(2*interval, maxRetryInterval)
 	}
 	c.Failures.Add(1)
