--- a/placement.go
+++ b/placement.go
@@ -91,13 +91,15 @@
 			all = append(all, option{engine: c.engine, match: c.match, home: i == 0})
 		}
 	}
+	objective := r.latencyObjective(q)
+	class := r.class(q)
 	for i := range all {
 		o := &all[i]
 		if _, told := q.keptByEngine[o.engine]; o.home && !told && (q.Session != 0 || q.byPrefix) {
 			o.match = max(o.match, min(gateMatch-0.01, r.expectedMatch(q)))
 		}
 		r.predict(q, o)
-		r.rate(q, o, len(all))
+		r.rate(q, o, objective, class, len(all))
 	}
 	r.options = all
 	return all
@@ -126,9 +128,8 @@
 	return some
 }
 
-// rate sets the headroom of an option among so many.
-func (r *Router) rate(q *request, o *option, options int) {
-	objective := r.latencyObjective(q)
+// rate sets the headroom of an option among so many, by the objective and the class of its request.
+func (r *Router) rate(q *request, o *option, objective float64, class *Class, options int) {
 	if objective <= 0 {
 		o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.paceUpper*q.MaxTokens
 		return
@@ -136,8 +137,8 @@
 	left := objective - seconds(r.now-q.arrivedAt)
 	o.headroom = ttftWeight * (left - o.ttftUpper) / objective
 	room := (left - o.ttftUpper) / objective
-	if c := r.class(q); c.TPOTAim > 0 {
-		pace := 1 - o.paceUpper/seconds(c.TPOTAim)
+	if class.TPOTAim > 0 {
+		pace := 1 - o.paceUpper/seconds(class.TPOTAim)
 		o.headroom += (1 - ttftWeight) * pace
 		room = min(room, pace)
 	}
