--- a/admission.go
+++ b/admission.go
@@ -19,24 +19,24 @@
 	maxSharedSlowness = 0.7  // log slowness from which an engine's misses are its own
 )
 
-// density is the request's worth for each token of work that it is taken to need.
-func (r *Router) density(q *request) float64 {
+// valueDensity is the request's worth for each token of work that it is taken to need.
+func (r *Router) valueDensity(q *request) float64 {
 	match := 0.0
-	for _, e := range r.sample(q) {
+	for _, e := range r.sampleEngines(q) {
 		match = max(match, r.match(q, e))
 	}
 	if q.Session != 0 {
 		match = max(match, r.expectedMatch(q))
 	}
-	answer := q.MaxTokens * min(1, 1.3*math.Exp(r.classGaps[r.classIndex(q)].mean)/r.tokenGap)
+	answer := q.MaxTokens * min(1, 1.3*math.Exp(r.classTPOTRatios[r.classIndex(q)].mean)/r.baseTPOT)
 	tie := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be refused at once
 	work := requestCost + q.PromptTokens*(1-match) + outputTokenCost*answer
-	return tie * r.class(q).Worth * r.tenantWorth(q) / work
+	return tie * r.class(q).Weight * r.tenantWeight(q) / work
 }
 
-// tenantWorth is what a request counts, as a part of its worth, while its tenant sends more than its
+// tenantWeight is what a request counts, as a part of its worth, while its tenant sends more than its
 // quota. This gateway takes itself for a typical one, and allows for chance, since it sees few requests.
-func (r *Router) tenantWorth(q *request) float64 {
+func (r *Router) tenantWeight(q *request) float64 {
 	if q.Tenant >= 0 && q.Tenant < len(r.tenants) {
 		r.tenants[q.Tenant].count(r.now)
 	}
@@ -44,13 +44,13 @@
 	if over < overQuotaRatio {
 		return 1
 	}
-	return (1 + (over-1)*r.settings.OverShareWorth) / over
+	return (1 + (over-1)*r.settings.OverQuotaWeight) / over
 }
 
 // shedsForDensity tells that the fleet cannot serve all in time and this request is among the poorest part.
 func (r *Router) shedsForDensity(q *request) bool {
-	d := r.density(q)
-	below, n := r.rankDensity(d)
+	d := r.valueDensity(q)
+	below, n := r.rankValueDensity(d)
 	r.shedFraction = max(0, r.shedFraction-r.shedDecayRate()*seconds(r.now-r.shedFractionAt))
 	r.shedFractionAt = r.now
 	poor := n >= r.minRankedRequests() && r.shedFraction > 0 && float64(below) < r.shedFraction*float64(n)
@@ -93,21 +93,21 @@
 	return &r.tenants[q.Tenant]
 }
 
-// rankDensity keeps a request's worth for its work among the latest, and tells how many there were and
+// rankValueDensity keeps a request's worth for its work among the latest, and tells how many there were and
 // how many of them less.
-func (r *Router) rankDensity(density float64) (below, all int) {
-	for _, other := range r.recentDensities {
+func (r *Router) rankValueDensity(density float64) (below, all int) {
+	for _, other := range r.recentValueDensities {
 		if other < density {
 			below++
 		}
 	}
-	all = len(r.recentDensities)
-	if all < rankedRequests {
-		r.recentDensities = append(r.recentDensities, density)
+	all = len(r.recentValueDensities)
+	if all < maxRankedRequests {
+		r.recentValueDensities = append(r.recentValueDensities, density)
 		return below, all
 	}
-	r.recentDensities[r.nextDensity] = density
-	r.nextDensity = (r.nextDensity + 1) % rankedRequests
+	r.recentValueDensities[r.nextValueDensity] = density
+	r.nextValueDensity = (r.nextValueDensity + 1) % maxRankedRequests
 	return below, all
 }
 
@@ -117,7 +117,7 @@
 	if q.Tenant < 0 || q.Tenant >= len(r.tenants) || !(r.settings.Tenants[q.Tenant].QuotaRPS > 0) {
 		return 0
 	}
-	return r.tenants[q.Tenant].rate * float64(r.settings.Balancers) / r.settings.Tenants[q.Tenant].QuotaRPS
+	return r.tenants[q.Tenant].rate * float64(r.settings.Gateways) / r.settings.Tenants[q.Tenant].QuotaRPS
 }
 
 // shedRateWeight is that of a request in the shares refused.
@@ -145,11 +145,11 @@
 		}
 	}
 	share := float64(longer) / max(1, float64(len(c.prompts)))
-	if len(c.prompts) < rankedRequests {
+	if len(c.prompts) < maxRankedRequests {
 		c.prompts = append(c.prompts, prompt)
 	} else {
 		c.prompts[c.nextPrompt] = prompt
-		c.nextPrompt = (c.nextPrompt + 1) % rankedRequests
+		c.nextPrompt = (c.nextPrompt + 1) % maxRankedRequests
 	}
 	for i, most := range promptBands {
 		if share < most {
@@ -182,30 +182,30 @@
 // shedDecayRate is how fast the refused part falls, in parts a second.
 func (r *Router) shedDecayRate() float64 {
 	if r.lacksReports() {
-		return unreportedShedDecay
+		return unreportedShedFractionDecay
 	}
 	// What a sparse gateway has seen is not undone by time in which it sees nothing.
-	if r.hearsFromDirectory() && r.requestRate < minObjectiveRate {
-		return shedDecay * min(1, r.requestRate/minObjectiveRate)
+	if r.hasRecentDirectoryAnswer() && r.requestRate < minObjectiveRate {
+		return shedFractionDecay * min(1, r.requestRate/minObjectiveRate)
 	}
-	return shedDecay
+	return shedFractionDecay
 }
 
 // metObjectiveWeight is how many objectives met undo one missed.
 func (r *Router) metObjectiveWeight() float64 {
-	if r.hearsFromDirectory() && r.requestRate < minObjectiveRate {
-		return sparseMetPerMissed
+	if r.hasRecentDirectoryAnswer() && r.requestRate < minObjectiveRate {
+		return sparseMetObjectivesPerMiss
 	}
-	return metPerMissed
+	return metObjectivesPerMiss
 }
 
 // minRankedRequests is how many requests must have come before the poorest are refused. Where no load is
 // told a gateway that has just started must not add to an overload for long.
 func (r *Router) minRankedRequests() int {
 	if r.lacksReports() {
-		return unreportedMinRanked
+		return unreportedMinRankedRequests
 	}
-	return minRanked
+	return defaultMinRankedRequests
 }
 
 // isFutile tells that the request would come too late even at the best engine, by what directory owners
@@ -213,7 +213,7 @@
 // tenant or length loses too much by it.
 func (r *Router) isFutile(q *request, best *option) bool {
 	aim := r.latencyObjective(q)
-	if aim <= 0 || r.class(q).LateWorth > 0 || best.unloadedTTFT+seconds(r.now-q.arrivedAt) <= aim {
+	if aim <= 0 || r.class(q).LateWeight > 0 || best.unloadedTTFT+seconds(r.now-q.arrivedAt) <= aim {
 		return false
 	}
 	r.adjustShedding(best.engine, true)
--- a/affinity.go
+++ b/affinity.go
@@ -16,7 +16,7 @@
 		prefix := r.lookupMatch(mix(q.Prefix, e.hash+prefixSalt), e.firstSeenAt)
 		tokens = max(tokens, min(q.PrefixTokens, prefix))
 	}
-	return min(1, max(tokens, q.keptByEngine[e])/q.PromptTokens)
+	return min(1, max(tokens, q.cachedByEngine[e])/q.PromptTokens)
 }
 
 // expectedMatch is the share of the prompt that the session's home keeps, as far as the class has shown.
@@ -75,8 +75,9 @@
 	return k.tokens
 }
 
-// remember notes what an engine keeps by now. What a process read that was replaced since is gone with it.
-func (r *Router) remember(q *request, e *engine, tokens float64) {
+// recordCachedPrompt records that an engine has the request's prompt cached. A process that has been replaced
+// since took its cache with it, so nothing is recorded for it.
+func (r *Router) recordCachedPrompt(q *request, e *engine, tokens float64) {
 	if r.engines[e.Name] != e {
 		return
 	}
@@ -90,9 +91,9 @@
 	}
 }
 
-// forgetMatch forgets that an engine keeps the prompt of an attempt that never reached it, unless that
+// forgetCachedPrompt forgets that an engine keeps the prompt of an attempt that never reached it, unless that
 // was noted anew since.
-func (r *Router) forgetMatch(a *attempt) {
+func (r *Router) forgetCachedPrompt(a *attempt) {
 	keys := []uint64{
 		mix(a.request.Session, a.engine.hash+sessionSalt),
 		mix(a.request.Prefix, a.engine.hash+prefixSalt),
@@ -104,11 +105,11 @@
 	}
 }
 
-// Holds notes, from another gateway's word, that a process of an engine holds so many tokens of a request's
-// prompt.
-func (r *Router) Holds(q *Request, engine string, readyAt int64, tokens float64, now int64) {
+// RecordCachedPrompt records that another gateway reported a process of an engine, identified by its start,
+// to have this many tokens of a request's prompt cached.
+func (r *Router) RecordCachedPrompt(q *Request, engine string, readyAt int64, tokens float64, now int64) {
 	if e := r.engines[engine]; e != nil && e.ReadyAt == readyAt {
 		r.now = max(r.now, now)
-		r.remember(&request{Request: *q}, e, clamp(tokens, 1e9))
+		r.recordCachedPrompt(&request{Request: *q}, e, clamp(tokens, 1e9))
 	}
 }
--- a/api.go
+++ b/api.go
@@ -37,18 +37,18 @@
 
 // Class describes one class of requests. Times are in nanoseconds.
 type Class struct {
-	Effect      Effect  `json:"Effect"`
-	Group       Group   `json:"Group"`
-	Window      int64   `json:"Window"`
-	Streamed    bool    `json:"Streamed"`
-	TTFTAim     int64   `json:"TTFTAim"`    // first token, or whole answer if not streamed, wanted within this
-	AimPer1000  int64   `json:"AimPer1000"` // added to TTFTAim for each 1,000 prompt tokens
-	TPOTAim     int64   `json:"TPOTAim"`    // wanted gap between tokens; 0: none
-	AimStretch  float64 `json:"AimStretch"`
-	Deadline    int64   `json:"Deadline"`
-	Worth       float64 `json:"Worth"`
-	LateWorth   float64 `json:"LateWorth"`
-	Description string  `json:"Description"`
+	Effect                     Effect  `json:"Effect"`
+	Group                      Group   `json:"Group"`
+	Window                     int64   `json:"Window"`
+	Streamed                   bool    `json:"Streamed"`
+	TTFTObjective              int64   `json:"TTFTAim"`    // to the first token; not streamed: to the end
+	TTFTObjectivePer1000Tokens int64   `json:"AimPer1000"` // added to TTFTObjective for each 1,000 prompt tokens
+	TPOTObjective              int64   `json:"TPOTAim"`    // wanted gap between tokens; 0: none
+	ObjectiveStretch           float64 `json:"AimStretch"`
+	Deadline                   int64   `json:"Deadline"`
+	Weight                     float64 `json:"Worth"`
+	LateWeight                 float64 `json:"LateWorth"`
+	Description                string  `json:"Description"`
 }
 
 // Tenant is one customer's agreed share of the service.
@@ -59,33 +59,33 @@
 
 // Settings is what a gateway is told at its start. Times are in nanoseconds.
 type Settings struct {
-	Balancers, Ordinal int // gateways in the tier, and this one's number
-	Zone, Zones, Kinds int // own zone; numbers of zones and machine kinds
-	Classes            []Class
-	Tenants            []Tenant
-	OverShareWorth     float64
-	Reports            ReportMode
-	AskDiscovery       bool // changes must be asked for
-	Resume             bool // broken streams continue elsewhere
-	SecondCopies       bool
-	Cancel             bool
-	Probes             bool
-	Peers              bool
-	RetryAfter         bool
-	MaxRetryAfter      int64
-	MaxAttempts        int
-	Tick               int64 // shortest time between two batches of events
-	AskWithin          int64
-	DrainGrace         int64
-	WarmUp             int64
-	Fall               int64
-	ColdShare          float64 // capacity a starting engine has at the least
-	FallFactor         float64
-	CrossZonePrice     float64
-	ProbePrice         float64
-	PeerPrice          float64
-	WastePrice         float64
-	LateFailPrice      float64
+	Gateways, Ordinal    int // gateways in the tier, and this one's number
+	Zone, Zones, Kinds   int // own zone; numbers of zones and machine kinds
+	Classes              []Class
+	Tenants              []Tenant
+	OverQuotaWeight      float64
+	Reports              ReportMode
+	SubscribeDiscovery   bool // changes must be asked for
+	Resume               bool // broken streams continue elsewhere
+	SecondCopies         bool
+	Cancel               bool
+	Probes               bool
+	Peers                bool
+	RetryAfter           bool
+	MaxRetryAfter        int64
+	MaxAttempts          int
+	Tick                 int64 // shortest time between two batches of events
+	DiscoveryTimeout     int64
+	DrainGrace           int64
+	WarmUp               int64
+	OverloadWindow       int64
+	ColdCapacityFraction float64 // capacity a starting engine has at the least
+	OverloadFactor       float64
+	CrossZonePrice       float64
+	ProbePrice           float64
+	PeerPrice            float64
+	WastePrice           float64
+	LateFailPrice        float64
 }
 
 // State is an engine's place in its life, as discovery tells it.
@@ -100,23 +100,23 @@
 
 // Engine is one entry of discovery's list.
 type Engine struct {
-	Name    string
-	Zone    int
-	Kind    int
-	Cell    int
-	State   State
-	Size    float64 // registered size, no unit
-	ReadyAt int64   // last start; 0: long ago
-	Pool    int     // 0: none
-	Back    bool    // put back by hand, as started then: wanted in use again soon
-	Stale   bool    // last heard of long ago, and not told anew: tried last
+	Name       string
+	Zone       int
+	Kind       int
+	Cell       int
+	State      State
+	Size       float64 // registered size, no unit
+	ReadyAt    int64   // last start; 0: long ago
+	Pool       int     // 0: none
+	Reinstated bool    // put back by hand, as started then: wanted in use again soon
+	Stale      bool    // last heard of long ago, and not told anew: tried last
 }
 
 // Report is an engine's load report.
 type Report struct {
-	Memory float64 `json:"Memory"` // share of memory held by running requests
-	Unread float64 `json:"Unread"` // thousands of prompt tokens not yet read
-	Slots  float64 `json:"Slots"`  // share of slots in use
+	MemoryUsage    float64 `json:"Memory"` // share of memory held by running requests
+	PrefillBacklog float64 `json:"Unread"` // thousands of prompt tokens not yet read
+	SlotUsage      float64 `json:"Slots"`  // share of slots in use
 }
 
 // Event is something the gateway observed; one of the pointer types below.
@@ -127,9 +127,9 @@
 
 // The kinds of endpoint lists.
 const (
-	ListDelta ListKind = iota // changed entries only
-	ListFull                  // everything; an engine absent from it is gone
-	ListLost                  // a discovery call failed; no entries
+	ListDelta  ListKind = iota // changed entries only
+	ListFull                   // everything; an engine absent from it is gone
+	ListFailed                 // a discovery call failed; no entries
 )
 
 // EngineList is discovery's news.
@@ -141,7 +141,7 @@
 // Request is a client's try that has arrived and is owed one final answer.
 type Request struct {
 	ID           int64
-	Expires      int64
+	Deadline     int64
 	Class        int
 	Tenant       int
 	Session      uint64 // 0: none
@@ -150,23 +150,23 @@
 	PrefixTokens float64
 	MaxTokens    float64
 	Retry        bool
-	Again        bool
+	Resumed      bool
 	Pool         int // where it belongs; 0: anywhere
 }
 
-// Code is how an attempt ended.
-type Code uint8
+// OutcomeCode is how an attempt ended.
+type OutcomeCode uint8
 
 // The outcomes of an attempt.
 const (
-	Served         Code = iota // whole
-	ServerError                // answered as failed; it may have run
-	TurnedAway                 // rejected unseen: it never ran
-	NoAnswer                   // none in time; it may run yet
-	NoConnection               // none came up: it never ran
-	ConnectionLost             // after the request was written; it may have run
-	Cancelled                  // given up by this node
-	NotSent                    // nothing of it was
+	Served         OutcomeCode = iota // whole
+	ServerError                       // answered as failed; it may have run
+	Rejected                          // rejected unseen: it never ran
+	NoAnswer                          // none in time; it may run yet
+	NoConnection                      // none came up: it never ran
+	ConnectionLost                    // after the request was written; it may have run
+	Cancelled                         // given up by this node
+	NotSent                           // nothing of it was
 )
 
 var codeNames = [...]string{
@@ -181,7 +181,7 @@
 }
 
 // String is the code's name on the wire and in logs.
-func (c Code) String() string {
+func (c OutcomeCode) String() string {
 	if int(c) >= len(codeNames) {
 		return "unknown"
 	}
@@ -189,21 +189,21 @@
 }
 
 // NeverRan reports whether the code proves that the attempt had no effect.
-func (c Code) NeverRan() bool { return c == TurnedAway || c == NoConnection || c == NotSent }
+func (c OutcomeCode) NeverRan() bool { return c == Rejected || c == NoConnection || c == NotSent }
 
 // Outcome is the end of an attempt.
 type Outcome struct {
-	Request int64
-	Attempt int
-	Last    bool // the request is over
-	Code    Code
-	Kept    float64 // prompt tokens the engine still held, with Served
-	Tokens  float64 // of the answer, with Served; 0: not told
-	Engine  string
-	Elapsed int64
-	Held    bool // the client was slow to take the answer: Elapsed says nothing of the engine
-	Report  *Report
-	Local   bool // it failed for a shortage of this gateway's own machine: it says nothing of the engine
+	Request       int64
+	Attempt       int
+	Last          bool // the request is over
+	Code          OutcomeCode
+	CachedTokens  float64 // prompt tokens the engine still held, with Served
+	OutputTokens  float64 // of the answer, with Served; 0: not told
+	Engine        string
+	Elapsed       int64
+	ClientStalled bool // the client was slow to take the answer: Elapsed says nothing of the engine
+	Report        *Report
+	LocalFault    bool // it failed for a shortage of this gateway's own machine: it says nothing of the engine
 }
 
 // FirstToken tells that an attempt's answer has begun.
@@ -213,27 +213,27 @@
 	Elapsed int64
 }
 
-// Left tells that a client has gone; nothing more is owed.
-type Left struct{ Request int64 }
+// ClientDisconnected tells that a client has gone; nothing more is owed.
+type ClientDisconnected struct{ Request int64 }
 
-// Probed is the result of a probe.
-type Probed struct {
+// ProbeResult is the result of a probe.
+type ProbeResult struct {
 	Engine  string
 	OK      bool
 	Elapsed int64
 	Report  *Report
 }
 
-// Doubt is that other gateways' evidence speaks against an engine's process. At is the latest of it: a
+// Suspicion is that other gateways' evidence speaks against an engine's process. At is the latest of it: a
 // sign of life since then outweighs it.
-type Doubt struct {
+type Suspicion struct {
 	Engine  string
 	ReadyAt int64
 	At      int64
 }
 
 // Advice is what the gateways have seen of the engines together, for this one to weigh.
-type Advice struct{ Doubts []Doubt }
+type Advice struct{ Suspicions []Suspicion }
 
 // PeerMessage is what another gateway of the tier sent.
 type PeerMessage struct {
@@ -244,15 +244,15 @@
 // TimerFired is a timer that came due.
 type TimerFired struct{ Token int64 }
 
-func (*EngineList) event()  {}
-func (*Request) event()     {}
-func (*Outcome) event()     {}
-func (*FirstToken) event()  {}
-func (*Left) event()        {}
-func (*Probed) event()      {}
-func (*PeerMessage) event() {}
-func (*Advice) event()      {}
-func (*TimerFired) event()  {}
+func (*EngineList) event()         {}
+func (*Request) event()            {}
+func (*Outcome) event()            {}
+func (*FirstToken) event()         {}
+func (*ClientDisconnected) event() {}
+func (*ProbeResult) event()        {}
+func (*PeerMessage) event()        {}
+func (*Advice) event()             {}
+func (*TimerFired) event()         {}
 
 // ActionKind names what is to be done.
 type ActionKind uint8
@@ -266,19 +266,19 @@
 	Timer                       // fire Token after Wait
 	Probe                       // ask Engine for its state
 	Subscribe                   // ask discovery for changes
-	Tell                        // send Data to gateway Peer
+	SendPeer                    // send Data to gateway Peer
 )
 
 // Action is one thing for the caller to carry out; unused fields are zero.
 type Action struct {
-	Kind    ActionKind
-	Request int64
-	Attempt int
-	Engine  string
-	Until   int64
-	By      int64 // Send: may not begin from then on; 0: until Until
-	Wait    int64
-	Token   int64
-	Peer    int
-	Data    string
+	Kind        ActionKind
+	Request     int64
+	Attempt     int
+	Engine      string
+	Deadline    int64
+	StartBefore int64 // Send: may not begin from then on; 0: until Until
+	Wait        int64
+	Token       int64
+	Peer        int
+	Data        string
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -12,7 +12,7 @@
 		for _, pools := range []int{0, 2} {
 			b.Run(fmt.Sprintf("engines=%d/pools=%d", n, pools), func(b *testing.B) {
 				set := Settings{
-					Balancers:   3,
+					Gateways:    3,
 					Zones:       1,
 					Kinds:       3,
 					MaxAttempts: 3,
@@ -20,7 +20,7 @@
 					Reports:     ReportReplies,
 					Cancel:      true,
 					Classes: []Class{
-						{Streamed: true, TTFTAim: 2500 * ms, TPOTAim: 50 * ms, Deadline: 10 * second, Worth: 2},
+						{Streamed: true, TTFTObjective: 2500 * ms, TPOTObjective: 50 * ms, Deadline: 10 * second, Weight: 2},
 					},
 				}
 				r := New(set, 1)
@@ -39,7 +39,7 @@
 					now += ms
 					q := &Request{
 						ID:           id,
-						Expires:      now + 10*second,
+						Deadline:     now + 10*second,
 						Session:      uint64(id/2 + 1),
 						Prefix:       uint64(id%7 + 1),
 						PromptTokens: 1200,
@@ -62,8 +62,8 @@
 					acts = r.Handle(now, &FirstToken{Request: id, Elapsed: 100 * ms}, acts[:0])
 					acts = r.Handle(
 						now,
-						&Outcome{Request: id, Last: true, Engine: engine, Elapsed: 400 * ms, Kept: 700, Tokens: 60,
-							Report: &Report{Memory: 0.2, Slots: 0.3}},
+						&Outcome{Request: id, Last: true, Engine: engine, Elapsed: 400 * ms, CachedTokens: 700, OutputTokens: 60,
+							Report: &Report{MemoryUsage: 0.2, SlotUsage: 0.3}},
 						acts[:0],
 					)
 				}
--- a/directory.go
+++ b/directory.go
@@ -23,19 +23,19 @@
 	// Seconds that the gated best may trail the best overall, where directory owners told of both.
 	directoryAffinityPenalty = 0.1
 	// Objectives that are foretold to be met, by what directory owners told, that undo one that is not.
-	sparseMetPerMissed = 10.0
-	directorySalt      = 0xd6e8feb86659fd93
+	sparseMetObjectivesPerMiss = 10.0
+	directorySalt              = 0xd6e8feb86659fd93
 )
 
-// sharing tells whether the gateways of this tier keep a directory.
-func (r *Router) sharing() bool {
-	return r.settings.Peers && r.settings.Balancers > 1 && !r.lacksReports()
+// directoryEnabled tells whether the gateways of this tier keep a directory.
+func (r *Router) directoryEnabled() bool {
+	return r.settings.Peers && r.settings.Gateways > 1 && !r.lacksReports()
 }
 
 // prefillBurdenOf is the part of a request's objective that the reading of its whole prompt takes.
 func (r *Router) prefillBurdenOf(q *request) float64 {
 	if aim := r.latencyObjective(q); aim > 0 {
-		return q.PromptTokens / assumedSpeed / aim
+		return q.PromptTokens / assumedPrefillSpeed / aim
 	}
 	return 0
 }
@@ -44,19 +44,19 @@
 // part of its objective, as it does for most requests. What short prompts add to an engine's load is not
 // worth the messages.
 func (r *Router) usesDirectory(q *request) bool {
-	return r.sharing() &&
-		r.prefillBurden.mean >= minMeanPrefillBurden &&
+	return r.directoryEnabled() &&
+		r.meanPrefillBurden.mean >= minMeanPrefillBurden &&
 		r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
-// hearsFromDirectory tells that directory owners have told this gateway something lately.
-func (r *Router) hearsFromDirectory() bool {
+// hasRecentDirectoryAnswer tells that directory owners have told this gateway something lately.
+func (r *Router) hasRecentDirectoryAnswer() bool {
 	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingTimeout
 }
 
 // directoryOwner is the gateway that keeps an engine's place in the directory.
 func (r *Router) directoryOwner(e *engine) int {
-	return int(mix(e.hash, directorySalt) % uint64(r.settings.Balancers))
+	return int(mix(e.hash, directorySalt) % uint64(r.settings.Gateways))
 }
 
 func shortHash(key uint64) uint32 {
@@ -75,7 +75,7 @@
 func (r *Router) notifyOwner(e *engine, m directoryMessage) {
 	m.engine = shortEngine(e)
 	if to := r.directoryOwner(e); to != r.settings.Ordinal {
-		r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
+		r.emit(Action{Kind: SendPeer, Peer: to, Data: m.encode()})
 		return
 	}
 	r.initReadingSpeed(e)
@@ -86,7 +86,7 @@
 // beside the others'.
 func (r *Router) initReadingSpeed(e *engine) {
 	if e.backlog.speed == 0 {
-		e.backlog.speed = assumedSpeed * r.relativeSize(e)
+		e.backlog.speed = assumedPrefillSpeed * r.relativeSize(e)
 	}
 }
 
@@ -123,7 +123,7 @@
 // onPeer takes in a message of the directory.
 func (r *Router) onPeer(from int, data string) {
 	m, ok := decodeDirectory(data)
-	if !ok || !r.sharing() || from < 0 || from >= r.settings.Balancers {
+	if !ok || !r.directoryEnabled() || from < 0 || from >= r.settings.Gateways {
 		return
 	}
 	e := r.byShortHash(m.engine)
@@ -145,17 +145,17 @@
 func (r *Router) answer(to int, e *engine, ask *directoryMessage) {
 	m := directoryMessage{kind: directoryAnswer, id: ask.id, engine: ask.engine, load: e.backlog.load(r.now)}
 	m.tokens = r.cachedTokens(e, ask.session, ask.prefix)
-	r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
+	r.emit(Action{Kind: SendPeer, Peer: to, Data: m.encode()})
 }
 
-// consult asks the directory owners of the engines that rank first for a request, and tells whether their
-// answers are waited for.
-func (r *Router) consult(q *request) bool {
+// consultDirectory asks the directory owners of the engines that rank first for a request, and reports
+// whether the request has to wait for their answers.
+func (r *Router) consultDirectory(q *request) bool {
 	if !r.usesDirectory(q) || q.consulted || len(q.attempts) > 0 {
 		return false
 	}
 	q.consulted = true
-	some := r.usable(q, r.sample(q), r.hasSharedFault())
+	some := r.eligibleCandidates(q, r.sampleEngines(q), r.hasSharedFault())
 	for range min(maxConsulted, len(some)) {
 		best := 0
 		for i := range some {
@@ -189,7 +189,7 @@
 	q.awaitedEngines = append(q.awaitedEngines, e)
 	m := directoryMessage{kind: directoryAsk, id: uint32(q.ID), engine: shortEngine(e)}
 	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
-	r.emit(Action{Kind: Tell, Peer: to, Data: m.encode()})
+	r.emit(Action{Kind: SendPeer, Peer: to, Data: m.encode()})
 }
 
 // recordDirectoryLoad notes what is told of an engine, and of the request's prompt there.
@@ -197,10 +197,10 @@
 	e.directoryLoad = load
 	e.directoryLoadAt = r.now
 	r.directoryAnswerAt = r.now
-	if q.keptByEngine == nil {
-		q.keptByEngine = map[*engine]float64{}
+	if q.cachedByEngine == nil {
+		q.cachedByEngine = map[*engine]float64{}
 	}
-	q.keptByEngine[e] = min(kept, q.PromptTokens)
+	q.cachedByEngine[e] = min(kept, q.PromptTokens)
 }
 
 func (r *Router) onAnswer(e *engine, m *directoryMessage) {
@@ -251,8 +251,8 @@
 	r.notifyOwner(a.engine, m)
 }
 
-// notifyEnd tells it, once, that the prompt has been read, or that the attempt ended without.
-func (r *Router) notifyEnd(a *attempt, read bool) {
+// notifyPrefillEnd tells it, once, that the prompt has been read, or that the attempt ended without.
+func (r *Router) notifyPrefillEnd(a *attempt, read bool) {
 	if !a.inDirectory {
 		return
 	}
--- a/directory_test.go
+++ b/directory_test.go
@@ -9,7 +9,7 @@
 // longPrompts is a deployment of a few gateways whose prompts take a good part of their aims to read.
 func longPrompts(gateways int) Settings {
 	s := testSettings()
-	s.Balancers, s.Peers, s.SecondCopies = gateways, true, false
+	s.Gateways, s.Peers, s.SecondCopies = gateways, true, false
 	return s
 }
 
@@ -17,7 +17,7 @@
 func long(id, now int64, prefix uint64) *Request {
 	return &Request{
 		ID:           id,
-		Expires:      now + 4*second,
+		Deadline:     now + 4*second,
 		Session:      uint64(id) * 7919,
 		Prefix:       prefix,
 		PromptTokens: 6000,
@@ -50,7 +50,7 @@
 func (t *tier) give(to int, now int64, ev Event) []Action {
 	var rest []Action
 	for _, a := range feed(t.gateways[to], now, ev) {
-		if a.Kind != Tell {
+		if a.Kind != SendPeer {
 			rest = append(rest, a)
 			continue
 		}
@@ -182,7 +182,7 @@
 		t.Fatalf("after a while they are asked again, and this had %v", again)
 	}
 	// A client that leaves meanwhile, and an answer behind that, leave nothing.
-	n.give(0, second+consultTimeout+silentOwnerPause+2*ms, &Left{Request: 3})
+	n.give(0, second+consultTimeout+silentOwnerPause+2*ms, &ClientDisconnected{Request: 3})
 	if r := n.gateways[0]; len(r.awaitingDirectory) != 0 {
 		t.Fatalf("%d requests still wait for answers", len(r.awaitingDirectory))
 	}
@@ -206,7 +206,7 @@
 			feed(
 				r,
 				second+i*ms,
-				&Request{ID: i + 1, Expires: 9 * second, Session: uint64(i), PromptTokens: 800, MaxTokens: 100},
+				&Request{ID: i + 1, Deadline: 9 * second, Session: uint64(i), PromptTokens: 800, MaxTokens: 100},
 			),
 			"send ",
 		)
@@ -223,10 +223,10 @@
 	l.Engines[0].ReadyAt = second
 	feed(r, second, l)
 	e := r.engines["a"]
-	e.coldAt, e.coldTokens = second+ms, 1
+	e.slowStartBudgetAt, e.slowStartBudget = second+ms, 1
 	q := newRequest(1, 9*second)
 	expect(t, feed(r, second+ms, q), "send ")
-	if e.coldTokens >= 1 {
+	if e.slowStartBudget >= 1 {
 		t.Fatal("the budget was not used")
 	}
 	got := feed(r, second+2*ms, &Outcome{Request: 1, Attempt: 0, Code: NotSent})
@@ -234,7 +234,7 @@
 	if len(r.matchTable[0]) > 2 {
 		t.Fatalf("%d entries of what is kept", len(r.matchTable[0]))
 	}
-	feed(r, second+3*ms, &Outcome{Request: 1, Attempt: 1, Code: ConnectionLost, Local: true})
+	feed(r, second+3*ms, &Outcome{Request: 1, Attempt: 1, Code: ConnectionLost, LocalFault: true})
 	if e.errorRate != 0 || e.suspect || e.unreachable {
 		t.Fatalf(
 			"a shortage of this gateway's machine was held against the engine: %v %v %v",
--- a/discovery.go
+++ b/discovery.go
@@ -8,7 +8,7 @@
 )
 
 func (r *Router) onList(l *EngineList) {
-	if l.Kind == ListLost {
+	if l.Kind == ListFailed {
 		r.failedSubscribes++
 		r.subscribed = false
 		return
@@ -31,7 +31,7 @@
 	r.listsReceived++
 	r.lastListAt = r.now
 	r.rebuildReady()
-	r.drainHeld()
+	r.dispatchQueued()
 }
 
 // updateEngine takes in one entry. A new start forgets what was known of the process, its kept prompts too.
@@ -43,18 +43,18 @@
 			hash:           hashName(entry.Name),
 			firstSeenAt:    r.now,
 			lastSignOfLife: r.now,
-			reinstated:     entry.Back,
+			reinstated:     entry.Reinstated,
 		}
 		r.engines[entry.Name] = e
 	}
 	if entry.ReadyAt != e.ReadyAt {
-		e.coldTokens = r.rng.Float64()
-		e.coldAt = r.now
+		e.slowStartBudget = r.rng.Float64()
+		e.slowStartBudgetAt = r.now
 		if r.startIsImplausible(entry.ReadyAt) {
-			e.startNoticedAt = r.now
+			e.substituteStart = r.now
 		}
 		if e.reinstated {
-			e.coldTokens = 1 - e.coldTokens/2*(1-1/max(1, float64(r.settings.Balancers)))
+			e.slowStartBudget = 1 - e.slowStartBudget/2*(1-1/max(1, float64(r.settings.Gateways)))
 		}
 	}
 	e.Engine = entry
@@ -71,7 +71,7 @@
 	if told <= 0 {
 		return false
 	}
-	longAgo := max(r.settings.WarmUp+r.settings.Fall, r.now-r.lastListAt+maxNoticeDelay)
+	longAgo := max(r.settings.WarmUp+r.settings.OverloadWindow, r.now-r.lastListAt+maxNoticeDelay)
 	knownEarlier := r.listsReceived >= 2 && r.now-told > longAgo
 	return told > r.now || knownEarlier
 }
@@ -79,8 +79,8 @@
 // subscribe keeps the subscription where discovery tells only who asks. It backs off, with jitter, after
 // failures.
 func (r *Router) subscribe() {
-	wait := min(r.settings.AskWithin*2, 500*ms<<min(r.failedSubscribes, 4))
-	if !r.settings.AskDiscovery || r.subscribeAt != 0 && (r.subscribed || r.now-r.subscribeAt < wait) {
+	wait := min(r.settings.DiscoveryTimeout*2, 500*ms<<min(r.failedSubscribes, 4))
+	if !r.settings.SubscribeDiscovery || r.subscribeAt != 0 && (r.subscribed || r.now-r.subscribeAt < wait) {
 		return
 	}
 	r.subscribeAt = r.now + r.rng.Int64N(max(1, wait/2))
@@ -90,7 +90,7 @@
 // rebuildReady forgets engines that are gone and idle, and orders the ready ones by name.
 func (r *Router) rebuildReady() {
 	r.ready = r.ready[:0]
-	r.fleetWarmAt = 0
+	r.fleetWarmUpEnd = 0
 	clear(r.enginesByShortHash)
 	for name, e := range r.engines {
 		if e.State == Gone && e.attemptsInFlight == 0 {
@@ -98,12 +98,12 @@
 		} else if r.enginesByShortHash[shortEngine(e)] = e; !e.notReady {
 			r.ready = append(r.ready, e)
 			if r.startedAt(e) > 0 {
-				r.fleetWarmAt = max(r.fleetWarmAt, r.startedAt(e)+r.settings.WarmUp)
+				r.fleetWarmUpEnd = max(r.fleetWarmUpEnd, r.startedAt(e)+r.settings.WarmUp)
 			}
 		}
 	}
 	fade := math.Exp2(-seconds(r.now-r.usualReadyAt) / 60)
-	r.usualReady = max(float64(len(r.ready)), r.usualReady*fade)
+	r.usualReadyCount = max(float64(len(r.ready)), r.usualReadyCount*fade)
 	r.usualReadyAt = r.now
 	sort.Slice(r.ready, func(i, j int) bool { return r.ready[i].Name < r.ready[j].Name })
 	r.rebuildRings()
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -23,7 +23,7 @@
 // three attempts of a request went there, 100 ms each.
 func TestLostZoneCostsRequestOneAttempt(t *testing.T) {
 	s := testSettings()
-	s.Zones, s.CrossZonePrice, s.SecondCopies, s.Balancers = 2, 0.03, false, 80
+	s.Zones, s.CrossZonePrice, s.SecondCopies, s.Gateways = 2, 0.03, false, 80
 	for seed := range int64(20) {
 		r := New(s, seed)
 		feed(r, 0, twoZones(12))
@@ -75,7 +75,7 @@
 
 func newFleet(s Settings, list *EngineList) *fleet {
 	f := &fleet{now: 100 * second, sent: map[string]int{}}
-	for i := range s.Balancers {
+	for i := range s.Gateways {
 		s.Ordinal, s.Zone = i, i%max(1, s.Zones)
 		f.nodes = append(f.nodes, New(s, int64(i)))
 	}
@@ -116,7 +116,7 @@
 // the small ones took 5 to 13 s for an answer, and the large ones had four of five places free.
 func TestColdBudgetScalesWithServerSize(t *testing.T) {
 	s := testSettings()
-	s.Balancers = 80
+	s.Gateways = 80
 	list := &EngineList{Kind: ListFull}
 	for i := range 38 {
 		list.Engines = append(list.Engines, Engine{Name: engineName(i), Size: 6})
@@ -144,7 +144,7 @@
 // each lost server.
 func TestLostZoneIsProbedOnceAndReturnsCold(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.Zones, s.CrossZonePrice, s.SecondCopies, s.MaxAttempts, s.ColdShare, s.FallFactor = 80, 2, 0.03, false, 3, 0.13, 4
+	s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.MaxAttempts, s.ColdCapacityFraction, s.OverloadFactor = 80, 2, 0.03, false, 3, 0.13, 4
 	s.WarmUp = 24 * second
 	f := newFleet(s, twoZones(40))
 	zone := map[string]int{}
@@ -178,7 +178,7 @@
 	if back := count() - before; back < 20 || float64(back) > 20*2.2*2*0.19*3+40 {
 		t.Fatalf("%d requests in 3 s to a zone that has just come back", back)
 	}
-	f.now += s.AskWithin
+	f.now += s.DiscoveryTimeout
 	before = count()
 	f.play(4*second, 88, served) // no start was told in all that time: there was none
 	if warm := count() - before; warm < 140 {
@@ -192,7 +192,7 @@
 func TestLowTrafficGatewaysDoNotOverloadTheirZone(t *testing.T) {
 	share := func(nodes int, started int64) float64 {
 		s := testSettings()
-		s.Balancers, s.Zones, s.CrossZonePrice, s.SecondCopies, s.WarmUp = nodes, 2, 0.03, false, 24*second
+		s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.WarmUp = nodes, 2, 0.03, false, 24*second
 		list := twoZones(40)
 		list.Engines[39].ReadyAt = started
 		f := newFleet(s, list)
@@ -232,7 +232,7 @@
 // back, zones with new numbers.
 func TestColdAndLostZoneEdgeCases(t *testing.T) {
 	s := testSettings()
-	s.Zones, s.ColdShare = 2, 0
+	s.Zones, s.ColdCapacityFraction = 2, 0
 	r := New(s, 1)
 	list := twoZones(8)
 	list.Engines[0].ReadyAt = 100 * second
@@ -244,11 +244,11 @@
 	feed(r, 101*second, list)
 	list.Engines[0].ReadyAt = 0
 	feed(r, 102*second, list)
-	if r.fleetWarmAt > 102*second {
+	if r.fleetWarmUpEnd > 102*second {
 		t.Error("a start that is told no longer is still believed")
 	}
 	r.unreachableByZone[0] = lostZoneEngines
-	r.Adjust(s)
+	r.UpdateSettings(s)
 	if len(r.failureDomain(r.engines[engineName(0)])) != 1 {
 		t.Error("a zone is lost that may be another by now")
 	}
@@ -258,10 +258,10 @@
 // than the stated part, while what is beyond a quota may be refused whole.
 func TestNoClassOrTenantStarves(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.OverShareWorth = 1, 0.05
+	s.Gateways, s.OverQuotaWeight = 1, 0.05
 	s.Tenants = []Tenant{{QuotaRPS: 60}, {QuotaRPS: 60}, {QuotaRPS: 10}}
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[1].Worth = 50
+	s.Classes[1].Weight = 50
 	for name, poor := range map[string]func(i int64, q *Request) bool{
 		"class": func(i int64, q *Request) bool { // worth a fiftieth
 			q.Tenant = int(i / 2 % 2)
@@ -335,14 +335,14 @@
 		func(t *testing.T) {
 			t.Parallel()
 			s := testSettings()
-			s.Balancers, s.WarmUp, s.ColdShare, s.FallFactor, s.Fall = nodes, 24*second, 0.13, 4, 3*second
+			s.Gateways, s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor, s.OverloadWindow = nodes, 24*second, 0.13, 4, 3*second
 			list := &EngineList{Kind: ListFull}
 			for i := range 100 {
 				list.Engines = append(list.Engines, Engine{Name: engineName(i), Size: 1})
 			}
 			f := newFleet(s, list)
 			for i, r := range f.nodes {
-				r.settings.Balancers = thought
+				r.settings.Gateways = thought
 				if uneven && i%5 == 0 { // six times what the others have
 					f.nodes = append(f.nodes, r, r, r, r, r)
 				}
@@ -354,15 +354,15 @@
 			}
 			f.tell(list)
 			var sent []map[string]int
-			for at := start; at < start+s.WarmUp; at += s.Fall / slide {
+			for at := start; at < start+s.WarmUp; at += s.OverloadWindow / slide {
 				sent = append(sent, maps.Clone(f.sent))
-				f.play(s.Fall/slide, each, served)
+				f.play(s.OverloadWindow/slide, each, served)
 				if len(sent) < slide {
 					continue
 				}
 				from := sent[len(sent)-slide]
-				warm := s.ColdShare + (1-s.ColdShare)*(seconds(f.now-start)-seconds(s.Fall)/2)/seconds(s.WarmUp)
-				n := s.FallFactor * warm * each / 100 * seconds(s.Fall)
+				warm := s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*(seconds(f.now-start)-seconds(s.OverloadWindow)/2)/seconds(s.WarmUp)
+				n := s.OverloadFactor * warm * each / 100 * seconds(s.OverloadWindow)
 				for i := range fresh {
 					if got, most := float64(f.sent[engineName(i)]-from[engineName(i)]), n+2*math.Sqrt(n)+2; got > most {
 						t.Errorf(
@@ -388,10 +388,10 @@
 	for _, classes := range []int{1, 3} {
 		for _, cut := range []float64{0.05, 0.15, 0.3, 0.6, 0.8} {
 			s := testSettings()
-			s.Balancers, s.SecondCopies = 1, false
+			s.Gateways, s.SecondCopies = 1, false
 			s.Classes = slices.Repeat(s.Classes[:1], classes)
 			for i := range s.Classes {
-				s.Classes[i].Worth = float64(1 + 3*i)
+				s.Classes[i].Weight = float64(1 + 3*i)
 			}
 			r := New(s, 1)
 			feed(r, 0, engineList("a", "b", "c"))
--- a/health.go
+++ b/health.go
@@ -19,7 +19,7 @@
 
 // recordSignOfLife notes a sign of life of the attempt's engine.
 func (r *Router) recordSignOfLife(a *attempt) {
-	r.dropWaiting(a)
+	r.removeUnanswered(a)
 	r.recordRecovery(a.engine)
 	a.engine.lastSignOfLife = r.now
 	a.engine.suspect = false
@@ -34,7 +34,10 @@
 	if e.unreachable {
 		for _, o := range r.failureDomain(e) {
 			if o.unreachable && seconds(r.now-o.unreachableSince) >= minOutage {
-				o.recoveredAt, o.firstSeenAt, o.coldTokens, o.coldAt = r.now, r.now, r.rng.Float64(), r.now
+				o.recoveredAt = r.now
+				o.firstSeenAt = r.now
+				o.slowStartBudget = r.rng.Float64()
+				o.slowStartBudgetAt = r.now
 			}
 			o.suspect = o.suspect && !o.unreachable
 			o.unreachable = false
@@ -58,7 +61,7 @@
 		}
 		o.suspect = true
 		o.unreachable = true
-		o.trialAt = r.now
+		o.lastTrialAt = r.now
 	}
 }
 
@@ -66,7 +69,7 @@
 func (r *Router) suspect(e *engine, down bool) {
 	if !e.suspect || down {
 		e.suspect = true
-		e.trialAt = r.now
+		e.lastTrialAt = r.now
 	}
 	if down {
 		r.recordUnreachable(e)
@@ -75,7 +78,7 @@
 
 // onAdvice weighs what others saw: it goes for an engine that has given no sign of life here since.
 func (r *Router) onAdvice(a *Advice) {
-	for _, d := range a.Doubts {
+	for _, d := range a.Suspicions {
 		if e := r.engines[d.Engine]; e != nil && e.ReadyAt == d.ReadyAt && e.lastSignOfLife < d.At {
 			r.suspect(e, false)
 		}
@@ -86,7 +89,7 @@
 // little, looks idle and draws ever more; once most of its answers are such it is left out. What it has
 // taken on may still be well. A tenant most of whose requests fail wherever they go has itself to blame,
 // not the engines.
-func (r *Router) recordRejection(a *attempt, code Code) {
+func (r *Router) recordRejection(a *attempt, code OutcomeCode) {
 	e, t := a.engine, r.tenant(a.request)
 	e.lastSignOfLife = r.now
 	if code == ServerError {
@@ -109,7 +112,7 @@
 // at a time.
 func (r *Router) isExcluded(e *engine, ignore bool) bool {
 	return r.avoids(e, ignore) &&
-		(r.now-e.trialAt < trialInterval || len(e.unanswered) > 0 && e.errorRate <= maxErrorRate)
+		(r.now-e.lastTrialAt < trialInterval || len(e.unanswered) > 0 && e.errorRate <= maxErrorRate)
 }
 
 // hasSharedFault tells that so many engines look bad that the cause must be shared; then none is left out.
@@ -162,17 +165,18 @@
 	}
 	mayHedge := r.settings.SecondCopies && q.attemptsInFlight() == 1
 	switch {
-	case mayHedge && !r.isWorthless(q) && r.shedFraction <= maxShedForHedging:
+	case mayHedge && !r.hasNoValueLeft(q) && r.shedFraction <= maxShedForHedging:
 		r.retryBudget--
 		r.dispatch(q)
-	case !r.settings.SecondCopies && r.settings.Cancel && r.class(q).Effect == Safe && !r.isVain():
+	case !r.settings.SecondCopies && r.settings.Cancel && r.class(q).Effect == Safe &&
+		!r.cancellingWastesWork():
 		r.retryBudget--
 		a.cancelling = true
 		r.emit(Action{Kind: Cancel, Request: q.ID, Attempt: a.number})
 	}
 }
 
-func (r *Router) dropWaiting(a *attempt) {
+func (r *Router) removeUnanswered(a *attempt) {
 	for i, w := range a.engine.unanswered {
 		if w == a {
 			a.engine.unanswered = append(a.engine.unanswered[:i], a.engine.unanswered[i+1:]...)
@@ -181,9 +185,9 @@
 	}
 }
 
-// Census counts the engines that are listed, and of these the ones that are avoided now: by what is told of
-// them, or by choice.
-func (r *Router) Census() (listed, avoided int) {
+// CountEngines returns how many engines are listed, and how many of these are avoided: because discovery
+// lists them as not ready, or because this gateway suspects them.
+func (r *Router) CountEngines() (listed, avoided int) {
 	ignore := r.hasSharedFault()
 	for _, e := range r.engines {
 		if e.State == Gone {
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -8,10 +8,10 @@
 
 // testSettings is a small deployment that tests change as they need.
 func testSettings() Settings {
-	return Settings{Balancers: 2, Zones: 1, Kinds: 2, MaxAttempts: 4, Tick: 4 * ms, DrainGrace: 500 * ms,
-		WarmUp: 8 * second, Fall: 3 * second, ColdShare: 0.4, FallFactor: 3, AskWithin: 10 * second,
+	return Settings{Gateways: 2, Zones: 1, Kinds: 2, MaxAttempts: 4, Tick: 4 * ms, DrainGrace: 500 * ms,
+		WarmUp: 8 * second, OverloadWindow: 3 * second, ColdCapacityFraction: 0.4, OverloadFactor: 3, DiscoveryTimeout: 10 * second,
 		Reports: ReportReplies, SecondCopies: true, Cancel: true,
-		Classes: []Class{{Streamed: true, TTFTAim: 1000 * ms, TPOTAim: 50 * ms, Deadline: 4 * second, Worth: 1}}}
+		Classes: []Class{{Streamed: true, TTFTObjective: 1000 * ms, TPOTObjective: 50 * ms, Deadline: 4 * second, Weight: 1}}}
 }
 
 // engineList is a full list of engines of size 1.
@@ -38,13 +38,13 @@
 
 // newRequest is a request of the first class with a session of its own.
 func newRequest(id, expires int64) *Request {
-	return &Request{ID: id, Expires: expires, Session: uint64(id) * 7919, PromptTokens: 1000, MaxTokens: 200}
+	return &Request{ID: id, Deadline: expires, Session: uint64(id) * 7919, PromptTokens: 1000, MaxTokens: 200}
 }
 
 // kinds are the names of the actions' kinds, each followed by a space.
 func kinds(actions []Action) string {
 	names := map[ActionKind]string{Send: "send", Cancel: "cancel", Shed: "shed", Fail: "fail", Probe: "probe",
-		Subscribe: "subscribe", Tell: "tell"}
+		Subscribe: "subscribe", SendPeer: "tell"}
 	s := ""
 	for _, a := range actions {
 		s += names[a.Kind] + " "
--- a/internal/backend/batch_backend.go
+++ b/internal/backend/batch_backend.go
@@ -102,7 +102,7 @@
 // cancelAll ends the attempts that are not uploaded, which never ran, and cancels the files in flight.
 func (b *batchBackend) cancelAll() {
 	for _, attempt := range b.gathered {
-		attempt.Finish(node.Result{Code: standpoint.TurnedAway})
+		attempt.Finish(node.Result{Code: standpoint.Rejected})
 	}
 	b.gathered = nil
 	for file := range b.filesInFlight {
@@ -126,7 +126,7 @@
 		b.finishAll(file, standpoint.ConnectionLost, err) // it may have been created all the same
 		return
 	case err != nil:
-		b.finishAll(file, standpoint.TurnedAway, err)
+		b.finishAll(file, standpoint.Rejected, err)
 		return
 	}
 	if b.OnWritten != nil {
@@ -143,7 +143,7 @@
 		return
 	}
 	// What is in neither file of a batch that did not complete was never run.
-	code := standpoint.TurnedAway
+	code := standpoint.Rejected
 	if final.Status == statusCompleted {
 		code = standpoint.ConnectionLost
 	}
--- a/internal/backend/batch_file.go
+++ b/internal/backend/batch_file.go
@@ -115,7 +115,7 @@
 			b.finish(file, result.CustomID, forwardAnswer(attempt, result.Response.Body))
 		case result.Response != nil && result.Response.StatusCode == http.StatusTooManyRequests,
 			result.Error != nil && (result.Error.Code == "batch_cancelled" || result.Error.Code == "batch_expired"):
-			b.finish(file, result.CustomID, node.Result{Code: standpoint.TurnedAway})
+			b.finish(file, result.CustomID, node.Result{Code: standpoint.Rejected})
 		default:
 			b.finish(file, result.CustomID, node.Result{Code: standpoint.ServerError})
 		}
@@ -175,7 +175,7 @@
 }
 
 // finishAll ends the attempts that are left. One that was given up keeps the reason for that.
-func (b *batchBackend) finishAll(file *batchFile, code standpoint.Code, err error) {
+func (b *batchBackend) finishAll(file *batchFile, code standpoint.OutcomeCode, err error) {
 	if len(file.attempts) > 0 {
 		b.Log.Info("attempts of a file failed", zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
 			zap.Stringer("code", code), zap.Error(err))
--- a/internal/backend/events_test.go
+++ b/internal/backend/events_test.go
@@ -22,7 +22,7 @@
 		answerSummary{
 			cachedTokens: 4,
 			outputTokens: 7,
-			report:       &standpoint.Report{Memory: 0.25, Unread: 1.5, Slots: 0.5},
+			report:       &standpoint.Report{MemoryUsage: 0.25, PrefillBacklog: 1.5, SlotUsage: 0.5},
 			done:         true,
 			events:       2,
 		},
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -72,7 +72,7 @@
 
 // Update takes an endpoint list in. Attempts that are in flight at a removed backend go on.
 func (f *Fleet) Update(list node.EndpointList) {
-	if list.Kind == standpoint.ListLost {
+	if list.Kind == standpoint.ListFailed {
 		return
 	}
 	f.mu.Lock()
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -26,11 +26,11 @@
 		all := []float64{end.cachedTokens, end.outputTokens}
 		for _, r := range []string{string(raw), "TEXT " + string(raw)} {
 			if r := parseReport(r); r != nil {
-				all = append(all, r.Memory, r.Unread, r.Slots)
+				all = append(all, r.MemoryUsage, r.PrefillBacklog, r.SlotUsage)
 			}
 		}
 		if end.report != nil {
-			all = append(all, end.report.Memory, end.report.Unread, end.report.Slots)
+			all = append(all, end.report.MemoryUsage, end.report.PrefillBacklog, end.report.SlotUsage)
 		}
 		for _, v := range all {
 			if math.IsNaN(v) || v < 0 || v > maxTokenCount {
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -19,7 +19,7 @@
 		Size:         500,
 		CachedTokens: 12.5,
 		Tokens:       7.5,
-		Report:       &standpoint.Report{Memory: 0.25, Unread: 3, Slots: 0.5},
+		Report:       &standpoint.Report{MemoryUsage: 0.25, PrefillBacklog: 3, SlotUsage: 0.5},
 		Done:         true,
 		ClientStall:  250 * time.Millisecond,
 		Chunks: chunkParser{
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -21,7 +21,7 @@
 	found := false
 	for _, pair := range strings.Split(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		to := map[string]*float64{"x0": &r.Memory, "x1": &r.Unread, "util": &r.Slots, "load_share": &r.Slots}[name]
+		to := map[string]*float64{"x0": &r.MemoryUsage, "x1": &r.PrefillBacklog, "util": &r.SlotUsage, "load_share": &r.SlotUsage}[name]
 		if to == nil {
 			continue
 		}
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -36,7 +36,7 @@
 
 // failureCode is the code of an attempt without a complete answer. An answer that is not readable shows, unlike a lost
 // connection, that the backend is there: it is an error of this one request. conn may be nil.
-func failureCode(ctx context.Context, written bool, conn *connection) standpoint.Code {
+func failureCode(ctx context.Context, written bool, conn *connection) standpoint.OutcomeCode {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, node.ErrNoAnswer):
 		return standpoint.NoAnswer
--- a/internal/backend/stream_backend.go
+++ b/internal/backend/stream_backend.go
@@ -174,7 +174,7 @@
 	result := node.Result{Code: standpoint.ServerError, Report: parseReport(response.Header.Get(LoadHeader))}
 	switch {
 	case response.Header.Get(neverRanHeader) == "1":
-		result.Code = standpoint.TurnedAway
+		result.Code = standpoint.Rejected
 	case slices.Contains(requestFaultStatuses, response.StatusCode):
 		result.Code = standpoint.Cancelled
 		result.InvalidStatus = response.StatusCode
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -42,7 +42,7 @@
 	// The end of the request's context ends even a stream that has begun, for which no deadline runs.
 	requestCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	request.Expires = s.Core.Expires(began, time.Until(end))
+	request.Deadline = s.Core.Expires(began, time.Until(end))
 	traceID := newID("")
 	content := &collector{}
 	answer, ended := s.serve(requestCtx, node.NewRequest(request, node.Work{
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -19,12 +19,12 @@
 		}
 		s := p.Settings
 		if len(s.Classes) == 0 || p.Names.IdleTimeout <= 0 || p.Names.DialTimeout <= 0 || p.Limits.MaxRequests() < 1 || p.KillDelay() < 0 ||
-			s.Balancers < 0 || s.WarmUp < 0 || s.Fall < 0 || s.Tick < 0 || s.MaxAttempts < 0 || s.MaxRetryAfter < 0 ||
-			!(s.ColdShare >= 0 && s.ColdShare <= 1) || s.FallFactor < 0 {
+			s.Gateways < 0 || s.WarmUp < 0 || s.OverloadWindow < 0 || s.Tick < 0 || s.MaxAttempts < 0 || s.MaxRetryAfter < 0 ||
+			!(s.ColdCapacityFraction >= 0 && s.ColdCapacityFraction <= 1) || s.OverloadFactor < 0 {
 			t.Fatalf("%+v", p)
 		}
 		for _, c := range s.Classes {
-			if c.Deadline < 0 || c.TTFTAim < 0 || c.TPOTAim < 0 || c.AimPer1000 < 0 || c.Worth < 0 {
+			if c.Deadline < 0 || c.TTFTObjective < 0 || c.TPOTObjective < 0 || c.TTFTObjectivePer1000Tokens < 0 || c.Weight < 0 {
 				t.Fatalf("%+v", c)
 			}
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -67,19 +67,19 @@
 	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	require.Equal(t, standpoint.Settings{
-		Balancers: 4, Ordinal: 2, Zone: 1, Zones: 2, Kinds: 2, Resume: true, RetryAfter: true,
+		Gateways: 4, Ordinal: 2, Zone: 1, Zones: 2, Kinds: 2, Resume: true, RetryAfter: true,
 		Reports:       standpoint.ReportReplies,
 		MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 2, Tick: int64(2 * time.Millisecond),
-		AskWithin:  int64(10 * time.Second),
-		DrainGrace: int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second), Fall: int64(3 * time.Second),
-		ColdShare: 0.17, FallFactor: 4,
+		DiscoveryTimeout: int64(10 * time.Second),
+		DrainGrace:       int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second), OverloadWindow: int64(3 * time.Second),
+		ColdCapacityFraction: 0.17, OverloadFactor: 4,
 		Classes: []standpoint.Class{
-			{Streamed: true, TTFTAim: int64(2500 * time.Millisecond), AimPer1000: int64(60 * time.Millisecond),
-				TPOTAim:  int64(50 * time.Millisecond),
-				Deadline: int64(10 * time.Second), Worth: 2, LateWorth: 0.25, Description: "sheet-import"},
-			{Streamed: true, TTFTAim: int64(1200 * time.Millisecond), AimPer1000: int64(30 * time.Millisecond),
-				TPOTAim:  int64(100 * time.Millisecond),
-				Deadline: int64(5 * time.Second), Worth: 5, LateWorth: 0.5, Description: "foreman-chat"},
+			{Streamed: true, TTFTObjective: int64(2500 * time.Millisecond), TTFTObjectivePer1000Tokens: int64(60 * time.Millisecond),
+				TPOTObjective: int64(50 * time.Millisecond),
+				Deadline:      int64(10 * time.Second), Weight: 2, LateWeight: 0.25, Description: "sheet-import"},
+			{Streamed: true, TTFTObjective: int64(1200 * time.Millisecond), TTFTObjectivePer1000Tokens: int64(30 * time.Millisecond),
+				TPOTObjective: int64(100 * time.Millisecond),
+				Deadline:      int64(5 * time.Second), Weight: 5, LateWeight: 0.5, Description: "foreman-chat"},
 		},
 		Tenants: []standpoint.Tenant{{Share: 0.75, QuotaRPS: 12.5}, {Share: 0.25, QuotaRPS: 6.5}},
 	}, o.Settings)
@@ -108,19 +108,19 @@
 		Kinds: []string{"fast", "slow",
 			"old"}, IdleTimeout: 15 * time.Second, DialTimeout: 120 * time.Millisecond, MaxConnections: 77}, p.Names)
 	require.Equal(t, standpoint.Settings{
-		Balancers: 4, Ordinal: 3, Zone: 1, Zones: 2, Kinds: 3, OverShareWorth: 0.31,
-		Reports: standpoint.ReportProbes, AskDiscovery: true, Resume: true,
+		Gateways: 4, Ordinal: 3, Zone: 1, Zones: 2, Kinds: 3, OverQuotaWeight: 0.31,
+		Reports: standpoint.ReportProbes, SubscribeDiscovery: true, Resume: true,
 		SecondCopies: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001,
 		MaxAttempts: 3, Tick: 2000002,
-		AskWithin: 10000003, DrainGrace: 500004, WarmUp: 20000005, Fall: 3000006, ColdShare: 0.13, FallFactor: 4.5,
+		DiscoveryTimeout: 10000003, DrainGrace: 500004, WarmUp: 20000005, OverloadWindow: 3000006, ColdCapacityFraction: 0.13, OverloadFactor: 4.5,
 		CrossZonePrice: 0.01, LateFailPrice: 0.02, PeerPrice: 0.03, ProbePrice: 0.04, WastePrice: 0.05,
 		Classes: []standpoint.Class{
-			{Effect: standpoint.Safe, Group: standpoint.GroupZone, Window: 31, Streamed: true, TTFTAim: 32,
-				AimPer1000: 1500, TPOTAim: 33, AimStretch: 1.2,
-				Deadline: 34, Worth: 2.5, LateWorth: 0.5, Description: "chat"},
-			{Effect: standpoint.Keyed, Group: standpoint.GroupCell, TTFTAim: 42, AimPer1000: 2500, TPOTAim: 43,
-				Deadline: 44, Worth: 3.5, Description: "import"},
-			{Effect: standpoint.Unsafe, TTFTAim: 52, Deadline: 54, Worth: 4.5, Description: "night"},
+			{Effect: standpoint.Safe, Group: standpoint.GroupZone, Window: 31, Streamed: true, TTFTObjective: 32,
+				TTFTObjectivePer1000Tokens: 1500, TPOTObjective: 33, ObjectiveStretch: 1.2,
+				Deadline: 34, Weight: 2.5, LateWeight: 0.5, Description: "chat"},
+			{Effect: standpoint.Keyed, Group: standpoint.GroupCell, TTFTObjective: 42, TTFTObjectivePer1000Tokens: 2500, TPOTObjective: 43,
+				Deadline: 44, Weight: 3.5, Description: "import"},
+			{Effect: standpoint.Unsafe, TTFTObjective: 52, Deadline: 54, Weight: 4.5, Description: "night"},
 		},
 		Tenants: []standpoint.Tenant{{Share: 0.6, QuotaRPS: 11}, {Share: 0.4, QuotaRPS: 12}},
 	}, p.Settings)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -126,33 +126,33 @@
 // moduleSettings are the decision module's settings but for classes and tenants.
 func (w *settings) moduleSettings() standpoint.Settings {
 	decoded := standpoint.Settings{
-		Balancers:      w.Balancers,
-		Ordinal:        w.Ordinal,
-		Zone:           w.Zone,
-		Zones:          len(w.Zones),
-		Kinds:          len(w.Kinds),
-		OverShareWorth: w.OverShareWeight,
-		AskDiscovery:   w.Discovery == discoveryOnRequest,
-		Resume:         w.FamilyInfo.Resume,
-		SecondCopies:   w.Limits.HedgedRequests,
-		Cancel:         w.Limits.Cancel,
-		Probes:         w.Limits.Probes,
-		Peers:          w.Limits.Peers,
-		RetryAfter:     w.Limits.RetryAfter,
-		MaxRetryAfter:  w.Limits.MaxRetryAfter,
-		MaxAttempts:    w.Limits.MaxAttempts,
-		Tick:           w.Tick,
-		AskWithin:      w.Rules.DiscoveryTimeout,
-		DrainGrace:     w.Rules.DrainGrace,
-		WarmUp:         w.Rules.WarmUp,
-		Fall:           w.Rules.OverloadWindow,
-		ColdShare:      w.Rules.ColdShare,
-		FallFactor:     w.Rules.OverloadFactor,
-		CrossZonePrice: w.Prices.CrossZone,
-		ProbePrice:     w.Prices.Probe,
-		PeerPrice:      w.Prices.Peer,
-		WastePrice:     w.Prices.Waste,
-		LateFailPrice:  w.Prices.LateFail,
+		Gateways:             w.Balancers,
+		Ordinal:              w.Ordinal,
+		Zone:                 w.Zone,
+		Zones:                len(w.Zones),
+		Kinds:                len(w.Kinds),
+		OverQuotaWeight:      w.OverShareWeight,
+		SubscribeDiscovery:   w.Discovery == discoveryOnRequest,
+		Resume:               w.FamilyInfo.Resume,
+		SecondCopies:         w.Limits.HedgedRequests,
+		Cancel:               w.Limits.Cancel,
+		Probes:               w.Limits.Probes,
+		Peers:                w.Limits.Peers,
+		RetryAfter:           w.Limits.RetryAfter,
+		MaxRetryAfter:        w.Limits.MaxRetryAfter,
+		MaxAttempts:          w.Limits.MaxAttempts,
+		Tick:                 w.Tick,
+		DiscoveryTimeout:     w.Rules.DiscoveryTimeout,
+		DrainGrace:           w.Rules.DrainGrace,
+		WarmUp:               w.Rules.WarmUp,
+		OverloadWindow:       w.Rules.OverloadWindow,
+		ColdCapacityFraction: w.Rules.ColdShare,
+		OverloadFactor:       w.Rules.OverloadFactor,
+		CrossZonePrice:       w.Prices.CrossZone,
+		ProbePrice:           w.Prices.Probe,
+		PeerPrice:            w.Prices.Peer,
+		WastePrice:           w.Prices.Waste,
+		LateFailPrice:        w.Prices.LateFail,
 	}
 	switch w.Report.How {
 	case reportsPiggyback:
@@ -183,14 +183,14 @@
 func (w *settings) moduleClass(i int) standpoint.Class {
 	wire := &w.Classes[i]
 	class := standpoint.Class{
-		Window:      wire.Window,
-		Streamed:    wire.Streamed,
-		TTFTAim:     wire.Objective,
-		AimStretch:  wire.ObjectiveStretch,
-		Deadline:    wire.Deadline,
-		Worth:       wire.Weight,
-		LateWorth:   wire.LateWeight,
-		Description: wire.Name,
+		Window:           wire.Window,
+		Streamed:         wire.Streamed,
+		TTFTObjective:    wire.Objective,
+		ObjectiveStretch: wire.ObjectiveStretch,
+		Deadline:         wire.Deadline,
+		Weight:           wire.Weight,
+		LateWeight:       wire.LateWeight,
+		Description:      wire.Name,
 	}
 	switch wire.Semantics {
 	case semanticsSafe:
@@ -206,10 +206,10 @@
 		class.Group = standpoint.GroupCell
 	}
 	if i < len(w.FamilyInfo.ObjectivePer1000Tokens) {
-		class.AimPer1000 = int64(w.FamilyInfo.ObjectivePer1000Tokens[i] * float64(time.Microsecond))
+		class.TTFTObjectivePer1000Tokens = int64(w.FamilyInfo.ObjectivePer1000Tokens[i] * float64(time.Microsecond))
 	}
 	if i < len(w.FamilyInfo.TokenGapObjective) {
-		class.TPOTAim = int64(w.FamilyInfo.TokenGapObjective[i])
+		class.TPOTObjective = int64(w.FamilyInfo.TokenGapObjective[i])
 	}
 	return class
 }
@@ -219,13 +219,13 @@
 		key   string
 		value float64
 	}{
-		{"onTime", float64(class.TTFTAim)},
+		{"onTime", float64(class.TTFTObjective)},
 		{"hardLimit", float64(class.Deadline)},
 		{"window", float64(class.Window)},
-		{"worth", class.Worth},
-		{"lateWorth", class.LateWorth},
-		{"tokenAim", float64(class.TPOTAim)},
-		{"aimUsPer1000PromptTokens", float64(class.AimPer1000)},
+		{"worth", class.Weight},
+		{"lateWorth", class.LateWeight},
+		{"tokenAim", float64(class.TPOTObjective)},
+		{"aimUsPer1000PromptTokens", float64(class.TTFTObjectivePer1000Tokens)},
 	} {
 		if v.value < 0 {
 			return keyError(indexed("settings.classes", i, v.key), "%g is negative", v.value)
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -63,6 +63,6 @@
 // coreSettings is a deployment's settings with the number of nodes that was found.
 func (a *assembly) coreSettings(d deployment) standpoint.Settings {
 	settings, _, _ := d.requestSettings()
-	settings.Balancers = max(settings.Balancers, int(a.nodeCount.Load()))
+	settings.Gateways = max(settings.Gateways, int(a.nodeCount.Load()))
 	return settings
 }
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -53,10 +53,10 @@
 		first.Do(func() { close(a.endpointsReceived) })
 	}
 	watcher := endpoints.NewWatcher(cfg.Discovery, endpointNames(cfg.Names), sequence, update, a.log)
-	if !cfg.Settings.AskDiscovery { // a change binds at once, so it is to be known well within the grace for drains
+	if !cfg.Settings.SubscribeDiscovery { // a change binds at once, so it is to be known well within the grace for drains
 		watcher.MaxPushedPause = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
 	}
-	watcher.Nodes = cfg.Settings.Balancers
+	watcher.Nodes = cfg.Settings.Gateways
 	watcher.Restore(known)
 	watcher.Watch() // before anything else that the start waits for, since the known list is old
 	if a.siblingCount > 0 {
@@ -124,7 +124,7 @@
 	if waited >= maxAwait {
 		return true
 	}
-	hasKnownList := len(a.platform.KnownEndpoints) > 0 && a.platform.Settings.AskDiscovery
+	hasKnownList := len(a.platform.KnownEndpoints) > 0 && a.platform.Settings.SubscribeDiscovery
 	if waited < awaitPushedList && !hasKnownList {
 		return false
 	}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -54,8 +54,8 @@
 	cfg, err := config.ReadOperatorFile("../config/testdata/operator/full.toml")
 	require.NoError(t, err)
 	cfg.Settings.Classes = []standpoint.Class{{Effect: standpoint.Keyed, Group: standpoint.GroupCell, Window: 1,
-		Streamed: true, TTFTAim: 2, AimPer1000: 3,
-		TPOTAim: 4, AimStretch: 5.5, Deadline: 6, Worth: 7.5, LateWorth: 8.5, Description: "chat"}}
+		Streamed: true, TTFTObjective: 2, TTFTObjectivePer1000Tokens: 3,
+		TPOTObjective: 4, ObjectiveStretch: 5.5, Deadline: 6, Weight: 7.5, LateWeight: 8.5, Description: "chat"}}
 	require.Empty(t, golden.Unset(cfg.Settings.Classes))
 	require.Empty(t, golden.Unset(cfg.Settings.Tenants))
 	require.Empty(t, golden.Unset(cfg.Batch))
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -63,7 +63,7 @@
 				t.Fatalf("%+v", request)
 			}
 		}
-		timeout := request.Expires - core.Expires(began, 0)
+		timeout := request.Deadline - core.Expires(began, 0)
 		if timeout > int64(maxClientTimeout) || timeout < -int64(responseMargin) {
 			t.Fatalf("expires in %v", time.Duration(timeout))
 		}
--- a/internal/edge/headers.go
+++ b/internal/edge/headers.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return request, malformedHeader(expiryHeader, err.Error())
 	}
-	request.Expires = f.Core.Expires(began, timeout-responseMargin)
+	request.Deadline = f.Core.Expires(began, timeout-responseMargin)
 	if err := decodeLengths(r.Header.Get(lengthsHeader), &request); err != nil {
 		return request, err
 	}
@@ -72,7 +72,7 @@
 	case "1":
 		request.Retry = true
 	case "again":
-		request.Again = true
+		request.Resumed = true
 	}
 	return request, nil
 }
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -55,7 +55,7 @@
 		return true
 	}
 	spec := resumed.Request
-	spec.Expires = min(request.Spec.Expires, f.Core.ExpiresAt(resumed.Deadline))
+	spec.Deadline = min(request.Spec.Deadline, f.Core.ExpiresAt(resumed.Deadline))
 	request.Spec = spec
 	request.Work.Body = resumed.Body
 	request.UncachedTokens = resumed.UncachedTokens
--- a/internal/endpoints/cache.go
+++ b/internal/endpoints/cache.go
@@ -137,7 +137,7 @@
 
 // Store stores a change. It never waits for the store: the watch has to continue at once.
 func (c *Cache) Store(list node.EndpointList) {
-	if list.Kind == standpoint.ListLost || list.Kind == standpoint.ListDelta && len(list.Endpoints) == 0 {
+	if list.Kind == standpoint.ListFailed || list.Kind == standpoint.ListDelta && len(list.Endpoints) == 0 {
 		return
 	}
 	c.mu.Lock()
--- a/internal/endpoints/overrides.go
+++ b/internal/endpoints/overrides.go
@@ -84,7 +84,7 @@
 			endpoint.State = standpoint.Draining
 		} else if restoredAt := o.record.RestoredAt[endpoint.Name]; restoredAt != 0 {
 			endpoint.ReadyAt = max(endpoint.ReadyAt, restoredAt)
-			endpoint.Back = true
+			endpoint.Reinstated = true
 		}
 	}
 	return applied
--- a/internal/endpoints/overrides_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -73,7 +73,7 @@
 			full(endpoint("b", ready, 0))
 			full(moved, endpoint("b", ready, 0))
 		},
-		func() { o.Update(node.EndpointList{Kind: standpoint.ListLost}) },
+		func() { o.Update(node.EndpointList{Kind: standpoint.ListFailed}) },
 		func() { o.cache.Resend(core.update) },
 	} {
 		report()
@@ -87,7 +87,7 @@
 	require.NotContains(t, core, "a")
 	delta(endpoint("a", ready, 5))
 	require.Equal(t, ready, core["a"].State)
-	require.True(t, core["a"].Back)
+	require.True(t, core["a"].Reinstated)
 	startedAt := core["a"].ReadyAt
 	require.GreaterOrEqual(t, startedAt, before)
 	delta(moved)
@@ -95,7 +95,7 @@
 	later := endpoint("a", ready, startedAt+int64(time.Second))
 	delta(later)
 	require.Equal(t, later.ReadyAt, core["a"].ReadyAt)
-	require.False(t, core["b"].Back)
+	require.False(t, core["b"].Reinstated)
 }
 
 // A command to one process is in effect in the other, and in the one after both, also for backends that were listed
@@ -118,7 +118,7 @@
 	require.NoError(t, old.Enable("a"))
 	next.Sync()
 	require.Equal(t, ready, core["a"].State)
-	require.True(t, core["a"].Back)
+	require.True(t, core["a"].Reinstated)
 	require.Equal(t, oldCore["a"].ReadyAt, core["a"].ReadyAt)
 	old.Update(deltaList(endpoint("once", ready, 0)))
 	old.Persist()
--- a/internal/endpoints/watcher_silence_test.go
+++ b/internal/endpoints/watcher_silence_test.go
@@ -42,7 +42,7 @@
 			})
 			for changed := false; !changed; {
 				list := receive(t, updates)
-				require.NotEqual(t, standpoint.ListLost, list.Kind)
+				require.NotEqual(t, standpoint.ListFailed, list.Kind)
 				changed = len(list.Endpoints) > 0
 			}
 			require.Equal(t, "after=41&wait_ms=100", <-queries, "the poll that opens a watch")
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -13,7 +13,7 @@
 
 // Listed takes in a change of the endpoint list: the backends that are ready are those that evidence is collected on.
 func (f *Fleet) Listed(list node.EndpointList) {
-	if list.Kind == standpoint.ListLost {
+	if list.Kind == standpoint.ListFailed {
 		return
 	}
 	f.mu.Lock()
@@ -93,7 +93,7 @@
 
 // evidenceKind is what the result of an attempt says of its backend, and counts errors in a row. False: it says
 // nothing. f.mu is held.
-func (f *Fleet) evidenceKind(backend string, code standpoint.Code) (outlier.Kind, bool) {
+func (f *Fleet) evidenceKind(backend string, code standpoint.OutcomeCode) (outlier.Kind, bool) {
 	switch code {
 	case standpoint.Served:
 		f.consecutiveErrors[backend] = 0
@@ -112,7 +112,7 @@
 	advice := &standpoint.Advice{}
 	for _, ejection := range f.member.Detector.Ejections(f.Now()) {
 		if name, ok := f.backendNames[ejection.Backend.Hash]; ok {
-			advice.Doubts = append(advice.Doubts, standpoint.Doubt{
+			advice.Suspicions = append(advice.Suspicions, standpoint.Suspicion{
 				Engine:  name,
 				ReadyAt: ejection.Backend.StartedAt,
 				At:      ejection.LatestEvidence - int64(f.ClockOffset),
--- a/internal/fleet/backends_test.go
+++ b/internal/fleet/backends_test.go
@@ -28,14 +28,14 @@
 			ObservedAt:  f.Now(),
 		}, f.Now())
 	}
-	doubts := f.outlierAdvice().Doubts
+	doubts := f.outlierAdvice().Suspicions
 	require.Len(t, doubts, 1)
 	require.Equal(t, "p", doubts[0].Engine)
 	f.Finished(node.Observation{Backend: "p", Result: node.Result{Code: standpoint.Served}})
-	require.Empty(t, f.outlierAdvice().Doubts)
+	require.Empty(t, f.outlierAdvice().Suspicions)
 	f.Finished(node.Observation{Backend: "q", Result: node.Result{Code: standpoint.ServerError}})
 	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "one error may be the request's")
 	list.Endpoints[0].ReadyAt = 8
 	f.Listed(list)
-	require.Empty(t, f.outlierAdvice().Doubts)
+	require.Empty(t, f.outlierAdvice().Suspicions)
 }
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -49,7 +49,7 @@
 	f.updateSiteConnectivity()
 	f.mu.Unlock()
 	f.sendPackets(outgoing)
-	if f.Advise != nil && len(advice.Doubts) > 0 {
+	if f.Advise != nil && len(advice.Suspicions) > 0 {
 		f.Advise(advice)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -81,7 +81,7 @@
 	for _, allocation := range f.member.Allocations {
 		status.Budgets = append(status.Budgets, allocation.Usage())
 	}
-	for _, doubt := range f.outlierAdvice().Doubts {
+	for _, doubt := range f.outlierAdvice().Suspicions {
 		status.SuspectBackends = append(status.SuspectBackends, doubt.Engine)
 	}
 	return status
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -155,7 +155,7 @@
 func (s *socketRun) plan(n *socketNode, i int, errs []error) *load.Plan {
 	p := &load.Plan{Target: n.front, Pattern: s.pattern, For: s.Settle + s.For, Seed: s.setup.Seed*64 + uint64(i) + 1, Lag: load.Span(20 * time.Millisecond)}
 	for k, c := range lab.Tabel() {
-		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Part: c.Part, Aim: load.Span(c.TTFTAim), PerK: load.Span(c.AimPer1000), Gap: load.Span(c.TPOTAim),
+		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Part: c.Part, Aim: load.Span(c.TTFTObjective), PerK: load.Span(c.TTFTObjectivePer1000Tokens), Gap: load.Span(c.TPOTObjective),
 			GiveUp: load.Span(c.Deadline), Prompt: c.New, Spread: c.Sigma, Out: c.MaxOut, Turns: c.Turns, Think: load.Span(c.Think * 1e9), Shared: c.PrefixTokens,
 			Starts: c.Prefixes, Habit: load.RetryAfter, Retries: 2, Wait: load.Span(300 * time.Millisecond)})
 	}
@@ -194,8 +194,8 @@
 	fmt.Fprintf(&b, "[module]\nnodes = %d\nordinal = %d\nzones = [\"hall\"]\nzone = \"hall\"\nkinds = [\"fast\", \"standard\", \"slow\"]\nresume = true\n", s.setup.Nodes, i)
 	for k, c := range lab.Tabel() {
 		ms := func(v int64) time.Duration { return time.Duration(v) }
-		fmt.Fprintf(&b, "[[class]]\nname = %q\nfirst_token = %q\nper_1000_prompt_tokens = %q\ntoken_gap = %q\ngive_up = %q\nworth = %.1f\n", classNames[k], ms(c.TTFTAim),
-			ms(c.AimPer1000), ms(c.TPOTAim), ms(c.Deadline), c.Worth)
+		fmt.Fprintf(&b, "[[class]]\nname = %q\nfirst_token = %q\nper_1000_prompt_tokens = %q\ntoken_gap = %q\ngive_up = %q\nworth = %.1f\n", classNames[k], ms(c.TTFTObjective),
+			ms(c.TTFTObjectivePer1000Tokens), ms(c.TPOTObjective), ms(c.Deadline), c.Weight)
 	}
 	for k, one := range s.fleet.Servers {
 		fmt.Fprintf(&b, "[[real_server]]\nname = %q\naddress = %q\nzone = \"hall\"\nkind = %q\n", one.Name, one.Address, []string{"fast", "standard", "slow"}[k%3])
@@ -306,7 +306,7 @@
 	asked, good := 0.0, 0.0
 	for k, c := range lab.Tabel() {
 		if f := r.Classes[classNames[k]]; f != nil {
-			asked, good = asked+c.Worth*float64(f.Asked), good+c.Worth*float64(f.InTime)
+			asked, good = asked+c.Weight*float64(f.Asked), good+c.Weight*float64(f.InTime)
 		}
 	}
 	all := r.All()
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -51,9 +51,9 @@
 
 // reckon has the node take there to be so many.
 func (g *gateway) reckon(nodes int) {
-	g.settings.Balancers = nodes
+	g.settings.Gateways = nodes
 	if r, ok := g.router.(*standpoint.Router); ok {
-		r.Adjust(g.settings)
+		r.UpdateSettings(g.settings)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if g.tracker != nil {
 		g.tracker.Sent(&a.request, act.Engine, t.leg)
 	}
-	until := float64(act.Until-epoch) / 1e9
+	until := float64(act.Deadline-epoch) / 1e9
 	w.attempts++
 	if s := w.second(w.now); s.Boxes != nil {
 		s.Boxes[m.index]++
@@ -165,7 +165,7 @@
 		m.fell = true
 		w.lose(m, m.Kill())
 	}
-	back := func(code standpoint.Code) {
+	back := func(code standpoint.OutcomeCode) {
 		w.At(w.now+hop, func() { a.node.end(t, code, 0) })
 	}
 	switch v {
@@ -173,7 +173,7 @@
 		m.jobs[t.id] = t
 		w.step(m)
 	case emulator.Full:
-		back(standpoint.TurnedAway)
+		back(standpoint.Rejected)
 	case emulator.Errored:
 		back(standpoint.ServerError)
 	case emulator.Dead:
@@ -234,7 +234,7 @@
 }
 
 // end is an attempt's outcome at its node.
-func (g *gateway) end(t *try, code standpoint.Code, kept float64) {
+func (g *gateway) end(t *try, code standpoint.OutcomeCode, kept float64) {
 	if !t.out {
 		return
 	}
@@ -269,7 +269,7 @@
 	if g.tracker != nil {
 		g.tracker.Finished(o)
 	}
-	g.handle(&standpoint.Outcome{Request: a.request.ID, Attempt: t.leg, Last: over, Code: code, Kept: kept, Tokens: o.Result.OutputTokens,
+	g.handle(&standpoint.Outcome{Request: a.request.ID, Attempt: t.leg, Last: over, Code: code, CachedTokens: kept, OutputTokens: o.Result.OutputTokens,
 		Engine: t.box.name, Elapsed: int64((w.now - t.sent) * 1e9), Report: o.Result.Report})
 	g.forget(a)
 }
@@ -282,10 +282,10 @@
 // settle counts an answer that came whole, from the client's first try on, and has the session go on.
 func (w *World) settle(a *ask, t *try) {
 	c := a.class
-	aim := float64(c.TTFTAim)/1e9 + float64(c.AimPer1000)/1e9*a.request.PromptTokens/1000
+	aim := float64(c.TTFTObjective)/1e9 + float64(c.TTFTObjectivePer1000Tokens)/1e9*a.request.PromptTokens/1000
 	pace := (w.now - t.begun) / max(1, float64(t.made-1))
-	if t.begun-a.arrived <= aim && pace <= float64(c.TPOTAim)/1e9 {
-		w.Seconds[a.second].InTime += c.Worth
+	if t.begun-a.arrived <= aim && pace <= float64(c.TPOTObjective)/1e9 {
+		w.Seconds[a.second].InTime += c.Weight
 	}
 	s := a.session
 	s.length += float64(t.made)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -87,7 +87,7 @@
 	require.NotNil(t, late)
 	kept := m.reports[0]
 	require.LessOrEqual(t, kept.at, 3.0)
-	require.Equal(t, kept.report.Memory, late.Memory)
+	require.Equal(t, kept.report.Memory, late.MemoryUsage)
 	w.Run(30)
 	require.LessOrEqual(t, len(m.reports), 8, "what is older than the newest that may come is let go of")
 	require.Zero(t, first.Slots)
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -397,7 +397,7 @@
 	at := arrived.Sub(s.base).Seconds()
 	s.mu.Lock()
 	p := s.point(at)
-	p.Asked += c.Worth
+	p.Asked += c.Weight
 	p.Requests++
 	s.report.Asked++
 	s.mu.Unlock()
@@ -413,10 +413,10 @@
 	for try := range 3 {
 		text, first, pace, wait, ok := s.once(ctx, fmt.Sprintf("s%d-%d-%d", n, turn, try), class, uint64(n), body, length, shared, arrived)
 		if ok {
-			aim := float64(c.TTFTAim)/1e9 + float64(c.AimPer1000)/1e9*float64(length)/1000
-			if first <= aim && pace <= float64(c.TPOTAim)/1e9 {
+			aim := float64(c.TTFTObjective)/1e9 + float64(c.TTFTObjectivePer1000Tokens)/1e9*float64(length)/1000
+			if first <= aim && pace <= float64(c.TPOTObjective)/1e9 {
 				s.mu.Lock()
-				s.point(at).InTime += c.Worth
+				s.point(at).InTime += c.Weight
 				s.mu.Unlock()
 			}
 			return text, true
@@ -424,7 +424,7 @@
 		if ctx.Err() != nil {
 			// Cut off by the stage's end: not asked, as far as service goes.
 			s.mu.Lock()
-			s.point(at).Asked -= c.Worth
+			s.point(at).Asked -= c.Weight
 			s.mu.Unlock()
 			return "", false
 		}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -40,9 +40,9 @@
 func Tabel() []WorkClass {
 	ms := func(n int64) int64 { return n * int64(time.Millisecond) }
 	return []WorkClass{
-		{Class: standpoint.Class{Streamed: true, TTFTAim: ms(2500), AimPer1000: ms(60), TPOTAim: ms(50), Deadline: ms(10000), Worth: 2},
+		{Class: standpoint.Class{Streamed: true, TTFTObjective: ms(2500), TTFTObjectivePer1000Tokens: ms(60), TPOTObjective: ms(50), Deadline: ms(10000), Weight: 2},
 			Part: 0.63, New: 900, Out: 75, Turns: 1.2, Think: 4, Prefixes: 30, PrefixTokens: 700, MaxOut: 300, Sigma: 0.7, OutSpread: 0.5},
-		{Class: standpoint.Class{Streamed: true, TTFTAim: ms(1200), AimPer1000: ms(30), TPOTAim: ms(100), Deadline: ms(5000), Worth: 5},
+		{Class: standpoint.Class{Streamed: true, TTFTObjective: ms(1200), TTFTObjectivePer1000Tokens: ms(30), TPOTObjective: ms(100), Deadline: ms(5000), Weight: 5},
 			Part: 0.37, New: 260, Out: 160, Turns: 2.5, Think: 6, Prefixes: 20, PrefixTokens: 900, MaxOut: 600, Sigma: 0.7, OutSpread: 0.5},
 	}
 }
@@ -247,10 +247,10 @@
 	}
 	w := &World{Setup: s, rng: rand.New(rand.NewPCG(s.Seed, 0x1ab)), byName: map[string]*machine{}, breaches: map[string]int{},
 		lost: rand.New(rand.NewPCG(s.Seed, 0x105))}
-	settings := standpoint.Settings{Balancers: s.Nodes, Zones: 1, Kinds: len(s.Kinds), Reports: standpoint.ReportReplies,
+	settings := standpoint.Settings{Gateways: s.Nodes, Zones: 1, Kinds: len(s.Kinds), Reports: standpoint.ReportReplies,
 		RetryAfter: true, MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 3, Tick: int64(2 * time.Millisecond),
-		AskWithin: int64(10 * time.Second), DrainGrace: int64(500 * time.Millisecond), WarmUp: int64(20 * time.Second),
-		Fall: int64(3 * time.Second), ColdShare: 0.13, FallFactor: 4, Cancel: true, Resume: true}
+		DiscoveryTimeout: int64(10 * time.Second), DrainGrace: int64(500 * time.Millisecond), WarmUp: int64(20 * time.Second),
+		OverloadWindow: int64(3 * time.Second), ColdCapacityFraction: 0.13, OverloadFactor: 4, Cancel: true, Resume: true}
 	for _, c := range s.Classes {
 		settings.Classes = append(settings.Classes, c.Class)
 	}
@@ -355,7 +355,7 @@
 	}
 	m.reports = m.reports[newest:]
 	l = m.reports[0].report
-	return &standpoint.Report{Memory: l.Memory, Unread: l.Unread, Slots: l.Slots}
+	return &standpoint.Report{MemoryUsage: l.Memory, PrefillBacklog: l.Unread, SlotUsage: l.Slots}
 }
 
 func zipf(r *rand.Rand, n int) int {
@@ -382,7 +382,7 @@
 	a.request = standpoint.Request{Class: s.class, Session: s.key, Prefix: s.prefix, PromptTokens: s.length, PrefixTokens: s.shared,
 		MaxTokens: c.MaxOut}
 	w.second(w.now).Requests++
-	w.Seconds[a.second].Asked += c.Worth
+	w.Seconds[a.second].Asked += c.Weight
 	w.present(a)
 }
 
@@ -394,7 +394,7 @@
 	a.tries, a.first, a.done = nil, 0, false
 	g := a.node
 	g.nextID++
-	a.request.ID, a.request.Expires = g.nextID, epoch+int64(a.deadline*1e9)
+	a.request.ID, a.request.Deadline = g.nextID, epoch+int64(a.deadline*1e9)
 	if g.tracker != nil {
 		a.request.Pool = g.tracker.Assign(&a.request)
 		if a.request.Pool == 2 && a.again == 0 {
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -61,7 +61,7 @@
 		backend = nil // the attempt went to the process before, and says nothing of this one
 	}
 	if backend != nil && o.Result.Report != nil {
-		backend.load = o.Result.Report.Slots
+		backend.load = o.Result.Report.SlotUsage
 	}
 	if o.Inconclusive || t.from == 0 {
 		return
@@ -85,7 +85,7 @@
 	if o.Result.Code != standpoint.NotSent {
 		t.counters[index].Attempts++
 		// A backend without capacity is busy, not broken; what clients lose by that counts as late weight.
-		if !served && o.Result.Code != standpoint.TurnedAway {
+		if !served && o.Result.Code != standpoint.Rejected {
 			t.counters[index].Errors++
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	weight := 1.0
 	if t.hasClass(request) {
-		weight = max(t.classes[request.Class].Worth, minWeight)
+		weight = max(t.classes[request.Class].Weight, minWeight)
 	}
 	counters := &t.counters[index]
 	counters.Requests++
@@ -132,17 +132,17 @@
 		return true
 	}
 	class := &t.classes[o.Request.Class]
-	firstToken := float64(class.TTFTAim) + float64(class.AimPer1000)*o.Request.PromptTokens/1000
-	if class.TTFTAim > 0 && float64(o.FirstToken) > firstToken {
+	firstToken := float64(class.TTFTObjective) + float64(class.TTFTObjectivePer1000Tokens)*o.Request.PromptTokens/1000
+	if class.TTFTObjective > 0 && float64(o.FirstToken) > firstToken {
 		return false
 	}
 	gap := tokenGap(o)
-	return class.TPOTAim <= 0 || gap*1e9 <= float64(class.TPOTAim)
+	return class.TPOTObjective <= 0 || gap*1e9 <= float64(class.TPOTObjective)
 }
 
 // tokenGap is the time for each token after the first, in seconds; 0 if the answer's length is not known.
 func tokenGap(o *node.Observation) float64 {
-	if o.Result.OutputTokens < 2 || o.Request.Again {
+	if o.Result.OutputTokens < 2 || o.Request.Resumed {
 		return 0
 	}
 	return o.Decode.Seconds() / (o.Result.OutputTokens - 1)
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -76,7 +76,7 @@
 
 // Listed implements node.Pools.
 func (t *Tracker) Listed(list node.EndpointList) {
-	if list.Kind == standpoint.ListLost {
+	if list.Kind == standpoint.ListFailed {
 		return
 	}
 	t.mu.Lock()
--- a/internal/migration/controller/node_test.go
+++ b/internal/migration/controller/node_test.go
@@ -31,7 +31,7 @@
 	plan.Steps, plan.Trickle, plan.Warm, plan.Hold, plan.Samples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
 	cfg := &config.OperatorFile{MigrationPlan: plan}
 	cfg.Settings.Classes = []standpoint.Class{
-		{Streamed: true, TTFTAim: int64(time.Second), TPOTAim: int64(50 * time.Millisecond), Worth: 2},
+		{Streamed: true, TTFTObjective: int64(time.Second), TPOTObjective: int64(50 * time.Millisecond), Weight: 2},
 	}
 	cfg.Names.Kinds = []string{"fast"}
 	var all []pool.Definition
@@ -122,7 +122,7 @@
 			Result: node.Result{
 				Code:         standpoint.Served,
 				OutputTokens: 50,
-				Report:       &standpoint.Report{Slots: 0.3},
+				Report:       &standpoint.Report{SlotUsage: 0.3},
 			},
 		}
 		if r.Pool == 2 && n.errors.Load() {
--- a/internal/migration/controller/tracker_test.go
+++ b/internal/migration/controller/tracker_test.go
@@ -50,7 +50,7 @@
 	tr.Follow(migration.Record{ID: "m", State: migration.Holding, Plan: migration.Plan{From: "old", To: "new"}})
 	for i, sent := range []time.Time{now.Add(-time.Second), now.Add(time.Second)} {
 		tr.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Backend: "box-2", Sent: sent,
-			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{Slots: 0.9}}})
+			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{SlotUsage: 0.9}}})
 		_, to := tr.TakeWindow(now)
 		require.Equal(t, i, to.Errors)
 		require.Equal(t, 0.9*float64(i), tr.backends["box-2"].load)
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -28,7 +28,7 @@
 	case standpoint.Timer:
 		c.sweepTimers()
 		heap.Push(&c.timers, timer{at: c.clock() + action.Wait, token: action.Token})
-	case standpoint.Tell:
+	case standpoint.SendPeer:
 		if c.Peers != nil {
 			c.Peers.Send(action.Peer, action.Data)
 		}
@@ -73,12 +73,12 @@
 		Number:        len(request.attempts),
 		Backend:       action.Engine,
 		Sent:          now,
-		Until:         now.Add(time.Duration(action.Until - c.clock())),
+		Until:         now.Add(time.Duration(action.Deadline - c.clock())),
 		ClientResumes: c.Settings.Resume,
 		post:          c.post,
 	}
-	if action.By != 0 {
-		attempt.BeginBy = now.Add(time.Duration(action.By - c.clock()))
+	if action.StartBefore != 0 {
+		attempt.BeginBy = now.Add(time.Duration(action.StartBefore - c.clock()))
 	}
 	allowed := c.mayAttempt(request, attempt)
 	request.attempts = append(request.attempts, attempt)
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -43,7 +43,7 @@
 
 // Result is how an attempt ended, as the backend saw it.
 type Result struct {
-	Code         standpoint.Code
+	Code         standpoint.OutcomeCode
 	CachedTokens float64 // of the prompt
 	OutputTokens float64 // 0 if the answer's length is not known
 	Report       *standpoint.Report
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -24,7 +24,7 @@
 		before := len(h.sent)
 		c.send(
 			f,
-			standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Until: c.clock() + int64(time.Minute)},
+			standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Deadline: c.clock() + int64(time.Minute)},
 		)
 		return len(h.sent) > before
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -100,7 +100,7 @@
 	for c.step(ctx, alarm) {
 		if now := c.clock(); now-c.healthCountedAt >= int64(healthCountInterval) {
 			c.healthCountedAt = now
-			c.Metrics.SetBackends(c.router.Census())
+			c.Metrics.SetBackends(c.router.CountEngines())
 		}
 	}
 }
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -30,13 +30,13 @@
 
 func start(ctx context.Context, tenants, most int) (*Core, held) {
 	s := standpoint.Settings{
-		Balancers:   1,
+		Gateways:    1,
 		MaxAttempts: 3,
 		Tick:        1e6,
 		Cancel:      true,
 		Kinds:       1,
 		Tenants:     make([]standpoint.Tenant, tenants),
-		Classes:     []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}},
+		Classes:     []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
 	}
 	h := held{make(chan *Attempt, 20_000)}
 	c := New(Options{Settings: s, Seed: 1, MaxRequests: most, Backends: h, Watcher: quiet{}, Log: zap.NewNop()})
@@ -52,7 +52,7 @@
 
 func flow(c *Core, tenant int, wait time.Duration) *Request {
 	return NewRequest(
-		standpoint.Request{Tenant: tenant, PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), wait)},
+		standpoint.Request{Tenant: tenant, PromptTokens: 10, MaxTokens: 10, Deadline: c.Expires(time.Now(), wait)},
 		Work{},
 		nil,
 	)
@@ -106,7 +106,7 @@
 		c, h := start(t.Context(), 1, 10)
 		c.Settings.Resume = true
 		f := NewRequest(
-			standpoint.Request{PromptTokens: 10, MaxTokens: 10, Expires: c.Expires(time.Now(), time.Minute)},
+			standpoint.Request{PromptTokens: 10, MaxTokens: 10, Deadline: c.Expires(time.Now(), time.Minute)},
 			Work{},
 			begins{},
 		)
@@ -194,8 +194,8 @@
 func TestEndpointListsGoBeforeTheMailbox(t *testing.T) {
 	t.Parallel()
 	n := noted{let: make(chan struct{}), note: make(chan string, 1000)}
-	s := standpoint.Settings{Balancers: 1, MaxAttempts: 3, Tick: 1e6, Kinds: 1, Tenants: make([]standpoint.Tenant, 1),
-		Classes: []standpoint.Class{{Streamed: true, TTFTAim: 1e9, Deadline: 10e9, Worth: 1}}}
+	s := standpoint.Settings{Gateways: 1, MaxAttempts: 3, Tick: 1e6, Kinds: 1, Tenants: make([]standpoint.Tenant, 1),
+		Classes: []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}}}
 	c := New(
 		Options{Settings: s, Seed: 1, MaxRequests: 1000, Backends: n, Pools: n, Watcher: quiet{}, Log: zap.NewNop()},
 	)
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -130,7 +130,7 @@
 	switch m := m.(type) {
 	case updateSettings:
 		c.Settings = m.settings
-		c.router.Adjust(m.settings)
+		c.router.UpdateSettings(m.settings)
 	case updateAdvice:
 		c.decide(m.advice)
 	case peerMessage:
@@ -138,13 +138,13 @@
 	case exportLearned:
 		m.reply <- c.router.Learned()
 	case importLearned:
-		m.reply <- c.router.Recall(m.learned, c.clock())
+		m.reply <- c.router.RestoreLearned(m.learned, c.clock())
 	case submitRequest:
 		c.applySubmit(m.request)
 	case adoptRequest:
 		c.applyAdopt(m.request)
 	case clientDisconnected:
-		c.decide(&standpoint.Left{Request: m.request.Spec.ID})
+		c.decide(&standpoint.ClientDisconnected{Request: m.request.Spec.ID})
 		c.release(m.request)
 	case handBackRequests:
 		c.applyHandBack(m.all)
@@ -174,7 +174,7 @@
 		request.Spec.Pool = c.Pools.Assign(&request.Spec)
 	}
 	if request.CacheHolder != "" {
-		c.router.Holds(&request.Spec, request.CacheHolder, request.HolderStartedAt, request.HeldTokens, c.clock())
+		c.router.RecordCachedPrompt(&request.Spec, request.CacheHolder, request.HolderStartedAt, request.HeldTokens, c.clock())
 	}
 	spec := request.Spec
 	c.decide(&spec)
@@ -207,7 +207,7 @@
 		answer = &Answer{Kind: Failed}
 	}
 	if request.handBack(answer, c.Settings.Resume) {
-		c.decide(&standpoint.Left{Request: request.Spec.ID})
+		c.decide(&standpoint.ClientDisconnected{Request: request.Spec.ID})
 		c.release(request)
 	}
 }
@@ -231,17 +231,17 @@
 	}
 	request := m.attempt.Request
 	c.decide(&standpoint.Outcome{
-		Request: request.Spec.ID,
-		Attempt: m.attempt.Number,
-		Last:    request.isSettled(),
-		Code:    m.result.Code,
-		Kept:    m.result.CachedTokens,
-		Tokens:  m.result.OutputTokens,
-		Engine:  m.attempt.Backend,
-		Elapsed: int64(m.elapsed),
-		Held:    m.result.ClientStall > 0,
-		Report:  m.result.Report,
-		Local:   m.result.Local,
+		Request:       request.Spec.ID,
+		Attempt:       m.attempt.Number,
+		Last:          request.isSettled(),
+		Code:          m.result.Code,
+		CachedTokens:  m.result.CachedTokens,
+		OutputTokens:  m.result.OutputTokens,
+		Engine:        m.attempt.Backend,
+		Elapsed:       int64(m.elapsed),
+		ClientStalled: m.result.ClientStall > 0,
+		Report:        m.result.Report,
+		LocalFault:    m.result.Local,
 	})
 	c.release(request)
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -13,7 +13,7 @@
 	if len(c.timers) < max(c.timerSweepAt, timerSweepMinimum) {
 		return
 	}
-	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool { return !c.router.Awaits(t.token) })
+	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool { return !c.router.NeedsTimer(t.token) })
 	heap.Init(&c.timers)
 	c.timerSweepAt = 2 * len(c.timers)
 }
--- a/internal/testpeer/node.go
+++ b/internal/testpeer/node.go
@@ -31,7 +31,7 @@
 // Settings returns the settings of a small deployment with one class and one tenant.
 func Settings() standpoint.Settings {
 	return standpoint.Settings{
-		Balancers:     1,
+		Gateways:      1,
 		Zones:         1,
 		Kinds:         1,
 		MaxAttempts:   3,
@@ -41,10 +41,10 @@
 		RetryAfter:    true,
 		MaxRetryAfter: int64(2 * time.Second),
 		Classes: []standpoint.Class{{
-			Streamed: true,
-			TTFTAim:  int64(2500 * time.Millisecond),
-			Deadline: int64(10 * time.Second),
-			Worth:    2,
+			Streamed:      true,
+			TTFTObjective: int64(2500 * time.Millisecond),
+			Deadline:      int64(10 * time.Second),
+			Weight:        2,
 		}},
 		Tenants: []standpoint.Tenant{{Share: 1}},
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,8 +11,8 @@
 )
 
 // codes are the results of attempts by their names on the wire.
-var codes = func() map[string]standpoint.Code {
-	all := map[string]standpoint.Code{}
+var codes = func() map[string]standpoint.OutcomeCode {
+	all := map[string]standpoint.OutcomeCode{}
 	for c := standpoint.Served; c <= standpoint.NotSent; c++ {
 		all[c.String()] = c
 	}
@@ -24,7 +24,7 @@
 	"incr":      standpoint.ListDelta,
 	"total":     standpoint.ListFull,
 	"warm_copy": standpoint.ListFull,
-	"lost":      standpoint.ListLost,
+	"lost":      standpoint.ListFailed,
 }
 
 // engineStates are the states of engines by their names on the wire.
@@ -103,14 +103,14 @@
 	if l.Handle == nil {
 		return nil, errors.New("left without handle")
 	}
-	return &standpoint.Left{Request: *l.Handle}, nil
+	return &standpoint.ClientDisconnected{Request: *l.Handle}, nil
 }
 
 func (l *line) probed() (standpoint.Event, error) {
 	if l.Engine == "" {
 		return nil, errors.New("probed without engine")
 	}
-	return &standpoint.Probed{
+	return &standpoint.ProbeResult{
 		Engine:  l.Engine,
 		OK:      l.Code == standpoint.Served.String(),
 		Elapsed: l.TimeTaken,
@@ -142,7 +142,7 @@
 	if l.Gauge == nil {
 		return nil
 	}
-	return &standpoint.Report{Memory: l.Gauge.X0, Unread: l.Gauge.X1, Slots: l.Gauge.Util}
+	return &standpoint.Report{MemoryUsage: l.Gauge.X0, PrefillBacklog: l.Gauge.X1, SlotUsage: l.Gauge.Util}
 }
 
 // members decodes an endpoint list.
@@ -194,9 +194,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("sharedPrefix: %w", err)
 	}
-	return &standpoint.Request{ID: *l.Handle, Expires: *l.Expires, Class: l.Profile, Tenant: l.Realm,
+	return &standpoint.Request{ID: *l.Handle, Deadline: *l.Expires, Class: l.Profile, Tenant: l.Realm,
 		Session: session, Prefix: prefix, PromptTokens: l.NPrompt, PrefixTokens: l.NPrefix,
-		MaxTokens: l.MaxTokens, Retry: l.Retry, Again: l.Again}, nil
+		MaxTokens: l.MaxTokens, Retry: l.Retry, Resumed: l.Again}, nil
 }
 
 // parseKey reads a hash in hexadecimal; "" is 0.
@@ -216,6 +216,6 @@
 	if !ok {
 		return nil, fmt.Errorf("attemptEnd with unknown code %q", l.Code)
 	}
-	return &standpoint.Outcome{Request: *l.Handle, Attempt: l.Leg, Last: l.Last, Code: code, Kept: l.Info,
+	return &standpoint.Outcome{Request: *l.Handle, Attempt: l.Leg, Last: l.Last, Code: code, CachedTokens: l.Info,
 		Engine: l.Engine, Elapsed: l.TimeTaken, Report: l.report()}, nil
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -14,8 +14,8 @@
 	case standpoint.Send:
 		b = appendVerb(b, "send", node)
 		b = appendNumber(b, "handle", a.Request)
-		if a.Until > 0 {
-			b = appendNumber(b, "tryUntil", a.Until)
+		if a.Deadline > 0 {
+			b = appendNumber(b, "tryUntil", a.Deadline)
 		}
 		b = appendText(b, "engine", a.Engine)
 	case standpoint.Cancel:
@@ -41,7 +41,7 @@
 	case standpoint.Subscribe:
 		b = appendVerb(b, "listen", node)
 		b = append(b, `,"active":true`...)
-	case standpoint.Tell:
+	case standpoint.SendPeer:
 		b = appendVerb(b, "writePeer", node)
 		b = appendNumber(b, "target", int64(a.Peer))
 		b = appendText(b, "data", a.Data)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,7 +18,7 @@
 "warmUp":8600000000,"fall":3000000000,"askWithin":10000000000},"tenants":[{"share":0.5,"quotaRps":7.0}],"period":4000000}`
 
 func TestDecodeEvents(t *testing.T) {
-	report := &standpoint.Report{Memory: 0.5, Unread: 2.5, Slots: 0.25}
+	report := &standpoint.Report{MemoryUsage: 0.5, PrefillBacklog: 2.5, SlotUsage: 0.25}
 	cases := []struct {
 		name, text string
 		want       standpoint.Event
@@ -26,25 +26,25 @@
 		{"request", `{"verb":"incoming","node":3,"handle":4503599627370495,"expires":8652250000,"odd":[1,{"x":2}],
 			"sharedPrefix":"00000000000000ff","nPrompt":1800,"profile":1,"nPrefix":1200,"targetKey":"ffffffffffffffff",
 			"maxTokens":256,"realm":2,"retry":true}`,
-			&standpoint.Request{ID: 4503599627370495, Expires: 8652250000, Prefix: 255, Session: 1<<64 - 1,
+			&standpoint.Request{ID: 4503599627370495, Deadline: 8652250000, Prefix: 255, Session: 1<<64 - 1,
 				PromptTokens: 1800, PrefixTokens: 1200, MaxTokens: 256, Class: 1, Tenant: 2, Retry: true}},
 		{"outcome", `{"verb":"attemptEnd","node":3,"handle":7,"last":true,"code":"served","engine":"1.2.3.4:5","leg":1,
 			"timeTaken":18500000,"info":640,"gauge":{"x0":0.5,"x1":2.5,"load_share":0.25,"tps":4}}`,
-			&standpoint.Outcome{Request: 7, Attempt: 1, Last: true, Kept: 640, Engine: "1.2.3.4:5",
+			&standpoint.Outcome{Request: 7, Attempt: 1, Last: true, CachedTokens: 640, Engine: "1.2.3.4:5",
 				Elapsed: 18500000, Report: report}},
 		{"first", `{"verb":"first","node":3,"handle":7,"leg":2,"timeTaken":5}`,
 			&standpoint.FirstToken{Request: 7, Attempt: 2, Elapsed: 5}},
-		{"left", `{"verb":"left","node":3,"handle":7}`, &standpoint.Left{Request: 7}},
+		{"left", `{"verb":"left","node":3,"handle":7}`, &standpoint.ClientDisconnected{Request: 7}},
 		{"timer", `{"verb":"deadlineHit","node":3,"ctx":9223372036854775807}`,
 			&standpoint.TimerFired{Token: 1<<63 - 1}},
 		{"probe", `{"verb":"probed","node":3,"engine":"e","code":"no_answer","timeTaken":5}`,
-			&standpoint.Probed{Engine: "e", Elapsed: 5}},
+			&standpoint.ProbeResult{Engine: "e", Elapsed: 5}},
 		{"peer", `{"verb":"message","node":3,"src":4,"data":"hi"}`, &standpoint.PeerMessage{From: 4, Data: "hi"}},
 		{"list", `{"verb":"members","node":3,"kind":"incr","revision":4,"members":[{"engine":"e","failureDomain":1,
 			"type":2,"bay":3,"state":"draining","nominal":1.5,"readyAt":9}]}`,
 			&standpoint.EngineList{Kind: standpoint.ListDelta, Engines: []standpoint.Engine{{Name: "e", Zone: 1,
 				Kind: 2, Cell: 3, State: standpoint.Draining, Size: 1.5, ReadyAt: 9}}}},
-		{"lost", `{"verb":"members","node":3,"kind":"lost"}`, &standpoint.EngineList{Kind: standpoint.ListLost}},
+		{"lost", `{"verb":"members","node":3,"kind":"lost"}`, &standpoint.EngineList{Kind: standpoint.ListFailed}},
 	}
 	for _, c := range cases {
 		m, err := Decode([]byte(c.text))
@@ -62,12 +62,12 @@
 	}
 	s := m.Settings
 	want := standpoint.Class{Effect: standpoint.Keyed, Group: standpoint.GroupCell, Window: 5e9, Streamed: true,
-		TTFTAim: 3e8, AimPer1000: 6e7, TPOTAim: 1e8, Deadline: 15e8, Worth: 5, LateWorth: 0.25, Description: "c"}
+		TTFTObjective: 3e8, TTFTObjectivePer1000Tokens: 6e7, TPOTObjective: 1e8, Deadline: 15e8, Weight: 5, LateWeight: 0.25, Description: "c"}
 	if m.Seed != -1 || len(s.Classes) != 1 || s.Classes[0] != want {
 		t.Fatalf("seed %d, classes %+v", m.Seed, s.Classes)
 	}
-	if !s.AskDiscovery || !s.Resume || s.Zones != 2 || s.Kinds != 1 || s.Reports != standpoint.ReportProbes ||
-		s.ColdShare != 0.39 || s.MaxAttempts != 6 || s.Tenants[0].QuotaRPS != 7 || s.Peers {
+	if !s.SubscribeDiscovery || !s.Resume || s.Zones != 2 || s.Kinds != 1 || s.Reports != standpoint.ReportProbes ||
+		s.ColdCapacityFraction != 0.39 || s.MaxAttempts != 6 || s.Tenants[0].QuotaRPS != 7 || s.Peers {
 		t.Fatalf("settings %+v", s)
 	}
 }
@@ -89,7 +89,7 @@
 func TestAppendActionEncodesEachKind(t *testing.T) {
 	cases := map[string]standpoint.Action{
 		`{"verb":"send","node":3,"handle":9,"tryUntil":11,"engine":"a\"b:1"}`: {Kind: standpoint.Send, Request: 9,
-			Until: 11, Engine: `a"b:1`},
+			Deadline: 11, Engine: `a"b:1`},
 		`{"verb":"send","node":3,"handle":9,"engine":"e"}`:    {Kind: standpoint.Send, Request: 9, Engine: "e"},
 		`{"verb":"undoSend","node":3,"handle":9,"leg":2}`:     {Kind: standpoint.Cancel, Request: 9, Attempt: 2},
 		`{"verb":"shed","node":3,"handle":9}`:                 {Kind: standpoint.Shed, Request: 9},
@@ -97,7 +97,7 @@
 		`{"verb":"setTimer","node":3,"wait":5,"ctx":77}`:      {Kind: standpoint.Timer, Wait: 5, Token: 77},
 		`{"verb":"test","node":3,"engine":"e"}`:               {Kind: standpoint.Probe, Engine: "e"},
 		`{"verb":"listen","node":3,"active":true}`:            {Kind: standpoint.Subscribe},
-		`{"verb":"writePeer","node":3,"target":4,"data":"x"}`: {Kind: standpoint.Tell, Peer: 4, Data: "x"},
+		`{"verb":"writePeer","node":3,"target":4,"data":"x"}`: {Kind: standpoint.SendPeer, Peer: 4, Data: "x"},
 	}
 	for want, a := range cases {
 		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
--- a/learned_state.go
+++ b/learned_state.go
@@ -52,10 +52,10 @@
 // LearnedModel is a model's fit and its samples: each is what it was predicted from, and at its end what
 // came.
 type LearnedModel struct {
-	Base    vec         `json:"base"`
-	Coef    vec         `json:"coef"`
-	Err     float64     `json:"err"`
-	Samples [][]float32 `json:"samples"`
+	Base    featureVector `json:"base"`
+	Coef    featureVector `json:"coef"`
+	Err     float64       `json:"err"`
+	Samples [][]float32   `json:"samples"`
 }
 
 // LearnedEngine is what is believed of an engine's process.
@@ -90,25 +90,25 @@
 		At:       r.now,
 		Classes:  len(r.settings.Classes),
 		Kinds:    r.settings.Kinds,
-		Gap:      r.tokenGap,
-		Told:     r.lengthsKnown,
-		GapUsual: learnedMean(r.usualGap),
-		GapNow:   learnedMean(r.recentGap),
+		Gap:      r.baseTPOT,
+		Told:     r.outputLengthsKnown,
+		GapUsual: learnedMean(r.longTermTPOTError),
+		GapNow:   learnedMean(r.recentTPOTError),
 		Decode:   learnedMean(r.decodeTime),
 		Gain:     slices.Clone(r.sessionGain),
 		Fleet:    r.meanReport,
 		Trust:    r.matchTrust,
 		FlushAt:  r.flushAt,
-		Usual:    r.usualReady,
+		Usual:    r.usualReadyCount,
 		Rate:     r.requestRate,
 		Cut:      r.shedFraction,
-		Lately:   slices.Clone(r.recentDensities),
+		Lately:   slices.Clone(r.recentValueDensities),
 	}
 	for i := range r.ttftModels {
 		l.TTFT = append(l.TTFT, r.ttftModels[i].learned())
-		l.Pace = append(l.Pace, r.paceModels[i].learned())
+		l.Pace = append(l.Pace, r.tpotModels[i].learned())
 	}
-	for _, m := range r.classGaps {
+	for _, m := range r.classTPOTRatios {
 		l.Gaps = append(l.Gaps, learnedMean(m))
 	}
 	for _, e := range r.engines {
@@ -133,15 +133,15 @@
 		ReadyAt:    e.ReadyAt,
 		Since:      e.firstSeenAt,
 		Speed:      e.slowness,
-		Drag:       learnedMean(e.gapSlowness),
+		Drag:       learnedMean(e.tpotSlowness),
 		Sour:       e.errorRate,
 		Suspect:    e.suspect,
 		Down:       e.unreachable,
-		TrialAt:    e.trialAt,
+		TrialAt:    e.lastTrialAt,
 		Report:     e.report,
 		ReportAt:   e.reportAt,
-		ColdTokens: e.coldTokens,
-		ColdAt:     e.coldAt,
+		ColdTokens: e.slowStartBudget,
+		ColdAt:     e.slowStartBudgetAt,
 		Due:        e.reinstated,
 	}
 }
@@ -152,7 +152,7 @@
 	l := LearnedModel{Base: m.base, Coef: m.coef, Err: m.err}
 	for i := range m.buckets {
 		for _, s := range m.buckets[i].ring {
-			row := make([]float32, 0, ttftFeatures+1)
+			row := make([]float32, 0, featureCount+1)
 			for _, x := range s.x {
 				row = append(row, float32(x))
 			}
@@ -174,12 +174,12 @@
 		return errors.New("it was learned under other settings")
 	case len(l.TTFT) != models || len(l.Pace) != models,
 		len(l.Gaps) != len(s.Classes)+1 || len(l.Gain) != len(s.Classes)+1,
-		len(l.Lately) > rankedRequests, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
+		len(l.Lately) > maxRankedRequests, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
 		return errors.New("parts of it are missing, or too many")
 	}
 	for _, m := range append(slices.Clone(l.TTFT), l.Pace...) {
 		for _, row := range m.Samples {
-			if len(row) != ttftFeatures+1 {
+			if len(row) != featureCount+1 {
 				return errors.New("a sample of it has another length")
 			}
 		}
@@ -194,7 +194,7 @@
 // numbers are all numbers that have to be within bounds.
 func (l *Learned) numbers() []float64 {
 	numbers := append(slices.Clone(l.Gain), l.Gap, l.Trust, l.Usual, l.Rate, l.Cut)
-	numbers = append(numbers, l.Fleet.Memory, l.Fleet.Unread, l.Fleet.Slots)
+	numbers = append(numbers, l.Fleet.MemoryUsage, l.Fleet.PrefillBacklog, l.Fleet.SlotUsage)
 	numbers = append(numbers, l.Lately...)
 	for _, m := range append(slices.Clone(l.Gaps), l.GapUsual, l.GapNow, l.Decode) {
 		numbers = append(numbers, m.Mean, m.N)
@@ -209,39 +209,42 @@
 	}
 	for _, e := range l.Engines {
 		numbers = append(numbers, e.Speed, e.Drag.Mean, e.Drag.N, e.Sour, e.ColdTokens)
-		numbers = append(numbers, e.Report.Memory, e.Report.Unread, e.Report.Slots)
+		numbers = append(numbers, e.Report.MemoryUsage, e.Report.PrefillBacklog, e.Report.SlotUsage)
 	}
 	return numbers
 }
 
-// Recall takes what another router has learned, in place of what this one has. What is believed of an
+// RestoreLearned takes what another router has learned, in place of what this one has. What is believed of an
 // engine is taken where this router lists the same process.
-func (r *Router) Recall(l *Learned, now int64) error {
+func (r *Router) RestoreLearned(l *Learned, now int64) error {
 	if err := l.Check(&r.settings, now); err != nil {
 		return err
 	}
 	r.now = now
 	for i := range r.ttftModels {
 		r.ttftModels[i].recall(&l.TTFT[i])
-		r.paceModels[i].recall(&l.Pace[i])
+		r.tpotModels[i].recall(&l.Pace[i])
 	}
 	for i, m := range l.Gaps {
-		r.classGaps[i] = mean{m.Mean, m.N}
+		r.classTPOTRatios[i] = mean{m.Mean, m.N}
 	}
-	r.tokenGap, r.lengthsKnown, r.sessionGain = l.Gap, l.Told, slices.Clone(l.Gain)
-	r.usualGap = mean{l.GapUsual.Mean, l.GapUsual.N}
-	r.recentGap = mean{l.GapNow.Mean, l.GapNow.N}
+	r.baseTPOT, r.outputLengthsKnown, r.sessionGain = l.Gap, l.Told, slices.Clone(l.Gain)
+	r.longTermTPOTError = mean{l.GapUsual.Mean, l.GapUsual.N}
+	r.recentTPOTError = mean{l.GapNow.Mean, l.GapNow.N}
 	// How many streams are usual is learned anew: those that run are not this router's own.
 	r.decodeTime = mean{l.Decode.Mean, l.Decode.N}
 	r.meanReport = l.Fleet
 	r.matchTrust = l.Trust
 	r.flushAt = l.FlushAt
-	r.usualReady = max(r.usualReady, l.Usual)
+	r.usualReadyCount = max(r.usualReadyCount, l.Usual)
 	r.usualReadyAt = now
 	r.requestRate = l.Rate
 	r.requestRateAt = now
 	r.firstRequestAt = now - int64(rateSpan*1e9)
-	r.shedFraction, r.shedFractionAt, r.recentDensities, r.nextDensity = l.Cut, now, slices.Clone(l.Lately), 0
+	r.shedFraction = l.Cut
+	r.shedFractionAt = now
+	r.recentValueDensities = slices.Clone(l.Lately)
+	r.nextValueDensity = 0
 	for _, p := range l.Engines {
 		e := r.engines[p.Name]
 		if e == nil || e.ReadyAt != p.ReadyAt {
@@ -249,16 +252,16 @@
 		}
 		e.firstSeenAt = p.Since
 		e.slowness = p.Speed
-		e.gapSlowness = mean{p.Drag.Mean, p.Drag.N}
+		e.tpotSlowness = mean{p.Drag.Mean, p.Drag.N}
 		e.errorRate = p.Sour
 		e.suspect = p.Suspect
 		e.unreachable = p.Down
-		e.trialAt = p.TrialAt
+		e.lastTrialAt = p.TrialAt
 		e.reinstated = p.Due
 		e.report = p.Report
 		e.reportAt = p.ReportAt
-		e.coldTokens = p.ColdTokens
-		e.coldAt = p.ColdAt
+		e.slowStartBudget = p.ColdTokens
+		e.slowStartBudgetAt = p.ColdAt
 	}
 	for _, p := range l.Prompts {
 		r.matchTable[0][p.Key] = matchEntry{float64(p.Tokens), p.At}
@@ -273,7 +276,7 @@
 		for i := range s.x {
 			s.x[i] = float64(row[i])
 		}
-		s.y = float64(row[ttftFeatures])
+		s.y = float64(row[featureCount])
 		if b := &m.buckets[bucketOf(&s.x)]; len(b.ring) < bucketDepth {
 			b.ring = append(b.ring, s)
 		}
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -26,7 +26,7 @@
 				now+took,
 				&FirstToken{Request: id, Elapsed: took},
 				&Outcome{Request: id, Last: true, Code: Served, Engine: a.Engine,
-					Elapsed: took + 100*ms, Tokens: 20, Report: &Report{Memory: 0.3, Unread: 1, Slots: 0.4}},
+					Elapsed: took + 100*ms, OutputTokens: 20, Report: &Report{MemoryUsage: 0.3, PrefillBacklog: 1, SlotUsage: 0.4}},
 			)
 		}
 	}
@@ -50,7 +50,7 @@
 	}
 	next := New(s, 2)
 	feed(next, now, engineList("a", "b", "c"))
-	if err := next.Recall(&l, now); err != nil {
+	if err := next.RestoreLearned(&l, now); err != nil {
 		t.Fatal(err)
 	}
 	near := func(what string, a, b, most float64) {
@@ -67,7 +67,7 @@
 			r.predict(q, &was)
 			next.predict(q, &is)
 			near("first token at "+name, was.ttftUpper, is.ttftUpper, 1e-3)
-			near("pace at "+name, was.paceUpper, is.paceUpper, 0.15)
+			near("pace at "+name, was.tpotUpper, is.tpotUpper, 0.15)
 		}
 	}
 	near("rate", r.requestRate, next.requestRate, 1e-3)
@@ -79,7 +79,7 @@
 	}
 	restarted := New(s, 3)
 	feed(restarted, now, &EngineList{Kind: ListFull, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now - second}}})
-	if err := restarted.Recall(&l, now); err != nil || restarted.engines["b"].slowness != 0 {
+	if err := restarted.RestoreLearned(&l, now); err != nil || restarted.engines["b"].slowness != 0 {
 		t.Errorf("%v: believed of another process", err)
 	}
 }
@@ -98,16 +98,16 @@
 		"number":   func(l *Learned) { l.TTFT[0].Coef[2] = math.NaN() },
 		"gap":      func(l *Learned) { l.Gap = 0 },
 		"endless":  func(l *Learned) { l.Engines[0].Speed = math.Inf(1) },
-		"too many": func(l *Learned) { l.Lately = make([]float64, rankedRequests+1) },
+		"too many": func(l *Learned) { l.Lately = make([]float64, maxRankedRequests+1) },
 	} {
 		l := r.Learned()
 		spoil(l)
 		next := New(s, 2)
 		feed(next, now, engineList("a", "b"))
-		if err := next.Recall(l, now); err == nil {
+		if err := next.RestoreLearned(l, now); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if next.tokenGap != New(s, 2).tokenGap || next.engines["b"].slowness != 0 {
+		if next.baseTPOT != New(s, 2).baseTPOT || next.engines["b"].slowness != 0 {
 			t.Errorf("%s: taken in part", name)
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 		next := New(s, 2)
 		feed(next, now, engineList("a", "b"))
-		if next.Recall(&l, now) != nil {
+		if next.RestoreLearned(&l, now) != nil {
 			return
 		}
 		for id := int64(1); id < 20; id++ {
--- a/placement.go
+++ b/placement.go
@@ -30,7 +30,7 @@
 	}
 	top := best(all, nil)
 	gated := best(all, func(o *option) bool { return o.match >= gateMatch })
-	othersMayKeep := len(q.keptByEngine) == 0 && r.settings.Balancers > 1
+	othersMayKeep := len(q.cachedByEngine) == 0 && r.settings.Gateways > 1
 	if gated == nil && othersMayKeep && r.homeAdvantage(q) > minHomeAdvantage {
 		// Exception: this gateway knows of no engine that keeps the prompt, but other turns of the session
 		// may have come through other gateways, which assume the same home.
@@ -45,7 +45,7 @@
 // homeAdvantage are the prompt tokens that the request's home is expected to keep, and other engines not.
 func (r *Router) homeAdvantage(q *request) float64 {
 	kept := r.expectedMatch(q) * q.PromptTokens
-	if q.byPrefix {
+	if q.homeByPrefix {
 		return kept
 	}
 	return kept - q.PrefixTokens
@@ -84,7 +84,7 @@
 	some := r.preferred(q)
 	slices.SortStableFunc(some, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
 	// The more of the traffic this gateway sees, the more of the fleet it can tell apart.
-	scored := max(sampleSize, len(some)/max(1, r.settings.Balancers))
+	scored := max(sampleSize, len(some)/max(1, r.settings.Gateways))
 	all := r.options[:0]
 	for i, c := range some {
 		if i < scored || c.match >= gateMatch || wide {
@@ -95,7 +95,7 @@
 	class := r.class(q)
 	for i := range all {
 		o := &all[i]
-		if _, told := q.keptByEngine[o.engine]; o.home && !told && (q.Session != 0 || q.byPrefix) {
+		if _, told := q.cachedByEngine[o.engine]; o.home && !told && (q.Session != 0 || q.homeByPrefix) {
 			o.match = max(o.match, min(gateMatch-0.01, r.expectedMatch(q)))
 		}
 		r.predict(q, o)
@@ -108,9 +108,9 @@
 // preferred are the engines that may be used, but for those to which others are preferred.
 func (r *Router) preferred(q *request) []candidate {
 	ignore := r.hasSharedFault()
-	some := r.usable(q, r.sample(q), ignore)
+	some := r.eligibleCandidates(q, r.sampleEngines(q), ignore)
 	if len(some) == 0 {
-		some = r.usable(q, r.ready, ignore)
+		some = r.eligibleCandidates(q, r.ready, ignore)
 	}
 	if len(q.attempts) > 0 { // not where it failed, nor in a zone that it could not reach, if others do
 		some = prefer(some, func(e *engine) bool { return !q.wasTriedAt(e) })
@@ -120,7 +120,7 @@
 	some = prefer(some, func(e *engine) bool { return e.reinstated })
 	// A sparse gateway uses its budget for a cold engine with the first request that may.
 	if r.isSparse() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
-		some = prefer(some, func(e *engine) bool { return e.coldAt != 0 })
+		some = prefer(some, func(e *engine) bool { return e.slowStartBudgetAt != 0 })
 	}
 	if q.Pool != 0 { // a pool in which nothing will do falls over to the others at once
 		some = prefer(some, func(e *engine) bool { return e.Pool == q.Pool })
@@ -131,14 +131,14 @@
 // rate sets the headroom of an option among so many, by the objective and the class of its request.
 func (r *Router) rate(q *request, o *option, objective float64, class *Class, options int) {
 	if objective <= 0 {
-		o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.paceUpper*q.MaxTokens
+		o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.tpotUpper*q.MaxTokens
 		return
 	}
 	left := objective - seconds(r.now-q.arrivedAt)
 	o.headroom = ttftWeight * (left - o.ttftUpper) / objective
 	room := (left - o.ttftUpper) / objective
-	if class.TPOTAim > 0 {
-		pace := 1 - o.paceUpper/seconds(class.TPOTAim)
+	if class.TPOTObjective > 0 {
+		pace := 1 - o.tpotUpper/seconds(class.TPOTObjective)
 		o.headroom += (1 - ttftWeight) * pace
 		room = min(room, pace)
 	}
@@ -146,11 +146,11 @@
 	o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(few)
 }
 
-// usable are the engines that the rules and their state let a request go to.
-func (r *Router) usable(q *request, among []*engine, ignore bool) []candidate {
+// eligibleCandidates are the engines that the rules and their state let a request go to.
+func (r *Router) eligibleCandidates(q *request, among []*engine, ignore bool) []candidate {
 	some, home := r.candidates[:0], r.prefersOwnZone(q)
 	for _, e := range among {
-		if r.mayUse(q, e) && r.hasColdBudget(e) && !r.isExcluded(e, ignore) {
+		if r.mayUse(q, e) && r.hasSlowStartBudget(e) && !r.isExcluded(e, ignore) {
 			c := candidate{e, r.match(q, e), rank(q.key(), e)}
 			if home && !r.isInOwnZone(e) { // below all of the own zone, in their own order
 				c.rank = -1 / c.rank
@@ -181,14 +181,14 @@
 // would press on what is left together.
 func (r *Router) prefersOwnZone(q *request) bool {
 	spill := 1 - r.ownZoneFraction*float64(r.settings.Zones)
-	if r.isSparse() && r.now < r.fleetWarmAt {
+	if r.isSparse() && r.now < r.fleetWarmUpEnd {
 		spill = max(spill, sparseSpill)
 	}
-	if q.byPrefix {
+	if q.homeByPrefix {
 		// One home for all gateways: a second copy of a long beginning costs more than cross-zone requests.
 		return false
 	}
-	return r.settings.CrossZonePrice > r.ownZonePrice() &&
+	return r.settings.CrossZonePrice > r.minCrossZonePrice() &&
 		r.settings.Zones > 1 &&
 		unit(mix(q.key(), prefixSalt)) >= spill
 }
@@ -202,15 +202,15 @@
 
 type option struct {
 	engine   *engine
-	features vec
+	features featureVector
 	match    float64
 	home     bool
 	// Predicted seconds to the first token by what directory owners told, before that is weighed; 0:
 	// nothing was told.
 	unloadedTTFT    float64
 	ttft, ttftUpper float64 // predicted seconds to the first token; and widened by the measured error
-	pace            float64
-	paceUpper       float64 // that widened likewise
+	tpot            float64
+	tpotUpper       float64 // that widened likewise
 	headroom        float64
 	hasHeadroom     bool // headroom is positive
 }
@@ -228,7 +228,7 @@
 // maxAffinityPenalty is how far, in seconds, the gated best may trail the best overall: where no load is
 // told no further than the objective, for what is known of it comes from waits that are over.
 func (r *Router) maxAffinityPenalty(q *request) float64 {
-	if len(q.keptByEngine) > 0 {
+	if len(q.cachedByEngine) > 0 {
 		return directoryAffinityPenalty
 	}
 	if aim := r.latencyObjective(q); r.lacksReports() && aim > 0 {
--- a/prediction.go
+++ b/prediction.go
@@ -26,11 +26,11 @@
 
 // Priors grow with load; they decide until samples do, and for what samples do not cover.
 var (
-	ttftPrior = vec{0.06, 0.05, 0.08, 0.1, 0.005, 0.08, 0.01} // seconds
-	pacePrior = vec{0.6, 0.3, 0.02, 1, 0.005, 0, 0.01}        // shares of the class's mean
+	ttftPrior = featureVector{0.06, 0.05, 0.08, 0.1, 0.005, 0.08, 0.01} // seconds
+	tpotPrior = featureVector{0.6, 0.3, 0.02, 1, 0.005, 0, 0.01}        // shares of the class's mean
 )
 
-func bucketOf(x *vec) int {
+func bucketOf(x *featureVector) int {
 	memory := min(9, max(0, int(x[1]*10)))
 	match := 0
 	if x[4] > 0 {
@@ -42,25 +42,26 @@
 
 func (r *Router) predict(q *request, o *option) {
 	o.features = r.features(q, o.engine, o.match)
-	k := r.kind(o.engine)
+	k := r.kindIndex(o.engine)
 	f := math.Exp(o.engine.slowness)
-	o.ttft = max(r.ttftModels[k].at(&o.features)*f, r.vainWaitOf(o.engine))
-	sway := r.gapDrift() + max(0, o.engine.slowness)
-	own := o.engine.gapSlowness.n / (o.engine.gapSlowness.n + engineGapPrior)
+	o.ttft = max(r.ttftModels[k].at(&o.features)*f, r.wastedWaitOf(o.engine))
+	sway := r.tpotDrift() + max(0, o.engine.slowness)
+	own := o.engine.tpotSlowness.n / (o.engine.tpotSlowness.n + engineGapPrior)
 	if own > 0 { // answers of known length show this engine's own gap
-		sway += own * (o.engine.gapSlowness.mean - sway)
+		sway += own * (o.engine.tpotSlowness.mean - sway)
 	}
-	o.pace = r.paceModels[k].at(&o.features) * r.tokenGap * math.Exp(sway)
+	o.tpot = r.tpotModels[k].at(&o.features) * r.baseTPOT * math.Exp(sway)
 	if r.hasDirectoryLoad(o.engine) {
 		o.unloadedTTFT = o.ttft
 		rest := 1 - min(0.9, o.engine.directoryLoad.reading)
 		o.ttft /= rest * rest
-		o.pace = stillGap * seconds(r.class(q).TPOTAim) * assumedSpeed / o.engine.directoryLoad.speed / rest
+		objective := seconds(r.class(q).TPOTObjective)
+		o.tpot = stillGap * objective * assumedPrefillSpeed / o.engine.directoryLoad.speed / rest
 	}
 	o.ttftUpper = o.ttft * (1 + r.ttftModels[k].err)
-	o.paceUpper = o.pace
-	if r.lengthsKnown || r.decodeTime.n < minStreams { // else the error is that of the unknown lengths
-		o.paceUpper *= 1 + r.paceModels[k].err
+	o.tpotUpper = o.tpot
+	if r.outputLengthsKnown || r.decodeTime.n < minStreams { // else the error is that of the unknown lengths
+		o.tpotUpper *= 1 + r.tpotModels[k].err
 	}
 }
 
@@ -69,58 +70,59 @@
 	return e.directoryLoadAt != 0 && r.now-e.directoryLoadAt < directoryLoadLifetime
 }
 
-func (r *Router) features(q *request, e *engine, match float64) vec {
+func (r *Router) features(q *request, e *engine, match float64) featureVector {
 	load := r.load(e)
 	prompt := q.PromptTokens / 1000
 	unkept := prompt * (1 - match)
 	if r.hasDirectoryLoad(e) {
-		unkept *= assumedSpeed / e.directoryLoad.speed
+		unkept *= assumedPrefillSpeed / e.directoryLoad.speed
 	}
-	return vec{1, load.Memory, load.Unread, load.Slots, prompt, unkept, e.tokensInFlight / 1000}
+	inFlight := e.tokensInFlight / 1000
+	return featureVector{1, load.MemoryUsage, load.PrefillBacklog, load.SlotUsage, prompt, unkept, inFlight}
 }
 
 func (r *Router) observeTTFT(a *attempt, took float64) {
 	r.train(r.ttftModels, a, took)
-	k := r.kind(a.engine)
+	k := r.kindIndex(a.engine)
 	off := min(2.5, max(-2.5, math.Log(max(took, 1e-4)/r.ttftModels[k].at(&a.features))))
 	a.engine.slowness = min(2.3, max(-0.7, a.engine.slowness+slownessWeight*(off-a.engine.slowness)))
 }
 
-// observePace learns the token gap: decode time over tokens, where it is told how long the answer was. Else
+// observeTPOT learns the token gap: decode time over tokens, where it is told how long the answer was. Else
 // only the answer's limit is known, and decode time over it falls short of the gap by an unknown share, which
 // differs by class. The model learns how load stretches a class's mean; answers that run to their limit, the
 // top one in a hundred, show the gap itself.
-func (r *Router) observePace(a *attempt, decode, tokens float64) {
+func (r *Router) observeTPOT(a *attempt, decode, tokens float64) {
 	overLimit := decode / a.request.MaxTokens
 	if !(overLimit > 0) || overLimit > 100 {
 		return
 	}
-	c := &r.classGaps[r.classIndex(a.request)]
+	c := &r.classTPOTRatios[r.classIndex(a.request)]
 	y := math.Log(overLimit)
 	c.add(y, usualGapWeight)
-	stretch := r.paceModels[r.kind(a.engine)].at(&a.features)
-	if tokens > minGapTokens && !a.request.Again { // the rest of a broken answer is told as a whole one
-		r.lengthsKnown = true
-		gap := decode / tokens / r.tokenGap
+	stretch := r.tpotModels[r.kindIndex(a.engine)].at(&a.features)
+	if tokens > minGapTokens && !a.request.Resumed { // the rest of a broken answer is told as a whole one
+		r.outputLengthsKnown = true
+		gap := decode / tokens / r.baseTPOT
 		d := min(1.5, max(-1.5, math.Log(gap/stretch)))
-		a.engine.gapSlowness.add(d, engineGapWeight)
-		r.observeGap(d)
-		r.train(r.paceModels, a, gap)
+		a.engine.tpotSlowness.add(d, engineGapWeight)
+		r.observeTPOTError(d)
+		r.train(r.tpotModels, a, gap)
 		return
 	}
 	d := y - c.mean - math.Log(stretch)
-	r.observeGap(d)
-	if overLimit/stretch/math.Exp(r.gapDrift()) > r.tokenGap {
-		r.tokenGap *= math.Exp(tokenGapStep * (1 - fullLengthFraction))
+	r.observeTPOTError(d)
+	if overLimit/stretch/math.Exp(r.tpotDrift()) > r.baseTPOT {
+		r.baseTPOT *= math.Exp(tokenGapStep * (1 - fullLengthFraction))
 	} else {
-		r.tokenGap *= math.Exp(-tokenGapStep * fullLengthFraction)
+		r.baseTPOT *= math.Exp(-tokenGapStep * fullLengthFraction)
 	}
-	r.train(r.paceModels, a, math.Exp(y-c.mean))
+	r.train(r.tpotModels, a, math.Exp(y-c.mean))
 }
 
-// gapDrift is how far tokens come slower of late than the model knows, in logarithm.
-func (r *Router) gapDrift() float64 {
-	sway := r.recentGap.mean - r.usualGap.mean
+// tpotDrift is how far tokens come slower of late than the model knows, in logarithm.
+func (r *Router) tpotDrift() float64 {
+	sway := r.recentTPOTError.mean - r.longTermTPOTError.mean
 	if r.decodeTime.n >= minStreams { // streams that run on show a slowdown before any of them ends
 		sway = max(sway, r.streamExcess()-r.usualStreamExcess.mean-streamExcessNoise)
 	}
@@ -136,7 +138,7 @@
 	if models[all].samplesSinceFit >= refitInterval {
 		models[all].fit(models[all].base)
 	}
-	if k := r.kind(a.engine); k < all {
+	if k := r.kindIndex(a.engine); k < all {
 		models[k].add(&a.features, y)
 		if models[k].samplesSinceFit >= refitInterval {
 			models[k].fit(models[all].coef)
@@ -146,16 +148,16 @@
 
 func (r *Router) observeServed(a *attempt, ev *Outcome) {
 	took := seconds(ev.Elapsed)
-	if a.firstTokenAt != 0 && !ev.Held {
+	if a.firstTokenAt != 0 && !ev.ClientStalled {
 		decode := took - seconds(a.firstTokenAt-a.sent)
-		r.observePace(a, max(0, decode), ev.Tokens)
+		r.observeTPOT(a, max(0, decode), ev.OutputTokens)
 		r.decodeTime.add(max(0, decode), usualGapWeight)
 		r.usualStreamExcess.add(r.streamExcess(), usualGapWeight)
 	} else if a.firstTokenAt == 0 && !r.class(a.request).Streamed {
 		r.observeTTFT(a, took)
 	}
-	r.observeMatch(a, clamp(ev.Kept, 1e9))
-	r.remember(a.request, a.engine, a.request.PromptTokens)
+	r.observeMatch(a, clamp(ev.CachedTokens, 1e9))
+	r.recordCachedPrompt(a.request, a.engine, a.request.PromptTokens)
 }
 
 // load is the engine's state as far as known: its report, faded by age towards the fleet's mean, and what
@@ -165,39 +167,39 @@
 	if e.reportAt != 0 {
 		age := seconds(r.now - e.reportAt)
 		w := math.Exp2(-age / reportHalfLife)
-		rep.Memory += w * (e.report.Memory - rep.Memory)
-		rep.Slots += w * (e.report.Slots - rep.Slots)
-		rep.Unread += math.Exp2(-age/unreadHalfLife) * (e.report.Unread - rep.Unread)
+		rep.MemoryUsage += w * (e.report.MemoryUsage - rep.MemoryUsage)
+		rep.SlotUsage += w * (e.report.SlotUsage - rep.SlotUsage)
+		rep.PrefillBacklog += math.Exp2(-age/unreadHalfLife) * (e.report.PrefillBacklog - rep.PrefillBacklog)
 	}
-	rep.Unread += r.sentUnread(e) / 1000
+	rep.PrefillBacklog += r.unreportedPrefill(e) / 1000
 	if r.hasDirectoryLoad(e) {
-		rep.Unread = e.directoryLoad.wait / ttftPrior[unreadFeature]
+		rep.PrefillBacklog = e.directoryLoad.wait / ttftPrior[prefillBacklogFeature]
 	}
 	return rep
 }
 
-// tightestTokenGap is the tightest token gap that any class wants, in seconds.
-func (r *Router) tightestTokenGap() float64 {
+// tightestTPOTObjective is the tightest token gap that any class wants, in seconds.
+func (r *Router) tightestTPOTObjective() float64 {
 	least := 0.0
 	for _, c := range r.settings.Classes {
-		if aim := seconds(c.TPOTAim); aim > 0 && (least == 0 || aim < least) {
+		if aim := seconds(c.TPOTObjective); aim > 0 && (least == 0 || aim < least) {
 			least = aim
 		}
 	}
 	return least
 }
 
-func (r *Router) kind(e *engine) int { return min(max(0, e.Kind), len(r.ttftModels)-1) }
+func (r *Router) kindIndex(e *engine) int { return min(max(0, e.Kind), len(r.ttftModels)-1) }
 
 // blend goes a part of the way to another report.
 func (a *Report) blend(b *Report, part float64) {
-	a.Memory += part * (b.Memory - a.Memory)
-	a.Unread += part * (b.Unread - a.Unread)
-	a.Slots += part * (b.Slots - a.Slots)
+	a.MemoryUsage += part * (b.MemoryUsage - a.MemoryUsage)
+	a.PrefillBacklog += part * (b.PrefillBacklog - a.PrefillBacklog)
+	a.SlotUsage += part * (b.SlotUsage - a.SlotUsage)
 }
 
-func (r *Router) sentUnread(e *engine) float64 {
-	return e.sentUnread * math.Exp2(-seconds(r.now-e.sentAt)/unreadHalfLife)
+func (r *Router) unreportedPrefill(e *engine) float64 {
+	return e.unreportedPrefill * math.Exp2(-seconds(r.now-e.unreportedPrefillAt)/unreadHalfLife)
 }
 
 // streamExcess compares, in logarithm, the own streams that run with those that would if each took the
@@ -210,15 +212,15 @@
 	return r.expectedStreams * math.Exp(-seconds(r.now-r.expectedStreamsAt)/max(0.1, r.decodeTime.mean))
 }
 
-// observeGap takes in how much slower tokens came than the model knew, in logarithm.
-func (r *Router) observeGap(d float64) {
-	r.usualGap.add(d, usualGapWeight)
-	r.recentGap.add(d, recentGapWeight)
+// observeTPOTError takes in how much slower tokens came than the model knew, in logarithm.
+func (r *Router) observeTPOTError(d float64) {
+	r.longTermTPOTError.add(d, usualGapWeight)
+	r.recentTPOTError.add(d, recentGapWeight)
 }
 
-func (r *Router) takeReport(e *engine, rep *Report) {
-	e.report = Report{clamp(rep.Memory, 2), clamp(rep.Unread, 1000), clamp(rep.Slots, 2)}
+func (r *Router) recordReport(e *engine, rep *Report) {
+	e.report = Report{clamp(rep.MemoryUsage, 2), clamp(rep.PrefillBacklog, 1000), clamp(rep.SlotUsage, 2)}
 	e.reportAt = r.now
-	e.sentUnread = 0
+	e.unreportedPrefill = 0
 	r.meanReport.blend(&e.report, 0.05)
 }
--- a/prefill_backlog.go
+++ b/prefill_backlog.go
@@ -13,12 +13,12 @@
 	minSpeedTokens = 500 // read at once that show a speed
 )
 
-// assumedSpeed is how many tokens a second an engine reads until that is known; the prior of the first-token
-// time says the same.
-var assumedSpeed = 1000 / ttftPrior[unreadFeature]
+// assumedPrefillSpeed is how many prompt tokens a second an engine is taken to read until its speed is known.
+// It follows from the prior of the first-token time.
+var assumedPrefillSpeed = 1000 / ttftPrior[prefillBacklogFeature]
 
-// unreadFeature is the place of the unread tokens in a prediction's inputs.
-const unreadFeature = 2
+// prefillBacklogFeature is the place of the unread tokens in a prediction's inputs.
+const prefillBacklogFeature = 2
 
 // pendingPrompt is a prompt that an engine has been sent and is not known to have read.
 type pendingPrompt struct {
@@ -48,7 +48,7 @@
 	if b.speed > 0 {
 		return b.speed
 	}
-	return assumedSpeed
+	return assumedPrefillSpeed
 }
 
 // load is what the directory owner tells of the engine.
@@ -113,7 +113,8 @@
 			tokens += before.tokens
 		}
 		if took := seconds(now - b.since); tokens >= minSpeedTokens && took > 0 {
-			sample := min(assumedSpeed/minSpeedFactor, max(assumedSpeed*minSpeedFactor, tokens/took))
+			sample := min(assumedPrefillSpeed/minSpeedFactor,
+				max(assumedPrefillSpeed*minSpeedFactor, tokens/took))
 			b.speed = b.rate() + speedWeight*(sample-b.rate())
 		}
 		b.prompts = b.prompts[i+1:]
--- a/probes.go
+++ b/probes.go
@@ -21,12 +21,12 @@
 	}
 }
 
-func (r *Router) onProbed(ev *Probed) {
+func (r *Router) onProbed(ev *ProbeResult) {
 	if e := r.engines[ev.Engine]; e != nil {
 		if e.probing = false; ev.OK {
 			e.lastSignOfLife = r.now
 			if ev.Report != nil && r.settings.Reports != ReportNone {
-				r.takeReport(e, ev.Report)
+				r.recordReport(e, ev.Report)
 			}
 		}
 	}
--- a/regression.go
+++ b/regression.go
@@ -4,12 +4,13 @@
 
 import "math"
 
-// vec is what a prediction is made from: 1, memory held, unread tokens (thousands), slot share, prompt
-// length (thousands), its part not kept (prompt and match in one), own input tokens in flight (thousands).
-type vec [ttftFeatures]float64
+// featureVector is what a prediction is made from: 1, memory held, unread tokens (thousands), slot share,
+// prompt length (thousands), its part not kept (prompt and match in one), own input tokens in flight
+// (thousands).
+type featureVector [featureCount]float64
 
 type sample struct {
-	x vec
+	x featureVector
 	y float64
 }
 
@@ -22,19 +23,19 @@
 // is not forgotten. The ridge pulls towards base: the fleet's fit for a kind, the prior for the fleet.
 type model struct {
 	buckets         [10 * 4 * 3]bucket
-	base            vec
-	coef            vec
+	base            featureVector
+	coef            featureVector
 	samplesSinceFit int
 	err             float64 // mean relative error
 }
 
-func (m *model) init(prior vec) {
+func (m *model) init(prior featureVector) {
 	m.base = prior
 	m.coef = prior
 	m.err = 0.5
 }
 
-func (m *model) at(x *vec) float64 {
+func (m *model) at(x *featureVector) float64 {
 	var y, p float64
 	for i := range x {
 		y += m.coef[i] * x[i]
@@ -43,7 +44,7 @@
 	return max(y, p/10, 1e-4)
 }
 
-func (m *model) add(x *vec, y float64) {
+func (m *model) add(x *featureVector, y float64) {
 	p := m.at(x)
 	m.err += 0.03 * (min(3, math.Abs(y-p)/p) - m.err)
 	b := &m.buckets[bucketOf(x)]
@@ -58,10 +59,10 @@
 
 // fit solves the weighted ridge around base; samples count in inverse square of their base prediction, so
 // that long waits do not drown short ones. Load never makes a prediction smaller.
-func (m *model) fit(base vec) {
+func (m *model) fit(base featureVector) {
 	m.base = base
 	m.samplesSinceFit = 0
-	var a [ttftFeatures][ttftFeatures + 1]float64
+	var a [featureCount][featureCount + 1]float64
 	for bi := range m.buckets {
 		for _, s := range m.buckets[bi].ring {
 			var p float64
@@ -74,7 +75,7 @@
 				for j := range s.x {
 					a[i][j] += w * s.x[i] * s.x[j]
 				}
-				a[i][ttftFeatures] += w * s.x[i] * (s.y - p)
+				a[i][featureCount] += w * s.x[i] * (s.y - p)
 			}
 		}
 	}
@@ -92,8 +93,8 @@
 }
 
 // solve runs Gauss-Jordan elimination; the ridge keeps the matrix positive definite.
-func solve(a *[ttftFeatures][ttftFeatures + 1]float64) (vec, bool) {
-	var x vec
+func solve(a *[featureCount][featureCount + 1]float64) (featureVector, bool) {
+	var x featureVector
 	for i := range a {
 		if !(a[i][i] > 1e-12) {
 			return x, false
@@ -103,13 +104,13 @@
 				continue
 			}
 			f := a[j][i] / a[i][i]
-			for k := i; k <= ttftFeatures; k++ {
+			for k := i; k <= featureCount; k++ {
 				a[j][k] -= f * a[i][k]
 			}
 		}
 	}
 	for i := range a {
-		x[i] = a[i][ttftFeatures] / a[i][i]
+		x[i] = a[i][featureCount] / a[i][i]
 		if math.IsNaN(x[i]) || math.IsInf(x[i], 0) {
 			return x, false
 		}
--- a/request.go
+++ b/request.go
@@ -23,21 +23,22 @@
 	if q.Prefix == 0 {
 		q.PrefixTokens = 0
 	}
-	r.prefillBurden.add(r.prefillBurdenOf(q), prefillBurdenWeight)
-	q.byPrefix = r.usesDirectory(q) && q.Prefix != 0 && q.PrefixTokens >= prefixHomeFraction*q.PromptTokens
+	r.meanPrefillBurden.add(r.prefillBurdenOf(q), prefillBurdenWeight)
+	q.homeByPrefix = r.usesDirectory(q) && q.Prefix != 0 &&
+		q.PrefixTokens >= prefixHomeFraction*q.PromptTokens
 	r.requests[q.ID] = q
 	r.retryBudget = min(maxRetryBudget, r.retryBudget+retryBudgetPerRequest)
 	if r.shedsForDensity(q) {
-		r.finalAnswer(q)
+		r.finishUnserved(q)
 		return
 	}
 	r.countRequest()
 	r.emit(Action{
 		Kind:  Timer,
-		Wait:  max(0, q.Expires-r.now-2*r.settings.Tick),
+		Wait:  max(0, q.Deadline-r.now-2*r.settings.Tick),
 		Token: q.ID*tokenStep + tokenExpire,
 	})
-	if !r.consult(q) {
+	if !r.consultDirectory(q) {
 		r.dispatch(q)
 	}
 }
@@ -47,25 +48,25 @@
 	if q.settled || q.claimed != nil {
 		return
 	}
-	if len(q.attempts) >= max(1, r.settings.MaxAttempts) || r.isWorthless(q) || r.mayNotRepeat(q) {
-		r.finalAnswer(q)
+	if len(q.attempts) >= max(1, r.settings.MaxAttempts) || r.hasNoValueLeft(q) || r.mayNotRepeat(q) {
+		r.finishUnserved(q)
 		return
 	}
 	best := r.pick(q)
 	if best == nil {
-		if q.attemptsInFlight() == 0 && !q.held {
-			q.held = true
-			r.held = append(r.held, q)
+		if q.attemptsInFlight() == 0 && !q.queued {
+			q.queued = true
+			r.queued = append(r.queued, q)
 		}
 		return
 	}
 	if len(q.attempts) == 0 && r.isFutile(q, best) {
-		r.finalAnswer(q)
+		r.finishUnserved(q)
 		return
 	}
-	if aim := seconds(r.class(q).TPOTAim); aim > 0 && len(q.attempts) == 0 {
-		upperMissed := best.paceUpper > aim || best.ttftUpper > r.latencyObjective(q)
-		missed := best.pace > aim || len(q.keptByEngine) > 0 && upperMissed
+	if aim := seconds(r.class(q).TPOTObjective); aim > 0 && len(q.attempts) == 0 {
+		upperMissed := best.tpotUpper > aim || best.ttftUpper > r.latencyObjective(q)
+		missed := best.tpot > aim || len(q.cachedByEngine) > 0 && upperMissed
 		r.adjustShedding(best.engine, missed)
 	}
 	r.send(q, best)
@@ -87,32 +88,32 @@
 		mayHaveRun: true,
 	}
 	q.attempts = append(q.attempts, a)
-	q.held = false
+	q.queued = false
 	e.attemptsInFlight++
 	e.tokensInFlight += q.PromptTokens
-	e.sentUnread = r.sentUnread(e) + q.PromptTokens*(1-o.match)
-	e.sentAt = r.now
+	e.unreportedPrefill = r.unreportedPrefill(e) + q.PromptTokens*(1-o.match)
+	e.unreportedPrefillAt = r.now
 	e.unanswered = append(e.unanswered, a)
-	e.trialAt = r.now
+	e.lastTrialAt = r.now
 	e.reinstated = false
-	if e.coldAt != 0 {
-		e.coldTokens--
+	if e.slowStartBudgetAt != 0 {
+		e.slowStartBudget--
 	}
-	r.remember(q, e, q.PromptTokens)
+	r.recordCachedPrompt(q, e, q.PromptTokens)
 	r.notifySent(a)
-	r.emit(Action{Kind: Send, Request: q.ID, Engine: e.Name, Until: q.Expires, By: r.beginBy(q)})
+	r.emit(Action{Kind: Send, Request: q.ID, Engine: e.Name, Deadline: q.Deadline, StartBefore: r.beginBy(q)})
 }
 
-// unsend takes back what was noted as the attempt was decided on: nothing of it reached its engine.
-func (r *Router) unsend(a *attempt) {
+// undoSend takes back what was noted as the attempt was decided on: nothing of it reached its engine.
+func (r *Router) undoSend(a *attempt) {
 	e := a.engine
-	if e.coldAt != 0 {
-		e.coldTokens++
+	if e.slowStartBudgetAt != 0 {
+		e.slowStartBudget++
 	}
-	e.sentUnread = max(0, r.sentUnread(e)-a.request.PromptTokens*(1-a.match))
-	e.sentAt = r.now
+	e.unreportedPrefill = max(0, r.unreportedPrefill(e)-a.request.PromptTokens*(1-a.match))
+	e.unreportedPrefillAt = r.now
 	e.reinstated = e.reinstated || a.reinstated
-	r.forgetMatch(a)
+	r.forgetCachedPrompt(a)
 }
 
 func (r *Router) onFirstToken(ev *FirstToken) {
@@ -121,7 +122,7 @@
 		return
 	}
 	a.firstTokenAt = r.now
-	r.notifyEnd(a, true)
+	r.notifyPrefillEnd(a, true)
 	r.recordSignOfLife(a)
 	r.observeTTFT(a, seconds(ev.Elapsed))
 	// A miss after a failed attempt is not the fleet's load.
@@ -158,7 +159,7 @@
 		return
 	}
 	if ev.Report != nil && r.settings.Reports == ReportReplies {
-		r.takeReport(a.engine, ev.Report)
+		r.recordReport(a.engine, ev.Report)
 	}
 	a.inFlight = false
 	a.code = ev.Code
@@ -168,9 +169,9 @@
 	if q.claimed == a {
 		r.streams--
 	}
-	r.notifyEnd(a, false)
-	r.dropWaiting(a)
-	r.recordVainWait(a, ev.Code)
+	r.notifyPrefillEnd(a, false)
+	r.removeUnanswered(a)
+	r.recordWastedWait(a, ev.Code)
 	r.learnFrom(a, ev)
 	if ev.Last || !q.settled && (ev.Code == Served || q.claimed == a) {
 		r.finish(q, a)
@@ -188,13 +189,13 @@
 	case Served:
 		r.recordSignOfLife(a)
 		r.observeServed(a, ev)
-	case ServerError, TurnedAway, ConnectionLost:
+	case ServerError, Rejected, ConnectionLost:
 		// One lost connection says little of the engine: the next connect will tell.
-		if !ev.Local {
+		if !ev.LocalFault {
 			r.recordRejection(a, ev.Code)
 		}
 	case NotSent:
-		r.unsend(a)
+		r.undoSend(a)
 	case NoAnswer, NoConnection:
 		if ev.Code == NoConnection || a.overdue(r.now) {
 			r.suspect(a.engine, ev.Code == NoConnection)
@@ -203,14 +204,14 @@
 }
 
 // afterFailure decides what follows an attempt that failed.
-func (r *Router) afterFailure(q *request, code Code) {
+func (r *Router) afterFailure(q *request, code OutcomeCode) {
 	if q.attemptsInFlight() > 0 {
 		return
 	}
 	paid := code == NotSent || code == Cancelled // it cost nothing, or was paid for as it was called off
 	poor := r.retryBudget < 1 && code != NoConnection && !paid
-	if poor || r.now >= q.Expires-2*r.settings.Tick || r.isWorthless(q) {
-		r.finalAnswer(q)
+	if poor || r.now >= q.Deadline-2*r.settings.Tick || r.hasNoValueLeft(q) {
+		r.finishUnserved(q)
 		return
 	}
 	if !paid {
@@ -219,14 +220,14 @@
 	r.dispatch(q)
 }
 
-// isWorthless tells that no worth is left to earn.
-func (r *Router) isWorthless(q *request) bool {
+// hasNoValueLeft tells that no worth is left to earn.
+func (r *Router) hasNoValueLeft(q *request) bool {
 	objective := r.latencyObjective(q)
-	return r.class(q).LateWorth <= 0 && objective > 0 && seconds(r.now-q.arrivedAt) > objective
+	return r.class(q).LateWeight <= 0 && objective > 0 && seconds(r.now-q.arrivedAt) > objective
 }
 
-// finalAnswer gives the final answer: a rejection where that is true, else a failure.
-func (r *Router) finalAnswer(q *request) {
+// finishUnserved gives the final answer: a rejection where that is true, else a failure.
+func (r *Router) finishUnserved(q *request) {
 	if q.settled || q.claimed != nil {
 		return
 	}
@@ -243,26 +244,26 @@
 	if kind != Shed || !r.settings.RetryAfter {
 		return 0
 	}
-	return min(r.settings.MaxRetryAfter, int64(max(minRetryAfter, r.shedFraction/shedDecay)*1e9))
+	return min(r.settings.MaxRetryAfter, int64(max(minRetryAfter, r.shedFraction/shedFractionDecay)*1e9))
 }
 
 // finish marks the request as over; it is forgotten once its last attempt has ended.
 func (r *Router) finish(q *request, winner *attempt) {
 	if !q.settled {
 		q.settled = true
-		q.held = false
+		q.queued = false
 		delete(r.awaitingDirectory, uint32(q.ID))
 		r.cancelOthers(q, winner)
 	}
 	r.release(q)
 }
 
-func (r *Router) drainHeld() {
-	waiting := r.held
-	r.held = nil
+func (r *Router) dispatchQueued() {
+	waiting := r.queued
+	r.queued = nil
 	for _, q := range waiting {
-		if !q.settled && q.held {
-			q.held = false
+		if !q.settled && q.queued {
+			q.queued = false
 			r.dispatch(q)
 		}
 	}
@@ -273,15 +274,15 @@
 	number       int
 	engine       *engine
 	sent         int64
-	features     vec
+	features     featureVector
 	ttft         float64 // predicted, seconds
 	match        float64
-	home         bool // chosen as the session's assumed home
-	reinstated   bool // its engine was put back by hand, and not in use since
-	inDirectory  bool // its engine's directory owner counts its prompt as unread
-	inFlight     bool // no outcome yet
-	code         Code // how it ended
-	mayHaveRun   bool // may have run
+	home         bool        // chosen as the session's assumed home
+	reinstated   bool        // its engine was put back by hand, and not in use since
+	inDirectory  bool        // its engine's directory owner counts its prompt as unread
+	inFlight     bool        // no outcome yet
+	code         OutcomeCode // how it ended
+	mayHaveRun   bool        // may have run
 	firstTokenAt int64
 	cancelling   bool // cancel asked for
 }
@@ -292,12 +293,12 @@
 	attempts  []*attempt
 	claimed   *attempt
 	settled   bool // final answer given or known
-	held      bool // waiting for an engine
+	queued    bool // waiting for an engine
 	// Its home hangs on its shared beginning, which is the larger part of its prompt.
-	byPrefix       bool
+	homeByPrefix   bool
 	consulted      bool                // directory owners were asked
 	awaitedEngines []*engine           // those of which nothing has been told yet
-	keptByEngine   map[*engine]float64 // prompt tokens kept, as directory owners told
+	cachedByEngine map[*engine]float64 // prompt tokens kept, as directory owners told
 }
 
 func (q *request) attemptsInFlight() int {
@@ -333,7 +334,7 @@
 
 // key is what the request's rank among the engines hangs on.
 func (q *request) key() uint64 {
-	if q.byPrefix {
+	if q.homeByPrefix {
 		return q.Prefix
 	}
 	if q.Session != 0 {
@@ -365,7 +366,7 @@
 // latencyObjective is the time wanted to the first token, in seconds from arrival; 0: none.
 func (r *Router) latencyObjective(q *request) float64 {
 	c := r.class(q)
-	return seconds(c.TTFTAim) + seconds(c.AimPer1000)*q.PromptTokens/1000
+	return seconds(c.TTFTObjective) + seconds(c.TTFTObjectivePer1000Tokens)*q.PromptTokens/1000
 }
 
 func (a *attempt) overdue(now int64) bool {
--- a/router.go
+++ b/router.go
@@ -16,21 +16,21 @@
 	ms     = int64(1e6)
 	second = int64(1e9)
 
-	maxFullScan       = 64      // a fleet up to this size is gone over whole for each request
-	rankedRequests    = 64      // requests that a new one's worth for its work is ranked among
-	metPerMissed      = 4.0     // objectives met that undo one missed
-	shedDecay         = 0.15    // fall of the refused part in a second
-	tickInterval      = 50 * ms // pace of the health, probe and queue rounds
-	bucketDepth       = 10      // samples kept in one bucket
-	maxRetryBudget    = 2.0     // and how many may come at once
-	maxShedForHedging = 0.1     // refused part from which no second copies are sent
+	maxFullScan          = 64      // a fleet up to this size is gone over whole for each request
+	maxRankedRequests    = 64      // requests that a new one's worth for its work is ranked among
+	metObjectivesPerMiss = 4.0     // objectives met that undo one missed
+	shedFractionDecay    = 0.15    // fall of the refused part in a second
+	tickInterval         = 50 * ms // pace of the health, probe and queue rounds
+	bucketDepth          = 10      // samples kept in one bucket
+	maxRetryBudget       = 2.0     // and how many may come at once
+	maxShedForHedging    = 0.1     // refused part from which no second copies are sent
 
-	initialTokenGap  = 0.03 // seconds; first guess of the token gap where no class has an objective
-	tokenGapFraction = 0.6  // else this part of the tightest objective, which a healthy fleet keeps
-	ttftFeatures     = 7    // see features
-	priorWeight      = 2.0  // ridge strength, in samples of ordinary size
-	sessionSalt      = 0x9e3779b97f4a7c15
-	prefixSalt       = 0xc2b2ae3d27d4eb4f
+	initialTPOT         = 0.03 // seconds; first guess of the token gap where no class has an objective
+	initialTPOTFraction = 0.6  // else this part of the tightest objective, which a healthy fleet keeps
+	featureCount        = 7    // see features
+	priorWeight         = 2.0  // ridge strength, in samples of ordinary size
+	sessionSalt         = 0x9e3779b97f4a7c15
+	prefixSalt          = 0xc2b2ae3d27d4eb4f
 )
 
 // Timer tokens: request id times tokenStep plus one of these. Ids stay below 2^52.
@@ -60,17 +60,17 @@
 		shedRates:          make([]classShedRates, classes),
 		sessionGain:        slices.Repeat([]float64{0.5}, classes),
 		ttftModels:         make([]model, kinds),
-		paceModels:         make([]model, kinds),
-		classGaps:          make([]mean, classes),
-		tokenGap:           initialTokenGap,
+		tpotModels:         make([]model, kinds),
+		classTPOTRatios:    make([]mean, classes),
+		baseTPOT:           initialTPOT,
 	}
-	if aim := r.tightestTokenGap(); aim > 0 {
-		r.tokenGap = tokenGapFraction * aim
+	if aim := r.tightestTPOTObjective(); aim > 0 {
+		r.baseTPOT = initialTPOTFraction * aim
 	}
 	r.matchTable[0], r.matchTable[1] = map[uint64]matchEntry{}, map[uint64]matchEntry{}
 	for i := range r.ttftModels {
 		r.ttftModels[i].init(ttftPrior)
-		r.paceModels[i].init(pacePrior)
+		r.tpotModels[i].init(tpotPrior)
 	}
 	return r
 }
@@ -92,11 +92,11 @@
 		r.onOutcome(ev)
 	case *FirstToken:
 		r.onFirstToken(ev)
-	case *Left:
+	case *ClientDisconnected:
 		if q := r.requests[ev.Request]; q != nil {
 			r.finish(q, nil)
 		}
-	case *Probed:
+	case *ProbeResult:
 		r.onProbed(ev)
 	case *PeerMessage:
 		r.onPeer(ev.From, ev.Data)
@@ -118,7 +118,7 @@
 	} else if q != nil && token%tokenStep == tokenConsult {
 		r.consultFinished(q)
 	} else if q != nil {
-		r.finalAnswer(q)
+		r.finishUnserved(q)
 	}
 }
 
@@ -126,6 +126,6 @@
 	r.emit(Action{Kind: Timer, Wait: tickInterval, Token: tokenTick})
 	r.subscribe()
 	r.checkHealth()
-	r.drainHeld()
+	r.dispatchQueued()
 	r.probe()
 }
--- a/router_test.go
+++ b/router_test.go
@@ -9,13 +9,13 @@
 
 func TestFitRecoversLinearLaw(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	law := vec{0.03, 0.2, 0.05, 0.3, 0.01, 0.1, 0.002}
-	draw := func() vec {
+	law := featureVector{0.03, 0.2, 0.05, 0.3, 0.01, 0.1, 0.002}
+	draw := func() featureVector {
 		prompt := rng.Float64() * 6
-		return vec{1, rng.Float64(), rng.Float64() * 10, rng.Float64(), prompt, prompt * rng.Float64(),
+		return featureVector{1, rng.Float64(), rng.Float64() * 10, rng.Float64(), prompt, prompt * rng.Float64(),
 			rng.Float64() * 20}
 	}
-	value := func(x vec) (y float64) {
+	value := func(x featureVector) (y float64) {
 		for i := range x {
 			y += law[i] * x[i]
 		}
@@ -49,11 +49,11 @@
 func TestFitRetainsRareRegime(t *testing.T) {
 	var m model
 	m.init(ttftPrior)
-	rare := vec{1, 0.95, 9, 0.9, 2, 2, 10}
+	rare := featureVector{1, 0.95, 9, 0.9, 2, 2, 10}
 	for range bucketDepth {
 		m.add(&rare, 4)
 	}
-	usual := vec{1, 0.15, 0.2, 0.1, 2, 2, 1}
+	usual := featureVector{1, 0.15, 0.2, 0.1, 2, 2, 1}
 	for range 2000 {
 		m.add(&usual, 0.2)
 	}
@@ -73,11 +73,11 @@
 	e := r.engines["a"]
 	light := option{engine: e}
 	r.predict(q, &light)
-	e.report, e.reportAt, e.tokensInFlight = Report{Memory: 0.9, Unread: 20, Slots: 0.9}, r.now, 50000
+	e.report, e.reportAt, e.tokensInFlight = Report{MemoryUsage: 0.9, PrefillBacklog: 20, SlotUsage: 0.9}, r.now, 50000
 	heavy := option{engine: e}
 	r.predict(q, &heavy)
-	if !(heavy.ttft > 2*light.ttft && heavy.pace > light.pace) {
-		t.Fatalf("TTFT %.3f then %.3f, pace %.4f then %.4f", light.ttft, heavy.ttft, light.pace, heavy.pace)
+	if !(heavy.ttft > 2*light.ttft && heavy.tpot > light.tpot) {
+		t.Fatalf("TTFT %.3f then %.3f, pace %.4f then %.4f", light.ttft, heavy.ttft, light.tpot, heavy.tpot)
 	}
 }
 
@@ -110,7 +110,7 @@
 		feed(r, ms, engineList("a", "b", "c", "d"))
 		q := newRequest(int64(i+1), 4*second)
 		holder := r.engines["c"]
-		r.remember(&request{Request: *q}, holder, q.PromptTokens)
+		r.recordCachedPrompt(&request{Request: *q}, holder, q.PromptTokens)
 		prepare(r, q, holder)
 		acts := feed(r, 10*ms, q)
 		expect(t, acts, "send ")
@@ -125,7 +125,7 @@
 	const n = 3000
 	// The holder is busier, so without the gate another engine would be taken.
 	got := picks(t, n, func(r *Router, _ *Request, holder *engine) {
-		holder.report, holder.reportAt = Report{Memory: 0.9, Unread: 6, Slots: 0.9}, r.now
+		holder.report, holder.reportAt = Report{MemoryUsage: 0.9, PrefillBacklog: 6, SlotUsage: 0.9}, r.now
 	})
 	if got < n*96/100 || got == n {
 		t.Fatalf("the gate kept %d of %d; want about 99 in 100", got, n)
@@ -134,7 +134,7 @@
 
 func TestAffinityBreaksAtItsPenalty(t *testing.T) {
 	got := picks(t, 200, func(r *Router, _ *Request, holder *engine) {
-		holder.report, holder.reportAt = Report{Memory: 1, Unread: 200, Slots: 1}, r.now
+		holder.report, holder.reportAt = Report{MemoryUsage: 1, PrefillBacklog: 200, SlotUsage: 1}, r.now
 	})
 	if got != 0 {
 		t.Fatalf("%d of 200 kept to an engine that is over %v s behind", got, maxAffinityTTFT)
@@ -147,7 +147,7 @@
 	e := r.engines["a"]
 	for i := int64(1); i <= 6; i++ {
 		q := &request{Request: *newRequest(i, second)}
-		r.remember(q, e, 1000)
+		r.recordCachedPrompt(q, e, 1000)
 		r.now += second
 		if i > 1 {
 			r.observeMatch(&attempt{request: q, engine: e, match: 1}, 0)
@@ -159,7 +159,7 @@
 	}
 	r.now += second
 	fresh := &request{Request: *newRequest(99, second)}
-	r.remember(fresh, e, 1000)
+	r.recordCachedPrompt(fresh, e, 1000)
 	if got := r.match(fresh, e); got < 0.99 {
 		t.Fatalf("an entry made after the flush counts %.2f", got)
 	}
@@ -199,7 +199,7 @@
 	s := testSettings()
 	s.RetryAfter, s.MaxRetryAfter = true, 2*second
 	for worth, want := range map[float64]string{0: "shed ", 0.5: ""} {
-		s.Classes[0].LateWorth = worth
+		s.Classes[0].LateWeight = worth
 		r := New(s, 1)
 		list := engineList("a")
 		list.Engines[0].State = Draining
@@ -256,7 +256,7 @@
 	})
 	t.Run("left for a dropped id", func(t *testing.T) {
 		r := start(nil)
-		feed(r, ms, &Outcome{Request: 1, Code: Served, Last: true}, &Left{Request: 1}, &Left{Request: 77})
+		feed(r, ms, &Outcome{Request: 1, Code: Served, Last: true}, &ClientDisconnected{Request: 1}, &ClientDisconnected{Request: 77})
 		expect(t, feed(r, 2*ms, &FirstToken{Request: 1}, &Outcome{Request: 1, Code: Served}), "")
 	})
 }
@@ -292,7 +292,7 @@
 		effect Effect
 		group  Group
 		window int64
-		code   Code
+		code   OutcomeCode
 		other  Engine // the only other engine
 		want   string
 	}{
@@ -310,7 +310,7 @@
 		{"keyed inside its zone", Keyed, GroupZone, second, ServerError, Engine{Name: "b"}, "send "},
 		{"keyed outside its zone", Keyed, GroupZone, second, ServerError, Engine{Name: "b", Zone: 1}, ""},
 		{"keyed outside its cell", Keyed, GroupCell, second, ServerError, Engine{Name: "b", Cell: 1}, ""},
-		{"keyed outside, but never ran", Keyed, GroupCell, second, TurnedAway, Engine{Name: "b", Cell: 1}, "send "},
+		{"keyed outside, but never ran", Keyed, GroupCell, second, Rejected, Engine{Name: "b", Cell: 1}, "send "},
 		{"keyed after its window", Keyed, GroupAll, 10 * ms, ServerError, Engine{Name: "b"}, "shed "},
 		{"keyed of a zone, after its window", Keyed, GroupZone, 10 * ms, ServerError, Engine{Name: "b"}, "fail "},
 	}
@@ -403,21 +403,21 @@
 	for ; now < 103*second; now += 20 * ms {
 		all++
 		q := newRequest(now, now+second)
-		for _, a := range feed(r, now, q, &Outcome{Request: q.ID, Code: TurnedAway, Engine: ""}) {
+		for _, a := range feed(r, now, q, &Outcome{Request: q.ID, Code: Rejected, Engine: ""}) {
 			if a.Kind == Send && a.Engine == "a" {
 				sent++
 			}
 		}
 	}
 	// A quarter of the traffic would be 37; the cold engine can take 0.4 of that, times 3, at the rule's edge.
-	if limit := float64(all) / 4 * s.ColdShare * s.FallFactor; sent == 0 || float64(sent) > 0.8*limit {
+	if limit := float64(all) / 4 * s.ColdCapacityFraction * s.OverloadFactor; sent == 0 || float64(sent) > 0.8*limit {
 		t.Fatalf("%d of %d went to the cold engine; the rule's edge is %.0f", sent, all, limit)
 	}
 }
 
 func TestDiscoveryIsAskedForAndBacksOff(t *testing.T) {
 	s := testSettings()
-	s.AskDiscovery = true
+	s.SubscribeDiscovery = true
 	r := New(s, 1)
 	feed(r, 0, engineList("a"))
 	asks := 0
@@ -425,7 +425,7 @@
 		for _, a := range tick(r, now) {
 			if a.Kind == Subscribe {
 				asks++
-				feed(r, now, &EngineList{Kind: ListLost})
+				feed(r, now, &EngineList{Kind: ListFailed})
 			}
 		}
 	}
@@ -443,7 +443,7 @@
 func TestLeastValuableRequestsAreShedFirst(t *testing.T) {
 	s := testSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[1].Worth = 5
+	s.Classes[1].Weight = 5
 	r := New(s, 1)
 	feed(r, 0, engineList("a", "b", "c"))
 	shed := map[int]int{}
@@ -471,11 +471,11 @@
 	for _, p := range odd {
 		for _, v := range odd {
 			id++
-			q := &Request{ID: id, Expires: second, Session: 1, Prefix: 2, PromptTokens: p, PrefixTokens: v,
+			q := &Request{ID: id, Deadline: second, Session: 1, Prefix: 2, PromptTokens: p, PrefixTokens: v,
 				MaxTokens: v, Class: int(id%5) - 2}
 			feed(r, id*ms, q, &FirstToken{Request: id, Elapsed: -5},
-				&Outcome{Request: id, Code: Served, Kept: v, Elapsed: -9, Engine: "a", Last: true,
-					Report: &Report{Memory: p, Unread: v, Slots: p}})
+				&Outcome{Request: id, Code: Served, CachedTokens: v, Elapsed: -9, Engine: "a", Last: true,
+					Report: &Report{MemoryUsage: p, PrefillBacklog: v, SlotUsage: p}})
 		}
 	}
 	o := option{engine: r.engines["a"]}
@@ -483,10 +483,10 @@
 	if !allFinite(
 		o.ttft,
 		o.ttftUpper,
-		o.pace,
-		r.tokenGap,
+		o.tpot,
+		r.baseTPOT,
 		r.matchTrust,
-		r.meanReport.Memory,
+		r.meanReport.MemoryUsage,
 		r.engines["a"].tokensInFlight,
 	) {
 		t.Fatalf("a decision input is not finite: %+v", o)
@@ -498,7 +498,7 @@
 	s.Classes = []Class{{Streamed: true}}
 	r := New(s, 1)
 	feed(r, 0, engineList("a", "b"))
-	r.engines["a"].report, r.engines["a"].reportAt = Report{Memory: 0.9, Unread: 30, Slots: 0.9}, 1
+	r.engines["a"].report, r.engines["a"].reportAt = Report{MemoryUsage: 0.9, PrefillBacklog: 30, SlotUsage: 0.9}, 1
 	r.sessionGain[0] = 0
 	toB := 0
 	for i := int64(1); i <= 20; i++ {
@@ -569,12 +569,12 @@
 			running = running[1:]
 		}
 	}
-	calm := r.gapDrift()
+	calm := r.tpotDrift()
 	for until := now + 3*second; now < until; now += 100 * ms {
 		start() // none ends any more
 	}
-	if r.gapDrift() < calm+0.3 {
-		t.Fatalf("pace is taken %.2f slower (log) after 3 s in which no stream ended, was %.2f", r.gapDrift(), calm)
+	if r.tpotDrift() < calm+0.3 {
+		t.Fatalf("pace is taken %.2f slower (log) after 3 s in which no stream ended, was %.2f", r.tpotDrift(), calm)
 	}
 }
 
@@ -616,7 +616,7 @@
 func TestColdBudgetIsUsedByLowTrafficGateways(t *testing.T) {
 	for seed := range int64(20) {
 		s := testSettings()
-		s.Balancers = 300
+		s.Gateways = 300
 		r := New(s, seed)
 		var names []string
 		for i := range 40 {
@@ -624,12 +624,12 @@
 		}
 		feed(r, 100*second, engineList(names...))
 		first := feed(r, 100*second, newRequest(1, 104*second))
-		feed(r, 100*second, &Outcome{Request: 1, Code: Served, Kept: 0, Elapsed: 10 * ms, Last: true})
+		feed(r, 100*second, &Outcome{Request: 1, Code: Served, CachedTokens: 0, Elapsed: 10 * ms, Last: true})
 		list := engineList(append(names, "cold")...)
 		list.Engines[40].ReadyAt = 101 * second
 		feed(r, 101*second, list)
 		for i := range r.ready {
-			r.ready[i].coldTokens = 1
+			r.ready[i].slowStartBudget = 1
 		}
 		again := newRequest(2, 105*second)
 		again.Session = 7919 // the first one's
@@ -661,7 +661,7 @@
 		list := engineList(append(names, "cold")...)
 		list.Engines[7].ReadyAt = now
 		feed(r, now, list)
-		r.engines["cold"].coldTokens = 1
+		r.engines["cold"].slowStartBudget = 1
 		if got := feed(r, now, newRequest(1000, now+4*second)); got[0].Engine == "cold" {
 			forced++
 		}
@@ -677,7 +677,7 @@
 	now := 10 * second
 	for i := int64(1); i < 200; i++ {
 		now += 20 * ms
-		feed(r, now, newRequest(i, now+second), &Outcome{Request: i, Code: TurnedAway})
+		feed(r, now, newRequest(i, now+second), &Outcome{Request: i, Code: Rejected})
 	}
 	left := engineList("a")
 	left.Engines[0].ReadyAt = now
@@ -700,7 +700,7 @@
 // Hunt day h7ec13f: one tenant sent several times its quota, and the others were refused alike.
 func TestOverQuotaIsRefusedFirst(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.OverShareWorth = 1, 0.1
+	s.Gateways, s.OverQuotaWeight = 1, 0.1
 	s.Tenants = []Tenant{{QuotaRPS: 20}, {QuotaRPS: 20}}
 	r := New(s, 1)
 	feed(r, 0, engineList("a", "b", "c"))
@@ -725,7 +725,7 @@
 func TestLoneGatewayConsidersAllEngines(t *testing.T) {
 	for balancers, want := range map[int]int{1: 8, 2: 4, 30: sampleSize} {
 		s := testSettings()
-		s.Balancers = balancers
+		s.Gateways = balancers
 		r := New(s, 1)
 		feed(r, 0, engineList("a", "b", "c", "d", "e", "f", "g", "h"))
 		if got := len(r.buildOptions(&request{Request: *newRequest(1, second)}, false)); got != want {
@@ -739,7 +739,7 @@
 func TestSafetyMarginGrowsWithCandidates(t *testing.T) {
 	for n, want := range map[int]bool{8: true, 40: false} {
 		s := testSettings()
-		s.Balancers, s.Classes[0].TPOTAim = 1, 0
+		s.Gateways, s.Classes[0].TPOTObjective = 1, 0
 		r := New(s, 1)
 		var names []string
 		for i := range n {
@@ -771,7 +771,7 @@
 		list.Engines = append(list.Engines, Engine{Name: name, Size: 1, Stale: name != "c"})
 	}
 	sent := func(id int64) (to string) {
-		for _, a := range r.Handle(id*ms, &Request{ID: id, Expires: id*ms + 5000*ms, PromptTokens: 10, MaxTokens: 10}, nil) {
+		for _, a := range r.Handle(id*ms, &Request{ID: id, Deadline: id*ms + 5000*ms, PromptTokens: 10, MaxTokens: 10}, nil) {
 			if a.Kind == Send {
 				to = a.Engine
 			}
@@ -816,7 +816,7 @@
 	q := &request{Request: Request{ID: 1, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}}
 	looked := func(r *Router) map[string]bool {
 		names := map[string]bool{}
-		for _, e := range r.sample(q) {
+		for _, e := range r.sampleEngines(q) {
 			if e.Pool != 2 {
 				t.Fatalf("%s is of another pool", e.Name)
 			}
@@ -861,9 +861,9 @@
 	for name := range first {
 		b.Handle(ms, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, ReadyAt: ms}}}, nil)
 	}
-	b.settings.WarmUp, b.settings.FallFactor = 20*second, 4
+	b.settings.WarmUp, b.settings.OverloadFactor = 20*second, 4
 	sent := false
-	for _, act := range b.Handle(2*ms, &Request{ID: 9, Expires: second, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}, nil) {
+	for _, act := range b.Handle(2*ms, &Request{ID: 9, Deadline: second, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}, nil) {
 		sent = sent || act.Kind == Send
 	}
 	if !sent {
@@ -875,7 +875,7 @@
 // before: not its late report, nor what it kept, nor its silence, nor its errors; and it is cold.
 func TestRestartedEngineInheritsNothing(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies, set.Balancers = false, 1
+	set.SecondCopies, set.Gateways = false, 1
 	r := New(set, 1)
 	now := 100 * second
 	feed(r, now, engineList("a", "b"))
@@ -883,7 +883,7 @@
 		q := &request{Request: *newRequest(id, now+9*second), arrivedAt: now}
 		q.Prefix, q.PrefixTokens = 77, 500
 		r.now, r.requests[id] = start, q
-		r.send(q, &option{engine: r.engines["a"], features: vec{1}, ttft: 0.1})
+		r.send(q, &option{engine: r.engines["a"], features: featureVector{1}, ttft: 0.1})
 		return q
 	}
 	for id := int64(1); id <= 6; id++ {
@@ -893,31 +893,31 @@
 	now += second
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", Size: 1, ReadyAt: now - 100*ms}}})
 	a := r.engines["a"]
-	if a.tokensInFlight != 0 || a.attemptsInFlight != 0 || a.coldAt == 0 {
+	if a.tokensInFlight != 0 || a.attemptsInFlight != 0 || a.slowStartBudgetAt == 0 {
 		t.Fatalf(
 			"the new process has %v tokens of the old one, %d out, cold %v",
 			a.tokensInFlight,
 			a.attemptsInFlight,
-			a.coldAt,
+			a.slowStartBudgetAt,
 		)
 	}
-	report := &Report{Memory: 0.9, Unread: 50, Slots: 0.9}
+	report := &Report{MemoryUsage: 0.9, PrefillBacklog: 50, SlotUsage: 0.9}
 	now += second
 	feed(r, now, &FirstToken{Request: 1, Elapsed: 2 * second},
-		&Outcome{Request: 1, Last: true, Engine: "a", Kept: 900, Tokens: 50, Elapsed: 3 * second, Report: report})
-	for id, code := range map[int64]Code{2: ServerError, 3: ServerError, 4: ConnectionLost, 5: NoConnection} {
+		&Outcome{Request: 1, Last: true, Engine: "a", CachedTokens: 900, OutputTokens: 50, Elapsed: 3 * second, Report: report})
+	for id, code := range map[int64]OutcomeCode{2: ServerError, 3: ServerError, 4: ConnectionLost, 5: NoConnection} {
 		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: "a", Report: report})
 	}
 	tick(r, now+5*second)
 	q := &request{Request: *newRequest(1, now+9*second)}
 	q.Prefix, q.PrefixTokens = 77, 500
-	if a.reportAt != 0 || a.slowness != 0 || a.gapSlowness.n != 0 || a.errorRate != 0 || a.suspect ||
+	if a.reportAt != 0 || a.slowness != 0 || a.tpotSlowness.n != 0 || a.errorRate != 0 || a.suspect ||
 		r.match(q, a) != 0 {
 		t.Fatalf(
 			"told of the old process and held of the new: report %v, speed %v, drag %v, sour %v, suspect %v, match %v",
 			a.reportAt,
 			a.slowness,
-			a.gapSlowness.n,
+			a.tpotSlowness.n,
 			a.errorRate,
 			a.suspect,
 			r.match(q, a),
@@ -931,7 +931,7 @@
 // What one request says of a shared beginning's length is not believed for another's.
 func TestPrefixLengthIsNotTrustedAcrossRequests(t *testing.T) {
 	set := testSettings()
-	set.Balancers = 1
+	set.Gateways = 1
 	r := New(set, 1)
 	feed(r, second, engineList("a"))
 	a := r.engines["a"]
@@ -941,12 +941,12 @@
 		return q
 	}
 	honest := with(400)
-	r.remember(with(1000), a, 1000) // far more than the beginning has
+	r.recordCachedPrompt(with(1000), a, 1000) // far more than the beginning has
 	if m := r.match(honest, a); m != 0.4 {
 		t.Fatalf("match %v of a prompt of 1,000 tokens that begins with 400 shared ones", m)
 	}
-	r.remember(honest, a, 1000)
-	r.remember(with(0), a, 1000) // takes nothing away
+	r.recordCachedPrompt(honest, a, 1000)
+	r.recordCachedPrompt(with(0), a, 1000) // takes nothing away
 	if m := r.match(honest, a); m != 0.4 {
 		t.Fatalf("match %v after another said that there is no beginning", m)
 	}
@@ -955,7 +955,7 @@
 // A stream that its client was slow to take says nothing of the engine's pace.
 func TestStreamsSlowedByClientsTeachNoPace(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies, set.Balancers = false, 1
+	set.SecondCopies, set.Gateways = false, 1
 	pace := func(held bool) float64 {
 		r := New(set, 1)
 		feed(r, second, engineList("a"))
@@ -971,13 +971,13 @@
 			feed(
 				r,
 				now+4*second,
-				&Outcome{Request: id, Last: true, Engine: send[0].Engine, Tokens: 50, Elapsed: 100*ms + 50*gap,
-					Held: gap > 20*ms},
+				&Outcome{Request: id, Last: true, Engine: send[0].Engine, OutputTokens: 50, Elapsed: 100*ms + 50*gap,
+					ClientStalled: gap > 20*ms},
 			)
 		}
 		o := option{engine: r.engines["a"]}
 		r.predict(&request{Request: *newRequest(999, now+9*second)}, &o)
-		return o.pace
+		return o.tpot
 	}
 	if quiet, loud := pace(false), pace(true); loud > 1.2*quiet {
 		t.Fatalf("%.4f s a token beside a slow reader, %.4f without", loud, quiet)
--- a/sampling.go
+++ b/sampling.go
@@ -11,9 +11,9 @@
 	sampleByPrefix = 8  // and by the key of its shared beginning
 )
 
-// sample is the engines among which a request is weighed. Of a large fleet these follow its keys on the
-// rings of its pool, the same ones at every gateway; a session at home looks in its own zone first.
-func (r *Router) sample(q *request) []*engine {
+// sampleEngines is the engines among which a request is weighed. Of a large fleet these follow its keys on
+// the rings of its pool, the same ones at every gateway; a session at home looks in its own zone first.
+func (r *Router) sampleEngines(q *request) []*engine {
 	if len(r.ready) <= maxFullScan {
 		return r.ready
 	}
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -186,7 +186,7 @@
 	case k < 45:
 		w.nextID++
 		b := &requestRecord{expires: w.now + 50*ms + w.rng.Int64N(2*second)}
-		b.request = Request{ID: w.nextID, Expires: b.expires, Class: w.rng.IntN(len(w.settings.Classes)),
+		b.request = Request{ID: w.nextID, Deadline: b.expires, Class: w.rng.IntN(len(w.settings.Classes)),
 			Session: w.rng.Uint64N(40), Prefix: w.rng.Uint64N(5), PromptTokens: float64(w.rng.IntN(5000)),
 			PrefixTokens: float64(w.rng.IntN(3000)), MaxTokens: float64(w.rng.IntN(500))}
 		w.requests[w.nextID] = b
@@ -206,7 +206,7 @@
 	case k < 98:
 		all = append(all, w.updateEngines(ListFull)...)
 	default:
-		all = append(all, w.handle(&EngineList{Kind: ListLost})...)
+		all = append(all, w.handle(&EngineList{Kind: ListFailed})...)
 	}
 	return all
 }
@@ -238,25 +238,25 @@
 	}
 	if w.rng.IntN(40) == 0 && !b.final {
 		b.final = true
-		return w.handle(&Left{Request: id})
+		return w.handle(&ClientDisconnected{Request: id})
 	}
 	l.out = false
-	code := Code(w.rng.IntN(8))
+	code := OutcomeCode(w.rng.IntN(8))
 	l.ran = !code.NeverRan()
 	last := b.final
 	if code == Served && !b.final || b.started {
 		last, b.final = true, true
 	}
 	return w.handle(&Outcome{Request: id, Attempt: i, Code: code, Last: last, Engine: l.engine.Name,
-		Elapsed: w.now - l.sent, Kept: float64(w.rng.IntN(3000)),
-		Report: &Report{Memory: w.rng.Float64(), Unread: w.rng.Float64() * 20, Slots: w.rng.Float64()}})
+		Elapsed: w.now - l.sent, CachedTokens: float64(w.rng.IntN(3000)),
+		Report: &Report{MemoryUsage: w.rng.Float64(), PrefillBacklog: w.rng.Float64() * 20, SlotUsage: w.rng.Float64()}})
 }
 
 // allEffects has a class for every effect and group.
 func allEffects() Settings {
 	s := testSettings()
 	s.Zones, s.MaxAttempts, s.CrossZonePrice = 2, 5, 0.05
-	s.WarmUp, s.Fall = 2*second, second
+	s.WarmUp, s.OverloadWindow = 2*second, second
 	c := s.Classes[0]
 	s.Classes = nil
 	for _, e := range []Effect{Safe, Keyed, Unsafe} {
@@ -273,7 +273,7 @@
 		s := allEffects()
 		s.SecondCopies = seed%2 == 0
 		s.Cancel = seed%3 != 0
-		s.AskDiscovery = seed%4 == 0
+		s.SubscribeDiscovery = seed%4 == 0
 		s.Probes = seed%5 == 0
 		s.Reports = ReportMode(seed % 3)
 		w := newSimulation(seed, s)
@@ -292,12 +292,12 @@
 			for i := range times {
 				n := 0
 				for _, at := range times[i:] {
-					if at.now-times[i].now < s.Fall {
+					if at.now-times[i].now < s.OverloadWindow {
 						n++
 					}
 				}
-				share := s.ColdShare + (1-s.ColdShare)*min(1, seconds(times[i].now-times[i].start)/seconds(s.WarmUp))
-				if edge := can * share * s.FallFactor * seconds(s.Fall); float64(n) > edge+1 { // one for chance
+				share := s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*min(1, seconds(times[i].now-times[i].start)/seconds(s.WarmUp))
+				if edge := can * share * s.OverloadFactor * seconds(s.OverloadWindow); float64(n) > edge+1 { // one for chance
 					t.Fatalf("seed %d: rule 4: %d sends to cold %s in a fall window, edge %.1f", seed, n, engine, edge)
 				}
 			}
@@ -318,11 +318,11 @@
 				)
 			}
 		}
-		w.handle(&Left{Request: id})
+		w.handle(&ClientDisconnected{Request: id})
 	}
 	w.handle(&TimerFired{Token: tokenTick})
-	if len(w.router.requests) != 0 || len(w.router.held) != 0 {
-		t.Fatalf("%d requests and %d held remain", len(w.router.requests), len(w.router.held))
+	if len(w.router.requests) != 0 || len(w.router.queued) != 0 {
+		t.Fatalf("%d requests and %d held remain", len(w.router.requests), len(w.router.queued))
 	}
 	for _, e := range w.router.engines {
 		if e.attemptsInFlight != 0 || len(e.unanswered) != 0 {
@@ -383,7 +383,7 @@
 // Where servers tell how long answers were, the pace of each is learned from its own, long answers or short.
 func TestReportedTokenCountsTeachPace(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies, set.Balancers = false, 1
+	set.SecondCopies, set.Gateways = false, 1
 	r := New(set, 1)
 	feed(r, second, engineList("fast", "slow"))
 	now, id := second, int64(0)
@@ -393,18 +393,18 @@
 			now += 5 * second
 			q := &request{Request: *newRequest(id, now+9*second)}
 			r.now, r.requests[id] = now, q
-			r.send(q, &option{engine: r.engines[name], features: vec{1}})
+			r.send(q, &option{engine: r.engines[name], features: featureVector{1}})
 			feed(r, now+100*ms, &FirstToken{Request: id, Elapsed: 100 * ms})
 			tokens := 20 + id%3*40
-			feed(r, now+4*second, &Outcome{Request: id, Last: true, Engine: name, Tokens: float64(tokens),
+			feed(r, now+4*second, &Outcome{Request: id, Last: true, Engine: name, OutputTokens: float64(tokens),
 				Elapsed: 100*ms + tokens*gap})
 		}
 	}
 	q := &request{Request: *newRequest(999, now+9*second)}
 	for name, gap := range map[string]float64{"fast": 0.010, "slow": 0.045} {
 		o := option{engine: r.engines[name]}
-		if r.predict(q, &o); o.pace < gap*0.6 || o.pace > gap*1.7 {
-			t.Errorf("%s: %.3f s between tokens predicted, are %.3f", name, o.pace, gap)
+		if r.predict(q, &o); o.tpot < gap*0.6 || o.tpot > gap*1.7 {
+			t.Errorf("%s: %.3f s between tokens predicted, are %.3f", name, o.tpot, gap)
 		}
 	}
 }
@@ -412,11 +412,11 @@
 // One lost connection is not the engine's end, but errors in a row have it left out until a trial.
 func TestConsecutiveErrorsEjectEngine(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies, set.Balancers = false, 1
+	set.SecondCopies, set.Gateways = false, 1
 	r := New(set, 1)
 	feed(r, second, engineList("a", "b", "c"))
 	a := r.engines["a"]
-	for i, code := range []Code{ConnectionLost, TurnedAway, ServerError} {
+	for i, code := range []OutcomeCode{ConnectionLost, Rejected, ServerError} {
 		q := &request{Request: *newRequest(int64(i+1), 9*second)}
 		r.requests[q.ID] = q
 		r.send(q, &option{engine: a})
@@ -443,12 +443,12 @@
 	expect(t, feed(r, second, q), "send ")
 	r.sessionGain[0], r.ttftModels[0].coef[0] = 0.9, 7
 	set.Tenants[0].QuotaRPS = 5
-	r.Adjust(set)
+	r.UpdateSettings(set)
 	if r.sessionGain[0] != 0.9 || r.ttftModels[0].coef[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
 		t.Fatal("what was learned is lost, or the new figure not taken")
 	}
 	set.Classes, set.Tenants, set.Kinds = set.Classes[:1], nil, 1
-	r.Adjust(set)
+	r.UpdateSettings(set)
 	e := feed(r, second, newRequest(2, 5*second))
 	expect(t, e, "send ")
 	feed(r, 2*second, &FirstToken{Request: 1, Elapsed: second}, &Outcome{Request: 1, Last: true, Engine: e[0].Engine})
--- a/slow_start.go
+++ b/slow_start.go
@@ -6,26 +6,26 @@
 	coldMargin = 0.5 // of rule 4's allowance that the gateways together use
 )
 
-// hasColdBudget tells whether the cold budget lets one more request go to a starting engine. All gateways see
-// the same start; each takes its share of what the rule allows, measured against its own mean rate for
-// each engine, and saves it up from a random beginning so that they do not all send at once.
-func (r *Router) hasColdBudget(e *engine) bool {
+// hasSlowStartBudget tells whether the cold budget lets one more request go to a starting engine. All
+// gateways see the same start; each takes its share of what the rule allows, measured against its own mean
+// rate for each engine, and saves it up from a random beginning so that they do not all send at once.
+func (r *Router) hasSlowStartBudget(e *engine) bool {
 	start := r.startedAt(e)
-	if start <= 0 || r.now-start > r.settings.WarmUp+r.settings.Fall || r.settings.WarmUp <= 0 {
-		e.coldAt = 0
+	if start <= 0 || r.now-start > r.settings.WarmUp+r.settings.OverloadWindow || r.settings.WarmUp <= 0 {
+		e.slowStartBudgetAt = 0
 		return true
 	}
-	if e.coldAt == 0 {
-		e.coldAt = r.now
+	if e.slowStartBudgetAt == 0 {
+		e.slowStartBudgetAt = r.now
 	}
 	// The divisor is the fleet's usual size: when most engines are down, what is left of them must not be
 	// taken to be able to do all the work (guards against cold engines pushed over in a joint failure).
-	perEngine := r.requestRate / max(1, r.usualReady) * r.relativeSize(e)
-	refill := perEngine * r.warmFraction(e) * r.settings.FallFactor * coldMargin
-	e.coldTokens += refill * seconds(r.now-e.coldAt)
-	e.coldTokens = min(e.coldTokens, 1.5)
-	e.coldAt = r.now
-	return e.coldTokens >= 1
+	perEngine := r.requestRate / max(1, r.usualReadyCount) * r.relativeSize(e)
+	refill := perEngine * r.warmFraction(e) * r.settings.OverloadFactor * coldMargin
+	e.slowStartBudget += refill * seconds(r.now-e.slowStartBudgetAt)
+	e.slowStartBudget = min(e.slowStartBudget, 1.5)
+	e.slowStartBudgetAt = r.now
+	return e.slowStartBudget >= 1
 }
 
 // startedAt is the engine's last start, as told, or as taken from its coming back; 0: long ago. What is
@@ -33,10 +33,10 @@
 // was none.
 func (r *Router) startedAt(e *engine) int64 {
 	told := e.ReadyAt
-	if e.startNoticedAt > 0 {
-		told = e.startNoticedAt
+	if e.substituteStart > 0 {
+		told = e.substituteStart
 	}
-	if e.recoveredAt > told && r.now-e.recoveredAt < r.settings.AskWithin {
+	if e.recoveredAt > told && r.now-e.recoveredAt < r.settings.DiscoveryTimeout {
 		return e.recoveredAt
 	}
 	return told
@@ -49,5 +49,5 @@
 		return 1
 	}
 	age := clamp(float64(r.now-start)/float64(r.settings.WarmUp), 1)
-	return r.settings.ColdShare + (1-r.settings.ColdShare)*age
+	return r.settings.ColdCapacityFraction + (1-r.settings.ColdCapacityFraction)*age
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -15,17 +15,17 @@
 		l.Engines[0].ReadyAt = told
 		feed(r, now, l)
 		a, b := r.engines["a"], r.engines["b"]
-		if got := r.warmFraction(a); got > r.settings.ColdShare+0.01 {
+		if got := r.warmFraction(a); got > r.settings.ColdCapacityFraction+0.01 {
 			t.Errorf("%s: just started, and taken to have %.2f of its capacity", name, got)
 		}
 		if r.warmFraction(b) != 1 {
 			t.Errorf("%s: the other one is cold too", name)
 		}
-		feed(r, now+r.settings.WarmUp+r.settings.Fall+second, l) // told again, the same start
+		feed(r, now+r.settings.WarmUp+r.settings.OverloadWindow+second, l) // told again, the same start
 		if got := r.warmFraction(a); got != 1 {
 			t.Errorf("%s: %.2f of its capacity long after the warm-up", name, got)
 		}
-		if !r.hasColdBudget(a) {
+		if !r.hasSlowStartBudget(a) {
 			t.Errorf("%s: no room long after the warm-up", name)
 		}
 	}
@@ -52,7 +52,7 @@
 	l.Engines[0].ReadyAt, l.Engines[1].ReadyAt, l.Engines[2].ReadyAt = now-3600*second, now-second, now+3600*second
 	feed(r, now, l)
 	if r.warmFraction(r.engines["old"]) != 1 || r.warmFraction(r.engines["young"]) > 0.6 ||
-		r.warmFraction(r.engines["future"]) > r.settings.ColdShare {
+		r.warmFraction(r.engines["future"]) > r.settings.ColdCapacityFraction {
 		t.Errorf(
 			"taken to have %.2f, %.2f and %.2f of their capacity",
 			r.warmFraction(r.engines["old"]),
--- a/state.go
+++ b/state.go
@@ -9,38 +9,38 @@
 
 type engine struct {
 	Engine
-	hash             uint64
-	notReady         bool  // listed as draining or gone
-	firstSeenAt      int64 // first heard of
-	report           Report
-	reportAt         int64   // 0: none yet
-	sentUnread       float64 // own sends since the report, not kept and not yet read
-	sentAt           int64
-	attemptsInFlight int        // own attempts out
-	tokensInFlight   float64    // own input tokens in flight
-	slowness         float64    // log of observed over predicted time
-	unanswered       []*attempt // own attempts without a sign of life, oldest first
-	lastSignOfLife   int64      // last sign of life
-	suspect          bool
-	unreachable      bool    // found down, not only slow
-	unreachableSince int64   // since when
-	recoveredAt      int64   // when it answered again after that; 0: it has not
-	gapSlowness      mean    // log of told over predicted token gap
-	errorRate        float64 // share of errors and rejections among its latest answers
+	hash                uint64
+	notReady            bool  // listed as draining or gone
+	firstSeenAt         int64 // first heard of
+	report              Report
+	reportAt            int64   // 0: none yet
+	unreportedPrefill   float64 // own sends since the report, not kept and not yet read
+	unreportedPrefillAt int64
+	attemptsInFlight    int        // own attempts out
+	tokensInFlight      float64    // own input tokens in flight
+	slowness            float64    // log of observed over predicted time
+	unanswered          []*attempt // own attempts without a sign of life, oldest first
+	lastSignOfLife      int64      // last sign of life
+	suspect             bool
+	unreachable         bool    // found down, not only slow
+	unreachableSince    int64   // since when
+	recoveredAt         int64   // when it answered again after that; 0: it has not
+	tpotSlowness        mean    // log of told over predicted token gap
+	errorRate           float64 // share of errors and rejections among its latest answers
 	// When its start was heard of, where the clocks that tell it cannot be right; 0: they may be.
-	startNoticedAt  int64
-	trialAt         int64
-	vainWait        float64 // seconds that attempts waited in vain, of late
-	vainWaitAt      int64   // when the latest of them ended
-	reinstated      bool    // put back by hand and not in use since
-	coldTokens      float64 // requests the cold budget allows now
-	coldAt          int64
-	backlog         backlog    // where this gateway is its directory owner
-	directoryLoad   engineLoad // as its directory owner told
-	directoryLoadAt int64
-	probing         bool
-	probedAt        int64
-	sampleNumber    uint64 // the sample that it was last taken into
+	substituteStart   int64
+	lastTrialAt       int64
+	wastedWait        float64 // seconds that attempts waited in vain, of late
+	wastedWaitAt      int64   // when the latest of them ended
+	reinstated        bool    // put back by hand and not in use since
+	slowStartBudget   float64 // requests the cold budget allows now
+	slowStartBudgetAt int64
+	backlog           backlog    // where this gateway is its directory owner
+	directoryLoad     engineLoad // as its directory owner told
+	directoryLoadAt   int64
+	probing           bool
+	probedAt          int64
+	sampleNumber      uint64 // the sample that it was last taken into
 }
 
 // Router is one gateway's decisions.
@@ -53,7 +53,7 @@
 	ready              []*engine           // listed ready, by name
 	enginesByShortHash map[uint32]*engine  // of messages between gateways
 	directoryAnswerAt  int64               // when a directory owner last told something
-	prefillBurden      mean                // parts of objectives that the reading of prompts takes
+	meanPrefillBurden  mean                // parts of objectives that the reading of prompts takes
 	silentOwners       map[int]int64       // directory owners that did not answer, and when
 	awaitingDirectory  map[uint32]*request // for directory owners' answers
 	rings              map[ringKey][]*engine
@@ -62,7 +62,7 @@
 	meanSize           float64     // of the ready engines
 	listsReceived      int         // that discovery has told
 	lastListAt         int64       // when it told the latest
-	fleetWarmAt        int64       // when the last of those that are known to have started is warm
+	fleetWarmUpEnd     int64       // when the last of those that are known to have started is warm
 	sampleNumber       uint64      // number of the latest sample
 	sampled            []*engine
 	candidates         []candidate // kept for their room, as all is
@@ -70,8 +70,8 @@
 	sharedFault        bool
 	sharedFaultAt      int64
 	requests           map[int64]*request
-	held               []*request
-	usualReady         float64 // ready engines of late: their number, or what it was, slowly fading
+	queued             []*request
+	usualReadyCount    float64 // ready engines of late: their number, or what it was, slowly fading
 	usualReadyAt       int64
 	tenants            []tenantRate
 	unknownTenant      tenantRate // in place of one that cannot be told from the others
@@ -90,42 +90,42 @@
 	matchTrust         float64 // kept over expected, of table entries
 	sessionGain        []float64
 	ttftModels         []model // per kind; the last is the fleet's
-	paceModels         []model
-	classGaps          []mean // log of decode time over the answer limit, per class
-	usualGap           mean
+	tpotModels         []model
+	classTPOTRatios    []mean // log of decode time over the answer limit, per class
+	longTermTPOTError  mean
 	streams            int     // own streams running
 	expectedStreams    float64 // and how many would be if streams took their usual time
 	expectedStreamsAt  int64
 	usualStreamExcess  mean
 	decodeTime         mean // seconds from first token to last
-	recentGap          mean
-	lengthsKnown       bool // answers' lengths are told
+	recentTPOTError    mean
+	outputLengthsKnown bool // answers' lengths are told
 	// Token gap at a load factor of 1, seconds: the pace of answers that run to their limit.
-	tokenGap        float64
-	recentDensities []float64 // densities of the latest requests
-	nextDensity     int
-	shedRates       []classShedRates // by class
-	shedFraction    float64          // part of the requests, the poorest, that is refused
-	shedFractionAt  int64
+	baseTPOT             float64
+	recentValueDensities []float64 // densities of the latest requests
+	nextValueDensity     int
+	shedRates            []classShedRates // by class
+	shedFraction         float64          // part of the requests, the poorest, that is refused
+	shedFractionAt       int64
 }
 
-// Awaits tells that a timer's token still means something; the others may be forgotten.
-func (r *Router) Awaits(token int64) bool {
+// NeedsTimer tells that a timer's token still means something; the others may be forgotten.
+func (r *Router) NeedsTimer(token int64) bool {
 	return token == tokenTick || r.requests[token/tokenStep] != nil
 }
 
-// Adjust takes on new settings. What was learned is kept, but for classes, kinds and tenants whose number has
-// changed: which of them is which is then not known.
-func (r *Router) Adjust(settings Settings) {
+// UpdateSettings takes on new settings. What was learned is kept, but for classes, kinds and tenants whose
+// number has changed: which of them is which is then not known.
+func (r *Router) UpdateSettings(settings Settings) {
 	blank := New(settings, 0)
 	if len(blank.sessionGain) != len(r.sessionGain) {
 		r.sessionGain = blank.sessionGain
-		r.classGaps = blank.classGaps
+		r.classTPOTRatios = blank.classTPOTRatios
 		r.shedRates = blank.shedRates
 	}
 	if len(blank.ttftModels) != len(r.ttftModels) {
 		r.ttftModels = blank.ttftModels
-		r.paceModels = blank.paceModels
+		r.tpotModels = blank.tpotModels
 	}
 	if len(blank.tenants) != len(r.tenants) {
 		r.tenants = blank.tenants
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -5,7 +5,7 @@
 // beside is a router with two engines, and what it predicts of a quiet tenant's request.
 func beside(quota float64) (r *Router, predicted func(now int64) float64) {
 	set := testSettings()
-	set.SecondCopies, set.Balancers, set.MaxAttempts = false, 1, 3
+	set.SecondCopies, set.Gateways, set.MaxAttempts = false, 1, 3
 	set.Tenants = []Tenant{{Share: 0.5, QuotaRPS: quota}, {Share: 0.5, QuotaRPS: quota}}
 	r = New(set, 1)
 	feed(r, second, engineList("a", "b"))
@@ -30,11 +30,11 @@
 	r, _ := beside(0)
 	a := r.engines["a"]
 	quiet := &request{Request: *newRequest(1<<40, 9*second)}
-	r.remember(quiet, a, quiet.PromptTokens)
+	r.recordCachedPrompt(quiet, a, quiet.PromptTokens)
 	for id := int64(1); id < tableSize/2; id++ {
 		q := &request{Request: *loud(id, 9*second)}
 		q.Prefix, q.PrefixTokens = uint64(id)<<20, 100
-		r.remember(q, a, q.PromptTokens)
+		r.recordCachedPrompt(q, a, q.PromptTokens)
 	}
 	if r.match(quiet, a) != 1 {
 		t.Fatal("the quiet tenant's session is forgotten")
@@ -53,7 +53,7 @@
 		now += 5 * ms
 		for _, act := range feed(r, now, loud(id, now+9*second)) {
 			if act.Kind == Send {
-				feed(r, now, &Left{Request: id}, &Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine})
+				feed(r, now, &ClientDisconnected{Request: id}, &Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine})
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 					feed(
 						r,
 						now,
-						&Left{Request: id},
+						&ClientDisconnected{Request: id},
 						&Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine},
 					)
 				}
@@ -112,12 +112,12 @@
 func TestRequestsThatFailEverywhereEjectNoEngine(t *testing.T) {
 	r, _ := beside(0)
 	now, id := 2*second, int64(0)
-	ask := func(tenant int, at *engine, code Code) {
+	ask := func(tenant int, at *engine, code OutcomeCode) {
 		id++
 		now += 100 * ms
 		q := &request{Request: *loud(id, now+9*second), arrivedAt: now}
 		q.Tenant, r.now, r.requests[id] = tenant, now, q
-		r.send(q, &option{engine: at, features: vec{1}})
+		r.send(q, &option{engine: at, features: featureVector{1}})
 		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: at.Name})
 	}
 	a, b := r.engines["a"], r.engines["b"]
@@ -150,13 +150,13 @@
 	q := &request{Request: *newRequest(1, 9*second), arrivedAt: second}
 	r.requests[1] = q
 	r.now = second
-	r.send(q, &option{engine: r.engines["a"], features: vec{1}})
+	r.send(q, &option{engine: r.engines["a"], features: featureVector{1}})
 	if r.pick(q) != nil {
 		t.Fatal("picked while an attempt is out")
 	}
 	for len(q.attempts) < r.settings.MaxAttempts {
 		q.attempts[len(q.attempts)-1].inFlight, q.attempts[len(q.attempts)-1].mayHaveRun = false, false
-		r.send(q, &option{engine: r.engines["b"], features: vec{1}})
+		r.send(q, &option{engine: r.engines["b"], features: featureVector{1}})
 	}
 	q.attempts[len(q.attempts)-1].inFlight = false
 	r.actions = nil
@@ -177,7 +177,7 @@
 			engineList("a", "b"),
 			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
 		)
-		if r.hasColdBudget(r.engines["b"]) {
+		if r.hasSlowStartBudget(r.engines["b"]) {
 			t.Fatalf("seed %d has room at once", seed)
 		}
 	}
@@ -187,7 +187,7 @@
 // allows, and no more in any of its windows.
 func TestColdEngineGetsRequestsByItsWarmth(t *testing.T) {
 	set := testSettings()
-	set.Balancers, set.WarmUp, set.ColdShare, set.FallFactor = 1, 24*second, 0.13, 4
+	set.Gateways, set.WarmUp, set.ColdCapacityFraction, set.OverloadFactor = 1, 24*second, 0.13, 4
 	r := New(set, 1)
 	now := 100 * second
 	feed(
@@ -197,18 +197,18 @@
 		&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
 	)
 	e := r.engines["b"]
-	for from := now; from < now+24*second; from += set.Fall {
+	for from := now; from < now+24*second; from += set.OverloadWindow {
 		sent := 0.0
-		for r.now = from; r.now < from+set.Fall; r.now += 10 * ms {
-			if r.requestRate = 20; r.hasColdBudget(
+		for r.now = from; r.now < from+set.OverloadWindow; r.now += 10 * ms {
+			if r.requestRate = 20; r.hasSlowStartBudget(
 				e,
 			) { // 10 a second for each of two boxes, which they can do when warm
-				e.coldTokens--
+				e.slowStartBudget--
 				sent++
 			}
 		}
-		can := 10 * seconds(set.Fall) * (set.ColdShare + (1-set.ColdShare)*seconds(from-now)/seconds(set.WarmUp))
-		if most := set.FallFactor * can; sent > most+1 || sent == 0 {
+		can := 10 * seconds(set.OverloadWindow) * (set.ColdCapacityFraction + (1-set.ColdCapacityFraction)*seconds(from-now)/seconds(set.WarmUp))
+		if most := set.OverloadFactor * can; sent > most+1 || sent == 0 {
 			t.Fatalf(
 				"%v sent in the window %d s after its start, of %.1f that push it over",
 				sent,
@@ -223,7 +223,7 @@
 // others.
 func TestReinstatedEngineIsUsedNext(t *testing.T) {
 	s := testSettings()
-	s.WarmUp, s.ColdShare, s.FallFactor = 24*second, 0.13, 4
+	s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor = 24*second, 0.13, 4
 	r := New(s, 1)
 	now := int64(1000) * second
 	feed(r, now, engineList("a", "b", "c", "d"))
@@ -246,7 +246,7 @@
 		}
 	}
 	run(now + 10*second)
-	back := Engine{Name: "d", Size: 1, ReadyAt: now, Back: true}
+	back := Engine{Name: "d", Size: 1, ReadyAt: now, Reinstated: true}
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "d", Size: 1, State: Draining}}},
 		&EngineList{Kind: ListDelta, Engines: []Engine{back}})
 	clear(first)
--- a/unreported_load_test.go
+++ b/unreported_load_test.go
@@ -7,7 +7,7 @@
 // blind is a deployment whose engines tell nobody their load.
 func blind() Settings {
 	s := testSettings()
-	s.Reports, s.SecondCopies, s.Zones, s.CrossZonePrice, s.Balancers = ReportNone, false, 5, 0.015, 10
+	s.Reports, s.SecondCopies, s.Zones, s.CrossZonePrice, s.Gateways = ReportNone, false, 5, 0.015, 10
 	return s
 }
 
@@ -64,10 +64,10 @@
 func TestWithoutReportsWaitsRevealLoad(t *testing.T) {
 	t.Parallel()
 	s := blind()
-	s.Zones, s.CrossZonePrice, s.Balancers, s.Cancel = 1, 0, 1, false
+	s.Zones, s.CrossZonePrice, s.Gateways, s.Cancel = 1, 0, 1, false
 	r := New(s, 1)
 	feed(r, second, engineList("a", "b"))
-	kept := &Request{ID: 1, Expires: 5 * second, Session: 7, PromptTokens: 4000, MaxTokens: 100}
+	kept := &Request{ID: 1, Deadline: 5 * second, Session: 7, PromptTokens: 4000, MaxTokens: 100}
 	first := feed(r, second, kept)
 	expect(t, first, "send ")
 	busy := first[0].Engine
@@ -75,12 +75,12 @@
 		r,
 		second+50*ms,
 		&FirstToken{Request: 1, Elapsed: 50 * ms},
-		&Outcome{Request: 1, Code: Served, Engine: busy, Kept: 4000, Elapsed: 90 * ms},
+		&Outcome{Request: 1, Code: Served, Engine: busy, CachedTokens: 4000, Elapsed: 90 * ms},
 	)
 	now := 2 * second
 	again := func(id int64) string {
 		q := *kept
-		q.ID, q.Expires = id, now+4*second
+		q.ID, q.Deadline = id, now+4*second
 		for _, a := range feed(r, now, &q) {
 			if a.Kind == Send {
 				return a.Engine
@@ -97,11 +97,11 @@
 	}
 	now += 2500 * ms // both waits are over without a token
 	feed(r, now, &Outcome{Request: 2, Code: NoAnswer, Engine: busy, Elapsed: 4 * second})
-	if w := r.vainWaitOf(r.engines[busy]); w < 4 {
+	if w := r.wastedWaitOf(r.engines[busy]); w < 4 {
 		t.Errorf("%v s are forgotten", w)
 	}
 	tick(r, now+10*second)
-	if w := r.vainWaitOf(r.engines[busy]); w > 0.2 {
+	if w := r.wastedWaitOf(r.engines[busy]); w > 0.2 {
 		t.Errorf("%v s are remembered for ever", w)
 	}
 }
@@ -145,7 +145,7 @@
 		}
 		early := play(7, false) // before there are as many as others wait for
 		soon := play(8, false)
-		if reports == ReportNone && (early < 1 || soon < 2 || !r.isVain()) || reports != ReportNone && early+soon > 0 {
+		if reports == ReportNone && (early < 1 || soon < 2 || !r.cancellingWastesWork()) || reports != ReportNone && early+soon > 0 {
 			t.Errorf("%v: %d of 7, then %d of 8 refused", reports, early, soon)
 		}
 		play(80, true)
@@ -182,7 +182,7 @@
 		want    string
 	}{{ReportNone, 0, "cancel "}, {ReportNone, 0.5, ""}, {ReportReplies, 0.5, "cancel "}} {
 		s := blind()
-		s.Reports, s.Classes[0].LateWorth = c.reports, 0.5
+		s.Reports, s.Classes[0].LateWeight = c.reports, 0.5
 		r := New(s, 1)
 		feed(r, second, engineList("a"))
 		expect(t, feed(r, second, newRequest(1, 9*second)), "send ")
@@ -197,7 +197,7 @@
 func TestCancelConsumesRetryBudget(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
-	s.SecondCopies, s.Balancers, s.Classes[0].LateWorth = false, 1, 0.5
+	s.SecondCopies, s.Gateways, s.Classes[0].LateWeight = false, 1, 0.5
 	r := New(s, 1)
 	feed(r, second, engineList("a"))
 	for id := range int64(6) {
