--- a/affinity.go
+++ b/affinity.go
@@ -1,46 +1,48 @@
 package standpoint
 
-// What engines are taken to keep of prompts.
+// Estimates of how much of a prompt each engine has cached.
 
 const (
-	tableSize = 1 << 15 // match table entries of one generation
+	// matchTableSize is the maximum number of entries in one of the two generations of the match table.
+	matchTableSize = 1 << 15
 )
 
-// match is the share of the prompt that the engine is taken to keep.
+// match returns the estimated fraction of the prompt that the engine has cached.
 func (r *Router) match(q *request, e *engine) float64 {
-	var tokens float64
+	var cachedTokens float64
 	if q.Session != 0 {
-		tokens = r.lookupMatch(mix(q.Session, e.hash+sessionSalt), e.firstSeenAt)
+		cachedTokens = r.lookupMatch(mix(q.Session, e.hash+sessionSalt), e.firstSeenAt)
 	}
-	if q.Prefix != 0 && tokens < q.PrefixTokens {
-		prefix := r.lookupMatch(mix(q.Prefix, e.hash+prefixSalt), e.firstSeenAt)
-		tokens = max(tokens, min(q.PrefixTokens, prefix))
+	if q.Prefix != 0 && cachedTokens < q.PrefixTokens {
+		cachedPrefixTokens := r.lookupMatch(mix(q.Prefix, e.hash+prefixSalt), e.firstSeenAt)
+		cachedTokens = max(cachedTokens, min(q.PrefixTokens, cachedPrefixTokens))
 	}
-	return min(1, max(tokens, q.cachedByEngine[e])/q.PromptTokens)
+	return min(1, max(cachedTokens, q.cachedByEngine[e])/q.PromptTokens)
 }
 
-// expectedMatch is the share of the prompt that the session's home keeps, as far as the class has shown.
+// expectedMatch returns the fraction of the prompt that the session's home engine is expected to have cached:
+// the shared prefix, and of the rest the mean that was observed for the request's class.
 func (r *Router) expectedMatch(q *request) float64 {
-	share := q.PrefixTokens / q.PromptTokens
-	return share + (1-share)*r.sessionGain[r.classIndex(q)]
+	prefixFraction := q.PrefixTokens / q.PromptTokens
+	return prefixFraction + (1-prefixFraction)*r.sessionGain[r.classIndex(q)]
 }
 
-// observeMatch learns from the kept tokens that an answer told.
-func (r *Router) observeMatch(a *attempt, told float64) {
-	share := clamp(told/a.request.PromptTokens, 1)
-	prefix := a.request.PrefixTokens / a.request.PromptTokens
-	if a.home && prefix < 1 {
-		g := &r.sessionGain[r.classIndex(a.request)]
-		*g += 0.05 * (max(0, share-prefix)/(1-prefix) - *g)
+// observeMatch learns from the number of cached prompt tokens that a response reported.
+func (r *Router) observeMatch(a *attempt, cachedTokens float64) {
+	cachedFraction := clamp(cachedTokens/a.request.PromptTokens, 1)
+	prefixFraction := a.request.PrefixTokens / a.request.PromptTokens
+	if a.home && prefixFraction < 1 {
+		gain := &r.sessionGain[r.classIndex(a.request)]
+		*gain += 0.05 * (max(0, cachedFraction-prefixFraction)/(1-prefixFraction) - *gain)
 	}
 	if a.match >= 0.3 && !a.home {
-		if share < a.match/2 {
+		if cachedFraction < a.match/2 {
 			r.matchShortfalls++
 		} else {
 			r.matchShortfalls = 0
 		}
-		r.matchTrust += 0.1 * (min(1, share/a.match) - r.matchTrust)
-		if r.matchShortfalls >= 4 { // a run of shortfalls: kept prompts were lost at once
+		r.matchTrust += 0.1 * (min(1, cachedFraction/a.match) - r.matchTrust)
+		if r.matchShortfalls >= 4 { // consecutive shortfalls: engines lost their caches all at once
 			r.matchShortfalls = 0
 			r.flushAt = r.now
 			r.matchTrust = 0.2
@@ -48,35 +50,41 @@
 	}
 }
 
+// matchEntry is an entry of the match table: the prompt tokens that an engine had cached for a session or a
+// shared prefix.
 type matchEntry struct {
-	tokens float64
-	at     int64
+	tokens   float64
+	storedAt int64
 }
 
-// storeMatch stores in the younger generation; a full one replaces the older, which bounds the table.
+// storeMatch stores an entry in the younger generation of the match table. A full generation replaces the
+// older one, which bounds the table.
 func (r *Router) storeMatch(key uint64, tokens float64) {
-	if len(r.matchTable[0]) >= tableSize {
+	if len(r.matchTable[0]) >= matchTableSize {
 		r.matchTable[0], r.matchTable[1] = map[uint64]matchEntry{}, r.matchTable[0]
 	}
 	r.matchTable[0][key] = matchEntry{tokens, r.now}
 }
 
-func (r *Router) lookupMatch(key uint64, since int64) float64 {
-	k, ok := r.matchTable[0][key]
+// lookupMatch returns the cached tokens of an entry, or 0 if there is none that was stored at notBefore or
+// later: notBefore is the time at which the engine's process was first seen. Entries from before the
+// latest flush are scaled by matchTrust.
+func (r *Router) lookupMatch(key uint64, notBefore int64) float64 {
+	entry, ok := r.matchTable[0][key]
 	if !ok {
-		k, ok = r.matchTable[1][key]
+		entry, ok = r.matchTable[1][key]
 	}
-	if !ok || k.at < since {
+	if !ok || entry.storedAt < notBefore {
 		return 0
 	}
-	if k.at < r.flushAt { // a flush was noticed: what was kept before it is doubtful
-		return k.tokens * r.matchTrust
+	if entry.storedAt < r.flushAt { // caches may have been flushed since
+		return entry.tokens * r.matchTrust
 	}
-	return k.tokens
+	return entry.tokens
 }
 
-// recordCachedPrompt records that an engine has the request's prompt cached. A process that has been replaced
-// since took its cache with it, so nothing is recorded for it.
+// recordCachedPrompt records that an engine has the request's prompt cached. Nothing is recorded for a
+// process that has been replaced in the meantime, because its cache is lost.
 func (r *Router) recordCachedPrompt(q *request, e *engine, tokens float64) {
 	if r.engines[e.Name] != e {
 		return
@@ -86,20 +94,20 @@
 	}
 	if q.Prefix != 0 {
 		key := mix(q.Prefix, e.hash+prefixSalt)
-		// Another's word for a shorter one takes nothing away.
+		// A shorter prefix does not reduce the tokens that are recorded already.
 		r.storeMatch(key, max(q.PrefixTokens, r.lookupMatch(key, e.firstSeenAt)))
 	}
 }
 
-// forgetCachedPrompt forgets that an engine keeps the prompt of an attempt that never reached it, unless that
-// was noted anew since.
+// forgetCachedPrompt removes the records of the prompt of an attempt that never reached its engine, unless
+// they have been stored again since the attempt was sent.
 func (r *Router) forgetCachedPrompt(a *attempt) {
 	keys := []uint64{
 		mix(a.request.Session, a.engine.hash+sessionSalt),
 		mix(a.request.Prefix, a.engine.hash+prefixSalt),
 	}
 	for _, key := range keys {
-		if k, known := r.matchTable[0][key]; known && k.at == a.sent {
+		if entry, known := r.matchTable[0][key]; known && entry.storedAt == a.sent {
 			delete(r.matchTable[0], key)
 		}
 	}
--- a/directory.go
+++ b/directory.go
@@ -1,64 +1,78 @@
 package standpoint
 
-// The load directory: what the gateways of a tier tell each other of the prompts that engines have yet to
-// read, and of those that they keep. A gateway that is one of many sees little of an engine's load by
-// itself, and its reports come late. Each engine has a directory owner, one of the gateways by a hash
-// that all agree on. Whoever sends a prompt tells it so, and that the prompt has been read;
+// The load directory: messages between the gateways of a tier about the prompts that engines have yet to
+// prefill, and those that they have cached. A gateway that is one of many observes little of an engine's load
+// by itself, and load reports arrive late. Each engine has a directory owner, which is one of the gateways by
+// a hash that all agree on. A gateway that sends a prompt to an engine notifies its directory owner, and
+// again once the prompt has been prefilled; a gateway that is about to choose an engine queries the directory
+// owners of the engines that rank highest. Their answers are one more input of the prediction: the only
+// decision made here is whom to query. Messages may be lost, and a directory owner may be down: the gateway
+// then uses what it knows itself.
 
 import "math"
 
-// whoever is about to choose asks the directory owners of the engines that rank first. What is told is
-// one more input of the predictor: nothing is decided here but whom to ask. A message may be lost, and a
-// directory owner be gone: then a gateway goes by what it knows.
-
 const (
-	maxConsulted          = 3          // engines whose directory owners are asked for one request
-	consultTimeout        = 80 * ms    // for their answers
-	directoryLoadLifetime = 30 * ms    // an engine of which something was told so lately is not asked for
-	silentOwnerPause      = 2 * second // a directory owner that did not answer is not asked for so long
-	// Part of its objective that the reading of a prompt takes on average, from which there is a directory.
+	// maxConsultedEngines is the maximum number of engines whose directory owners are queried for one
+	// request.
+	maxConsultedEngines = 3
+	// consultTimeout is how long a request waits for the answers of directory owners.
+	consultTimeout = 80 * ms
+	// directoryLoadLifetime is how long a load that a directory owner sent is used in predictions.
+	directoryLoadLifetime = 30 * ms
+	// silentOwnerPause is how long a directory owner that did not answer is not queried.
+	silentOwnerPause = 2 * second
+	// minMeanPrefillBurden is the mean prefill burden of all requests from which the directory is used. The
+	// prefill burden of a request is the fraction of its latency objective that prefilling its prompt takes.
 	minMeanPrefillBurden = 0.2
-	minPrefillBurden     = 0.15 // and that of one prompt, from which the directory is kept of it
-	prefillBurdenWeight  = 0.05 // of a request in the average
-	// Seconds that the gated best may trail the best overall, where directory owners told of both.
+	// minPrefillBurden is the prefill burden of a single request from which the directory is used for it.
+	minPrefillBurden = 0.15
+	// prefillBurdenWeight is the minimum weight of one request in the mean prefill burden.
+	prefillBurdenWeight = 0.05
+	// directoryAffinityPenalty is how many seconds the predicted TTFT of the best engine with a cached prompt
+	// may exceed that of the best engine overall, where directory owners have answered for the request.
 	directoryAffinityPenalty = 0.1
-	// Objectives that are foretold to be met, by what directory owners told, that undo one that is not.
+	// sparseMetObjectivesPerMiss is how many objectives that are met make up for one that is missed, at a
+	// gateway with few requests that has recent answers of directory owners.
 	sparseMetObjectivesPerMiss = 10.0
-	directorySalt              = 0xd6e8feb86659fd93
+	// directorySalt makes the hashes of the directory independent of the others.
+	directorySalt = 0xd6e8feb86659fd93
 )
 
-// directoryEnabled tells whether the gateways of this tier keep a directory.
+// directoryEnabled reports whether the gateways of this tier keep a load directory.
 func (r *Router) directoryEnabled() bool {
 	return r.settings.Peers && r.settings.Gateways > 1 && !r.lacksReports()
 }
 
-// prefillBurdenOf is the part of a request's objective that the reading of its whole prompt takes.
+// prefillBurdenOf returns the fraction of a request's latency objective that prefilling its whole prompt
+// takes at the assumed prefill speed, or 0 if it has no objective.
 func (r *Router) prefillBurdenOf(q *request) float64 {
-	if aim := r.latencyObjective(q); aim > 0 {
-		return q.PromptTokens / assumedPrefillSpeed / aim
+	if objective := r.latencyObjective(q); objective > 0 {
+		return q.PromptTokens / assumedPrefillSpeed / objective
 	}
 	return 0
 }
 
-// usesDirectory tells whether the directory is kept of a request: where reading its prompt takes a good
-// part of its objective, as it does for most requests. What short prompts add to an engine's load is not
-// worth the messages.
+// usesDirectory reports whether the directory is used for a request: where prefilling its prompt takes a
+// large part of its latency objective, as it also does on average over all requests. The load that short
+// prompts add to an engine does not justify the messages.
 func (r *Router) usesDirectory(q *request) bool {
 	return r.directoryEnabled() &&
 		r.meanPrefillBurden.mean >= minMeanPrefillBurden &&
 		r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
-// hasRecentDirectoryAnswer tells that directory owners have told this gateway something lately.
+// hasRecentDirectoryAnswer reports whether this gateway has obtained an engine's load from the directory
+// within pendingPromptTimeout.
 func (r *Router) hasRecentDirectoryAnswer() bool {
-	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingTimeout
+	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingPromptTimeout
 }
 
-// directoryOwner is the gateway that keeps an engine's place in the directory.
+// directoryOwner returns the ordinal of the gateway that keeps the directory's entry of an engine.
 func (r *Router) directoryOwner(e *engine) int {
 	return int(mix(e.hash, directorySalt) % uint64(r.settings.Gateways))
 }
 
+// shortHash returns the hash that stands for a session or a shared prefix in messages, or 0 if there is none.
 func shortHash(key uint64) uint32 {
 	if key == 0 {
 		return 0
@@ -66,105 +80,115 @@
 	return uint32(mix(key, directorySalt))
 }
 
+// shortEngine returns the hash that stands for an engine in messages.
 func shortEngine(e *engine) uint32 { return uint32(e.hash) }
 
-// byShortHash finds an engine from a message.
-func (r *Router) byShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
+// engineByShortHash returns the engine that a message is about, or nil if it is unknown.
+func (r *Router) engineByShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
 
-// notifyOwner hands a message to an engine's directory owner, which may be this gateway itself.
+// notifyOwner sends a notification to an engine's directory owner, or applies it if that is this gateway.
 func (r *Router) notifyOwner(e *engine, m directoryMessage) {
-	m.engine = shortEngine(e)
-	if to := r.directoryOwner(e); to != r.settings.Ordinal {
-		r.emit(Action{Kind: SendPeer, Peer: to, Data: m.encode()})
+	m.engineHash = shortEngine(e)
+	if owner := r.directoryOwner(e); owner != r.settings.Ordinal {
+		r.emit(Action{Kind: SendPeer, Peer: owner, Data: m.encode()})
 		return
 	}
-	r.initReadingSpeed(e)
-	r.register(r.settings.Ordinal, e, &m)
+	r.initPrefillSpeed(e)
+	r.applyNotification(r.settings.Ordinal, e, &m)
 }
 
-// initReadingSpeed assumes, before it is known, that an engine reads as fast as its registered size says
-// beside the others'.
-func (r *Router) initReadingSpeed(e *engine) {
-	if e.backlog.speed == 0 {
-		e.backlog.speed = assumedPrefillSpeed * r.relativeSize(e)
+// initPrefillSpeed sets the prefill speed of an engine for which it is unknown: the assumed speed, scaled by
+// the engine's registered size relative to the mean.
+func (r *Router) initPrefillSpeed(e *engine) {
+	if e.backlog.prefillSpeed == 0 {
+		e.backlog.prefillSpeed = assumedPrefillSpeed * r.relativeSize(e)
 	}
 }
 
-// register takes in what a gateway tells of an engine that this one is the directory owner of.
-func (r *Router) register(from int, e *engine, m *directoryMessage) {
+// applyNotification records a gateway's notification about an engine of which this gateway is the directory
+// owner.
+func (r *Router) applyNotification(from int, e *engine, m *directoryMessage) {
 	switch m.kind {
-	case directorySent:
-		e.backlog.add(pendingPrompt{from, m.id, m.tokens, r.now})
-		if m.session != 0 {
-			r.storeMatch(directoryKey(e, m.session), m.prompt)
+	case directoryPromptSent:
+		e.backlog.add(pendingPrompt{from, m.requestID, m.tokens, r.now})
+		if m.sessionHash != 0 {
+			r.storeMatch(directoryKey(e, m.sessionHash), m.promptTokens)
 		}
-		if key := directoryKey(e, m.prefix); m.prefix != 0 {
-			r.storeMatch(key, max(m.shared, r.lookupMatch(key, e.firstSeenAt)))
+		if key := directoryKey(e, m.prefixHash); m.prefixHash != 0 {
+			r.storeMatch(key, max(m.prefixTokens, r.lookupMatch(key, e.firstSeenAt)))
 		}
-	case directoryRead, directoryOver:
-		e.backlog.end(from, m.id, m.kind == directoryRead, r.now)
+	case directoryPrefillDone, directoryPrefillAborted:
+		e.backlog.remove(from, m.requestID, m.kind == directoryPrefillDone, r.now)
 	}
 }
 
+// directoryKey returns the match table's key for a short hash at an engine.
 func directoryKey(e *engine, hash uint32) uint64 { return mix(uint64(hash), e.hash+directorySalt) }
 
-// cachedTokens is how many tokens of a prompt an engine keeps, as its directory owner has it.
-func (r *Router) cachedTokens(e *engine, session, prefix uint32) float64 {
+// cachedTokens returns how many tokens of a prompt an engine has cached, by the notifications to its
+// directory owner.
+func (r *Router) cachedTokens(e *engine, sessionHash, prefixHash uint32) float64 {
 	tokens := 0.0
-	if session != 0 {
-		tokens = r.lookupMatch(directoryKey(e, session), e.firstSeenAt)
+	if sessionHash != 0 {
+		tokens = r.lookupMatch(directoryKey(e, sessionHash), e.firstSeenAt)
 	}
-	if prefix != 0 {
-		tokens = max(tokens, r.lookupMatch(directoryKey(e, prefix), e.firstSeenAt))
+	if prefixHash != 0 {
+		tokens = max(tokens, r.lookupMatch(directoryKey(e, prefixHash), e.firstSeenAt))
 	}
 	return tokens
 }
 
-// onPeer takes in a message of the directory.
+// onPeer handles a directory message from another gateway. A message that is malformed, unexpected or about
+// an unknown engine is ignored.
 func (r *Router) onPeer(from int, data string) {
-	m, ok := decodeDirectory(data)
+	m, ok := decodeDirectoryMessage(data)
 	if !ok || !r.directoryEnabled() || from < 0 || from >= r.settings.Gateways {
 		return
 	}
-	e := r.byShortHash(m.engine)
+	e := r.engineByShortHash(m.engineHash)
 	if e == nil {
 		return
 	}
-	r.initReadingSpeed(e)
+	r.initPrefillSpeed(e)
 	switch m.kind {
 	case directoryAnswer:
 		r.onAnswer(e, &m)
-	case directoryAsk:
-		r.answer(from, e, &m)
+	case directoryQuery:
+		r.sendAnswer(from, e, &m)
 	default:
-		r.register(from, e, &m)
+		r.applyNotification(from, e, &m)
 	}
 }
 
-// answer tells a gateway what this one knows of an engine that it is the directory owner of.
-func (r *Router) answer(to int, e *engine, ask *directoryMessage) {
-	m := directoryMessage{kind: directoryAnswer, id: ask.id, engine: ask.engine, load: e.backlog.load(r.now)}
-	m.tokens = r.cachedTokens(e, ask.session, ask.prefix)
+// sendAnswer answers a gateway's query about an engine of which this gateway is the directory owner.
+func (r *Router) sendAnswer(to int, e *engine, query *directoryMessage) {
+	m := directoryMessage{
+		kind:       directoryAnswer,
+		requestID:  query.requestID,
+		engineHash: query.engineHash,
+		load:       e.backlog.load(r.now),
+	}
+	m.tokens = r.cachedTokens(e, query.sessionHash, query.prefixHash)
 	r.emit(Action{Kind: SendPeer, Peer: to, Data: m.encode()})
 }
 
-// consultDirectory asks the directory owners of the engines that rank first for a request, and reports
+// consultDirectory queries the directory owners of the engines that rank highest for a request, and reports
 // whether the request has to wait for their answers.
 func (r *Router) consultDirectory(q *request) bool {
 	if !r.usesDirectory(q) || q.consulted || len(q.attempts) > 0 {
 		return false
 	}
 	q.consulted = true
-	some := r.eligibleCandidates(q, r.sampleEngines(q), r.hasSharedFault())
-	for range min(maxConsulted, len(some)) {
+	candidates := r.eligibleCandidates(q, r.sampleEngines(q), r.hasSharedFault())
+	for range min(maxConsultedEngines, len(candidates)) {
 		best := 0
-		for i := range some {
-			if some[i].rank > some[best].rank {
+		for i := range candidates {
+			if candidates[i].rank > candidates[best].rank {
 				best = i
 			}
 		}
-		r.consultOwner(q, some[best].engine)
-		some[best].rank = math.Inf(-1)
+		r.consultOwner(q, candidates[best].engine)
+		candidates[best].rank = math.Inf(-1)
 	}
 	if len(q.awaitedEngines) == 0 {
 		return false
@@ -174,42 +198,45 @@
 	return true
 }
 
-// consultOwner asks for one engine.
+// consultOwner queries an engine's directory owner for a request. This gateway's own entries are used at
+// once.
 func (r *Router) consultOwner(q *request, e *engine) {
-	to := r.directoryOwner(e)
-	if to == r.settings.Ordinal {
-		r.initReadingSpeed(e)
-		kept := r.cachedTokens(e, shortHash(q.Session), shortHash(q.Prefix))
-		r.recordDirectoryLoad(q, e, e.backlog.load(r.now), kept)
+	owner := r.directoryOwner(e)
+	if owner == r.settings.Ordinal {
+		r.initPrefillSpeed(e)
+		cachedTokens := r.cachedTokens(e, shortHash(q.Session), shortHash(q.Prefix))
+		r.recordDirectoryLoad(q, e, e.backlog.load(r.now), cachedTokens)
 		return
 	}
-	if r.now-r.silentOwners[to] < silentOwnerPause && r.silentOwners[to] != 0 {
+	if r.now-r.silentOwners[owner] < silentOwnerPause && r.silentOwners[owner] != 0 {
 		return
 	}
 	q.awaitedEngines = append(q.awaitedEngines, e)
-	m := directoryMessage{kind: directoryAsk, id: uint32(q.ID), engine: shortEngine(e)}
-	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
-	r.emit(Action{Kind: SendPeer, Peer: to, Data: m.encode()})
+	m := directoryMessage{kind: directoryQuery, requestID: uint32(q.ID), engineHash: shortEngine(e)}
+	m.sessionHash, m.prefixHash = shortHash(q.Session), shortHash(q.Prefix)
+	r.emit(Action{Kind: SendPeer, Peer: owner, Data: m.encode()})
 }
 
-// recordDirectoryLoad notes what is told of an engine, and of the request's prompt there.
-func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, kept float64) {
+// recordDirectoryLoad stores a directory owner's answer: the engine's load, and the tokens of the request's
+// prompt that it has cached.
+func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, cachedTokens float64) {
 	e.directoryLoad = load
 	e.directoryLoadAt = r.now
 	r.directoryAnswerAt = r.now
 	if q.cachedByEngine == nil {
 		q.cachedByEngine = map[*engine]float64{}
 	}
-	q.cachedByEngine[e] = min(kept, q.PromptTokens)
+	q.cachedByEngine[e] = min(cachedTokens, q.PromptTokens)
 }
 
+// onAnswer handles a directory owner's answer. The request is placed once the last answer has arrived.
 func (r *Router) onAnswer(e *engine, m *directoryMessage) {
-	q := r.awaitingDirectory[m.id]
+	q := r.awaitingDirectory[m.requestID]
 	if q == nil || q.settled {
 		return
 	}
-	for i, asked := range q.awaitedEngines {
-		if asked == e {
+	for i, awaited := range q.awaitedEngines {
+		if awaited == e {
 			q.awaitedEngines = append(q.awaitedEngines[:i], q.awaitedEngines[i+1:]...)
 			r.recordDirectoryLoad(q, e, m.load, m.tokens)
 			break
@@ -220,8 +247,8 @@
 	}
 }
 
-// consultFinished places a request that waited for directory owners' answers. Those that did not answer are
-// left alone for a while.
+// consultFinished places a request that waited for the answers of directory owners. Those that did not answer
+// are not queried for silentOwnerPause.
 func (r *Router) consultFinished(q *request) {
 	if r.awaitingDirectory[uint32(q.ID)] != q {
 		return
@@ -236,30 +263,31 @@
 	}
 }
 
-// notifySent tells an engine's directory owner of a prompt that goes there.
+// notifySent notifies an engine's directory owner of a prompt that is sent to the engine.
 func (r *Router) notifySent(a *attempt) {
 	q := a.request
 	if !r.usesDirectory(q) {
 		return
 	}
 	a.inDirectory = true
-	m := directoryMessage{kind: directorySent, id: uint32(q.ID)}
-	m.prompt = q.PromptTokens
-	m.shared = q.PrefixTokens
-	m.session, m.prefix = shortHash(q.Session), shortHash(q.Prefix)
+	m := directoryMessage{kind: directoryPromptSent, requestID: uint32(q.ID)}
+	m.promptTokens = q.PromptTokens
+	m.prefixTokens = q.PrefixTokens
+	m.sessionHash, m.prefixHash = shortHash(q.Session), shortHash(q.Prefix)
 	m.tokens = q.PromptTokens * (1 - a.match)
 	r.notifyOwner(a.engine, m)
 }
 
-// notifyPrefillEnd tells it, once, that the prompt has been read, or that the attempt ended without.
-func (r *Router) notifyPrefillEnd(a *attempt, read bool) {
+// notifyPrefillEnd notifies the directory owner, once, that the prompt has been prefilled, or that the
+// attempt ended before that was known.
+func (r *Router) notifyPrefillEnd(a *attempt, done bool) {
 	if !a.inDirectory {
 		return
 	}
 	a.inDirectory = false
-	m := directoryMessage{kind: directoryOver, id: uint32(a.request.ID)}
-	if read {
-		m.kind = directoryRead
+	m := directoryMessage{kind: directoryPrefillAborted, requestID: uint32(a.request.ID)}
+	if done {
+		m.kind = directoryPrefillDone
 	}
 	r.notifyOwner(a.engine, m)
 }
--- a/directory_message.go
+++ b/directory_message.go
@@ -1,6 +1,6 @@
 package standpoint
 
-// The messages of the load directory.
+// The wire format of the load directory's messages: a kind byte, then big-endian fields, encoded in base64.
 
 import (
 	"encoding/base64"
@@ -8,97 +8,110 @@
 	"math"
 )
 
-// directoryKind is the first byte of a message of the directory.
-type directoryKind byte
+// directoryMessageKind says what a directory message is about. It is the message's first byte.
+type directoryMessageKind byte
 
 const (
-	directoryAsk    directoryKind = 'q' // what of this engine?
-	directoryAnswer directoryKind = 'a'
-	directorySent   directoryKind = 's' // a prompt goes to this engine
-	directoryRead   directoryKind = 'r' // it has been read
-	directoryOver   directoryKind = 'o' // it ended, and may not have been read
+	// directoryQuery asks for an engine's load, and for the cached tokens of a session and a shared prefix.
+	directoryQuery directoryMessageKind = 'q'
+	// directoryAnswer is the response to a directoryQuery.
+	directoryAnswer directoryMessageKind = 'a'
+	// directoryPromptSent says that a prompt is sent to an engine.
+	directoryPromptSent directoryMessageKind = 's'
+	// directoryPrefillDone says that an engine has prefilled a prompt.
+	directoryPrefillDone directoryMessageKind = 'r'
+	// directoryPrefillAborted says that an attempt ended, and that its prompt may not have been prefilled.
+	directoryPrefillAborted directoryMessageKind = 'o'
 )
 
-// directoryMessage is what goes between gateways. Which of its fields mean something hangs on its kind.
+// directoryMessage is a message between gateways. Which of its fields are used depends on its kind.
 type directoryMessage struct {
-	kind    directoryKind
-	id      uint32     // of the request, to its gateway
-	engine  uint32     // a part of the engine's hash
-	session uint32     // a hash of the session; 0: none
-	prefix  uint32     // and of the shared beginning
-	tokens  float64    // sent: not kept; answer: kept
-	prompt  float64    // sent: of the whole prompt
-	shared  float64    // sent: of its shared beginning
-	load    engineLoad // answer
+	kind         directoryMessageKind
+	requestID    uint32     // low 32 bits of the request's ID at the gateway that sends the prompt
+	engineHash   uint32     // low 32 bits of the engine's hash
+	sessionHash  uint32     // hash of the session; 0: none
+	prefixHash   uint32     // hash of the shared prefix; 0: none
+	tokens       float64    // directoryPromptSent: uncached tokens; directoryAnswer: cached tokens
+	promptTokens float64    // directoryPromptSent: tokens of the whole prompt
+	prefixTokens float64    // directoryPromptSent: tokens of the shared prefix
+	load         engineLoad // directoryAnswer: the engine's load
 }
 
-// lengths are the bytes of a message behind its kind.
-var lengths = map[directoryKind]int{
-	directoryAsk: 16, directoryAnswer: 16, directorySent: 22, directoryRead: 8, directoryOver: 8,
+// payloadLengths are the lengths in bytes of what follows the kind byte of a message, by its kind.
+var payloadLengths = map[directoryMessageKind]int{
+	directoryQuery:          16,
+	directoryAnswer:         16,
+	directoryPromptSent:     22,
+	directoryPrefillDone:    8,
+	directoryPrefillAborted: 8,
 }
 
+// The units of the 16-bit quantities of a message.
 const (
-	tokenUnit   = 16   // tokens in a message's lengths
-	waitUnit    = 1e-3 // seconds in its waits
-	speedUnit   = 10   // tokens a second in its speeds
-	readingUnit = 1e-3 // in its parts
+	tokensUnit   = 16   // numbers of tokens: in tokens
+	delayUnit    = 1e-3 // delays: in seconds
+	speedUnit    = 10   // speeds: in tokens per second
+	fractionUnit = 1e-3 // fractions of the time: without a unit
 )
 
-func short(v, unit float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Round(v/unit)))) }
+// quantize returns v in the given unit, rounded and bounded to 16 bits.
+func quantize(v, unit float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Round(v/unit)))) }
 
+// encode returns the message as text.
 func (m *directoryMessage) encode() string {
-	b := binary.BigEndian.AppendUint32([]byte{byte(m.kind)}, m.id)
-	b = binary.BigEndian.AppendUint32(b, m.engine)
+	b := binary.BigEndian.AppendUint32([]byte{byte(m.kind)}, m.requestID)
+	b = binary.BigEndian.AppendUint32(b, m.engineHash)
 	switch m.kind {
-	case directoryAsk:
-		b = binary.BigEndian.AppendUint32(b, m.session)
-		b = binary.BigEndian.AppendUint32(b, m.prefix)
+	case directoryQuery:
+		b = binary.BigEndian.AppendUint32(b, m.sessionHash)
+		b = binary.BigEndian.AppendUint32(b, m.prefixHash)
 	case directoryAnswer:
-		b = binary.BigEndian.AppendUint16(b, short(m.load.wait, waitUnit))
-		b = binary.BigEndian.AppendUint16(b, short(m.tokens, tokenUnit))
-		b = binary.BigEndian.AppendUint16(b, short(m.load.reading, readingUnit))
-		b = binary.BigEndian.AppendUint16(b, short(m.load.speed, speedUnit))
-	case directorySent:
-		b = binary.BigEndian.AppendUint32(b, m.session)
-		b = binary.BigEndian.AppendUint32(b, m.prefix)
-		b = binary.BigEndian.AppendUint16(b, short(m.tokens, tokenUnit))
-		b = binary.BigEndian.AppendUint16(b, short(m.prompt, tokenUnit))
-		b = binary.BigEndian.AppendUint16(b, short(m.shared, tokenUnit))
+		b = binary.BigEndian.AppendUint16(b, quantize(m.load.prefillDelay, delayUnit))
+		b = binary.BigEndian.AppendUint16(b, quantize(m.tokens, tokensUnit))
+		b = binary.BigEndian.AppendUint16(b, quantize(m.load.prefillFraction, fractionUnit))
+		b = binary.BigEndian.AppendUint16(b, quantize(m.load.prefillSpeed, speedUnit))
+	case directoryPromptSent:
+		b = binary.BigEndian.AppendUint32(b, m.sessionHash)
+		b = binary.BigEndian.AppendUint32(b, m.prefixHash)
+		b = binary.BigEndian.AppendUint16(b, quantize(m.tokens, tokensUnit))
+		b = binary.BigEndian.AppendUint16(b, quantize(m.promptTokens, tokensUnit))
+		b = binary.BigEndian.AppendUint16(b, quantize(m.prefixTokens, tokensUnit))
 	}
 	return base64.RawStdEncoding.EncodeToString(b)
 }
 
-// decodeDirectory reads a message; false: it is none.
-func decodeDirectory(data string) (m directoryMessage, ok bool) {
+// decodeDirectoryMessage parses a message, and reports whether it is well-formed.
+func decodeDirectoryMessage(data string) (m directoryMessage, ok bool) {
 	b, err := base64.RawStdEncoding.DecodeString(data)
 	if err != nil || len(b) == 0 {
 		return m, false
 	}
-	m.kind = directoryKind(b[0])
+	m.kind = directoryMessageKind(b[0])
 	b = b[1:]
-	if want, known := lengths[m.kind]; !known || len(b) != want {
+	if want, known := payloadLengths[m.kind]; !known || len(b) != want {
 		return m, false
 	}
-	long := func() uint32 {
+	readUint32 := func() uint32 {
 		v := binary.BigEndian.Uint32(b)
 		b = b[4:]
 		return v
 	}
-	part := func(unit float64) float64 {
+	readQuantity := func(unit float64) float64 {
 		v := float64(binary.BigEndian.Uint16(b)) * unit
 		b = b[2:]
 		return v
 	}
-	m.id, m.engine = long(), long()
+	m.requestID, m.engineHash = readUint32(), readUint32()
 	switch m.kind {
-	case directoryAsk:
-		m.session, m.prefix = long(), long()
+	case directoryQuery:
+		m.sessionHash, m.prefixHash = readUint32(), readUint32()
 	case directoryAnswer:
-		m.load.wait, m.tokens = part(waitUnit), part(tokenUnit)
-		m.load.reading, m.load.speed = part(readingUnit), part(speedUnit)
-	case directorySent:
-		m.session, m.prefix = long(), long()
-		m.tokens, m.prompt, m.shared = part(tokenUnit), part(tokenUnit), part(tokenUnit)
+		m.load.prefillDelay, m.tokens = readQuantity(delayUnit), readQuantity(tokensUnit)
+		m.load.prefillFraction, m.load.prefillSpeed = readQuantity(fractionUnit), readQuantity(speedUnit)
+	case directoryPromptSent:
+		m.sessionHash, m.prefixHash = readUint32(), readUint32()
+		m.tokens, m.promptTokens, m.prefixTokens =
+			readQuantity(tokensUnit), readQuantity(tokensUnit), readQuantity(tokensUnit)
 	}
 	return m, true
 }
--- a/directory_test.go
+++ b/directory_test.go
@@ -65,25 +65,27 @@
 // A message says the same after its way, and what is none is not read as one.
 func TestDirectoryMessages(t *testing.T) {
 	for _, m := range []directoryMessage{
-		{kind: directoryAsk, id: 7, engine: 1 << 31, session: 3, prefix: 4},
-		{kind: directoryAnswer, id: 7, engine: 9, tokens: 4096, load: engineLoad{1.25, 0.5, 12500}},
-		{kind: directorySent, id: 7, engine: 9, session: 3, prefix: 4, tokens: 1600, prompt: 6400, shared: 4800},
-		{kind: directoryRead, id: 7, engine: 9},
-		{kind: directoryOver, id: math.MaxUint32, engine: 9},
+		{kind: directoryQuery, requestID: 7, engineHash: 1 << 31, sessionHash: 3, prefixHash: 4},
+		{kind: directoryAnswer, requestID: 7, engineHash: 9, tokens: 4096, load: engineLoad{1.25, 0.5, 12500}},
+		{kind: directoryPromptSent, requestID: 7, engineHash: 9, sessionHash: 3, prefixHash: 4,
+			tokens: 1600, promptTokens: 6400, prefixTokens: 4800},
+		{kind: directoryPrefillDone, requestID: 7, engineHash: 9},
+		{kind: directoryPrefillAborted, requestID: math.MaxUint32, engineHash: 9},
 	} {
 		text := m.encode()
-		if got, ok := decodeDirectory(text); !ok || got != m || len(text) > 64 {
+		if got, ok := decodeDirectoryMessage(text); !ok || got != m || len(text) > 64 {
 			t.Errorf("%+v became %+v, %v, in %d bytes", m, got, ok, len(text))
 		}
 		for cut := range len(text) {
-			if _, ok := decodeDirectory(text[:cut]); ok {
+			if _, ok := decodeDirectoryMessage(text[:cut]); ok {
 				t.Errorf("%q was read, of %q", text[:cut], text)
 			}
 		}
 	}
 	huge := directoryMessage{kind: directoryAnswer, tokens: math.Inf(1), load: engineLoad{1e9, -1, math.NaN()}}
-	got, ok := decodeDirectory(huge.encode())
-	if !ok || !allFinite(got.load.wait, got.tokens, got.load.reading, got.load.speed) || got.load.reading < 0 {
+	got, ok := decodeDirectoryMessage(huge.encode())
+	if !ok || !allFinite(got.load.prefillDelay, got.tokens, got.load.prefillFraction, got.load.prefillSpeed) ||
+		got.load.prefillFraction < 0 {
 		t.Errorf("numbers that cannot be became %+v, %v", got, ok)
 	}
 }
@@ -108,34 +110,34 @@
 // Engines read first come first: an end tells of all prompts before it, and how fast they were read.
 func TestPrefillBacklogIsFirstInFirstOut(t *testing.T) {
 	var b backlog
-	b.speed = 10000
+	b.prefillSpeed = 10000
 	near := func(want, got float64) {
 		t.Helper()
 		if math.Abs(want-got) > 1e-6 {
 			t.Fatalf("%g, want %g", got, want)
 		}
 	}
-	near(0, b.wait(0))
+	near(0, b.prefillDelay(0))
 	for i := range 3 {
-		b.add(pendingPrompt{gateway: 1, id: uint32(i), tokens: 5000, at: 0})
+		b.add(pendingPrompt{gateway: 1, requestID: uint32(i), uncachedTokens: 5000, sentAt: 0})
 	}
-	near(1.5, b.wait(0))
-	near(1.25, b.wait(second/4))
-	near(1, b.wait(5*second)) // of the first alone it is known that it is being read
-	b.end(1, 1, true, 2*second)
+	near(1.5, b.prefillDelay(0))
+	near(1.25, b.prefillDelay(second/4))
+	near(1, b.prefillDelay(5*second)) // of the first alone it is known that it is being read
+	b.remove(1, 1, true, 2*second)
 	near(1, float64(len(b.prompts)))
-	near(10000+speedWeight*(5000-10000), b.speed)
-	b.end(2, 2, true, 2*second) // another gateway's
+	near(10000+prefillSpeedWeight*(5000-10000), b.prefillSpeed)
+	b.remove(2, 2, true, 2*second) // another gateway's
 	near(1, float64(len(b.prompts)))
-	b.end(1, 2, false, 2*second)
-	near(0, b.wait(2*second))
-	near(8000+0.2*5000, b.speed)
-	b.add(pendingPrompt{id: 9, tokens: 5000, at: 3 * second})
-	near(0, b.wait(3*second+pendingTimeout+1)) // nobody told its end
-	for i := range 2 * maxPending {
-		b.add(pendingPrompt{id: uint32(i), at: 20 * second})
+	b.remove(1, 2, false, 2*second)
+	near(0, b.prefillDelay(2*second))
+	near(8000+0.2*5000, b.prefillSpeed)
+	b.add(pendingPrompt{requestID: 9, uncachedTokens: 5000, sentAt: 3 * second})
+	near(0, b.prefillDelay(3*second+pendingPromptTimeout+1)) // nobody told its end
+	for i := range 2 * maxPendingPrompts {
+		b.add(pendingPrompt{requestID: uint32(i), sentAt: 20 * second})
 	}
-	near(maxPending, float64(len(b.prompts)))
+	near(maxPendingPrompts, float64(len(b.prompts)))
 }
 
 // Of many gateways each sends long prompts with the same beginning to where another sent them before, unless that
--- a/golden_test.go
+++ b/golden_test.go
@@ -11,51 +11,51 @@
 
 // What a router has learned, as it goes to the process that takes its place.
 func TestGoldenLearned(t *testing.T) {
-	model := LearnedModel{Err: 0.125, Samples: [][]float32{{1, 2, 3}}}
-	for i := range model.Base {
-		model.Base[i] = float64(i) + 0.5
-		model.Coef[i] = float64(i) + 0.75
+	model := LearnedModel{RelativeError: 0.125, Samples: [][]float32{{1, 2, 3}}}
+	for i := range model.Prior {
+		model.Prior[i] = float64(i) + 0.5
+		model.Coefficients[i] = float64(i) + 0.75
 	}
 	second := model
-	second.Err = 0.25
+	second.RelativeError = 0.25
 	learned := Learned{
-		Version:  learnedVersion,
-		At:       11,
-		Classes:  2,
-		Kinds:    3,
-		TTFT:     []LearnedModel{model},
-		Pace:     []LearnedModel{second},
-		Gap:      0.02,
-		Told:     true,
-		Gaps:     []LearnedMean{{Mean: 1.5, N: 2.5}},
-		GapUsual: LearnedMean{Mean: 3.5, N: 4.5},
-		GapNow:   LearnedMean{Mean: 5.5, N: 6.5},
-		Decode:   LearnedMean{Mean: 7.5, N: 8.5},
-		Gain:     []float64{0.5},
-		Fleet:    Report{MemoryUsage: 0.1, PrefillBacklog: 0.2, SlotUsage: 0.3},
-		Trust:    0.9,
-		FlushAt:  12,
-		Usual:    13.5,
-		Rate:     14.5,
-		Cut:      0.15,
-		Lately:   []float64{0.16},
+		Version:              learnedVersion,
+		ExportedAt:           11,
+		ClassCount:           2,
+		KindCount:            3,
+		TTFTModels:           []LearnedModel{model},
+		TPOTModels:           []LearnedModel{second},
+		BaseTPOT:             0.02,
+		OutputLengthsKnown:   true,
+		ClassTPOTRatios:      []LearnedMean{{Mean: 1.5, Count: 2.5}},
+		LongTermTPOTError:    LearnedMean{Mean: 3.5, Count: 4.5},
+		RecentTPOTError:      LearnedMean{Mean: 5.5, Count: 6.5},
+		DecodeTime:           LearnedMean{Mean: 7.5, Count: 8.5},
+		SessionGain:          []float64{0.5},
+		MeanReport:           Report{MemoryUsage: 0.1, PrefillBacklog: 0.2, SlotUsage: 0.3},
+		MatchTrust:           0.9,
+		FlushAt:              12,
+		UsualReadyCount:      13.5,
+		RequestRate:          14.5,
+		ShedFraction:         0.15,
+		RecentValueDensities: []float64{0.16},
 		Engines: []LearnedEngine{{
-			Name:       "a",
-			ReadyAt:    17,
-			Since:      18,
-			Speed:      0.19,
-			Drag:       LearnedMean{Mean: 9.5, N: 10.5},
-			Sour:       0.2,
-			Suspect:    true,
-			Down:       true,
-			TrialAt:    21,
-			Report:     Report{MemoryUsage: 0.4, PrefillBacklog: 0.5, SlotUsage: 0.6},
-			ReportAt:   22,
-			ColdTokens: 23.5,
-			ColdAt:     24,
-			Due:        true,
+			Name:              "a",
+			ReadyAt:           17,
+			FirstSeenAt:       18,
+			Slowness:          0.19,
+			TPOTSlowness:      LearnedMean{Mean: 9.5, Count: 10.5},
+			ErrorRate:         0.2,
+			Suspect:           true,
+			Unreachable:       true,
+			LastTrialAt:       21,
+			Report:            Report{MemoryUsage: 0.4, PrefillBacklog: 0.5, SlotUsage: 0.6},
+			ReportAt:          22,
+			SlowStartBudget:   23.5,
+			SlowStartBudgetAt: 24,
+			Reinstated:        true,
 		}},
-		Prompts: []LearnedPrompt{{Key: 25, Tokens: 26.5, At: 27}},
+		Prompts: []LearnedPrompt{{Key: 25, Tokens: 26.5, StoredAt: 27}},
 	}
 	golden.RoundTrip(t, "learned.json", learned,
 		func(l Learned) ([]byte, error) { return json.MarshalIndent(l, "", "  ") },
@@ -65,11 +65,13 @@
 // The messages of the load directory, a line each: what it says, and its bytes.
 func TestGoldenDirectoryMessages(t *testing.T) {
 	messages := []directoryMessage{
-		{kind: directoryAsk, id: 1, engine: 2, session: 3, prefix: 4},
-		{kind: directoryAnswer, id: 5, engine: 6, tokens: 64, load: engineLoad{wait: 0.5, reading: 0.25, speed: 800}},
-		{kind: directorySent, id: 7, engine: 8, session: 9, prefix: 10, tokens: 160, prompt: 320, shared: 480},
-		{kind: directoryRead, id: 11, engine: 12},
-		{kind: directoryOver, id: 13, engine: 14},
+		{kind: directoryQuery, requestID: 1, engineHash: 2, sessionHash: 3, prefixHash: 4},
+		{kind: directoryAnswer, requestID: 5, engineHash: 6, tokens: 64,
+			load: engineLoad{prefillDelay: 0.5, prefillFraction: 0.25, prefillSpeed: 800}},
+		{kind: directoryPromptSent, requestID: 7, engineHash: 8, sessionHash: 9, prefixHash: 10,
+			tokens: 160, promptTokens: 320, prefixTokens: 480},
+		{kind: directoryPrefillDone, requestID: 11, engineHash: 12},
+		{kind: directoryPrefillAborted, requestID: 13, engineHash: 14},
 	}
 	var lines strings.Builder
 	for _, m := range messages {
@@ -77,7 +79,7 @@
 	}
 	golden.Bytes(t, "directory.txt", []byte(lines.String()))
 	for i, line := range strings.Fields(lines.String()) {
-		decoded, ok := decodeDirectory(line)
+		decoded, ok := decodeDirectoryMessage(line)
 		if !ok || decoded != messages[i] {
 			t.Errorf("%s: %+v, wanted %+v", line, decoded, messages[i])
 		}
--- a/hash.go
+++ b/hash.go
@@ -1,13 +1,14 @@
 package standpoint
 
-// Hashes and small numerics. Nothing in this file decides.
+// Hashes and small numeric helpers. No decisions are made in this file.
 
 import "math"
 
 // unit maps a hash into (0, 1).
 func unit(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
 
-// rank is the weighted rendezvous score of a key on an engine.
+// rank returns the weighted rendezvous score of a key at an engine: of all engines, that with the highest
+// score is the key's home. An engine without a size counts as one of size 1.
 func rank(key uint64, e *engine) float64 {
 	u := unit(mix(key, e.hash))
 	size := e.Size
@@ -17,6 +18,7 @@
 	return -size / math.Log(u)
 }
 
+// mix returns a hash of two numbers.
 func mix(a, b uint64) uint64 {
 	x := a ^ (b + 0x9e3779b97f4a7c15 + a<<6 + a>>2)
 	x ^= x >> 30
@@ -26,6 +28,7 @@
 	return x ^ x>>31
 }
 
+// hashName returns a hash of a name: FNV-1a, mixed once more.
 func hashName(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -34,20 +37,22 @@
 	return mix(h, 1)
 }
 
-// mean is a running mean that starts as a plain one and then forgets.
+// mean is a running mean: the arithmetic mean of the first values, later an exponentially weighted one.
 type mean struct {
-	mean float64
-	n    float64
+	mean  float64
+	count float64 // values added
 }
 
-func (m *mean) add(v, rate float64) {
-	m.n++
-	m.mean += max(1/m.n, rate) * (v - m.mean)
+// add adds a value, with a weight of one over the number of values, but at least minWeight.
+func (m *mean) add(v, minWeight float64) {
+	m.count++
+	m.mean += max(1/m.count, minWeight) * (v - m.mean)
 }
 
+// seconds converts nanoseconds to seconds.
 func seconds(ns int64) float64 { return float64(ns) / 1e9 }
 
-// clamp returns v within [0, most]; what is no number counts as 0.
+// clamp returns v bounded to [0, maximum], and 0 if v is not a number.
 func clamp(v, maximum float64) float64 {
 	if !(v >= 0) {
 		return 0
--- a/learned_state.go
+++ b/learned_state.go
@@ -1,6 +1,7 @@
 package standpoint
 
-// What a router hands to another that takes its place on the same machine. Nothing in this file decides.
+// The learned state that a router passes to the one that replaces it on the same machine. No decisions are
+// made in this file.
 
 import (
 	"errors"
@@ -10,148 +11,181 @@
 )
 
 const (
+	// learnedVersion is the version of the format of Learned.
 	learnedVersion = 1
-	learnedPrompts = 8192        // kept prompts that go over, the newest
-	learnedEngines = 4096        // engines that may
-	learnedAge     = 60 * second // beyond which nothing of it is taken
+	// maxLearnedPrompts is the maximum number of match table entries in Learned. The newest are kept.
+	maxLearnedPrompts = 8192
+	// maxLearnedEngines is the maximum number of engines in Learned.
+	maxLearnedEngines = 4096
+	// maxLearnedAge is the age beyond which learned state is rejected.
+	maxLearnedAge = 60 * second
 )
 
-// Learned is what a router has learned. It holds for the settings that it was learned under.
+// Learned is the learned state of a router. It is valid for the settings that it was learned under. Points in
+// time are in nanoseconds, and logarithms are natural.
 type Learned struct {
-	Version int   `json:"version"`
-	At      int64 `json:"at"`
-	Classes int   `json:"classes"`
-	Kinds   int   `json:"kinds"`
+	Version    int   `json:"version"`
+	ExportedAt int64 `json:"at"`
+	ClassCount int   `json:"classes"`
+	KindCount  int   `json:"kinds"`
 
-	TTFT     []LearnedModel  `json:"ttft"`
-	Pace     []LearnedModel  `json:"pace"`
-	Gap      float64         `json:"gap"`
-	Told     bool            `json:"told"`
-	Gaps     []LearnedMean   `json:"gaps"`
-	GapUsual LearnedMean     `json:"gap_usual"`
-	GapNow   LearnedMean     `json:"gap_now"`
-	Decode   LearnedMean     `json:"decode"`
-	Gain     []float64       `json:"gain"`
-	Fleet    Report          `json:"fleet"`
-	Trust    float64         `json:"trust"`
-	FlushAt  int64           `json:"flush_at"`
-	Usual    float64         `json:"usual"`
-	Rate     float64         `json:"rate"`
-	Cut      float64         `json:"cut"`
-	Lately   []float64       `json:"lately"`
-	Engines  []LearnedEngine `json:"engines"`
-	Prompts  []LearnedPrompt `json:"prompts"`
+	// TTFTModels and TPOTModels hold a model for each kind of engine, and the fleet's as the last.
+	TTFTModels []LearnedModel `json:"ttft"`
+	TPOTModels []LearnedModel `json:"pace"`
+	// BaseTPOT is the estimated TPOT at a relative TPOT of 1, in seconds.
+	BaseTPOT float64 `json:"gap"`
+	// OutputLengthsKnown says whether engines report the number of output tokens.
+	OutputLengthsKnown bool `json:"told"`
+	// ClassTPOTRatios are the means, by class, of the logarithm of a response's decode time in seconds over
+	// its token limit. The last class stands for requests of an unknown class.
+	ClassTPOTRatios []LearnedMean `json:"gaps"`
+	// LongTermTPOTError is the long-term mean of the logarithm of the ratio of observed to predicted TPOT.
+	LongTermTPOTError LearnedMean `json:"gap_usual"`
+	// RecentTPOTError is the mean of that logarithm over the latest responses.
+	RecentTPOTError LearnedMean `json:"gap_now"`
+	// DecodeTime is the mean time from a response's first token to its last, in seconds.
+	DecodeTime LearnedMean `json:"decode"`
+	// SessionGain is, by class, the fraction of the prompt beyond the shared prefix that a session's home
+	// engine has cached. The last class stands for requests of an unknown class.
+	SessionGain []float64 `json:"gain"`
+	// MeanReport is the mean of the fleet's load reports.
+	MeanReport Report `json:"fleet"`
+	// MatchTrust is the mean ratio of cached to expected prompt tokens.
+	MatchTrust float64 `json:"trust"`
+	// FlushAt is the time at which engines were last found to have lost their caches.
+	FlushAt int64 `json:"flush_at"`
+	// UsualReadyCount is the usual number of ready engines, which decays slowly when there are fewer.
+	UsualReadyCount float64 `json:"usual"`
+	// RequestRate is the rate of this gateway's requests, per second.
+	RequestRate float64 `json:"rate"`
+	// ShedFraction is the fraction of requests that is rejected to shed load.
+	ShedFraction float64 `json:"cut"`
+	// RecentValueDensities are the value densities of the latest requests.
+	RecentValueDensities []float64       `json:"lately"`
+	Engines              []LearnedEngine `json:"engines"`
+	Prompts              []LearnedPrompt `json:"prompts"`
 }
 
 // LearnedMean is a running mean.
 type LearnedMean struct {
-	Mean float64 `json:"mean"`
-	N    float64 `json:"n"`
+	Mean  float64 `json:"mean"`
+	Count float64 `json:"n"` // values added
 }
 
-// LearnedModel is a model's fit and its samples: each is what it was predicted from, and at its end what
-// came.
+// LearnedModel is a model's fit and its samples. A sample consists of its features, followed by the observed
+// value.
 type LearnedModel struct {
-	Base    featureVector `json:"base"`
-	Coef    featureVector `json:"coef"`
-	Err     float64       `json:"err"`
-	Samples [][]float32   `json:"samples"`
+	Prior         featureVector `json:"base"`
+	Coefficients  featureVector `json:"coef"`
+	RelativeError float64       `json:"err"`
+	Samples       [][]float32   `json:"samples"`
 }
 
-// LearnedEngine is what is believed of an engine's process.
+// LearnedEngine is the learned state of an engine's process, which is identified by name and start time.
 type LearnedEngine struct {
-	Name       string      `json:"name"`
-	ReadyAt    int64       `json:"ready_at"`
-	Since      int64       `json:"since"`
-	Speed      float64     `json:"speed"`
-	Drag       LearnedMean `json:"drag"`
-	Sour       float64     `json:"sour"`
-	Suspect    bool        `json:"suspect"`
-	Down       bool        `json:"down"`
-	TrialAt    int64       `json:"trial_at"`
-	Report     Report      `json:"report"`
-	ReportAt   int64       `json:"report_at"`
-	ColdTokens float64     `json:"cold_tokens"`
-	ColdAt     int64       `json:"cold_at"`
-	Due        bool        `json:"due"`
+	Name        string `json:"name"`
+	ReadyAt     int64  `json:"ready_at"`
+	FirstSeenAt int64  `json:"since"`
+	// Slowness is the mean logarithm of the ratio of observed to predicted TTFT.
+	Slowness float64 `json:"speed"`
+	// TPOTSlowness is the mean logarithm of the ratio of observed to predicted TPOT.
+	TPOTSlowness LearnedMean `json:"drag"`
+	// ErrorRate is the fraction of errors and rejections among the latest responses.
+	ErrorRate   float64 `json:"sour"`
+	Suspect     bool    `json:"suspect"`
+	Unreachable bool    `json:"down"`
+	LastTrialAt int64   `json:"trial_at"`
+	Report      Report  `json:"report"`
+	ReportAt    int64   `json:"report_at"`
+	// SlowStartBudget is the number of requests that may be sent while the engine warms up, as of
+	// SlowStartBudgetAt.
+	SlowStartBudget   float64 `json:"cold_tokens"`
+	SlowStartBudgetAt int64   `json:"cold_at"`
+	// Reinstated says whether the engine was put back by hand and has not been used since.
+	Reinstated bool `json:"due"`
 }
 
 // LearnedPrompt is an entry of the match table.
 type LearnedPrompt struct {
-	Key    uint64  `json:"key"`
-	Tokens float32 `json:"tokens"`
-	At     int64   `json:"at"`
+	Key      uint64  `json:"key"`
+	Tokens   float32 `json:"tokens"` // prompt tokens that the engine has cached
+	StoredAt int64   `json:"at"`
 }
 
-// Learned copies what the router has learned.
+// Learned returns a copy of the router's learned state.
 func (r *Router) Learned() *Learned {
-	l := &Learned{
-		Version:  learnedVersion,
-		At:       r.now,
-		Classes:  len(r.settings.Classes),
-		Kinds:    r.settings.Kinds,
-		Gap:      r.baseTPOT,
-		Told:     r.outputLengthsKnown,
-		GapUsual: learnedMean(r.longTermTPOTError),
-		GapNow:   learnedMean(r.recentTPOTError),
-		Decode:   learnedMean(r.decodeTime),
-		Gain:     slices.Clone(r.sessionGain),
-		Fleet:    r.meanReport,
-		Trust:    r.matchTrust,
-		FlushAt:  r.flushAt,
-		Usual:    r.usualReadyCount,
-		Rate:     r.requestRate,
-		Cut:      r.shedFraction,
-		Lately:   slices.Clone(r.recentValueDensities),
+	learned := &Learned{
+		Version:              learnedVersion,
+		ExportedAt:           r.now,
+		ClassCount:           len(r.settings.Classes),
+		KindCount:            r.settings.Kinds,
+		BaseTPOT:             r.baseTPOT,
+		OutputLengthsKnown:   r.outputLengthsKnown,
+		LongTermTPOTError:    learnedMean(r.longTermTPOTError),
+		RecentTPOTError:      learnedMean(r.recentTPOTError),
+		DecodeTime:           learnedMean(r.decodeTime),
+		SessionGain:          slices.Clone(r.sessionGain),
+		MeanReport:           r.meanReport,
+		MatchTrust:           r.matchTrust,
+		FlushAt:              r.flushAt,
+		UsualReadyCount:      r.usualReadyCount,
+		RequestRate:          r.requestRate,
+		ShedFraction:         r.shedFraction,
+		RecentValueDensities: slices.Clone(r.recentValueDensities),
 	}
 	for i := range r.ttftModels {
-		l.TTFT = append(l.TTFT, r.ttftModels[i].learned())
-		l.Pace = append(l.Pace, r.tpotModels[i].learned())
+		learned.TTFTModels = append(learned.TTFTModels, r.ttftModels[i].learned())
+		learned.TPOTModels = append(learned.TPOTModels, r.tpotModels[i].learned())
 	}
 	for _, m := range r.classTPOTRatios {
-		l.Gaps = append(l.Gaps, learnedMean(m))
+		learned.ClassTPOTRatios = append(learned.ClassTPOTRatios, learnedMean(m))
 	}
 	for _, e := range r.engines {
-		if len(l.Engines) < learnedEngines && e.State != Gone {
-			l.Engines = append(l.Engines, e.learned())
+		if len(learned.Engines) < maxLearnedEngines && e.State != Gone {
+			learned.Engines = append(learned.Engines, e.learned())
 		}
 	}
 	for _, table := range r.matchTable {
-		for key, k := range table {
-			l.Prompts = append(l.Prompts, LearnedPrompt{key, float32(k.tokens), k.at})
+		for key, entry := range table {
+			learned.Prompts = append(learned.Prompts,
+				LearnedPrompt{key, float32(entry.tokens), entry.storedAt})
 		}
 	}
-	slices.SortFunc(l.Prompts, func(a, b LearnedPrompt) int { return int(min(1, max(-1, b.At-a.At))) })
-	l.Prompts = l.Prompts[:min(len(l.Prompts), learnedPrompts)]
-	return l
+	slices.SortFunc(learned.Prompts, func(a, b LearnedPrompt) int {
+		return int(min(1, max(-1, b.StoredAt-a.StoredAt)))
+	})
+	learned.Prompts = learned.Prompts[:min(len(learned.Prompts), maxLearnedPrompts)]
+	return learned
 }
 
-// learned copies what is believed of an engine's process.
+// learned returns a copy of the learned state of an engine's process.
 func (e *engine) learned() LearnedEngine {
 	return LearnedEngine{
-		Name:       e.Name,
-		ReadyAt:    e.ReadyAt,
-		Since:      e.firstSeenAt,
-		Speed:      e.slowness,
-		Drag:       learnedMean(e.tpotSlowness),
-		Sour:       e.errorRate,
-		Suspect:    e.suspect,
-		Down:       e.unreachable,
-		TrialAt:    e.lastTrialAt,
-		Report:     e.report,
-		ReportAt:   e.reportAt,
-		ColdTokens: e.slowStartBudget,
-		ColdAt:     e.slowStartBudgetAt,
-		Due:        e.reinstated,
+		Name:              e.Name,
+		ReadyAt:           e.ReadyAt,
+		FirstSeenAt:       e.firstSeenAt,
+		Slowness:          e.slowness,
+		TPOTSlowness:      learnedMean(e.tpotSlowness),
+		ErrorRate:         e.errorRate,
+		Suspect:           e.suspect,
+		Unreachable:       e.unreachable,
+		LastTrialAt:       e.lastTrialAt,
+		Report:            e.report,
+		ReportAt:          e.reportAt,
+		SlowStartBudget:   e.slowStartBudget,
+		SlowStartBudgetAt: e.slowStartBudgetAt,
+		Reinstated:        e.reinstated,
 	}
 }
 
-func learnedMean(m mean) LearnedMean { return LearnedMean{m.mean, m.n} }
+// learnedMean returns a copy of a running mean.
+func learnedMean(m mean) LearnedMean { return LearnedMean{m.mean, m.count} }
 
+// learned returns a copy of a model's fit and samples.
 func (m *model) learned() LearnedModel {
-	l := LearnedModel{Base: m.base, Coef: m.coef, Err: m.err}
+	l := LearnedModel{Prior: m.prior, Coefficients: m.coefficients, RelativeError: m.relativeError}
 	for i := range m.buckets {
-		for _, s := range m.buckets[i].ring {
+		for _, s := range m.buckets[i].samples {
 			row := make([]float32, 0, featureCount+1)
 			for _, x := range s.x {
 				row = append(row, float32(x))
@@ -162,45 +196,48 @@
 	return l
 }
 
-// Check tells whether what was learned can be taken by a router with these settings, at this time.
-func (l *Learned) Check(s *Settings, now int64) error {
-	models := s.Kinds + 1
+// Check returns an error if a router with these settings cannot restore the learned state at the time now.
+func (l *Learned) Check(settings *Settings, now int64) error {
+	modelCount := settings.Kinds + 1
 	switch {
 	case l.Version != learnedVersion:
-		return fmt.Errorf("it is of version %d, this program knows %d", l.Version, learnedVersion)
-	case l.At > now+second || now-l.At > learnedAge:
-		return errors.New("it is too old")
-	case l.Classes != len(s.Classes) || l.Kinds != s.Kinds:
-		return errors.New("it was learned under other settings")
-	case len(l.TTFT) != models || len(l.Pace) != models,
-		len(l.Gaps) != len(s.Classes)+1 || len(l.Gain) != len(s.Classes)+1,
-		len(l.Lately) > maxRankedRequests, len(l.Engines) > learnedEngines, len(l.Prompts) > learnedPrompts:
-		return errors.New("parts of it are missing, or too many")
+		return fmt.Errorf("learned state has version %d, supported is version %d", l.Version, learnedVersion)
+	case l.ExportedAt > now+second || now-l.ExportedAt > maxLearnedAge:
+		return errors.New("learned state is too old, or its time lies in the future")
+	case l.ClassCount != len(settings.Classes) || l.KindCount != settings.Kinds:
+		return errors.New("learned state is for other numbers of classes or kinds")
+	case len(l.TTFTModels) != modelCount || len(l.TPOTModels) != modelCount,
+		len(l.ClassTPOTRatios) != len(settings.Classes)+1 || len(l.SessionGain) != len(settings.Classes)+1,
+		len(l.RecentValueDensities) > maxRankedRequests, len(l.Engines) > maxLearnedEngines,
+		len(l.Prompts) > maxLearnedPrompts:
+		return errors.New("learned state has a list with missing or too many entries")
 	}
-	for _, m := range append(slices.Clone(l.TTFT), l.Pace...) {
+	for _, m := range append(slices.Clone(l.TTFTModels), l.TPOTModels...) {
 		for _, row := range m.Samples {
 			if len(row) != featureCount+1 {
-				return errors.New("a sample of it has another length")
+				return errors.New("learned state has a sample of the wrong length")
 			}
 		}
 	}
 	invalid := func(v float64) bool { return math.IsNaN(v) || math.Abs(v) > 1e9 }
-	if slices.ContainsFunc(l.numbers(), invalid) || l.Gap <= 0 {
-		return errors.New("a number of it cannot be")
+	if slices.ContainsFunc(l.boundedNumbers(), invalid) || l.BaseTPOT <= 0 {
+		return errors.New("learned state has a number out of range")
 	}
 	return nil
 }
 
-// numbers are all numbers that have to be within bounds.
-func (l *Learned) numbers() []float64 {
-	numbers := append(slices.Clone(l.Gain), l.Gap, l.Trust, l.Usual, l.Rate, l.Cut)
-	numbers = append(numbers, l.Fleet.MemoryUsage, l.Fleet.PrefillBacklog, l.Fleet.SlotUsage)
-	numbers = append(numbers, l.Lately...)
-	for _, m := range append(slices.Clone(l.Gaps), l.GapUsual, l.GapNow, l.Decode) {
-		numbers = append(numbers, m.Mean, m.N)
+// boundedNumbers returns all numbers that Check requires to be within bounds.
+func (l *Learned) boundedNumbers() []float64 {
+	numbers := append(slices.Clone(l.SessionGain),
+		l.BaseTPOT, l.MatchTrust, l.UsualReadyCount, l.RequestRate, l.ShedFraction)
+	numbers = append(numbers, l.MeanReport.MemoryUsage, l.MeanReport.PrefillBacklog, l.MeanReport.SlotUsage)
+	numbers = append(numbers, l.RecentValueDensities...)
+	for _, m := range append(slices.Clone(l.ClassTPOTRatios),
+		l.LongTermTPOTError, l.RecentTPOTError, l.DecodeTime) {
+		numbers = append(numbers, m.Mean, m.Count)
 	}
-	for _, m := range append(slices.Clone(l.TTFT), l.Pace...) {
-		numbers = append(append(append(numbers, m.Base[:]...), m.Coef[:]...), m.Err)
+	for _, m := range append(slices.Clone(l.TTFTModels), l.TPOTModels...) {
+		numbers = append(append(append(numbers, m.Prior[:]...), m.Coefficients[:]...), m.RelativeError)
 		for _, row := range m.Samples {
 			for _, v := range row {
 				numbers = append(numbers, float64(v))
@@ -208,77 +245,80 @@
 		}
 	}
 	for _, e := range l.Engines {
-		numbers = append(numbers, e.Speed, e.Drag.Mean, e.Drag.N, e.Sour, e.ColdTokens)
+		numbers = append(numbers,
+			e.Slowness, e.TPOTSlowness.Mean, e.TPOTSlowness.Count, e.ErrorRate, e.SlowStartBudget)
 		numbers = append(numbers, e.Report.MemoryUsage, e.Report.PrefillBacklog, e.Report.SlotUsage)
 	}
 	return numbers
 }
 
-// RestoreLearned takes what another router has learned, in place of what this one has. What is believed of an
-// engine is taken where this router lists the same process.
-func (r *Router) RestoreLearned(l *Learned, now int64) error {
-	if err := l.Check(&r.settings, now); err != nil {
+// RestoreLearned replaces the router's learned state by that of another router, or returns an error if that
+// does not pass Check. The state of an engine is restored where this router lists the same process.
+func (r *Router) RestoreLearned(learned *Learned, now int64) error {
+	if err := learned.Check(&r.settings, now); err != nil {
 		return err
 	}
 	r.now = now
 	for i := range r.ttftModels {
-		r.ttftModels[i].recall(&l.TTFT[i])
-		r.tpotModels[i].recall(&l.Pace[i])
+		r.ttftModels[i].restore(&learned.TTFTModels[i])
+		r.tpotModels[i].restore(&learned.TPOTModels[i])
 	}
-	for i, m := range l.Gaps {
-		r.classTPOTRatios[i] = mean{m.Mean, m.N}
+	for i, m := range learned.ClassTPOTRatios {
+		r.classTPOTRatios[i] = mean{m.Mean, m.Count}
 	}
-	r.baseTPOT, r.outputLengthsKnown, r.sessionGain = l.Gap, l.Told, slices.Clone(l.Gain)
-	r.longTermTPOTError = mean{l.GapUsual.Mean, l.GapUsual.N}
-	r.recentTPOTError = mean{l.GapNow.Mean, l.GapNow.N}
-	// How many streams are usual is learned anew: those that run are not this router's own.
-	r.decodeTime = mean{l.Decode.Mean, l.Decode.N}
-	r.meanReport = l.Fleet
-	r.matchTrust = l.Trust
-	r.flushAt = l.FlushAt
-	r.usualReadyCount = max(r.usualReadyCount, l.Usual)
+	r.baseTPOT, r.outputLengthsKnown, r.sessionGain =
+		learned.BaseTPOT, learned.OutputLengthsKnown, slices.Clone(learned.SessionGain)
+	r.longTermTPOTError = mean{learned.LongTermTPOTError.Mean, learned.LongTermTPOTError.Count}
+	r.recentTPOTError = mean{learned.RecentTPOTError.Mean, learned.RecentTPOTError.Count}
+	// The usual stream excess is learned again: the running streams belong to the other router.
+	r.decodeTime = mean{learned.DecodeTime.Mean, learned.DecodeTime.Count}
+	r.meanReport = learned.MeanReport
+	r.matchTrust = learned.MatchTrust
+	r.flushAt = learned.FlushAt
+	r.usualReadyCount = max(r.usualReadyCount, learned.UsualReadyCount)
 	r.usualReadyAt = now
-	r.requestRate = l.Rate
+	r.requestRate = learned.RequestRate
 	r.requestRateAt = now
 	r.firstRequestAt = now - int64(rateSpan*1e9)
-	r.shedFraction = l.Cut
+	r.shedFraction = learned.ShedFraction
 	r.shedFractionAt = now
-	r.recentValueDensities = slices.Clone(l.Lately)
+	r.recentValueDensities = slices.Clone(learned.RecentValueDensities)
 	r.nextValueDensity = 0
-	for _, p := range l.Engines {
-		e := r.engines[p.Name]
-		if e == nil || e.ReadyAt != p.ReadyAt {
+	for _, saved := range learned.Engines {
+		e := r.engines[saved.Name]
+		if e == nil || e.ReadyAt != saved.ReadyAt {
 			continue
 		}
-		e.firstSeenAt = p.Since
-		e.slowness = p.Speed
-		e.tpotSlowness = mean{p.Drag.Mean, p.Drag.N}
-		e.errorRate = p.Sour
-		e.suspect = p.Suspect
-		e.unreachable = p.Down
-		e.lastTrialAt = p.TrialAt
-		e.reinstated = p.Due
-		e.report = p.Report
-		e.reportAt = p.ReportAt
-		e.slowStartBudget = p.ColdTokens
-		e.slowStartBudgetAt = p.ColdAt
+		e.firstSeenAt = saved.FirstSeenAt
+		e.slowness = saved.Slowness
+		e.tpotSlowness = mean{saved.TPOTSlowness.Mean, saved.TPOTSlowness.Count}
+		e.errorRate = saved.ErrorRate
+		e.suspect = saved.Suspect
+		e.unreachable = saved.Unreachable
+		e.lastTrialAt = saved.LastTrialAt
+		e.reinstated = saved.Reinstated
+		e.report = saved.Report
+		e.reportAt = saved.ReportAt
+		e.slowStartBudget = saved.SlowStartBudget
+		e.slowStartBudgetAt = saved.SlowStartBudgetAt
 	}
-	for _, p := range l.Prompts {
-		r.matchTable[0][p.Key] = matchEntry{float64(p.Tokens), p.At}
+	for _, prompt := range learned.Prompts {
+		r.matchTable[0][prompt.Key] = matchEntry{float64(prompt.Tokens), prompt.StoredAt}
 	}
 	return nil
 }
 
-func (m *model) recall(l *LearnedModel) {
-	*m = model{base: l.Base, coef: l.Coef, err: l.Err}
+// restore replaces a model's fit and samples by those of l.
+func (m *model) restore(l *LearnedModel) {
+	*m = model{prior: l.Prior, coefficients: l.Coefficients, relativeError: l.RelativeError}
 	for _, row := range l.Samples {
 		var s sample
 		for i := range s.x {
 			s.x[i] = float64(row[i])
 		}
 		s.y = float64(row[featureCount])
-		if b := &m.buckets[bucketOf(&s.x)]; len(b.ring) < bucketDepth {
-			b.ring = append(b.ring, s)
+		if b := &m.buckets[bucketIndex(&s.x)]; len(b.samples) < bucketDepth {
+			b.samples = append(b.samples, s)
 		}
 	}
 }
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -90,15 +90,15 @@
 	r, now := taught(s)
 	for name, spoil := range map[string]func(*Learned){
 		"version":  func(l *Learned) { l.Version++ },
-		"age":      func(l *Learned) { l.At -= 2 * learnedAge },
-		"future":   func(l *Learned) { l.At += 2 * second },
-		"kinds":    func(l *Learned) { l.Kinds++ },
-		"models":   func(l *Learned) { l.TTFT = l.TTFT[1:] },
-		"sample":   func(l *Learned) { l.Pace[0].Samples[0] = nil },
-		"number":   func(l *Learned) { l.TTFT[0].Coef[2] = math.NaN() },
-		"gap":      func(l *Learned) { l.Gap = 0 },
-		"endless":  func(l *Learned) { l.Engines[0].Speed = math.Inf(1) },
-		"too many": func(l *Learned) { l.Lately = make([]float64, maxRankedRequests+1) },
+		"age":      func(l *Learned) { l.ExportedAt -= 2 * maxLearnedAge },
+		"future":   func(l *Learned) { l.ExportedAt += 2 * second },
+		"kinds":    func(l *Learned) { l.KindCount++ },
+		"models":   func(l *Learned) { l.TTFTModels = l.TTFTModels[1:] },
+		"sample":   func(l *Learned) { l.TPOTModels[0].Samples[0] = nil },
+		"number":   func(l *Learned) { l.TTFTModels[0].Coefficients[2] = math.NaN() },
+		"gap":      func(l *Learned) { l.BaseTPOT = 0 },
+		"endless":  func(l *Learned) { l.Engines[0].Slowness = math.Inf(1) },
+		"too many": func(l *Learned) { l.RecentValueDensities = make([]float64, maxRankedRequests+1) },
 	} {
 		l := r.Learned()
 		spoil(l)
--- a/prediction.go
+++ b/prediction.go
@@ -1,226 +1,284 @@
 package standpoint
 
-// What the time to the first token and the token pace are predicted from, and how that is learned.
+// Prediction of the time to first token (TTFT) and the time per output token (TPOT): the features that they
+// are predicted from, and how the models learn from attempts that ended.
 
 import (
 	"math"
 )
 
 const (
-	refitInterval      = 12   // new samples between two fits
-	reportHalfLife     = 1.0  // seconds after which a report counts half against the fleet's mean
-	unreadHalfLife     = 0.4  // seconds in which half of the unread tokens are taken to be read
-	fullLengthFraction = 0.01 // share of answers taken to run to their limit
-	tokenGapStep       = 0.05 // step of the token gap's estimate, in logarithm
-	slownessWeight     = 0.1  // of a sample in an engine's ratio of observed to predicted
-	stillGap           = 0.4
-	usualGapWeight     = 0.01 // rates of the usual and the present pace
-	recentGapWeight    = 0.08
-	engineGapWeight    = 0.15 // and of a single engine's, where gaps are told
-	engineGapPrior     = 3.0  // gaps told of an engine that count half against what all show
-	minGapTokens       = 5.0  // tokens of an answer that shows a gap
-	minStreams         = 20.0 // streams that must have ended before their usual length is trusted
-	streamExcessNoise  = 0.1  // of that sign taken to be chance
-	streamPrior        = 6.0  // streams by which both counts are padded against chance
+	// samplesPerRefit is the number of new samples after which a model is fitted again.
+	samplesPerRefit = 12
+	// reportHalfLife is the age in seconds at which a load report and the fleet's mean report count the same.
+	reportHalfLife = 1.0
+	// prefillBacklogHalfLife is the time in seconds in which an engine is assumed to prefill half of its
+	// backlog.
+	prefillBacklogHalfLife = 0.4
+	// maxTokensReachedFraction is the fraction of responses assumed to run to their token limit.
+	maxTokensReachedFraction = 0.01
+	// baseTPOTStep is the step, in natural logarithm, by which the estimate of baseTPOT moves.
+	baseTPOTStep = 0.05
+	// slownessWeight is the weight of one sample in an engine's slowness, the logarithm of the ratio of its
+	// observed to its predicted TTFT.
+	slownessWeight = 0.1
+	// unloadedTPOTFraction is the TPOT of an engine that does no prefill, as a fraction of the TPOT
+	// objective.
+	unloadedTPOTFraction = 0.4
+	// longTermWeight is the minimum weight of one sample in the long-term means.
+	longTermWeight = 0.01
+	// recentTPOTWeight is the minimum weight of one sample in the recent mean of the TPOT error.
+	recentTPOTWeight = 0.08
+	// engineTPOTWeight is the minimum weight of one sample in a single engine's mean TPOT error, which is
+	// measured where output lengths are known.
+	engineTPOTWeight = 0.15
+	// engineTPOTPriorCount is the number of TPOT samples of an engine at which its own mean error and the
+	// drift that all engines show count the same.
+	engineTPOTPriorCount = 3.0
+	// minTPOTTokens is the output length in tokens above which a response is a sample of the TPOT.
+	minTPOTTokens = 5.0
+	// minEndedStreams is the number of streams that must have ended before their mean decode time is trusted.
+	minEndedStreams = 20.0
+	// streamExcessNoise is the stream excess above its usual value, in natural logarithm, that is attributed
+	// to chance.
+	streamExcessNoise = 0.1
+	// streamPriorCount is added to the number of running streams and to the expected number before they are
+	// compared, so that chance matters less when there are few.
+	streamPriorCount = 6.0
 )
 
-// Priors grow with load; they decide until samples do, and for what samples do not cover.
+// ttftPrior and tpotPrior are the coefficients that the models start from. They grow with load. Predictions
+// rely on them until there are samples, and in regimes that no sample covers.
 var (
-	ttftPrior = featureVector{0.06, 0.05, 0.08, 0.1, 0.005, 0.08, 0.01} // seconds
-	tpotPrior = featureVector{0.6, 0.3, 0.02, 1, 0.005, 0, 0.01}        // shares of the class's mean
+	ttftPrior = featureVector{0.06, 0.05, 0.08, 0.1, 0.005, 0.08, 0.01} // in seconds
+	tpotPrior = featureVector{0.6, 0.3, 0.02, 1, 0.005, 0, 0.01}        // relative to the class's mean
 )
 
-func bucketOf(x *featureVector) int {
+// bucketIndex returns the bucket of a sample: by memory usage in tenths, by the cached fraction of the prompt
+// in quarters, and by whether the prefill backlog is below 2,000 tokens, below 4,000 or above.
+func bucketIndex(x *featureVector) int {
 	memory := min(9, max(0, int(x[1]*10)))
 	match := 0
 	if x[4] > 0 {
 		match = min(3, max(0, int((1-x[5]/x[4])*4)))
 	}
-	unread := min(2, max(0, int(math.Log2(max(x[2], 0.01)/2)+1)))
-	return (memory*4+match)*3 + unread
+	backlog := min(2, max(0, int(math.Log2(max(x[2], 0.01)/2)+1)))
+	return (memory*4+match)*3 + backlog
 }
 
+// predict sets an option's features and its predicted TTFT and TPOT, with upper bounds that are widened by
+// the models' measured errors. Where the engine's directory owner has sent its load recently, the TTFT grows
+// with the fraction of its time that the engine spends on prefill, and the TPOT follows from that fraction
+// and the engine's prefill speed.
 func (r *Router) predict(q *request, o *option) {
 	o.features = r.features(q, o.engine, o.match)
-	k := r.kindIndex(o.engine)
-	f := math.Exp(o.engine.slowness)
-	o.ttft = max(r.ttftModels[k].at(&o.features)*f, r.wastedWaitOf(o.engine))
-	sway := r.tpotDrift() + max(0, o.engine.slowness)
-	own := o.engine.tpotSlowness.n / (o.engine.tpotSlowness.n + engineGapPrior)
-	if own > 0 { // answers of known length show this engine's own gap
-		sway += own * (o.engine.tpotSlowness.mean - sway)
-	}
-	o.tpot = r.tpotModels[k].at(&o.features) * r.baseTPOT * math.Exp(sway)
-	if r.hasDirectoryLoad(o.engine) {
+	kind := r.kindIndex(o.engine)
+	slowdown := math.Exp(o.engine.slowness)
+	o.ttft = max(r.ttftModels[kind].predict(&o.features)*slowdown, r.wastedWaitOf(o.engine))
+	drift := r.tpotDrift() + max(0, o.engine.slowness)
+	engineWeight := o.engine.tpotSlowness.count / (o.engine.tpotSlowness.count + engineTPOTPriorCount)
+	if engineWeight > 0 { // responses of known length show this engine's own TPOT
+		drift += engineWeight * (o.engine.tpotSlowness.mean - drift)
+	}
+	o.tpot = r.tpotModels[kind].predict(&o.features) * r.baseTPOT * math.Exp(drift)
+	if r.hasRecentDirectoryLoad(o.engine) {
 		o.unloadedTTFT = o.ttft
-		rest := 1 - min(0.9, o.engine.directoryLoad.reading)
-		o.ttft /= rest * rest
+		decodeFraction := 1 - min(0.9, o.engine.directoryLoad.prefillFraction)
+		o.ttft /= decodeFraction * decodeFraction
 		objective := seconds(r.class(q).TPOTObjective)
-		o.tpot = stillGap * objective * assumedPrefillSpeed / o.engine.directoryLoad.speed / rest
+		o.tpot = unloadedTPOTFraction * objective * assumedPrefillSpeed /
+			o.engine.directoryLoad.prefillSpeed / decodeFraction
 	}
-	o.ttftUpper = o.ttft * (1 + r.ttftModels[k].err)
+	o.ttftUpper = o.ttft * (1 + r.ttftModels[kind].relativeError)
 	o.tpotUpper = o.tpot
-	if r.outputLengthsKnown || r.decodeTime.n < minStreams { // else the error is that of the unknown lengths
-		o.tpotUpper *= 1 + r.tpotModels[k].err
+	if r.outputLengthsKnown || r.decodeTime.count < minEndedStreams {
+		// Otherwise the measured error is that of the unknown output lengths.
+		o.tpotUpper *= 1 + r.tpotModels[kind].relativeError
 	}
 }
 
-// hasDirectoryLoad tells that an engine's directory owner has told of it just now.
-func (r *Router) hasDirectoryLoad(e *engine) bool {
+// hasRecentDirectoryLoad reports whether an engine's directory owner has sent its load within
+// directoryLoadLifetime.
+func (r *Router) hasRecentDirectoryLoad(e *engine) bool {
 	return e.directoryLoadAt != 0 && r.now-e.directoryLoadAt < directoryLoadLifetime
 }
 
+// features returns the inputs of a prediction for a request at an engine that has the fraction match of its
+// prompt cached. The uncached tokens are scaled to an engine of the assumed prefill speed.
 func (r *Router) features(q *request, e *engine, match float64) featureVector {
 	load := r.load(e)
 	prompt := q.PromptTokens / 1000
-	unkept := prompt * (1 - match)
-	if r.hasDirectoryLoad(e) {
-		unkept *= assumedPrefillSpeed / e.directoryLoad.speed
+	uncached := prompt * (1 - match)
+	if r.hasRecentDirectoryLoad(e) {
+		uncached *= assumedPrefillSpeed / e.directoryLoad.prefillSpeed
 	}
 	inFlight := e.tokensInFlight / 1000
-	return featureVector{1, load.MemoryUsage, load.PrefillBacklog, load.SlotUsage, prompt, unkept, inFlight}
+	return featureVector{1, load.MemoryUsage, load.PrefillBacklog, load.SlotUsage, prompt, uncached, inFlight}
 }
 
-func (r *Router) observeTTFT(a *attempt, took float64) {
-	r.train(r.ttftModels, a, took)
-	k := r.kindIndex(a.engine)
-	off := min(2.5, max(-2.5, math.Log(max(took, 1e-4)/r.ttftModels[k].at(&a.features))))
-	a.engine.slowness = min(2.3, max(-0.7, a.engine.slowness+slownessWeight*(off-a.engine.slowness)))
+// observeTTFT learns from the seconds that an attempt's first token took, or its whole response where that is
+// not streamed.
+func (r *Router) observeTTFT(a *attempt, elapsed float64) {
+	r.train(r.ttftModels, a, elapsed)
+	kind := r.kindIndex(a.engine)
+	logRatio := min(2.5, max(-2.5, math.Log(max(elapsed, 1e-4)/r.ttftModels[kind].predict(&a.features))))
+	a.engine.slowness = min(2.3, max(-0.7, a.engine.slowness+slownessWeight*(logRatio-a.engine.slowness)))
 }
 
-// observeTPOT learns the token gap: decode time over tokens, where it is told how long the answer was. Else
-// only the answer's limit is known, and decode time over it falls short of the gap by an unknown share, which
-// differs by class. The model learns how load stretches a class's mean; answers that run to their limit, the
-// top one in a hundred, show the gap itself.
-func (r *Router) observeTPOT(a *attempt, decode, tokens float64) {
-	overLimit := decode / a.request.MaxTokens
-	if !(overLimit > 0) || overLimit > 100 {
+// observeTPOT learns the TPOT from a response: decode time over output tokens where the number of tokens is
+// known. Otherwise only the request's token limit is known, and decode time over that limit is less than the
+// TPOT by an unknown factor, which differs by class. The model then learns how load stretches the class's
+// mean of that ratio. Responses that run to their limit show the TPOT itself; they are assumed to be the one
+// in a hundred with the highest ratio, so baseTPOT is a running estimate of that quantile.
+func (r *Router) observeTPOT(a *attempt, decodeTime, tokens float64) {
+	timePerMaxToken := decodeTime / a.request.MaxTokens
+	if !(timePerMaxToken > 0) || timePerMaxToken > 100 {
 		return
 	}
-	c := &r.classTPOTRatios[r.classIndex(a.request)]
-	y := math.Log(overLimit)
-	c.add(y, usualGapWeight)
-	stretch := r.tpotModels[r.kindIndex(a.engine)].at(&a.features)
-	if tokens > minGapTokens && !a.request.Resumed { // the rest of a broken answer is told as a whole one
+	classRatio := &r.classTPOTRatios[r.classIndex(a.request)]
+	logTimePerMaxToken := math.Log(timePerMaxToken)
+	classRatio.add(logTimePerMaxToken, longTermWeight)
+	predicted := r.tpotModels[r.kindIndex(a.engine)].predict(&a.features)
+	if tokens > minTPOTTokens && !a.request.Resumed {
+		// A resumed request is left out: the tokens reported for it are those of the whole response.
 		r.outputLengthsKnown = true
-		gap := decode / tokens / r.baseTPOT
-		d := min(1.5, max(-1.5, math.Log(gap/stretch)))
-		a.engine.tpotSlowness.add(d, engineGapWeight)
-		r.observeTPOTError(d)
-		r.train(r.tpotModels, a, gap)
+		relativeTPOT := decodeTime / tokens / r.baseTPOT
+		logError := min(1.5, max(-1.5, math.Log(relativeTPOT/predicted)))
+		a.engine.tpotSlowness.add(logError, engineTPOTWeight)
+		r.observeTPOTError(logError)
+		r.train(r.tpotModels, a, relativeTPOT)
 		return
 	}
-	d := y - c.mean - math.Log(stretch)
-	r.observeTPOTError(d)
-	if overLimit/stretch/math.Exp(r.tpotDrift()) > r.baseTPOT {
-		r.baseTPOT *= math.Exp(tokenGapStep * (1 - fullLengthFraction))
+	logError := logTimePerMaxToken - classRatio.mean - math.Log(predicted)
+	r.observeTPOTError(logError)
+	if timePerMaxToken/predicted/math.Exp(r.tpotDrift()) > r.baseTPOT {
+		r.baseTPOT *= math.Exp(baseTPOTStep * (1 - maxTokensReachedFraction))
 	} else {
-		r.baseTPOT *= math.Exp(-tokenGapStep * fullLengthFraction)
+		r.baseTPOT *= math.Exp(-baseTPOTStep * maxTokensReachedFraction)
 	}
-	r.train(r.tpotModels, a, math.Exp(y-c.mean))
+	r.train(r.tpotModels, a, math.Exp(logTimePerMaxToken-classRatio.mean))
 }
 
-// tpotDrift is how far tokens come slower of late than the model knows, in logarithm.
+// tpotDrift returns the natural logarithm of the factor by which the TPOT has recently been longer than the
+// model predicts.
 func (r *Router) tpotDrift() float64 {
-	sway := r.recentTPOTError.mean - r.longTermTPOTError.mean
-	if r.decodeTime.n >= minStreams { // streams that run on show a slowdown before any of them ends
-		sway = max(sway, r.streamExcess()-r.usualStreamExcess.mean-streamExcessNoise)
+	drift := r.recentTPOTError.mean - r.longTermTPOTError.mean
+	if r.decodeTime.count >= minEndedStreams {
+		// Streams that last longer than usual show a slowdown before any of them ends.
+		drift = max(drift, r.streamExcess()-r.usualStreamExcess.mean-streamExcessNoise)
 	}
-	return min(2, max(-0.5, sway))
+	return min(2, max(-0.5, drift))
 }
 
+// train adds a sample of an attempt to the fleet's model and to that of its engine's kind, and fits each
+// again after samplesPerRefit samples. The fleet's coefficients are the prior of a kind's model.
 func (r *Router) train(models []model, a *attempt, y float64) {
 	if !(y >= 0) || y > 1e4 {
 		return
 	}
-	all := len(models) - 1
-	models[all].add(&a.features, y)
-	if models[all].samplesSinceFit >= refitInterval {
-		models[all].fit(models[all].base)
+	fleet := len(models) - 1
+	models[fleet].add(&a.features, y)
+	if models[fleet].samplesSinceFit >= samplesPerRefit {
+		models[fleet].fit(models[fleet].prior)
 	}
-	if k := r.kindIndex(a.engine); k < all {
-		models[k].add(&a.features, y)
-		if models[k].samplesSinceFit >= refitInterval {
-			models[k].fit(models[all].coef)
+	if kind := r.kindIndex(a.engine); kind < fleet {
+		models[kind].add(&a.features, y)
+		if models[kind].samplesSinceFit >= samplesPerRefit {
+			models[kind].fit(models[fleet].coefficients)
 		}
 	}
 }
 
-func (r *Router) observeServed(a *attempt, ev *Outcome) {
-	took := seconds(ev.Elapsed)
-	if a.firstTokenAt != 0 && !ev.ClientStalled {
-		decode := took - seconds(a.firstTokenAt-a.sent)
-		r.observeTPOT(a, max(0, decode), ev.OutputTokens)
-		r.decodeTime.add(max(0, decode), usualGapWeight)
-		r.usualStreamExcess.add(r.streamExcess(), usualGapWeight)
+// observeServed learns from an attempt whose response was complete.
+func (r *Router) observeServed(a *attempt, outcome *Outcome) {
+	elapsed := seconds(outcome.Elapsed)
+	if a.firstTokenAt != 0 && !outcome.ClientStalled {
+		decodeTime := elapsed - seconds(a.firstTokenAt-a.sent)
+		r.observeTPOT(a, max(0, decodeTime), outcome.OutputTokens)
+		r.decodeTime.add(max(0, decodeTime), longTermWeight)
+		r.usualStreamExcess.add(r.streamExcess(), longTermWeight)
 	} else if a.firstTokenAt == 0 && !r.class(a.request).Streamed {
-		r.observeTTFT(a, took)
+		r.observeTTFT(a, elapsed)
 	}
-	r.observeMatch(a, clamp(ev.CachedTokens, 1e9))
+	r.observeMatch(a, clamp(outcome.CachedTokens, 1e9))
 	r.recordCachedPrompt(a.request, a.engine, a.request.PromptTokens)
 }
 
-// load is the engine's state as far as known: its report, faded by age towards the fleet's mean, and what
-// this gateway sent since.
+// load returns the estimated load of an engine: its latest report, which decays with age towards the fleet's
+// mean report, plus what this gateway has sent since then. The prefill backlog is replaced by that of the
+// engine's directory owner where it is recent.
 func (r *Router) load(e *engine) Report {
-	rep := r.meanReport
+	load := r.meanReport
 	if e.reportAt != 0 {
 		age := seconds(r.now - e.reportAt)
-		w := math.Exp2(-age / reportHalfLife)
-		rep.MemoryUsage += w * (e.report.MemoryUsage - rep.MemoryUsage)
-		rep.SlotUsage += w * (e.report.SlotUsage - rep.SlotUsage)
-		rep.PrefillBacklog += math.Exp2(-age/unreadHalfLife) * (e.report.PrefillBacklog - rep.PrefillBacklog)
+		weight := math.Exp2(-age / reportHalfLife)
+		load.MemoryUsage += weight * (e.report.MemoryUsage - load.MemoryUsage)
+		load.SlotUsage += weight * (e.report.SlotUsage - load.SlotUsage)
+		load.PrefillBacklog += math.Exp2(-age/prefillBacklogHalfLife) *
+			(e.report.PrefillBacklog - load.PrefillBacklog)
 	}
-	rep.PrefillBacklog += r.unreportedPrefill(e) / 1000
-	if r.hasDirectoryLoad(e) {
-		rep.PrefillBacklog = e.directoryLoad.wait / ttftPrior[prefillBacklogFeature]
+	load.PrefillBacklog += r.unreportedPrefill(e) / 1000
+	if r.hasRecentDirectoryLoad(e) {
+		load.PrefillBacklog = e.directoryLoad.prefillDelay / ttftPrior[prefillBacklogFeature]
 	}
-	return rep
+	return load
 }
 
-// tightestTPOTObjective is the tightest token gap that any class wants, in seconds.
+// tightestTPOTObjective returns the lowest TPOT objective of any class in seconds, or 0 if no class has one.
 func (r *Router) tightestTPOTObjective() float64 {
-	least := 0.0
+	tightest := 0.0
 	for _, c := range r.settings.Classes {
-		if aim := seconds(c.TPOTObjective); aim > 0 && (least == 0 || aim < least) {
-			least = aim
+		if objective := seconds(c.TPOTObjective); objective > 0 && (tightest == 0 || objective < tightest) {
+			tightest = objective
 		}
 	}
-	return least
+	return tightest
 }
 
+// kindIndex returns the index of the models of an engine's kind. A kind beyond the configured ones has the
+// fleet's models, which are the last.
 func (r *Router) kindIndex(e *engine) int { return min(max(0, e.Kind), len(r.ttftModels)-1) }
 
-// blend goes a part of the way to another report.
-func (a *Report) blend(b *Report, part float64) {
-	a.MemoryUsage += part * (b.MemoryUsage - a.MemoryUsage)
-	a.PrefillBacklog += part * (b.PrefillBacklog - a.PrefillBacklog)
-	a.SlotUsage += part * (b.SlotUsage - a.SlotUsage)
+// moveTowards moves each figure of a report by the fraction weight of its distance to the target.
+func (r *Report) moveTowards(target *Report, weight float64) {
+	r.MemoryUsage += weight * (target.MemoryUsage - r.MemoryUsage)
+	r.PrefillBacklog += weight * (target.PrefillBacklog - r.PrefillBacklog)
+	r.SlotUsage += weight * (target.SlotUsage - r.SlotUsage)
 }
 
+// unreportedPrefill returns the estimated prompt tokens that this gateway has sent to an engine since its
+// latest report and that the engine has not prefilled yet.
 func (r *Router) unreportedPrefill(e *engine) float64 {
-	return e.unreportedPrefill * math.Exp2(-seconds(r.now-e.unreportedPrefillAt)/unreadHalfLife)
+	return e.unreportedPrefill * math.Exp2(-seconds(r.now-e.unreportedPrefillAt)/prefillBacklogHalfLife)
 }
 
-// streamExcess compares, in logarithm, the own streams that run with those that would if each took the
-// usual time.
+// streamExcess returns the natural logarithm of the ratio of this gateway's running streams to those that
+// would be running if each took the mean decode time.
 func (r *Router) streamExcess() float64 {
-	return math.Log((float64(r.streams) + streamPrior) / (r.usualStreams() + streamPrior))
+	return math.Log((float64(r.streams) + streamPriorCount) / (r.usualStreams() + streamPriorCount))
 }
 
+// usualStreams returns how many of this gateway's streams would be running if each took the mean decode time:
+// the expected number decays exponentially by that time.
 func (r *Router) usualStreams() float64 {
 	return r.expectedStreams * math.Exp(-seconds(r.now-r.expectedStreamsAt)/max(0.1, r.decodeTime.mean))
 }
 
-// observeTPOTError takes in how much slower tokens came than the model knew, in logarithm.
-func (r *Router) observeTPOTError(d float64) {
-	r.longTermTPOTError.add(d, usualGapWeight)
-	r.recentTPOTError.add(d, recentGapWeight)
+// observeTPOTError records the natural logarithm of the ratio of an observed to a predicted TPOT.
+func (r *Router) observeTPOTError(logError float64) {
+	r.longTermTPOTError.add(logError, longTermWeight)
+	r.recentTPOTError.add(logError, recentTPOTWeight)
 }
 
-func (r *Router) recordReport(e *engine, rep *Report) {
-	e.report = Report{clamp(rep.MemoryUsage, 2), clamp(rep.PrefillBacklog, 1000), clamp(rep.SlotUsage, 2)}
+// recordReport stores an engine's load report, within bounds, and restarts the count of unreported prefill
+// work.
+func (r *Router) recordReport(e *engine, report *Report) {
+	e.report = Report{
+		clamp(report.MemoryUsage, 2),
+		clamp(report.PrefillBacklog, 1000),
+		clamp(report.SlotUsage, 2),
+	}
 	e.reportAt = r.now
 	e.unreportedPrefill = 0
-	r.meanReport.blend(&e.report, 0.05)
+	r.meanReport.moveTowards(&e.report, 0.05)
 }
--- a/prefill_backlog.go
+++ b/prefill_backlog.go
@@ -1,124 +1,143 @@
 package standpoint
 
-// What an engine has yet to read, as the gateway that is its directory owner reckons it.
+// The prefill backlog of an engine: the prompts that it has not prefilled yet, as estimated by the gateway
+// that is its directory owner.
 
 import "math"
 
 const (
-	maxPending     = 512 // prompts that are counted as unread at one engine
-	pendingTimeout = 10 * second
-	readingSpan    = 3.0 // seconds over which the part of its time that an engine reads is taken
-	speedWeight    = 0.2 // of a sample in an engine's reading speed
-	minSpeedFactor = 0.2 // of the speed that is assumed at first, and the inverse the most
-	minSpeedTokens = 500 // read at once that show a speed
+	// maxPendingPrompts is the maximum number of prompts in one engine's backlog.
+	maxPendingPrompts = 512
+	// pendingPromptTimeout is the time after which a prompt whose end has not been reported is dropped.
+	pendingPromptTimeout = 10 * second
+	// prefillFractionSpan is the time constant in seconds over which an engine's prefill fraction is
+	// averaged.
+	prefillFractionSpan = 3.0
+	// prefillSpeedWeight is the weight of one sample in an engine's prefill speed.
+	prefillSpeedWeight = 0.2
+	// minPrefillSpeedFactor bounds a sample of the prefill speed, in multiples of assumedPrefillSpeed: it is
+	// the lower bound, and its inverse the upper bound.
+	minPrefillSpeedFactor = 0.2
+	// minSpeedSampleTokens is the minimum number of tokens prefilled together that make a sample of the
+	// speed.
+	minSpeedSampleTokens = 500
 )
 
-// assumedPrefillSpeed is how many prompt tokens a second an engine is taken to read until its speed is known.
-// It follows from the prior of the first-token time.
+// assumedPrefillSpeed is the prefill speed, in tokens per second, that is assumed of an engine until it is
+// known. It follows from the prior of the TTFT.
 var assumedPrefillSpeed = 1000 / ttftPrior[prefillBacklogFeature]
 
-// prefillBacklogFeature is the place of the unread tokens in a prediction's inputs.
+// prefillBacklogFeature is the index of the prefill backlog in a featureVector.
 const prefillBacklogFeature = 2
 
-// pendingPrompt is a prompt that an engine has been sent and is not known to have read.
+// pendingPrompt is a prompt that was sent to an engine and whose prefill is not known to have ended.
 type pendingPrompt struct {
-	gateway int
-	id      uint32
-	tokens  float64 // of it that the engine does not keep
-	at      int64
+	gateway        int     // ordinal of the gateway that sent it
+	requestID      uint32  // low 32 bits of the request's ID at that gateway
+	uncachedTokens float64 // prompt tokens that the engine does not have cached
+	sentAt         int64   // time at which it was recorded, in nanoseconds
 }
 
-// engineLoad is how an engine's directory owner describes its load.
+// engineLoad is an engine's load as estimated by its directory owner.
 type engineLoad struct {
-	wait    float64 // seconds until the turn of a prompt that comes now
-	reading float64 // part of its time that it reads prompts; it makes no tokens meanwhile
-	speed   float64 // tokens that it reads in a second
+	prefillDelay    float64 // seconds until the prefill of a prompt that arrives now begins
+	prefillFraction float64 // fraction of its time spent on prefill, during which it decodes no tokens
+	prefillSpeed    float64 // prompt tokens per second
 }
 
-// backlog is what an engine has yet to read, as its directory owner has it. Engines read first come first.
+// backlog is the prefill backlog of an engine at its directory owner. Engines prefill prompts in the order of
+// their arrival.
 type backlog struct {
-	prompts []pendingPrompt
-	since   int64   // the first of them has been read since then at the earliest
-	speed   float64 // tokens a second; 0: not known
-	busy    float64 // part of its time that it reads, over the latest busySpan seconds
-	busyAt  int64
+	prompts        []pendingPrompt // oldest first
+	headStartedAt  int64           // earliest time at which the prefill of the first prompt can have begun
+	prefillSpeed   float64         // tokens per second; 0: unknown
+	busyFraction   float64         // prefill fraction at busyFractionAt
+	busyFractionAt int64
 }
 
-func (b *backlog) rate() float64 {
-	if b.speed > 0 {
-		return b.speed
+// prefillSpeedOrDefault returns the prefill speed in tokens per second, or the assumed one if it is unknown.
+func (b *backlog) prefillSpeedOrDefault() float64 {
+	if b.prefillSpeed > 0 {
+		return b.prefillSpeed
 	}
 	return assumedPrefillSpeed
 }
 
-// load is what the directory owner tells of the engine.
+// load returns the engine's load as the directory owner sends it to other gateways.
 func (b *backlog) load(now int64) engineLoad {
-	return engineLoad{wait: b.wait(now), reading: b.reading(now), speed: b.rate()}
+	return engineLoad{
+		prefillDelay:    b.prefillDelay(now),
+		prefillFraction: b.prefillFraction(now),
+		prefillSpeed:    b.prefillSpeedOrDefault(),
+	}
 }
 
-// wait is how long, in seconds, a prompt that comes now waits for its turn.
-func (b *backlog) wait(now int64) float64 {
+// prefillDelay returns the time in seconds until the prefill of a prompt that arrives now begins.
+func (b *backlog) prefillDelay(now int64) float64 {
 	b.expire(now)
 	tokens := 0.0
 	for _, p := range b.prompts {
-		tokens += p.tokens
+		tokens += p.uncachedTokens
 	}
 	if len(b.prompts) > 0 {
-		tokens -= min(b.prompts[0].tokens, b.rate()*seconds(now-b.since))
+		tokens -= min(b.prompts[0].uncachedTokens, b.prefillSpeedOrDefault()*seconds(now-b.headStartedAt))
 	}
-	return max(0, tokens/b.rate())
+	return max(0, tokens/b.prefillSpeedOrDefault())
 }
 
-// expire drops prompts of which nobody has told an end.
+// expire drops the prompts whose end has not been reported within pendingPromptTimeout.
 func (b *backlog) expire(now int64) {
-	old := 0
-	for old < len(b.prompts) && now-b.prompts[old].at > pendingTimeout {
-		old++
+	expired := 0
+	for expired < len(b.prompts) && now-b.prompts[expired].sentAt > pendingPromptTimeout {
+		expired++
 	}
-	if old > 0 {
-		b.prompts = b.prompts[old:]
-		b.since = now
+	if expired > 0 {
+		b.prompts = b.prompts[expired:]
+		b.headStartedAt = now
 	}
 }
 
-// reading is the part of its time that the engine reads prompts, over the latest seconds. Nothing is made of
-// answers meanwhile.
-func (b *backlog) reading(now int64) float64 {
-	return b.busy * math.Exp(-seconds(now-b.busyAt)/readingSpan)
+// prefillFraction returns the fraction of its time that the engine has spent on prefill over the last
+// prefillFractionSpan seconds. It decodes no tokens during prefill.
+func (b *backlog) prefillFraction(now int64) float64 {
+	return b.busyFraction * math.Exp(-seconds(now-b.busyFractionAt)/prefillFractionSpan)
 }
 
+// add appends a prompt. A full backlog counts its prefill time, but does not store it.
 func (b *backlog) add(p pendingPrompt) {
-	b.busy = b.reading(p.at) + p.tokens/b.rate()/readingSpan
-	b.busyAt = p.at
+	b.busyFraction = b.prefillFraction(p.sentAt) +
+		p.uncachedTokens/b.prefillSpeedOrDefault()/prefillFractionSpan
+	b.busyFractionAt = p.sentAt
 	if len(b.prompts) == 0 {
-		b.since = p.at
+		b.headStartedAt = p.sentAt
 	}
-	if len(b.prompts) < maxPending {
+	if len(b.prompts) < maxPendingPrompts {
 		b.prompts = append(b.prompts, p)
 	}
 }
 
-// end takes a prompt out. One that was read shows that those before it were, and how fast.
-func (b *backlog) end(gateway int, id uint32, read bool, now int64) {
+// remove removes a prompt. If its prefill ended, so did that of all prompts before it: they are removed too,
+// and their tokens are a sample of the prefill speed.
+func (b *backlog) remove(gateway int, requestID uint32, prefilled bool, now int64) {
 	for i, p := range b.prompts {
-		if p.gateway != gateway || p.id != id {
+		if p.gateway != gateway || p.requestID != requestID {
 			continue
 		}
-		if !read {
+		if !prefilled {
 			b.prompts = append(b.prompts[:i], b.prompts[i+1:]...)
 			return
 		}
 		tokens := 0.0
-		for _, before := range b.prompts[:i+1] {
-			tokens += before.tokens
+		for _, earlier := range b.prompts[:i+1] {
+			tokens += earlier.uncachedTokens
 		}
-		if took := seconds(now - b.since); tokens >= minSpeedTokens && took > 0 {
-			sample := min(assumedPrefillSpeed/minSpeedFactor,
-				max(assumedPrefillSpeed*minSpeedFactor, tokens/took))
-			b.speed = b.rate() + speedWeight*(sample-b.rate())
+		if elapsed := seconds(now - b.headStartedAt); tokens >= minSpeedSampleTokens && elapsed > 0 {
+			sample := min(assumedPrefillSpeed/minPrefillSpeedFactor,
+				max(assumedPrefillSpeed*minPrefillSpeedFactor, tokens/elapsed))
+			b.prefillSpeed = b.prefillSpeedOrDefault() + prefillSpeedWeight*(sample-b.prefillSpeedOrDefault())
 		}
 		b.prompts = b.prompts[i+1:]
-		b.since = now
+		b.headStartedAt = now
 		return
 	}
 }
--- a/regression.go
+++ b/regression.go
@@ -1,116 +1,128 @@
 package standpoint
 
-// A windowed ridge regression. What goes into it, its priors and its buckets are router.go's.
+// Ridge regression over sliding windows of samples. The features, the priors and the buckets are defined in
+// prediction.go, featureCount, bucketDepth and priorWeight in router.go.
 
 import "math"
 
-// featureVector is what a prediction is made from: 1, memory held, unread tokens (thousands), slot share,
-// prompt length (thousands), its part not kept (prompt and match in one), own input tokens in flight
-// (thousands).
+// featureVector holds the inputs of a prediction: the constant 1, the memory usage, the prefill backlog in
+// thousands of tokens, the slot usage, the prompt's length in thousands of tokens, its uncached part in
+// thousands of tokens (which combines prompt length and match), and the input tokens in thousands that this
+// gateway has in flight at the engine.
 type featureVector [featureCount]float64
 
+// sample is one observation: the features x and the observed value y.
 type sample struct {
 	x featureVector
 	y float64
 }
 
+// bucket is a ring buffer of the latest samples of one regime.
 type bucket struct {
-	ring []sample
-	next int
+	samples []sample
+	next    int
 }
 
-// model is a ridge fit over coarse buckets, each a small sliding window, so that a regime not seen lately
-// is not forgotten. The ridge pulls towards base: the fleet's fit for a kind, the prior for the fleet.
+// model is a ridge regression over coarse buckets of samples. Each bucket is a small sliding window, so that
+// a regime that has not been seen recently is not forgotten. The ridge pulls the coefficients towards prior:
+// the fleet's fit for a kind's model, ttftPrior or tpotPrior for the fleet's.
 type model struct {
-	buckets         [10 * 4 * 3]bucket
-	base            featureVector
-	coef            featureVector
+	buckets         [10 * 4 * 3]bucket // indexed by bucketIndex
+	prior           featureVector      // coefficients that the ridge pulls towards
+	coefficients    featureVector
 	samplesSinceFit int
-	err             float64 // mean relative error
+	relativeError   float64 // running mean of the relative error of predictions
 }
 
+// init sets a model's coefficients to the prior.
 func (m *model) init(prior featureVector) {
-	m.base = prior
-	m.coef = prior
-	m.err = 0.5
+	m.prior = prior
+	m.coefficients = prior
+	m.relativeError = 0.5
 }
 
-func (m *model) at(x *featureVector) float64 {
-	var y, p float64
+// predict returns the predicted value, which is at least a tenth of what the prior predicts.
+func (m *model) predict(x *featureVector) float64 {
+	var prediction, priorPrediction float64
 	for i := range x {
-		y += m.coef[i] * x[i]
-		p += m.base[i] * x[i]
+		prediction += m.coefficients[i] * x[i]
+		priorPrediction += m.prior[i] * x[i]
 	}
-	return max(y, p/10, 1e-4)
+	return max(prediction, priorPrediction/10, 1e-4)
 }
 
+// add stores a sample, in place of the oldest one of its bucket once that is full, and updates the relative
+// error.
 func (m *model) add(x *featureVector, y float64) {
-	p := m.at(x)
-	m.err += 0.03 * (min(3, math.Abs(y-p)/p) - m.err)
-	b := &m.buckets[bucketOf(x)]
-	if len(b.ring) < bucketDepth {
-		b.ring = append(b.ring, sample{*x, y})
+	prediction := m.predict(x)
+	m.relativeError += 0.03 * (min(3, math.Abs(y-prediction)/prediction) - m.relativeError)
+	b := &m.buckets[bucketIndex(x)]
+	if len(b.samples) < bucketDepth {
+		b.samples = append(b.samples, sample{*x, y})
 	} else {
-		b.ring[b.next] = sample{*x, y}
+		b.samples[b.next] = sample{*x, y}
 		b.next = (b.next + 1) % bucketDepth
 	}
 	m.samplesSinceFit++
 }
 
-// fit solves the weighted ridge around base; samples count in inverse square of their base prediction, so
-// that long waits do not drown short ones. Load never makes a prediction smaller.
-func (m *model) fit(base featureVector) {
-	m.base = base
+// fit solves the weighted ridge regression around the prior. A sample's weight is the inverse square of the
+// prior's prediction for it, so that long times do not outweigh short ones. No coefficient becomes negative,
+// so that load never makes a prediction smaller.
+func (m *model) fit(prior featureVector) {
+	m.prior = prior
 	m.samplesSinceFit = 0
-	var a [featureCount][featureCount + 1]float64
+	var system [featureCount][featureCount + 1]float64
 	for bi := range m.buckets {
-		for _, s := range m.buckets[bi].ring {
-			var p float64
+		for _, s := range m.buckets[bi].samples {
+			var priorPrediction float64
 			for i := range s.x {
-				p += base[i] * s.x[i]
+				priorPrediction += prior[i] * s.x[i]
 			}
-			p = max(p, 1e-4)
-			w := 1 / (p * p)
+			priorPrediction = max(priorPrediction, 1e-4)
+			weight := 1 / (priorPrediction * priorPrediction)
 			for i := range s.x {
 				for j := range s.x {
-					a[i][j] += w * s.x[i] * s.x[j]
+					system[i][j] += weight * s.x[i] * s.x[j]
 				}
-				a[i][featureCount] += w * s.x[i] * (s.y - p)
+				system[i][featureCount] += weight * s.x[i] * (s.y - priorPrediction)
 			}
 		}
 	}
-	for i := range a { // a unit of ridge is a relative change of the coefficient's own size
-		unit := max(base[i], base[0]/20)
-		a[i][i] += priorWeight / (unit * unit)
+	for i := range system {
+		// The ridge penalizes a change of a coefficient relative to the coefficient's own size.
+		unit := max(prior[i], prior[0]/20)
+		system[i][i] += priorWeight / (unit * unit)
 	}
-	delta, ok := solve(&a)
+	delta, ok := solve(&system)
 	if !ok {
 		return
 	}
-	for i := range base {
-		m.coef[i] = max(0, base[i]+delta[i])
+	for i := range prior {
+		m.coefficients[i] = max(0, prior[i]+delta[i])
 	}
 }
 
-// solve runs Gauss-Jordan elimination; the ridge keeps the matrix positive definite.
-func solve(a *[featureCount][featureCount + 1]float64) (featureVector, bool) {
+// solve solves a system of linear equations by Gauss-Jordan elimination, and reports whether it has a finite
+// solution. The last column is the right-hand side. The ridge keeps the matrix positive definite.
+func solve(system *[featureCount][featureCount + 1]float64) (featureVector, bool) {
 	var x featureVector
-	for i := range a {
-		if !(a[i][i] > 1e-12) {
+	for i := range system {
+		if !(system[i][i] > 1e-12) {
 			return x, false
 		}
-		for j := range a {
+		for j := range system {
 			if j == i {
 				continue
 			}
-			f := a[j][i] / a[i][i]
+			factor := system[j][i] / system[i][i]
 			for k := i; k <= featureCount; k++ {
-				a[j][k] -= f * a[i][k]
+				system[j][k] -= factor * system[i][k]
 			}
 		}
 	}
-	for i := range a {
-		x[i] = a[i][featureCount] / a[i][i]
+	for i := range system {
+		x[i] = system[i][featureCount] / system[i][i]
 		if math.IsNaN(x[i]) || math.IsInf(x[i], 0) {
 			return x, false
 		}
--- a/router_test.go
+++ b/router_test.go
@@ -27,7 +27,7 @@
 		var sum float64
 		for range 200 {
 			x := draw()
-			sum += math.Abs(m.at(&x)-value(x)) / value(x) / 200
+			sum += math.Abs(m.predict(&x)-value(x)) / value(x) / 200
 		}
 		return sum
 	}
@@ -58,10 +58,10 @@
 		m.add(&usual, 0.2)
 	}
 	m.fit(ttftPrior)
-	if got := m.at(&rare); got < 2.5 {
+	if got := m.predict(&rare); got < 2.5 {
 		t.Fatalf("a regime seen earlier is predicted at %.2f s, was 4 s", got)
 	}
-	if got := m.at(&usual); math.Abs(got-0.2) > 0.08 {
+	if got := m.predict(&usual); math.Abs(got-0.2) > 0.08 {
 		t.Fatalf("the usual regime is predicted at %.2f s, is 0.2 s", got)
 	}
 }
@@ -831,7 +831,7 @@
 	a.Handle(0, list, nil)
 	b.Handle(0, list, nil)
 	first := looked(a)
-	if len(first) < sampleByKey || len(first) > sampleByKey+2*sampleByPrefix {
+	if len(first) < keySampleSize || len(first) > keySampleSize+2*prefixSampleSize {
 		t.Fatalf("%d engines are looked at", len(first))
 	}
 	for name := range looked(b) {
@@ -911,13 +911,13 @@
 	tick(r, now+5*second)
 	q := &request{Request: *newRequest(1, now+9*second)}
 	q.Prefix, q.PrefixTokens = 77, 500
-	if a.reportAt != 0 || a.slowness != 0 || a.tpotSlowness.n != 0 || a.errorRate != 0 || a.suspect ||
+	if a.reportAt != 0 || a.slowness != 0 || a.tpotSlowness.count != 0 || a.errorRate != 0 || a.suspect ||
 		r.match(q, a) != 0 {
 		t.Fatalf(
 			"told of the old process and held of the new: report %v, speed %v, drag %v, sour %v, suspect %v, match %v",
 			a.reportAt,
 			a.slowness,
-			a.tpotSlowness.n,
+			a.tpotSlowness.count,
 			a.errorRate,
 			a.suspect,
 			r.match(q, a),
--- a/sampling.go
+++ b/sampling.go
@@ -1,67 +1,73 @@
 package standpoint
 
-// Which engines of a large fleet are looked at for a request.
+// The sample of a large fleet's engines that is considered for a request.
 
 import (
 	"sort"
 )
 
 const (
-	sampleByKey    = 32 // engines of a larger one, by the request's key
-	sampleByPrefix = 8  // and by the key of its shared beginning
+	// keySampleSize is the number of engines taken from the ring that the request prefers, by the request's
+	// key.
+	keySampleSize = 32
+	// prefixSampleSize is the number of engines taken from the ring of all zones, by the request's key, and
+	// once more by its shared prefix.
+	prefixSampleSize = 8
 )
 
-// sampleEngines is the engines among which a request is weighed. Of a large fleet these follow its keys on
-// the rings of its pool, the same ones at every gateway; a session at home looks in its own zone first.
+// sampleEngines returns the engines that are considered for a request. In a fleet of more than maxFullScan
+// engines these are the ones that follow the request's keys on the rings of its pool, the same at every
+// gateway. If the session prefers the gateway's own zone, most are taken from that.
 func (r *Router) sampleEngines(q *request) []*engine {
 	if len(r.ready) <= maxFullScan {
 		return r.ready
 	}
 	r.sampleNumber++
 	r.sampled = r.sampled[:0]
-	r.addFromRing(ringKey{q.Pool, r.prefersOwnZone(q)}, q.key(), sampleByKey)
-	r.addFromRing(ringKey{q.Pool, false}, q.key(), sampleByPrefix)
+	r.addFromRing(ringKey{q.Pool, r.prefersOwnZone(q)}, q.key(), keySampleSize)
+	r.addFromRing(ringKey{q.Pool, false}, q.key(), prefixSampleSize)
 	if q.Prefix != 0 {
-		r.addFromRing(ringKey{q.Pool, false}, q.Prefix, sampleByPrefix)
+		r.addFromRing(ringKey{q.Pool, false}, q.Prefix, prefixSampleSize)
 	}
 	return r.sampled
 }
 
-// ringKey is where engines are looked for: a pool, 0 for all; in the own zone alone, or everywhere.
+// ringKey identifies a ring.
 type ringKey struct {
-	pool    int
-	ownZone bool
+	pool    int  // 0: all pools
+	ownZone bool // only the gateway's own zone, otherwise all zones
 }
 
-// rebuildRings puts the engines of a fleet that is not gone over whole on rings, by their hashes: one for
-// each pool and for all, everywhere and in the own zone.
+// rebuildRings updates the mean engine size and the own zone's fraction of the fleet's size. The engines of a
+// fleet of more than maxFullScan are put on rings, ordered by their hashes: one for each pool and one for all
+// pools, each for all zones and for the own zone.
 func (r *Router) rebuildRings() {
 	r.rings = map[ringKey][]*engine{}
-	var own, all float64
+	var ownZoneSize, totalSize float64
 	for _, e := range r.ready {
-		all += e.Size
+		totalSize += e.Size
 		if r.isInOwnZone(e) {
-			own += e.Size
+			ownZoneSize += e.Size
 		}
 	}
 	r.ownZoneFraction = 0
-	r.meanSize = all / max(1, float64(len(r.ready)))
-	if all > 0 {
-		r.ownZoneFraction = own / all
+	r.meanSize = totalSize / max(1, float64(len(r.ready)))
+	if totalSize > 0 {
+		r.ownZoneFraction = ownZoneSize / totalSize
 	}
 	if len(r.ready) <= maxFullScan {
 		return
 	}
-	add := func(at ringKey, e *engine) { r.rings[at] = append(r.rings[at], e) }
+	addToRing := func(key ringKey, e *engine) { r.rings[key] = append(r.rings[key], e) }
 	for _, e := range r.ready {
-		add(ringKey{}, e)
+		addToRing(ringKey{}, e)
 		if e.Pool != 0 {
-			add(ringKey{pool: e.Pool}, e)
+			addToRing(ringKey{pool: e.Pool}, e)
 		}
 		if r.isInOwnZone(e) {
-			add(ringKey{ownZone: true}, e)
+			addToRing(ringKey{ownZone: true}, e)
 			if e.Pool != 0 {
-				add(ringKey{e.Pool, true}, e)
+				addToRing(ringKey{e.Pool, true}, e)
 			}
 		}
 	}
@@ -70,17 +76,16 @@
 	}
 }
 
-// addFromRing adds to what is looked at the n engines of a ring that follow a key, but for those that are
-// there already.
-func (r *Router) addFromRing(at ringKey, key uint64, n int) {
-	ring := r.rings[at]
-	if len(ring) == 0 {
+// addFromRing adds to the sample the n engines of a ring that follow a key, except those that it has already.
+func (r *Router) addFromRing(ring ringKey, key uint64, n int) {
+	engines := r.rings[ring]
+	if len(engines) == 0 {
 		return
 	}
 	key = mix(key, ringSalt)
-	from := sort.Search(len(ring), func(i int) bool { return ring[i].hash >= key })
-	for i := range min(n, len(ring)) {
-		e := ring[(from+i)%len(ring)]
+	first := sort.Search(len(engines), func(i int) bool { return engines[i].hash >= key })
+	for i := range min(n, len(engines)) {
+		e := engines[(first+i)%len(engines)]
 		if e.sampleNumber != r.sampleNumber {
 			e.sampleNumber = r.sampleNumber
 			r.sampled = append(r.sampled, e)
@@ -88,4 +93,5 @@
 	}
 }
 
+// ringSalt makes a key's place on the rings independent of its other hashes.
 const ringSalt = 0x165667b19e3779f9
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -329,7 +329,7 @@
 			t.Fatalf("%s: %d out, %d waiting remain", e.Name, e.attemptsInFlight, len(e.unanswered))
 		}
 	}
-	if n := len(w.router.matchTable[0]) + len(w.router.matchTable[1]); n > 2*tableSize {
+	if n := len(w.router.matchTable[0]) + len(w.router.matchTable[1]); n > 2*matchTableSize {
 		t.Fatalf("match table of %d entries", n)
 	}
 }
@@ -441,10 +441,10 @@
 	q := newRequest(1, 5*second)
 	q.Class = 1
 	expect(t, feed(r, second, q), "send ")
-	r.sessionGain[0], r.ttftModels[0].coef[0] = 0.9, 7
+	r.sessionGain[0], r.ttftModels[0].coefficients[0] = 0.9, 7
 	set.Tenants[0].QuotaRPS = 5
 	r.UpdateSettings(set)
-	if r.sessionGain[0] != 0.9 || r.ttftModels[0].coef[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
+	if r.sessionGain[0] != 0.9 || r.ttftModels[0].coefficients[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
 		t.Fatal("what was learned is lost, or the new figure not taken")
 	}
 	set.Classes, set.Tenants, set.Kinds = set.Classes[:1], nil, 1
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -31,7 +31,7 @@
 	a := r.engines["a"]
 	quiet := &request{Request: *newRequest(1<<40, 9*second)}
 	r.recordCachedPrompt(quiet, a, quiet.PromptTokens)
-	for id := int64(1); id < tableSize/2; id++ {
+	for id := int64(1); id < matchTableSize/2; id++ {
 		q := &request{Request: *loud(id, 9*second)}
 		q.Prefix, q.PrefixTokens = uint64(id)<<20, 100
 		r.recordCachedPrompt(q, a, q.PromptTokens)
@@ -39,7 +39,7 @@
 	if r.match(quiet, a) != 1 {
 		t.Fatal("the quiet tenant's session is forgotten")
 	}
-	if n := len(r.matchTable[0]) + len(r.matchTable[1]); n > 2*tableSize {
+	if n := len(r.matchTable[0]) + len(r.matchTable[1]); n > 2*matchTableSize {
 		t.Fatalf("%d entries", n)
 	}
 }
