--- a/prediction.go
+++ b/prediction.go
@@ -106,7 +106,7 @@
 // features returns the inputs of a prediction for a request at an engine that has the fraction match of its
 // prompt cached. The uncached tokens are scaled to an engine of the assumed prefill speed.
 func (r *Router) features(q *request, e *engine, match float64) featureVector {
-	load := r.load(e)
+	load := r.estimatedLoad(e)
 	prompt := q.PromptTokens / 1000
 	uncached := prompt * (1 - match)
 	if r.hasRecentDirectoryLoad(e) {
@@ -204,10 +204,10 @@
 	r.recordCachedPrompt(a.request, a.engine, a.request.PromptTokens)
 }
 
-// load returns the estimated load of an engine: its latest report, which decays with age towards the fleet's
-// mean report, plus what this gateway has sent since then. The prefill backlog is replaced by that of the
-// engine's directory owner where it is recent.
-func (r *Router) load(e *engine) Report {
+// estimatedLoad returns the estimated load of an engine: its latest report, which decays with age towards the
+// fleet's mean report, plus what this gateway has sent since then. The prefill backlog is replaced by that of
+// the engine's directory owner where it is recent.
+func (r *Router) estimatedLoad(e *engine) Report {
 	load := r.meanReport
 	if e.reportAt != 0 {
 		age := seconds(r.now - e.reportAt)
