--- a/api.go
+++ b/api.go
@@ -1,172 +1,248 @@
-// Package standpoint decides where a gateway in front of LLM servers sends each request.
+// Package standpoint decides to which LLM server (engine) a gateway sends each request.
 //
-// A Router holds what one gateway knows. It has no clock, I/O, goroutine or global state: its caller
-// passes each event with the time, and carries out the returned actions. The same events, settings and
-// seed always give the same actions. A Router is not safe for concurrent use.
+// A Router holds the state of one gateway. It has no clock, I/O, goroutine or global state: its caller
+// passes each event with its time, and carries out the actions that are returned. The same events, settings
+// and seed always yield the same actions. A Router is not safe for concurrent use.
 package standpoint
 
-// Effect says what repeating a request may do.
+// Effect classifies requests by what executing one more than once may do.
 type Effect uint8
 
-// The effects that repeating a request may have.
+// The effects of a request.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped inside Group within Window
-	Unsafe               // may run once at the most
+	Safe   Effect = iota // may be executed any number of times
+	Keyed                // engines of the same Group drop a repeat that begins within Window
+	Unsafe               // may be executed at most once
 )
 
-// Group is the set of engines that drop each other's repeats of a keyed request.
+// Group is the scope within which engines deduplicate the repeats of a keyed request.
 type Group uint8
 
-// The scopes within which engines drop repeats of a keyed request.
+// The deduplication scopes of a keyed request.
 const (
-	GroupAll  Group = iota // all of the tier
-	GroupZone              // those of its zone
-	GroupCell              // those of its cell
+	GroupAll  Group = iota // all engines
+	GroupZone              // the engines of one zone
+	GroupCell              // the engines of one cell
 )
 
-// ReportMode says how load reports reach the gateway.
+// ReportMode says how engines' load reports reach the gateway.
 type ReportMode uint8
 
 // The ways in which load reports arrive.
 const (
-	ReportNone    ReportMode = iota // no reports
-	ReportReplies                   // with outcomes and probe results
+	ReportNone    ReportMode = iota // there are no load reports
+	ReportReplies                   // with the outcomes of attempts and with probe results
 	ReportProbes                    // with probe results only
 )
 
 // Class describes one class of requests. Times are in nanoseconds.
 type Class struct {
-	Effect                     Effect  `json:"Effect"`
-	Group                      Group   `json:"Group"`
-	Window                     int64   `json:"Window"`
-	Streamed                   bool    `json:"Streamed"`
-	TTFTObjective              int64   `json:"TTFTAim"`    // to the first token; not streamed: to the end
-	TTFTObjectivePer1000Tokens int64   `json:"AimPer1000"` // added to TTFTObjective for each 1,000 prompt tokens
-	TPOTObjective              int64   `json:"TPOTAim"`    // wanted gap between tokens; 0: none
-	ObjectiveStretch           float64 `json:"AimStretch"`
-	Deadline                   int64   `json:"Deadline"`
-	Weight                     float64 `json:"Worth"`
-	LateWeight                 float64 `json:"LateWorth"`
-	Description                string  `json:"Description"`
+	// Effect says whether requests of the class may be repeated.
+	Effect Effect `json:"Effect"`
+	// Group is the scope within which engines drop repeats of a keyed request.
+	Group Group `json:"Group"`
+	// Window is how long after an attempt was sent engines still drop a repeat of a keyed request.
+	Window int64 `json:"Window"`
+	// Streamed is set if responses arrive token by token.
+	Streamed bool `json:"Streamed"`
+	// TTFTObjective is the latency objective from arrival to the first token, or to the end of a response
+	// that is not streamed; 0 for none.
+	TTFTObjective int64 `json:"TTFTAim"`
+	// TTFTObjectivePer1000Tokens is added to TTFTObjective for each 1,000 prompt tokens.
+	TTFTObjectivePer1000Tokens int64 `json:"AimPer1000"`
+	// TPOTObjective is the objective for the time between two output tokens; 0 for none.
+	TPOTObjective int64 `json:"TPOTAim"`
+	// ObjectiveStretch comes from the settings; the Router does not use it.
+	ObjectiveStretch float64 `json:"AimStretch"`
+	// Deadline is how long after its arrival a request is given up. The Router uses Request.Deadline instead.
+	Deadline int64 `json:"Deadline"`
+	// Weight is the value of a request that meets its objectives, relative to requests of other classes.
+	Weight float64 `json:"Worth"`
+	// LateWeight is the value of a request that misses its TTFT objective. At 0 such a request is given up.
+	LateWeight float64 `json:"LateWorth"`
+	// Description is the name of the class in the settings; the Router does not use it.
+	Description string `json:"Description"`
 }
 
-// Tenant is one customer's agreed share of the service.
+// Tenant is one customer's agreed part of the service.
 type Tenant struct {
-	Share    float64 `json:"Share"`
-	QuotaRPS float64 `json:"QuotaRPS"` // across all gateways
+	// Share comes from the settings; the Router does not use it.
+	Share float64 `json:"Share"`
+	// QuotaRPS is the tenant's quota in requests per second over all gateways together; 0 for none.
+	QuotaRPS float64 `json:"QuotaRPS"`
 }
 
-// Settings is what a gateway is told at its start. Times are in nanoseconds.
+// Settings configures a Router. Times are in nanoseconds.
 type Settings struct {
-	Gateways, Ordinal    int // gateways in the tier, and this one's number
-	Zone, Zones, Kinds   int // own zone; numbers of zones and machine kinds
-	Classes              []Class
-	Tenants              []Tenant
-	OverQuotaWeight      float64
-	Reports              ReportMode
-	SubscribeDiscovery   bool // changes must be asked for
-	Resume               bool // broken streams continue elsewhere
-	SecondCopies         bool
-	Cancel               bool
-	Probes               bool
-	Peers                bool
-	RetryAfter           bool
-	MaxRetryAfter        int64
-	MaxAttempts          int
-	Tick                 int64 // shortest time between two batches of events
-	DiscoveryTimeout     int64
-	DrainGrace           int64
-	WarmUp               int64
-	OverloadWindow       int64
-	ColdCapacityFraction float64 // capacity a starting engine has at the least
-	OverloadFactor       float64
-	CrossZonePrice       float64
-	ProbePrice           float64
-	PeerPrice            float64
-	WastePrice           float64
-	LateFailPrice        float64
+	// Gateways is the number of gateways in the tier; Ordinal is the number of this one, counted from 0.
+	Gateways, Ordinal int
+	// Zone is the gateway's own zone. Zones and Kinds are the numbers of zones and of machine kinds.
+	Zone, Zones, Kinds int
+	// Classes are the request classes, indexed by Request.Class.
+	Classes []Class
+	// Tenants are the customers, indexed by Request.Tenant.
+	Tenants []Tenant
+	// OverQuotaWeight is the weight of a request beyond its tenant's quota, relative to one within it.
+	OverQuotaWeight float64
+	// Reports says how load reports arrive.
+	Reports ReportMode
+	// SubscribeDiscovery is set if discovery reports changes to subscribers only.
+	SubscribeDiscovery bool
+	// Resume is set if a client can have the rest of a broken stream from another gateway. The Router does
+	// not use it.
+	Resume bool
+	// SecondCopies allows a second attempt of a request while another one is in flight (hedging).
+	SecondCopies bool
+	// Cancel allows attempts to be cancelled.
+	Cancel bool
+	// Probes allows engines to be probed.
+	Probes bool
+	// Peers allows messages between the gateways.
+	Peers bool
+	// RetryAfter allows a rejection to name the time after which the client should retry.
+	RetryAfter bool
+	// MaxRetryAfter is the longest such time.
+	MaxRetryAfter int64
+	// MaxAttempts is the number of attempts that a request may have in all; less than 1 counts as 1.
+	MaxAttempts int
+	// Tick is the shortest time between two batches of events.
+	Tick int64
+	// DiscoveryTimeout is the time within which discovery has to be queried again. It also bounds how long a
+	// recovered engine is taken to have restarted without discovery reporting a start.
+	DiscoveryTimeout int64
+	// DrainGrace is how long after an engine was reported as draining or gone attempts may still reach it.
+	// The Router does not use it: it sends nothing from the report on.
+	DrainGrace int64
+	// WarmUp is how long after its start an engine has less than its full capacity.
+	WarmUp int64
+	// OverloadWindow is the span over which the load of a starting engine is measured against its capacity.
+	OverloadWindow int64
+	// ColdCapacityFraction is the fraction of its full capacity that an engine has at its start. It grows
+	// linearly to 1 over WarmUp.
+	ColdCapacityFraction float64
+	// OverloadFactor is the multiple of its present capacity from which a starting engine is overloaded.
+	OverloadFactor float64
+	// CrossZonePrice is the price of sending a request to another zone; 0 if that is free.
+	CrossZonePrice float64
+	// ProbePrice is the price of a probe; the Router does not use it.
+	ProbePrice float64
+	// PeerPrice is the price of a message between gateways; the Router does not use it.
+	PeerPrice float64
+	// WastePrice is the price of work done in vain; the Router does not use it.
+	WastePrice float64
+	// LateFailPrice is the price of a late failure; the Router does not use it.
+	LateFailPrice float64
 }
 
-// State is an engine's place in its life, as discovery tells it.
+// State is an engine's state in discovery.
 type State uint8
 
 // The states of an engine.
 const (
-	Ready    State = iota // takes requests
-	Draining              // finishes what it has
-	Gone                  // not listed any more
+	Ready    State = iota // accepts requests
+	Draining              // finishes the requests it has, accepts no new ones
+	Gone                  // no longer listed
 )
 
-// Engine is one entry of discovery's list.
+// Engine is an LLM server as discovery lists it.
 type Engine struct {
-	Name       string
-	Zone       int
-	Kind       int
-	Cell       int
-	State      State
-	Size       float64 // registered size, no unit
-	ReadyAt    int64   // last start; 0: long ago
-	Pool       int     // 0: none
-	Reinstated bool    // put back by hand, as started then: wanted in use again soon
-	Stale      bool    // last heard of long ago, and not told anew: tried last
+	// Name identifies the engine, such as its address.
+	Name string
+	// Zone is the number of the engine's zone, Kind that of its machine kind.
+	Zone int
+	Kind int
+	// Cell is the number of the deduplication cell that the engine belongs to; see GroupCell.
+	Cell int
+	// State says whether the engine accepts requests.
+	State State
+	// Size is the registered capacity relative to other engines; it has no unit.
+	Size float64
+	// ReadyAt is when the engine's process started, in nanoseconds of the time passed to Handle; 0 if that is
+	// long ago. A new value stands for a new process.
+	ReadyAt int64
+	// Pool is the number of the engine's pool; 0 for none.
+	Pool int
+	// Reinstated is set if an operator put the engine back into service. ReadyAt is then at or after that
+	// time, and the engine is preferred until it has been sent an attempt.
+	Reinstated bool
+	// Stale is set if the entry expired without being confirmed. Such an engine is used only if there is no
+	// other.
+	Stale bool
 }
 
 // Report is an engine's load report.
 type Report struct {
-	MemoryUsage    float64 `json:"Memory"` // share of memory held by running requests
-	PrefillBacklog float64 `json:"Unread"` // thousands of prompt tokens not yet read
-	SlotUsage      float64 `json:"Slots"`  // share of slots in use
+	// MemoryUsage is the fraction of memory that running requests hold.
+	MemoryUsage float64 `json:"Memory"`
+	// PrefillBacklog is the number of prompt tokens still to be prefilled, in thousands.
+	PrefillBacklog float64 `json:"Unread"`
+	// SlotUsage is the fraction of slots in use.
+	SlotUsage float64 `json:"Slots"`
 }
 
-// Event is something the gateway observed; one of the pointer types below.
+// Event is something the gateway observed: a pointer to one of the event types below.
 type Event interface{ event() }
 
-// ListKind tells how to read an EngineList.
+// ListKind says how to apply an EngineList.
 type ListKind uint8
 
-// The kinds of endpoint lists.
+// The kinds of engine lists.
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // everything; an engine absent from it is gone
-	ListFailed                 // a discovery call failed; no entries
+	ListFull                   // all entries: an engine absent from the list is gone
+	ListFailed                 // a discovery call failed: there are no entries
 )
 
-// EngineList is discovery's news.
+// EngineList is an update from discovery.
 type EngineList struct {
-	Kind    ListKind
+	// Kind says what the entries stand for.
+	Kind ListKind
+	// Engines are the entries.
 	Engines []Engine
 }
 
-// Request is a client's try that has arrived and is owed one final answer.
+// Request is a client's request that has arrived. It is owed exactly one final answer.
 type Request struct {
-	ID           int64
-	Deadline     int64
-	Class        int
-	Tenant       int
-	Session      uint64 // 0: none
-	Prefix       uint64 // shared beginning; 0: none
+	// ID identifies the request at this gateway; it is below 2^52.
+	ID int64
+	// Deadline is when the request is given up, in nanoseconds of the time passed to Handle.
+	Deadline int64
+	// Class is an index into Settings.Classes. A request of an unknown class counts as Unsafe.
+	Class int
+	// Tenant is an index into Settings.Tenants; any other value means that the tenant is not known.
+	Tenant int
+	// Session is a hash that identifies the conversation; 0 for none.
+	Session uint64
+	// Prefix is a hash of the beginning that the prompt shares with other sessions; 0 for none.
+	Prefix uint64
+	// PromptTokens is the length of the prompt.
 	PromptTokens float64
+	// PrefixTokens is the length of the shared prefix.
 	PrefixTokens float64
-	MaxTokens    float64
-	Retry        bool
-	Resumed      bool
-	Pool         int // where it belongs; 0: anywhere
+	// MaxTokens is the largest number of output tokens that the request allows.
+	MaxTokens float64
+	// Retry is set if the client said that it repeats an earlier request. The Router does not use it.
+	Retry bool
+	// Resumed is set if the client asks for the rest of a response that broke off.
+	Resumed bool
+	// Pool is the pool that the request is assigned to; 0 for any. If no engine of it can be used, another
+	// pool's is.
+	Pool int
 }
 
-// OutcomeCode is how an attempt ended.
+// OutcomeCode says how an attempt ended.
 type OutcomeCode uint8
 
 // The outcomes of an attempt.
 const (
-	Served         OutcomeCode = iota // whole
-	ServerError                       // answered as failed; it may have run
-	Rejected                          // rejected unseen: it never ran
-	NoAnswer                          // none in time; it may run yet
-	NoConnection                      // none came up: it never ran
-	ConnectionLost                    // after the request was written; it may have run
-	Cancelled                         // given up by this node
-	NotSent                           // nothing of it was
+	Served         OutcomeCode = iota // the response is complete
+	ServerError                       // an error response: the request may have run
+	Rejected                          // rejected without being processed: it never ran
+	NoAnswer                          // no response in time: it may have run, or may run yet
+	NoConnection                      // no connection could be opened: it never ran
+	ConnectionLost                    // the connection broke after the request was written: it may have run
+	Cancelled                         // the gateway cancelled the attempt
+	NotSent                           // nothing was sent: it never ran
 )
 
 var codeNames = [...]string{
@@ -180,7 +256,7 @@
 	"not_sent",
 }
 
-// String is the code's name on the wire and in logs.
+// String returns the code's name on the wire and in logs.
 func (c OutcomeCode) String() string {
 	if int(c) >= len(codeNames) {
 		return "unknown"
@@ -191,57 +267,81 @@
 // NeverRan reports whether the code proves that the attempt had no effect.
 func (c OutcomeCode) NeverRan() bool { return c == Rejected || c == NoConnection || c == NotSent }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
-	Request       int64
-	Attempt       int
-	Last          bool // the request is over
-	Code          OutcomeCode
-	CachedTokens  float64 // prompt tokens the engine still held, with Served
-	OutputTokens  float64 // of the answer, with Served; 0: not told
-	Engine        string
-	Elapsed       int64
-	ClientStalled bool // the client was slow to take the answer: Elapsed says nothing of the engine
-	Report        *Report
-	LocalFault    bool // it failed for a shortage of this gateway's own machine: it says nothing of the engine
+	// Request is the ID of the request.
+	Request int64
+	// Attempt is the attempt's number within its request, counted from 0.
+	Attempt int
+	// Last is set if the request itself is over too.
+	Last bool
+	// Code says how the attempt ended.
+	Code OutcomeCode
+	// CachedTokens is the number of prompt tokens that the engine had cached, if Code is Served.
+	CachedTokens float64
+	// OutputTokens is the length of the response if Code is Served; 0 if it is not known.
+	OutputTokens float64
+	// Engine is the name of the engine.
+	Engine string
+	// Elapsed is the time since the attempt was sent, in nanoseconds.
+	Elapsed int64
+	// ClientStalled is set if the client was slow to take the response, so that Elapsed is no evidence of the
+	// engine's speed.
+	ClientStalled bool
+	// Report is the engine's load report; nil if none came with the response.
+	Report *Report
+	// LocalFault is set if the attempt failed because this gateway's machine lacked a resource, so that it is
+	// no evidence against the engine.
+	LocalFault bool
 }
 
-// FirstToken tells that an attempt's answer has begun.
+// FirstToken reports that the response to an attempt has begun.
 type FirstToken struct {
+	// Request and Attempt identify the attempt.
 	Request int64
 	Attempt int
+	// Elapsed is the time since the attempt was sent, in nanoseconds.
 	Elapsed int64
 }
 
-// ClientDisconnected tells that a client has gone; nothing more is owed.
+// ClientDisconnected reports that the client of a request, named by its ID, has disconnected. The request is
+// owed no answer any more.
 type ClientDisconnected struct{ Request int64 }
 
 // ProbeResult is the result of a probe.
 type ProbeResult struct {
-	Engine  string
-	OK      bool
+	// Engine is the name of the engine.
+	Engine string
+	// OK is set if the engine responded.
+	OK bool
+	// Elapsed is how long the probe took, in nanoseconds.
 	Elapsed int64
-	Report  *Report
+	// Report is the engine's load report; nil if none came with the response.
+	Report *Report
 }
 
-// Suspicion is that other gateways' evidence speaks against an engine's process. At is the latest of it: a
-// sign of life since then outweighs it.
+// Suspicion is evidence of other gateways against one process of an engine.
 type Suspicion struct {
+	// Engine is the name of the engine, and ReadyAt the start of the process.
 	Engine  string
 	ReadyAt int64
-	At      int64
+	// At is the time of the latest evidence, in nanoseconds. A later sign of life that this gateway saw
+	// outweighs it.
+	At int64
 }
 
-// Advice is what the gateways have seen of the engines together, for this one to weigh.
+// Advice is the shared evidence of all gateways about the engines, which the Router weighs against its own.
 type Advice struct{ Suspicions []Suspicion }
 
-// PeerMessage is what another gateway of the tier sent.
+// PeerMessage is a message from another gateway of the tier.
 type PeerMessage struct {
+	// From is the sender's ordinal.
 	From int
+	// Data is the message in base64.
 	Data string
 }
 
-// TimerFired is a timer that came due.
+// TimerFired reports that a timer, named by the token of its Timer action, expired.
 type TimerFired struct{ Token int64 }
 
 func (*EngineList) event()         {}
@@ -254,31 +354,42 @@
 func (*Advice) event()             {}
 func (*TimerFired) event()         {}
 
-// ActionKind names what is to be done.
+// ActionKind says what an Action asks for.
 type ActionKind uint8
 
-// The actions that a Router asks for.
+// The actions that a Router asks for, and the fields of Action that each uses.
 const (
-	Send      ActionKind = iota // start an attempt: Request, Engine, Until
-	Cancel                      // stop waiting for one: Request, Attempt
-	Shed                        // final answer, harmless to retry: Request, Wait
-	Fail                        // final answer, no promise: Request
-	Timer                       // fire Token after Wait
-	Probe                       // ask Engine for its state
-	Subscribe                   // ask discovery for changes
-	SendPeer                    // send Data to gateway Peer
+	Send      ActionKind = iota // start an attempt: Request, Engine, Deadline, StartBefore
+	Cancel                      // cancel an attempt: Request, Attempt
+	Shed                        // final answer, a rejection that is safe to retry: Request, Wait
+	Fail                        // final answer, a failure that may not be safe to retry: Request
+	Timer                       // report TimerFired with Token after Wait
+	Probe                       // probe Engine for its load report
+	Subscribe                   // subscribe to discovery's changes
+	SendPeer                    // send Data to the gateway Peer
 )
 
-// Action is one thing for the caller to carry out; unused fields are zero.
+// Action is one thing for the caller to carry out. Fields that its kind does not use are zero.
 type Action struct {
-	Kind        ActionKind
-	Request     int64
-	Attempt     int
-	Engine      string
-	Deadline    int64
-	StartBefore int64 // Send: may not begin from then on; 0: until Until
-	Wait        int64
-	Token       int64
-	Peer        int
-	Data        string
+	// Kind says what to do.
+	Kind ActionKind
+	// Request is the ID of the request.
+	Request int64
+	// Attempt is the attempt's number within its request, counted from 0.
+	Attempt int
+	// Engine is the name of the engine.
+	Engine string
+	// Deadline is when an attempt is given up, in nanoseconds of the time passed to Handle.
+	Deadline int64
+	// StartBefore is the time from which an attempt may no longer begin; 0 if only Deadline bounds it.
+	StartBefore int64
+	// Wait is the delay of a timer, or the time after which a client should retry (0: not stated), in
+	// nanoseconds.
+	Wait int64
+	// Token identifies a timer.
+	Token int64
+	// Peer is the ordinal of the gateway that a message goes to.
+	Peer int
+	// Data is a message to another gateway, in base64.
+	Data string
 }
--- a/router.go
+++ b/router.go
@@ -1,11 +1,11 @@
 package standpoint
 
-// The Router takes events and hands them to the code that decides on them. The files, in reading order:
-// discovery.go (the endpoint list), request.go (a request's attempts), admission.go (load shedding),
-// eligibility.go (what may be sent), slow_start.go, placement.go with sampling.go (choosing a backend),
-// affinity.go (cached prompts), directory.go and prefill_backlog.go (the load directory), prediction.go
-// with regression.go, health.go, probes.go and unreported_load.go. Events, actions and settings are in
-// api.go; state.go says what is remembered.
+// The Router passes each event to the code that decides on it. The files, in reading order: discovery.go (the
+// engine list), request.go (the attempts of a request), admission.go (load shedding), eligibility.go (what
+// may be sent), slow_start.go, placement.go with sampling.go (choosing an engine), affinity.go (cached
+// prompts), directory.go and prefill_backlog.go (the load directory), prediction.go with regression.go,
+// health.go, probes.go and unreported_load.go. Events, actions and settings are in api.go, the state is in
+// state.go.
 
 import (
 	"math/rand/v2"
@@ -16,35 +16,40 @@
 	ms     = int64(1e6)
 	second = int64(1e9)
 
-	maxFullScan          = 64      // a fleet up to this size is gone over whole for each request
-	maxRankedRequests    = 64      // requests that a new one's worth for its work is ranked among
-	metObjectivesPerMiss = 4.0     // objectives met that undo one missed
-	shedFractionDecay    = 0.15    // fall of the refused part in a second
-	tickInterval         = 50 * ms // pace of the health, probe and queue rounds
-	bucketDepth          = 10      // samples kept in one bucket
-	maxRetryBudget       = 2.0     // and how many may come at once
-	maxShedForHedging    = 0.1     // refused part from which no second copies are sent
+	maxFullScan          = 64      // largest fleet of which every engine is considered for each request
+	maxRankedRequests    = 64      // latest requests among which a new one is ranked by value density
+	metObjectivesPerMiss = 4.0     // met objectives that offset one missed objective
+	shedFractionDecay    = 0.15    // fall of the shed fraction per second
+	tickInterval         = 50 * ms // interval of the periodic checks of health, queue and probes
+	bucketDepth          = 10      // samples in one bucket of a model
+	maxRetryBudget       = 2.0     // retries that may be made at once, over all requests
+	maxShedForHedging    = 0.1     // shed fraction above which no second copies are sent
 
-	initialTPOT         = 0.03 // seconds; first guess of the token gap where no class has an objective
-	initialTPOTFraction = 0.6  // else this part of the tightest objective, which a healthy fleet keeps
-	featureCount        = 7    // see features
-	priorWeight         = 2.0  // ridge strength, in samples of ordinary size
-	sessionSalt         = 0x9e3779b97f4a7c15
-	prefixSalt          = 0xc2b2ae3d27d4eb4f
+	initialTPOT = 0.03 // seconds; initial time between two tokens if no class has an objective for it
+	// initialTPOTFraction is the fraction of the tightest objective, one that a healthy fleet meets, that is
+	// the initial time between two tokens otherwise.
+	initialTPOTFraction = 0.6
+	featureCount        = 7   // length of a featureVector
+	priorWeight         = 2.0 // strength of the ridge regression's prior, in samples of ordinary size
+
+	// Salts keep hashes of the same number for different purposes apart.
+	sessionSalt = 0x9e3779b97f4a7c15
+	prefixSalt  = 0xc2b2ae3d27d4eb4f
 )
 
-// Timer tokens: request id times tokenStep plus one of these. Ids stay below 2^52.
+// Kinds of timers. The token of a request's timer is the request's ID times tokenStep plus one of these, that
+// of the periodic timer tokenTick alone. IDs are below 2^52.
 const (
-	tokenTick = iota
-	tokenExpire
-	tokenConsult
-	tokenStep = 4
+	tokenTick    = iota // the periodic checks
+	tokenExpire         // a request's deadline
+	tokenConsult        // the end of a request's wait for the directory
+	tokenStep    = 4
 )
 
-// New returns a router for one gateway.
+// New returns the router of one gateway. The seed determines its random choices.
 func New(settings Settings, seed int64) *Router {
-	classes := len(settings.Classes) + 1 // the last one stands for requests of an unknown class
-	kinds := settings.Kinds + 1          // the last one stands for the whole fleet
+	classes := len(settings.Classes) + 1 // the last one is for requests of an unknown class
+	kinds := settings.Kinds + 1          // the last one is for the whole fleet
 	r := &Router{
 		settings:           settings,
 		rng:                rand.New(rand.NewPCG(uint64(seed), sessionSalt)),
@@ -64,8 +69,8 @@
 		classTPOTRatios:    make([]mean, classes),
 		baseTPOT:           initialTPOT,
 	}
-	if aim := r.tightestTPOTObjective(); aim > 0 {
-		r.baseTPOT = initialTPOTFraction * aim
+	if objective := r.tightestTPOTObjective(); objective > 0 {
+		r.baseTPOT = initialTPOTFraction * objective
 	}
 	r.matchTable[0], r.matchTable[1] = map[uint64]matchEntry{}, map[uint64]matchEntry{}
 	for i := range r.ttftModels {
@@ -75,12 +80,13 @@
 	return r
 }
 
-// Handle takes one event and appends what is to be done about it to actions.
+// Handle processes one event, which happened at now in nanoseconds, and appends the resulting actions to
+// actions.
 func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
-	if !r.ticking {
-		r.ticking = true
+	if !r.tickScheduled {
+		r.tickScheduled = true
 		r.emit(Action{Kind: Timer, Wait: tickInterval + r.rng.Int64N(tickInterval), Token: tokenTick})
 	}
 	switch ev := event.(type) {
@@ -112,6 +118,7 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
+// onTimer handles a timer: the periodic one, the end of a request's wait for the directory, or its deadline.
 func (r *Router) onTimer(token int64) {
 	if q := r.requests[token/tokenStep]; token == tokenTick {
 		r.tick()
@@ -122,6 +129,7 @@
 	}
 }
 
+// tick makes the periodic checks and schedules the next.
 func (r *Router) tick() {
 	r.emit(Action{Kind: Timer, Wait: tickInterval, Token: tokenTick})
 	r.subscribe()
--- a/state.go
+++ b/state.go
@@ -1,143 +1,237 @@
 package standpoint
 
-// What a router remembers. Nothing in this file decides.
+// The state of a router and of its engines. Nothing in this file decides.
 
 import (
 	"math"
 	"math/rand/v2"
 )
 
+// engine is what this gateway knows about one process of an engine. Times are in nanoseconds; "own" means
+// by this gateway.
 type engine struct {
 	Engine
-	hash                uint64
-	notReady            bool  // listed as draining or gone
-	firstSeenAt         int64 // first heard of
-	report              Report
-	reportAt            int64   // 0: none yet
-	unreportedPrefill   float64 // own sends since the report, not kept and not yet read
+	// hash is the hash of the name.
+	hash uint64
+	// notReady is set while the engine is listed as draining or gone.
+	notReady bool
+	// firstSeenAt is when this process was first listed, or responded again after it was unreachable. What
+	// was recorded of its prompt cache before does not hold.
+	firstSeenAt int64
+	// report is the latest load report, and reportAt the time that it arrived; 0 if there is none yet.
+	report   Report
+	reportAt int64
+	// unreportedPrefill is the number of uncached prompt tokens, sent here by own attempts since the latest
+	// report, that were taken to be still unread at unreportedPrefillAt.
+	unreportedPrefill   float64
 	unreportedPrefillAt int64
-	attemptsInFlight    int        // own attempts out
-	tokensInFlight      float64    // own input tokens in flight
-	slowness            float64    // log of observed over predicted time
-	unanswered          []*attempt // own attempts without a sign of life, oldest first
-	lastSignOfLife      int64      // last sign of life
-	suspect             bool
-	unreachable         bool    // found down, not only slow
-	unreachableSince    int64   // since when
-	recoveredAt         int64   // when it answered again after that; 0: it has not
-	tpotSlowness        mean    // log of told over predicted token gap
-	errorRate           float64 // share of errors and rejections among its latest answers
-	// When its start was heard of, where the clocks that tell it cannot be right; 0: they may be.
-	substituteStart   int64
-	lastTrialAt       int64
-	wastedWait        float64 // seconds that attempts waited in vain, of late
-	wastedWaitAt      int64   // when the latest of them ended
-	reinstated        bool    // put back by hand and not in use since
-	slowStartBudget   float64 // requests the cold budget allows now
+	// attemptsInFlight is the number of own attempts in flight, tokensInFlight that of their prompt tokens.
+	attemptsInFlight int
+	tokensInFlight   float64
+	// slowness is a moving average of the logarithm of the observed over the predicted time to the first
+	// token.
+	slowness float64
+	// unanswered are own attempts to which the engine has not responded, oldest first.
+	unanswered []*attempt
+	// lastSignOfLife is when the engine last responded in any way: first token, response, error or probe.
+	lastSignOfLife int64
+	// suspect is set while the engine is excluded except for trials.
+	suspect bool
+	// unreachable is set if a connection could not be opened to the engine, or if its whole zone counts as
+	// lost; unreachableSince is when that began.
+	unreachable      bool
+	unreachableSince int64
+	// recoveredAt is when it first responded after it was unreachable; 0 if it never did.
+	recoveredAt int64
+	// tpotSlowness is the mean logarithm of the measured over the predicted time between two tokens.
+	tpotSlowness mean
+	// errorRate is the fraction of errors and rejections among the latest responses.
+	errorRate float64
+	// substituteStart replaces ReadyAt where that is implausible because clocks disagree: it is when the
+	// start was first reported. 0 if ReadyAt holds.
+	substituteStart int64
+	// lastTrialAt is when the latest attempt was sent, or when the engine became suspect if that was later.
+	lastTrialAt int64
+	// wastedWait is how long, in seconds, recent attempts waited here without getting a first token, and
+	// wastedWaitAt when the latest of them ended.
+	wastedWait   float64
+	wastedWaitAt int64
+	// reinstated is set if an operator put the engine back into service and no own attempt was sent since.
+	reinstated bool
+	// slowStartBudget is the number of requests that slow start allowed at slowStartBudgetAt; that time is 0
+	// if the engine is not in slow start.
+	slowStartBudget   float64
 	slowStartBudgetAt int64
-	backlog           backlog    // where this gateway is its directory owner
-	directoryLoad     engineLoad // as its directory owner told
-	directoryLoadAt   int64
-	probing           bool
-	probedAt          int64
-	sampleNumber      uint64 // the sample that it was last taken into
+	// backlog is the engine's prefill backlog; it is tracked if this gateway is the engine's directory owner.
+	backlog backlog
+	// directoryLoad is the load that the directory owner last reported, and directoryLoadAt when; 0 if never.
+	directoryLoad   engineLoad
+	directoryLoadAt int64
+	// probing is set while a probe is in flight; probedAt is when the latest one was sent.
+	probing  bool
+	probedAt int64
+	// sampleNumber is the number of the latest sample that includes the engine; see sampleEngines.
+	sampleNumber uint64
 }
 
-// Router is one gateway's decisions.
+// Router makes the decisions of one gateway.
 type Router struct {
-	settings           Settings
-	rng                *rand.Rand
-	now                int64
-	actions            []Action
-	engines            map[string]*engine
-	ready              []*engine           // listed ready, by name
-	enginesByShortHash map[uint32]*engine  // of messages between gateways
-	directoryAnswerAt  int64               // when a directory owner last told something
-	meanPrefillBurden  mean                // parts of objectives that the reading of prompts takes
-	silentOwners       map[int]int64       // directory owners that did not answer, and when
-	awaitingDirectory  map[uint32]*request // for directory owners' answers
-	rings              map[ringKey][]*engine
-	unreachableByZone  map[int]int // by zone: engines that could not be reached since its last sign of life
-	ownZoneFraction    float64     // of the ready engines' size, in the own zone
-	meanSize           float64     // of the ready engines
-	listsReceived      int         // that discovery has told
-	lastListAt         int64       // when it told the latest
-	fleetWarmUpEnd     int64       // when the last of those that are known to have started is warm
-	sampleNumber       uint64      // number of the latest sample
-	sampled            []*engine
-	candidates         []candidate // kept for their room, as all is
-	options            []option
-	sharedFault        bool
-	sharedFaultAt      int64
-	requests           map[int64]*request
-	queued             []*request
-	usualReadyCount    float64 // ready engines of late: their number, or what it was, slowly fading
-	usualReadyAt       int64
-	tenants            []tenantRate
-	unknownTenant      tenantRate // in place of one that cannot be told from the others
-	ticking            bool
-	subscribeAt        int64
-	failedSubscribes   int64 // failed discovery calls in a row
-	subscribed         bool
-	retryBudget        float64
-	requestRate        float64 // own requests taken on, each second
-	requestRateAt      int64
-	firstRequestAt     int64  // when the first request came
-	meanReport         Report // mean of the reports heard
-	matchTable         [2]map[uint64]matchEntry
-	flushAt            int64
-	matchShortfalls    int
-	matchTrust         float64 // kept over expected, of table entries
-	sessionGain        []float64
-	ttftModels         []model // per kind; the last is the fleet's
-	tpotModels         []model
-	classTPOTRatios    []mean // log of decode time over the answer limit, per class
-	longTermTPOTError  mean
-	streams            int     // own streams running
-	expectedStreams    float64 // and how many would be if streams took their usual time
-	expectedStreamsAt  int64
-	usualStreamExcess  mean
-	decodeTime         mean // seconds from first token to last
-	recentTPOTError    mean
-	outputLengthsKnown bool // answers' lengths are told
-	// Token gap at a load factor of 1, seconds: the pace of answers that run to their limit.
-	baseTPOT             float64
-	recentValueDensities []float64 // densities of the latest requests
+	settings Settings
+	rng      *rand.Rand
+	// now is the time of the latest event, in nanoseconds like all times here.
+	now int64
+	// actions collects what the event being handled asks for.
+	actions []Action
+	// engines are all engines that are listed or still have an attempt in flight, by name.
+	engines map[string]*engine
+	// ready are the engines that are listed as ready, sorted by name.
+	ready []*engine
+	// enginesByShortHash finds the engine that a message between gateways is about.
+	enginesByShortHash map[uint32]*engine
+	// directoryAnswerAt is when a directory owner last reported an engine's load; 0 if never.
+	directoryAnswerAt int64
+	// meanPrefillBurden is the mean fraction of a request's latency objective that reading its prompt takes.
+	meanPrefillBurden mean
+	// silentOwners are the directory owners that failed to answer, each with the time of that.
+	silentOwners map[int]int64
+	// awaitingDirectory are the requests that wait for directory owners, by the low 32 bits of their IDs.
+	awaitingDirectory map[uint32]*request
+	// rings are the ready engines of a large fleet in the order of their hashes; see rebuildRings.
+	rings map[ringKey][]*engine
+	// unreachableByZone counts the engines of each zone that were found unreachable since an engine of that
+	// zone last responded.
+	unreachableByZone map[int]int
+	// ownZoneFraction is the own zone's fraction of the ready engines' total size.
+	ownZoneFraction float64
+	// meanSize is the mean size of the ready engines.
+	meanSize float64
+	// listsReceived is the number of engine lists received, and lastListAt the time of the latest.
+	listsReceived int
+	lastListAt    int64
+	// fleetWarmUpEnd is when the last of the ready engines whose start is known will have warmed up.
+	fleetWarmUpEnd int64
+	// sampleNumber is the number of the latest sample of a large fleet, and sampled are the engines in it.
+	sampleNumber uint64
+	sampled      []*engine
+	// candidates and options are buffers that are reused from one decision to the next.
+	candidates []candidate
+	options    []option
+	// sharedFault is set if so many engines are suspect that the cause must be a shared one, as computed at
+	// sharedFaultAt.
+	sharedFault   bool
+	sharedFaultAt int64
+	// requests are those that are not over or still have an attempt in flight, by ID.
+	requests map[int64]*request
+	// queued are the requests that wait for an engine that may be used.
+	queued []*request
+	// usualReadyCount is the largest number of ready engines in the recent past, which fades with time, as
+	// computed at usualReadyAt.
+	usualReadyCount float64
+	usualReadyAt    int64
+	// tenants are indexed like Settings.Tenants.
+	tenants []tenantRate
+	// unknownTenant is a blank that stands in for a tenant that cannot be told from the others.
+	unknownTenant tenantRate
+	// tickScheduled is set once the periodic timer runs.
+	tickScheduled bool
+	// subscribeAt is when the latest subscription to discovery counts as requested, jitter included; 0 if
+	// none was.
+	subscribeAt int64
+	// failedSubscribes is the number of discovery calls that have failed in a row.
+	failedSubscribes int64
+	// subscribed is set while the subscription to discovery stands.
+	subscribed bool
+	// retryBudget is the number of further attempts that the router may make now, over all requests.
+	retryBudget float64
+	// requestRate is a moving average of the requests that this gateway accepted per second, as computed at
+	// requestRateAt.
+	requestRate   float64
+	requestRateAt int64
+	// firstRequestAt is when the first request arrived. Learned state that is restored sets it back.
+	firstRequestAt int64
+	// meanReport is a moving average of all load reports.
+	meanReport Report
+	// matchTable holds the prompts that engines are taken to have cached, in a younger and an older
+	// generation, by a hash of the session or the shared prefix with the engine.
+	matchTable [2]map[uint64]matchEntry
+	// flushAt is when engines were last found to have dropped their prompt caches.
+	flushAt int64
+	// matchShortfalls is the number of responses in a row that had less than half of the expected match.
+	matchShortfalls int
+	// matchTrust is a moving average of the cached over the expected tokens. It scales entries of the match
+	// table that are older than flushAt.
+	matchTrust float64
+	// sessionGain is, by class, the average fraction of the prompt behind the shared prefix that a session's
+	// home engine had cached.
+	sessionGain []float64
+	// ttftModels predict the time to the first token in seconds, by machine kind; the last one is the
+	// fleet's.
+	ttftModels []model
+	// tpotModels predict the time between two tokens as a multiple of baseTPOT, indexed likewise.
+	tpotModels []model
+	// classTPOTRatios are, by class, the mean logarithm of decode time, in seconds, over MaxTokens.
+	classTPOTRatios []mean
+	// longTermTPOTError is the long-term mean logarithm of the measured over the modelled time between two
+	// tokens; recentTPOTError is the same over a shorter span.
+	longTermTPOTError mean
+	// streams is the number of own streams in progress.
+	streams int
+	// expectedStreams is how many would be in progress, at expectedStreamsAt, if each took the mean decode
+	// time.
+	expectedStreams   float64
+	expectedStreamsAt int64
+	// usualStreamExcess is the mean logarithm of the ratio of the two.
+	usualStreamExcess mean
+	// decodeTime is the mean time from a response's first token to its last, in seconds.
+	decodeTime mean
+	// recentTPOTError: see longTermTPOTError.
+	recentTPOTError mean
+	// outputLengthsKnown is set once a response stated its length.
+	outputLengthsKnown bool
+	// baseTPOT is the time between two tokens, in seconds, at a load factor of 1: the rate of responses that
+	// run to their limit.
+	baseTPOT float64
+	// recentValueDensities are the value densities of the latest requests, a ring whose oldest entry, once it
+	// is full, is at nextValueDensity.
+	recentValueDensities []float64
 	nextValueDensity     int
-	shedRates            []classShedRates // by class
-	shedFraction         float64          // part of the requests, the poorest, that is refused
-	shedFractionAt       int64
+	// shedRates are the rates of shedding by class.
+	shedRates []classShedRates
+	// shedFraction is the fraction of the requests, those of the lowest value density, that is shed while the
+	// fleet is overloaded, as computed at shedFractionAt.
+	shedFraction   float64
+	shedFractionAt int64
 }
 
-// NeedsTimer tells that a timer's token still means something; the others may be forgotten.
+// NeedsTimer reports whether the timer with this token still has an effect. Other timers may be dropped.
 func (r *Router) NeedsTimer(token int64) bool {
 	return token == tokenTick || r.requests[token/tokenStep] != nil
 }
 
-// UpdateSettings takes on new settings. What was learned is kept, but for classes, kinds and tenants whose
-// number has changed: which of them is which is then not known.
+// UpdateSettings replaces the settings. Learned state stays, except that of classes, kinds or tenants if
+// their number has changed: it is then not known which of the old ones is which of the new ones.
 func (r *Router) UpdateSettings(settings Settings) {
-	blank := New(settings, 0)
-	if len(blank.sessionGain) != len(r.sessionGain) {
-		r.sessionGain = blank.sessionGain
-		r.classTPOTRatios = blank.classTPOTRatios
-		r.shedRates = blank.shedRates
+	initial := New(settings, 0)
+	if len(initial.sessionGain) != len(r.sessionGain) {
+		r.sessionGain = initial.sessionGain
+		r.classTPOTRatios = initial.classTPOTRatios
+		r.shedRates = initial.shedRates
 	}
-	if len(blank.ttftModels) != len(r.ttftModels) {
-		r.ttftModels = blank.ttftModels
-		r.tpotModels = blank.tpotModels
+	if len(initial.ttftModels) != len(r.ttftModels) {
+		r.ttftModels = initial.ttftModels
+		r.tpotModels = initial.tpotModels
 	}
-	if len(blank.tenants) != len(r.tenants) {
-		r.tenants = blank.tenants
+	if len(initial.tenants) != len(r.tenants) {
+		r.tenants = initial.tenants
 	}
 	r.settings = settings
-	r.unreachableByZone = blank.unreachableByZone // zones may have other numbers
+	r.unreachableByZone = initial.unreachableByZone // zones may be numbered differently
 	r.rebuildRings()
 }
 
-// countRequest follows the rate of own requests taken on, over the latest rateSpan seconds; over what
-// there was of them where the router is younger, or it would take itself for one that has little to do,
-// and cold engines for weaker than they are.
+// countRequest updates the rate of accepted requests, averaged over the latest rateSpan seconds. A younger
+// router averages over its age, but at least over minRateSpan: it would otherwise underestimate its rate and
+// with it what starting engines can bear.
 func (r *Router) countRequest() {
 	if r.requestRateAt == 0 {
 		r.firstRequestAt = r.now
@@ -148,4 +242,6 @@
 	r.requestRateAt = r.now
 }
 
+// Spans over which the rate of accepted requests is averaged, in seconds: the usual one, and the shortest
+// one for a router that has just started.
 const rateSpan, minRateSpan = 5.0, 2.0
