--- a/eligibility.go
+++ b/eligibility.go
@@ -1,12 +1,13 @@
 package standpoint
 
-// What may be sent, and how a request may end.
+// The rules for repeating a request: which attempts are allowed, and which final answer is true.
 
 import (
 	"slices"
 )
 
-// mayUse tells whether an attempt of q may go to e: drains, effects, copies.
+// mayUse reports whether an attempt of q may be sent to e: e is ready, and neither the effect of q's class
+// nor the rule on concurrent attempts forbids it.
 func (r *Router) mayUse(q *request, e *engine) bool {
 	c := r.class(q)
 	for _, a := range q.attempts {
@@ -26,7 +27,8 @@
 	return !e.notReady
 }
 
-// mayShed tells whether saying "try again, it is harmless" is true.
+// mayShed reports whether it is safe for the client to retry the request, so that a rejection is a true
+// answer.
 func (r *Router) mayShed(q *request) bool {
 	c := r.class(q)
 	if c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
@@ -35,6 +37,7 @@
 	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
+// sameGroup reports whether two engines drop each other's repeats within the scope g.
 func sameGroup(g Group, a, b *engine) bool {
 	switch g {
 	case GroupZone:
@@ -45,7 +48,8 @@
 	return true
 }
 
-// MayShed tells whether it is true of an open request that trying it again is harmless.
+// MayShed reports whether it is safe for the client to retry the open request with this ID. It is true of an
+// unknown one.
 func (r *Router) MayShed(id int64) bool {
 	q := r.requests[id]
 	return q == nil || r.mayShed(q)
--- a/placement.go
+++ b/placement.go
@@ -1,6 +1,10 @@
 package standpoint
 
-// Which engine a request goes to.
+// Placement: which engine a request is sent to.
+//
+// The affinity gate prefers engines that have most of the prompt cached; of those it lets through, or of all
+// engines if there is none, the one with the least positive headroom is chosen. DESIGN explains minGateMatch,
+// explorationRate, maxAffinityTTFT and ttftWeight.
 
 import (
 	"cmp"
@@ -9,54 +13,60 @@
 )
 
 const (
-	gateMatch              = 0.80  // share of the prompt kept that opens the gate (DESIGN)
-	exploreRate            = 0.01  // chance of leaving the gate out (DESIGN)
-	maxAffinityTTFT        = 5.0   // seconds the gated best may trail the best overall (DESIGN)
-	ttftWeight             = 0.8   // of headroom; the rest is pace (DESIGN)
-	sampleSize             = 3     // engines of the highest rank that are looked at, besides matches
-	sparseWait             = 0.1   // of the warm-up: a gateway that weighs each engine in it is not sparse
-	sparseSpill            = 0.5   // part of its sessions that a sparse gateway ranks regardless of its zone
-	headroomReserve        = 0.5   // share of an objective that must be left for headroom to count
-	headroomReserveEngines = 8.0   // engines weighed; of more, the least headroom is a worse guess
-	minHomeAdvantage       = 300.0 // prompt tokens expected kept at the assumed home, to go there
+	minGateMatch    = 0.80 // cached fraction of the prompt from which an engine passes the affinity gate
+	explorationRate = 0.01 // probability of a decision without the gate
+	maxAffinityTTFT = 5.0  // seconds by which the best gated engine may be slower than the best overall
+	ttftWeight      = 0.8  // weight of the first token in the headroom; the rest is the output rate's
+	sampleSize      = 3    // highest-ranked engines that are evaluated, besides those that pass the gate
+	// sparseWarmUpFraction is the fraction of the warm-up in which a gateway must evaluate each engine once
+	// not to be sparse.
+	sparseWarmUpFraction = 0.1
+	minSparseSpill       = 0.5 // smallest spill of a sparse gateway; see prefersOwnZone
+	headroomReserve      = 0.5 // fraction of an objective that must be left for headroom to count as positive
+	// headroomReserveEngines is the number of options above which more than headroomReserve must be left: the
+	// more options are compared, the less reliable is the prediction of the one with the least headroom.
+	headroomReserveEngines = 8.0
+	minHomeAdvantage       = 300.0 // prompt tokens expected to be cached at the assumed home, to prefer it
 )
 
-// pick chooses an engine for the request, or nil.
+// pick chooses an engine for the request; nil if none may be used.
 func (r *Router) pick(q *request) *option {
-	wide := r.rng.Float64() < exploreRate
-	all := r.buildOptions(q, wide)
-	if len(all) == 0 {
+	explore := r.rng.Float64() < explorationRate
+	options := r.buildOptions(q, explore)
+	if len(options) == 0 {
 		return nil
 	}
-	top := best(all, nil)
-	gated := best(all, func(o *option) bool { return o.match >= gateMatch })
-	othersMayKeep := len(q.cachedByEngine) == 0 && r.settings.Gateways > 1
-	if gated == nil && othersMayKeep && r.homeAdvantage(q) > minHomeAdvantage {
-		// Exception: this gateway knows of no engine that keeps the prompt, but other turns of the session
-		// may have come through other gateways, which assume the same home.
-		gated = best(all, func(o *option) bool { return o.home })
+	overall := bestOption(options, nil)
+	gated := bestOption(options, func(o *option) bool { return o.match >= minGateMatch })
+	othersMayCache := len(q.cachedByEngine) == 0 && r.settings.Gateways > 1
+	if gated == nil && othersMayCache && r.homeAdvantage(q) > minHomeAdvantage {
+		// This gateway knows of no engine that has the prompt cached, but earlier turns of the session may
+		// have come through other gateways, which assume the same home.
+		gated = bestOption(options, func(o *option) bool { return o.home })
 	}
-	if wide || gated == nil || gated.ttft-top.ttft > r.maxAffinityPenalty(q) {
-		return top
+	if explore || gated == nil || gated.ttft-overall.ttft > r.maxAffinityPenalty(q) {
+		return overall
 	}
 	return gated
 }
 
-// homeAdvantage are the prompt tokens that the request's home is expected to keep, and other engines not.
+// homeAdvantage returns the number of prompt tokens that the request's home engine, but no other engine, is
+// expected to have cached.
 func (r *Router) homeAdvantage(q *request) float64 {
-	kept := r.expectedMatch(q) * q.PromptTokens
+	cachedTokens := r.expectedMatch(q) * q.PromptTokens
 	if q.homeByPrefix {
-		return kept
+		return cachedTokens
 	}
-	return kept - q.PrefixTokens
+	return cachedTokens - q.PrefixTokens
 }
 
-// best is the least positive headroom, or the lowest prediction where none is positive, of what the gate
-// lets through.
-func best(all []option, gate func(*option) bool) *option {
+// bestOption returns the best of the options that the gate lets through: the one with the least positive
+// headroom or, if none has positive headroom, with the largest. A nil gate lets all through. It returns nil
+// if there is none.
+func bestOption(options []option, gate func(*option) bool) *option {
 	var best *option
-	for i := range all {
-		o := &all[i]
+	for i := range options {
+		o := &options[i]
 		if gate != nil && !gate(o) {
 			continue
 		}
@@ -67,8 +77,8 @@
 	return best
 }
 
-// isBetterThan compares two options: one with headroom beats one without; of two with headroom the
-// smaller one wins, of two without the larger.
+// isBetterThan reports whether o is preferred to other: an option with headroom is preferred to one without;
+// of two with headroom the smaller one is preferred, of two without the larger.
 func (o *option) isBetterThan(other *option) bool {
 	if o.hasHeadroom != other.hasHeadroom {
 		return o.hasHeadroom
@@ -79,113 +89,122 @@
 	return o.headroom > other.headroom
 }
 
-// buildOptions predicts for every engine that may be used.
-func (r *Router) buildOptions(q *request, wide bool) []option {
-	some := r.preferred(q)
-	slices.SortStableFunc(some, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
-	// The more of the traffic this gateway sees, the more of the fleet it can tell apart.
-	scored := max(sampleSize, len(some)/max(1, r.settings.Gateways))
-	all := r.options[:0]
-	for i, c := range some {
-		if i < scored || c.match >= gateMatch || wide {
-			all = append(all, option{engine: c.engine, match: c.match, home: i == 0})
+// buildOptions predicts the latency at the engines that are evaluated for the request: those of the highest
+// rank, those that pass the affinity gate, and, to explore, all candidates.
+func (r *Router) buildOptions(q *request, explore bool) []option {
+	candidates := r.preferredCandidates(q)
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
+	// The larger this gateway's part of the traffic, the more engines it knows well enough to compare.
+	sampleCount := max(sampleSize, len(candidates)/max(1, r.settings.Gateways))
+	options := r.options[:0]
+	for i, c := range candidates {
+		if i < sampleCount || c.match >= minGateMatch || explore {
+			options = append(options, option{engine: c.engine, match: c.match, home: i == 0})
 		}
 	}
 	objective := r.latencyObjective(q)
 	class := r.class(q)
-	for i := range all {
-		o := &all[i]
-		if _, told := q.cachedByEngine[o.engine]; o.home && !told && (q.Session != 0 || q.homeByPrefix) {
-			o.match = max(o.match, min(gateMatch-0.01, r.expectedMatch(q)))
+	for i := range options {
+		o := &options[i]
+		if _, known := q.cachedByEngine[o.engine]; o.home && !known && (q.Session != 0 || q.homeByPrefix) {
+			o.match = max(o.match, min(minGateMatch-0.01, r.expectedMatch(q)))
 		}
 		r.predict(q, o)
-		r.rate(q, o, objective, class, len(all))
+		r.setHeadroom(q, o, objective, class, len(options))
 	}
-	r.options = all
-	return all
+	r.options = options
+	return options
 }
 
-// preferred are the engines that may be used, but for those to which others are preferred.
-func (r *Router) preferred(q *request) []candidate {
-	ignore := r.hasSharedFault()
-	some := r.eligibleCandidates(q, r.sampleEngines(q), ignore)
-	if len(some) == 0 {
-		some = r.eligibleCandidates(q, r.ready, ignore)
+// preferredCandidates returns the engines that the request may be sent to, reduced by one preference after
+// another where an engine meets it.
+func (r *Router) preferredCandidates(q *request) []candidate {
+	ignoreSuspicion := r.hasSharedFault()
+	candidates := r.eligibleCandidates(q, r.sampleEngines(q), ignoreSuspicion)
+	if len(candidates) == 0 {
+		candidates = r.eligibleCandidates(q, r.ready, ignoreSuspicion)
 	}
-	if len(q.attempts) > 0 { // not where it failed, nor in a zone that it could not reach, if others do
-		some = prefer(some, func(e *engine) bool { return !q.wasTriedAt(e) })
-		some = prefer(some, func(e *engine) bool { return q.mayReach(e) })
+	if len(q.attempts) > 0 { // a retry avoids engines that were tried, and zones that were not reached
+		candidates = prefer(candidates, func(e *engine) bool { return !q.hasAttemptAt(e) })
+		candidates = prefer(candidates, func(e *engine) bool { return q.mayReach(e) })
 	}
-	some = prefer(some, func(e *engine) bool { return !e.Stale })
-	some = prefer(some, func(e *engine) bool { return e.reinstated })
-	// A sparse gateway uses its budget for a cold engine with the first request that may.
-	if r.isSparse() && !slices.ContainsFunc(some, func(c candidate) bool { return c.match >= gateMatch }) {
-		some = prefer(some, func(e *engine) bool { return e.slowStartBudgetAt != 0 })
+	candidates = prefer(candidates, func(e *engine) bool { return !e.Stale })
+	candidates = prefer(candidates, func(e *engine) bool { return e.reinstated })
+	// A sparse gateway spends its slow start budget for an engine on the first request that may go there.
+	if r.isSparse() &&
+		!slices.ContainsFunc(candidates, func(c candidate) bool { return c.match >= minGateMatch }) {
+		candidates = prefer(candidates, func(e *engine) bool { return e.slowStartBudgetAt != 0 })
 	}
-	if q.Pool != 0 { // a pool in which nothing will do falls over to the others at once
-		some = prefer(some, func(e *engine) bool { return e.Pool == q.Pool })
+	if q.Pool != 0 { // a pool without any candidate fails over to the others at once
+		candidates = prefer(candidates, func(e *engine) bool { return e.Pool == q.Pool })
 	}
-	return some
+	return candidates
 }
 
-// rate sets the headroom of an option among so many, by the objective and the class of its request.
-func (r *Router) rate(q *request, o *option, objective float64, class *Class, options int) {
+// setHeadroom computes the headroom of one of optionCount options: the weighted fraction of the objectives
+// that is left after the predicted latency. Without an objective it is the negative of the predicted latency.
+func (r *Router) setHeadroom(q *request, o *option, objective float64, class *Class, optionCount int) {
 	if objective <= 0 {
 		o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.tpotUpper*q.MaxTokens
 		return
 	}
-	left := objective - seconds(r.now-q.arrivedAt)
-	o.headroom = ttftWeight * (left - o.ttftUpper) / objective
-	room := (left - o.ttftUpper) / objective
+	remaining := objective - seconds(r.now-q.arrivedAt)
+	o.headroom = ttftWeight * (remaining - o.ttftUpper) / objective
+	margin := (remaining - o.ttftUpper) / objective
 	if class.TPOTObjective > 0 {
-		pace := 1 - o.tpotUpper/seconds(class.TPOTObjective)
-		o.headroom += (1 - ttftWeight) * pace
-		room = min(room, pace)
+		tpotHeadroom := 1 - o.tpotUpper/seconds(class.TPOTObjective)
+		o.headroom += (1 - ttftWeight) * tpotHeadroom
+		margin = min(margin, tpotHeadroom)
 	}
-	few := min(1, headroomReserveEngines/float64(options))
-	o.hasHeadroom = room > 1-(1-headroomReserve)*math.Sqrt(few)
+	reserveScale := min(1, headroomReserveEngines/float64(optionCount))
+	o.hasHeadroom = margin > 1-(1-headroomReserve)*math.Sqrt(reserveScale)
 }
 
-// eligibleCandidates are the engines that the rules and their state let a request go to.
-func (r *Router) eligibleCandidates(q *request, among []*engine, ignore bool) []candidate {
-	some, home := r.candidates[:0], r.prefersOwnZone(q)
-	for _, e := range among {
-		if r.mayUse(q, e) && r.hasSlowStartBudget(e) && !r.isExcluded(e, ignore) {
+// eligibleCandidates returns those of the engines that the request may be sent to by the rules of its class,
+// slow start and health, with their ranks. The result is valid until the next call.
+func (r *Router) eligibleCandidates(q *request, engines []*engine, ignoreSuspicion bool) []candidate {
+	eligible, ownZoneFirst := r.candidates[:0], r.prefersOwnZone(q)
+	for _, e := range engines {
+		if r.mayUse(q, e) && r.hasSlowStartBudget(e) && !r.isExcluded(e, ignoreSuspicion) {
 			c := candidate{e, r.match(q, e), rank(q.key(), e)}
-			if home && !r.isInOwnZone(e) { // below all of the own zone, in their own order
+			if ownZoneFirst && !r.isInOwnZone(e) { // ranked after all of the own zone, in the same order
 				c.rank = -1 / c.rank
 			}
-			some = append(some, c)
+			eligible = append(eligible, c)
 		}
 	}
-	r.candidates = some
-	return some
+	r.candidates = eligible
+	return eligible
 }
 
-// prefer keeps the candidates that the test lets through, or all where it lets none through.
-func prefer(all []candidate, test func(*engine) bool) []candidate {
-	if !slices.ContainsFunc(all, func(c candidate) bool { return test(c.engine) }) {
-		return all
+// prefer returns the candidates that are accepted, or all if none is. It may modify the slice that it is
+// given.
+func prefer(candidates []candidate, accept func(*engine) bool) []candidate {
+	if !slices.ContainsFunc(candidates, func(c candidate) bool { return accept(c.engine) }) {
+		return candidates
 	}
-	return slices.DeleteFunc(all, func(c candidate) bool { return !test(c.engine) })
+	return slices.DeleteFunc(candidates, func(c candidate) bool { return !accept(c.engine) })
 }
 
-// isSparse tells that this gateway weighs a given engine but seldom, and so knows little of its load.
+// isSparse reports whether this gateway has so few requests for the size of the fleet that it evaluates a
+// given engine rarely, and so knows little of its load.
 func (r *Router) isSparse() bool {
-	return r.requestRate*sampleSize*sparseWait*seconds(r.settings.WarmUp) < float64(len(r.ready))
+	return r.requestRate*sampleSize*sparseWarmUpFraction*seconds(r.settings.WarmUp) < float64(len(r.ready))
 }
 
-// prefersOwnZone tells whether the session is ranked in the own zone first: none where a cross-zone
-// request is free, else all but what the own zone lacks of an even share of the fleet's size. While
-// engines are cold a sparse gateway cannot see whether its zone bears its traffic, and all of that zone
-// would press on what is left together.
+// prefersOwnZone reports whether the request ranks engines of the own zone before all others. None does if
+// CrossZonePrice is not above minCrossZonePrice. Otherwise all sessions do except a fraction, the spill, by
+// which the own zone's size falls short of an even share of the fleet's. While engines are warming up the
+// spill of a sparse gateway is at least minSparseSpill: it cannot see whether its zone can take its traffic,
+// and the gateways of one zone would together overload what is left of it.
 func (r *Router) prefersOwnZone(q *request) bool {
 	spill := 1 - r.ownZoneFraction*float64(r.settings.Zones)
 	if r.isSparse() && r.now < r.fleetWarmUpEnd {
-		spill = max(spill, sparseSpill)
+		spill = max(spill, minSparseSpill)
 	}
 	if q.homeByPrefix {
-		// One home for all gateways: a second copy of a long beginning costs more than cross-zone requests.
+		// All gateways must agree on the home: a second cached copy of a long prefix costs more than requests
+		// to another zone.
 		return false
 	}
 	return r.settings.CrossZonePrice > r.minCrossZonePrice() &&
@@ -193,29 +212,40 @@
 		unit(mix(q.key(), prefixSalt)) >= spill
 }
 
-// candidate is an engine that a request may go to, before anything is predicted of it.
+// candidate is an engine that a request may be sent to, before its latency is predicted.
 type candidate struct {
 	engine *engine
-	match  float64 // share of the prompt that it is taken to keep
-	rank   float64
+	match  float64 // fraction of the prompt that the engine is expected to have cached
+	rank   float64 // rendezvous score of the affinity key; the highest is the assumed home
 }
 
+// option is a candidate with its predicted latency.
 type option struct {
-	engine   *engine
+	engine *engine
+	// features are the inputs of the predictions.
 	features featureVector
-	match    float64
-	home     bool
-	// Predicted seconds to the first token by what directory owners told, before that is weighed; 0:
-	// nothing was told.
-	unloadedTTFT    float64
-	ttft, ttftUpper float64 // predicted seconds to the first token; and widened by the measured error
-	tpot            float64
-	tpotUpper       float64 // that widened likewise
-	headroom        float64
-	hasHeadroom     bool // headroom is positive
+	// match is the fraction of the prompt that the engine is expected to have cached.
+	match float64
+	// home is set for the assumed home of the session or prefix, the candidate of the highest rank.
+	home bool
+	// unloadedTTFT is the predicted time to the first token, in seconds, from the backlog that the directory
+	// owner reported, before the time that the engine spends on reading prompts is allowed for; 0 if nothing
+	// was reported.
+	unloadedTTFT float64
+	// ttft is the predicted time to the first token, in seconds; ttftUpper adds the mean prediction error.
+	ttft, ttftUpper float64
+	// tpot is the predicted time between two tokens, in seconds; tpotUpper adds the mean prediction error
+	// if the responses' lengths are known, or hardly any has ended.
+	tpot      float64
+	tpotUpper float64
+	// headroom is the fraction of the objectives that is left, weighted by ttftWeight; see setHeadroom.
+	headroom float64
+	// hasHeadroom is set if the headroom counts as positive.
+	hasHeadroom bool
 }
 
-// relativeSize is an engine's registered size, in that of the ready ones' mean.
+// relativeSize returns the engine's registered size relative to the mean of the ready engines; 1 if either is
+// unknown.
 func (r *Router) relativeSize(e *engine) float64 {
 	if !(e.Size > 0) || !(r.meanSize > 0) {
 		return 1
@@ -225,14 +255,15 @@
 
 func (r *Router) isInOwnZone(e *engine) bool { return e.Zone == r.settings.Zone }
 
-// maxAffinityPenalty is how far, in seconds, the gated best may trail the best overall: where no load is
-// told no further than the objective, for what is known of it comes from waits that are over.
+// maxAffinityPenalty returns by how many seconds the best gated option may be slower than the best overall.
+// Without load reports that is at most the latency objective, because the prediction then rests on waits that
+// are over.
 func (r *Router) maxAffinityPenalty(q *request) float64 {
 	if len(q.cachedByEngine) > 0 {
 		return directoryAffinityPenalty
 	}
-	if aim := r.latencyObjective(q); r.lacksReports() && aim > 0 {
-		return min(maxAffinityTTFT, aim)
+	if objective := r.latencyObjective(q); r.lacksReports() && objective > 0 {
+		return min(maxAffinityTTFT, objective)
 	}
 	return maxAffinityTTFT
 }
--- a/request.go
+++ b/request.go
@@ -1,20 +1,24 @@
 package standpoint
 
-// A request's life: its attempts, what follows their ends, and its final answer.
+// The course of a request: its attempts, what follows each outcome, and its final answer.
 
 import (
 	"slices"
 )
 
 const (
-	minRetryAfter = 0.3 // seconds after which a refused client may come again at the earliest
-	// Of a prompt from which a shared beginning, not the session, says where the request is at home.
-	prefixHomeFraction    = 0.5
-	overdueFactor         = 4.0      // a first token later than so many predictions is a sign of trouble
-	minOverdue            = 800 * ms // and never sooner than this
-	retryBudgetPerRequest = 0.15     // further attempts per request, on average
+	minRetryAfter = 0.3 // shortest time, in seconds, after which a rejected client is asked to retry
+	// prefixHomeFraction is the fraction of a prompt from which its shared prefix, not the session,
+	// determines the home engine.
+	prefixHomeFraction = 0.5
+	// A first token is overdue after this many times its predicted time, and after minOverdue at the
+	// earliest.
+	overdueFactor         = 4.0
+	minOverdue            = 800 * ms
+	retryBudgetPerRequest = 0.15 // retries allowed per request, on average
 )
 
+// onRequest decides on a request that has arrived: it is sent, queued or shed, or waits for the directory.
 func (r *Router) onRequest(ev *Request) {
 	q := &request{Request: *ev, arrivedAt: r.now}
 	q.PromptTokens = max(1, clamp(q.PromptTokens, 1e9))
@@ -43,7 +47,8 @@
 	}
 }
 
-// dispatch sends the request where the pick says, holds it while no engine will do, or ends it.
+// dispatch sends the request to the engine that pick returns, queues it while no engine may be used, or gives
+// the final answer if no attempt may follow.
 func (r *Router) dispatch(q *request) {
 	if q.settled || q.claimed != nil {
 		return
@@ -64,14 +69,15 @@
 		r.finishUnserved(q)
 		return
 	}
-	if aim := seconds(r.class(q).TPOTObjective); aim > 0 && len(q.attempts) == 0 {
-		upperMissed := best.tpotUpper > aim || best.ttftUpper > r.latencyObjective(q)
-		missed := best.tpot > aim || len(q.cachedByEngine) > 0 && upperMissed
-		r.adjustShedding(best.engine, missed)
+	if objective := seconds(r.class(q).TPOTObjective); objective > 0 && len(q.attempts) == 0 {
+		missesUpper := best.tpotUpper > objective || best.ttftUpper > r.latencyObjective(q)
+		misses := best.tpot > objective || len(q.cachedByEngine) > 0 && missesUpper
+		r.adjustShedding(best.engine, misses)
 	}
 	r.send(q, best)
 }
 
+// send starts an attempt at the option's engine and accounts for it.
 func (r *Router) send(q *request, o *option) {
 	e := o.engine
 	a := &attempt{
@@ -101,10 +107,16 @@
 	}
 	r.recordCachedPrompt(q, e, q.PromptTokens)
 	r.notifySent(a)
-	r.emit(Action{Kind: Send, Request: q.ID, Engine: e.Name, Deadline: q.Deadline, StartBefore: r.beginBy(q)})
+	r.emit(Action{
+		Kind:        Send,
+		Request:     q.ID,
+		Engine:      e.Name,
+		Deadline:    q.Deadline,
+		StartBefore: r.startBefore(q),
+	})
 }
 
-// undoSend takes back what was noted as the attempt was decided on: nothing of it reached its engine.
+// undoSend reverts what send recorded for an attempt of which nothing reached the engine.
 func (r *Router) undoSend(a *attempt) {
 	e := a.engine
 	if e.slowStartBudgetAt != 0 {
@@ -116,8 +128,9 @@
 	r.forgetCachedPrompt(a)
 }
 
+// onFirstToken records that a response has begun. Its attempt claims the request if that is still open.
 func (r *Router) onFirstToken(ev *FirstToken) {
-	q, a := r.attempt(ev.Request, ev.Attempt)
+	q, a := r.findAttempt(ev.Request, ev.Attempt)
 	if a == nil {
 		return
 	}
@@ -125,9 +138,9 @@
 	r.notifyPrefillEnd(a, true)
 	r.recordSignOfLife(a)
 	r.observeTTFT(a, seconds(ev.Elapsed))
-	// A miss after a failed attempt is not the fleet's load.
-	if aim := r.latencyObjective(q); aim > 0 && a.number == 0 {
-		r.adjustShedding(a.engine, seconds(r.now-q.arrivedAt) > aim)
+	// A miss after a failed attempt is no evidence of the fleet's load, so first attempts alone count.
+	if objective := r.latencyObjective(q); objective > 0 && a.number == 0 {
+		r.adjustShedding(a.engine, seconds(r.now-q.arrivedAt) > objective)
 	}
 	if q.settled {
 		return
@@ -139,7 +152,7 @@
 	r.cancelOthers(q, a)
 }
 
-// cancelOthers stops waiting for the attempts that lost.
+// cancelOthers cancels the request's attempts, other than the winner, whose responses have not begun.
 func (r *Router) cancelOthers(q *request, winner *attempt) {
 	if !r.settings.Cancel {
 		return
@@ -152,9 +165,9 @@
 	}
 }
 
-// onOutcome takes the end of an attempt in, and decides what follows for its request.
+// onOutcome records the end of an attempt, and decides what follows for its request.
 func (r *Router) onOutcome(ev *Outcome) {
-	q, a := r.attempt(ev.Request, ev.Attempt)
+	q, a := r.findAttempt(ev.Request, ev.Attempt)
 	if a == nil || !a.inFlight {
 		return
 	}
@@ -172,25 +185,26 @@
 	r.notifyPrefillEnd(a, false)
 	r.removeUnanswered(a)
 	r.recordWastedWait(a, ev.Code)
-	r.learnFrom(a, ev)
+	r.observeOutcome(a, ev)
 	if ev.Last || !q.settled && (ev.Code == Served || q.claimed == a) {
 		r.finish(q, a)
 	}
 	if q.settled {
 		r.release(q)
 	} else if q.claimed == nil {
-		r.afterFailure(q, ev.Code)
+		r.handleFailedAttempt(q, ev.Code)
 	}
 }
 
-// learnFrom takes in what the end of an attempt says of its engine.
-func (r *Router) learnFrom(a *attempt, ev *Outcome) {
+// observeOutcome updates what is known of the engine from the outcome of an attempt.
+func (r *Router) observeOutcome(a *attempt, ev *Outcome) {
 	switch ev.Code {
 	case Served:
 		r.recordSignOfLife(a)
 		r.observeServed(a, ev)
 	case ServerError, Rejected, ConnectionLost:
-		// One lost connection says little of the engine: the next connect will tell.
+		// One lost connection is little evidence against the engine: whether it is down will show when the
+		// next connection is opened.
 		if !ev.LocalFault {
 			r.recordRejection(a, ev.Code)
 		}
@@ -203,30 +217,32 @@
 	}
 }
 
-// afterFailure decides what follows an attempt that failed.
-func (r *Router) afterFailure(q *request, code OutcomeCode) {
+// handleFailedAttempt retries the request after a failed attempt, or gives its final answer. It does nothing
+// while another attempt is in flight.
+func (r *Router) handleFailedAttempt(q *request, code OutcomeCode) {
 	if q.attemptsInFlight() > 0 {
 		return
 	}
-	paid := code == NotSent || code == Cancelled // it cost nothing, or was paid for as it was called off
-	poor := r.retryBudget < 1 && code != NoConnection && !paid
-	if poor || r.now >= q.Deadline-2*r.settings.Tick || r.hasNoValueLeft(q) {
+	// An attempt that was not sent cost nothing; one that was cancelled was charged at that time.
+	freeRetry := code == NotSent || code == Cancelled
+	budgetExhausted := r.retryBudget < 1 && code != NoConnection && !freeRetry
+	if budgetExhausted || r.now >= q.Deadline-2*r.settings.Tick || r.hasNoValueLeft(q) {
 		r.finishUnserved(q)
 		return
 	}
-	if !paid {
+	if !freeRetry {
 		r.retryBudget--
 	}
 	r.dispatch(q)
 }
 
-// hasNoValueLeft tells that no worth is left to earn.
+// hasNoValueLeft reports whether the request has missed its latency objective and is worth nothing when late.
 func (r *Router) hasNoValueLeft(q *request) bool {
 	objective := r.latencyObjective(q)
 	return r.class(q).LateWeight <= 0 && objective > 0 && seconds(r.now-q.arrivedAt) > objective
 }
 
-// finishUnserved gives the final answer: a rejection where that is true, else a failure.
+// finishUnserved gives the final answer: a rejection if the request is safe to retry, else a failure.
 func (r *Router) finishUnserved(q *request) {
 	if q.settled || q.claimed != nil {
 		return
@@ -239,7 +255,8 @@
 	r.finish(q, nil)
 }
 
-// retryAfter is when a client that was refused should try again: once the part that is refused has faded.
+// retryAfter returns the time, in nanoseconds, after which a rejected client should retry: that in which the
+// shed fraction decays to 0, within minRetryAfter and MaxRetryAfter. It is 0 if no time is to be stated.
 func (r *Router) retryAfter(kind ActionKind) int64 {
 	if kind != Shed || !r.settings.RetryAfter {
 		return 0
@@ -247,7 +264,8 @@
 	return min(r.settings.MaxRetryAfter, int64(max(minRetryAfter, r.shedFraction/shedFractionDecay)*1e9))
 }
 
-// finish marks the request as over; it is forgotten once its last attempt has ended.
+// finish marks the request as over and cancels its attempts other than the winner. Its state is removed once
+// its last attempt has ended.
 func (r *Router) finish(q *request, winner *attempt) {
 	if !q.settled {
 		q.settled = true
@@ -258,10 +276,12 @@
 	r.release(q)
 }
 
+// dispatchQueued dispatches the queued requests again. Those for which there is still no engine are queued
+// anew.
 func (r *Router) dispatchQueued() {
-	waiting := r.queued
+	queued := r.queued
 	r.queued = nil
-	for _, q := range waiting {
+	for _, q := range queued {
 		if !q.settled && q.queued {
 			q.queued = false
 			r.dispatch(q)
@@ -269,36 +289,47 @@
 	}
 }
 
+// attempt is one attempt of a request at an engine. Times are in nanoseconds.
 type attempt struct {
 	request      *request
-	number       int
+	number       int // counted from 0
 	engine       *engine
-	sent         int64
-	features     featureVector
-	ttft         float64 // predicted, seconds
-	match        float64
-	home         bool        // chosen as the session's assumed home
-	reinstated   bool        // its engine was put back by hand, and not in use since
-	inDirectory  bool        // its engine's directory owner counts its prompt as unread
-	inFlight     bool        // no outcome yet
-	code         OutcomeCode // how it ended
-	mayHaveRun   bool        // may have run
-	firstTokenAt int64
-	cancelling   bool // cancel asked for
+	sent         int64         // when the attempt was decided on
+	features     featureVector // the inputs that ttft was predicted from
+	ttft         float64       // predicted time to the first token, in seconds
+	match        float64       // fraction of the prompt that the engine was expected to have cached
+	home         bool          // whether the engine was chosen as the assumed home of the session or prefix
+	reinstated   bool          // whether the engine had been put back into service and not been used since
+	inDirectory  bool          // whether the engine's directory owner counts the prompt as unread
+	inFlight     bool          // whether the outcome is outstanding
+	code         OutcomeCode
+	mayHaveRun   bool  // false once the outcome proves that the attempt never ran
+	firstTokenAt int64 // when the response began; 0 if it has not
+	cancelling   bool  // whether cancellation was requested
 }
 
+// request is the state of a request.
 type request struct {
 	Request
+	// arrivedAt is the time of the event, in nanoseconds.
 	arrivedAt int64
-	attempts  []*attempt
-	claimed   *attempt
-	settled   bool // final answer given or known
-	queued    bool // waiting for an engine
-	// Its home hangs on its shared beginning, which is the larger part of its prompt.
-	homeByPrefix   bool
-	consulted      bool                // directory owners were asked
-	awaitedEngines []*engine           // those of which nothing has been told yet
-	cachedByEngine map[*engine]float64 // prompt tokens kept, as directory owners told
+	// attempts are all attempts, by number.
+	attempts []*attempt
+	// claimed is the attempt whose response the client gets; nil until one has begun.
+	claimed *attempt
+	// settled is set once the request is over: the final answer was given or is no longer owed.
+	settled bool
+	// queued is set while the request waits for an engine that may be used.
+	queued bool
+	// homeByPrefix is set if the shared prefix, which is then the larger part of the prompt, determines the
+	// home engine.
+	homeByPrefix bool
+	// consulted is set once directory owners were asked.
+	consulted bool
+	// awaitedEngines are those whose directory owners have not answered yet.
+	awaitedEngines []*engine
+	// cachedByEngine holds the cached prompt tokens that directory owners reported.
+	cachedByEngine map[*engine]float64
 }
 
 func (q *request) attemptsInFlight() int {
@@ -311,8 +342,8 @@
 	return n
 }
 
-// wasTriedAt tells that an attempt of the request went to e.
-func (q *request) wasTriedAt(e *engine) bool {
+// hasAttemptAt reports whether an attempt of the request was sent to e.
+func (q *request) hasAttemptAt(e *engine) bool {
 	for _, a := range q.attempts {
 		if a.engine == e {
 			return true
@@ -321,8 +352,8 @@
 	return false
 }
 
-// mayReach tells that no attempt of the request failed to connect to a server of the engine's zone. A request
-// that belongs to a pool looks for others there alone.
+// mayReach reports whether a retry at e is promising: no attempt of the request failed to connect to an
+// engine of its zone, and e is of the request's pool if that has one.
 func (q *request) mayReach(e *engine) bool {
 	for _, a := range q.attempts {
 		if !a.inFlight && a.code == NoConnection && a.engine.Zone == e.Zone {
@@ -332,7 +363,7 @@
 	return q.Pool == 0 || e.Pool == q.Pool
 }
 
-// key is what the request's rank among the engines hangs on.
+// key returns the affinity key that determines the request's ranking of the engines.
 func (q *request) key() uint64 {
 	if q.homeByPrefix {
 		return q.Prefix
@@ -343,12 +374,14 @@
 	return uint64(q.ID)
 }
 
+// release removes the request's state unless an attempt is in flight.
 func (r *Router) release(q *request) {
 	if q.attemptsInFlight() == 0 {
 		delete(r.requests, q.ID)
 	}
 }
 
+// class returns the request's class. A request of an unknown class is unsafe and has no objectives.
 func (r *Router) class(q *request) *Class {
 	if q.Class < 0 || q.Class >= len(r.settings.Classes) {
 		return &Class{Effect: Unsafe}
@@ -356,6 +389,8 @@
 	return &r.settings.Classes[q.Class]
 }
 
+// classIndex returns the index of the request's class in state that is kept by class; unknown classes share
+// the last index.
 func (r *Router) classIndex(q *request) int {
 	if q.Class < 0 || q.Class >= len(r.sessionGain) {
 		return len(r.sessionGain) - 1
@@ -363,27 +398,29 @@
 	return q.Class
 }
 
-// latencyObjective is the time wanted to the first token, in seconds from arrival; 0: none.
+// latencyObjective returns the objective for the time from arrival to the first token, in seconds; 0 for
+// none.
 func (r *Router) latencyObjective(q *request) float64 {
 	c := r.class(q)
 	return seconds(c.TTFTObjective) + seconds(c.TTFTObjectivePer1000Tokens)*q.PromptTokens/1000
 }
 
+// overdue reports whether the attempt's first token is so late that the engine may be in trouble.
 func (a *attempt) overdue(now int64) bool {
 	return now-a.sent > max(minOverdue, int64(overdueFactor*a.ttft*1e9))
 }
 
-// attempt is one of a request's, and the request; nil where there is none such.
-func (r *Router) attempt(id int64, leg int) (*request, *attempt) {
+// findAttempt returns a request and its attempt with this number; nil if there is none.
+func (r *Router) findAttempt(id int64, number int) (*request, *attempt) {
 	q := r.requests[id]
-	if q == nil || leg < 0 || leg >= len(q.attempts) {
+	if q == nil || number < 0 || number >= len(q.attempts) {
 		return nil, nil
 	}
-	return q, q.attempts[leg]
+	return q, q.attempts[number]
 }
 
-// mayNotRepeat tells that no attempt may follow, wherever: one may have run whose class must not be
-// repeated, or not any more.
+// mayNotRepeat reports whether no further attempt is allowed at any engine: one that may have run is unsafe
+// to repeat, or its deduplication window has closed. It is false while an attempt is in flight.
 func (r *Router) mayNotRepeat(q *request) bool {
 	c := r.class(q)
 	return q.attemptsInFlight() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
@@ -391,15 +428,16 @@
 	})
 }
 
-// beginBy is the moment from which a further attempt of the request may not begin any more; 0: there is none.
-// A repeat that is decided on in time may still be on its way to a connection when the window closes.
-func (r *Router) beginBy(q *request) int64 {
-	by, c := int64(0), r.class(q)
+// startBefore returns the time, in nanoseconds, from which a further attempt of the request may no longer
+// begin, because the deduplication window of an earlier one closes; 0 for none. A repeat that is decided on
+// in time may still wait for a connection when the window closes.
+func (r *Router) startBefore(q *request) int64 {
+	earliest, c := int64(0), r.class(q)
 	for _, a := range q.attempts {
-		until := a.sent + c.Window - 2*r.settings.Tick
-		if a.mayHaveRun && !a.inFlight && c.Effect == Keyed && (by == 0 || until < by) {
-			by = until
+		windowEnd := a.sent + c.Window - 2*r.settings.Tick
+		if a.mayHaveRun && !a.inFlight && c.Effect == Keyed && (earliest == 0 || windowEnd < earliest) {
+			earliest = windowEnd
 		}
 	}
-	return by
+	return earliest
 }
--- a/router_test.go
+++ b/router_test.go
@@ -96,7 +96,7 @@
 		for i := range c.heads {
 			all = append(all, option{headroom: c.heads[i], hasHeadroom: c.ok[i]})
 		}
-		if got := best(all, nil); got != &all[c.want] {
+		if got := bestOption(all, nil); got != &all[c.want] {
 			t.Errorf("headroom %v (%v): not option %d", c.heads, c.ok, c.want)
 		}
 	}
