--- a/admission.go
+++ b/admission.go
@@ -1,25 +1,28 @@
 package standpoint
 
-// Which requests are refused while the fleet cannot serve all in time.
+// Load shedding: which requests are rejected while the fleet cannot serve all of them in time.
 
 import (
 	"math"
 )
 
 const (
-	tenantRateSpan    = 3.0  // seconds over which a tenant's requests are counted
-	overQuotaRatio    = 1.5  // times its quota from which a tenant is taken to be over it
-	requestCost       = 100  // work of a request besides its tokens
-	outputTokenCost   = 2.0  // work of a token made, in tokens read
-	shedStep          = 0.8  // rise of the refused part in a second of missed objectives
-	minObjectiveRate  = 12.0 // requests a second that one missed objective is weighed against at the least
-	maxShedFraction   = 0.8  // never refuse more
-	maxShedOfGroup    = 0.5  // part of a class's, or a tenant's, requests that may be refused for others
-	minBandShare      = 0.8  // of a class's answered share, that of its longest prompts
-	maxSharedSlowness = 0.7  // log slowness from which an engine's misses are its own
+	tenantRateSpan   = 3.0  // seconds over which a tenant's request rate is averaged
+	overQuotaRatio   = 1.5  // multiple of its quota from which a tenant counts as over it
+	requestCost      = 100  // work of a request besides its tokens, in prompt tokens
+	outputTokenCost  = 2.0  // work of generating one token, in prompt tokens
+	shedFractionStep = 0.8  // rise of the shed fraction in a second of missed objectives
+	minObjectiveRate = 12.0 // requests per second that one missed objective is weighed against, at least
+	maxShedFraction  = 0.8  // upper bound of the shed fraction
+	maxGroupShedRate = 0.5  // fraction of a class's or a tenant's requests from which none is shed for others
+	// minBandAnsweredFraction is the smallest answered fraction of a band of prompt lengths, relative to that
+	// of its class.
+	minBandAnsweredFraction = 0.8
+	maxSharedSlowness       = 0.7 // log slowness above which an engine's misses are no evidence of fleet load
 )
 
-// valueDensity is the request's worth for each token of work that it is taken to need.
+// valueDensity returns the request's weight per unit of the work that it is expected to cause, in prompt
+// tokens.
 func (r *Router) valueDensity(q *request) float64 {
 	match := 0.0
 	for _, e := range r.sampleEngines(q) {
@@ -28,63 +31,66 @@
 	if q.Session != 0 {
 		match = max(match, r.expectedMatch(q))
 	}
-	answer := q.MaxTokens * min(1, 1.3*math.Exp(r.classTPOTRatios[r.classIndex(q)].mean)/r.baseTPOT)
-	tie := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be refused at once
-	work := requestCost + q.PromptTokens*(1-match) + outputTokenCost*answer
-	return tie * r.class(q).Weight * r.tenantWeight(q) / work
+	outputTokens := q.MaxTokens * min(1, 1.3*math.Exp(r.classTPOTRatios[r.classIndex(q)].mean)/r.baseTPOT)
+	tieBreaker := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be shed at once
+	work := requestCost + q.PromptTokens*(1-match) + outputTokenCost*outputTokens
+	return tieBreaker * r.class(q).Weight * r.tenantWeight(q) / work
 }
 
-// tenantWeight is what a request counts, as a part of its worth, while its tenant sends more than its
-// quota. This gateway takes itself for a typical one, and allows for chance, since it sees few requests.
+// tenantWeight returns the factor by which a request's weight is reduced while its tenant sends more than its
+// quota, else 1. The tenant's total rate is extrapolated from this gateway's own; overQuotaRatio allows for
+// chance, since one gateway sees few requests.
 func (r *Router) tenantWeight(q *request) float64 {
 	if q.Tenant >= 0 && q.Tenant < len(r.tenants) {
-		r.tenants[q.Tenant].count(r.now)
+		r.tenants[q.Tenant].countRequest(r.now)
 	}
-	over := r.quotaRatio(q)
-	if over < overQuotaRatio {
+	ratio := r.quotaRatio(q)
+	if ratio < overQuotaRatio {
 		return 1
 	}
-	return (1 + (over-1)*r.settings.OverQuotaWeight) / over
+	return (1 + (ratio-1)*r.settings.OverQuotaWeight) / ratio
 }
 
-// shedsForDensity tells that the fleet cannot serve all in time and this request is among the poorest part.
+// shedsForDensity reports whether the request is shed because the fleet cannot serve all in time and the
+// request is in the fraction of the lowest value density.
 func (r *Router) shedsForDensity(q *request) bool {
-	d := r.valueDensity(q)
-	below, n := r.rankValueDensity(d)
+	density := r.valueDensity(q)
+	lower, total := r.rankValueDensity(density)
 	r.shedFraction = max(0, r.shedFraction-r.shedDecayRate()*seconds(r.now-r.shedFractionAt))
 	r.shedFractionAt = r.now
-	poor := n >= r.minRankedRequests() && r.shedFraction > 0 && float64(below) < r.shedFraction*float64(n)
-	return r.shed(q, poor)
+	lowDensity := total >= r.minRankedRequests() && r.shedFraction > 0 &&
+		float64(lower) < r.shedFraction*float64(total)
+	return r.shed(q, lowDensity)
 }
 
-// adjustShedding moves the part that is refused: up with each objective missed, down with each one met.
+// adjustShedding adjusts the shed fraction: up with each objective missed, down with each one met.
 func (r *Router) adjustShedding(e *engine, missed bool) {
 	if e.slowness > maxSharedSlowness {
-		return // this engine is slow, not the fleet
+		return // the cause is this engine, not the fleet's load
 	}
-	step := shedStep / max(minObjectiveRate, r.requestRate)
+	step := shedFractionStep / max(minObjectiveRate, r.requestRate)
 	if !missed {
 		step /= -r.metObjectiveWeight()
 	}
 	r.shedFraction = min(maxShedFraction, max(0, r.shedFraction+step))
 }
 
-// tenantRate counts a tenant's own recent requests, each second, and how many of them fail.
+// tenantRate is what is known of a tenant's recent requests at this gateway.
 type tenantRate struct {
-	rate      float64
-	at        int64
-	errorRate float64 // share of errors among its latest answers, from all engines
-	shedRate  float64 // share of its latest requests that were refused as the poorest
+	rate      float64 // requests per second, a moving average, as computed at updatedAt
+	updatedAt int64   // in nanoseconds
+	errorRate float64 // fraction of server errors among the latest responses of all engines
+	shedRate  float64 // fraction of the latest requests that were shed
 }
 
-// count takes in a request of the tenant.
-func (t *tenantRate) count(now int64) {
-	t.rate = t.rate*math.Exp(-seconds(now-t.at)/tenantRateSpan) + 1/tenantRateSpan
-	t.at = now
+// countRequest counts a request of the tenant.
+func (t *tenantRate) countRequest(now int64) {
+	t.rate = t.rate*math.Exp(-seconds(now-t.updatedAt)/tenantRateSpan) + 1/tenantRateSpan
+	t.updatedAt = now
 }
 
-// tenant is what is known of a request's tenant. Where there is one alone, or none, it cannot be told from
-// the others.
+// tenant returns what is known of the request's tenant. With fewer than two tenants, or for an unknown one,
+// no tenant can be distinguished from the others, and the result is blank.
 func (r *Router) tenant(q *request) *tenantRate {
 	if len(r.tenants) < 2 || q.Tenant < 0 || q.Tenant >= len(r.tenants) {
 		r.unknownTenant = tenantRate{}
@@ -93,26 +99,26 @@
 	return &r.tenants[q.Tenant]
 }
 
-// rankValueDensity keeps a request's worth for its work among the latest, and tells how many there were and
-// how many of them less.
-func (r *Router) rankValueDensity(density float64) (below, all int) {
+// rankValueDensity adds a request's value density to the latest ones. It returns how many there were before,
+// and how many of those were lower.
+func (r *Router) rankValueDensity(density float64) (lower, total int) {
 	for _, other := range r.recentValueDensities {
 		if other < density {
-			below++
+			lower++
 		}
 	}
-	all = len(r.recentValueDensities)
-	if all < maxRankedRequests {
+	total = len(r.recentValueDensities)
+	if total < maxRankedRequests {
 		r.recentValueDensities = append(r.recentValueDensities, density)
-		return below, all
+		return lower, total
 	}
 	r.recentValueDensities[r.nextValueDensity] = density
 	r.nextValueDensity = (r.nextValueDensity + 1) % maxRankedRequests
-	return below, all
+	return lower, total
 }
 
-// quotaRatio is what the request's tenant sends, in times its quota, as this gateway takes it; 0 where it
-// has none.
+// quotaRatio returns the estimated request rate of the request's tenant over all gateways as a multiple of
+// its quota; 0 if it has none.
 func (r *Router) quotaRatio(q *request) float64 {
 	if q.Tenant < 0 || q.Tenant >= len(r.tenants) || !(r.settings.Tenants[q.Tenant].QuotaRPS > 0) {
 		return 0
@@ -120,78 +126,82 @@
 	return r.tenants[q.Tenant].rate * float64(r.settings.Gateways) / r.settings.Tenants[q.Tenant].QuotaRPS
 }
 
-// shedRateWeight is that of a request in the shares refused.
+// shedRateWeight is the weight of the latest request in the moving averages of shed requests.
 const shedRateWeight = 0.05
 
-// promptBands are the parts of a class's requests by their prompts: the longest tenth, the next fifth,
-// further ones, and the shortest.
-var promptBands = [...]float64{0.1, 0.3, 0.6, 1}
+// promptBandBounds divide a class's requests by prompt length, longest first, into bands: the longest tenth,
+// the next fifth, the next three tenths and the shortest two fifths. Each is the upper bound of a band, as a
+// fraction of the requests.
+var promptBandBounds = [...]float64{0.1, 0.3, 0.6, 1}
 
-// classShedRates are the shares of a class's latest requests that were refused as the poorest: of all,
-// and of each band.
+// classShedRates are the fractions of a class's latest requests that were shed.
 type classShedRates struct {
-	all        float64
-	bands      [len(promptBands)]float64
-	prompts    []float64 // lengths of the latest, by which the bands go
-	nextPrompt int
+	overall float64
+	bands   [len(promptBandBounds)]float64
+	// promptLengths are the prompt lengths of the latest requests, which determine the bands: a ring whose
+	// oldest entry, once it is full, is at nextPromptLength.
+	promptLengths    []float64
+	nextPromptLength int
 }
 
-// band tells in which band a prompt is, and keeps its length among the latest.
+// band returns the band that a prompt length falls into, and adds the length to the latest ones.
 func (c *classShedRates) band(prompt float64) int {
 	longer := 0
-	for _, other := range c.prompts {
+	for _, other := range c.promptLengths {
 		if other > prompt {
 			longer++
 		}
 	}
-	share := float64(longer) / max(1, float64(len(c.prompts)))
-	if len(c.prompts) < maxRankedRequests {
-		c.prompts = append(c.prompts, prompt)
+	fraction := float64(longer) / max(1, float64(len(c.promptLengths)))
+	if len(c.promptLengths) < maxRankedRequests {
+		c.promptLengths = append(c.promptLengths, prompt)
 	} else {
-		c.prompts[c.nextPrompt] = prompt
-		c.nextPrompt = (c.nextPrompt + 1) % maxRankedRequests
+		c.promptLengths[c.nextPromptLength] = prompt
+		c.nextPromptLength = (c.nextPromptLength + 1) % maxRankedRequests
 	}
-	for i, most := range promptBands {
-		if share < most {
+	for i, bound := range promptBandBounds {
+		if fraction < bound {
 			return i
 		}
 	}
-	return len(promptBands) - 1
+	return len(promptBandBounds) - 1
 }
 
-// shed tells whether a request that is among the poorest is refused, and takes that in. What is beyond its
-// tenant's quota may be refused whole; else neither its class nor its tenant loses too much, nor those with
-// the longest prompts of its class, which promise the least for their work, much more than the class does.
-func (r *Router) shed(q *request, poor bool) bool {
+// shed reports whether a request is shed, given whether its value density is among the lowest, and records
+// that. Requests beyond their tenant's quota may all be shed. Of the others, neither a class nor a tenant
+// loses more than maxGroupShedRate; and the longest prompts of a class, which have the lowest value for their
+// work, are not shed much more often than the class as a whole.
+func (r *Router) shed(q *request, lowDensity bool) bool {
 	if r.quotaRatio(q) >= overQuotaRatio {
-		return poor
+		return lowDensity
 	}
 	class, tenant := &r.shedRates[r.classIndex(q)], &r.tenant(q).shedRate
 	band := &class.bands[class.band(q.PromptTokens)]
-	refused := poor && max(class.all, *tenant) < maxShedOfGroup && 1-*band > minBandShare*(1-class.all)
-	x := 0.0
-	if refused {
-		x = 1
+	isShed := lowDensity && max(class.overall, *tenant) < maxGroupShedRate &&
+		1-*band > minBandAnsweredFraction*(1-class.overall)
+	sample := 0.0
+	if isShed {
+		sample = 1
 	}
-	for _, share := range []*float64{&class.all, tenant, band} {
-		*share += shedRateWeight * (x - *share)
+	for _, rate := range []*float64{&class.overall, tenant, band} {
+		*rate += shedRateWeight * (sample - *rate)
 	}
-	return refused
+	return isShed
 }
 
-// shedDecayRate is how fast the refused part falls, in parts a second.
+// shedDecayRate returns how much the shed fraction falls per second.
 func (r *Router) shedDecayRate() float64 {
 	if r.lacksReports() {
 		return unreportedShedFractionDecay
 	}
-	// What a sparse gateway has seen is not undone by time in which it sees nothing.
+	// A gateway that sees few requests must not forget an overload during the time in which it sees none.
 	if r.hasRecentDirectoryAnswer() && r.requestRate < minObjectiveRate {
 		return shedFractionDecay * min(1, r.requestRate/minObjectiveRate)
 	}
 	return shedFractionDecay
 }
 
-// metObjectiveWeight is how many objectives met undo one missed.
+// metObjectiveWeight returns how many met objectives offset one missed objective.
 func (r *Router) metObjectiveWeight() float64 {
 	if r.hasRecentDirectoryAnswer() && r.requestRate < minObjectiveRate {
 		return sparseMetObjectivesPerMiss
@@ -199,8 +209,9 @@
 	return metObjectivesPerMiss
 }
 
-// minRankedRequests is how many requests must have come before the poorest are refused. Where no load is
-// told a gateway that has just started must not add to an overload for long.
+// minRankedRequests returns how many requests must have been ranked before any is shed for its value density.
+// Without load reports it is smaller, so that a gateway that has just started does not add to an overload for
+// long.
 func (r *Router) minRankedRequests() int {
 	if r.lacksReports() {
 		return unreportedMinRankedRequests
@@ -208,12 +219,13 @@
 	return defaultMinRankedRequests
 }
 
-// isFutile tells that the request would come too late even at the best engine, by what directory owners
-// told of the prompts that wait there, and is refused: its work would only make others late. No class,
-// tenant or length loses too much by it.
+// isFutile reports whether the request is shed because it would be too late even at the best engine, by what
+// directory owners reported of its backlog: its work would only delay others. The bounds on what a class, a
+// tenant or a prompt length may lose hold here too.
 func (r *Router) isFutile(q *request, best *option) bool {
-	aim := r.latencyObjective(q)
-	if aim <= 0 || r.class(q).LateWeight > 0 || best.unloadedTTFT+seconds(r.now-q.arrivedAt) <= aim {
+	objective := r.latencyObjective(q)
+	if objective <= 0 || r.class(q).LateWeight > 0 ||
+		best.unloadedTTFT+seconds(r.now-q.arrivedAt) <= objective {
 		return false
 	}
 	r.adjustShedding(best.engine, true)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -297,7 +297,7 @@
 			}
 		}
 		if part := refused / asked; name == "beyond its quota" && part < 0.7 ||
-			name != "beyond its quota" && (part < 0.3 || part > maxShedOfGroup+0.05) {
+			name != "beyond its quota" && (part < 0.3 || part > maxGroupShedRate+0.05) {
 			t.Errorf("%s: %.2f of the poorest refused", name, part)
 		}
 	}
