--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter runs many isolated routers behind the line protocol on standard input and output.
+// Command adapter runs the isolated routers of many nodes behind the line protocol of package wire, on standard input
+// and output.
 package main
 
 import (
@@ -14,94 +15,94 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // the heap is small, and collector time is billed
+	debug.SetGCPercent(400) // the heap is small, and the time of the garbage collector is billed
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// session is one run of the adapter: the routers of all nodes, and the batch in progress.
-type session struct {
+// adapter is the state of one run: the routers of all nodes, and the batch in progress.
+type adapter struct {
 	out     io.Writer
 	routers map[int]*standpoint.Router // by node
 	inBatch bool
-	now     int64 // of the batch
-	reply   []byte
-	actions []standpoint.Action
+	now     int64               // time of the batch in progress, in nanoseconds
+	reply   []byte              // the lines that answer the batch in progress
+	actions []standpoint.Action // buffer for the actions of one event
 }
 
-// run answers batches until the input ends.
+// run reads batches of lines from in and writes a reply to each, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, 1<<20)
-	s := &session{out: out, routers: map[int]*standpoint.Router{}}
-	var long []byte
-	for number := 1; ; number++ {
-		text, err := readLine(reader, &long)
-		if errors.Is(err, io.EOF) && len(text) == 0 {
-			if s.inBatch {
-				return fmt.Errorf("line %d: input ends inside a batch", number)
+	a := &adapter{out: out, routers: map[int]*standpoint.Router{}}
+	var longLine []byte
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := readLine(reader, &longLine)
+		if errors.Is(err, io.EOF) && len(line) == 0 {
+			if a.inBatch {
+				return fmt.Errorf("line %d: input ends inside a batch", lineNumber)
 			}
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if len(text) == 0 {
+		if len(line) == 0 {
 			continue
 		}
-		if err := s.handle(text, number); err != nil {
+		if err := a.handle(line, lineNumber); err != nil {
 			return err
 		}
 	}
 }
 
-// handle takes one line of the input.
-func (s *session) handle(text []byte, number int) error {
-	m, err := wire.Decode(text)
+// handle processes one line of the input.
+func (a *adapter) handle(line []byte, lineNumber int) error {
+	message, err := wire.Decode(line)
 	if err != nil {
-		return fmt.Errorf("line %d: %w", number, err)
+		return fmt.Errorf("line %d: %w", lineNumber, err)
 	}
-	if s.inBatch == (m.Verb == wire.VerbBatch) {
-		return fmt.Errorf("line %d: %q out of place", number, m.Verb)
+	if a.inBatch == (message.Verb == wire.VerbBatch) {
+		return fmt.Errorf("line %d: %q out of place", lineNumber, message.Verb)
 	}
-	switch m.Verb {
+	switch message.Verb {
 	case wire.VerbBatch:
-		s.inBatch = true
-		s.now = m.Time
-		s.reply = s.reply[:0]
+		a.inBatch = true
+		a.now = message.Time
+		a.reply = a.reply[:0]
 		return nil
-	case wire.VerbEnd:
-		s.inBatch = false
-		if _, err := s.out.Write(wire.AppendOK(s.reply)); err != nil {
+	case wire.VerbBatchEnd:
+		a.inBatch = false
+		if _, err := a.out.Write(wire.AppendOK(a.reply)); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 		return nil
-	case wire.VerbOpen:
-		s.routers[m.Node] = standpoint.New(m.Settings, m.Seed)
+	case wire.VerbOpenInstance:
+		a.routers[message.Node] = standpoint.New(message.Settings, message.Seed)
 		return nil
 	}
-	router := s.routers[m.Node]
+	router := a.routers[message.Node]
 	if router == nil {
-		return fmt.Errorf("line %d: node %d was never opened", number, m.Node)
+		return fmt.Errorf("line %d: node %d was never opened", lineNumber, message.Node)
 	}
-	if m.Verb == wire.VerbStop {
-		delete(s.routers, m.Node)
-		s.reply = dropNode(s.reply, m.Node)
+	if message.Verb == wire.VerbTeardown {
+		delete(a.routers, message.Node)
+		a.reply = removeNodeActions(a.reply, message.Node)
 		return nil
 	}
-	s.actions = router.Handle(s.now, m.Event, s.actions[:0])
-	for _, action := range s.actions {
-		s.reply = wire.AppendAction(s.reply, m.Node, action)
+	a.actions = router.Handle(a.now, message.Event, a.actions[:0])
+	for _, action := range a.actions {
+		a.reply = wire.AppendAction(a.reply, message.Node, action)
 	}
 	return nil
 }
 
-// dropNode is where a node stopped inside a batch loses the actions it gave earlier in that batch.
-// They name requests and attempts of the dead instance, which nobody may act on any more.
-func dropNode(reply []byte, node int) []byte {
-	mark := fmt.Appendf(nil, `","node":%d,`, node)
-	kept := reply[:0]
+// removeNodeActions removes the actions of a node from a reply in progress. When a node is stopped inside a batch, its
+// earlier actions in that batch name requests and attempts of an instance that no longer exists.
+func removeNodeActions(reply []byte, node int) []byte {
+	nodeField := fmt.Appendf(nil, `","node":%d,`, node)
+	remaining := reply[:0]
 	for len(reply) > 0 {
 		end := 0
 		for end < len(reply) && reply[end] != '\n' {
@@ -109,36 +110,38 @@
 		}
 		line := reply[:end+1]
 		reply = reply[end+1:]
-		if !hasNode(line, mark) {
-			kept = append(kept, line...)
+		if !isForNode(line, nodeField) {
+			remaining = append(remaining, line...)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// hasNode looks for the mark right after the verb, so text inside other fields cannot match.
-func hasNode(line, mark []byte) bool {
-	const head = len(`{"verb":"`)
-	i := head
+// isForNode reports whether an action's line has the given node field. It compares only what follows the verb, so that
+// text inside other fields cannot match.
+func isForNode(line, nodeField []byte) bool {
+	const prefixLength = len(`{"verb":"`)
+	i := prefixLength
 	for i < len(line) && line[i] != '"' {
 		i++
 	}
-	return len(line) >= i+len(mark) && string(line[i:i+len(mark)]) == string(mark)
+	return len(line) >= i+len(nodeField) && string(line[i:i+len(nodeField)]) == string(nodeField)
 }
 
-// readLine returns the next line without its newline; long backs lines past the reader's buffer.
-func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
-	text, err := r.ReadSlice('\n')
+// readLine returns the next line without its newline. A line that does not fit the reader's buffer is stored in
+// longLine.
+func readLine(reader *bufio.Reader, longLine *[]byte) ([]byte, error) {
+	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		*long = append((*long)[:0], text...)
+		*longLine = append((*longLine)[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			text, err = r.ReadSlice('\n')
-			*long = append(*long, text...)
+			line, err = reader.ReadSlice('\n')
+			*longLine = append(*longLine, line...)
 		}
-		text = *long
+		line = *longLine
 	}
-	for len(text) > 0 && (text[len(text)-1] == '\n' || text[len(text)-1] == '\r') {
-		text = text[:len(text)-1]
+	for len(line) > 0 && (line[len(line)-1] == '\n' || line[len(line)-1] == '\r') {
+		line = line[:len(line)-1]
 	}
-	return text, err
+	return line, err
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -10,16 +10,16 @@
 	"standpoint/internal/config"
 )
 
-// codes are the results of attempts by their names on the wire.
-var codes = func() map[string]standpoint.OutcomeCode {
-	all := map[string]standpoint.OutcomeCode{}
+// outcomeCodes are the outcomes of attempts by their names on the wire.
+var outcomeCodes = func() map[string]standpoint.OutcomeCode {
+	codes := map[string]standpoint.OutcomeCode{}
 	for c := standpoint.Served; c <= standpoint.NotSent; c++ {
-		all[c.String()] = c
+		codes[c.String()] = c
 	}
-	return all
+	return codes
 }()
 
-// listKinds are the kinds of endpoint lists by their names on the wire.
+// listKinds are the kinds of engine lists by their names on the wire.
 var listKinds = map[string]standpoint.ListKind{
 	"incr":      standpoint.ListDelta,
 	"total":     standpoint.ListFull,
@@ -34,7 +34,7 @@
 	"gone":     standpoint.Gone,
 }
 
-// Decode decodes one line. An error names the verb and the key that is missing or wrong.
+// Decode decodes one line. Its errors name the verb, and the key that is missing or invalid.
 func Decode(text []byte) (Message, error) {
 	var l line
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -42,13 +42,13 @@
 	}
 	m := Message{Verb: l.Verb}
 	switch l.Verb {
-	case VerbEnd:
+	case VerbBatchEnd:
 		return m, nil
 	case VerbBatch:
-		if l.T == nil {
+		if l.Time == nil {
 			return m, errors.New("batch without t")
 		}
-		m.Time = *l.T
+		m.Time = *l.Time
 		return m, nil
 	}
 	if l.Node == nil {
@@ -57,8 +57,8 @@
 	m.Node = *l.Node
 	var err error
 	switch l.Verb {
-	case VerbStop:
-	case VerbOpen:
+	case VerbTeardown:
+	case VerbOpenInstance:
 		m.Seed, err = parseSeed(l.Seed)
 		if err == nil {
 			m.Settings, _, err = config.DecodeSettings(l.Settings)
@@ -69,63 +69,63 @@
 	return m, err
 }
 
-// event decodes the verbs of events.
+// event decodes a line whose verb stands for an event.
 func (l *line) event() (standpoint.Event, error) {
 	switch l.Verb {
-	case verbMembers:
-		return l.members()
-	case verbIncoming:
-		return l.incoming()
-	case verbAttemptEnd:
+	case verbEngineList:
+		return l.engineList()
+	case verbRequest:
+		return l.request()
+	case verbOutcome:
 		return l.outcome()
-	case verbFirst:
+	case verbFirstToken:
 		return l.firstToken()
-	case verbLeft:
-		return l.left()
-	case verbProbed:
-		return l.probed()
-	case verbMessage:
-		return &standpoint.PeerMessage{From: l.Src, Data: l.Data}, nil
-	case verbDeadlineHit:
+	case verbClientDisconnected:
+		return l.clientDisconnected()
+	case verbProbeResult:
+		return l.probeResult()
+	case verbPeerMessage:
+		return &standpoint.PeerMessage{From: l.From, Data: l.Data}, nil
+	case verbTimerFired:
 		return l.timerFired()
 	}
 	return nil, fmt.Errorf("unknown verb %q", l.Verb)
 }
 
 func (l *line) firstToken() (standpoint.Event, error) {
-	if l.Handle == nil {
+	if l.RequestID == nil {
 		return nil, errors.New("first without handle")
 	}
-	return &standpoint.FirstToken{Request: *l.Handle, Attempt: l.Leg, Elapsed: l.TimeTaken}, nil
+	return &standpoint.FirstToken{Request: *l.RequestID, Attempt: l.Attempt, Elapsed: l.Elapsed}, nil
 }
 
-func (l *line) left() (standpoint.Event, error) {
-	if l.Handle == nil {
+func (l *line) clientDisconnected() (standpoint.Event, error) {
+	if l.RequestID == nil {
 		return nil, errors.New("left without handle")
 	}
-	return &standpoint.ClientDisconnected{Request: *l.Handle}, nil
+	return &standpoint.ClientDisconnected{Request: *l.RequestID}, nil
 }
 
-func (l *line) probed() (standpoint.Event, error) {
+func (l *line) probeResult() (standpoint.Event, error) {
 	if l.Engine == "" {
 		return nil, errors.New("probed without engine")
 	}
 	return &standpoint.ProbeResult{
 		Engine:  l.Engine,
 		OK:      l.Code == standpoint.Served.String(),
-		Elapsed: l.TimeTaken,
+		Elapsed: l.Elapsed,
 		Report:  l.report(),
 	}, nil
 }
 
 func (l *line) timerFired() (standpoint.Event, error) {
-	if l.Ctx == nil {
+	if l.TimerToken == nil {
 		return nil, errors.New("deadlineHit without ctx")
 	}
-	return &standpoint.TimerFired{Token: *l.Ctx}, nil
+	return &standpoint.TimerFired{Token: *l.TimerToken}, nil
 }
 
-// parseSeed reads a seed, signed or unsigned, as the same 64 bits.
+// parseSeed parses a seed of 64 bits, which may be written as a signed or as an unsigned number.
 func parseSeed(n json.Number) (int64, error) {
 	if signed, err := strconv.ParseInt(n.String(), 10, 64); err == nil {
 		return signed, nil
@@ -137,22 +137,26 @@
 	return int64(unsigned), nil
 }
 
-// report is the load report that came along; nil if there was none.
+// report returns the load report that the line carries; nil if it carries none.
 func (l *line) report() *standpoint.Report {
-	if l.Gauge == nil {
+	if l.Report == nil {
 		return nil
 	}
-	return &standpoint.Report{MemoryUsage: l.Gauge.X0, PrefillBacklog: l.Gauge.X1, SlotUsage: l.Gauge.Util}
+	return &standpoint.Report{
+		MemoryUsage:    l.Report.MemoryUsage,
+		PrefillBacklog: l.Report.PrefillBacklog,
+		SlotUsage:      l.Report.SlotUsage,
+	}
 }
 
-// members decodes an endpoint list.
-func (l *line) members() (standpoint.Event, error) {
+// engineList decodes a list of engines.
+func (l *line) engineList() (standpoint.Event, error) {
 	kind, ok := listKinds[l.Kind]
 	if !ok {
 		return nil, fmt.Errorf("members of unknown kind %q", l.Kind)
 	}
 	list := &standpoint.EngineList{Kind: kind}
-	for _, m := range l.Members {
+	for _, m := range l.Engines {
 		engine, err := m.engine()
 		if err != nil {
 			return nil, err
@@ -163,43 +167,43 @@
 }
 
 func (m *member) engine() (standpoint.Engine, error) {
-	if m.Engine == "" {
+	if m.Name == "" {
 		return standpoint.Engine{}, errors.New("members entry without engine")
 	}
 	state, ok := engineStates[m.State]
 	if !ok {
-		return standpoint.Engine{}, fmt.Errorf("engine %s in unknown state %q", m.Engine, m.State)
+		return standpoint.Engine{}, fmt.Errorf("engine %s in unknown state %q", m.Name, m.State)
 	}
 	return standpoint.Engine{
-		Name:    m.Engine,
+		Name:    m.Name,
 		Zone:    m.Zone,
 		Kind:    m.Kind,
 		Cell:    m.Cell,
 		State:   state,
-		Size:    m.Nominal,
+		Size:    m.Size,
 		ReadyAt: m.ReadyAt,
 	}, nil
 }
 
-// incoming decodes a request.
-func (l *line) incoming() (standpoint.Event, error) {
-	if l.Handle == nil || l.Expires == nil {
+// request decodes a request.
+func (l *line) request() (standpoint.Event, error) {
+	if l.RequestID == nil || l.Deadline == nil {
 		return nil, errors.New("incoming without handle or expires")
 	}
-	session, err := parseKey(l.TargetKey)
+	session, err := parseKey(l.Session)
 	if err != nil {
 		return nil, fmt.Errorf("targetKey: %w", err)
 	}
-	prefix, err := parseKey(l.SharedPrefix)
+	prefix, err := parseKey(l.Prefix)
 	if err != nil {
 		return nil, fmt.Errorf("sharedPrefix: %w", err)
 	}
-	return &standpoint.Request{ID: *l.Handle, Deadline: *l.Expires, Class: l.Profile, Tenant: l.Realm,
-		Session: session, Prefix: prefix, PromptTokens: l.NPrompt, PrefixTokens: l.NPrefix,
-		MaxTokens: l.MaxTokens, Retry: l.Retry, Resumed: l.Again}, nil
+	return &standpoint.Request{ID: *l.RequestID, Deadline: *l.Deadline, Class: l.Class, Tenant: l.Tenant,
+		Session: session, Prefix: prefix, PromptTokens: l.PromptTokens, PrefixTokens: l.PrefixTokens,
+		MaxTokens: l.MaxTokens, Retry: l.Retry, Resumed: l.Resumed}, nil
 }
 
-// parseKey reads a hash in hexadecimal; "" is 0.
+// parseKey parses a hash in hexadecimal; an empty string is 0.
 func parseKey(s string) (uint64, error) {
 	if s == "" {
 		return 0, nil
@@ -209,13 +213,21 @@
 
 // outcome decodes the end of an attempt.
 func (l *line) outcome() (standpoint.Event, error) {
-	if l.Handle == nil {
+	if l.RequestID == nil {
 		return nil, errors.New("attemptEnd without handle")
 	}
-	code, ok := codes[l.Code]
+	code, ok := outcomeCodes[l.Code]
 	if !ok {
 		return nil, fmt.Errorf("attemptEnd with unknown code %q", l.Code)
 	}
-	return &standpoint.Outcome{Request: *l.Handle, Attempt: l.Leg, Last: l.Last, Code: code, CachedTokens: l.Info,
-		Engine: l.Engine, Elapsed: l.TimeTaken, Report: l.report()}, nil
+	return &standpoint.Outcome{
+		Request:      *l.RequestID,
+		Attempt:      l.Attempt,
+		Last:         l.Last,
+		Code:         code,
+		CachedTokens: l.CachedTokens,
+		Engine:       l.Engine,
+		Elapsed:      l.Elapsed,
+		Report:       l.report(),
+	}, nil
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,7 +8,7 @@
 	"standpoint"
 )
 
-// AppendAction appends an action's line, with its newline, to b.
+// AppendAction appends to b the line of an action of a node, with its newline.
 func AppendAction(b []byte, node int, a standpoint.Action) []byte {
 	switch a.Kind {
 	case standpoint.Send:
@@ -49,7 +49,7 @@
 	return append(b, '}', '\n')
 }
 
-// appendVerb begins a line, whose object stays open.
+// appendVerb begins a line with the verb and the node. The JSON object stays open.
 func appendVerb(b []byte, verb string, node int) []byte {
 	b = append(b, `{"verb":"`...)
 	b = append(b, verb...)
@@ -73,11 +73,11 @@
 
 func appendString(b []byte, s string) []byte {
 	quoted, err := json.Marshal(s)
-	if err != nil { // cannot happen for a string; keep the line well formed all the same
+	if err != nil { // cannot happen for a string; the line stays well formed nevertheless
 		return append(b, `""`...)
 	}
 	return append(b, bytes.TrimSpace(quoted)...)
 }
 
-// AppendOK appends the line that ends a reply.
+// AppendOK appends to b the line that ends a reply.
 func AppendOK(b []byte) []byte { return append(b, "{\"verb\":\"ok\"}\n"...) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,8 @@
 "familyInfo":{"aimUsPer1000PromptTokens":[60000.0],"resume":true,"tokenAim":[100000000]},
 "limits":{"cancel":true,"secondCopies":true,"sendCap":6,"probes":true},"report":{"how":"pull"},
 "prices":{"crossZone":0.02},"rules":{"overloadFactor":3.0,"startCapacity":0.39,"stopSendingWithin":500000000,
-"warmUp":8600000000,"fall":3000000000,"askWithin":10000000000},"tenants":[{"share":0.5,"quotaRps":7.0}],"period":4000000}`
+"warmUp":8600000000,"fall":3000000000,"askWithin":10000000000},
+"tenants":[{"share":0.5,"quotaRps":7.0}],"period":4000000}`
 
 func TestDecodeEvents(t *testing.T) {
 	report := &standpoint.Report{MemoryUsage: 0.5, PrefillBacklog: 2.5, SlotUsage: 0.25}
@@ -62,7 +63,8 @@
 	}
 	s := m.Settings
 	want := standpoint.Class{Effect: standpoint.Keyed, Group: standpoint.GroupCell, Window: 5e9, Streamed: true,
-		TTFTObjective: 3e8, TTFTObjectivePer1000Tokens: 6e7, TPOTObjective: 1e8, Deadline: 15e8, Weight: 5, LateWeight: 0.25, Description: "c"}
+		TTFTObjective: 3e8, TTFTObjectivePer1000Tokens: 6e7, TPOTObjective: 1e8, Deadline: 15e8, Weight: 5,
+		LateWeight: 0.25, Description: "c"}
 	if m.Seed != -1 || len(s.Classes) != 1 || s.Classes[0] != want {
 		t.Fatalf("seed %d, classes %+v", m.Seed, s.Classes)
 	}
@@ -81,7 +83,7 @@
 		`{"verb":"incoming","node":1,"handle":1.5,"expires":2}`, `{"verb":"deadlineHit","node":1}`,
 		`{"verb":"incoming","node":1,"handle":1,"expires":2,"targetKey":"xyz"}`} {
 		if m, err := Decode([]byte(text)); err == nil {
-			t.Errorf("%s was taken as %+v", text, m)
+			t.Errorf("%s was accepted as %+v", text, m)
 		}
 	}
 }
@@ -116,7 +118,7 @@
 			return
 		}
 		if m.Verb == "" || !json.Valid([]byte(text)) {
-			t.Fatalf("%q was taken", text)
+			t.Fatalf("%q was accepted", text)
 		}
 		r := standpoint.New(m.Settings, m.Seed)
 		for _, ev := range []standpoint.Event{m.Event, m.Event} {
@@ -125,7 +127,7 @@
 			}
 			for _, a := range r.Handle(1, ev, nil) {
 				if line := AppendAction(nil, 1, a); !json.Valid(line) {
-					t.Fatalf("action %+v became %s", a, line)
+					t.Fatalf("action %+v was encoded as invalid JSON: %s", a, line)
 				}
 			}
 		}
