--- a/admission.go
+++ b/admission.go
@@ -167,10 +167,10 @@
 	return len(promptBandBounds) - 1
 }
 
-// shed reports whether a request is shed, given whether its value density is among the lowest, and records
-// that. Requests beyond their tenant's quota may all be shed. Of the others, neither a class nor a tenant
-// loses more than maxGroupShedRate; and the longest prompts of a class, which have the lowest value for their
-// work, are not shed much more often than the class as a whole.
+// shed reports whether a request is shed, given whether its value density is among the lowest, and updates
+// the rates of shedding. Requests beyond their tenant's quota may all be shed, and are left out of the rates.
+// Of the others, neither a class nor a tenant loses more than maxGroupShedRate; and the longest prompts of a
+// class, which have the lowest value for their work, are not shed much more often than the class as a whole.
 func (r *Router) shed(q *request, lowDensity bool) bool {
 	if r.quotaRatio(q) >= overQuotaRatio {
 		return lowDensity
