--- a/discovery.go
+++ b/discovery.go
@@ -1,29 +1,31 @@
 package standpoint
 
-// What discovery tells, and when it is asked.
+// Handling of endpoint lists, and of the subscription to discovery.
 
 import (
 	"math"
 	"sort"
 )
 
+// onList applies an endpoint list, and then dispatches the requests that wait for an engine.
 func (r *Router) onList(l *EngineList) {
 	if l.Kind == ListFailed {
 		r.failedSubscribes++
 		r.subscribed = false
 		return
 	}
-	if l.Kind == ListDelta || r.subscribeAt != 0 { // a full list may answer too, to one far behind
+	// A subscriber that is far behind gets a full list instead of changes.
+	if l.Kind == ListDelta || r.subscribeAt != 0 {
 		r.failedSubscribes = 0
 		r.subscribed = true
 	}
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, entry := range l.Engines {
-		seen[entry.Name] = true
+		listed[entry.Name] = true
 		r.updateEngine(entry)
 	}
 	for _, e := range r.engines {
-		if l.Kind == ListFull && !seen[e.Name] {
+		if l.Kind == ListFull && !listed[e.Name] {
 			e.State = Gone
 			e.notReady = true
 		}
@@ -34,11 +36,12 @@
 	r.dispatchQueued()
 }
 
-// updateEngine takes in one entry. A new start forgets what was known of the process, its kept prompts too.
+// updateEngine applies one entry of an endpoint list. After a restart, everything known of the previous
+// process is dropped, including its cached prompts.
 func (r *Router) updateEngine(entry Engine) {
 	e := r.engines[entry.Name]
 	if e == nil || entry.ReadyAt != e.ReadyAt && entry.State == Ready {
-		// What is out at the process before stays with that one: its end tells nothing of this one.
+		// Attempts in flight keep pointing to the previous process, so their outcomes do not affect this one.
 		e = &engine{
 			hash:           hashName(entry.Name),
 			firstSeenAt:    r.now,
@@ -61,23 +64,24 @@
 	e.notReady = entry.State != Ready
 }
 
-// maxNoticeDelay is the longest that discovery may take to tell what it has.
+// maxNoticeDelay is the maximum time that discovery may take to report a change that it knows of.
 const maxNoticeDelay = 6 * second
 
-// startIsImplausible tells that a start that was just heard of cannot have been when it is told to: it is
-// in the future, or so long ago that the list told before would have had it. Clocks may be stepped; then
-// the start counts from now. The list that a gateway starts with may be of any age, and shows nothing.
-func (r *Router) startIsImplausible(told int64) bool {
-	if told <= 0 {
+// startIsImplausible reports whether a newly listed start time cannot be right: it is in the future, or so
+// long ago that the previous list would have contained it. This happens when clocks are stepped; the engine
+// then counts as started now. The first list that a gateway gets may be of any age, so its absence from that
+// one proves nothing.
+func (r *Router) startIsImplausible(readyAt int64) bool {
+	if readyAt <= 0 {
 		return false
 	}
-	longAgo := max(r.settings.WarmUp+r.settings.OverloadWindow, r.now-r.lastListAt+maxNoticeDelay)
-	knownEarlier := r.listsReceived >= 2 && r.now-told > longAgo
-	return told > r.now || knownEarlier
+	maxAge := max(r.settings.WarmUp+r.settings.OverloadWindow, r.now-r.lastListAt+maxNoticeDelay)
+	shouldBeKnown := r.listsReceived >= 2 && r.now-readyAt > maxAge
+	return readyAt > r.now || shouldBeKnown
 }
 
-// subscribe keeps the subscription where discovery tells only who asks. It backs off, with jitter, after
-// failures.
+// subscribe requests changes where discovery sends them only on request. After failures it backs off
+// exponentially, with jitter.
 func (r *Router) subscribe() {
 	wait := min(r.settings.DiscoveryTimeout*2, 500*ms<<min(r.failedSubscribes, 4))
 	if !r.settings.SubscribeDiscovery || r.subscribeAt != 0 && (r.subscribed || r.now-r.subscribeAt < wait) {
@@ -87,7 +91,9 @@
 	r.emit(Action{Kind: Subscribe})
 }
 
-// rebuildReady forgets engines that are gone and idle, and orders the ready ones by name.
+// rebuildReady removes engines that are no longer listed and have no attempts in flight, and rebuilds what
+// is derived from the list: the ready engines sorted by name, the end of the fleet's warm-up, the usual
+// number of ready engines, and the rings.
 func (r *Router) rebuildReady() {
 	r.ready = r.ready[:0]
 	r.fleetWarmUpEnd = 0
@@ -102,8 +108,8 @@
 			}
 		}
 	}
-	fade := math.Exp2(-seconds(r.now-r.usualReadyAt) / 60)
-	r.usualReadyCount = max(float64(len(r.ready)), r.usualReadyCount*fade)
+	decay := math.Exp2(-seconds(r.now-r.usualReadyAt) / 60)
+	r.usualReadyCount = max(float64(len(r.ready)), r.usualReadyCount*decay)
 	r.usualReadyAt = r.now
 	sort.Slice(r.ready, func(i, j int) bool { return r.ready[i].Name < r.ready[j].Name })
 	r.rebuildRings()
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -237,7 +237,7 @@
 	list := twoZones(8)
 	list.Engines[0].ReadyAt = 100 * second
 	feed(r, 100*second, list)
-	if w := r.warmFraction(r.engines[engineName(0)]); w != 0 {
+	if w := r.minCapacityFraction(r.engines[engineName(0)]); w != 0 {
 		t.Errorf("a server that has just started is taken to have %g of its capacity, and none is told", w)
 	}
 	list.Engines[0].ReadyAt = 1e6 * second
@@ -247,7 +247,7 @@
 	if r.fleetWarmUpEnd > 102*second {
 		t.Error("a start that is told no longer is still believed")
 	}
-	r.unreachableByZone[0] = lostZoneEngines
+	r.unreachableByZone[0] = lostZoneThreshold
 	r.UpdateSettings(s)
 	if len(r.failureDomain(r.engines[engineName(0)])) != 1 {
 		t.Error("a zone is lost that may be another by now")
--- a/health.go
+++ b/health.go
@@ -1,23 +1,25 @@
 package standpoint
 
-// Which engines are left out but for trials.
+// Outlier detection. Suspect engines get no requests except an occasional trial.
 
 import (
 	"slices"
 )
 
 const (
-	trialInterval         = 1500 * ms // pause between trials of a suspect engine
-	errorRateWeight       = 0.3       // of an error or rejection in an engine's share of them
-	tenantErrorRateWeight = 0.05      // of an error in a tenant's share, over all engines
-	maxErrorRate          = 0.5       // share from which it is left out but for trials
-	maxSuspectFraction    = 0.5       // more suspects than this share of the fleet: a shared cause, none is
-	// Engines in a row that cannot be reached: by chance, with one in eight bad, 1 in 512.
-	lostZoneEngines = 3
-	minOutage       = 1.0 // seconds; unreachable for less an engine has only paused
+	trialInterval         = 1500 * ms // minimum time between two trials of a suspect engine
+	errorRateWeight       = 0.3       // weight of one response in an engine's moving error rate
+	tenantErrorRateWeight = 0.05      // weight of one response in a tenant's error rate over all engines
+	maxErrorRate          = 0.5       // an engine above this error rate becomes suspect
+	maxSuspectFraction    = 0.5       // above this fraction of the fleet the cause is taken to be shared
+	// Consecutive unreachable engines of a zone from which the whole zone is taken to be unreachable. If
+	// one engine in eight is bad, three in a row are bad by chance once in 512 cases.
+	lostZoneThreshold = 3
+	// Seconds. An engine that was unreachable for a shorter time is taken to have paused, not restarted.
+	minOutage = 1.0
 )
 
-// recordSignOfLife notes a sign of life of the attempt's engine.
+// recordSignOfLife records that the attempt's engine has responded, and clears its suspicion.
 func (r *Router) recordSignOfLife(a *attempt) {
 	r.removeUnanswered(a)
 	r.recordRecovery(a.engine)
@@ -28,8 +30,9 @@
 	r.tenant(a.request).errorRate *= 1 - tenantErrorRateWeight
 }
 
-// recordRecovery takes an engine that answers, after it could not be reached, to have been started anew:
-// discovery tells that seconds later, when all have gone back to it. Of a lost zone, all is taken so.
+// recordRecovery treats an unreachable engine that responds again as restarted: discovery reports the
+// restart only seconds later, when all gateways would already have returned to the engine at full rate. If
+// its whole zone was unreachable, this applies to every engine of the zone.
 func (r *Router) recordRecovery(e *engine) {
 	if e.unreachable {
 		for _, o := range r.failureDomain(e) {
@@ -46,9 +49,9 @@
 	r.unreachableByZone[e.Zone] = 0
 }
 
-// recordUnreachable notes an engine that could not be connected to. Several of a zone in a row, no sign
-// of life in between, show that it is lost: one trial then stands for all, or each would have to be found
-// out.
+// recordUnreachable records a failed connection to an engine. Several such engines of one zone, with no
+// sign of life from the zone in between, show that the whole zone is unreachable. One trial then counts
+// for all of its engines; otherwise requests would have to fail at each of them first.
 func (r *Router) recordUnreachable(e *engine) {
 	if !e.unreachable {
 		e.unreachable = true
@@ -65,7 +68,8 @@
 	}
 }
 
-// suspect leaves the engine out but for trials. A connection that is refused shows that it is down.
+// suspect marks the engine as suspect, so that it gets only trials. down means that no connection to it
+// could be established.
 func (r *Router) suspect(e *engine, down bool) {
 	if !e.suspect || down {
 		e.suspect = true
@@ -76,7 +80,8 @@
 	}
 }
 
-// onAdvice weighs what others saw: it goes for an engine that has given no sign of life here since.
+// onAdvice applies the suspicions of other gateways. A suspicion counts only if the engine has given this
+// gateway no sign of life since the evidence was gathered.
 func (r *Router) onAdvice(a *Advice) {
 	for _, d := range a.Suspicions {
 		if e := r.engines[d.Engine]; e != nil && e.ReadyAt == d.ReadyAt && e.lastSignOfLife < d.At {
@@ -85,10 +90,10 @@
 	}
 }
 
-// recordRejection notes an error, a rejection or a lost connection. An engine that fails at once carries
-// little, looks idle and draws ever more; once most of its answers are such it is left out. What it has
-// taken on may still be well. A tenant most of whose requests fail wherever they go has itself to blame,
-// not the engines.
+// recordRejection records an error, a rejection or a lost connection. An engine that fails fast has little
+// load, looks idle and attracts ever more requests, so it becomes suspect once most of its responses are
+// failures. Attempts already in flight there may still succeed. If most of a tenant's requests fail at
+// whichever engine they reach, the cause is the tenant's requests, and the engines are not blamed.
 func (r *Router) recordRejection(a *attempt, code OutcomeCode) {
 	e, t := a.engine, r.tenant(a.request)
 	e.lastSignOfLife = r.now
@@ -103,36 +108,38 @@
 	}
 }
 
-// avoids tells that an engine gets nothing, or nothing but trials.
-func (r *Router) avoids(e *engine, ignore bool) bool {
-	return e.notReady || e.suspect && (e.unreachable || !ignore)
+// avoids reports whether an engine gets no requests, or only trials. ignoreSuspicions is set while a fault
+// is shared by most of the fleet; an engine that could not be connected to is avoided even then.
+func (r *Router) avoids(e *engine, ignoreSuspicions bool) bool {
+	return e.notReady || e.suspect && (e.unreachable || !ignoreSuspicions)
 }
 
-// isExcluded tells that a suspect engine is not due for a trial. One that is silent gets a single trial
-// at a time.
-func (r *Router) isExcluded(e *engine, ignore bool) bool {
-	return r.avoids(e, ignore) &&
+// isExcluded reports whether an engine is avoided and not due for a trial. An engine that is suspect for
+// its silence, not for its errors, gets one trial at a time.
+func (r *Router) isExcluded(e *engine, ignoreSuspicions bool) bool {
+	return r.avoids(e, ignoreSuspicions) &&
 		(r.now-e.lastTrialAt < trialInterval || len(e.unanswered) > 0 && e.errorRate <= maxErrorRate)
 }
 
-// hasSharedFault tells that so many engines look bad that the cause must be shared; then none is left out.
+// hasSharedFault reports whether so many engines are suspect that the cause must be shared. Then no engine
+// is avoided for a suspicion. In a large fleet the result is reused for a fifth of a tick.
 func (r *Router) hasSharedFault() bool {
 	if len(r.ready) > maxFullScan && r.now-r.sharedFaultAt < tickInterval/5 {
 		return r.sharedFault
 	}
-	n := 0
+	suspects := 0
 	for _, e := range r.ready {
 		if e.suspect && !e.unreachable {
-			n++
+			suspects++
 		}
 	}
-	r.sharedFault = float64(n) > maxSuspectFraction*float64(len(r.ready))
+	r.sharedFault = float64(suspects) > maxSuspectFraction*float64(len(r.ready))
 	r.sharedFaultAt = r.now
 	return r.sharedFault
 }
 
-// checkHealth suspects engines that owe a first token for long and gave no sign of life since, and moves
-// what waits there.
+// checkHealth marks silent engines as suspect, and hedges or cancels the attempts that wait at suspect
+// engines.
 func (r *Router) checkHealth() {
 	shared := r.hasSharedFault()
 	for _, e := range r.ready {
@@ -141,14 +148,14 @@
 		}
 		if e.suspect && !shared {
 			for _, a := range append([]*attempt(nil), e.unanswered...) {
-				r.rescue(a)
+				r.hedgeOrCancel(a)
 			}
 		}
 	}
 }
 
-// isSilent tells that the engine owes a first token for long, and gave no sign of life since it got the
-// request.
+// isSilent reports whether the engine's oldest unanswered attempt is overdue and the engine has given no
+// sign of life since that attempt was sent.
 func (e *engine) isSilent(now int64) bool {
 	if len(e.unanswered) == 0 {
 		return false
@@ -157,8 +164,9 @@
 	return oldest.overdue(now) && e.lastSignOfLife <= oldest.sent
 }
 
-// rescue tries elsewhere what waits on a suspect engine.
-func (r *Router) rescue(a *attempt) {
+// hedgeOrCancel moves an overdue attempt at a suspect engine elsewhere: it sends a second copy where the
+// settings permit that, else it cancels the attempt, so that the request is retried.
+func (r *Router) hedgeOrCancel(a *attempt) {
 	q := a.request
 	if q.settled || q.claimed != nil || a.cancelling || !a.overdue(r.now) || r.retryBudget < 1 {
 		return
@@ -176,34 +184,36 @@
 	}
 }
 
+// removeUnanswered removes an attempt from its engine's list of unanswered attempts.
 func (r *Router) removeUnanswered(a *attempt) {
-	for i, w := range a.engine.unanswered {
-		if w == a {
+	for i, other := range a.engine.unanswered {
+		if other == a {
 			a.engine.unanswered = append(a.engine.unanswered[:i], a.engine.unanswered[i+1:]...)
 			return
 		}
 	}
 }
 
-// CountEngines returns how many engines are listed, and how many of these are avoided: because discovery
-// lists them as not ready, or because this gateway suspects them.
+// CountEngines returns the number of listed engines and how many of these are avoided, either because
+// discovery lists them as not ready or because this gateway suspects them.
 func (r *Router) CountEngines() (listed, avoided int) {
-	ignore := r.hasSharedFault()
+	ignoreSuspicions := r.hasSharedFault()
 	for _, e := range r.engines {
 		if e.State == Gone {
 			continue
 		}
 		listed++
-		if r.avoids(e, ignore) {
+		if r.avoids(e, ignoreSuspicions) {
 			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-// failureDomain is an engine, and all of its zone where that is lost.
+// failureDomain returns the engines that are taken to fail together with e: e alone, or every ready engine
+// of its zone if the whole zone is unreachable.
 func (r *Router) failureDomain(e *engine) []*engine {
-	if r.unreachableByZone[e.Zone] < lostZoneEngines || r.settings.Zones < 2 {
+	if r.unreachableByZone[e.Zone] < lostZoneThreshold || r.settings.Zones < 2 {
 		return []*engine{e}
 	}
 	elsewhere := func(o *engine) bool { return o.Zone != e.Zone && o != e }
--- a/probes.go
+++ b/probes.go
@@ -1,7 +1,10 @@
 package standpoint
 
-// Probes, where they are allowed.
+// Probes, where the deployment allows them.
 
+// probe probes the engine whose last probe is the oldest. It sends about as many probes as the gateway gets
+// requests, and at most one per tick. Engines of other zones are probed only where cross-zone requests are
+// free.
 func (r *Router) probe() {
 	if !r.settings.Probes || r.settings.Reports == ReportNone || len(r.ready) == 0 ||
 		r.rng.Float64() > min(1, r.requestRate*seconds(tickInterval)) {
@@ -9,8 +12,8 @@
 	}
 	var oldest *engine
 	for _, e := range r.ready {
-		may := !e.probing && (r.isInOwnZone(e) || r.settings.CrossZonePrice <= 0)
-		if may && (oldest == nil || e.probedAt < oldest.probedAt) {
+		eligible := !e.probing && (r.isInOwnZone(e) || r.settings.CrossZonePrice <= 0)
+		if eligible && (oldest == nil || e.probedAt < oldest.probedAt) {
 			oldest = e
 		}
 	}
@@ -21,6 +24,7 @@
 	}
 }
 
+// onProbed records the result of a probe.
 func (r *Router) onProbed(ev *ProbeResult) {
 	if e := r.engines[ev.Engine]; e != nil {
 		if e.probing = false; ev.OK {
--- a/router_test.go
+++ b/router_test.go
@@ -585,7 +585,7 @@
 		feed(r, 0, engineList("a", "b", "c"))
 		feed(r, 0, newRequest(1, 4*second))
 		r.shedFraction, r.now, r.requests[1].attempts[0].ttft = cut, second, 0.01
-		r.rescue(r.requests[1].attempts[0])
+		r.hedgeOrCancel(r.requests[1].attempts[0])
 		if got := len(r.requests[1].attempts); (cut > 0) != (got == 1) {
 			t.Fatalf("refused part %.1f: %d attempts", cut, got)
 		}
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -15,14 +15,14 @@
 		l.Engines[0].ReadyAt = told
 		feed(r, now, l)
 		a, b := r.engines["a"], r.engines["b"]
-		if got := r.warmFraction(a); got > r.settings.ColdCapacityFraction+0.01 {
+		if got := r.minCapacityFraction(a); got > r.settings.ColdCapacityFraction+0.01 {
 			t.Errorf("%s: just started, and taken to have %.2f of its capacity", name, got)
 		}
-		if r.warmFraction(b) != 1 {
+		if r.minCapacityFraction(b) != 1 {
 			t.Errorf("%s: the other one is cold too", name)
 		}
 		feed(r, now+r.settings.WarmUp+r.settings.OverloadWindow+second, l) // told again, the same start
-		if got := r.warmFraction(a); got != 1 {
+		if got := r.minCapacityFraction(a); got != 1 {
 			t.Errorf("%s: %.2f of its capacity long after the warm-up", name, got)
 		}
 		if !r.hasSlowStartBudget(a) {
@@ -39,7 +39,7 @@
 	l := engineList("a", "b")
 	l.Engines[1].ReadyAt = now - 60*second
 	feed(r, now, l)
-	if got := r.warmFraction(r.engines["b"]); got != 1 {
+	if got := r.minCapacityFraction(r.engines["b"]); got != 1 {
 		t.Errorf("started a minute ago, and taken to have %.2f of its capacity", got)
 	}
 }
@@ -51,18 +51,18 @@
 	l := engineList("old", "young", "future")
 	l.Engines[0].ReadyAt, l.Engines[1].ReadyAt, l.Engines[2].ReadyAt = now-3600*second, now-second, now+3600*second
 	feed(r, now, l)
-	if r.warmFraction(r.engines["old"]) != 1 || r.warmFraction(r.engines["young"]) > 0.6 ||
-		r.warmFraction(r.engines["future"]) > r.settings.ColdCapacityFraction {
+	if r.minCapacityFraction(r.engines["old"]) != 1 || r.minCapacityFraction(r.engines["young"]) > 0.6 ||
+		r.minCapacityFraction(r.engines["future"]) > r.settings.ColdCapacityFraction {
 		t.Errorf(
 			"taken to have %.2f, %.2f and %.2f of their capacity",
-			r.warmFraction(r.engines["old"]),
-			r.warmFraction(r.engines["young"]),
-			r.warmFraction(r.engines["future"]),
+			r.minCapacityFraction(r.engines["old"]),
+			r.minCapacityFraction(r.engines["young"]),
+			r.minCapacityFraction(r.engines["future"]),
 		)
 	}
 	feed(r, now+r.settings.WarmUp+second)
 	feed(r, now+r.settings.WarmUp+second, &TimerFired{Token: tokenTick})
-	if got := r.warmFraction(r.engines["future"]); got != 1 {
+	if got := r.minCapacityFraction(r.engines["future"]); got != 1 {
 		t.Errorf("%.2f of its capacity after the warm-up", got)
 	}
 }
--- a/unreported_load.go
+++ b/unreported_load.go
@@ -1,64 +1,70 @@
 package standpoint
 
-// Decisions where no load is told of the engines.
+// Decisions for deployments in which gateways get no load reports.
 
 import (
 	"math"
 )
 
-// Where no load is told of the engines, a gateway knows of what the others send from its own waits alone.
+// Without load reports a gateway learns of the load from other gateways only by how long its own requests
+// wait.
 const (
-	// Of a cross-zone request, below which such a gateway ranks without regard to its zone: it cannot
-	// see whether that bears its traffic.
-	unreportedCrossPrice = 0.1
-	vainWaitHalfLife     = 2.0 // seconds in which what was waited in vain counts half
-	// Fall of the refused part in a second: objectives that are met tell of the load, time does not.
+	// Price of a cross-zone request below which a gateway without load reports ranks engines regardless of
+	// their zone: it cannot see whether its own zone can carry its traffic.
+	unreportedMinCrossZonePrice = 0.1
+	wastedWaitHalfLife          = 2.0 // seconds after which a wait without a first token counts half
+	// Decrease of the shed fraction per second without load reports. It is small: met objectives show that
+	// the load has fallen, the passing of time does not.
 	unreportedShedFractionDecay = 0.02
-	unreportedMinRankedRequests = 2 // requests that the poorest are found among; others need knownLeast
+	// Recent requests to rank a new one among before any may be shed, without load reports and with them.
+	unreportedMinRankedRequests = 2
 	defaultMinRankedRequests    = 8
 )
 
+// lacksReports reports whether the deployment has no load reports.
 func (r *Router) lacksReports() bool { return r.settings.Reports == ReportNone }
 
-// minCrossZonePrice is the price of a cross-zone request from which the own zone comes first.
+// minCrossZonePrice returns the price of a cross-zone request above which the gateway's own zone is
+// preferred.
 func (r *Router) minCrossZonePrice() float64 {
 	if r.lacksReports() {
-		return unreportedCrossPrice
+		return unreportedMinCrossZonePrice
 	}
 	return 0
 }
 
-// wastedWaitOf is how long a first token takes at the engine at the least, in seconds, where no load is
-// told: as long as the oldest attempt there has waited, or as one did that ended without.
+// wastedWaitOf returns the minimum time to the first token to expect at the engine, in seconds. It is the
+// time that the oldest unanswered attempt has waited, or that a recent one waited which ended without a
+// first token; the latter decays. With load reports it is 0.
 func (r *Router) wastedWaitOf(e *engine) float64 {
 	if !r.lacksReports() {
 		return 0
 	}
-	least := e.wastedWait * math.Exp2(-seconds(r.now-e.wastedWaitAt)/vainWaitHalfLife)
+	minWait := e.wastedWait * math.Exp2(-seconds(r.now-e.wastedWaitAt)/wastedWaitHalfLife)
 	if len(e.unanswered) > 0 {
-		least = max(least, seconds(r.now-e.unanswered[0].sent))
+		minWait = max(minWait, seconds(r.now-e.unanswered[0].sent))
 	}
-	return least
+	return minWait
 }
 
-// cancellingWastesWork tells that what is called off is likely lost: the servers of an overloaded fleet,
-// whose load nobody tells, have read it for nothing, and read it again elsewhere.
+// cancellingWastesWork reports whether a cancelled attempt is likely wasted: without load reports, in an
+// overloaded fleet, its engine has read the prompt for nothing and another one has to read it again.
 func (r *Router) cancellingWastesWork() bool {
 	return r.lacksReports() && r.shedFraction > maxShedForHedging
 }
 
-// recordWastedWait notes, where no load is told, an attempt that ended without a first token. Behind its
-// objective that shows an overload as a late one does, and more: its server's work was in vain, so as
-// many objectives are set against it as undo one.
+// recordWastedWait records, in deployments without load reports, an attempt that ended without a first
+// token. If that was after its objective it shows an overload, as a late first token does, and its engine's
+// work was wasted besides. It therefore counts as metObjectivesPerMiss missed objectives.
 func (r *Router) recordWastedWait(a *attempt, code OutcomeCode) {
 	if !r.lacksReports() || a.firstTokenAt != 0 || code != NoAnswer && code != Cancelled {
 		return
 	}
-	waited, aim := seconds(r.now-a.sent), r.latencyObjective(a.request)
-	decay := math.Exp2(-seconds(r.now-a.engine.wastedWaitAt) / vainWaitHalfLife)
+	waited, objective := seconds(r.now-a.sent), r.latencyObjective(a.request)
+	decay := math.Exp2(-seconds(r.now-a.engine.wastedWaitAt) / wastedWaitHalfLife)
 	a.engine.wastedWait = max(waited, a.engine.wastedWait*decay)
 	a.engine.wastedWaitAt = r.now
-	for i := 0.0; i < metObjectivesPerMiss && aim > 0 && waited > aim; i++ {
+	for i := 0.0; i < metObjectivesPerMiss && objective > 0 && waited > objective; i++ {
 		r.adjustShedding(a.engine, true)
 	}
 }
