--- a/bench_test.go
+++ b/bench_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// BenchmarkDecision is the cost of one request from its arrival to its outcome, by the number of engines, with and
-// without pools.
+// BenchmarkDecision measures the cost of one request from its arrival to its outcome, by the number of engines, with
+// and without pools.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 3000} {
 		for _, pools := range []int{0, 2} {
 			b.Run(fmt.Sprintf("engines=%d/pools=%d", n, pools), func(b *testing.B) {
-				set := Settings{
+				s := Settings{
 					Gateways:    3,
 					Zones:       1,
 					Kinds:       3,
@@ -20,10 +20,13 @@
 					Reports:     ReportReplies,
 					Cancel:      true,
 					Classes: []Class{
-						{Streamed: true, TTFTObjective: 2500 * ms, TPOTObjective: 50 * ms, Deadline: 10 * second, Weight: 2},
+						{
+							Streamed: true, TTFTObjective: 2500 * ms, TPOTObjective: 50 * ms,
+							Deadline: 10 * second, Weight: 2,
+						},
 					},
 				}
-				r := New(set, 1)
+				r := New(s, 1)
 				list := &EngineList{Kind: ListFull}
 				for i := range n {
 					e := Engine{Name: fmt.Sprint("box-", i), Size: 1, Kind: i % 3}
@@ -32,8 +35,8 @@
 					}
 					list.Engines = append(list.Engines, e)
 				}
-				now, acts := second, []Action(nil)
-				acts = r.Handle(now, list, acts[:0])
+				now, actions := second, []Action(nil)
+				actions = r.Handle(now, list, actions[:0])
 				b.ReportAllocs()
 				for id := int64(1); b.Loop(); id++ {
 					now += ms
@@ -49,9 +52,9 @@
 					if pools > 0 {
 						q.Pool = 1 + int(id)%pools
 					}
-					acts = r.Handle(now, q, acts[:0])
+					actions = r.Handle(now, q, actions[:0])
 					engine := ""
-					for _, a := range acts {
+					for _, a := range actions {
 						if a.Kind == Send {
 							engine = a.Engine
 						}
@@ -59,12 +62,13 @@
 					if engine == "" {
 						b.Fatal("nothing was sent")
 					}
-					acts = r.Handle(now, &FirstToken{Request: id, Elapsed: 100 * ms}, acts[:0])
-					acts = r.Handle(
+					actions = r.Handle(now, &FirstToken{Request: id, Elapsed: 100 * ms}, actions[:0])
+					actions = r.Handle(
 						now,
-						&Outcome{Request: id, Last: true, Engine: engine, Elapsed: 400 * ms, CachedTokens: 700, OutputTokens: 60,
+						&Outcome{Request: id, Last: true, Engine: engine, Elapsed: 400 * ms,
+							CachedTokens: 700, OutputTokens: 60,
 							Report: &Report{MemoryUsage: 0.2, SlotUsage: 0.3}},
-						acts[:0],
+						actions[:0],
 					)
 				}
 			})
--- a/comments_test.go
+++ b/comments_test.go
@@ -14,13 +14,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// uncommented is how many exported items without a doc comment each package still has. A count may only fall.
-var uncommented = map[string]int{}
+// undocumentedAllowed is the number of exported items without a doc comment that each package still has, by folder. A
+// number may only be lowered.
+var undocumentedAllowed = map[string]int{}
 
 // Every package, and every exported item of it, has a doc comment.
 func TestDocComments(t *testing.T) {
 	t.Parallel()
-	packages, missing := map[string]bool{}, map[string][]string{} // by folder: whether it has a package comment, and what has none
+	// By folder: whether the package has a doc comment, and its exported items that have none.
+	packages, missing := map[string]bool{}, map[string][]string{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -37,7 +39,7 @@
 		}
 		folder := filepath.Dir(path)
 		packages[folder] = packages[folder] || file.Doc != nil
-		for _, item := range bare(file) {
+		for _, item := range undocumented(file) {
 			missing[folder] = append(missing[folder], fmt.Sprintf("%s: %s", path, item))
 		}
 		return nil
@@ -47,24 +49,24 @@
 	for folder, has := range packages {
 		require.True(t, has, "%s has no package comment", folder)
 	}
-	for folder := range maps.Keys(uncommented) {
-		require.Contains(t, packages, folder, "no such package")
+	for folder := range maps.Keys(undocumentedAllowed) {
+		require.Contains(t, packages, folder, "undocumentedAllowed names a package that does not exist")
 	}
 	for folder := range packages {
-		if len(missing[folder]) != uncommented[folder] {
+		if len(missing[folder]) != undocumentedAllowed[folder] {
 			t.Errorf(
-				"%s: %d items may lack a doc comment, and do: %s",
+				"%s: %d items may lack a doc comment, and these do: %s",
 				folder,
-				uncommented[folder],
+				undocumentedAllowed[folder],
 				strings.Join(missing[folder], "; "),
 			)
 		}
 	}
 }
 
-// bare are a file's exported items that have no doc comment: types, functions, methods of exported types, and groups
-// of values.
-func bare(file *ast.File) []string {
+// undocumented returns the names of a file's exported items that have no doc comment: types, functions, methods of
+// exported types, constants and variables.
+func undocumented(file *ast.File) []string {
 	var all []string
 	for _, decl := range file.Decls {
 		switch d := decl.(type) {
@@ -74,7 +76,7 @@
 			}
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
-				if name, doc := commentOf(spec); name != "" && doc == nil && d.Doc == nil {
+				if name, doc := exportedNameAndDoc(spec); name != "" && doc == nil && d.Doc == nil {
 					all = append(all, name)
 				}
 			}
@@ -83,6 +85,7 @@
 	return all
 }
 
+// exportedReceiver reports whether d is a function, or a method of an exported type.
 func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
@@ -98,8 +101,8 @@
 	return ok && name.IsExported()
 }
 
-// commentOf is the first exported name that a declaration makes, and its comment.
-func commentOf(spec ast.Spec) (string, *ast.CommentGroup) {
+// exportedNameAndDoc returns the first exported name that a declaration introduces, and its doc comment.
+func exportedNameAndDoc(spec ast.Spec) (string, *ast.CommentGroup) {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
 		if s.Name.IsExported() {
@@ -118,8 +121,8 @@
 	return "", nil
 }
 
-// The check itself finds what has no comment.
-func TestDocCommentsAreMissed(t *testing.T) {
+// The check finds each kind of exported item that has no doc comment.
+func TestMissingDocCommentsAreFound(t *testing.T) {
 	t.Parallel()
 	file, err := parser.ParseFile(token.NewFileSet(), "", `package p
 type Bare struct{}
@@ -136,5 +139,5 @@
 var D, e = 1, 2
 `, parser.ParseComments)
 	require.NoError(t, err)
-	require.Equal(t, []string{"Bare", "Method", "Bare2", "B", "D"}, bare(file))
+	require.Equal(t, []string{"Bare", "Method", "Bare2", "B", "D"}, undocumented(file))
 }
--- a/docs_test.go
+++ b/docs_test.go
@@ -19,10 +19,12 @@
 	packagePattern  = regexp.MustCompile("`(internal/[a-z0-9/]+)`")
 )
 
-// renamedAway are the pages that speak of the tree as it was on a day that is past.
-var renamedAway = []string{"docs/review-of-parts.md", "CHANGELOG.md"}
+// historicalPages describe earlier states of the tree, so the tests and packages that they name need not exist any
+// more.
+var historicalPages = []string{"docs/review-of-parts.md", "CHANGELOG.md"}
 
-// The links of the documents lead somewhere, and the tests and packages that they name exist. A name may end in a star.
+// The files that documents link to exist, and so do the tests and packages that they name. The name of a test may end
+// in a star, which stands for any ending.
 func TestDocumentsNameWhatExists(t *testing.T) {
 	t.Parallel()
 	tests := declaredTests(t)
@@ -36,29 +38,31 @@
 			_, err := os.Stat(filepath.Join(filepath.Dir(page), link[1]))
 			require.NoError(t, err, "%s: link to %s", page, link[1])
 		}
-		if slices.Contains(renamedAway, page) {
+		if slices.Contains(historicalPages, page) {
 			continue
 		}
 		for _, name := range testNamePattern.FindAllString(string(content), -1) {
-			if !exists(tests, name) {
-				t.Errorf("%s: no test %s", page, name)
+			if !isDeclared(tests, name) {
+				t.Errorf("%s: test %s does not exist", page, name)
 			}
 		}
 		for _, name := range packagePattern.FindAllStringSubmatch(string(content), -1) {
 			if info, err := os.Stat(name[1]); err != nil || !info.IsDir() {
-				t.Errorf("%s: no package %s", page, name[1])
+				t.Errorf("%s: package %s does not exist", page, name[1])
 			}
 		}
 	}
 }
 
-func exists(tests []string, name string) bool {
+// isDeclared reports whether a test of this name exists, or, for a name that ends in a star, one that begins with it.
+func isDeclared(tests []string, name string) bool {
 	if prefix, star := strings.CutSuffix(name, "*"); star {
 		return slices.ContainsFunc(tests, func(test string) bool { return strings.HasPrefix(test, prefix) })
 	}
 	return slices.Contains(tests, name)
 }
 
+// documents returns the paths of the Markdown pages.
 func documents(t *testing.T) []string {
 	t.Helper()
 	pages := []string{"README.md", "CHANGELOG.md"}
@@ -72,6 +76,7 @@
 	return pages
 }
 
+// declaredTests returns the names of all tests, fuzz tests and benchmarks of the module.
 func declaredTests(t *testing.T) []string {
 	t.Helper()
 	var names []string
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"standpoint"
 )
 
-// A gateway passes what it observes, with the time, and carries out what comes back.
+// A gateway passes each event to the router, together with the time, and carries out the returned actions.
 func Example() {
 	router := standpoint.New(standpoint.Settings{
 		Gateways: 1, Zones: 1, Kinds: 1, MaxAttempts: 3,
--- a/golden_test.go
+++ b/golden_test.go
@@ -9,7 +9,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// What a router has learned, as it goes to the process that takes its place.
+// Guards the stored form of learned state, which a router hands to the process that replaces it.
 func TestGoldenLearned(t *testing.T) {
 	model := LearnedModel{Err: 0.125, Samples: [][]float32{{1, 2, 3}}}
 	for i := range model.Base {
@@ -62,7 +62,7 @@
 		func(raw []byte) (l Learned, err error) { err = json.Unmarshal(raw, &l); return l, err })
 }
 
-// The messages of the load directory, a line each: what it says, and its bytes.
+// Guards the wire form of the load directory's messages, one line per message.
 func TestGoldenDirectoryMessages(t *testing.T) {
 	messages := []directoryMessage{
 		{kind: directoryAsk, id: 1, engine: 2, session: 3, prefix: 4},
@@ -79,7 +79,7 @@
 	for i, line := range strings.Fields(lines.String()) {
 		decoded, ok := decodeDirectory(line)
 		if !ok || decoded != messages[i] {
-			t.Errorf("%s: %+v, wanted %+v", line, decoded, messages[i])
+			t.Errorf("%s decoded as %+v, want %+v", line, decoded, messages[i])
 		}
 	}
 }
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The test command lets just the tests fail that KNOWN-RED.txt lists, and prints them. Its go is played here: it
-// fails the tests that are named in the file beside it.
+// known-red.sh tolerates failures of exactly the tests that KNOWN-RED.txt lists, and prints these tests. A script takes
+// the place of the go command: it fails the tests that each case names.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("known-red.sh")
 	if err != nil {
@@ -17,19 +17,28 @@
 	}
 	const a, b = "./x TestA: half a line is lost: 7\n", "./x TestB: late: 8\n"
 	for name, c := range map[string]struct {
-		list, fail, says string
-		ok               bool
+		list, fail, output string
+		ok                 bool
 	}{
-		"no list":                    {ok: true},
-		"no list, and one fails":     {fail: "TestA"},
-		"an empty list":              {list: "\n", ok: true},
-		"just those listed":          {list: a + b, fail: "TestA TestB", ok: true, says: "known red: ./x TestB: late: 8"},
-		"another fails":              {list: a, fail: "TestA TestC"},
-		"a listed one passes":        {list: a + b, fail: "TestB", says: "passes, and its line is to go: ./x TestA"},
-		"it does not build":          {list: a, fail: "build", says: "did not fail as a test"},
-		"four":                       {list: a + b + a + b, fail: "TestA TestB", says: "three may be known to fail"},
-		"no cause":                   {list: "./x TestA\n", fail: "TestA", says: "not './package TestName: cause: issue'"},
-		"a name that two tests have": {list: "./x TestTwice: late: 8\n", fail: "TestTwice", says: "not the name of one test alone"},
+		"no list":                {ok: true},
+		"no list, and one fails": {fail: "TestA"},
+		"an empty list":          {list: "\n", ok: true},
+		"just those listed": {
+			list: a + b, fail: "TestA TestB", ok: true,
+			output: "known red: ./x TestB: late: 8",
+		},
+		"another fails":       {list: a, fail: "TestA TestC"},
+		"a listed one passes": {list: a + b, fail: "TestB", output: "passes, and its line is to go: ./x TestA"},
+		"it does not build":   {list: a, fail: "build", output: "did not fail as a test"},
+		"four":                {list: a + b + a + b, fail: "TestA TestB", output: "three may be known to fail"},
+		"no cause": {
+			list: "./x TestA\n", fail: "TestA",
+			output: "not './package TestName: cause: issue'",
+		},
+		"a name that two tests have": {
+			list: "./x TestTwice: late: 8\n", fail: "TestTwice",
+			output: "not the name of one test alone",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -62,9 +71,9 @@
 			}
 			command := exec.Command("bash", script)
 			command.Dir, command.Env = dir, append(os.Environ(), "GO="+filepath.Join(dir, "go"))
-			said, err := command.CombinedOutput()
-			if (err == nil) != c.ok || !strings.Contains(string(said), c.says) {
-				t.Errorf("%v, said %q", err, said)
+			output, err := command.CombinedOutput()
+			if (err == nil) != c.ok || !strings.Contains(string(output), c.output) {
+				t.Errorf("error %v, output %q", err, output)
 			}
 		})
 	}
--- a/walltime_test.go
+++ b/walltime_test.go
@@ -11,25 +11,25 @@
 	"testing"
 )
 
-// wallTimeAllowed are the files that may turn times into Unix numbers, and why. What is marked open is not mended
-// yet; ROADMAP lists it.
+// wallTimeAllowed lists the files that may convert times to Unix numbers, each with the reason. Those marked as open
+// are not fixed yet; ROADMAP lists them.
 var wallTimeAllowed = map[string]string{
-	"internal/clock/clock.go":             "owns time",
+	"internal/clock/clock.go":             "the only package that makes instants",
 	"internal/batch/model.go":             "created_at and expires_at are shown as Unix seconds",
-	"internal/batch/line.go":              "open: windows and lines' times are kept as wall time",
-	"internal/config/endpoints.go":        "a start that an operator's file tells is a wall time",
-	"internal/endpoints/stored.go":        "a time that is past; open: ends of records are kept as wall time",
-	"internal/endpoints/service.go":       "shows waits to people",
-	"internal/endpoints/origin.go":        "shows starts to people",
-	"internal/edge/read_ahead.go":         "a deadline that is past",
-	"internal/dnssd/resolver/exchange.go": "a deadline that is past",
-	"internal/fleet/lease/lease.go":       "shows a lease's end in an error",
-	"internal/testpeer/batch_backend.go":  "a stand-in",
-	"internal/testpeer/drain/check.go":    "compares moments of one process",
+	"internal/batch/line.go":              "open: windows and times of lines are stored as wall time",
+	"internal/config/endpoints.go":        "start times in an operator's file are wall time",
+	"internal/endpoints/stored.go":        "a time in the past; open: ends of records are stored as wall time",
+	"internal/endpoints/service.go":       "displays waits",
+	"internal/endpoints/origin.go":        "displays start times",
+	"internal/edge/read_ahead.go":         "a deadline in the past",
+	"internal/dnssd/resolver/exchange.go": "a deadline in the past",
+	"internal/fleet/lease/lease.go":       "prints the end of a lease in an error",
+	"internal/testpeer/batch_backend.go":  "an emulated backend for tests",
+	"internal/testpeer/drain/check.go":    "compares times of one process",
 }
 
-// Guards against instants that are numbers of the wall clock, which may be stepped: internal/clock alone makes them.
-// The laboratory has a time of its own.
+// Guards against instants taken from the wall clock, which may be stepped: only internal/clock makes instants. The
+// simulations in internal/lab have a clock of their own.
 func TestNoWallTime(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -52,7 +52,7 @@
 			}
 			seen[path] = true
 			if wallTimeAllowed[path] == "" {
-				t.Errorf("%s: %s makes an instant of the wall clock; internal/clock is for that", path, name.Sel.Name)
+				t.Errorf("%s: %s makes an instant from the wall clock, use internal/clock instead", path, name.Sel.Name)
 			}
 			return true
 		})
@@ -63,7 +63,7 @@
 	}
 	for path := range wallTimeAllowed {
 		if !seen[path] {
-			t.Errorf("%s is allowed wall time, and does not use it", path)
+			t.Errorf("%s is listed in wallTimeAllowed but does not use wall time", path)
 		}
 	}
 }
