--- a/directory_test.go
+++ b/directory_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// longPrompts is a deployment of a few gateways whose prompts take a good part of their aims to read.
-func longPrompts(gateways int) Settings {
+// longPromptSettings describes a deployment with messages between gateways and no second copies. Reading a prompt of
+// longPromptRequest takes a considerable part of its latency objective, so that the load directory is in use.
+func longPromptSettings(gateways int) Settings {
 	s := testSettings()
 	s.Gateways, s.Peers, s.SecondCopies = gateways, true, false
 	return s
 }
 
-// long is a request with a long shared beginning.
-func long(id, now int64, prefix uint64) *Request {
+// longPromptRequest returns a request that arrives at now, with a session of its own and a long shared prefix.
+func longPromptRequest(id, now int64, prefix uint64) *Request {
 	return &Request{
 		ID:           id,
 		Deadline:     now + 4*second,
@@ -26,17 +27,17 @@
 	}
 }
 
-// tier is some gateways that reach each other. Messages arrive within the same moment, unless they are lost.
-type tier struct {
-	gateways []*Router
-	lost     bool
-	told     int
+// gatewayTier is a number of gateways that exchange messages. Each message arrives at once, unless dropMessages is set.
+type gatewayTier struct {
+	gateways     []*Router
+	dropMessages bool
+	messages     int // sent so far
 }
 
-func newTier(n int, engines ...string) *tier {
-	t := &tier{}
+func newTier(n int, engines ...string) *gatewayTier {
+	t := &gatewayTier{}
 	for i := range n {
-		s := longPrompts(n)
+		s := longPromptSettings(n)
 		s.Ordinal = i
 		r := New(s, int64(i+1))
 		feed(r, 1, engineList(engines...))
@@ -45,24 +46,25 @@
 	return t
 }
 
-// give hands an event to a gateway, and whatever follows to the others, and returns all actions but messages and
-// timers.
-func (t *tier) give(to int, now int64, ev Event) []Action {
-	var rest []Action
+// deliver passes an event to one gateway and the messages that follow from it to the others. It returns all actions
+// except messages and timers.
+func (t *gatewayTier) deliver(to int, now int64, ev Event) []Action {
+	var others []Action
 	for _, a := range feed(t.gateways[to], now, ev) {
 		if a.Kind != SendPeer {
-			rest = append(rest, a)
+			others = append(others, a)
 			continue
 		}
-		t.told++
-		if !t.lost {
-			rest = append(rest, t.give(a.Peer, now, &PeerMessage{From: to, Data: a.Data})...)
+		t.messages++
+		if !t.dropMessages {
+			others = append(others, t.deliver(a.Peer, now, &PeerMessage{From: to, Data: a.Data})...)
 		}
 	}
-	return rest
+	return others
 }
 
-// A message says the same after its way, and what is none is not read as one.
+// Directory messages survive encoding and decoding, truncated ones are rejected, and values out of range are decoded as
+// finite ones.
 func TestDirectoryMessages(t *testing.T) {
 	for _, m := range []directoryMessage{
 		{kind: directoryAsk, id: 7, engine: 1 << 31, session: 3, prefix: 4},
@@ -73,132 +75,138 @@
 	} {
 		text := m.encode()
 		if got, ok := decodeDirectory(text); !ok || got != m || len(text) > 64 {
-			t.Errorf("%+v became %+v, %v, in %d bytes", m, got, ok, len(text))
+			t.Errorf("%+v decoded as %+v, %v, in %d bytes", m, got, ok, len(text))
 		}
 		for cut := range len(text) {
 			if _, ok := decodeDirectory(text[:cut]); ok {
-				t.Errorf("%q was read, of %q", text[:cut], text)
+				t.Errorf("%q, the start of %q, was decoded", text[:cut], text)
 			}
 		}
 	}
-	huge := directoryMessage{kind: directoryAnswer, tokens: math.Inf(1), load: engineLoad{1e9, -1, math.NaN()}}
-	got, ok := decodeDirectory(huge.encode())
+	outOfRange := directoryMessage{kind: directoryAnswer, tokens: math.Inf(1), load: engineLoad{1e9, -1, math.NaN()}}
+	got, ok := decodeDirectory(outOfRange.encode())
 	if !ok || !allFinite(got.load.wait, got.tokens, got.load.reading, got.load.speed) || got.load.reading < 0 {
-		t.Errorf("numbers that cannot be became %+v, %v", got, ok)
+		t.Errorf("values out of range decoded as %+v, %v", got, ok)
 	}
 }
 
-// Whatever bytes come from a peer, they change nothing that a gateway owes.
+// Malformed messages from peers cause no actions.
 func TestMalformedPeerMessagesChangeNothing(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	n := newTier(3, "a", "b")
+	tier := newTier(3, "a", "b")
 	for i := range 2000 {
 		b := make([]byte, rng.IntN(40))
 		for j := range b {
 			b[j] = byte(rng.IntN(256))
 		}
-		if got := feed(n.gateways[0], int64(i+2)*ms, &PeerMessage{From: rng.IntN(6) - 1, Data: string(b)}); len(
-			got,
-		) > 0 {
-			t.Fatalf("%q had %v", b, got)
+		if got := feed(
+			tier.gateways[0], int64(i+2)*ms, &PeerMessage{From: rng.IntN(6) - 1, Data: string(b)},
+		); len(got) > 0 {
+			t.Fatalf("message %q caused actions %v", b, got)
 		}
 	}
 }
 
-// Engines read first come first: an end tells of all prompts before it, and how fast they were read.
+// Engines read prompts first in, first out: a prompt that was read shows that all before it were, and how fast.
 func TestPrefillBacklogIsFirstInFirstOut(t *testing.T) {
 	var b backlog
 	b.speed = 10000
-	near := func(want, got float64) {
+	expectNear := func(want, got float64) {
 		t.Helper()
 		if math.Abs(want-got) > 1e-6 {
 			t.Fatalf("%g, want %g", got, want)
 		}
 	}
-	near(0, b.wait(0))
+	expectNear(0, b.wait(0))
 	for i := range 3 {
 		b.add(pendingPrompt{gateway: 1, id: uint32(i), tokens: 5000, at: 0})
 	}
-	near(1.5, b.wait(0))
-	near(1.25, b.wait(second/4))
-	near(1, b.wait(5*second)) // of the first alone it is known that it is being read
+	expectNear(1.5, b.wait(0))
+	expectNear(1.25, b.wait(second/4))
+	expectNear(1, b.wait(5*second)) // only the first prompt is known to be in progress
 	b.end(1, 1, true, 2*second)
-	near(1, float64(len(b.prompts)))
-	near(10000+speedWeight*(5000-10000), b.speed)
-	b.end(2, 2, true, 2*second) // another gateway's
-	near(1, float64(len(b.prompts)))
+	expectNear(1, float64(len(b.prompts)))
+	expectNear(10000+speedWeight*(5000-10000), b.speed)
+	b.end(2, 2, true, 2*second) // of another gateway: no effect
+	expectNear(1, float64(len(b.prompts)))
 	b.end(1, 2, false, 2*second)
-	near(0, b.wait(2*second))
-	near(8000+0.2*5000, b.speed)
+	expectNear(0, b.wait(2*second))
+	expectNear(8000+0.2*5000, b.speed)
 	b.add(pendingPrompt{id: 9, tokens: 5000, at: 3 * second})
-	near(0, b.wait(3*second+pendingTimeout+1)) // nobody told its end
+	expectNear(0, b.wait(3*second+pendingTimeout+1)) // its end was not reported before the timeout
 	for i := range 2 * maxPending {
 		b.add(pendingPrompt{id: uint32(i), at: 20 * second})
 	}
-	near(maxPending, float64(len(b.prompts)))
+	expectNear(maxPending, float64(len(b.prompts)))
 }
 
-// Of many gateways each sends long prompts with the same beginning to where another sent them before, unless that
-// engine has more to read than reading the beginning anew takes: then it goes elsewhere, and that holds the beginning
-// too.
+// Each of many gateways sends prompts with the same long prefix to the engine to which another gateway sent them
+// before, unless that engine's backlog takes longer than reading the prefix again. Then the request goes to another
+// engine, which from then on has the prefix cached too.
 func TestGatewaysSharePrefixLocations(t *testing.T) {
-	n := newTier(20, "a", "b", "c", "d", "e", "f")
+	tier := newTier(20, "a", "b", "c", "d", "e", "f")
 	now, id := second, int64(1)
 	send := func(gateway int) string {
 		id++
-		got := n.give(gateway, now, long(id, now, 77))
+		got := tier.deliver(gateway, now, longPromptRequest(id, now, 77))
 		expect(t, got, "send ")
 		return got[0].Engine
 	}
 	home := send(0)
 	for i := 1; i < 10; i++ {
-		n.give(i-1, now, &FirstToken{Request: id, Elapsed: 100 * ms})
+		tier.deliver(i-1, now, &FirstToken{Request: id, Elapsed: 100 * ms})
 		now += second
 		if got := send(i); got != home {
-			t.Fatalf("gateway %d sent to %s, and %s keeps the beginning", i, got, home)
+			t.Fatalf("gateway %d sent to %s, want %s, which has the prefix cached", i, got, home)
 		}
 	}
-	others := map[string]bool{}
-	for i := range 10 { // nobody tells of an end: all of these wait at once
-		others[send(10+i)] = true
+	engines := map[string]bool{}
+	for i := range 10 { // no end is reported: all of these prompts wait at the same time
+		engines[send(10+i)] = true
 	}
-	if len(others) < 2 {
-		t.Fatalf("ten prompts at once went to %v alone", others)
+	if len(engines) < 2 {
+		t.Fatalf("ten prompts at once all went to %v", engines)
 	}
 }
 
-// Without an answer a request is placed once the wait for it is over, and its registrars are left alone for a while.
-func TestUnresponsiveRegistrarsAreSkipped(t *testing.T) {
-	n := newTier(20, "a", "b", "c")
-	n.lost = true
-	expect(t, n.give(0, second, long(1, second, 77)), "")
-	told := n.told
-	if told == 0 {
-		t.Fatal("nobody was asked")
+// If directory owners do not respond, a request is dispatched after the timeout, and these owners are not asked again
+// for a while.
+func TestUnresponsiveDirectoryOwnersAreSkipped(t *testing.T) {
+	tier := newTier(20, "a", "b", "c")
+	tier.dropMessages = true
+	expect(t, tier.deliver(0, second, longPromptRequest(1, second, 77)), "")
+	asked := tier.messages
+	if asked == 0 {
+		t.Fatal("no directory owner was asked")
 	}
-	expect(t, n.give(0, second+consultTimeout, &TimerFired{Token: tokenStep + tokenConsult}), "send ")
-	expect(t, n.give(0, second+consultTimeout+ms, long(2, second, 77)), "send ")
-	if again := n.give(0, second+consultTimeout+silentOwnerPause+ms, long(3, second, 77)); len(again) > 0 {
-		t.Fatalf("after a while they are asked again, and this had %v", again)
+	expect(t, tier.deliver(0, second+consultTimeout, &TimerFired{Token: tokenStep + tokenConsult}), "send ")
+	expect(t, tier.deliver(0, second+consultTimeout+ms, longPromptRequest(2, second, 77)), "send ")
+	if actions := tier.deliver(
+		0, second+consultTimeout+silentOwnerPause+ms, longPromptRequest(3, second, 77),
+	); len(actions) > 0 {
+		t.Fatalf("actions %v after the pause, want the directory owners to be asked first", actions)
 	}
-	// A client that leaves meanwhile, and an answer behind that, leave nothing.
-	n.give(0, second+consultTimeout+silentOwnerPause+2*ms, &ClientDisconnected{Request: 3})
-	if r := n.gateways[0]; len(r.awaitingDirectory) != 0 {
-		t.Fatalf("%d requests still wait for answers", len(r.awaitingDirectory))
+	// A client that disconnects while its request waits leaves no state behind.
+	tier.deliver(0, second+consultTimeout+silentOwnerPause+2*ms, &ClientDisconnected{Request: 3})
+	if r := tier.gateways[0]; len(r.awaitingDirectory) != 0 {
+		t.Fatalf("%d requests still wait for directory owners", len(r.awaitingDirectory))
 	}
 }
 
-// There are no messages where they are not permitted, nobody else is there, or prompts are short for their aims.
+// No messages are sent where the settings forbid them, there is one gateway, there are no load reports, or prompts are
+// short for their objectives.
 func TestDirectoryIsUnusedWhereItDoesNotPay(t *testing.T) {
-	alone, barred, blind := longPrompts(1), longPrompts(20), longPrompts(20)
-	barred.Peers, blind.Reports = false, ReportNone
-	for name, s := range map[string]Settings{"alone": alone, "barred": barred, "no reports": blind} {
+	single, peersForbidden, noReports := longPromptSettings(1), longPromptSettings(20), longPromptSettings(20)
+	peersForbidden.Peers, noReports.Reports = false, ReportNone
+	for name, s := range map[string]Settings{
+		"one gateway": single, "messages forbidden": peersForbidden, "no reports": noReports,
+	} {
 		r := New(s, 1)
 		feed(r, 1, engineList("a", "b", "c"))
-		expect(t, feed(r, second, long(1, second, 77)), "send ")
+		expect(t, feed(r, second, longPromptRequest(1, second, 77)), "send ")
 		t.Log(name)
 	}
-	r := New(longPrompts(20), 1)
+	r := New(longPromptSettings(20), 1)
 	feed(r, 1, engineList("a", "b", "c"))
 	for i := range int64(20) {
 		expect(
@@ -213,8 +221,8 @@
 	}
 }
 
-// What never left this gateway takes nothing from a cold engine's budget, leaves no trace of a kept prompt, and
-// blames nobody.
+// An attempt that never left this gateway uses no slow-start budget and records no cached prompt, and one that failed
+// for a fault of the gateway's own machine does not count as an error of the engine.
 func TestUnsentAttemptLeavesNoTrace(t *testing.T) {
 	s := testSettings()
 	s.SecondCopies = false
@@ -230,14 +238,14 @@
 		t.Fatal("the budget was not used")
 	}
 	got := feed(r, second+2*ms, &Outcome{Request: 1, Attempt: 0, Code: NotSent})
-	expect(t, got, "send ") // at once, and the budget allows it
+	expect(t, got, "send ") // at once, as the budget was refunded
 	if len(r.matchTable[0]) > 2 {
-		t.Fatalf("%d entries of what is kept", len(r.matchTable[0]))
+		t.Fatalf("%d entries in the match table, want at most 2", len(r.matchTable[0]))
 	}
 	feed(r, second+3*ms, &Outcome{Request: 1, Attempt: 1, Code: ConnectionLost, LocalFault: true})
 	if e.errorRate != 0 || e.suspect || e.unreachable {
 		t.Fatalf(
-			"a shortage of this gateway's machine was held against the engine: %v %v %v",
+			"a fault of the gateway's machine counts against the engine: error rate %v, suspect %v, unreachable %v",
 			e.errorRate,
 			e.suspect,
 			e.unreachable,
@@ -245,34 +253,34 @@
 	}
 }
 
-// A request that would come too late wherever it went, as registrars tell, is refused at once with a time to come
-// back, and not sent in vain.
+// A request that would miss its objective at every engine, by what directory owners report, is shed at once with a
+// retry time instead of being sent for nothing.
 func TestRequestThatWouldBeLateIsShed(t *testing.T) {
-	n := newTier(20, "a", "b", "c")
-	for _, r := range n.gateways {
+	tier := newTier(20, "a", "b", "c")
+	for _, r := range tier.gateways {
 		r.settings.RetryAfter, r.settings.MaxRetryAfter = true, 2*second
 	}
-	sent, refused := 0, 0
-	for i := range int64(60) { // all at once: nothing is read meanwhile
-		for _, a := range n.give(int(i%20), second, long(i+1, second, uint64(100+i))) {
+	sent, shed := 0, 0
+	for i := range int64(60) { // all at the same time, so no prompt is read meanwhile
+		for _, a := range tier.deliver(int(i%20), second, longPromptRequest(i+1, second, uint64(100+i))) {
 			switch a.Kind {
 			case Send:
 				sent++
 			case Shed:
-				refused++
+				shed++
 				if a.Wait <= 0 {
-					t.Error("refused, and not told when to come back")
+					t.Error("shed without a retry time")
 				}
 			}
 		}
 	}
-	if sent+refused != 60 || sent < 3 || refused < 20 { // each engine reads one prompt within the aim
-		t.Errorf("%d sent and %d refused of 60", sent, refused)
+	if sent+shed != 60 || sent < 3 || shed < 20 { // each engine can read one prompt within the objective
+		t.Errorf("%d sent and %d shed of 60 requests, want at least 3 and 20", sent, shed)
 	}
-	for _, r := range n.gateways { // once the engines have read, the next ones are sent
+	for _, r := range tier.gateways { // once the engines have read their prompts, requests are sent again
 		for _, e := range r.engines {
 			e.backlog.prompts = nil
 		}
 	}
-	expect(t, n.give(0, 3*second, long(100, 3*second, 100)), "send ")
+	expect(t, tier.deliver(0, 3*second, longPromptRequest(100, 3*second, 100)), "send ")
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// twoZones lists engines evenly over two zones.
-func twoZones(n int) *EngineList {
+// twoZoneList returns a full list of n engines of size 1, spread evenly over two zones.
+func twoZoneList(n int) *EngineList {
 	l := &EngineList{Kind: ListFull}
 	for i := range n {
 		l.Engines = append(l.Engines, Engine{Name: engineName(i), Zone: i % 2, Size: 1})
@@ -19,34 +19,35 @@
 	return l
 }
 
-// Seen on zone+vast: half of the servers lie in the zone that is lost, each node ranks its own zone first, and all
-// three attempts of a request went there, 100 ms each.
+// Guards against requests that use up their attempts in an unreachable zone: half of the engines are in that zone, and
+// each gateway ranks its own zone first, so all three attempts of a request went there at 100 ms each. After one failed
+// connection the next attempt goes to another zone.
 func TestLostZoneCostsRequestOneAttempt(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.CrossZonePrice, s.SecondCopies, s.Gateways = 2, 0.03, false, 80
 	for seed := range int64(20) {
 		r := New(s, seed)
-		feed(r, 0, twoZones(12))
+		feed(r, 0, twoZoneList(12))
 		zone := map[string]int{}
 		for _, e := range r.ready {
 			zone[e.Name] = e.Zone
 		}
 		got := feed(r, second, newRequest(1, 5*second))
 		expect(t, got, "send ")
-		first := zone[got[0].Engine]
+		firstZone := zone[got[0].Engine]
 		got = feed(r, second+100*ms, &Outcome{Request: 1, Code: NoConnection})
 		expect(t, got, "send ")
-		if zone[got[0].Engine] == first {
-			t.Fatalf("seed %d: the second attempt goes to zone %d too", seed, first)
+		if zone[got[0].Engine] == firstZone {
+			t.Fatalf("seed %d: the second attempt also goes to zone %d", seed, firstZone)
 		}
 	}
 }
 
-// A pool that lies in one zone is not left because one of its servers could not be reached.
+// A request whose pool lies in one zone stays in its pool after a failed connection to one of the pool's engines.
 func TestSingleZonePoolSurvivesOneUnreachableServer(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.CrossZonePrice, s.SecondCopies = 2, 0.03, false
-	list := twoZones(12)
+	list := twoZoneList(12)
 	for i := range list.Engines {
 		list.Engines[i].Pool = 1 + list.Engines[i].Zone
 	}
@@ -59,52 +60,52 @@
 		got := feed(r, second+100*ms, &Outcome{Request: 1, Code: NoConnection})
 		expect(t, got, "send ")
 		if e := r.engines[got[0].Engine]; e.Pool != 2 {
-			t.Fatalf("seed %d: the second attempt leaves its pool", seed)
+			t.Fatalf("seed %d: the second attempt goes to another pool", seed)
 		}
 	}
 }
 
-// fleet is many gateways that play together in virtual time, each with a little of the traffic. Every attempt is
-// answered as answer says.
-type fleet struct {
-	nodes []*Router
-	now   int64
-	next  int64
-	sent  map[string]int
+// gatewayGroup simulates many gateways in virtual time, each with a small part of the traffic.
+type gatewayGroup struct {
+	gateways []*Router
+	now      int64
+	nextID   int64
+	sentTo   map[string]int
 }
 
-func newFleet(s Settings, list *EngineList) *fleet {
-	f := &fleet{now: 100 * second, sent: map[string]int{}}
+func newGatewayGroup(s Settings, list *EngineList) *gatewayGroup {
+	g := &gatewayGroup{now: 100 * second, sentTo: map[string]int{}}
 	for i := range s.Gateways {
 		s.Ordinal, s.Zone = i, i%max(1, s.Zones)
-		f.nodes = append(f.nodes, New(s, int64(i)))
+		g.gateways = append(g.gateways, New(s, int64(i)))
 	}
-	f.tell(list)
-	return f
+	g.updateEngines(list)
+	return g
 }
 
-func (f *fleet) tell(list *EngineList) {
-	for _, r := range f.nodes {
-		feed(r, f.now, list)
+func (g *gatewayGroup) updateEngines(list *EngineList) {
+	for _, r := range g.gateways {
+		feed(r, g.now, list)
 	}
 }
 
-// play has requests come evenly to the gateways in turn, so many in all each second, and counts what is sent where.
-func (f *fleet) play(span int64, each float64, answer func(engine string) Outcome) {
-	for end := f.now + span; f.now < end; f.now += int64(float64(second) / each) {
-		f.next++
-		r := f.nodes[int(f.next)%len(f.nodes)]
-		tick(r, f.now)
-		q := newRequest(f.next, f.now+4*second)
-		q.Session = mix(uint64(f.next), 7)
-		for got := feed(r, f.now, q); len(got) > 0; {
+// run sends requests to the gateways in turn, evenly at rate requests a second in total, for the duration. It counts
+// the attempts per engine in sentTo; each attempt ends at once with the outcome that the function returns.
+func (g *gatewayGroup) run(duration int64, rate float64, outcome func(engine string) Outcome) {
+	for end := g.now + duration; g.now < end; g.now += int64(float64(second) / rate) {
+		g.nextID++
+		r := g.gateways[int(g.nextID)%len(g.gateways)]
+		tick(r, g.now)
+		q := newRequest(g.nextID, g.now+4*second)
+		q.Session = mix(uint64(g.nextID), 7)
+		for got := feed(r, g.now, q); len(got) > 0; {
 			a := got[0]
 			if got = nil; a.Kind == Send {
-				f.sent[a.Engine]++
-				o := answer(a.Engine)
-				o.Request, o.Attempt = a.Request, len(r.requests[a.Request].attempts)-1
-				o.Last = o.Code == Served
-				got = feed(r, f.now, &o)
+				g.sentTo[a.Engine]++
+				reply := outcome(a.Engine)
+				reply.Request, reply.Attempt = a.Request, len(r.requests[a.Request].attempts)-1
+				reply.Last = reply.Code == Served
+				got = feed(r, g.now, &reply)
 			}
 		}
 	}
@@ -112,8 +113,9 @@
 
 func served(string) Outcome { return Outcome{Code: Served, Elapsed: 10 * ms} }
 
-// Seen on join+vast: servers of size 3 and of size 10 that had just started got 2.1 to 2.6 requests a second alike;
-// the small ones took 5 to 13 s for an answer, and the large ones had four of five places free.
+// Guards against a slow-start budget that ignores the engine's size: starting engines of size 3 and of size 10 both got
+// 2.1 to 2.6 requests a second. The small ones took 5 to 13 s for a response, and the large ones had four of five slots
+// free.
 func TestColdBudgetScalesWithServerSize(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 80
@@ -121,154 +123,158 @@
 	for i := range 38 {
 		list.Engines = append(list.Engines, Engine{Name: engineName(i), Size: 6})
 	}
-	f := newFleet(s, list)
-	f.play(10*second, 88, served)
+	g := newGatewayGroup(s, list)
+	g.run(10*second, 88, served)
 	for i, size := range []float64{3, 9} {
-		list.Engines = append(list.Engines, Engine{Name: engineName(38 + i), Size: size, ReadyAt: f.now})
+		list.Engines = append(list.Engines, Engine{Name: engineName(38 + i), Size: size, ReadyAt: g.now})
 	}
-	f.tell(list)
-	f.play(8*second, 88, served)
-	small, large := float64(f.sent[engineName(38)]), float64(f.sent[engineName(39)])
+	g.updateEngines(list)
+	g.run(8*second, 88, served)
+	small, large := float64(g.sentTo[engineName(38)]), float64(g.sentTo[engineName(39)])
 	if !(small > 0 && large > 2*small && large < 4.5*small) {
-		t.Fatalf("%g requests to the small one, %g to one of three times its size", small, large)
+		t.Fatalf("%g requests to the small engine, %g to one of three times its size", small, large)
 	}
-	// 88 requests to 40 servers, times the allowance of 3, times a capacity that rises from 0.4 to 1: what all may
-	// send to one of the mean size.
-	if most := 88.0 / 40 * 3 * 8 * 0.7; large > most*9/6 {
-		t.Fatalf("%g requests to the large one, whose edge is %g", large, most*9/6)
+	// 88 requests a second to 40 engines, times the overload factor of 3, for 8 s, times a capacity that rises from 0.4
+	// to 1: what all gateways together may send to an engine of the mean size, which is 6.
+	if meanLimit := 88.0 / 40 * 3 * 8 * 0.7; large > meanLimit*9/6 {
+		t.Fatalf("%g requests to the large engine, limit %g", large, meanLimit*9/6)
 	}
 }
 
-// Seen on zone+vast: a lost zone answers again 3 s before the list tells of its new starts. All nodes went back to it
-// at once, up to 90 requests a second to servers at an eighth of their capacity; before, each of 80 nodes had tried
-// each lost server.
+// Guards against two faults around an unreachable zone. While it is unreachable, each of 80 gateways tried each of its
+// engines. When it responds again, 3 s before the list contains the new starts, all gateways returned to it at once,
+// with up to 90 requests a second to engines that have an eighth of their capacity.
 func TestLostZoneIsProbedOnceAndReturnsCold(t *testing.T) {
 	s := testSettings()
-	s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.MaxAttempts, s.ColdCapacityFraction, s.OverloadFactor = 80, 2, 0.03, false, 3, 0.13, 4
+	s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.MaxAttempts, s.ColdCapacityFraction, s.OverloadFactor =
+		80, 2, 0.03, false, 3, 0.13, 4
 	s.WarmUp = 24 * second
-	f := newFleet(s, twoZones(40))
+	g := newGatewayGroup(s, twoZoneList(40))
 	zone := map[string]int{}
-	for _, e := range f.nodes[0].ready {
+	for _, e := range g.gateways[0].ready {
 		zone[e.Name] = e.Zone
 	}
-	f.play(10*second, 88, served)
-	count := func() (one int) {
-		for name, n := range f.sent {
-			one += n * zone[name]
+	g.run(10*second, 88, served)
+	countZone1 := func() (total int) {
+		for name, n := range g.sentTo {
+			total += n * zone[name]
 		}
-		return one
+		return total
 	}
-	lost := func(engine string) Outcome {
+	zone1Unreachable := func(engine string) Outcome {
 		if zone[engine] == 1 {
 			return Outcome{Code: NoConnection, Elapsed: 100 * ms}
 		}
 		return served(engine)
 	}
-	f.play(4*second, 88, lost) // in which every node of that zone has found out
-	before := count()
-	f.play(4*second, 88, lost)
-	// Alone, each of 40 nodes would try 20 servers every 1.5 s, as often as it has requests: 176 in 4 s.
-	if tries := count() - before; tries > 40*4*2/3+20 {
-		t.Fatalf("%d attempts in 4 s to servers of a lost zone, by 40 nodes that each may try it every 1.5 s", tries)
+	g.run(4*second, 88, zone1Unreachable) // meanwhile every gateway of that zone has detected it
+	before := countZone1()
+	g.run(4*second, 88, zone1Unreachable)
+	// Without a shared trial each of 40 gateways could try each of 20 engines every 1.5 s, and would with every request
+	// that it gets: 176 in 4 s.
+	if trials := countZone1() - before; trials > 40*4*2/3+20 {
+		t.Fatalf("%d attempts in 4 s at an unreachable zone, by 40 gateways that may each try it every 1.5 s", trials)
 	}
-	before = count()
-	f.play(3*second, 88, served) // it answers again, and the list does not tell
-	// 20 servers, 2.2 requests a second each, times half of the allowance of 4, times a capacity from 0.13 to 0.24;
-	// and one trial of each node of that zone.
-	if back := count() - before; back < 20 || float64(back) > 20*2.2*2*0.19*3+40 {
-		t.Fatalf("%d requests in 3 s to a zone that has just come back", back)
+	before = countZone1()
+	g.run(3*second, 88, served) // the zone responds again, and the list does not contain the restarts yet
+	// 20 engines, 2.2 requests a second each, times half of the overload factor of 4, times a capacity from 0.13 to
+	// 0.24, for 3 s; and one trial of each of the 40 gateways of that zone.
+	if returned := countZone1() - before; returned < 20 || float64(returned) > 20*2.2*2*0.19*3+40 {
+		t.Fatalf("%d requests in 3 s to a zone that has just become reachable", returned)
 	}
-	f.now += s.DiscoveryTimeout
-	before = count()
-	f.play(4*second, 88, served) // no start was told in all that time: there was none
-	if warm := count() - before; warm < 140 {
-		t.Fatalf("%d of 352 requests to a zone that only was cut off", warm)
+	g.now += s.DiscoveryTimeout
+	before = countZone1()
+	g.run(4*second, 88, served) // no start was listed within the discovery timeout, so there was none
+	if returned := countZone1() - before; returned < 140 {
+		t.Fatalf("%d of 352 requests to a zone that was only disconnected, want at least 140", returned)
 	}
 }
 
-// Seen on join+vast: the servers of the zone with more of the traffic had 0.9 of their places taken, their likes in
-// the other 0.3; each node ranks its own zone first and hears of a given server less than once a minute. A node that
-// hears enough keeps to its zone, and so do all once every server is warm.
+// Guards against overloading the zone with more traffic while engines start: its engines had 0.9 of their slots in use,
+// equal ones in the other zone 0.3. Each gateway ranks its own zone first, and one with little traffic gets a response
+// from a given engine less than once a minute, so it cannot see the load. Gateways with more traffic prefer their own
+// zone, and so do all once every engine is warm.
 func TestLowTrafficGatewaysDoNotOverloadTheirZone(t *testing.T) {
-	share := func(nodes int, started int64) float64 {
+	ownZoneShare := func(gateways int, readyAt int64) float64 {
 		s := testSettings()
-		s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.WarmUp = nodes, 2, 0.03, false, 24*second
-		list := twoZones(40)
-		list.Engines[39].ReadyAt = started
-		f := newFleet(s, list)
-		var lean []*Router // three of four requests come to zone 0
-		for i, r := range f.nodes {
-			lean = append(lean, r)
+		s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.WarmUp = gateways, 2, 0.03, false, 24*second
+		list := twoZoneList(40)
+		list.Engines[39].ReadyAt = readyAt
+		g := newGatewayGroup(s, list)
+		var skewed []*Router // three of four requests come to zone 0
+		for i, r := range g.gateways {
+			skewed = append(skewed, r)
 			if i%2 == 0 {
-				lean = append(lean, r, r)
+				skewed = append(skewed, r, r)
 			}
 		}
-		f.nodes = lean
-		f.play(20*second, 88, served)
-		own, all := 0, 0
+		g.gateways = skewed
+		g.run(20*second, 88, served)
+		inZone0, all := 0, 0
 		for i := range 40 {
-			all += f.sent[engineName(i)]
+			all += g.sentTo[engineName(i)]
 			if i%2 == 0 {
-				own += f.sent[engineName(i)]
+				inZone0 += g.sentTo[engineName(i)]
 			}
 		}
-		return float64(own) / float64(all)
+		return float64(inZone0) / float64(all)
 	}
-	if got := share(2, 100*second); got < 0.7 {
-		t.Errorf("%.2f of the requests stay in the zone of three quarters, before two busy nodes", got)
+	if got := ownZoneShare(2, 100*second); got < 0.7 {
+		t.Errorf("two busy gateways: %.2f of the requests in the zone that gets three quarters, want 0.7", got)
 	}
-	if got := share(80, second); got < 0.7 {
-		t.Errorf("%.2f of the requests stay in the zone of three quarters, before 80 nodes and warm servers", got)
+	if got := ownZoneShare(80, second); got < 0.7 {
+		t.Errorf("80 gateways, warm engines: %.2f of the requests in the zone that gets three quarters, want 0.7", got)
 	}
-	if got := share(80, 100*second); got < 0.55 || got > 0.68 {
+	// Half of the sessions are ranked regardless of the zone: half of 0.75 and half of 0.5 is 0.63.
+	if got := ownZoneShare(80, 100*second); got < 0.55 || got > 0.68 {
 		t.Errorf(
-			"%.2f of the requests stay in the zone of three quarters, before 80 thin nodes; half of what leans is 0.63",
+			"80 low-traffic gateways: %.2f of the requests in the zone that gets three quarters, want about 0.63",
 			got,
 		)
 	}
 }
 
-// What is believed of cold servers and of zones holds at its edges: no capacity told, a start that the list takes
-// back, zones with new numbers.
+// Edge cases of starting engines and unreachable zones: a capacity of 0 at the start, a start that the next list no
+// longer contains, and zones that may have other numbers after a change of settings.
 func TestColdAndLostZoneEdgeCases(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.ColdCapacityFraction = 2, 0
 	r := New(s, 1)
-	list := twoZones(8)
+	list := twoZoneList(8)
 	list.Engines[0].ReadyAt = 100 * second
 	feed(r, 100*second, list)
-	if w := r.minCapacityFraction(r.engines[engineName(0)]); w != 0 {
-		t.Errorf("a server that has just started is taken to have %g of its capacity, and none is told", w)
+	if fraction := r.minCapacityFraction(r.engines[engineName(0)]); fraction != 0 {
+		t.Errorf("capacity fraction %g of an engine that has just started, want 0", fraction)
 	}
 	list.Engines[0].ReadyAt = 1e6 * second
 	feed(r, 101*second, list)
 	list.Engines[0].ReadyAt = 0
 	feed(r, 102*second, list)
 	if r.fleetWarmUpEnd > 102*second {
-		t.Error("a start that is told no longer is still believed")
+		t.Error("the fleet's warm-up still ends with a start that is no longer listed")
 	}
 	r.unreachableByZone[0] = lostZoneThreshold
 	r.UpdateSettings(s)
 	if len(r.failureDomain(r.engines[engineName(0)])) != 1 {
-		t.Error("a zone is lost that may be another by now")
+		t.Error("a zone is still taken to be unreachable after its number may have changed")
 	}
 }
 
-// What the fleet gives up is spread: however poor its requests, no class and no tenant within its quota loses more
-// than the stated part, while what is beyond a quota may be refused whole.
+// Shedding is spread: however little value its requests have, no class and no tenant within its quota loses more than
+// maxShedOfGroup of them, while all requests beyond a quota may be shed.
 func TestNoClassOrTenantStarves(t *testing.T) {
 	s := testSettings()
 	s.Gateways, s.OverQuotaWeight = 1, 0.05
 	s.Tenants = []Tenant{{QuotaRPS: 60}, {QuotaRPS: 60}, {QuotaRPS: 10}}
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Weight = 50
-	for name, poor := range map[string]func(i int64, q *Request) bool{
-		"class": func(i int64, q *Request) bool { // worth a fiftieth
+	for name, prepare := range map[string]func(i int64, q *Request) bool{
+		"class": func(i int64, q *Request) bool { // its weight is a fiftieth of the other's
 			q.Tenant = int(i / 2 % 2)
 			q.Class = int(i % 2)
 			return q.Class == 0
 		},
-		"tenant": func(i int64, q *Request) bool { // all of its prompts are long
+		"tenant": func(i int64, q *Request) bool { // all prompts of tenant 0 are long
 			q.Class, q.Tenant = 1, int(i%2)
 			if q.Tenant == 0 {
 				q.PromptTokens *= 20
@@ -282,111 +288,117 @@
 	} {
 		r := New(s, 1)
 		feed(r, 0, engineList("a", "b", "c"))
-		asked, refused := 0.0, 0.0
+		sent, shed := 0.0, 0.0
 		for i := int64(1); i <= 1200; i++ { // 100 a second
 			now := i * 10 * ms
 			r.shedFraction, r.shedFractionAt = 0.45, now
 			q := newRequest(i, now+2*second)
-			mine := poor(i, q)
+			leastValuable := prepare(i, q)
 			got := kinds(feed(r, now, q))
-			if mine && i > 200 {
-				asked++
+			if leastValuable && i > 200 {
+				sent++
 				if got == "shed " {
-					refused++
+					shed++
 				}
 			}
 		}
-		if part := refused / asked; name == "beyond its quota" && part < 0.7 ||
-			name != "beyond its quota" && (part < 0.3 || part > maxShedOfGroup+0.05) {
-			t.Errorf("%s: %.2f of the poorest refused", name, part)
+		if fraction := shed / sent; name == "beyond its quota" && fraction < 0.7 ||
+			name != "beyond its quota" && (fraction < 0.3 || fraction > maxShedOfGroup+0.05) {
+			t.Errorf("%s: %.2f of the least valuable requests shed", name, fraction)
 		}
 	}
 }
 
-// Servers that have just started get no more in any window in which they could fall than the rule allows, N + 2 root
-// of N + 2 requests from all nodes together, whatever the number of nodes is and is thought to be: from the first
-// moment of a start that is told to all at once, with all of the traffic before it, evenly over the nodes or not, one
-// server cold or half of them.
+// No starting engine gets more in any overload window than the rule permits: N plus 2 times the square root of N plus 2
+// requests, where N is the overload factor times its capacity. This holds for all gateways together, for any number of
+// gateways and any number that the settings state, from the first moment of a start that all learn of at once, with
+// traffic spread evenly over the gateways or not, and with one engine starting or half of them.
 func TestColdBudgetHoldsOverAllNodes(t *testing.T) {
-	for _, nodes := range []int{2, 3, 5, 10, 20, 30, 40, 300} {
-		for _, thought := range []int{1, nodes, 10 * nodes} {
-			// Three requests a second to each server, what they are taken to do when warm, and one, whose allowance
-			// begins at two.
-			for _, each := range []float64{300, 100} {
-				testColdAllowance(t, nodes, thought, each, 1, thought != nodes)
-				testColdAllowance(t, nodes, thought, each, 50, true)
+	for _, gateways := range []int{2, 3, 5, 10, 20, 30, 40, 300} {
+		for _, assumed := range []int{1, gateways, 10 * gateways} {
+			// Three requests a second per engine, taken as what a warm one can serve; and one, of which a starting
+			// engine may first get two per window.
+			for _, rate := range []float64{300, 100} {
+				testColdAllowance(t, gateways, assumed, rate, 1, assumed != gateways)
+				testColdAllowance(t, gateways, assumed, rate, 50, true)
 			}
 		}
 	}
 }
 
-// testColdAllowance has so many servers of a hundred start, before nodes that get so many requests a second together.
-func testColdAllowance(t *testing.T, nodes, thought int, each float64, fresh int, uneven bool) {
-	const slide = 4 // of a window
+// testColdAllowance lets some of a hundred engines start while the gateways get rate requests a second in total.
+// assumed is the number of gateways in their settings; uneven gives a fifth of them six times the traffic of the
+// others.
+func testColdAllowance(t *testing.T, gateways, assumed int, rate float64, starting int, uneven bool) {
+	const stepsPerWindow = 4 // the sliding window advances by a quarter of its length
 	t.Run(
 		fmt.Sprintf(
-			"%d nodes, %d thought, %g requests a second, %d cold, uneven %t",
-			nodes,
-			thought,
-			each,
-			fresh,
+			"%d gateways, %d assumed, %g requests a second, %d starting, uneven %t",
+			gateways,
+			assumed,
+			rate,
+			starting,
 			uneven,
 		),
 		func(t *testing.T) {
 			t.Parallel()
 			s := testSettings()
-			s.Gateways, s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor, s.OverloadWindow = nodes, 24*second, 0.13, 4, 3*second
+			s.Gateways, s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor, s.OverloadWindow =
+				gateways, 24*second, 0.13, 4, 3*second
 			list := &EngineList{Kind: ListFull}
 			for i := range 100 {
 				list.Engines = append(list.Engines, Engine{Name: engineName(i), Size: 1})
 			}
-			f := newFleet(s, list)
-			for i, r := range f.nodes {
-				r.settings.Gateways = thought
-				if uneven && i%5 == 0 { // six times what the others have
-					f.nodes = append(f.nodes, r, r, r, r, r)
+			g := newGatewayGroup(s, list)
+			for i, r := range g.gateways {
+				r.settings.Gateways = assumed
+				if uneven && i%5 == 0 { // six times the traffic of the others
+					g.gateways = append(g.gateways, r, r, r, r, r)
 				}
 			}
-			f.play(20*second, each, served)
-			start := f.now
-			for i := range fresh {
+			g.run(20*second, rate, served)
+			start := g.now
+			for i := range starting {
 				list.Engines[i].ReadyAt = start
 			}
-			f.tell(list)
-			var sent []map[string]int
-			for at := start; at < start+s.WarmUp; at += s.OverloadWindow / slide {
-				sent = append(sent, maps.Clone(f.sent))
-				f.play(s.OverloadWindow/slide, each, served)
-				if len(sent) < slide {
+			g.updateEngines(list)
+			var snapshots []map[string]int
+			for at := start; at < start+s.WarmUp; at += s.OverloadWindow / stepsPerWindow {
+				snapshots = append(snapshots, maps.Clone(g.sentTo))
+				g.run(s.OverloadWindow/stepsPerWindow, rate, served)
+				if len(snapshots) < stepsPerWindow {
 					continue
 				}
-				from := sent[len(sent)-slide]
-				warm := s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*(seconds(f.now-start)-seconds(s.OverloadWindow)/2)/seconds(s.WarmUp)
-				n := s.OverloadFactor * warm * each / 100 * seconds(s.OverloadWindow)
-				for i := range fresh {
-					if got, most := float64(f.sent[engineName(i)]-from[engineName(i)]), n+2*math.Sqrt(n)+2; got > most {
+				from := snapshots[len(snapshots)-stepsPerWindow]
+				capacity := s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*
+					(seconds(g.now-start)-seconds(s.OverloadWindow)/2)/seconds(s.WarmUp)
+				n := s.OverloadFactor * capacity * rate / 100 * seconds(s.OverloadWindow)
+				for i := range starting {
+					if got, limit := float64(
+						g.sentTo[engineName(i)]-from[engineName(i)],
+					), n+2*math.Sqrt(n)+2; got > limit {
 						t.Errorf(
-							"%g requests in the 3 s to %g s, the rule allows %.1f",
+							"%g requests in the 3 s up to %g s after the start, limit %.1f",
 							got,
-							seconds(f.now-start),
-							most,
+							seconds(g.now-start),
+							limit,
 						)
 					}
 				}
 			}
-			if f.sent[engineName(0)] == sent[0][engineName(0)] {
-				t.Error("it got nothing at all")
+			if g.sentTo[engineName(0)] == snapshots[0][engineName(0)] {
+				t.Error("the starting engine got no requests")
 			}
 		},
 	)
 }
 
-// However much the fleet gives up, the requests with the longest prompts of a class, which promise the least for
-// their work, get two thirds of the class's answered share, the longest tenth and the fifth behind it; and sessions
-// whose turns are all long are not refused throughout while there is room for most.
+// However much is shed, the requests with the longest prompts of a class, which have the least value for their work,
+// are served at no less than two thirds of the class's rate; this holds for the longest tenth and for the next fifth.
+// And sessions whose turns all have long prompts are not shed completely while most requests can be served.
 func TestLargestRequestsKeepTheirShare(t *testing.T) {
 	for _, classes := range []int{1, 3} {
-		for _, cut := range []float64{0.05, 0.15, 0.3, 0.6, 0.8} {
+		for _, shedFraction := range []float64{0.05, 0.15, 0.3, 0.6, 0.8} {
 			s := testSettings()
 			s.Gateways, s.SecondCopies = 1, false
 			s.Classes = slices.Repeat(s.Classes[:1], classes)
@@ -395,69 +407,73 @@
 			}
 			r := New(s, 1)
 			feed(r, 0, engineList("a", "b", "c"))
-			type asked struct {
-				prompt  float64
-				refused bool
+			type outcome struct {
+				prompt float64
+				shed   bool
 			}
-			all, sessions := make([][]asked, classes), map[uint64][]bool{}
+			all, sessions := make([][]outcome, classes), map[uint64][]bool{}
 			rng := rand.New(rand.NewPCG(7, 7))
 			for i := int64(1); i <= 6000; i++ { // 100 a second
 				now := i * 10 * ms
-				r.shedFraction, r.shedFractionAt = cut, now
+				r.shedFraction, r.shedFractionAt = shedFraction, now
 				q := newRequest(i, now+2*second)
 				q.Class, q.Session = int(i-1)%classes, uint64(1+(i-1)%1500) // of four turns each
 				q.PromptTokens = 500 * math.Exp(
 					1.2*rand.New(rand.NewPCG(q.Session, 7)).NormFloat64()+0.2*rng.NormFloat64(),
 				)
-				refused := kinds(feed(r, now, q)) == "shed "
-				all[q.Class] = append(all[q.Class], asked{q.PromptTokens, refused})
-				sessions[q.Session] = append(sessions[q.Session], refused)
+				shed := kinds(feed(r, now, q)) == "shed "
+				all[q.Class] = append(all[q.Class], outcome{q.PromptTokens, shed})
+				sessions[q.Session] = append(sessions[q.Session], shed)
 			}
-			answered := func(some []asked) float64 {
+			servedFraction := func(outcomes []outcome) float64 {
 				n := 0.0
-				for _, a := range some {
-					if !a.refused {
+				for _, o := range outcomes {
+					if !o.shed {
 						n++
 					}
 				}
-				return n / float64(len(some))
+				return n / float64(len(outcomes))
 			}
-			for class, some := range all {
-				whole := answered(some)
-				slices.SortFunc(some, func(a, b asked) int { return cmp.Compare(b.prompt, a.prompt) })
-				n := len(some)
-				for what, part := range map[string][]asked{"tenth": some[:n/10], "fifth behind it": some[n/10 : 3*n/10]} {
-					if got := answered(part); got < 2.0/3*whole {
+			for class, outcomes := range all {
+				ofClass := servedFraction(outcomes)
+				slices.SortFunc(outcomes, func(a, b outcome) int { return cmp.Compare(b.prompt, a.prompt) })
+				n := len(outcomes)
+				for band, longest := range map[string][]outcome{
+					"longest tenth": outcomes[:n/10], "fifth behind it": outcomes[n/10 : 3*n/10],
+				} {
+					if got := servedFraction(longest); got < 2.0/3*ofClass {
 						t.Errorf(
-							"%d classes, cut %g: %.2f of class %d is answered, and %.2f of the longest %s",
+							"%d classes, shed fraction %g: %.2f of class %d is served, and %.2f of its %s",
 							classes,
-							cut,
-							whole,
+							shedFraction,
+							ofClass,
 							class,
 							got,
-							what,
+							band,
 						)
 					}
 				}
 			}
-			// Those of which all four turns are refused, beyond what chance gives where a class loses so many.
-			for class, some := range all {
-				throughout, of := 0.0, 0.0
+			// Sessions of which all four turns are shed, beyond the number to expect by chance at the class's rate.
+			for class, outcomes := range all {
+				allTurnsShed, count := 0.0, 0.0
 				for session, turns := range sessions {
 					if int(session-1)%classes == class {
-						if of++; !slices.Contains(turns, false) {
-							throughout++
+						if count++; !slices.Contains(turns, false) {
+							allTurnsShed++
 						}
 					}
 				}
-				if over := throughout/of - math.Pow(1-answered(some), 4); cut <= 0.15 && over > 0.1 {
+				if excess := allTurnsShed/count - math.Pow(1-servedFraction(outcomes), 4); shedFraction <= 0.15 &&
+					excess > 0.1 {
 					t.Errorf(
-						"%d classes, cut %g: %.2f of class %d is answered, and %.2f of its sessions are refused throughout beyond chance",
+						"%d classes, shed fraction %g: %.2f of class %d is served, and %.2f of its sessions are shed "+
+							"completely beyond chance",
 						classes,
-						cut,
-						answered(some),
+						shedFraction,
+						servedFraction(outcomes),
 						class,
-						over,
+						excess,
 					)
 				}
 			}
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -6,15 +6,17 @@
 	"testing"
 )
 
-// testSettings is a small deployment that tests change as they need.
+// testSettings returns the settings of a small deployment, which tests change as they need.
 func testSettings() Settings {
 	return Settings{Gateways: 2, Zones: 1, Kinds: 2, MaxAttempts: 4, Tick: 4 * ms, DrainGrace: 500 * ms,
-		WarmUp: 8 * second, OverloadWindow: 3 * second, ColdCapacityFraction: 0.4, OverloadFactor: 3, DiscoveryTimeout: 10 * second,
-		Reports: ReportReplies, SecondCopies: true, Cancel: true,
-		Classes: []Class{{Streamed: true, TTFTObjective: 1000 * ms, TPOTObjective: 50 * ms, Deadline: 4 * second, Weight: 1}}}
+		WarmUp: 8 * second, OverloadWindow: 3 * second, ColdCapacityFraction: 0.4, OverloadFactor: 3,
+		DiscoveryTimeout: 10 * second,
+		Reports:          ReportReplies, SecondCopies: true, Cancel: true,
+		Classes: []Class{{Streamed: true, TTFTObjective: 1000 * ms, TPOTObjective: 50 * ms, Deadline: 4 * second,
+			Weight: 1}}}
 }
 
-// engineList is a full list of engines of size 1.
+// engineList returns a full list of engines of size 1.
 func engineList(names ...string) *EngineList {
 	l := &EngineList{Kind: ListFull}
 	for _, n := range names {
@@ -36,15 +38,15 @@
 	return all
 }
 
-// newRequest is a request of the first class with a session of its own.
-func newRequest(id, expires int64) *Request {
-	return &Request{ID: id, Deadline: expires, Session: uint64(id) * 7919, PromptTokens: 1000, MaxTokens: 200}
+// newRequest returns a request of the first class with a session of its own.
+func newRequest(id, deadline int64) *Request {
+	return &Request{ID: id, Deadline: deadline, Session: uint64(id) * 7919, PromptTokens: 1000, MaxTokens: 200}
 }
 
-// kinds are the names of the actions' kinds, each followed by a space.
+// kinds returns the names of the actions' kinds, each followed by a space.
 func kinds(actions []Action) string {
 	names := map[ActionKind]string{Send: "send", Cancel: "cancel", Shed: "shed", Fail: "fail", Probe: "probe",
-		Subscribe: "subscribe", SendPeer: "tell"}
+		Subscribe: "subscribe", SendPeer: "send_peer"}
 	s := ""
 	for _, a := range actions {
 		s += names[a.Kind] + " "
@@ -52,7 +54,7 @@
 	return s
 }
 
-// expect fails the test unless the actions are of the kinds that are wanted.
+// expect fails the test unless the actions are of the wanted kinds, in the form that kinds returns.
 func expect(t *testing.T, got []Action, want string) {
 	t.Helper()
 	if k := kinds(got); k != want {
@@ -63,11 +65,12 @@
 // tick fires the periodic timer.
 func tick(r *Router, now int64) []Action { return feed(r, now, &TimerFired{Token: tokenTick}) }
 
-// expire fires the timer of a request's deadline.
+// expire fires the timer that ends a request shortly before its deadline.
 func expire(r *Router, now, id int64) []Action {
 	return feed(r, now, &TimerFired{Token: id*tokenStep + tokenExpire})
 }
 
+// allFinite reports whether no value is infinite or not a number.
 func allFinite(vs ...float64) bool {
 	for _, v := range vs {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -77,5 +80,5 @@
 	return true
 }
 
-// engineName is the address of the engine with a number.
+// engineName returns the name, an address, of the engine with the number i.
 func engineName(i int) string { return fmt.Sprintf("10.0.0.%d:80", i) }
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// taught is a router that has served for a while: "a" is quick, "b" slow, and a conversation is kept at one of them.
-func taught(s Settings) (*Router, int64) {
+// trainedRouter returns a router that has served 400 requests at 20 a second, and the time after them. Engine "a" is
+// fast and "b" slow, and each session's prompt is cached at one of them.
+func trainedRouter(s Settings) (*Router, int64) {
 	r := New(s, 1)
 	now := int64(1000) * second
 	feed(r, now, engineList("a", "b"))
@@ -26,69 +27,71 @@
 				now+took,
 				&FirstToken{Request: id, Elapsed: took},
 				&Outcome{Request: id, Last: true, Code: Served, Engine: a.Engine,
-					Elapsed: took + 100*ms, OutputTokens: 20, Report: &Report{MemoryUsage: 0.3, PrefillBacklog: 1, SlotUsage: 0.4}},
+					Elapsed: took + 100*ms, OutputTokens: 20,
+					Report: &Report{MemoryUsage: 0.3, PrefillBacklog: 1, SlotUsage: 0.4}},
 			)
 		}
 	}
 	return r, now
 }
 
-// What one router learned, another goes on by: predictions, paces, what is believed of engines, and what they keep.
-func TestRecallRestoresLearnedState(t *testing.T) {
+// A router that restores the learned state of another makes the same predictions and has the same view of the engines
+// and of the prompts that they have cached. Engines unknown to the first router, and restarted ones, inherit nothing.
+func TestRestoreLearnedRestoresState(t *testing.T) {
 	s := testSettings()
-	r, now := taught(s)
+	r, now := trainedRouter(s)
 	raw, err := json.Marshal(r.Learned())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(raw) > 1<<20 {
-		t.Fatalf("%d bytes", len(raw))
+		t.Fatalf("learned state of %d bytes, want at most 1 MiB", len(raw))
 	}
-	var l Learned
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var learned Learned
+	if err := json.Unmarshal(raw, &learned); err != nil {
 		t.Fatal(err)
 	}
-	next := New(s, 2)
-	feed(next, now, engineList("a", "b", "c"))
-	if err := next.RestoreLearned(&l, now); err != nil {
+	successor := New(s, 2)
+	feed(successor, now, engineList("a", "b", "c"))
+	if err := successor.RestoreLearned(&learned, now); err != nil {
 		t.Fatal(err)
 	}
-	near := func(what string, a, b, most float64) {
-		if math.Abs(a-b) > most*math.Abs(a) {
-			t.Errorf("%s: %g, and %g after", what, a, b)
+	expectNear := func(what string, a, b, tolerance float64) {
+		if math.Abs(a-b) > tolerance*math.Abs(a) {
+			t.Errorf("%s: %g before and %g after the restore", what, a, b)
 		}
 	}
-	for i := int64(1); i <= 20; i++ { // the same question to both
+	for i := int64(1); i <= 20; i++ { // the same request to both routers
 		q := &request{Request: *newRequest(i*20, now+4*second), arrivedAt: now}
 		for _, name := range []string{"a", "b"} {
-			was, is := option{engine: r.engines[name]}, option{engine: next.engines[name]}
-			was.match, is.match = r.match(q, was.engine), next.match(q, is.engine)
-			near("match", was.match, is.match, 1e-3)
-			r.predict(q, &was)
-			next.predict(q, &is)
-			near("first token at "+name, was.ttftUpper, is.ttftUpper, 1e-3)
-			near("pace at "+name, was.tpotUpper, is.tpotUpper, 0.15)
+			before, after := option{engine: r.engines[name]}, option{engine: successor.engines[name]}
+			before.match, after.match = r.match(q, before.engine), successor.match(q, after.engine)
+			expectNear("match", before.match, after.match, 1e-3)
+			r.predict(q, &before)
+			successor.predict(q, &after)
+			expectNear("TTFT at "+name, before.ttftUpper, after.ttftUpper, 1e-3)
+			expectNear("TPOT at "+name, before.tpotUpper, after.tpotUpper, 0.15)
 		}
 	}
-	near("rate", r.requestRate, next.requestRate, 1e-3)
-	if next.engines["b"].slowness <= next.engines["a"].slowness {
-		t.Error("the slow one is not known")
+	expectNear("request rate", r.requestRate, successor.requestRate, 1e-3)
+	if successor.engines["b"].slowness <= successor.engines["a"].slowness {
+		t.Error("the slow engine is not known as slower than the fast one")
 	}
-	if c := next.engines["c"]; c.slowness != 0 || c.reportAt != 0 {
-		t.Error("something is believed of one that nobody knew")
+	if c := successor.engines["c"]; c.slowness != 0 || c.reportAt != 0 {
+		t.Error("state restored for an engine that the first router did not know")
 	}
 	restarted := New(s, 3)
 	feed(restarted, now, &EngineList{Kind: ListFull, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now - second}}})
-	if err := restarted.RestoreLearned(&l, now); err != nil || restarted.engines["b"].slowness != 0 {
-		t.Errorf("%v: believed of another process", err)
+	if err := restarted.RestoreLearned(&learned, now); err != nil || restarted.engines["b"].slowness != 0 {
+		t.Errorf("state restored for a restarted engine, error %v", err)
 	}
 }
 
-// What does not hold is not taken, in no part of it.
-func TestRecallRejectsInvalidState(t *testing.T) {
+// Invalid learned state is rejected, and no part of it is restored.
+func TestRestoreLearnedRejectsInvalidState(t *testing.T) {
 	s := testSettings()
-	r, now := taught(s)
-	for name, spoil := range map[string]func(*Learned){
+	r, now := trainedRouter(s)
+	for name, invalidate := range map[string]func(*Learned){
 		"version":  func(l *Learned) { l.Version++ },
 		"age":      func(l *Learned) { l.At -= 2 * learnedAge },
 		"future":   func(l *Learned) { l.At += 2 * second },
@@ -97,25 +100,26 @@
 		"sample":   func(l *Learned) { l.Pace[0].Samples[0] = nil },
 		"number":   func(l *Learned) { l.TTFT[0].Coef[2] = math.NaN() },
 		"gap":      func(l *Learned) { l.Gap = 0 },
-		"endless":  func(l *Learned) { l.Engines[0].Speed = math.Inf(1) },
+		"infinite": func(l *Learned) { l.Engines[0].Speed = math.Inf(1) },
 		"too many": func(l *Learned) { l.Lately = make([]float64, maxRankedRequests+1) },
 	} {
 		l := r.Learned()
-		spoil(l)
-		next := New(s, 2)
-		feed(next, now, engineList("a", "b"))
-		if err := next.RestoreLearned(l, now); err == nil {
-			t.Errorf("%s: taken", name)
+		invalidate(l)
+		successor := New(s, 2)
+		feed(successor, now, engineList("a", "b"))
+		if err := successor.RestoreLearned(l, now); err == nil {
+			t.Errorf("%s: no error", name)
 		}
-		if next.baseTPOT != New(s, 2).baseTPOT || next.engines["b"].slowness != 0 {
-			t.Errorf("%s: taken in part", name)
+		if successor.baseTPOT != New(s, 2).baseTPOT || successor.engines["b"].slowness != 0 {
+			t.Errorf("%s: restored in part", name)
 		}
 	}
 }
 
-func FuzzRecall(f *testing.F) {
+// A router that has restored any learned state that passes the check gives at most one response to each request.
+func FuzzRestoreLearned(f *testing.F) {
 	s := testSettings()
-	r, now := taught(s)
+	r, now := trainedRouter(s)
 	raw, err := json.Marshal(r.Learned())
 	if err != nil {
 		f.Fatal(err)
@@ -123,24 +127,24 @@
 	f.Add(raw)
 	f.Add([]byte(`{"version":1}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var l Learned
-		if json.Unmarshal(raw, &l) != nil {
+		var learned Learned
+		if json.Unmarshal(raw, &learned) != nil {
 			return
 		}
-		next := New(s, 2)
-		feed(next, now, engineList("a", "b"))
-		if next.RestoreLearned(&l, now) != nil {
+		successor := New(s, 2)
+		feed(successor, now, engineList("a", "b"))
+		if successor.RestoreLearned(&learned, now) != nil {
 			return
 		}
 		for id := int64(1); id < 20; id++ {
-			sent := 0
-			for _, a := range feed(next, now+id*10*ms, newRequest(id, now+4*second)) {
+			responses := 0
+			for _, a := range feed(successor, now+id*10*ms, newRequest(id, now+4*second)) {
 				if a.Kind == Send || a.Kind == Shed {
-					sent++
+					responses++
 				}
 			}
-			if sent > 1 {
-				t.Fatal("more than one answer to a request")
+			if responses > 1 {
+				t.Fatal("more than one send or shed for a request")
 			}
 		}
 	})
--- a/router_test.go
+++ b/router_test.go
@@ -7,45 +7,49 @@
 	"testing"
 )
 
+// Noisy samples of a linear function bring the fit closer to it, and 500 of them within 8 percent.
 func TestFitRecoversLinearLaw(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	law := featureVector{0.03, 0.2, 0.05, 0.3, 0.01, 0.1, 0.002}
-	draw := func() featureVector {
+	trueCoef := featureVector{0.03, 0.2, 0.05, 0.3, 0.01, 0.1, 0.002}
+	randomSample := func() featureVector {
 		prompt := rng.Float64() * 6
 		return featureVector{1, rng.Float64(), rng.Float64() * 10, rng.Float64(), prompt, prompt * rng.Float64(),
 			rng.Float64() * 20}
 	}
-	value := func(x featureVector) (y float64) {
+	trueValue := func(x featureVector) (y float64) {
 		for i := range x {
-			y += law[i] * x[i]
+			y += trueCoef[i] * x[i]
 		}
 		return y
 	}
 	var m model
 	m.init(ttftPrior)
-	miss := func() float64 {
+	meanError := func() float64 {
 		var sum float64
 		for range 200 {
-			x := draw()
-			sum += math.Abs(m.at(&x)-value(x)) / value(x) / 200
+			x := randomSample()
+			sum += math.Abs(m.at(&x)-trueValue(x)) / trueValue(x) / 200
 		}
 		return sum
 	}
-	before := miss()
-	var after [2]float64
-	for round := range after {
+	errBefore := meanError()
+	var errAfter [2]float64
+	for round := range errAfter {
 		for range 20 + 500*round {
-			x := draw()
-			m.add(&x, value(x)*(0.9+0.2*rng.Float64()))
+			x := randomSample()
+			m.add(&x, trueValue(x)*(0.9+0.2*rng.Float64()))
 		}
 		m.fit(ttftPrior)
-		after[round] = miss()
+		errAfter[round] = meanError()
 	}
-	if !(after[0] < before && after[1] < after[0] && after[1] < 0.08) {
-		t.Fatalf("relative error %.3f before, %.3f with few, %.3f with many samples", before, after[0], after[1])
+	if !(errAfter[0] < errBefore && errAfter[1] < errAfter[0] && errAfter[1] < 0.08) {
+		t.Fatalf("relative error %.3f before, %.3f with few, %.3f with many samples",
+			errBefore, errAfter[0], errAfter[1])
 	}
 }
 
+// Samples of light load must not displace those of heavy load, which are rare: each region of the feature space has
+// its own window of samples.
 func TestFitRetainsRareRegime(t *testing.T) {
 	var m model
 	m.init(ttftPrior)
@@ -59,13 +63,14 @@
 	}
 	m.fit(ttftPrior)
 	if got := m.at(&rare); got < 2.5 {
-		t.Fatalf("a regime seen earlier is predicted at %.2f s, was 4 s", got)
+		t.Fatalf("a load seen earlier: %.2f s predicted, measured 4 s", got)
 	}
 	if got := m.at(&usual); math.Abs(got-0.2) > 0.08 {
-		t.Fatalf("the usual regime is predicted at %.2f s, is 0.2 s", got)
+		t.Fatalf("the usual load: %.2f s predicted, measured 0.2 s", got)
 	}
 }
 
+// Before any sample, the priors make a loaded engine look slower than an idle one.
 func TestYoungRouterPredictionGrowsWithLoad(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a"))
@@ -77,15 +82,16 @@
 	heavy := option{engine: e}
 	r.predict(q, &heavy)
 	if !(heavy.ttft > 2*light.ttft && heavy.tpot > light.tpot) {
-		t.Fatalf("TTFT %.3f then %.3f, pace %.4f then %.4f", light.ttft, heavy.ttft, light.tpot, heavy.tpot)
+		t.Fatalf("idle and loaded: TTFT %.3f and %.3f s, TPOT %.4f and %.4f s",
+			light.ttft, heavy.ttft, light.tpot, heavy.tpot)
 	}
 }
 
 func TestBestIsLeastPositiveHeadroomElseLowestPrediction(t *testing.T) {
 	cases := []struct {
-		heads []float64
-		ok    []bool
-		want  int
+		headrooms   []float64
+		hasHeadroom []bool
+		want        int
 	}{
 		{[]float64{0.9, 0.3, 0.6}, []bool{true, true, true}, 1},
 		{[]float64{0.9, -0.2, 0.6}, []bool{true, false, true}, 2},
@@ -93,17 +99,18 @@
 	}
 	for _, c := range cases {
 		var all []option
-		for i := range c.heads {
-			all = append(all, option{headroom: c.heads[i], hasHeadroom: c.ok[i]})
+		for i := range c.headrooms {
+			all = append(all, option{headroom: c.headrooms[i], hasHeadroom: c.hasHeadroom[i]})
 		}
 		if got := best(all, nil); got != &all[c.want] {
-			t.Errorf("headroom %v (%v): not option %d", c.heads, c.ok, c.want)
+			t.Errorf("headrooms %v (counted: %v): best is not option %d", c.headrooms, c.hasHeadroom, c.want)
 		}
 	}
 }
 
-// picks sends n requests of one known session and counts how often the engine that holds it is taken.
-func picks(t *testing.T, n int, prepare func(r *Router, q *Request, holder *engine)) (atHolder int) {
+// countAtHolder sends n requests whose prompt is cached at one engine, each through a new router, and returns how many
+// go to that engine. prepare may change the router before the request.
+func countAtHolder(t *testing.T, n int, prepare func(r *Router, q *Request, holder *engine)) (atHolder int) {
 	t.Helper()
 	for i := range n {
 		r := New(testSettings(), int64(i))
@@ -121,26 +128,30 @@
 	return atHolder
 }
 
+// The engine that has the prompt cached is chosen, but for a few requests that explore.
 func TestAffinityGateKeepsMatchAndExplores(t *testing.T) {
 	const n = 3000
-	// The holder is busier, so without the gate another engine would be taken.
-	got := picks(t, n, func(r *Router, _ *Request, holder *engine) {
+	// The holder has more load, so another engine would be chosen without the gate.
+	got := countAtHolder(t, n, func(r *Router, _ *Request, holder *engine) {
 		holder.report, holder.reportAt = Report{MemoryUsage: 0.9, PrefillBacklog: 6, SlotUsage: 0.9}, r.now
 	})
 	if got < n*96/100 || got == n {
-		t.Fatalf("the gate kept %d of %d; want about 99 in 100", got, n)
+		t.Fatalf("%d of %d requests went to the holder, want about 99 in 100", got, n)
 	}
 }
 
+// An engine that has the prompt cached but is slower than the best one by more than maxAffinityTTFT is not chosen.
 func TestAffinityBreaksAtItsPenalty(t *testing.T) {
-	got := picks(t, 200, func(r *Router, _ *Request, holder *engine) {
+	got := countAtHolder(t, 200, func(r *Router, _ *Request, holder *engine) {
 		holder.report, holder.reportAt = Report{MemoryUsage: 1, PrefillBacklog: 200, SlotUsage: 1}, r.now
 	})
 	if got != 0 {
-		t.Fatalf("%d of 200 kept to an engine that is over %v s behind", got, maxAffinityTTFT)
+		t.Fatalf("%d of 200 requests went to a holder that is slower by over %v s", got, maxAffinityTTFT)
 	}
 }
 
+// After several responses in a row that found no cached tokens where they were expected, older entries of the match
+// table count little, and newer ones fully.
 func TestPrefixCacheFlushIsDetected(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a"))
@@ -155,33 +166,36 @@
 	}
 	old := &request{Request: *newRequest(1, second)}
 	if got := r.match(old, e); got > 0.3 {
-		t.Fatalf("after a run of shortfalls an old entry still counts %.2f", got)
+		t.Fatalf("match %.2f of an entry made before the flush, want at most 0.3", got)
 	}
 	r.now += second
 	fresh := &request{Request: *newRequest(99, second)}
 	r.recordCachedPrompt(fresh, e, 1000)
 	if got := r.match(fresh, e); got < 0.99 {
-		t.Fatalf("an entry made after the flush counts %.2f", got)
+		t.Fatalf("match %.2f of an entry made after the flush, want at least 0.99", got)
 	}
 }
 
-func TestHomeEnginesAgreeAcrossNodes(t *testing.T) {
+// Gateways that share no state send the same session to the same engine in most cases.
+func TestHomeEnginesAgreeAcrossGateways(t *testing.T) {
 	a, b := New(testSettings(), 1), New(testSettings(), 2)
 	list := engineList("a", "b", "c", "d", "e")
 	feed(a, 0, list)
 	feed(b, 0, list)
-	same := 0
+	sameEngine := 0
 	for i := int64(1); i <= 200; i++ {
 		x, y := feed(a, i*second, newRequest(i, i*second+second)), feed(b, i*second, newRequest(i, i*second+second))
 		if x[0].Engine == y[0].Engine {
-			same++
+			sameEngine++
 		}
 	}
-	if same < 150 {
-		t.Fatalf("two nodes sent only %d of 200 sessions to the same engine", same)
+	if sameEngine < 150 {
+		t.Fatalf("two gateways sent only %d of 200 sessions to the same engine", sameEngine)
 	}
 }
 
+// A request that arrives before the first endpoint list is queued until an engine is listed, or shed shortly before
+// its deadline.
 func TestRequestWithoutEngineIsHeldThenShed(t *testing.T) {
 	r := New(testSettings(), 1)
 	expect(t, feed(r, 0, newRequest(1, second), newRequest(2, second)), "")
@@ -190,16 +204,16 @@
 	r = New(testSettings(), 1)
 	expect(t, feed(r, 0, newRequest(1, second)), "")
 	expect(t, expire(r, second-8*ms, 1), "shed ")
-	expect(t, feed(r, second, engineList("a")), "") // nothing is sent after the answer
+	expect(t, feed(r, second, engineList("a")), "") // nothing is sent after the final response
 }
 
-// A request that nothing may be used for waits as long as something can be earned by it, and is then refused at once
-// with a time to come back; it is not kept for its deadline so that its client stays quiet.
-func TestHeldRequestIsShedOnceItIsWorthNothing(t *testing.T) {
+// A request for which no engine may be used is queued only as long as a response still has value, then shed at once
+// with a retry time. Queueing it until its deadline would only keep its client waiting.
+func TestHeldRequestIsShedOnceItHasNoValue(t *testing.T) {
 	s := testSettings()
 	s.RetryAfter, s.MaxRetryAfter = true, 2*second
-	for worth, want := range map[float64]string{0: "shed ", 0.5: ""} {
-		s.Classes[0].LateWeight = worth
+	for lateWeight, want := range map[float64]string{0: "shed ", 0.5: ""} {
+		s.Classes[0].LateWeight = lateWeight
 		r := New(s, 1)
 		list := engineList("a")
 		list.Engines[0].State = Draining
@@ -210,11 +224,12 @@
 		got := tick(r, 1050*ms)
 		expect(t, got, want)
 		if want != "" && got[0].Wait < int64(minRetryAfter*1e9) {
-			t.Errorf("refused without a time to come back: %v", got[0])
+			t.Errorf("shed without a retry time of at least minRetryAfter: %v", got[0])
 		}
 	}
 }
 
+// Each request gets exactly one final response, whatever the order of outcomes, deadline and disconnect.
 func TestEachRequestIsAnsweredOnce(t *testing.T) {
 	start := func(change func(*Settings)) *Router {
 		s := testSettings()
@@ -227,65 +242,69 @@
 		expect(t, feed(r, 0, newRequest(1, second)), "send ")
 		return r
 	}
-	t.Run("no_answer at the deadline still owes one", func(t *testing.T) {
+	t.Run("no response by the deadline", func(t *testing.T) {
 		r := start(nil)
 		expect(t, feed(r, second, &Outcome{Request: 1, Code: NoAnswer}), "shed ")
 		expect(t, expire(r, second, 1), "")
 	})
-	t.Run("a first token ends the deadline", func(t *testing.T) {
+	t.Run("first token before the deadline", func(t *testing.T) {
 		r := start(nil)
 		feed(r, 500*ms, &FirstToken{Request: 1, Elapsed: 500 * ms})
 		expect(t, expire(r, second, 1), "")
 		expect(t, feed(r, 3*second, &Outcome{Request: 1, Code: Served, Last: true}), "")
 		if len(r.requests) != 0 {
-			t.Fatal("a served request is still held")
+			t.Fatal("a served request is still stored")
 		}
 	})
-	t.Run("a broken stream ends the request", func(t *testing.T) {
+	t.Run("broken stream", func(t *testing.T) {
 		r := start(func(s *Settings) { s.MaxAttempts = 4 })
 		feed(r, 500*ms, &FirstToken{Request: 1, Elapsed: 500 * ms})
 		expect(t, feed(r, 600*ms, &Outcome{Request: 1, Code: ConnectionLost, Last: true}), "")
 	})
-	t.Run("served after our own answer", func(t *testing.T) {
+	t.Run("served after the request was shed", func(t *testing.T) {
 		r := start(nil)
 		expect(t, expire(r, second, 1), "shed cancel ")
 		expect(t, feed(r, second+ms, &Outcome{Request: 1, Code: Served, Last: true}), "")
 		if len(r.requests) != 0 {
-			t.Fatal("the request is still held")
+			t.Fatal("a shed request is still stored")
 		}
 	})
-	t.Run("left for a dropped id", func(t *testing.T) {
+	t.Run("disconnect of an unknown request", func(t *testing.T) {
 		r := start(nil)
-		feed(r, ms, &Outcome{Request: 1, Code: Served, Last: true}, &ClientDisconnected{Request: 1}, &ClientDisconnected{Request: 77})
+		feed(r, ms, &Outcome{Request: 1, Code: Served, Last: true},
+			&ClientDisconnected{Request: 1}, &ClientDisconnected{Request: 77})
 		expect(t, feed(r, 2*ms, &FirstToken{Request: 1}, &Outcome{Request: 1, Code: Served}), "")
 	})
 }
 
+// Draining engines and engines missing from a full list get no requests; one that is listed as ready again does.
 func TestDrainingEngineGetsNoNewRequests(t *testing.T) {
-	one := func(state State) *EngineList {
+	delta := func(state State) *EngineList {
 		return &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", State: state, Size: 1}}}
 	}
 	r := New(testSettings(), 1)
-	feed(r, 0, engineList("a"), one(Draining))
-	expect(t, feed(r, ms, newRequest(1, second)), "") // held, not sent
-	expect(t, feed(r, 2*ms, one(Gone)), "")
-	back := one(Ready)
-	back.Engines[0].ReadyAt = ms // gone, then back with a new start
-	feed(r, 3*ms, back)
+	feed(r, 0, engineList("a"), delta(Draining))
+	expect(t, feed(r, ms, newRequest(1, second)), "") // queued, not sent
+	expect(t, feed(r, 2*ms, delta(Gone)), "")
+	restarted := delta(Ready)
+	restarted.Engines[0].ReadyAt = ms // removed, then listed again with a new start
+	feed(r, 3*ms, restarted)
 	if r.engines["a"] == nil || r.engines["a"].notReady {
-		t.Fatal("an engine that came back is not used")
+		t.Fatal("an engine that is listed as ready again is not used")
 	}
 	r = New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b"), engineList("b")) // removed by a full list
 	for i := int64(1); i < 40; i++ {
 		for _, a := range feed(r, i*ms, newRequest(i, second)) {
 			if a.Engine == "a" {
-				t.Fatal("sent to an engine that a full list left out")
+				t.Fatal("sent to an engine that is missing from a full list")
 			}
 		}
 	}
 }
 
+// Failed attempts are retried only where the class's effect, group and window permit, and the final response is a
+// rejection only if repeating the request is harmless.
 func TestRetryFollowsEffectAndGroup(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -306,7 +325,7 @@
 			ConnectionLost,
 			Engine{Name: "b"},
 			"fail ",
-		}, // at once: nothing may follow
+		}, // at once, as no attempt may follow
 		{"keyed inside its zone", Keyed, GroupZone, second, ServerError, Engine{Name: "b"}, "send "},
 		{"keyed outside its zone", Keyed, GroupZone, second, ServerError, Engine{Name: "b", Zone: 1}, ""},
 		{"keyed outside its cell", Keyed, GroupCell, second, ServerError, Engine{Name: "b", Cell: 1}, ""},
@@ -324,7 +343,7 @@
 		expect(t, feed(r, 0, newRequest(1, second)), "send ")
 		feed(r, ms, &EngineList{Kind: ListDelta, Engines: []Engine{c.other}})
 		if got := kinds(feed(r, 50*ms, &Outcome{Request: 1, Code: c.code, Engine: "a"})); got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: actions %q, want %q", c.name, got, c.want)
 		}
 		if c.want == "" {
 			final := "fail "
@@ -332,12 +351,13 @@
 				final = "shed "
 			}
 			if got := kinds(expire(r, second-8*ms, 1)); got != final {
-				t.Errorf("%s: final answer %q, want %q", c.name, got, final)
+				t.Errorf("%s: final response %q, want %q", c.name, got, final)
 			}
 		}
 	}
 }
 
+// No second copy is sent of an overdue attempt where the settings forbid two copies at once.
 func TestNoHedgingWhereForbidden(t *testing.T) {
 	s := testSettings()
 	s.SecondCopies = false
@@ -347,42 +367,45 @@
 	for now := 50 * ms; now < 3*second; now += 50 * ms {
 		for _, a := range tick(r, now) {
 			if a.Kind == Send {
-				t.Fatal("a second copy is out")
+				t.Fatal("a second copy was sent")
 			}
 		}
 	}
 }
 
+// An engine that stops responding becomes suspect: its overdue attempt is hedged, and it gets no new requests until it
+// responds again.
 func TestHungEngineIsEjectedAndProbed(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c", "d"))
 	acts := feed(r, 0, newRequest(1, 4*second))
-	hung := acts[0].Engine
-	var moved []Action
+	hungEngine := acts[0].Engine
+	var hedges []Action
 	now := int64(0)
 	for ; now < 1200*ms; now += 50 * ms {
-		moved = append(moved, tick(r, now)...)
+		hedges = append(hedges, tick(r, now)...)
 	}
-	if !r.engines[hung].suspect || len(moved) == 0 || moved[0].Kind != Send || moved[0].Engine == hung {
-		t.Fatalf("after 1.2 s of silence: suspect %v, actions %q", r.engines[hung].suspect, kinds(moved))
+	if !r.engines[hungEngine].suspect || len(hedges) == 0 || hedges[0].Kind != Send || hedges[0].Engine == hungEngine {
+		t.Fatalf("after 1.2 s of silence: suspect %v, actions %q", r.engines[hungEngine].suspect, kinds(hedges))
 	}
-	to := 0
+	sentToHung := 0
 	for i := int64(10); i < 40; i++ {
 		for _, a := range feed(r, now, newRequest(i, now+4*second)) {
-			if a.Kind == Send && a.Engine == hung {
-				to++
+			if a.Kind == Send && a.Engine == hungEngine {
+				sentToHung++
 			}
 		}
 	}
-	if to != 0 {
-		t.Fatalf("%d requests went to a suspect engine", to)
+	if sentToHung != 0 {
+		t.Fatalf("%d requests went to a suspect engine", sentToHung)
 	}
-	feed(r, now, &Outcome{Request: 1, Attempt: 0, Code: Served, Engine: hung})
-	if r.engines[hung].suspect {
-		t.Fatal("a sign of life did not clear the suspicion")
+	feed(r, now, &Outcome{Request: 1, Attempt: 0, Code: Served, Engine: hungEngine})
+	if r.engines[hungEngine].suspect {
+		t.Fatal("still suspect after a response")
 	}
 }
 
+// If most engines are suspect the cause is shared, and none is avoided.
 func TestCommonFaultEjectsNoEngine(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b"))
@@ -392,6 +415,7 @@
 	expect(t, feed(r, ms, newRequest(1, second)), "send ")
 }
 
+// A starting engine gets requests, but fewer than would overload it.
 func TestColdBudget(t *testing.T) {
 	s := testSettings()
 	r := New(s, 1)
@@ -409,37 +433,40 @@
 			}
 		}
 	}
-	// A quarter of the traffic would be 37; the cold engine can take 0.4 of that, times 3, at the rule's edge.
+	// A quarter of the 150 requests is 37. The starting engine has 0.4 of its capacity and is overloaded at 3 times
+	// that.
 	if limit := float64(all) / 4 * s.ColdCapacityFraction * s.OverloadFactor; sent == 0 || float64(sent) > 0.8*limit {
-		t.Fatalf("%d of %d went to the cold engine; the rule's edge is %.0f", sent, all, limit)
+		t.Fatalf("%d of %d requests went to the starting engine, which %.0f overload", sent, all, limit)
 	}
 }
 
+// A subscription that fails is retried with back-off, and one that is live is not requested again.
 func TestDiscoveryIsAskedForAndBacksOff(t *testing.T) {
 	s := testSettings()
 	s.SubscribeDiscovery = true
 	r := New(s, 1)
 	feed(r, 0, engineList("a"))
-	asks := 0
+	subscribes := 0
 	for now := int64(0); now < 60*second; now += 50 * ms {
 		for _, a := range tick(r, now) {
 			if a.Kind == Subscribe {
-				asks++
+				subscribes++
 				feed(r, now, &EngineList{Kind: ListFailed})
 			}
 		}
 	}
-	if asks < 4 || asks > 30 {
-		t.Fatalf("%d calls in a minute in which all fail", asks)
+	if subscribes < 4 || subscribes > 30 {
+		t.Fatalf("%d subscribe calls in a minute in which all fail, want 4 to 30", subscribes)
 	}
-	feed(r, 60*second, engineList("a")) // the whole list may answer
+	feed(r, 60*second, engineList("a")) // the response may be a full list
 	for now := 60 * second; now < 90*second; now += 50 * ms {
 		if acts := tick(r, now); len(acts) > 0 {
-			t.Fatalf("a live subscription is asked for again: %q", kinds(acts))
+			t.Fatalf("actions %q while subscribed, want none", kinds(acts))
 		}
 	}
 }
 
+// In an overload, requests with the lowest weight per token of work are shed first.
 func TestLeastValuableRequestsAreShedFirst(t *testing.T) {
 	s := testSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
@@ -458,18 +485,19 @@
 		}
 	}
 	if shed[0] < 50 || shed[1] > 10 {
-		t.Fatalf("refused %d of low and %d of high worth", shed[0], shed[1])
+		t.Fatalf("shed %d requests of weight 1 and %d of weight 5, want at least 50 and at most 10", shed[0], shed[1])
 	}
 }
 
+// Numbers from requests, outcomes and reports that are negative, huge or not finite leave all decision inputs finite.
 func TestExtremeInputsStayFinite(t *testing.T) {
 	nan, inf := math.NaN(), math.Inf(1)
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b"))
-	odd := []float64{nan, inf, -inf, -1, 0, 1e300}
+	extremes := []float64{nan, inf, -inf, -1, 0, 1e300}
 	id := int64(0)
-	for _, p := range odd {
-		for _, v := range odd {
+	for _, p := range extremes {
+		for _, v := range extremes {
 			id++
 			q := &Request{ID: id, Deadline: second, Session: 1, Prefix: 2, PromptTokens: p, PrefixTokens: v,
 				MaxTokens: v, Class: int(id%5) - 2}
@@ -493,6 +521,7 @@
 	}
 }
 
+// For a class without latency objectives the engine with the lowest prediction is chosen.
 func TestWithoutObjectivesLowestPredictionIsChosen(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{{Streamed: true}}
@@ -500,24 +529,25 @@
 	feed(r, 0, engineList("a", "b"))
 	r.engines["a"].report, r.engines["a"].reportAt = Report{MemoryUsage: 0.9, PrefillBacklog: 30, SlotUsage: 0.9}, 1
 	r.sessionGain[0] = 0
-	toB := 0
+	sentToB := 0
 	for i := int64(1); i <= 20; i++ {
 		acts := feed(r, ms, newRequest(i, second))
 		if acts[0].Engine == "b" {
-			toB++
+			sentToB++
 		}
 	}
-	if toB < 15 {
-		t.Fatalf("%d of 20 went to the idle engine", toB)
+	if sentToB < 15 {
+		t.Fatalf("%d of 20 requests went to the idle engine, want at least 15", sentToB)
 	}
 }
 
+// Two routers with the same seed, settings and events return the same actions.
 func TestSameSeedSameActions(t *testing.T) {
 	run := func() []Action {
 		var all []Action
-		w := newSimulation(5, testSettings())
+		sim := newSimulation(5, testSettings())
 		for range 600 {
-			all = append(all, w.step(nil)...)
+			all = append(all, sim.step(nil)...)
 		}
 		return all
 	}
@@ -527,7 +557,8 @@
 	}
 }
 
-// Incident i1270be: a zone was lost, and "most look bad, so eject none" went on sending to it.
+// Guards against sending to an unreachable zone: with a zone unreachable most engines are suspect, and the rule for
+// shared faults, which then avoids none, must not apply to engines that no connection can be made to.
 func TestDownEnginesAreEjectedEvenIfMostAre(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c"))
@@ -541,78 +572,78 @@
 	for i := int64(10); i < 40; i++ {
 		for _, a := range feed(r, 10*ms, newRequest(i, 4*second)) {
 			if a.Kind == Send && a.Engine != "c" {
-				t.Fatalf("sent to %s, which is down", a.Engine)
+				t.Fatalf("sent to %s, which is unreachable", a.Engine)
 			}
 		}
 	}
 }
 
-// Incidents ie6d3d0 and i3e9f87: the pace was known only when answers ended, seconds after it had dropped.
+// Guards against a predicted token rate that lags behind a slowdown: decode times are known only when streams end,
+// seconds after the slowdown began. Streams that run longer than usual must raise the predicted time per token before.
 func TestRunningStreamsSlowThePredictedPace(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b"))
 	now, id := int64(0), int64(0)
-	start := func() int64 {
+	startStream := func() int64 {
 		id++
 		feed(r, now, newRequest(id, now+4*second))
 		feed(r, now, &FirstToken{Request: id, Elapsed: 50 * ms})
 		return id
 	}
-	end := func(id int64) {
+	endStream := func(id int64) {
 		feed(r, now, &Outcome{Request: id, Code: Served, Last: true, Elapsed: second + 50*ms})
 	}
 	var running []int64
 	for now = second; now < 20*second; now += 100 * ms {
-		running = append(running, start())
-		if len(running) > 10 { // each runs for a second
-			end(running[0])
+		running = append(running, startStream())
+		if len(running) > 10 { // each stream lasts a second
+			endStream(running[0])
 			running = running[1:]
 		}
 	}
-	calm := r.tpotDrift()
+	driftBefore := r.tpotDrift()
 	for until := now + 3*second; now < until; now += 100 * ms {
-		start() // none ends any more
+		startStream() // no stream ends from here on
 	}
-	if r.tpotDrift() < calm+0.3 {
-		t.Fatalf("pace is taken %.2f slower (log) after 3 s in which no stream ended, was %.2f", r.tpotDrift(), calm)
+	if r.tpotDrift() < driftBefore+0.3 {
+		t.Fatalf("TPOT drift (log) %.2f after 3 s in which no stream ended, %.2f before", r.tpotDrift(), driftBefore)
 	}
 }
 
-// Incidents ie6d3d0 and id6991c: second copies took what an overloaded fleet lacked.
+// Guards against second copies that take capacity from an overloaded fleet: none is sent while requests are shed.
 func TestNoHedgingWhileShedding(t *testing.T) {
-	for _, cut := range []float64{0, 0.5} {
+	for _, shedFraction := range []float64{0, 0.5} {
 		r := New(testSettings(), 1)
 		feed(r, 0, engineList("a", "b", "c"))
 		feed(r, 0, newRequest(1, 4*second))
-		r.shedFraction, r.now, r.requests[1].attempts[0].ttft = cut, second, 0.01
+		r.shedFraction, r.now, r.requests[1].attempts[0].ttft = shedFraction, second, 0.01
 		r.hedgeOrCancel(r.requests[1].attempts[0])
-		if got := len(r.requests[1].attempts); (cut > 0) != (got == 1) {
-			t.Fatalf("refused part %.1f: %d attempts", cut, got)
+		if got := len(r.requests[1].attempts); (shedFraction > 0) != (got == 1) {
+			t.Fatalf("shed fraction %.1f: %d attempts", shedFraction, got)
 		}
 	}
 }
 
-// Requests that are alike must be thinned, not all refused.
+// Of requests with equal value only the shed fraction is shed, not all of them.
 func TestAlikeRequestsAreShedInPart(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c"))
-	refused := 0
+	shed := 0
 	for i := int64(1); i <= 300; i++ {
 		r.shedFraction, r.shedFractionAt = 0.4, r.now
 		q := newRequest(i, 2*second)
 		q.Session = 0
 		if kinds(feed(r, i*ms, q)) == "shed " {
-			refused++
+			shed++
 		}
 	}
-	if refused < 60 || refused > 180 {
-		t.Fatalf("%d of 300 like requests refused at a part of 0.4", refused)
+	if shed < 60 || shed > 180 {
+		t.Fatalf("%d of 300 equal requests shed at a shed fraction of 0.4, want 60 to 180", shed)
 	}
 }
 
-// A joint failure: what is left of the fleet, cold, must not be taken to be able to do all the work. A gateway that
-// is one of many has budget for a cold engine once in a while. The next request uses it, whatever its rank says, but
-// for one whose prompt another engine keeps.
+// A gateway that is one of many only rarely has slow-start budget for a starting engine. The next request uses it,
+// whatever engine ranks first for that request, unless another engine has its prompt cached.
 func TestColdBudgetIsUsedByLowTrafficGateways(t *testing.T) {
 	for seed := range int64(20) {
 		s := testSettings()
@@ -631,22 +662,22 @@
 		for i := range r.ready {
 			r.ready[i].slowStartBudget = 1
 		}
-		again := newRequest(2, 105*second)
-		again.Session = 7919 // the first one's
-		if got := feed(r, 101*second, again); got[0].Engine != first[0].Engine {
-			t.Fatalf("seed %d: a kept prompt went to %s, it is kept at %s", seed, got[0].Engine, first[0].Engine)
+		secondTurn := newRequest(2, 105*second)
+		secondTurn.Session = 7919 // session of the first request
+		if got := feed(r, 101*second, secondTurn); got[0].Engine != first[0].Engine {
+			t.Fatalf("seed %d: a request went to %s, its prompt is cached at %s", seed, got[0].Engine, first[0].Engine)
 		}
 		if got := feed(r, 101*second, newRequest(3, 105*second)); got[0].Engine != "cold" {
-			t.Fatalf("seed %d: the budget was not used: %v", seed, got)
+			t.Fatalf("seed %d: the slow-start budget was not used: %v", seed, got)
 		}
 		if got := feed(r, 101*second, newRequest(4, 105*second)); got[0].Engine == "cold" {
-			t.Fatalf("seed %d: the budget was used twice", seed)
+			t.Fatalf("seed %d: the slow-start budget was used twice", seed)
 		}
 	}
 }
 
-// A gateway with much traffic weighs cold engines as it does others: forced on them, its whole budget would be all that
-// they can bear.
+// A gateway with much traffic treats starting engines like others. Were it to prefer them, it would use all of its
+// budget, which is as much as they can bear.
 func TestColdBudgetIsNotForcedByBusyGateways(t *testing.T) {
 	forced := 0
 	for seed := range int64(20) {
@@ -667,10 +698,12 @@
 		}
 	}
 	if forced > 15 {
-		t.Fatalf("%d of 20 requests went to a cold engine; of eight it is one", forced)
+		t.Fatalf("%d of 20 requests went to the one starting engine of eight, want at most 15", forced)
 	}
 }
 
+// Guards against overloading the last engine of a fleet that failed as a whole. It is starting, and must not get the
+// traffic of all.
 func TestColdBudgetInJointFailure(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c", "d", "e", "f"))
@@ -679,9 +712,9 @@
 		now += 20 * ms
 		feed(r, now, newRequest(i, now+second), &Outcome{Request: i, Code: Rejected})
 	}
-	left := engineList("a")
-	left.Engines[0].ReadyAt = now
-	feed(r, now, left)
+	remaining := engineList("a")
+	remaining.Engines[0].ReadyAt = now
+	feed(r, now, remaining)
 	sent := 0
 	for i := int64(1000); i < 1150; i++ {
 		now += 20 * ms
@@ -691,20 +724,20 @@
 			}
 		}
 	}
-	// A sixth of 150 requests, times 3, times a capacity that rises from 0.4 to 0.63: 25 to 48 is the edge.
+	// A sixth of 150 requests, times 3, times a capacity that rises from 0.4 to 0.63: it is overloaded at 25 to 48.
 	if sent < 5 || sent > 25 {
-		t.Fatalf("%d of 150 sent to the one cold engine left", sent)
+		t.Fatalf("%d of 150 requests sent to the one starting engine that remains, want 5 to 25", sent)
 	}
 }
 
-// Hunt day h7ec13f: one tenant sent several times its quota, and the others were refused alike.
+// Guards against shedding that hits all tenants alike while one of them sends several times its quota.
 func TestOverQuotaIsRefusedFirst(t *testing.T) {
 	s := testSettings()
 	s.Gateways, s.OverQuotaWeight = 1, 0.1
 	s.Tenants = []Tenant{{QuotaRPS: 20}, {QuotaRPS: 20}}
 	r := New(s, 1)
 	feed(r, 0, engineList("a", "b", "c"))
-	refused := [2]int{}
+	shed := [2]int{}
 	for i := int64(1); i <= 600; i++ { // 100 a second: 83 of tenant 0, 17 of tenant 1
 		now := i * 10 * ms
 		r.shedFraction, r.shedFractionAt = 0.3, now
@@ -713,29 +746,30 @@
 			q.Tenant = 1
 		}
 		if kinds(feed(r, now, q)) == "shed " {
-			refused[q.Tenant]++
+			shed[q.Tenant]++
 		}
 	}
-	if refused[0] < 100 || refused[1] > 10 {
-		t.Fatalf("refused %d over and %d within the quota", refused[0], refused[1])
+	if shed[0] < 100 || shed[1] > 10 {
+		t.Fatalf("shed %d requests over and %d within quota, want at least 100 and at most 10", shed[0], shed[1])
 	}
 }
 
-// Twins of one gateway and six engines stood below random choice: three engines of six were looked at.
+// Guards against ranking too few engines where there are few gateways: with one gateway and six engines, of which only
+// three were considered, the choice was worse than random.
 func TestLoneGatewayConsidersAllEngines(t *testing.T) {
-	for balancers, want := range map[int]int{1: 8, 2: 4, 30: sampleSize} {
+	for gateways, want := range map[int]int{1: 8, 2: 4, 30: sampleSize} {
 		s := testSettings()
-		s.Gateways = balancers
+		s.Gateways = gateways
 		r := New(s, 1)
 		feed(r, 0, engineList("a", "b", "c", "d", "e", "f", "g", "h"))
 		if got := len(r.buildOptions(&request{Request: *newRequest(1, second)}, false)); got != want {
-			t.Errorf("%d gateways: %d engines looked at, want %d", balancers, got, want)
+			t.Errorf("%d gateways: %d engines considered, want %d", gateways, got, want)
 		}
 	}
 }
 
-// Of many engines the one with the least headroom is the one whose prediction is most wrong: more of the aim must be
-// left.
+// Of many engines the one with the least headroom is likely the one whose prediction errs most. The more engines are
+// considered, the more of the objective must therefore be left for headroom to count.
 func TestSafetyMarginGrowsWithCandidates(t *testing.T) {
 	for n, want := range map[int]bool{8: true, 40: false} {
 		s := testSettings()
@@ -747,13 +781,13 @@
 		}
 		feed(r, 0, engineList(names...))
 		q := &request{Request: *newRequest(1, second)}
-		idle := r.buildOptions(q, false)[0].ttftUpper
+		idleTTFT := r.buildOptions(q, false)[0].ttftUpper
 		for _, e := range r.ready {
-			e.slowness = math.Log(0.4 / idle) // of an aim of 1 s
+			e.slowness = math.Log(0.4 / idleTTFT) // predicts 0.4 s, of an objective of 1 s
 		}
 		if o := r.buildOptions(q, false)[0]; math.Abs(o.ttftUpper-0.4) > 0.01 || o.hasHeadroom != want {
 			t.Errorf(
-				"%d engines: 0.6 of the aim left (predicted %.2f s) counts as headroom: %v",
+				"%d engines: 0.6 of the objective left (predicted %.2f s) counts as headroom: %v",
 				n,
 				o.ttftUpper,
 				o.hasHeadroom,
@@ -762,44 +796,45 @@
 	}
 }
 
-// An engine that was last heard of long ago and not told anew gets nothing while another can be used, and is tried
-// before nothing is.
+// An engine whose listing is stale gets no requests while another engine can be used, and is used if all are stale.
 func TestStaleEnginesAreUsedLast(t *testing.T) {
 	r := New(testSettings(), 1)
 	list := &EngineList{Kind: ListFull}
 	for _, name := range []string{"a", "b", "c"} {
 		list.Engines = append(list.Engines, Engine{Name: name, Size: 1, Stale: name != "c"})
 	}
-	sent := func(id int64) (to string) {
-		for _, a := range r.Handle(id*ms, &Request{ID: id, Deadline: id*ms + 5000*ms, PromptTokens: 10, MaxTokens: 10}, nil) {
+	sendRequest := func(id int64) (engine string) {
+		for _, a := range r.Handle(
+			id*ms, &Request{ID: id, Deadline: id*ms + 5000*ms, PromptTokens: 10, MaxTokens: 10}, nil,
+		) {
 			if a.Kind == Send {
-				to = a.Engine
+				engine = a.Engine
 			}
 		}
-		return to
+		return engine
 	}
 	r.Handle(0, list, nil)
 	for id := int64(1); id <= 20; id++ {
-		if to := sent(id); to != "c" {
+		if to := sendRequest(id); to != "c" {
 			t.Fatalf("request %d went to %q", id, to)
 		}
 	}
 	list.Engines = list.Engines[:2]
 	r.Handle(100*ms, list, nil)
-	if sent(200) == "" {
-		t.Fatal("nothing is tried where all are stale")
+	if sendRequest(200) == "" {
+		t.Fatal("nothing was sent though only stale engines are listed")
 	}
 	list.Engines[0].Stale = false
 	r.Handle(300*ms, list, nil)
 	for id := int64(301); id <= 310; id++ {
-		if to := sent(id); to != "a" {
+		if to := sendRequest(id); to != "a" {
 			t.Fatalf("request %d went to %q", id, to)
 		}
 	}
 }
 
-// A large fleet is not gone over whole: a session is weighed among the same engines whatever else comes and goes, and
-// with all of those unusable it still finds one.
+// In a large fleet only a sample of the engines is considered for a request. All gateways draw the same sample for a
+// session, a change of the fleet changes it little, and if no engine of it can be used another one is found.
 func TestLargeFleet(t *testing.T) {
 	const n = 1000
 	list := &EngineList{Kind: ListFull}
@@ -814,14 +849,14 @@
 		)
 	}
 	q := &request{Request: Request{ID: 1, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}}
-	looked := func(r *Router) map[string]bool {
+	sampledNames := func(r *Router) map[string]bool {
 		names := map[string]bool{}
 		for _, e := range r.sampleEngines(q) {
 			if e.Pool != 2 {
-				t.Fatalf("%s is of another pool", e.Name)
+				t.Fatalf("%s is not of pool 2", e.Name)
 			}
 			if names[e.Name] {
-				t.Fatalf("%s is looked at twice", e.Name)
+				t.Fatalf("%s is sampled twice", e.Name)
 			}
 			names[e.Name] = true
 		}
@@ -830,40 +865,42 @@
 	a, b := New(testSettings(), 1), New(testSettings(), 2)
 	a.Handle(0, list, nil)
 	b.Handle(0, list, nil)
-	first := looked(a)
+	first := sampledNames(a)
 	if len(first) < sampleByKey || len(first) > sampleByKey+2*sampleByPrefix {
-		t.Fatalf("%d engines are looked at", len(first))
+		t.Fatalf("%d engines sampled, want sampleByKey, and at most 2*sampleByPrefix more", len(first))
 	}
-	for name := range looked(b) {
+	for name := range sampledNames(b) {
 		if !first[name] {
-			t.Fatalf("another gateway looks at %s", name)
+			t.Fatalf("only the second gateway samples %s", name)
 		}
 	}
-	// One that goes is made up for by one other.
+	// Draining one engine of the sample replaces just that one.
 	for name := range first {
 		a.Handle(
 			1,
 			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, State: Draining}}},
 			nil,
 		)
-		same := 0
-		for other := range looked(a) {
+		stillSampled := 0
+		for other := range sampledNames(a) {
 			if first[other] {
-				same++
+				stillSampled++
 			}
 		}
-		if same < len(first)-1 {
-			t.Fatalf("%d of %d are looked at still", same, len(first))
+		if stillSampled < len(first)-1 {
+			t.Fatalf("%d of %d engines still sampled after one was drained", stillSampled, len(first))
 		}
 		break
 	}
-	// All that it would look at are starting, and may not be sent more.
+	// All engines of the sample are starting, and their slow-start budget is used up.
 	for name := range first {
 		b.Handle(ms, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, ReadyAt: ms}}}, nil)
 	}
 	b.settings.WarmUp, b.settings.OverloadFactor = 20*second, 4
 	sent := false
-	for _, act := range b.Handle(2*ms, &Request{ID: 9, Deadline: second, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}, nil) {
+	for _, act := range b.Handle(
+		2*ms, &Request{ID: 9, Deadline: second, Session: 77, Prefix: 5, PromptTokens: 10, Pool: 2}, nil,
+	) {
 		sent = sent || act.Kind == Send
 	}
 	if !sent {
@@ -871,100 +908,104 @@
 	}
 }
 
-// A process that was started anew under the same name is neither trusted nor blamed for what is still out at the one
-// before: not its late report, nor what it kept, nor its silence, nor its errors; and it is cold.
+// A restarted engine, which has the same name, is in slow start, and events that concern attempts at the previous
+// process do not change what is known of the new one: late reports, cached prompts, silence and errors.
 func TestRestartedEngineInheritsNothing(t *testing.T) {
-	set := testSettings()
-	set.SecondCopies, set.Gateways = false, 1
-	r := New(set, 1)
+	s := testSettings()
+	s.SecondCopies, s.Gateways = false, 1
+	r := New(s, 1)
 	now := 100 * second
 	feed(r, now, engineList("a", "b"))
-	send := func(id int64, start int64) *request {
+	sendToA := func(id int64, at int64) *request {
 		q := &request{Request: *newRequest(id, now+9*second), arrivedAt: now}
 		q.Prefix, q.PrefixTokens = 77, 500
-		r.now, r.requests[id] = start, q
+		r.now, r.requests[id] = at, q
 		r.send(q, &option{engine: r.engines["a"], features: featureVector{1}, ttft: 0.1})
 		return q
 	}
 	for id := int64(1); id <= 6; id++ {
-		send(id, now)
+		sendToA(id, now)
 	}
-	old := r.engines["a"]
+	oldProcess := r.engines["a"]
 	now += second
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", Size: 1, ReadyAt: now - 100*ms}}})
-	a := r.engines["a"]
-	if a.tokensInFlight != 0 || a.attemptsInFlight != 0 || a.slowStartBudgetAt == 0 {
+	newProcess := r.engines["a"]
+	if newProcess.tokensInFlight != 0 || newProcess.attemptsInFlight != 0 || newProcess.slowStartBudgetAt == 0 {
 		t.Fatalf(
-			"the new process has %v tokens of the old one, %d out, cold %v",
-			a.tokensInFlight,
-			a.attemptsInFlight,
-			a.slowStartBudgetAt,
+			"new process: %v tokens and %d attempts in flight, slow-start budget since %v",
+			newProcess.tokensInFlight,
+			newProcess.attemptsInFlight,
+			newProcess.slowStartBudgetAt,
 		)
 	}
 	report := &Report{MemoryUsage: 0.9, PrefillBacklog: 50, SlotUsage: 0.9}
 	now += second
 	feed(r, now, &FirstToken{Request: 1, Elapsed: 2 * second},
-		&Outcome{Request: 1, Last: true, Engine: "a", CachedTokens: 900, OutputTokens: 50, Elapsed: 3 * second, Report: report})
+		&Outcome{Request: 1, Last: true, Engine: "a", CachedTokens: 900, OutputTokens: 50, Elapsed: 3 * second,
+			Report: report})
 	for id, code := range map[int64]OutcomeCode{2: ServerError, 3: ServerError, 4: ConnectionLost, 5: NoConnection} {
 		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: "a", Report: report})
 	}
 	tick(r, now+5*second)
 	q := &request{Request: *newRequest(1, now+9*second)}
 	q.Prefix, q.PrefixTokens = 77, 500
-	if a.reportAt != 0 || a.slowness != 0 || a.tpotSlowness.n != 0 || a.errorRate != 0 || a.suspect ||
-		r.match(q, a) != 0 {
+	if newProcess.reportAt != 0 || newProcess.slowness != 0 || newProcess.tpotSlowness.n != 0 ||
+		newProcess.errorRate != 0 || newProcess.suspect ||
+		r.match(q, newProcess) != 0 {
 		t.Fatalf(
-			"told of the old process and held of the new: report %v, speed %v, drag %v, sour %v, suspect %v, match %v",
-			a.reportAt,
-			a.slowness,
-			a.tpotSlowness.n,
-			a.errorRate,
-			a.suspect,
-			r.match(q, a),
+			"new process after outcomes of the old one: report at %v, slowness %v, TPOT samples %v, error rate %v, "+
+				"suspect %v, match %v",
+			newProcess.reportAt,
+			newProcess.slowness,
+			newProcess.tpotSlowness.n,
+			newProcess.errorRate,
+			newProcess.suspect,
+			r.match(q, newProcess),
 		)
 	}
-	if old.attemptsInFlight != 1 || a.attemptsInFlight != 0 {
-		t.Fatalf("%d out at the old process, %d at the new", old.attemptsInFlight, a.attemptsInFlight)
+	if oldProcess.attemptsInFlight != 1 || newProcess.attemptsInFlight != 0 {
+		t.Fatalf("%d attempts in flight at the old process and %d at the new, want 1 and 0",
+			oldProcess.attemptsInFlight, newProcess.attemptsInFlight)
 	}
 }
 
-// What one request says of a shared beginning's length is not believed for another's.
+// The length of a shared prefix that one request states is not used for other requests with the same prefix key.
 func TestPrefixLengthIsNotTrustedAcrossRequests(t *testing.T) {
-	set := testSettings()
-	set.Gateways = 1
-	r := New(set, 1)
+	s := testSettings()
+	s.Gateways = 1
+	r := New(s, 1)
 	feed(r, second, engineList("a"))
 	a := r.engines["a"]
-	with := func(length float64) *request {
+	requestWithPrefix := func(length float64) *request {
 		q := &request{Request: *newRequest(1, 9*second)}
 		q.Session, q.Prefix, q.PrefixTokens = 0, 77, length
 		return q
 	}
-	honest := with(400)
-	r.recordCachedPrompt(with(1000), a, 1000) // far more than the beginning has
+	honest := requestWithPrefix(400)
+	r.recordCachedPrompt(requestWithPrefix(1000), a, 1000) // far longer than the prefix is
 	if m := r.match(honest, a); m != 0.4 {
-		t.Fatalf("match %v of a prompt of 1,000 tokens that begins with 400 shared ones", m)
+		t.Fatalf("match %v of a prompt of 1,000 tokens with a shared prefix of 400, want 0.4", m)
 	}
 	r.recordCachedPrompt(honest, a, 1000)
-	r.recordCachedPrompt(with(0), a, 1000) // takes nothing away
+	r.recordCachedPrompt(requestWithPrefix(0), a, 1000) // must not lower what is recorded
 	if m := r.match(honest, a); m != 0.4 {
-		t.Fatalf("match %v after another said that there is no beginning", m)
+		t.Fatalf("match %v after another request stated a prefix of 0 tokens, want 0.4", m)
 	}
 }
 
-// A stream that its client was slow to take says nothing of the engine's pace.
+// A stream that its client read slowly must not change the predicted time per token of the engine.
 func TestStreamsSlowedByClientsTeachNoPace(t *testing.T) {
-	set := testSettings()
-	set.SecondCopies, set.Gateways = false, 1
-	pace := func(held bool) float64 {
-		r := New(set, 1)
+	s := testSettings()
+	s.SecondCopies, s.Gateways = false, 1
+	predictedTPOT := func(stallClient bool) float64 {
+		r := New(s, 1)
 		feed(r, second, engineList("a"))
 		now := second
 		for id := int64(1); id <= 60; id++ {
 			now += 5 * second
 			send := feed(r, now, newRequest(id, now+9*second))
 			gap := 20 * ms
-			if loud := id%2 == 0; loud && held {
+			if stalls := id%2 == 0; stalls && stallClient {
 				gap = 200 * ms
 			}
 			feed(r, now+100*ms, &FirstToken{Request: id, Elapsed: 100 * ms})
@@ -979,7 +1020,7 @@
 		r.predict(&request{Request: *newRequest(999, now+9*second)}, &o)
 		return o.tpot
 	}
-	if quiet, loud := pace(false), pace(true); loud > 1.2*quiet {
-		t.Fatalf("%.4f s a token beside a slow reader, %.4f without", loud, quiet)
+	if withoutStalls, withStalls := predictedTPOT(false), predictedTPOT(true); withStalls > 1.2*withoutStalls {
+		t.Fatalf("TPOT %.4f s predicted with slow clients, %.4f s without", withStalls, withoutStalls)
 	}
 }
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -11,248 +11,259 @@
 	"testing"
 )
 
-// simulation drives a router with random but legal events, and checks its actions against the four rules by records of
-// its own.
+// simulation drives a router with random but legal events, and checks its actions against the rules of the decision
+// module by records of its own:
+//
+//	rule 1: each request gets exactly one final response, by its deadline
+//	rule 2: a request is repeated only where its class's effect, group and window permit that
+//	rule 3: nothing is sent to an engine that was withdrawn more than the drain grace ago
+//	rule 4: a starting engine is not sent more than the overload factor times its capacity
 type simulation struct {
-	rng        *rand.Rand
-	settings   Settings
-	router     *Router
-	now        int64
-	nextID     int64
-	engines    map[string]*Engine
-	listedAt   map[string]int64 // when an engine was last listed
-	requests   map[int64]*requestRecord
-	order      []int64
-	timers     []Action
-	dueAt      []int64 // by the index in timers
-	cold       map[string][]coldSend
-	sends      int
-	violations []string
+	rng         *rand.Rand
+	settings    Settings
+	router      *Router
+	now         int64
+	nextID      int64
+	engines     map[string]*Engine
+	withdrawnAt map[string]int64 // when an engine was last listed as draining or gone
+	requests    map[int64]*requestRecord
+	requestIDs  []int64
+	timers      []Action
+	dueAt       []int64 // due times of timers, by the same index
+	coldSends   map[string][]coldSend
+	sends       int
+	violations  []string
 }
 
-// coldSend is a request that was sent to an engine which started at start.
-type coldSend struct{ now, start int64 }
+// coldSend is a request that was sent, during its warm-up, to an engine which started at startedAt.
+type coldSend struct{ at, startedAt int64 }
 
 // requestRecord is what the simulation knows of a request.
 type requestRecord struct {
-	request  Request
-	final    bool
-	started  bool
-	attempts []attemptRecord
-	expires  int64
+	request   Request
+	answered  bool
+	streaming bool
+	attempts  []attemptRecord
+	deadline  int64
 }
 
-// attemptRecord is what it knows of an attempt: whether it is out, and whether the engine ran it.
+// attemptRecord is what the simulation knows of an attempt.
 type attemptRecord struct {
-	engine Engine
-	sent   int64
-	out    bool
-	ran    bool
+	engine   Engine
+	sent     int64
+	inFlight bool
+	ran      bool // the engine may have run it
 }
 
-func newSimulation(seed uint64, set Settings) *simulation {
-	w := &simulation{
-		rng:      rand.New(rand.NewPCG(seed, 3)),
-		settings: set,
-		now:      1000 * second,
-		engines:  map[string]*Engine{},
-		listedAt: map[string]int64{},
-		requests: map[int64]*requestRecord{},
-		cold:     map[string][]coldSend{},
-	}
-	w.router = New(set, int64(seed))
+func newSimulation(seed uint64, settings Settings) *simulation {
+	sim := &simulation{
+		rng:         rand.New(rand.NewPCG(seed, 3)),
+		settings:    settings,
+		now:         1000 * second,
+		engines:     map[string]*Engine{},
+		withdrawnAt: map[string]int64{},
+		requests:    map[int64]*requestRecord{},
+		coldSends:   map[string][]coldSend{},
+	}
+	sim.router = New(settings, int64(seed))
 	for i := range 6 {
-		w.engines[engineName(i)] = &Engine{
+		sim.engines[engineName(i)] = &Engine{
 			Name: engineName(i),
-			Zone: i % max(1, set.Zones),
+			Zone: i % max(1, settings.Zones),
 			Kind: i % 2,
 			Cell: i / 2,
 			Size: 1,
 		}
 	}
-	w.updateEngines(ListFull)
-	return w
+	sim.updateEngines(ListFull)
+	return sim
 }
 
-func (w *simulation) violation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (sim *simulation) violation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) updateEngines(kind ListKind, only ...string) []Action {
-	l := &EngineList{Kind: kind}
+func (sim *simulation) updateEngines(kind ListKind, names ...string) []Action {
+	list := &EngineList{Kind: kind}
 	for i := range 6 {
-		e := w.engines[engineName(i)]
-		if len(only) > 0 && only[0] != e.Name || kind == ListFull && e.State == Gone {
+		e := sim.engines[engineName(i)]
+		if len(names) > 0 && names[0] != e.Name || kind == ListFull && e.State == Gone {
 			continue
 		}
-		l.Engines = append(l.Engines, *e)
+		list.Engines = append(list.Engines, *e)
 	}
-	return w.handle(l)
+	return sim.handle(list)
 }
 
-// handle passes one event on and checks every action against the books.
-func (w *simulation) handle(ev Event) []Action {
-	acts := w.router.Handle(w.now, ev, nil)
-	for _, a := range acts {
+// handle passes one event to the router and checks every action against the records.
+func (sim *simulation) handle(ev Event) []Action {
+	actions := sim.router.Handle(sim.now, ev, nil)
+	for _, a := range actions {
 		switch a.Kind {
 		case Timer:
-			w.timers = append(w.timers, a)
-			w.dueAt = append(w.dueAt, w.now+a.Wait)
+			sim.timers = append(sim.timers, a)
+			sim.dueAt = append(sim.dueAt, sim.now+a.Wait)
 		case Send:
-			w.checkSend(a)
+			sim.checkSend(a)
 		case Shed, Fail:
-			w.checkFinal(a)
+			sim.checkFinal(a)
 		}
 	}
-	return acts
+	return actions
 }
 
-func (w *simulation) class(b *requestRecord) Class { return w.settings.Classes[b.request.Class] }
+func (sim *simulation) class(record *requestRecord) Class {
+	return sim.settings.Classes[record.request.Class]
+}
 
-func (w *simulation) checkSend(a Action) {
-	b, e := w.requests[a.Request], w.engines[a.Engine]
-	if b == nil || b.final || b.started {
-		w.violation("rule 1: send for a request that is over or begun")
+func (sim *simulation) checkSend(a Action) {
+	record, e := sim.requests[a.Request], sim.engines[a.Engine]
+	if record == nil || record.answered || record.streaming {
+		sim.violation("rule 1: send for a request that is unknown, over or streaming")
 		return
 	}
-	if e == nil || e.State != Ready && w.now > w.listedAt[a.Engine]+w.settings.DrainGrace {
-		w.violation("rule 3: send to %s, told %v ago", a.Engine, w.now-w.listedAt[a.Engine])
+	if e == nil || e.State != Ready && sim.now > sim.withdrawnAt[a.Engine]+sim.settings.DrainGrace {
+		sim.violation("rule 3: send to %s, withdrawn %v ns ago", a.Engine, sim.now-sim.withdrawnAt[a.Engine])
 		return
 	}
-	c := w.class(b)
-	for _, l := range b.attempts {
-		if l.out && !w.settings.SecondCopies {
-			w.violation("rule 2: two copies out")
+	c := sim.class(record)
+	for _, previous := range record.attempts {
+		if previous.inFlight && !sim.settings.SecondCopies {
+			sim.violation("rule 2: two copies of a request in flight")
 		}
-		if (l.ran || l.out) && c.Effect == Unsafe {
-			w.violation("rule 2: unsafe repeated")
+		if (previous.ran || previous.inFlight) && c.Effect == Unsafe {
+			sim.violation("rule 2: unsafe request repeated")
 		}
-		if (l.ran || l.out) && c.Effect == Keyed && (!sameZoneOrCell(c.Group, l.engine, *e) ||
-			w.now-l.sent >= c.Window) {
-			w.violation("rule 2: keyed repeated outside its group or window")
+		if (previous.ran || previous.inFlight) && c.Effect == Keyed && (!sameZoneOrCell(c.Group, previous.engine, *e) ||
+			sim.now-previous.sent >= c.Window) {
+			sim.violation("rule 2: keyed request repeated outside its group or window")
 		}
 	}
-	if len(b.attempts) >= w.settings.MaxAttempts {
-		w.violation("more attempts than allowed")
+	if len(record.attempts) >= sim.settings.MaxAttempts {
+		sim.violation("a request has more attempts than allowed")
 	}
-	if e.ReadyAt > 0 && w.now-e.ReadyAt < w.settings.WarmUp {
-		w.cold[a.Engine] = append(w.cold[a.Engine], coldSend{w.now, e.ReadyAt})
+	if e.ReadyAt > 0 && sim.now-e.ReadyAt < sim.settings.WarmUp {
+		sim.coldSends[a.Engine] = append(sim.coldSends[a.Engine], coldSend{sim.now, e.ReadyAt})
 	}
-	w.sends++
-	b.attempts = append(b.attempts, attemptRecord{engine: *e, sent: w.now, out: true})
+	sim.sends++
+	record.attempts = append(record.attempts, attemptRecord{engine: *e, sent: sim.now, inFlight: true})
 }
 
+// sameZoneOrCell reports whether both engines are in the same group, by an implementation other than the router's.
 func sameZoneOrCell(g Group, a, b Engine) bool {
 	return g == GroupAll || g == GroupZone && a.Zone == b.Zone || g == GroupCell && a.Cell == b.Cell
 }
 
-func (w *simulation) checkFinal(a Action) {
-	b := w.requests[a.Request]
-	if b == nil || b.final {
-		w.violation("rule 1: a second final answer")
+func (sim *simulation) checkFinal(a Action) {
+	record := sim.requests[a.Request]
+	if record == nil || record.answered {
+		sim.violation("rule 1: a second final response to a request")
 		return
 	}
-	if a.Kind == Shed && w.class(b).Effect != Safe {
-		for _, l := range b.attempts {
-			if (l.ran || l.out) && !(w.class(b).Effect == Keyed && w.class(b).Group == GroupAll) {
-				w.violation("rule 2: refused what may have run")
+	if a.Kind == Shed && sim.class(record).Effect != Safe {
+		for _, previous := range record.attempts {
+			if (previous.ran || previous.inFlight) &&
+				!(sim.class(record).Effect == Keyed && sim.class(record).Group == GroupAll) {
+				sim.violation("rule 2: request shed though it may have run")
 			}
 		}
 	}
-	b.final = true
+	record.answered = true
 }
 
-// step lets a few milliseconds pass with one random happening.
-func (w *simulation) step(_ *testing.T) []Action {
+// step lets a few milliseconds pass, fires the timers that are due, and causes one random event.
+func (sim *simulation) step(_ *testing.T) []Action {
 	var all []Action
-	w.now += w.rng.Int64N(12*ms) + ms
-	for i := 0; i < len(w.timers); i++ {
-		if w.dueAt[i] <= w.now {
-			timer := w.timers[i]
-			w.timers = append(w.timers[:i], w.timers[i+1:]...)
-			w.dueAt = append(w.dueAt[:i], w.dueAt[i+1:]...)
-			all = append(all, w.handle(&TimerFired{Token: timer.Token})...)
+	sim.now += sim.rng.Int64N(12*ms) + ms
+	for i := 0; i < len(sim.timers); i++ {
+		if sim.dueAt[i] <= sim.now {
+			timer := sim.timers[i]
+			sim.timers = append(sim.timers[:i], sim.timers[i+1:]...)
+			sim.dueAt = append(sim.dueAt[:i], sim.dueAt[i+1:]...)
+			all = append(all, sim.handle(&TimerFired{Token: timer.Token})...)
 			i--
 		}
 	}
-	for _, id := range w.order {
-		b := w.requests[id]
-		if b != nil && !b.final && !b.started && w.now > b.expires+16*ms {
-			w.violation("rule 1: request %d has no answer by its deadline", id)
-			b.final = true
+	for _, id := range sim.requestIDs {
+		record := sim.requests[id]
+		if record != nil && !record.answered && !record.streaming && sim.now > record.deadline+16*ms {
+			sim.violation("rule 1: request %d has no response by its deadline", id)
+			record.answered = true
 		}
 	}
-	switch k := w.rng.IntN(100); {
-	case k < 45:
-		w.nextID++
-		b := &requestRecord{expires: w.now + 50*ms + w.rng.Int64N(2*second)}
-		b.request = Request{ID: w.nextID, Deadline: b.expires, Class: w.rng.IntN(len(w.settings.Classes)),
-			Session: w.rng.Uint64N(40), Prefix: w.rng.Uint64N(5), PromptTokens: float64(w.rng.IntN(5000)),
-			PrefixTokens: float64(w.rng.IntN(3000)), MaxTokens: float64(w.rng.IntN(500))}
-		w.requests[w.nextID] = b
-		w.order = append(w.order, w.nextID)
-		all = append(all, w.handle(&b.request)...)
-	case k < 95:
-		all = append(all, w.outcome()...)
-	case k < 96:
-		e := w.engines[engineName(w.rng.IntN(6))]
-		e.State = State(w.rng.IntN(3))
+	switch dice := sim.rng.IntN(100); {
+	case dice < 45:
+		sim.nextID++
+		record := &requestRecord{deadline: sim.now + 50*ms + sim.rng.Int64N(2*second)}
+		record.request = Request{ID: sim.nextID, Deadline: record.deadline,
+			Class:   sim.rng.IntN(len(sim.settings.Classes)),
+			Session: sim.rng.Uint64N(40), Prefix: sim.rng.Uint64N(5), PromptTokens: float64(sim.rng.IntN(5000)),
+			PrefixTokens: float64(sim.rng.IntN(3000)), MaxTokens: float64(sim.rng.IntN(500))}
+		sim.requests[sim.nextID] = record
+		sim.requestIDs = append(sim.requestIDs, sim.nextID)
+		all = append(all, sim.handle(&record.request)...)
+	case dice < 95:
+		all = append(all, sim.outcome()...)
+	case dice < 96:
+		e := sim.engines[engineName(sim.rng.IntN(6))]
+		e.State = State(sim.rng.IntN(3))
 		if e.State == Ready {
-			e.ReadyAt = w.now
+			e.ReadyAt = sim.now
 		} else {
-			w.listedAt[e.Name] = w.now
+			sim.withdrawnAt[e.Name] = sim.now
 		}
-		all = append(all, w.updateEngines(ListDelta, e.Name)...)
-	case k < 98:
-		all = append(all, w.updateEngines(ListFull)...)
+		all = append(all, sim.updateEngines(ListDelta, e.Name)...)
+	case dice < 98:
+		all = append(all, sim.updateEngines(ListFull)...)
 	default:
-		all = append(all, w.handle(&EngineList{Kind: ListFailed})...)
+		all = append(all, sim.handle(&EngineList{Kind: ListFailed})...)
 	}
 	return all
 }
 
-// outcome moves one attempt on: a first token, an end, or a client that leaves.
-func (w *simulation) outcome() []Action {
-	if len(w.order) == 0 {
+// outcome advances one random attempt in flight: by a first token, its end, or a disconnect of its client.
+func (sim *simulation) outcome() []Action {
+	if len(sim.requestIDs) == 0 {
 		return nil
 	}
-	id := w.order[max(0, len(w.order)-1-w.rng.IntN(60))]
-	b := w.requests[id]
-	if b == nil {
+	id := sim.requestIDs[max(0, len(sim.requestIDs)-1-sim.rng.IntN(60))]
+	record := sim.requests[id]
+	if record == nil {
 		return nil
 	}
-	var out []int
-	for i, l := range b.attempts {
-		if l.out {
-			out = append(out, i)
+	var inFlight []int
+	for i, attempted := range record.attempts {
+		if attempted.inFlight {
+			inFlight = append(inFlight, i)
 		}
 	}
-	if len(out) == 0 {
+	if len(inFlight) == 0 {
 		return nil
 	}
-	i := out[w.rng.IntN(len(out))]
-	l := &b.attempts[i]
-	if !b.final && !b.started && w.rng.IntN(3) == 0 {
-		b.started = true
-		return w.handle(&FirstToken{Request: id, Attempt: i, Elapsed: w.now - l.sent})
-	}
-	if w.rng.IntN(40) == 0 && !b.final {
-		b.final = true
-		return w.handle(&ClientDisconnected{Request: id})
-	}
-	l.out = false
-	code := OutcomeCode(w.rng.IntN(8))
-	l.ran = !code.NeverRan()
-	last := b.final
-	if code == Served && !b.final || b.started {
-		last, b.final = true, true
-	}
-	return w.handle(&Outcome{Request: id, Attempt: i, Code: code, Last: last, Engine: l.engine.Name,
-		Elapsed: w.now - l.sent, CachedTokens: float64(w.rng.IntN(3000)),
-		Report: &Report{MemoryUsage: w.rng.Float64(), PrefillBacklog: w.rng.Float64() * 20, SlotUsage: w.rng.Float64()}})
+	i := inFlight[sim.rng.IntN(len(inFlight))]
+	attempted := &record.attempts[i]
+	if !record.answered && !record.streaming && sim.rng.IntN(3) == 0 {
+		record.streaming = true
+		return sim.handle(&FirstToken{Request: id, Attempt: i, Elapsed: sim.now - attempted.sent})
+	}
+	if sim.rng.IntN(40) == 0 && !record.answered {
+		record.answered = true
+		return sim.handle(&ClientDisconnected{Request: id})
+	}
+	attempted.inFlight = false
+	code := OutcomeCode(sim.rng.IntN(8))
+	attempted.ran = !code.NeverRan()
+	last := record.answered
+	if code == Served && !record.answered || record.streaming {
+		last, record.answered = true, true
+	}
+	return sim.handle(&Outcome{Request: id, Attempt: i, Code: code, Last: last, Engine: attempted.engine.Name,
+		Elapsed: sim.now - attempted.sent, CachedTokens: float64(sim.rng.IntN(3000)),
+		Report: &Report{MemoryUsage: sim.rng.Float64(), PrefillBacklog: sim.rng.Float64() * 20,
+			SlotUsage: sim.rng.Float64()}})
 }
 
-// allEffects has a class for every effect and group.
+// allEffects returns settings with a class for every combination of effect and group.
 func allEffects() Settings {
 	s := testSettings()
 	s.Zones, s.MaxAttempts, s.CrossZonePrice = 2, 5, 0.05
@@ -268,6 +279,8 @@
 	return s
 }
 
+// The router keeps the rules under random events, with and without second copies, cancels, subscriptions, probes and
+// load reports.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		s := allEffects()
@@ -276,81 +289,87 @@
 		s.SubscribeDiscovery = seed%4 == 0
 		s.Probes = seed%5 == 0
 		s.Reports = ReportMode(seed % 3)
-		w := newSimulation(seed, s)
+		sim := newSimulation(seed, s)
 		for range 6000 {
-			w.step(t)
-			if len(w.violations) > 0 {
-				t.Fatalf("seed %d: %s", seed, strings.Join(w.violations, "; "))
+			sim.step(t)
+			if len(sim.violations) > 0 {
+				t.Fatalf("seed %d: %s", seed, strings.Join(sim.violations, "; "))
 			}
 		}
-		if w.sends < 200 {
-			t.Fatalf("seed %d: only %d sends, the test shows nothing", seed, w.sends)
+		if sim.sends < 200 {
+			t.Fatalf("seed %d: %d sends, want at least 200 for the test to show anything", seed, sim.sends)
 		}
-		// What an engine can do when warm: its part of the traffic, at half load.
-		can := 2 * float64(len(w.requests)) / 6 / seconds(w.now-1000*second)
-		for engine, times := range w.cold {
-			for i := range times {
+		// Requests a second that a warm engine can serve: twice its share of the traffic, as the fleet is at half load.
+		warmRate := 2 * float64(len(sim.requests)) / 6 / seconds(sim.now-1000*second)
+		for engine, sends := range sim.coldSends {
+			for i := range sends {
 				n := 0
-				for _, at := range times[i:] {
-					if at.now-times[i].now < s.OverloadWindow {
+				for _, send := range sends[i:] {
+					if send.at-sends[i].at < s.OverloadWindow {
 						n++
 					}
 				}
-				share := s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*min(1, seconds(times[i].now-times[i].start)/seconds(s.WarmUp))
-				if edge := can * share * s.OverloadFactor * seconds(s.OverloadWindow); float64(n) > edge+1 { // one for chance
-					t.Fatalf("seed %d: rule 4: %d sends to cold %s in a fall window, edge %.1f", seed, n, engine, edge)
+				capacity := s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*
+					min(1, seconds(sends[i].at-sends[i].startedAt)/seconds(s.WarmUp))
+				// One more than the limit may be chance.
+				if limit := warmRate * capacity * s.OverloadFactor * seconds(s.OverloadWindow); float64(n) > limit+1 {
+					t.Fatalf("seed %d: rule 4: %d sends to starting %s in an overload window, limit %.1f",
+						seed, n, engine, limit)
 				}
 			}
 		}
-		w.checkBounded(t)
+		sim.checkBounded(t)
 	}
 }
 
-// checkBounded ends every attempt and sees that nothing of the past is held.
-func (w *simulation) checkBounded(t *testing.T) {
-	for _, id := range w.order {
-		b := w.requests[id]
-		for i := 0; i < len(b.attempts); i++ { // an end may bring a further attempt
-			if b.attempts[i].out {
-				b.attempts[i].out = false
-				w.handle(
-					&Outcome{Request: id, Attempt: i, Code: NotSent, Last: b.final, Engine: b.attempts[i].engine.Name},
+// checkBounded ends every attempt and checks that the router then stores no requests or attempts, and a match table of
+// bounded size.
+func (sim *simulation) checkBounded(t *testing.T) {
+	for _, id := range sim.requestIDs {
+		record := sim.requests[id]
+		for i := 0; i < len(record.attempts); i++ { // the end of an attempt may cause another one
+			if record.attempts[i].inFlight {
+				record.attempts[i].inFlight = false
+				sim.handle(
+					&Outcome{Request: id, Attempt: i, Code: NotSent, Last: record.answered,
+						Engine: record.attempts[i].engine.Name},
 				)
 			}
 		}
-		w.handle(&ClientDisconnected{Request: id})
+		sim.handle(&ClientDisconnected{Request: id})
 	}
-	w.handle(&TimerFired{Token: tokenTick})
-	if len(w.router.requests) != 0 || len(w.router.queued) != 0 {
-		t.Fatalf("%d requests and %d held remain", len(w.router.requests), len(w.router.queued))
+	sim.handle(&TimerFired{Token: tokenTick})
+	if len(sim.router.requests) != 0 || len(sim.router.queued) != 0 {
+		t.Fatalf("%d requests and %d queued ones remain", len(sim.router.requests), len(sim.router.queued))
 	}
-	for _, e := range w.router.engines {
+	for _, e := range sim.router.engines {
 		if e.attemptsInFlight != 0 || len(e.unanswered) != 0 {
-			t.Fatalf("%s: %d out, %d waiting remain", e.Name, e.attemptsInFlight, len(e.unanswered))
+			t.Fatalf("%s: %d attempts in flight, %d unanswered remain", e.Name, e.attemptsInFlight, len(e.unanswered))
 		}
 	}
-	if n := len(w.router.matchTable[0]) + len(w.router.matchTable[1]); n > 2*tableSize {
-		t.Fatalf("match table of %d entries", n)
+	if n := len(sim.router.matchTable[0]) + len(sim.router.matchTable[1]); n > 2*tableSize {
+		t.Fatalf("match table has %d entries, want at most two generations", n)
 	}
 }
 
-// decisionFiles are the files that hold the decisions, as the deploy file lists them.
+// decisionFiles returns the names of the files that make the decisions, as deploy/balancer.toml lists them.
 func decisionFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
-	if list == nil {
-		t.Fatal("the deploy file names no policy")
+	policyLine := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
+	if policyLine == nil {
+		t.Fatal("deploy/balancer.toml: no policy line")
 	}
-	return strings.Split(strings.NewReplacer(`"`, "", " ", "").Replace(string(list[1])), ",")
+	return strings.Split(strings.NewReplacer(`"`, "", " ", "").Replace(string(policyLine[1])), ",")
 }
 
-// Every file of decisions is short, and so are its lines. None that decides is missing from the deploy file.
+// The files that make decisions stay readable: they have short lines and not too many of them. None is missing from the
+// list in deploy/balancer.toml.
 func TestModuleStaysReadable(t *testing.T) {
-	const linesMost, widthMost = 450, 110
+	const maxLines, maxWidth = 450, 110
 	listed := decisionFiles(t)
 	for _, name := range listed {
 		text, err := os.ReadFile(name)
@@ -358,33 +377,34 @@
 			t.Fatal(err)
 		}
 		lines := strings.Split(string(text), "\n")
-		for i, l := range lines {
-			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > widthMost {
-				t.Errorf("%s:%d is %d characters long", name, i+1, n)
+		for i, line := range lines {
+			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxWidth {
+				t.Errorf("%s:%d has %d columns, want at most maxWidth", name, i+1, width)
 			}
 		}
-		if len(lines) > linesMost {
-			t.Errorf("%s has %d lines, %d at most", name, len(lines), linesMost)
+		if len(lines) > maxLines {
+			t.Errorf("%s has %d lines, want at most %d", name, len(lines), maxLines)
 		}
 	}
 	all, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	noDecisions := []string{"api.go", "hash.go", "learned_state.go", "regression.go"}
+	notPolicy := []string{"api.go", "hash.go", "learned_state.go", "regression.go"}
 	for _, name := range all {
-		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(noDecisions, name) &&
+		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(notPolicy, name) &&
 			!slices.Contains(listed, name) {
-			t.Errorf("%s is not listed as policy", name)
+			t.Errorf("%s is missing from policy in deploy/balancer.toml", name)
 		}
 	}
 }
 
-// Where servers tell how long answers were, the pace of each is learned from its own, long answers or short.
+// Where engines report the number of output tokens, the time per token of each is learned from its own responses,
+// whether these are long or short.
 func TestReportedTokenCountsTeachPace(t *testing.T) {
-	set := testSettings()
-	set.SecondCopies, set.Gateways = false, 1
-	r := New(set, 1)
+	s := testSettings()
+	s.SecondCopies, s.Gateways = false, 1
+	r := New(s, 1)
 	feed(r, second, engineList("fast", "slow"))
 	now, id := second, int64(0)
 	for range 12 {
@@ -404,16 +424,16 @@
 	for name, gap := range map[string]float64{"fast": 0.010, "slow": 0.045} {
 		o := option{engine: r.engines[name]}
 		if r.predict(q, &o); o.tpot < gap*0.6 || o.tpot > gap*1.7 {
-			t.Errorf("%s: %.3f s between tokens predicted, are %.3f", name, o.tpot, gap)
+			t.Errorf("%s: TPOT %.3f s predicted, measured %.3f s", name, o.tpot, gap)
 		}
 	}
 }
 
-// One lost connection is not the engine's end, but errors in a row have it left out until a trial.
+// One lost connection does not exclude an engine. A second error in a row does, until a trial is due.
 func TestConsecutiveErrorsEjectEngine(t *testing.T) {
-	set := testSettings()
-	set.SecondCopies, set.Gateways = false, 1
-	r := New(set, 1)
+	s := testSettings()
+	s.SecondCopies, s.Gateways = false, 1
+	r := New(s, 1)
 	feed(r, second, engineList("a", "b", "c"))
 	a := r.engines["a"]
 	for i, code := range []OutcomeCode{ConnectionLost, Rejected, ServerError} {
@@ -421,38 +441,41 @@
 		r.requests[q.ID] = q
 		r.send(q, &option{engine: a})
 		feed(r, second, &Outcome{Request: q.ID, Code: code, Engine: "a"})
-		if shut := r.isExcluded(a, false); shut != (i > 0) {
-			t.Fatalf("left out after %d: %v", i+1, shut)
+		if excluded := r.isExcluded(a, false); excluded != (i > 0) {
+			t.Fatalf("excluded after %d errors: %v", i+1, excluded)
 		}
 	}
 	r.now += trialInterval
 	if r.isExcluded(a, false) {
-		t.Fatal("no trial")
+		t.Fatal("excluded though a trial is due")
 	}
 }
 
-// New settings keep what was learned where they can, and a class that is gone is no fault for what is open.
-func TestAdjustKeepsLearnedState(t *testing.T) {
-	set := testSettings()
-	set.Classes = append(set.Classes, set.Classes[0])
-	set.Tenants = []Tenant{{Share: 1, QuotaRPS: 1}}
-	r := New(set, 1)
+// New settings keep what was learned where classes, kinds and tenants stay the same. Open requests of a class that was
+// removed still end.
+func TestUpdateSettingsKeepsLearnedState(t *testing.T) {
+	s := testSettings()
+	s.Classes = append(s.Classes, s.Classes[0])
+	s.Tenants = []Tenant{{Share: 1, QuotaRPS: 1}}
+	r := New(s, 1)
 	feed(r, second, engineList("a", "b"))
 	q := newRequest(1, 5*second)
 	q.Class = 1
 	expect(t, feed(r, second, q), "send ")
 	r.sessionGain[0], r.ttftModels[0].coef[0] = 0.9, 7
-	set.Tenants[0].QuotaRPS = 5
-	r.UpdateSettings(set)
+	s.Tenants[0].QuotaRPS = 5
+	r.UpdateSettings(s)
 	if r.sessionGain[0] != 0.9 || r.ttftModels[0].coef[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
-		t.Fatal("what was learned is lost, or the new figure not taken")
-	}
-	set.Classes, set.Tenants, set.Kinds = set.Classes[:1], nil, 1
-	r.UpdateSettings(set)
-	e := feed(r, second, newRequest(2, 5*second))
-	expect(t, e, "send ")
-	feed(r, 2*second, &FirstToken{Request: 1, Elapsed: second}, &Outcome{Request: 1, Last: true, Engine: e[0].Engine})
+		t.Fatal("learned state lost, or the new quota not applied")
+	}
+	s.Classes, s.Tenants, s.Kinds = s.Classes[:1], nil, 1
+	r.UpdateSettings(s)
+	actions := feed(r, second, newRequest(2, 5*second))
+	expect(t, actions, "send ")
+	feed(r, 2*second, &FirstToken{Request: 1, Elapsed: second},
+		&Outcome{Request: 1, Last: true, Engine: actions[0].Engine})
 	if len(r.requests) != 1 || len(r.ttftModels) != 2 || len(r.sessionGain) != 2 {
-		t.Fatalf("%d open, %d models, %d gains", len(r.requests), len(r.ttftModels), len(r.sessionGain))
+		t.Fatalf("%d open requests, %d models, %d gains, want 1, 2 and 2",
+			len(r.requests), len(r.ttftModels), len(r.sessionGain))
 	}
 }
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// beside is a router with two engines, and what it predicts of a quiet tenant's request.
-func beside(quota float64) (r *Router, predicted func(now int64) float64) {
-	set := testSettings()
-	set.SecondCopies, set.Gateways, set.MaxAttempts = false, 1, 3
-	set.Tenants = []Tenant{{Share: 0.5, QuotaRPS: quota}, {Share: 0.5, QuotaRPS: quota}}
-	r = New(set, 1)
+// newTwoTenantRouter returns a router with two tenants and two engines, "a" and "b", and a function that returns the
+// predicted time to the first token of a quiet tenant's request at engine "a", in seconds.
+func newTwoTenantRouter(quota float64) (r *Router, predictTTFT func(now int64) float64) {
+	s := testSettings()
+	s.SecondCopies, s.Gateways, s.MaxAttempts = false, 1, 3
+	s.Tenants = []Tenant{{Share: 0.5, QuotaRPS: quota}, {Share: 0.5, QuotaRPS: quota}}
+	r = New(s, 1)
 	feed(r, second, engineList("a", "b"))
 	return r, func(now int64) float64 {
 		r.now = now
@@ -17,142 +18,143 @@
 	}
 }
 
-// loud is a request of the loud tenant, in a session of its own.
-func loud(id, expires int64) *Request {
+// noisyRequest returns a request of the noisy tenant, which is tenant 1, with a long prompt and a session of its own.
+func noisyRequest(id, expires int64) *Request {
 	q := newRequest(id, expires)
 	q.Tenant, q.PromptTokens = 1, 30_000
 	return q
 }
 
-// A flood of sessions and shared beginnings pushes a quiet session out of the table only after as many entries as a
-// generation holds: at 500 requests a second after half a minute, longer than anybody thinks.
+// A flood of sessions and shared prefixes evicts a quiet session from the match table only after as many entries as one
+// generation has: at 500 requests a second after half a minute, which is longer than the pause between two turns.
 func TestSessionFloodDoesNotEvictQuietSession(t *testing.T) {
-	r, _ := beside(0)
+	r, _ := newTwoTenantRouter(0)
 	a := r.engines["a"]
 	quiet := &request{Request: *newRequest(1<<40, 9*second)}
 	r.recordCachedPrompt(quiet, a, quiet.PromptTokens)
 	for id := int64(1); id < tableSize/2; id++ {
-		q := &request{Request: *loud(id, 9*second)}
+		q := &request{Request: *noisyRequest(id, 9*second)}
 		q.Prefix, q.PrefixTokens = uint64(id)<<20, 100
 		r.recordCachedPrompt(q, a, q.PromptTokens)
 	}
 	if r.match(quiet, a) != 1 {
-		t.Fatal("the quiet tenant's session is forgotten")
+		t.Fatal("the quiet tenant's session was evicted from the match table")
 	}
 	if n := len(r.matchTable[0]) + len(r.matchTable[1]); n > 2*tableSize {
-		t.Fatalf("%d entries", n)
+		t.Fatalf("match table has %d entries, want at most two generations", n)
 	}
 }
 
-// Clients that leave at once hold nothing against the box that they left: what they would have had it read fades by
-// half in 0.4 s, so that five seconds after 300 of them others see it as before.
+// Clients that disconnect at once have no lasting effect on what is predicted of their engine: the prompt tokens that
+// count as unread there halve every 0.4 s, so five seconds after 300 such clients the prediction is as before.
 func TestEarlyDisconnectsAreForgotten(t *testing.T) {
-	r, predicted := beside(0)
-	now, before := 2*second, predicted(2*second)
+	r, predictTTFT := newTwoTenantRouter(0)
+	now, before := 2*second, predictTTFT(2*second)
 	for id := int64(1); id <= 300; id++ {
 		now += 5 * ms
-		for _, act := range feed(r, now, loud(id, now+9*second)) {
-			if act.Kind == Send {
-				feed(r, now, &ClientDisconnected{Request: id}, &Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine})
+		for _, action := range feed(r, now, noisyRequest(id, now+9*second)) {
+			if action.Kind == Send {
+				feed(r, now, &ClientDisconnected{Request: id},
+					&Outcome{Request: id, Last: true, Code: Cancelled, Engine: action.Engine})
 			}
 		}
 	}
 	now += 5 * second
 	tick(r, now)
-	if after := predicted(now); after > 1.1*before {
-		t.Fatalf("%.2f s to the first token predicted, %.2f before the leavers", after, before)
+	if after := predictTTFT(now); after > 1.1*before {
+		t.Fatalf("TTFT %.2f s predicted after the disconnects, %.2f s before", after, before)
 	}
 	for _, e := range r.engines {
 		if e.suspect || e.attemptsInFlight != 0 || e.tokensInFlight != 0 || len(e.unanswered) != 0 ||
 			len(r.requests) != 0 {
-			t.Fatalf("%s is held to account: %+v", e.Name, e)
+			t.Fatalf("%s still has attempts or is suspect: %+v", e.Name, e)
 		}
 	}
 }
 
-// A tenant that comes again at once when it is refused is refused first, and the quiet one is not; without quotas,
-// which are the guard, half of the quiet one's requests go too.
+// Requests of a tenant that retries at once after being shed are shed before those of a quiet tenant. The quota ensures
+// that: without quotas half of the quiet tenant's requests are shed too.
 func TestInstantRetriesAreShedFirst(t *testing.T) {
-	refused := func(quota float64) (n int) {
-		r, _ := beside(quota)
+	shedOfQuietTenant := func(quota float64) (n int) {
+		r, _ := newTwoTenantRouter(quota)
 		now := 2 * second
 		for id := int64(1); id <= 4000; id++ {
 			now += 2 * ms
 			r.shedFraction, r.shedFractionAt = 0.5, now
 			q := newRequest(id, now+9*second)
-			if q.Tenant = 1; id%100 == 0 { // 5 a second, beside 495
+			if q.Tenant = 1; id%100 == 0 { // 5 requests a second of tenant 0, 495 of tenant 1
 				q.Tenant = 0
 			}
-			for _, act := range feed(r, now, q) {
-				if act.Kind == Shed && q.Tenant == 0 {
+			for _, action := range feed(r, now, q) {
+				if action.Kind == Shed && q.Tenant == 0 {
 					n++
 				}
-				if act.Kind == Send {
+				if action.Kind == Send {
 					feed(
 						r,
 						now,
 						&ClientDisconnected{Request: id},
-						&Outcome{Request: id, Last: true, Code: Cancelled, Engine: act.Engine},
+						&Outcome{Request: id, Last: true, Code: Cancelled, Engine: action.Engine},
 					)
 				}
 			}
 		}
 		return n
 	}
-	if n := refused(10); n > 1 {
-		t.Errorf("%d of the quiet tenant's 40 requests were refused", n)
+	if n := shedOfQuietTenant(10); n > 1 {
+		t.Errorf("%d of the quiet tenant's 40 requests were shed, want at most 1", n)
 	}
-	if n := refused(0); n < 10 {
-		t.Errorf("%d of 40 without the guard: the test shows nothing", n)
+	if n := shedOfQuietTenant(0); n < 10 {
+		t.Errorf("%d of 40 shed without quotas, want at least 10 for the test to show anything", n)
 	}
 }
 
-// Requests that every box answers with 500 leave no box out for the others, once it shows that they fail wherever
-// they go; errors of a box, whoever asks there, go on leaving it out.
+// Requests of one tenant that fail with a server error at every engine do not make the engines suspect, once it shows
+// that they fail everywhere. An engine that fails for other tenants as well still becomes suspect.
 func TestRequestsThatFailEverywhereEjectNoEngine(t *testing.T) {
-	r, _ := beside(0)
+	r, _ := newTwoTenantRouter(0)
 	now, id := 2*second, int64(0)
-	ask := func(tenant int, at *engine, code OutcomeCode) {
+	send := func(tenant int, e *engine, code OutcomeCode) {
 		id++
 		now += 100 * ms
-		q := &request{Request: *loud(id, now+9*second), arrivedAt: now}
+		q := &request{Request: *noisyRequest(id, now+9*second), arrivedAt: now}
 		q.Tenant, r.now, r.requests[id] = tenant, now, q
-		r.send(q, &option{engine: at, features: featureVector{1}})
-		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: at.Name})
+		r.send(q, &option{engine: e, features: featureVector{1}})
+		feed(r, now, &Outcome{Request: id, Last: true, Code: code, Engine: e.Name})
 	}
 	a, b := r.engines["a"], r.engines["b"]
 	for range 20 {
-		ask(1, a, ServerError)
-		ask(1, b, ServerError)
+		send(1, a, ServerError)
+		send(1, b, ServerError)
 	}
-	for range 3 { // a trial shows that the boxes are well
-		ask(0, a, Served)
-		ask(0, b, Served)
+	for range 3 { // requests of the quiet tenant show that the engines work
+		send(0, a, Served)
+		send(0, b, Served)
 	}
 	for range 20 {
-		ask(1, a, ServerError)
-		ask(1, b, ServerError)
+		send(1, a, ServerError)
+		send(1, b, ServerError)
 		if a.suspect || b.suspect {
-			t.Fatal("left out, though the quiet tenant never saw it fail")
+			t.Fatal("an engine is suspect though no request of the quiet tenant failed")
 		}
 	}
-	ask(0, a, ServerError)
-	ask(0, a, ServerError)
+	send(0, a, ServerError)
+	send(0, a, ServerError)
 	if !a.suspect || b.suspect {
-		t.Fatal("a box that fails for the quiet tenant is not left out")
+		t.Fatal("an engine that fails for the quiet tenant is not suspect, or the other one is")
 	}
 }
 
-// The rules' second line: whatever asks for it, nothing is picked while an attempt is out where copies are forbidden,
-// nor beyond the attempts that a request may have.
+// Second line of defence for the limits on attempts: whatever calls for another attempt, none is chosen while one is in
+// flight where copies are forbidden, nor beyond the maximum number of attempts.
 func TestNoAttemptBeyondLimits(t *testing.T) {
-	r, _ := beside(0)
+	r, _ := newTwoTenantRouter(0)
 	q := &request{Request: *newRequest(1, 9*second), arrivedAt: second}
 	r.requests[1] = q
 	r.now = second
 	r.send(q, &option{engine: r.engines["a"], features: featureVector{1}})
 	if r.pick(q) != nil {
-		t.Fatal("picked while an attempt is out")
+		t.Fatal("an engine was picked while an attempt is in flight")
 	}
 	for len(q.attempts) < r.settings.MaxAttempts {
 		q.attempts[len(q.attempts)-1].inFlight, q.attempts[len(q.attempts)-1].mayHaveRun = false, false
@@ -162,11 +164,12 @@
 	r.actions = nil
 	r.dispatch(q)
 	if len(r.actions) != 1 || r.actions[0].Kind == Send {
-		t.Fatalf("after %d attempts: %+v", len(q.attempts), r.actions)
+		t.Fatalf("after %d attempts: actions %+v, want only a final response", len(q.attempts), r.actions)
 	}
 }
 
-// However many gateways hear of a start together, none sends at once: each has saved up less than a request.
+// No gateway sends to a starting engine at the moment of its start, when all gateways learn of it together: the initial
+// slow-start budget of each is less than a request.
 func TestNoGatewaySendsToStartedEngineAtOnce(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
 		r := New(testSettings(), seed)
@@ -178,17 +181,17 @@
 			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
 		)
 		if r.hasSlowStartBudget(r.engines["b"]) {
-			t.Fatalf("seed %d has room at once", seed)
+			t.Fatalf("seed %d: slow-start budget for a request at once", seed)
 		}
 	}
 }
 
-// A box is sent by what it can do at that moment: at its start a seventh of what it can when warm, times what the rule
-// allows, and no more in any of its windows.
+// A starting engine gets requests in proportion to its capacity at the time, which is about a seventh of the full one
+// at its start, times the overload factor, and no more in any overload window.
 func TestColdEngineGetsRequestsByItsWarmth(t *testing.T) {
-	set := testSettings()
-	set.Gateways, set.WarmUp, set.ColdCapacityFraction, set.OverloadFactor = 1, 24*second, 0.13, 4
-	r := New(set, 1)
+	s := testSettings()
+	s.Gateways, s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor = 1, 24*second, 0.13, 4
+	r := New(s, 1)
 	now := 100 * second
 	feed(
 		r,
@@ -197,48 +200,49 @@
 		&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
 	)
 	e := r.engines["b"]
-	for from := now; from < now+24*second; from += set.OverloadWindow {
+	for windowStart := now; windowStart < now+24*second; windowStart += s.OverloadWindow {
 		sent := 0.0
-		for r.now = from; r.now < from+set.OverloadWindow; r.now += 10 * ms {
+		for r.now = windowStart; r.now < windowStart+s.OverloadWindow; r.now += 10 * ms {
 			if r.requestRate = 20; r.hasSlowStartBudget(
 				e,
-			) { // 10 a second for each of two boxes, which they can do when warm
+			) { // 10 requests a second for each of two engines, which they can serve when warm
 				e.slowStartBudget--
 				sent++
 			}
 		}
-		can := 10 * seconds(set.OverloadWindow) * (set.ColdCapacityFraction + (1-set.ColdCapacityFraction)*seconds(from-now)/seconds(set.WarmUp))
-		if most := set.OverloadFactor * can; sent > most+1 || sent == 0 {
+		capacity := 10 * seconds(s.OverloadWindow) *
+			(s.ColdCapacityFraction + (1-s.ColdCapacityFraction)*seconds(windowStart-now)/seconds(s.WarmUp))
+		if limit := s.OverloadFactor * capacity; sent > limit+1 || sent == 0 {
 			t.Fatalf(
-				"%v sent in the window %d s after its start, of %.1f that push it over",
+				"%v requests sent in the window %d s after its start, which %.1f overload",
 				sent,
-				(from-now)/second,
-				most,
+				(windowStart-now)/second,
+				limit,
 			)
 		}
 	}
 }
 
-// An engine that staff put back is the next one used, within its cold budget, and that once: then it is one among
-// others.
+// An engine that an operator has reinstated is preferred for the next request, within its slow-start budget. After that
+// it is ranked like the others.
 func TestReinstatedEngineIsUsedNext(t *testing.T) {
 	s := testSettings()
 	s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor = 24*second, 0.13, 4
 	r := New(s, 1)
 	now := int64(1000) * second
 	feed(r, now, engineList("a", "b", "c", "d"))
-	id, first := int64(0), map[string]int64{}
+	id, firstUse := int64(0), map[string]int64{}
 	run := func(until int64) {
 		for ; now < until; now += 100 * ms {
 			id++
 			q := newRequest(id, now+4*second)
-			q.Session, q.PromptTokens = 7, 1000 // a conversation that has its engine
+			q.Session, q.PromptTokens = 7, 1000 // a session whose prompt another engine has cached
 			for _, a := range feed(r, now, q) {
 				if a.Kind != Send {
 					continue
 				}
-				if first[a.Engine] == 0 {
-					first[a.Engine] = now
+				if firstUse[a.Engine] == 0 {
+					firstUse[a.Engine] = now
 				}
 				feed(r, now+50*ms, &FirstToken{Request: id, Elapsed: 50 * ms},
 					&Outcome{Request: id, Last: true, Code: Served, Engine: a.Engine, Elapsed: 60 * ms})
@@ -246,22 +250,22 @@
 		}
 	}
 	run(now + 10*second)
-	back := Engine{Name: "d", Size: 1, ReadyAt: now, Reinstated: true}
+	reinstated := Engine{Name: "d", Size: 1, ReadyAt: now, Reinstated: true}
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "d", Size: 1, State: Draining}}},
-		&EngineList{Kind: ListDelta, Engines: []Engine{back}})
-	clear(first)
-	from, e := now, r.engines["d"]
+		&EngineList{Kind: ListDelta, Engines: []Engine{reinstated}})
+	clear(firstUse)
+	reinstatedAt, e := now, r.engines["d"]
 	run(now + 5*second)
-	if first["d"] == 0 || first["d"]-from > 5*second {
-		t.Fatalf("not in use again: %v", first)
+	if firstUse["d"] == 0 || firstUse["d"]-reinstatedAt > 5*second {
+		t.Fatalf("the reinstated engine was not used within 5 s: %v", firstUse)
 	}
 	if e.reinstated {
-		t.Fatal("still preferred")
+		t.Fatal("the reinstated engine is still preferred after its first use")
 	}
 }
 
-// A router that takes over in the middle of the traffic knows its rate within seconds: it would else allow cold engines
-// next to nothing while the warm ones drown.
+// A router that takes over running traffic knows its request rate within seconds. With too low a rate it would send
+// starting engines almost nothing while the warm ones are overloaded.
 func TestNewRouterLearnsItsRateWithinSeconds(t *testing.T) {
 	r := New(testSettings(), 1)
 	now := int64(1000) * second
@@ -271,6 +275,6 @@
 		feed(r, now, newRequest(id, now+4*second))
 	}
 	if r.requestRate < 9 || r.requestRate > 13 {
-		t.Fatalf("rate of 12 a second is taken to be %.1f", r.requestRate)
+		t.Fatalf("request rate %.1f a second, want about 12", r.requestRate)
 	}
 }
--- a/unreported_load_test.go
+++ b/unreported_load_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// blind is a deployment whose engines tell nobody their load.
-func blind() Settings {
+// noReportSettings describes a deployment of ten gateways and five zones without load reports.
+func noReportSettings() Settings {
 	s := testSettings()
 	s.Reports, s.SecondCopies, s.Zones, s.CrossZonePrice, s.Gateways = ReportNone, false, 5, 0.015, 10
 	return s
 }
 
-// inZones are n engines, one after the other in each zone.
-func inZones(n, zones int) *EngineList {
+// engineListInZones returns a full list of n engines of size 1, assigned to the zones in turn.
+func engineListInZones(n, zones int) *EngineList {
 	l := &EngineList{Kind: ListFull}
 	for i := range n {
 		l.Engines = append(l.Engines, Engine{Name: engineName(i), Size: 1, Zone: i % zones})
@@ -20,28 +20,28 @@
 	return l
 }
 
-// A gateway that sees no load does not know whether its zone bears its traffic: it uses the whole fleet, unless
-// crossing costs more than that. With reports it prefers its own zone.
+// Without load reports a gateway does not know whether its own zone can carry its traffic, so it uses the whole fleet
+// unless cross-zone requests are expensive. With reports it prefers its own zone.
 func TestWithoutReportsOwnZoneIsNotPreferred(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		reports ReportMode
-		price   float64
-		home    bool
+		reports        ReportMode
+		price          float64
+		prefersOwnZone bool
 	}{{ReportNone, 0.015, false}, {ReportNone, 0.3, true}, {ReportReplies, 0.015, true}} {
-		s := blind()
+		s := noReportSettings()
 		s.Reports, s.CrossZonePrice, s.WarmUp = c.reports, c.price, 0
 		r := New(s, 1)
-		list := inZones(50, s.Zones)
+		list := engineListInZones(50, s.Zones)
 		feed(r, second, list)
-		own, all := 0, 0
+		inOwnZone, all := 0, 0
 		for id := range int64(400) {
 			now := second + id*100*ms
 			for _, a := range feed(r, now, newRequest(id+1, now+4*second)) {
 				if a.Kind == Send {
 					all++
 					if r.engines[a.Engine].Zone == s.Zone {
-						own++
+						inOwnZone++
 					}
 					feed(
 						r,
@@ -52,23 +52,23 @@
 				}
 			}
 		}
-		share := float64(own) / float64(all)
-		if c.home != (share > 0.6) || !c.home && share > 0.35 {
-			t.Errorf("%+v: %.2f of %d in the own zone", c, share, all)
+		share := float64(inOwnZone) / float64(all)
+		if c.prefersOwnZone != (share > 0.6) || !c.prefersOwnZone && share > 0.35 {
+			t.Errorf("%+v: fraction %.2f of %d requests in the own zone", c, share, all)
 		}
 	}
 }
 
-// An engine that keeps its requests waiting is not sent more on the word of those that it answered before: neither by
-// its rank, nor since it keeps the prompt.
+// Without load reports an engine at which an attempt is waiting gets no further requests because of its earlier, faster
+// responses: neither by its rank nor because it has the prompt cached. The effect of a wait decays.
 func TestWithoutReportsWaitsRevealLoad(t *testing.T) {
 	t.Parallel()
-	s := blind()
+	s := noReportSettings()
 	s.Zones, s.CrossZonePrice, s.Gateways, s.Cancel = 1, 0, 1, false
 	r := New(s, 1)
 	feed(r, second, engineList("a", "b"))
-	kept := &Request{ID: 1, Deadline: 5 * second, Session: 7, PromptTokens: 4000, MaxTokens: 100}
-	first := feed(r, second, kept)
+	cached := &Request{ID: 1, Deadline: 5 * second, Session: 7, PromptTokens: 4000, MaxTokens: 100}
+	first := feed(r, second, cached)
 	expect(t, first, "send ")
 	busy := first[0].Engine
 	feed(
@@ -78,8 +78,8 @@
 		&Outcome{Request: 1, Code: Served, Engine: busy, CachedTokens: 4000, Elapsed: 90 * ms},
 	)
 	now := 2 * second
-	again := func(id int64) string {
-		q := *kept
+	sendNextTurn := func(id int64) string {
+		q := *cached
 		q.ID, q.Deadline = id, now+4*second
 		for _, a := range feed(r, now, &q) {
 			if a.Kind == Send {
@@ -88,42 +88,42 @@
 		}
 		return ""
 	}
-	if got := again(2); got != busy {
-		t.Fatalf("%q, and %q keeps the prompt", got, busy)
+	if got := sendNextTurn(2); got != busy {
+		t.Fatalf("sent to %q, want %q, which has the prompt cached", got, busy)
 	}
-	now += 1600 * ms // its first token is late, and no other word has come
-	if got := again(3); got == busy || got == "" {
-		t.Fatalf("%q has said nothing for 1.6 s", got)
+	now += 1600 * ms // its first token is late, and it has given no other sign of life
+	if got := sendNextTurn(3); got == busy || got == "" {
+		t.Fatalf("sent to %q, want an engine other than the one that is silent for 1.6 s", got)
 	}
-	now += 2500 * ms // both waits are over without a token
+	now += 2500 * ms // the attempts end without a first token
 	feed(r, now, &Outcome{Request: 2, Code: NoAnswer, Engine: busy, Elapsed: 4 * second})
-	if w := r.wastedWaitOf(r.engines[busy]); w < 4 {
-		t.Errorf("%v s are forgotten", w)
+	if wait := r.wastedWaitOf(r.engines[busy]); wait < 4 {
+		t.Errorf("wasted wait of %v s just after the attempt ended, want at least 4 s", wait)
 	}
 	tick(r, now+10*second)
-	if w := r.wastedWaitOf(r.engines[busy]); w > 0.2 {
-		t.Errorf("%v s are remembered for ever", w)
+	if wait := r.wastedWaitOf(r.engines[busy]); wait > 0.2 {
+		t.Errorf("wasted wait of %v s after 10 s, want at most 0.2 s", wait)
 	}
 }
 
-// Attempts that end without a first token show an overload: a part is refused at once, soon after the start too, and
-// nothing is called off to be read again elsewhere. Aims that are met bring it back. With reports they count as
-// before.
+// Without load reports attempts that end without a first token show an overload. Requests are then shed, even soon
+// after the start of the gateway, and no attempt is cancelled only to have its prompt read again elsewhere. Met
+// objectives end the shedding. With load reports such attempts cause no shedding.
 func TestWithoutReportsHopelessRequestsAreShed(t *testing.T) {
 	t.Parallel()
 	for _, reports := range []ReportMode{ReportNone, ReportReplies} {
-		s := blind()
+		s := noReportSettings()
 		s.Reports = reports
 		r := New(s, 1)
-		feed(r, second, inZones(10, s.Zones))
+		feed(r, second, engineListInZones(10, s.Zones))
 		id, now := int64(0), second
-		play := func(n int, answered bool) (refused int) {
+		run := func(n int, answered bool) (shed int) {
 			for range n {
 				id, now = id+1, now+300*ms
 				for _, a := range feed(r, now, newRequest(id, now+4*second)) {
 					switch {
 					case a.Kind == Shed:
-						refused++
+						shed++
 					case a.Kind == Send && answered:
 						feed(
 							r,
@@ -132,7 +132,7 @@
 							&Outcome{Request: id, Code: Served, Engine: a.Engine, Elapsed: 90 * ms},
 						)
 					case a.Kind == Send:
-						r.engines[a.Engine].slowness = 0 // the fleet's trouble, not its own
+						r.engines[a.Engine].slowness = 0 // the whole fleet is slow, not this engine
 						feed(
 							r,
 							now+4*second,
@@ -141,59 +141,60 @@
 					}
 				}
 			}
-			return refused
+			return shed
 		}
-		early := play(7, false) // before there are as many as others wait for
-		soon := play(8, false)
-		if reports == ReportNone && (early < 1 || soon < 2 || !r.cancellingWastesWork()) || reports != ReportNone && early+soon > 0 {
-			t.Errorf("%v: %d of 7, then %d of 8 refused", reports, early, soon)
+		shedFirst := run(7, false) // fewer requests than defaultMinRankedRequests
+		shedThen := run(8, false)
+		if reports == ReportNone && (shedFirst < 1 || shedThen < 2 || !r.cancellingWastesWork()) ||
+			reports != ReportNone && shedFirst+shedThen > 0 {
+			t.Errorf("report mode %v: %d of the first 7, then %d of 8 requests shed", reports, shedFirst, shedThen)
 		}
-		play(80, true)
-		if back := play(40, true); back > 2 {
-			t.Errorf("%v: %d of 40 refused once all is well", reports, back)
+		run(80, true)
+		if shedAfter := run(40, true); shedAfter > 2 {
+			t.Errorf("report mode %v: %d of 40 requests shed after met objectives, want at most 2", reports, shedAfter)
 		}
 	}
 }
 
-// The part that is refused falls as aims are met; where no load is told time alone hardly changes it, for the next
-// requests find the servers as the last ones left them.
+// The shed fraction falls as objectives are met. Without load reports the passing of time hardly changes it, as the
+// next requests find the engines in the same state.
 func TestWithoutReportsSheddingDoesNotDecayWithTime(t *testing.T) {
 	t.Parallel()
-	for reports, least := range map[ReportMode]float64{ReportNone: 0.35, ReportReplies: 0} {
-		s := blind()
+	for reports, minFraction := range map[ReportMode]float64{ReportNone: 0.35, ReportReplies: 0} {
+		s := noReportSettings()
 		s.Reports = reports
 		r := New(s, 1)
 		feed(r, second, engineList("a"))
 		r.shedFraction, r.shedFractionAt = 0.5, second
 		feed(r, 6*second, newRequest(1, 9*second))
-		if r.shedFraction < least || least == 0 && r.shedFraction > 0 {
-			t.Errorf("%v: %.2f after 5 s", reports, r.shedFraction)
+		if r.shedFraction < minFraction || minFraction == 0 && r.shedFraction > 0 {
+			t.Errorf("report mode %v: shed fraction %.2f after 5 s, was 0.5", reports, r.shedFraction)
 		}
 	}
 }
 
-// What waits on an engine that says nothing is called off, to be tried elsewhere; not while the fleet is overloaded
-// and nobody tells the load, for its engines would read it twice.
+// Attempts at a silent engine are cancelled and retried elsewhere, but not while a fleet without load reports is
+// overloaded, since its engines would read the same prompt twice.
 func TestWithoutReportsNoCancelInOverload(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		reports ReportMode
-		cut     float64
-		want    string
+		reports      ReportMode
+		shedFraction float64
+		want         string
 	}{{ReportNone, 0, "cancel "}, {ReportNone, 0.5, ""}, {ReportReplies, 0.5, "cancel "}} {
-		s := blind()
+		s := noReportSettings()
 		s.Reports, s.Classes[0].LateWeight = c.reports, 0.5
 		r := New(s, 1)
 		feed(r, second, engineList("a"))
 		expect(t, feed(r, second, newRequest(1, 9*second)), "send ")
 		feed(r, second, engineList("a", "b", "c", "d"))
-		r.shedFraction, r.shedFractionAt = c.cut, second
+		r.shedFraction, r.shedFractionAt = c.shedFraction, second
 		expect(t, tick(r, 4*second), c.want)
 	}
 }
 
-// Calling an attempt off is paid for with the right to repeat it: none is called off that then could not be tried
-// elsewhere.
+// Cancelling an attempt consumes the retry budget for repeating it, so that no attempt is cancelled whose request could
+// then not be retried.
 func TestCancelConsumesRetryBudget(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
@@ -205,9 +206,9 @@
 	}
 	r.retryBudget = 2
 	feed(r, second, engineList("a", "b", "c", "d"))
-	called := feed(r, 8*second, &TimerFired{Token: tokenTick})
-	expect(t, called, "cancel cancel ")
-	for _, a := range called {
+	cancels := feed(r, 8*second, &TimerFired{Token: tokenTick})
+	expect(t, cancels, "cancel cancel ")
+	for _, a := range cancels {
 		expect(
 			t,
 			feed(
