--- a/fleet_test.go
+++ b/fleet_test.go
@@ -73,6 +73,7 @@
 	sentTo   map[string]int
 }
 
+// newGatewayGroup returns s.Gateways gateways, spread evenly over the zones, that have all received the list.
 func newGatewayGroup(s Settings, list *EngineList) *gatewayGroup {
 	g := &gatewayGroup{now: 100 * second, sentTo: map[string]int{}}
 	for i := range s.Gateways {
@@ -83,6 +84,7 @@
 	return g
 }
 
+// updateEngines passes an endpoint list to all gateways.
 func (g *gatewayGroup) updateEngines(list *EngineList) {
 	for _, r := range g.gateways {
 		feed(r, g.now, list)
@@ -90,7 +92,7 @@
 }
 
 // run sends requests to the gateways in turn, evenly at rate requests a second in total, for the duration. It counts
-// the attempts per engine in sentTo; each attempt ends at once with the outcome that the function returns.
+// the attempts per engine in sentTo; each attempt ends at once with the result of outcome.
 func (g *gatewayGroup) run(duration int64, rate float64, outcome func(engine string) Outcome) {
 	for end := g.now + duration; g.now < end; g.now += int64(float64(second) / rate) {
 		g.nextID++
@@ -111,6 +113,7 @@
 	}
 }
 
+// served is the outcome of an attempt that any engine serves at once.
 func served(string) Outcome { return Outcome{Code: Served, Elapsed: 10 * ms} }
 
 // Guards against a slow-start budget that ignores the engine's size: starting engines of size 3 and of size 10 both got
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -55,6 +55,7 @@
 	ran      bool // the engine may have run it
 }
 
+// newSimulation returns a simulation whose router has received a list of six ready engines.
 func newSimulation(seed uint64, settings Settings) *simulation {
 	sim := &simulation{
 		rng:         rand.New(rand.NewPCG(seed, 3)),
@@ -83,6 +84,7 @@
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
+// updateEngines passes an endpoint list to the router: of all engines, or of the first name alone if there is one.
 func (sim *simulation) updateEngines(kind ListKind, names ...string) []Action {
 	list := &EngineList{Kind: kind}
 	for i := range 6 {
@@ -116,6 +118,7 @@
 	return sim.settings.Classes[record.request.Class]
 }
 
+// checkSend checks a send against all rules but the fourth, for which it records sends to starting engines.
 func (sim *simulation) checkSend(a Action) {
 	record, e := sim.requests[a.Request], sim.engines[a.Engine]
 	if record == nil || record.answered || record.streaming {
@@ -154,6 +157,7 @@
 	return g == GroupAll || g == GroupZone && a.Zone == b.Zone || g == GroupCell && a.Cell == b.Cell
 }
 
+// checkFinal checks a final response against rules 1 and 2.
 func (sim *simulation) checkFinal(a Action) {
 	record := sim.requests[a.Request]
 	if record == nil || record.answered {
