--- a/admission.go
+++ b/admission.go
@@ -29,9 +29,9 @@
 		match = max(match, r.match(q, e))
 	}
 	if q.Session != 0 {
-		match = max(match, r.expectedMatch(q))
+		match = max(match, r.expectedHomeMatch(q))
 	}
-	outputTokens := q.MaxTokens * min(1, 1.3*math.Exp(r.classTPOTRatios[r.classIndex(q)].mean)/r.baseTPOT)
+	outputTokens := q.MaxTokens * min(1, 1.3*math.Exp(r.classTPOTRatios[r.classIndex(q)].value)/r.baseTPOT)
 	tieBreaker := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be shed at once
 	work := requestCost + q.PromptTokens*(1-match) + outputTokenCost*outputTokens
 	return tieBreaker * r.class(q).Weight * r.tenantWeight(q) / work
@@ -65,7 +65,7 @@
 
 // adjustShedding adjusts the shed fraction: up with each objective missed, down with each one met.
 func (r *Router) adjustShedding(e *engine, missed bool) {
-	if e.slowness > maxSharedSlowness {
+	if e.ttftSlowness > maxSharedSlowness {
 		return // the cause is this engine, not the fleet's load
 	}
 	step := shedFractionStep / max(minObjectiveRate, r.requestRate)
--- a/affinity.go
+++ b/affinity.go
@@ -20,11 +20,11 @@
 	return min(1, max(cachedTokens, q.cachedByEngine[e])/q.PromptTokens)
 }
 
-// expectedMatch returns the fraction of the prompt that the session's home engine is expected to have cached:
-// the shared prefix, and of the rest the mean that was observed for the request's class.
-func (r *Router) expectedMatch(q *request) float64 {
+// expectedHomeMatch returns the fraction of the prompt that the session's home engine is expected to have
+// cached: the shared prefix, and of the rest the mean that was observed for the request's class.
+func (r *Router) expectedHomeMatch(q *request) float64 {
 	prefixFraction := q.PrefixTokens / q.PromptTokens
-	return prefixFraction + (1-prefixFraction)*r.sessionGain[r.classIndex(q)]
+	return prefixFraction + (1-prefixFraction)*r.homeCachedFraction[r.classIndex(q)]
 }
 
 // observeMatch learns from the number of cached prompt tokens that a response reported.
@@ -32,7 +32,7 @@
 	cachedFraction := clamp(cachedTokens/a.request.PromptTokens, 1)
 	prefixFraction := a.request.PrefixTokens / a.request.PromptTokens
 	if a.home && prefixFraction < 1 {
-		gain := &r.sessionGain[r.classIndex(a.request)]
+		gain := &r.homeCachedFraction[r.classIndex(a.request)]
 		*gain += 0.05 * (max(0, cachedFraction-prefixFraction)/(1-prefixFraction) - *gain)
 	}
 	if a.match >= 0.3 && !a.home {
@@ -44,7 +44,7 @@
 		r.matchTrust += 0.1 * (min(1, cachedFraction/a.match) - r.matchTrust)
 		if r.matchShortfalls >= 4 { // consecutive shortfalls: engines lost their caches all at once
 			r.matchShortfalls = 0
-			r.flushAt = r.now
+			r.cacheFlushAt = r.now
 			r.matchTrust = 0.2
 		}
 	}
@@ -77,7 +77,7 @@
 	if !ok || entry.storedAt < notBefore {
 		return 0
 	}
-	if entry.storedAt < r.flushAt { // caches may have been flushed since
+	if entry.storedAt < r.cacheFlushAt { // caches may have been flushed since
 		return entry.tokens * r.matchTrust
 	}
 	return entry.tokens
@@ -107,7 +107,7 @@
 		mix(a.request.Prefix, a.engine.hash+prefixSalt),
 	}
 	for _, key := range keys {
-		if entry, known := r.matchTable[0][key]; known && entry.storedAt == a.sent {
+		if entry, known := r.matchTable[0][key]; known && entry.storedAt == a.sentAt {
 			delete(r.matchTable[0], key)
 		}
 	}
--- a/directory.go
+++ b/directory.go
@@ -57,14 +57,14 @@
 // prompts add to an engine does not justify the messages.
 func (r *Router) usesDirectory(q *request) bool {
 	return r.directoryEnabled() &&
-		r.meanPrefillBurden.mean >= minMeanPrefillBurden &&
+		r.meanPrefillBurden.value >= minMeanPrefillBurden &&
 		r.prefillBurdenOf(q) >= minPrefillBurden
 }
 
 // hasRecentDirectoryAnswer reports whether this gateway has obtained an engine's load from the directory
 // within pendingPromptTimeout.
 func (r *Router) hasRecentDirectoryAnswer() bool {
-	return r.directoryAnswerAt != 0 && r.now-r.directoryAnswerAt < pendingPromptTimeout
+	return r.lastDirectoryAnswerAt != 0 && r.now-r.lastDirectoryAnswerAt < pendingPromptTimeout
 }
 
 // directoryOwner returns the ordinal of the gateway that keeps the directory's entry of an engine.
@@ -80,15 +80,15 @@
 	return uint32(mix(key, directorySalt))
 }
 
-// shortEngine returns the hash that stands for an engine in messages.
-func shortEngine(e *engine) uint32 { return uint32(e.hash) }
+// shortEngineHash returns the hash that stands for an engine in messages.
+func shortEngineHash(e *engine) uint32 { return uint32(e.hash) }
 
 // engineByShortHash returns the engine that a message is about, or nil if it is unknown.
 func (r *Router) engineByShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
 
 // notifyOwner sends a notification to an engine's directory owner, or applies it if that is this gateway.
 func (r *Router) notifyOwner(e *engine, m directoryMessage) {
-	m.engineHash = shortEngine(e)
+	m.engineHash = shortEngineHash(e)
 	if owner := r.directoryOwner(e); owner != r.settings.Ordinal {
 		r.emit(Action{Kind: SendPeer, Peer: owner, Data: m.encode()})
 		return
@@ -138,9 +138,9 @@
 	return tokens
 }
 
-// onPeer handles a directory message from another gateway. A message that is malformed, unexpected or about
-// an unknown engine is ignored.
-func (r *Router) onPeer(from int, data string) {
+// onPeerMessage handles a directory message from another gateway. A message that is malformed, unexpected or
+// about an unknown engine is ignored.
+func (r *Router) onPeerMessage(from int, data string) {
 	m, ok := decodeDirectoryMessage(data)
 	if !ok || !r.directoryEnabled() || from < 0 || from >= r.settings.Gateways {
 		return
@@ -212,7 +212,7 @@
 		return
 	}
 	q.awaitedEngines = append(q.awaitedEngines, e)
-	m := directoryMessage{kind: directoryQuery, requestID: uint32(q.ID), engineHash: shortEngine(e)}
+	m := directoryMessage{kind: directoryQuery, requestID: uint32(q.ID), engineHash: shortEngineHash(e)}
 	m.sessionHash, m.prefixHash = shortHash(q.Session), shortHash(q.Prefix)
 	r.emit(Action{Kind: SendPeer, Peer: owner, Data: m.encode()})
 }
@@ -222,7 +222,7 @@
 func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, cachedTokens float64) {
 	e.directoryLoad = load
 	e.directoryLoadAt = r.now
-	r.directoryAnswerAt = r.now
+	r.lastDirectoryAnswerAt = r.now
 	if q.cachedByEngine == nil {
 		q.cachedByEngine = map[*engine]float64{}
 	}
@@ -243,13 +243,13 @@
 		}
 	}
 	if len(q.awaitedEngines) == 0 {
-		r.consultFinished(q)
+		r.finishConsultation(q)
 	}
 }
 
-// consultFinished places a request that waited for the answers of directory owners. Those that did not answer
-// are not queried for silentOwnerPause.
-func (r *Router) consultFinished(q *request) {
+// finishConsultation places a request that waited for the answers of directory owners. Those that did not
+// answer are not queried for silentOwnerPause.
+func (r *Router) finishConsultation(q *request) {
 	if r.awaitingDirectory[uint32(q.ID)] != q {
 		return
 	}
@@ -263,8 +263,8 @@
 	}
 }
 
-// notifySent notifies an engine's directory owner of a prompt that is sent to the engine.
-func (r *Router) notifySent(a *attempt) {
+// notifyPromptSent notifies an engine's directory owner of a prompt that is sent to the engine.
+func (r *Router) notifyPromptSent(a *attempt) {
 	q := a.request
 	if !r.usesDirectory(q) {
 		return
--- a/directory_test.go
+++ b/directory_test.go
@@ -69,7 +69,8 @@
 	for _, m := range []directoryMessage{
 		{kind: directoryQuery, requestID: 7, engineHash: 1 << 31, sessionHash: 3, prefixHash: 4},
 		{kind: directoryAnswer, requestID: 7, engineHash: 9, tokens: 4096, load: engineLoad{1.25, 0.5, 12500}},
-		{kind: directoryPromptSent, requestID: 7, engineHash: 9, sessionHash: 3, prefixHash: 4, tokens: 1600, promptTokens: 6400, prefixTokens: 4800},
+		{kind: directoryPromptSent, requestID: 7, engineHash: 9, sessionHash: 3, prefixHash: 4,
+			tokens: 1600, promptTokens: 6400, prefixTokens: 4800},
 		{kind: directoryPrefillDone, requestID: 7, engineHash: 9},
 		{kind: directoryPrefillAborted, requestID: math.MaxUint32, engineHash: 9},
 	} {
@@ -85,7 +86,8 @@
 	}
 	outOfRange := directoryMessage{kind: directoryAnswer, tokens: math.Inf(1), load: engineLoad{1e9, -1, math.NaN()}}
 	got, ok := decodeDirectoryMessage(outOfRange.encode())
-	if !ok || !allFinite(got.load.prefillDelay, got.tokens, got.load.prefillFraction, got.load.prefillSpeed) || got.load.prefillFraction < 0 {
+	if !ok || !allFinite(got.load.prefillDelay, got.tokens, got.load.prefillFraction, got.load.prefillSpeed) ||
+		got.load.prefillFraction < 0 {
 		t.Errorf("values out of range decoded as %+v, %v", got, ok)
 	}
 }
--- a/discovery.go
+++ b/discovery.go
@@ -7,15 +7,15 @@
 	"sort"
 )
 
-// onList applies an endpoint list, and then dispatches the requests that wait for an engine.
-func (r *Router) onList(l *EngineList) {
+// onEngineList applies an endpoint list, and then dispatches the requests that wait for an engine.
+func (r *Router) onEngineList(l *EngineList) {
 	if l.Kind == ListFailed {
 		r.failedSubscribes++
 		r.subscribed = false
 		return
 	}
 	// A subscriber that is far behind gets a full list instead of changes.
-	if l.Kind == ListDelta || r.subscribeAt != 0 {
+	if l.Kind == ListDelta || r.lastSubscribeAt != 0 {
 		r.failedSubscribes = 0
 		r.subscribed = true
 	}
@@ -43,10 +43,10 @@
 	if e == nil || entry.ReadyAt != e.ReadyAt && entry.State == Ready {
 		// Attempts in flight keep pointing to the previous process, so their outcomes do not affect this one.
 		e = &engine{
-			hash:           hashName(entry.Name),
-			firstSeenAt:    r.now,
-			lastSignOfLife: r.now,
-			reinstated:     entry.Reinstated,
+			hash:             hashName(entry.Name),
+			firstSeenAt:      r.now,
+			lastSignOfLifeAt: r.now,
+			reinstated:       entry.Reinstated,
 		}
 		r.engines[entry.Name] = e
 	}
@@ -54,7 +54,7 @@
 		e.slowStartBudget = r.rng.Float64()
 		e.slowStartBudgetAt = r.now
 		if r.startIsImplausible(entry.ReadyAt) {
-			e.substituteStart = r.now
+			e.substituteStartAt = r.now
 		}
 		if e.reinstated {
 			e.slowStartBudget = 1 - e.slowStartBudget/2*(1-1/max(1, float64(r.settings.Gateways)))
@@ -84,10 +84,11 @@
 // exponentially, with jitter.
 func (r *Router) subscribe() {
 	wait := min(r.settings.DiscoveryTimeout*2, 500*ms<<min(r.failedSubscribes, 4))
-	if !r.settings.SubscribeDiscovery || r.subscribeAt != 0 && (r.subscribed || r.now-r.subscribeAt < wait) {
+	if !r.settings.SubscribeDiscovery ||
+		r.lastSubscribeAt != 0 && (r.subscribed || r.now-r.lastSubscribeAt < wait) {
 		return
 	}
-	r.subscribeAt = r.now + r.rng.Int64N(max(1, wait/2))
+	r.lastSubscribeAt = r.now + r.rng.Int64N(max(1, wait/2))
 	r.emit(Action{Kind: Subscribe})
 }
 
@@ -101,7 +102,7 @@
 	for name, e := range r.engines {
 		if e.State == Gone && e.attemptsInFlight == 0 {
 			delete(r.engines, name)
-		} else if r.enginesByShortHash[shortEngine(e)] = e; !e.notReady {
+		} else if r.enginesByShortHash[shortEngineHash(e)] = e; !e.notReady {
 			r.ready = append(r.ready, e)
 			if r.startedAt(e) > 0 {
 				r.fleetWarmUpEnd = max(r.fleetWarmUpEnd, r.startedAt(e)+r.settings.WarmUp)
--- a/eligibility.go
+++ b/eligibility.go
@@ -18,7 +18,7 @@
 			return false
 		case a.mayHaveRun && c.Effect == Unsafe:
 			return false
-		case a.mayHaveRun && c.Effect == Keyed && r.now-a.sent >= c.Window:
+		case a.mayHaveRun && c.Effect == Keyed && r.now-a.sentAt >= c.Window:
 			return false
 		case a.mayHaveRun && c.Effect == Keyed && !sameGroup(c.Group, a.engine, e):
 			return false
--- a/hash.go
+++ b/hash.go
@@ -4,13 +4,13 @@
 
 import "math"
 
-// unit maps a hash into (0, 1).
-func unit(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
+// unitInterval maps a hash into (0, 1).
+func unitInterval(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
 
-// rank returns the weighted rendezvous score of a key at an engine: of all engines, that with the highest
-// score is the key's home. An engine without a size counts as one of size 1.
-func rank(key uint64, e *engine) float64 {
-	u := unit(mix(key, e.hash))
+// rendezvousScore returns the weighted rendezvous score of a key at an engine: of all engines, that with the
+// highest score is the key's home. An engine without a size counts as one of size 1.
+func rendezvousScore(key uint64, e *engine) float64 {
+	u := unitInterval(mix(key, e.hash))
 	size := e.Size
 	if !(size > 0) {
 		size = 1
@@ -39,14 +39,14 @@
 
 // mean is a running mean: the arithmetic mean of the first values, later an exponentially weighted one.
 type mean struct {
-	mean  float64
+	value float64
 	count float64 // values added
 }
 
 // add adds a value, with a weight of one over the number of values, but at least minWeight.
 func (m *mean) add(v, minWeight float64) {
 	m.count++
-	m.mean += max(1/m.count, minWeight) * (v - m.mean)
+	m.value += max(1/m.count, minWeight) * (v - m.value)
 }
 
 // seconds converts nanoseconds to seconds.
--- a/health.go
+++ b/health.go
@@ -23,7 +23,7 @@
 func (r *Router) recordSignOfLife(a *attempt) {
 	r.removeUnanswered(a)
 	r.recordRecovery(a.engine)
-	a.engine.lastSignOfLife = r.now
+	a.engine.lastSignOfLifeAt = r.now
 	a.engine.suspect = false
 	a.engine.unreachable = false
 	a.engine.errorRate -= errorRateWeight * a.engine.errorRate
@@ -68,9 +68,9 @@
 	}
 }
 
-// suspect marks the engine as suspect, so that it gets only trials. down means that no connection to it
+// markSuspect marks the engine as suspect, so that it gets only trials. down means that no connection to it
 // could be established.
-func (r *Router) suspect(e *engine, down bool) {
+func (r *Router) markSuspect(e *engine, down bool) {
 	if !e.suspect || down {
 		e.suspect = true
 		e.lastTrialAt = r.now
@@ -84,8 +84,8 @@
 // gateway no sign of life since the evidence was gathered.
 func (r *Router) onAdvice(a *Advice) {
 	for _, d := range a.Suspicions {
-		if e := r.engines[d.Engine]; e != nil && e.ReadyAt == d.ReadyAt && e.lastSignOfLife < d.At {
-			r.suspect(e, false)
+		if e := r.engines[d.Engine]; e != nil && e.ReadyAt == d.ReadyAt && e.lastSignOfLifeAt < d.At {
+			r.markSuspect(e, false)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // whichever engine they reach, the cause is the tenant's requests, and the engines are not blamed.
 func (r *Router) recordRejection(a *attempt, code OutcomeCode) {
 	e, t := a.engine, r.tenant(a.request)
-	e.lastSignOfLife = r.now
+	e.lastSignOfLifeAt = r.now
 	if code == ServerError {
 		t.errorRate += tenantErrorRateWeight * (1 - t.errorRate)
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	if e.errorRate += errorRateWeight * (1 - e.errorRate); e.errorRate > maxErrorRate {
-		r.suspect(e, false)
+		r.markSuspect(e, false)
 	}
 }
 
@@ -118,7 +118,7 @@
 // its silence, not for its errors, gets one trial at a time.
 func (r *Router) isExcluded(e *engine, ignoreSuspicions bool) bool {
 	return r.avoids(e, ignoreSuspicions) &&
-		(r.now-e.lastTrialAt < trialInterval || len(e.unanswered) > 0 && e.errorRate <= maxErrorRate)
+		(r.now-e.lastTrialAt < trialInterval || len(e.awaitingFirstToken) > 0 && e.errorRate <= maxErrorRate)
 }
 
 // hasSharedFault reports whether so many engines are suspect that the cause must be shared. Then no engine
@@ -144,10 +144,10 @@
 	shared := r.hasSharedFault()
 	for _, e := range r.ready {
 		if e.isSilent(r.now) {
-			r.suspect(e, false)
+			r.markSuspect(e, false)
 		}
 		if e.suspect && !shared {
-			for _, a := range append([]*attempt(nil), e.unanswered...) {
+			for _, a := range append([]*attempt(nil), e.awaitingFirstToken...) {
 				r.hedgeOrCancel(a)
 			}
 		}
@@ -157,11 +157,11 @@
 // isSilent reports whether the engine's oldest unanswered attempt is overdue and the engine has given no
 // sign of life since that attempt was sent.
 func (e *engine) isSilent(now int64) bool {
-	if len(e.unanswered) == 0 {
+	if len(e.awaitingFirstToken) == 0 {
 		return false
 	}
-	oldest := e.unanswered[0]
-	return oldest.overdue(now) && e.lastSignOfLife <= oldest.sent
+	oldest := e.awaitingFirstToken[0]
+	return oldest.overdue(now) && e.lastSignOfLifeAt <= oldest.sentAt
 }
 
 // hedgeOrCancel moves an overdue attempt at a suspect engine elsewhere: it sends a second copy where the
@@ -186,9 +186,12 @@
 
 // removeUnanswered removes an attempt from its engine's list of unanswered attempts.
 func (r *Router) removeUnanswered(a *attempt) {
-	for i, other := range a.engine.unanswered {
+	for i, other := range a.engine.awaitingFirstToken {
 		if other == a {
-			a.engine.unanswered = append(a.engine.unanswered[:i], a.engine.unanswered[i+1:]...)
+			a.engine.awaitingFirstToken = append(
+				a.engine.awaitingFirstToken[:i],
+				a.engine.awaitingFirstToken[i+1:]...,
+			)
 			return
 		}
 	}
--- a/learned_state.go
+++ b/learned_state.go
@@ -45,15 +45,15 @@
 	RecentTPOTError LearnedMean `json:"gap_now"`
 	// DecodeTime is the mean time from a response's first token to its last, in seconds.
 	DecodeTime LearnedMean `json:"decode"`
-	// SessionGain is, by class, the fraction of the prompt beyond the shared prefix that a session's home
-	// engine has cached. The last class stands for requests of an unknown class.
-	SessionGain []float64 `json:"gain"`
+	// HomeCachedFraction is, by class, the fraction of the prompt beyond the shared prefix that a session's
+	// home engine has cached. The last class stands for requests of an unknown class.
+	HomeCachedFraction []float64 `json:"gain"`
 	// MeanReport is the mean of the fleet's load reports.
 	MeanReport Report `json:"fleet"`
 	// MatchTrust is the mean ratio of cached to expected prompt tokens.
 	MatchTrust float64 `json:"trust"`
-	// FlushAt is the time at which engines were last found to have lost their caches.
-	FlushAt int64 `json:"flush_at"`
+	// CacheFlushAt is the time at which engines were last found to have lost their caches.
+	CacheFlushAt int64 `json:"flush_at"`
 	// UsualReadyCount is the usual number of ready engines, which decays slowly when there are fewer.
 	UsualReadyCount float64 `json:"usual"`
 	// RequestRate is the rate of this gateway's requests, per second.
@@ -124,10 +124,10 @@
 		LongTermTPOTError:    learnedMean(r.longTermTPOTError),
 		RecentTPOTError:      learnedMean(r.recentTPOTError),
 		DecodeTime:           learnedMean(r.decodeTime),
-		SessionGain:          slices.Clone(r.sessionGain),
+		HomeCachedFraction:   slices.Clone(r.homeCachedFraction),
 		MeanReport:           r.meanReport,
 		MatchTrust:           r.matchTrust,
-		FlushAt:              r.flushAt,
+		CacheFlushAt:         r.cacheFlushAt,
 		UsualReadyCount:      r.usualReadyCount,
 		RequestRate:          r.requestRate,
 		ShedFraction:         r.shedFraction,
@@ -164,7 +164,7 @@
 		Name:              e.Name,
 		ReadyAt:           e.ReadyAt,
 		FirstSeenAt:       e.firstSeenAt,
-		Slowness:          e.slowness,
+		Slowness:          e.ttftSlowness,
 		TPOTSlowness:      learnedMean(e.tpotSlowness),
 		ErrorRate:         e.errorRate,
 		Suspect:           e.suspect,
@@ -179,7 +179,7 @@
 }
 
 // learnedMean returns a copy of a running mean.
-func learnedMean(m mean) LearnedMean { return LearnedMean{m.mean, m.count} }
+func learnedMean(m mean) LearnedMean { return LearnedMean{m.value, m.count} }
 
 // learned returns a copy of a model's fit and samples.
 func (m *model) learned() LearnedModel {
@@ -207,7 +207,8 @@
 	case l.ClassCount != len(settings.Classes) || l.KindCount != settings.Kinds:
 		return errors.New("learned state is for other numbers of classes or kinds")
 	case len(l.TTFTModels) != modelCount || len(l.TPOTModels) != modelCount,
-		len(l.ClassTPOTRatios) != len(settings.Classes)+1 || len(l.SessionGain) != len(settings.Classes)+1,
+		len(l.ClassTPOTRatios) != len(settings.Classes)+1 ||
+			len(l.HomeCachedFraction) != len(settings.Classes)+1,
 		len(l.RecentValueDensities) > maxRankedRequests, len(l.Engines) > maxLearnedEngines,
 		len(l.Prompts) > maxLearnedPrompts:
 		return errors.New("learned state has a list with missing or too many entries")
@@ -228,7 +229,7 @@
 
 // boundedNumbers returns all numbers that Check requires to be within bounds.
 func (l *Learned) boundedNumbers() []float64 {
-	numbers := append(slices.Clone(l.SessionGain),
+	numbers := append(slices.Clone(l.HomeCachedFraction),
 		l.BaseTPOT, l.MatchTrust, l.UsualReadyCount, l.RequestRate, l.ShedFraction)
 	numbers = append(numbers, l.MeanReport.MemoryUsage, l.MeanReport.PrefillBacklog, l.MeanReport.SlotUsage)
 	numbers = append(numbers, l.RecentValueDensities...)
@@ -266,20 +267,20 @@
 	for i, m := range learned.ClassTPOTRatios {
 		r.classTPOTRatios[i] = mean{m.Mean, m.Count}
 	}
-	r.baseTPOT, r.outputLengthsKnown, r.sessionGain =
-		learned.BaseTPOT, learned.OutputLengthsKnown, slices.Clone(learned.SessionGain)
+	r.baseTPOT, r.outputLengthsKnown, r.homeCachedFraction =
+		learned.BaseTPOT, learned.OutputLengthsKnown, slices.Clone(learned.HomeCachedFraction)
 	r.longTermTPOTError = mean{learned.LongTermTPOTError.Mean, learned.LongTermTPOTError.Count}
 	r.recentTPOTError = mean{learned.RecentTPOTError.Mean, learned.RecentTPOTError.Count}
 	// The usual stream excess is learned again: the running streams belong to the other router.
 	r.decodeTime = mean{learned.DecodeTime.Mean, learned.DecodeTime.Count}
 	r.meanReport = learned.MeanReport
 	r.matchTrust = learned.MatchTrust
-	r.flushAt = learned.FlushAt
+	r.cacheFlushAt = learned.CacheFlushAt
 	r.usualReadyCount = max(r.usualReadyCount, learned.UsualReadyCount)
 	r.usualReadyAt = now
 	r.requestRate = learned.RequestRate
 	r.requestRateAt = now
-	r.firstRequestAt = now - int64(rateSpan*1e9)
+	r.firstRequestAt = now - int64(requestRateSpan*1e9)
 	r.shedFraction = learned.ShedFraction
 	r.shedFractionAt = now
 	r.recentValueDensities = slices.Clone(learned.RecentValueDensities)
@@ -290,7 +291,7 @@
 			continue
 		}
 		e.firstSeenAt = saved.FirstSeenAt
-		e.slowness = saved.Slowness
+		e.ttftSlowness = saved.Slowness
 		e.tpotSlowness = mean{saved.TPOTSlowness.Mean, saved.TPOTSlowness.Count}
 		e.errorRate = saved.ErrorRate
 		e.suspect = saved.Suspect
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -74,15 +74,15 @@
 		}
 	}
 	expectNear("request rate", r.requestRate, successor.requestRate, 1e-3)
-	if successor.engines["b"].slowness <= successor.engines["a"].slowness {
+	if successor.engines["b"].ttftSlowness <= successor.engines["a"].ttftSlowness {
 		t.Error("the slow engine is not known as slower than the fast one")
 	}
-	if c := successor.engines["c"]; c.slowness != 0 || c.reportAt != 0 {
+	if c := successor.engines["c"]; c.ttftSlowness != 0 || c.reportAt != 0 {
 		t.Error("state restored for an engine that the first router did not know")
 	}
 	restarted := New(s, 3)
 	feed(restarted, now, &EngineList{Kind: ListFull, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now - second}}})
-	if err := restarted.RestoreLearned(&learned, now); err != nil || restarted.engines["b"].slowness != 0 {
+	if err := restarted.RestoreLearned(&learned, now); err != nil || restarted.engines["b"].ttftSlowness != 0 {
 		t.Errorf("state restored for a restarted engine, error %v", err)
 	}
 }
@@ -110,7 +110,7 @@
 		if err := successor.RestoreLearned(l, now); err == nil {
 			t.Errorf("%s: no error", name)
 		}
-		if successor.baseTPOT != New(s, 2).baseTPOT || successor.engines["b"].slowness != 0 {
+		if successor.baseTPOT != New(s, 2).baseTPOT || successor.engines["b"].ttftSlowness != 0 {
 			t.Errorf("%s: restored in part", name)
 		}
 	}
--- a/placement.go
+++ b/placement.go
@@ -53,7 +53,7 @@
 // homeAdvantage returns the number of prompt tokens that the request's home engine, but no other engine, is
 // expected to have cached.
 func (r *Router) homeAdvantage(q *request) float64 {
-	cachedTokens := r.expectedMatch(q) * q.PromptTokens
+	cachedTokens := r.expectedHomeMatch(q) * q.PromptTokens
 	if q.homeByPrefix {
 		return cachedTokens
 	}
@@ -107,7 +107,7 @@
 	for i := range options {
 		o := &options[i]
 		if _, known := q.cachedByEngine[o.engine]; o.home && !known && (q.Session != 0 || q.homeByPrefix) {
-			o.match = max(o.match, min(minGateMatch-0.01, r.expectedMatch(q)))
+			o.match = max(o.match, min(minGateMatch-0.01, r.expectedHomeMatch(q)))
 		}
 		r.predict(q, o)
 		r.setHeadroom(q, o, objective, class, len(options))
@@ -166,7 +166,7 @@
 	eligible, ownZoneFirst := r.candidates[:0], r.prefersOwnZone(q)
 	for _, e := range engines {
 		if r.mayUse(q, e) && r.hasSlowStartBudget(e) && !r.isExcluded(e, ignoreSuspicion) {
-			c := candidate{e, r.match(q, e), rank(q.key(), e)}
+			c := candidate{e, r.match(q, e), rendezvousScore(q.affinityKey(), e)}
 			if ownZoneFirst && !r.isInOwnZone(e) { // ranked after all of the own zone, in the same order
 				c.rank = -1 / c.rank
 			}
@@ -209,7 +209,7 @@
 	}
 	return r.settings.CrossZonePrice > r.minCrossZonePrice() &&
 		r.settings.Zones > 1 &&
-		unit(mix(q.key(), prefixSalt)) >= spill
+		unitInterval(mix(q.affinityKey(), prefixSalt)) >= spill
 }
 
 // candidate is an engine that a request may be sent to, before its latency is predicted.
--- a/prediction.go
+++ b/prediction.go
@@ -73,12 +73,12 @@
 func (r *Router) predict(q *request, o *option) {
 	o.features = r.features(q, o.engine, o.match)
 	kind := r.kindIndex(o.engine)
-	slowdown := math.Exp(o.engine.slowness)
-	o.ttft = max(r.ttftModels[kind].predict(&o.features)*slowdown, r.wastedWaitOf(o.engine))
-	drift := r.tpotDrift() + max(0, o.engine.slowness)
+	slowdown := math.Exp(o.engine.ttftSlowness)
+	o.ttft = max(r.ttftModels[kind].predict(&o.features)*slowdown, r.minExpectedTTFT(o.engine))
+	drift := r.tpotDrift() + max(0, o.engine.ttftSlowness)
 	engineWeight := o.engine.tpotSlowness.count / (o.engine.tpotSlowness.count + engineTPOTPriorCount)
 	if engineWeight > 0 { // responses of known length show this engine's own TPOT
-		drift += engineWeight * (o.engine.tpotSlowness.mean - drift)
+		drift += engineWeight * (o.engine.tpotSlowness.value - drift)
 	}
 	o.tpot = r.tpotModels[kind].predict(&o.features) * r.baseTPOT * math.Exp(drift)
 	if r.hasRecentDirectoryLoad(o.engine) {
@@ -122,7 +122,8 @@
 	r.train(r.ttftModels, a, elapsed)
 	kind := r.kindIndex(a.engine)
 	logRatio := min(2.5, max(-2.5, math.Log(max(elapsed, 1e-4)/r.ttftModels[kind].predict(&a.features))))
-	a.engine.slowness = min(2.3, max(-0.7, a.engine.slowness+slownessWeight*(logRatio-a.engine.slowness)))
+	a.engine.ttftSlowness = min(2.3, max(-0.7,
+		a.engine.ttftSlowness+slownessWeight*(logRatio-a.engine.ttftSlowness)))
 }
 
 // observeTPOT learns the TPOT from a response: decode time over output tokens where the number of tokens is
@@ -149,23 +150,23 @@
 		r.train(r.tpotModels, a, relativeTPOT)
 		return
 	}
-	logError := logTimePerMaxToken - classRatio.mean - math.Log(predicted)
+	logError := logTimePerMaxToken - classRatio.value - math.Log(predicted)
 	r.observeTPOTError(logError)
 	if timePerMaxToken/predicted/math.Exp(r.tpotDrift()) > r.baseTPOT {
 		r.baseTPOT *= math.Exp(baseTPOTStep * (1 - maxTokensReachedFraction))
 	} else {
 		r.baseTPOT *= math.Exp(-baseTPOTStep * maxTokensReachedFraction)
 	}
-	r.train(r.tpotModels, a, math.Exp(logTimePerMaxToken-classRatio.mean))
+	r.train(r.tpotModels, a, math.Exp(logTimePerMaxToken-classRatio.value))
 }
 
 // tpotDrift returns the natural logarithm of the factor by which the TPOT has recently been longer than the
 // model predicts.
 func (r *Router) tpotDrift() float64 {
-	drift := r.recentTPOTError.mean - r.longTermTPOTError.mean
+	drift := r.recentTPOTError.value - r.longTermTPOTError.value
 	if r.decodeTime.count >= minEndedStreams {
 		// Streams that last longer than usual show a slowdown before any of them ends.
-		drift = max(drift, r.streamExcess()-r.usualStreamExcess.mean-streamExcessNoise)
+		drift = max(drift, r.streamExcess()-r.longTermStreamExcess.value-streamExcessNoise)
 	}
 	return min(2, max(-0.5, drift))
 }
@@ -193,10 +194,10 @@
 func (r *Router) observeServed(a *attempt, outcome *Outcome) {
 	elapsed := seconds(outcome.Elapsed)
 	if a.firstTokenAt != 0 && !outcome.ClientStalled {
-		decodeTime := elapsed - seconds(a.firstTokenAt-a.sent)
+		decodeTime := elapsed - seconds(a.firstTokenAt-a.sentAt)
 		r.observeTPOT(a, max(0, decodeTime), outcome.OutputTokens)
 		r.decodeTime.add(max(0, decodeTime), longTermWeight)
-		r.usualStreamExcess.add(r.streamExcess(), longTermWeight)
+		r.longTermStreamExcess.add(r.streamExcess(), longTermWeight)
 	} else if a.firstTokenAt == 0 && !r.class(a.request).Streamed {
 		r.observeTTFT(a, elapsed)
 	}
@@ -255,13 +256,14 @@
 // streamExcess returns the natural logarithm of the ratio of this gateway's running streams to those that
 // would be running if each took the mean decode time.
 func (r *Router) streamExcess() float64 {
-	return math.Log((float64(r.streams) + streamPriorCount) / (r.usualStreams() + streamPriorCount))
+	return math.Log((float64(r.openStreams) + streamPriorCount) /
+		(r.expectedRunningStreams() + streamPriorCount))
 }
 
-// usualStreams returns how many of this gateway's streams would be running if each took the mean decode time:
-// the expected number decays exponentially by that time.
-func (r *Router) usualStreams() float64 {
-	return r.expectedStreams * math.Exp(-seconds(r.now-r.expectedStreamsAt)/max(0.1, r.decodeTime.mean))
+// expectedRunningStreams returns how many of this gateway's streams would be running if each took the mean
+// decode time: the expected number decays exponentially by that time.
+func (r *Router) expectedRunningStreams() float64 {
+	return r.expectedStreams * math.Exp(-seconds(r.now-r.expectedStreamsAt)/max(0.1, r.decodeTime.value))
 }
 
 // observeTPOTError records the natural logarithm of the ratio of an observed to a predicted TPOT.
--- a/probes.go
+++ b/probes.go
@@ -24,11 +24,11 @@
 	}
 }
 
-// onProbed records the result of a probe.
-func (r *Router) onProbed(ev *ProbeResult) {
+// onProbeResult records the result of a probe.
+func (r *Router) onProbeResult(ev *ProbeResult) {
 	if e := r.engines[ev.Engine]; e != nil {
 		if e.probing = false; ev.OK {
-			e.lastSignOfLife = r.now
+			e.lastSignOfLifeAt = r.now
 			if ev.Report != nil && r.settings.Reports != ReportNone {
 				r.recordReport(e, ev.Report)
 			}
--- a/request.go
+++ b/request.go
@@ -81,17 +81,17 @@
 func (r *Router) send(q *request, o *option) {
 	e := o.engine
 	a := &attempt{
-		request:    q,
-		number:     len(q.attempts),
-		engine:     e,
-		sent:       r.now,
-		features:   o.features,
-		ttft:       o.ttft,
-		match:      o.match,
-		home:       o.home,
-		reinstated: e.reinstated,
-		inFlight:   true,
-		mayHaveRun: true,
+		request:       q,
+		number:        len(q.attempts),
+		engine:        e,
+		sentAt:        r.now,
+		features:      o.features,
+		predictedTTFT: o.ttft,
+		match:         o.match,
+		home:          o.home,
+		reinstated:    e.reinstated,
+		inFlight:      true,
+		mayHaveRun:    true,
 	}
 	q.attempts = append(q.attempts, a)
 	q.queued = false
@@ -99,14 +99,14 @@
 	e.tokensInFlight += q.PromptTokens
 	e.unreportedPrefill = r.unreportedPrefill(e) + q.PromptTokens*(1-o.match)
 	e.unreportedPrefillAt = r.now
-	e.unanswered = append(e.unanswered, a)
+	e.awaitingFirstToken = append(e.awaitingFirstToken, a)
 	e.lastTrialAt = r.now
 	e.reinstated = false
 	if e.slowStartBudgetAt != 0 {
 		e.slowStartBudget--
 	}
 	r.recordCachedPrompt(q, e, q.PromptTokens)
-	r.notifySent(a)
+	r.notifyPromptSent(a)
 	r.emit(Action{
 		Kind:        Send,
 		Request:     q.ID,
@@ -146,8 +146,8 @@
 		return
 	}
 	q.claimed = a
-	r.streams++
-	r.expectedStreams = r.usualStreams() + 1
+	r.openStreams++
+	r.expectedStreams = r.expectedRunningStreams() + 1
 	r.expectedStreamsAt = r.now
 	r.cancelOthers(q, a)
 }
@@ -180,7 +180,7 @@
 	a.engine.attemptsInFlight--
 	a.engine.tokensInFlight = max(0, a.engine.tokensInFlight-q.PromptTokens)
 	if q.claimed == a {
-		r.streams--
+		r.openStreams--
 	}
 	r.notifyPrefillEnd(a, false)
 	r.removeUnanswered(a)
@@ -212,7 +212,7 @@
 		r.undoSend(a)
 	case NoAnswer, NoConnection:
 		if ev.Code == NoConnection || a.overdue(r.now) {
-			r.suspect(a.engine, ev.Code == NoConnection)
+			r.markSuspect(a.engine, ev.Code == NoConnection)
 		}
 	}
 }
@@ -291,21 +291,21 @@
 
 // attempt is one attempt of a request at an engine. Times are in nanoseconds.
 type attempt struct {
-	request      *request
-	number       int // counted from 0
-	engine       *engine
-	sent         int64         // when the attempt was decided on
-	features     featureVector // the inputs that ttft was predicted from
-	ttft         float64       // predicted time to the first token, in seconds
-	match        float64       // fraction of the prompt that the engine was expected to have cached
-	home         bool          // whether the engine was chosen as the assumed home of the session or prefix
-	reinstated   bool          // whether the engine had been put back into service and not been used since
-	inDirectory  bool          // whether the engine's directory owner counts the prompt as unread
-	inFlight     bool          // whether the outcome is outstanding
-	code         OutcomeCode
-	mayHaveRun   bool  // false once the outcome proves that the attempt never ran
-	firstTokenAt int64 // when the response began; 0 if it has not
-	cancelling   bool  // whether cancellation was requested
+	request       *request
+	number        int // counted from 0
+	engine        *engine
+	sentAt        int64         // when the attempt was decided on
+	features      featureVector // the inputs that ttft was predicted from
+	predictedTTFT float64       // predicted time to the first token, in seconds
+	match         float64       // fraction of the prompt that the engine was expected to have cached
+	home          bool          // whether the engine was chosen as the assumed home of the session or prefix
+	reinstated    bool          // whether the engine had been put back into service and not been used since
+	inDirectory   bool          // whether the engine's directory owner counts the prompt as unread
+	inFlight      bool          // whether the outcome is outstanding
+	code          OutcomeCode
+	mayHaveRun    bool  // false once the outcome proves that the attempt never ran
+	firstTokenAt  int64 // when the response began; 0 if it has not
+	cancelling    bool  // whether cancellation was requested
 }
 
 // request is the state of a request.
@@ -363,8 +363,8 @@
 	return q.Pool == 0 || e.Pool == q.Pool
 }
 
-// key returns the affinity key that determines the request's ranking of the engines.
-func (q *request) key() uint64 {
+// affinityKey returns the affinity key that determines the request's ranking of the engines.
+func (q *request) affinityKey() uint64 {
 	if q.homeByPrefix {
 		return q.Prefix
 	}
@@ -392,8 +392,8 @@
 // classIndex returns the index of the request's class in state that is kept by class; unknown classes share
 // the last index.
 func (r *Router) classIndex(q *request) int {
-	if q.Class < 0 || q.Class >= len(r.sessionGain) {
-		return len(r.sessionGain) - 1
+	if q.Class < 0 || q.Class >= len(r.homeCachedFraction) {
+		return len(r.homeCachedFraction) - 1
 	}
 	return q.Class
 }
@@ -407,7 +407,7 @@
 
 // overdue reports whether the attempt's first token is so late that the engine may be in trouble.
 func (a *attempt) overdue(now int64) bool {
-	return now-a.sent > max(minOverdue, int64(overdueFactor*a.ttft*1e9))
+	return now-a.sentAt > max(minOverdue, int64(overdueFactor*a.predictedTTFT*1e9))
 }
 
 // findAttempt returns a request and its attempt with this number; nil if there is none.
@@ -424,7 +424,7 @@
 func (r *Router) mayNotRepeat(q *request) bool {
 	c := r.class(q)
 	return q.attemptsInFlight() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
-		return a.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && r.now-a.sent >= c.Window)
+		return a.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && r.now-a.sentAt >= c.Window)
 	})
 }
 
@@ -434,7 +434,7 @@
 func (r *Router) startBefore(q *request) int64 {
 	earliest, c := int64(0), r.class(q)
 	for _, a := range q.attempts {
-		windowEnd := a.sent + c.Window - 2*r.settings.Tick
+		windowEnd := a.sentAt + c.Window - 2*r.settings.Tick
 		if a.mayHaveRun && !a.inFlight && c.Effect == Keyed && (earliest == 0 || windowEnd < earliest) {
 			earliest = windowEnd
 		}
--- a/router.go
+++ b/router.go
@@ -63,7 +63,7 @@
 		matchTrust:         1,
 		tenants:            make([]tenantRate, len(settings.Tenants)),
 		shedRates:          make([]classShedRates, classes),
-		sessionGain:        slices.Repeat([]float64{0.5}, classes),
+		homeCachedFraction: slices.Repeat([]float64{0.5}, classes),
 		ttftModels:         make([]model, kinds),
 		tpotModels:         make([]model, kinds),
 		classTPOTRatios:    make([]mean, classes),
@@ -91,7 +91,7 @@
 	}
 	switch ev := event.(type) {
 	case *EngineList:
-		r.onList(ev)
+		r.onEngineList(ev)
 	case *Request:
 		r.onRequest(ev)
 	case *Outcome:
@@ -103,9 +103,9 @@
 			r.finish(q, nil)
 		}
 	case *ProbeResult:
-		r.onProbed(ev)
+		r.onProbeResult(ev)
 	case *PeerMessage:
-		r.onPeer(ev.From, ev.Data)
+		r.onPeerMessage(ev.From, ev.Data)
 	case *Advice:
 		r.onAdvice(ev)
 	case *TimerFired:
@@ -123,7 +123,7 @@
 	if q := r.requests[token/tokenStep]; token == tokenTick {
 		r.tick()
 	} else if q != nil && token%tokenStep == tokenConsult {
-		r.consultFinished(q)
+		r.finishConsultation(q)
 	} else if q != nil {
 		r.finishUnserved(q)
 	}
--- a/router_test.go
+++ b/router_test.go
@@ -528,7 +528,7 @@
 	r := New(s, 1)
 	feed(r, 0, engineList("a", "b"))
 	r.engines["a"].report, r.engines["a"].reportAt = Report{MemoryUsage: 0.9, PrefillBacklog: 30, SlotUsage: 0.9}, 1
-	r.sessionGain[0] = 0
+	r.homeCachedFraction[0] = 0
 	sentToB := 0
 	for i := int64(1); i <= 20; i++ {
 		acts := feed(r, ms, newRequest(i, second))
@@ -567,7 +567,7 @@
 		feed(r, 0, q)
 		a := r.requests[q.ID].attempts[0]
 		a.engine = e
-		r.suspect(e, true)
+		r.markSuspect(e, true)
 	}
 	for i := int64(10); i < 40; i++ {
 		for _, a := range feed(r, 10*ms, newRequest(i, 4*second)) {
@@ -616,7 +616,7 @@
 		r := New(testSettings(), 1)
 		feed(r, 0, engineList("a", "b", "c"))
 		feed(r, 0, newRequest(1, 4*second))
-		r.shedFraction, r.now, r.requests[1].attempts[0].ttft = shedFraction, second, 0.01
+		r.shedFraction, r.now, r.requests[1].attempts[0].predictedTTFT = shedFraction, second, 0.01
 		r.hedgeOrCancel(r.requests[1].attempts[0])
 		if got := len(r.requests[1].attempts); (shedFraction > 0) != (got == 1) {
 			t.Fatalf("shed fraction %.1f: %d attempts", shedFraction, got)
@@ -783,7 +783,7 @@
 		q := &request{Request: *newRequest(1, second)}
 		idleTTFT := r.buildOptions(q, false)[0].ttftUpper
 		for _, e := range r.ready {
-			e.slowness = math.Log(0.4 / idleTTFT) // predicts 0.4 s, of an objective of 1 s
+			e.ttftSlowness = math.Log(0.4 / idleTTFT) // predicts 0.4 s, of an objective of 1 s
 		}
 		if o := r.buildOptions(q, false)[0]; math.Abs(o.ttftUpper-0.4) > 0.01 || o.hasHeadroom != want {
 			t.Errorf(
@@ -949,14 +949,14 @@
 	tick(r, now+5*second)
 	q := &request{Request: *newRequest(1, now+9*second)}
 	q.Prefix, q.PrefixTokens = 77, 500
-	if newProcess.reportAt != 0 || newProcess.slowness != 0 || newProcess.tpotSlowness.count != 0 ||
+	if newProcess.reportAt != 0 || newProcess.ttftSlowness != 0 || newProcess.tpotSlowness.count != 0 ||
 		newProcess.errorRate != 0 || newProcess.suspect ||
 		r.match(q, newProcess) != 0 {
 		t.Fatalf(
 			"new process after outcomes of the old one: report at %v, slowness %v, TPOT samples %v, error rate %v, "+
 				"suspect %v, match %v",
 			newProcess.reportAt,
-			newProcess.slowness,
+			newProcess.ttftSlowness,
 			newProcess.tpotSlowness.count,
 			newProcess.errorRate,
 			newProcess.suspect,
--- a/sampling.go
+++ b/sampling.go
@@ -22,10 +22,10 @@
 	if len(r.ready) <= maxFullScan {
 		return r.ready
 	}
-	r.sampleNumber++
+	r.sampleGeneration++
 	r.sampled = r.sampled[:0]
-	r.addFromRing(ringKey{q.Pool, r.prefersOwnZone(q)}, q.key(), keySampleSize)
-	r.addFromRing(ringKey{q.Pool, false}, q.key(), prefixSampleSize)
+	r.addFromRing(ringKey{q.Pool, r.prefersOwnZone(q)}, q.affinityKey(), keySampleSize)
+	r.addFromRing(ringKey{q.Pool, false}, q.affinityKey(), prefixSampleSize)
 	if q.Prefix != 0 {
 		r.addFromRing(ringKey{q.Pool, false}, q.Prefix, prefixSampleSize)
 	}
@@ -86,8 +86,8 @@
 	first := sort.Search(len(engines), func(i int) bool { return engines[i].hash >= key })
 	for i := range min(n, len(engines)) {
 		e := engines[(first+i)%len(engines)]
-		if e.sampleNumber != r.sampleNumber {
-			e.sampleNumber = r.sampleNumber
+		if e.sampleGeneration != r.sampleGeneration {
+			e.sampleGeneration = r.sampleGeneration
 			r.sampled = append(r.sampled, e)
 		}
 	}
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -347,8 +347,9 @@
 		t.Fatalf("%d requests and %d queued ones remain", len(sim.router.requests), len(sim.router.queued))
 	}
 	for _, e := range sim.router.engines {
-		if e.attemptsInFlight != 0 || len(e.unanswered) != 0 {
-			t.Fatalf("%s: %d attempts in flight, %d unanswered remain", e.Name, e.attemptsInFlight, len(e.unanswered))
+		if e.attemptsInFlight != 0 || len(e.awaitingFirstToken) != 0 {
+			t.Fatalf("%s: %d attempts in flight, %d unanswered remain",
+				e.Name, e.attemptsInFlight, len(e.awaitingFirstToken))
 		}
 	}
 	if n := len(sim.router.matchTable[0]) + len(sim.router.matchTable[1]); n > 2*matchTableSize {
@@ -466,10 +467,10 @@
 	q := newRequest(1, 5*second)
 	q.Class = 1
 	expect(t, feed(r, second, q), "send ")
-	r.sessionGain[0], r.ttftModels[0].coefficients[0] = 0.9, 7
+	r.homeCachedFraction[0], r.ttftModels[0].coefficients[0] = 0.9, 7
 	s.Tenants[0].QuotaRPS = 5
 	r.UpdateSettings(s)
-	if r.sessionGain[0] != 0.9 || r.ttftModels[0].coefficients[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
+	if r.homeCachedFraction[0] != 0.9 || r.ttftModels[0].coefficients[0] != 7 || r.settings.Tenants[0].QuotaRPS != 5 {
 		t.Fatal("learned state lost, or the new quota not applied")
 	}
 	s.Classes, s.Tenants, s.Kinds = s.Classes[:1], nil, 1
@@ -478,8 +479,8 @@
 	expect(t, actions, "send ")
 	feed(r, 2*second, &FirstToken{Request: 1, Elapsed: second},
 		&Outcome{Request: 1, Last: true, Engine: actions[0].Engine})
-	if len(r.requests) != 1 || len(r.ttftModels) != 2 || len(r.sessionGain) != 2 {
+	if len(r.requests) != 1 || len(r.ttftModels) != 2 || len(r.homeCachedFraction) != 2 {
 		t.Fatalf("%d open requests, %d models, %d gains, want 1, 2 and 2",
-			len(r.requests), len(r.ttftModels), len(r.sessionGain))
+			len(r.requests), len(r.ttftModels), len(r.homeCachedFraction))
 	}
 }
--- a/slow_start.go
+++ b/slow_start.go
@@ -36,8 +36,8 @@
 // within its timeout, so a recovery that is not followed by such a report was no restart.
 func (r *Router) startedAt(e *engine) int64 {
 	start := e.ReadyAt
-	if e.substituteStart > 0 {
-		start = e.substituteStart
+	if e.substituteStartAt > 0 {
+		start = e.substituteStartAt
 	}
 	if e.recoveredAt > start && r.now-e.recoveredAt < r.settings.DiscoveryTimeout {
 		return e.recoveredAt
--- a/state.go
+++ b/state.go
@@ -28,13 +28,13 @@
 	// attemptsInFlight is the number of own attempts in flight, tokensInFlight that of their prompt tokens.
 	attemptsInFlight int
 	tokensInFlight   float64
-	// slowness is a moving average of the logarithm of the observed over the predicted time to the first
+	// ttftSlowness is a moving average of the logarithm of the observed over the predicted time to the first
 	// token.
-	slowness float64
-	// unanswered are own attempts to which the engine has not responded, oldest first.
-	unanswered []*attempt
-	// lastSignOfLife is when the engine last responded in any way: first token, response, error or probe.
-	lastSignOfLife int64
+	ttftSlowness float64
+	// awaitingFirstToken are own attempts to which the engine has not responded, oldest first.
+	awaitingFirstToken []*attempt
+	// lastSignOfLifeAt is when the engine last responded in any way: first token, response, error or probe.
+	lastSignOfLifeAt int64
 	// suspect is set while the engine is excluded except for trials.
 	suspect bool
 	// unreachable is set if a connection could not be opened to the engine, or if its whole zone counts as
@@ -47,9 +47,9 @@
 	tpotSlowness mean
 	// errorRate is the fraction of errors and rejections among the latest responses.
 	errorRate float64
-	// substituteStart replaces ReadyAt where that is implausible because clocks disagree: it is when the
+	// substituteStartAt replaces ReadyAt where that is implausible because clocks disagree: it is when the
 	// start was first reported. 0 if ReadyAt holds.
-	substituteStart int64
+	substituteStartAt int64
 	// lastTrialAt is when the latest attempt was sent, or when the engine became suspect if that was later.
 	lastTrialAt int64
 	// wastedWait is how long, in seconds, recent attempts waited here without getting a first token, and
@@ -70,8 +70,8 @@
 	// probing is set while a probe is in flight; probedAt is when the latest one was sent.
 	probing  bool
 	probedAt int64
-	// sampleNumber is the number of the latest sample that includes the engine; see sampleEngines.
-	sampleNumber uint64
+	// sampleGeneration is the number of the latest sample that includes the engine; see sampleEngines.
+	sampleGeneration uint64
 }
 
 // Router makes the decisions of one gateway.
@@ -88,8 +88,8 @@
 	ready []*engine
 	// enginesByShortHash finds the engine that a message between gateways is about.
 	enginesByShortHash map[uint32]*engine
-	// directoryAnswerAt is when a directory owner last reported an engine's load; 0 if never.
-	directoryAnswerAt int64
+	// lastDirectoryAnswerAt is when a directory owner last reported an engine's load; 0 if never.
+	lastDirectoryAnswerAt int64
 	// meanPrefillBurden is the mean fraction of a request's latency objective that reading its prompt takes.
 	meanPrefillBurden mean
 	// silentOwners are the directory owners that failed to answer, each with the time of that.
@@ -110,9 +110,10 @@
 	lastListAt    int64
 	// fleetWarmUpEnd is when the last of the ready engines whose start is known will have warmed up.
 	fleetWarmUpEnd int64
-	// sampleNumber is the number of the latest sample of a large fleet, and sampled are the engines in it.
-	sampleNumber uint64
-	sampled      []*engine
+	// sampleGeneration is the number of the latest sample of a large fleet, and sampled are the engines in
+	// it.
+	sampleGeneration uint64
+	sampled          []*engine
 	// candidates and options are buffers that are reused from one decision to the next.
 	candidates []candidate
 	options    []option
@@ -134,9 +135,9 @@
 	unknownTenant tenantRate
 	// tickScheduled is set once the periodic timer runs.
 	tickScheduled bool
-	// subscribeAt is when the latest subscription to discovery counts as requested, jitter included; 0 if
+	// lastSubscribeAt is when the latest subscription to discovery counts as requested, jitter included; 0 if
 	// none was.
-	subscribeAt int64
+	lastSubscribeAt int64
 	// failedSubscribes is the number of discovery calls that have failed in a row.
 	failedSubscribes int64
 	// subscribed is set while the subscription to discovery stands.
@@ -154,16 +155,16 @@
 	// matchTable holds the prompts that engines are taken to have cached, in a younger and an older
 	// generation, by a hash of the session or the shared prefix with the engine.
 	matchTable [2]map[uint64]matchEntry
-	// flushAt is when engines were last found to have dropped their prompt caches.
-	flushAt int64
+	// cacheFlushAt is when engines were last found to have dropped their prompt caches.
+	cacheFlushAt int64
 	// matchShortfalls is the number of responses in a row that had less than half of the expected match.
 	matchShortfalls int
 	// matchTrust is a moving average of the cached over the expected tokens. It scales entries of the match
-	// table that are older than flushAt.
+	// table that are older than cacheFlushAt.
 	matchTrust float64
-	// sessionGain is, by class, the average fraction of the prompt behind the shared prefix that a session's
-	// home engine had cached.
-	sessionGain []float64
+	// homeCachedFraction is, by class, the average fraction of the prompt behind the shared prefix that a
+	// session's home engine had cached.
+	homeCachedFraction []float64
 	// ttftModels predict the time to the first token in seconds, by machine kind; the last one is the
 	// fleet's.
 	ttftModels []model
@@ -174,14 +175,14 @@
 	// longTermTPOTError is the long-term mean logarithm of the measured over the modelled time between two
 	// tokens; recentTPOTError is the same over a shorter span.
 	longTermTPOTError mean
-	// streams is the number of own streams in progress.
-	streams int
+	// openStreams is the number of own streams in progress.
+	openStreams int
 	// expectedStreams is how many would be in progress, at expectedStreamsAt, if each took the mean decode
 	// time.
 	expectedStreams   float64
 	expectedStreamsAt int64
-	// usualStreamExcess is the mean logarithm of the ratio of the two.
-	usualStreamExcess mean
+	// longTermStreamExcess is the mean logarithm of the ratio of the two.
+	longTermStreamExcess mean
 	// decodeTime is the mean time from a response's first token to its last, in seconds.
 	decodeTime mean
 	// recentTPOTError: see longTermTPOTError.
@@ -212,8 +213,8 @@
 // their number has changed: it is then not known which of the old ones is which of the new ones.
 func (r *Router) UpdateSettings(settings Settings) {
 	initial := New(settings, 0)
-	if len(initial.sessionGain) != len(r.sessionGain) {
-		r.sessionGain = initial.sessionGain
+	if len(initial.homeCachedFraction) != len(r.homeCachedFraction) {
+		r.homeCachedFraction = initial.homeCachedFraction
 		r.classTPOTRatios = initial.classTPOTRatios
 		r.shedRates = initial.shedRates
 	}
@@ -229,14 +230,14 @@
 	r.rebuildRings()
 }
 
-// countRequest updates the rate of accepted requests, averaged over the latest rateSpan seconds. A younger
-// router averages over its age, but at least over minRateSpan: it would otherwise underestimate its rate and
-// with it what starting engines can bear.
+// countRequest updates the rate of accepted requests, averaged over the latest requestRateSpan seconds. A
+// younger router averages over its age, but at least over minRequestRateSpan: it would otherwise
+// underestimate its rate and with it what starting engines can bear.
 func (r *Router) countRequest() {
 	if r.requestRateAt == 0 {
 		r.firstRequestAt = r.now
 	}
-	span := min(rateSpan, max(minRateSpan, seconds(r.now-r.firstRequestAt)))
+	span := min(requestRateSpan, max(minRequestRateSpan, seconds(r.now-r.firstRequestAt)))
 	r.requestRate *= math.Exp(-seconds(r.now-r.requestRateAt) / span)
 	r.requestRate += 1 / span
 	r.requestRateAt = r.now
@@ -244,4 +245,4 @@
 
 // Spans over which the rate of accepted requests is averaged, in seconds: the usual one, and the shortest
 // one for a router that has just started.
-const rateSpan, minRateSpan = 5.0, 2.0
+const requestRateSpan, minRequestRateSpan = 5.0, 2.0
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -65,7 +65,7 @@
 		t.Fatalf("TTFT %.2f s predicted after the disconnects, %.2f s before", after, before)
 	}
 	for _, e := range r.engines {
-		if e.suspect || e.attemptsInFlight != 0 || e.tokensInFlight != 0 || len(e.unanswered) != 0 ||
+		if e.suspect || e.attemptsInFlight != 0 || e.tokensInFlight != 0 || len(e.awaitingFirstToken) != 0 ||
 			len(r.requests) != 0 {
 			t.Fatalf("%s still has attempts or is suspect: %+v", e.Name, e)
 		}
--- a/unreported_load.go
+++ b/unreported_load.go
@@ -33,16 +33,16 @@
 	return 0
 }
 
-// wastedWaitOf returns the minimum time to the first token to expect at the engine, in seconds. It is the
+// minExpectedTTFT returns the minimum time to the first token to expect at the engine, in seconds. It is the
 // time that the oldest unanswered attempt has waited, or that a recent one waited which ended without a
 // first token; the latter decays. With load reports it is 0.
-func (r *Router) wastedWaitOf(e *engine) float64 {
+func (r *Router) minExpectedTTFT(e *engine) float64 {
 	if !r.lacksReports() {
 		return 0
 	}
 	minWait := e.wastedWait * math.Exp2(-seconds(r.now-e.wastedWaitAt)/wastedWaitHalfLife)
-	if len(e.unanswered) > 0 {
-		minWait = max(minWait, seconds(r.now-e.unanswered[0].sent))
+	if len(e.awaitingFirstToken) > 0 {
+		minWait = max(minWait, seconds(r.now-e.awaitingFirstToken[0].sentAt))
 	}
 	return minWait
 }
@@ -60,7 +60,7 @@
 	if !r.lacksReports() || a.firstTokenAt != 0 || code != NoAnswer && code != Cancelled {
 		return
 	}
-	waited, objective := seconds(r.now-a.sent), r.latencyObjective(a.request)
+	waited, objective := seconds(r.now-a.sentAt), r.latencyObjective(a.request)
 	decay := math.Exp2(-seconds(r.now-a.engine.wastedWaitAt) / wastedWaitHalfLife)
 	a.engine.wastedWait = max(waited, a.engine.wastedWait*decay)
 	a.engine.wastedWaitAt = r.now
--- a/unreported_load_test.go
+++ b/unreported_load_test.go
@@ -97,11 +97,11 @@
 	}
 	now += 2500 * ms // the attempts end without a first token
 	feed(r, now, &Outcome{Request: 2, Code: NoAnswer, Engine: busy, Elapsed: 4 * second})
-	if wait := r.wastedWaitOf(r.engines[busy]); wait < 4 {
+	if wait := r.minExpectedTTFT(r.engines[busy]); wait < 4 {
 		t.Errorf("wasted wait of %v s just after the attempt ended, want at least 4 s", wait)
 	}
 	tick(r, now+10*second)
-	if wait := r.wastedWaitOf(r.engines[busy]); wait > 0.2 {
+	if wait := r.minExpectedTTFT(r.engines[busy]); wait > 0.2 {
 		t.Errorf("wasted wait of %v s after 10 s, want at most 0.2 s", wait)
 	}
 }
@@ -132,7 +132,7 @@
 							&Outcome{Request: id, Code: Served, Engine: a.Engine, Elapsed: 90 * ms},
 						)
 					case a.Kind == Send:
-						r.engines[a.Engine].slowness = 0 // the whole fleet is slow, not this engine
+						r.engines[a.Engine].ttftSlowness = 0 // the whole fleet is slow, not this engine
 						feed(
 							r,
 							now+4*second,
