--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -14,7 +14,7 @@
 	key := r.Header.Get(resumeHeader)
 	switch {
 	case key == "" && f.Sessions != nil && f.Sessions.InspectsResponse(request.Work.Body):
-		request.Hook = f.Sessions.Hook(request.Spec, request.Work.Body, request.Server)
+		request.Hook = f.Sessions.Hook(request.Spec, request.Work.Body, request.Backend)
 		return false
 	case key == "":
 		return false
@@ -55,14 +55,14 @@
 		return true
 	}
 	spec := resumed.Request
-	spec.Deadline = min(request.Spec.Deadline, f.Core.ExpiresAt(resumed.Deadline))
+	spec.Deadline = min(request.Spec.Deadline, f.Core.ModuleTime(resumed.Deadline))
 	request.Spec = spec
 	request.Work.Body = resumed.Body
 	request.UncachedTokens = resumed.UncachedTokens
-	request.CacheHolder = resumed.Backend
-	request.HolderStartedAt = resumed.BackendStart
-	request.HeldTokens = resumed.CachedTokens
-	request.Hook = resumed.Hook(request.Server, request.BreakOff)
+	request.CachedBackend = resumed.Backend
+	request.CachedBackendStartedAt = resumed.BackendStart
+	request.CachedTokens = resumed.CachedTokens
+	request.Hook = resumed.Hook(request.Backend, request.Interrupt)
 	return false
 }
 
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -10,13 +10,14 @@
 	"standpoint"
 )
 
-// decide hands an event to the module and executes the actions that it asks for, until nothing more follows.
+// decide passes an event to the decision module and executes the actions that it returns, and then does the same with
+// the events that these actions caused.
 func (c *Core) decide(event standpoint.Event) {
-	c.pending = append(c.pending, event)
-	for len(c.pending) > 0 {
-		event := c.pending[0]
-		c.pending = c.pending[1:]
-		c.actions = c.router.Handle(c.clock(), event, c.actions[:0])
+	c.pendingEvents = append(c.pendingEvents, event)
+	for len(c.pendingEvents) > 0 {
+		event := c.pendingEvents[0]
+		c.pendingEvents = c.pendingEvents[1:]
+		c.actions = c.router.Handle(c.now(), event, c.actions[:0])
 		for _, action := range c.actions {
 			c.execute(action)
 		}
@@ -27,7 +28,7 @@
 	switch action.Kind {
 	case standpoint.Timer:
 		c.sweepTimers()
-		heap.Push(&c.timers, timer{at: c.clock() + action.Wait, token: action.Token})
+		heap.Push(&c.timers, timer{due: c.now() + action.Wait, token: action.Token})
 	case standpoint.SendPeer:
 		if c.Peers != nil {
 			c.Peers.Send(action.Peer, action.Data)
@@ -40,7 +41,7 @@
 		}
 	case standpoint.Cancel:
 		if request := c.requests[action.Request]; request != nil && action.Attempt < len(request.attempts) {
-			request.attempts[action.Attempt].giveUp(ErrCancelled)
+			request.attempts[action.Attempt].cancelUnclaimed(ErrCancelled)
 		}
 	case standpoint.Shed:
 		c.end(action.Request, Answer{Kind: Rejected, Wait: time.Duration(action.Wait)})
@@ -51,21 +52,21 @@
 	}
 }
 
-// end gives a request its final answer at once. One that an attempt has just claimed goes on with its stream.
+// end settles a request with the answer. A request that an attempt has just claimed continues its stream instead.
 func (c *Core) end(id int64, answer Answer) {
 	request := c.requests[id]
 	if request == nil {
 		return
 	}
-	answer.Unsent = len(request.attempts) == 0
+	answer.NoAttempt = len(request.attempts) == 0
 	if request.settle(answer) && c.Pools != nil {
 		c.Pools.Rejected(&request.Spec)
 	}
 	c.release(request)
 }
 
-// send starts an attempt. Whatever the module asks for, a request never has two attempts in flight, nor more than
-// MaxAttempts in all, and none once it is answered.
+// send starts an attempt. Whatever the decision module asks for, a request never has two attempts in flight (unless the
+// settings allow second copies), never more than MaxAttempts in total, and none after it is settled.
 func (c *Core) send(request *Request, action standpoint.Action) {
 	now := time.Now()
 	attempt := &Attempt{
@@ -73,17 +74,17 @@
 		Number:        len(request.attempts),
 		Backend:       action.Engine,
 		Sent:          now,
-		Until:         now.Add(time.Duration(action.Deadline - c.clock())),
+		Until:         now.Add(time.Duration(action.Deadline - c.now())),
 		ClientResumes: c.Settings.Resume,
 		post:          c.post,
 	}
 	if action.StartBefore != 0 {
-		attempt.BeginBy = now.Add(time.Duration(action.StartBefore - c.clock()))
+		attempt.StartBefore = now.Add(time.Duration(action.StartBefore - c.now()))
 	}
-	allowed := c.mayAttempt(request, attempt)
+	allowed := c.authorizeAttempt(request, attempt)
 	request.attempts = append(request.attempts, attempt)
-	attempt.ctx, attempt.stop = context.WithCancelCause(context.Background())
-	attempt.timer = time.AfterFunc(time.Until(attempt.Until), func() { attempt.giveUp(ErrNoAnswer) })
+	attempt.ctx, attempt.cancelContext = context.WithCancelCause(context.Background())
+	attempt.deadlineTimer = time.AfterFunc(time.Until(attempt.Until), func() { attempt.cancelUnclaimed(ErrNoAnswer) })
 	attempt.inFlight = true
 	if allowed && c.Backends.Send(attempt) {
 		if c.Pools != nil {
@@ -92,9 +93,9 @@
 		return
 	}
 	attempt.inFlight = false
-	attempt.timer.Stop()
-	attempt.stop(nil)
-	c.pending = append(c.pending, &standpoint.Outcome{
+	attempt.deadlineTimer.Stop()
+	attempt.cancelContext(nil)
+	c.pendingEvents = append(c.pendingEvents, &standpoint.Outcome{
 		Request: action.Request,
 		Attempt: attempt.Number,
 		Last:    request.isSettled(),
@@ -103,10 +104,10 @@
 	})
 }
 
-// mayAttempt reports whether a request may have the attempt. It charges a retry to the fleet's budget for retries, so
-// it is called once, and the charge comes last.
-func (c *Core) mayAttempt(request *Request, attempt *Attempt) bool {
-	if request.isSettled() || !attempt.Until.After(attempt.Sent) || c.attemptsSpent(request) {
+// authorizeAttempt reports whether a request may start the attempt. A retry is charged to the retry budget of the
+// fleet, so it must be called once an attempt; the charge is the last check, so that a forbidden attempt costs nothing.
+func (c *Core) authorizeAttempt(request *Request, attempt *Attempt) bool {
+	if request.isSettled() || !attempt.Until.After(attempt.Sent) || c.attemptLimitReached(request) {
 		return false
 	}
 	if !c.Settings.SecondCopies && request.hasAttemptInFlight() {
@@ -115,13 +116,13 @@
 	return attempt.Number == 0 || c.Fleet == nil || c.Fleet.AllowRetry()
 }
 
-// attemptsSpent reports whether the request has had all its attempts.
-func (c *Core) attemptsSpent(request *Request) bool {
+// attemptLimitReached reports whether the request has used all its attempts.
+func (c *Core) attemptLimitReached(request *Request) bool {
 	return c.Settings.MaxAttempts > 0 && len(request.attempts) >= c.Settings.MaxAttempts
 }
 
-// release forgets a settled request once none of its attempts is in flight. Those that are have nobody to answer any
-// more, and are given up.
+// release forgets a settled request once none of its attempts is in flight. Attempts that still are in flight are
+// cancelled, since nobody waits for their results.
 func (c *Core) release(request *Request) {
 	if !request.isSettled() {
 		return
@@ -129,7 +130,7 @@
 	if request.hasAttemptInFlight() {
 		for _, attempt := range request.attempts {
 			if attempt.inFlight {
-				attempt.giveUp(ErrCancelled)
+				attempt.cancelUnclaimed(ErrCancelled)
 			}
 		}
 		return
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -8,7 +8,8 @@
 	"standpoint"
 )
 
-// MinClientStall is the time from which a client counts as slow to take an event; less may be this machine's own delay.
+// MinClientStall is the shortest write to a client that counts as a stall of the client. A shorter one may be a delay
+// of this machine.
 const MinClientStall = 100 * time.Millisecond
 
 // Attempt is one attempt of a request at a backend. The backend calls Context, MayBegin, Claim, Forward and Finish,
@@ -18,76 +19,79 @@
 	Number  int // 0 for the first
 	Backend string
 	Sent    time.Time
-	Until   time.Time // its deadline, up to the first event
-	// BeginBy is the time from which the attempt may not begin any more; zero if there is none.
-	BeginBy time.Time
-	// BackendDraining reports whether the backend may get nothing new. The backends set it before the attempt starts;
-	// it may be nil.
+	Until   time.Time // deadline for the first event
+	// StartBefore is the time before which the first byte must be written; zero if there is no limit.
+	StartBefore time.Time
+	// BackendDraining reports whether the backend drains and may get no new attempts. The Backends set it before the
+	// attempt starts; it may be nil.
 	BackendDraining func() bool
-	// ClientResumes tells that the client requests the rest of a stream that breaks.
+	// ClientResumes is true if clients request the rest of an interrupted stream.
 	ClientResumes bool
 
-	ctx   context.Context
-	stop  context.CancelCauseFunc
-	timer *time.Timer
-	post  func(message)
+	ctx           context.Context
+	cancelContext context.CancelCauseFunc
+	deadlineTimer *time.Timer
+	post          func(message)
 
-	// These belong to the goroutine of Core.Run.
-	inFlight   bool          // its end was not reported yet
-	firstEvent time.Duration // from Sent to its first event; 0 if there was none yet
+	// Only the goroutine of Core.Run uses these.
+	inFlight   bool          // its end has not been reported yet
+	firstEvent time.Duration // time from Sent to the first event; 0 before it
 
-	// These are guarded by Request.mu.
-	givenUp   bool
-	endStream func() bool // see OnHandBack; nil if the stream ends by its context alone
+	// Request.mu guards these.
+	cancelled bool
+	endStream func() bool // set by OnHandBack; nil if only the end of the context ends the stream
 }
 
-// Result is how an attempt ended, as the backend saw it.
+// Result is how an attempt ended at its backend.
 type Result struct {
 	Code         standpoint.OutcomeCode
-	CachedTokens float64 // of the prompt
-	OutputTokens float64 // 0 if the answer's length is not known
-	Report       *standpoint.Report
-	// ClientStall is how long the client kept the stream waiting in all; 0 if it took the events as they came.
+	CachedTokens float64            // prompt tokens that the backend had cached
+	OutputTokens float64            // generated tokens; 0 if unknown
+	Report       *standpoint.Report // the backend's load report; nil if there is none
+	// ClientStall is the total time for which the client blocked the stream; 0 if it did not stall.
 	ClientStall time.Duration
-	// InvalidStatus is the status by which the backend found fault with the request itself; 0 if it did not. It says
-	// nothing of the backend, whatever the code, and is the request's answer.
+	// InvalidStatus is the HTTP status with which the backend rejected the request itself as invalid; 0 if it did not.
+	// Such a status is the request's answer, and no evidence about the backend, whatever Code is.
 	InvalidStatus int
-	// Local tells that the attempt failed for a shortage of this machine: it says nothing of the backend.
+	// Local is true if the attempt failed because this machine was short of resources, which is no evidence about the
+	// backend.
 	Local bool
-	// Moved tells that another process continues the stream.
+	// Moved is true if another process continues the stream.
 	Moved bool
-	// Complete tells that the answer is complete though the backend did not end it: its decoding was ended here.
+	// Complete is true if the answer is complete although the backend did not end it: this node stopped the decoding.
 	Complete bool
 }
 
-// Context ends when the attempt is given up; its cause is one of the reasons for it, such as ErrNoAnswer.
+// Context returns the attempt's context. It ends when the attempt is cancelled, with the reason, such as ErrNoAnswer,
+// as its cause.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// MayBegin returns nil if the attempt may still begin, or the reason why not. It has to be called as the first byte
-// is about to be written: while a connection comes up the backend may begin to drain, the client may go, and the
-// window for repeats may close.
+// MayBegin returns nil if the attempt may still start, or the reason why not. It must be called immediately before the
+// first byte is written: while the connection is being established, the backend may start to drain, the client may
+// disconnect, and the idempotency window may close.
 func (a *Attempt) MayBegin() error {
 	switch {
 	case a.ctx.Err() != nil:
 		return context.Cause(a.ctx)
 	case a.Request.isSettled():
-		return ErrRequestOver
+		return ErrRequestSettled
 	case a.BackendDraining != nil && a.BackendDraining():
 		return ErrBackendDraining
 	case a.Request.clientGone():
 		return ErrClientGone
-	case !a.BeginBy.IsZero() && !time.Now().Before(a.BeginBy):
-		return ErrTooLate
+	case !a.StartBefore.IsZero() && !time.Now().Before(a.StartBefore):
+		return ErrIdempotencyWindowClosed
 	}
 	return nil
 }
 
-// Claim claims the request for this attempt at its first event. If it is false, the request is settled or the attempt
-// was given up, and nothing of it may reach the client.
+// Claim claims the request for this attempt at its first event, and reports whether it succeeded. If it did not, the
+// request is settled, claimed by another attempt, or the attempt was cancelled, or the answer could not be begun;
+// nothing of this attempt may reach the client.
 func (a *Attempt) Claim() bool {
 	request := a.Request
 	request.mu.Lock()
-	claimed := !request.settled && request.claimed == nil && !a.givenUp
+	claimed := !request.settled && request.claimed == nil && !a.cancelled
 	if claimed {
 		request.claimed = a
 	}
@@ -95,24 +99,24 @@
 	if !claimed {
 		return false
 	}
-	a.timer.Stop()
+	a.deadlineTimer.Stop()
 	a.post(firstEventReceived{attempt: a, elapsed: time.Since(a.Sent)})
-	return request.client.Begin() == nil
+	return request.connection.Begin() == nil
 }
 
-// Forward forwards complete events to the client, through the request's hook if there is one. The error is ErrStopped
-// or ErrBroken if the hook ends the answer.
+// Forward forwards complete events to the client, through the request's hook if there is one. It returns ErrStopped or
+// ErrHookBreak if the hook ends the answer.
 func (a *Attempt) Forward(events []byte) error {
 	request := a.Request
 	if request.Hook == nil {
-		return request.client.Event(events)
+		return request.connection.Event(events)
 	}
 	events, action := request.Hook.Event(events)
 	if action == HookBreak {
-		return ErrBroken
+		return ErrHookBreak
 	}
 	if len(events) > 0 {
-		if err := request.client.Event(events); err != nil {
+		if err := request.connection.Event(events); err != nil {
 			return err
 		}
 	}
@@ -122,44 +126,45 @@
 	return nil
 }
 
-// ForwardStopped forwards the end of an answer whose decoding the hook has stopped. It is called once the attempt
-// uses its connection no more.
+// ForwardStopped forwards the end of an answer whose decoding the hook has stopped. It must be called after the
+// attempt's last use of its connection.
 func (a *Attempt) ForwardStopped() Result {
 	last, usage := a.Request.Hook.Stopped()
-	if err := a.Request.client.Event(last); err != nil {
+	if err := a.Request.connection.Event(last); err != nil {
 		return Result{Code: standpoint.Cancelled}
 	}
 	return Result{Code: standpoint.Cancelled, Complete: true, OutputTokens: usage.OutputTokens}
 }
 
-// Detach gives the client's connection up for another process, if it can be: the returned descriptor belongs to the
-// caller.
+// Detach gives up the client's connection so that another process can continue it, and returns its file descriptor,
+// which the caller owns.
 func (a *Attempt) Detach() (descriptor int, err error) {
-	if client, ok := a.Request.client.(Detacher); ok {
+	if client, ok := a.Request.connection.(Detacher); ok {
 		return client.Detach()
 	}
-	return 0, errors.New("a client whose connection cannot move")
+	return 0, errors.New("client connection cannot be moved to another process")
 }
 
-// OnHandBack sets how the attempt's stream ends when it is handed back: after all that the backend has sent by then.
-// endStream must not block; if it is false, it could not, and the attempt's context ends.
+// OnHandBack sets the function that ends the attempt's stream when the request is handed back, after everything that
+// the backend has sent by then. endStream must not block. If it returns false, it could not end the stream, and the
+// attempt's context is cancelled instead.
 func (a *Attempt) OnHandBack(endStream func() bool) {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
 	a.endStream = endStream
 }
 
-// Finish reports how the attempt ended. If it has claimed the request, that is the request's final answer too. It is
-// the last call for an attempt, when it uses its connection no more.
+// Finish reports how the attempt ended. If the attempt has claimed the request, this settles the request too. It is the
+// last call for an attempt, made after the last use of its connection.
 func (a *Attempt) Finish(result Result) {
-	a.timer.Stop()
-	a.stop(nil)
+	a.deadlineTimer.Stop()
+	a.cancelContext(nil)
 	a.Request.settleByAttempt(a, result)
 	a.post(attemptFinished{attempt: a, result: result, elapsed: time.Since(a.Sent)})
 }
 
-// settleByAttempt settles the request if the attempt has claimed it, or if its backend found fault with the request
-// itself.
+// settleByAttempt settles the request if the attempt has claimed it, or if its backend rejected the request itself as
+// invalid.
 func (r *Request) settleByAttempt(a *Attempt, result Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,15 +174,15 @@
 	switch {
 	case r.claimed == a:
 		r.settled = true
-		r.done <- claimedAnswer(result)
+		r.done <- answerOfClaim(result)
 	case r.claimed == nil && result.InvalidStatus != 0:
 		r.settled = true
 		r.done <- Answer{Kind: Invalid, Status: result.InvalidStatus}
 	}
 }
 
-// claimedAnswer is the answer of a request whose claiming attempt ended so.
-func claimedAnswer(result Result) Answer {
+// answerOfClaim returns the answer of a request whose claiming attempt ended with the result.
+func answerOfClaim(result Result) Answer {
 	answer := Answer{
 		Kind: Broken,
 		Usage: Usage{
@@ -197,25 +202,25 @@
 	return answer
 }
 
-// giveUp ends the attempt, unless it has claimed its request: from the first event on the answer belongs to the
-// client, and no deadline applies.
-func (a *Attempt) giveUp(reason error) {
+// cancelUnclaimed cancels the attempt unless it has claimed its request: no deadline applies to a stream after its
+// first event.
+func (a *Attempt) cancelUnclaimed(reason error) {
 	a.Request.mu.Lock()
 	claimed := a.Request.claimed == a
-	a.givenUp = a.givenUp || !claimed
+	a.cancelled = a.cancelled || !claimed
 	a.Request.mu.Unlock()
 	if !claimed {
-		a.stop(reason)
+		a.cancelContext(reason)
 	}
 }
 
-// breakOff ends an attempt that has claimed its request. One that is handed back first takes what its backend has
-// sent already: that may be the end of its stream.
-func (a *Attempt) breakOff(reason error) {
+// interrupt ends an attempt that has claimed its request. When it is handed back, the attempt first forwards what its
+// backend has sent already, since that may include the end of the stream.
+func (a *Attempt) interrupt(reason error) {
 	a.Request.mu.Lock()
 	endStream := a.endStream
 	a.Request.mu.Unlock()
 	if !errors.Is(reason, ErrHandedBack) || endStream == nil || !endStream() {
-		a.stop(reason)
+		a.cancelContext(reason)
 	}
 }
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -10,33 +10,38 @@
 	"standpoint"
 )
 
-// Whatever the module wants, the core lets no request have two attempts out, nor more than three, nor one after its
-// answer.
+// TestCoreBoundsAttempts guards against a decision module that asks for too many attempts: the Core allows a request
+// one attempt in flight, three in total (Settings.MaxAttempts), and none after its answer.
 func TestCoreBoundsAttempts(t *testing.T) {
-	stopped, end := context.WithCancel(t.Context())
-	end()
-	c, h := start(stopped, 1, 10) // its actor is this test
-	<-c.Stopped()
-	f := flow(c, 0, time.Minute)
-	f.Spec.ID = 1
-	c.requests[1] = f
+	ctx, stop := context.WithCancel(t.Context())
+	stop()
+	core, backends := startCore(ctx, 1, 10) // the test takes the part of the goroutine of Run
+	<-core.Stopped()
+	request := newTestRequest(core, 0, time.Minute)
+	request.Spec.ID = 1
+	core.requests[1] = request
 	send := func() bool {
-		before := len(h.sent)
-		c.send(
-			f,
-			standpoint.Action{Kind: standpoint.Send, Request: 1, Engine: "s", Deadline: c.clock() + int64(time.Minute)},
+		before := len(backends.sent)
+		core.send(
+			request,
+			standpoint.Action{
+				Kind:     standpoint.Send,
+				Request:  1,
+				Engine:   "s",
+				Deadline: core.now() + int64(time.Minute),
+			},
 		)
-		return len(h.sent) > before
+		return len(backends.sent) > before
 	}
 	require.True(t, send())
-	require.False(t, send(), "one is out")
-	for _, a := range f.attempts {
-		a.inFlight = false
+	require.False(t, send(), "second attempt while one is in flight")
+	for _, attempt := range request.attempts {
+		attempt.inFlight = false
 	}
-	require.True(t, send(), "the third")
-	f.attempts[2].inFlight = false
-	require.False(t, send(), "the fourth")
-	f.attempts = nil
-	require.True(t, f.settle(Answer{Kind: Failed}))
-	require.False(t, send(), "it is answered")
+	require.True(t, send(), "third attempt")
+	request.attempts[2].inFlight = false
+	require.False(t, send(), "fourth attempt")
+	request.attempts = nil
+	require.True(t, request.settle(Answer{Kind: Failed}))
+	require.False(t, send(), "attempt after the answer")
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -1,6 +1,6 @@
-// Package node is the core of a node: requests, attempts, their outcomes and deadlines, around the decision module.
-// It knows no wire protocol. Fronts submit requests, backends carry attempts, and a watcher brings the endpoint list;
-// the Core owns the decision module and is the only one to call it.
+// Package node is the core of a node. It manages requests, attempts, their outcomes and deadlines around the decision
+// module. It knows no wire protocol: fronts submit requests, backends carry attempts, and a watcher supplies the
+// endpoint list. Only the Core calls the decision module.
 package node
 
 import (
@@ -16,14 +16,14 @@
 )
 
 const (
-	// mailboxSize bounds the mailbox. Senders wait for room in it; the Core itself never waits for anybody, so it
-	// always comes back to empty it.
+	// mailboxSize is the capacity of the mailbox, in messages. Senders block while it is full. The Core never blocks on
+	// them, so it always returns to empty the mailbox.
 	mailboxSize = 1024
-	// maxPendingLists is how many endpoint lists may wait.
+	// maxPendingLists is the maximum number of endpoint lists that wait to be handled; further senders block.
 	maxPendingLists = 16
-	// healthCountInterval is the pause between two counts of the backends that the module avoids.
+	// healthCountInterval is the minimum time between two counts of the backends that the decision module avoids.
 	healthCountInterval = 100 * time.Millisecond
-	// idleWait is how long the Core sleeps if there is no timer.
+	// idleWait is how long the Core sleeps while no timer is set.
 	idleWait = time.Hour
 )
 
@@ -31,13 +31,13 @@
 type Options struct {
 	Settings    standpoint.Settings
 	Seed        int64
-	MaxRequests int // open at once
+	MaxRequests int // maximum number of open requests
 	Backends    Backends
 	Watcher     EndpointWatcher
-	Pools       Pools             // nil: there are no pools
-	Fleet       Fleet             // nil: this node shares nothing
-	Peers       Peers             // nil: the module's messages to other nodes are dropped
-	Metrics     *metrics.Counters // nil: nothing is counted
+	Pools       Pools             // nil if there are no pools
+	Fleet       Fleet             // nil if this node shares no state with others
+	Peers       Peers             // nil drops the decision module's messages to other nodes
+	Metrics     *metrics.Counters // nil if nothing is counted
 	Log         *zap.Logger
 }
 
@@ -47,22 +47,22 @@
 	limiter *TenantLimiter
 	stopped chan struct{}
 	mailbox chan message
-	// endpointUpdates are taken before the mailbox: the departure of a backend must not wait behind ordinary work.
+	// endpointUpdates is read before the mailbox, so that the removal of a backend does not wait behind other messages.
 	endpointUpdates chan EndpointList
 
-	// The rest belongs to the goroutine of Run.
+	// Only the goroutine of Run uses the fields below.
 	router          *standpoint.Router
-	requests        map[int64]*Request // by ID: those that are open, or have an attempt in flight
+	requests        map[int64]*Request // by ID; requests that are open or have an attempt in flight
 	nextID          int64
 	timers          timerHeap
-	timerSweepAt    int // number of timers from which the expired ones are looked for
+	nextTimerSweep  int // number of timers at which the next sweep is due
 	actions         []standpoint.Action
-	pending         []standpoint.Event // that the Core itself owes the module
+	pendingEvents   []standpoint.Event // events that the decision module has yet to handle
 	healthCountedAt int64
-	handedBack      bool // all requests have been handed back: what still arrives is rejected at once
+	handedBack      bool // all requests have been handed back; new ones are rejected at once
 }
 
-// New creates a Core; Run starts it.
+// New creates a Core, which Run starts.
 func New(options Options) *Core {
 	return &Core{
 		Options:         options,
@@ -75,37 +75,37 @@
 	}
 }
 
-// clock is the module's time. A step of the wall clock does not change it.
-func (c *Core) clock() int64 { return clock.Now() }
+// now returns the decision module's time, in nanoseconds. Steps of the wall clock do not affect it.
+func (c *Core) now() int64 { return clock.Now() }
 
-// Expires converts the end of a span that began at from to the module's time.
+// Expires returns the end of a span that starts at from, in the decision module's time.
 func (c *Core) Expires(from time.Time, span time.Duration) int64 {
 	return clock.Of(from.Add(span))
 }
 
-// ExpiresAt converts a time of this process to the module's time.
-func (c *Core) ExpiresAt(at time.Time) int64 { return clock.Of(at) }
+// ModuleTime converts a time of this process to the decision module's time.
+func (c *Core) ModuleTime(at time.Time) int64 { return clock.Of(at) }
 
-// Stopped is closed when Run has returned.
+// Stopped returns a channel that is closed when Run has returned.
 func (c *Core) Stopped() <-chan struct{} { return c.stopped }
 
-// OpenRequests is the number of requests that wait for their answer.
+// OpenRequests returns the number of requests without a final answer.
 func (c *Core) OpenRequests() int { return c.limiter.InUse() }
 
-// Run handles endpoint lists, messages and timers until ctx ends.
+// Run handles endpoint lists, messages and timers until ctx is done.
 func (c *Core) Run(ctx context.Context) {
 	defer close(c.stopped)
 	alarm := time.NewTimer(idleWait)
 	defer alarm.Stop()
 	for c.step(ctx, alarm) {
-		if now := c.clock(); now-c.healthCountedAt >= int64(healthCountInterval) {
+		if now := c.now(); now-c.healthCountedAt >= int64(healthCountInterval) {
 			c.healthCountedAt = now
 			c.Metrics.SetBackends(c.router.CountEngines())
 		}
 	}
 }
 
-// step handles one list, message or timer, or waits for one; lists go first. It is false if ctx has ended.
+// step waits for and handles one list, message or timer, lists first. It returns false if ctx is done.
 func (c *Core) step(ctx context.Context, alarm *time.Timer) bool {
 	select {
 	case list := <-c.endpointUpdates:
@@ -113,7 +113,7 @@
 		return true
 	default:
 	}
-	alarm.Reset(c.nextTimer())
+	alarm.Reset(c.untilNextTimer())
 	select {
 	case <-ctx.Done():
 		return false
@@ -127,25 +127,25 @@
 	return true
 }
 
-// nextTimer is how long it is until the next timer.
-func (c *Core) nextTimer() time.Duration {
+// untilNextTimer returns the time until the next timer is due; idleWait if none is set.
+func (c *Core) untilNextTimer() time.Duration {
 	if len(c.timers) == 0 {
 		return idleWait
 	}
-	return max(0, time.Duration(c.timers[0].at-c.clock()))
+	return max(0, time.Duration(c.timers[0].due-c.now()))
 }
 
-// fireTimer hands the module the next timer, if its time has come.
+// fireTimer passes the next timer to the decision module if it is due.
 func (c *Core) fireTimer() {
-	if len(c.timers) == 0 || c.timers[0].at > c.clock() {
+	if len(c.timers) == 0 || c.timers[0].due > c.now() {
 		return
 	}
 	due := heap.Pop(&c.timers).(timer)
 	c.decide(&standpoint.TimerFired{Token: due.token})
 }
 
-// applyEndpoints takes an endpoint list in. The backends get it first: no attempt that was decided before begins at a
-// backend that drains.
+// applyEndpoints applies an endpoint list. The Backends get it first, so that no attempt that was decided on earlier
+// starts at a draining backend.
 func (c *Core) applyEndpoints(list EndpointList) {
 	c.Backends.Update(list)
 	if c.Pools != nil {
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -11,25 +11,27 @@
 	"standpoint"
 )
 
-// held are backends that take every attempt and hold it until it is given up.
-type held struct{ sent chan *Attempt }
+// blockingBackends is a Backends that accepts every attempt and ends it only when it is cancelled.
+type blockingBackends struct{ sent chan *Attempt }
 
-func (held) Update(EndpointList) {}
-func (h held) Send(a *Attempt) bool {
-	h.sent <- a
+func (blockingBackends) Update(EndpointList) {}
+func (b blockingBackends) Send(attempt *Attempt) bool {
+	b.sent <- attempt
 	go func() {
-		<-a.Context().Done()
-		a.Finish(Result{Code: standpoint.Cancelled})
+		<-attempt.Context().Done()
+		attempt.Finish(Result{Code: standpoint.Cancelled})
 	}()
 	return true
 }
 
-type quiet struct{}
+// noopWatcher is an EndpointWatcher that does nothing.
+type noopWatcher struct{}
 
-func (quiet) Watch() {}
+func (noopWatcher) Watch() {}
 
-func start(ctx context.Context, tenants, most int) (*Core, held) {
-	s := standpoint.Settings{
+// startCore runs a Core with one endpoint until ctx is done.
+func startCore(ctx context.Context, tenants, maxRequests int) (*Core, blockingBackends) {
+	settings := standpoint.Settings{
 		Gateways:    1,
 		MaxAttempts: 3,
 		Tick:        1e6,
@@ -38,19 +40,27 @@
 		Tenants:     make([]standpoint.Tenant, tenants),
 		Classes:     []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
 	}
-	h := held{make(chan *Attempt, 20_000)}
-	c := New(Options{Settings: s, Seed: 1, MaxRequests: most, Backends: h, Watcher: quiet{}, Log: zap.NewNop()})
-	c.UpdateEndpoints(
+	backends := blockingBackends{make(chan *Attempt, 20_000)}
+	core := New(Options{
+		Settings:    settings,
+		Seed:        1,
+		MaxRequests: maxRequests,
+		Backends:    backends,
+		Watcher:     noopWatcher{},
+		Log:         zap.NewNop(),
+	})
+	core.UpdateEndpoints(
 		EndpointList{
 			Kind:      standpoint.ListFull,
 			Endpoints: []Endpoint{{Address: "127.0.0.1:1", Engine: standpoint.Engine{Name: "s", Size: 1}}},
 		},
 	)
-	go c.Run(ctx)
-	return c, h
+	go core.Run(ctx)
+	return core, backends
 }
 
-func flow(c *Core, tenant int, wait time.Duration) *Request {
+// newTestRequest creates a request of a tenant that expires after wait.
+func newTestRequest(c *Core, tenant int, wait time.Duration) *Request {
 	return NewRequest(
 		standpoint.Request{Tenant: tenant, PromptTokens: 10, MaxTokens: 10, Deadline: c.Expires(time.Now(), wait)},
 		Work{},
@@ -58,163 +68,178 @@
 	)
 }
 
-// serve has the core serve a request of a tenant. How it ends is not looked at.
+// serve has the Core serve a request of a tenant, and ignores the answer.
 func serve(t *testing.T, c *Core, tenant int) {
-	_, _ = c.Serve(t.Context(), flow(c, tenant, time.Minute))
+	_, _ = c.Serve(t.Context(), newTestRequest(c, tenant, time.Minute))
 }
 
-// A tenant that holds its requests open leaves places for the others. Without the bound, as where there is one
-// tenant, it has them all.
+// TestOneTenantCannotTakeAllSlots guards against a tenant that shuts out the others by keeping its requests open: it
+// gets at most half of the slots. A single tenant gets them all.
 func TestOneTenantCannotTakeAllSlots(t *testing.T) {
 	for tenants, want := range map[int]int{2: 4, 1: 8} {
-		c, h := start(t.Context(), tenants, 8)
+		core, backends := startCore(t.Context(), tenants, 8)
 		for range want {
-			go serve(t, c, 0)
-			<-h.sent
+			go serve(t, core, 0)
+			<-backends.sent
 		}
-		_, err := c.Serve(t.Context(), flow(c, 0, time.Second))
-		require.ErrorIs(t, err, ErrBusy)
+		_, err := core.Serve(t.Context(), newTestRequest(core, 0, time.Second))
+		require.ErrorIs(t, err, ErrRequestLimit)
 		if tenants > 1 {
-			go serve(t, c, 1)
-			<-h.sent
+			go serve(t, core, 1)
+			<-backends.sent
 		}
 	}
 }
 
-// Requests that came with far deadlines and are over leave no timers behind.
+// TestTimersOfSettledRequestsAreDropped guards against a timer heap that grows without bound: the timers of settled
+// requests with distant deadlines are dropped before they are due.
 func TestTimersOfSettledRequestsAreDropped(t *testing.T) {
-	ctx, end := context.WithCancel(t.Context())
-	defer end()
-	c, h := start(ctx, 1, 10)
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	core, backends := startCore(ctx, 1, 10)
 	for range 10_000 {
-		ctx, leave := context.WithCancel(t.Context())
-		go func() { <-h.sent; leave() }()
-		_, err := c.Serve(ctx, flow(c, 0, time.Hour))
+		ctx, disconnect := context.WithCancel(t.Context())
+		go func() { <-backends.sent; disconnect() }()
+		_, err := core.Serve(ctx, newTestRequest(core, 0, time.Hour))
 		require.NoError(t, err)
 	}
-	end()
-	<-c.Stopped()
-	require.LessOrEqual(t, len(c.timers), 2*timerSweepMinimum)
+	stop()
+	<-core.Stopped()
+	require.LessOrEqual(t, len(core.timers), 2*timerSweepMinimum)
 }
 
-// An answer begins in the very moment in which all is handed back: before it, behind it, or while its request's lock
-// is held until both stand before that. In each case the client has one end of it, and a stream that began does not
-// run on into the kill.
+// TestAttemptThatClaimsDuringHandBackEnds guards against a stream that continues until the process is killed because
+// its attempt claimed the request just as all requests were handed back. The claim comes before the hand-back, after
+// it, or while both wait for the request's lock. In each case the attempt ends and the client gets exactly one answer.
 func TestAttemptThatClaimsDuringHandBackEnds(t *testing.T) {
 	t.Parallel()
 	for i := range 300 {
-		c, h := start(t.Context(), 1, 10)
-		c.Settings.Resume = true
-		f := NewRequest(
-			standpoint.Request{PromptTokens: 10, MaxTokens: 10, Deadline: c.Expires(time.Now(), time.Minute)},
+		core, backends := startCore(t.Context(), 1, 10)
+		core.Settings.Resume = true
+		request := NewRequest(
+			standpoint.Request{PromptTokens: 10, MaxTokens: 10, Deadline: core.Expires(time.Now(), time.Minute)},
 			Work{},
-			begins{},
+			acceptingClient{},
 		)
-		over := make(chan Answer, 1)
+		answered := make(chan Answer, 1)
 		go func() {
-			a, _ := c.Serve(t.Context(), f)
-			over <- a
+			answer, _ := core.Serve(t.Context(), request)
+			answered <- answer
 		}()
-		a := <-h.sent
-		first := make(chan bool, 1)
+		attempt := <-backends.sent
+		claimResult := make(chan bool, 1)
 		switch i % 3 {
 		case 0:
-			first <- a.Claim()
-			c.HandBack(true)
+			claimResult <- attempt.Claim()
+			core.HandBack(true)
 		case 1:
-			c.HandBack(true)
-			<-a.Context().Done()
-			first <- a.Claim()
-		case 2: // either order is right
-			f.mu.Lock()
-			c.HandBack(true)
-			go func() { first <- a.Claim() }()
+			core.HandBack(true)
+			<-attempt.Context().Done()
+			claimResult <- attempt.Claim()
+		case 2: // both orders are correct
+			request.mu.Lock()
+			core.HandBack(true)
+			go func() { claimResult <- attempt.Claim() }()
 			time.Sleep(time.Duration(i%4) * 100 * time.Microsecond)
-			f.mu.Unlock()
+			request.mu.Unlock()
 		}
-		begun := <-first
+		claimed := <-claimResult
 		if i%3 < 2 {
-			require.Equal(t, i%3 == 0, begun)
+			require.Equal(t, i%3 == 0, claimed)
 		}
 		select {
-		case <-a.Context().Done():
+		case <-attempt.Context().Done():
 		case <-time.After(10 * time.Second):
-			t.Fatalf("begun: %v, and the attempt goes on", begun)
+			t.Fatalf("attempt still runs 10 s after the hand-back; claimed: %v", claimed)
 		}
-		if answer := <-over; begun {
+		if answer := <-answered; claimed {
 			require.Equal(t, Broken, answer.Kind)
-			require.ErrorIs(t, context.Cause(a.Context()), ErrHandedBack)
+			require.ErrorIs(t, context.Cause(attempt.Context()), ErrHandedBack)
 		} else {
 			require.Equal(t, Rejected, answer.Kind)
 		}
 	}
 }
 
-// A stream that another process passes on behind the moment in which all was handed back ends as those did.
+// TestRequestAdoptedAfterHandBackEnds guards against a stream that another process hands over after this process has
+// handed back all its requests: it ends as they did.
 func TestRequestAdoptedAfterHandBackEnds(t *testing.T) {
 	t.Parallel()
-	c, _ := start(t.Context(), 1, 10)
-	c.Settings.Resume = true
-	c.HandBack(true)
-	a, err := c.Adopt(t.Context(), flow(c, 0, time.Minute), func(a *Attempt) {
+	core, _ := startCore(t.Context(), 1, 10)
+	core.Settings.Resume = true
+	core.HandBack(true)
+	answer, err := core.Adopt(t.Context(), newTestRequest(core, 0, time.Minute), func(a *Attempt) {
 		<-a.Context().Done()
 		a.Finish(Result{Code: standpoint.Cancelled})
 	})
 	require.NoError(t, err)
-	require.Equal(t, Broken, a.Kind)
+	require.Equal(t, Broken, answer.Kind)
 }
 
-// begins is a client that takes everything.
-type begins struct{}
+// acceptingClient is a client that accepts all events.
+type acceptingClient struct{}
 
-func (begins) Begin() error       { return nil }
-func (begins) Event([]byte) error { return nil }
+func (acceptingClient) Begin() error       { return nil }
+func (acceptingClient) Event([]byte) error { return nil }
 
-// noted are pools of which each request is assigned when the test lets it, and backends; both note what they hear in
-// turn.
-type noted struct {
-	noPools
-	let  chan struct{}
-	note chan string
+// recordingParts is a Pools that assigns a request only when the test allows it, and a Backends. Both record their
+// calls in order.
+type recordingParts struct {
+	discardingPools
+	allow  chan struct{}
+	events chan string
 }
 
-// noPools are Pools that say nothing.
-type noPools struct{}
+// discardingPools is a Pools that ignores all calls.
+type discardingPools struct{}
 
-func (noPools) Place(*Endpoint) int                   { return 0 }
-func (noPools) Listed(EndpointList)                   {}
-func (noPools) Sent(*standpoint.Request, string, int) {}
-func (noPools) Finished(Observation)                  {}
-func (noPools) Rejected(*standpoint.Request)          {}
-func (n noted) Assign(*standpoint.Request) int        { <-n.let; n.note <- "request"; return 0 }
-func (n noted) Update(EndpointList)                   { n.note <- "list" }
-func (noted) Send(_ *Attempt) bool                    { return false }
+func (discardingPools) Place(*Endpoint) int                   { return 0 }
+func (discardingPools) Listed(EndpointList)                   {}
+func (discardingPools) Sent(*standpoint.Request, string, int) {}
+func (discardingPools) Finished(Observation)                  {}
+func (discardingPools) Rejected(*standpoint.Request)          {}
+func (n recordingParts) Assign(*standpoint.Request) int       { <-n.allow; n.events <- "request"; return 0 }
+func (n recordingParts) Update(EndpointList)                  { n.events <- "list" }
+func (recordingParts) Send(_ *Attempt) bool                   { return false }
 
-// A list does not wait behind what the mailbox holds: the servers hear of it once the message in hand is done with.
+// TestEndpointListsGoBeforeTheMailbox guards against an endpoint list that waits behind the messages in the mailbox:
+// the Backends get it as soon as the current message has been handled.
 func TestEndpointListsGoBeforeTheMailbox(t *testing.T) {
 	t.Parallel()
-	n := noted{let: make(chan struct{}), note: make(chan string, 1000)}
-	s := standpoint.Settings{Gateways: 1, MaxAttempts: 3, Tick: 1e6, Kinds: 1, Tenants: make([]standpoint.Tenant, 1),
-		Classes: []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}}}
-	c := New(
-		Options{Settings: s, Seed: 1, MaxRequests: 1000, Backends: n, Pools: n, Watcher: quiet{}, Log: zap.NewNop()},
-	)
-	go c.Run(t.Context())
+	recorder := recordingParts{allow: make(chan struct{}), events: make(chan string, 1000)}
+	settings := standpoint.Settings{
+		Gateways:    1,
+		MaxAttempts: 3,
+		Tick:        1e6,
+		Kinds:       1,
+		Tenants:     make([]standpoint.Tenant, 1),
+		Classes:     []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
+	}
+	core := New(Options{
+		Settings:    settings,
+		Seed:        1,
+		MaxRequests: 1000,
+		Backends:    recorder,
+		Pools:       recorder,
+		Watcher:     noopWatcher{},
+		Log:         zap.NewNop(),
+	})
+	go core.Run(t.Context())
 	const waiting = 500
 	for range waiting {
-		go func() { _, _ = c.Serve(t.Context(), flow(c, 0, time.Minute)) }()
+		go func() { _, _ = core.Serve(t.Context(), newTestRequest(core, 0, time.Minute)) }()
 	}
 	require.Eventually(
 		t,
-		func() bool { return len(c.mailbox) == waiting-1 },
+		func() bool { return len(core.mailbox) == waiting-1 },
 		10*time.Second,
 		time.Millisecond,
-		"one is in hand",
+		"all but one request wait in the mailbox",
 	)
-	c.UpdateEndpoints(EndpointList{Kind: standpoint.ListFull})
+	core.UpdateEndpoints(EndpointList{Kind: standpoint.ListFull})
 	for range waiting {
-		n.let <- struct{}{}
+		recorder.allow <- struct{}{}
 	}
-	require.Equal(t, "request", <-n.note)
-	require.Equal(t, "list", <-n.note)
+	require.Equal(t, "request", <-recorder.events)
+	require.Equal(t, "list", <-recorder.events)
 }
--- a/internal/node/hook.go
+++ b/internal/node/hook.go
@@ -2,29 +2,29 @@
 
 import "errors"
 
-// HookAction is what follows the events that a Hook has seen.
+// HookAction is how the answer continues after the events that a Hook has inspected.
 type HookAction uint8
 
 // The actions of a hook.
 const (
-	HookContinue HookAction = iota // the answer goes on
-	HookStop                       // the decoding ends, and what Stopped returns ends the answer
-	HookBreak                      // the answer is broken off
+	HookContinue HookAction = iota // the answer continues
+	HookStop                       // decoding stops, and the events that Stopped returns end the answer
+	HookBreak                      // the answer is interrupted
 )
 
-// Hook sees the answer of one request as it is forwarded. Event and Stopped are called by the attempt that has
-// claimed the request, one at a time; Finished once, after them, by whoever serves the request.
+// Hook inspects the answer of one request as it is forwarded. The attempt that has claimed the request calls Event and
+// Stopped, one at a time. Serve calls Finished once, after them.
 type Hook interface {
-	// Event sees complete events; what it returns is forwarded in their place.
+	// Event inspects complete events and returns the events to forward in their place.
 	Event(events []byte) (forward []byte, action HookAction)
-	// Stopped is called once the decoding has ended because of HookStop; what it returns ends the answer.
+	// Stopped is called once decoding has stopped because of HookStop. It returns the events that end the answer.
 	Stopped() (last []byte, usage Usage)
-	// Finished notifies of the request's final answer.
+	// Finished is called with the request's final answer.
 	Finished(answer Answer)
 }
 
-// Errors of an attempt whose answer its hook has ended.
+// Errors of an attempt whose answer was ended by its hook.
 var (
-	ErrStopped = errors.New("the decoding ends here")
-	ErrBroken  = errors.New("the answer is broken off here")
+	ErrStopped   = errors.New("hook stopped the decoding")
+	ErrHookBreak = errors.New("hook interrupted the answer")
 )
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -6,95 +6,97 @@
 	"standpoint"
 )
 
-// Endpoint is an entry of the endpoint list: the module's engine, and where this node reaches it.
+// Endpoint is an entry of the endpoint list: an engine of the decision module with its address.
 type Endpoint struct {
 	standpoint.Engine
 	Address string
-	Batch   bool              // it takes files of requests instead of streams
-	Labels  map[string]string // nil if the source has none
-	Source  string            // which of several sources lists it; empty if there is one
+	Batch   bool              // accepts files of requests instead of streaming requests
+	Labels  map[string]string // nil if the source supplies none
+	Source  string            // name of the source that lists it; empty if there is only one source
 }
 
-// EndpointList is an endpoint list, or a change of it.
+// EndpointList is a full endpoint list or a change to it.
 type EndpointList struct {
 	Kind      standpoint.ListKind
 	Endpoints []Endpoint
 }
 
-// Backends carries attempts. No method blocks on a peer.
+// Backends carries attempts to backends. No method blocks on a network peer.
 type Backends interface {
-	// Update takes an endpoint list in.
+	// Update applies an endpoint list.
 	Update(EndpointList)
-	// Send starts an attempt. If it is false, the attempt was not taken, and nothing was sent.
+	// Send starts an attempt. It returns false if it did not accept the attempt; nothing was sent then.
 	Send(*Attempt) bool
 }
 
 // EndpointWatcher watches the endpoint list.
 type EndpointWatcher interface {
-	// Watch asks for changes of the list from now on. It does not block.
+	// Watch starts to watch for changes of the list. It does not block.
 	Watch()
 }
 
-// Pools assigns requests to pools of backends, and is notified of what becomes of them. The Core calls it from one
-// goroutine; no method blocks.
+// Pools assigns requests to pools of backends, and is notified of their progress. The Core calls it from one goroutine;
+// no method blocks.
 type Pools interface {
-	// Place returns the number of the pool that an endpoint is in, by its labels; 0 for none.
+	// Place returns the number of the pool that the endpoint's labels select; 0 if there is none.
 	Place(endpoint *Endpoint) int
-	// Listed notifies of the endpoints as the module has them now.
+	// Listed is called with every endpoint list, just before it is passed to the decision module.
 	Listed(list EndpointList)
-	// Assign returns the number of the pool that a request belongs to; 0 for any.
+	// Assign returns the number of the pool that a request belongs to; 0 if any pool will do.
 	Assign(request *standpoint.Request) int
-	// Sent notifies of an attempt.
+	// Sent is called when an attempt has been started.
 	Sent(request *standpoint.Request, backend string, attempt int)
-	// Finished notifies of how an attempt ended.
+	// Finished is called when an attempt has ended.
 	Finished(o Observation)
-	// Rejected notifies of a request that the module rejected or failed.
+	// Rejected is called when the decision module has rejected or failed a request.
 	Rejected(request *standpoint.Request)
 }
 
-// Fleet is what the nodes of an installation share. Admit and Settle are called by whoever serves a request, the
-// other methods by the Core; none blocks on a peer.
+// Fleet is the state that the nodes of an installation share. Serve calls Admit and Settle; the goroutine of Run calls
+// the other methods. No method blocks on another node.
 type Fleet interface {
-	// Admit charges the budgets that a request counts against with the most that it may cost. If it is false, there
-	// is not enough left, and the client should retry after the returned time.
+	// Admit charges the maximum cost of a request to the budgets that it counts against. It returns false if they do
+	// not suffice; the client should then retry after the returned time.
 	Admit(request *standpoint.Request) (Charge, time.Duration, bool)
-	// Settle corrects the charge of an admitted request by what it cost.
+	// Settle replaces the charge of an admitted request by its actual cost.
 	Settle(request *standpoint.Request, charge Charge, answer Answer)
-	// AllowRetry reports whether a retry is allowed, and charges it.
+	// AllowRetry reports whether the retry budget allows a retry, and charges it.
 	AllowRetry() bool
-	// Finished notifies of how an attempt ended.
+	// Finished is called when an attempt has ended.
 	Finished(o Observation)
-	// Listed notifies of the endpoints as the module has them now.
+	// Listed is called with every endpoint list, just before it is passed to the decision module.
 	Listed(list EndpointList)
 }
 
-// Peers carries the module's messages to the other nodes.
+// Peers carries the decision module's messages to the other nodes.
 type Peers interface {
-	// Send sends a message to a node, by its number. It does not block; a message may be lost.
+	// Send sends a message to the node with the given number. It does not block, and the message may be lost.
 	Send(to int, data string)
 }
 
-// Charge is what a request was admitted for: an amount of a budget in one of its windows.
+// Charge is the amount charged for an admitted request to a budget in one of its windows.
 type Charge struct {
-	Budget int // -1 if it counts against none
+	Budget int // -1 if the request counts against no budget
 	Window int64
 	Amount int64
-	// UncachedTokens are the prompt tokens that nobody has been charged for; 0 stands for the whole prompt.
+	// UncachedTokens is the number of prompt tokens that have not been charged for before; 0 stands for the whole
+	// prompt.
 	UncachedTokens float64
 }
 
-// Observation is the end of an attempt.
+// Observation is what was observed of an attempt that has ended.
 type Observation struct {
 	Request *standpoint.Request
 	Backend string
 	Sent    time.Time
 	Result  Result
-	// FirstToken is the time from the request's arrival to its first event, and AttemptFirstToken that from the
-	// attempt's start; 0 if there was none.
+	// FirstToken is the time from the request's arrival to the attempt's first event, and AttemptFirstToken the time
+	// from the attempt's start to it. Both are 0 if there was none.
 	FirstToken        time.Duration
 	AttemptFirstToken time.Duration
-	// Decode is the time from the first event to the last; 0 if the client was slow to take them.
+	// Decode is the time from the first event to the end of the attempt; 0 if the client stalled.
 	Decode time.Duration
-	// Inconclusive attempts were cancelled by this node or its client, or failed here: they say nothing of the backend.
+	// Inconclusive is true if the attempt was cancelled by this node or its client, or failed locally. It is then no
+	// evidence about the backend.
 	Inconclusive bool
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Phase is the state of the program, from start to exit. docs/architecture.md has what the HTTP front does in each.
+// Phase is the state of the program between start and exit. docs/architecture.md describes what the HTTP front does in
+// each phase.
 type Phase int
 
 // The phases of the program, in the order in which they usually follow each other.
 const (
-	Starting        Phase = iota // the endpoint list is awaited; no client is admitted yet
+	Starting        Phase = iota // waiting for the endpoint list; no client is admitted yet
 	Serving                      // clients are admitted
-	ManuallyDrained              // an operator drains the node, and may undo it
-	HandingOver                  // terminating while another process of this node serves at the same socket
-	Draining                     // terminating: what still arrives is served
+	ManuallyDrained              // drained by an operator, who may undo it
+	HandingOver                  // terminating while another process of this node serves on the same socket
+	Draining                     // terminating; requests that still arrive are served
 	Stopped                      // nothing is accepted any more
 )
 
@@ -25,8 +26,8 @@
 	return [...]string{"starting", "serving", "drained by hand", "handing over", "draining", "stopped"}[p]
 }
 
-// follows lists the phases from which each may be entered.
-var follows = [...][]Phase{
+// predecessors lists, for each phase, the phases from which it may be entered.
+var predecessors = [...][]Phase{
 	Serving:         {Starting, ManuallyDrained},
 	ManuallyDrained: {Serving},
 	HandingOver:     {Serving, ManuallyDrained},
@@ -34,34 +35,34 @@
 	Stopped:         {Starting, Serving, ManuallyDrained, HandingOver, Draining},
 }
 
-// Lifecycle holds the phase of the program. It is safe for concurrent use.
+// Lifecycle holds the program's current phase. It is safe for concurrent use.
 type Lifecycle struct {
-	mu    sync.Mutex // guards the rest
-	phase Phase
-	since time.Time
+	mu        sync.Mutex // guards the fields below
+	phase     Phase
+	enteredAt time.Time
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (l *Lifecycle) Phase() Phase {
 	p, _ := l.Since()
 	return p
 }
 
-// Since returns the present phase and when it was entered.
+// Since returns the current phase and the time at which it was entered.
 func (l *Lifecycle) Since() (Phase, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.phase, l.since
+	return l.phase, l.enteredAt
 }
 
-// Enter enters another phase.
+// Enter changes the phase. It returns an error if the new phase may not follow the current one.
 func (l *Lifecycle) Enter(to Phase) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !slices.Contains(follows[to], l.phase) {
+	if !slices.Contains(predecessors[to], l.phase) {
 		return fmt.Errorf("phase %v cannot follow %v", to, l.phase)
 	}
 	l.phase = to
-	l.since = time.Now()
+	l.enteredAt = time.Now()
 	return nil
 }
--- a/internal/node/limiter.go
+++ b/internal/node/limiter.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// TenantLimiter bounds what requests take of something that a node has a fixed amount of: open requests, or bytes of
-// bodies. If there are several tenants, none gets more than half, so one that holds on to what it has cannot shut the
-// others out. It is safe for concurrent use.
+// TenantLimiter limits how much of a fixed capacity, such as open requests or bytes of request bodies, is in use. If
+// there are several tenants, none may use more than half, so that a tenant that does not release its part cannot shut
+// out the others. It is safe for concurrent use.
 type TenantLimiter struct {
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	capacity int
-	divided  bool // among several tenants
+	divided  bool // there are several tenants
 	inUse    int
 	byTenant map[int]int
 }
 
-// NewTenantLimiter creates a limiter of a capacity that a number of tenants share.
+// NewTenantLimiter creates a limiter for a capacity that the given number of tenants share.
 func NewTenantLimiter(capacity, tenants int) *TenantLimiter {
 	l := &TenantLimiter{byTenant: map[int]int{}}
 	l.SetCapacity(capacity, tenants)
 	return l
 }
 
-// SetCapacity changes the capacity. What is acquired stays so.
+// SetCapacity changes the capacity and the number of tenants. It does not revoke what has been acquired.
 func (l *TenantLimiter) SetCapacity(capacity, tenants int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,7 +28,7 @@
 	l.divided = tenants > 1
 }
 
-// Acquire takes n for a tenant. If it is false, nothing was taken.
+// Acquire acquires n for a tenant, and reports whether the limits allowed it; otherwise it acquires nothing.
 func (l *TenantLimiter) Acquire(tenant, n int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,7 @@
 	return true
 }
 
-// Release returns what a tenant acquired.
+// Release releases n that a tenant has acquired.
 func (l *TenantLimiter) Release(tenant, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// InUse is what all tenants have together.
+// InUse returns the total that all tenants have acquired.
 func (l *TenantLimiter) InUse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -7,47 +7,49 @@
 	"standpoint"
 )
 
-// handBackRetryAfter is when the client of a request that was handed back should retry; by then it finds another node.
+// handBackRetryAfter is the time after which the client of a handed back request should retry; by then it can reach
+// another node.
 const handBackRetryAfter = 300 * time.Millisecond
 
-// message is what the Core receives from other goroutines.
+// message is a message from another goroutine to the Core.
 type message interface{ message() }
 
 type (
-	// updateSettings puts new settings in force.
+	// updateSettings applies new settings.
 	updateSettings struct{ settings standpoint.Settings }
-	// updateAdvice has the module weigh what other nodes have observed of the backends.
+	// updateAdvice passes other nodes' observations of the backends to the decision module.
 	updateAdvice struct{ advice *standpoint.Advice }
-	// peerMessage is a message of another node's module.
+	// peerMessage is a message from the decision module of another node.
 	peerMessage struct {
 		from int
 		data string
 	}
-	// exportLearned asks for a copy of what the module has learned.
+	// exportLearned requests a copy of the decision module's learned state.
 	exportLearned struct{ reply chan<- *standpoint.Learned }
-	// importLearned has the module take what another process of this node has learned.
+	// importLearned passes the learned state of another process of this node to the decision module.
 	importLearned struct {
 		learned *standpoint.Learned
 		reply   chan<- error
 	}
-	// submitRequest hands over a request that was admitted.
+	// submitRequest submits an admitted request.
 	submitRequest struct{ request *Request }
-	// adoptRequest hands over a request whose answer another process of this node has begun.
+	// adoptRequest submits a request whose answer another process of this node has begun.
 	adoptRequest struct{ request *Request }
-	// clientDisconnected tells that the request's client has gone; nothing more is sent for it.
+	// clientDisconnected reports that the request was settled because its client disconnected.
 	clientDisconnected struct{ request *Request }
-	// handBackRequests gives up what this node cannot finish; with all, requests that wait too.
+	// handBackRequests ends streams whose clients resume them at another node; with all set, also rejects or fails the
+	// requests that wait for an answer.
 	handBackRequests struct{ all bool }
-	// firstEventReceived tells that an attempt has claimed its request, and how long after it was sent.
+	// firstEventReceived reports that an attempt has claimed its request.
 	firstEventReceived struct {
 		attempt *Attempt
-		elapsed time.Duration
+		elapsed time.Duration // since the attempt was sent
 	}
-	// attemptFinished reports how an attempt ended, and how long after it was sent.
+	// attemptFinished reports how an attempt ended.
 	attemptFinished struct {
 		attempt *Attempt
 		result  Result
-		elapsed time.Duration
+		elapsed time.Duration // since the attempt was sent
 	}
 )
 
@@ -63,7 +65,8 @@
 func (firstEventReceived) message() {}
 func (attemptFinished) message()    {}
 
-// post sends a message, waiting for room in the mailbox.
+// post sends a message to the goroutine of Run. It blocks while the mailbox is full, and drops the message once Run has
+// returned.
 func (c *Core) post(m message) {
 	select {
 	case c.mailbox <- m:
@@ -71,7 +74,7 @@
 	}
 }
 
-// UpdateEndpoints sends a change of the endpoint list, which is handled before whatever else waits.
+// UpdateEndpoints submits an endpoint list, which is handled before all messages that wait.
 func (c *Core) UpdateEndpoints(list EndpointList) {
 	select {
 	case c.endpointUpdates <- list:
@@ -79,17 +82,17 @@
 	}
 }
 
-// Adjust puts new settings in force. Open requests keep the deadlines that they arrived with.
+// Adjust applies new settings and a new maximum of open requests. Open requests keep their deadlines.
 func (c *Core) Adjust(settings standpoint.Settings, maxRequests int) {
 	c.limiter.SetCapacity(maxRequests, len(settings.Tenants))
 	c.post(updateSettings{settings})
 }
 
-// Advise has the module weigh what other nodes have observed of the backends.
+// Advise passes other nodes' observations of the backends to the decision module.
 func (c *Core) Advise(advice *standpoint.Advice) { c.post(updateAdvice{advice}) }
 
-// ReceivePeerMessage takes a message of another node's module. It does not block: a message is dropped if the mailbox
-// is full.
+// ReceivePeerMessage passes a message from another node's decision module to that of this node. It does not block: the
+// message is dropped if the mailbox is full.
 func (c *Core) ReceivePeerMessage(from int, data string) {
 	select {
 	case c.mailbox <- peerMessage{from, data}:
@@ -97,7 +100,7 @@
 	}
 }
 
-// ExportLearned returns a copy of what the module has learned; nil if ctx ends first.
+// ExportLearned returns a copy of the decision module's learned state; nil if ctx is done first.
 func (c *Core) ExportLearned(ctx context.Context) *standpoint.Learned {
 	reply := make(chan *standpoint.Learned, 1)
 	c.post(exportLearned{reply})
@@ -109,7 +112,7 @@
 	}
 }
 
-// ImportLearned has the module take what another process of this node has learned.
+// ImportLearned restores the decision module's learned state from that of another process of this node.
 func (c *Core) ImportLearned(ctx context.Context, learned *standpoint.Learned) error {
 	reply := make(chan error, 1)
 	c.post(importLearned{learned, reply})
@@ -121,9 +124,10 @@
 	}
 }
 
-// HandBack gives up what this node cannot finish: streams that have begun, whose clients request the rest from
-// another node, and, with all, requests that still wait, which are rejected, as is whatever arrives from then on. If
-// clients do not request the rest, streams continue.
+// HandBack ends the requests that this node cannot finish, so that their clients continue at another node. Begun
+// streams are interrupted if clients request the rest of a stream (Settings.Resume), and continue otherwise. With all
+// set, requests that wait for an answer are rejected, or failed if an attempt may have run, and later requests are
+// rejected.
 func (c *Core) HandBack(all bool) { c.post(handBackRequests{all}) }
 
 func (c *Core) receive(m message) {
@@ -138,7 +142,7 @@
 	case exportLearned:
 		m.reply <- c.router.Learned()
 	case importLearned:
-		m.reply <- c.router.RestoreLearned(m.learned, c.clock())
+		m.reply <- c.router.RestoreLearned(m.learned, c.now())
 	case submitRequest:
 		c.applySubmit(m.request)
 	case adoptRequest:
@@ -155,16 +159,16 @@
 	}
 }
 
-// register gives a request its ID.
+// register assigns an ID to a request and adds it to the open ones.
 func (c *Core) register(request *Request) {
 	c.nextID++
 	request.Spec.ID = c.nextID
-	request.arrived = time.Now()
+	request.arrivedAt = time.Now()
 	c.requests[c.nextID] = request
 }
 
 func (c *Core) applySubmit(request *Request) {
-	// Clients keep sending on every open connection until the process is killed, which is near.
+	// Clients keep sending on open connections until the process is killed, which follows shortly.
 	if c.handedBack && request.settle(Answer{Kind: Rejected, Wait: handBackRetryAfter}) {
 		close(request.idle)
 		return
@@ -173,8 +177,10 @@
 	if c.Pools != nil {
 		request.Spec.Pool = c.Pools.Assign(&request.Spec)
 	}
-	if request.CacheHolder != "" {
-		c.router.RecordCachedPrompt(&request.Spec, request.CacheHolder, request.HolderStartedAt, request.HeldTokens, c.clock())
+	if request.CachedBackend != "" {
+		c.router.RecordCachedPrompt(
+			&request.Spec, request.CachedBackend, request.CachedBackendStartedAt, request.CachedTokens, c.now(),
+		)
 	}
 	spec := request.Spec
 	c.decide(&spec)
@@ -183,7 +189,7 @@
 
 func (c *Core) applyAdopt(request *Request) {
 	c.register(request)
-	if c.handedBack { // another process handed it over while this one gave back all that it has
+	if c.handedBack { // another process handed the request over after this one had handed all its requests back
 		c.handBackRequest(request, true)
 	}
 }
@@ -195,14 +201,13 @@
 	}
 }
 
-// handBackRequest ends a request that this node cannot finish: one that has begun, if its client requests the rest
-// from another node, and, with all, one that waits. A retry is said to be harmless only if it is: an attempt may have
-// run.
+// handBackRequest ends a request as HandBack describes. A waiting request is rejected, which tells its client that a
+// retry is harmless, only if that is so; if an attempt may have run, the request fails instead.
 func (c *Core) handBackRequest(request *Request, all bool) {
 	var answer *Answer
 	switch {
 	case all && c.router.MayShed(request.Spec.ID):
-		answer = &Answer{Kind: Rejected, Wait: handBackRetryAfter, Unsent: len(request.attempts) == 0}
+		answer = &Answer{Kind: Rejected, Wait: handBackRetryAfter, NoAttempt: len(request.attempts) == 0}
 	case all:
 		answer = &Answer{Kind: Failed}
 	}
@@ -246,7 +251,7 @@
 	c.release(request)
 }
 
-// observation is the attempt's end as pools and fleet see it.
+// observation returns what pools and fleet get to know of the attempt.
 func (m attemptFinished) observation() Observation {
 	attempt := m.attempt
 	o := Observation{
@@ -257,7 +262,7 @@
 		Inconclusive: m.result.Code == standpoint.Cancelled || m.result.Local,
 	}
 	if attempt.firstEvent > 0 {
-		o.FirstToken = attempt.Sent.Add(attempt.firstEvent).Sub(attempt.Request.arrived)
+		o.FirstToken = attempt.Sent.Add(attempt.firstEvent).Sub(attempt.Request.arrivedAt)
 		o.AttemptFirstToken = attempt.firstEvent
 		if m.result.ClientStall == 0 {
 			o.Decode = m.elapsed - attempt.firstEvent
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -8,99 +8,99 @@
 	"standpoint"
 )
 
-// Work is what a request asks for, carried to a backend as it arrived. The Core never looks into it.
+// Work is the content of a request, which is forwarded to a backend unchanged. The Core does not inspect it.
 type Work struct {
 	Method      string
 	Target      string
 	TraceID     string
 	ContentType string
 	Body        []byte
-	MaxTokens   float64 // that the body allows for its answer; 0 if it does not say
+	MaxTokens   float64 // output tokens that the body allows; 0 if it states no limit
 }
 
-// ClientConnection is the client's side of a request. Its methods are called by the attempt that has claimed the
-// request, one at a time, and never after the request's answer.
+// ClientConnection writes the answer of a request to its client. Only the attempt that has claimed the request calls
+// its methods, one at a time, and never after the request was settled.
 type ClientConnection interface {
 	// Begin begins the answer.
 	Begin() error
-	// Event forwards complete events of the answer at once.
+	// Event forwards complete events of the answer without buffering them.
 	Event(events []byte) error
 }
 
-// DisconnectDetector is a ClientConnection that can tell whether its client has gone. It is asked before each attempt
-// begins: the end of the connection may not have been noticed yet.
+// DisconnectDetector is a ClientConnection that can check whether its client has disconnected. It is checked before
+// each attempt starts, since the server may not have noticed the end of the connection yet.
 type DisconnectDetector interface {
-	// Disconnected does not block.
+	// Disconnected reports whether the client has disconnected. It does not block.
 	Disconnected() bool
 }
 
 // Detacher is a ClientConnection that another process can continue.
 type Detacher interface {
-	// Detach gives the client's connection up: the returned descriptor belongs to the caller.
+	// Detach gives up the client's connection and returns its file descriptor, which the caller owns.
 	Detach() (descriptor int, err error)
 }
 
-// Reasons for which an attempt is given up; the last two may come after its first event.
+// Reasons for which an attempt is cancelled. ErrClientGone and ErrHandedBack may also end it after its first event.
 var (
-	ErrNoAnswer   = errors.New("no answer in time")
-	ErrCancelled  = errors.New("called off")
-	ErrClientGone = errors.New("the client has gone")
-	ErrHandedBack = errors.New("handed back to the client, to go on elsewhere")
+	ErrNoAnswer   = errors.New("no first event before the attempt deadline")
+	ErrCancelled  = errors.New("attempt cancelled")
+	ErrClientGone = errors.New("client disconnected")
+	ErrHandedBack = errors.New("request handed back to the client for another node")
 )
 
-// Reasons for which an attempt that was decided on does not begin: the state may have changed before it reached the
-// socket.
+// Reasons for which an attempt does not start although it was decided on: the state may have changed before the first
+// byte is written.
 var (
-	ErrBackendDraining = errors.New("the backend is to get nothing new")
-	ErrTooLate         = errors.New("the time in which repeats are dropped is over")
-	ErrRequestOver     = errors.New("the request is over")
+	ErrBackendDraining         = errors.New("backend is draining")
+	ErrIdempotencyWindowClosed = errors.New("idempotency window has closed")
+	ErrRequestSettled          = errors.New("request is already settled")
 )
 
-// Request is a request that was accepted, and is owed one final answer.
+// Request is an accepted request, which gets exactly one final answer.
 type Request struct {
 	Spec standpoint.Request
 	Work Work
-	// Hook sees the answer; nil if there is none.
+	// Hook inspects the answer; it may be nil.
 	Hook Hook
-	// UncachedTokens are the prompt tokens that are charged, if an earlier part of the session was charged for the
-	// others; 0 stands for all.
+	// UncachedTokens is the number of prompt tokens to charge for, if an earlier part of the session was charged for
+	// the others; 0 stands for the whole prompt.
 	UncachedTokens float64
-	// CacheHolder is the backend that is known to have HeldTokens of the prompt cached, in its process that started
-	// at HolderStartedAt; empty if none is.
-	CacheHolder     string
-	HolderStartedAt int64
-	HeldTokens      float64
-
-	client ClientConnection
-	done   chan Answer   // receives the final answer, without blocking
-	idle   chan struct{} // see Idle
-
-	// These belong to the goroutine of Core.Run.
-	arrived  time.Time
-	attempts []*Attempt
-
-	mu      sync.Mutex // guards the rest, and the fields of Attempt that say so
-	settled bool       // the final answer is decided
-	claimed *Attempt   // the attempt whose answer is forwarded
+	// CachedBackend is the backend that is known to have cached CachedTokens of the prompt, in its process that started
+	// at CachedBackendStartedAt (module time); empty if none is known.
+	CachedBackend          string
+	CachedBackendStartedAt int64
+	CachedTokens           float64
+
+	connection ClientConnection
+	done       chan Answer   // gets the one final answer; its buffer of one keeps the sender from blocking
+	idle       chan struct{} // closed as Idle describes
+
+	// Only the goroutine of Core.Run uses these.
+	arrivedAt time.Time
+	attempts  []*Attempt
+
+	mu      sync.Mutex // guards the fields below, and cancelled and endStream of the request's attempts
+	settled bool       // the final answer has been decided
+	claimed *Attempt   // the attempt whose answer is forwarded; nil if there is none yet
 }
 
-// NewRequest creates a request that is answered over client.
+// NewRequest creates a request whose answer is written to client.
 func NewRequest(spec standpoint.Request, work Work, client ClientConnection) *Request {
 	return &Request{
-		Spec:   spec,
-		Work:   work,
-		client: client,
-		done:   make(chan Answer, 1),
-		idle:   make(chan struct{}),
+		Spec:       spec,
+		Work:       work,
+		connection: client,
+		done:       make(chan Answer, 1),
+		idle:       make(chan struct{}),
 	}
 }
 
-// Idle is closed once the request is settled and none of its attempts is in flight. A caller that retries the same
-// work after it cannot have two attempts in flight.
+// Idle returns a channel that is closed once the request is settled and none of its attempts is in flight. A caller
+// that retries the same work only then never has two attempts in flight.
 func (r *Request) Idle() <-chan struct{} { return r.idle }
 
-// Server is the backend whose answer is forwarded; empty before one is.
-func (r *Request) Server() string {
+// Backend returns the name of the backend whose answer is forwarded; empty if there is none yet.
+func (r *Request) Backend() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.claimed == nil {
@@ -109,10 +109,11 @@
 	return r.claimed.Backend
 }
 
-// BreakOff ends the answer where it stands, if something of it has been forwarded.
-func (r *Request) BreakOff() { r.breakOff(ErrHandedBack) }
+// Interrupt ends the answer at its current position if an attempt has begun it.
+func (r *Request) Interrupt() { r.interruptClaimed(ErrHandedBack) }
 
-// settle decides the final answer, unless it is decided or an attempt has claimed the request.
+// settle decides the final answer and reports whether it did so. It does nothing if the request is settled already or
+// an attempt has claimed it.
 func (r *Request) settle(answer Answer) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +131,7 @@
 	return r.settled
 }
 
-// hasAttemptInFlight is called by the goroutine of Core.Run.
+// hasAttemptInFlight reports whether an attempt is in flight. Only the goroutine of Core.Run may call it.
 func (r *Request) hasAttemptInFlight() bool {
 	for _, attempt := range r.attempts {
 		if attempt.inFlight {
@@ -140,19 +141,19 @@
 	return false
 }
 
-// disconnect is called when the client has gone. It reports whether that settled the request. The attempt of a
-// claimed request is stopped instead; its end settles the request.
+// disconnect settles the request because its client has disconnected, and reports whether it did so. The attempt of a
+// claimed request is interrupted instead, and settles the request as it ends.
 func (r *Request) disconnect() bool {
 	if r.settle(Answer{Kind: ClientGone}) {
 		return true
 	}
-	r.breakOff(ErrClientGone)
+	r.interruptClaimed(ErrClientGone)
 	return false
 }
 
-// clientGone reports whether the client has gone, and settles the request if so.
+// clientGone reports whether the client has disconnected, and settles the request if so.
 func (r *Request) clientGone() bool {
-	client, ok := r.client.(DisconnectDetector)
+	client, ok := r.connection.(DisconnectDetector)
 	if !ok || !client.Disconnected() {
 		return false
 	}
@@ -160,20 +161,20 @@
 	return true
 }
 
-// breakOff stops the attempt that has claimed the request, if one has.
-func (r *Request) breakOff(reason error) {
+// interruptClaimed interrupts the attempt that has claimed the request, if there is one.
+func (r *Request) interruptClaimed(reason error) {
 	r.mu.Lock()
 	attempt := r.claimed
 	r.mu.Unlock()
 	if attempt != nil {
-		attempt.breakOff(reason)
+		attempt.interrupt(reason)
 	}
 }
 
-// handBack settles the request with the answer, if there is one, or, with begun, breaks off the attempt that has
-// claimed it, and reports whether the request was settled. Which of the two happens is decided at once: an attempt
-// that claims the request meanwhile either came first, and is broken off, or comes later, and finds the request
-// settled.
+// handBack settles the request with the answer unless that is nil or an attempt has claimed the request, and reports
+// whether it did so. With begun set, it interrupts an attempt that has claimed the request. The choice is made under
+// the lock: an attempt that claims the request concurrently either came first, and is interrupted, or comes later, and
+// finds the request settled.
 func (r *Request) handBack(answer *Answer, begun bool) (settled bool) {
 	r.mu.Lock()
 	attempt := r.claimed
@@ -184,7 +185,7 @@
 	}
 	r.mu.Unlock()
 	if attempt != nil && begun {
-		attempt.breakOff(ErrHandedBack)
+		attempt.interrupt(ErrHandedBack)
 	}
 	return settled
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -8,48 +8,54 @@
 	"standpoint/internal/metrics"
 )
 
-// ErrBusy is the error of a request beyond what the node, or the request's tenant, may have open at once.
-var ErrBusy = errors.New("too many requests at once")
+// ErrRequestLimit is the error of a request that exceeds the maximum of open requests of the node or of its tenant.
+var ErrRequestLimit = errors.New("too many open requests")
 
-// Serve serves a request and returns its one final answer. That ctx ends means that the client has gone. The end of
-// every request is counted here.
+// Serve serves a request and returns its one final answer. The end of ctx means that the client has disconnected. Serve
+// counts the request in the metrics.
 func (c *Core) Serve(ctx context.Context, request *Request) (Answer, error) {
 	answer, err := c.admit(ctx, request)
 	if request.Hook != nil {
 		request.Hook.Finished(answer)
 	}
-	c.count(request, answer, err)
+	c.countRequest(request, answer, err)
 	return answer, err
 }
 
-// Adopt serves a request whose answer another process of this node has begun, and returns its end. The attempt that
-// has claimed it is run by run; the module does not decide on it.
+// Adopt serves a request whose answer another process of this node has begun, and returns its final answer. run carries
+// the attempt, which has already claimed the request; the decision module has no part in it.
 func (c *Core) Adopt(ctx context.Context, request *Request, run func(*Attempt)) (Answer, error) {
 	if !c.limiter.Acquire(request.Spec.Tenant, 1) {
-		return Answer{}, ErrBusy
+		return Answer{}, ErrRequestLimit
 	}
 	defer c.limiter.Release(request.Spec.Tenant, 1)
-	attempt := &Attempt{Request: request, Sent: time.Now(), post: c.post, inFlight: true, timer: time.NewTimer(0)}
-	attempt.ctx, attempt.stop = context.WithCancelCause(context.Background())
+	attempt := &Attempt{
+		Request:       request,
+		Sent:          time.Now(),
+		post:          c.post,
+		inFlight:      true,
+		deadlineTimer: time.NewTimer(0),
+	}
+	attempt.ctx, attempt.cancelContext = context.WithCancelCause(context.Background())
 	request.claimed = attempt
 	request.attempts = []*Attempt{attempt}
 	c.post(adoptRequest{request})
-	go run(attempt) // its end is the request's answer, which is waited for
+	go run(attempt) // settles the request as it ends, which is awaited below
 	var answer Answer
 	select {
 	case answer = <-request.done:
 	case <-ctx.Done():
-		request.breakOff(ErrClientGone)
+		request.interruptClaimed(ErrClientGone)
 		answer = <-request.done
 	}
-	c.count(request, answer, nil)
+	c.countRequest(request, answer, nil)
 	return answer, nil
 }
 
-// admit serves a request if this node has room for it, and the budgets that it counts against allow it.
+// admit serves a request if the limits of this node and the budgets that the request counts against allow it.
 func (c *Core) admit(ctx context.Context, request *Request) (Answer, error) {
 	if !c.limiter.Acquire(request.Spec.Tenant, 1) {
-		return Answer{}, ErrBusy
+		return Answer{}, ErrRequestLimit
 	}
 	defer c.limiter.Release(request.Spec.Tenant, 1)
 	if c.Fleet == nil {
@@ -57,7 +63,7 @@
 	}
 	charge, retryAfter, admitted := c.Fleet.Admit(&request.Spec)
 	if !admitted {
-		return Answer{Kind: Rejected, Wait: retryAfter, Unsent: true}, nil
+		return Answer{Kind: Rejected, Wait: retryAfter, NoAttempt: true}, nil
 	}
 	charge.UncachedTokens = request.UncachedTokens
 	answer := c.submit(ctx, request)
@@ -65,7 +71,7 @@
 	return answer, nil
 }
 
-// submit hands a request to the goroutine of Run, and waits for its answer.
+// submit passes a request to the goroutine of Run and waits for its answer.
 func (c *Core) submit(ctx context.Context, request *Request) Answer {
 	c.post(submitRequest{request})
 	select {
@@ -79,15 +85,15 @@
 	return <-request.done
 }
 
-func (c *Core) count(request *Request, answer Answer, err error) {
+func (c *Core) countRequest(request *Request, answer Answer, err error) {
 	class := request.Spec.Class
 	switch {
 	case err != nil || answer.Kind == Rejected:
 		c.Metrics.CountRequest(class, metrics.Rejected)
 	case answer.Kind == Served:
 		c.Metrics.CountRequest(class, metrics.Succeeded)
-	case answer.Kind != ClientGone && answer.Kind != Moved: // one that moved ends, and is counted, in another process
-		if answer.Unsent {
+	case answer.Kind != ClientGone && answer.Kind != Moved: // a moved request is counted by the other process
+		if answer.NoAttempt {
 			c.Metrics.CountFailedUnsent(metrics.Abandoned)
 		}
 		c.Metrics.CountRequest(class, metrics.Failed)
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// timerSweepMinimum is how many timers there may be before those that the module no longer awaits are looked for.
+// timerSweepMinimum is the number of timers below which no sweep takes place.
 const timerSweepMinimum = 1024
 
-// sweepTimers drops the timers that the module no longer awaits, if there are many.
+// sweepTimers drops the timers that the decision module no longer needs, each time their number has doubled.
 func (c *Core) sweepTimers() {
-	if len(c.timers) < max(c.timerSweepAt, timerSweepMinimum) {
+	if len(c.timers) < max(c.nextTimerSweep, timerSweepMinimum) {
 		return
 	}
 	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool { return !c.router.NeedsTimer(t.token) })
 	heap.Init(&c.timers)
-	c.timerSweepAt = 2 * len(c.timers)
+	c.nextTimerSweep = 2 * len(c.timers)
 }
 
-// timer is a timer that the module has set. at is in its time.
-type timer struct{ at, token int64 }
+// timer is a timer that the decision module has set. due is in the module's time.
+type timer struct{ due, token int64 }
 
-// timerHeap has the next timer first. It implements heap.Interface.
+// timerHeap is a heap of timers with the earliest first. It implements heap.Interface.
 type timerHeap []timer
 
 // Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
 
 // Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
