--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -14,11 +14,11 @@
 	"standpoint/internal/node"
 )
 
-// Adopt goes on with the answer to a client that another process of this node has begun, until its end. waited is how
-// long the client has kept that answer waiting. The connection is closed then: it is none of the server's, and the
-// client's next request may open another.
-func (f *Front) Adopt(ctx context.Context, client net.Conn, traceID, class string, waited time.Duration,
-	carry func(*node.Attempt)) {
+// Adopt continues a response that another process of this node has begun, until its end. stalled is how long the client
+// has stalled the response so far. Adopt closes the connection at the end, since the HTTP server does not serve it; the
+// client opens another one for its next request.
+func (f *Front) Adopt(ctx context.Context, client net.Conn, traceID, class string, stalled time.Duration,
+	run func(*node.Attempt)) {
 	defer client.Close()
 	if f.ids.open(traceID, time.Now()) {
 		defer f.ids.close(traceID)
@@ -29,23 +29,23 @@
 	if i, ok := f.indexes.Load().classes[class]; ok {
 		spec.Class = i
 	}
-	go func() { // nothing is to come but the connection's end, which the deferred Close brings about at the latest
+	go func() { // detects the client's disconnect; the deferred Close ends it at the latest
 		_, _ = io.Copy(io.Discard, client)
 		cancel()
 	}()
-	stream := &adoptedStream{client, writeAllowance{waited}}
-	answer, err := f.Core.Adopt(ctx, node.NewRequest(spec, node.Work{TraceID: traceID}, stream), carry)
+	stream := &adoptedStream{client, writeAllowance{stalled}}
+	answer, err := f.Core.Adopt(ctx, node.NewRequest(spec, node.Work{TraceID: traceID}, stream), run)
 	if err != nil {
 		f.Log.Warn("adopting a stream failed", zap.String("trace", traceID), zap.Error(err))
 		return
 	}
 	if answer.Kind == node.Served {
 		_ = client.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-		_, _ = io.WriteString(client, "0\r\n\r\n") // the last chunk; a client that does not take it has gone
+		_, _ = io.WriteString(client, "0\r\n\r\n") // the last chunk; fails only if the client has disconnected
 	}
 }
 
-// adoptedStream writes the rest of an answer that another process has begun.
+// adoptedStream writes the rest of a response that another process has begun.
 type adoptedStream struct {
 	conn net.Conn
 	writeAllowance
@@ -56,10 +56,10 @@
 	_ node.Detacher         = (*adoptedStream)(nil)
 )
 
-// Begin does nothing: the answer has begun.
+// Begin implements node.ClientConnection. It does nothing, since the response has been begun already.
 func (s *adoptedStream) Begin() error { return nil }
 
-// Event writes a chunk, in one piece.
+// Event implements node.ClientConnection: it writes the events as one chunk.
 func (s *adoptedStream) Event(event []byte) error {
 	return s.spend(s.conn.SetWriteDeadline, func() error {
 		_, err := fmt.Fprintf(s.conn, "%x\r\n%s\r\n", len(event), event)
--- a/internal/edge/body.go
+++ b/internal/edge/body.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	maxBodyBytes    = 256 << 10
-	charsPerToken   = 4       // of a prompt, as it is estimated here
-	maxOutputTokens = 1 << 20 // that a request may ask for
+	maxBodyBytes    = 256 << 10 // maximum size of a request body
+	charsPerToken   = 4         // estimated characters of a prompt for each token
+	maxOutputTokens = 1 << 20   // maximum of output tokens that a request may state
 )
 
-// errBodyCapacity tells that the request bodies that are held take all the memory set aside for them.
+// errBodyCapacity is the error of a request body that exceeds the memory for request bodies.
 var errBodyCapacity = errors.New("no capacity for further request bodies")
 
-// meteredBody charges the bytes of a request body to a limiter as they arrive: a body that is announced and does not
-// come takes nothing.
+// meteredBody charges the bytes of a request body to a limiter as they arrive, so that a body that is announced but not
+// sent uses no capacity.
 type meteredBody struct {
 	io.ReadCloser
 	limiter  *node.TenantLimiter
 	tenant   int
-	acquired int
+	acquired int // bytes charged so far
 }
 
 // Read implements io.Reader. It returns errBodyCapacity once the limiter has no bytes left.
@@ -41,24 +41,25 @@
 	return n, err
 }
 
+// release returns the charged bytes to the limiter.
 func (b *meteredBody) release() { b.limiter.Release(b.tenant, b.acquired) }
 
-// chatBody is what is read of a chat request's body; a backend gets the body as it came.
+// chatBody is the part of a chat request's body that this node decodes. The backend gets the body unchanged.
 type chatBody struct {
 	Messages *[]struct {
 		Content contentLength `json:"content"`
 	} `json:"messages"`
 	MaxTokens json.RawMessage `json:"max_tokens"`
 
-	// unknownFormChars are the characters of a body whose messages have another form: whether that is right is for the
-	// backend to say.
-	unknownFormChars int
+	// unparsedChars is the length of a body whose messages have an unknown format, in bytes; 0 otherwise. It is for the
+	// backend to decide whether the format is valid.
+	unparsedChars int
 }
 
-// contentLength is the number of characters of a message's content: of a string, or of the JSON of its parts.
+// contentLength is the length of a message's content: in characters if it is a string, otherwise in bytes of its JSON.
 type contentLength int
 
-// UnmarshalJSON implements json.Unmarshaler. It counts in place: bodies are long, and are not copied for it.
+// UnmarshalJSON implements json.Unmarshaler. It counts in place, to avoid a copy of long bodies.
 func (l *contentLength) UnmarshalJSON(raw []byte) error {
 	*l = contentLength(len(raw))
 	if raw[0] != '"' {
@@ -71,7 +72,7 @@
 			i += 5
 		case c == '\\':
 			i++
-		case c&0xc0 == 0x80: // a continuation byte in UTF-8
+		case c&0xc0 == 0x80: // UTF-8 continuation byte
 			continue
 		}
 		*l++
@@ -79,11 +80,11 @@
 	return nil
 }
 
-// bound holds the lengths that a client states against the body that it sent. They decide where other requests are
-// sent and what all nodes learn, and stating 60,000 tokens, or one, for a short prompt would cost the client nothing.
-// Tokens are estimated from characters here, so a stated length may be from half of the estimate to twice that.
-func (b *chatBody) bound(request *standpoint.Request) {
-	total := float64(b.unknownFormChars)
+// boundLengths bounds the lengths that a client states by the body that it sent. Stated lengths influence the routing
+// of other requests and what all nodes learn, and it costs a client nothing to state 60,000 tokens, or one, for a short
+// prompt. A stated length may be between half of the estimate from the characters of the body and twice that estimate.
+func (b *chatBody) boundLengths(request *standpoint.Request) {
+	total := float64(b.unparsedChars)
 	first := total
 	for i, message := range *b.Messages {
 		total += float64(message.Content)
@@ -91,19 +92,19 @@
 			first = total
 		}
 	}
-	request.PromptTokens = max(total/charsPerToken/2, min(request.PromptTokens, maxTokensOf(total)))
+	request.PromptTokens = max(total/charsPerToken/2, min(request.PromptTokens, maxTokensFor(total)))
 	if request.PrefixTokens > 0 {
-		request.PrefixTokens = min(request.PrefixTokens, request.PromptTokens, maxTokensOf(first))
+		request.PrefixTokens = min(request.PrefixTokens, request.PromptTokens, maxTokensFor(first))
 	}
 	if limit := b.maxTokens(); limit > 0 {
-		request.MaxTokens = limit // what the backend goes by
+		request.MaxTokens = limit // the limit that the backend applies
 	}
 }
 
-// maxTokensOf returns the most tokens that so many characters may be.
-func maxTokensOf(chars float64) float64 { return 1 + 2*chars/charsPerToken }
+// maxTokensFor returns the maximum number of tokens accepted for a number of characters.
+func maxTokensFor(chars float64) float64 { return 1 + 2*chars/charsPerToken }
 
-// maxTokens returns how many tokens the body allows for the answer; 0 if it does not state that.
+// maxTokens returns the number of output tokens that the body allows; 0 if it states none or an invalid one.
 func (b *chatBody) maxTokens() float64 {
 	limit, err := parseTokens(string(b.MaxTokens), maxOutputTokens)
 	if err != nil || limit < 1 {
@@ -112,8 +113,8 @@
 	return limit
 }
 
-// readBody reads and decodes the body of a chat request. The error is a *requestError, errBodyCapacity, or that of the
-// connection.
+// readBody reads and decodes the body of a chat request. The error is a *requestError, errBodyCapacity, or an error of
+// the connection.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, chatBody, error) {
 	var body chatBody
 	if r.ContentLength > maxBodyBytes {
@@ -134,7 +135,7 @@
 	err = json.Unmarshal(raw, &body)
 	var unknownForm *json.UnmarshalTypeError
 	if errors.As(err, &unknownForm) {
-		body.unknownFormChars = len(raw)
+		body.unparsedChars = len(raw)
 		err = nil
 	}
 	if err != nil || body.Messages == nil {
--- a/internal/edge/body_test.go
+++ b/internal/edge/body_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, want := test.stated, test.want
-			body.bound(&got)
+			body.boundLengths(&got)
 			got.PromptTokens = math.Floor(got.PromptTokens)
 			if got.PromptTokens < want.PromptTokens-3 || got.PromptTokens > want.PromptTokens+20 ||
 				got.PrefixTokens != want.PrefixTokens || got.MaxTokens != want.MaxTokens {
@@ -55,7 +55,7 @@
 	} {
 		_, body, err := readBody(httptest.NewRecorder(), httptest.NewRequest("POST", "/", strings.NewReader(raw)))
 		request := standpoint.Request{PromptTokens: 1e6}
-		body.bound(&request)
+		body.boundLengths(&request)
 		if err != nil || request.PromptTokens != 1+2*want/charsPerToken {
 			t.Errorf("%s: %v tokens at the most, %v", raw, request.PromptTokens, err)
 		}
@@ -81,6 +81,6 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		body.bound(&standpoint.Request{})
+		body.boundLengths(&standpoint.Request{})
 	}
 }
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// busyRetryAfter is when the client of a request that found no capacity should retry.
+	// busyRetryAfter is the time after which the client of a request that found no capacity should retry.
 	busyRetryAfter = 500 * time.Millisecond
 	// rejectedBodyGrace is how long the rest of a malformed request may take to arrive.
 	rejectedBodyGrace = 100 * time.Millisecond
-	// drainRejectAfter is how long after a node was drained by hand requests that come all the same are rejected.
+	// drainRejectAfter is the time after the start of a manual drain from which requests that still arrive are
+	// rejected.
 	drainRejectAfter = 1900 * time.Millisecond
 )
 
-// chat answers a chat request.
+// chat handles a chat request.
 func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	control := http.NewResponseController(w)
-	f.closeUnlessServing(w, r, f.Lifecycle.Phase())
+	f.setConnectionHeader(w, r, f.Lifecycle.Phase())
 	request, err := f.decode(r, began)
 	if err != nil {
 		f.rejectUnreadable(w, r, control, err)
@@ -39,11 +40,11 @@
 		f.rejectUnreadable(w, r, control, err)
 		return
 	}
-	body.bound(&request)
-	// The read timeout is for the request; from here on the server must be able to notice a client that disconnects.
+	body.boundLengths(&request)
+	// The request is complete. Without a read deadline, the server can notice that the client disconnects.
 	_ = control.SetReadDeadline(time.Time{})
 	phase, since := f.Lifecycle.Since()
-	f.closeUnlessServing(w, r, phase)
+	f.setConnectionHeader(w, r, phase)
 	if phase == node.ManuallyDrained && time.Since(since) > drainRejectAfter {
 		f.countUnsent(r, metrics.Rejected)
 		writeRejection(w, busyRetryAfter)
@@ -59,7 +60,7 @@
 	f.serve(w, r, control, request, node.Work{Body: raw, MaxTokens: body.maxTokens()})
 }
 
-// rejectUnreadable answers a request that could not be read or decoded, and is not forwarded.
+// rejectUnreadable responds to a request that could not be read or decoded, and is not forwarded.
 func (f *Front) rejectUnreadable(w http.ResponseWriter, r *http.Request, control *http.ResponseController, err error) {
 	if errors.Is(err, errBodyCapacity) {
 		f.countUnsent(r, metrics.Rejected)
@@ -69,10 +70,10 @@
 	}
 	var malformed *requestError
 	if !errors.As(err, &malformed) {
-		panic(http.ErrAbortHandler) // the client broke off its own request
+		panic(http.ErrAbortHandler) // the client aborted its request
 	}
 	if r.ContentLength < 0 || malformed.status == http.StatusRequestTimeout {
-		w.Header().Set("Connection", "close") // where its body ends is unsure, and the rest is not waited for
+		w.Header().Set("Connection", "close") // the end of the body is unknown or not awaited
 		_ = control.SetReadDeadline(time.Now().Add(rejectedBodyGrace))
 	}
 	f.countUnsent(r, metrics.Failed)
@@ -81,14 +82,14 @@
 	writeError(w, malformed.status, malformed.message)
 }
 
-// countUnsent counts a request that is answered without the core, if its class is known.
+// countUnsent counts a request that is handled without the core, if its class is known.
 func (f *Front) countUnsent(r *http.Request, outcome metrics.Outcome) {
 	if class, ok := f.indexes.Load().classes[r.Header.Get(classHeader)]; ok {
 		f.Metrics.CountRequest(class, outcome)
 	}
 }
 
-// serve has the core serve a decoded request, and ends its answer.
+// serve has the core serve a decoded request, and completes the response.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request, control *http.ResponseController,
 	decoded standpoint.Request, work node.Work) {
 	work.Method = r.Method
@@ -96,9 +97,9 @@
 	work.TraceID = r.Header.Get(traceHeader)
 	work.ContentType = r.Header.Get(contentTypeHeader)
 	conn, _ := clientConnOf(r)
-	stream := &clientStream{w: w, control: control, conn: conn, chunked: r.ProtoAtLeast(1, 1)}
+	stream := &clientStream{w: w, control: control, conn: conn, supportsChunked: r.ProtoAtLeast(1, 1)}
 	request := node.NewRequest(decoded, work, stream)
-	if answered := f.handleSession(w, r, request); answered {
+	if responded := f.handleSession(w, r, request); responded {
 		return
 	}
 	answer, err := f.Core.Serve(r.Context(), request)
@@ -107,11 +108,11 @@
 	}
 	switch answer.Kind {
 	case node.Served:
-		// The last chunk has a time of its own, whatever the events took.
+		// The last chunk gets the full write timeout, however long the client stalled before.
 		_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	case node.Moved:
 	case node.Broken, node.ClientGone:
-		// The connection ends without the last chunk, or without any answer: an empty one would be nobody's.
+		// The connection closes without the last chunk, or without any response: an empty response would look complete.
 		panic(http.ErrAbortHandler)
 	case node.Rejected:
 		writeRejection(w, answer.Wait)
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -15,45 +15,44 @@
 )
 
 const (
-	// lingerTime is how long a client that has sent more may take its answer from a connection that is being closed.
+	// lingerTime is how long a half closed connection stays open so that its client can read the response.
 	lingerTime = 500 * time.Millisecond
-	// maxLingering is how many connections may linger at once.
+	// maxLingering is the maximum number of connections that linger at once.
 	maxLingering = 32
 )
 
-// clientConn is a client's connection. Those who close an idle one, and the server, which may be reading a request from
-// it just then, meet under its lock: either nothing has been read and nothing will be, or the request is read on and
-// gets its answer. It is safe for concurrent use, as net.Conn demands.
+// clientConn is a client connection. Closing an idle connection may race with the server, which may be reading a
+// request from it. The connection's lock decides: either no byte of a request has been read and none will be, or the
+// request is read completely and gets a response. clientConn is safe for concurrent use, as net.Conn requires.
 type clientConn struct {
 	net.Conn
 	tracker *ConnectionTracker
-	head    headParser // of the request that is being read
+	head    headParser // parses the head of the current request
 
-	received     atomic.Bool // something has come on it
-	responded    atomic.Bool // something has been written on it
-	peerClosed   atomic.Bool // its client has ended it
+	received     atomic.Bool // a byte has been read
+	responded    atomic.Bool // a byte has been written
+	peerClosed   atomic.Bool // the client has closed the connection
 	readTimedOut atomic.Bool // a read deadline has passed
 
 	// The tracker's lock guards these.
-	active       bool      // a request is open
-	since        time.Time // since when it is active, or idle
-	headReceived bool      // a complete head has come on it
-	closing      bool      // it was asked to close, and counts no longer against the limit
-	stopped      bool      // it was closed because the node stops
-
-	mu             sync.Mutex         // guards all below
-	requestBegun   bool               // something has come of a request that the server has not taken yet
-	closeRequested bool               // it closes unless something comes first
-	readDeadline   time.Time          // the server's; zero: none
-	onDisconnect   context.CancelFunc // called when the client disconnects from its open request; nil: none is open
-	buffered       []byte             // read behind the open request, for the next
-	readErr        error              // what a read returns after buffered
-	readAheadDone  chan struct{}      // closed when the reading ahead has ended; nil: there is none
+	active         bool      // a request is open
+	stateChangedAt time.Time // when the connection was accepted, or became active or idle
+	headReceived   bool      // a complete request head has been read
+	closing        bool      // the tracker has requested its close, and no longer counts it for evictions
+	stopped        bool      // closed because the node stops
+
+	mu             sync.Mutex         // guards the fields below
+	requestBegun   bool               // a byte of a request has been read, and the request has not ended
+	closeRequested bool               // the connection closes unless a byte is read first
+	readDeadline   time.Time          // the server's read deadline; zero if there is none
+	onDisconnect   context.CancelFunc // called when the client of the open request disconnects; nil if none is open
+	buffered       []byte             // bytes read behind the open request
+	readErr        error              // error that Read returns after buffered
+	readAheadDone  chan struct{}      // closed when the goroutine that reads ahead has ended; nil if there is none
 }
 
-// Read implements net.Conn. Behind an open request net/http reads one byte to find out whether the client disconnects.
-// Once one has come it looks no further, so that a disconnection behind it would go unnoticed: clientConn then reads
-// ahead itself.
+// Read implements net.Conn. During an open request, net/http reads one byte to detect that the client disconnects.
+// After it has got a byte it stops reading, and would miss a later disconnect. clientConn then reads ahead itself.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.stopReadAhead()
 	if n, err := c.readBuffered(b); n > 0 || err != nil {
@@ -61,19 +60,19 @@
 	}
 	n, err := transient.Read(c.Conn, b)
 	if n > 0 {
-		c.noteReceived()
+		c.markRequestBegun()
 		c.received.Store(true)
 	}
 	c.head.observe(b[:n])
-	c.noteReadError(err)
+	c.recordReadError(err)
 	if n == 1 && len(b) == 1 {
 		c.startReadAhead()
 	}
 	return n, err
 }
 
-// noteReadError notes why nothing more comes, if that is so.
-func (c *clientConn) noteReadError(err error) {
+// recordReadError records whether a read failed because of a deadline or because the client closed the connection.
+func (c *clientConn) recordReadError(err error) {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.readTimedOut.Store(true)
@@ -82,20 +81,19 @@
 	}
 }
 
-// noteReceived notes that something of a request has come: whoever asked the connection to close meanwhile was too
-// late.
-func (c *clientConn) noteReceived() {
+// markRequestBegun records that a byte of a request has been read, and revokes a close request that came too late.
+func (c *clientConn) markRequestBegun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestBegun = true
 	if c.closeRequested {
 		c.closeRequested = false
-		_ = c.Conn.SetReadDeadline(c.readDeadline) // fails on a closed connection alone, as does the next read
+		_ = c.Conn.SetReadDeadline(c.readDeadline) // fails only on a closed connection, as does the next read
 	}
 }
 
-// SetReadDeadline implements net.Conn. While the connection is asked to close the server's deadline is kept, and not
-// set. A zero time tells that the server has come to a request, whose bytes may have been read behind the one before.
+// SetReadDeadline implements net.Conn. While a close is requested, the server's deadline is stored but not set. A zero
+// time means that the server has started on a request, whose bytes may have been read ahead during the one before.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,15 +108,15 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// requestFinished tells that its request is over.
+// requestFinished records that the request has ended.
 func (c *clientConn) requestFinished() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestBegun = false
 }
 
-// closeIfIdle has the connection close if nothing of a request has come, and reports whether that is so. It is not
-// closed here: the server does that once its read has failed.
+// closeIfIdle requests the close of the connection if no byte of a request has been read, and reports whether it did
+// so. The server closes the connection once its read has failed.
 func (c *clientConn) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,12 +124,11 @@
 		return false
 	}
 	c.closeRequested = true
-	_ = c.Conn.SetReadDeadline(now) // fails on a closed connection alone
+	_ = c.Conn.SetReadDeadline(now) // fails only on a closed connection
 	return true
 }
 
-// watchDisconnect has cancel called if the client disconnects while its request is open, until the returned function
-// is called.
+// watchDisconnect arranges for cancel to be called if the client disconnects before the returned function is called.
 func (c *clientConn) watchDisconnect(cancel context.CancelFunc) (stop func()) {
 	set := func(f context.CancelFunc) {
 		c.mu.Lock()
@@ -142,7 +139,7 @@
 	return func() { set(nil) }
 }
 
-// notifyDisconnect tells the open request that its client has disconnected.
+// notifyDisconnect cancels the open request because its client has disconnected.
 func (c *clientConn) notifyDisconnect() {
 	c.mu.Lock()
 	cancel := c.onDisconnect
@@ -152,7 +149,7 @@
 	}
 }
 
-// disconnected reports whether the client has ended the connection, even if the server has not come to see that.
+// disconnected reports whether the client has closed the connection, even if the server has not noticed it yet.
 func (c *clientConn) disconnected() bool { return c.peerClosed.Load() || backend.PeerClosed(c.Conn) }
 
 // Write implements net.Conn.
@@ -163,9 +160,9 @@
 	return transient.Write(c.Conn, b)
 }
 
-// Close implements net.Conn. To close a connection with unread bytes resets it, and what its client has not taken of
-// its answer may be lost: behind an answer only the sending side is closed at first. An idle connection is closed at
-// once: what comes on it then nobody has read, and its client sends it again.
+// Close implements net.Conn. Closing a socket with unread bytes resets the connection, and the client may lose the part
+// of the response that it has not read. After a response only the sending side is therefore closed at first. An idle
+// connection is closed at once: a request that arrives then has not been read, and the client sends it again.
 func (c *clientConn) Close() error {
 	c.stopReadAhead()
 	c.discardBuffered()
@@ -179,13 +176,13 @@
 	}
 	time.AfterFunc(lingerTime, func() {
 		defer c.tracker.releaseLinger()
-		_ = c.Conn.Close() // the client has had its time; nobody is left to tell
+		_ = c.Conn.Close() // the client has had its time, so an error does not matter
 	})
 	return nil
 }
 
-// silentCloseCause returns why this node has closed the connection without an answer; false if that is not so. The
-// caller holds the tracker's lock.
+// silentCloseCause returns why this node has closed the connection without a response; false if it has responded or the
+// client has closed the connection. The caller must hold the tracker's lock.
 func (c *clientConn) silentCloseCause(nodeStopping bool) (metrics.SilentCloseCause, bool) {
 	switch {
 	case c.responded.Load() || c.peerClosed.Load():
@@ -200,12 +197,12 @@
 	return metrics.Unreadable, true
 }
 
-// evictable reports whether the connection has been idle for long enough to be closed for others. The caller holds the
-// tracker's lock.
+// evictable reports whether the connection has been idle long enough to be closed in favour of others. The caller must
+// hold the tracker's lock.
 func (c *clientConn) evictable(now time.Time) bool {
 	minimumIdle := minimumIdleTime
 	if !c.received.Load() {
 		minimumIdle = minimumSilentTime
 	}
-	return !c.active && !c.closing && now.Sub(c.since) >= minimumIdle
+	return !c.active && !c.closing && now.Sub(c.stateChangedAt) >= minimumIdle
 }
--- a/internal/edge/connection_tracker.go
+++ b/internal/edge/connection_tracker.go
@@ -15,72 +15,71 @@
 )
 
 const (
-	// minimumIdleTime is how long a connection without an open request may stay at the least.
+	// minimumIdleTime is how long a connection must have been idle before it may be evicted.
 	minimumIdleTime = 2 * time.Second
-	// minimumSilentTime is the same for a connection on which nothing has come at all: those who have a request send it
-	// at once, and hundreds may connect together to say nothing.
+	// minimumSilentTime is the same for a connection on which nothing has been received: clients that have a request
+	// send it at once, and hundreds of clients may connect at once without sending anything.
 	minimumSilentTime = 250 * time.Millisecond
-	// capacityInterval is the time between two attempts to make room, while there is none.
+	// capacityInterval is the time between two attempts to free capacity while the limit is reached.
 	capacityInterval = 20 * time.Millisecond
-	// fullWarningInterval is the time between two log lines that tell of the limit.
-	fullWarningInterval = time.Second
+	// limitWarningInterval is the minimum time between two log lines about the limit.
+	limitWarningInterval = time.Second
 )
 
-// ConnectionTracker is the listener of the client connections. It keeps them within their limit: where that is nearly
-// reached it closes the connections that have been idle for longest, so that clients that keep connections without
-// using them, or say nothing on them, cannot shut others out. It drains them on shutdown. It is safe for concurrent
-// use.
+// ConnectionTracker is the listener of the client connections. It limits their number: when the limit is nearly
+// reached, it closes the connections that have been idle longest, so that clients that keep unused or silent
+// connections cannot shut out others. It drains the connections on shutdown. It is safe for concurrent use.
 type ConnectionTracker struct {
 	net.Listener
-	// Metrics, if not nil, counts the connections that are closed without an answer. It is set before the tracker is in
-	// use.
+	// Metrics counts the connections that are closed without a response; it may be nil. It is set before the tracker is
+	// used.
 	Metrics *metrics.Counters
 
 	log       *zap.Logger
 	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
-	slotFreed chan struct{} // holds a token if a connection has ended
+	slotFreed chan struct{} // holds a token after a connection has ended
 
-	lingering     atomic.Int32 // connections that are half closed
-	bufferedBytes atomic.Int64 // read behind open requests
+	lingering     atomic.Int32 // half closed connections
+	bufferedBytes atomic.Int64 // bytes read behind open requests
 
-	mu                 sync.Mutex // guards all below
-	maximum            int        // connections
+	mu                 sync.Mutex // guards the fields below
+	maxConnections     int
 	conns              map[*clientConn]bool
-	closing            int           // of these, those that were asked to close
-	stopDraining       chan struct{} // closed when clients may stay again; nil while not draining
-	closeAfterResponse bool          // connections close as their requests end
-	warned             time.Time     // when the limit was logged last
+	closing            int           // number of connections whose close has been requested
+	stopDraining       chan struct{} // closed to stop draining; nil while not draining
+	closeAfterResponse bool          // connections close when their requests end
+	lastWarning        time.Time     // when the limit was last logged
 }
 
-// NewConnectionTracker wraps a listener. It goes on accepting where an accept fails for a moment. The server must call
-// ConnState.
+// NewConnectionTracker wraps a listener, with a limit of maximum connections. It continues to accept after transient
+// errors. The server must call ConnState.
 func NewConnectionTracker(l net.Listener, maximum int, log *zap.Logger) *ConnectionTracker {
 	return &ConnectionTracker{
-		Listener:  transient.NewListener(l, log),
-		log:       log,
-		closed:    make(chan struct{}),
-		slotFreed: make(chan struct{}, 1),
-		maximum:   maximum,
-		conns:     map[*clientConn]bool{},
+		Listener:       transient.NewListener(l, log),
+		log:            log,
+		closed:         make(chan struct{}),
+		slotFreed:      make(chan struct{}, 1),
+		maxConnections: maximum,
+		conns:          map[*clientConn]bool{},
 	}
 }
 
-// Resize changes how many connections there may be.
+// Resize changes the maximum number of connections.
 func (t *ConnectionTracker) Resize(maximum int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maximum = maximum
+	t.maxConnections = maximum
 }
 
-// Accept implements net.Listener: it waits until there is room, then for a connection.
+// Accept implements net.Listener. It waits until the limit allows a connection, then accepts one.
 func (t *ConnectionTracker) Accept() (net.Conn, error) {
-	for !t.makeRoom(time.Now()) {
+	for !t.ensureCapacity(time.Now()) {
 		select {
 		case <-t.closed:
 			return nil, net.ErrClosed
 		case <-t.slotFreed:
-		case <-time.After(capacityInterval): // by then others have been idle for long enough
+		case <-time.After(capacityInterval): // by then, other connections may be evictable
 		}
 	}
 	accepted, err := t.Listener.Accept()
@@ -89,12 +88,12 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	conn := &clientConn{Conn: accepted, tracker: t, since: time.Now()}
+	conn := &clientConn{Conn: accepted, tracker: t, stateChangedAt: time.Now()}
 	t.conns[conn] = true
 	return conn, nil
 }
 
-// Close implements net.Listener: it ends the accepting. Connections stay.
+// Close implements net.Listener: it stops accepting. Open connections remain.
 func (t *ConnectionTracker) Close() error {
 	t.closeOnce.Do(func() { close(t.closed) })
 	return t.Listener.Close()
@@ -109,25 +108,26 @@
 	}
 }
 
-// makeRoom reports whether there is room for a connection. Once the last eighth of the limit is in use it asks the
-// connections that have been idle for longest to close, as many as it takes to have that eighth back.
-func (t *ConnectionTracker) makeRoom(now time.Time) bool {
+// ensureCapacity reports whether the limit allows another connection. Once the last eighth of the limit is in use, it
+// evicts as many connections as needed to free that eighth.
+func (t *ConnectionTracker) ensureCapacity(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if excess := len(t.conns) - t.closing - (t.maximum - t.maximum/8); excess >= 0 {
+	if excess := len(t.conns) - t.closing - (t.maxConnections - t.maxConnections/8); excess >= 0 {
 		t.evict(excess+1, now)
 	}
-	if len(t.conns) < t.maximum {
+	if len(t.conns) < t.maxConnections {
 		return true
 	}
-	if now.Sub(t.warned) > fullWarningInterval {
-		t.warned = now
-		t.warnFull(now)
+	if now.Sub(t.lastWarning) > limitWarningInterval {
+		t.lastWarning = now
+		t.logLimitReached(now)
 	}
 	return false
 }
 
-// evict asks some connections to close, those that have been idle for longest. The caller holds the lock.
+// evict requests the close of up to count connections, those that have been idle longest. The caller must hold the
+// lock.
 func (t *ConnectionTracker) evict(count int, now time.Time) {
 	var idle []*clientConn
 	for conn := range t.conns {
@@ -135,13 +135,14 @@
 			idle = append(idle, conn)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *clientConn) int { return a.since.Compare(b.since) })
+	slices.SortFunc(idle, func(a, b *clientConn) int { return a.stateChangedAt.Compare(b.stateChangedAt) })
 	for _, conn := range idle[:min(len(idle), count)] {
 		t.requestClose(conn, now)
 	}
 }
 
-// requestClose has an idle connection close, unless something of a request has come. The caller holds the lock.
+// requestClose requests the close of an idle connection, unless a byte of a request has been read. The caller must hold
+// the lock.
 func (t *ConnectionTracker) requestClose(conn *clientConn, now time.Time) {
 	if conn.closeIfIdle(now) {
 		conn.closing = true
@@ -149,15 +150,16 @@
 	}
 }
 
-// warnFull logs what the connections are in use for while no more are accepted. The caller holds the lock.
-func (t *ConnectionTracker) warnFull(now time.Time) {
+// logLimitReached logs the number of connections in each state while no more are accepted. The caller must hold the
+// lock.
+func (t *ConnectionTracker) logLimitReached(now time.Time) {
 	var active, silent, withoutHead int
 	var longest time.Duration
 	for conn := range t.conns {
 		switch {
 		case conn.active:
 			active++
-			longest = max(longest, now.Sub(conn.since))
+			longest = max(longest, now.Sub(conn.stateChangedAt))
 		case !conn.received.Load():
 			silent++
 		case !conn.headReceived:
@@ -169,15 +171,15 @@
 		zap.Int("closing", t.closing))
 }
 
-// halfFull reports whether half of the limit is in use. Answers then end their connections: clients that come by the
-// hundred, send one request and stay would otherwise keep others out for as long as a connection may be idle.
+// halfFull reports whether half of the limit is in use. Connections then close after their responses: hundreds of
+// clients that send one request each and stay connected would otherwise shut out others until the idle timeout.
 func (t *ConnectionTracker) halfFull() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.conns) >= t.maximum/2
+	return len(t.conns) >= t.maxConnections/2
 }
 
-// ConnState follows the connections' states; it is for http.Server.
+// ConnState tracks the states of the connections. It is the ConnState callback of the http.Server.
 func (t *ConnectionTracker) ConnState(c net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +198,7 @@
 	case http.StateActive:
 		conn.active = true
 		conn.headReceived = true
-		conn.since = time.Now()
+		conn.stateChangedAt = time.Now()
 	case http.StateIdle:
 		t.connIdle(conn)
 	case http.StateClosed, http.StateHijacked:
@@ -204,25 +206,25 @@
 	}
 }
 
-// countSilentClose counts a connection that ends without an answer. The caller holds the lock.
+// countSilentClose counts a connection that this node has closed without a response. The caller must hold the lock.
 func (t *ConnectionTracker) countSilentClose(conn *clientConn) {
 	if cause, ok := conn.silentCloseCause(t.stopDraining != nil || t.isClosed()); ok {
 		t.Metrics.CountSilentClose(cause)
 	}
 }
 
-// connIdle takes in that a connection's request is over. The caller holds the lock.
+// connIdle records that the request on a connection has ended. The caller must hold the lock.
 func (t *ConnectionTracker) connIdle(conn *clientConn) {
 	conn.active = false
-	conn.since = time.Now()
+	conn.stateChangedAt = time.Now()
 	conn.head.connectionIdle()
 	conn.requestFinished()
 	if t.closeAfterResponse {
-		t.requestClose(conn, conn.since)
+		t.requestClose(conn, conn.stateChangedAt)
 	}
 }
 
-// remove forgets a connection and wakes Accept. The caller holds the lock.
+// remove removes a connection and wakes Accept. The caller must hold the lock.
 func (t *ConnectionTracker) remove(conn *clientConn) {
 	delete(t.conns, conn)
 	select {
@@ -231,8 +233,8 @@
 	}
 }
 
-// acquireLinger takes one of the few places for connections that are half closed, which only one with an open request
-// needs; releaseLinger gives it back.
+// acquireLinger acquires one of maxLingering slots for half closed connections, and reports whether it did so. Only a
+// connection with an open request may have one. releaseLinger releases the slot.
 func (t *ConnectionTracker) acquireLinger(conn *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,7 +247,7 @@
 
 func (t *ConnectionTracker) releaseLinger() { t.lingering.Add(-1) }
 
-// Pipelined returns how many clients have sent something behind their open requests.
+// Pipelined returns the number of connections on which bytes have been received behind an open request.
 func (t *ConnectionTracker) Pipelined() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -18,22 +18,22 @@
 
 // TestClientDisconnectCancelsAttempt has a client disconnect during its attempt.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	came, gone := make(chan struct{}), make(chan struct{})
+	received, cancelled := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		close(came)
+		close(received)
 		<-r.Context().Done()
-		close(gone)
+		close(cancelled)
 	})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
-		<-came
-		leave()
+		<-received
+		disconnect()
 	}()
 	_, err := http.DefaultClient.Do(n.Chat(ctx, nil))
 	require.ErrorIs(t, err, context.Canceled)
 	select {
-	case <-gone:
+	case <-cancelled:
 	case <-time.After(time.Second):
 		t.Fatal("the attempt is still in flight")
 	}
@@ -52,36 +52,36 @@
 		},
 		"ends its sending": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
 	}
-	more := map[string]int{
+	trailing := map[string]int{
 		"nothing":               0,
 		"one byte":              1,
 		"a request":             20 << 10,
 		"several":               300 << 10,
 		"more than is buffered": 3 << 19,
 	}
-	for how, disconnect := range disconnects {
-		for what, size := range more {
-			t.Run(what+", "+how, func(t *testing.T) {
+	for manner, disconnect := range disconnects {
+		for trailingName, size := range trailing {
+			t.Run(trailingName+", "+manner, func(t *testing.T) {
 				t.Parallel()
 				forwarded := make(chan string, 10)
-				held := testpeer.HoldDials(1)
+				dialer := testpeer.HoldDials(1)
 				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 					forwarded <- r.Header.Get("X-Trace-Id")
-					answerAlways(w, r)
+					respondAlways(w, r)
 				})
-				n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial,
+				n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dialer.Dial,
 					testpeer.Endpoint("s", backend))
 				conn := n.Dial().(*net.TCPConn)
 				_, err := conn.Write(rawRequest(t, n, 10, withHeader("X-Expires-In", "30000m")))
 				require.NoError(t, err)
-				<-held.Connected
+				<-dialer.Connected
 				if size > 0 {
 					_, _ = conn.Write(
 						rawRequest(t, n, size, nil)[:size],
 					) // beyond what is buffered the node may have closed it
 				}
 				disconnect(conn)
-				began := time.Now()
+				disconnectedAt := time.Now()
 				require.Eventually(
 					t,
 					func() bool { return n.Core.OpenRequests() == 0 },
@@ -89,12 +89,12 @@
 					time.Millisecond,
 					"nobody noticed that it left",
 				)
-				require.Less(t, time.Since(began), 500*time.Millisecond)
-				held.Release <- struct{}{}
+				require.Less(t, time.Since(disconnectedAt), 500*time.Millisecond)
+				dialer.Release <- struct{}{}
 				n.WaitForCore()
 				time.Sleep(20 * time.Millisecond) // for what must not come
 				require.Empty(t, forwarded)
-				if how == "ends its sending" {
+				if manner == "ends its sending" {
 					answer, _ := io.ReadAll(conn)
 					require.Empty(t, answer, "nothing that no backend made is its answer")
 				}
@@ -113,27 +113,27 @@
 		"end their sending": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
 	}
 	sizes := map[string]int{"one request": 0, "one byte more": 1, "two requests": 2000, "much more": 30 << 10}
-	for how, disconnect := range disconnects {
-		for what, more := range sizes {
-			t.Run(what+", "+how, func(t *testing.T) {
+	for manner, disconnect := range disconnects {
+		for sizeName, trailing := range sizes {
+			t.Run(sizeName+", "+manner, func(t *testing.T) {
 				t.Parallel()
 				var sent atomic.Int32
-				gate := make(chan struct{}, 1000)
+				accepts := make(chan struct{}, 1000)
 				waitForGate := func(conn net.Conn) net.Conn {
-					<-gate
+					<-accepts
 					return conn
 				}
 				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 					sent.Add(1)
-					answerAlways(w, r)
+					respondAlways(w, r)
 				})
 				n := testpeer.StartWrapped(t, waitForGate, nil, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				complete := func() {
-					gate <- struct{}{}
+					accepts <- struct{}{}
 					conn := n.Dial()
 					_, err := conn.Write(rawRequest(t, n, 10, func(r *http.Request) { r.Close = true }))
 					require.NoError(t, err)
-					status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+					status, _ := readResponse(t, conn, bufio.NewReader(conn))
 					require.Equal(t, http.StatusOK, status)
 				}
 				complete()
@@ -141,8 +141,8 @@
 				for range clients {
 					conn := n.Dial().(*net.TCPConn)
 					request := rawRequest(t, n, 10, nil)
-					if more > 0 {
-						request = append(request, rawRequest(t, n, more, nil)[:more]...)
+					if trailing > 0 {
+						request = append(request, rawRequest(t, n, trailing, nil)[:trailing]...)
 					}
 					_, err := conn.Write(request)
 					require.NoError(t, err)
@@ -150,7 +150,7 @@
 				}
 				time.Sleep(20 * time.Millisecond) // for the kernel to take in the closes
 				for range clients {
-					gate <- struct{}{}
+					accepts <- struct{}{}
 					time.Sleep(time.Millisecond)
 				}
 				complete()
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// drainIdleTime is how long a connection has been idle that is closed while the node is drained by hand. None is
-	// closed earlier than that after the draining began either: its client connects anew at once, and would come back
-	// before the platform's load balancer has noticed.
+	// drainIdleTime is the idle time after which a connection is closed during a manual drain. It is also the time from
+	// the start of the drain to the first close: a client reconnects at once, and would reach this node again before
+	// the platform's load balancer has noticed the drain.
 	drainIdleTime = 400 * time.Millisecond
-	// drainInterval is the time between two looks for such connections.
+	// drainInterval is the time between two searches for such connections.
 	drainInterval = 50 * time.Millisecond
-	// shutdownInterval is the time between two looks for idle connections while the node shuts down.
+	// shutdownInterval is the time between two searches for idle connections during shutdown.
 	shutdownInterval = 10 * time.Millisecond
-	// closeIdleGrace is how long the rest of a request may take to arrive as idle connections are closed.
+	// closeIdleGrace is how long the rest of a request may take to arrive after CloseIdle.
 	closeIdleGrace = 30 * time.Millisecond
 )
 
-// SetDraining starts or stops the draining by hand: idle connections are closed until clients may stay again, or until
-// none is left of a closed tracker. A call that changes nothing does nothing.
+// SetDraining starts or stops a manual drain, during which idle connections are closed. It also ends once the tracker
+// is closed and has no connections left. A call that changes nothing has no effect.
 func (t *ConnectionTracker) SetDraining(draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,8 +36,8 @@
 	}
 }
 
-// closeWhileDraining closes idle connections once the time for it has come. An answer that began before the draining
-// could not say that its connection ends: from then on that ends with the answer.
+// closeWhileDraining closes idle connections from drainIdleTime after the start of the drain. From then on connections
+// also close after their responses, even if those began before the drain and have no "Connection: close" header.
 func (t *ConnectionTracker) closeWhileDraining(started time.Time, stop <-chan struct{}) {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
@@ -56,8 +56,8 @@
 	}
 }
 
-// closeIdleSince has the connections close that have been idle for so long, and returns how many there are in all. It
-// does nothing once stop is closed; nil: it is not.
+// closeIdleSince requests the close of the connections that have been idle for minimumIdle, and returns the number of
+// all connections. It closes none once stop is closed; a nil stop never is.
 func (t *ConnectionTracker) closeIdleSince(now time.Time, minimumIdle time.Duration, stop <-chan struct{}) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,16 +69,16 @@
 	t.closeAfterResponse = true
 	for conn := range t.conns {
 		mayClose := !conn.active && !conn.closing && (conn.headReceived || t.stopDraining != nil)
-		if mayClose && now.Sub(conn.since) >= minimumIdle {
+		if mayClose && now.Sub(conn.stateChangedAt) >= minimumIdle {
 			t.requestClose(conn, now)
 		}
 	}
 	return len(t.conns)
 }
 
-// Drain ends the accepting, and has every connection close on which no request is open, until none is left or ctx ends,
-// whose error it returns then. What has come of a request is read on and answered. A connection on which nothing has
-// come at all may stay until the server shuts it out: its client may be about to send.
+// Drain stops accepting and closes every connection without an open request, until none is left or ctx is done, whose
+// error it then returns. A request of which a byte has been read is read completely and gets a response. A connection
+// on which nothing has been received may stay until the server's read timeout, since its client may be about to send.
 func (t *ConnectionTracker) Drain(ctx context.Context) error {
 	if err := t.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// CloseIdle closes the connections on which no request is open. A request that crosses that is sent again elsewhere;
-// one that came a moment before the process is killed would get no answer. A connection on which something of a request
-// has come gets a moment for the rest.
+// CloseIdle closes the connections without an open request. A client whose request crosses the close sends it again to
+// another node; on an open connection, a request just before the process is killed would get no response. A connection
+// on which a part of a request has been received stays open for closeIdleGrace.
 func (t *ConnectionTracker) CloseIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +109,7 @@
 			conn.stopped = true
 		default:
 			conn.stopped = true
-			_ = conn.Conn.SetReadDeadline(now.Add(closeIdleGrace)) // fails on a closed connection alone
+			_ = conn.Conn.SetReadDeadline(now.Add(closeIdleGrace)) // fails only on a closed connection
 		}
 	}
 }
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -40,33 +40,33 @@
 // bytes have left the socket, and the server has not got them yet. It is answered.
 func TestRequestReadAsConnectionCloses(t *testing.T) {
 	t.Parallel()
-	for name, end := range idleClosers {
+	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			held := testpeer.HoldReads()
+			reads := testpeer.HoldReads()
 			n := testpeer.StartWrapped(
 				t,
-				held.Conn,
+				reads.Conn,
 				nil,
 				testpeer.Settings(),
-				testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
+				testpeer.Endpoint("s", testpeer.Backend(t, respondAlways)),
 			)
 			conn := n.Dial()
 			reader := bufio.NewReader(conn)
 			_, err := conn.Write(rawRequest(t, n, 10, nil))
 			require.NoError(t, err)
-			status, _ := readAnswer(t, conn, reader)
+			status, _ := readResponse(t, conn, reader)
 			require.Equal(t, http.StatusOK, status)
 			time.Sleep(
 				2100 * time.Millisecond,
 			) // until it may be closed for the limit; the tracker has no clock of tests
-			held.HoldNext()
+			reads.HoldNext()
 			_, err = conn.Write(rawRequest(t, n, 20<<10, nil))
 			require.NoError(t, err)
-			<-held.Received
-			end(n)
-			held.Release <- struct{}{}
-			status, _ = readAnswer(t, conn, reader)
+			<-reads.Received
+			closeIdle(n)
+			reads.Release <- struct{}{}
+			status, _ = readResponse(t, conn, reader)
 			require.Equal(t, http.StatusOK, status)
 		})
 	}
@@ -76,32 +76,32 @@
 // the other half is read, and it is answered.
 func TestHalfReadRequestAsConnectionsClose(t *testing.T) {
 	t.Parallel()
-	for name, end := range idleClosers {
+	for name, closeIdle := range idleClosers {
 		if name == "before the kill" { // then there is a moment for the rest, and no more
 			continue
 		}
-		for part, at := range map[string]int{"within its head": 30, "within its body": 5000} {
+		for part, cut := range map[string]int{"within its head": 30, "within its body": 5000} {
 			t.Run(name+", "+part, func(t *testing.T) {
 				t.Parallel()
-				held := testpeer.HoldReads()
+				reads := testpeer.HoldReads()
 				n := testpeer.StartWrapped(
 					t,
-					held.Conn,
+					reads.Conn,
 					nil,
 					testpeer.Settings(),
-					testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
+					testpeer.Endpoint("s", testpeer.Backend(t, respondAlways)),
 				)
 				conn := n.Dial()
 				request := rawRequest(t, n, 20<<10, nil)
-				held.HoldNext()
-				_, err := conn.Write(request[:at])
+				reads.HoldNext()
+				_, err := conn.Write(request[:cut])
 				require.NoError(t, err)
-				<-held.Received
-				held.Release <- struct{}{}
-				end(n)
-				_, err = conn.Write(request[at:])
+				<-reads.Received
+				reads.Release <- struct{}{}
+				closeIdle(n)
+				_, err = conn.Write(request[cut:])
 				require.NoError(t, err)
-				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+				status, _ := readResponse(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 			})
 		}
@@ -112,19 +112,19 @@
 // which nothing had come by then: its request is answered, and Drain ends.
 func TestFirstRequestAfterListenerClosed(t *testing.T) {
 	t.Parallel()
-	held := testpeer.HoldReads()
+	reads := testpeer.HoldReads()
 	n := testpeer.StartWrapped(
 		t,
-		held.Conn,
+		reads.Conn,
 		nil,
 		testpeer.Settings(),
-		testpeer.Endpoint("s", testpeer.Backend(t, answerAlways)),
+		testpeer.Endpoint("s", testpeer.Backend(t, respondAlways)),
 	)
 	conn := n.Dial()
-	<-held.Accepted
+	<-reads.Accepted
 	require.NoError(t, n.Lifecycle.Enter(node.Draining))
-	left := make(chan error, 1)
-	go func() { left <- n.Connections.Drain(t.Context()) }()
+	drained := make(chan error, 1)
+	go func() { drained <- n.Connections.Drain(t.Context()) }()
 	require.Eventually(t, func() bool {
 		late, err := net.Dial("tcp", n.Address)
 		if err == nil {
@@ -134,10 +134,10 @@
 	}, 3*time.Second, time.Millisecond)
 	_, err := conn.Write(rawRequest(t, n, 20<<10, nil))
 	require.NoError(t, err)
-	status, body := readAnswer(t, conn, bufio.NewReader(conn))
+	status, body := readResponse(t, conn, bufio.NewReader(conn))
 	require.Equal(t, http.StatusOK, status)
 	require.Contains(t, body, "[DONE]")
-	require.NoError(t, <-left, "and no connection is left then")
+	require.NoError(t, <-drained, "and no connection is left then")
 }
 
 // TestAnswerUnderWayClosesItsConnection guards an answer that began before the shutdown and could not say that its
@@ -145,29 +145,29 @@
 // on which nothing of its request was read.
 func TestAnswerUnderWayClosesItsConnection(t *testing.T) {
 	t.Parallel()
-	came, release := make(chan struct{}), make(chan struct{})
+	begun, release := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		testpeer.Event(w, "begun")
-		came <- struct{}{}
+		begun <- struct{}{}
 		<-release
 		testpeer.Finish(w)
 	})
 	conn := n.Dial()
 	_, err := conn.Write(rawRequest(t, n, 10, nil))
 	require.NoError(t, err)
-	<-came
+	<-begun
 	reader := bufio.NewReader(conn)
 	response, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
 	require.False(t, response.Close)
-	left := make(chan error, 1)
-	go func() { left <- n.Connections.Drain(t.Context()) }()
+	drained := make(chan error, 1)
+	go func() { drained <- n.Connections.Drain(t.Context()) }()
 	close(release)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	require.Contains(t, string(body), "[DONE]")
-	require.NoError(t, <-left)
+	require.NoError(t, <-drained)
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(time.Second)))
 	_, err = reader.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -1,5 +1,5 @@
-// Package edge is the HTTP front for clients: it decodes chat requests, hands them to the node's core, writes their
-// answers as they come, and tracks the client connections, which it drains on shutdown.
+// Package edge is the HTTP front for clients. It decodes chat requests, submits them to the core of the node and
+// streams the responses. It also tracks the client connections, and drains them on shutdown.
 package edge
 
 import (
@@ -14,19 +14,20 @@
 	"standpoint/internal/node"
 )
 
+// chatPath is the URL path of chat requests.
 const chatPath = "/v1/chat/completions"
 
-// Front serves clients. Its fields are set before Handler is called and stay as they are. It is safe for concurrent
-// use.
+// Front serves clients. Its exported fields are set before Handler is called and do not change afterwards. It is safe
+// for concurrent use.
 type Front struct {
 	Core      *node.Core
 	Lifecycle *node.Lifecycle
-	// Names are the classes and tenants that requests may name at first; SetNames changes them.
+	// Names are the initial names of the classes and tenants in requests; SetNames replaces them.
 	Names config.Names
-	// Bodies bounds the bytes of request bodies that are held at once.
+	// Bodies limits the total bytes of request bodies in memory.
 	Bodies  *node.TenantLimiter
 	Metrics *metrics.Counters
-	// Sessions pauses sessions at tool calls and resumes them with the results; nil if none are kept.
+	// Sessions pauses sessions at tool calls and resumes them with the results; nil disables sessions.
 	Sessions *service.Service
 	Log      *zap.Logger
 
@@ -34,7 +35,7 @@
 	indexes atomic.Pointer[nameIndexes]
 }
 
-// nameIndexes map the names of classes and tenants to the numbers that the decision module has for them.
+// nameIndexes maps the names of classes and tenants to their indexes in the decision module.
 type nameIndexes struct {
 	classes map[string]int
 	tenants map[string]int
@@ -49,7 +50,7 @@
 	return mux
 }
 
-// SetNames changes the names that requests may give, from the next request on.
+// SetNames replaces the names of the classes and tenants, from the next request on.
 func (f *Front) SetNames(names config.Names) {
 	f.indexes.Store(&nameIndexes{classes: indexNames(names.Classes), tenants: indexNames(names.Tenants)})
 	if f.Metrics != nil {
@@ -65,7 +66,7 @@
 	return indexes
 }
 
-// ClassName returns the name of a class by its index; "" if there is none.
+// ClassName returns the name of the class with the given index; "" if there is none.
 func (f *Front) ClassName(class int) string {
 	for name, i := range f.indexes.Load().classes {
 		if i == class {
@@ -75,11 +76,11 @@
 	return ""
 }
 
-// health answers load balancers before this node.
+// health responds to the health checks of load balancers in front of this node.
 func (f *Front) health(w http.ResponseWriter, r *http.Request) {
 	phase := f.Lifecycle.Phase()
-	f.closeUnlessServing(w, r, phase)
-	// While this process hands over, another one of this node serves.
+	f.setConnectionHeader(w, r, phase)
+	// While this process hands over, another process of this node serves.
 	if phase != node.Serving && phase != node.HandingOver {
 		writeError(w, http.StatusServiceUnavailable, "node is "+phase.String())
 		return
@@ -87,13 +88,13 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// closeUnlessServing has an answer end its connection once clients are to go elsewhere: they would go on using those
-// that stay open.
-func (f *Front) closeUnlessServing(w http.ResponseWriter, r *http.Request, phase node.Phase) {
+// setConnectionHeader makes the response close its connection if clients are to use other nodes: they would keep using
+// connections that stay open.
+func (f *Front) setConnectionHeader(w http.ResponseWriter, r *http.Request, phase node.Phase) {
 	conn, tracked := clientConnOf(r)
 	switch {
 	case phase <= node.Serving:
-	case tracked && conn.pipelined(): // the next request has come already: it would be read and not answered
+	case tracked && conn.pipelined(): // the next request has been read already, and would get no response
 		w.Header().Del("Connection")
 	default:
 		w.Header().Set("Connection", "close")
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -56,7 +56,7 @@
 		}
 		_, body, err := readBody(httptest.NewRecorder(), r)
 		if err == nil {
-			body.bound(&request)
+			body.boundLengths(&request)
 		}
 		for _, tokens := range []float64{request.PromptTokens, request.PrefixTokens, request.MaxTokens} {
 			if math.IsNaN(tokens) || tokens < 0 || tokens > maxOutputTokens {
--- a/internal/edge/headers.go
+++ b/internal/edge/headers.go
@@ -12,6 +12,7 @@
 	"standpoint"
 )
 
+// Headers of chat requests.
 const (
 	traceHeader       = "X-Trace-Id"
 	classHeader       = "X-Qos"
@@ -21,33 +22,34 @@
 	lengthsHeader     = "X-Props"
 	retryHeader       = "X-Second-Try"
 	contentTypeHeader = "Content-Type"
-	// A request with resumeHeader resumes a paused session, and one with cancelHeader too cancels it. Their bodies hold
-	// the messages of the tools alone.
+	// resumeHeader names the paused session that a request resumes. The body has only the messages of the tools.
 	resumeHeader = "X-Resume"
+	// cancelHeader with the value 1, beside resumeHeader, cancels the session instead.
 	cancelHeader = "X-Resume-Cancel"
 )
 
 const (
-	// maxClientTimeout is the longest that a client may state that it waits.
+	// maxClientTimeout is the maximum timeout that a client may state.
 	maxClientTimeout = time.Hour
-	// responseMargin is how long before the client gives up its answer comes.
+	// responseMargin is how long before the client's timeout the response is due.
 	responseMargin = 10 * time.Millisecond
 )
 
-// requestHeaders are the headers that tell what a request is; none may stand twice.
+// requestHeaders are the headers that describe a request. None may be repeated.
 var requestHeaders = []string{
 	traceHeader, classHeader, tenantHeader, sessionHeader, expiryHeader, lengthsHeader, retryHeader, contentTypeHeader,
 	resumeHeader, cancelHeader,
 }
 
-var traceForm = regexp.MustCompile(`^[0-9A-Za-z._-]{1,64}$`)
+// traceIDPattern matches a valid value of traceHeader.
+var traceIDPattern = regexp.MustCompile(`^[0-9A-Za-z._-]{1,64}$`)
 
-// malformedHeader returns the error of a request with a wrong header.
+// malformedHeader returns the error of a request with a malformed header.
 func malformedHeader(header, what string) error {
 	return &requestError{http.StatusBadRequest, header + ": " + what}
 }
 
-// decode reads the headers of a request that began to be served at a time. The error is a *requestError.
+// decode decodes the headers of a request that arrived at began. The error is a *requestError.
 func (f *Front) decode(r *http.Request, began time.Time) (standpoint.Request, error) {
 	var request standpoint.Request
 	if err := checkHeaders(r); err != nil {
@@ -77,7 +79,7 @@
 	return request, nil
 }
 
-// checkHeaders checks the headers whose values do not depend on the settings.
+// checkHeaders makes the checks of the headers that do not depend on the settings.
 func checkHeaders(r *http.Request) error {
 	if r.ContentLength < 0 && !plainChunks(r) {
 		return malformedHeader("Content-Length", "beside a Transfer-Encoding")
@@ -87,13 +89,13 @@
 			return malformedHeader(name, "repeated")
 		}
 	}
-	if !traceForm.MatchString(r.Header.Get(traceHeader)) {
+	if !traceIDPattern.MatchString(r.Header.Get(traceHeader)) {
 		return malformedHeader(traceHeader, "missing, or not 1 to 64 letters, digits, dots, dashes and underscores")
 	}
 	return nil
 }
 
-// decodeNames looks up the request's class and tenant. Where no tenants are configured any name is taken.
+// decodeNames looks up the request's class and tenant. If no tenants are configured, any tenant name is valid.
 func (f *Front) decodeNames(header http.Header, request *standpoint.Request) error {
 	indexes := f.indexes.Load()
 	var ok bool
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// decodeLengths reads the prefix and the lengths that a client states of its request. Unknown names are passed over.
+// decodeLengths decodes the prefix and the lengths that a client states for its request. Unknown names are ignored.
 func decodeLengths(value string, request *standpoint.Request) error {
 	var err error
 	for _, property := range strings.Split(value, ",") {
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// parseKey reads a hexadecimal number; 0 if it is left out.
+// parseKey parses a hexadecimal number; an empty string is 0.
 func parseKey(s string) (uint64, error) {
 	if s == "" {
 		return 0, nil
@@ -136,16 +138,17 @@
 	return strconv.ParseUint(s, 16, 64)
 }
 
-// parseTokens reads a number of tokens. One that is not a number, or out of bounds, must not reach the decision module.
+// parseTokens parses a number of tokens. NaN and values outside of 0 to maximum are errors: they must not reach the
+// decision module.
 func parseTokens(s string, maximum float64) (float64, error) {
 	n, err := strconv.ParseFloat(s, 64)
-	if err == nil && !(n >= 0 && n <= maximum) { // so that NaN is out of bounds too
+	if err == nil && !(n >= 0 && n <= maximum) { // a form that NaN fails too
 		err = strconv.ErrRange
 	}
 	return n, err
 }
 
-// parseTimeout reads a positive number with its unit: m for milliseconds, u for microseconds.
+// parseTimeout parses a positive integer with a unit: m for milliseconds, u for microseconds.
 func parseTimeout(s string) (time.Duration, error) {
 	if s == "" {
 		return 0, errors.New("missing")
--- a/internal/edge/helpers_test.go
+++ b/internal/edge/helpers_test.go
@@ -27,16 +27,16 @@
 	return raw.Bytes()
 }
 
-// readAnswer reads a complete answer, which has to come within 5 s.
-func readAnswer(t *testing.T, conn net.Conn, reader *bufio.Reader) (status int, body string) {
+// readResponse reads a complete answer, which has to come within 5 s.
+func readResponse(t *testing.T, conn net.Conn, reader *bufio.Reader) (status int, body string) {
 	t.Helper()
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
 	response, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err, "closed without an answer")
 	defer response.Body.Close()
-	all, err := io.ReadAll(response.Body)
+	raw, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	return response.StatusCode, string(all)
+	return response.StatusCode, string(raw)
 }
 
 // readStatus reads a complete answer, which has to come within 3 s, and returns its status.
@@ -72,8 +72,8 @@
 	}
 }
 
-// answerAlways is a backend that answers every request.
-func answerAlways(w http.ResponseWriter, r *http.Request) {
+// respondAlways is a backend that answers every request.
+func respondAlways(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	testpeer.Event(w, "whole")
 	testpeer.Finish(w)
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -21,8 +21,8 @@
 // failed, broken off, retried, and a client that disconnected; an attempt counts once its last byte is written, long
 // before it ends.
 func TestMetricsAgreeWithClientsAndBackends(t *testing.T) {
-	hold, release := make(chan struct{}), make(chan struct{})
-	n := startWithBackend(t, scriptedBackend(hold, release))
+	received, release := make(chan struct{}), make(chan struct{})
+	n := startWithBackend(t, scriptedBackend(received, release))
 	counts := func(success, busy, failure, attempts, open int) string {
 		return fmt.Sprintf("app.calls.chat.success=%d\napp.calls.chat.busy=%d\napp.calls.chat.failure=%d\n"+
 			"app.backend_calls=%d\napp.inflight=%d\n"+
@@ -46,15 +46,15 @@
 	require.Equal(t, http.StatusBadRequest, status)
 	requireMetrics(counts(5, 0, 3, 7, 0))
 	ctx, disconnect := context.WithCancel(t.Context())
-	gone := make(chan error, 1)
+	disconnected := make(chan error, 1)
 	go func() {
 		_, err := http.DefaultClient.Do(n.Chat(ctx, withTraceID("held")))
-		gone <- err
+		disconnected <- err
 	}()
-	<-hold
+	<-received
 	requireMetrics(counts(5, 0, 3, 8, 1))
 	disconnect()
-	require.Error(t, <-gone)
+	require.Error(t, <-disconnected)
 	requireMetrics(counts(5, 0, 3, 8, 0))
 	close(release)
 	acquireAll := func() bool { return n.Bodies.Acquire(0, 8<<20) }
@@ -116,10 +116,10 @@
 	count := func(cause metrics.SilentCloseCause) func() bool {
 		return func() bool { return n.Metrics.SilentCloseCount(cause) >= 1 }
 	}
-	own := n.Dial()
-	require.NoError(t, own.Close())
-	late := n.Dial()
-	_, err := late.Write([]byte("GET /_health HTTP/1.1\r\nHost:"))
+	closedByClient := n.Dial()
+	require.NoError(t, closedByClient.Close())
+	incomplete := n.Dial()
+	_, err := incomplete.Write([]byte("GET /_health HTTP/1.1\r\nHost:"))
 	require.NoError(t, err)
 	require.Eventually(t, count(metrics.SlowHeader), 10*time.Second, time.Millisecond)
 	n.Connections.Resize(1)
--- a/internal/edge/pipelining_test.go
+++ b/internal/edge/pipelining_test.go
@@ -31,18 +31,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came, release := make(chan struct{}, len(test.sizes)), make(chan struct{})
+			received, release := make(chan struct{}, len(test.sizes)), make(chan struct{})
 			n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
-				came <- struct{}{}
+				received <- struct{}{}
 				<-release
-				answerAlways(w, r)
+				respondAlways(w, r)
 			})
 			conn := n.Dial()
 			reader := bufio.NewReader(conn)
 			_, err := conn.Write(rawRequest(t, n, test.sizes[0], nil))
 			require.NoError(t, err)
-			<-came
+			<-received
 			sent := make(chan error, 1)
 			go func() {
 				var all []byte
@@ -57,21 +57,21 @@
 				}
 				sent <- nil
 			}()
-			left := make(chan error, 1)
+			drained := make(chan error, 1)
 			if test.ending {
 				require.NoError(t, <-sent)
 				pipelined := func() bool { return n.Connections.Pipelined() == 1 }
 				require.Eventually(t, pipelined, time.Second, time.Millisecond)
 				require.NoError(t, n.Lifecycle.Enter(node.Draining))
-				go func() { left <- n.Connections.Drain(t.Context()) }()
+				go func() { drained <- n.Connections.Drain(t.Context()) }()
 			}
 			close(release)
 			for range test.sizes {
-				status, _ := readAnswer(t, conn, reader)
+				status, _ := readResponse(t, conn, reader)
 				require.Equal(t, http.StatusOK, status)
 			}
 			if test.ending {
-				require.NoError(t, <-left)
+				require.NoError(t, <-drained)
 			} else {
 				require.NoError(t, <-sent)
 			}
@@ -97,7 +97,7 @@
 	_, err = conn.Write(bytes.Repeat([]byte("z"), 300<<10)) // more than is read ahead
 	require.NoError(t, err)
 	time.Sleep(100 * time.Millisecond) // it takes its time
-	status, body := readAnswer(t, conn, bufio.NewReader(conn))
+	status, body := readResponse(t, conn, bufio.NewReader(conn))
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, events, strings.Count(body, "yyy\""))
 	require.Contains(t, body, "[DONE]")
--- a/internal/edge/read_ahead.go
+++ b/internal/edge/read_ahead.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	readAheadSize = 4 << 10 // of one read
-	// maxConnReadAhead is how many bytes are read of what one client sends behind an open request; one that sends more
-	// does not wait for its answer.
+	// readAheadSize is the buffer size of one read, in bytes.
+	readAheadSize = 4 << 10
+	// maxConnReadAhead is the maximum number of bytes to read behind an open request. A client that sends more does not
+	// wait for its response, and is treated as disconnected.
 	maxConnReadAhead = 1 << 20
-	// maxTotalReadAhead is the same of all clients; beyond it nothing is read ahead.
+	// maxTotalReadAhead is the number of buffered bytes of all clients from which no more is read ahead.
 	maxTotalReadAhead = 8 << 20
 )
 
-// startReadAhead starts to read what comes behind an open request.
+// startReadAhead starts to read what the client sends behind an open request.
 func (c *clientConn) startReadAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,14 +34,15 @@
 	}()
 }
 
-// readAhead reads until the client disconnects, or is taken to have done so, or its request is over.
+// readAhead reads until the client disconnects, exceeds maxConnReadAhead, or its request has ended, or until
+// maxTotalReadAhead is reached.
 func (c *clientConn) readAhead() {
 	b := make([]byte, readAheadSize)
 	for total := 0; c.tracker.bufferedBytes.Load() < maxTotalReadAhead; {
 		n, err := transient.Read(c.Conn, b)
 		c.tracker.bufferedBytes.Add(int64(n))
 		total += n
-		stopped := errors.Is(err, os.ErrDeadlineExceeded) // by stopReadAhead, or by the server, whose request is over
+		stopped := errors.Is(err, os.ErrDeadlineExceeded) // by stopReadAhead, or by the server after the request
 		c.mu.Lock()
 		c.buffered = append(c.buffered, b[:n]...)
 		if err != nil && !stopped {
@@ -51,14 +53,14 @@
 		case stopped:
 			return
 		case err != nil || total > maxConnReadAhead:
-			c.noteReadError(err)
+			c.recordReadError(err)
 			c.notifyDisconnect()
 			return
 		}
 	}
 }
 
-// stopReadAhead ends the reading ahead, if there is any, and waits for its end.
+// stopReadAhead stops the goroutine that reads ahead, if there is one, and waits until it has ended.
 func (c *clientConn) stopReadAhead() {
 	c.mu.Lock()
 	done := c.readAheadDone
@@ -66,18 +68,18 @@
 		c.mu.Unlock()
 		return
 	}
-	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // one that is past; fails on a closed connection alone
+	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // in the past; fails only on a closed connection
 	c.mu.Unlock()
 	<-done
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAheadDone = nil
-	if !c.closeRequested { // else the deadline is past, and is to be
+	if !c.closeRequested { // otherwise the deadline must stay in the past
 		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// readBuffered returns what was read ahead.
+// readBuffered reads from the bytes that were read ahead, and after them returns the error that ended the reading.
 func (c *clientConn) readBuffered(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,14 +96,14 @@
 	return n, nil
 }
 
-// pipelined reports whether the client has sent something behind its open request.
+// pipelined reports whether the client has sent bytes behind its open request.
 func (c *clientConn) pipelined() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readAheadDone != nil || len(c.buffered) > 0
 }
 
-// discardBuffered drops what was read ahead; nobody will read it.
+// discardBuffered drops the bytes that were read ahead when the connection closes.
 func (c *clientConn) discardBuffered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/request_head.go
+++ b/internal/edge/request_head.go
@@ -6,39 +6,40 @@
 	"sync"
 )
 
-// headParser follows the head of a request as it is read from the connection. net/http drops a Content-Length that
-// stands beside a Transfer-Encoding, so that the pair, which may smuggle a second request in the body, cannot be told
-// from chunks alone by what it hands on.
+// headParser parses the head of a request as it is read from the connection. A request with both Content-Length and
+// Transfer-Encoding may smuggle a second request in its body. net/http drops the Content-Length of such a request, so
+// that it cannot be distinguished from a properly chunked one afterwards.
 type headParser struct {
 	mu sync.Mutex // guards headState
 	headState
 }
 
-// headState is what is known of the head so far.
+// headState is the state of the parser.
 type headState struct {
-	line              []byte // the present line up to its colon, as far as it may matter
-	colonSeen         bool   // in the present line
-	lineStarted       bool   // the present line has any byte
-	requestLine       string // up to its colon, as far as it may matter
-	contentLength     bool   // there is such a line
-	transferEncoding  bool   // there is such a line
-	complete          bool   // the empty line has come
-	startedBeforeIdle bool   // it began before the server had its connection idle
+	line              []byte // the current line up to its colon, at most maxHeaderNameLength bytes
+	colonSeen         bool   // the current line has had a colon
+	lineStarted       bool   // the current line is not empty
+	requestLine       string // the request line up to its first colon, at most maxHeaderNameLength bytes
+	contentLength     bool   // the head has a Content-Length
+	transferEncoding  bool   // the head has a Transfer-Encoding
+	complete          bool   // the empty line at the end of the head has been read
+	startedBeforeIdle bool   // the head may have started before the server marked the connection idle
 }
 
-// maxHeaderNameKept is how much of a line is kept: more than that is none of the names that are looked for.
-const maxHeaderNameKept = len("transfer-encoding") + 1
+// maxHeaderNameLength is the number of bytes stored of a line: one more than the longest header name that the parser
+// looks for, so that longer names do not match.
+const maxHeaderNameLength = len("transfer-encoding") + 1
 
-// requestComplete tells that all of the request has been read: the next byte is another's. The client may send that as
-// soon as it has the answer, before the server has the connection idle.
+// requestComplete resets the parser once a request has been read completely: the next byte belongs to another request.
+// The client may send that as soon as it has the response, before the server marks the connection idle.
 func (h *headParser) requestComplete() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.headState = headState{line: h.line[:0], startedBeforeIdle: true}
 }
 
-// connectionIdle tells that the server has the connection idle; what came of a request that was not read completely is
-// over then.
+// connectionIdle is called when the server marks the connection idle. It resets the parser if the request before was
+// not read completely.
 func (h *headParser) connectionIdle() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +49,7 @@
 	h.startedBeforeIdle = false
 }
 
-// observe takes in bytes that were read.
+// observe parses the next bytes of the connection.
 func (h *headParser) observe(read []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -64,17 +65,17 @@
 			h.lineStarted = true
 		default:
 			h.lineStarted = true
-			if !h.colonSeen && len(h.line) < maxHeaderNameKept {
+			if !h.colonSeen && len(h.line) < maxHeaderNameLength {
 				h.line = append(h.line, c)
 			}
 		}
 	}
 }
 
-// endLine takes in a line.
+// endLine parses the end of a line.
 func (h *headParser) endLine() {
 	switch line := string(h.line); {
-	case !h.lineStarted: // before the request line an empty one means nothing
+	case !h.lineStarted: // empty lines before the request line are ignored
 		h.complete = h.requestLine != ""
 	case h.requestLine == "":
 		h.requestLine = line
@@ -87,16 +88,17 @@
 	h.lineStarted = false
 }
 
-// requestComplete tells the connection that all of a request has been read.
+// requestComplete resets the head parser of the request's connection once the request has been read completely.
 func requestComplete(r *http.Request) {
 	if conn, ok := clientConnOf(r); ok {
 		conn.head.requestComplete()
 	}
 }
 
-// plainChunks reports whether a request's body comes in chunks, and nothing else states its length. The head must have
-// been observed from its first byte on: of one that came behind another request's body nothing is known, and a part of
-// it does not begin with a request line, which no other line of a good head can be taken for.
+// plainChunks reports whether a request's body is chunked and its head has no Content-Length. It returns false unless
+// the parser has observed the head from its first byte: a head whose start was read together with the body of the
+// request before it is not known completely. The parser's first line is then not the request line, and no header line
+// of a valid head is a prefix of the request line.
 func plainChunks(r *http.Request) bool {
 	conn, ok := clientConnOf(r)
 	if !ok {
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -127,10 +127,10 @@
 // TestRequestBodyBytesAreBounded guards the memory for the bodies of requests that wait: beyond it a request is
 // rejected at once with a Retry-After. Bodies that are announced and do not come take nothing.
 func TestRequestBodyBytesAreBounded(t *testing.T) {
-	came := make(chan struct{}, 3)
+	received := make(chan struct{}, 3)
 	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		came <- struct{}{}
+		received <- struct{}{}
 		<-r.Context().Done()
 	})
 	n.Bodies.SetCapacity(500<<10, 1)
@@ -142,19 +142,19 @@
 		_, err := n.Dial().Write([]byte(rawHead("a") + "Content-Length: 200000\r\n\r\n{"))
 		require.NoError(t, err)
 	}
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	for range 2 {
 		go func() {
 			if response, err := http.DefaultClient.Do(large(ctx)); err == nil {
 				response.Body.Close()
 			}
 		}()
-		<-came
+		<-received
 	}
 	status, header, _, _ := n.Do(large(t.Context()))
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
-	leave()
+	disconnect()
 	require.Eventually(t, func() bool { return n.Bodies.InUse() == 0 }, 5*time.Second, time.Millisecond)
 }
 
@@ -182,13 +182,13 @@
 			require.NoError(t, err)
 		}
 	}
-	answered := func() int { return readStatus(t, conn, reader) }
+	responseStatus := func() int { return readStatus(t, conn, reader) }
 	for i, piece := range []int{1, 7, 1000} {
 		write(head(fmt.Sprint("chunks-", i), "Transfer-Encoding: chunked\r\n")+chunks, piece)
-		require.Equal(t, http.StatusOK, answered())
+		require.Equal(t, http.StatusOK, responseStatus())
 		require.Equal(t, body, <-bodies)
 		write(head(fmt.Sprint("length-", i), fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body, piece)
-		require.Equal(t, http.StatusOK, answered())
+		require.Equal(t, http.StatusOK, responseStatus())
 		require.Equal(t, body, <-bodies)
 	}
 	both := head("both", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + chunks
@@ -196,16 +196,16 @@
 		conn = n.Dial()
 		reader = bufio.NewReader(conn)
 		write(both, piece+1)
-		require.Equal(t, http.StatusBadRequest, answered())
+		require.Equal(t, http.StatusBadRequest, responseStatus())
 	}
 	conn = n.Dial()
 	reader = bufio.NewReader(conn)
 	cut := strings.Index(both, "Transfer")
 	write(head("first", fmt.Sprintf("Content-Length: %d\r\n", len(body)))+body+both[:cut], 1000)
-	require.Equal(t, http.StatusOK, answered())
+	require.Equal(t, http.StatusOK, responseStatus())
 	<-bodies
 	write(both[cut:], 1000)
-	require.Equal(t, http.StatusBadRequest, answered())
+	require.Equal(t, http.StatusBadRequest, responseStatus())
 	require.Empty(t, bodies)
 }
 
@@ -213,9 +213,9 @@
 // the server may read before it has the connection idle. Here the first byte comes even before the answer's end; the
 // request is answered as any other.
 func TestNextRequestBeforeConnectionIsIdle(t *testing.T) {
-	came, release := make(chan struct{}, 9), make(chan struct{})
+	received, release := make(chan struct{}, 9), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
-		came <- struct{}{}
+		received <- struct{}{}
 		testpeer.Event(w, "x")
 		<-release
 		testpeer.Finish(w)
@@ -230,26 +230,26 @@
 			_, err := io.WriteString(conn, text)
 			require.NoError(t, err)
 		}
-		answered := func() int { return readStatus(t, conn, reader) }
+		responseStatus := func() int { return readStatus(t, conn, reader) }
 		next := rawHead(fmt.Sprint("next-", i)) + chunks
 		if first == "GET" {
 			write("GET /_health HTTP/1.1\r\nHost: n\r\n\r\n")
-			require.Equal(t, http.StatusOK, answered())
+			require.Equal(t, http.StatusOK, responseStatus())
 			write(next)
 		} else {
 			write(rawHead(fmt.Sprint("first-", i)) + first)
-			<-came
+			<-received
 			write(next[:1])
 			time.Sleep(50 * time.Millisecond) // for the server to read it by now; if it does not, this proves nothing
 			release <- struct{}{}
-			require.Equal(t, http.StatusOK, answered())
+			require.Equal(t, http.StatusOK, responseStatus())
 			write(next[1:])
 		}
 		select {
-		case <-came:
+		case <-received:
 			release <- struct{}{}
 		case <-time.After(2 * time.Second): // it was rejected: the answer says how
 		}
-		require.Equal(t, http.StatusOK, answered())
+		require.Equal(t, http.StatusOK, responseStatus())
 	}
 }
--- a/internal/edge/response.go
+++ b/internal/edge/response.go
@@ -9,15 +9,15 @@
 	"standpoint/internal/metrics"
 )
 
-// requestError is what is wrong with a request that is answered at once and not forwarded.
+// requestError is the fault of a request that is rejected at once and not forwarded.
 type requestError struct {
-	status  int
-	message string // what the client is told; names the header, if it is one
+	status  int    // HTTP status of the response
+	message string // error message for the client; names the faulty header, if the fault is in one
 }
 
 func (e *requestError) Error() string { return e.message }
 
-// cause returns what the request is counted under.
+// cause returns the cause under which the request is counted.
 func (e *requestError) cause() metrics.UnsentCause {
 	switch e.status {
 	case http.StatusConflict:
@@ -28,7 +28,7 @@
 	return metrics.Malformed
 }
 
-// writeError writes an error in the form that clients of the chat API read.
+// writeError responds with an error in the format of the chat API.
 func writeError(w http.ResponseWriter, status int, message string) {
 	var body struct {
 		Error struct {
@@ -41,20 +41,20 @@
 	if status >= 500 || status == http.StatusTooManyRequests {
 		body.Error.Type = "server_error"
 	}
-	raw, _ := json.Marshal(body) // two strings: cannot fail
+	raw, _ := json.Marshal(body) // a struct of two strings cannot fail
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // a client that does not take it has gone
+	_, _ = w.Write(raw) // fails only if the client has disconnected
 }
 
-// writeRejection sheds a request that nothing ran of; 0 leaves open when the client should retry.
+// writeRejection rejects a request of which nothing ran. A retryAfter of 0 does not state when the client should retry.
 func writeRejection(w http.ResponseWriter, retryAfter time.Duration) {
 	setRetryAfter(w, retryAfter)
 	writeError(w, http.StatusServiceUnavailable, "turned down; trying again is harmless")
 }
 
-// setRetryAfter tells the client when to retry, in seconds to the millisecond; 0 leaves it out.
+// setRetryAfter sets the Retry-After header, in seconds with three decimals; 0 omits it.
 func setRetryAfter(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/edge/retry_test.go
+++ b/internal/edge/retry_test.go
@@ -78,9 +78,9 @@
 		_, _ = io.Copy(io.Discard, r.Body) // only then does the server notice a close
 		<-r.Context().Done()
 	})
-	began := time.Now()
+	start := time.Now()
 	status, header, _, _ := n.Do(n.Chat(t.Context(), withHeader("X-Expires-In", "300000u")))
-	require.Less(t, time.Since(began), 350*time.Millisecond, "the client's 300 ms and the protocol's slack of 50 ms")
+	require.Less(t, time.Since(start), 350*time.Millisecond, "the client's 300 ms and the protocol's slack of 50 ms")
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
 }
@@ -106,10 +106,10 @@
 // TestRefusedConnectionIsRetried has no server listen where two backends are listed: nothing ran, and the others are
 // tried at once.
 func TestRefusedConnectionIsRetried(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	dead := l.Addr().String()
-	l.Close()
+	dead := listener.Addr().String()
+	listener.Close()
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", dead), testpeer.Endpoint("b", dead),
 		testpeer.Endpoint("c", testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 			testpeer.Event(w, "c")
@@ -134,8 +134,8 @@
 		testpeer.Event(w, "x")
 		testpeer.Finish(w)
 	}
-	seen, logs := observer.New(zap.InfoLevel)
-	n := testpeer.StartLogged(t, zap.New(seen), testpeer.Settings(),
+	logCore, logs := observer.New(zap.InfoLevel)
+	n := testpeer.StartLogged(t, zap.New(logCore), testpeer.Settings(),
 		testpeer.Endpoint("a", testpeer.Backend(t, server)), testpeer.Endpoint("b", testpeer.Backend(t, server)))
 	const poison = `{"messages":["poison"]}`
 	for range 10 {
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// requestReadTimeout is how long a request may take to arrive, head and body. A client that takes longer is shut
-	// out: an answer or a close is owed within 3 s.
+	// requestReadTimeout is how long a request, head and body, may take to arrive. The connection of a slower client is
+	// closed: clients are due a response or a close within 3 s.
 	requestReadTimeout = 2500 * time.Millisecond
-	idleTimeout        = 5 * time.Second // how long a client connection is kept between requests
-	maxHeaderBytes     = 16 << 10
+	// idleTimeout is how long a client connection may be idle between requests.
+	idleTimeout = 5 * time.Second
+	// maxHeaderBytes is the maximum size of a request's head, in bytes.
+	maxHeaderBytes = 16 << 10
 )
 
-// clientConnKey is the context key of the connection that a request came on.
+// clientConnKey is the context key of the client connection on which a request arrived.
 type clientConnKey struct{}
 
-// clientConnOf returns the tracked connection that a request came on; false if it came on none.
+// clientConnOf returns the tracked client connection on which a request arrived; false if it is not tracked.
 func clientConnOf(r *http.Request) (*clientConn, bool) {
 	conn, ok := r.Context().Value(clientConnKey{}).(*clientConn)
 	return conn, ok
 }
 
-// NewServer creates the server of the connections that the tracker accepts. A request's context ends as soon as its
-// client has disconnected.
+// NewServer creates the HTTP server for the connections that the tracker accepts. The context of a request is cancelled
+// as soon as its client has disconnected.
 func NewServer(handler http.Handler, tracker *ConnectionTracker, log *zap.Logger) *http.Server {
 	return &http.Server{
 		Handler:        trackRequests(handler, tracker),
@@ -42,8 +44,8 @@
 	}
 }
 
-// trackRequests has a request's context end when its client disconnects, and its connection end with the answer when
-// many connections are open.
+// trackRequests cancels the context of a request when its client disconnects, and closes its connection after the
+// response when many connections are open.
 func trackRequests(handler http.Handler, tracker *ConnectionTracker) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body == http.NoBody {
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -8,9 +8,9 @@
 	"standpoint/internal/node"
 )
 
-// handleSession prepares a request that has to do with sessions: it makes the resumption of one that names a session,
-// and has the answer inspected of one that offers tools. It reports whether the request has been answered already.
-func (f *Front) handleSession(w http.ResponseWriter, r *http.Request, request *node.Request) (answered bool) {
+// handleSession prepares the session handling of a request. A request that names a session becomes its resumption, and
+// the response to one that offers tools is inspected. It reports whether it has responded to the request itself.
+func (f *Front) handleSession(w http.ResponseWriter, r *http.Request, request *node.Request) (responded bool) {
 	key := r.Header.Get(resumeHeader)
 	switch {
 	case key == "" && f.Sessions != nil && f.Sessions.InspectsResponse(request.Work.Body):
@@ -30,7 +30,7 @@
 	return f.resumeSession(w, r, request, key)
 }
 
-// cancelSession answers a request that cancels a session.
+// cancelSession cancels a session and responds to the request for it.
 func (f *Front) cancelSession(w http.ResponseWriter, r *http.Request, key string) {
 	if err := f.Sessions.Cancel(r.Context(), key); err != nil {
 		f.writeSessionError(w, r, err)
@@ -40,14 +40,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// resumeSession makes the request that resumes a session. It reports whether the request has been answered, since that
-// session cannot be resumed.
+// resumeSession turns the request into one that resumes a session. It reports whether it has responded to the request
+// because the session cannot be resumed.
 func (f *Front) resumeSession(
 	w http.ResponseWriter,
 	r *http.Request,
 	request *node.Request,
 	key string,
-) (answered bool) {
+) (responded bool) {
 	traceID := r.Header.Get(traceHeader)
 	resumed, err := f.Sessions.Resume(r.Context(), key, traceID, request.Spec.Tenant, request.Work.Body)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return false
 }
 
-// writeSessionError answers a request for a session that cannot go on now, or ever.
+// writeSessionError responds to a request for a session that cannot be resumed or cancelled, for now or for good.
 func (f *Front) writeSessionError(w http.ResponseWriter, r *http.Request, err *service.RequestError) {
 	if err.Status >= 500 || err.RetryAfter > 0 {
 		f.countUnsent(r, metrics.Rejected)
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -47,9 +47,9 @@
 // TestCloseIdleKeepsOpenRequests closes the connections without a request, silent ones too; one with a request gets its
 // answer.
 func TestCloseIdleKeepsOpenRequests(t *testing.T) {
-	release, came := make(chan struct{}), make(chan struct{})
+	release, received := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
-		close(came)
+		close(received)
 		<-release
 		testpeer.Event(w, "hello")
 		testpeer.Finish(w)
@@ -57,7 +57,7 @@
 	silent, busy := n.Dial(), n.Dial()
 	r := n.Chat(t.Context(), nil)
 	require.NoError(t, r.Write(busy))
-	<-came
+	<-received
 	n.Connections.CloseIdle()
 	_, err := silent.Read(make([]byte, 1))
 	require.Error(t, err)
@@ -75,13 +75,13 @@
 	for _, resume := range []bool{true, false} {
 		settings := testpeer.Settings()
 		settings.Resume = resume
-		release, came := make(chan struct{}), make(chan struct{}, 2)
+		release, received := make(chan struct{}), make(chan struct{}, 2)
 		n := testpeer.Start(
 			t,
 			settings,
 			testpeer.Endpoint("s", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
-				came <- struct{}{}
+				received <- struct{}{}
 				if r.Header.Get("X-Trace-Id") == "waits" {
 					<-r.Context().Done()
 					return
@@ -98,8 +98,8 @@
 		require.NoError(t, err)
 		defer begun.Body.Close()
 		go func() {
-			<-came
-			<-came
+			<-received
+			<-received
 			n.Core.HandBack(true)
 		}()
 		status, header, _, _ := n.Do(n.Chat(t.Context(), withTraceID("waits")))
--- a/internal/edge/stream.go
+++ b/internal/edge/stream.go
@@ -9,15 +9,15 @@
 	"standpoint/internal/node"
 )
 
-// clientWriteTimeout is how long a client may keep its answer waiting, in all.
+// clientWriteTimeout is the total time for which a client may stall its response.
 const clientWriteTimeout = 4 * time.Second
 
-// clientStream writes the answer of one request to its client.
+// clientStream writes the response of one request to its client.
 type clientStream struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	conn    *clientConn // nil if the connection is not tracked
-	chunked bool        // the client takes chunks
+	w               http.ResponseWriter
+	control         *http.ResponseController
+	conn            *clientConn // nil if the connection is not tracked
+	supportsChunked bool        // the client's HTTP version has chunked transfer coding
 	writeAllowance
 }
 
@@ -27,11 +27,11 @@
 	_ node.Detacher           = (*clientStream)(nil)
 )
 
-// writeAllowance is what is left of the time that a client may keep its answer waiting. It is one for the whole
-// answer: a client could use up a new one with each event.
+// writeAllowance tracks how much of clientWriteTimeout a client has used. One allowance covers the whole response: with
+// a timeout for each event, a slow client could occupy a backend without limit.
 type writeAllowance struct{ used time.Duration }
 
-// spend writes within what is left.
+// spend runs write with a deadline at the end of the remaining allowance, and charges the time if the client stalled.
 func (a *writeAllowance) spend(setDeadline func(time.Time) error, write func() error) error {
 	start := time.Now()
 	_ = setDeadline(start.Add(clientWriteTimeout - a.used)) // fails only on a connection on which the write fails too
@@ -45,15 +45,15 @@
 // Disconnected implements node.DisconnectDetector.
 func (s *clientStream) Disconnected() bool { return s.conn != nil && s.conn.disconnected() }
 
-// Begin implements node.ClientConnection: it writes the head of the answer.
+// Begin implements node.ClientConnection: it writes the head of the response.
 func (s *clientStream) Begin() error {
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.WriteHeader(http.StatusOK)
 	return nil
 }
 
-// Event implements node.ClientConnection. It flushes at once, since an event that waits in a buffer is late, and blocks
-// on a client that does not read, which occupies a backend meanwhile.
+// Event implements node.ClientConnection. It flushes at once, since a buffered event is late. It blocks on a client
+// that does not read, which occupies the backend meanwhile.
 func (s *clientStream) Event(event []byte) error {
 	return s.spend(s.control.SetWriteDeadline, func() error {
 		if _, err := s.w.Write(event); err != nil {
@@ -63,13 +63,14 @@
 	})
 }
 
-// errPipelined tells that a client has sent more behind its request, which only this process has.
-var errPipelined = errors.New("a client that has said more already")
+// errPipelined is the error of Detach if the client has sent further bytes, which only this process has read.
+var errPipelined = errors.New("client has pipelined bytes behind its request")
 
-// Detach implements node.Detacher: between two events everything is written, and the next byte is another process's.
+// Detach implements node.Detacher. It is called between two events, when everything has been written, so that another
+// process can write the next byte.
 func (s *clientStream) Detach() (int, error) {
-	if !s.chunked {
-		return 0, errors.New("a client that does not take chunks")
+	if !s.supportsChunked {
+		return 0, errors.New("client does not support chunked transfer coding")
 	}
 	if s.conn != nil && s.conn.pipelined() {
 		return 0, errPipelined
--- a/internal/edge/streaming_test.go
+++ b/internal/edge/streaming_test.go
@@ -20,12 +20,12 @@
 // TestEventsAreForwardedAsTheyArrive guards against events that wait in a buffer: the second is sent only once the
 // client has the first.
 func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
-	seen := make(chan struct{})
+	firstRead := make(chan struct{})
 	var header atomic.Value
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		header.Store(r.Header.Clone())
 		testpeer.Event(w, "first")
-		<-seen
+		<-firstRead
 		testpeer.Finish(w)
 	})
 	response, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
@@ -35,7 +35,7 @@
 	first, err := lines.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, first, "first")
-	close(seen)
+	close(firstRead)
 	rest, err := io.ReadAll(lines)
 	require.NoError(t, err)
 	require.Contains(t, string(rest), "[DONE]")
@@ -119,8 +119,8 @@
 // backend is not taken for a silent one.
 func TestPausingClientGetsCompleteAnswer(t *testing.T) {
 	t.Parallel()
-	seen, logs := observer.New(zap.InfoLevel)
-	n := testpeer.StartLogged(t, zap.New(seen), testpeer.Settings(),
+	logCore, logs := observer.New(zap.InfoLevel)
+	n := testpeer.StartLogged(t, zap.New(logCore), testpeer.Settings(),
 		testpeer.Endpoint("s", largeStreamBackend(t, make(chan error, 1))))
 	response, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
 	require.NoError(t, err)
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -52,16 +52,16 @@
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				place(faults)
-				backend := testpeer.Backend(t, answerAlways)
+				backend := testpeer.Backend(t, respondAlways)
 				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", backend))
-				began := time.Now()
+				start := time.Now()
 				conn := n.Dial()
 				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
-				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+				status, _ := readResponse(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Positive(t, faults.Failed(testpeer.Accept))
-				require.Less(t, time.Since(began), 500*time.Millisecond+700*time.Millisecond,
+				require.Less(t, time.Since(start), 500*time.Millisecond+700*time.Millisecond,
 					"no pause of a second behind the shortage")
 				status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
 				require.Equal(t, http.StatusOK, status)
@@ -79,25 +79,25 @@
 			t.Run(fmt.Sprintf("%v of %d", errno, call), func(t *testing.T) {
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
-				begun := make(chan struct{})
+				turns := make(chan struct{})
 				server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
-					begun <- struct{}{}
-					<-begun
-					answerAlways(w, r)
+					turns <- struct{}{}
+					<-turns
+					respondAlways(w, r)
 				})
 				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", server))
 				faults.FailNext(call, errno, 2)
 				conn := n.Dial()
 				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
-				<-begun
+				<-turns
 				faults.FailNext(call, errno, 3)
 				if call == testpeer.Read { // bytes behind the request have the node read, and fail, while it is open
 					_, err = conn.Write([]byte("\r\n"))
 					require.NoError(t, err)
 				}
-				begun <- struct{}{}
-				status, body := readAnswer(t, conn, bufio.NewReader(conn))
+				turns <- struct{}{}
+				status, body := readResponse(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Contains(t, body, "[DONE]")
 				require.Positive(t, faults.Failed(call))
@@ -125,7 +125,7 @@
 				ledger.Begin(id)
 				defer ledger.End(id, true)
 				time.Sleep(5 * time.Millisecond) // the time that a backend takes
-				answerAlways(w, r)
+				respondAlways(w, r)
 			}
 			a := testpeer.Endpoint("a", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 				now := time.Now()
@@ -179,13 +179,13 @@
 func requestOnce(t *testing.T, n *testpeer.Node, deadline time.Duration) int {
 	t.Helper()
 	request := rawRequest(t, n, 10, withHeader("X-Expires-In", fmt.Sprintf("%dm", deadline.Milliseconds())))
-	began := time.Now()
+	start := time.Now()
 	conn, err := net.Dial("tcp", n.Address)
 	require.NoError(t, err)
 	defer conn.Close()
 	_, err = conn.Write(request)
 	require.NoError(t, err)
-	status, _ := readAnswer(t, conn, bufio.NewReader(conn))
-	require.Less(t, time.Since(began), deadline)
+	status, _ := readResponse(t, conn, bufio.NewReader(conn))
+	require.Less(t, time.Since(start), deadline)
 	return status
 }
