--- a/internal/edge/body_test.go
+++ b/internal/edge/body_test.go
@@ -11,8 +11,8 @@
 	"standpoint"
 )
 
-// TestStatedLengthsAreBoundedByBody states lengths of a body: true ones pass as they are, false ones are bounded near
-// what was sent.
+// TestStatedLengthsAreBoundedByBody guards against clients that state false lengths: correct lengths stay unchanged,
+// others are bounded to about the length of the body.
 func TestStatedLengthsAreBoundedByBody(t *testing.T) {
 	raw := `{"messages":[{"content":"` + strings.Repeat("ә", 400) + `"},` +
 		`{"content":[{"text":"` + strings.Repeat("x", 400) + `"}]},{"content":null}],"max_tokens":80}`
@@ -40,13 +40,14 @@
 			got.PromptTokens = math.Floor(got.PromptTokens)
 			if got.PromptTokens < want.PromptTokens-3 || got.PromptTokens > want.PromptTokens+20 ||
 				got.PrefixTokens != want.PrefixTokens || got.MaxTokens != want.MaxTokens {
-				t.Errorf("%+v became %+v, not about %+v", test.stated, got, want)
+				t.Errorf("stated %+v: got %+v, want about %+v", test.stated, got, want)
 			}
 		})
 	}
 }
 
-// TestBodyCharactersAreCounted counts an escape as one character, and messages of another form as the whole body.
+// TestBodyCharactersAreCounted guards against a wrong length of the body: an escape sequence counts as one character,
+// and messages of an unknown format count as the whole body.
 func TestBodyCharactersAreCounted(t *testing.T) {
 	for raw, want := range map[string]float64{
 		`{"messages":[{"content":"\u04d9\n\"\\әa"}]}`: 6,
@@ -57,12 +58,12 @@
 		request := standpoint.Request{PromptTokens: 1e6}
 		body.boundLengths(&request)
 		if err != nil || request.PromptTokens != 1+2*want/charsPerToken {
-			t.Errorf("%s: %v tokens at the most, %v", raw, request.PromptTokens, err)
+			t.Errorf("%s: prompt bounded to %v tokens, error %v", raw, request.PromptTokens, err)
 		}
 	}
 }
 
-// BenchmarkBody reads a body of the usual size and counts its lengths.
+// BenchmarkBody measures reading a body of typical size and bounding the lengths by it.
 func BenchmarkBody(b *testing.B) {
 	text := strings.Repeat("how many hours did the second team work ", 175)
 	raw, err := json.Marshal(map[string]any{"max_tokens": 400, "messages": []map[string]string{
--- a/internal/edge/connection_tracker_test.go
+++ b/internal/edge/connection_tracker_test.go
@@ -12,9 +12,9 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestIdleConnectionsAreEvicted guards against clients that send one request and keep their connections, or send
-// nothing on them: with a limit of 16 connections many more are answered, each at once, though none may be closed
-// before it has been idle for 2 s.
+// TestIdleConnectionsAreEvicted guards against clients that shut out others by keeping connections after one request,
+// or without any: with a limit of 16 connections, many more get prompt responses, although a connection may not be
+// closed before it has been idle for 2 s.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	for name, sends := range map[string]bool{"one request": true, "silent": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -16,7 +16,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestClientDisconnectCancelsAttempt has a client disconnect during its attempt.
+// TestClientDisconnectCancelsAttempt guards against an attempt that occupies a backend after its client has
+// disconnected.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	received, cancelled := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -40,8 +41,9 @@
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
 }
 
-// TestDisconnectBehindPipelinedBytes has a client disconnect whose request waits for a connection to a backend, and
-// that has sent more behind it. Nothing is forwarded, however it ended its connection, and however much it had sent.
+// TestDisconnectBehindPipelinedBytes guards against a disconnect that goes unnoticed because the client has sent more
+// bytes behind its request. The client disconnects while its request waits for a connection to a backend. Nothing is
+// forwarded, however the client closes its connection and however much it has sent.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	disconnects := map[string]func(conn *net.TCPConn){
@@ -50,13 +52,13 @@
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
 		},
-		"ends its sending": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
+		"half closes": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
 	}
 	trailing := map[string]int{
 		"nothing":               0,
 		"one byte":              1,
 		"a request":             20 << 10,
-		"several":               300 << 10,
+		"several requests":      300 << 10,
 		"more than is buffered": 3 << 19,
 	}
 	for manner, disconnect := range disconnects {
@@ -78,7 +80,7 @@
 				if size > 0 {
 					_, _ = conn.Write(
 						rawRequest(t, n, size, nil)[:size],
-					) // beyond what is buffered the node may have closed it
+					) // fails if the node has closed the connection because of too many bytes
 				}
 				disconnect(conn)
 				disconnectedAt := time.Now()
@@ -87,30 +89,30 @@
 					func() bool { return n.Core.OpenRequests() == 0 },
 					2*time.Second,
 					time.Millisecond,
-					"nobody noticed that it left",
+					"the disconnect went unnoticed",
 				)
 				require.Less(t, time.Since(disconnectedAt), 500*time.Millisecond)
 				dialer.Release <- struct{}{}
 				n.WaitForCore()
-				time.Sleep(20 * time.Millisecond) // for what must not come
+				time.Sleep(20 * time.Millisecond) // time for a request to be forwarded, which must not happen
 				require.Empty(t, forwarded)
-				if manner == "ends its sending" {
-					answer, _ := io.ReadAll(conn)
-					require.Empty(t, answer, "nothing that no backend made is its answer")
+				if manner == "half closes" {
+					response, _ := io.ReadAll(conn)
+					require.Empty(t, response, "a response without a backend")
 				}
 			})
 		}
 	}
 }
 
-// TestClientsDisconnectedBeforeAccept has clients send all at once and disconnect before the node accepts their
-// connections, as in a burst that it could not accept in time: whatever they sent, with a backend and a connection to
-// it that are idle, nothing of it is forwarded.
+// TestClientsDisconnectedBeforeAccept guards against forwarding requests of clients that have disconnected before the
+// node accepts their connections, as in a burst that it cannot accept in time. Nothing of what they sent is forwarded,
+// although the backend and a connection to it are idle.
 func TestClientsDisconnectedBeforeAccept(t *testing.T) {
 	t.Parallel()
 	disconnects := map[string]func(conn *net.TCPConn){
-		"close":             func(conn *net.TCPConn) { _ = conn.Close() },
-		"end their sending": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
+		"close":      func(conn *net.TCPConn) { _ = conn.Close() },
+		"half close": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
 	}
 	sizes := map[string]int{"one request": 0, "one byte more": 1, "two requests": 2000, "much more": 30 << 10}
 	for manner, disconnect := range disconnects {
@@ -148,13 +150,13 @@
 					require.NoError(t, err)
 					disconnect(conn)
 				}
-				time.Sleep(20 * time.Millisecond) // for the kernel to take in the closes
+				time.Sleep(20 * time.Millisecond) // time for the kernel to process the closes
 				for range clients {
 					accepts <- struct{}{}
 					time.Sleep(time.Millisecond)
 				}
 				complete()
-				require.Equal(t, int32(2), sent.Load(), "but for those that stayed")
+				require.Equal(t, int32(2), sent.Load(), "only the requests of connected clients")
 			})
 		}
 	}
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -15,7 +15,7 @@
 	"standpoint/internal/testpeer"
 )
 
-// cancelledContext returns a context with which Drain closes idle connections once, and does not wait.
+// cancelledContext returns a cancelled context, with which Drain closes idle connections once and does not wait.
 func cancelledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -32,12 +32,12 @@
 	},
 	"manual drain": func(n *testpeer.Node) {
 		n.Connections.SetDraining(true)
-		time.Sleep(600 * time.Millisecond) // the tracker closes idle connections after a time of its own
+		time.Sleep(600 * time.Millisecond) // longer than drainIdleTime
 	},
 }
 
-// TestRequestReadAsConnectionCloses guards a request on an idle connection that the node closes at that moment: its
-// bytes have left the socket, and the server has not got them yet. It is answered.
+// TestRequestReadAsConnectionCloses guards against the loss of a request on an idle connection that the node closes
+// just when its bytes have been read from the socket but not yet passed to the server. The request must get a response.
 func TestRequestReadAsConnectionCloses(t *testing.T) {
 	t.Parallel()
 	for name, closeIdle := range idleClosers {
@@ -59,7 +59,7 @@
 			require.Equal(t, http.StatusOK, status)
 			time.Sleep(
 				2100 * time.Millisecond,
-			) // until it may be closed for the limit; the tracker has no clock of tests
+			) // until the connection may be evicted; the tracker has no test clock
 			reads.HoldNext()
 			_, err = conn.Write(rawRequest(t, n, 20<<10, nil))
 			require.NoError(t, err)
@@ -72,12 +72,12 @@
 	}
 }
 
-// TestHalfReadRequestAsConnectionsClose guards a request of which half has come when the node closes idle connections:
-// the other half is read, and it is answered.
+// TestHalfReadRequestAsConnectionsClose guards against the loss of a request of which half has been received when the
+// node closes idle connections: the other half is read, and the request gets a response.
 func TestHalfReadRequestAsConnectionsClose(t *testing.T) {
 	t.Parallel()
 	for name, closeIdle := range idleClosers {
-		if name == "before the kill" { // then there is a moment for the rest, and no more
+		if name == "before the kill" { // CloseIdle allows only closeIdleGrace for the rest
 			continue
 		}
 		for part, cut := range map[string]int{"within its head": 30, "within its body": 5000} {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestFirstRequestAfterListenerClosed guards a connection that was accepted before the node stopped listening, and on
-// which nothing had come by then: its request is answered, and Drain ends.
+// TestFirstRequestAfterListenerClosed guards against the loss of the first request on a connection that was accepted
+// before the node stopped listening: the request gets a response, and Drain ends.
 func TestFirstRequestAfterListenerClosed(t *testing.T) {
 	t.Parallel()
 	reads := testpeer.HoldReads()
@@ -137,12 +137,12 @@
 	status, body := readResponse(t, conn, bufio.NewReader(conn))
 	require.Equal(t, http.StatusOK, status)
 	require.Contains(t, body, "[DONE]")
-	require.NoError(t, <-drained, "and no connection is left then")
+	require.NoError(t, <-drained, "connections are left")
 }
 
-// TestAnswerUnderWayClosesItsConnection guards an answer that began before the shutdown and could not say that its
-// connection closes: that closes with it. A client that sends at once is either answered, or finds a closed connection
-// on which nothing of its request was read.
+// TestAnswerUnderWayClosesItsConnection guards against a connection that stays open after a response that began before
+// the shutdown, without a "Connection: close" header: it closes with the response. A client that sends its next request
+// at once either gets a response or finds a closed connection on which nothing of the request was read.
 func TestAnswerUnderWayClosesItsConnection(t *testing.T) {
 	t.Parallel()
 	begun, release := make(chan struct{}), make(chan struct{})
@@ -173,7 +173,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// openIdleConnection opens a client connection, has one request answered on it, and keeps it.
+// openIdleConnection opens a client connection on which one request has been served.
 func openIdleConnection(t *testing.T, n *testpeer.Node, id string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn := n.Dial()
@@ -185,7 +185,7 @@
 	return conn, reader
 }
 
-// healthStatus returns the status that the health check answers with.
+// healthStatus returns the HTTP status of the health check.
 func healthStatus(t *testing.T, n *testpeer.Node) int {
 	t.Helper()
 	response, err := http.Get(n.URL + "/_health")
@@ -194,9 +194,9 @@
 	return response.StatusCode
 }
 
-// TestManualDrain drains a node by hand and takes that back: the health check fails at once, an open stream runs to its
-// end, an idle connection takes one more request and closes with its answer, idle and silent ones close, and requests
-// that come much later are rejected with a Retry-After. Then all is as before.
+// TestManualDrain drains a node manually and undoes it. During the drain the health check fails at once, an open stream
+// continues to its end, an idle connection serves one more request and closes with the response, idle and silent
+// connections close, and requests that arrive much later are rejected with a Retry-After. Afterwards all is as before.
 func TestManualDrain(t *testing.T) {
 	release := make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -215,17 +215,17 @@
 	silent := n.Dial()
 	require.NoError(t, n.Lifecycle.Enter(node.ManuallyDrained))
 	n.Connections.SetDraining(true)
-	n.Connections.SetDraining(true) // the call may be repeated
+	n.Connections.SetDraining(true) // a repeated call has no effect
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, health())
 	last := sendOn(t, n, reused, reusedReader, "last")
-	body, err := io.ReadAll(last.Body)
+	lastBody, err := io.ReadAll(last.Body)
 	require.NoError(t, err)
-	require.Contains(t, string(body), "[DONE]")
+	require.Contains(t, string(lastBody), "[DONE]")
 	require.True(t, last.Close)
 	for _, conn := range []io.Reader{idleReader, reusedReader, silent} {
 		rest, err := io.ReadAll(conn)
-		require.NoError(t, err, "it ends, and is not reset")
+		require.NoError(t, err, "the connection must be closed, not reset")
 		require.Empty(t, rest)
 	}
 	require.Less(t, time.Since(began), 2*time.Second)
@@ -237,11 +237,11 @@
 		return status == http.StatusServiceUnavailable
 	}, 4*time.Second, 20*time.Millisecond)
 	close(release)
-	whole, err := io.ReadAll(streaming.Body)
+	streamBody, err := io.ReadAll(streaming.Body)
 	require.NoError(t, err)
-	require.Contains(t, string(whole), "[DONE]")
-	// Its answer began before the drain and could not say that the connection closes: it closes all the same, and is
-	// not idle first.
+	require.Contains(t, string(streamBody), "[DONE]")
+	// The response began before the drain, without a "Connection: close" header. The connection closes all the same,
+	// and without an idle time.
 	began = time.Now()
 	_, err = io.ReadAll(stream)
 	require.NoError(t, err)
@@ -250,7 +250,7 @@
 	n.Connections.SetDraining(false)
 	require.Equal(t, http.StatusOK, health())
 	openIdleConnection(t, n, "again")
-	time.Sleep(600 * time.Millisecond) // longer than a connection is idle while a node is drained
+	time.Sleep(600 * time.Millisecond) // longer than drainIdleTime
 	status, _, _, err := n.Do(n.Chat(t.Context(), nil))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -17,9 +17,9 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestMetricsAgreeWithClientsAndBackends compares the metrics with what clients and backends saw: served, rejected,
-// failed, broken off, retried, and a client that disconnected; an attempt counts once its last byte is written, long
-// before it ends.
+// TestMetricsAgreeWithClientsAndBackends guards against metrics that differ from what clients and backends observe:
+// requests that are served, rejected, failed, interrupted or retried, and one whose client disconnects. An attempt
+// counts once its last byte has been written, long before it ends.
 func TestMetricsAgreeWithClientsAndBackends(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, scriptedBackend(received, release))
@@ -58,21 +58,21 @@
 	requireMetrics(counts(5, 0, 3, 8, 0))
 	close(release)
 	acquireAll := func() bool { return n.Bodies.Acquire(0, 8<<20) }
-	require.Eventually(t, acquireAll, 3*time.Second, time.Millisecond, "all capacity for bodies is acquired")
+	require.Eventually(t, acquireAll, 3*time.Second, time.Millisecond, "body capacity still in use")
 	status, header, _, _ := n.Do(n.Chat(t.Context(), nil))
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
 	requireMetrics(counts(5, 1, 3, 8, 0))
 }
 
-// scriptedBackend answers by the request's id: "held" closes hold and waits for release, "cut" is broken off, "wrong"
-// is rejected as invalid, and any other is served.
-func scriptedBackend(hold chan<- struct{}, release <-chan struct{}) http.HandlerFunc {
+// scriptedBackend responds according to the request's ID: "held" closes received and waits for release, "cut" is
+// interrupted, "wrong" is rejected as invalid, and any other is served.
+func scriptedBackend(received chan<- struct{}, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		switch r.Header.Get("X-Trace-Id") {
 		case "held":
-			close(hold)
+			close(received)
 			<-release
 		case "cut":
 			testpeer.Event(w, "half")
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestAvoidedBackendsAreCounted lists a draining backend, one that fails all requests and one that is not there, which
-// the module avoids.
+// TestAvoidedBackendsAreCounted guards against a wrong count of avoided backends: of four listed, the decision module
+// avoids one that drains, one that fails all requests and one that does not listen.
 func TestAvoidedBackendsAreCounted(t *testing.T) {
 	good := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.Event(w, "x")
@@ -109,8 +109,8 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// TestSilentClosesAreCountedByCause closes connections without an answer: each is counted by its cause, and one that
-// its client ends is not.
+// TestSilentClosesAreCountedByCause guards against wrong counts of connections that are closed without a response: each
+// is counted by its cause, and one that its client closes is not counted.
 func TestSilentClosesAreCountedByCause(t *testing.T) {
 	n := testpeer.Start(t, testpeer.Settings())
 	count := func(cause metrics.SilentCloseCause) func() bool {
--- a/internal/edge/pipelining_test.go
+++ b/internal/edge/pipelining_test.go
@@ -16,18 +16,19 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestPipelinedRequestsAreAnsweredInTurn sends requests before the answers to those ahead of them, of various sizes and
-// in pieces, and while the node shuts down as well: what it has read it answers.
+// TestPipelinedRequestsAreAnsweredInTurn guards against the loss of pipelined requests, which are sent before the
+// responses to the earlier ones: requests of various sizes, sent in pieces, get their responses in order, also while
+// the node shuts down.
 func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		sizes  []int
 		ending bool
 	}{
-		"small":            {sizes: []int{10, 10, 10}},
-		"of some size":     {sizes: []int{10, 20 << 10, 30 << 10, 10}},
-		"much":             {sizes: []int{10, 200 << 10, 200 << 10, 10}},
-		"as the node ends": {sizes: []int{10, 20 << 10, 20 << 10}, ending: true},
+		"small":           {sizes: []int{10, 10, 10}},
+		"medium":          {sizes: []int{10, 20 << 10, 30 << 10, 10}},
+		"large":           {sizes: []int{10, 200 << 10, 200 << 10, 10}},
+		"during shutdown": {sizes: []int{10, 20 << 10, 20 << 10}, ending: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestAnswerBeforeCloseOverUnreadBytes guards a client that takes its answer slowly against the reset that a close with
-// unread bytes is: it gets all of its answer.
+// TestAnswerBeforeCloseOverUnreadBytes guards against a truncated response to a slow client: a close with unread bytes
+// resets the connection, and drops what the client has not read yet.
 func TestAnswerBeforeCloseOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	const events = 150
@@ -96,7 +97,7 @@
 	require.NoError(t, err)
 	_, err = conn.Write(bytes.Repeat([]byte("z"), 300<<10)) // more than is read ahead
 	require.NoError(t, err)
-	time.Sleep(100 * time.Millisecond) // it takes its time
+	time.Sleep(100 * time.Millisecond) // the client reads late
 	status, body := readResponse(t, conn, bufio.NewReader(conn))
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, events, strings.Count(body, "yyy\""))
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -17,16 +17,16 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestMalformedRequestsAreRejected sends malformed requests: each gets an answer that names the fault, and reaches no
-// backend.
+// TestMalformedRequestsAreRejected guards against malformed requests that reach a backend: each gets a response that
+// names the fault.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	var sent atomic.Int32
 	n := startWithBackend(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
 	for _, test := range []struct {
-		name   string
-		edit   func(*http.Request)
-		status int
-		answer string
+		name    string
+		edit    func(*http.Request)
+		status  int
+		message string
 	}{
 		{"no id", withHeader("X-Trace-Id", ""), 400, "X-Trace-Id"},
 		{"class", withHeader("X-Qos", "gold"), 400, "X-Qos"},
@@ -50,16 +50,16 @@
 		{"method", func(r *http.Request) { r.Method = http.MethodPut }, 405, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			status, _, answer, _ := n.Do(n.Chat(t.Context(), test.edit))
+			status, _, body, _ := n.Do(n.Chat(t.Context(), test.edit))
 			require.Equal(t, test.status, status)
-			require.Contains(t, answer, test.answer)
+			require.Contains(t, body, test.message)
 		})
 	}
 	require.Zero(t, sent.Load())
 }
 
-// TestDuplicateRequestIDIsRejected guards against a request with the id of another that is open or just over: it would
-// be taken for a hedged copy.
+// TestDuplicateRequestIDIsRejected guards against a request with the ID of an open or just closed one, since it would
+// be taken for a hedged copy of that one.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	var sent atomic.Int32
@@ -84,8 +84,8 @@
 }
 
 // TestIncompleteAndSmuggledRequestsReachNoBackend guards against clients that occupy a connection with an incomplete
-// request, and against a request smuggled in the body of one that states its length twice: each gets an error or a
-// close within 3 s, and no backend gets anything.
+// request, and against a request that is smuggled in the body of one with two statements of its length. Each gets an
+// error response or a close within 3 s, and no backend gets a request.
 func TestIncompleteAndSmuggledRequestsReachNoBackend(t *testing.T) {
 	var sent atomic.Int32
 	n := startWithBackend(t, func(http.ResponseWriter, *http.Request) { sent.Add(1) })
@@ -101,9 +101,9 @@
 		"two lengths":     head + "Content-Length: 2\r\nContent-Length: 3\r\n\r\n{}",
 		"length and chunks": head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"0\r\n\r\n" + hidden.String(),
-		"chunks and length":       head + "transfer-encoding:chunked\r\ncontent-length : 5\r\n\r\n0\r\n\r\n",
-		"chunks that say nothing": head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		"broken chunks":           head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n{}\r\n0\r\n\r\n",
+		"chunks and length":  head + "transfer-encoding:chunked\r\ncontent-length : 5\r\n\r\n0\r\n\r\n",
+		"empty chunked body": head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+		"broken chunks":      head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n{}\r\n0\r\n\r\n",
 		"chunks without end": head + "Transfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("8000\r\n"+strings.Repeat(" ", 0x8000)+"\r\n", 10),
 		"endless head": head + strings.Repeat("X-More: and more\r\n", 4000),
@@ -111,21 +111,21 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := n.Dial()
-			_, _ = conn.Write([]byte(text)) // the node may have closed before the end
+			_, _ = conn.Write([]byte(text)) // fails if the node has closed the connection already
 			require.NoError(t, conn.SetReadDeadline(time.Now().Add(3*time.Second)))
-			answer, err := io.ReadAll(conn)
+			response, err := io.ReadAll(conn)
 			require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
-			if len(answer) > 0 {
-				require.Regexp(t, "^HTTP/1.1 4", string(answer))
-				require.Equal(t, 1, strings.Count(string(answer), "HTTP/1.1"))
+			if len(response) > 0 {
+				require.Regexp(t, "^HTTP/1.1 4", string(response))
+				require.Equal(t, 1, strings.Count(string(response), "HTTP/1.1"))
 			}
 		})
 	}
 	t.Cleanup(func() { require.Zero(t, sent.Load()) })
 }
 
-// TestRequestBodyBytesAreBounded guards the memory for the bodies of requests that wait: beyond it a request is
-// rejected at once with a Retry-After. Bodies that are announced and do not come take nothing.
+// TestRequestBodyBytesAreBounded guards against unbounded memory for the bodies of waiting requests: beyond the limit,
+// a request is rejected at once with a Retry-After. Bodies that are announced but not sent use no capacity.
 func TestRequestBodyBytesAreBounded(t *testing.T) {
 	received := make(chan struct{}, 3)
 	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -158,9 +158,9 @@
 	require.Eventually(t, func() bool { return n.Bodies.InUse() == 0 }, 5*time.Second, time.Millisecond)
 }
 
-// TestRequestInPiecesIsDecoded sends requests in pieces of any size, with a length or in chunks, and has them answered;
-// one that states both is rejected, however its head comes, and so is one whose head came in part behind the request
-// before it.
+// TestRequestInPiecesIsDecoded guards against a head parser that depends on how a request is split into reads. Requests
+// with a length or in chunks are served. A request with both is rejected, however its head is split, and even if the
+// start of its head was read together with the request before it.
 func TestRequestInPiecesIsDecoded(t *testing.T) {
 	bodies := make(chan string, 1)
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -209,9 +209,9 @@
 	require.Empty(t, bodies)
 }
 
-// TestNextRequestBeforeConnectionIsIdle guards a client that sends its next request as soon as it has the answer, which
-// the server may read before it has the connection idle. Here the first byte comes even before the answer's end; the
-// request is answered as any other.
+// TestNextRequestBeforeConnectionIsIdle guards against the rejection of a request that a client sends as soon as it has
+// the response to the one before, so that the server may read it before it marks the connection idle. Here the first
+// byte arrives even before the end of that response. The request is served as any other.
 func TestNextRequestBeforeConnectionIsIdle(t *testing.T) {
 	received, release := make(chan struct{}, 9), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -240,7 +240,7 @@
 			write(rawHead(fmt.Sprint("first-", i)) + first)
 			<-received
 			write(next[:1])
-			time.Sleep(50 * time.Millisecond) // for the server to read it by now; if it does not, this proves nothing
+			time.Sleep(50 * time.Millisecond) // time for the server to read the byte; if it does not, nothing is tested
 			release <- struct{}{}
 			require.Equal(t, http.StatusOK, responseStatus())
 			write(next[1:])
@@ -248,7 +248,7 @@
 		select {
 		case <-received:
 			release <- struct{}{}
-		case <-time.After(2 * time.Second): // it was rejected: the answer says how
+		case <-time.After(2 * time.Second): // the request was rejected; its response says why
 		}
 		require.Equal(t, http.StatusOK, responseStatus())
 	}
--- a/internal/edge/retry_test.go
+++ b/internal/edge/retry_test.go
@@ -17,8 +17,9 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestResetsAreNotRetriedByTransport guards against retries that the transport makes by itself: each backend that
-// resets gets the request once, on a reused connection too, and the module's own attempts are three at the most.
+// TestResetsAreNotRetriedByTransport guards against retries made by the HTTP transport: each backend that resets the
+// connection gets the request once, even on a reused connection, and there are at most three attempts, all made by the
+// decision module.
 func TestResetsAreNotRetriedByTransport(t *testing.T) {
 	var good atomic.Bool
 	good.Store(true)
@@ -35,7 +36,7 @@
 	}
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", server(0)), testpeer.Endpoint("b", server(1)),
 		testpeer.Endpoint("c", server(2)), testpeer.Endpoint("d", server(3)))
-	status, _, _, _ := n.Do(n.Chat(t.Context(), nil)) // leaves a connection to keep
+	status, _, _, _ := n.Do(n.Chat(t.Context(), nil)) // leaves an idle connection
 	require.Equal(t, http.StatusOK, status)
 	good.Store(false)
 	var before, after int32
@@ -52,7 +53,8 @@
 	require.LessOrEqual(t, after, int32(3))
 }
 
-// TestRejectedAttemptIsRetried has a backend reject a request, which proves that nothing ran: it is retried.
+// TestRejectedAttemptIsRetried guards against giving up on a request that a backend has rejected with the proof that
+// nothing ran: it is retried.
 func TestRejectedAttemptIsRetried(t *testing.T) {
 	var sent atomic.Int32
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -71,21 +73,22 @@
 	require.EqualValues(t, 2, sent.Load())
 }
 
-// TestAnswerBeforeClientTimeout guards against a silent backend that costs the client its answer: that comes before the
-// client gives up, with a Retry-After.
+// TestAnswerBeforeClientTimeout guards against a silent backend that leaves the client without a response: the client
+// gets one, with a Retry-After, before its timeout.
 func TestAnswerBeforeClientTimeout(t *testing.T) {
 	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then does the server notice a close
+		_, _ = io.Copy(io.Discard, r.Body) // the server detects a close only after the body
 		<-r.Context().Done()
 	})
 	start := time.Now()
 	status, header, _, _ := n.Do(n.Chat(t.Context(), withHeader("X-Expires-In", "300000u")))
-	require.Less(t, time.Since(start), 350*time.Millisecond, "the client's 300 ms and the protocol's slack of 50 ms")
+	require.Less(t, time.Since(start), 350*time.Millisecond,
+		"the client's timeout of 300 ms and the protocol's tolerance of 50 ms")
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, header.Get("Retry-After"))
 }
 
-// TestDrainingBackendGetsNoRequests sends requests once a backend is listed as draining.
+// TestDrainingBackendGetsNoRequests guards against requests to a backend that is listed as draining.
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	var drained atomic.Int32
 	a := testpeer.Endpoint("a", testpeer.Backend(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
@@ -103,8 +106,8 @@
 	require.Zero(t, drained.Load())
 }
 
-// TestRefusedConnectionIsRetried has no server listen where two backends are listed: nothing ran, and the others are
-// tried at once.
+// TestRefusedConnectionIsRetried guards against a failed request because listed backends do not listen: nothing ran, so
+// the others are tried at once.
 func TestRefusedConnectionIsRetried(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -119,8 +122,8 @@
 	require.Equal(t, http.StatusOK, status)
 }
 
-// TestInvalidRequestIsNotRetried passes on what a backend finds wrong with a request itself: there is no second
-// attempt, and no backend is avoided for it.
+// TestInvalidRequestIsNotRetried guards against retries of a request that a backend has rejected as invalid, and
+// against avoiding backends for it. The client gets the backend's status.
 func TestInvalidRequestIsNotRetried(t *testing.T) {
 	var rejected, served atomic.Int32
 	server := func(w http.ResponseWriter, r *http.Request) {
@@ -139,9 +142,9 @@
 		testpeer.Endpoint("a", testpeer.Backend(t, server)), testpeer.Endpoint("b", testpeer.Backend(t, server)))
 	const poison = `{"messages":["poison"]}`
 	for range 10 {
-		status, _, answer, _ := n.Do(n.Chat(t.Context(), withBody(poison)))
+		status, _, body, _ := n.Do(n.Chat(t.Context(), withBody(poison)))
 		require.Equal(t, http.StatusUnprocessableEntity, status)
-		require.Contains(t, answer, "request itself")
+		require.Contains(t, body, "request itself")
 	}
 	require.EqualValues(t, 10, rejected.Load(), "one attempt each")
 	for range 10 {
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -13,9 +13,9 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestRequestsAfterHandBackAreRejected guards clients that go on sending on every open connection up to the kill: a
-// request that comes once all have been handed back is rejected at once, on a reused connection too, with a
-// Retry-After, and is not forwarded.
+// TestRequestsAfterHandBackAreRejected guards against requests that get no response because the process is killed while
+// clients still send on open connections: a request that arrives after all have been handed back is rejected at once
+// with a Retry-After, even on a reused connection, and is not forwarded.
 func TestRequestsAfterHandBackAreRejected(t *testing.T) {
 	sent := make(chan string, 10)
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,8 @@
 	send := func(id string) *http.Response {
 		r := n.Chat(t.Context(), withTraceID(id))
 		require.NoError(t, r.Write(conn))
-		require.NoError(t, conn.SetReadDeadline(time.Now().Add(1500*time.Millisecond))) // the request itself has 2 s
+		// The deadline is shorter than the request's timeout of 2 s.
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(1500*time.Millisecond)))
 		response, err := http.ReadResponse(reader, r)
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, response.Body)
@@ -44,8 +45,8 @@
 	require.Empty(t, sent)
 }
 
-// TestCloseIdleKeepsOpenRequests closes the connections without a request, silent ones too; one with a request gets its
-// answer.
+// TestCloseIdleKeepsOpenRequests guards against the loss of an open request in CloseIdle, which closes the connections
+// without a request, including those on which nothing was sent.
 func TestCloseIdleKeepsOpenRequests(t *testing.T) {
 	release, received := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -69,8 +70,9 @@
 	require.Equal(t, http.StatusOK, response.StatusCode)
 }
 
-// TestHandBackOfOpenRequests ends begun streams without the last chunk before the kill, so that their clients resume
-// elsewhere, and rejects what still waits; where clients do not resume, streams run on.
+// TestHandBackOfOpenRequests guards against requests that are lost when the process is killed. The hand-back ends begun
+// streams without the last chunk, so that their clients resume them at another node, and rejects waiting requests. If
+// clients do not resume, streams continue.
 func TestHandBackOfOpenRequests(t *testing.T) {
 	for _, resume := range []bool{true, false} {
 		settings := testpeer.Settings()
@@ -112,7 +114,8 @@
 		body, err := io.ReadAll(begun.Body)
 		if resume {
 			require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-			require.Less(t, time.Since(start), 2*time.Second, "handed back, not found silent after 3 s")
+			require.Less(t, time.Since(start), 2*time.Second,
+				"ended by the hand-back, not by the limit of 3 s for silent backends")
 		} else {
 			require.Contains(t, string(body), "[DONE]")
 		}
--- a/internal/edge/streaming_test.go
+++ b/internal/edge/streaming_test.go
@@ -17,8 +17,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestEventsAreForwardedAsTheyArrive guards against events that wait in a buffer: the second is sent only once the
-// client has the first.
+// TestEventsAreForwardedAsTheyArrive guards against buffered events: the backend sends the second event only once the
+// client has got the first.
 func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	firstRead := make(chan struct{})
 	var header atomic.Value
@@ -41,7 +41,7 @@
 	require.Contains(t, string(rest), "[DONE]")
 	sent := header.Load().(http.Header)
 	require.Equal(t, "9b1f03aa5c7e2d41", sent.Get("X-Trace-Id"))
-	require.Regexp(t, `^1[0-9]{3}m$`, sent.Get("X-Expires-In"), "what is left of the client's 2 s")
+	require.Regexp(t, `^1[0-9]{3}m$`, sent.Get("X-Expires-In"), "the rest of the client's timeout of 2 s")
 }
 
 // TestBrokenStreamEndsWithoutLastChunk guards against a second attempt after the first event, and against ending a
@@ -62,8 +62,8 @@
 	require.EqualValues(t, 1, sent.Load())
 }
 
-// TestRejectionOnReusedConnection guards against a write deadline that outlives its answer: a rejection that comes
-// later than that on a reused connection is written all the same. net/http sees to that; nothing else here does.
+// TestRejectionOnReusedConnection guards against a write deadline that stays set after its response: a rejection that
+// is written on a reused connection after that deadline still reaches the client. Only net/http resets the deadline.
 func TestRejectionOnReusedConnection(t *testing.T) {
 	t.Parallel()
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -81,7 +81,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, requestOver(t, n, conn, reader, "silent", "4300m"))
 }
 
-// requestOver sends a request on a connection and reads its complete answer, of which it returns the status.
+// requestOver sends a request on a connection, reads the complete response and returns its status.
 func requestOver(t *testing.T, n *testpeer.Node, conn net.Conn, reader *bufio.Reader, id, timeout string) int {
 	t.Helper()
 	r := n.Chat(t.Context(), func(r *http.Request) {
@@ -97,8 +97,8 @@
 	return response.StatusCode
 }
 
-// largeStreamBackend starts a backend that streams more than all buffers on the way hold, and sends why it ended: nil
-// if its stream is complete.
+// largeStreamBackend starts a backend that streams more than fits into all buffers on the way. It sends the error that
+// ended the stream to ended; nil if the stream is complete.
 func largeStreamBackend(t *testing.T, ended chan<- error) string {
 	t.Helper()
 	event := strings.Repeat("x", 48<<10)
@@ -115,8 +115,8 @@
 	})
 }
 
-// TestPausingClientGetsCompleteAnswer has a client stop reading for a while: it gets its complete answer, and the
-// backend is not taken for a silent one.
+// TestPausingClientGetsCompleteAnswer guards against a client's pause that is mistaken for a silent backend: a client
+// that stops reading for a while gets its complete response.
 func TestPausingClientGetsCompleteAnswer(t *testing.T) {
 	t.Parallel()
 	logCore, logs := observer.New(zap.InfoLevel)
@@ -125,15 +125,15 @@
 	response, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
 	require.NoError(t, err)
 	defer response.Body.Close()
-	time.Sleep(3300 * time.Millisecond) // longer than a backend may be silent; the client's own pause is what is tested
+	time.Sleep(3300 * time.Millisecond) // the client's pause: longer than a backend may be silent
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	require.Contains(t, string(body[len(body)-100:]), "Endpoint-Load-Metrics")
 	require.Empty(t, logs.FilterMessage("attempt failed").All())
 }
 
-// TestSlowClientIsCutOffInTotal has a client take each event late, but just in time: it occupies the backend for a
-// bounded time in all.
+// TestSlowClientIsCutOffInTotal guards against a client that occupies a backend without limit by reading each event
+// late, but within the write timeout: the timeout applies to the total.
 func TestSlowClientIsCutOffInTotal(t *testing.T) {
 	t.Parallel()
 	ended := make(chan error, 1)
@@ -147,12 +147,12 @@
 			if _, err := io.ReadFull(conn, piece); err != nil {
 				return
 			}
-			time.Sleep(300 * time.Millisecond) // the habit that is tested
+			time.Sleep(300 * time.Millisecond) // the client's delay before each read
 		}
 	}()
 	select {
 	case err := <-ended:
-		require.Error(t, err, "its stream was ended")
+		require.Error(t, err, "the stream must be interrupted")
 	case <-time.After(12 * time.Second):
 		t.Fatal("the backend is still occupied")
 	}
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -19,25 +19,25 @@
 	"standpoint/internal/testpeer"
 )
 
-// acceptErrors are the errors of accept4 on Linux that tell of one connection, of the network, or of the machine, and
-// may be over a moment later.
+// acceptErrors are the transient errors of accept4(2) on Linux: they concern one connection, the network, or a shortage
+// of the machine.
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR,
 }
 
-// connectErrors are errors of connect(2) that may be over a moment later.
+// connectErrors are transient errors of connect(2).
 var connectErrors = []syscall.Errno{
 	syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT,
 	syscall.ECONNREFUSED,
 }
 
-// transferErrors are errors of read(2) and write(2) that take nothing away.
+// transferErrors are errors of read(2) and write(2) after which no data is lost.
 var transferErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
 
-// TestAcceptRecoversFromErrors guards against a server that stops accepting for good, or for a second, on an error that
-// was over at once: net/http ends its loop on an error that does not call itself temporary.
+// TestAcceptRecoversFromErrors guards against a server that stops accepting forever, or for a second, because of a
+// transient error: net/http ends its accept loop on an error that is not marked as temporary.
 func TestAcceptRecoversFromErrors(t *testing.T) {
 	t.Parallel()
 	for _, errno := range acceptErrors {
@@ -62,7 +62,7 @@
 				require.Equal(t, http.StatusOK, status)
 				require.Positive(t, faults.Failed(testpeer.Accept))
 				require.Less(t, time.Since(start), 500*time.Millisecond+700*time.Millisecond,
-					"no pause of a second behind the shortage")
+					"a pause of a second after the errors")
 				status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
 				require.Equal(t, http.StatusOK, status)
 			})
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestClientConnectionRecoversFromErrors fails reads and writes on a client's connection for want of memory: its
-// request gets its one answer.
+// TestClientConnectionRecoversFromErrors guards against the loss of a request because reads or writes on its client
+// connection fail for lack of memory.
 func TestClientConnectionRecoversFromErrors(t *testing.T) {
 	t.Parallel()
 	for _, call := range []testpeer.SystemCall{testpeer.Read, testpeer.Write} {
@@ -92,7 +92,7 @@
 				require.NoError(t, err)
 				<-turns
 				faults.FailNext(call, errno, 3)
-				if call == testpeer.Read { // bytes behind the request have the node read, and fail, while it is open
+				if call == testpeer.Read { // bytes behind the request cause reads, which fail, while it is open
 					_, err = conn.Write([]byte("\r\n"))
 					require.NoError(t, err)
 				}
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestGuaranteesHoldWhileSystemCallsFail fails all system calls now and then, by a seed, and has reads return single
-// bytes, while clients send requests and one backend drains. Every request gets its one answer in time, has three
-// attempts at the most, never two at once, and none at the backend that drains.
+// TestGuaranteesHoldWhileSystemCallsFail guards against broken guarantees while a random fraction of the system calls
+// fails and reads return single bytes. Clients send requests and one backend drains. Every request gets one response
+// before its deadline and at most three attempts, never two at once, and none at the draining backend.
 func TestGuaranteesHoldWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -118,13 +118,13 @@
 			faults := testpeer.NewFaults(seed)
 			ledger := testpeer.NewAttemptLedger()
 			faults.SingleByteReads = seed%2 == 1
-			var last atomic.Pointer[time.Time] // when a request last began at the backend that drains
+			var last atomic.Pointer[time.Time] // when the draining backend last got a request
 			last.Store(&time.Time{})
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				id := r.Header.Get("X-Trace-Id")
 				ledger.Begin(id)
 				defer ledger.End(id, true)
-				time.Sleep(5 * time.Millisecond) // the time that a backend takes
+				time.Sleep(5 * time.Millisecond) // service time
 				respondAlways(w, r)
 			}
 			a := testpeer.Endpoint("a", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -165,17 +165,17 @@
 				}
 			}
 			require.GreaterOrEqual(t, served, clients*each*9/10)
-			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request at once")
+			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request in flight at once")
 			for id, sent := range ledger.Sent() {
 				require.LessOrEqual(t, sent, 3, id)
 			}
-			require.Less(t, last.Load().Sub(drained), grace, "an attempt at a backend that drains")
+			require.Less(t, last.Load().Sub(drained), grace, "attempt at a draining backend")
 		})
 	}
 }
 
-// requestOnce sends a request on a connection of its own, and returns the status of its answer, which has come before
-// the deadline.
+// requestOnce sends a request on a new connection and returns the status of its response, which must arrive before the
+// deadline.
 func requestOnce(t *testing.T, n *testpeer.Node, deadline time.Duration) int {
 	t.Helper()
 	request := rawRequest(t, n, 10, withHeader("X-Expires-In", fmt.Sprintf("%dm", deadline.Milliseconds())))
