--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -251,7 +251,7 @@
 	c.release(request)
 }
 
-// observation returns what pools and fleet get to know of the attempt.
+// observation returns the end of the attempt as reported to the pools and the fleet.
 func (m attemptFinished) observation() Observation {
 	attempt := m.attempt
 	o := Observation{
