--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -16,32 +16,34 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestClientDisconnectCancelsAttempt has a client disconnect during its attempt.
+// TestClientDisconnectCancelsAttempt guards against an attempt that occupies a backend after its client has
+// disconnected.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
-	came, gone := make(chan struct{}), make(chan struct{})
+	received, cancelled := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		close(came)
+		close(received)
 		<-r.Context().Done()
-		close(gone)
+		close(cancelled)
 	})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
-		<-came
-		leave()
+		<-received
+		disconnect()
 	}()
 	_, err := http.DefaultClient.Do(n.Chat(ctx, nil))
 	require.ErrorIs(t, err, context.Canceled)
 	select {
-	case <-gone:
+	case <-cancelled:
 	case <-time.After(time.Second):
 		t.Fatal("the attempt is still in flight")
 	}
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
 }
 
-// TestDisconnectBehindPipelinedBytes has a client disconnect whose request waits for a connection to a backend, and
-// that has sent more behind it. Nothing is forwarded, however it ended its connection, and however much it had sent.
+// TestDisconnectBehindPipelinedBytes guards against a disconnect that goes unnoticed because the client has sent more
+// bytes behind its request. The client disconnects while its request waits for a connection to a backend. Nothing is
+// forwarded, however the client closes its connection and however much it has sent.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	disconnects := map[string]func(conn *net.TCPConn){
@@ -50,90 +52,90 @@
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
 		},
-		"ends its sending": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
+		"half closes": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
 	}
-	more := map[string]int{
+	trailing := map[string]int{
 		"nothing":               0,
 		"one byte":              1,
 		"a request":             20 << 10,
-		"several":               300 << 10,
+		"several requests":      300 << 10,
 		"more than is buffered": 3 << 19,
 	}
-	for how, disconnect := range disconnects {
-		for what, size := range more {
-			t.Run(what+", "+how, func(t *testing.T) {
+	for manner, disconnect := range disconnects {
+		for trailingName, size := range trailing {
+			t.Run(trailingName+", "+manner, func(t *testing.T) {
 				t.Parallel()
 				forwarded := make(chan string, 10)
-				held := testpeer.HoldDials(1)
+				dialer := testpeer.HoldDials(1)
 				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 					forwarded <- r.Header.Get("X-Trace-Id")
-					answerAlways(w, r)
+					respondAlways(w, r)
 				})
-				n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial,
+				n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dialer.Dial,
 					testpeer.Endpoint("s", backend))
 				conn := n.Dial().(*net.TCPConn)
 				_, err := conn.Write(rawRequest(t, n, 10, withHeader("X-Expires-In", "30000m")))
 				require.NoError(t, err)
-				<-held.Connected
+				<-dialer.Connected
 				if size > 0 {
 					_, _ = conn.Write(
 						rawRequest(t, n, size, nil)[:size],
-					) // beyond what is buffered the node may have closed it
+					) // fails if the node has closed the connection because of too many bytes
 				}
 				disconnect(conn)
-				began := time.Now()
+				disconnectedAt := time.Now()
 				require.Eventually(
 					t,
 					func() bool { return n.Core.OpenRequests() == 0 },
 					2*time.Second,
 					time.Millisecond,
-					"nobody noticed that it left",
+					"the disconnect went unnoticed",
 				)
-				require.Less(t, time.Since(began), 500*time.Millisecond)
-				held.Release <- struct{}{}
+				require.Less(t, time.Since(disconnectedAt), 500*time.Millisecond)
+				dialer.Release <- struct{}{}
 				n.WaitForCore()
-				time.Sleep(20 * time.Millisecond) // for what must not come
+				time.Sleep(20 * time.Millisecond) // time for a request to be forwarded, which must not happen
 				require.Empty(t, forwarded)
-				if how == "ends its sending" {
-					answer, _ := io.ReadAll(conn)
-					require.Empty(t, answer, "nothing that no backend made is its answer")
+				if manner == "half closes" {
+					response, _ := io.ReadAll(conn)
+					require.Empty(t, response, "a response without a backend")
 				}
 			})
 		}
 	}
 }
 
-// TestClientsDisconnectedBeforeAccept has clients send all at once and disconnect before the node accepts their
-// connections, as in a burst that it could not accept in time: whatever they sent, with a backend and a connection to
-// it that are idle, nothing of it is forwarded.
+// TestClientsDisconnectedBeforeAccept guards against forwarding requests of clients that have disconnected before the
+// node accepts their connections, as in a burst that it cannot accept in time. Nothing of what they sent is forwarded,
+// although the backend and a connection to it are idle.
 func TestClientsDisconnectedBeforeAccept(t *testing.T) {
 	t.Parallel()
 	disconnects := map[string]func(conn *net.TCPConn){
-		"close":             func(conn *net.TCPConn) { _ = conn.Close() },
-		"end their sending": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
+		"close":      func(conn *net.TCPConn) { _ = conn.Close() },
+		"half close": func(conn *net.TCPConn) { _ = conn.CloseWrite() },
 	}
 	sizes := map[string]int{"one request": 0, "one byte more": 1, "two requests": 2000, "much more": 30 << 10}
-	for how, disconnect := range disconnects {
-		for what, more := range sizes {
-			t.Run(what+", "+how, func(t *testing.T) {
+	for manner, disconnect := range disconnects {
+		for sizeName, trailing := range sizes {
+			t.Run(sizeName+", "+manner, func(t *testing.T) {
 				t.Parallel()
 				var sent atomic.Int32
-				gate := make(chan struct{}, 1000)
+				accepts := make(chan struct{}, 1000)
 				waitForGate := func(conn net.Conn) net.Conn {
-					<-gate
+					<-accepts
 					return conn
 				}
 				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 					sent.Add(1)
-					answerAlways(w, r)
+					respondAlways(w, r)
 				})
 				n := testpeer.StartWrapped(t, waitForGate, nil, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				complete := func() {
-					gate <- struct{}{}
+					accepts <- struct{}{}
 					conn := n.Dial()
 					_, err := conn.Write(rawRequest(t, n, 10, func(r *http.Request) { r.Close = true }))
 					require.NoError(t, err)
-					status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+					status, _ := readResponse(t, conn, bufio.NewReader(conn))
 					require.Equal(t, http.StatusOK, status)
 				}
 				complete()
@@ -141,20 +143,20 @@
 				for range clients {
 					conn := n.Dial().(*net.TCPConn)
 					request := rawRequest(t, n, 10, nil)
-					if more > 0 {
-						request = append(request, rawRequest(t, n, more, nil)[:more]...)
+					if trailing > 0 {
+						request = append(request, rawRequest(t, n, trailing, nil)[:trailing]...)
 					}
 					_, err := conn.Write(request)
 					require.NoError(t, err)
 					disconnect(conn)
 				}
-				time.Sleep(20 * time.Millisecond) // for the kernel to take in the closes
+				time.Sleep(20 * time.Millisecond) // time for the kernel to process the closes
 				for range clients {
-					gate <- struct{}{}
+					accepts <- struct{}{}
 					time.Sleep(time.Millisecond)
 				}
 				complete()
-				require.Equal(t, int32(2), sent.Load(), "but for those that stayed")
+				require.Equal(t, int32(2), sent.Load(), "only the requests of connected clients")
 			})
 		}
 	}
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -19,25 +19,25 @@
 	"standpoint/internal/testpeer"
 )
 
-// acceptErrors are the errors of accept4 on Linux that tell of one connection, of the network, or of the machine, and
-// may be over a moment later.
+// acceptErrors are the transient errors of accept4(2) on Linux: they concern one connection, the network, or a shortage
+// of the machine.
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOSR,
 }
 
-// connectErrors are errors of connect(2) that may be over a moment later.
+// connectErrors are transient errors of connect(2).
 var connectErrors = []syscall.Errno{
 	syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT,
 	syscall.ECONNREFUSED,
 }
 
-// transferErrors are errors of read(2) and write(2) that take nothing away.
+// transferErrors are errors of read(2) and write(2) after which no data is lost.
 var transferErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
 
-// TestAcceptRecoversFromErrors guards against a server that stops accepting for good, or for a second, on an error that
-// was over at once: net/http ends its loop on an error that does not call itself temporary.
+// TestAcceptRecoversFromErrors guards against a server that stops accepting forever, or for a second, because of a
+// transient error: net/http ends its accept loop on an error that is not marked as temporary.
 func TestAcceptRecoversFromErrors(t *testing.T) {
 	t.Parallel()
 	for _, errno := range acceptErrors {
@@ -52,17 +52,17 @@
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				place(faults)
-				backend := testpeer.Backend(t, answerAlways)
+				backend := testpeer.Backend(t, respondAlways)
 				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", backend))
-				began := time.Now()
+				start := time.Now()
 				conn := n.Dial()
 				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
-				status, _ := readAnswer(t, conn, bufio.NewReader(conn))
+				status, _ := readResponse(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Positive(t, faults.Failed(testpeer.Accept))
-				require.Less(t, time.Since(began), 500*time.Millisecond+700*time.Millisecond,
-					"no pause of a second behind the shortage")
+				require.Less(t, time.Since(start), 500*time.Millisecond+700*time.Millisecond,
+					"a pause of a second after the errors")
 				status, _, _, _ = n.Do(n.Chat(t.Context(), nil))
 				require.Equal(t, http.StatusOK, status)
 			})
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestClientConnectionRecoversFromErrors fails reads and writes on a client's connection for want of memory: its
-// request gets its one answer.
+// TestClientConnectionRecoversFromErrors guards against the loss of a request because reads or writes on its client
+// connection fail for lack of memory.
 func TestClientConnectionRecoversFromErrors(t *testing.T) {
 	t.Parallel()
 	for _, call := range []testpeer.SystemCall{testpeer.Read, testpeer.Write} {
@@ -79,25 +79,25 @@
 			t.Run(fmt.Sprintf("%v of %d", errno, call), func(t *testing.T) {
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
-				begun := make(chan struct{})
+				turns := make(chan struct{})
 				server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
-					begun <- struct{}{}
-					<-begun
-					answerAlways(w, r)
+					turns <- struct{}{}
+					<-turns
+					respondAlways(w, r)
 				})
 				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", server))
 				faults.FailNext(call, errno, 2)
 				conn := n.Dial()
 				_, err := conn.Write(rawRequest(t, n, 10, nil))
 				require.NoError(t, err)
-				<-begun
+				<-turns
 				faults.FailNext(call, errno, 3)
-				if call == testpeer.Read { // bytes behind the request have the node read, and fail, while it is open
+				if call == testpeer.Read { // bytes behind the request cause reads, which fail, while it is open
 					_, err = conn.Write([]byte("\r\n"))
 					require.NoError(t, err)
 				}
-				begun <- struct{}{}
-				status, body := readAnswer(t, conn, bufio.NewReader(conn))
+				turns <- struct{}{}
+				status, body := readResponse(t, conn, bufio.NewReader(conn))
 				require.Equal(t, http.StatusOK, status)
 				require.Contains(t, body, "[DONE]")
 				require.Positive(t, faults.Failed(call))
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestGuaranteesHoldWhileSystemCallsFail fails all system calls now and then, by a seed, and has reads return single
-// bytes, while clients send requests and one backend drains. Every request gets its one answer in time, has three
-// attempts at the most, never two at once, and none at the backend that drains.
+// TestGuaranteesHoldWhileSystemCallsFail guards against broken guarantees while a random fraction of the system calls
+// fails and reads return single bytes. Clients send requests and one backend drains. Every request gets one response
+// before its deadline and at most three attempts, never two at once, and none at the draining backend.
 func TestGuaranteesHoldWhileSystemCallsFail(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -118,14 +118,14 @@
 			faults := testpeer.NewFaults(seed)
 			ledger := testpeer.NewAttemptLedger()
 			faults.SingleByteReads = seed%2 == 1
-			var last atomic.Pointer[time.Time] // when a request last began at the backend that drains
+			var last atomic.Pointer[time.Time] // when the draining backend last got a request
 			last.Store(&time.Time{})
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				id := r.Header.Get("X-Trace-Id")
 				ledger.Begin(id)
 				defer ledger.End(id, true)
-				time.Sleep(5 * time.Millisecond) // the time that a backend takes
-				answerAlways(w, r)
+				time.Sleep(5 * time.Millisecond) // service time
+				respondAlways(w, r)
 			}
 			a := testpeer.Endpoint("a", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 				now := time.Now()
@@ -165,27 +165,27 @@
 				}
 			}
 			require.GreaterOrEqual(t, served, clients*each*9/10)
-			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request at once")
+			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request in flight at once")
 			for id, sent := range ledger.Sent() {
 				require.LessOrEqual(t, sent, 3, id)
 			}
-			require.Less(t, last.Load().Sub(drained), grace, "an attempt at a backend that drains")
+			require.Less(t, last.Load().Sub(drained), grace, "attempt at a draining backend")
 		})
 	}
 }
 
-// requestOnce sends a request on a connection of its own, and returns the status of its answer, which has come before
-// the deadline.
+// requestOnce sends a request on a new connection and returns the status of its response, which must arrive before the
+// deadline.
 func requestOnce(t *testing.T, n *testpeer.Node, deadline time.Duration) int {
 	t.Helper()
 	request := rawRequest(t, n, 10, withHeader("X-Expires-In", fmt.Sprintf("%dm", deadline.Milliseconds())))
-	began := time.Now()
+	start := time.Now()
 	conn, err := net.Dial("tcp", n.Address)
 	require.NoError(t, err)
 	defer conn.Close()
 	_, err = conn.Write(request)
 	require.NoError(t, err)
-	status, _ := readAnswer(t, conn, bufio.NewReader(conn))
-	require.Less(t, time.Since(began), deadline)
+	status, _ := readResponse(t, conn, bufio.NewReader(conn))
+	require.Less(t, time.Since(start), deadline)
 	return status
 }
