--- a/internal/edge/pipelining_test.go
+++ b/internal/edge/pipelining_test.go
@@ -16,33 +16,34 @@
 	"standpoint/internal/testpeer"
 )
 
-// TestPipelinedRequestsAreAnsweredInTurn sends requests before the answers to those ahead of them, of various sizes and
-// in pieces, and while the node shuts down as well: what it has read it answers.
+// TestPipelinedRequestsAreAnsweredInTurn guards against the loss of pipelined requests, which are sent before the
+// responses to the earlier ones: requests of various sizes, sent in pieces, get their responses in order, also while
+// the node shuts down.
 func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		sizes  []int
 		ending bool
 	}{
-		"small":            {sizes: []int{10, 10, 10}},
-		"of some size":     {sizes: []int{10, 20 << 10, 30 << 10, 10}},
-		"much":             {sizes: []int{10, 200 << 10, 200 << 10, 10}},
-		"as the node ends": {sizes: []int{10, 20 << 10, 20 << 10}, ending: true},
+		"small":           {sizes: []int{10, 10, 10}},
+		"medium":          {sizes: []int{10, 20 << 10, 30 << 10, 10}},
+		"large":           {sizes: []int{10, 200 << 10, 200 << 10, 10}},
+		"during shutdown": {sizes: []int{10, 20 << 10, 20 << 10}, ending: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came, release := make(chan struct{}, len(test.sizes)), make(chan struct{})
+			received, release := make(chan struct{}, len(test.sizes)), make(chan struct{})
 			n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
-				came <- struct{}{}
+				received <- struct{}{}
 				<-release
-				answerAlways(w, r)
+				respondAlways(w, r)
 			})
 			conn := n.Dial()
 			reader := bufio.NewReader(conn)
 			_, err := conn.Write(rawRequest(t, n, test.sizes[0], nil))
 			require.NoError(t, err)
-			<-came
+			<-received
 			sent := make(chan error, 1)
 			go func() {
 				var all []byte
@@ -57,21 +58,21 @@
 				}
 				sent <- nil
 			}()
-			left := make(chan error, 1)
+			drained := make(chan error, 1)
 			if test.ending {
 				require.NoError(t, <-sent)
 				pipelined := func() bool { return n.Connections.Pipelined() == 1 }
 				require.Eventually(t, pipelined, time.Second, time.Millisecond)
 				require.NoError(t, n.Lifecycle.Enter(node.Draining))
-				go func() { left <- n.Connections.Drain(t.Context()) }()
+				go func() { drained <- n.Connections.Drain(t.Context()) }()
 			}
 			close(release)
 			for range test.sizes {
-				status, _ := readAnswer(t, conn, reader)
+				status, _ := readResponse(t, conn, reader)
 				require.Equal(t, http.StatusOK, status)
 			}
 			if test.ending {
-				require.NoError(t, <-left)
+				require.NoError(t, <-drained)
 			} else {
 				require.NoError(t, <-sent)
 			}
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestAnswerBeforeCloseOverUnreadBytes guards a client that takes its answer slowly against the reset that a close with
-// unread bytes is: it gets all of its answer.
+// TestAnswerBeforeCloseOverUnreadBytes guards against a truncated response to a slow client: a close with unread bytes
+// resets the connection, and drops what the client has not read yet.
 func TestAnswerBeforeCloseOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	const events = 150
@@ -96,8 +97,8 @@
 	require.NoError(t, err)
 	_, err = conn.Write(bytes.Repeat([]byte("z"), 300<<10)) // more than is read ahead
 	require.NoError(t, err)
-	time.Sleep(100 * time.Millisecond) // it takes its time
-	status, body := readAnswer(t, conn, bufio.NewReader(conn))
+	time.Sleep(100 * time.Millisecond) // the client reads late
+	status, body := readResponse(t, conn, bufio.NewReader(conn))
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, events, strings.Count(body, "yyy\""))
 	require.Contains(t, body, "[DONE]")
