--- a/internal/backend/batch_backend.go
+++ b/internal/backend/batch_backend.go
@@ -11,7 +11,7 @@
 	"standpoint/internal/node"
 )
 
-// The statuses of a batch object that are final.
+// Final statuses of a batch object.
 const (
 	statusCompleted = "completed"
 	statusFailed    = "failed"
@@ -19,30 +19,34 @@
 	statusCancelled = "cancelled"
 )
 
-// errNotBegun is the error of a file of which some attempt might not begin any more when it was sent.
-var errNotBegun = errors.New("not begun")
+// errMayNotBegin is returned for a call that was withheld since an attempt of its file may no longer begin.
+var errMayNotBegin = errors.New("call withheld: an attempt of the file may not begin")
 
-// BatchOptions say how a backend that takes files is used.
+// BatchOptions are the settings for batch backends.
 type BatchOptions struct {
-	Gather time.Duration // for which attempts are gathered into one file
-	Lines  int           // maximum number of attempts in a file
-	Poll   time.Duration // between two polls of a batch
-	Lost   time.Duration // without an answer, after which the backend counts as lost
+	// Gather is the time for which attempts are gathered into one file.
+	Gather time.Duration
+	// Lines is the maximum number of attempts in a file.
+	Lines int
+	// Poll is the interval between two polls of a batch.
+	Poll time.Duration
+	// Lost is the time without a response to a poll after which the backend counts as lost.
+	Lost time.Duration
 }
 
-// batchBackend is a backend that takes files: it gathers attempts into one, uploads it, polls its batch and joins the
-// results by custom_id.
+// batchBackend is a backend that processes files of requests. Attempts are gathered into a file, which is uploaded and
+// of which a batch is created. The batch is polled, and its results are joined to the attempts by custom_id.
 type batchBackend struct {
 	Options
-	member
+	backendHandle
 	client        *http.Client
-	address       string
-	gathered      []*node.Attempt // not uploaded yet
-	filesInFlight map[*batchFile]bool
-	fileEnded     chan *batchFile
+	address       string              // where the next file is uploaded
+	gathered      []*node.Attempt     // attempts that are not in a file yet
+	filesInFlight map[*batchFile]bool // files whose goroutine is running
+	fileEnded     chan *batchFile     // receives each file whose goroutine has ended
 }
 
-// run handles the mailbox, and ends once the backend is removed and no file is in flight.
+// run handles the mailbox. It ends once the backend is removed and no file is in flight.
 func (b *batchBackend) run(address string) {
 	defer b.client.CloseIdleConnections()
 	b.address = address
@@ -55,12 +59,12 @@
 			delete(b.filesInFlight, file)
 		case <-gather.C:
 			b.flush()
-		case m := <-b.mailbox:
-			switch m := m.(type) {
+		case received := <-b.mailbox:
+			switch msg := received.(type) {
 			case sendAttempt:
-				b.gather(m.attempt, gather)
+				b.gather(msg.attempt, gather)
 			case processChanged:
-				b.address = m.process.address
+				b.address = msg.process.address
 			case drainStarted:
 				removed = false
 				b.cancelAll()
@@ -91,7 +95,7 @@
 	file := newBatchFile(b.gathered)
 	b.gathered = nil
 	b.filesInFlight[file] = true
-	address := b.address // of this file; the next may go elsewhere
+	address := b.address // b.address may change while the file is in flight
 	go func() {
 		b.runFile(address, file)
 		file.cancel()
@@ -99,7 +103,7 @@
 	}()
 }
 
-// cancelAll ends the attempts that are not uploaded, which never ran, and cancels the files in flight.
+// cancelAll finishes the gathered attempts, which never ran, and cancels the files in flight.
 func (b *batchBackend) cancelAll() {
 	for _, attempt := range b.gathered {
 		attempt.Finish(node.Result{Code: standpoint.Rejected})
@@ -110,9 +114,9 @@
 	}
 }
 
-// runFile takes a file from its upload to the last result. A line cannot be cancelled alone: if an attempt is given
-// up, the whole batch is cancelled, and no attempt ends before the backend has confirmed that the batch is over, or
-// is lost. Until then a line that has not run yet may still do so.
+// runFile processes a file from its upload to the last result. A line cannot be cancelled by itself: if an attempt is
+// given up, the whole batch is cancelled, and no attempt is finished until the backend has confirmed that the batch has
+// ended, or counts as lost. Until then a line that has not run yet may still run.
 func (b *batchBackend) runFile(address string, file *batchFile) {
 	base := "http://" + address
 	for _, attempt := range file.attempts {
@@ -123,7 +127,7 @@
 	case len(file.attempts) == 0:
 		return
 	case err != nil && status == 0:
-		b.finishAll(file, standpoint.ConnectionLost, err) // it may have been created all the same
+		b.finishAll(file, standpoint.ConnectionLost, err) // the batch may have been created nevertheless
 		return
 	case err != nil:
 		b.finishAll(file, standpoint.Rejected, err)
@@ -142,15 +146,15 @@
 		b.finishAll(file, standpoint.ConnectionLost, err)
 		return
 	}
-	// What is in neither file of a batch that did not complete was never run.
+	// A line without a result never ran, unless its batch completed.
 	code := standpoint.Rejected
 	if final.Status == statusCompleted {
 		code = standpoint.ConnectionLost
 	}
-	b.finishAll(file, code, errors.New("no result for the line in a batch that is "+final.Status))
+	b.finishAll(file, code, errors.New("no result for the line in a batch with status "+final.Status))
 }
 
-// joinFiles joins the results of a batch's output and error file.
+// joinFiles joins the results in a batch's output and error files to the attempts.
 func (b *batchBackend) joinFiles(base string, final batchObject, file *batchFile) error {
 	for _, id := range []string{final.OutputFileID, final.ErrorFileID} {
 		if id == "" {
@@ -163,9 +167,9 @@
 	return nil
 }
 
-// startBatch uploads the file and has its batch created. The attempts are asked whether they may begin as the first
-// byte of either call is written. If one may not, since its client has gone or the backend drains, it is dropped, and
-// the file made again of the others.
+// startBatch uploads the file and creates a batch of it. Just before the first byte of either call is written, it
+// checks whether all attempts may begin. If one may not, since its client has disconnected or the backend is draining,
+// it is dropped, and a new file is made of the others.
 func (b *batchBackend) startBatch(base string, file *batchFile) (created batchObject, status int, err error) {
 	for {
 		for id, attempt := range file.attempts {
@@ -183,12 +187,12 @@
 				Endpoint:         "/v1/chat/completions",
 				CompletionWindow: "24h",
 			}
-			status, err = b.callIf(file.mayBegin(), http.MethodPost, base+"/v1/batches", request, &created)
-			if !errors.Is(err, errNotBegun) {
+			status, err = b.callChecked(file.mayBegin(), http.MethodPost, base+"/v1/batches", request, &created)
+			if !errors.Is(err, errMayNotBegin) {
 				return created, status, err
 			}
 		}
-		if !errors.Is(err, errNotBegun) { // a file alone runs nothing
+		if !errors.Is(err, errMayNotBegin) { // the upload failed, and a file without a batch runs nothing
 			b.finishAll(file, standpoint.NoConnection, err)
 			return batchObject{}, 0, nil
 		}
@@ -202,7 +206,7 @@
 	InputFileID      string `json:"input_file_id"`
 }
 
-// batchObject is what is read of a batch object.
+// batchObject holds the fields of a batch object that are used.
 type batchObject struct {
 	ID           string `json:"id"`
 	Status       string `json:"status"`
@@ -210,7 +214,8 @@
 	ErrorFileID  string `json:"error_file_id"`
 }
 
-func (o *batchObject) over() bool {
+// isFinal reports whether the batch has ended.
+func (o *batchObject) isFinal() bool {
 	switch o.Status {
 	case statusCompleted, statusFailed, statusExpired, statusCancelled:
 		return true
@@ -218,9 +223,9 @@
 	return false
 }
 
-// awaitBatch polls the batch until it is over, and cancels it when the file is cancelled.
+// awaitBatch polls the batch until it has ended, and cancels it when the file is cancelled.
 func (b *batchBackend) awaitBatch(base, id string, file *batchFile) (batchObject, error) {
-	lastAnswer := time.Now()
+	lastResponse := time.Now()
 	cancelled := false
 	for {
 		if file.ctx.Err() != nil && !cancelled {
@@ -230,12 +235,12 @@
 		var object batchObject
 		_, err := b.call(http.MethodGet, base+"/v1/batches/"+id, nil, &object)
 		switch {
-		case err == nil && object.over():
+		case err == nil && object.isFinal():
 			return object, nil
 		case err == nil:
-			lastAnswer = time.Now()
-		case time.Since(lastAnswer) > b.Batch.Lost:
-			return object, fmt.Errorf("lost: %w", err)
+			lastResponse = time.Now()
+		case time.Since(lastResponse) > b.Batch.Lost:
+			return object, fmt.Errorf("backend lost, no response to a poll in time: %w", err)
 		}
 		wake := file.ctx.Done()
 		if file.ctx.Err() != nil {
--- a/internal/backend/batch_client.go
+++ b/internal/backend/batch_client.go
@@ -13,17 +13,21 @@
 )
 
 const (
-	callTimeout  = 5 * time.Second
-	maxFileBytes = 64 << 20 // of an output or error file
+	// callTimeout is the maximum duration of one call.
+	callTimeout = 5 * time.Second
+	// maxFileBytes is the number of bytes after which an output or error file is cut off.
+	maxFileBytes = 64 << 20
 )
 
-// call sends a small object and reads one. Status 0: no answer came.
+// call sends an object as JSON and decodes the response's body into receive, each unless it is nil. It returns the
+// status of the response, or 0 if there was none.
 func (b *batchBackend) call(method, url string, send, receive any) (int, error) {
-	return b.callIf(nil, method, url, send, receive)
+	return b.callChecked(nil, method, url, send, receive)
 }
 
-// callIf is call where may, if not nil, is asked as the first byte is written.
-func (b *batchBackend) callIf(mayBegin func() error, method, url string, send, receive any) (int, error) {
+// callChecked is like call, but calls mayBegin, if it is not nil, just before the first byte is written. An error
+// withholds the call.
+func (b *batchBackend) callChecked(mayBegin func() error, method, url string, send, receive any) (int, error) {
 	var body []byte
 	if send != nil {
 		var err error
@@ -34,14 +38,14 @@
 	return b.do(mayBegin, method, url, "application/json", body, receive)
 }
 
-// do makes a call, once more where a kept connection took nothing of it.
+// do makes a call, and retries on another connection if a reused one could not be used for it.
 func (b *batchBackend) do(
 	mayBegin func() error,
 	method, url, contentType string,
 	body []byte,
 	receive any,
 ) (status int, err error) {
-	for range 1 + maxFreshConnections {
+	for range 1 + maxExtraConnections {
 		if status, err = b.doOnce(mayBegin, method, url, contentType, body, receive); !errors.Is(err, errUnusable) {
 			break
 		}
@@ -50,6 +54,8 @@
 	return status, err
 }
 
+// doOnce makes a call on one connection. The body of the response is decoded into receive, or copied to it if it is a
+// *[]byte.
 func (b *batchBackend) doOnce(
 	mayBegin func() error,
 	method, url, contentType string,
@@ -69,7 +75,7 @@
 	if err != nil {
 		return 0, err
 	}
-	request.GetBody = nil // no silent resends: a batch must not be made twice
+	request.GetBody = nil // prevents retries by the transport: a batch must not be created twice
 	if contentType != "" {
 		request.Header.Set("Content-Type", contentType)
 	}
@@ -85,10 +91,10 @@
 	if response.StatusCode != http.StatusOK {
 		return response.StatusCode, fmt.Errorf("%s %s: %s", method, url, response.Status)
 	}
-	switch to := receive.(type) {
+	switch target := receive.(type) {
 	case nil:
 	case *[]byte:
-		*to = raw
+		*target = raw
 	default:
 		return response.StatusCode, json.Unmarshal(raw, receive)
 	}
--- a/internal/backend/batch_file.go
+++ b/internal/backend/batch_file.go
@@ -17,10 +17,10 @@
 	"standpoint/internal/node"
 )
 
-// batchFile is one file of attempts. It belongs to the goroutine of runFile, but for cancel.
+// batchFile is a file of attempts. Except for cancel, only the goroutine of runFile may use it.
 type batchFile struct {
-	attempts map[string]*node.Attempt // by custom_id: those without a result
-	ctx      context.Context          // ends when the lines that have not run are to be cancelled
+	attempts map[string]*node.Attempt // attempts without a result, by custom_id
+	ctx      context.Context          // ends when the batch is to be cancelled
 	cancel   context.CancelFunc
 }
 
@@ -34,13 +34,14 @@
 	return file
 }
 
-// mayBegin returns a check whether all attempts that are in the file now may begin. Its error wraps errNotBegun.
+// mayBegin returns a function that checks whether all attempts that are now in the file may begin. Its error wraps
+// errMayNotBegin.
 func (f *batchFile) mayBegin() func() error {
 	attempts := slices.Collect(maps.Values(f.attempts))
 	return func() error {
 		for _, attempt := range attempts {
 			if err := attempt.MayBegin(); err != nil {
-				return fmt.Errorf("%w: %w", errNotBegun, err)
+				return fmt.Errorf("%w: %w", errMayNotBegin, err)
 			}
 		}
 		return nil
@@ -62,7 +63,7 @@
 	} `json:"error,omitempty"`
 }
 
-// upload uploads the file, and returns its ID.
+// upload uploads the file and returns its ID.
 func (b *batchBackend) upload(base string, file *batchFile) (string, error) {
 	var body bytes.Buffer
 	form := multipart.NewWriter(&body)
@@ -97,7 +98,7 @@
 	return uploaded.ID, err
 }
 
-// joinResults finishes the attempts whose results are in a file.
+// joinResults finishes the attempts whose results are in the output or error file with the given ID.
 func (b *batchBackend) joinResults(base, id string, file *batchFile) error {
 	var raw []byte
 	if _, err := b.do(nil, http.MethodGet, base+"/v1/files/"+id+"/content", "", nil, &raw); err != nil {
@@ -106,13 +107,13 @@
 	for text := range bytes.Lines(raw) {
 		var result batchLine
 		if err := json.Unmarshal(text, &result); err != nil {
-			return fmt.Errorf("line of file %s: %w", id, err)
+			return fmt.Errorf("decode line of file %s: %w", id, err)
 		}
 		attempt := file.attempts[result.CustomID]
 		switch {
 		case attempt == nil:
 		case result.Response != nil && result.Response.StatusCode == http.StatusOK:
-			b.finish(file, result.CustomID, forwardAnswer(attempt, result.Response.Body))
+			b.finish(file, result.CustomID, forwardCompletion(attempt, result.Response.Body))
 		case result.Response != nil && result.Response.StatusCode == http.StatusTooManyRequests,
 			result.Error != nil && (result.Error.Code == "batch_cancelled" || result.Error.Code == "batch_expired"):
 			b.finish(file, result.CustomID, node.Result{Code: standpoint.Rejected})
@@ -123,9 +124,9 @@
 	return nil
 }
 
-// forwardAnswer forwards a complete answer to the client as the events of a stream.
-func forwardAnswer(attempt *node.Attempt, body json.RawMessage) node.Result {
-	var answer struct {
+// forwardCompletion forwards a chat completion, the body of a line's response, to the client as the events of a stream.
+func forwardCompletion(attempt *node.Attempt, body json.RawMessage) node.Result {
+	var completion struct {
 		Model   string `json:"model"`
 		Choices []struct {
 			Message struct{ Content string } `json:"message"`
@@ -133,7 +134,7 @@
 		} `json:"choices"`
 		Usage json.RawMessage `json:"usage"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) == 0 {
+	if err := json.Unmarshal(body, &completion); err != nil || len(completion.Choices) == 0 {
 		return node.Result{Code: standpoint.ServerError}
 	}
 	type delta struct {
@@ -149,8 +150,8 @@
 		Choices []choice        `json:"choices"`
 		Usage   json.RawMessage `json:"usage,omitempty"`
 	}
-	raw, err := json.Marshal(event{answer.Model, []choice{{0, delta{answer.Choices[0].Message.Content},
-		answer.Choices[0].Finish}}, answer.Usage})
+	raw, err := json.Marshal(event{completion.Model, []choice{{0, delta{completion.Choices[0].Message.Content},
+		completion.Choices[0].Finish}}, completion.Usage})
 	if err != nil {
 		return node.Result{Code: standpoint.ServerError}
 	}
@@ -158,7 +159,7 @@
 	if !attempt.Claim() {
 		return node.Result{Code: failureCode(attempt.Context(), true, nil)}
 	}
-	summary := answerSummary{}
+	summary := responseSummary{}
 	if err := summary.scan(events); err != nil {
 		return node.Result{Code: standpoint.ServerError}
 	}
@@ -168,16 +169,17 @@
 	return node.Result{Code: standpoint.Served, CachedTokens: summary.cachedTokens}
 }
 
-// finish ends one attempt of a file.
+// finish finishes one attempt of a file.
 func (b *batchBackend) finish(file *batchFile, id string, result node.Result) {
 	file.attempts[id].Finish(result)
 	delete(file.attempts, id)
 }
 
-// finishAll ends the attempts that are left. One that was given up keeps the reason for that.
+// finishAll finishes the attempts that have no result. An attempt that was given up, and may have run, gets the code
+// for the reason instead of the given one.
 func (b *batchBackend) finishAll(file *batchFile, code standpoint.OutcomeCode, err error) {
 	if len(file.attempts) > 0 {
-		b.Log.Info("attempts of a file failed", zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
+		b.Log.Info("attempts of a batch file failed", zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
 			zap.Stringer("code", code), zap.Error(err))
 	}
 	for id, attempt := range file.attempts {
--- a/internal/backend/chunk_parser.go
+++ b/internal/backend/chunk_parser.go
@@ -2,17 +2,26 @@
 
 import "errors"
 
-// chunkParser follows an answer in chunks, byte by byte, so that whoever goes on reading it knows where it stands.
+// chunkParser parses a chunked HTTP response incrementally. Its state, which is passed to another process with the
+// connection, is the position from which the response can be read on.
 type chunkParser struct {
-	Phase   chunkPhase `json:"phase"`
-	Size    int64      `json:"size"`  // of the chunk: what was read of it in its line, or what is left of its data
-	Line    int        `json:"line"`  // bytes of the line that comes
-	Other   bool       `json:"other"` // the line has gone on to what is no size
-	Matched int        `json:"matched"`
-	Head    int        `json:"head"`  // bytes of the head
-	Early   bool       `json:"early"` // it is that of a 1xx answer, ahead of the answer's own
+	// Phase is the part of the response that the next byte belongs to.
+	Phase chunkPhase `json:"phase"`
+	// Size is the chunk's size as far as it was parsed, or the number of bytes left of the chunk's data.
+	Size int64 `json:"size"`
+	// LineBytes is the number of bytes of the current line, of a chunk's size or a trailer.
+	LineBytes int `json:"line"`
+	// SizeEnded reports whether the line with the chunk's size has continued past the size.
+	SizeEnded bool `json:"other"`
+	// HeadEndMatched is the number of bytes in a row that match headEnd.
+	HeadEndMatched int `json:"matched"`
+	// HeadBytes is the number of bytes of the current head.
+	HeadBytes int `json:"head"`
+	// Informational reports whether the current head is of a 1xx response, which precedes the final response.
+	Informational bool `json:"early"`
 }
 
+// chunkPhase is a part of a chunked response. Its values are passed between processes.
 type chunkPhase int
 
 const (
@@ -21,17 +30,19 @@
 	inChunkData
 	afterChunkData
 	inTrailer
-	answerOver
+	responseComplete
 )
 
 const (
-	statusAt     = len("HTTP/1.1 ") // of a head, where its status begins
-	maxChunkLine = 256              // bytes of a size's line, or a trailer's, at the most
+	// statusOffset is the offset of the status in a head, in bytes.
+	statusOffset = len("HTTP/1.1 ")
+	// maxChunkLine is the maximum length of a line with a chunk's size or a trailer, in bytes.
+	maxChunkLine = 256
 )
 
-var errMalformedChunk = errors.New("chunks that cannot be read")
+var errMalformedChunk = errors.New("malformed chunked encoding")
 
-// feed takes further bytes of the answer and hands their payload on.
+// feed parses further bytes of the response and passes their payload to the callback.
 func (c *chunkParser) feed(b []byte, payload func([]byte)) error {
 	for len(b) > 0 {
 		if c.Phase == inChunkData {
@@ -42,7 +53,7 @@
 			}
 			continue
 		}
-		if err := c.byte(b[0]); err != nil {
+		if err := c.feedByte(b[0]); err != nil {
 			return err
 		}
 		b = b[1:]
@@ -50,81 +61,83 @@
 	return nil
 }
 
-func (c *chunkParser) byte(x byte) error {
+// feedByte parses one byte outside chunk data.
+func (c *chunkParser) feedByte(char byte) error {
 	switch c.Phase {
 	case inHead:
-		c.head(x)
+		c.feedHead(char)
 	case inChunkSize:
-		return c.size(x)
+		return c.feedChunkSize(char)
 	case afterChunkData:
-		if x == '\n' {
+		if char == '\n' {
 			c.Phase = inChunkSize
-		} else if x != '\r' {
+		} else if char != '\r' {
 			return errMalformedChunk
 		}
 	case inTrailer:
 		switch {
-		case x == '\n' && c.Line == 0:
-			c.Phase = answerOver
-		case x == '\n':
-			c.Line = 0
-		case x != '\r':
-			if c.Line++; c.Line > maxChunkLine {
+		case char == '\n' && c.LineBytes == 0:
+			c.Phase = responseComplete
+		case char == '\n':
+			c.LineBytes = 0
+		case char != '\r':
+			if c.LineBytes++; c.LineBytes > maxChunkLine {
 				return errMalformedChunk
 			}
 		}
-	case answerOver:
+	case responseComplete:
 		return errUnusable
 	}
 	return nil
 }
 
-// head follows heads up to the last; those of 1xx answers come ahead of it.
-func (c *chunkParser) head(x byte) {
-	if c.Head == statusAt {
-		c.Early = x == '1'
+// feedHead parses a byte of a head, up to the end of the final one; heads of 1xx responses may precede it.
+func (c *chunkParser) feedHead(char byte) {
+	if c.HeadBytes == statusOffset {
+		c.Informational = char == '1'
 	}
-	c.Head++
+	c.HeadBytes++
 	switch {
-	case x == headEnd[c.Matched]:
-		c.Matched++
-	case x == '\r':
-		c.Matched = 1
+	case char == headEnd[c.HeadEndMatched]:
+		c.HeadEndMatched++
+	case char == '\r':
+		c.HeadEndMatched = 1
 	default:
-		c.Matched = 0
+		c.HeadEndMatched = 0
 	}
-	if c.Matched == len(headEnd) {
-		if !c.Early {
+	if c.HeadEndMatched == len(headEnd) {
+		if !c.Informational {
 			c.Phase = inChunkSize
 		}
-		c.Matched = 0
-		c.Head = 0
-		c.Early = false
+		c.HeadEndMatched = 0
+		c.HeadBytes = 0
+		c.Informational = false
 	}
 }
 
-func (c *chunkParser) size(x byte) error {
-	if c.Line++; c.Line > maxChunkLine {
+// feedChunkSize parses one byte of a line with a chunk's size, which may have extensions after the size.
+func (c *chunkParser) feedChunkSize(char byte) error {
+	if c.LineBytes++; c.LineBytes > maxChunkLine {
 		return errMalformedChunk
 	}
 	digit := int64(-1)
 	switch {
-	case x >= '0' && x <= '9':
-		digit = int64(x - '0')
-	case x|0x20 >= 'a' && x|0x20 <= 'f':
-		digit = int64(x|0x20-'a') + 10
+	case char >= '0' && char <= '9':
+		digit = int64(char - '0')
+	case char|0x20 >= 'a' && char|0x20 <= 'f':
+		digit = int64(char|0x20-'a') + 10
 	}
 	switch {
-	case x == '\n':
+	case char == '\n':
 		c.Phase = inChunkData
-		c.Line = 0
-		c.Other = false
+		c.LineBytes = 0
+		c.SizeEnded = false
 		if c.Size == 0 {
 			c.Phase = inTrailer
 		}
-	case c.Other:
+	case c.SizeEnded:
 	case digit < 0:
-		c.Other = true
+		c.SizeEnded = true
 	default:
 		if c.Size = c.Size<<4 | digit; c.Size > maxStreamBytes {
 			return errMalformedChunk
@@ -133,10 +146,10 @@
 	return nil
 }
 
-// valid reports whether the parser stands where an answer can be continued.
-func (c *chunkParser) valid() bool {
-	return c.Phase >= inChunkSize && c.Phase < answerOver &&
+// isValid reports whether the parser is at a position from which a response can be continued.
+func (c *chunkParser) isValid() bool {
+	return c.Phase >= inChunkSize && c.Phase < responseComplete &&
 		c.Size >= 0 && c.Size <= maxStreamBytes &&
-		c.Line >= 0 && c.Line <= maxChunkLine &&
+		c.LineBytes >= 0 && c.LineBytes <= maxChunkLine &&
 		!(c.Phase == inChunkData && c.Size == 0)
 }
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -12,61 +12,68 @@
 	"standpoint/internal/transient"
 )
 
-// lastChunk ends an answer. It cannot stand inside one: no line of an event is a 0 alone.
+// lastChunk ends a response. It cannot occur within one, since no line of an event consists of a 0 alone.
 const lastChunk = "\r\n0\r\n\r\n"
 
+// headEnd ends the head of a request or response.
 const headEnd = "\r\n\r\n"
 
-var errHandedOver = errors.New("the stream moves to another process")
+// errHandedOver is returned to the reader of a response that is handed over to another process.
+var errHandedOver = errors.New("stream handed over to another process")
 
-// errHandedBack is found by the reader of an answer that is handed back, behind all that had come.
-var errHandedBack = errors.New("the stream is handed back to its client")
+// errHandedBack is returned to the reader of a response that is handed back to its client, after all bytes that had
+// arrived.
+var errHandedBack = errors.New("stream handed back to its client")
 
 const (
-	handBackGrace = 30 * time.Millisecond  // for what is under way of an answer that is handed back: it may be its end
-	maxHandBack   = 300 * time.Millisecond // in all, for one that comes without a pause
+	// handBackReadTimeout is how long a response that is handed back is read on for: its end may already be on the
+	// way.
+	handBackReadTimeout = 30 * time.Millisecond
+	// maxHandBackTime is the maximum total time for that, if bytes keep arriving without a pause.
+	maxHandBackTime = 300 * time.Millisecond
 )
 
-var errUnusable = errors.New("the connection holds what no request asked for, or its end")
+// errUnusable is returned for a connection that cannot be used for a further request.
+var errUnusable = errors.New("connection cannot be reused: idle too long, or bytes or end of stream after the response")
 
-// minPause is how long a connection is idle before it begins another request. What a backend sends right after an
-// answer, some milliseconds late, must have come by then: later it could not be told from the next answer.
-const minPause = 15 * time.Millisecond
+// minReusePause is the minimum idle time of a connection before the next request is written to it. Bytes that a backend
+// sends some milliseconds after the end of a response must have arrived by then: after the request was written they
+// could not be distinguished from the next response.
+const minReusePause = 15 * time.Millisecond
 
-// connection is a connection to a backend. It keeps what comes after an answer from being taken for the answer to the
-// next request: http.Transport checks that only while nobody waits for a connection. It also tells whether a request
-// was written to its last byte, and where an answer stands that another process is to continue.
+// connection is a connection to a backend. It prevents bytes after the end of a response from being taken for the
+// response to the next request; http.Transport checks this only while no request waits for a connection. It also
+// records whether a request was written completely, and the position in a response that another process is to continue.
 type connection struct {
 	net.Conn
 	idleLimit *idleLimit
-	maxIdle   time.Duration // between two requests
-	onWritten func()        // called when a request's last byte is written; may be nil
+	maxIdle   time.Duration // maximum idle time between two requests
+	onWritten func()        // called when a request's last byte was written; may be nil
 	onClosed  func()        // called when the connection is closed; may be nil
 
-	frozen atomic.Bool // the answer is handed over to another process: nothing more is read here
+	frozen atomic.Bool // the response is being handed over to another process; this one reads no more of it
 
 	mu sync.Mutex // guards the rest
 
 	// The request.
 	beginsRequest  bool          // the next write begins a request
-	mayBegin       func() error  // called before a request's first byte is written; nil if it may
-	withheld       bool          // by mayBegin
-	headEndMatched int           // bytes in a row of headEnd that were written
-	unwritten      int           // bytes of the request still to be written; its head counts as one until its end
+	mayBegin       func() error  // called before a request's first byte is written; an error withholds it; may be nil
+	withheld       bool          // mayBegin withheld the request
+	headEndMatched int           // number of bytes in a row that were written and match headEnd
+	unwrittenBytes int           // bytes of the request still to be written; the head counts as one byte
 	idleBefore     time.Duration // how long the connection was idle before the request
 
-	// The answer.
+	// The response.
 	lastRead         time.Time   // when bytes were last read
-	answered         bool        // bytes were read since the last write
-	lastChunkMatched int         // bytes in a row of lastChunk that were read
-	answerEnded      bool        // its last chunk was read, and no request written since
-	chunks           chunkParser // where it stands
-	positionUnknown  bool        // that cannot be told
-	// handBackUntil is until when the rest is read of an answer that is handed back; zero if it is not.
-	handBackUntil time.Time
+	responseStarted  bool        // bytes were read since the request was begun
+	lastChunkMatched int         // number of bytes in a row that were read and match lastChunk
+	responseEnded    bool        // the last chunk was read, and no request was begun since
+	chunks           chunkParser // position in the response
+	positionUnknown  bool        // the response could not be parsed, so that chunks is invalid
+	handBackUntil    time.Time   // until when a response that is handed back is read on; zero if it is not handed back
 
-	unusable bool // for further requests
-	broken   bool // it has failed or ended
+	unusable      bool // no further request may use the connection
+	failedOrEnded bool // a read failed or reached the end of the stream
 }
 
 // Close implements net.Conn.
@@ -77,7 +84,7 @@
 	return c.Conn.Close()
 }
 
-// Read implements net.Conn. It returns the answer and nothing that comes after it.
+// Read implements net.Conn. It returns the bytes of the response, and none that follow it.
 func (c *connection) Read(b []byte) (int, error) {
 	if c.frozen.Load() {
 		return 0, errHandedOver
@@ -91,21 +98,21 @@
 	if c.frozen.Load() && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, errHandedOver
 	}
-	own, err := c.answerBytes(b[:n], err)
-	c.positionUnknown = c.positionUnknown || c.chunks.feed(b[:own], func([]byte) {}) != nil
-	return own, err
+	responseLen, err := c.responseBytes(b[:n], err)
+	c.positionUnknown = c.positionUnknown || c.chunks.feed(b[:responseLen], func([]byte) {}) != nil
+	return responseLen, err
 }
 
-// answerBytes is how many of the bytes that came belong to the answer, and the reader's error.
-func (c *connection) answerBytes(b []byte, err error) (int, error) {
+// responseBytes returns how many of the bytes that were read belong to the response, and the error for the reader.
+func (c *connection) responseBytes(b []byte, err error) (int, error) {
 	n := len(b)
-	c.broken = c.broken || err != nil
-	if c.unusable || n > 0 && c.answerEnded {
+	c.failedOrEnded = c.failedOrEnded || err != nil
+	if c.unusable || n > 0 && c.responseEnded {
 		c.unusable = true
 		return 0, errUnusable
 	}
 	if n > 0 {
-		c.answered, c.lastRead = true, time.Now()
+		c.responseStarted, c.lastRead = true, time.Now()
 	}
 	for i, char := range b[:n] {
 		switch {
@@ -113,14 +120,14 @@
 			c.lastChunkMatched++
 		case char == '\r':
 			c.lastChunkMatched = 1
-		case char == '0' && c.lastChunkMatched == 5: // "\r\n0" again
+		case char == '0' && c.lastChunkMatched == 5: // the last three bytes are "\r\n0"
 			c.lastChunkMatched = 3
 		default:
 			c.lastChunkMatched = 0
 		}
 		if c.lastChunkMatched == len(lastChunk) {
 			c.lastChunkMatched = 0
-			c.answerEnded = true
+			c.responseEnded = true
 			c.unusable = i+1 < n
 			return i + 1, err
 		}
@@ -128,45 +135,45 @@
 	return n, err
 }
 
-// freeze has the answer's reader get errHandedOver once it has taken all that was read. It is false if the answer has
-// ended, or its connection is of no further use.
+// freeze makes the reader of the response get errHandedOver after all bytes that were read. It returns false if the
+// response has ended, or the connection is no longer usable.
 func (c *connection) freeze() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frozen.Load() || c.answerEnded || c.unusable || c.broken {
+	if c.frozen.Load() || c.responseEnded || c.unusable || c.failedOrEnded {
 		return false
 	}
 	c.frozen.Store(true)
 	return c.Conn.SetReadDeadline(time.Now()) == nil
 }
 
-// endForHandBack has the answer's reader get errHandedBack once it has taken all that has come. It is false if the
-// answer has ended, or ends in another way.
+// endForHandBack makes the reader of the response get errHandedBack after all bytes that have arrived. It returns false
+// if the response has ended, or ends in another way.
 func (c *connection) endForHandBack() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frozen.Load() || c.answerEnded || c.unusable || c.broken {
+	if c.frozen.Load() || c.responseEnded || c.unusable || c.failedOrEnded {
 		return false
 	}
 	now := time.Now()
-	c.handBackUntil = now.Add(maxHandBack)
-	return c.Conn.SetReadDeadline(now.Add(handBackGrace)) == nil
+	c.handBackUntil = now.Add(maxHandBackTime)
+	return c.Conn.SetReadDeadline(now.Add(handBackReadTimeout)) == nil
 }
 
-// readAfterDeadline continues past the deadline of an answer that is handed back, while the socket has something to
-// read.
-func (c *connection) readAfterDeadline(b []byte, deadline error) (int, error) {
+// readAfterDeadline reads on after the read deadline of a response that is handed back, while the socket has bytes to
+// read. For any other response it returns deadlineErr.
+func (c *connection) readAfterDeadline(b []byte, deadlineErr error) (int, error) {
 	c.mu.Lock()
 	until := c.handBackUntil
 	c.mu.Unlock()
 	now := time.Now()
 	switch {
 	case until.IsZero():
-		return 0, deadline
+		return 0, deadlineErr
 	case now.After(until) || !c.isReadable():
 		return 0, errHandedBack
 	}
-	if err := c.Conn.SetReadDeadline(now.Add(handBackGrace)); err != nil {
+	if err := c.Conn.SetReadDeadline(now.Add(handBackReadTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := transient.Read(c.Conn, b)
@@ -176,15 +183,15 @@
 	return n, err
 }
 
-// position is where the answer stands. It is false if that is not known, or nothing is left of the answer.
+// position returns the position in the response. It returns false if the position is unknown, or not within the body.
 func (c *connection) position() (chunkParser, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.chunks, !c.positionUnknown && c.chunks.Phase > inHead && c.chunks.Phase < answerOver
+	return c.chunks, !c.positionUnknown && c.chunks.Phase > inHead && c.chunks.Phase < responseComplete
 }
 
-// begin announces that the next write is the first of a request with a body of that size. mayBegin is called before it,
-// and may withhold the request.
+// begin announces that the next write begins a request with a body of the given size in bytes. mayBegin is called
+// before that write; if it returns an error, the request is withheld.
 func (c *connection) begin(bodySize int, mayBegin func() error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,15 +199,15 @@
 	c.withheld = false
 	c.beginsRequest = true
 	c.headEndMatched = 0
-	c.unwritten = 1 + bodySize
+	c.unwrittenBytes = 1 + bodySize
 	c.chunks = chunkParser{}
 	c.positionUnknown = false
 }
 
-// trackWritten counts what is written of a request, and reports whether its last byte was among it. Only that byte
-// tells that the request may run: http.Transport calls a request written when it is in its buffer.
+// trackWritten counts the bytes written of a request, and reports whether the last one was among them. Only then may
+// the request run: http.Transport reports a request as written once it is in its own buffer.
 func (c *connection) trackWritten(b []byte) bool {
-	if c.unwritten == 0 {
+	if c.unwrittenBytes == 0 {
 		return false
 	}
 	for i := 0; i < len(b) && c.headEndMatched < len(headEnd); i++ {
@@ -214,35 +221,36 @@
 		}
 		if c.headEndMatched == len(headEnd) {
 			b = b[i+1:]
-			c.unwritten--
+			c.unwrittenBytes--
 			break
 		}
 	}
 	if c.headEndMatched == len(headEnd) {
-		c.unwritten = max(0, c.unwritten-len(b))
+		c.unwrittenBytes = max(0, c.unwrittenBytes-len(b))
 	}
-	return c.unwritten == 0
+	return c.unwrittenBytes == 0
 }
 
-// Write implements net.Conn. It begins a request only if nothing waits to be read, not even the end of the
-// connection. A request that does not begin never ran, and may be sent over another connection.
+// Write implements net.Conn. It begins a request only if the socket has nothing to read, not even the end of the
+// stream. A request that is not begun never ran, and may be sent over another connection.
 func (c *connection) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.beginsRequest || c.answerEnded {
-		if early := minPause - time.Since(c.lastRead); c.answerEnded && early > 0 {
+	if c.beginsRequest || c.responseEnded {
+		if remaining := minReusePause - time.Since(c.lastRead); c.responseEnded && remaining > 0 {
 			c.mu.Unlock()
-			time.Sleep(early) // in the transport's goroutine for writing; what is read meanwhile makes it unusable
+			// This is the transport's goroutine for writing. Bytes that are read meanwhile make the connection unusable.
+			time.Sleep(remaining)
 			c.mu.Lock()
 		}
-		if c.answered {
+		if c.responseStarted {
 			c.idleBefore = time.Since(c.lastRead)
 			c.unusable = c.unusable || c.idleBefore > c.idleLimit.current(c.maxIdle) || c.isReadable()
 		}
 		c.beginsRequest = false
-		c.answered = false
+		c.responseStarted = false
 		c.lastChunkMatched = 0
-		c.answerEnded = false
-		// The last moment at which the request can be withheld: the connection may have come up late.
+		c.responseEnded = false
+		// The last moment at which the request can be withheld: opening the connection may have taken long.
 		if c.mayBegin != nil {
 			if err := c.mayBegin(); err != nil {
 				c.withheld = true
@@ -267,7 +275,7 @@
 	return n, err
 }
 
-// wasWithheld reports whether mayBegin withheld the request: nothing of it was written.
+// wasWithheld reports whether mayBegin withheld the request, so that nothing of it was written.
 func (c *connection) wasWithheld() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,10 +286,11 @@
 func (c *connection) isWritten() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unwritten == 0
+	return c.unwrittenBytes == 0
 }
 
-// isReadable reports, without blocking or taking anything, whether the socket has bytes or its end to read.
+// isReadable reports, without blocking or consuming anything, whether the socket has bytes or the end of the stream to
+// read.
 func (c *connection) isReadable() bool {
 	if _, ok := c.Conn.(syscall.Conn); !ok {
 		return false
@@ -290,19 +299,20 @@
 	return err != syscall.EAGAIN
 }
 
-// recordIdleLoss notes, after a failure, that the backend had dropped the connection while it was idle.
+// recordIdleLoss shortens the idle limit if, after a failure, the backend turns out to have dropped the connection
+// while it was idle.
 func (c *connection) recordIdleLoss() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idleBefore > 0 && !c.answered && c.broken {
+	if c.idleBefore > 0 && !c.responseStarted && c.failedOrEnded {
 		c.idleLimit.shorten(c.idleBefore, c.maxIdle)
 	}
 }
 
-// isUnreadable reports, after a failure, that bytes came on a connection that is intact: the backend is there, and
-// what it sent is no answer.
-func (c *connection) isUnreadable() bool {
+// isResponseMalformed reports, after a failure, whether bytes arrived on a connection that is intact: the backend is
+// reachable, and what it sent is not a valid response.
+func (c *connection) isResponseMalformed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answered && !c.broken
+	return c.responseStarted && !c.failedOrEnded
 }
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -221,7 +221,7 @@
 		r.Header.Set("X-Expires-In", "300m")
 	}))
 	require.Equal(t, http.StatusServiceUnavailable, status)
-	require.Equal(t, "answered 500 No", logs.FilterMessage("attempt failed").All()[0].ContextMap()["error"])
+	require.Equal(t, "response status 500 No", logs.FilterMessage("attempt failed").All()[0].ContextMap()["error"])
 }
 
 // A process started anew at the same address gets connections of its own: those kept to the one before lead nowhere.
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -9,16 +9,16 @@
 	"standpoint"
 )
 
-// maxTokenCount is above any number of tokens that an answer may report.
+// maxTokenCount is the limit that reported token counts are clamped to; it is above any actual count.
 const maxTokenCount = 1e9
 
-// answerSummary is what the events of a stream have told so far: its usage, a load report, and whether it is done.
-type answerSummary struct {
-	cachedTokens float64 // of the prompt
-	outputTokens float64
-	report       *standpoint.Report
-	done         bool // its last event has come
-	events       int  // with data: comments do not count, and may go on without an end
+// responseSummary is what the events of a stream have reported so far.
+type responseSummary struct {
+	cachedTokens float64            // tokens of the prompt that the backend had cached
+	outputTokens float64            // tokens that the backend generated
+	report       *standpoint.Report // the latest load report; nil if there was none
+	done         bool               // the last event was received
+	events       int                // events with data; comments are not counted, and may be unlimited
 }
 
 var (
@@ -29,7 +29,8 @@
 	otherFields   = [][]byte{[]byte(":"), []byte("event:"), []byte("id:"), []byte("retry:")}
 )
 
-// completeEvents is how many of the bytes are complete events: up to the last empty line. Lines end in LF or in CR LF.
+// completeEvents returns how many of the received bytes are complete events: those up to the last empty line. Lines end
+// with LF or CR LF.
 func completeEvents(received []byte) int {
 	lf, crlf := bytes.LastIndex(received, []byte("\n\n")), bytes.LastIndex(received, []byte("\n\r\n"))
 	switch {
@@ -41,14 +42,14 @@
 	return lf + len("\n\n")
 }
 
-// scan takes complete events in. Each line has to be one that an event of a chat stream can have. Only the event with
-// the usage is decoded.
-func (s *answerSummary) scan(events []byte) error {
+// scan updates the summary with complete events. It returns an error if a line cannot be part of an event of a chat
+// stream. Only the event with the usage is decoded.
+func (s *responseSummary) scan(events []byte) error {
 	for line := range bytes.Lines(events) {
 		line = bytes.TrimRight(line, "\r\n")
 		if report, ok := bytes.CutPrefix(line, reportComment); ok {
-			if r := parseReport(string(report)); r != nil {
-				s.report = r
+			if parsed := parseReport(string(report)); parsed != nil {
+				s.report = parsed
 			}
 			continue
 		}
@@ -61,17 +62,19 @@
 		case ok && bytes.Equal(data, doneData):
 			s.done = true
 		case ok && (s.done || !json.Valid(data)):
-			return errors.New("an event that cannot be read, or one behind the last")
+			return errors.New("invalid event stream: data is not valid JSON, or follows the last event")
 		case ok && bytes.Contains(data, usageKey):
 			s.readUsage(data)
-		case !ok && len(line) > 0 && !slices.ContainsFunc(otherFields, func(m []byte) bool { return bytes.HasPrefix(line, m) }):
-			return errors.New("a line that is no part of an event")
+		case !ok && len(line) > 0 &&
+			!slices.ContainsFunc(otherFields, func(field []byte) bool { return bytes.HasPrefix(line, field) }):
+			return errors.New("invalid event stream: line has no known field")
 		}
 	}
 	return nil
 }
 
-func (s *answerSummary) readUsage(data []byte) {
+// readUsage reads the token counts from the data of an event with a usage object.
+func (s *responseSummary) readUsage(data []byte) {
 	var event struct {
 		Usage *struct {
 			Tokens  float64 `json:"completion_tokens"`
--- a/internal/backend/events_test.go
+++ b/internal/backend/events_test.go
@@ -10,7 +10,7 @@
 
 // The last events tell the tokens found kept and made, and the load; a report that is half readable tells nothing.
 func TestAnswerSummary(t *testing.T) {
-	var end answerSummary
+	var end responseSummary
 	require.NoError(
 		t,
 		end.scan([]byte(`data: {"usage":{"completion_tokens":7,"prompt_tokens_details":{"cached_tokens":4}}}`+
@@ -19,7 +19,7 @@
 	require.NoError(t, end.scan([]byte(": Endpoint-Load-Metrics: TEXT x0=0.5, x1=inf\n\n")))
 	require.Equal(
 		t,
-		answerSummary{
+		responseSummary{
 			cachedTokens: 4,
 			outputTokens: 7,
 			report:       &standpoint.Report{MemoryUsage: 0.25, PrefillBacklog: 1.5, SlotUsage: 0.5},
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -1,5 +1,6 @@
-// Package backend carries attempts to backends over HTTP: each backend has a goroutine with a mailbox, and each attempt
-// one of its own. Backends answer as streams of events, or take files of requests in the form of the public batch API.
+// Package backend sends attempts to backends over HTTP. Each backend has a goroutine with a mailbox, and each attempt
+// has a goroutine of its own. A streaming backend responds with a stream of events; a batch backend processes uploaded
+// files of requests, in the format of the public batch API.
 package backend
 
 import (
@@ -16,28 +17,35 @@
 	"standpoint/internal/node"
 )
 
-// Options are the limits under which backends are reached.
+// Options are the settings for connections and requests to backends.
 type Options struct {
-	DialTimeout    time.Duration
-	ConnIdle       time.Duration // after which a backend closes an idle connection
-	MaxIdle        int           // idle connections kept to one backend
-	MaxConnections int           // to all backends, from which on idle ones are closed; 0 for no limit
-	Batch          BatchOptions  // for backends that take files
-	// Dial opens connections to streaming backends in place of a plain dialer; nil but in tests.
+	// DialTimeout is the maximum time to open a connection.
+	DialTimeout time.Duration
+	// ConnIdle is the idle time after which a backend closes a connection.
+	ConnIdle time.Duration
+	// MaxIdle is the maximum number of idle connections to one backend.
+	MaxIdle int
+	// MaxConnections is the number of connections to all backends above which idle connections are closed; 0 means no
+	// limit.
+	MaxConnections int
+	// Batch holds the settings for batch backends.
+	Batch BatchOptions
+	// Dial opens connections to backends in place of a net.Dialer. It is nil except in tests.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// OnWritten is called when an attempt is written completely; it may be nil.
+	// OnWritten is called when the last byte of an attempt has been written; it may be nil.
 	OnWritten func()
-	Log       *zap.Logger
+	// Log receives the log entries of all backends.
+	Log *zap.Logger
 
-	// onOpen is called when a connection is about to be opened; closed when it is closed again.
+	// onOpen is called just before a connection is opened. The returned function is called when it is closed.
 	onOpen func() (closed func())
 }
 
-// Fleet is all backends. It implements node.Backends; its methods are safe for concurrent use.
+// Fleet manages all backends. It implements node.Backends; its methods are safe for concurrent use.
 type Fleet struct {
 	mu sync.Mutex // guards Options and backends
 	Options
-	backends        map[string]member // by name
+	backends        map[string]backendHandle // by name
 	streams         *runningStreams
 	openConnections atomic.Int64
 }
@@ -46,31 +54,31 @@
 func New(options Options) *Fleet {
 	f := &Fleet{
 		Options:  options,
-		backends: map[string]member{},
+		backends: map[string]backendHandle{},
 		streams:  &runningStreams{connections: map[*connection]bool{}},
 	}
 	f.onOpen = f.countConnection
 	return f
 }
 
-// countConnection counts a connection from just before it is opened until closed is called. If there are many, idle
-// ones are closed: their descriptors are for clients, discovery and the backends that are needed now.
+// countConnection counts a connection from just before it is opened until closed is called. Above MaxConnections, idle
+// connections are closed to free descriptors for clients, for discovery, and for the backends that are in use.
 func (f *Fleet) countConnection() (closed func()) {
 	open := f.openConnections.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.MaxConnections > 0 && open > int64(f.MaxConnections) {
 		for _, backend := range f.backends {
-			backend.post(closeIdle{}) // if its mailbox is full, the next connection posts it again
+			backend.post(closeIdle{}) // if the mailbox is full, the next opened connection posts it again
 		}
 	}
 	return sync.OnceFunc(func() { f.openConnections.Add(-1) })
 }
 
-// Connections is the number of connections to backends that are open, or being opened.
+// Connections returns the number of connections to backends that are open or being opened.
 func (f *Fleet) Connections() int { return int(f.openConnections.Load()) }
 
-// Update takes an endpoint list in. Attempts that are in flight at a removed backend go on.
+// Update applies an endpoint list. Attempts that are in flight to a removed backend continue.
 func (f *Fleet) Update(list node.EndpointList) {
 	if list.Kind == standpoint.ListFailed {
 		return
@@ -98,19 +106,20 @@
 }
 
 // update applies an entry of the endpoint list to a known backend.
-func (f *Fleet) update(backend member, endpoint node.Endpoint) member {
-	if endpoint.State != standpoint.Gone && endpoint.Batch != backend.batch { // another kind under the same name
+func (f *Fleet) update(backend backendHandle, endpoint node.Endpoint) backendHandle {
+	// The name now belongs to a backend of the other kind.
+	if endpoint.State != standpoint.Gone && endpoint.Batch != backend.batch {
 		remove(backend)
 		return f.start(endpoint)
 	}
 	listed := process{address: endpoint.Address, startedAt: endpoint.ReadyAt}
 	if endpoint.Address != "" && listed != backend.process {
 		backend.postReliably(processChanged{listed})
-		backend.draining.Store(true) // what is on its way is meant for the process before
+		backend.draining.Store(true) // attempts already dispatched were meant for the previous process
 		backend.process = listed
 		backend.draining = new(atomic.Bool)
 	}
-	if endpoint.State == standpoint.Ready && backend.draining.Load() { // it is back, for what is decided on from now on
+	if endpoint.State == standpoint.Ready && backend.draining.Load() { // ready again, for attempts decided on from now
 		backend.draining = new(atomic.Bool)
 	}
 	if endpoint.State != standpoint.Ready {
@@ -122,14 +131,15 @@
 	return backend
 }
 
-func remove(backend member) {
+// remove stops new attempts to a backend and ends its goroutine.
+func remove(backend backendHandle) {
 	backend.draining.Store(true)
 	backend.postReliably(backendRemoved{})
 }
 
-// start starts the goroutine of a backend.
-func (f *Fleet) start(endpoint node.Endpoint) member {
-	started := member{
+// start starts the goroutine of a newly listed backend.
+func (f *Fleet) start(endpoint node.Endpoint) backendHandle {
+	started := backendHandle{
 		name:     endpoint.Name,
 		batch:    endpoint.Batch,
 		mailbox:  make(chan message, mailboxSize),
@@ -141,7 +151,7 @@
 	if endpoint.Batch {
 		backend := &batchBackend{
 			Options:       f.Options,
-			member:        started,
+			backendHandle: started,
 			client:        &http.Client{Transport: transport(f.Options, &idleLimit{})},
 			filesInFlight: map[*batchFile]bool{},
 			fileEnded:     make(chan *batchFile),
@@ -149,12 +159,12 @@
 		go backend.run(endpoint.Address)
 		return started
 	}
-	backend := &streamBackend{Options: f.Options, member: started, idleLimit: &idleLimit{}, streams: f.streams}
+	backend := &streamBackend{Options: f.Options, backendHandle: started, idleLimit: &idleLimit{}, streams: f.streams}
 	go backend.run(started.process)
 	return started
 }
 
-// Adjust changes the limits under which backends are reached, from their next connections on.
+// Adjust changes the connection limits; they apply to connections that are opened from then on.
 func (f *Fleet) Adjust(dialTimeout, connIdle time.Duration, maxIdle, maxConnections int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +177,8 @@
 	}
 }
 
-// Send hands an attempt to its backend without blocking. It is false if the backend is not listed, or its mailbox full.
+// Send posts an attempt to its backend's mailbox without blocking. It returns false if the backend is not listed or its
+// mailbox is full.
 func (f *Fleet) Send(attempt *node.Attempt) bool {
 	f.mu.Lock()
 	backend, known := f.backends[attempt.Backend]
--- a/internal/backend/fuzz_test.go
+++ b/internal/backend/fuzz_test.go
@@ -21,7 +21,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var end answerSummary
+		var end responseSummary
 		_ = end.scan(raw)
 		all := []float64{end.cachedTokens, end.outputTokens}
 		for _, r := range []string{string(raw), "TEXT " + string(raw)} {
--- a/internal/backend/idle_limit.go
+++ b/internal/backend/idle_limit.go
@@ -8,20 +8,25 @@
 )
 
 const (
-	// minIdle is the least idle time that is always trusted.
+	// minIdle is the minimum of the limit.
 	minIdle = 20 * time.Millisecond
-	// idleRecovery is the time without a loss after which twice the idle time is trusted again.
+	// idleRecovery is the time without a lost connection after which the limit doubles.
 	idleRecovery = 20 * time.Second
-	// maxDoublings keeps the trusted idle time from overflowing.
+	// maxDoublings is the maximum number of doublings, which keeps the limit from overflowing.
 	maxDoublings = 16
 )
 
-// idleLimit is how long connections to a backend may be idle before they are used again. The backend may drop one
-// without a word, and the request on it ends as a reset that may have run: such a loss shows that less is safe. A new
-// connection costs far less than an attempt. The zero value has had no loss. It is safe for concurrent use.
-type idleLimit struct{ duration, lostAt atomic.Int64 }
+// idleLimit is the longest time that a connection to a backend may have been idle and still be reused. A backend may
+// drop an idle connection silently; a request on it then fails with a reset and may have run. Each such loss shortens
+// the limit, since opening a connection costs far less than losing an attempt. The zero value is an idleLimit without a
+// loss. It is safe for concurrent use.
+type idleLimit struct {
+	// duration is the limit right after the last loss, in nanoseconds. lostAt is the instant of that loss; 0 if there
+	// was none.
+	duration, lostAt atomic.Int64
+}
 
-// current is the idle time that is trusted now, up to a maximum.
+// current returns the present limit, which is no longer than maximum.
 func (l *idleLimit) current(maximum time.Duration) time.Duration {
 	duration := time.Duration(l.duration.Load())
 	lostAt := l.lostAt.Load()
@@ -32,7 +37,8 @@
 	return min(maximum, duration<<doublings)
 }
 
-// shorten notes that a connection was lost after it had been idle for so long.
+// shorten records the loss of a connection that had been idle for the given time. The limit becomes half of that time,
+// or half of the present limit if that is lower.
 func (l *idleLimit) shorten(idle, maximum time.Duration) {
 	l.duration.Store(int64(max(minIdle, min(idle, l.current(maximum))/2)))
 	l.lostAt.Store(clock.Now())
--- a/internal/backend/mailbox.go
+++ b/internal/backend/mailbox.go
@@ -9,30 +9,30 @@
 	"standpoint/internal/node"
 )
 
-// mailboxSize bounds the messages that wait for one backend.
+// mailboxSize is the maximum number of messages queued for one backend.
 const mailboxSize = 256
 
-// message is what the goroutine of a backend receives.
+// message is a message to the goroutine of a backend.
 type message interface{ message() }
 
-// process is where a backend listens, and when its process started, in the module's time.
+// process identifies the process behind a backend's name.
 type process struct {
 	address   string
-	startedAt int64
+	startedAt int64 // the ReadyAt of its endpoint, in nanoseconds of the decision module's clock
 }
 
 type (
-	// sendAttempt hands an attempt over.
+	// sendAttempt starts an attempt.
 	sendAttempt struct{ attempt *node.Attempt }
-	// processChanged tells that another process is the backend now.
+	// processChanged announces that another process now serves under the backend's name.
 	processChanged struct{ process process }
-	// drainStarted tells that the backend drains.
+	// drainStarted announces that the backend is draining.
 	drainStarted struct{}
-	// backendRemoved ends the goroutine.
+	// backendRemoved ends the backend's goroutine.
 	backendRemoved struct{}
-	// closeIdle has the idle connections closed.
+	// closeIdle closes the idle connections.
 	closeIdle struct{}
-	// limitsChanged puts other limits in force, from the next connection on.
+	// limitsChanged sets the limits for connections that are opened from then on.
 	limitsChanged struct {
 		dialTimeout time.Duration
 		connIdle    time.Duration
@@ -47,33 +47,34 @@
 func (closeIdle) message()      {}
 func (limitsChanged) message()  {}
 
-// member is a backend as the Fleet knows it: its mailbox, and what was last listed of it.
-type member struct {
+// backendHandle holds the mailbox of a backend and its state in the latest endpoint list.
+type backendHandle struct {
 	name    string
-	batch   bool // it takes files
+	batch   bool // reports whether it is a batch backend
 	mailbox chan message
 	log     *zap.Logger
 	process process
-	// draining is set, for good, when the backend is to get nothing new. Attempts that were decided on before keep
-	// theirs; a backend that comes back gets another one.
+	// draining is set when the backend must not get new attempts, and is never cleared. A backend that becomes ready
+	// again gets a new flag, so that attempts decided on before that still see theirs set.
 	draining *atomic.Bool
 }
 
-// post does not block: the core must not wait for a backend. It is false if the mailbox is full.
-func (m member) post(what message) bool {
+// post posts a message without blocking, since the core must not wait for a backend. It returns false if the mailbox is
+// full.
+func (h backendHandle) post(msg message) bool {
 	select {
-	case m.mailbox <- what:
+	case h.mailbox <- msg:
 		return true
 	default:
-		m.log.Warn("backend mailbox full", zap.String("server", m.name))
+		h.log.Warn("backend mailbox full", zap.String("server", h.name))
 		return false
 	}
 }
 
-// postReliably posts what, unlike an attempt, may not be lost: if the mailbox is full, a goroutine waits for room in
-// it.
-func (m member) postReliably(what message) {
-	if !m.post(what) {
-		go func() { m.mailbox <- what }()
+// postReliably posts a message that, unlike an attempt, must not be dropped: if the mailbox is full, a goroutine waits
+// until it has room.
+func (h backendHandle) postReliably(msg message) {
+	if !h.post(msg) {
+		go func() { h.mailbox <- msg }()
 	}
 }
--- a/internal/backend/relay.go
+++ b/internal/backend/relay.go
@@ -11,27 +11,27 @@
 	"standpoint/internal/node"
 )
 
-// stream relays the answer of a response. See runningStreams.relay.
+// stream relays the body of a response. See runningStreams.relay.
 func (b *streamBackend) stream(ctx context.Context, cancel context.CancelCauseFunc, response *http.Response,
 	attempt *node.Attempt, conn *connection,
 ) (node.Result, error) {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return node.Result{Code: standpoint.ServerError},
-			errors.New("an answer whose end cannot be told from a break")
+			errors.New("response has neither a length nor chunked encoding: its end could not be detected")
 	}
 	state := &streamState{
 		buffer:  make([]byte, 0, readSize),
-		summary: answerSummary{report: parseReport(response.Header.Get(LoadHeader))},
+		summary: responseSummary{report: parseReport(response.Header.Get(LoadHeader))},
 	}
 	if response.ContentLength >= 0 {
-		conn = nil // it does not come in chunks, and cannot be handed over
+		conn = nil // a response that is not chunked cannot be handed over
 	}
 	return b.streams.relay(ctx, cancel, response.Body, state, attempt, conn)
 }
 
-// relay relays a stream to its end: complete events as they come. The first claims the request. What is no event is not
-// forwarded, and the stream ends there, broken. conn, if not nil, is the connection with which the stream can be handed
-// over.
+// relay relays a stream to its end, forwarding complete events as they arrive. The first event claims the request.
+// Bytes that are not a valid event are not forwarded: the stream is broken off before them. conn, if not nil, is the
+// connection with which the stream can be handed over.
 func (r *runningStreams) relay(ctx context.Context, cancel context.CancelCauseFunc, body io.Reader,
 	state *streamState, attempt *node.Attempt, conn *connection,
 ) (node.Result, error) {
@@ -51,7 +51,7 @@
 	return stream.run()
 }
 
-// relay is a stream on its way to its client.
+// relay is a stream that is being relayed to its client.
 type relay struct {
 	*streamState
 	streams    *runningStreams
@@ -59,24 +59,25 @@
 	cancel     context.CancelCauseFunc
 	body       io.Reader
 	attempt    *node.Attempt
-	connection *connection // with which it can be handed over; nil if it cannot
-	// silenceTimer ends a silent stream: connections to a machine that has vanished stay open, and the client must
-	// not be left waiting.
+	connection *connection // connection to hand over with the stream; nil if it cannot be handed over
+	// silenceTimer breaks a silent stream off. The connection to a machine that has disappeared stays open, and the
+	// client must not wait for it.
 	silenceTimer *time.Timer
 }
 
 // streamEnd is how a stream ended.
 type streamEnd struct {
 	result node.Result
-	err    error
+	err    error // why the stream did not end normally; nil if it did
 }
 
+// run relays the stream to its end.
 func (r *relay) run() (node.Result, error) {
 	r.lastReceived = time.Now()
 	if r.begun {
-		r.claimed()
+		r.streamBegun()
 	} else {
-		r.silenceTimer = time.AfterFunc(firstEventTimeout, func() { r.cancel(errNoEvent) })
+		r.silenceTimer = time.AfterFunc(firstEventTimeout, func() { r.cancel(errNoFirstEvent) })
 	}
 	defer func() { r.silenceTimer.Stop() }()
 	for {
@@ -86,42 +87,42 @@
 				return end.result, end.err
 			}
 		}
-		if end := r.endOf(err); end != nil {
+		if end := r.endFor(err); end != nil {
 			return end.result, end.err
 		}
 	}
 }
 
-// claimed is called when the first event has come, here or in the process before.
-func (r *relay) claimed() {
+// streamBegun is called once the first event was received, in this process or in the one that handed the stream over.
+func (r *relay) streamBegun() {
 	r.begun = true
-	r.silenceTimer = time.AfterFunc(r.silenceTimeout(r.attempt.ClientResumes), func() { r.cancel(errSilent) })
+	r.silenceTimer = time.AfterFunc(r.silenceTimeout(r.attempt.ClientResumes), func() { r.cancel(errStreamSilent) })
 	if r.connection != nil {
 		r.streams.add(r.connection)
 	}
 }
 
-// read reads what comes next, and returns how many bytes of the buffer are complete events.
+// read reads further bytes into the buffer, and returns how many bytes of the buffer are complete events.
 func (r *relay) read() (complete int, err error) {
 	if len(r.buffer) == cap(r.buffer) {
 		r.buffer = append(r.buffer, 0)[:len(r.buffer)]
 	}
 	n, err := r.body.Read(r.buffer[len(r.buffer):cap(r.buffer)])
 	r.buffer = r.buffer[:len(r.buffer)+n]
-	r.size += n
+	r.receivedBytes += n
 	if err == io.EOF && r.begun {
 		return len(r.buffer), err
 	}
 	return completeEvents(r.buffer), err
 }
 
-// forward forwards complete events. It returns how the stream ended if it ends with them.
+// forward forwards complete events. It returns how the stream ended, or nil if it goes on.
 func (r *relay) forward(complete int) *streamEnd {
-	before := r.summary.events
+	eventsBefore := r.summary.events
 	if err := r.summary.scan(r.buffer[:complete]); err != nil {
 		return &streamEnd{node.Result{Code: standpoint.ServerError}, err}
 	}
-	if r.summary.events > before {
+	if r.summary.events > eventsBefore {
 		r.lastReceived = time.Now()
 	}
 	if r.begun && !r.lastForwarded.IsZero() {
@@ -130,10 +131,10 @@
 	if !r.begun {
 		if !r.attempt.Claim() {
 			result := node.Result{Code: failureCode(r.ctx, true, nil)}
-			return &streamEnd{result, errors.New("the request is over")}
+			return &streamEnd{result, errors.New("request already settled, or attempt given up")}
 		}
 		r.silenceTimer.Stop()
-		r.claimed()
+		r.streamBegun()
 	}
 	err := r.writeEvents(complete)
 	switch {
@@ -146,21 +147,23 @@
 	return nil
 }
 
-// writeEvents writes complete events to the client. Meanwhile it is not the backend that is silent, and the time is no
-// part of its pace. The silence counts from the last event with data: comments are no sign of an answer.
+// writeEvents writes complete events to the client. The time of the write counts neither as silence of the backend nor
+// as part of its pauses. Silence is measured from the last event with data, since comments do not show that the
+// response makes progress.
 func (r *relay) writeEvents(complete int) error {
 	r.silenceTimer.Stop()
-	from := time.Now()
+	started := time.Now()
 	err := r.attempt.Forward(r.buffer[:complete])
-	if wait := time.Since(from); wait > node.MinClientStall {
+	if wait := time.Since(started); wait > node.MinClientStall {
 		r.clientStall += wait
 	}
 	r.lastForwarded = time.Now()
-	r.silenceTimer.Reset(r.silenceTimeout(r.attempt.ClientResumes) - from.Sub(r.lastReceived))
+	r.silenceTimer.Reset(r.silenceTimeout(r.attempt.ClientResumes) - started.Sub(r.lastReceived))
 	return err
 }
 
-// stopDecoding ends the decoding because the hook stops it. It ends first, and then it is recorded that it has.
+// stopDecoding ends a stream whose decoding the request's hook has stopped. The response is closed first, so that the
+// end is forwarded only after the backend can send no more.
 func (r *relay) stopDecoding(reason error) *streamEnd {
 	r.silenceTimer.Stop()
 	r.cancel(reason)
@@ -170,15 +173,15 @@
 	return &streamEnd{r.attempt.ForwardStopped(), nil}
 }
 
-// endOf returns how the stream ended by the error of the last read; nil if it goes on.
-func (r *relay) endOf(err error) *streamEnd {
+// endFor returns how the stream ended, given the error of the last read, or nil if it goes on.
+func (r *relay) endFor(err error) *streamEnd {
 	report := r.summary.report
 	switch {
 	case err == io.EOF && r.begun && r.summary.done:
-		return &streamEnd{r.served(), nil}
+		return &streamEnd{r.servedResult(), nil}
 	case err == io.EOF:
 		result := node.Result{Code: standpoint.ServerError, Report: report}
-		return &streamEnd{result, errors.New("the answer ends before its last event")}
+		return &streamEnd{result, errors.New("response ended before its last event")}
 	case errors.Is(err, errHandedOver) && r.connection != nil:
 		result, err := r.streams.handOverStream(r.streamState, r.attempt, r.connection)
 		return &streamEnd{result, err}
@@ -186,15 +189,16 @@
 		return &streamEnd{node.Result{Code: standpoint.Cancelled, Report: report}, err}
 	case err != nil:
 		return &streamEnd{node.Result{Code: failureCode(r.ctx, true, r.connection), Report: report}, err}
-	case len(r.buffer) > maxEventBytes, r.size > maxStreamBytes, r.isEndless(r.attempt.Request.Work.MaxTokens):
+	case len(r.buffer) > maxEventBytes, r.receivedBytes > maxStreamBytes,
+		r.hasTooManyEvents(r.attempt.Request.Work.MaxTokens):
 		result := node.Result{Code: standpoint.ServerError}
-		return &streamEnd{result, errors.New("the answer, or one event of it, does not end")}
+		return &streamEnd{result, errors.New("response exceeds the maximum size, size of an event, or number of events")}
 	}
 	return nil
 }
 
-// served is the result of a stream that has come to its end.
-func (r *relay) served() node.Result {
+// servedResult returns the result of a stream that was relayed completely.
+func (r *relay) servedResult() node.Result {
 	return node.Result{
 		Code:         standpoint.Served,
 		CachedTokens: r.summary.cachedTokens,
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -7,11 +7,12 @@
 	"standpoint"
 )
 
-// LoadHeader is the name of the load report, as a header and in the comment line at a stream's end.
+// LoadHeader is the name of the load report: of the response header, and in the comment line at the end of a stream.
 const LoadHeader = "Endpoint-Load-Metrics"
 
-// parseReport parses a load report in its text form: TEXT x0=0.4, x1=1.2, util=0.61. It is nil if there is none, or
-// it is not readable: half a report would pass for a load that nobody reported.
+// parseReport parses a load report in its text form: TEXT x0=0.4, x1=1.2, util=0.61. It returns nil if there is no
+// report or any of its values is invalid, since a partial report would stand for a load that the backend did not
+// report.
 func parseReport(s string) *standpoint.Report {
 	s, ok := strings.CutPrefix(strings.TrimSpace(s), "TEXT ")
 	if !ok {
@@ -21,15 +22,20 @@
 	found := false
 	for _, pair := range strings.Split(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		to := map[string]*float64{"x0": &r.MemoryUsage, "x1": &r.PrefillBacklog, "util": &r.SlotUsage, "load_share": &r.SlotUsage}[name]
-		if to == nil {
+		target := map[string]*float64{
+			"x0":         &r.MemoryUsage,
+			"x1":         &r.PrefillBacklog,
+			"util":       &r.SlotUsage,
+			"load_share": &r.SlotUsage,
+		}[name]
+		if target == nil {
 			continue
 		}
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v <= maxReportValue) {
+		number, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(number >= 0 && number <= maxReportValue) {
 			return nil
 		}
-		*to = v
+		*target = number
 		found = true
 	}
 	if !found {
@@ -38,5 +44,6 @@
 	return &r
 }
 
-// maxReportValue is above any load: the largest is thousands of unread tokens.
+// maxReportValue is the maximum of a value in a load report. It is above any actual load: the largest is a prefill
+// backlog of thousands of tokens.
 const maxReportValue = 1e6
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -10,7 +10,7 @@
 	"standpoint/internal/node"
 )
 
-// newRequest creates the HTTP request of an attempt. Its expiry is set when it has a connection.
+// newRequest creates the HTTP request of an attempt. setExpiry adds its X-Expires-In header once it has a connection.
 func newRequest(ctx context.Context, address string, attempt *node.Attempt) (*http.Request, error) {
 	work := &attempt.Request.Work
 	request, err := http.NewRequestWithContext(ctx, work.Method, "http://"+address+work.Target,
@@ -18,8 +18,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// With GetBody the transport would retry by itself after a broken connection, which would be an attempt that the
-	// core knows nothing of.
+	// With GetBody the transport would retry by itself after a connection error: an attempt that the core would not
+	// know of.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", work.ContentType)
 	request.Header.Set("X-Trace-Id", work.TraceID)
@@ -27,7 +27,7 @@
 	return request, nil
 }
 
-// setExpiry sets the header that tells how much time the client has left.
+// setExpiry sets the X-Expires-In header: the time until the attempt's deadline, in milliseconds and at least 1.
 func setExpiry(request *http.Request, attempt *node.Attempt) {
 	request.Header.Set("X-Expires-In", fmt.Sprintf("%dm", max(1, time.Until(attempt.Until).Milliseconds())))
 }
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -9,15 +9,15 @@
 	"standpoint/internal/node"
 )
 
-// requestFaultStatuses are the statuses that find fault with the request itself. Another backend would do the same: the
-// request is not retried, and the backend is not blamed for what a client sends.
+// requestFaultStatuses are the statuses that report a fault of the request itself. Any other backend would respond
+// alike, so the request is not retried and does not count as an error of the backend.
 var requestFaultStatuses = []int{
 	http.StatusBadRequest,
 	http.StatusRequestEntityTooLarge,
 	http.StatusUnprocessableEntity,
 }
 
-// notBegunResult is the result of an attempt of which nothing was sent, for a reason that is not its backend's.
+// notBegunResult returns the result of an attempt that was not sent, for a reason other than a fault of its backend.
 func notBegunResult(ctx context.Context) node.Result {
 	if ctx.Err() != nil {
 		return node.Result{Code: failureCode(ctx, false, nil)}
@@ -25,8 +25,8 @@
 	return node.Result{Code: standpoint.NotSent}
 }
 
-// shortageResult is the result of an attempt that failed for a shortage of this machine: it says nothing of the
-// backend.
+// shortageResult returns the result of an attempt that failed because this machine ran short of a resource. It says
+// nothing about the backend.
 func shortageResult(written bool) node.Result {
 	if written {
 		return node.Result{Code: standpoint.ConnectionLost, Local: true}
@@ -34,8 +34,8 @@
 	return node.Result{Code: standpoint.NotSent}
 }
 
-// failureCode is the code of an attempt without a complete answer. An answer that is not readable shows, unlike a lost
-// connection, that the backend is there: it is an error of this one request. conn may be nil.
+// failureCode returns the outcome code of an attempt without a complete response. A malformed response, unlike a lost
+// connection, shows that the backend is reachable: it counts as an error of this one request. conn may be nil.
 func failureCode(ctx context.Context, written bool, conn *connection) standpoint.OutcomeCode {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, node.ErrNoAnswer):
@@ -45,7 +45,7 @@
 		return standpoint.Cancelled
 	case !written:
 		return standpoint.NoConnection
-	case errors.Is(cause, errNoEvent), conn != nil && conn.isUnreadable():
+	case errors.Is(cause, errNoFirstEvent), conn != nil && conn.isResponseMalformed():
 		return standpoint.ServerError
 	}
 	return standpoint.ConnectionLost
--- a/internal/backend/running_streams.go
+++ b/internal/backend/running_streams.go
@@ -10,18 +10,18 @@
 	"standpoint/internal/node"
 )
 
-// HandOverFunc takes a stream for another process, with the descriptors of its client's and its backend's connection.
-// An error means that the stream was not taken.
-type HandOverFunc = func(s Stream, client, server int) error
+// HandOverFunc passes a stream to another process, with the descriptors of its client's and its backend's connection.
+// An error means that the other process did not accept the stream.
+type HandOverFunc = func(stream Stream, clientFD, backendFD int) error
 
-// runningStreams are the streams that are relayed now. It is safe for concurrent use.
+// runningStreams is the set of streams that are being relayed. It is safe for concurrent use.
 type runningStreams struct {
 	mu          sync.Mutex // guards the rest
 	connections map[*connection]bool
-	handOver    HandOverFunc // nil while streams stay in this process
+	handOver    HandOverFunc // set by Fleet.HandOver; nil before
 }
 
-// add adds a stream that has begun. One that begins after HandOver is handed over too.
+// add adds the connection of a stream that has begun. A stream that begins after Fleet.HandOver is handed over too.
 func (r *runningStreams) add(c *connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,13 +31,15 @@
 	}
 }
 
+// remove removes the connection of a stream that has ended.
 func (r *runningStreams) remove(c *connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.connections, c)
 }
 
-// HandOver has all streams that have begun leave this process, if they can. It returns how many are asked to.
+// HandOver hands over all streams that have begun, and those that begin later, as far as they can be handed over. It
+// returns the number of streams whose handover it has started.
 func (f *Fleet) HandOver(handOver HandOverFunc) int {
 	f.streams.mu.Lock()
 	defer f.streams.mu.Unlock()
@@ -51,28 +53,29 @@
 	return frozen
 }
 
-// handOverStream hands a stream over whose connection was frozen. It ends here in any case: handed over, or broken off.
+// handOverStream hands over a stream whose connection was frozen. In this process the stream ends in any case: if the
+// handover fails, it is broken off.
 func (r *runningStreams) handOverStream(
 	state *streamState, attempt *node.Attempt, conn *connection,
 ) (node.Result, error) {
 	r.mu.Lock()
 	handOver := r.handOver
 	r.mu.Unlock()
-	lost := node.Result{Code: standpoint.Cancelled}
+	cancelled := node.Result{Code: standpoint.Cancelled}
 	position, known := conn.position()
 	if handOver == nil || !known {
-		return lost, errors.New("where the answer stands is not known")
+		return cancelled, errors.New("hand over stream: position in the response is unknown")
 	}
-	server, err := duplicateSocket(conn.Conn)
+	backendFD, err := duplicateSocket(conn.Conn)
 	if err != nil {
-		return lost, err
+		return cancelled, err
 	}
-	defer func() { _ = unix.Close(server) }()
-	client, err := attempt.Detach()
+	defer func() { _ = unix.Close(backendFD) }()
+	clientFD, err := attempt.Detach()
 	if err != nil {
-		return lost, err
+		return cancelled, err
 	}
-	defer func() { _ = unix.Close(client) }()
-	err = handOver(newStream(state, attempt, position), client, server)
+	defer func() { _ = unix.Close(clientFD) }()
+	err = handOver(newStream(state, attempt, position), clientFD, backendFD)
 	return node.Result{Code: standpoint.Cancelled, Moved: err == nil}, err
 }
--- a/internal/backend/socket.go
+++ b/internal/backend/socket.go
@@ -10,8 +10,8 @@
 	"standpoint/internal/transient"
 )
 
-// UnreadBytes returns, without blocking or taking anything, whether the socket has bytes to read: 0 and no error at its
-// end, EAGAIN if nothing has come.
+// UnreadBytes peeks at the socket without blocking or consuming anything. It returns 1 if there are bytes to read, 0
+// without an error at the end of the stream, and EAGAIN if nothing has arrived.
 func UnreadBytes(c net.Conn) (n int, err error) {
 	failed := control(c, func(fd int) {
 		err = transient.IgnoringEINTR(func() (failed error) {
@@ -25,27 +25,27 @@
 	return max(0, n), err
 }
 
-// PeerClosed reports, without blocking, whether the other side is known to have closed the connection, or its sending
-// side, though what it sent before may not have been read.
+// PeerClosed reports, without blocking, whether the peer has closed the connection or its sending side. Bytes that it
+// sent before that may still be unread.
 func PeerClosed(c net.Conn) bool {
-	look := []unix.PollFd{{Events: unix.POLLRDHUP}}
+	pollFDs := []unix.PollFd{{Events: unix.POLLRDHUP}}
 	if err := control(c, func(fd int) {
-		look[0].Fd = int32(fd)
+		pollFDs[0].Fd = int32(fd)
 		_ = transient.IgnoringEINTR(func() error {
-			_, failed := unix.Poll(look, 0)
+			_, failed := unix.Poll(pollFDs, 0)
 			return failed
 		})
 	}); err != nil {
 		return false
 	}
-	if look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
+	if pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
 		return true
 	}
 	n, err := UnreadBytes(c)
 	return n == 0 && err == nil
 }
 
-// control calls f with the connection's descriptor.
+// control calls f with the descriptor of a connection.
 func control(c net.Conn, f func(fd int)) error {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
@@ -58,11 +58,11 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// duplicateSocket is another descriptor of a connection's socket. It outlives the connection's own.
+// duplicateSocket returns a duplicate descriptor of a connection's socket, which stays open when the connection closes.
 func duplicateSocket(c net.Conn) (int, error) {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
-		return 0, errors.New("a connection without a descriptor")
+		return 0, errors.New("duplicate socket: connection has no descriptor")
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -70,11 +70,12 @@
 	}
 	var fd int
 	var failed error
-	if err := raw.Control(func(own uintptr) { fd, failed = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
+	if err := raw.Control(func(open uintptr) { fd, failed = unix.FcntlInt(open, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
 		return 0, err
 	}
 	return fd, failed
 }
 
-// DuplicateSocket is duplicate, for the clients' side.
+// DuplicateSocket returns a duplicate descriptor of a client connection's socket, which stays open when the connection
+// closes.
 func DuplicateSocket(c net.Conn) (int, error) { return duplicateSocket(c) }
--- a/internal/backend/stream_backend.go
+++ b/internal/backend/stream_backend.go
@@ -21,52 +21,54 @@
 )
 
 const (
-	maxHeadBytes = 16 << 10 // of an answer, with the 1xx answers before it
-	// maxDrainBytes and drainTimeout bound what is read of an answer that is no stream, so that its connection can be
-	// kept.
+	// maxHeadBytes is the maximum size of the head of a response, including preceding 1xx responses.
+	maxHeadBytes = 16 << 10
+	// maxDrainBytes is the maximum number of bytes read of a response other than 200, so that its connection can be
+	// reused.
 	maxDrainBytes = 16 << 10
-	drainTimeout  = 100 * time.Millisecond
-	// maxFreshConnections is the number of further connections for a request that reused ones did not take.
-	maxFreshConnections = 2
+	// drainTimeout is the maximum time for that.
+	drainTimeout = 100 * time.Millisecond
+	// maxExtraConnections is the maximum number of further connections tried for a request that could not be written to
+	// the one before.
+	maxExtraConnections = 2
 	// neverRanHeader is set to 1 by a backend that rejects a request before it runs.
 	neverRanHeader = "X-Never-Ran"
 )
 
 var (
-	errSilent  = errors.New("the stream fell silent")
-	errNoEvent = errors.New("no event behind the head of the answer")
+	errStreamSilent = errors.New("backend silent for too long within a response")
+	errNoFirstEvent = errors.New("no event received in time after the head of the response")
 )
 
-// streamBackend is a backend that answers with streams.
+// streamBackend is a backend that responds with streams of events.
 type streamBackend struct {
 	Options
-	member
+	backendHandle
 	idleLimit *idleLimit
 	streams   *runningStreams
 }
 
-// run handles the mailbox. Each attempt waits for its connection in a goroutine of its own: a silent connection must
-// not hold up the mailbox.
+// run handles the mailbox. Each attempt has a goroutine of its own, so that waiting for a connection does not block the
+// mailbox.
 func (b *streamBackend) run(current process) {
 	connections := transport(b.Options, b.idleLimit)
 	defer func() { connections.CloseIdleConnections() }()
-	for m := range b.mailbox {
-		switch m := m.(type) {
+	for received := range b.mailbox {
+		switch msg := received.(type) {
 		case sendAttempt:
-			go b.runAttempt(connections, current.address, m.attempt) // the attempt's request waits for its end
+			go b.runAttempt(connections, current.address, msg.attempt) // the request waits until the attempt has ended
 		case processChanged:
-			// The open connections lead to the process before, and how long that one let them be idle says nothing of
-			// this one.
-			if m.process != current {
+			// Open connections lead to the previous process, and its idle limit does not apply to the new one.
+			if msg.process != current {
 				connections.CloseIdleConnections()
 				b.idleLimit = &idleLimit{}
 				connections = transport(b.Options, b.idleLimit)
-				current = m.process
+				current = msg.process
 			}
 		case limitsChanged:
-			b.DialTimeout = m.dialTimeout
-			b.ConnIdle = m.connIdle
-			b.MaxIdle = m.maxIdle
+			b.DialTimeout = msg.dialTimeout
+			b.ConnIdle = msg.connIdle
+			b.MaxIdle = msg.maxIdle
 			connections.CloseIdleConnections()
 			connections = transport(b.Options, b.idleLimit)
 		case closeIdle:
@@ -77,7 +79,7 @@
 	}
 }
 
-// runAttempt carries one attempt to its end.
+// runAttempt runs one attempt and reports its result.
 func (b *streamBackend) runAttempt(transport *http.Transport, address string, attempt *node.Attempt) {
 	result, err := b.send(transport, address, attempt)
 	if err != nil && result.Code != standpoint.Cancelled {
@@ -92,40 +94,42 @@
 	attempt.Finish(result)
 }
 
-// send sends the request, on a further connection if one took nothing of it: a reused connection that had ended or
-// held what nobody asked for, or one that broke off before the request's last byte. That is no failure of the
-// backend, and no further attempt.
+// send sends the request, and retries on another connection if the request was not written completely because a reused
+// connection had ended or had unexpected bytes to read, or because the connection failed. This counts neither as a
+// failure of the backend nor as a further attempt.
 func (b *streamBackend) send(
 	transport *http.Transport, address string, attempt *node.Attempt,
 ) (node.Result, error) {
-	for fresh := 0; ; fresh++ {
+	for extra := 0; ; extra++ {
 		result, reused, err := b.sendOnce(transport, address, attempt)
-		tookNothing := reused || isConnectionError(err)
-		if result.Code != standpoint.NoConnection || fresh >= maxFreshConnections || !tookNothing {
+		mayRetry := reused || isConnectionError(err)
+		if result.Code != standpoint.NoConnection || extra >= maxExtraConnections || !mayRetry {
 			return result, err
 		}
-		transport.CloseIdleConnections() // they have been idle for longer still
+		transport.CloseIdleConnections() // the others have been idle for even longer
 	}
 }
 
+// isConnectionError reports whether an error means that the connection was closed or reset.
 func isConnectionError(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, net.ErrClosed)
 }
 
-// sendOnce sends the request over one connection, a reused one if there is one, and relays its answer.
+// sendOnce sends the request over one connection, an idle one if there is one, and relays the response.
 func (b *streamBackend) sendOnce(
 	transport *http.Transport, address string, attempt *node.Attempt,
 ) (result node.Result, reused bool, err error) {
 	var used atomic.Pointer[connection]
 	var request *http.Request
-	// Whether the request may have run is told by its last byte: before that is written no backend starts.
+	// The request may have run only if its last byte was written: a backend does not start before that.
 	ctx := httptrace.WithClientTrace(attempt.Context(), &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			reused = info.Reused
-			setExpiry(request, attempt) // the connection may have come up late; the head is written after this call
-			if c, ok := info.Conn.(*connection); ok {
-				c.begin(len(attempt.Request.Work.Body), attempt.MayBegin)
-				used.Store(c)
+			// Opening the connection may have taken long; the head is written after this call.
+			setExpiry(request, attempt)
+			if conn, ok := info.Conn.(*connection); ok {
+				conn.begin(len(attempt.Request.Work.Body), attempt.MayBegin)
+				used.Store(conn)
 			}
 		},
 	})
@@ -147,14 +151,14 @@
 		result, err = b.stream(ctx, cancel, response, attempt, used.Load())
 		return result, reused, err
 	}
-	// The rest is read so that the connection can be kept, but a body that does not come must not hold up the next
+	// The body is read so that the connection can be reused, but a body that does not arrive must not delay the next
 	// attempt.
-	defer time.AfterFunc(drainTimeout, func() { cancel(errSilent) }).Stop()
+	defer time.AfterFunc(drainTimeout, func() { cancel(errStreamSilent) }).Stop()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDrainBytes))
-	return rejectedResult(response), reused, fmt.Errorf("answered %s", response.Status)
+	return rejectedResult(response), reused, fmt.Errorf("response status %s", response.Status)
 }
 
-// resultWithoutResponse is the result of an attempt whose round trip failed.
+// resultWithoutResponse returns the result of an attempt whose round trip failed.
 func resultWithoutResponse(ctx context.Context, used *connection, reused bool, err error) node.Result {
 	if used != nil && used.wasWithheld() {
 		return notBegunResult(ctx)
@@ -169,7 +173,7 @@
 	return node.Result{Code: failureCode(ctx, written, used)}
 }
 
-// rejectedResult is the result of an attempt that was answered with another status than 200.
+// rejectedResult returns the result of an attempt whose response has another status than 200.
 func rejectedResult(response *http.Response) node.Result {
 	result := node.Result{Code: standpoint.ServerError, Report: parseReport(response.Header.Get(LoadHeader))}
 	switch {
--- a/internal/backend/stream_handover.go
+++ b/internal/backend/stream_handover.go
@@ -15,85 +15,99 @@
 	"standpoint/internal/node"
 )
 
-// Stream is the state of an answer that one process hands over to another. With the client's and the backend's
-// connection the other continues from the next byte.
+// Stream is the state of a response that one process hands over to another. With the connections to the client and the
+// backend, the other process continues it from the next byte.
 type Stream struct {
-	Trace        string             `json:"trace"`
-	Class        int                `json:"class"`
-	Server       string             `json:"server"`
-	Partial      []byte             `json:"begun"` // of an event that is not complete yet
-	Size         int                `json:"size"`  // bytes received in all
-	CachedTokens float64            `json:"kept"`
-	Tokens       float64            `json:"tokens"`
-	Report       *standpoint.Report `json:"report"`
-	Done         bool               `json:"done"` // its last event was received
-	ClientStall  time.Duration      `json:"held"`
-	Chunks       chunkParser        `json:"chunks"`
+	// Trace is the trace ID of the request.
+	Trace string `json:"trace"`
+	// Class is the index of the request's class.
+	Class int `json:"class"`
+	// Backend is the name of the backend.
+	Backend string `json:"server"`
+	// Partial is the received part of an event that is not yet complete.
+	Partial []byte `json:"begun"`
+	// ReceivedBytes is the total number of bytes received.
+	ReceivedBytes int `json:"size"`
+	// CachedTokens is the number of tokens of the prompt that the backend had cached, as reported so far.
+	CachedTokens float64 `json:"kept"`
+	// OutputTokens is the number of tokens that the backend generated, as reported so far.
+	OutputTokens float64 `json:"tokens"`
+	// Report is the latest load report; nil if there was none.
+	Report *standpoint.Report `json:"report"`
+	// Done reports whether the last event was received.
+	Done bool `json:"done"`
+	// ClientStall is the total time that the client delayed the stream by reading slowly.
+	ClientStall time.Duration `json:"held"`
+	// Chunks is the position in the response.
+	Chunks chunkParser `json:"chunks"`
 }
 
+// newStream returns the state of a stream to hand over.
 func newStream(state *streamState, attempt *node.Attempt, position chunkParser) Stream {
 	return Stream{
-		Trace:        attempt.Request.Work.TraceID,
-		Class:        attempt.Request.Spec.Class,
-		Server:       attempt.Backend,
-		Partial:      state.buffer,
-		Size:         state.size,
-		CachedTokens: state.summary.cachedTokens,
-		Tokens:       state.summary.outputTokens,
-		Report:       state.summary.report,
-		Done:         state.summary.done,
-		ClientStall:  state.clientStall,
-		Chunks:       position,
+		Trace:         attempt.Request.Work.TraceID,
+		Class:         attempt.Request.Spec.Class,
+		Backend:       attempt.Backend,
+		Partial:       state.buffer,
+		ReceivedBytes: state.receivedBytes,
+		CachedTokens:  state.summary.cachedTokens,
+		OutputTokens:  state.summary.outputTokens,
+		Report:        state.summary.report,
+		Done:          state.summary.done,
+		ClientStall:   state.clientStall,
+		Chunks:        position,
 	}
 }
 
-// DecodeStream decodes a stream that another process hands over.
+// DecodeStream decodes and validates a stream that another process hands over.
 func DecodeStream(raw []byte) (Stream, error) {
 	var s Stream
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Stream{}, fmt.Errorf("a stream that cannot be read: %w", err)
+		return Stream{}, fmt.Errorf("decode stream: %w", err)
 	}
-	if !s.valid() || !s.Chunks.valid() {
-		return Stream{}, errors.New("a stream that cannot be")
+	if !s.isValid() || !s.Chunks.isValid() {
+		return Stream{}, errors.New("decode stream: value out of range")
 	}
 	return s, nil
 }
 
-func (s *Stream) valid() bool {
+// isValid reports whether the fields other than Chunks have values that a stream can have.
+func (s *Stream) isValid() bool {
 	return s.Trace != "" &&
 		len(s.Partial) <= maxEventBytes &&
-		s.Size >= 0 && s.Size <= maxStreamBytes &&
+		s.ReceivedBytes >= 0 && s.ReceivedBytes <= maxStreamBytes &&
 		s.ClientStall >= 0
 }
 
-// state is the state from which the stream continues.
+// state returns the relay state from which the stream continues.
 func (s *Stream) state() *streamState {
 	return &streamState{
-		begun:       true,
-		buffer:      append(make([]byte, 0, readSize), s.Partial...),
-		size:        s.Size,
-		clientStall: s.ClientStall,
-		summary: answerSummary{
+		begun:         true,
+		buffer:        append(make([]byte, 0, readSize), s.Partial...),
+		receivedBytes: s.ReceivedBytes,
+		clientStall:   s.ClientStall,
+		summary: responseSummary{
 			cachedTokens: s.CachedTokens,
-			outputTokens: s.Tokens,
+			outputTokens: s.OutputTokens,
 			report:       s.Report,
 			done:         s.Done,
 		},
 	}
 }
 
-// Continue relays a stream that another process has begun, from the next byte of its backend's connection to its end.
-func (f *Fleet) Continue(s Stream, server net.Conn, attempt *node.Attempt) {
-	defer server.Close()
+// Continue relays a stream that another process has handed over, from the next byte of its backend's connection to its
+// end.
+func (f *Fleet) Continue(s Stream, backendConn net.Conn, attempt *node.Attempt) {
+	defer backendConn.Close()
 	ctx, cancel := context.WithCancelCause(attempt.Context())
 	defer cancel(nil)
-	conn := &connection{Conn: server, idleLimit: &idleLimit{}, chunks: s.Chunks}
-	defer context.AfterFunc(ctx, func() { _ = server.SetReadDeadline(time.Now()) })()
+	conn := &connection{Conn: backendConn, idleLimit: &idleLimit{}, chunks: s.Chunks}
+	defer context.AfterFunc(ctx, func() { _ = backendConn.SetReadDeadline(time.Now()) })()
 	body := &remainder{connection: conn, chunks: s.Chunks}
 	result, err := f.streams.relay(ctx, cancel, body, s.state(), attempt, conn)
 	if err != nil {
 		f.Log.Info("adopted stream ended",
-			zap.String("server", s.Server),
+			zap.String("server", s.Backend),
 			zap.String("trace", s.Trace),
 			zap.Bool("moved", result.Moved),
 			zap.Error(err))
@@ -101,20 +115,20 @@
 	attempt.Finish(result)
 }
 
-// remainder reads what is still to come of an answer in chunks.
+// remainder reads the payload of the rest of a chunked response.
 type remainder struct {
 	connection *connection
 	chunks     chunkParser
-	payload    []byte // received and not read yet
+	payload    []byte // received but not yet read
 }
 
 // Read implements io.Reader.
 func (r *remainder) Read(b []byte) (int, error) {
 	for len(r.payload) == 0 {
-		if r.chunks.Phase == answerOver {
+		if r.chunks.Phase == responseComplete {
 			return 0, io.EOF
 		}
-		if err := r.receive(); err != nil && len(r.payload) == 0 && r.chunks.Phase != answerOver {
+		if err := r.receive(); err != nil && len(r.payload) == 0 && r.chunks.Phase != responseComplete {
 			return 0, err
 		}
 	}
@@ -123,7 +137,7 @@
 	return n, nil
 }
 
-// receive reads once from the connection. An error matters only if nothing came before it.
+// receive reads once from the connection. Its error matters only if no payload was received with it.
 func (r *remainder) receive() error {
 	raw := make([]byte, 4<<10)
 	n, err := r.connection.Read(raw)
@@ -131,7 +145,7 @@
 	if malformed != nil {
 		return malformed
 	}
-	if err == io.EOF && r.chunks.Phase != answerOver {
+	if err == io.EOF && r.chunks.Phase != responseComplete {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/backend/stream_state.go
+++ b/internal/backend/stream_state.go
@@ -3,37 +3,44 @@
 import "time"
 
 const (
-	// firstEventTimeout is how long after the head of an answer its first event may come: they usually come together.
+	// firstEventTimeout is the maximum time from the head of a response to its first event; they usually arrive
+	// together.
 	firstEventTimeout = time.Second
-	// maxSilence is how long a stream may be silent before it counts as broken.
+	// maxSilence is the time without an event after which a stream is broken off.
 	maxSilence = 3 * time.Second
-	// A stream whose client requests the rest counts as broken earlier: after silenceFactor of its own longest
-	// pauses, but not before minResumableSilence, since backends pause for up to 600 ms.
+	// minResumableSilence is the minimum of that time for a stream whose client can request the rest. It is above the
+	// pauses of backends, which last up to 600 ms.
 	minResumableSilence = time.Second
-	silenceFactor       = 4
+	// silenceFactor is that time for such a stream, as a multiple of its longest pause so far.
+	silenceFactor = 4
 
-	readSize       = 16 << 10
-	maxEventBytes  = 64 << 10
+	// readSize is the initial size of a stream's buffer, in bytes.
+	readSize = 16 << 10
+	// maxEventBytes is the maximum size of one event.
+	maxEventBytes = 64 << 10
+	// maxStreamBytes is the maximum size of a response.
 	maxStreamBytes = 16 << 20
-	// eventsPerToken and extraEvents bound the events of an answer by the tokens that its request allows.
+	// eventsPerToken is the maximum number of events for each token that the request allows.
 	eventsPerToken = 2
-	extraEvents    = 64
+	// extraEvents is the number of events that a response may have in addition.
+	extraEvents = 64
 )
 
-// streamState is how far a stream has been relayed.
+// streamState is the progress of a stream that is being relayed.
 type streamState struct {
-	begun         bool   // its first event was forwarded
-	buffer        []byte // received and not forwarded yet
-	summary       answerSummary
-	size          int           // bytes received in all
-	clientStall   time.Duration // how long the client kept the stream waiting in all
-	lastForwarded time.Time     // when events were last forwarded
-	lastReceived  time.Time     // when an event with data was last received
-	longestPause  time.Duration // of the backend between two events; 0 if not known
+	begun         bool            // the first event was forwarded
+	buffer        []byte          // bytes received but not yet forwarded
+	summary       responseSummary // what the events have reported so far
+	receivedBytes int             // total bytes received
+	clientStall   time.Duration   // total time that the client delayed the stream by reading slowly
+	lastForwarded time.Time       // when events were last forwarded
+	lastReceived  time.Time       // when an event with data was last received
+	longestPause  time.Duration   // longest pause of the backend between two events; 0 if unknown
 }
 
-// silenceTimeout is how long the stream may be silent before it counts as broken. A client that then requests the rest
-// from another backend loses time, and all streams of a lost zone would come back at once.
+// silenceTimeout returns the time without an event after which the stream is broken off. If the client can request the
+// rest from another backend, the time follows the stream's own pace: waiting longer costs the client time, and with one
+// timeout for all, the streams of a lost zone would all be requested anew at once.
 func (s *streamState) silenceTimeout(resumable bool) time.Duration {
 	if !resumable || s.longestPause == 0 {
 		return maxSilence
@@ -41,7 +48,7 @@
 	return min(maxSilence, max(minResumableSilence, silenceFactor*s.longestPause))
 }
 
-// isEndless reports whether there are more events than the longest answer to the request can have.
-func (s *streamState) isEndless(maxTokens float64) bool {
+// hasTooManyEvents reports whether there are more events than the longest response to the request can have.
+func (s *streamState) hasTooManyEvents(maxTokens float64) bool {
 	return maxTokens >= 1 && float64(s.summary.events) > eventsPerToken*maxTokens+extraEvents
 }
--- a/internal/backend/transport.go
+++ b/internal/backend/transport.go
@@ -8,7 +8,7 @@
 	"standpoint/internal/transient"
 )
 
-// transport creates the HTTP transport to a backend.
+// transport creates the HTTP transport to a backend, whose connections are of type *connection.
 func transport(options Options, limit *idleLimit) *http.Transport {
 	dial := transient.DialFunc(options.Dial)
 	if dial == nil {
@@ -32,12 +32,12 @@
 			}, nil
 		},
 		MaxResponseHeaderBytes: maxHeadBytes,
-		// Half of the backend's own idle time: a request written to a connection that the backend is closing would end
-		// as a reset.
+		// Half of the backend's own idle timeout: a request written to a connection that the backend is closing would
+		// fail with a reset.
 		IdleConnTimeout:     options.ConnIdle / 2,
 		MaxIdleConns:        options.MaxIdle,
 		MaxIdleConnsPerHost: options.MaxIdle,
-		DisableCompression:  true, // events are forwarded unchanged, as they come
+		DisableCompression:  true, // events are forwarded unchanged as they arrive
 		WriteBufferSize:     4 << 10,
 		ReadBufferSize:      4 << 10,
 	}
