--- a/internal/backend/batch_address_test.go
+++ b/internal/backend/batch_address_test.go
@@ -10,25 +10,25 @@
 	"standpoint/internal/testpeer"
 )
 
-// A server that takes files is told a new address while a file goes out: the file goes where it was meant to, and the
-// address is not read while it changes (the race detector sees it).
+// The address of a batch backend changes while a file is uploaded to it. The file is still uploaded to the address that
+// it was created for, and the address is not read while it is written, which the race detector would report.
 func TestAddressChangesDuringAnUpload(t *testing.T) {
-	refuses := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	entry := testpeer.Endpoint("files", testpeer.Backend(t, refuses))
-	entry.Batch = true
-	other := entry
-	other.Address = testpeer.Backend(t, refuses)
-	n := testpeer.Start(t, testpeer.Settings(), entry)
-	over := make(chan int, 1)
+	respond503 := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	endpoint := testpeer.Endpoint("files", testpeer.Backend(t, respond503))
+	endpoint.Batch = true
+	moved := endpoint
+	moved.Address = testpeer.Backend(t, respond503)
+	n := testpeer.Start(t, testpeer.Settings(), endpoint)
+	result := make(chan int, 1)
 	go func() {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "500m") }))
-		over <- status
+		result <- status
 	}()
 	for status := 0; status == 0; {
-		n.UpdateEndpoints(other)
-		n.UpdateEndpoints(entry)
+		n.UpdateEndpoints(moved)
+		n.UpdateEndpoints(endpoint)
 		select {
-		case status = <-over:
+		case status = <-result:
 			require.NotEqual(t, http.StatusOK, status)
 		case <-time.After(time.Millisecond):
 		}
--- a/internal/backend/batch_drain_test.go
+++ b/internal/backend/batch_drain_test.go
@@ -20,114 +20,115 @@
 	"standpoint/internal/testpeer"
 )
 
-// fileServer is a backend that takes files: an upload waits until it is let go.
-type fileServer struct {
-	uploads chan struct{} // one for each that came
-	let     chan struct{}
-	made    atomic.Int32 // batches
-	leavers atomic.Int32 // of these, those whose file has the leaver's request
-	files   sync.Map     // whether each file has, by its id
-	number  atomic.Int32 // of files
+// uploadHolder is a batch backend that holds each upload back until it is released. It rejects all other calls.
+type uploadHolder struct {
+	uploads              chan struct{} // receives a value for each upload
+	release              chan struct{} // a value releases one upload
+	batches              atomic.Int32  // number of calls to create a batch
+	disconnectingBatches atomic.Int32  // number of these whose file contains the request with disconnectingTraceID
+	hasDisconnecting     sync.Map      // whether a file contains that request, by the file's ID
+	fileCount            atomic.Int32  // number of files
 }
 
-const leaver = "feedfeedfeedfeed" // the id of a request whose client leaves
+// disconnectingTraceID is the trace ID of a request whose client disconnects.
+const disconnectingTraceID = "feedfeedfeedfeed"
 
-func startFileServer(t *testing.T) (*fileServer, node.Endpoint) {
-	f := &fileServer{uploads: make(chan struct{}, 10), let: make(chan struct{}, 10)}
-	entry := testpeer.Endpoint("files", testpeer.Backend(t, f.ServeHTTP))
-	entry.Batch = true
-	return f, entry
+func startUploadHolder(t *testing.T) (*uploadHolder, node.Endpoint) {
+	h := &uploadHolder{uploads: make(chan struct{}, 10), release: make(chan struct{}, 10)}
+	endpoint := testpeer.Endpoint("files", testpeer.Backend(t, h.ServeHTTP))
+	endpoint.Batch = true
+	return h, endpoint
 }
 
-// ask has a client ask a node, and gives the status of its answer.
-func ask(t *testing.T, n *testpeer.Node) <-chan int {
-	over := make(chan int, 1)
+// sendRequest sends a request to a node, and returns a channel that receives the status of the response.
+func sendRequest(t *testing.T, n *testpeer.Node) <-chan int {
+	statuses := make(chan int, 1)
 	go func() {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
-		over <- status
+		statuses <- status
 	}()
-	return over
+	return statuses
 }
 
-func (f *fileServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *uploadHolder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if r.URL.Path != "/v1/files" {
-		f.made.Add(1)
-		var made struct {
+		h.batches.Add(1)
+		var batch struct {
 			File string `json:"input_file_id"`
 		}
-		_ = json.Unmarshal(body, &made)
-		if has, _ := f.files.Load(made.File); has == true {
-			f.leavers.Add(1)
+		_ = json.Unmarshal(body, &batch)
+		if has, _ := h.hasDisconnecting.Load(batch.File); has == true {
+			h.disconnectingBatches.Add(1)
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	f.uploads <- struct{}{}
+	h.uploads <- struct{}{}
 	select {
-	case <-f.let:
+	case <-h.release:
 	case <-r.Context().Done():
 	}
-	id := fmt.Sprint("file-", f.number.Add(1))
-	f.files.Store(id, strings.Contains(string(body), leaver))
+	id := fmt.Sprint("file-", h.fileCount.Add(1))
+	h.hasDisconnecting.Store(id, strings.Contains(string(body), disconnectingTraceID))
 	_, _ = fmt.Fprintf(w, `{"id":%q}`, id)
 }
 
-// A server that takes files is told to drain while a file is uploaded to it: no batch is made of that file.
+// A batch backend starts draining while a file is uploaded to it: no batch may be created of that file.
 func TestNoBatchIsCreatedAfterADrain(t *testing.T) {
 	t.Parallel()
-	f, entry := startFileServer(t)
-	n := testpeer.Start(t, testpeer.Settings(), entry)
-	over := ask(t, n)
-	<-f.uploads
-	entry.State = standpoint.Draining
-	n.UpdateEndpoints(entry)
+	h, endpoint := startUploadHolder(t)
+	n := testpeer.Start(t, testpeer.Settings(), endpoint)
+	status := sendRequest(t, n)
+	<-h.uploads
+	endpoint.State = standpoint.Draining
+	n.UpdateEndpoints(endpoint)
 	n.WaitForCore()
-	f.let <- struct{}{}
-	require.NotEqual(t, http.StatusOK, <-over)
-	require.Zero(t, f.made.Load())
+	h.release <- struct{}{}
+	require.NotEqual(t, http.StatusOK, <-status)
+	require.Zero(t, h.batches.Load())
 }
 
-// It is told to while the connection for the upload comes up: nothing is uploaded.
+// A batch backend starts draining while the connection for an upload opens: nothing may be uploaded.
 func TestNoFileIsUploadedAfterADrain(t *testing.T) {
 	t.Parallel()
-	f, entry := startFileServer(t)
-	held := testpeer.HoldDials(1)
-	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, entry)
-	over := ask(t, n)
-	<-held.Connected
-	entry.State = standpoint.Draining
-	n.UpdateEndpoints(entry)
+	h, endpoint := startUploadHolder(t)
+	dials := testpeer.HoldDials(1)
+	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, endpoint)
+	status := sendRequest(t, n)
+	<-dials.Connected
+	endpoint.State = standpoint.Draining
+	n.UpdateEndpoints(endpoint)
 	n.WaitForCore()
-	held.Release <- struct{}{}
-	require.NotEqual(t, http.StatusOK, <-over)
-	require.Empty(t, f.uploads)
+	dials.Release <- struct{}{}
+	require.NotEqual(t, http.StatusOK, <-status)
+	require.Empty(t, h.uploads)
 }
 
-// A client leaves while its file is uploaded: no batch is made for it. Another's, in the same file, is uploaded once
-// more without it.
+// A client disconnects while the file with its request is uploaded: no batch may be created of that file. A request of
+// another client in the same file is uploaded again without it.
 func TestNoBatchIsCreatedForDisconnectedClients(t *testing.T) {
 	t.Parallel()
-	f, entry := startFileServer(t)
-	n := testpeer.Start(t, testpeer.Settings(), entry)
-	leaving, leave := context.WithCancel(t.Context())
-	left := make(chan error, 1)
+	h, endpoint := startUploadHolder(t)
+	n := testpeer.Start(t, testpeer.Settings(), endpoint)
+	clientCtx, disconnect := context.WithCancel(t.Context())
+	disconnected := make(chan error, 1)
 	go func() {
 		response, err := http.DefaultClient.Do(
-			n.Chat(leaving, func(r *http.Request) { r.Header.Set("X-Trace-Id", leaver) }),
+			n.Chat(clientCtx, func(r *http.Request) { r.Header.Set("X-Trace-Id", disconnectingTraceID) }),
 		)
 		if err == nil {
 			response.Body.Close()
 		}
-		left <- err
+		disconnected <- err
 	}()
-	over := ask(t, n)
-	<-f.uploads
-	leave()
-	require.Error(t, <-left)
-	time.Sleep(50 * time.Millisecond) // the node hears of it
-	close(f.let)                      // the other's upload too, if both were in one file
-	<-over
-	require.Zero(t, f.leavers.Load())
-	require.NotZero(t, f.made.Load(), "the other's")
+	status := sendRequest(t, n)
+	<-h.uploads
+	disconnect()
+	require.Error(t, <-disconnected)
+	time.Sleep(50 * time.Millisecond) // until the node has noticed it
+	close(h.release)                  // the second upload too, if both requests were in one file
+	<-status
+	require.Zero(t, h.disconnectingBatches.Load())
+	require.NotZero(t, h.batches.Load(), "batches with the other client's request")
 }
--- a/internal/backend/batch_file.go
+++ b/internal/backend/batch_file.go
@@ -179,7 +179,8 @@
 // for the reason instead of the given one.
 func (b *batchBackend) finishAll(file *batchFile, code standpoint.OutcomeCode, err error) {
 	if len(file.attempts) > 0 {
-		b.Log.Info("attempts of a batch file failed", zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
+		b.Log.Info("attempts of a batch file failed",
+			zap.String("server", b.name), zap.Int("lines", len(file.attempts)),
 			zap.Stringer("code", code), zap.Error(err))
 	}
 	for id, attempt := range file.attempts {
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -238,7 +238,8 @@
 	if c.beginsRequest || c.responseEnded {
 		if remaining := minReusePause - time.Since(c.lastRead); c.responseEnded && remaining > 0 {
 			c.mu.Unlock()
-			// This is the transport's goroutine for writing. Bytes that are read meanwhile make the connection unusable.
+			// This is the transport's goroutine for writing. Bytes that are read meanwhile make the connection
+			// unusable.
 			time.Sleep(remaining)
 			c.mu.Lock()
 		}
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -21,47 +21,48 @@
 	"standpoint/internal/testpeer"
 )
 
-// Connections to servers that rest never take the descriptors that clients, discovery and other servers need: of more
-// than are provided for, those that rest are closed, whichever servers they lead to.
+// Idle connections must not use up the descriptors that clients, discovery and other backends need. Above the maximum
+// number of connections, idle ones to all backends are closed.
 func TestIdleConnectionsAreClosedWhenThereAreMany(t *testing.T) {
 	t.Parallel()
-	const most, atOnce = 12, 6
-	var entries []node.Endpoint
+	const maxConnections, concurrency = 12, 6
+	var endpoints []node.Endpoint
 	for i := range 40 {
-		entries = append(
-			entries,
-			testpeer.Endpoint(fmt.Sprint("s", i), newAttemptRecorder().server(t, testpeer.StreamAnswer("whole"))),
+		endpoints = append(
+			endpoints,
+			testpeer.Endpoint(fmt.Sprint("s", i),
+				newAttemptRecorder().startBackend(t, testpeer.StreamAnswer("complete"))),
 		)
 	}
-	n := testpeer.Start(t, testpeer.Settings(), entries...)
-	n.Backends.Adjust(100*time.Millisecond, 15*time.Second, 10, most)
+	n := testpeer.Start(t, testpeer.Settings(), endpoints...)
+	n.Backends.Adjust(100*time.Millisecond, 15*time.Second, 10, maxConnections)
 	peak := 0
 	for round := range 30 {
-		var all sync.WaitGroup
-		for i := range atOnce {
-			all.Go(func() {
+		var requests sync.WaitGroup
+		for i := range concurrency {
+			requests.Go(func() {
 				status, _, _, err := n.Do(
 					n.Chat(
 						t.Context(),
-						func(r *http.Request) { r.Header.Set("X-Object", fmt.Sprintf("%x", 1+round*atOnce+i)) },
+						func(r *http.Request) { r.Header.Set("X-Object", fmt.Sprintf("%x", 1+round*concurrency+i)) },
 					),
 				)
 				require.NoError(t, err)
 				require.Equal(t, http.StatusOK, status)
 			})
 		}
-		all.Wait()
+		requests.Wait()
 		peak = max(peak, n.Backends.Connections())
-		require.LessOrEqual(t, n.Backends.Connections(), most+2*atOnce)
+		require.LessOrEqual(t, n.Backends.Connections(), maxConnections+2*concurrency)
 	}
-	require.Greater(t, peak, most/2, "they are kept while there are few")
+	require.Greater(t, peak, maxConnections/2, "idle connections are kept below the maximum")
 }
 
-// A server closes a connection that rested in the moment in which a request is written to it: the write is held until
-// it has. The request's last byte was not written, so it never ran, and it goes out afresh, whatever its effect.
+// A backend closes an idle connection while a request is written to it; the write is held back until then. The last
+// byte of the request was not written, so it never ran, and it must be sent again whatever its effect.
 func TestBackendClosesWhileARequestIsWritten(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		effect standpoint.Effect
 		resets bool
 	}{
@@ -72,92 +73,96 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var whole atomic.Int32
-			first := make(chan net.Conn, 1)
+			var completeRequests atomic.Int32
+			firstConn := make(chan net.Conn, 1)
 			address := testpeer.RawBackend(t, func(conn net.Conn) {
-				if whole.Add(1) == 1 {
-					first <- conn
+				if completeRequests.Add(1) == 1 {
+					firstConn <- conn
 				}
 				_, _ = io.WriteString(conn, testpeer.StreamAnswer("good"))
 			})
 			settings := testpeer.Settings()
-			settings.Classes[0].Effect = c.effect
-			held := &heldWrites{at: make(chan struct{}), on: make(chan struct{})}
-			n := testpeer.StartDialing(t, zap.NewNop(), settings, held.dial, testpeer.Endpoint("a", address))
+			settings.Classes[0].Effect = test.effect
+			dialer := &blockingDialer{blocked: make(chan struct{}), release: make(chan struct{})}
+			n := testpeer.StartDialing(t, zap.NewNop(), settings, dialer.dial, testpeer.Endpoint("a", address))
 			status, _, _, err := n.Do(n.Chat(t.Context(), nil))
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, status)
-			time.Sleep(50 * time.Millisecond) // it rests
-			held.hold.Store(true)
-			answered := make(chan int, 1)
-			began := time.Now()
+			time.Sleep(50 * time.Millisecond) // the connection is idle
+			dialer.hold.Store(true)
+			statusOf := make(chan int, 1)
+			started := time.Now()
 			go func() {
 				status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
-				answered <- status
+				statusOf <- status
 			}()
-			<-held.at
-			conn := <-first
-			if c.resets {
+			<-dialer.blocked
+			conn := <-firstConn
+			if test.resets {
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
 			conn.Close()
-			time.Sleep(20 * time.Millisecond) // until that is there
-			held.on <- struct{}{}
-			require.Equal(t, http.StatusOK, <-answered)
-			require.Less(t, time.Since(began), time.Second)
-			require.Equal(t, int32(2), whole.Load())
+			time.Sleep(20 * time.Millisecond) // until the close has arrived
+			dialer.release <- struct{}{}
+			require.Equal(t, http.StatusOK, <-statusOf)
+			require.Less(t, time.Since(started), time.Second)
+			require.Equal(t, int32(2), completeRequests.Load())
 		})
 	}
 }
 
-// heldWrites are connections to servers of which one write can be held back.
-type heldWrites struct {
-	hold   atomic.Bool
-	at, on chan struct{}
+// blockingDialer dials backends, and can hold back one write on their connections.
+type blockingDialer struct {
+	hold atomic.Bool // set to hold back the next write
+	// blocked receives a value when the write is held back; a value on release releases it.
+	blocked, release chan struct{}
 }
 
-func (h *heldWrites) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
+func (d *blockingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &heldWrite{c.(*net.TCPConn), h}, nil
+	return &blockingConn{conn.(*net.TCPConn), d}, nil
 }
 
-type heldWrite struct {
+// blockingConn is a connection that a blockingDialer has dialed.
+type blockingConn struct {
 	*net.TCPConn
-	held *heldWrites
+	dialer *blockingDialer
 }
 
-func (c *heldWrite) Write(b []byte) (int, error) {
-	if c.held.hold.CompareAndSwap(true, false) {
-		c.held.at <- struct{}{}
-		<-c.held.on
+func (c *blockingConn) Write(b []byte) (int, error) {
+	if c.dialer.hold.CompareAndSwap(true, false) {
+		c.dialer.blocked <- struct{}{}
+		<-c.dialer.release
 	}
 	return c.TCPConn.Write(b)
 }
 
-// Good answers that bring more than belongs to them are passed on, and what they bring is taken for nobody's.
+// Valid responses with surplus bytes around or within them are forwarded, and the surplus must not be taken for the
+// response to another request.
 func TestSurplusAfterAnAnswerIsIgnored(t *testing.T) {
-	for name, script := range map[string]func(io.Writer, string){
-		"1xx ahead": func(w io.Writer, answer string) {
-			_, _ = io.WriteString(w, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"+answer)
+	for name, respond := range map[string]func(io.Writer, string){
+		"1xx before": func(w io.Writer, response string) {
+			_, _ = io.WriteString(w,
+				"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"+response)
 		},
-		"unreadable report": func(w io.Writer, answer string) {
+		"invalid report": func(w io.Writer, response string) {
 			report := testpeer.Chunk(": Endpoint-Load-Metrics: TEXT x0=NaN, x1=, util=-3\n\n")
-			_, _ = io.WriteString(w, strings.Replace(answer, "0\r\n\r\n", report+"0\r\n\r\n", 1))
+			_, _ = io.WriteString(w, strings.Replace(response, "0\r\n\r\n", report+"0\r\n\r\n", 1))
 		},
-		"second answer behind": func(w io.Writer, answer string) {
-			_, _ = io.WriteString(w, answer+testpeer.StreamAnswer("stray"))
+		"second response": func(w io.Writer, response string) {
+			_, _ = io.WriteString(w, response+testpeer.StreamAnswer("stray"))
 		},
-		"and in pieces": func(w io.Writer, answer string) {
-			_, _ = io.WriteString(w, answer)
+		"second response, written separately": func(w io.Writer, response string) {
+			_, _ = io.WriteString(w, response)
 			_, _ = io.WriteString(w, testpeer.StreamAnswer("stray"))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
-				script(c, testpeer.StreamAnswer("own"))
+				respond(c, testpeer.StreamAnswer("own"))
 			})))
 			for range 20 {
 				status, _, body, err := n.Do(n.Chat(t.Context(), nil))
@@ -170,34 +175,36 @@
 	}
 }
 
-// A server that drops rested links without a word costs a few attempts, not one each time: links rest less then.
+// A backend silently drops idle connections. This may fail a few attempts but not one each time, since the time for
+// which connections may be idle shortens with each loss.
 func TestDroppedIdleConnectionsShortenTheIdleLimit(t *testing.T) {
 	var mu sync.Mutex
-	asked := map[net.Conn]bool{}
+	used := map[net.Conn]bool{}
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
 		mu.Lock()
 		defer mu.Unlock()
-		if asked[c] {
+		if used[c] {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 			return
 		}
-		asked[c] = true
+		used[c] = true
 		_, _ = io.WriteString(c, testpeer.StreamAnswer("own"))
 	})))
-	var lost []int
+	var failed []int
 	for i := range 12 {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "200m") }))
 		if status != http.StatusOK {
-			lost = append(lost, i)
+			failed = append(failed, i)
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
-	require.LessOrEqual(t, len(lost), 4, lost)
+	require.LessOrEqual(t, len(failed), 4, failed)
 }
 
-// A server that answers before the request's last byte is heard, and not taken for one that cannot be reached.
-func TestAnswerBeforeTheRequestIsWritten(t *testing.T) {
+// A backend responds before the last byte of the request was written. Its status must be used; the backend must not be
+// taken for one that cannot be reached.
+func TestResponseBeforeTheRequestIsWritten(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -224,52 +231,53 @@
 	require.Equal(t, "response status 500 No", logs.FilterMessage("attempt failed").All()[0].ContextMap()["error"])
 }
 
-// A process started anew at the same address gets connections of its own: those kept to the one before lead nowhere.
+// A backend's process restarts at the same address. It must get new connections, since the idle ones lead to the
+// previous process.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
-	var links sync.Map
-	server := testpeer.RawBackend(t, func(c net.Conn) {
-		links.Store(c, true)
+	var connections sync.Map
+	address := testpeer.RawBackend(t, func(c net.Conn) {
+		connections.Store(c, true)
 		_, _ = io.WriteString(c, testpeer.StreamAnswer("own"))
 	})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", server))
-	used := func() (all int) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", address))
+	connectionsAfterRequest := func() (count int) {
 		status, _, _, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
-		links.Range(func(any, any) bool { all++; return true })
-		return all
+		connections.Range(func(any, any) bool { count++; return true })
+		return count
 	}
-	require.Equal(t, 1, used())
-	require.Equal(t, 1, used(), "a kept one")
-	again := testpeer.Endpoint("s", server)
-	again.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
-	n.UpdateEndpoints(again)
-	require.Equal(t, 2, used())
+	require.Equal(t, 1, connectionsAfterRequest())
+	require.Equal(t, 1, connectionsAfterRequest(), "the idle connection is reused")
+	restarted := testpeer.Endpoint("s", address)
+	restarted.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
+	n.UpdateEndpoints(restarted)
+	require.Equal(t, 2, connectionsAfterRequest())
 }
 
-// A second answer that comes some milliseconds behind the first, on its own, is nobody's: the next request, which may
-// be there before it, gets its own answer. A server that is itself too late for that, on a busy machine, sends no
-// second answer, and the turn does not count.
+// A backend sends a second response some milliseconds after the first. The next request may be waiting by then, and
+// must get its own response. If the backend is late itself, on a busy machine, it sends no second response, and the
+// round is not counted.
 func TestLateSecondAnswerIsIgnored(t *testing.T) {
-	const turns, late, most = 5, 11 * time.Millisecond, 13 * time.Millisecond
-	var played atomic.Int64
-	var count atomic.Int64
+	const rounds, delay, maxDelay = 5, 11 * time.Millisecond, 13 * time.Millisecond
+	var roundsDone atomic.Int64
+	var requests atomic.Int64
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
-		number := count.Add(1)
-		began := time.Now()
+		number := requests.Add(1)
+		started := time.Now()
 		_, _ = io.WriteString(c, testpeer.StreamAnswer(fmt.Sprintf("own %d.", number)))
-		time.Sleep(late)
-		if time.Since(began) < most {
-			_, _ = io.WriteString(c, testpeer.StreamAnswer("nobody's"))
-			played.Add(1)
+		time.Sleep(delay)
+		if time.Since(started) < maxDelay {
+			_, _ = io.WriteString(c, testpeer.StreamAnswer("surplus"))
+			roundsDone.Add(1)
 		}
 	})))
-	for i := 1; played.Load() < turns; i++ { // each asks before the second answer to the one before
-		require.Less(t, i, 200, "the machine is too busy: %d turns of %d", played.Load(), turns)
+	for i := 1; roundsDone.Load() < rounds; i++ { // each is sent before the second response to the previous one
+		require.Less(t, i, 200, "the machine is too busy: %d rounds of %d", roundsDone.Load(), rounds)
 		status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Contains(t, body, fmt.Sprintf("own %d.", i))
-		require.NotContains(t, body, "nobody's")
+		require.NotContains(t, body, "surplus")
 	}
 }
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -16,20 +16,20 @@
 	"standpoint/internal/testpeer"
 )
 
-// What an attempt tells its server is at most what its client has left as it gets there, though the connection came
-// up late: of a first attempt, and of one behind an error.
+// The connection of an attempt opens late. The time that the attempt sends to its backend must not exceed the time that
+// the client has left when it arrives, for a first attempt and for one after an error.
 func TestBackendsAreSentTheTimeThatIsLeft(t *testing.T) {
 	t.Parallel()
-	const asked, late, slack = 2 * time.Second, 400 * time.Millisecond, 150 * time.Millisecond
+	const timeout, dialTime, slack = 2 * time.Second, 400 * time.Millisecond, 150 * time.Millisecond
 	for name, failures := range map[string]int{"first attempt": 0, "second attempt": 1, "third attempt": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			type saw struct {
-				told string
-				at   time.Time
+			type arrival struct {
+				expiresIn string
+				at        time.Time
 			}
-			seen := make(chan saw, 10)
-			calls := 0 // one attempt is out at a time
+			arrivals := make(chan arrival, 10)
+			calls := 0 // needs no lock: one attempt is in flight at a time
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				at := time.Now()
 				_, _ = io.Copy(io.Discard, r.Body)
@@ -37,12 +37,12 @@
 					w.WriteHeader(http.StatusInternalServerError)
 					return
 				}
-				seen <- saw{r.Header.Get("X-Expires-In"), at}
-				testpeer.Event(w, "whole")
+				arrivals <- arrival{r.Header.Get("X-Expires-In"), at}
+				testpeer.Event(w, "complete")
 				testpeer.Finish(w)
 			}
 			dial := func(_ context.Context, network, address string) (net.Conn, error) {
-				time.Sleep(late)
+				time.Sleep(dialTime)
 				return net.Dial(network, address)
 			}
 			address := testpeer.Backend(t, serve)
@@ -55,17 +55,17 @@
 				testpeer.Endpoint("b", address),
 				testpeer.Endpoint("c", address),
 			)
-			began := time.Now()
+			started := time.Now()
 			status, _, body, _ := n.Do(
 				n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "2000m") }),
 			)
 			require.Equal(t, http.StatusOK, status, body)
-			got := <-seen
-			told, err := strconv.Atoi(strings.TrimSuffix(got.told, "m"))
+			got := <-arrivals
+			sentMS, err := strconv.Atoi(strings.TrimSuffix(got.expiresIn, "m"))
 			require.NoError(t, err)
-			left := asked - got.at.Sub(began)
-			require.LessOrEqual(t, time.Duration(told)*time.Millisecond, left+slack)
-			require.Positive(t, told)
+			remaining := timeout - got.at.Sub(started)
+			require.LessOrEqual(t, time.Duration(sentMS)*time.Millisecond, remaining+slack)
+			require.Positive(t, sentMS)
 		})
 	}
 }
--- a/internal/backend/disconnect_test.go
+++ b/internal/backend/disconnect_test.go
@@ -12,60 +12,62 @@
 	"standpoint/internal/testpeer"
 )
 
-// A client goes while the connection for its request comes up.
+// A client disconnects while the connection for its request opens: the request must not be sent.
 func TestClientDisconnectsWhileAConnectionOpens(t *testing.T) {
 	t.Parallel()
-	for name, fails := range map[string]int{"first attempt": 0, "second attempt": 1} {
+	for name, failures := range map[string]int{"first attempt": 0, "second attempt": 1} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			met, held := newAttemptRecorder(), testpeer.HoldDials(2)
-			a, b := testpeer.Endpoint("a", met.server(t, failed500)), testpeer.Endpoint("b", met.server(t, failed500))
-			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a, b)
-			ctx, leave := context.WithCancel(t.Context())
-			gone := make(chan struct{})
+			recorder, dials := newAttemptRecorder(), testpeer.HoldDials(2)
+			a, b := testpeer.Endpoint("a", recorder.startBackend(t, failed500)),
+				testpeer.Endpoint("b", recorder.startBackend(t, failed500))
+			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a, b)
+			ctx, disconnect := context.WithCancel(t.Context())
+			disconnected := make(chan struct{})
 			go func() {
-				defer close(gone)
+				defer close(disconnected)
 				response, err := http.DefaultClient.Do(n.Chat(ctx, nil))
 				if err == nil {
 					response.Body.Close()
 				}
 			}()
-			for range fails {
-				<-held.Connected
-				held.Release <- struct{}{}
+			for range failures {
+				<-dials.Connected
+				dials.Release <- struct{}{}
 			}
-			<-held.Connected
-			leave()
-			<-gone
+			<-dials.Connected
+			disconnect()
+			<-disconnected
 			require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, 2*time.Second, time.Millisecond)
-			held.Release <- struct{}{}
+			dials.Release <- struct{}{}
 			n.WaitForCore()
-			time.Sleep(20 * time.Millisecond) // for what must not come
-			require.Equal(t, fails, met.count(a.Address)+met.count(b.Address))
+			time.Sleep(20 * time.Millisecond) // for a request that must not arrive
+			require.Equal(t, failures, recorder.count(a.Address)+recorder.count(b.Address))
 		})
 	}
 }
 
-// A client goes while its request is held, and the list brings a server in that moment: nothing begins for it.
+// A client disconnects while its request is held for lack of a backend, just before an endpoint list names one: no
+// attempt may begin.
 func TestClientDisconnectsWhileItsRequestIsHeld(t *testing.T) {
 	t.Parallel()
-	met := newAttemptRecorder()
+	recorder := newAttemptRecorder()
 	n := testpeer.Start(t, testpeer.Settings())
-	ctx, leave := context.WithCancel(t.Context())
-	gone := make(chan struct{})
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		if response, err := http.DefaultClient.Do(n.Chat(ctx, nil)); err == nil {
 			response.Body.Close()
 		}
 	}()
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
-	leave()
-	<-gone
-	a := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole")))
-	n.UpdateEndpoints(a) // in the very moment
+	disconnect()
+	<-disconnected
+	a := testpeer.Endpoint("a", recorder.startBackend(t, testpeer.StreamAnswer("complete")))
+	n.UpdateEndpoints(a) // while the disconnect is being handled
 	n.WaitForCore()
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
-	time.Sleep(20 * time.Millisecond) // for what must not come
-	require.Zero(t, met.count(a.Address))
+	time.Sleep(20 * time.Millisecond) // for a request that must not arrive
+	require.Zero(t, recorder.count(a.Address))
 }
--- a/internal/backend/drain_test.go
+++ b/internal/backend/drain_test.go
@@ -13,31 +13,30 @@
 	"standpoint/internal/testpeer"
 )
 
-// A server is told to leave while the connection of an attempt that was decided on before comes up. Nothing of the
-// attempt is sent, and the request goes elsewhere; that the server was chosen in good time is no reason to send
-// later.
+// A backend starts draining, is removed or is replaced while the connection of an attempt opens that was decided on
+// before. Nothing of the attempt may be sent, and the request must be sent to another backend.
 func TestDrainWhileAConnectionOpens(t *testing.T) {
 	t.Parallel()
-	for name, tell := range map[string]func(n *testpeer.Node, chosen, other node.Endpoint){
+	for name, withdraw := range map[string]func(n *testpeer.Node, chosen, other node.Endpoint){
 		"drains": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.State = standpoint.Draining
 			n.UpdateEndpoints(chosen, other)
 		},
-		"drains, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
+		"drains, by a delta": func(n *testpeer.Node, chosen, _ node.Endpoint) {
 			chosen.State = standpoint.Draining
 			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
-		"is gone": func(n *testpeer.Node, _, other node.Endpoint) { n.UpdateEndpoints(other) },
-		"is gone, by a change": func(n *testpeer.Node, chosen, _ node.Endpoint) {
+		"is removed": func(n *testpeer.Node, _, other node.Endpoint) { n.UpdateEndpoints(other) },
+		"is removed, by a delta": func(n *testpeer.Node, chosen, _ node.Endpoint) {
 			chosen.State = standpoint.Gone
 			chosen.Address = ""
 			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
-		"is another process by now": func(n *testpeer.Node, chosen, other node.Endpoint) {
+		"is another process": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
 			n.UpdateEndpoints(chosen, other)
 		},
-		"drains and comes back": func(n *testpeer.Node, chosen, other node.Endpoint) {
+		"drains and is ready again": func(n *testpeer.Node, chosen, other node.Endpoint) {
 			chosen.State = standpoint.Draining
 			n.UpdateEndpoints(chosen, other)
 			chosen.State = standpoint.Ready
@@ -46,123 +45,124 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			met, held := newAttemptRecorder(), testpeer.HoldDials(1)
+			recorder, dials := newAttemptRecorder(), testpeer.HoldDials(1)
 			a, b := testpeer.Endpoint(
 				"a",
-				met.server(t, testpeer.StreamAnswer("whole")),
+				recorder.startBackend(t, testpeer.StreamAnswer("complete")),
 			), testpeer.Endpoint(
 				"b",
-				met.server(t, testpeer.StreamAnswer("whole")),
+				recorder.startBackend(t, testpeer.StreamAnswer("complete")),
 			)
-			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a, b)
-			answered := make(chan int, 1)
+			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a, b)
+			response := make(chan int, 1)
 			go func() {
 				status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
-				answered <- status
+				response <- status
 			}()
 			chosen, other := a, b
-			if <-held.Connected == b.Address {
+			if <-dials.Connected == b.Address {
 				chosen = b
 				other = a
 			}
-			tell(n, chosen, other)
+			withdraw(n, chosen, other)
 			n.WaitForCore()
-			held.Release <- struct{}{}
-			require.Equal(t, http.StatusOK, <-answered)
-			// What comes to one that is back was decided on behind its return; what was on its way is not counted
-			// among it.
-			if name != "drains and comes back" && name != "is another process by now" {
-				require.Zero(t, met.count(chosen.Address))
-				require.Equal(t, 1, met.count(other.Address))
+			dials.Release <- struct{}{}
+			require.Equal(t, http.StatusOK, <-response)
+			// A backend that is ready again may get the request, by an attempt that is decided on after its return.
+			if name != "drains and is ready again" && name != "is another process" {
+				require.Zero(t, recorder.count(chosen.Address))
+				require.Equal(t, 1, recorder.count(other.Address))
 			}
-			require.Equal(t, 1, met.count(chosen.Address)+met.count(other.Address))
+			require.Equal(t, 1, recorder.count(chosen.Address)+recorder.count(other.Address))
 		})
 	}
 }
 
-// The only server is told to leave meanwhile: the request is not sent, and is answered, by its time at the latest.
+// The only backend starts draining while the connection opens: the request must not be sent, and the client must get a
+// response by its deadline.
 func TestDrainOfTheOnlyBackendWhileAConnectionOpens(t *testing.T) {
 	t.Parallel()
-	met, held := newAttemptRecorder(), testpeer.HoldDials(1)
-	a := testpeer.Endpoint("a", met.server(t, testpeer.StreamAnswer("whole")))
-	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a)
-	answered := make(chan int, 1)
+	recorder, dials := newAttemptRecorder(), testpeer.HoldDials(1)
+	a := testpeer.Endpoint("a", recorder.startBackend(t, testpeer.StreamAnswer("complete")))
+	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a)
+	response := make(chan int, 1)
 	go func() {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "600m") }))
-		answered <- status
+		response <- status
 	}()
-	<-held.Connected
+	<-dials.Connected
 	a.State = standpoint.Draining
 	n.UpdateEndpoints(a)
 	n.WaitForCore()
-	held.Release <- struct{}{}
-	require.Equal(t, http.StatusServiceUnavailable, <-answered)
-	require.Zero(t, met.count(a.Address))
+	dials.Release <- struct{}{}
+	require.Equal(t, http.StatusServiceUnavailable, <-response)
+	require.Zero(t, recorder.count(a.Address))
 }
 
-// A repeat is decided on, and a request that was held while there was no server for it, and the server chosen is told
-// to leave while the connection comes up: nothing is sent there, and the request goes on elsewhere.
+// The chosen backend starts draining while the connection opens for a retry, or for a request that was held for lack of
+// a backend. Nothing may be sent to it, and the request must be sent to another backend.
 func TestDrainWhileARetryOrHeldRequestConnects(t *testing.T) {
 	t.Parallel()
-	t.Run("a repeat", func(t *testing.T) {
+	t.Run("a retry", func(t *testing.T) {
 		t.Parallel()
-		met, held := newAttemptRecorder(), testpeer.HoldDials(2)
-		var all []node.Endpoint
+		recorder, dials := newAttemptRecorder(), testpeer.HoldDials(2)
+		var endpoints []node.Endpoint
 		for _, name := range []string{"a", "b", "c"} {
-			all = append(all, testpeer.Endpoint(name, met.server(t, failed500, testpeer.StreamAnswer("whole"))))
+			endpoints = append(endpoints,
+				testpeer.Endpoint(name, recorder.startBackend(t, failed500, testpeer.StreamAnswer("complete"))))
 		}
-		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, all...)
-		answered := make(chan int, 1)
+		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, endpoints...)
+		response := make(chan int, 1)
 		go func() {
 			status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
-			answered <- status
+			response <- status
 		}()
-		first := <-held.Connected
-		held.Release <- struct{}{}
-		second := <-held.Connected
+		first := <-dials.Connected
+		dials.Release <- struct{}{}
+		second := <-dials.Connected
 		require.NotEqual(t, first, second)
-		for i := range all {
-			if all[i].Address == second {
-				all[i].State = standpoint.Draining
+		for i := range endpoints {
+			if endpoints[i].Address == second {
+				endpoints[i].State = standpoint.Draining
 			}
 		}
-		n.UpdateEndpoints(all...)
+		n.UpdateEndpoints(endpoints...)
 		n.WaitForCore()
-		held.Release <- struct{}{}
-		<-answered // by the third attempt, whatever that server says
-		require.Zero(t, met.count(second))
-		require.Equal(t, 1, met.count(first))
+		dials.Release <- struct{}{}
+		<-response // of the third attempt, whatever its status
+		require.Zero(t, recorder.count(second))
+		require.Equal(t, 1, recorder.count(first))
 	})
 	t.Run("a held request", func(t *testing.T) {
 		t.Parallel()
-		met, held := newAttemptRecorder(), testpeer.HoldDials(1)
+		recorder, dials := newAttemptRecorder(), testpeer.HoldDials(1)
 		a, b := testpeer.Endpoint(
 			"a",
-			met.server(t, testpeer.StreamAnswer("whole")),
+			recorder.startBackend(t, testpeer.StreamAnswer("complete")),
 		), testpeer.Endpoint(
 			"b",
-			met.server(t, testpeer.StreamAnswer("whole")),
+			recorder.startBackend(t, testpeer.StreamAnswer("complete")),
 		)
 		a.State = standpoint.Draining
-		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), held.Dial, a)
-		answered := make(chan int, 1)
+		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a)
+		response := make(chan int, 1)
 		go func() {
 			status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
-			answered <- status
+			response <- status
 		}()
 		require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
 		a.State = standpoint.Ready
 		n.UpdateEndpoints(a)
-		require.Equal(t, a.Address, <-held.Connected)
+		require.Equal(t, a.Address, <-dials.Connected)
 		a.State = standpoint.Draining
 		n.UpdateEndpoints(a)
 		n.WaitForCore()
-		held.Release <- struct{}{}
+		dials.Release <- struct{}{}
 		n.WaitForCore()
-		require.Zero(t, met.count(a.Address))
+		require.Zero(t, recorder.count(a.Address))
 		n.UpdateEndpoints(a, b)
-		require.Equal(t, http.StatusOK, <-answered)
-		require.Zero(t, met.count(a.Address))
-		require.Equal(t, 1, met.count(b.Address))
+		require.Equal(t, http.StatusOK, <-response)
+		require.Zero(t, recorder.count(a.Address))
+		require.Equal(t, 1, recorder.count(b.Address))
 	})
 }
--- a/internal/backend/events_test.go
+++ b/internal/backend/events_test.go
@@ -8,15 +8,15 @@
 	"standpoint"
 )
 
-// The last events tell the tokens found kept and made, and the load; a report that is half readable tells nothing.
-func TestAnswerSummary(t *testing.T) {
-	var end responseSummary
+// The last events report the cached and generated tokens and the load. A load report with an invalid value is ignored.
+func TestResponseSummary(t *testing.T) {
+	var summary responseSummary
 	require.NoError(
 		t,
-		end.scan([]byte(`data: {"usage":{"completion_tokens":7,"prompt_tokens_details":{"cached_tokens":4}}}`+
+		summary.scan([]byte(`data: {"usage":{"completion_tokens":7,"prompt_tokens_details":{"cached_tokens":4}}}`+
 			"\n\ndata: [DONE]\n\n: Endpoint-Load-Metrics: TEXT x0=0.25, x1=1.5, util=0.5\n\n")),
 	)
-	require.NoError(t, end.scan([]byte(": Endpoint-Load-Metrics: TEXT x0=0.5, x1=inf\n\n")))
+	require.NoError(t, summary.scan([]byte(": Endpoint-Load-Metrics: TEXT x0=0.5, x1=inf\n\n")))
 	require.Equal(
 		t,
 		responseSummary{
@@ -26,7 +26,7 @@
 			done:         true,
 			events:       2,
 		},
-		end,
+		summary,
 	)
-	require.Error(t, end.scan([]byte("data: {}\n\n")), "behind the last")
+	require.Error(t, summary.scan([]byte("data: {}\n\n")), "event after the last")
 }
--- a/internal/backend/fleet_test.go
+++ b/internal/backend/fleet_test.go
@@ -12,20 +12,20 @@
 	"standpoint/internal/testpeer"
 )
 
-// A box of another kind under the same name is spoken to in its own way.
+// A name in the endpoint list changes between a streaming and a batch backend. Each must get requests in its own form.
 func TestBackendChangesItsKind(t *testing.T) {
-	files := testpeer.NewBatchBackend(t, testpeer.NewAttemptLedger(), func(string, int) int { return http.StatusOK })
-	streams := testpeer.Endpoint(
+	batch := testpeer.NewBatchBackend(t, testpeer.NewAttemptLedger(), func(string, int) int { return http.StatusOK })
+	streaming := testpeer.Endpoint(
 		"s",
 		testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.StreamAnswer("own")) }),
 	)
 	settings := testpeer.Settings()
 	settings.Cancel = false
-	n := testpeer.Start(t, settings, streams)
-	replaced := testpeer.Endpoint("s", files.Address)
+	n := testpeer.Start(t, settings, streaming)
+	replaced := testpeer.Endpoint("s", batch.Address)
 	replaced.Batch = true
-	for _, e := range []node.Endpoint{streams, replaced, streams} {
-		n.UpdateEndpoints(e)
+	for _, endpoint := range []node.Endpoint{streaming, replaced, streaming} {
+		n.UpdateEndpoints(endpoint)
 		status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, body)
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -9,7 +9,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// A stream that one process leaves to another.
+// The JSON form of a stream that one process hands over to another, as other builds read and write it.
 func TestGoldenStream(t *testing.T) {
 	golden.RoundTrip(t, "stream.json", Stream{
 		Trace:         "t-1",
--- a/internal/backend/recorder_test.go
+++ b/internal/backend/recorder_test.go
@@ -9,39 +9,40 @@
 	"standpoint/internal/testpeer"
 )
 
-// attemptRecorder notes which requests came to which server.
+// attemptRecorder counts the requests that arrive at each of its backends.
 type attemptRecorder struct {
-	mu       sync.Mutex
-	attempts map[string]int // by the server's address
+	mu       sync.Mutex     // guards attempts
+	attempts map[string]int // by the address of the backend
 }
 
-// server starts a server that answers its requests by turns with the texts, the last one for all that follow.
-func (m *attemptRecorder) server(t *testing.T, answers ...string) (address string) {
+// startBackend starts a backend that sends the responses in order, one for each request, and repeats the last one.
+func (r *attemptRecorder) startBackend(t *testing.T, responses ...string) (address string) {
 	var mu sync.Mutex
 	address = testpeer.RawBackend(t, func(c net.Conn) {
 		mu.Lock()
 		defer mu.Unlock()
-		m.record(c.LocalAddr().String())
-		_, _ = io.WriteString(c, answers[0])
-		if len(answers) > 1 {
-			answers = answers[1:]
+		r.record(c.LocalAddr().String())
+		_, _ = io.WriteString(c, responses[0])
+		if len(responses) > 1 {
+			responses = responses[1:]
 		}
 	})
 	return address
 }
 
-func (m *attemptRecorder) record(address string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.attempts[address]++
+func (r *attemptRecorder) record(address string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.attempts[address]++
 }
 
-func (m *attemptRecorder) count(address string) int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.attempts[address]
+func (r *attemptRecorder) count(address string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.attempts[address]
 }
 
 func newAttemptRecorder() *attemptRecorder { return &attemptRecorder{attempts: map[string]int{}} }
 
+// failed500 is a response with status 500, as on the wire.
 const failed500 = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
--- a/internal/backend/relay.go
+++ b/internal/backend/relay.go
@@ -192,7 +192,7 @@
 	case len(r.buffer) > maxEventBytes, r.receivedBytes > maxStreamBytes,
 		r.hasTooManyEvents(r.attempt.Request.Work.MaxTokens):
 		result := node.Result{Code: standpoint.ServerError}
-		return &streamEnd{result, errors.New("response exceeds the maximum size, size of an event, or number of events")}
+		return &streamEnd{result, errors.New("response exceeds the maximum size, event size or number of events")}
 	}
 	return nil
 }
--- a/internal/backend/retry_test.go
+++ b/internal/backend/retry_test.go
@@ -13,44 +13,46 @@
 	"standpoint/internal/testpeer"
 )
 
-// A repeat is decided on in time, and its connection comes up when the window in which repeats are dropped is over.
-// It is not sent, and the client hears at once what has become of its request.
+// A retry is decided on in time, but its connection opens only after the idempotency window, within which backends drop
+// duplicates, has closed. The retry must not be sent, and the client must get a response at once.
 func TestIdempotencyWindowClosesWhileARetryConnects(t *testing.T) {
 	t.Parallel()
-	met, held := newAttemptRecorder(), testpeer.HoldDials(2)
-	a, b := testpeer.Endpoint("a", met.server(t, failed500)), testpeer.Endpoint("b", met.server(t, failed500))
+	recorder, dials := newAttemptRecorder(), testpeer.HoldDials(2)
+	a, b := testpeer.Endpoint("a", recorder.startBackend(t, failed500)),
+		testpeer.Endpoint("b", recorder.startBackend(t, failed500))
 	settings := testpeer.Settings()
 	window := 300 * time.Millisecond
-	c := &settings.Classes[0]
-	c.Effect = standpoint.Keyed
-	c.Group = standpoint.GroupZone
-	c.Window = int64(window)
-	n := testpeer.StartDialing(t, zap.NewNop(), settings, held.Dial, a, b)
-	answered := make(chan int, 1)
-	began := time.Now()
+	class := &settings.Classes[0]
+	class.Effect = standpoint.Keyed
+	class.Group = standpoint.GroupZone
+	class.Window = int64(window)
+	n := testpeer.StartDialing(t, zap.NewNop(), settings, dials.Dial, a, b)
+	response := make(chan int, 1)
+	started := time.Now()
 	go func() {
 		status, _, _, _ := n.Do(n.Chat(t.Context(), func(r *http.Request) { r.Header.Set("X-Expires-In", "9000m") }))
-		answered <- status
+		response <- status
 	}()
-	<-held.Connected
-	held.Release <- struct{}{}
-	<-held.Connected
-	time.Sleep(time.Until(began.Add(window + 50*time.Millisecond))) // the window is the clock's own
-	held.Release <- struct{}{}
+	<-dials.Connected
+	dials.Release <- struct{}{}
+	<-dials.Connected
+	time.Sleep(time.Until(started.Add(window + 50*time.Millisecond))) // the idempotency window runs in real time
+	dials.Release <- struct{}{}
 	require.Equal(
 		t,
 		http.StatusBadGateway,
-		<-answered,
-		"an attempt has run: that trying again is harmless would not be true",
+		<-response,
+		"an attempt has run, so the response must not say that a retry is harmless",
 	)
-	require.Less(t, time.Since(began), 2*time.Second)
-	require.Equal(t, 1, met.count(a.Address)+met.count(b.Address))
+	require.Less(t, time.Since(started), 2*time.Second)
+	require.Equal(t, 1, recorder.count(a.Address)+recorder.count(b.Address))
 }
 
-// What this node hands back before it ends: that trying again is harmless is said only of what may be tried again.
+// A node hands its open requests back before it ends. Its response may say that a retry is harmless only if the
+// request's class allows one.
 func TestHandBackPromisesOnlyWhatIsTrue(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		effect standpoint.Effect
 		group  standpoint.Group
 		status int
@@ -62,28 +64,28 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			came := make(chan struct{})
+			received := make(chan struct{})
 			settings := testpeer.Settings()
-			settings.Classes[0].Effect = c.effect
-			settings.Classes[0].Group = c.group
+			settings.Classes[0].Effect = test.effect
+			settings.Classes[0].Group = test.group
 			settings.Classes[0].Window = int64(time.Second)
 			n := testpeer.Start(
 				t,
 				settings,
 				testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter, r *http.Request) {
 					_, _ = io.Copy(io.Discard, r.Body)
-					close(came)
+					close(received)
 					<-r.Context().Done()
 				})),
 			)
 			go func() {
-				<-came
+				<-received
 				n.Core.HandBack(true)
 			}()
 			status, header, _, err := n.Do(n.Chat(t.Context(), nil))
 			require.NoError(t, err)
-			require.Equal(t, c.status, status)
-			require.Equal(t, c.status == http.StatusServiceUnavailable, header.Get("Retry-After") != "")
+			require.Equal(t, test.status, status)
+			require.Equal(t, test.status == http.StatusServiceUnavailable, header.Get("Retry-After") != "")
 		})
 	}
 }
--- a/internal/backend/socket.go
+++ b/internal/backend/socket.go
@@ -70,7 +70,7 @@
 	}
 	var fd int
 	var failed error
-	if err := raw.Control(func(open uintptr) { fd, failed = unix.FcntlInt(open, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
+	if err := raw.Control(func(own uintptr) { fd, failed = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
 		return 0, err
 	}
 	return fd, failed
--- a/internal/backend/stream_handover_test.go
+++ b/internal/backend/stream_handover_test.go
@@ -12,69 +12,76 @@
 	"github.com/stretchr/testify/require"
 )
 
-const wholeAnswer = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" +
+// completeResponse is a chunked response, preceded by a 1xx response, as on the wire.
+const completeResponse = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" +
 	"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-	"6\r\ndata: \r\n1A;ext=1\r\n{\"choices\":[{\"delta\":{}}]}\r\n2\r\n\n\n\r\n000e\r\ndata: [DONE]\n\n\r\n0\r\nTrailer: t\r\n\r\n"
+	"6\r\ndata: \r\n1A;ext=1\r\n{\"choices\":[{\"delta\":{}}]}\r\n2\r\n\n\n\r\n" +
+	"000e\r\ndata: [DONE]\n\n\r\n0\r\nTrailer: t\r\n\r\n"
 
-const wholePayload = "data: {\"choices\":[{\"delta\":{}}]}\n\ndata: [DONE]\n\n"
+// completePayload is the payload of completeResponse.
+const completePayload = "data: {\"choices\":[{\"delta\":{}}]}\n\ndata: [DONE]\n\n"
 
-// An answer may be left at any byte: what was read and what the other process reads from there make the whole.
+// A response may be handed over at any byte: the payload that was read before and the payload that the other process
+// reads from there must together be the complete payload.
 func TestStreamCanBeHandedOverAtAnyByte(t *testing.T) {
-	for at := 0; at <= len(wholeAnswer); at++ {
-		var c chunkParser
+	for at := 0; at <= len(completeResponse); at++ {
+		var parser chunkParser
 		var payload bytes.Buffer
-		take := func(p []byte) { payload.Write(p) }
-		require.NoError(t, c.feed([]byte(wholeAnswer[:at]), take))
-		raw, err := json.Marshal(c)
+		appendPayload := func(p []byte) { payload.Write(p) }
+		require.NoError(t, parser.feed([]byte(completeResponse[:at]), appendPayload))
+		raw, err := json.Marshal(parser)
 		require.NoError(t, err)
-		var there chunkParser
-		require.NoError(t, json.Unmarshal(raw, &there))
-		require.Equal(t, c, there)
-		if c.Phase == inHead {
+		var decoded chunkParser
+		require.NoError(t, json.Unmarshal(raw, &decoded))
+		require.Equal(t, parser, decoded)
+		if parser.Phase == inHead {
 			require.Empty(t, payload.Bytes())
 			continue
 		}
 		near, far := net.Pipe()
 		go func() {
-			_, _ = io.WriteString(far, wholeAnswer[at:])
+			_, _ = io.WriteString(far, completeResponse[at:])
 			far.Close()
 		}()
-		left, err := io.ReadAll(
-			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: there}, chunks: there},
+		rest, err := io.ReadAll(
+			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: decoded}, chunks: decoded},
 		)
 		require.NoError(t, err, "from byte %d", at)
-		require.Equal(t, wholePayload, payload.String()+string(left), "from byte %d", at)
+		require.Equal(t, completePayload, payload.String()+string(rest), "from byte %d", at)
 		near.Close()
 	}
-	for _, bad := range []string{"7fffffffffffffff\r\n", "2000000\r\n", "1\r\nab", string(bytes.Repeat([]byte("0"), 2*maxChunkLine))} {
-		c := chunkParser{Phase: inChunkSize}
-		require.Error(t, c.feed([]byte(bad), func([]byte) {}), bad)
+	for _, bad := range []string{
+		"7fffffffffffffff\r\n", "2000000\r\n", "1\r\nab", string(bytes.Repeat([]byte("0"), 2*maxChunkLine)),
+	} {
+		parser := chunkParser{Phase: inChunkSize}
+		require.Error(t, parser.feed([]byte(bad), func([]byte) {}), bad)
 	}
 }
 
-// A server that goes away in the middle has broken the stream off, wherever that is.
+// A backend closes the connection of a handed over stream before its end. Wherever that is, it must be an error.
 func TestHandedOverStreamThatEndsEarlyIsBroken(t *testing.T) {
-	begin := len(wholeAnswer) - len("6\r\ndata: \r\n") - 60
-	for at := begin; at < len(wholeAnswer)-1; at++ {
-		c := chunkParser{}
-		require.NoError(t, c.feed([]byte(wholeAnswer[:begin]), func([]byte) {}))
+	begin := len(completeResponse) - len("6\r\ndata: \r\n") - 60
+	for at := begin; at < len(completeResponse)-1; at++ {
+		parser := chunkParser{}
+		require.NoError(t, parser.feed([]byte(completeResponse[:begin]), func([]byte) {}))
 		near, far := net.Pipe()
 		go func() {
-			_, _ = io.WriteString(far, wholeAnswer[begin:at])
+			_, _ = io.WriteString(far, completeResponse[begin:at])
 			far.Close()
 		}()
 		_, err := io.ReadAll(
-			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: c}, chunks: c},
+			&remainder{connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: parser}, chunks: parser},
 		)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF, "at byte %d", at)
 	}
 }
 
+// A stream with any state that DecodeStream accepts can be continued without a panic or surplus payload.
 func FuzzDecodeStream(f *testing.F) {
-	good, _ := json.Marshal(
+	valid, _ := json.Marshal(
 		Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}},
-	) // a constant form: cannot fail
-	f.Add(good)
+	) // cannot fail for a constant value
+	f.Add(valid)
 	f.Add([]byte(`{"trace":"t","chunks":{"phase":1,"size":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := DecodeStream(raw)
@@ -83,7 +90,7 @@
 		}
 		near, far := net.Pipe()
 		go func() {
-			_, _ = io.WriteString(far, wholeAnswer)
+			_, _ = io.WriteString(far, completeResponse)
 			far.Close()
 		}()
 		got, _ := io.ReadAll(
@@ -91,24 +98,27 @@
 				connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks},
 				chunks:     s.Chunks,
 			},
-		) // any end will do
-		require.LessOrEqual(t, len(got), len(wholeAnswer))
+		) // with or without an error
+		require.LessOrEqual(t, len(got), len(completeResponse))
 		near.Close()
 	})
 }
 
-// An answer that is handed back is read on as long as its server's bytes are there: the end of it may be among them.
+// A response that is handed back must be read on while its socket has bytes: the end of the response may be among them.
 func TestHandBackReadsWhatHasArrived(t *testing.T) {
-	for name, sent := range map[string]string{"to its end": wholeAnswer, "not to its end": wholeAnswer[:len(wholeAnswer)-40]} {
+	for name, sent := range map[string]string{
+		"complete":   completeResponse,
+		"incomplete": completeResponse[:len(completeResponse)-40],
+	} {
 		near, far := socketPair(t)
 		_, err := io.WriteString(far, sent)
 		require.NoError(t, err)
-		l := &connection{Conn: near, idleLimit: &idleLimit{}}
-		require.NoError(t, unreadBytes(near, len(sent)))
-		require.True(t, l.endForHandBack())
-		require.NoError(t, near.SetReadDeadline(time.Unix(1, 0))) // the time for what is under way is over
+		conn := &connection{Conn: near, idleLimit: &idleLimit{}}
+		require.NoError(t, waitForUnreadBytes(near, len(sent)))
+		require.True(t, conn.endForHandBack())
+		require.NoError(t, near.SetReadDeadline(time.Unix(1, 0))) // the read deadline has passed
 		var got bytes.Buffer
-		_, err = io.Copy(&got, l)
+		_, err = io.Copy(&got, conn)
 		require.ErrorIs(t, err, errHandedBack, name)
 		require.Equal(t, sent, got.String(), name)
 		near.Close()
@@ -116,6 +126,7 @@
 	}
 }
 
+// socketPair returns two connected TCP sockets.
 func socketPair(t *testing.T) (near, far net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -127,8 +138,8 @@
 	return near, far
 }
 
-// unreadBytes waits until so many bytes stand in the socket.
-func unreadBytes(c net.Conn, n int) error {
+// waitForUnreadBytes waits until the socket has n bytes to read.
+func waitForUnreadBytes(c net.Conn, n int) error {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
