--- a/internal/transient/listener.go
+++ b/internal/transient/listener.go
@@ -14,41 +14,42 @@
 )
 
 const (
-	// maxImmediateRetries bounds the accepts that may fail in a row before the Listener pauses: each of them may be one
-	// client's own broken connection.
+	// maxImmediateRetries is the number of accepts that may fail in a row before the Listener pauses. Each of them may
+	// be due to the broken connection of one client.
 	maxImmediateRetries = 8
-	// minReportInterval is the shortest time between two log entries about failed accepts.
+	// minReportInterval is the minimum time between two log entries about failed accepts.
 	minReportInterval = time.Second
 )
 
-// permanentErrors are the errors of an accept after which the listener is of no further use.
+// permanentErrors are the errors of an accept after which the listener is unusable.
 var permanentErrors = []error{
 	net.ErrClosed, os.ErrDeadlineExceeded,
 	syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT,
 }
 
-// Listener continues to accept while accepts fail for a moment, for whatever reason. A server of net/http ends on an
-// error that is not marked as temporary, and pauses for up to a second on one that is. It is safe for concurrent use.
+// Listener retries failed accepts, whatever the error, unless the listener has become unusable. An http.Server, in
+// contrast, ends on an error that is not marked as temporary, and pauses for up to a second on one that is. It is safe
+// for concurrent use.
 type Listener struct {
 	net.Listener
 	log    *zap.Logger
-	ctx    context.Context // ends with Close
+	ctx    context.Context // cancelled by Close
 	cancel context.CancelFunc
 
 	mu         sync.Mutex // guards lastReport
-	lastReport time.Time
+	lastReport time.Time  // when a failed accept was last logged
 }
 
-// NewListener wraps a listener.
+// NewListener wraps a listener. Failed accepts are written to the log.
 func NewListener(l net.Listener, log *zap.Logger) *Listener {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Listener{Listener: l, log: log, ctx: ctx, cancel: cancel}
 }
 
-// Listen listens at an address, and retries that for a while if the machine is short of a resource.
+// Listen listens on an address, and retries for up to maxStartRetryTime if the machine is short of a resource.
 func Listen(network, address string, log *zap.Logger) (*Listener, error) {
 	var l net.Listener
-	err := Retry(context.Background(), maxStartRetry, func() (failed error) {
+	err := Retry(context.Background(), maxStartRetryTime, func() (failed error) {
 		l, failed = net.Listen(network, address)
 		return failed
 	})
@@ -58,7 +59,7 @@
 	return NewListener(l, log), nil
 }
 
-// Accept implements net.Listener. It returns an error only once the listener is closed or of no further use.
+// Accept implements net.Listener. It returns an error only if the listener is closed or has become unusable.
 func (l *Listener) Accept() (net.Conn, error) {
 	var pauses backoff
 	for failures := 1; ; failures++ {
@@ -73,18 +74,18 @@
 		if failures < maxImmediateRetries && !IsLocalShortage(err) {
 			continue
 		}
-		if !Sleep(l.ctx, pauses.next()) {
+		if !Sleep(l.ctx, pauses.nextPause()) {
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// isPermanent reports whether a listener is of no further use after an error.
+// isPermanent reports whether an error means that a listener has become unusable.
 func isPermanent(err error) bool {
 	return slices.ContainsFunc(permanentErrors, func(permanent error) bool { return errors.Is(err, permanent) })
 }
 
-// report logs a failed accept, unless another was logged just now.
+// report logs a failed accept, unless another was logged within minReportInterval.
 func (l *Listener) report(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient handles system calls that fail for a moment. It classifies the failures that are a shortage of this
-// machine, and retries, within a bounded time, the calls that are idempotent. It decides nothing about requests.
+// Package transient handles transient failures of system calls. It detects failures that are due to a resource shortage
+// of this machine, and retries calls that can be repeated safely, for a limited time. It does not retry requests.
 package transient
 
 import (
@@ -12,24 +12,29 @@
 )
 
 const (
-	// minPause is the pause before a failed call is retried; each further one is twice as long, up to maxPause.
+	// minPause is the pause before the first retry of a call. Each further pause is twice as long, up to maxPause.
 	minPause = time.Millisecond
+	// maxPause is the maximum pause between two retries of a call.
 	maxPause = 50 * time.Millisecond
 
-	// maxTransferRetry bounds the retries of one read or write.
-	maxTransferRetry = time.Second
-	// maxDialRetry bounds the retries of one dial: three attempts of a request outlast a shortage of a second.
-	maxDialRetry = 400 * time.Millisecond
-	// maxStartRetry bounds the retries of what a program needs to start, or to reload its configuration.
-	maxStartRetry = 3 * time.Second
+	// maxTransferRetryTime is the maximum total time for the retries of one read or write.
+	maxTransferRetryTime = time.Second
+	// maxDialRetryTime is the maximum total time for the retries of one dial. Three attempts of a request together
+	// outlast a shortage of one second.
+	maxDialRetryTime = 400 * time.Millisecond
+	// maxStartRetryTime is the maximum total time for the retries of a call that a program needs to start or to reload
+	// its configuration.
+	maxStartRetryTime = 3 * time.Second
 )
 
-// shortages are the errors that report that this machine, or this process, has run out of a resource.
-var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+// shortageErrnos are the errors that mean that this machine or this process has run out of a resource.
+var shortageErrnos = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+}
 
-// IsLocalShortage reports whether an error is a shortage of this machine. It says nothing about a peer.
+// IsLocalShortage reports whether an error is due to a resource shortage of this machine, and thus not to a peer.
 func IsLocalShortage(err error) bool {
-	for _, shortage := range shortages {
+	for _, shortage := range shortageErrnos {
 		if errors.Is(err, shortage) {
 			return true
 		}
@@ -37,19 +42,20 @@
 	return false
 }
 
-// IsTransient reports whether a call that failed with an error is worth a retry.
+// IsTransient reports whether a call that failed with an error may succeed if it is retried.
 func IsTransient(err error) bool { return IsLocalShortage(err) || errors.Is(err, syscall.EINTR) }
 
-// backoff has the pauses between the retries of one call. Its zero value is ready for use.
+// backoff generates the pauses between the retries of one call. Its zero value is ready for use.
 type backoff struct{ pause time.Duration }
 
-func (b *backoff) next() time.Duration {
+// nextPause returns the pause before the next retry.
+func (b *backoff) nextPause() time.Duration {
 	b.pause = min(maxPause, max(minPause, 2*b.pause))
 	return b.pause
 }
 
-// Retry calls op until it succeeds, fails with an error that is not transient, ctx ends during a pause, or the next
-// pause would exceed the maximum time. It returns op's last error, or nil.
+// Retry calls op until it succeeds, it fails with an error that is not transient, ctx ends during a pause, or the next
+// pause would exceed the maximum total time. It returns the last error of op, or nil.
 func Retry(ctx context.Context, maximum time.Duration, op func() error) error {
 	started := time.Now()
 	var pauses backoff
@@ -58,7 +64,7 @@
 		if err == nil || !IsTransient(err) {
 			return err
 		}
-		pause := pauses.next()
+		pause := pauses.nextPause()
 		if time.Since(started)+pause > maximum || !Sleep(ctx, pause) {
 			return err
 		}
@@ -77,7 +83,7 @@
 	}
 }
 
-// IgnoringEINTR calls op until no signal interrupts it, and returns its error.
+// IgnoringEINTR calls op until it is not interrupted by a signal, and returns its error.
 func IgnoringEINTR(op func() error) error {
 	for {
 		if err := op(); !errors.Is(err, syscall.EINTR) {
@@ -89,10 +95,10 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a dialer that retries a dial which fails for a shortage of this machine.
+// Dial returns a DialFunc that retries dials that fail with a transient error.
 func Dial(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (conn net.Conn, err error) {
-		err = Retry(ctx, maxDialRetry, func() (failed error) {
+		err = Retry(ctx, maxDialRetryTime, func() (failed error) {
 			conn, failed = dial(ctx, network, address)
 			return failed
 		})
@@ -103,22 +109,23 @@
 	}
 }
 
-// Read reads from a connection, as its Read does. A read with a transient failure has taken nothing, and is retried.
+// Read reads from a connection, like its Read method. A read that fails with a transient error has consumed nothing and
+// is retried.
 func Read(c net.Conn, b []byte) (n int, err error) {
-	err = Retry(context.Background(), maxTransferRetry, func() (failed error) {
+	err = Retry(context.Background(), maxTransferRetryTime, func() (failed error) {
 		n, failed = c.Read(b)
 		if n > 0 && IsTransient(failed) {
-			return nil // the bytes that came are returned first
+			return nil // return the bytes that were read; the next Read will return the error if it persists
 		}
 		return failed
 	})
 	return n, err
 }
 
-// Write writes all of b to a connection: what a short write, or one with a transient failure, has left over is written
-// again. It returns how much was written.
+// Write writes all of b to a connection. After a short write, or one that fails with a transient error, it continues
+// with the remaining bytes. It returns the number of bytes written.
 func Write(c net.Conn, b []byte) (written int, err error) {
-	err = Retry(context.Background(), maxTransferRetry, func() (failed error) {
+	err = Retry(context.Background(), maxTransferRetryTime, func() (failed error) {
 		for {
 			var n int
 			n, failed = c.Write(b[written:])
@@ -131,9 +138,9 @@
 	return written, err
 }
 
-// ReadFile reads a file that a program needs to start, or to reload its configuration.
+// ReadFile reads a file that a program needs to start or to reload its configuration, and retries on transient errors.
 func ReadFile(path string) (raw []byte, err error) {
-	err = Retry(context.Background(), maxStartRetry, func() (failed error) {
+	err = Retry(context.Background(), maxStartRetryTime, func() (failed error) {
 		raw, failed = os.ReadFile(path)
 		return failed
 	})
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -13,19 +13,19 @@
 	"go.uber.org/zap"
 )
 
-// Retry repeats what is a shortage of this machine or an interrupted call, and nothing else.
+// Retry must retry calls that fail for a shortage of this machine or that are interrupted, and no others.
 func TestRetryRepeatsTransientErrors(t *testing.T) {
 	permanent := errors.New("permanent")
 	for name, test := range map[string]struct {
-		errors []error // of the calls, the last of which is returned
+		errors []error // the results of the calls; Retry must return the last one
 	}{
 		"success":               {errors: []error{nil}},
 		"permanent":             {errors: []error{permanent}},
 		"shortage":              {errors: []error{syscall.EMFILE, fmt.Errorf("dial: %w", syscall.ENOBUFS), nil}},
 		"interrupted":           {errors: []error{syscall.EINTR, nil}},
-		"permanent in the end":  {errors: []error{syscall.ENOMEM, permanent}},
-		"a peer that refuses":   {errors: []error{syscall.ECONNREFUSED}},
-		"no address to bind to": {errors: []error{syscall.EADDRNOTAVAIL, nil}},
+		"shortage, permanent":   {errors: []error{syscall.ENOMEM, permanent}},
+		"connection refused":    {errors: []error{syscall.ECONNREFUSED}},
+		"address not available": {errors: []error{syscall.EADDRNOTAVAIL, nil}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := 0
@@ -39,7 +39,7 @@
 	}
 }
 
-// A shortage that lasts is returned once the time is over, or the context ends.
+// A shortage that lasts must be returned when the maximum time is over or the context ends.
 func TestRetryEnds(t *testing.T) {
 	shortage := func() error { return syscall.EMFILE }
 	require.ErrorIs(t, Retry(t.Context(), 10*time.Millisecond, shortage), syscall.EMFILE)
@@ -48,7 +48,7 @@
 	require.ErrorIs(t, Retry(ctx, time.Hour, shortage), syscall.EMFILE)
 }
 
-// failingListener fails with some errors before it accepts.
+// failingListener fails with each of the errors in turn before it accepts.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -65,7 +65,7 @@
 	return server, nil
 }
 
-// Accept continues after errors of a moment, and returns those after which the listener is of no further use.
+// Accept must continue after transient and unknown errors, and return those after which the listener is unusable.
 func TestListenerContinuesAfterTransientErrors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -83,5 +83,5 @@
 	require.NoError(t, listener.Close())
 	failing.errors = []error{syscall.EMFILE}
 	_, err = listener.Accept()
-	require.ErrorIs(t, err, net.ErrClosed, "Close ends the pause")
+	require.ErrorIs(t, err, net.ErrClosed, "Close must end the pause")
 }
