--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -13,31 +13,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Names of the files, after the prefix that the processes of a node share.
+// Parts of file names, which begin with a prefix that the processes of a node share.
 const (
-	liveSuffix     = ".live" // after the process's number; locked by the process while it lives
-	socketSuffix   = ".take" // after the name of the live file
-	nextSuffix     = ".next" // after the name of the live file: a file that is being written
-	lockSuffix     = ".lock" // locked while the record is changed
-	recordSuffix   = ".by-hand.json"
-	learnedSuffix  = ".learned.json"
-	prefixHashSize = 8 // bytes of the hash of the node's name
+	// liveSuffix follows the process's ID in the name of its live file, which the process locks while it runs.
+	liveSuffix = ".live"
+	// socketSuffix follows the name of the live file, in the name of the socket that receives streams.
+	socketSuffix = ".take"
+	// tempSuffix follows the name of the live file, in the name of a file that is being written.
+	tempSuffix = ".next"
+	// lockSuffix is of the file that is locked while the record is changed.
+	lockSuffix = ".lock"
+	// recordSuffix is of the file with the record.
+	recordSuffix = ".by-hand.json"
+	// learnedSuffix is of the file with the learned state.
+	learnedSuffix = ".learned.json"
+	// prefixHashSize is the number of bytes of the hash of the node's name in the prefix.
+	prefixHashSize = 8
 )
 
+// fileMode is the mode of the files: only the node's user may read and write them.
 const fileMode = 0o600
 
-// Channel is one process's end. Its methods may be called concurrently.
+// Channel is the end of one process in the communication with its siblings, the other processes of its node. Its
+// methods are safe for concurrent use.
 type Channel struct {
-	pathPrefix string   // of the node's files
+	pathPrefix string   // path of the node's files, up to the suffix
 	liveFile   *os.File // locked until Close
 
 	mu       sync.Mutex  // guards lastRead
-	lastRead fs.FileInfo // of the record that was read last; nil before
+	lastRead fs.FileInfo // info of the record's file when it was last read; nil before
 }
 
-// Open shows that this process lives, in a directory that the processes of the named node share. Close ends that.
+// Open creates and locks this process's live file, in a directory that the processes of the named node share. Close
+// removes it.
 func Open(dir, node string) (*Channel, error) { return open(dir, node, os.Getpid()) }
 
+// open is like Open, for a process with the given ID.
 func open(dir, node string, pid int) (*Channel, error) {
 	sum := sha256.Sum256([]byte(node))
 	prefix := filepath.Join(dir, "standpoint-"+hex.EncodeToString(sum[:prefixHashSize]))
@@ -47,16 +58,16 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: %w", name, err), file.Close())
+		return nil, errors.Join(fmt.Errorf("lock %s: %w", name, err), file.Close())
 	}
 	return &Channel{pathPrefix: prefix, liveFile: file}, nil
 }
 
-// SiblingCount is how many other processes of this node live. The files of a process that died are removed: nobody
-// holds their lock.
+// SiblingCount returns the number of other running processes of this node. It removes the files of processes that have
+// died, whose live files are no longer locked.
 func (c *Channel) SiblingCount() int {
 	names, err := filepath.Glob(c.pathPrefix + ".*" + liveSuffix)
-	if err != nil { // a malformed pattern, which the prefix cannot make
+	if err != nil { // malformed pattern
 		return 0
 	}
 	count := 0
@@ -68,27 +79,27 @@
 	return count
 }
 
-// isLive tells whether a process holds the lock of a live file. Else the file is removed.
+// isLive reports whether a process holds the lock of a live file. If not, it removes the file.
 func isLive(name string) bool {
 	file, err := os.OpenFile(name, os.O_RDWR|unix.O_CLOEXEC, 0)
 	if err != nil {
-		return false // it has been removed meanwhile
+		return false // the file was removed in the meantime
 	}
 	defer func() { _ = file.Close() }()
 	if unix.Flock(int(file.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil {
 		return true
 	}
-	_ = os.Remove(name + socketSuffix) // there may be none
-	_ = os.Remove(name)                // or a sibling has removed it
+	_ = os.Remove(name + socketSuffix) // may not exist
+	_ = os.Remove(name)                // may have been removed by a sibling
 	return false
 }
 
 // Close removes this process's files.
 func (c *Channel) Close() error {
-	_ = os.Remove(c.liveFile.Name() + socketSuffix) // there may be none
+	_ = os.Remove(c.liveFile.Name() + socketSuffix) // may not exist
 	err := os.Remove(c.liveFile.Name())
 	if errors.Is(err, fs.ErrNotExist) {
-		err = nil // somebody has removed it by hand
+		err = nil // removed by someone else
 	}
 	return errors.Join(err, c.liveFile.Close())
 }
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -14,11 +14,14 @@
 	"standpoint/internal/transient"
 )
 
-func (c *Channel) recordPath() string  { return c.pathPrefix + recordSuffix }
+// recordPath returns the path of the file with the record.
+func (c *Channel) recordPath() string { return c.pathPrefix + recordSuffix }
+
+// learnedPath returns the path of the file with the learned state.
 func (c *Channel) learnedPath() string { return c.pathPrefix + learnedSuffix }
 
-// ReadRecord reads the record, and tells whether it has changed since it was read last; where it has not, the record is
-// empty. Where there is no file, the record is empty and unchanged.
+// ReadRecord reads the record if its file has changed since the last call, and returns whether it has. Otherwise the
+// returned record is empty. If there is no file, the record is empty and unchanged.
 func (c *Channel) ReadRecord() (record Record, changed bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,11 +40,12 @@
 	return record, err == nil, err
 }
 
+// sameVersion reports whether two infos are of the same version of a file.
 func sameVersion(a, b fs.FileInfo) bool {
 	return os.SameFile(a, b) && a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
 }
 
-// loadRecord reads the record; where there is no file it is empty.
+// loadRecord reads the record, which is empty if there is no file.
 func (c *Channel) loadRecord() (Record, error) {
 	raw, err := os.ReadFile(c.recordPath())
 	if errors.Is(err, fs.ErrNotExist) {
@@ -57,14 +61,14 @@
 	return record.toLocal(clock.Now()), nil
 }
 
-// UpdateRecord changes the record under a lock that the node's processes share, and returns it as written. A record
-// that cannot be read is replaced, since no process goes by any of it.
+// UpdateRecord changes the record, while holding a lock that the node's processes share, and returns it as written. An
+// invalid record is replaced, since no process uses any part of it.
 func (c *Channel) UpdateRecord(change func(*Record)) (Record, error) {
 	lock, err := os.OpenFile(c.pathPrefix+lockSuffix, os.O_CREATE|os.O_RDWR|unix.O_CLOEXEC, fileMode)
 	if err != nil {
 		return Record{}, err
 	}
-	defer func() { _ = lock.Close() }() // which unlocks it
+	defer func() { _ = lock.Close() }() // also releases the lock
 	if err := transient.IgnoringEINTR(func() error { return unix.Flock(int(lock.Fd()), unix.LOCK_EX) }); err != nil {
 		return Record{}, err
 	}
@@ -80,24 +84,25 @@
 	return record, c.replaceFile(c.recordPath(), raw)
 }
 
-// replaceFile replaces a file as a whole, or leaves it as it was.
+// replaceFile replaces a file atomically; if it fails, the file is unchanged.
 func (c *Channel) replaceFile(path string, content []byte) error {
-	next := c.liveFile.Name() + nextSuffix
-	if err := os.WriteFile(next, content, fileMode); err != nil {
-		return errors.Join(err, os.Remove(next))
+	temp := c.liveFile.Name() + tempSuffix
+	if err := os.WriteFile(temp, content, fileMode); err != nil {
+		return errors.Join(err, os.Remove(temp))
 	}
-	return os.Rename(next, path)
+	return os.Rename(temp, path)
 }
 
-// WriteLearned leaves this process's learned state to the one that takes over.
+// WriteLearned writes this process's learned state, for the process that takes over.
 func (c *Channel) WriteLearned(raw []byte) error {
 	if len(raw) > maxFileBytes {
-		return fmt.Errorf("what was learned has %d bytes, %d at most", len(raw), maxFileBytes)
+		return fmt.Errorf("write learned state: size of %d bytes exceeds the maximum of %d", len(raw), maxFileBytes)
 	}
 	return c.replaceFile(c.learnedPath(), raw)
 }
 
-// ReadLearned returns the learned state that a process has left, if that was not before after.
+// ReadLearned returns the learned state that a process has written. It returns false if there is none that was written
+// at after or later.
 func (c *Channel) ReadLearned(after time.Time) ([]byte, bool) {
 	info, err := os.Stat(c.learnedPath())
 	if err != nil || info.ModTime().Before(after) || info.Size() > maxFileBytes {
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -10,39 +10,51 @@
 )
 
 const (
+	// recordVersion is the version of the record's format.
 	recordVersion = 1
-	maxNames      = 8192 // of each kind in a record
-	maxNameBytes  = 256
-	maxFileBytes  = 8 << 20
+	// maxNames is the maximum number of names in each part of a record.
+	maxNames = 8192
+	// maxNameBytes is the maximum length of a name.
+	maxNameBytes = 256
+	// maxFileBytes is the maximum size of the file with the record, and of that with the learned state.
+	maxFileBytes = 8 << 20
 )
 
-// Record holds the overrides that operators have set, and what is needed to go by them. Times are instants of
-// internal/clock; in the file they are readings of the machine's monotonic clock.
+// Record holds the overrides that operators have set for backends, and the data needed to apply them. Times are
+// instants of internal/clock; in the file they are readings of the machine's monotonic clock, in nanoseconds.
 type Record struct {
-	Version    int              `json:"version"`
-	Boot       string           `json:"boot,omitempty"` // in the file only: the boot whose monotonic clock was read
-	DownSince  map[string]int64 `json:"down"`           // backends marked down, by name
-	RestoredAt map[string]int64 `json:"back"`           // backends marked up again, by name
-	Listed     []string         `json:"seen"`           // names that were ever listed, the latest last
+	// Version is the version of the format.
+	Version int `json:"version"`
+	// Boot is the ID of the boot whose monotonic clock the times are readings of. It is set in the file only.
+	Boot string `json:"boot,omitempty"`
+	// DownSince is when each backend that is marked down was marked, by name.
+	DownSince map[string]int64 `json:"down"`
+	// RestoredAt is when each backend that was marked up again was marked, by name.
+	RestoredAt map[string]int64 `json:"back"`
+	// Listed holds the names of all backends that were ever listed, the latest last.
+	Listed []string `json:"seen"`
 }
 
-// RecordError reports a record that cannot be used. No part of it is used then.
+// RecordError is the error for a record that is invalid, of which no part is used.
 type RecordError struct {
+	// Reason says why the record is invalid.
 	Reason string
-	Err    error // the cause, or nil
+	// Err is the underlying error; it may be nil.
+	Err error
 }
 
 // Error implements error.
 func (e *RecordError) Error() string {
 	if e.Err != nil {
-		return fmt.Sprintf("the record %s: %v", e.Reason, e.Err)
+		return fmt.Sprintf("invalid record: %s: %v", e.Reason, e.Err)
 	}
-	return "the record " + e.Reason
+	return "invalid record: " + e.Reason
 }
 
 // Unwrap implements errors.Unwrap.
 func (e *RecordError) Unwrap() error { return e.Err }
 
+// recordError returns a RecordError with a formatted reason.
 func recordError(format string, args ...any) error {
 	return &RecordError{Reason: fmt.Sprintf(format, args...)}
 }
@@ -50,11 +62,11 @@
 // DecodeRecord decodes and validates a record. Its errors are *RecordError.
 func DecodeRecord(raw []byte) (Record, error) {
 	if len(raw) > maxFileBytes {
-		return Record{}, recordError("has %d bytes, %d at most", len(raw), maxFileBytes)
+		return Record{}, recordError("size of %d bytes exceeds the maximum of %d", len(raw), maxFileBytes)
 	}
 	var r Record
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return Record{}, &RecordError{Reason: "cannot be read", Err: err}
+		return Record{}, &RecordError{Reason: "decode JSON", Err: err}
 	}
 	if err := r.validate(); err != nil {
 		return Record{}, err
@@ -62,24 +74,25 @@
 	return r.withDefaults(), nil
 }
 
+// validate returns an error if the record has another version or exceeds a limit.
 func (r *Record) validate() error {
 	if r.Version != recordVersion {
-		return recordError("is of version %d, this program knows %d", r.Version, recordVersion)
+		return recordError("unsupported version %d, supported is %d", r.Version, recordVersion)
 	}
 	down := slices.Collect(maps.Keys(r.DownSince))
 	restored := slices.Collect(maps.Keys(r.RestoredAt))
 	for _, names := range [][]string{down, restored, r.Listed} {
 		if len(names) > maxNames {
-			return recordError("has %d names of a kind, %d at most", len(names), maxNames)
+			return recordError("%d names in one part exceed the maximum of %d", len(names), maxNames)
 		}
 		if slices.ContainsFunc(names, func(name string) bool { return name == "" || len(name) > maxNameBytes }) {
-			return recordError("has a name that is empty, or longer than %d bytes", maxNameBytes)
+			return recordError("name is empty or longer than %d bytes", maxNameBytes)
 		}
 	}
 	return nil
 }
 
-// withDefaults returns the record with maps that can be written to, and the present version.
+// withDefaults returns the record with non-nil maps and the current version.
 func (r Record) withDefaults() Record {
 	if r.DownSince == nil {
 		r.DownSince = map[string]int64{}
@@ -91,8 +104,8 @@
 	return r
 }
 
-// toShared converts a record from this process's instants to the machine's monotonic clock, which other processes of
-// the machine understand even if the wall clock is stepped meanwhile.
+// toShared converts the times of a record from instants of this process to readings of the machine's monotonic clock,
+// which other processes of the machine can use even if the wall clock is stepped.
 func (r Record) toShared() Record {
 	monotonic := func(instant int64) int64 { return clock.StampOf(instant).Monotonic }
 	r.Boot = clock.BootID()
@@ -101,12 +114,12 @@
 	return r
 }
 
-// toLocal converts a record to this process's instants. Times that were written before the machine was booted, or by a
-// build that wrote wall times, become now: a backend that was marked up warms up once more.
+// toLocal converts the times of a record to instants of this process. Times that were written before the machine's last
+// boot, or by a build that wrote wall times, become now, so that a backend that was marked up warms up once more.
 func (r Record) toLocal(now int64) Record {
 	instant := func(monotonic int64) int64 {
-		if at, ok := (clock.Stamp{Boot: r.Boot, Monotonic: monotonic}).Instant(); ok {
-			return at
+		if local, ok := (clock.Stamp{Boot: r.Boot, Monotonic: monotonic}).Instant(); ok {
+			return local
 		}
 		return now
 	}
@@ -116,6 +129,7 @@
 	return r
 }
 
+// convertTimes returns a copy of the map with all times converted.
 func convertTimes(times map[string]int64, convert func(int64) int64) map[string]int64 {
 	converted := make(map[string]int64, len(times))
 	for name, at := range times {
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -11,38 +11,39 @@
 	"standpoint/internal/clock"
 )
 
-// A record says the same to every process of the machine, whatever the wall clock shows to each; one of another run
-// of the machine, or in wall times, counts as decided now.
+// The times in a record must be the same for every process of the machine, even if the wall clock is stepped. Times
+// from another boot of the machine, or of the wall clock, must be read as the present time.
 func TestRecordTimesAcrossClocks(t *testing.T) {
-	s, err := Open(t.TempDir(), "n")
+	channel, err := Open(t.TempDir(), "n")
 	require.NoError(t, err)
-	defer func() { _ = s.Close() }()
+	defer func() { _ = channel.Close() }()
 	at := clock.Now() - int64(2*time.Second)
-	_, err = s.UpdateRecord(func(r *Record) { r.RestoredAt["a"], r.DownSince["b"] = at, at })
+	_, err = channel.UpdateRecord(func(r *Record) { r.RestoredAt["a"], r.DownSince["b"] = at, at })
 	require.NoError(t, err)
-	raw, err := os.ReadFile(s.recordPath())
+	raw, err := os.ReadFile(channel.recordPath())
 	require.NoError(t, err)
 	var written Record
 	require.NoError(t, json.Unmarshal(raw, &written))
 	require.Equal(t, clock.StampOf(at), clock.Stamp{Boot: written.Boot, Monotonic: written.RestoredAt["a"]},
-		"the machine's clock, not this process's")
+		"times must be readings of the machine's clock, not instants of this process")
 	defer clock.StepWall(time.Hour)()
-	r, changed, err := s.ReadRecord()
+	record, changed, err := channel.ReadRecord()
 	require.NoError(t, err)
 	require.True(t, changed)
-	require.Equal(t, map[string]int64{"a": at}, r.RestoredAt)
+	require.Equal(t, map[string]int64{"a": at}, record.RestoredAt)
 	for _, boot := range []string{"another", ""} {
 		written.Boot = boot
 		raw, err := json.Marshal(written)
 		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(s.recordPath(), raw, 0o600))
-		began := clock.Now()
-		r, err := s.loadRecord()
+		require.NoError(t, os.WriteFile(channel.recordPath(), raw, 0o600))
+		before := clock.Now()
+		loaded, err := channel.loadRecord()
 		require.NoError(t, err)
-		require.GreaterOrEqual(t, r.RestoredAt["a"], began)
+		require.GreaterOrEqual(t, loaded.RestoredAt["a"], before)
 	}
 }
 
+// A record that decodes must encode to one that decodes to the same, and an error must come with an empty record.
 func FuzzDecodeRecord(f *testing.F) {
 	for _, seed := range []string{
 		`{"version":1,"down":{"s":1},"back":{"t":2},"seen":["s","t"]}`,
@@ -53,21 +54,21 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		r, err := DecodeRecord(raw)
+		record, err := DecodeRecord(raw)
 		if err != nil {
-			require.Equal(t, Record{}, r)
+			require.Equal(t, Record{}, record)
 			return
 		}
-		again, err := json.Marshal(r)
+		encoded, err := json.Marshal(record)
 		require.NoError(t, err)
-		same, err := DecodeRecord(again)
+		decoded, err := DecodeRecord(encoded)
 		require.NoError(t, err)
-		require.Equal(t, len(r.Listed), len(same.Listed))
-		require.Equal(t, r.DownSince, same.DownSince)
+		require.Equal(t, len(record.Listed), len(decoded.Listed))
+		require.Equal(t, record.DownSince, decoded.DownSince)
 	})
 }
 
-// A record that cannot be used is told from a file that cannot be read by its type.
+// An invalid record must be distinguishable from a file that cannot be read, by the type of the error.
 func TestRecordError(t *testing.T) {
 	_, err := DecodeRecord([]byte(`{"version":2}`))
 	var unusable *RecordError
--- a/internal/handover/stream.go
+++ b/internal/handover/stream.go
@@ -15,30 +15,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// A stream is passed over a unix socket: the length of the text in 4 bytes, big endian, with the two descriptors as
-// ancillary data; the text; and one byte back once the other process has accepted it.
+// A stream is passed over a Unix socket. The sender writes the length of the text in 4 bytes, big endian, with the two
+// descriptors as ancillary data, and then the text. The receiver writes one byte once it has accepted the stream.
 const (
-	passTimeout         = 300 * time.Millisecond // for all of this
-	maxTextBytes        = 1 << 20
-	lengthBytes         = 4
-	descriptorsPerPass  = 2
-	descriptorBytes     = 4
-	accepted            = 'y'
+	// passTimeout is the maximum time for all of this.
+	passTimeout = 300 * time.Millisecond
+	// maxTextBytes is the maximum length of the text.
+	maxTextBytes = 1 << 20
+	// lengthBytes is the size of the length.
+	lengthBytes = 4
+	// descriptorsPerPass is the number of descriptors.
+	descriptorsPerPass = 2
+	// descriptorBytes is the size of a descriptor in the ancillary data.
+	descriptorBytes = 4
+	// acceptedByte is the byte by which the receiver confirms that it has accepted the stream.
+	acceptedByte = 'y'
+	// maxConcurrentPasses is the maximum number of streams that a process receives at the same time.
 	maxConcurrentPasses = 64
 )
 
-// Errors of passing a stream.
 var (
-	ErrNoSibling     = errors.New("no other process takes anything")
-	errMalformedPass = errors.New("what was passed is not two connections and a text")
-	errNotAccepted   = errors.New("not taken")
+	// ErrNoSibling is returned if no other process of the node accepts streams.
+	ErrNoSibling = errors.New("no sibling process accepts streams")
+	// errMalformedPass is returned for a message that is not a text with two descriptors.
+	errMalformedPass = errors.New("malformed stream message: not a text with two descriptors")
+	// errNotAccepted is returned if the handler does not accept a stream.
+	errNotAccepted = errors.New("stream not accepted")
 )
 
-// StreamHandler is given what another process passes: a text and two connections. Where it returns true the connections
-// are its own from then on; else they are closed.
+// StreamHandler handles a stream that a sibling passes: a text and two connections. If it returns true, it owns the
+// connections from then on; otherwise they are closed.
 type StreamHandler func(text []byte, first, second net.Conn) bool
 
-// AcceptStreams gives handle what siblings pass to this process, until the context ends. handle is called concurrently.
+// AcceptStreams calls handle for each stream that a sibling passes to this process, until the context ends. Calls of
+// handle may be concurrent.
 func (c *Channel) AcceptStreams(ctx context.Context, handle StreamHandler) error {
 	listener, err := c.listenForStreams()
 	if err != nil {
@@ -80,12 +90,12 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // the short path is void by then; Channel.Close removes the file
+	listener.SetUnlinkOnClose(false) // the short path is invalid by then; Channel.Close removes the file
 	return listener, nil
 }
 
-// shortSocketPath returns a path to the same file that is short enough for a socket's address, by a descriptor of its
-// directory. It holds until release.
+// shortSocketPath returns a path to the same file, through a descriptor of its directory, that is short enough for a
+// socket's address. The path is valid until release is called.
 func shortSocketPath(path string) (short string, release func(), err error) {
 	directory, err := os.Open(filepath.Dir(path))
 	if err != nil {
@@ -95,11 +105,11 @@
 	return short, func() { _ = directory.Close() }, nil
 }
 
-// receiveStream receives one stream, and tells the sender where handle accepts it. Errors are not reported: to the
-// sender it is the same that no answer comes.
+// receiveStream receives one stream, and confirms it to the sender if handle accepts it. Errors are not reported: the
+// sender gets no confirmation.
 func receiveStream(conn *net.UnixConn, handle StreamHandler) {
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(passTimeout)) // fails for closed connections alone
+	_ = conn.SetDeadline(time.Now().Add(passTimeout)) // fails only if the connection is closed
 	text, fds, err := readPass(conn)
 	defer closeDescriptors(fds)
 	if err != nil {
@@ -108,10 +118,10 @@
 	if err := handlePass(text, fds, handle); err != nil {
 		return
 	}
-	_, _ = conn.Write([]byte{accepted})
+	_, _ = conn.Write([]byte{acceptedByte})
 }
 
-// readPass reads a text and two descriptors. The caller closes the descriptors, on an error too.
+// readPass reads a text and two descriptors. The caller must close the descriptors, even if there is an error.
 func readPass(conn *net.UnixConn) (text []byte, fds []int, err error) {
 	var length [lengthBytes]byte
 	ancillary := make([]byte, unix.CmsgSpace(descriptorsPerPass*descriptorBytes))
@@ -129,7 +139,7 @@
 	return text, fds, err
 }
 
-// parseDescriptors returns the descriptors in ancillary data, those before an error too.
+// parseDescriptors returns the descriptors in ancillary data, up to the first error.
 func parseDescriptors(ancillary []byte) ([]int, error) {
 	messages, err := unix.ParseSocketControlMessage(ancillary)
 	if err != nil {
@@ -137,8 +147,8 @@
 	}
 	var fds []int
 	for i := range messages {
-		more, err := unix.ParseUnixRights(&messages[i])
-		fds = append(fds, more...)
+		descriptors, err := unix.ParseUnixRights(&messages[i])
+		fds = append(fds, descriptors...)
 		if err != nil {
 			return fds, err
 		}
@@ -149,13 +159,14 @@
 	return fds, nil
 }
 
+// closeDescriptors closes all the descriptors.
 func closeDescriptors(fds []int) {
 	for _, fd := range fds {
 		_ = unix.Close(fd)
 	}
 }
 
-// handlePass gives handle the text and the connections behind the two descriptors, which stay open.
+// handlePass calls handle with the text and with connections on duplicates of the two descriptors, which stay open.
 func handlePass(text []byte, fds []int, handle StreamHandler) error {
 	first, err := duplicateConnection(fds[0])
 	if err != nil {
@@ -178,15 +189,15 @@
 		return nil, err
 	}
 	file := os.NewFile(uintptr(duplicate), "passed")
-	defer func() { _ = file.Close() }() // FileConn duplicates it again
+	defer func() { _ = file.Close() }() // FileConn makes a duplicate of its own
 	return net.FileConn(file)
 }
 
-// PassStream passes a text and two sockets to a sibling that accepts them. The descriptors stay open. Where there is no
-// sibling the error is ErrNoSibling.
+// PassStream passes a stream, which is a text and two sockets, to a sibling that accepts it. The descriptors stay open.
+// If no sibling accepts streams, the error is ErrNoSibling.
 func (c *Channel) PassStream(text []byte, first, second int) error {
 	if len(text) > maxTextBytes {
-		return fmt.Errorf("%d bytes, %d at most", len(text), maxTextBytes)
+		return fmt.Errorf("pass stream: text of %d bytes exceeds the maximum of %d", len(text), maxTextBytes)
 	}
 	sockets, err := filepath.Glob(c.pathPrefix + ".*" + liveSuffix + socketSuffix)
 	if err != nil {
@@ -204,6 +215,7 @@
 	return err
 }
 
+// sendStream passes a stream to the process that listens on the socket at path, and waits until it is accepted.
 func sendStream(path string, text []byte, first, second int) error {
 	short, release, err := shortSocketPath(path)
 	if err != nil {
@@ -215,7 +227,7 @@
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(passTimeout)) // fails for closed connections alone
+	_ = conn.SetDeadline(time.Now().Add(passTimeout)) // fails only if the connection is closed
 	length := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
 	if _, _, err := conn.WriteMsgUnix(length, unix.UnixRights(first, second), nil); err != nil {
 		return err
@@ -223,7 +235,7 @@
 	if _, err := conn.Write(text); err != nil {
 		return err
 	}
-	var answer [1]byte
-	_, err = io.ReadFull(conn, answer[:]) // fails where the sibling does not accept the stream
+	var response [1]byte
+	_, err = io.ReadFull(conn, response[:]) // fails if the sibling does not accept the stream
 	return err
 }
