--- a/internal/backend/batch_backend.go
+++ b/internal/backend/batch_backend.go
@@ -19,7 +19,7 @@
 	statusCancelled = "cancelled"
 )
 
-// errMayNotBegin is returned for a call that was withheld since an attempt of its file may no longer begin.
+// errMayNotBegin is returned for a call that was withheld because an attempt of its file may no longer begin.
 var errMayNotBegin = errors.New("call withheld: an attempt of the file may not begin")
 
 // BatchOptions are the settings for batch backends.
@@ -39,7 +39,7 @@
 type batchBackend struct {
 	Options
 	backendHandle
-	client        *http.Client
+	client        *http.Client        // its connections are of type *connection
 	address       string              // where the next file is uploaded
 	gathered      []*node.Attempt     // attempts that are not in a file yet
 	filesInFlight map[*batchFile]bool // files whose goroutine is running
@@ -168,8 +168,8 @@
 }
 
 // startBatch uploads the file and creates a batch of it. Just before the first byte of either call is written, it
-// checks whether all attempts may begin. If one may not, since its client has disconnected or the backend is draining,
-// it is dropped, and a new file is made of the others.
+// checks whether all attempts may begin. If one may not, because its client has disconnected or the backend is
+// draining, it is dropped, and a new file is made of the others.
 func (b *batchBackend) startBatch(base string, file *batchFile) (created batchObject, status int, err error) {
 	for {
 		for id, attempt := range file.attempts {
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -18,7 +18,8 @@
 	outputTokens float64            // tokens that the backend generated
 	report       *standpoint.Report // the latest load report; nil if there was none
 	done         bool               // the last event was received
-	events       int                // events with data; comments are not counted, and may be unlimited
+	// events is the number of events with data. Comments are not counted, since a backend may send them without end.
+	events int
 }
 
 var (
--- a/internal/backend/mailbox.go
+++ b/internal/backend/mailbox.go
@@ -50,7 +50,7 @@
 // backendHandle holds the mailbox of a backend and its state in the latest endpoint list.
 type backendHandle struct {
 	name    string
-	batch   bool // reports whether it is a batch backend
+	batch   bool // whether it is a batch backend
 	mailbox chan message
 	log     *zap.Logger
 	process process
--- a/internal/backend/relay.go
+++ b/internal/backend/relay.go
@@ -162,8 +162,8 @@
 	return err
 }
 
-// stopDecoding ends a stream whose decoding the request's hook has stopped. The response is closed first, so that the
-// end is forwarded only after the backend can send no more.
+// stopDecoding ends a stream whose decoding the request's hook has stopped. The response is closed first, because
+// ForwardStopped may be called only when the attempt no longer uses its connection.
 func (r *relay) stopDecoding(reason error) *streamEnd {
 	r.silenceTimer.Stop()
 	r.cancel(reason)
--- a/internal/backend/running_streams.go
+++ b/internal/backend/running_streams.go
@@ -16,9 +16,9 @@
 
 // runningStreams is the set of streams that are being relayed. It is safe for concurrent use.
 type runningStreams struct {
-	mu          sync.Mutex // guards the rest
-	connections map[*connection]bool
-	handOver    HandOverFunc // set by Fleet.HandOver; nil before
+	mu          sync.Mutex           // guards the rest
+	connections map[*connection]bool // connections of the streams to their backends
+	handOver    HandOverFunc         // set by Fleet.HandOver; nil before
 }
 
 // add adds the connection of a stream that has begun. A stream that begins after Fleet.HandOver is handed over too.
