--- a/internal/endpoints/attributes.go
+++ b/internal/endpoints/attributes.go
@@ -11,7 +11,7 @@
 	"standpoint/internal/node"
 )
 
-// Keys of an instance's TXT record, those of the platform's list among them. All others are labels.
+// Keys of a service instance's TXT record; they include the keys of the platform's list. Other keys become labels.
 const (
 	attributeSite   = "site"
 	attributeClass  = "class"
@@ -22,7 +22,7 @@
 	attributeMode   = "mode"
 )
 
-// AttributeError reports a TXT record's value that is invalid.
+// AttributeError reports an invalid value in a TXT record.
 type AttributeError struct {
 	Key string
 	Err error
@@ -34,7 +34,7 @@
 // Unwrap implements errors.Unwrap.
 func (e *AttributeError) Unwrap() error { return e.Err }
 
-// endpoint returns the endpoint that an instance stands for. Its errors are the instance's fault, and *AttributeError.
+// endpoint converts a service instance into an endpoint. Its errors are the instance's Fault and *AttributeError.
 func (s *ServiceSource) endpoint(instance record.Instance, now time.Time) (node.Endpoint, error) {
 	endpoint := node.Endpoint{
 		Engine: standpoint.Engine{Name: instance.Label + s.Suffix, Size: 1},
@@ -58,7 +58,7 @@
 	return endpoint, nil
 }
 
-// applyAttribute sets the field of an endpoint that a key of the TXT record stands for.
+// applyAttribute sets the endpoint's field that corresponds to a key of the TXT record, or a label for other keys.
 func applyAttribute(endpoint *node.Endpoint, names Names, key, value string) (err error) {
 	switch key {
 	case attributeSite:
@@ -84,15 +84,16 @@
 	return err
 }
 
+// parseSize parses a size, which must be greater than 0 and at most maxSize.
 func parseSize(value string) (float64, error) {
 	size, err := strconv.ParseFloat(value, 64)
-	if err == nil && !(size > 0 && size <= maxSize) { // NaN is neither
+	if err == nil && !(size > 0 && size <= maxSize) { // also true for NaN
 		err = fmt.Errorf("%q is no size", value)
 	}
 	return size, err
 }
 
-// parseStart returns the Unix time in nanoseconds of one in milliseconds.
+// parseStart parses a Unix time in milliseconds, and returns it in nanoseconds.
 func parseStart(value string) (int64, error) {
 	bornMS, err := strconv.ParseInt(value, 10, 64)
 	if err == nil && (bornMS < 0 || bornMS > maxBornMS) {
--- a/internal/endpoints/cache.go
+++ b/internal/endpoints/cache.go
@@ -16,38 +16,40 @@
 	"standpoint/internal/store"
 )
 
-// cacheKey is the key of the persisted list in the store.
+// cacheKey is the store key of the persisted list.
 const cacheKey = "entries/last"
 
 const (
-	refreshInterval = 30 * time.Second // of writes for expiry times that alone have changed
-	retryInterval   = time.Second      // of writes that the store did not take
+	// expiryRefreshInterval is the interval at which the list is written again if only expiry times may have changed.
+	expiryRefreshInterval = 30 * time.Second
+	// persistRetryInterval is the interval at which a failed write to the store is retried.
+	persistRetryInterval = time.Second
 )
 
-// Cache has the endpoint list as the source last notified of it, and persists it with the expiry times of its records,
-// so that a process that starts has one before its source answers. It is safe for concurrent use.
+// Cache stores the source's latest endpoint list, and persists it with the expiry times of its records, so that a new
+// process has a list before its source responds. It is safe for concurrent use.
 type Cache struct {
-	// Names, set before the first use, are the names of zones and kinds in the persisted list.
+	// Names are the names of zones and kinds in the persisted list. It must be set before the first use.
 	Names Names
-	// ExpiryTimes, set before Run, returns when the endpoints' records expire, by name; nil if the source does not
-	// know.
+	// ExpiryTimes returns when the endpoints' records expire, by endpoint name. It is nil if the source has no expiry
+	// times, and must be set before Run.
 	ExpiryTimes func() map[string]time.Time
 
 	keyValues store.Store
 	log       *zap.Logger
-	overlay   func(node.EndpointList) node.EndpointList // applied to each list that is passed on; nil for none
+	overlay   func(node.EndpointList) node.EndpointList // applied to each list before it is passed on; may be nil
 
-	// notifyMu is held while a change is stored and passed on, so that both happen in one order. It is locked before
-	// mu.
+	// notifyMu is held while a change is stored and passed on, so that changes are stored and passed on in the same
+	// order. It is locked before mu.
 	notifyMu sync.Mutex
 
 	mu        sync.Mutex // guards endpoints
 	endpoints map[string]node.Endpoint
 
-	changed chan struct{} // of capacity 1: something has changed since the last write
+	changed chan struct{} // signals a change that is not yet persisted; its capacity is 1
 }
 
-// NewCache returns a cache with no endpoints. Run persists what it holds in the store.
+// NewCache returns an empty cache. Run persists its list in the store.
 func NewCache(keyValues store.Store, log *zap.Logger) *Cache {
 	return &Cache{
 		keyValues: keyValues,
@@ -57,8 +59,8 @@
 	}
 }
 
-// Load returns the persisted list; false if there is none, or if it cannot be read. Endpoints whose records have
-// expired are marked stale: they are used last.
+// Load returns the persisted list, and false if there is none or it cannot be decoded. Endpoints whose records have
+// expired are marked as stale, so that other endpoints are preferred to them.
 func (c *Cache) Load(now time.Time) (node.EndpointList, bool) {
 	list := node.EndpointList{Kind: standpoint.ListFull}
 	value := c.keyValues.Get(cacheKey)
@@ -74,25 +76,25 @@
 	return list, true
 }
 
-// decodeEndpoints decodes the persisted list. One invalid endpoint makes all of it unusable.
+// decodeEndpoints decodes the persisted list. A single invalid endpoint makes the whole list invalid.
 func decodeEndpoints(raw []byte, names Names, now time.Time) ([]node.Endpoint, error) {
 	var stored []storedEndpoint
 	if err := json.Unmarshal(raw, &stored); err != nil {
 		return nil, err
 	}
 	var endpoints []node.Endpoint
-	for _, one := range stored {
-		endpoint, err := one.decode(names, now)
+	for _, entry := range stored {
+		endpoint, err := entry.decode(names, now)
 		if err != nil {
-			return nil, &EntryError{Endpoint: one.Host, Err: err}
+			return nil, &EntryError{Endpoint: entry.Host, Err: err}
 		}
 		endpoints = append(endpoints, endpoint)
 	}
 	return endpoints, nil
 }
 
-// Update stores a change and passes it on to notify. Changes are passed on in the order in which they are stored: an
-// older list must not follow the notice that a backend drains.
+// Update stores a change and passes it to notify. Changes are passed on in the order in which they are stored, since an
+// older list that follows the notification of a drain would undo the drain.
 func (c *Cache) Update(list node.EndpointList, notify func(node.EndpointList)) {
 	c.notifyMu.Lock()
 	defer c.notifyMu.Unlock()
@@ -100,15 +102,15 @@
 	notify(c.overlaid(list))
 }
 
-// Resend passes the whole list on once more.
+// Resend passes the full list to notify again.
 func (c *Cache) Resend(notify func(node.EndpointList)) {
 	c.notifyMu.Lock()
 	defer c.notifyMu.Unlock()
 	notify(c.overlaid(node.EndpointList{Kind: standpoint.ListFull, Endpoints: c.Current()}))
 }
 
-// updateOverlay runs update, which changes what the overlay does, and passes on once more the endpoints for whose names
-// the function that update returns is true.
+// updateOverlay calls update, which changes the effect of the overlay and returns a function that reports whether an
+// endpoint is affected, by name. The affected endpoints are passed to notify again.
 func (c *Cache) updateOverlay(update func() (changed func(name string) bool), notify func(node.EndpointList)) {
 	c.notifyMu.Lock()
 	defer c.notifyMu.Unlock()
@@ -119,6 +121,7 @@
 	}
 }
 
+// overlaid returns a list with the overlay applied.
 func (c *Cache) overlaid(list node.EndpointList) node.EndpointList {
 	if c.overlay == nil {
 		return list
@@ -126,7 +129,7 @@
 	return c.overlay(list)
 }
 
-// Current returns the endpoints as the source last notified of them, sorted by name.
+// Current returns the endpoints of the source's latest list, without the overlay, sorted by name.
 func (c *Cache) Current() []node.Endpoint {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +138,8 @@
 	})
 }
 
-// Store stores a change. It never waits for the store: the watch has to continue at once.
+// Store adds a change to the cache without passing it on. It never waits for the key-value store, since the caller has
+// to send its next poll at once.
 func (c *Cache) Store(list node.EndpointList) {
 	if list.Kind == standpoint.ListFailed || list.Kind == standpoint.ListDelta && len(list.Endpoints) == 0 {
 		return
@@ -158,13 +162,13 @@
 	}
 }
 
-// Run persists what has changed, while this member may write to the store, until ctx ends.
+// Run persists changes until ctx ends, while this member is the leader and may write to the store.
 func (c *Cache) Run(ctx context.Context) {
-	refresh := time.NewTicker(refreshInterval)
+	refresh := time.NewTicker(expiryRefreshInterval)
 	defer refresh.Stop()
-	retry := time.NewTicker(retryInterval)
+	retry := time.NewTicker(persistRetryInterval)
 	defer retry.Stop()
-	pending := false // something has changed that the store does not have
+	pending := false // there is a change that is not persisted
 	for {
 		select {
 		case <-ctx.Done():
@@ -175,20 +179,20 @@
 			pending = pending || c.ExpiryTimes != nil
 		case <-retry.C:
 		}
-		// What a member may not write yet stays pending, since it may lead later.
+		// A change stays pending on a member that may not write, since it may become the leader later.
 		if _, leads := c.keyValues.Leadership(); !leads || !pending {
 			continue
 		}
 		err := c.persist(ctx)
 		if err != nil {
-			c.log.Warn("endpoint list not persisted, to be retried", zap.String("key", cacheKey), zap.Error(err))
+			c.log.Warn("endpoint list not persisted, retrying", zap.String("key", cacheKey), zap.Error(err))
 		}
 		pending = err != nil
 	}
 }
 
-// persist writes the list to the store. Endpoints that are themselves from the store keep no expiry time: the source
-// has not confirmed them.
+// persist writes the list to the store. Endpoints that were loaded from the store and that the source has not confirmed
+// have no entry in ExpiryTimes.
 func (c *Cache) persist(ctx context.Context) error {
 	var expiryTimes map[string]time.Time
 	if c.ExpiryTimes != nil {
--- a/internal/endpoints/cache_test.go
+++ b/internal/endpoints/cache_test.go
@@ -16,7 +16,7 @@
 	"standpoint/internal/store"
 )
 
-// runCache starts a cache in a store.
+// runCache runs a cache on a store until the test ends.
 func runCache(t *testing.T, keyValues store.Store, configure func(*Cache)) *Cache {
 	t.Helper()
 	cache := NewCache(keyValues, zap.NewNop())
@@ -25,7 +25,7 @@
 	return cache
 }
 
-func unconfigured(*Cache) {}
+func noConfiguration(*Cache) {}
 
 // awaitPersisted waits until the store has a list.
 func awaitPersisted(t *testing.T, keyValues store.Store) {
@@ -33,10 +33,10 @@
 	require.Eventually(t, func() bool { return keyValues.Get(cacheKey).Version != 0 }, 10*time.Second, time.Millisecond)
 }
 
-// The next process loads the persisted list, without the endpoints that are gone.
+// The next process loads the persisted list, without removed endpoints.
 func TestCachePersistsList(t *testing.T) {
 	keyValues := store.NewMemory()
-	cache := runCache(t, keyValues, unconfigured)
+	cache := runCache(t, keyValues, noConfiguration)
 	cache.Store(fullList(endpoint("a", ready, 0), endpoint("b", ready, 0)))
 	cache.Store(deltaList(endpoint("a", gone, 0)))
 	require.Eventually(t, func() bool {
@@ -45,7 +45,7 @@
 	}, time.Second, time.Millisecond)
 }
 
-// An endpoint whose records have expired is loaded as stale, and one that was stale and not confirmed remains so.
+// An endpoint whose records have expired is loaded as stale, and a stale endpoint that was not confirmed stays stale.
 func TestCachePersistsExpiryTimes(t *testing.T) {
 	now := time.Now()
 	cache := runCache(t, store.NewMemory(), func(c *Cache) {
@@ -67,7 +67,7 @@
 	require.Equal(t, map[string]bool{"new": false, "old": true, "unconfirmed": true, "file": false}, stale)
 }
 
-// A persisted list that is torn is logged, and none of it is used.
+// A truncated persisted list is logged, and no part of it is used.
 func TestCacheIgnoresTornList(t *testing.T) {
 	keyValues := store.NewMemory()
 	torn := []byte(`[{"host":"a","dial":"127.0.0.1:1","health":"ready"},{"ho`)
@@ -80,7 +80,7 @@
 	require.Equal(t, cacheKey, logs.All()[0].ContextMap()["key"])
 }
 
-// failingStore is a store that does not take its first writes.
+// failingStore is a store whose first writes fail.
 type failingStore struct {
 	store.Memory
 	failuresLeft atomic.Int64
@@ -88,21 +88,22 @@
 
 func (f *failingStore) Write(ctx context.Context, ops ...store.Op) (uint64, error) {
 	if f.failuresLeft.Add(-1) >= 0 {
-		return 0, errors.New("store: the write broke off")
+		return 0, errors.New("store: write failed")
 	}
 	return f.Memory.Write(ctx, ops...)
 }
 
-// A list that the store did not take is written again, although nothing changes any more.
+// A failed write is retried, even without a further change of the list.
 func TestCacheRetriesFailedWrite(t *testing.T) {
 	keyValues := &failingStore{Memory: store.NewMemory()}
 	keyValues.failuresLeft.Store(1)
-	cache := runCache(t, keyValues, unconfigured)
+	cache := runCache(t, keyValues, noConfiguration)
 	cache.Store(fullList(endpoint("a", ready, 0)))
 	awaitPersisted(t, keyValues)
 }
 
-// The persisted list has names of zones and kinds: another order of them in the next configuration changes no endpoint.
+// The persisted list has the names of zones and kinds, so that another order in the next configuration changes no
+// endpoint.
 func TestCachePersistsZoneAndKindNames(t *testing.T) {
 	keyValues := store.NewMemory()
 	cache := runCache(t, keyValues, func(c *Cache) {
--- a/internal/endpoints/catalog.go
+++ b/internal/endpoints/catalog.go
@@ -11,14 +11,14 @@
 	"standpoint/internal/node"
 )
 
-// catalog is the platform's form of an endpoint list.
+// catalog is the JSON form of an endpoint list in the platform's discovery.
 type catalog struct {
 	Version int64             `json:"seq"`
 	Full    bool              `json:"whole"`
-	Entries []json.RawMessage `json:"hosts"` // decoded one by one, since an invalid one must not cost the others
+	Entries []json.RawMessage `json:"hosts"` // decoded one by one, so that an invalid entry affects no other
 }
 
-// catalogEntry is the platform's form of an endpoint.
+// catalogEntry is the JSON form of an endpoint in a catalog.
 type catalogEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -30,9 +30,9 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// EntryError reports an entry of a list that cannot be used as it stands.
+// EntryError reports an invalid entry of an endpoint list.
 type EntryError struct {
-	Endpoint string // the name; "" if the entry has none
+	Endpoint string // the endpoint's name; empty if the entry has none
 	Err      error
 }
 
@@ -47,24 +47,25 @@
 // Unwrap implements errors.Unwrap.
 func (e *EntryError) Unwrap() error { return e.Err }
 
-// errNoName reports an entry without a name.
-var errNoName = errors.New("an endpoint without a name")
+// errMissingName reports an entry without a name.
+var errMissingName = errors.New("host: missing")
 
-// Decode decodes the platform's form of an endpoint list, and returns its version. An invalid entry affects no other:
-// faults has an *EntryError for it, and, if it has a name, its endpoint is listed as draining, since the rest of the
-// list, above all that other backends drain, must not wait for it. If err is not nil, nothing was decoded.
+// Decode decodes a catalog of the platform's discovery, and returns the list and its version. An invalid entry affects
+// no other: faults contains an *EntryError for it, and, if it has a name, its endpoint is listed as draining. The list
+// is not rejected as a whole, since the drains of other backends that it reports must not be delayed. If err is not
+// nil, nothing was decoded.
 func Decode(raw []byte, names Names) (version int64, list node.EndpointList, faults []error, err error) {
 	var decoded catalog
 	if err := json.Unmarshal(raw, &decoded); err != nil {
-		return 0, node.EndpointList{}, nil, fmt.Errorf("list of endpoints: %w", err)
+		return 0, node.EndpointList{}, nil, fmt.Errorf("decode endpoint list: %w", err)
 	}
 	list.Kind = standpoint.ListDelta
 	if decoded.Full {
 		list.Kind = standpoint.ListFull
 	}
 	positions := map[string]int{}
-	for _, text := range decoded.Entries {
-		endpoint, err := decodeEntry(text, names)
+	for _, rawEntry := range decoded.Entries {
+		endpoint, err := decodeEntry(rawEntry, names)
 		if err != nil {
 			faults = append(faults, err)
 		}
@@ -73,7 +74,7 @@
 		}
 		if i, listed := positions[endpoint.Name]; listed {
 			faults = append(faults, &EntryError{Endpoint: endpoint.Name, Err: errors.New("listed twice")})
-			list.Endpoints[i].State = max(list.Endpoints[i].State, endpoint.State) // the one that departs counts
+			list.Endpoints[i].State = max(list.Endpoints[i].State, endpoint.State) // draining or gone overrides ready
 			continue
 		}
 		positions[endpoint.Name] = len(list.Endpoints)
@@ -82,12 +83,12 @@
 	return decoded.Version, list, faults, nil
 }
 
-// decodeEntry decodes one entry. If it is invalid, the endpoint has no name, or is draining.
-func decodeEntry(text json.RawMessage, names Names) (node.Endpoint, error) {
+// decodeEntry decodes one entry. If the entry is invalid, the returned endpoint has no name or is draining.
+func decodeEntry(rawEntry json.RawMessage, names Names) (node.Endpoint, error) {
 	var entry catalogEntry
-	unreadable := json.Unmarshal(text, &entry) // the fields that can be decoded are set all the same
+	decodeErr := json.Unmarshal(rawEntry, &entry) // the valid fields are set despite an error
 	if entry.Host == "" {
-		return node.Endpoint{}, &EntryError{Err: errors.Join(errNoName, unreadable)}
+		return node.Endpoint{}, &EntryError{Err: errors.Join(errMissingName, decodeErr)}
 	}
 	endpoint := node.Endpoint{
 		Address: entry.Dial,
@@ -103,9 +104,9 @@
 	state, err := parseHealth(entry.Health)
 	endpoint.State = state
 	switch {
-	case unreadable != nil:
-		err = unreadable
-	case err == nil && state != standpoint.Gone: // of one that is gone the rest does not matter
+	case decodeErr != nil:
+		err = decodeErr
+	case err == nil && state != standpoint.Gone: // the other fields of a removed endpoint are not used
 		err = entry.validate()
 	}
 	if err != nil {
@@ -117,13 +118,13 @@
 	return endpoint, nil
 }
 
-// validate checks the fields that the decision module or a dial relies on.
+// validate checks the fields that the decision module uses, and that there is an address to connect to.
 func (e *catalogEntry) validate() error {
 	switch {
 	case e.BornMS < 0 || e.BornMS > maxBornMS:
-		return fmt.Errorf("born_ms: %d is no time", e.BornMS)
-	case !(e.Share >= 0 && e.Share <= maxSize): // NaN is neither
-		return fmt.Errorf("share: %g is no size", e.Share)
+		return fmt.Errorf("born_ms: %d is out of range", e.BornMS)
+	case !(e.Share >= 0 && e.Share <= maxSize): // also true for NaN
+		return fmt.Errorf("share: %g is out of range", e.Share)
 	case e.Dial == "":
 		return errors.New("dial: missing")
 	}
--- a/internal/endpoints/catalog_test.go
+++ b/internal/endpoints/catalog_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The fault of an entry has its name and field, and the entry costs no other.
+// The fault of an invalid entry contains its name and field, and no other entry is affected.
 func TestDecodeReportsInvalidEntries(t *testing.T) {
 	for entry, fault := range map[string]string{
 		`{"host":"s-1","dial":"a","health":"ill"}`: `endpoint "s-1": unknown health "ill"`,
@@ -23,12 +23,12 @@
 		var entryError *EntryError
 		require.ErrorAs(t, faults[0], &entryError)
 		require.Equal(t, "s-1", entryError.Endpoint)
-		require.Len(t, list.Endpoints, 2, "the other one's drain is known")
-		require.Equal(t, draining, list.Endpoints[0].State, "it gets no new requests")
+		require.Len(t, list.Endpoints, 2, "the drain of the valid entry is decoded")
+		require.Equal(t, draining, list.Endpoints[0].State, "an invalid entry gets no new requests")
 	}
 }
 
-// An entry that cannot be decoded affects no other, whatever is in its place.
+// An entry that cannot be decoded affects no other, whatever its JSON is.
 func TestDecodeIsolatesUnreadableEntries(t *testing.T) {
 	t.Parallel()
 	for _, unreadable := range []string{
@@ -53,7 +53,7 @@
 		require.Len(t, faults, 1, nameless)
 		require.Equal(t, states{"s": gone}, statesOf(list), nameless)
 	}
-	// Of an entry that is listed twice the departure counts.
+	// If an endpoint is listed twice, the departure overrides the ready entry.
 	for _, twice := range []string{
 		`{"host":"s","dial":"b","health":"draining"},{"host":"s","dial":"b","health":"ready"}`,
 		`{"host":"s","dial":"b","health":"ready"},{"host":"s","dial":"b","health":"draining"}`,
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,13 +1,14 @@
-// Package endpoints provides the list of the backends that a node may use, and notifies the core of every change of it.
+// Package endpoints maintains the list of backends that a node may use, and notifies the core of each change.
 //
-// The list comes from one of three sources: Watcher long-polls the platform's discovery, ServiceSources looks DNS-SD
-// services up, and Fixed has a list from the operator's file. From there a list passes through Overrides, which lays
-// over it what operators have disabled and enabled by command, and Cache, which persists it for the next start.
+// The list has one of three sources: Watcher long-polls the platform's discovery service, ServiceSources looks up
+// DNS-SD services, and Fixed holds a static list from the operator's file. Each list then passes through Overrides,
+// which applies the operators' commands to disable or enable a backend, and Cache, which persists it for the next
+// start of the process.
 package endpoints
 
 import "standpoint/internal/node"
 
-// The sources, as the core uses them.
+// Each source implements the interface that the core uses.
 var (
 	_ node.EndpointWatcher = (*Watcher)(nil)
 	_ node.EndpointWatcher = (*ServiceSources)(nil)
--- a/internal/endpoints/fixed.go
+++ b/internal/endpoints/fixed.go
@@ -6,14 +6,14 @@
 	"standpoint/internal/node"
 )
 
-// Fixed is the source of an endpoint list that does not change while the node runs.
+// Fixed is a source whose endpoint list does not change while the node runs.
 type Fixed struct {
 	List   node.EndpointList
 	Notify func(node.EndpointList) // called once, by Run
 }
 
-// Watch implements node.EndpointWatcher. It does nothing: the list does not change.
+// Watch implements node.EndpointWatcher. It does nothing, as the list does not change.
 func (Fixed) Watch() {}
 
-// Run notifies of the list once, and returns.
+// Run calls Notify with the list, and returns.
 func (f Fixed) Run(context.Context) { f.Notify(f.List) }
--- a/internal/endpoints/fuzz_test.go
+++ b/internal/endpoints/fuzz_test.go
@@ -9,7 +9,7 @@
 	"standpoint/internal/store"
 )
 
-// Whatever discovery writes, an endpoint that is used has a name, an address, a size and a start that are possible.
+// For any input from discovery, an endpoint that is used has a name, an address, and a size and start within bounds.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"seq":41,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","class":"fast","block":3,` +
@@ -33,7 +33,7 @@
 	})
 }
 
-// Whatever is in the store in the list's place, all of it is loaded, or nothing.
+// For any value under the list's key in the store, either the whole list is loaded or nothing.
 func FuzzCacheLoad(f *testing.F) {
 	f.Add([]byte(`[{"host":"a","dial":"127.0.0.1:1","health":"ready","labels":{"v":"1"},` +
 		`"until":"2026-12-01T00:00:00Z"}]`))
@@ -47,7 +47,7 @@
 		list, ok := NewCache(keyValues, zap.NewNop()).Load(time.Now())
 		for _, loaded := range list.Endpoints {
 			if !ok || loaded.Name == "" || loaded.ReadyAt < 0 || loaded.State > gone {
-				t.Fatalf("%+v of an unreadable list", loaded)
+				t.Fatalf("loaded %+v from an invalid list", loaded)
 			}
 		}
 	})
--- a/internal/endpoints/golden_test.go
+++ b/internal/endpoints/golden_test.go
@@ -8,8 +8,8 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// The persisted form of an endpoint, and the key under which the list is in the store.
-func TestGoldenLastList(t *testing.T) {
+// The persisted form of an endpoint and the store key of the list must not change.
+func TestGoldenPersistedList(t *testing.T) {
 	golden.RoundTrip(t, "last.json", []storedEndpoint{{
 		Host:   "box-1",
 		Dial:   "127.0.0.1:9000",
@@ -29,8 +29,8 @@
 	golden.Bytes(t, "keys.txt", []byte(cacheKey+"\n"))
 }
 
-// The names of the states in lists.
-func TestGoldenHealthWords(t *testing.T) {
+// The names of the states in lists must not change.
+func TestGoldenHealthNames(t *testing.T) {
 	raw, err := json.Marshal(healthNames)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/helpers_test.go
+++ b/internal/endpoints/helpers_test.go
@@ -23,7 +23,7 @@
 	gone     = standpoint.Gone
 )
 
-// firstVersion is that of the list which a test's watcher starts with.
+// firstVersion is the version of the list that a test's watcher starts with.
 const firstVersion = 41
 
 var names = Names{Zones: []string{"a", "b"}, Kinds: []string{"fast", "slow"}}
@@ -59,7 +59,7 @@
 	t.Cleanup(running.Wait)
 }
 
-// receiver returns a function to be notified of lists, and the channel on which they arrive.
+// receiver returns a notify function, and the channel to which it sends the lists.
 func receiver(t *testing.T) (notify func(node.EndpointList), updates <-chan node.EndpointList) {
 	t.Helper()
 	lists := make(chan node.EndpointList, 100)
@@ -71,7 +71,7 @@
 	}, lists
 }
 
-// receive returns the next list, which has to come soon.
+// receive returns the next list, and fails the test if there is none within 20 s.
 func receive(t *testing.T, updates <-chan node.EndpointList) node.EndpointList {
 	t.Helper()
 	select {
@@ -83,7 +83,7 @@
 	}
 }
 
-// serve starts a discovery that lives until the test ends.
+// serve runs a discovery server until the test ends.
 func serve(t *testing.T, handle http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -96,7 +96,7 @@
 
 func hostPort(server *httptest.Server) string { return strings.TrimPrefix(server.URL, "http://") }
 
-// watchServer starts a watcher of a discovery.
+// watchServer runs a watcher of a discovery until the test ends.
 func watchServer(t *testing.T, discovery *httptest.Server) (*Watcher, <-chan node.EndpointList) {
 	t.Helper()
 	notify, updates := receiver(t)
@@ -106,14 +106,15 @@
 	return w, updates
 }
 
-// watchScript starts a watcher, with short waits, of a discovery that handles each poll, by its number from 1 on, as a
-// script says. If pushed is not 0, discovery pushes its lists. The queries of the polls arrive on the second channel.
+// watchScript runs a watcher with short waits. Its discovery handles each poll by a call of script with the number of
+// the poll, from 1. If pushed is not 0, it is the watcher's MaxPushedPause. The polls' query strings are sent to the
+// second channel.
 func watchScript(
 	t *testing.T, pushed time.Duration, script func(poll int, w http.ResponseWriter, r *http.Request),
 ) (updates <-chan node.EndpointList, queries <-chan string) {
 	t.Helper()
 	received := make(chan string, 100)
-	var polls atomic.Int32 // one that was given up may still be in flight
+	var polls atomic.Int32 // atomic, as a poll that timed out may still be in flight
 	discovery := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		poll := int(polls.Add(1))
 		received <- r.URL.RawQuery
@@ -131,7 +132,7 @@
 	return updates, received
 }
 
-// respondDraining answers a poll with the change that s is draining.
+// respondDraining responds with the change that s is draining.
 func respondDraining(w http.ResponseWriter, version int) { fmt.Fprint(w, drainingDelta(version)) }
 
 func drainingDelta(version int) string {
@@ -139,5 +140,5 @@
 		`{"seq":%d,"whole":false,"hosts":[{"host":"s","dial":"127.0.0.1:1","health":"draining"}]}`, version)
 }
 
-// respondNothing leaves a poll without a response.
+// respondNothing sends no response until the client closes the connection.
 func respondNothing(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
--- a/internal/endpoints/merge.go
+++ b/internal/endpoints/merge.go
@@ -11,79 +11,84 @@
 )
 
 const (
-	// departureHold is for how long a departure that was reported in one epoch stands against a list of another, which
-	// may be older: by then the node knows whatever the other discovery had when its first list came.
-	departureHold = 6 * time.Second
-	// departureRetention is for how long a removed endpoint is remembered, in case an older list has it once more.
+	// departureHoldTime is how long a departure reported in one epoch overrides the lists of a later epoch, which may be
+	// older than the departure. After that time the node has every change that the new discovery had when its first
+	// list arrived.
+	departureHoldTime = 6 * time.Second
+	// departureRetention is how long a removed endpoint is remembered, in case an older list still contains it.
 	departureRetention = time.Minute
-	// maxKnown bounds the endpoints that are remembered; beyond it those that were removed are forgotten first.
-	maxKnown = 8192
+	// maxKnownEndpoints bounds the remembered endpoints. Beyond it, removed endpoints are forgotten first.
+	maxKnownEndpoints = 8192
 )
 
-// response is what a poll of discovery returned.
+// response is discovery's response to a poll.
 type response struct {
-	epoch        int   // in which the poll was sent
-	afterVersion int64 // the version that the node had then
-	version      int64
+	epoch        int   // the epoch in which the poll was sent
+	afterVersion int64 // the version of the node's list when the poll was sent
+	version      int64 // the version of the response's list
 	list         node.EndpointList
 }
 
-// merger decides what of discovery's responses is passed on, and in which form. Versions order the responses of one
-// epoch: of one discovery, for as long as its versions grow. Nothing orders those of two epochs, so between them a
-// departure (draining, or gone) wins over a ready endpoint. A departure counts once discovery has written it, even if
-// its response comes late, after a switch to another discovery, or is otherwise discarded.
+// merger decides which parts of discovery's responses are passed on, and in which form.
 //
-// It does no I/O, has no clock, and is not safe for concurrent use.
+// An epoch is the time during which the node uses one discovery and the versions of its lists increase. Versions order
+// the responses of one epoch. Responses of different epochs have no order, so between epochs a departure (a draining
+// or removed endpoint) overrides a ready endpoint. A departure is valid once discovery has sent it, even if its
+// response arrives late or after a switch to another discovery, or is otherwise discarded.
+//
+// A merger does no I/O, reads no clock, and is not safe for concurrent use.
 type merger struct {
 	epoch        int
-	version      int64     // of the list that is in use
-	awaitingFull bool      // no full list of this epoch has come yet
-	holdFrom     time.Time // departures of earlier epochs stand for departureHold from here; zero if there are none
-	known        map[string]knownEndpoint
+	version      int64 // the version of the list in use
+	awaitingFull bool  // no full list of this epoch has arrived yet
+	// holdStartedAt is when the hold began, during which departures of earlier epochs override the lists of this one.
+	// The hold lasts departureHoldTime; zero if there is none.
+	holdStartedAt time.Time
+	known         map[string]knownEndpoint // by endpoint name
 }
 
-// knownEndpoint is what was last reported of an endpoint.
+// knownEndpoint is the last report of an endpoint.
 type knownEndpoint struct {
-	startedAt int64 // of its process
-	departing bool
-	removed   bool // not listed any more
-	epoch     int  // that reported it, or, of a departing one, that first reported the departure
+	startedAt int64 // start of the backend's process
+	departing bool  // draining or removed
+	removed   bool  // gone, or no longer listed
+	epoch     int   // the epoch of the report; for a departing endpoint, that of the first report of the departure
 	updatedAt time.Time
 }
 
-// newMerger returns a merger in its first epoch, of which it has a version.
+// newMerger returns a merger in its first epoch, in which the node's list has the given version.
 func newMerger(version int64) *merger {
 	return &merger{version: version, known: map[string]knownEndpoint{}}
 }
 
-// restore records the list that the first version stands for.
+// restore records the list that has the merger's first version.
 func (m *merger) restore(list node.EndpointList, now time.Time) { m.remember(list, m.epoch, now) }
 
-// beginEpoch begins an epoch, of which a full list is awaited.
+// beginEpoch begins a new epoch, in which a full list is awaited.
 func (m *merger) beginEpoch() {
 	m.epoch++
 	m.awaitingFull = true
 }
 
-// merge returns the list, or the change of it, to pass on for a response; false if there is none.
+// merge returns the full list or the change to pass on for a response, and false if there is nothing to pass on.
 func (m *merger) merge(r response, now time.Time) (node.EndpointList, bool) {
 	full := r.list.Kind == standpoint.ListFull
 	switch {
 	case r.epoch != m.epoch:
 		return m.departures(r.list, now)
 	case r.version < m.version && !m.awaitingFull && r.afterVersion != m.version:
-		return node.EndpointList{}, false // a newer response has overtaken it
+		return node.EndpointList{}, false // a newer response arrived before it
 	case !full && (m.awaitingFull || r.version < r.afterVersion):
 		if !m.awaitingFull {
-			m.beginEpoch() // discovery's versions have started over
+			m.beginEpoch() // discovery's versions have restarted
 		}
 		return m.departures(r.list, now)
 	case !m.awaitingFull && r.version < m.version:
-		m.beginEpoch() // they have, or the list is an older one
+		m.beginEpoch() // the versions have restarted, or the list is older than the one in use
 	}
 	if m.awaitingFull {
 		m.awaitingFull = false
-		m.holdFrom = now
+		m.holdStartedAt = now
 	}
 	m.version = r.version
 	list := m.holdDepartures(r.list, now)
@@ -91,7 +96,7 @@
 	return list, true
 }
 
-// departures returns the departures in a list that no version orders; nothing else of such a list counts.
+// departures returns the departures in a list that cannot be ordered by its version. The rest of the list is ignored.
 func (m *merger) departures(list node.EndpointList, now time.Time) (node.EndpointList, bool) {
 	departing := node.EndpointList{Kind: standpoint.ListDelta}
 	for _, endpoint := range list.Endpoints {
@@ -100,7 +105,7 @@
 		}
 		last, known := m.known[endpoint.Name]
 		if known && endpoint.ReadyAt < last.startedAt && endpoint.ReadyAt != 0 {
-			continue // the process that departs was replaced
+			continue // the departing process has already been replaced
 		}
 		departing.Endpoints = append(departing.Endpoints, endpoint)
 	}
@@ -109,12 +114,13 @@
 	}
 	m.remember(departing, m.epoch-1, now)
 	if !m.awaitingFull {
-		m.holdFrom = now // the present epoch's word on them is fetched once more after the hold
+		m.holdStartedAt = now // after the hold the full list of the current epoch is fetched again
 	}
 	return departing, true
 }
 
-// holdDepartures returns a list in which endpoints that depart by an earlier epoch's word still do.
+// holdDepartures returns a list in which endpoints that departed in an earlier epoch are draining during the hold,
+// unless the list reports a newer start.
 func (m *merger) holdDepartures(list node.EndpointList, now time.Time) node.EndpointList {
 	if !m.holdActive(now) {
 		return list
@@ -131,18 +137,18 @@
 	return list
 }
 
-// holdActive reports whether departures of earlier epochs still stand.
+// holdActive reports whether departures of earlier epochs still override the lists of this one.
 func (m *merger) holdActive(now time.Time) bool {
-	return !m.holdFrom.IsZero() && now.Before(m.holdFrom.Add(departureHold))
+	return !m.holdStartedAt.IsZero() && now.Before(m.holdStartedAt.Add(departureHoldTime))
 }
 
-// endHold ends the hold if its time is over. It returns true, once, if endpoints were held: they may be ready by now,
-// so the full list is to be fetched again.
+// endHold ends the hold if its time has passed. It reports, once, whether endpoints were held as draining: these may be
+// ready by now, so the full list has to be fetched again.
 func (m *merger) endHold(now time.Time) bool {
-	if m.holdFrom.IsZero() || m.holdActive(now) {
+	if m.holdStartedAt.IsZero() || m.holdActive(now) {
 		return false
 	}
-	m.holdFrom = time.Time{}
+	m.holdStartedAt = time.Time{}
 	for _, last := range m.known {
 		if last.departing && !last.removed && last.epoch < m.epoch {
 			return true
@@ -151,7 +157,7 @@
 	return false
 }
 
-// remember records what an epoch reports.
+// remember records the endpoints that a list of an epoch reports.
 func (m *merger) remember(list node.EndpointList, epoch int, now time.Time) {
 	listed := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
@@ -172,6 +178,7 @@
 	m.evictOldest()
 }
 
+// rememberEndpoint records the report of one endpoint.
 func (m *merger) rememberEndpoint(endpoint node.Endpoint, epoch int, now time.Time) {
 	next := knownEndpoint{
 		startedAt: endpoint.ReadyAt,
@@ -181,7 +188,7 @@
 		updatedAt: now,
 	}
 	if last, known := m.known[endpoint.Name]; known && next.departing {
-		next.startedAt = max(next.startedAt, last.startedAt) // one that is gone has no start
+		next.startedAt = max(next.startedAt, last.startedAt) // the report of a removed endpoint may have no start
 		if last.departing {
 			next.epoch = last.epoch
 		}
@@ -189,9 +196,10 @@
 	m.known[endpoint.Name] = next
 }
 
-// evictOldest forgets endpoints beyond maxKnown: first those that were removed, and of them the oldest.
+// evictOldest forgets endpoints beyond maxKnownEndpoints: removed endpoints first, and of these the least recently
+// updated.
 func (m *merger) evictOldest() {
-	if len(m.known) <= maxKnown {
+	if len(m.known) <= maxKnownEndpoints {
 		return
 	}
 	names := slices.SortedFunc(maps.Keys(m.known), func(a, b string) int {
@@ -206,7 +214,7 @@
 		}
 		return strings.Compare(a, b)
 	})
-	for _, name := range names[:len(names)-maxKnown] {
+	for _, name := range names[:len(names)-maxKnownEndpoints] {
 		delete(m.known, name)
 	}
 }
--- a/internal/endpoints/merge_test.go
+++ b/internal/endpoints/merge_test.go
@@ -12,122 +12,123 @@
 	"standpoint/internal/node"
 )
 
-// mergeStep is a response that a merger gets, and what it passes on.
+// mergeStep is a response to a merger, and what the merger has to pass on.
 type mergeStep struct {
 	elapsed      time.Duration // since the test's start
-	switched     bool          // to another discovery, just before
+	switched     bool          // the node switches to another discovery just before the response
 	epoch        int
 	afterVersion int64
 	version      int64
 	list         node.EndpointList
-	passes       states // nil: nothing is passed on
+	want         states // nil if nothing is passed on
 }
 
-// Each case begins at version 5, with the ready endpoints s and t.
+// Versions order the responses of one discovery, and a departure overrides lists that may be older. Each case begins at
+// version 5, with the ready endpoints s and t.
 func TestMergerOrdersResponses(t *testing.T) {
 	t.Parallel()
 	for name, steps := range map[string][]mergeStep{
-		"a newer list may make an endpoint ready again": {
-			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
-			{afterVersion: 6, version: 7, list: deltaList(endpoint("s", ready, 0)), passes: states{"s": ready}},
+		"a newer list makes a draining endpoint ready again": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), want: states{"s": draining}},
+			{afterVersion: 6, version: 7, list: deltaList(endpoint("s", ready, 0)), want: states{"s": ready}},
 		},
-		"an older full list does not": {
-			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
-			{afterVersion: 6, version: 4, list: fullList(endpoint("s", ready, 0)), passes: states{"s": draining}},
+		"an older full list does not make a draining endpoint ready": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), want: states{"s": draining}},
+			{afterVersion: 6, version: 4, list: fullList(endpoint("s", ready, 0)), want: states{"s": draining}},
 			{
 				elapsed: time.Second, epoch: 1, afterVersion: 4, version: 5,
-				list:   fullList(endpoint("s", ready, 0)),
-				passes: states{"s": draining},
+				list: fullList(endpoint("s", ready, 0)),
+				want: states{"s": draining},
 			},
 		},
-		"nor one in which what is gone is listed": {
-			{afterVersion: 5, version: 6, list: fullList(), passes: states{}},
-			{afterVersion: 6, version: 4, list: fullList(endpoint("s", ready, 0)), passes: states{"s": draining}},
+		"an older full list does not make a removed endpoint ready": {
+			{afterVersion: 5, version: 6, list: fullList(), want: states{}},
+			{afterVersion: 6, version: 4, list: fullList(endpoint("s", ready, 0)), want: states{"s": draining}},
 		},
-		"nor the first list of another discovery, whose versions are others": {
-			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
+		"the first list of another discovery does not make a draining endpoint ready, whatever its version": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 0)), want: states{"s": draining}},
 			{
 				switched: true, epoch: 1, version: 900,
-				list:   fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)),
-				passes: states{"s": draining, "t": ready},
+				list: fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)),
+				want: states{"s": draining, "t": ready},
 			},
 			{
-				elapsed: departureHold, epoch: 1, version: 900,
-				list:   fullList(endpoint("s", ready, 0)),
-				passes: states{"s": ready},
+				elapsed: departureHoldTime, epoch: 1, version: 900,
+				list: fullList(endpoint("s", ready, 0)),
+				want: states{"s": ready},
 			},
 		},
-		"a new start does": {
-			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", gone, 0)), passes: states{"s": gone}},
+		"a newer start makes a removed endpoint ready": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", gone, 0)), want: states{"s": gone}},
 			{
 				switched: true, epoch: 1, version: 1,
-				list:   fullList(endpoint("s", ready, 9)),
-				passes: states{"s": ready},
+				list: fullList(endpoint("s", ready, 9)),
+				want: states{"s": ready},
 			},
 		},
-		"and is drained again": {
-			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", gone, 3)), passes: states{"s": gone}},
-			{afterVersion: 6, version: 7, list: deltaList(endpoint("s", ready, 9)), passes: states{"s": ready}},
-			{afterVersion: 7, version: 8, list: deltaList(endpoint("s", draining, 9)), passes: states{"s": draining}},
+		"a drain after a newer start overrides a list with the older start": {
+			{afterVersion: 5, version: 6, list: deltaList(endpoint("s", gone, 3)), want: states{"s": gone}},
+			{afterVersion: 6, version: 7, list: deltaList(endpoint("s", ready, 9)), want: states{"s": ready}},
+			{afterVersion: 7, version: 8, list: deltaList(endpoint("s", draining, 9)), want: states{"s": draining}},
 			{
 				switched: true, epoch: 1, version: 1,
-				list:   fullList(endpoint("s", ready, 3)),
-				passes: states{"s": draining},
+				list: fullList(endpoint("s", ready, 3)),
+				want: states{"s": draining},
 			},
 		},
-		"what the discovery before still writes counts, as departures": {
+		"after a switch only departures of the previous discovery are passed on": {
 			{
 				switched: true, epoch: 0, afterVersion: 5, version: 6,
-				list:   deltaList(endpoint("s", draining, 0), endpoint("t", ready, 0)),
-				passes: states{"s": draining},
+				list: deltaList(endpoint("s", draining, 0), endpoint("t", ready, 0)),
+				want: states{"s": draining},
 			},
 			{
 				epoch: 1, version: 1,
-				list:   fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)),
-				passes: states{"s": draining, "t": ready},
+				list: fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)),
+				want: states{"s": draining, "t": ready},
 			},
 		},
-		"behind the first list of the new one too": {
+		"a departure of the previous discovery is valid after the first list of the new one": {
 			{
 				switched: true, epoch: 1, version: 1,
-				list:   fullList(endpoint("s", ready, 0)),
-				passes: states{"s": ready},
+				list: fullList(endpoint("s", ready, 0)),
+				want: states{"s": ready},
 			},
 			{
 				epoch: 0, afterVersion: 5, version: 6,
-				list:   deltaList(endpoint("s", draining, 0)),
-				passes: states{"s": draining},
+				list: deltaList(endpoint("s", draining, 0)),
+				want: states{"s": draining},
 			},
 			{
 				elapsed: time.Second, epoch: 1, afterVersion: 1, version: 2,
-				list:   fullList(endpoint("s", ready, 0)),
-				passes: states{"s": draining},
+				list: fullList(endpoint("s", ready, 0)),
+				want: states{"s": draining},
 			},
 		},
-		"but not of a process that was replaced": {
+		"a departure of a replaced process is ignored": {
 			{
 				switched: true, epoch: 1, version: 1,
-				list:   fullList(endpoint("s", ready, 9)),
-				passes: states{"s": ready},
+				list: fullList(endpoint("s", ready, 9)),
+				want: states{"s": ready},
 			},
 			{epoch: 0, afterVersion: 5, version: 6, list: deltaList(endpoint("s", draining, 3))},
 		},
-		"an answer that comes late, of the same discovery": {
-			{afterVersion: 5, version: 8, list: deltaList(endpoint("s", ready, 0)), passes: states{"s": ready}},
-			{afterVersion: 5, version: 7, list: deltaList(endpoint("s", draining, 0))}, // the newer one had it
-			{afterVersion: 5, version: 9, list: deltaList(endpoint("s", draining, 0)), passes: states{"s": draining}},
+		"a late response of the same discovery": {
+			{afterVersion: 5, version: 8, list: deltaList(endpoint("s", ready, 0)), want: states{"s": ready}},
+			{afterVersion: 5, version: 7, list: deltaList(endpoint("s", draining, 0))}, // version 8 includes it
+			{afterVersion: 5, version: 9, list: deltaList(endpoint("s", draining, 0)), want: states{"s": draining}},
 		},
-		"versions that begin anew: changes are departures alone, until the whole list": {
+		"after versions restart, only departures are passed on until the full list": {
 			{
 				afterVersion: 5, version: 2,
-				list:   deltaList(endpoint("s", draining, 0), endpoint("t", ready, 0)),
-				passes: states{"s": draining},
+				list: deltaList(endpoint("s", draining, 0), endpoint("t", ready, 0)),
+				want: states{"s": draining},
 			},
 			{epoch: 1, afterVersion: 5, version: 3, list: deltaList(endpoint("t", ready, 0))},
 			{
 				epoch: 1, afterVersion: 5, version: 3,
-				list:   fullList(endpoint("t", ready, 0)),
-				passes: states{"t": ready},
+				list: fullList(endpoint("t", ready, 0)),
+				want: states{"t": ready},
 			},
 		},
 	} {
@@ -145,16 +146,16 @@
 					version:      step.version,
 					list:         step.list,
 				}, start.Add(step.elapsed))
-				require.Equal(t, step.passes != nil, passed, "step %d", i)
+				require.Equal(t, step.want != nil, passed, "step %d", i)
 				if passed {
-					require.Equal(t, step.passes, statesOf(list), "step %d", i)
+					require.Equal(t, step.want, statesOf(list), "step %d", i)
 				}
 			}
 		})
 	}
 }
 
-// The full list is fetched once more when the hold is over, for the endpoints that were held.
+// When the hold ends the full list is fetched once, as endpoints that were held as draining may be ready.
 func TestMergerEndsHold(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
@@ -163,15 +164,15 @@
 	m.beginEpoch()
 	require.False(t, m.endHold(start))
 	m.merge(response{epoch: 1, afterVersion: 6, version: 1, list: fullList(endpoint("s", ready, 0))}, start)
-	require.False(t, m.endHold(start.Add(departureHold-1)))
-	require.True(t, m.endHold(start.Add(departureHold)), "the full list is wanted")
-	require.False(t, m.endHold(start.Add(departureHold)), "once")
+	require.False(t, m.endHold(start.Add(departureHoldTime-1)))
+	require.True(t, m.endHold(start.Add(departureHoldTime)), "the full list is to be fetched")
+	require.False(t, m.endHold(start.Add(departureHoldTime)), "the full list is fetched only once")
 	again := response{epoch: 1, afterVersion: 1, version: 1, list: fullList(endpoint("s", ready, 0))}
-	list, _ := m.merge(again, start.Add(departureHold))
+	list, _ := m.merge(again, start.Add(departureHoldTime))
 	require.Equal(t, ready, list.Endpoints[0].State)
 }
 
-// Removed endpoints are forgotten after a while, and their number is bounded.
+// Removed endpoints are forgotten after departureRetention, and the number of remembered endpoints is bounded.
 func TestMergerIsBounded(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
@@ -179,16 +180,16 @@
 	report := func(version int, endpoint node.Endpoint, now time.Time) {
 		m.merge(response{afterVersion: int64(version - 1), version: int64(version), list: deltaList(endpoint)}, now)
 	}
-	for i := range maxKnown + 100 {
+	for i := range maxKnownEndpoints + 100 {
 		report(i+1, endpoint(fmt.Sprint(i), gone, 0), start)
 	}
-	require.LessOrEqual(t, len(m.known), maxKnown)
-	report(maxKnown+101, endpoint("s", ready, 0), start.Add(departureRetention+1))
+	require.LessOrEqual(t, len(m.known), maxKnownEndpoints)
+	report(maxKnownEndpoints+101, endpoint("s", ready, 0), start.Add(departureRetention+1))
 	require.Len(t, m.known, 1)
 }
 
-// Whatever responses come, in whatever order, of one discovery or several: a departing endpoint is not passed on as
-// ready unless a newer list of the same discovery, a new start or the end of the hold speaks for it.
+// For any responses in any order, of one or several discoveries, a departing endpoint is not passed on as ready without
+// a newer list of the same discovery, a newer start, or the end of the hold.
 func TestMergerKeepsDepartures(t *testing.T) {
 	t.Parallel()
 	kinds := []standpoint.ListKind{standpoint.ListFull, standpoint.ListDelta}
@@ -201,12 +202,12 @@
 			if rapid.Bool().Draw(t, "switched") {
 				m.beginEpoch()
 			}
-			elapsed := rapid.IntRange(0, 400).Draw(t, "ms") // all of them are within the hold
+			elapsed := rapid.IntRange(0, 400).Draw(t, "ms") // all steps are within the hold
 			now = now.Add(time.Duration(elapsed) * time.Millisecond)
 			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
 			version := rapid.Int64Range(0, 11).Draw(t, "version")
 			if m.epoch == 0 && !m.awaitingFull {
-				version = min(version, 10) // not newer than the drain
+				version = min(version, 10) // older than the drain
 			}
 			list, _ := m.merge(response{
 				epoch:        rapid.IntRange(0, m.epoch).Draw(t, "epoch"),
--- a/internal/endpoints/names.go
+++ b/internal/endpoints/names.go
@@ -9,22 +9,25 @@
 	"standpoint"
 )
 
-// Bounds of what an endpoint may have, whichever source lists it.
+// Upper bounds of an endpoint's fields, for all sources.
 const (
-	maxSize   = 1e6 // in the list's own unit of capacity
+	// maxSize is the maximum size, in the list's own unit of capacity.
+	maxSize = 1e6
+	// maxBornMS is the latest start, as a Unix time in milliseconds, whose nanoseconds fit into an int64.
 	maxBornMS = math.MaxInt64 / int64(time.Millisecond)
 )
 
-// modeBatch marks an endpoint that takes files of requests instead of streams.
+// modeBatch is the mode of an endpoint that accepts files of requests instead of streaming requests.
 const modeBatch = "batch"
 
-// Names translates the zones and kinds of a list into the decision module's indexes: a name's index is its position.
+// Names maps the names of zones and kinds in a list to the decision module's indexes: a name's index is its position
+// in the slice.
 type Names struct{ Zones, Kinds []string }
 
-// healthNames are the names of the decision module's states in lists and TXT records.
+// healthNames are the names of the decision module's states in endpoint lists and TXT records, indexed by state.
 var healthNames = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Gone: "gone"}
 
-// parseHealth returns the state that a name of a health stands for; Gone with an error for an unknown one.
+// parseHealth returns the state with a name in healthNames. For an unknown name it returns Gone and an error.
 func parseHealth(health string) (standpoint.State, error) {
 	if i := slices.Index(healthNames, health); i >= 0 {
 		return standpoint.State(i), nil
@@ -32,7 +35,7 @@
 	return standpoint.Gone, fmt.Errorf("unknown health %q", health)
 }
 
-// nameAt returns the name at an index; "" if there is none.
+// nameAt returns the name at an index, or an empty string if the index is out of range.
 func nameAt(names []string, i int) string {
 	if i < 0 || i >= len(names) {
 		return ""
--- a/internal/endpoints/observedstart.go
+++ b/internal/endpoints/observedstart.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxObserved bounds the instances whose first and last appearance is remembered.
-	maxObserved = 2 * record.MaxInstances
-	// maxAbsence is how long an instance that publishes no start may be missing and still count as the process that it
-	// was: longer than a lost message, shorter than a backend takes to start.
+	// maxObservedInstances bounds the instances whose start and last appearance are remembered.
+	maxObservedInstances = 2 * record.MaxInstances
+	// maxAbsence is how long an instance that publishes no start may be missing and still count as the same process: it
+	// is longer than the effect of a lost message, and shorter than the start of a backend.
 	maxAbsence = 2 * time.Second
 )
 
-// observedInstance is what has been observed of an instance that publishes no start.
+// observedInstance describes an instance that publishes no start, as observed by this node.
 type observedInstance struct {
-	startedAt int64 // an instant of internal/clock; 0 if it was there before this node
+	startedAt int64 // an instant of internal/clock; 0 if the instance was in this node's first list
 	lastSeen  time.Time
 	address   string
 }
 
-// observeStart returns when an instance that publishes no start counts as started. One that is in the first list may
-// have run for long: 0. One that appears later, reappears, or is at another address has just started as far as this
-// node can know, and warms up.
+// observeStart records an instance that publishes no start, and returns when it is assumed to have started. For an
+// instance in the first list that is 0, since it may have run for a long time. An instance that appears later,
+// reappears after maxAbsence, or changes its address is assumed to have just started, so that it warms up.
 func (s *ServiceSource) observeStart(name, address string, now time.Time) int64 {
 	instance, known := s.observed[name]
 	switch {
@@ -37,7 +37,7 @@
 	default:
 		instance.startedAt = clock.Of(now)
 	}
-	if !known && len(s.observed) >= maxObserved {
+	if !known && len(s.observed) >= maxObservedInstances {
 		s.forgetAbsent(now)
 	}
 	instance.lastSeen = now
@@ -46,7 +46,7 @@
 	return instance.startedAt
 }
 
-// forgetAbsent forgets the instances that would count as started anew if they reappeared.
+// forgetAbsent removes the instances that would count as newly started if they reappeared.
 func (s *ServiceSource) forgetAbsent(now time.Time) {
 	for name, instance := range s.observed {
 		if !s.listed[name] && now.Sub(instance.lastSeen) >= maxAbsence {
--- a/internal/endpoints/origin.go
+++ b/internal/endpoints/origin.go
@@ -6,27 +6,27 @@
 	"standpoint/internal/node"
 )
 
-// MechanismStore is the mechanism of an endpoint that only the persisted list has.
+// MechanismStore is the Mechanism of an endpoint that is in the persisted list, but not confirmed by its source.
 const MechanismStore = "store"
 
-// Origin describes where an endpoint comes from, or why a service instance is not used as one.
+// Origin describes the source and the state of an endpoint, or why a service instance is not used as an endpoint.
 type Origin struct {
 	Name      string    `json:"name"`
-	Instance  string    `json:"instance,omitempty"` // its full name; empty if the operator's file lists the endpoint
-	Server    string    `json:"server,omitempty"`   // that was asked for it
-	Mechanism string    `json:"news,omitempty"`     // by which it was found: poll, push, mdns or MechanismStore
+	Instance  string    `json:"instance,omitempty"` // full instance name; empty for an endpoint of the operator's file
+	Server    string    `json:"server,omitempty"`   // the DNS server that was queried
+	Mechanism string    `json:"news,omitempty"`     // how it was discovered: poll, push, mdns or MechanismStore
 	Address   string    `json:"address,omitempty"`  // host:port
 	State     string    `json:"state,omitempty"`    // ready, draining or gone
-	StartedAt time.Time `json:"started,omitzero"`   // zero if that is not known
-	TTL       uint32    `json:"ttl_s,omitempty"`    // of its records, in seconds
+	StartedAt time.Time `json:"started,omitzero"`   // zero if unknown
+	TTL       uint32    `json:"ttl_s,omitempty"`    // TTL of its records in seconds
 	ExpiresAt time.Time `json:"until,omitzero"`     // when its records expire
-	ChangedAt time.Time `json:"changed,omitzero"`   // when it was last found to differ
+	ChangedAt time.Time `json:"changed,omitzero"`   // when the endpoint or its fault last changed
 	CheckedAt time.Time `json:"looked,omitzero"`    // when the list was last confirmed
-	Stale     bool      `json:"stale,omitempty"`    // from the persisted list, expired and not confirmed since
-	Fault     string    `json:"fault,omitempty"`    // why it is not used; empty if it is
+	Stale     bool      `json:"stale,omitempty"`    // in the persisted list only, with expired records
+	Fault     string    `json:"fault,omitempty"`    // why it is not used; empty if it is used
 }
 
-// Describe returns the origin of an endpoint, as far as the endpoint itself has it.
+// Describe returns the origin of an endpoint, with the fields that the endpoint itself provides.
 func Describe(endpoint node.Endpoint) Origin {
 	origin := Origin{
 		Name:    endpoint.Name,
--- a/internal/endpoints/overrides.go
+++ b/internal/endpoints/overrides.go
@@ -16,40 +16,41 @@
 )
 
 // ErrNeverListed reports a command for a backend that no source has ever listed.
-var ErrNeverListed = errors.New("never listed")
+var ErrNeverListed = errors.New("backend was never listed")
 
-// ErrNotPersisted reports a command that is in effect in this process, but could not be written to the record that this
-// node's other processes, and those after it, read.
+// ErrNotPersisted reports a command that is in effect in this process, but could not be written to the record that the
+// node's other and later processes read.
 var ErrNotPersisted = errors.New("carried out, but not kept for a process that takes over")
 
 const (
-	maxListed   = 8192 // names that were ever listed; beyond it the oldest are forgotten
-	maxRestored = 1024 // backends that were enabled again; likewise
+	maxListedNames      = 8192 // bounds the names that were ever listed; beyond it the oldest are forgotten
+	maxRestoredBackends = 1024 // bounds the backends that were enabled again; beyond it the oldest are forgotten
 )
 
-// Overrides lays over the endpoint list what operators have disabled: whatever the source says of such a backend, the
-// core is notified that it is draining, until it is enabled again, even if it leaves the list, restarts, changes its
-// address, or the source changes. An enabled backend counts as started at that moment: it warms up, and nothing is
-// assumed of what it was. The overrides are shared with the other processes of this node. Overrides is safe for
-// concurrent use.
+// Overrides applies the operators' commands to the endpoint list. A disabled backend is passed to the core as draining,
+// whatever its source reports, until it is enabled again; this still holds if the backend leaves the list, restarts or
+// changes its address, or if the source changes. An enabled backend counts as started at that moment, so that it warms
+// up and its earlier measurements are not used. The overrides are shared with the other processes of this node.
+// Overrides is safe for concurrent use.
 type Overrides struct {
 	cache    *Cache
 	notify   func(node.EndpointList)
 	siblings *handover.Channel // nil if no other process shares the record
 	log      *zap.Logger
 
-	// commands is held while a command changes the record, or the shared one is read. Another process may hold the
-	// lock of the shared file for as long as it likes, so that one is never waited for with the cache's notifyMu
-	// held: lists are passed on meanwhile. It is locked before notifyMu, and that before mu.
-	commands sync.Mutex
+	// commandMu is held while a command changes the record, or the shared record is read. Another process may hold the
+	// lock of the shared file for any length of time, so this process never waits for that lock with the cache's
+	// notifyMu held: lists are still passed on. The order of locking is commandMu, notifyMu, mu.
+	commandMu sync.Mutex
 
 	mu     sync.Mutex // guards record and listed
 	record handover.Record
 	listed map[string]bool // the names in record.Listed
 }
 
-// NewOverrides returns the overrides that an earlier process has left, laid over what passes through the cache. The
-// lists that result are passed to notify. It must be called before the cache is used.
+// NewOverrides returns overrides that start with the commands in the record of an earlier process, and that are applied
+// to all lists that pass through the cache. The resulting lists are passed to notify. It must be called before the
+// cache is used.
 func NewOverrides(
 	cache *Cache, notify func(node.EndpointList), siblings *handover.Channel, log *zap.Logger,
 ) *Overrides {
@@ -66,7 +67,7 @@
 	return o
 }
 
-// Update takes a change from the source, and passes it on with the overrides applied.
+// Update handles a change from the source, and passes it on with the overrides applied.
 func (o *Overrides) Update(list node.EndpointList) { o.cache.Update(list, o.notify) }
 
 // apply returns a list with the overrides applied. The cache calls it with notifyMu held.
@@ -90,12 +91,12 @@
 	return applied
 }
 
-// rememberName remembers a name that was listed. The caller holds mu.
+// rememberName records that a name was listed. The caller must hold mu.
 func (o *Overrides) rememberName(name string) {
 	if o.listed[name] {
 		return
 	}
-	if len(o.record.Listed) >= maxListed {
+	if len(o.record.Listed) >= maxListedNames {
 		delete(o.listed, o.record.Listed[0])
 		o.record.Listed = o.record.Listed[1:]
 	}
@@ -103,7 +104,7 @@
 	o.record.Listed = append(o.record.Listed, name)
 }
 
-// Disable has a backend drain, at once and until it is enabled. It is idempotent. The errors are ErrNeverListed and
+// Disable drains a backend at once, until it is enabled again. It is idempotent. Its errors are ErrNeverListed and
 // ErrNotPersisted.
 func (o *Overrides) Disable(name string) error {
 	return o.command(name, func(record *handover.Record, now int64) {
@@ -114,7 +115,7 @@
 	})
 }
 
-// Enable undoes Disable. For a backend that is not disabled it does nothing. The errors are those of Disable.
+// Enable reverses Disable, and has no effect on a backend that is not disabled. Its errors are those of Disable.
 func (o *Overrides) Enable(name string) error {
 	return o.command(name, func(record *handover.Record, now int64) {
 		if record.DownSince[name] != 0 {
@@ -124,10 +125,10 @@
 	})
 }
 
-// command carries out a change of one backend: first in this process and its core, then in the shared record.
+// command applies a change of one backend's override, first in this process and its core, then in the shared record.
 func (o *Overrides) command(name string, change func(record *handover.Record, now int64)) error {
-	o.commands.Lock()
-	defer o.commands.Unlock()
+	o.commandMu.Lock()
+	defer o.commandMu.Unlock()
 	o.mu.Lock()
 	known := o.listed[name] || o.record.DownSince[name] != 0
 	next := handover.Record{
@@ -145,7 +146,7 @@
 	return o.persist(func(record *handover.Record) { change(record, now) })
 }
 
-// persist changes the shared record, if there is one, and adopts what it then says. The caller holds commands.
+// persist changes the shared record, if there is one, and adopts the result. The caller must hold commandMu.
 func (o *Overrides) persist(change func(*handover.Record)) error {
 	if o.siblings == nil {
 		return nil
@@ -155,23 +156,23 @@
 		o.mergeListed(record)
 	})
 	if err != nil {
-		o.log.Error("overrides not persisted for the next process", zap.Error(err))
+		o.log.Error("overrides not persisted in the shared record", zap.Error(err))
 		return fmt.Errorf("%w: %w", ErrNotPersisted, err)
 	}
 	o.adopt(record)
 	return nil
 }
 
-// mergeListed adds the names that were listed in this process to a record, as the latest.
+// mergeListed appends the names that were listed in this process to a record's names, as the most recent.
 func (o *Overrides) mergeListed(record *handover.Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	others := slices.DeleteFunc(record.Listed, func(name string) bool { return o.listed[name] })
 	record.Listed = append(others, o.record.Listed...)
-	record.Listed = record.Listed[max(0, len(record.Listed)-maxListed):]
+	record.Listed = record.Listed[max(0, len(record.Listed)-maxListedNames):]
 }
 
-// adopt puts a record in effect, and notifies the core of the backends for which it differs from the one before.
+// adopt puts a record into effect, and notifies the core of the backends whose override has changed.
 func (o *Overrides) adopt(next handover.Record) {
 	o.cache.updateOverlay(func() func(name string) bool {
 		o.mu.Lock()
@@ -191,9 +192,9 @@
 	}, o.notify)
 }
 
-// forgetOldestRestored bounds the backends that count as enabled again.
+// forgetOldestRestored removes the backends that were enabled longest ago, beyond maxRestoredBackends.
 func forgetOldestRestored(restoredAt map[string]int64) {
-	for len(restoredAt) > maxRestored {
+	for len(restoredAt) > maxRestoredBackends {
 		oldest := ""
 		for name, at := range restoredAt {
 			if oldest == "" || at < restoredAt[oldest] {
@@ -204,13 +205,13 @@
 	}
 }
 
-// Sync adopts what another process of this node has written to the shared record, if that has changed. While a command
-// is carried out it does nothing: the next call will.
+// Sync adopts the shared record if another process of this node has changed it. It does nothing while a command is
+// being carried out; the next call then adopts the change.
 func (o *Overrides) Sync() {
-	if o.siblings == nil || !o.commands.TryLock() {
+	if o.siblings == nil || !o.commandMu.TryLock() {
 		return
 	}
-	defer o.commands.Unlock()
+	defer o.commandMu.Unlock()
 	record, changed, err := o.siblings.ReadRecord()
 	if err != nil {
 		o.log.Error("shared overrides unreadable, not used", zap.Error(err))
@@ -220,9 +221,9 @@
 	}
 }
 
-// Persist writes the names of all backends that were ever listed to the shared record, for a process that takes over.
+// Persist writes the names of all backends that were ever listed to the shared record, for the process that takes over.
 func (o *Overrides) Persist() {
-	o.commands.Lock()
-	defer o.commands.Unlock()
-	_ = o.persist(func(*handover.Record) {}) // the error is logged there, and nobody can do more about it
+	o.commandMu.Lock()
+	defer o.commandMu.Unlock()
+	_ = o.persist(func(*handover.Record) {}) // persist logs the error
 }
--- a/internal/endpoints/overrides_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -17,7 +17,7 @@
 	"standpoint/internal/store"
 )
 
-// coreView is what the core has been notified of, by the endpoints' names.
+// coreView is the endpoint list of the core, from the notifications that it got, by endpoint name.
 type coreView map[string]node.Endpoint
 
 func (c coreView) update(list node.EndpointList) {
@@ -44,8 +44,8 @@
 	return channel
 }
 
-// A disabled backend is draining, whatever the source says; an enabled one counts as started then, which an older start
-// from the source does not undo.
+// A disabled backend is draining, whatever the source reports. An enabled backend counts as started at that moment,
+// even if the source reports an older start.
 func TestOverridesHoldUntilEnabled(t *testing.T) {
 	o, core := newTestOverrides(t, nil)
 	full := func(all ...node.Endpoint) { o.Update(fullList(all...)) }
@@ -53,7 +53,7 @@
 	full(endpoint("a", ready, 5), endpoint("b", ready, 0))
 	require.ErrorIs(t, o.Disable("c"), ErrNeverListed)
 	require.ErrorIs(t, o.Enable("c"), ErrNeverListed)
-	require.NoError(t, o.Enable("a"), "it is not disabled")
+	require.NoError(t, o.Enable("a"), "a backend that is not disabled may be enabled")
 	require.EqualValues(t, 5, core["a"].ReadyAt)
 	for range 3 {
 		require.NoError(t, o.Disable("a"))
@@ -81,7 +81,7 @@
 		require.Equal(t, ready, core["b"].State)
 	}
 	full(endpoint("b", ready, 0))
-	require.NoError(t, o.Disable("a"), "it was listed")
+	require.NoError(t, o.Disable("a"), "a backend that was listed earlier may be disabled")
 	before := clock.Now()
 	require.NoError(t, o.Enable("a"))
 	require.NotContains(t, core, "a")
@@ -91,15 +91,15 @@
 	startedAt := core["a"].ReadyAt
 	require.GreaterOrEqual(t, startedAt, before)
 	delta(moved)
-	require.Equal(t, startedAt, core["a"].ReadyAt, "it started while it was disabled")
+	require.Equal(t, startedAt, core["a"].ReadyAt, "the start that the source reports is before Enable")
 	later := endpoint("a", ready, startedAt+int64(time.Second))
 	delta(later)
 	require.Equal(t, later.ReadyAt, core["a"].ReadyAt)
 	require.False(t, core["b"].Reinstated)
 }
 
-// A command to one process is in effect in the other, and in the one after both, also for backends that were listed
-// once.
+// A command to one process also takes effect in the sibling process, and for backends that only the other process has
+// ever listed. If the shared record cannot be written, the command still takes effect in its own process.
 func TestOverridesAreSharedAcrossUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	first := openChannel(t, dir)
@@ -107,7 +107,7 @@
 	list := fullList(endpoint("a", ready, 5), endpoint("b", ready, 5))
 	old.Update(list)
 	require.NoError(t, old.Disable("a"))
-	require.NoError(t, first.Close()) // this process's mark; a second one of the same number cannot be made beside it
+	require.NoError(t, first.Close()) // the channel's file is named after the process ID, so only one can be open here
 	next, core := newTestOverrides(t, openChannel(t, dir))
 	next.Update(list)
 	require.Equal(t, draining, core["a"].State)
@@ -130,16 +130,16 @@
 	require.Len(t, files, 1)
 	require.NoError(t, os.Chmod(dir, 0o500))
 	t.Cleanup(func() { _ = os.Chmod(dir, 0o700) })
-	if os.Geteuid() != 0 { // root may write all the same
+	if os.Geteuid() != 0 { // root may write despite the mode
 		require.ErrorIs(t, next.Enable("b"), ErrNotPersisted)
 	} else {
 		require.NoError(t, next.Enable("b"))
 	}
-	require.Equal(t, ready, core["b"].State, "carried out in any case")
+	require.Equal(t, ready, core["b"].State, "the command takes effect even if it is not persisted")
 }
 
-// While another process holds the lock of the shared file, lists are passed on, and a command is in effect here at
-// once.
+// While another process holds the lock of the shared file, lists are still passed on, and a command takes effect in
+// this process at once.
 func TestOverridesPassListsOnWhileSharedFileIsLocked(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -149,7 +149,7 @@
 	o := NewOverrides(NewCache(nil, zap.NewNop()), notify, channel, zap.NewNop())
 	o.Update(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)))
 	receive(t, updates)
-	require.NoError(t, o.Enable("s")) // creates the lock's file
+	require.NoError(t, o.Enable("s")) // creates the lock file
 	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
 	require.NoError(t, err)
 	require.Len(t, locks, 1)
--- a/internal/endpoints/poll.go
+++ b/internal/endpoints/poll.go
@@ -16,49 +16,50 @@
 	"standpoint/internal/transient"
 )
 
-// maxBody bounds the body of a response; what follows is cut off, and the list then cannot be decoded.
-const maxBody = 4 << 20
+// maxResponseBytes bounds the body of a response. A longer body is truncated, and then cannot be decoded.
+const maxResponseBytes = 4 << 20
 
 var (
-	// errRejected reports that discovery has too many callers.
+	// errRejected reports that discovery rejected a poll because it is overloaded (status 503).
 	errRejected = errors.New("discovery rejected the poll")
-	// errTimeout reports that a poll was not answered in time.
+	// errTimeout reports that there was no response to a poll in time.
 	errTimeout = errors.New("discovery did not respond in time")
-	// errNotOrdered reports a response that came, but from which the present list is not known: changes of an older
-	// list, or changes in place of the full one.
+	// errNotOrdered reports a response from which the current list cannot be derived: a change of an older list, or a
+	// change when the full list was requested.
 	errNotOrdered = errors.New("discovery's response does not continue the list in use")
 )
 
-// statusError reports an unexpected status of discovery's response.
+// statusError reports an unexpected status code in discovery's response.
 type statusError struct{ status string }
 
 // Error implements error.
-func (e *statusError) Error() string { return "discovery answered " + e.status }
+func (e *statusError) Error() string { return "discovery responded with status " + e.status }
 
-// address is where a list is fetched, and the names in it.
+// address is the URL of a discovery's list, and the names of zones and kinds in that list.
 type address struct {
 	url   string
 	names Names
 }
 
+// newAddress returns the address of the discovery at hostPort.
 func newAddress(hostPort string, names Names) address {
 	return address{url: "http://" + hostPort + "/catalog/members", names: names}
 }
 
-// poll is one request to discovery. It may be in flight for longer than it is waited for: what discovery has written
-// counts, also in the response to a poll that the node has given up.
+// poll is one request to discovery. It may stay in flight after the node has stopped waiting for it, since a departure
+// that discovery reports is valid even in a late response.
 type poll struct {
 	address      address
 	client       *http.Client
 	epoch        int
 	afterVersion int64
-	full         bool          // it fetches the full list; else changes, once there are some or the wait is over
-	opens        bool          // a watch that is not established yet
-	wait         time.Duration // for which discovery may hold it
+	full         bool          // whether it requests the full list, or else the changes after afterVersion
+	opensWatch   bool          // whether it is to establish a watch
+	wait         time.Duration // how long discovery may wait for a change before it responds
 	cancel       context.CancelFunc
 }
 
-// pollResult is how a poll ended. If err is nil, it has discovery's list, and the version of that.
+// pollResult is the outcome of a poll. If err is nil, it has discovery's list and the version of that list.
 type pollResult struct {
 	poll    *poll
 	list    node.EndpointList
@@ -66,8 +67,8 @@
 	err     error
 }
 
-// newClient returns a client for discovery. Each poll has a connection of its own: what discovery sends after a
-// response belongs to no poll, and must not be taken for the next one's response.
+// newClient returns an HTTP client for discovery. Each poll uses a connection of its own, so that surplus bytes after a
+// response are never taken for the response to the next poll.
 func newClient(dial transient.DialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:        transient.Dial(dial),
@@ -89,7 +90,7 @@
 	return pollResult{poll: p, list: list, version: version, err: err}
 }
 
-// url returns the URL that fetches the full list, or what has changed since the version that the node has.
+// url returns the URL that requests the full list, or the changes after the version that the node has.
 func (p *poll) url() string {
 	if p.full {
 		return p.address.url
@@ -101,7 +102,8 @@
 	return p.address.url + "?" + query.Encode()
 }
 
-// fetch returns the body at a URL. Its errors are errRejected, *statusError, and those of the transport.
+// fetch returns the body of the response to a GET request. Its errors are errRejected, *statusError, and those of the
+// transport.
 func fetch(ctx context.Context, client *http.Client, url string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -112,10 +114,10 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("discovery's response: %w", err)
+		return nil, fmt.Errorf("read discovery's response: %w", err)
 	case response.StatusCode == http.StatusServiceUnavailable:
 		return nil, errRejected
 	case response.StatusCode != http.StatusOK:
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -19,46 +19,46 @@
 	"standpoint/internal/node"
 )
 
-// guardRecheckInterval is when a list that the guard holds back is evaluated again.
+// guardRecheckInterval is the interval at which a snapshot that the guard holds back is evaluated again.
 const guardRecheckInterval = 100 * time.Millisecond
 
-// ServiceSource is a source of endpoints that are published as DNS-SD service instances (RFC 6763): it turns what a
-// browser has found into an endpoint list. The keys of TXT records are those of the platform's list, and mode; all
-// others are labels.
+// ServiceSource is a source of endpoints that are published as DNS-SD service instances (RFC 6763). It converts the
+// snapshots of a browser into endpoint lists. The keys of TXT records are those of the platform's list, and mode; all
+// other keys become labels.
 //
-// A look-up that fails changes nothing, and an invalid record affects its own instance alone. The exported fields are
+// A failed look-up changes nothing, and an invalid record affects only its own instance. The exported fields must be
 // set before Run, and not changed afterwards.
 type ServiceSource struct {
 	BrowserOptions browser.Options // Publish is set by Run
 	Key            string          // identifies the source among others, also in the persisted list
-	Config         string          // the configuration that it was made from: two that differ differ in it
-	Site           string          // of instances that publish none; empty for the first zone
-	Suffix         string          // appended to the instances' names, to tell several services' apart
+	Config         string          // a text of the source's configuration; differs if the configuration differs
+	Site           string          // the site of instances that publish none; if empty, they are in the first zone
+	Suffix         string          // appended to the instances' names, to distinguish those of several services
 	Guard          record.Guard    // holds back a list that has lost many instances at once
-	Damper         record.Damper   // holds back instances that come and go too often
+	Damper         record.Damper   // holds back instances that appear and disappear too often
 	Names          Names
-	Notify         func(node.EndpointList) // called by Run's goroutine, with full lists
+	Notify         func(node.EndpointList) // called with full lists, by the goroutine of Run
 	Log            *zap.Logger
 
-	snapshots chan browser.Snapshot // of capacity 1: the latest that is not evaluated yet
+	snapshots chan browser.Snapshot // the latest snapshot that is not evaluated yet; its capacity is 1
 	browser   *browser.Browser
-	origins   atomic.Pointer[[]Origin] // by name
+	origins   atomic.Pointer[[]Origin] // sorted by name
 
-	// Below is Run's goroutine's alone. Maps have the instances' full names as keys.
+	// The fields below are used only by the goroutine of Run. The keys of the maps are the instances' full names.
 
 	lastSnapshot *browser.Snapshot
 	unpublished  bool                        // Notify has not been called yet
-	published    []node.Endpoint             // the list that it was last called with, by name
-	endpoints    map[string]node.Endpoint    // that are in use
-	faults       map[string]string           // why the others are not
-	listed       map[string]bool             // all instances of the last list
-	serial       *uint32                     // of the zone, in the last list
-	confirmedAt  time.Time                   // when the list that is in use was last found
-	changedAt    map[string]time.Time        // when an instance's endpoint, or its fault, last changed
-	observed     map[string]observedInstance // that publish no start
+	published    []node.Endpoint             // the list of the last call of Notify, sorted by name
+	endpoints    map[string]node.Endpoint    // the endpoints in use
+	faults       map[string]string           // why the other instances are not used
+	listed       map[string]bool             // all instances of the last accepted snapshot
+	serial       *uint32                     // the zone's serial in the last accepted snapshot
+	confirmedAt  time.Time                   // when the list in use was last confirmed
+	changedAt    map[string]time.Time        // when an instance's endpoint or fault last changed
+	observed     map[string]observedInstance // instances that publish no start
 }
 
-// Origins returns all instances as last found, unused ones included. It is safe for concurrent use.
+// Origins returns all instances of the last accepted snapshot, including unused ones. It is safe for concurrent use.
 func (s *ServiceSource) Origins() []Origin {
 	if all := s.origins.Load(); all != nil {
 		return *all
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Run browses until ctx ends, and waits for the browser. It may be called once.
+// Run browses the service until ctx ends, and then waits for the browser to stop. It may be called once.
 func (s *ServiceSource) Run(ctx context.Context) {
 	s.prepare()
 	done := make(chan struct{})
@@ -95,12 +95,13 @@
 	}
 }
 
+// prepare initializes the fields that Run needs.
 func (s *ServiceSource) prepare() {
 	s.snapshots = make(chan browser.Snapshot, 1)
 	s.unpublished = true
 	s.observed = map[string]observedInstance{}
 	s.BrowserOptions.Publish = func(snapshot browser.Snapshot) {
-		select { // the latest replaces one that is not evaluated yet
+		select { // a newer snapshot replaces one that is not evaluated yet
 		case <-s.snapshots:
 		default:
 		}
@@ -109,16 +110,16 @@
 	s.browser = browser.New(s.BrowserOptions)
 }
 
-// evaluation is what a snapshot means. Maps have the instances' full names as keys.
+// evaluation is the result of interpreting a snapshot. The keys of the maps are the instances' full names.
 type evaluation struct {
 	endpoints    map[string]node.Endpoint
 	faults       map[string]string
 	listed       map[string]bool
-	dampedBefore int64 // the instant at which the first damped instance may be used; math.MaxInt64 if there is none
+	dampedBefore int64 // the earliest instant at which a damped instance may be used; math.MaxInt64 if there is none
 }
 
-// evaluate handles a snapshot, and notifies if the list has changed. It returns after how long the same snapshot is
-// to be evaluated again, since the guard or the damper may let something through then; 0 if not at all.
+// evaluate handles a snapshot, and calls Notify if the list has changed. It returns the time after which the same
+// snapshot must be evaluated again, since the guard or the damper may release something then; 0 if that is not needed.
 func (s *ServiceSource) evaluate(snapshot browser.Snapshot, now time.Time) (recheckAfter time.Duration) {
 	if snapshot.Omitted > 0 && s.BrowserOptions.Log != nil {
 		s.Log.Warn("instances beyond the maximum ignored",
@@ -142,7 +143,7 @@
 	return 0
 }
 
-// guardHolds reports whether the guard holds a snapshot back, for the instances that it has lost.
+// guardHolds reports whether the guard holds a snapshot back because too many instances are missing in it.
 func (s *ServiceSource) guardHolds(snapshot browser.Snapshot, now time.Time) bool {
 	remaining := 0
 	for _, instance := range snapshot.Instances {
@@ -154,7 +155,7 @@
 	return s.Guard.Check(len(s.listed), remaining, newer, clock.Of(now)) == record.Hold
 }
 
-// interpret finds the endpoint of each instance, or why it has none.
+// interpret determines each instance's endpoint, or why it is not used.
 func (s *ServiceSource) interpret(snapshot browser.Snapshot, now time.Time) evaluation {
 	next := evaluation{
 		endpoints:    map[string]node.Endpoint{},
@@ -165,7 +166,7 @@
 	for _, instance := range snapshot.Instances {
 		next.listed[instance.Name] = true
 		present, used := s.endpoints[instance.Name]
-		if instance.Pending && used { // its records are not known for now: what is in use stays
+		if instance.Pending && used { // while its records are unknown, the endpoint in use stays
 			next.endpoints[instance.Name] = present
 			continue
 		}
@@ -189,7 +190,7 @@
 	return next
 }
 
-// dampedError reports an instance that came and went too often.
+// dampedError reports an instance that appeared and disappeared too often.
 type dampedError struct{ until int64 }
 
 // Error implements error.
@@ -198,7 +199,7 @@
 	return fmt.Sprintf("held back until %s: it came and went too often", until)
 }
 
-// recordRemovals notifies the damper and the metrics of the endpoints that are no longer used.
+// recordRemovals records the endpoints that are no longer used in the damper and the metrics.
 func (s *ServiceSource) recordRemovals(next map[string]node.Endpoint, now time.Time) {
 	for name := range s.endpoints {
 		if _, used := next[name]; !used {
@@ -208,7 +209,7 @@
 	}
 }
 
-// recordOrigins replaces what Origins returns.
+// recordOrigins replaces the result of Origins.
 func (s *ServiceSource) recordOrigins(snapshot browser.Snapshot, next evaluation) {
 	changedAt := map[string]time.Time{}
 	all := make([]Origin, 0, len(snapshot.Instances))
@@ -239,7 +240,7 @@
 	s.origins.Store(&all)
 }
 
-// publish notifies of the list in use if it has changed, and of the first in any case.
+// publish calls Notify with the list in use if it has changed, and with the first list even if it is empty.
 func (s *ServiceSource) publish() {
 	list := make([]node.Endpoint, 0, len(s.endpoints))
 	for _, endpoint := range s.endpoints {
--- a/internal/endpoints/service_test.go
+++ b/internal/endpoints/service_test.go
@@ -18,13 +18,15 @@
 	"standpoint/internal/node"
 )
 
-// sourceHarness is a browser without its browser: snapshots are handed in, with the time.
+// sourceHarness is a ServiceSource without a browser: tests pass snapshots and the time to it.
 type sourceHarness struct {
 	*ServiceSource
 	now      time.Time
 	notified []node.EndpointList
 }
 
+// newSourceHarness returns a harness with a guard of 0.5 and 10 s, and a damper of 3 flaps.
+
 func newSourceHarness() *sourceHarness {
 	h := &sourceHarness{now: time.Unix(1_800_000_000, 0)}
 	h.ServiceSource = &ServiceSource{
@@ -40,8 +42,8 @@
 	return h
 }
 
-// find evaluates a snapshot with these instances, and a zone's serial if that is not 0.
-func (h *sourceHarness) find(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
+// observe evaluates a snapshot with the given instances, and with the zone's serial if that is not 0.
+func (h *sourceHarness) observe(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
 	snapshot := browser.Snapshot{Instances: all, ObservedAt: h.now, Mechanism: browser.Poll}
 	if serial != 0 {
 		snapshot.Serial = &serial
@@ -51,7 +53,7 @@
 
 func (h *sourceHarness) publishedNames() []string { return endpointNames(fullList(h.published...)) }
 
-// instance returns one whose TXT record has the given text.
+// instance returns an instance whose TXT record has the given strings.
 func instance(label string, text ...string) record.Instance {
 	return record.Instance{
 		Name:       label + "._engine._tcp.hall.test.",
@@ -62,12 +64,13 @@
 	}
 }
 
-// The keys of a TXT record set the endpoint's fields, and an invalid instance affects itself alone, with its fault.
+// The keys of a TXT record set the endpoint's fields. An invalid instance affects no other, and its origin has the
+// fault.
 func TestServiceSourceReadsAttributes(t *testing.T) {
 	h := newSourceHarness()
 	lost := instance("lost")
 	lost.Fault = errors.New("no SRV record")
-	h.find(1,
+	h.observe(1,
 		instance("box-1", "site=b", "class=slow", "share=2.5", "born_ms=7", "SITE=c"),
 		instance("box-2", "health=draining", "mode=batch", "new=1"),
 		instance("odd", "share=much"),
@@ -102,7 +105,7 @@
 	require.Equal(t, uint32(120), origins["box-1"].TTL)
 }
 
-// The error of an invalid value has its key.
+// The error of an invalid value contains its key.
 func TestServiceSourceReportsInvalidAttributes(t *testing.T) {
 	for key, value := range map[string]string{
 		attributeBlock:  "first",
@@ -117,100 +120,101 @@
 	}
 }
 
-// A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held until it has stayed
-// empty, or the zone's serial has grown. A single instance that is missing is removed at once.
+// A server that lists nothing after 30 s of silence may have restarted: the previous list is held until the list has
+// been empty for the guard's hold time, or the zone's serial has increased. A single missing instance is removed at
+// once.
 func TestServiceSourceHoldsLostList(t *testing.T) {
 	all := []record.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
 	h := newSourceHarness()
-	h.find(7, all...)
+	h.observe(7, all...)
 	h.now = h.now.Add(30 * time.Second)
-	require.Positive(t, h.find(7))
+	require.Positive(t, h.observe(7))
 	require.Len(t, h.published, 3)
 	h.now = h.now.Add(9 * time.Second)
-	h.find(0)
+	h.observe(0)
 	require.Len(t, h.published, 3)
-	h.find(7, all...) // it was only a restart
+	h.observe(7, all...) // the server had restarted
 	h.now = h.now.Add(9 * time.Second)
-	h.find(6) // an older zone
+	h.observe(6) // an older serial
 	require.Len(t, h.published, 3)
 	h.now = h.now.Add(11 * time.Second)
-	h.find(6)
+	h.observe(6)
 	require.Empty(t, h.published)
 
 	h = newSourceHarness()
-	h.find(7, all...)
-	h.find(8) // somebody has emptied it
+	h.observe(7, all...)
+	h.observe(8) // a newer serial: the zone was emptied on purpose
 	require.Empty(t, h.published)
 
 	h = newSourceHarness()
-	h.find(7, all...)
-	h.find(7, all[:2]...)
+	h.observe(7, all...)
+	h.observe(7, all[:2]...)
 	require.Len(t, h.published, 2)
 }
 
-// Records that are not known for now change nothing.
+// An endpoint stays in use while its records are pending, and a new instance is not used before they are known.
 func TestServiceSourceKeepsEndpointsOfPendingRecords(t *testing.T) {
 	h := newSourceHarness()
-	h.find(7, instance("box-1", "site=b"))
+	h.observe(7, instance("box-1", "site=b"))
 	pending := instance("box-1")
 	pending.Pending = true
-	pending.Fault = errors.New("not all records are told yet")
-	h.find(8, pending)
+	pending.Fault = errors.New("records pending")
+	h.observe(8, pending)
 	require.Len(t, h.published, 1)
 	require.Equal(t, 1, h.published[0].Zone)
 	pending.Name = "new._engine._tcp.hall.test."
 	pending.Label = "new"
-	h.find(9, pending)
-	require.Empty(t, h.published, "box-1 is missing, and the new one is not known yet")
+	h.observe(9, pending)
+	require.Empty(t, h.published, "box-1 is missing, and the records of the new instance are pending")
 }
 
-// An instance that flaps is held back when it returns, never when it disappears.
+// A flapping instance is held back when it reappears; its disappearance always takes effect at once.
 func TestServiceSourceDampsFlappingInstances(t *testing.T) {
 	h := newSourceHarness()
 	steady := instance("steady")
 	for i := range 3 {
-		h.find(0, instance("box-1"), steady)
+		h.observe(0, instance("box-1"), steady)
 		require.Equal(t, []string{"box-1", "steady"}, h.publishedNames(), i)
-		h.find(0, steady)
+		h.observe(0, steady)
 		require.Equal(t, []string{"steady"}, h.publishedNames(), i)
 		h.now = h.now.Add(time.Second)
 	}
-	h.find(0, instance("box-1"), steady) // three times are allowed
+	h.observe(0, instance("box-1"), steady) // three flaps are allowed
 	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
-	h.find(0, steady)
-	recheckAfter := h.find(0, instance("box-1"), steady)
+	h.observe(0, steady)
+	recheckAfter := h.observe(0, instance("box-1"), steady)
 	require.Equal(t, []string{"steady"}, h.publishedNames())
 	require.Positive(t, recheckAfter)
 	require.Contains(t, h.faults["box-1._engine._tcp.hall.test."], "held back until")
 	require.Less(t, recheckAfter, time.Minute)
 	h.now = h.now.Add(recheckAfter)
-	h.find(0, instance("box-1"), steady)
+	h.observe(0, instance("box-1"), steady)
 	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
 }
 
-// An instance that publishes no start counts as started when it appears while this node watches, or returns after a
-// while; not if it was there before, nor if a message was lost.
+// An instance that publishes no start counts as started when it appears after the first list, or reappears after
+// maxAbsence, but not if it is in the first list or is missing for a shorter time, as after a lost message.
 func TestServiceSourceObservesStarts(t *testing.T) {
 	h := newSourceHarness()
-	h.find(0, instance("old"))
+	h.observe(0, instance("old"))
 	require.Zero(t, h.published[0].ReadyAt)
 	h.now = h.now.Add(time.Minute)
-	h.find(0, instance("old"), instance("new"))
+	h.observe(0, instance("old"), instance("new"))
 	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
 	require.Zero(t, h.published[1].ReadyAt)
 	startedAt := h.published[0].ReadyAt
-	h.find(0, instance("old"))
+	h.observe(0, instance("old"))
 	h.now = h.now.Add(100 * time.Millisecond)
-	h.find(0, instance("old"), instance("new"))
+	h.observe(0, instance("old"), instance("new"))
 	require.Equal(t, startedAt, h.published[0].ReadyAt)
-	h.find(0, instance("new"))
+	h.observe(0, instance("new"))
 	h.now = h.now.Add(5 * time.Second)
-	h.find(0, instance("old"), instance("new"))
+	h.observe(0, instance("old"), instance("new"))
 	require.Equal(t, clock.Of(h.now), h.published[1].ReadyAt)
 }
 
-// Whatever comes and goes: an instance that is not listed is never used after the snapshot without it, unless the guard
-// holds the list; and no faulty one is used.
+// For any sequence of snapshots, no instance that is missing from the latest one is in use unless the guard holds the
+// list, and no faulty instance is in use.
 func TestServiceSourceNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newSourceHarness()
@@ -231,32 +235,31 @@
 					all = append(all, found)
 				}
 			}
-			h.find(0, all...)
+			h.observe(0, all...)
 			for _, used := range h.published {
 				if !listed[used.Name] {
-					t.Fatalf("%s is in use", used.Name)
+					t.Fatalf("%s is in use, although it is missing or faulty", used.Name)
 				}
 			}
 			if last := h.notified[len(h.notified)-1]; len(last.Endpoints) != len(h.published) {
-				t.Fatal("another list was passed on")
+				t.Fatal("the last list passed on differs from the published one")
 			}
 		}
 	})
 }
 
-// An instance that publishes no start, and is suddenly at another address, is another process and counts as started
-// then.
+// An instance that publishes no start and changes its address is another process, and counts as started at that moment.
 func TestServiceSourceTreatsNewAddressAsStart(t *testing.T) {
 	h := newSourceHarness()
-	h.find(0, instance("box"))
+	h.observe(0, instance("box"))
 	require.Zero(t, h.published[0].ReadyAt)
 	h.now = h.now.Add(time.Minute)
 	other := instance("box")
 	other.Address = netip.MustParseAddrPort("127.0.0.1:8002")
-	h.find(0, other)
+	h.observe(0, other)
 	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
 	startedAt := clock.Of(h.now)
 	h.now = h.now.Add(time.Minute)
-	h.find(0, other)
+	h.observe(0, other)
 	require.Equal(t, startedAt, h.published[0].ReadyAt)
 }
--- a/internal/endpoints/services.go
+++ b/internal/endpoints/services.go
@@ -10,32 +10,32 @@
 	"standpoint/internal/node"
 )
 
-// maxFirstWait is how long the first list waits for services that do not answer.
+// maxFirstWait is how long the first combined list is delayed for services that have not responded.
 const maxFirstWait = 2 * time.Second
 
-// ServiceSources combines the lists of several sources, of one service or domain each. A service that does not answer
-// affects its own endpoints alone: changes of the others are passed on. Its methods are safe for concurrent use.
+// ServiceSources combines the lists of several sources, each of one service in one domain. A service that does not
+// respond affects only its own endpoints: changes of the others are passed on. Its methods are safe for concurrent use.
 type ServiceSources struct {
 	notify func(node.EndpointList) // called with mu held
 
-	mu      sync.Mutex // guards all below, and the fields of the sources' runs
-	all     []*sourceRun
-	context context.Context // Run's, for sources that Replace starts; nil before Run
-	open    bool            // the first list was passed on, or has waited for maxFirstWait
+	mu            sync.Mutex // guards all and the fields below, and the fields of each sourceRun
+	all           []*sourceRun
+	context       context.Context // the context of Run, for sources that Replace starts; nil before Run
+	firstWaitOver bool            // the first list was passed on, or maxFirstWait has passed
 
-	runs sync.WaitGroup // the goroutines of all sources; Run waits for them
+	runs sync.WaitGroup // counts the goroutines of all sources, for which Run waits
 }
 
-// sourceRun is a source and its part of the list.
+// sourceRun is a source and its part of the combined list.
 type sourceRun struct {
 	*ServiceSource
 	listing   []node.Endpoint
-	hasList   bool // of its own, or of the persisted list
-	confirmed bool // the listing is the source's own
+	hasList   bool // there is a list, from the source or the persisted list
+	confirmed bool // listing is from the source, not from the persisted list
 	stop      context.CancelFunc
 }
 
-// NewServiceSources combines sources. Lists are passed to notify, which the sources wait for.
+// NewServiceSources combines sources. Lists are passed to notify; the sources block until it returns.
 func NewServiceSources(notify func(node.EndpointList), all ...*ServiceSource) *ServiceSources {
 	s := &ServiceSources{notify: notify}
 	for _, source := range all {
@@ -44,8 +44,8 @@
 	return s
 }
 
-// Restore hands in the persisted list: each source's part of it stands until the source has its own. It must be
-// called before Run.
+// Restore sets the persisted list. Each source's part of it is used until the source has a list of its own. Restore
+// must be called before Run.
 func (s *ServiceSources) Restore(list node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,10 +59,10 @@
 	}
 }
 
-// Watch implements node.EndpointWatcher. It does nothing: the services are browsed all the time.
+// Watch implements node.EndpointWatcher. It does nothing, as the services are browsed continuously.
 func (s *ServiceSources) Watch() {}
 
-// Run runs all sources until ctx ends, and waits for them. It may be called once.
+// Run runs all sources until ctx ends, and then waits for them. It may be called once.
 func (s *ServiceSources) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.context = ctx
@@ -76,17 +76,17 @@
 	s.runs.Wait()
 }
 
-// endFirstWait passes on what there is, without the services that have not answered.
+// endFirstWait passes on the endpoints known so far, without waiting longer for services that have not responded.
 func (s *ServiceSources) endFirstWait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.open && slices.ContainsFunc(s.all, func(run *sourceRun) bool { return run.confirmed }) {
+	if !s.firstWaitOver && slices.ContainsFunc(s.all, func(run *sourceRun) bool { return run.confirmed }) {
 		s.publish()
 	}
-	s.open = true
+	s.firstWaitOver = true
 }
 
-// start starts one source. The caller holds mu.
+// start starts one source. The caller must hold mu.
 func (s *ServiceSources) start(run *sourceRun) {
 	var ctx context.Context
 	ctx, run.stop = context.WithCancel(s.context)
@@ -94,24 +94,24 @@
 	s.runs.Go(func() { run.Run(ctx) })
 }
 
-// update takes one source's list.
+// update handles a new list of one source.
 func (s *ServiceSources) update(run *sourceRun, list node.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(s.all, run) {
-		return // replaced a moment ago
+		return // Replace has removed the source in the meantime
 	}
 	run.listing = list.Endpoints
 	run.hasList = true
 	run.confirmed = true
-	if s.open || !slices.ContainsFunc(s.all, func(other *sourceRun) bool { return !other.confirmed }) {
+	if s.firstWaitOver || !slices.ContainsFunc(s.all, func(other *sourceRun) bool { return !other.confirmed }) {
 		s.publish()
 	}
 }
 
-// Replace changes to another set of sources. One whose Key and Config stay the same continues with all that it
-// knows. If its Config alone differs, its endpoints stay until the new source has its own list. The endpoints of
-// those that are removed are withdrawn.
+// Replace replaces the set of sources. A source whose Key and Config stay the same continues to run with its state. If
+// only its Config differs, its endpoints stay until the new source has a list of its own. The endpoints of removed
+// sources are withdrawn.
 func (s *ServiceSources) Replace(all []*ServiceSource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +128,7 @@
 		case old.Suffix == source.Suffix:
 			run.listing = old.listing
 			run.hasList = old.hasList
-		default: // its endpoints have other names from now on
+		default: // another suffix changes the endpoints' names
 			withdrawn = true
 		}
 		next = append(next, run)
@@ -137,13 +137,13 @@
 		}
 	}
 	s.all = next
-	if withdrawn && s.open {
+	if withdrawn && s.firstWaitOver {
 		s.publish()
 	}
 }
 
-// stopReplaced stops the sources that are not, or not with the same configuration, among the next ones. It returns
-// whether there are endpoints of sources that are removed. The caller holds mu.
+// stopReplaced stops the sources that are not among the next ones with the same configuration. It reports whether
+// sources with endpoints are removed. The caller must hold mu.
 func (s *ServiceSources) stopReplaced(next []*ServiceSource) (withdrawn bool) {
 	for _, old := range s.all {
 		i := slices.IndexFunc(next, func(source *ServiceSource) bool { return source.Key == old.Key })
@@ -158,7 +158,7 @@
 	return withdrawn
 }
 
-// find returns the source with a key; nil if there is none. The caller holds mu.
+// find returns the source with a key, or nil if there is none. The caller must hold mu.
 func (s *ServiceSources) find(key string) *sourceRun {
 	i := slices.IndexFunc(s.all, func(run *sourceRun) bool { return run.Key == key })
 	if i < 0 {
@@ -167,9 +167,9 @@
 	return s.all[i]
 }
 
-// publish passes on the combined list. The caller holds mu, so that an older list never follows a newer one.
+// publish passes on the combined list. The caller must hold mu, so that an older list never follows a newer one.
 func (s *ServiceSources) publish() {
-	s.open = true
+	s.firstWaitOver = true
 	list := node.EndpointList{Kind: standpoint.ListFull}
 	for _, run := range s.all {
 		list.Endpoints = append(list.Endpoints, run.listing...)
@@ -177,7 +177,7 @@
 	s.notify(list)
 }
 
-// Origins returns all instances of all services, unused ones included.
+// Origins returns all instances of all services, including unused ones.
 func (s *ServiceSources) Origins() []Origin {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +197,7 @@
 	return all
 }
 
-// ExpiryTimes returns when the endpoints' records expire, by the endpoints' names.
+// ExpiryTimes returns when the endpoints' records expire, by endpoint name.
 func (s *ServiceSources) ExpiryTimes() map[string]time.Time {
 	times := map[string]time.Time{}
 	for _, origin := range s.Origins() {
--- a/internal/endpoints/services_test.go
+++ b/internal/endpoints/services_test.go
@@ -15,7 +15,7 @@
 	"standpoint/internal/node"
 )
 
-// serveDomain starts a DNS server with a backend for each label, until the test ends.
+// serveDomain runs a DNS server, with a backend for each label, until the test ends.
 func serveDomain(t *testing.T, domain string, labels ...string) *responder.Server {
 	t.Helper()
 	zone := responder.NewZone(domain, 7)
@@ -64,8 +64,9 @@
 	return all
 }
 
-// Several domains at a server each. The same name in two of them is two endpoints. A server that does not answer
-// affects its own domain alone, whose persisted endpoints stand. The set of domains changes while all runs.
+// Several domains, each at its own server, are combined. The same label in two domains gives two endpoints. A server
+// that does not respond affects only its own domain, whose persisted endpoints stay in use. The set of domains changes
+// while the sources run.
 func TestServiceSourcesCombineDomains(t *testing.T) {
 	a := serveDomain(t, "a.test", "box-1", "box-2")
 	b := serveDomain(t, "b.test", "box-1")
@@ -89,7 +90,7 @@
 	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-1@c.test"}, endpointNames(last))
 	require.False(t, last.Endpoints[2].Stale)
 
-	// a stays as it is, b gets another configuration, c is removed, d is added.
+	// a is unchanged, b gets another configuration, c is removed, d is added.
 	d := serveDomain(t, "d.test", "box-7")
 	sources.Replace([]*ServiceSource{
 		newTestSource(a, "a.test", "a"), newTestSource(b, "b.test", "a"), newTestSource(d, "d.test", "a"),
--- a/internal/endpoints/stored.go
+++ b/internal/endpoints/stored.go
@@ -9,11 +9,11 @@
 	"standpoint/internal/node"
 )
 
-// errInvalidEntry reports an entry of the persisted list whose name, size or start is not possible.
-var errInvalidEntry = errors.New("an entry that is none")
+// errInvalidEntry reports an entry of the persisted list whose name, size or start is invalid.
+var errInvalidEntry = errors.New("host missing, or share or born_ms out of range")
 
-// storedEndpoint is the persisted form of an endpoint, with the names of the platform's list: their indexes may be
-// others in the configuration with which the next process starts.
+// storedEndpoint is the persisted form of an endpoint. Zone and kind are stored by name, since their indexes may differ
+// in the configuration of the next process.
 type storedEndpoint struct {
 	Host   string            `json:"host"`
 	Dial   string            `json:"dial"`
@@ -26,10 +26,10 @@
 	Mode   string            `json:"mode,omitempty"` // modeBatch or empty
 	Labels map[string]string `json:"labels,omitempty"`
 	Source string            `json:"source,omitempty"`
-	Until  time.Time         `json:"until,omitzero"` // when its records expire; absent if the source does not know
+	Until  time.Time         `json:"until,omitzero"` // when its records expire; absent if unknown
 }
 
-// encodeEndpoint returns the persisted form of an endpoint whose records expire at a time; zero: at none.
+// encodeEndpoint returns the persisted form of an endpoint. expiresAt is when its records expire; zero if unknown.
 func encodeEndpoint(endpoint node.Endpoint, names Names, expiresAt time.Time) storedEndpoint {
 	stored := storedEndpoint{
 		Host:   endpoint.Name,
@@ -48,12 +48,12 @@
 		stored.Mode = modeBatch
 	}
 	if endpoint.Stale {
-		stored.Until = time.Unix(1, 0) // expired, whenever it is read
+		stored.Until = time.Unix(1, 0) // in the past, so that the endpoint is stale whenever it is loaded
 	}
 	return stored
 }
 
-// decode returns the endpoint, stale if its records have expired.
+// decode returns the endpoint, marked as stale if its records have expired.
 func (s storedEndpoint) decode(names Names, now time.Time) (node.Endpoint, error) {
 	endpoint := node.Endpoint{
 		Address: s.Dial,
@@ -78,9 +78,9 @@
 	return endpoint, err
 }
 
-// valid reports whether the name, the size and the start are possible.
+// valid reports whether the name is present, and the size and the start are within their bounds.
 func (s storedEndpoint) valid() bool {
 	return s.Host != "" &&
-		s.Share >= 0 && s.Share <= maxSize && // NaN is neither
+		s.Share >= 0 && s.Share <= maxSize && // false for NaN
 		s.BornMS >= 0 && s.BornMS <= maxBornMS
 }
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -17,48 +17,51 @@
 	"standpoint/internal/transient"
 )
 
-// Watcher keeps the endpoint list up to date by long polls of the platform's discovery, and notifies of each change.
-// Its methods may be called from any goroutine where their comments do not say otherwise.
+// Watcher keeps the endpoint list up to date by long-polling the platform's discovery, and notifies of each change. Its
+// methods may be called from any goroutine unless their comments say otherwise.
+//
+// A watch is a sequence of polls, each of which follows the response to the previous one without delay. Discovery
+// responds to a poll once there is a change, or when the poll's wait is over.
 type Watcher struct {
-	// MaxPushedPause, set before Run, bounds the pause after a failed poll if discovery pushes its lists: a list
-	// binds the node from the moment at which discovery has it. The watch then begins without a call of Watch. 0 if
-	// discovery does not push.
+	// MaxPushedPause bounds the pause after a failed poll if discovery pushes its lists; 0 if it does not. The node has
+	// to apply a pushed list from the moment at which discovery has it, so the watch then begins without a call of
+	// Watch. It must be set before Run.
 	MaxPushedPause time.Duration
 
-	// Nodes, set before Run, is how many nodes poll this discovery; 0 if that is not known.
+	// Nodes is the number of nodes that poll this discovery; 0 if unknown. It must be set before Run.
 	Nodes int
 
-	notify func(node.EndpointList) // called by Run's goroutine alone
+	notify func(node.EndpointList) // called only by the goroutine of Run
 	log    *zap.Logger
 
-	watchRequests    chan struct{} // of capacity 1: further requests are the same one
-	discoveryChanges chan address  // of capacity 1: the latest address
+	watchRequests    chan struct{} // has capacity 1, since further requests have no effect
+	discoveryChanges chan address  // the latest address; its capacity is 1
 
-	watchWait  time.Duration      // the constant, but in tests
-	watchSlack time.Duration      // likewise
+	watchWait  time.Duration      // the constant watchWait, except in tests
+	watchSlack time.Duration      // the constant watchSlack, except in tests
 	dial       transient.DialFunc // opens connections to discovery
 
-	failing atomic.Bool // the last poll that ended was rejected, or did not reach discovery
+	failing atomic.Bool // the last completed poll was rejected, or did not reach discovery
 
-	// Below is Run's goroutine's alone.
+	// The fields below are used only by the goroutine of Run.
 
 	address       address
 	client        *http.Client
 	merger        *merger
-	contacted     bool // a list has come since the start
-	established   bool // the watch: the poll before was answered a moment ago
-	fullRequested bool // the full list is wanted, although the node has one of this discovery
-	timeouts      int  // polls in a row that were to open a watch, or to fetch the full list, and timed out
-	failures      int  // polls in a row that failed or timed out
-	rejections    int  // of these, the latest in a row that discovery rejected
+	contacted     bool // discovery has returned a list since the start of the process
+	established   bool // the watch is established: discovery responded to the previous poll
+	fullRequested bool // the full list is to be fetched, even if the node has a list of this discovery
+	timeouts      int  // consecutive timeouts of polls that open a watch or request the full list
+	failures      int  // consecutive polls that failed or timed out
+	rejections    int  // of the failures, the most recent consecutive rejections
 
-	inFlight []*poll // the latest last
+	inFlight []*poll // from the oldest to the latest
 	results  chan pollResult
-	polls    sync.WaitGroup // the goroutines of polls; Run waits for them
+	polls    sync.WaitGroup // counts the goroutines of polls, for which Run waits
 }
 
-// NewWatcher returns a watcher of the discovery at an address, host:port. The version is that of the list that the node
-// has already. Run calls notify for each change, in order.
+// NewWatcher returns a watcher of the discovery at hostPort. version is that of the list which the node already has.
+// Run calls notify for each change, in order.
 func NewWatcher(
 	hostPort string, names Names, version int64, notify func(node.EndpointList), log *zap.Logger,
 ) *Watcher {
@@ -78,17 +81,17 @@
 	}
 }
 
-// Restore hands in the list that NewWatcher's version stands for. It must be called before Run.
+// Restore sets the list that has the version passed to NewWatcher. It must be called before Run.
 func (w *Watcher) Restore(list node.EndpointList) { w.merger.restore(list, time.Now()) }
 
-// Failing reports whether discovery rejects polls, or cannot be reached: then none of this node's is queued there.
+// Failing reports whether discovery rejects polls or cannot be reached. None of this node's polls is queued there then.
 func (w *Watcher) Failing() bool { return w.failing.Load() }
 
-// RequestFullList has the first poll fetch the full list, however new the one is that the node has: the response does
-// not wait for a change. It must be called before Run.
+// RequestFullList makes the first poll request the full list, even if the node has the latest version: discovery then
+// responds without waiting for a change. It must be called before Run.
 func (w *Watcher) RequestFullList() { w.fullRequested = true }
 
-// Watch implements node.EndpointWatcher: it requests a watch, and does not block. Once there is one it changes nothing.
+// Watch implements node.EndpointWatcher: it requests a watch, and does not block. An existing watch is not affected.
 func (w *Watcher) Watch() {
 	select {
 	case w.watchRequests <- struct{}{}:
@@ -96,17 +99,17 @@
 	}
 }
 
-// SetDiscovery switches to another discovery. It does not block, but must not be called concurrently.
+// SetDiscovery switches to another discovery. It does not block, but must not be called concurrently with itself.
 func (w *Watcher) SetDiscovery(hostPort string, names Names) {
 	select {
-	case <-w.discoveryChanges: // superseded before it took effect
+	case <-w.discoveryChanges: // replaced before Run has handled it
 	default:
 	}
 	w.discoveryChanges <- newAddress(hostPort, names)
 }
 
-// Run watches until ctx ends, and then waits for its polls. It begins with the first call of Watch or SetDiscovery,
-// or, if lists are pushed, at once. Polls that fail are repeated, and are not notified of.
+// Run watches until ctx ends, and then waits for its polls to end. It begins to poll after the first call of Watch or
+// SetDiscovery, or at once if lists are pushed. Failed polls are retried without a notification.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.polls.Wait()
 	if w.MaxPushedPause == 0 {
@@ -123,26 +126,26 @@
 	}
 }
 
-// nextPoll sends the next poll. It must follow within 200 ms of the response before, so nothing is done between the two
-// but to notify of the change.
+// nextPoll sends the next poll. This must happen within 200 ms of the previous response, so nothing but the
+// notification of the change is done in between.
 func (w *Watcher) nextPoll(ctx context.Context) *poll {
 	p := &poll{
 		address:      w.address,
 		client:       w.client,
 		epoch:        w.merger.epoch,
 		afterVersion: w.merger.version,
-		opens:        !w.established,
+		opensWatch:   !w.established,
 		wait:         w.watchWait,
 		full:         w.fullRequested || w.merger.awaitingFull || w.merger.endHold(time.Now()),
 	}
-	if p.opens {
+	if p.opensWatch {
 		p.wait = min(w.watchWait, openWait)
 	}
 	w.send(ctx, p)
 	return p
 }
 
-// send has a poll sent by a goroutine of its own, which delivers the result to w.results.
+// send sends a poll in a goroutine of its own, which passes the result to w.results.
 func (w *Watcher) send(ctx context.Context, p *poll) {
 	w.cancelOldest(maxPolls - 1)
 	pollContext, cancel := context.WithTimeout(ctx, w.timeout(p)+lateTolerance)
@@ -158,7 +161,7 @@
 	})
 }
 
-// cancelOldest cancels the oldest polls in flight beyond a number.
+// cancelOldest cancels the oldest polls in flight, so that at most remaining are left.
 func (w *Watcher) cancelOldest(remaining int) {
 	for len(w.inFlight) > remaining {
 		w.inFlight[0].cancel()
@@ -166,9 +169,9 @@
 	}
 }
 
-// await waits for a poll's result, and handles those of earlier polls that still come. A poll that times out has lost
-// its watch: the connection is half open, or discovery has forgotten it. After a timeout or a failure await pauses,
-// and the next poll goes over another connection.
+// await waits for a poll's result, and meanwhile handles late results of earlier polls. A timeout means that the watch
+// is lost: the connection is half open, or discovery has dropped the poll. After a timeout or a failure await pauses,
+// and the next poll uses another connection.
 func (w *Watcher) await(ctx context.Context, p *poll) {
 	timer := time.NewTimer(w.timeout(p))
 	defer timer.Stop()
@@ -182,7 +185,7 @@
 		case result := <-w.results:
 			current, err := w.handleResult(ctx, result)
 			switch {
-			case result.poll != p && current && p.opens: // the watch is established without it
+			case result.poll != p && current && p.opensWatch: // an earlier poll has established the watch
 				p.cancel()
 				return
 			case result.poll != p:
@@ -192,7 +195,7 @@
 			}
 			return
 		case <-timer.C:
-			if p.opens || p.full {
+			if p.opensWatch || p.full {
 				w.timeouts++
 			}
 			w.backOff(ctx, errTimeout)
@@ -201,8 +204,8 @@
 	}
 }
 
-// handleResult handles how a poll ended. It returns whether the list in use is discovery's present one, and, if it is
-// not, why.
+// handleResult handles the result of a poll. It returns whether the list in use is now discovery's current list, and
+// the reason if it is not.
 func (w *Watcher) handleResult(ctx context.Context, result pollResult) (current bool, err error) {
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(p *poll) bool { return p == result.poll })
 	if result.err != nil {
@@ -230,8 +233,8 @@
 	return true, nil
 }
 
-// continueOldWatch continues the watch at the discovery before, as long as that responds and the new one has not
-// returned its list: otherwise the node would know of no departure while its poll is queued at the new one.
+// continueOldWatch continues the watch at the previous discovery as long as that responds and the new one has not
+// returned its list. Otherwise the node would miss departures while its poll is queued at the new discovery.
 func (w *Watcher) continueOldWatch(ctx context.Context, result pollResult) {
 	if result.poll.epoch >= w.merger.epoch || !w.merger.awaitingFull || result.poll.full {
 		return
@@ -245,8 +248,8 @@
 	})
 }
 
-// switchDiscovery switches to another discovery. The polls in flight at the one before end by themselves, and a watch
-// there continues until the new one has returned its list: the departures that they report count.
+// switchDiscovery switches to another discovery. The polls in flight at the previous discovery are not cancelled, and
+// its watch continues until the new discovery has returned its list, since the departures that they report are valid.
 func (w *Watcher) switchDiscovery(to address) {
 	w.log.Info("discovery switched", zap.String("discovery", to.url))
 	w.client = newClient(w.dial)
@@ -256,13 +259,14 @@
 	w.resetFailures()
 }
 
+// resetFailures resets the counts of consecutive timeouts, failures and rejections.
 func (w *Watcher) resetFailures() {
 	w.timeouts = 0
 	w.failures = 0
 	w.rejections = 0
 }
 
-// backOff pauses after a poll that failed or timed out. The next one opens the watch again.
+// backOff pauses after a poll that failed or timed out. The next poll opens the watch again.
 func (w *Watcher) backOff(ctx context.Context, err error) {
 	w.log.Info("endpoint list unavailable", zap.String("discovery", w.address.url), zap.Error(err))
 	pause := w.nextPause(err)
@@ -271,7 +275,8 @@
 	w.pause(ctx, pause)
 }
 
-// pause waits, but not beyond a switch to another discovery, or a late response with the present list.
+// pause waits for a duration. It ends early on a switch to another discovery, or on a late response after which the
+// list in use is current.
 func (w *Watcher) pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -285,7 +290,7 @@
 			w.switchDiscovery(to)
 			return
 		case result := <-w.results:
-			if current, _ := w.handleResult(ctx, result); current { // the pause follows a failure already
+			if current, _ := w.handleResult(ctx, result); current { // a further failure does not prolong the pause
 				return
 			}
 		}
--- a/internal/endpoints/watcher_load_test.go
+++ b/internal/endpoints/watcher_load_test.go
@@ -16,8 +16,9 @@
 	"standpoint/internal/testpeer/drain"
 )
 
-// A few dozen nodes at a discovery that handles the polls which open a watch one after the other, and rejects whoever
-// finds the queue full. All watches fall silent at once, and a backend begins to drain: every node knows within 6 s.
+// A discovery handles polls that open a watch one at a time, and rejects polls beyond its queue. All watches of 30
+// nodes fall silent at once, and a backend begins to drain. A node that loses its position in the queue would be
+// notified of the drain too late: every node must be notified within 6 s.
 func TestNodesKeepTheirPositionInTheQueue(t *testing.T) {
 	t.Parallel()
 	const nodes = 30
@@ -48,22 +49,22 @@
 		select {
 		case <-informed[i]:
 		case <-due:
-			t.Fatalf("node %d does not know within %v; polls %v", i, drain.Due, discovery.Counts())
+			t.Fatalf("node %d was not notified within %v; polls %v", i, drain.Due, discovery.Counts())
 		}
 	}
 	t.Logf("polls %v", discovery.Counts())
 }
 
-// busyDiscovery handles polls one after the other, and rejects those that have waited too long. It cannot be reached
+// busyDiscovery handles polls one at a time, and rejects those that have been queued for too long. It is unreachable
 // before reachableAt.
 type busyDiscovery struct {
-	reachableAt time.Time
-	perPoll     time.Duration
-	maxWait     time.Duration
+	reachableAt  time.Time
+	serviceTime  time.Duration // the time to handle a poll
+	maxQueueTime time.Duration // the time in the queue after which a poll is rejected
 
-	handling sync.Mutex
-	polls    atomic.Int32
-	rejected atomic.Int32
+	handlingMu sync.Mutex
+	polls      atomic.Int32
+	rejected   atomic.Int32
 }
 
 func (d *busyDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -76,27 +77,27 @@
 		respondNothing(w, r)
 		return
 	}
-	d.handling.Lock()
-	defer d.handling.Unlock()
-	if time.Since(arrived) > d.maxWait {
+	d.handlingMu.Lock()
+	defer d.handlingMu.Unlock()
+	if time.Since(arrived) > d.maxQueueTime {
 		d.rejected.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
-		time.Sleep(d.perPoll / 3) // to reject is work too
+		time.Sleep(d.serviceTime / 3) // a rejection takes time too
 		return
 	}
-	time.Sleep(d.perPoll)
+	time.Sleep(d.serviceTime)
 	respondDraining(w, 43)
 }
 
-// A busy discovery comes back after all nodes have lost it: the nodes that it rejects do not keep it busy with their
-// next polls, and every one has the list within 6 s.
+// All nodes poll a busy discovery when it becomes reachable again. The nodes that it rejects must not overload it with
+// their next polls: each of the 100 nodes has the list within 6 s.
 func TestManyNodesShareBusyDiscovery(t *testing.T) {
 	t.Parallel()
 	const nodes = 100
 	discovery := &busyDiscovery{
-		reachableAt: time.Now().Add(time.Second),
-		perPoll:     15 * time.Millisecond,
-		maxWait:     200 * time.Millisecond,
+		reachableAt:  time.Now().Add(time.Second),
+		serviceTime:  15 * time.Millisecond,
+		maxQueueTime: 200 * time.Millisecond,
 	}
 	server := serve(t, discovery.ServeHTTP)
 	var all sync.WaitGroup
@@ -104,7 +105,7 @@
 	t.Cleanup(cancel)
 	for range nodes {
 		all.Go(func() {
-			if !learns(ctx, server, discovery.reachableAt.Add(6*time.Second)) {
+			if !receivesUpdateBy(ctx, server, discovery.reachableAt.Add(6*time.Second)) {
 				t.Error("no update within 6 s")
 			}
 		})
@@ -113,8 +114,9 @@
 	t.Logf("%d polls, %d rejected", discovery.polls.Load(), discovery.rejected.Load())
 }
 
-// learns starts a node, and reports whether it has an update in time. The node goes on until ctx ends.
-func learns(ctx context.Context, discovery *httptest.Server, deadline time.Time) bool {
+// receivesUpdateBy starts a watcher, which runs until ctx ends, and reports whether it passes on endpoints before a
+// deadline.
+func receivesUpdateBy(ctx context.Context, discovery *httptest.Server, deadline time.Time) bool {
 	informed := make(chan struct{})
 	once := sync.OnceFunc(func() { close(informed) })
 	notify := func(list node.EndpointList) {
--- a/internal/endpoints/watcher_silence_test.go
+++ b/internal/endpoints/watcher_silence_test.go
@@ -17,16 +17,16 @@
 	"standpoint"
 )
 
-// Whatever discovery does with a watch, the watcher learns of the change that follows. A silent watch is opened again
-// at once, without an update for the failure, as often as it takes.
+// However discovery treats the first poll of a watch, the watcher receives the change that follows. A silent watch is
+// opened again at once, as often as necessary, and without a notification of the failure.
 func TestWatcherReopensSilentWatch(t *testing.T) {
 	t.Parallel()
 	for name, firstResponse := range map[string]func(http.ResponseWriter, *http.Request){
-		"silent":      respondNothing,
-		"half open":   respondHeaderOnly,
-		"slow":        respondWithinSlack,
-		"nothing new": respondUnchanged,
-		"pieces":      respondInPieces,
+		"silent":    respondNothing,
+		"half open": respondHeaderOnly,
+		"slow":      respondWithinSlack,
+		"no change": respondUnchanged,
+		"pieces":    respondInPieces,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -48,7 +48,7 @@
 			require.Equal(t, "after=41&wait_ms=100", <-queries, "the poll that opens a watch")
 		})
 	}
-	t.Run("again and again", func(t *testing.T) {
+	t.Run("repeatedly silent", func(t *testing.T) {
 		t.Parallel()
 		updates, queries := watchScript(t, 0, func(poll int, w http.ResponseWriter, r *http.Request) {
 			if poll < 4 {
@@ -56,31 +56,31 @@
 			}
 			respondDraining(w, 43)
 		})
-		require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "and nobody has to request it")
+		require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "the watch is opened again without a call of Watch")
 		require.GreaterOrEqual(t, len(queries), 4)
 	})
 }
 
-// respondHeaderOnly sends the header of a response, and then nothing.
+// respondHeaderOnly sends only the header of a response.
 func respondHeaderOnly(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Length", "1000")
 	w.(http.Flusher).Flush()
 	<-r.Context().Done()
 }
 
-// respondWithinSlack answers after the wait, but within the slack.
+// respondWithinSlack responds after the wait, but within the slack.
 func respondWithinSlack(w http.ResponseWriter, _ *http.Request) {
 	time.Sleep(330 * time.Millisecond)
 	respondDraining(w, 42)
 }
 
-// respondUnchanged answers that there is no change.
+// respondUnchanged responds with an empty change after the wait.
 func respondUnchanged(w http.ResponseWriter, _ *http.Request) {
 	time.Sleep(300 * time.Millisecond)
 	fmt.Fprint(w, `{"seq":41,"whole":false,"hosts":[]}`)
 }
 
-// respondInPieces sends an indented response, a few bytes at a time.
+// respondInPieces sends an indented response in several small writes.
 func respondInPieces(w http.ResponseWriter, _ *http.Request) {
 	const indented = "{\n  \"seq\": 42,\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s\",\n" +
 		"\t\"dial\": \"127.0.0.1:1\", \"health\": \"draining\"}\n  ]\n}\n"
@@ -90,7 +90,7 @@
 	}
 }
 
-// Starts of responses, for discoveries that fail in the middle of one.
+// Raw HTTP responses of a faulty discovery, complete or truncated.
 const (
 	halfResponse      = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"seq\":42,"
 	malformedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone"
@@ -98,41 +98,41 @@
 	olderVersion      = "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"seq\":3,\"whole\":false,\"hosts\":[]}"
 )
 
-// faultyDiscovery fails from the first poll on, and has a drain to report as long; what comes after the fault reports
-// it.
+// faultyDiscovery has a drain to report from its start, but handles the first polls with a fault. Later polls get the
+// drain.
 type faultyDiscovery struct {
-	pushed bool
-	polls  int           // that the fault affects; 0: those of the first lasts
-	lasts  time.Duration // of the fault
-	within time.Duration // the time to report the drain after the fault; 0: 6 s
-	fault  func(net.Conn)
+	pushed        bool
+	faultyPolls   int           // number of polls with the fault; if 0, all within faultDuration of the start
+	faultDuration time.Duration // how long polls get the fault
+	reportWithin  time.Duration // the bound on the update after faultDuration; 0 stands for 6 s
+	fault         func(net.Conn)
 }
 
-// What discovery has is known 6 s after it had it and could be reached, whatever happened to the polls before. The
-// times are the watcher's own, on real sockets.
+// The watcher passes on a change within 6 s of the time at which discovery has it and can be reached, whatever happened
+// to the previous polls. The test uses the watcher's real timing and real sockets.
 func TestWatcherLearnsOfDrainWithinSixSeconds(t *testing.T) {
 	t.Parallel()
 	const maximum = 6 * time.Second
 	for name, discovery := range map[string]faultyDiscovery{
-		"a watch falls silent":               {polls: 1, fault: holdOpen},
-		"a watch falls silent, and the next": {polls: 2, fault: holdOpen},
-		"three calls in a row fall silent":   {polls: 3, fault: holdOpen},
-		"half an answer":                     {polls: 1, fault: respond(halfResponse, holdOpen)},
-		"half an answer, then reset":         {polls: 3, fault: respond(halfResponse, resetConnection)},
-		"no JSON":                            {polls: 3, fault: respond(malformedResponse, resetConnection)},
-		"refused: too many callers":          {polls: 4, fault: respond(rejection, resetConnection)},
-		"resets, for 9 s":                    {lasts: 9 * time.Second, fault: resetConnection},
-		"refusals, for 9 s":                  {lasts: 9 * time.Second, fault: respond(rejection, resetConnection)},
-		"silence, for 9 s":                   {lasts: 9 * time.Second, fault: holdOpen},
-		"versions begin anew":                {polls: 1, fault: respond(olderVersion, resetConnection)},
+		"one poll without a response":         {faultyPolls: 1, fault: holdOpen},
+		"two polls without a response":        {faultyPolls: 2, fault: holdOpen},
+		"three polls without a response":      {faultyPolls: 3, fault: holdOpen},
+		"truncated response, connection open": {faultyPolls: 1, fault: respond(halfResponse, holdOpen)},
+		"truncated response, then reset":      {faultyPolls: 3, fault: respond(halfResponse, resetConnection)},
+		"malformed JSON":                      {faultyPolls: 3, fault: respond(malformedResponse, resetConnection)},
+		"four rejections":                     {faultyPolls: 4, fault: respond(rejection, resetConnection)},
+		"resets, for 9 s":                     {faultDuration: 9 * time.Second, fault: resetConnection},
+		"rejections, for 9 s":                 {faultDuration: 9 * time.Second, fault: respond(rejection, resetConnection)},
+		"no responses, for 9 s":               {faultDuration: 9 * time.Second, fault: holdOpen},
+		"versions restart":                    {faultyPolls: 1, fault: respond(olderVersion, resetConnection)},
 		"pushed: resets, for 3 s": {
-			pushed: true, lasts: 3 * time.Second, within: 500 * time.Millisecond, fault: resetConnection,
+			pushed: true, faultDuration: 3 * time.Second, reportWithin: 500 * time.Millisecond, fault: resetConnection,
 		},
-		"pushed: refusals, for 3 s": {
-			pushed: true, lasts: 3 * time.Second, within: time.Second, fault: respond(rejection, resetConnection),
+		"pushed: rejections, for 3 s": {
+			pushed: true, faultDuration: 3 * time.Second, reportWithin: time.Second, fault: respond(rejection, resetConnection),
 		},
-		"pushed: a watch falls silent":        {pushed: true, polls: 1, fault: holdOpen},
-		"pushed: two watches, then a refusal": {pushed: true, polls: 2, fault: holdOpen},
+		"pushed: one poll without a response":  {pushed: true, faultyPolls: 1, fault: holdOpen},
+		"pushed: two polls without a response": {pushed: true, faultyPolls: 2, fault: holdOpen},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -146,8 +146,8 @@
 			runUntilEnd(t, w.Run)
 			w.Watch()
 			within := maximum
-			if discovery.within > 0 {
-				within = discovery.within
+			if discovery.reportWithin > 0 {
+				within = discovery.reportWithin
 			}
 			for {
 				select {
@@ -155,7 +155,7 @@
 					if len(list.Endpoints) == 1 && list.Endpoints[0].State == draining {
 						return
 					}
-				case <-time.After(time.Until(started.Add(discovery.lasts + within))):
+				case <-time.After(time.Until(started.Add(discovery.faultDuration + within))):
 					t.Fatalf("no update %v after discovery could be reached", within)
 				}
 			}
@@ -163,25 +163,25 @@
 	}
 }
 
-// start serves on an address of its own until the test ends.
+// start serves on a free port of the loopback address until the test ends.
 func (d faultyDiscovery) start(t *testing.T, started time.Time) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var serving sync.WaitGroup
-	serving.Go(func() { // the loop itself counts, so that nothing is added once the end is waited for
+	serving.Go(func() { // the loop is counted too, so that no connection is added after Wait has returned
 		last := started
 		for poll := 1; ; poll++ {
 			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			// Whenever discovery comes back there must be time for two further polls.
-			if now := time.Now(); d.lasts > 0 && now.Sub(last) > 7*time.Second/2 {
+			// The gap between polls must be short enough to leave time for two further polls once discovery recovers.
+			if now := time.Now(); d.faultDuration > 0 && now.Sub(last) > 7*time.Second/2 {
 				t.Errorf("%v between two polls", now.Sub(last))
 			}
 			last = time.Now()
-			faulty := poll <= d.polls || time.Since(started) < d.lasts
+			faulty := poll <= d.faultyPolls || time.Since(started) < d.faultDuration
 			serving.Go(func() {
 				defer connection.Close()
 				if faulty {
@@ -199,7 +199,7 @@
 	return listener.Addr().String()
 }
 
-// reportDraining reads a poll, and answers that s is draining: with the full list if that is polled.
+// reportDraining reads a poll, and responds that s is draining, with the full list if the poll requests it.
 func reportDraining(connection net.Conn) {
 	request, err := http.ReadRequest(bufio.NewReader(connection))
 	if err != nil {
@@ -211,18 +211,18 @@
 	_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// holdOpen sends nothing until the other side closes the connection.
+// holdOpen sends nothing until the client closes the connection.
 func holdOpen(connection net.Conn) { _, _ = io.Copy(io.Discard, connection) }
 
-// resetConnection has the connection reset when it is closed.
+// resetConnection makes a later close reset the connection.
 func resetConnection(connection net.Conn) { _ = connection.(*net.TCPConn).SetLinger(0) }
 
-// respond reads a poll and answers it, and continues with then.
+// respond returns a handler that reads a poll, writes a raw response, and then calls then.
 func respond(response string, then func(net.Conn)) func(net.Conn) {
 	return func(connection net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(connection)); err == nil {
 			_, _ = io.WriteString(connection, response)
-			time.Sleep(20 * time.Millisecond) // or a reset would overtake the response
+			time.Sleep(20 * time.Millisecond) // without it, a reset could discard the response
 		}
 		then(connection)
 	}
--- a/internal/endpoints/watcher_switch_test.go
+++ b/internal/endpoints/watcher_switch_test.go
@@ -13,8 +13,8 @@
 	"standpoint"
 )
 
-// A switch fetches the full list of the new discovery, although the old one's watch is open and its version is higher,
-// and although the first poll fails; then the new one's watch continues from its own version.
+// A switch fetches the full list of the new discovery, even if a poll of the old one is in flight, the old version is
+// higher, and the first poll of the new one fails. The new watch then continues from the new discovery's version.
 func TestSwitchFetchesFullList(t *testing.T) {
 	old := serve(t, respondNothing)
 	queries := make(chan string, 100)
@@ -38,11 +38,11 @@
 	require.Empty(t, <-queries)
 	require.Empty(t, <-queries)
 	require.Equal(t, "after=7&wait_ms=500", <-queries)
-	require.Empty(t, updates, "a discovery that the node has left is not a failed one")
+	require.Empty(t, updates, "there is no notification for the old discovery")
 }
 
-// A departure that a discovery writes while the node switches to another counts, and the other's list, which does not
-// have it yet, does not undo it.
+// A departure that the old discovery reports during a switch is passed on, and is not reversed by the list of the new
+// discovery, which does not contain it yet.
 func TestDepartureWrittenDuringSwitchCounts(t *testing.T) {
 	t.Parallel()
 	switched := make(chan struct{})
@@ -51,7 +51,7 @@
 	old := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		select {
 		case polled <- struct{}{}:
-		default: // a fast machine polls more often than the test reads
+		default: // the test reads only the first poll
 		}
 		<-switched
 		respondDraining(w, 42)
@@ -62,25 +62,25 @@
 			return
 		}
 		<-switched
-		time.Sleep(100 * time.Millisecond) // after the old one's last response
+		time.Sleep(100 * time.Millisecond) // respond after the old discovery
 		fmt.Fprint(w, `{"seq":7,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","health":"ready"},`+
 			`{"host":"t","dial":"127.0.0.1:2","health":"ready"}]}`)
 	})
-	t.Cleanup(endSwitch) // handlers wait for it
+	t.Cleanup(endSwitch) // releases the handlers if the test fails
 	w, updates := watchServer(t, old)
 	<-polled
 	w.SetDiscovery(hostPort(next), names)
 	require.Eventually(t, func() bool { return len(w.discoveryChanges) == 0 }, 5*time.Second, time.Millisecond)
 	endSwitch()
 	list := receive(t, updates)
-	for ; list.Kind != standpoint.ListFull; list = receive(t, updates) { // as often as the old one reports it
+	for ; list.Kind != standpoint.ListFull; list = receive(t, updates) { // the old discovery may report it repeatedly
 		require.Equal(t, states{"s": draining}, statesOf(list))
 	}
 	require.Equal(t, states{"s": draining, "t": ready}, statesOf(list))
 }
 
-// The watch at the old discovery continues while the new one rejects the node, and ends once that has returned its
-// list.
+// The watch at the old discovery continues while the new one rejects the node, and ends once the new discovery has
+// returned its list.
 func TestOldWatchContinuesUntilSwitchIsDone(t *testing.T) {
 	t.Parallel()
 	var polls atomic.Int32
@@ -116,11 +116,11 @@
 	for list.Kind != standpoint.ListFull {
 		list = receive(t, updates)
 	}
-	require.Equal(t, states{"s": draining}, statesOf(list), "the new one does not have it yet")
-	time.Sleep(200 * time.Millisecond) // the last poll there ends
+	require.Equal(t, states{"s": draining}, statesOf(list), "the new list does not reverse the departure")
+	time.Sleep(200 * time.Millisecond) // the last poll of the old discovery ends
 	for len(queries) > 0 {
 		<-queries
 	}
 	time.Sleep(200 * time.Millisecond)
-	require.Empty(t, queries, "nobody polls the old one any more")
+	require.Empty(t, queries, "the old discovery is no longer polled")
 }
--- a/internal/endpoints/watcher_test.go
+++ b/internal/endpoints/watcher_test.go
@@ -13,8 +13,8 @@
 	"standpoint/internal/node"
 )
 
-// The next poll follows within 200 ms of each response. After one that failed the watch is opened again, after a short
-// pause, and nobody is notified of that: the core does not request the watch a second time.
+// The next poll follows within 200 ms of each response. After a failed poll the watch is opened again after a short
+// pause, without a notification and without a further call of Watch.
 func TestWatcherPollsAgainWithoutDelay(t *testing.T) {
 	polls := make(chan time.Time, 100)
 	var count atomic.Int32
@@ -40,7 +40,7 @@
 	require.Less(t, (<-polls).Sub(<-polls).Abs(), 200*time.Millisecond)
 	failed := time.Now()
 	require.Less(t, (<-polls).Sub(failed), maxPause)
-	w.Watch() // there is a watch: this requests no second one
+	w.Watch() // no effect, as there is a watch
 	select {
 	case <-polls:
 		t.Fatal("two polls at once")
@@ -49,7 +49,7 @@
 	require.Empty(t, updates)
 }
 
-// Where lists are pushed the watch begins without a request, and is opened again after failures.
+// If lists are pushed, the watch begins without a call of Watch, and is opened again after failures.
 func TestWatcherOfPushedListsNeedsNoRequest(t *testing.T) {
 	t.Parallel()
 	updates, queries := watchScript(t, 100*time.Millisecond, func(poll int, w http.ResponseWriter, r *http.Request) {
@@ -62,11 +62,12 @@
 			respondNothing(w, r)
 		}
 	})
-	require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "there is no update for what failed")
+	require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "failed polls cause no update")
 	require.GreaterOrEqual(t, len(queries), 3)
 }
 
-// A discovery whose versions have started over reports changes of another list: the full one is fetched.
+// If discovery's versions restart, its changes belong to another list, so the full list is fetched. Departures in such
+// a change are passed on.
 func TestWatcherFetchesFullListWhenVersionsRestart(t *testing.T) {
 	t.Parallel()
 	updates, _ := watchScript(t, 0, func(poll int, w http.ResponseWriter, r *http.Request) {
@@ -81,13 +82,13 @@
 	})
 	list := receive(t, updates)
 	require.Equal(t, deltaList(list.Endpoints...), list)
-	require.Equal(t, draining, list.Endpoints[0].State, "a departure counts, whatever list it is in")
+	require.Equal(t, draining, list.Endpoints[0].State, "a departure is passed on, whatever the version")
 	list = receive(t, updates)
 	require.Equal(t, standpoint.ListFull, list.Kind)
 	require.Equal(t, "t", list.Endpoints[0].Name)
 }
 
-// What discovery sends after a response is not the next poll's response.
+// Surplus bytes that discovery sends after a response are not taken for the response to the next poll.
 func TestWatcherIgnoresSurplusResponse(t *testing.T) {
 	t.Parallel()
 	ended := make(chan struct{})
@@ -115,7 +116,7 @@
 	require.Equal(t, "t", receive(t, updates).Endpoints[0].Name, "the second poll's own response")
 }
 
-// A response that comes after its poll was given up is used, although the polls after it get none.
+// A response that arrives after its poll has timed out is used, even if the later polls get no response.
 func TestLateResponseIsUsed(t *testing.T) {
 	t.Parallel()
 	updates, _ := watchScript(t, 0, func(poll int, w http.ResponseWriter, r *http.Request) {
--- a/internal/endpoints/watchtiming.go
+++ b/internal/endpoints/watchtiming.go
@@ -6,56 +6,65 @@
 	"time"
 )
 
-// The timing of a watch. The node has to know what discovery has within 6 s of the time at which discovery had it and
-// could be reached, whatever polls timed out, failed or were given up meanwhile. A watch lasts as long as each poll
-// follows the response before it, and costs discovery next to nothing then. Opening one is work, for which the polls
-// of all nodes queue up at discovery. So a watch that no longer responds is detected soon, and the poll that opens it
-// again keeps its position in the queue: a timeout of 1 s, a pause of 50 ms, one of 3.1 s, a pause of 100 ms; that
-// leaves 1.7 s for further polls, which are waited for for 1.1 s each, since the one before is still queued. Three
-// polls in a row may time out: 5.7 s with the pauses.
+// The timing of a watch.
+//
+// The node must know a change within 6 s of the time at which discovery has it and can be reached, whichever polls
+// timed out, failed or were cancelled before. A watch continues as long as each poll follows the previous response, and
+// then costs discovery very little. Opening a watch is work for discovery, for which the polls of all nodes queue up.
+// The node therefore detects a silent watch early, and the poll that opens the watch again stays in the queue: a
+// timeout of 1 s, a pause of 50 ms, a timeout of 3.1 s and a pause of 100 ms leave 1.7 s for further polls, each of
+// which has a timeout of 1.1 s, as the previous one is still queued. Three consecutive polls may time out: 5.7 s with
+// the pauses.
 const (
-	// Discovery holds a poll without a change for watchWait in an established watch, and for openWait if the poll opens
-	// the watch: its response soon shows that the watch is established.
+	// watchWait is how long discovery may wait for a change before it responds to a poll of an established watch.
 	watchWait = 500 * time.Millisecond
-	openWait  = 100 * time.Millisecond
+	// openWait is the same for a poll that opens a watch; it is shorter, so that the response soon shows that the watch
+	// is established.
+	openWait = 100 * time.Millisecond
 
-	// A watch counts as silent if there is no response by so long after the wait. One that is being opened has more
-	// time, since discovery itself may hold polls in its queue for 3 s.
+	// watchSlack is how long after the wait a response may arrive before the watch counts as silent.
 	watchSlack = 500 * time.Millisecond
-	openSlack  = 3 * time.Second
+	// openSlack is the same for a poll that opens a watch; it is longer, since discovery may queue such a poll for 3 s.
+	openSlack = 3 * time.Second
 
-	// The timeouts of other polls: of one after a timeout, while the response to the poll before is still awaited; of
-	// one for the full list, which queues up too; and of one for that by a process that takes over, which has 4 s for
-	// it.
-	retryTimeout    = 1100 * time.Millisecond
-	fullTimeout     = 3100 * time.Millisecond
+	// retryTimeout is the timeout of a poll that follows a timeout, while the previous poll is still in flight.
+	retryTimeout = 1100 * time.Millisecond
+	// fullTimeout is the timeout of a poll for the full list, which discovery also queues.
+	fullTimeout = 3100 * time.Millisecond
+	// takeoverTimeout is the timeout of a poll for the full list by a process that takes over, which has 4 s to get the
+	// list.
 	takeoverTimeout = 1500 * time.Millisecond
 
-	// A response is taken for lateTolerance beyond the timeout: discovery may be slow, or this node.
+	// lateTolerance is how long after the timeout a response is still accepted, as discovery or this node may be slow.
 	lateTolerance = 5 * time.Second
 
-	maxPolls    = 4 // in flight at once
+	// maxPolls is the maximum number of polls in flight.
+	maxPolls    = 4
 	dialTimeout = 500 * time.Millisecond
 )
 
-// The pauses after a poll that failed.
+// The pauses after a failed poll.
 const (
-	minPause       = 50 * time.Millisecond   // after the first failure in a row; doubled for each further one
-	maxPause       = 1500 * time.Millisecond // many nodes poll one discovery
-	maxSwitchPause = 500 * time.Millisecond  // at a new discovery, whose list must be known 4 s after the switch
+	// minPause is the pause after the first failure; it doubles with each consecutive failure.
+	minPause = 50 * time.Millisecond
+	// maxPause bounds the pause. It spares discovery, which many nodes poll.
+	maxPause = 1500 * time.Millisecond
+	// maxSwitchPause bounds the pause at a new discovery, whose list must be known 4 s after the switch.
+	maxSwitchPause = 500 * time.Millisecond
 
-	// After a poll that discovery rejected: its queue is full, and each further poll is one more to reject, which takes
-	// time from those that are queued. Four rejections in a row take 5.6 s. The more nodes there are, the longer each
-	// pauses, up to where the queue would run empty.
+	// After a rejection the pause is rejectionPausePerNode times the number of nodes, within the two bounds.
+	// Discovery's queue is full then, and rejecting a further poll takes time from the polls that are queued. Four
+	// consecutive rejections at the lower bound take 5.6 s. The pause grows with the number of nodes up to a bound
+	// beyond which the queue would run empty.
 	minRejectionPause     = 1400 * time.Millisecond
 	rejectionPausePerNode = 10 * time.Millisecond
 	maxRejectionPause     = 2500 * time.Millisecond
 )
 
-// timeout returns how long a poll is waited for before another is sent.
+// timeout returns how long the watcher waits for a poll's response before it sends the next poll.
 func (w *Watcher) timeout(p *poll) time.Duration {
 	switch {
-	case !p.full && !p.opens:
+	case !p.full && !p.opensWatch:
 		return p.wait + w.watchSlack
 	case w.timeouts > 0:
 		return retryTimeout
@@ -67,8 +76,8 @@
 	return p.wait + openSlack
 }
 
-// nextPause counts a failed poll, and returns the pause before the next. A quarter of it is random, since all nodes
-// of a fleet may pause together.
+// nextPause counts a failed poll, and returns the pause before the next one. A quarter of the longest pause is random,
+// since all nodes of a fleet may fail at the same time.
 func (w *Watcher) nextPause(err error) time.Duration {
 	if errors.Is(err, errRejected) {
 		w.rejections++
@@ -80,7 +89,7 @@
 	return longest*3/4 + rand.N(longest/4)
 }
 
-// longestPause bounds the pause by what has failed so far.
+// longestPause returns the upper bound of the next pause, from the failures so far.
 func (w *Watcher) longestPause() time.Duration {
 	exponential := min(maxPause, minPause<<min(w.failures, 6))
 	switch {
@@ -96,8 +105,8 @@
 	return exponential
 }
 
-// rejectionPause bounds the pause after a rejection. A node that has had no response since its start does not hold back
-// for the others.
+// rejectionPause returns the upper bound of the pause after a rejection. A node that has had no list since its start
+// uses the shortest pause, whatever the number of nodes.
 func (w *Watcher) rejectionPause() time.Duration {
 	if !w.contacted {
 		return minRejectionPause
