--- a/internal/pool/backend.go
+++ b/internal/pool/backend.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Backend is what selectors see of a backend: its endpoint's attributes.
+// Backend is a backend as selectors see it: the attributes and labels of its endpoint.
 type Backend struct {
 	Name    string
 	Address string
@@ -14,7 +14,8 @@
 	Labels  map[string]string
 }
 
-// field is the value of a key: an attribute, or else a label. ok is false if the backend has no such label.
+// field returns the value of a key, which is the name of an attribute or of a label. ok is false if the key is neither
+// an attribute nor a label of the backend.
 func (b Backend) field(key string) (text string, ok bool) {
 	switch key {
 	case "name":
--- a/internal/pool/grammar.go
+++ b/internal/pool/grammar.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar:
+// The grammar of selectors:
 //
 //	either  = all { "||" all } .
 //	all     = term { "&&" term } .
@@ -15,8 +15,8 @@
 //	compare = key ( ("==" | "!=") value | ("=~" | "!~") string | ("<" | "<=" | ">" | ">=") number
 //	              | [ "not" ] "in" "[" value { "," value } "]" ) .
 //
-// The parser's errors name these types as they are spelt here ("expected Either"), so that their names belong to what
-// operators read.
+// The parser's errors contain the names of these types, with a capital ("expected Either"), so the names are part of
+// the messages that operators read.
 type (
 	either struct {
 		All []*all `parser:"@@ ( '||' @@ )*"`
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// parser reads a selector with a lookahead of three tokens.
+// parser parses a selector with a lookahead of three tokens.
 var parser = participle.MustBuild[either](
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Space", Pattern: `\s+`},
--- a/internal/pool/match.go
+++ b/internal/pool/match.go
@@ -5,12 +5,14 @@
 	"strconv"
 )
 
+// match reports whether at least one alternative matches, that is, whether all its terms match.
 func (e *either) match(b Backend) bool {
 	return slices.ContainsFunc(e.All, func(a *all) bool {
 		return !slices.ContainsFunc(a.Terms, func(t *term) bool { return !t.match(b) })
 	})
 }
 
+// match reports whether the term matches.
 func (t *term) match(b Backend) bool {
 	switch {
 	case t.Not != nil:
@@ -26,25 +28,26 @@
 	return t.Compare.match(b)
 }
 
+// match reports whether the comparison holds. It never holds for a label that the backend does not have.
 func (c *compare) match(b Backend) bool {
-	own, ok := b.field(c.Key)
+	fieldValue, ok := b.field(c.Key)
 	if !ok {
 		return false
 	}
 	switch {
 	case c.Equal != nil:
-		return c.Equal.Value.equals(own) == (c.Equal.Sign == "==")
+		return c.Equal.Value.equals(fieldValue) == (c.Equal.Sign == "==")
 	case c.Matches != nil:
-		return c.Matches.pattern.MatchString(own) == (c.Matches.Sign == "=~")
+		return c.Matches.pattern.MatchString(fieldValue) == (c.Matches.Sign == "=~")
 	case c.In != nil:
-		return slices.ContainsFunc(c.In.Values, func(v value) bool { return v.equals(own) }) != c.In.Not
+		return slices.ContainsFunc(c.In.Values, func(v value) bool { return v.equals(fieldValue) }) != c.In.Not
 	}
-	return c.Order.match(own)
+	return c.Order.match(fieldValue)
 }
 
-// match compares numbers; a value that is no number matches nothing.
-func (o *order) match(own string) bool {
-	number, err := strconv.ParseFloat(own, 64)
+// match compares a field's value with the number. A value that is not a number never matches.
+func (o *order) match(fieldValue string) bool {
+	number, err := strconv.ParseFloat(fieldValue, 64)
 	if err != nil {
 		return false
 	}
@@ -59,11 +62,11 @@
 	return number >= o.Number
 }
 
-// equals compares with a text as text, and with a number as numbers.
-func (v value) equals(own string) bool {
+// equals reports whether a field's value equals v, as text if v is a string, or else as a number.
+func (v value) equals(fieldValue string) bool {
 	if v.Text != nil {
-		return *v.Text == own
+		return *v.Text == fieldValue
 	}
-	number, err := strconv.ParseFloat(own, 64)
+	number, err := strconv.ParseFloat(fieldValue, 64)
 	return err == nil && number == *v.Number
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,4 +1,4 @@
-// Package pool divides backends into pools, and flows among the pools. It has no clock and does no I/O.
+// Package pool divides backends into pools, and assigns requests to pools. It reads no clock and does no I/O.
 package pool
 
 import (
@@ -6,24 +6,25 @@
 	"math"
 )
 
-// MaxPools bounds the pools of a Set.
+// MaxPools is the maximum number of pools in a Set.
 const MaxPools = 64
 
-// Definition is a pool as configured.
+// Definition is the configuration of a pool.
 type Definition struct {
 	Name   string
 	Select Selector
-	Share  float64 // of the flows, 0 to 1, where no migration has changed it
+	Share  float64 // fraction of the requests, from 0 to 1, unless a migration has changed it
 }
 
-// Set is all pools in the order of the configuration. Pools are numbered from 1; 0 stands for none. A Set never
-// changes.
+// Set contains all pools in the order of the configuration. Pools are numbered from 1; 0 stands for none. A Set is
+// immutable.
 type Set struct{ pools []Definition }
 
-// shareTolerance is how far the sum of all shares may be from 1.
+// shareTolerance is the permitted difference between the sum of all shares and 1.
 const shareTolerance = 1e-6
 
-// NewSet checks the definitions' names and shares. Where no pool has a share, the first has all. Errors name the key.
+// NewSet checks the definitions' names and shares, and returns a set of them. If no pool has a share, the first one
+// gets all requests. Errors contain the configuration key.
 func NewSet(pools []Definition) (*Set, error) {
 	s := &Set{pools: append([]Definition(nil), pools...)}
 	if len(pools) > MaxPools {
@@ -52,10 +53,10 @@
 	return s, nil
 }
 
-// Len is the number of pools.
+// Len returns the number of pools.
 func (s *Set) Len() int { return len(s.pools) }
 
-// Name is the name of a pool by its number; "" for none.
+// Name returns the name of the pool with a number, or an empty string if there is none.
 func (s *Set) Name(number int) string {
 	if number < 1 || number > len(s.pools) {
 		return ""
@@ -63,7 +64,7 @@
 	return s.pools[number-1].Name
 }
 
-// Number is the number of a pool by its name; 0 if there is none.
+// Number returns the number of the pool with a name, or 0 if there is none.
 func (s *Set) Number(name string) int {
 	for i, p := range s.pools {
 		if p.Name == name {
@@ -73,20 +74,20 @@
 	return 0
 }
 
-// PoolOf is the number of the first pool whose selector matches, 0 if none does. also are the names of the further
-// pools that match.
-func (s *Set) PoolOf(b Backend) (number int, also []string) {
+// PoolOf returns the number of the first pool whose selector matches a backend, or 0 if none does, and the names of the
+// other pools that match it.
+func (s *Set) PoolOf(b Backend) (number int, others []string) {
 	for i, p := range s.pools {
 		switch {
 		case !p.Select.Match(b):
 		case number == 0:
 			number = i + 1
 		default:
-			also = append(also, p.Name)
+			others = append(others, p.Name)
 		}
 	}
-	return number, also
+	return number, others
 }
 
-// Definitions are the pools as configured. The caller must not change them.
+// Definitions returns the pools' definitions. The caller must not modify them.
 func (s *Set) Definitions() []Definition { return s.pools }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -20,7 +20,7 @@
 	Labels:  map[string]string{"version": "v2", "build": "118"},
 }
 
-// Runs are repeatable: property tests draw from one seed.
+// Property tests use a fixed seed, so that their runs are repeatable.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 func TestSelectorMatchesBackendDescription(t *testing.T) {
@@ -32,10 +32,10 @@
 		`!(version == "v1") && cell == 3`:      true,
 		`version not in ["v1", "v3"]`:          true,
 		`name =~ "box-[0-9]"`:                  true,
-		`name =~ "box"`:                        false, // the whole word
+		`name =~ "box"`:                        false, // the expression must match the whole name
 		`name !~ "box-8.*"`:                    true,
 		`has(version) && !has(rack)`:           true,
-		`rack != "r1"`:                         false, // no such label: no comparison holds
+		`rack != "r1"`:                         false, // no comparison holds for a missing label
 		`size < 2 && size > 1.4`:               true,
 		`true`:                                 true,
 		`false || zone == "hall-a"`:            true,
@@ -73,7 +73,7 @@
 	require.ErrorContains(t, err, "nested more than 32 deep")
 }
 
-// newTestSet makes a set of the pools p1, p2, ..., which select by version.
+// newTestSet returns a set of the pools p1, p2, ..., which select backends by their label version.
 func newTestSet(t testing.TB, shares ...float64) *Set {
 	t.Helper()
 	var all []Definition
@@ -104,27 +104,28 @@
 	require.ErrorContains(t, err, "pool[1].share:")
 }
 
-// A larger share moves flows only to the new pool, and no more than it must; those of other pools never move.
+// A larger share moves requests only from the old pool to the new one, and no more than the difference of the shares.
+// Requests of other pools never move.
 func TestLargerShareOnlyMovesFlowsToTheNewPool(t *testing.T) {
 	s := newTestSet(t, 0.7, 0, 0.3)
 	rapid.Check(t, func(r *rapid.T) {
 		a := rapid.Float64Range(0, 1).Draw(r, "share")
 		b := rapid.Float64Range(a, 1).Draw(r, "greater")
-		was := s.Bind(Shares{From: "p1", To: "p2", Share: a})
-		now := s.Bind(Shares{From: "p1", To: "p2", Share: b})
+		before := s.Bind(Shares{From: "p1", To: "p2", Share: a})
+		after := s.Bind(Shares{From: "p1", To: "p2", Share: b})
 		key := rapid.Uint64Min(1).Draw(r, "session")
-		x, y := was.Assign(key, 0, 0), now.Assign(key, 0, 0)
+		x, y := before.Assign(key, 0, 0), after.Assign(key, 0, 0)
 		if x != y && (x != 1 || y != 2) {
-			r.Fatalf("from %g to %g, a flow went from pool %d to %d", a, b, x, y)
+			r.Fatalf("share raised from %g to %g: a request moved from pool %d to %d", a, b, x, y)
 		}
-		if was.Assign(key, 5, 6) != x {
-			r.Fatal("a session's pool hangs on something else")
+		if before.Assign(key, 5, 6) != x {
+			r.Fatal("a session's pool depends on the prefix or the id")
 		}
 	})
 	moved, other := 0, 0
-	was, now := s.Bind(Shares{From: "p1", To: "p2", Share: 0.1}), s.Bind(Shares{From: "p1", To: "p2", Share: 0.3})
+	before, after := s.Bind(Shares{From: "p1", To: "p2", Share: 0.1}), s.Bind(Shares{From: "p1", To: "p2", Share: 0.3})
 	for key := range uint64(100_000) {
-		x, y := was.Assign(key+1, 0, 0), now.Assign(key+1, 0, 0)
+		x, y := before.Assign(key+1, 0, 0), after.Assign(key+1, 0, 0)
 		if x != y {
 			moved++
 		}
@@ -136,8 +137,8 @@
 	require.InDelta(t, 0.3*100_000, other, 700)
 }
 
-// Finished migrations leave no flow in a pool that was emptied, however many there were.
-func TestFinishedMovesCompose(t *testing.T) {
+// Finished migrations leave no request in a pool that was emptied, however many there were.
+func TestFinishedMigrationsCompose(t *testing.T) {
 	s := newTestSet(t, 1, 0, 0)
 	shares := Shares{}
 	for _, m := range []struct {
@@ -158,10 +159,10 @@
 			require.Equal(t, m.end, s.Bind(shares).Assign(key+1, 0, 0), "%v", shares)
 		}
 	}
-	require.Equal(t, 0, newTestSet(t).Bind(shares).Assign(1, 0, 0), "no pools, no pool")
+	require.Equal(t, 0, newTestSet(t).Bind(shares).Assign(1, 0, 0), "without pools there is no assignment")
 }
 
-// Whatever an operator writes as a selector, it is read, or its error names a column.
+// Any text is either rejected or parsed, and the text of a parsed selector can be parsed again.
 func FuzzSelector(f *testing.F) {
 	for _, s := range []string{
 		`version == "v1"`,
@@ -179,7 +180,7 @@
 		}
 		again, err := Parse(s.String())
 		if err != nil || again.String() != s.String() {
-			t.Fatalf("%q is printed as %q: %v", text, s, err)
+			t.Fatalf("%q is printed as %q, which does not parse to the same text: %v", text, s, err)
 		}
 	})
 }
--- a/internal/pool/selector.go
+++ b/internal/pool/selector.go
@@ -10,11 +10,12 @@
 
 // Bounds of a selector's text.
 const (
-	maxTextLength = 4096 // bytes
-	maxDepth      = 32   // of parentheses and negations
+	maxTextLength = 4096 // maximum length in bytes
+	maxDepth      = 32   // maximum nesting of parentheses and negations
 )
 
-// SyntaxError reports where a selector's text is wrong, and why. Line and Column count from 1, columns in characters.
+// SyntaxError reports the position and the reason of an error in a selector's text. Line and Column count from 1, and
+// columns are counted in characters.
 type SyntaxError struct {
 	Line   int
 	Column int
@@ -29,7 +30,7 @@
 	return fmt.Sprintf("column %d: %s", e.Column, e.Reason)
 }
 
-// newSyntaxError makes a SyntaxError of a parser's error, whose position may be missing.
+// newSyntaxError converts a parser's error, whose position may be missing, to a SyntaxError.
 func newSyntaxError(err error) *SyntaxError {
 	var positioned participle.Error
 	if !errors.As(err, &positioned) {
@@ -45,7 +46,7 @@
 	root *either
 }
 
-// Parse reads a selector, such as
+// Parse parses a selector, such as
 //
 //	kind == "fast" && site in ["hall-a"] && version == "v2"
 //
@@ -71,7 +72,7 @@
 	return Selector{text: text, root: root}, nil
 }
 
-// checkDepth bounds the nesting before the text is parsed, as the parser recurses.
+// checkDepth rejects a text that is nested too deeply, before it is parsed, as the parser is recursive.
 func checkDepth(text string) error {
 	depth := 0
 	for i, c := range text {
@@ -88,14 +89,14 @@
 	return nil
 }
 
-// String is the text as written.
+// String returns the text that was parsed.
 func (s Selector) String() string { return s.text }
 
-// Match reports whether a backend is selected. A comparison with a label that the backend does not have is false,
-// whatever its sign; has(label) tests for the label itself.
+// Match reports whether a backend is selected. A comparison with a label that the backend does not have is false for
+// any operator; has(label) tests whether the label is present.
 func (s Selector) Match(b Backend) bool { return s.root != nil && s.root.match(b) }
 
-// check compiles the regular expressions, and reports those that cannot be.
+// check compiles the regular expressions, and returns a *SyntaxError for the first invalid one.
 func (e *either) check() error {
 	for _, a := range e.All {
 		for _, t := range a.Terms {
@@ -107,6 +108,7 @@
 	return nil
 }
 
+// check compiles the term's regular expressions.
 func (t *term) check() (err error) {
 	switch {
 	case t.Not != nil:
--- a/internal/pool/shares.go
+++ b/internal/pool/shares.go
@@ -6,25 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shares say how migrations have changed the division of flows. They name pools, so that they hold at every node
-// whatever the order in its configuration; Bind applies them to a Set. The zero value changes nothing.
+// Shares describes how migrations have changed the assignment of requests to pools. It refers to pools by name, so that
+// it applies at every node whatever the order of the node's configuration; Bind applies it to a Set. The zero value
+// changes nothing.
 type Shares struct {
-	// Moved has, by the name of a pool that finished migrations have emptied, the pool that took its flows over.
+	// Moved maps the name of a pool that finished migrations have emptied to the pool that gets its requests.
 	Moved map[string]string `json:"moved,omitempty"`
-	// From and To are the pools of the migration under way, or of one that was halted; To has the part Share, from 0 to
-	// 1, of the flows that would be From's.
+	// From and To are the pools of the migration in progress, or of one that was halted. To gets the fraction Share,
+	// from 0 to 1, of the requests that would otherwise be From's.
 	From  string  `json:"from,omitempty"`
 	To    string  `json:"to,omitempty"`
 	Share float64 `json:"share"`
 }
 
-// Finish has To take all of From's flows for good, those that had been moved to From included.
+// Finish returns the shares after the migration has finished: To permanently gets all requests of From, including those
+// that earlier migrations moved to From.
 func (s Shares) Finish() Shares {
 	moved := map[string]string{}
 	for p, to := range s.Moved {
 		moved[p] = to
 	}
-	// To's own flows stay where they are: an earlier migration from To to From is undone by this one.
+	// An earlier migration from To to From is reversed by this one: To gets its own requests back.
 	if back, ok := moved[s.To]; ok && back == s.From {
 		delete(moved, s.To)
 	}
@@ -37,20 +39,20 @@
 	return Shares{Moved: moved}
 }
 
-// Withdraw ends a migration without effect.
+// Withdraw returns the shares without the migration in progress.
 func (s Shares) Withdraw() Shares { return Shares{Moved: s.Moved} }
 
-// Table assigns flows to pools. It never changes, so that it is safe for concurrent use.
+// Table assigns requests to pools. It is immutable, and so safe for concurrent use.
 type Table struct {
-	upperBounds []float64 // of the pools' parts of the hash, in order
-	moved       []int     // by number: the pool that has the flows now, at first itself
-	// The migration under way: to has the part share of from's flows. Both are 0 if there is none.
+	upperBounds []float64 // upper bounds of the pools' ranges of the hash, in the order of the pools
+	moved       []int     // by pool number: the pool that gets its requests; the pool itself unless migrated
+	// The migration in progress: to gets the fraction share of from's requests. from and to are 0 if there is none.
 	from  int
 	to    int
 	share float64
 }
 
-// Bind makes the table of a set of pools under shares. Pools that the set does not have are ignored.
+// Bind returns the table for the set's pools and the given shares. Pools that are not in the set are ignored.
 func (s *Set) Bind(shares Shares) *Table {
 	t := &Table{moved: make([]int, len(s.pools)+1), share: shares.Share}
 	sum := 0.0
@@ -71,14 +73,15 @@
 	return t
 }
 
-// The salts of two hashes: one divides flows among the pools as configured, the other orders those of a pool for
-// migrations, so that a greater share only ever adds flows to the pool that is migrated to.
+// Salts of two independent hashes. poolSalt is for the assignment of requests to pools as configured. orderSalt is for
+// the order in which a migration moves the requests of a pool, so that a larger share only adds requests to the new
+// pool.
 const (
 	poolSalt  = 0x5bd1e9955bd1e995
 	orderSalt = 0x27d4eb2f165667c5
 )
 
-// hash maps a key to a number from 0 up to 1.
+// hash maps a key to a number in [0, 1).
 func hash(key, salt uint64) float64 {
 	var input [16]byte
 	binary.LittleEndian.PutUint64(input[:8], key)
@@ -86,8 +89,8 @@
 	return float64(xxhash.Sum64(input[:])>>11) / (1 << 53)
 }
 
-// Assign is the number of a flow's pool: by its session, or else its shared prefix, or else its own id. The same key
-// has the same pool at every node. 0: there are no pools.
+// Assign returns the number of a request's pool, or 0 if there are no pools. The key is the request's session, or its
+// shared prefix if it has no session, or its own id if it has neither. The same key has the same pool at every node.
 func (t *Table) Assign(session, prefix, id uint64) int {
 	if len(t.upperBounds) == 0 {
 		return 0
@@ -106,7 +109,8 @@
 	return number
 }
 
-// configured is the number of a key's pool where no migration has changed it. The last pool takes what rounding leaves.
+// configured returns the number of a key's pool as configured, without migrations. The last pool gets the remainder of
+// rounding errors.
 func (t *Table) configured(key uint64) int {
 	position := hash(key, poolSalt)
 	for i, bound := range t.upperBounds {
