--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,5 +1,5 @@
-// Package datagram carries short messages between the nodes of a tier over UDP. They may arrive late, in any order, or
-// never, and no sender waits for one. Their content is opaque to it.
+// Package datagram exchanges short messages between the nodes of an installation over UDP. Messages may arrive late, in
+// any order, or not at all, and senders do not wait for their delivery. The package does not interpret their content.
 package datagram
 
 import (
@@ -15,42 +15,43 @@
 )
 
 const (
-	// MaxSize is the largest message in bytes.
+	// MaxSize is the maximum size of a message in bytes.
 	MaxSize = 256
-	// queueSize bounds the messages that wait to be sent; further ones are dropped.
+	// queueSize is the maximum number of messages queued for sending; further messages are dropped.
 	queueSize = 256
 	// bindRetryDelay is the time between two attempts to bind the socket.
 	bindRetryDelay = time.Second
-	// readRetryDelay is the pause after a read that failed for a moment.
+	// readRetryDelay is the pause after a read that failed with a transient error.
 	readRetryDelay = time.Millisecond
 )
 
-// Exchange sends messages to the nodes of a tier, and passes on those that they send, while Run runs. Send and SetPeers
-// may be called concurrently with it.
+// Exchange sends messages to the other nodes, and passes on the messages that it receives, while Run runs. Send and
+// SetPeers may be called concurrently with Run.
 type Exchange struct {
 	address string
 	log     *zap.Logger
 	queue   chan message
 
 	mu      sync.Mutex             // guards peers and numbers
-	peers   []netip.AddrPort       // by the nodes' numbers
-	numbers map[netip.AddrPort]int // by the nodes' addresses
+	peers   []netip.AddrPort       // the nodes' addresses, by node number
+	numbers map[netip.AddrPort]int // the nodes' numbers, by address
 }
 
-// message waits to be sent to a node.
+// message is a message that is queued for a node.
 type message struct {
-	to   int
+	to   int // node number
 	data string
 }
 
-// New makes an exchange that will listen at an address. peers are the nodes' addresses in the order of their numbers.
+// New returns an exchange that listens at an address once Run is called. peers are the nodes' addresses in the order of
+// their numbers.
 func New(address string, peers []string, log *zap.Logger) *Exchange {
 	x := &Exchange{address: address, log: log, queue: make(chan message, queueSize)}
 	x.SetPeers(peers)
 	return x
 }
 
-// SetPeers replaces the nodes' addresses. A node whose address cannot be parsed is unreachable.
+// SetPeers replaces the nodes' addresses. A node whose address cannot be parsed can neither send nor receive messages.
 func (x *Exchange) SetPeers(peers []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -67,8 +68,8 @@
 	}
 }
 
-// Send queues a message to a node, and never blocks. An empty or too long message is dropped, as is one that finds the
-// queue full.
+// Send queues a message to a node, and never blocks. The message is dropped if it is empty or too long, or if the queue
+// is full.
 func (x *Exchange) Send(to int, data string) {
 	if len(data) == 0 || len(data) > MaxSize {
 		return
@@ -79,8 +80,8 @@
 	}
 }
 
-// Run sends and receives until ctx ends. handle is called with each message of a known node, by one goroutine, and must
-// not block.
+// Run sends and receives messages until ctx ends. It calls handle, from one goroutine at a time, with each message of a
+// known node; handle must not block.
 func (x *Exchange) Run(ctx context.Context, handle func(from int, data string)) {
 	for ctx.Err() == nil {
 		conn, err := x.bind()
@@ -94,7 +95,7 @@
 	}
 }
 
-// bind opens the socket. It fails while another process of this node has the address, as in an upgrade.
+// bind opens the socket. It fails while another process of this node uses the address, as during an upgrade.
 func (x *Exchange) bind() (*net.UDPConn, error) {
 	address, err := net.ResolveUDPAddr("udp4", x.address)
 	if err != nil {
@@ -103,14 +104,14 @@
 	return net.ListenUDP("udp4", address)
 }
 
-// serve sends and receives on a socket until ctx ends or the socket fails, and closes it.
+// serve sends and receives on a socket until ctx ends or the socket fails, and then closes it.
 func (x *Exchange) serve(ctx context.Context, conn *net.UDPConn, handle func(from int, data string)) {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
 	defer context.AfterFunc(serving, func() { _ = conn.Close() })()
-	// The sender ends with serving; a message that it holds then is lost, as any may be.
+	// sendLoop ends with serving, and then drops the message that it is about to send, if any.
 	go x.sendLoop(serving, conn)
-	buffer := make([]byte, MaxSize+1) // one byte more, so that a longer message is recognised
+	buffer := make([]byte, MaxSize+1) // one more byte, so that a message that is too long can be recognized
 	for serving.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		switch {
@@ -124,7 +125,7 @@
 	}
 }
 
-// dispatch passes a message to handle, if it is of a known node and not too long.
+// dispatch passes a message to handle if its sender is a known node and it is not too long.
 func (x *Exchange) dispatch(from netip.AddrPort, data []byte, handle func(from int, data string)) {
 	x.mu.Lock()
 	number, known := x.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
@@ -134,7 +135,7 @@
 	}
 }
 
-// sendLoop writes what is queued. A message that cannot be sent is lost, as any may be.
+// sendLoop sends the queued messages. A message that cannot be sent is dropped.
 func (x *Exchange) sendLoop(ctx context.Context, conn *net.UDPConn) {
 	for {
 		select {
@@ -148,7 +149,7 @@
 	}
 }
 
-// addressOf is a node's address; it is not valid if the node has none.
+// addressOf returns a node's address, which is invalid if the node is unknown or has none.
 func (x *Exchange) addressOf(number int) netip.AddrPort {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// freeAddresses are loopback addresses that no socket has.
+// freeAddresses returns loopback addresses with free ports.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var all []string
@@ -29,7 +29,7 @@
 	data string
 }
 
-// startExchange runs an exchange until the test ends, and passes on what it receives.
+// startExchange runs an exchange until the test ends, and returns it with a channel of the messages that it receives.
 func startExchange(t *testing.T, address string, peers []string) (*Exchange, chan received) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,7 +41,7 @@
 		x.Run(ctx, func(from int, data string) {
 			select {
 			case got <- received{from, data}:
-			case <-ctx.Done(): // a test that has ended reads no more
+			case <-ctx.Done(): // the test has ended, and no longer reads from the channel
 			}
 		})
 	}()
@@ -52,7 +52,7 @@
 	return x, got
 }
 
-// sendUntilReceived repeats a message until it is received: the other side may not be bound yet.
+// sendUntilReceived sends a message repeatedly until one is received, since the other exchange may not be bound yet.
 func sendUntilReceived(t *testing.T, x *Exchange, to int, data string, got chan received) received {
 	t.Helper()
 	for range 500 {
@@ -63,11 +63,12 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	t.Fatal("nothing came")
+	t.Fatal("no message received")
 	return received{}
 }
 
-// Messages come with the number of their sender. Those of unknown senders, and those that are too long, are dropped.
+// Messages are passed on with the number of their sender. Messages of unknown senders and messages that are empty or
+// too long are dropped, as are those to unknown nodes.
 func TestOnlyMessagesOfKnownNodesAreReceived(t *testing.T) {
 	peers := freeAddresses(t, 2)
 	first, _ := startExchange(t, peers[0], peers)
@@ -91,19 +92,20 @@
 	}
 }
 
-// While another process has the address the exchange drops what it should send, and binds the address once it is free.
+// While another process uses its address, an exchange receives nothing and its peers do not block; it binds the address
+// once that is free.
 func TestExchangeBindsOnceTheAddressIsFree(t *testing.T) {
 	peers := freeAddresses(t, 2)
 	other, err := net.ListenPacket("udp4", peers[1])
 	require.NoError(t, err)
 	first, _ := startExchange(t, peers[0], peers)
 	_, got := startExchange(t, peers[1], peers)
-	for range 2 * queueSize { // nobody is waited for
+	for range 2 * queueSize { // more than the queue's size, without blocking
 		first.Send(1, "lost")
 	}
 	require.Empty(t, got)
 	require.NoError(t, other.Close())
 	for sendUntilReceived(t, first, 1, "again", got).data != "again" {
-		continue // what waited to be sent may come first
+		continue // messages from the queue may arrive first
 	}
 }
--- a/internal/peers/count.go
+++ b/internal/peers/count.go
@@ -1,24 +1,25 @@
-// Package peers finds the nodes of an installation by DNS-SD and counts them, so that what all nodes may do together is
-// divided among as many as there are.
+// Package peers discovers the nodes of an installation by DNS-SD and counts them, so that limits that apply to all
+// nodes together can be divided by the number of nodes.
 package peers
 
-// NodeCount decides how many nodes there are. More nodes count at once, as each must then do with less; fewer count
-// only after there have been fewer for HoldTime, so that a node that is away for a moment does not let the others use
-// its part just as it returns. The last count stays while nothing is observed. It is not safe for concurrent use.
+// NodeCount determines the number of nodes. A higher number takes effect at once, since each node's part of the common
+// limits is then smaller. A lower number takes effect only after HoldTime, so that the others do not use the part of a
+// node that is absent for a moment just as it returns. Without observations the count stays. It is not safe for
+// concurrent use.
 type NodeCount struct {
-	HoldTime int64 // nanoseconds
-	Minimum  int   // as configured; below 1 it is 1
+	HoldTime int64 // how long fewer nodes must be observed before Current decreases, in nanoseconds
+	Minimum  int   // the configured minimum of Current; a value below 1 stands for 1
 
 	current      int
-	lowerSince   int64 // since when fewer than current have been observed; 0: not fewer
+	lowerSince   int64 // when fewer than current nodes were first observed, in nanoseconds; 0 if they are not fewer
 	highestLower int   // the highest number observed since lowerSince
 }
 
-// Current is the number by which parts are worked out.
+// Current returns the number of nodes by which limits are divided.
 func (c *NodeCount) Current() int { return max(1, c.Minimum, c.current) }
 
-// Observe takes in how many nodes are listed at a time in nanoseconds, and reports whether Current has changed. A list
-// without any node is ignored: at least the observer is there.
+// Observe records the number of listed nodes at the time now, in nanoseconds, and reports whether Current has changed.
+// An empty list is ignored, as this node itself exists.
 func (c *NodeCount) Observe(listed int, now int64) bool {
 	before := c.Current()
 	switch {
@@ -38,13 +39,14 @@
 	return c.Current() != before
 }
 
-// hold begins to wait whether the lower number lasts.
+// hold begins the hold time of a lower number.
 func (c *NodeCount) hold(listed int, now int64) {
 	c.lowerSince = now
 	c.highestLower = listed
 }
 
-// lower lowers the count to the highest number within the hold time, and holds again if even fewer are listed now.
+// lower reduces the count to the highest number observed within the hold time, and begins another hold time if the
+// latest number is lower still.
 func (c *NodeCount) lower(listed int, now int64) {
 	c.current = c.highestLower
 	c.lowerSince = 0
@@ -53,8 +55,8 @@
 	}
 }
 
-// NextObservation is when Observe is to be called again with the last list if none is received before, in nanoseconds;
-// 0 for never.
+// NextObservation returns when Observe must be called again with the latest number if there is no new list before, in
+// nanoseconds; 0 if no call is needed.
 func (c *NodeCount) NextObservation() int64 {
 	if c.lowerSince == 0 {
 		return 0
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -14,49 +14,50 @@
 // idleInterval is how long Run sleeps when no observation is due.
 const idleInterval = time.Hour
 
-// Options configure a Membership.
+// Options configures a Membership.
 type Options struct {
-	// Name is this node's, the label of its instance.
+	// Name is the name of this node, which is the label of its service instance.
 	Name string
-	// Address is that of its front, host:port.
+	// Address is the host:port address at which this node accepts clients.
 	Address string
-	// Browse says where nodes are found, and registered. Its Publish is set by Run.
+	// Browse specifies the service and the DNS server with which nodes are discovered and registered. Run sets its
+	// Publish.
 	Browse browser.Options
-	// Publish has this node registered at the DNS server.
+	// Publish enables the registration of this node at the DNS server.
 	Publish bool
 	// Lease is the time after which the server may drop a registration that is not renewed (RFC 9664).
 	Lease time.Duration
-	// HoldTime is how long there must be fewer nodes before they are counted as fewer.
+	// HoldTime is how long fewer nodes must be observed before the count decreases.
 	HoldTime time.Duration
 	// MinNodes is the lowest count.
 	MinNodes int
 	// OnCountChanged is called by Run with each new count; it must not block.
 	OnCountChanged func(count int)
-	// Log is required.
+	// Log must be set.
 	Log *zap.Logger
 }
 
-// Node is a node that was found.
+// Node is a discovered node.
 type Node struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Membership finds the nodes, and registers its own. Nodes may be called concurrently with Run.
+// Membership discovers the nodes, and registers this node. Nodes may be called concurrently with Run.
 type Membership struct {
 	Options
 	nodes atomic.Pointer[[]Node]
 	count atomic.Int64
 }
 
-// New makes a Membership; Run starts it.
+// New returns a Membership, which Run starts.
 func New(o Options) *Membership {
 	m := &Membership{Options: o}
 	m.count.Store(int64(max(1, o.MinNodes)))
 	return m
 }
 
-// Nodes are those that were last found, and the count in force, which may differ.
+// Nodes returns the nodes that were last discovered, and the count in effect, which may differ from their number.
 func (m *Membership) Nodes() (nodes []Node, count int) {
 	if found := m.nodes.Load(); found != nil {
 		nodes = *found
@@ -64,11 +65,11 @@
 	return nodes, int(m.count.Load())
 }
 
-// Run finds nodes until ctx ends; then it removes this node's registration. It may be called once.
+// Run discovers nodes until ctx ends, and then removes this node's registration. It may be called once.
 func (m *Membership) Run(ctx context.Context) {
 	snapshots := make(chan browser.Snapshot, 1)
 	m.Browse.Publish = func(s browser.Snapshot) {
-		// Only the latest counts. There is one sender, so that the second send does not block.
+		// A newer snapshot replaces one that is not handled yet. There is one sender, so the send below does not block.
 		select {
 		case <-snapshots:
 		default:
@@ -101,7 +102,7 @@
 		case <-ctx.Done():
 			return
 		case snapshot := <-snapshots:
-			listed = len(snapshot.Instances) // those whose records are still being queried among them
+			listed = len(snapshot.Instances) // including those whose records are still being queried
 			m.storeNodes(snapshot)
 		case <-timer.C:
 		}
@@ -118,7 +119,7 @@
 	}
 }
 
-// storeNodes keeps the nodes of a snapshot whose records are complete.
+// storeNodes stores the nodes of a snapshot whose records are complete, as the result of Nodes.
 func (m *Membership) storeNodes(snapshot browser.Snapshot) {
 	nodes := []Node{}
 	for _, instance := range snapshot.Instances {
--- a/internal/peers/membership_test.go
+++ b/internal/peers/membership_test.go
@@ -16,7 +16,7 @@
 
 const second = int64(time.Second)
 
-// More nodes count at once, fewer only once there have been fewer for the hold time; an empty list changes nothing.
+// A higher number counts at once, a lower one only after the hold time; an empty list changes nothing.
 func TestCountRisesAtOnceAndFallsAfterHoldTime(t *testing.T) {
 	c := NodeCount{HoldTime: 10 * second}
 	require.Equal(t, 1, c.Current())
@@ -25,13 +25,13 @@
 	require.False(t, c.Observe(1, second))
 	require.Equal(t, 11*second, c.NextObservation())
 	require.False(t, c.Observe(2, 5*second))
-	require.False(t, c.Observe(3, 6*second), "it is back")
+	require.False(t, c.Observe(3, 6*second), "all nodes are back within the hold time")
 	require.Zero(t, c.NextObservation())
 	require.False(t, c.Observe(1, 7*second))
 	require.False(t, c.Observe(2, 8*second))
 	require.False(t, c.Observe(1, 9*second))
 	require.True(t, c.Observe(1, 17*second))
-	require.Equal(t, 2, c.Current(), "the most that there were meanwhile")
+	require.Equal(t, 2, c.Current(), "the highest number within the hold time")
 	require.True(t, c.Observe(5, 18*second))
 	c.Minimum = 7
 	require.Equal(t, 7, c.Current())
@@ -53,20 +53,21 @@
 			all = append(all, observation{n, now})
 			c.Observe(n, now)
 			if c.Current() < n {
-				t.Fatalf("%d nodes were observed, %d count", n, c.Current())
+				t.Fatalf("%d nodes were observed, the count is %d", n, c.Current())
 			}
 			highest := 0
 			for i := len(all) - 1; i >= 0 && now-all[i].at < c.HoldTime; i-- {
 				highest = max(highest, all[i].n)
 			}
 			if c.Current() < highest {
-				t.Fatalf("%d nodes were there within the hold, %d count", highest, c.Current())
+				t.Fatalf("%d nodes were observed within the hold time, the count is %d", highest, c.Current())
 			}
 		}
 	})
 }
 
-// Three nodes publish themselves, and each counts three; one that dies without a word is gone with its lease.
+// Three nodes register themselves, and each counts three. They renew their leases, and a node that stops removes its
+// registration, which the others notice.
 func TestNodesPublishThemselvesAndCountEachOther(t *testing.T) {
 	s, err := responder.Start(responder.NewZone("hall.test", 1), "127.0.0.1:0", nil)
 	require.NoError(t, err)
@@ -112,7 +113,7 @@
 		}, 20*time.Second, 10*time.Millisecond)
 	}
 	count(3)
-	time.Sleep(2500 * time.Millisecond) // longer than a lease: they renew
+	time.Sleep(2500 * time.Millisecond) // longer than a lease, so that nodes that do not renew it would be dropped
 	count(3)
 	stops[2]()
 	<-ended
--- a/internal/peers/registration.go
+++ b/internal/peers/registration.go
@@ -20,12 +20,14 @@
 	updateTimeout  = 2 * time.Second
 	minUpdateRetry = 200 * time.Millisecond
 	maxUpdateRetry = 30 * time.Second
-	// maxUDPSize is the answer's size in bytes that is announced by EDNS(0), which carries the lease.
-	maxUDPSize = 1232
+	// maxUDPPayload is the maximum UDP payload size, in bytes, that the EDNS(0) record advertises. The record is needed
+	// for the lease option.
+	maxUDPPayload = 1232
 )
 
-// register keeps this node's records at the server by DNS UPDATE (RFC 2136), with a lease that is renewed at half its
-// time, and removes them when ctx ends. A server that knows no leases keeps the records until they are removed.
+// register registers this node's records at the server by DNS UPDATE (RFC 2136), renews their lease at half its
+// duration, and removes them when ctx ends. A server without support for leases keeps the records until they are
+// removed.
 func (m *Membership) register(ctx context.Context) {
 	if !m.Publish {
 		return
@@ -55,51 +57,52 @@
 	}
 }
 
-// sendUpdate adds this node's records at the server, or removes them.
+// sendUpdate sends an update that adds this node's records at the server, or removes them.
 func (m *Membership) sendUpdate(ctx context.Context, remove bool) error {
 	update, err := m.newUpdate(remove)
 	if err != nil {
 		return err
 	}
 	client := &dns.Client{Net: "tcp", Timeout: updateTimeout}
-	answer, _, err := client.ExchangeContext(ctx, update, m.Browse.Server)
+	response, _, err := client.ExchangeContext(ctx, update, m.Browse.Server)
 	if err != nil {
 		return err
 	}
-	if answer.Rcode != dns.RcodeSuccess {
-		return updateError(answer.Rcode)
+	if response.Rcode != dns.RcodeSuccess {
+		return updateError(response.Rcode)
 	}
 	return nil
 }
 
-// updateError is the response code of an update that was rejected.
+// updateError is the response code of a rejected update.
 type updateError int
 
 // Error implements error.
-func (e updateError) Error() string { return "UPDATE: " + dns.RcodeToString[int(e)] }
+func (e updateError) Error() string { return "DNS UPDATE rejected: " + dns.RcodeToString[int(e)] }
 
-// newUpdate makes the message that adds this node's records, or removes them.
+// newUpdate returns the message that adds this node's records, or removes them.
 func (m *Membership) newUpdate(remove bool) (*dns.Msg, error) {
 	list, own, err := m.records()
 	if err != nil {
 		return nil, err
 	}
 	update := new(dns.Msg).SetUpdate(dns.Fqdn(m.Browse.Service.Domain))
-	// The instance's own records are replaced as a whole: those of an earlier process may differ.
+	// All records of the instance are replaced, since those of an earlier process may differ.
 	update.RemoveRRset(own)
 	if remove {
 		update.Remove([]dns.RR{list})
 		return update, nil
 	}
 	update.Insert(append(own, list))
-	update.SetEdns0(maxUDPSize, false)
+	update.SetEdns0(maxUDPPayload, false)
 	options := update.IsEdns0()
 	lease := &dns.EDNS0_UL{Code: dns.EDNS0UL, Lease: uint32(m.Lease / time.Second)}
 	options.Option = append(options.Option, lease)
 	return update, nil
 }
 
-// records are this node's: the PTR record of the list, which other nodes have too, and its own SRV, TXT and address.
+// records returns this node's records: list is its PTR record in the record set of the service, which also has the PTR
+// records of the other nodes; own are its SRV, TXT and address records.
 func (m *Membership) records() (list dns.RR, own []dns.RR, err error) {
 	ip, port, err := m.hostPort()
 	if err != nil {
@@ -108,7 +111,7 @@
 	base := dns.Fqdn(m.Browse.Service.Type + "." + m.Browse.Service.Domain)
 	instance, err := record.JoinInstance(m.Name, base)
 	if err != nil {
-		return nil, nil, fmt.Errorf("name: %w", err)
+		return nil, nil, fmt.Errorf("node name: %w", err)
 	}
 	target, err := record.JoinInstance(m.Name, "_nodes."+dns.Fqdn(m.Browse.Service.Domain))
 	if err != nil {
@@ -131,7 +134,7 @@
 	return list, own, nil
 }
 
-// hostPort splits the node's address. A host that is no IP address stands for the loopback address.
+// hostPort splits the node's address. A host that is not an IP address stands for the loopback address.
 func (m *Membership) hostPort() (ip net.IP, port uint16, err error) {
 	host, text, err := net.SplitHostPort(m.Address)
 	if err != nil {
