--- a/internal/console/doc.go
+++ b/internal/console/doc.go
@@ -1,4 +1,4 @@
-// Package console serves the operations console of a running node: a listener of its own, HTTP/1.1 in plain text, one
-// call a connection. It decides nothing: what it shows it reads without waiting, and a command goes to its owner, for a
+// Package console serves the operations console of a running node: HTTP/1.1 without TLS on a listener of its own, with
+// one request per connection. Reads never block, and commands are carried out by the functions in Operations within a
 // bounded time.
 package console
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -15,13 +15,13 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// Every call of the console, with its status, its headers and its words.
-func TestGoldenAnswers(t *testing.T) {
+// The status, headers and body of the response to each request that the console supports must not change.
+func TestGoldenResponses(t *testing.T) {
 	ready := true
-	var given []string
+	var calls []string
 	backend := func(what string) func(context.Context, string) error {
 		return func(_ context.Context, id string) error {
-			given = append(given, what+" "+id)
+			calls = append(calls, what+" "+id)
 			if id == "s-9" {
 				return ErrUnknownBackend
 			}
@@ -34,7 +34,7 @@
 		Down:    backend("down"),
 		Up:      backend("up"),
 		Drain: func(_ context.Context, on bool) error {
-			given = append(given, fmt.Sprint("drain ", on))
+			calls = append(calls, fmt.Sprint("drain ", on))
 			if on {
 				return errors.New("nobody comes")
 			}
@@ -66,6 +66,6 @@
 			response.Status,
 			response.Header.Get("Content-Type"), response.Header.Get("Retry-After"), response.Close, body)
 	}
-	fmt.Fprintln(&transcript, strings.Join(given, "; "))
+	fmt.Fprintln(&transcript, strings.Join(calls, "; "))
 	golden.Bytes(t, "answers.txt", []byte(transcript.String()))
 }
--- a/internal/console/handler.go
+++ b/internal/console/handler.go
@@ -10,12 +10,13 @@
 	"go.uber.org/zap"
 )
 
+// maxIDLength is the maximum length of a backend id in bytes.
 const maxIDLength = 256
 
-// command carries out a call that changes something.
+// command carries out a request that changes the node's state.
 type command func(ctx context.Context, r *http.Request) error
 
-// handler serves the paths of the console.
+// handler returns the handler of the console's paths.
 func (o *Operations) handler(log *zap.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ops/readiness", o.serveReadiness)
@@ -33,6 +34,7 @@
 	return mux
 }
 
+// serveReadiness responds with status 200 if this process accepts clients, or else 503.
 func (o *Operations) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !o.Ready() {
 		writeText(w, http.StatusServiceUnavailable, "not ready\n")
@@ -41,6 +43,7 @@
 	writeText(w, http.StatusOK, "ready\n")
 }
 
+// serveCommand returns a handler that runs a command with commandTimeout, and logs it.
 func serveCommand(run command, log *zap.Logger) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), commandTimeout)
@@ -51,7 +54,7 @@
 	}
 }
 
-// withBackendID makes a command of an operation on the backend whose id the call's query has.
+// withBackendID returns a command that runs an operation on the backend whose id is in the request's query.
 func withBackendID(run func(ctx context.Context, id string) error) command {
 	return func(ctx context.Context, r *http.Request) error {
 		id, err := parseID(r.URL.RawQuery)
@@ -62,10 +65,10 @@
 	}
 }
 
-// badRequestError is the error of a call that cannot be understood.
+// badRequestError reports an invalid request.
 type badRequestError struct{ error }
 
-// parseID returns the only id of a query. Its errors are badRequestError.
+// parseID returns the id of a query, which must have exactly one. Its errors are of type badRequestError.
 func parseID(query string) (string, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil {
@@ -78,7 +81,7 @@
 	return ids[0], nil
 }
 
-// writeResult answers a command.
+// writeResult writes the response to a command.
 func writeResult(w http.ResponseWriter, err error) {
 	var badRequest badRequestError
 	switch {
@@ -90,14 +93,15 @@
 		writeText(w, http.StatusNotFound, err.Error()+"\n")
 	case errors.Is(err, ErrStopping):
 		writeText(w, http.StatusConflict, err.Error()+"\n")
-	default: // it may still be carried out
+	default: // the command may still be carried out
 		w.Header().Set("Retry-After", "1")
 		writeText(w, http.StatusServiceUnavailable, "not done in time; call again: "+err.Error()+"\n")
 	}
 }
 
+// writeText writes a plain-text response.
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text)) // a caller who has gone away needs no answer
+	_, _ = w.Write([]byte(text)) // an error means that the client has disconnected
 }
--- a/internal/console/limiter.go
+++ b/internal/console/limiter.go
@@ -6,22 +6,24 @@
 	"sync"
 )
 
+// maxConnections is the maximum number of open connections.
 const maxConnections = 16
 
-// connectionLimiter is a listener that bounds the open connections. A connection beyond the bound closes the oldest one
-// whose call has not arrived; where all have arrived, it is closed itself.
+// connectionLimiter is a listener that bounds the number of open connections. A new connection beyond the bound
+// replaces the oldest one whose request has not been received; if all requests have been received, the new connection
+// is closed.
 type connectionLimiter struct {
 	net.Listener
 
-	mu          sync.Mutex           // guards connections, and received of each
-	connections []*limitedConnection // the oldest first
+	mu          sync.Mutex           // guards connections, and received of each connection
+	connections []*limitedConnection // from the oldest to the latest
 }
 
 // limitedConnection is an accepted connection.
 type limitedConnection struct {
 	net.Conn
 	limiter  *connectionLimiter
-	received bool // its call has arrived; guarded by limiter.mu
+	received bool // its request has been received; guarded by limiter.mu
 }
 
 // Accept implements net.Listener. The connections are *limitedConnection.
@@ -34,11 +36,12 @@
 		if admitted := l.admit(conn); admitted != nil {
 			return admitted, nil
 		}
-		_ = conn.Close() // all others are being answered
+		_ = conn.Close() // all open connections have a request in progress
 	}
 }
 
-// admit returns nil where no connection can be closed in favour of this one.
+// admit adds a connection, and closes the oldest one without a received request if there are too many. It returns nil
+// if there are too many and none can be closed.
 func (l *connectionLimiter) admit(conn net.Conn) *limitedConnection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +58,7 @@
 	return admitted
 }
 
-// requestReceived notes that the connection's call has arrived.
+// requestReceived records that the connection's request has been received.
 func (c *limitedConnection) requestReceived() {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -68,6 +71,7 @@
 	return c.Conn.Close()
 }
 
+// remove removes a closed connection from the list of open ones.
 func (l *connectionLimiter) remove(c *limitedConnection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -13,29 +13,33 @@
 )
 
 const (
-	readTimeout    = 1500 * time.Millisecond // for a call to arrive; callers wait 1 s for the answer
-	commandTimeout = 800 * time.Millisecond  // for a command to be carried out
+	// readTimeout bounds the time to receive a request; clients wait 1 s for the response.
+	readTimeout = 1500 * time.Millisecond
+	// commandTimeout bounds the time to carry out a command.
+	commandTimeout = 800 * time.Millisecond
 	writeTimeout   = 2 * time.Second
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 4 << 10
 )
 
-// Errors of operations that have an answer of their own.
+// Errors of operations that have a response status of their own: 404 for ErrUnknownBackend, 409 for ErrStopping.
 var (
 	ErrUnknownBackend = errors.New("no backend of this id was ever listed")
 	ErrStopping       = errors.New("the node has been told to stop")
 )
 
-// Operations are what the console can show and do. Ready and Metrics must not block; the commands give up when their
-// context ends. All are called concurrently.
+// Operations contains the functions behind the console's paths. They are called concurrently. Ready and Metrics must
+// not block; the commands must return when their context ends.
 type Operations struct {
-	// Ready tells whether this process accepts clients.
+	// Ready reports whether this process accepts clients.
 	Ready func() bool
 	// Metrics returns the node's counters as text.
 	Metrics func() []byte
-	// Down and Up override a backend's state; ErrUnknownBackend for an id that was never listed.
+	// Down disables a backend, and Up enables it again. They return ErrUnknownBackend for an id that was never listed.
 	Down func(ctx context.Context, id string) error
 	Up   func(ctx context.Context, id string) error
-	// Drain drains the node by hand, or ends such a drain; ErrStopping once the node is stopping for good.
+	// Drain starts a manual drain of the node, or ends it if on is false. It returns ErrStopping once the node is
+	// shutting down.
 	Drain func(ctx context.Context, on bool) error
 }
 
@@ -45,7 +49,7 @@
 	limiter *connectionLimiter
 }
 
-// Listen opens the console at a host:port address. The caller runs Serve.
+// Listen opens the console's listener at a host:port address. The caller must then call Serve.
 func Listen(address string, operations Operations, log *zap.Logger) (*Server, error) {
 	listener, err := transient.Listen("tcp", address, log)
 	if err != nil {
@@ -64,10 +68,10 @@
 	return s, nil
 }
 
-// Address is where the console listens.
+// Address returns the host:port address at which the console listens.
 func (s *Server) Address() string { return s.limiter.Addr().String() }
 
-// Serve answers calls until Close, after which it returns nil.
+// Serve handles requests until Close is called, and then returns nil.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.limiter); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -78,14 +82,16 @@
 // Close closes the listener and all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// connectionKey is the context key of a call's *limitedConnection.
+// connectionKey is the context key of a request's *limitedConnection.
 type connectionKey struct{}
 
+// withConnection returns a context that has the connection under connectionKey.
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// markReceived notes that a connection's call has arrived, so that the limiter lets it finish.
+// markReceived records that a connection's request has been received, so that the limiter does not close the
+// connection.
 func markReceived(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Context().Value(connectionKey{}).(*limitedConnection).requestReceived()
--- a/internal/console/server_test.go
+++ b/internal/console/server_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 )
 
-// start serves a console until the test ends, and returns its address.
+// start runs a console until the test ends, and returns its address.
 func start(t *testing.T, n Operations) string {
 	t.Helper()
 	if n.Ready == nil {
@@ -38,22 +38,22 @@
 	return s.Address()
 }
 
-// call returns the status and text of an answer.
+// call sends a request, and returns the status and body of the response.
 func call(t *testing.T, address, method, target string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+address+target, nil)
 	require.NoError(t, err)
 	response, err := (&http.Client{Timeout: time.Second}).Do(r)
-	require.NoError(t, err, "a caller waits 1 s")
+	require.NoError(t, err, "clients wait 1 s")
 	defer response.Body.Close()
-	require.True(t, response.Close, "one call a connection")
+	require.True(t, response.Close, "one request per connection")
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	return response.StatusCode, string(body)
 }
 
-// Every call has its answer, and one that cannot be understood a 4xx.
-func TestAnswers(t *testing.T) {
+// Each request gets the status of its path and outcome, and an invalid request a 4xx status or a closed connection.
+func TestResponseStatuses(t *testing.T) {
 	address := start(t, Operations{Drain: func(_ context.Context, on bool) error {
 		if !on {
 			return ErrStopping
@@ -79,12 +79,15 @@
 	}
 	_, text := call(t, address, "GET", "/ops/stats")
 	require.Equal(t, "app.inflight=14\n", text)
-	for _, bad := range []string{"nonsense\r\n\r\n", "POST /ops/drain/start HTTP/1.1\r\nHost: x\r\nContent-Length: -1\r\n\r\n",
-		"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("x", 64<<10) + "\r\n\r\n"} {
+	for _, bad := range []string{
+		"nonsense\r\n\r\n",
+		"POST /ops/drain/start HTTP/1.1\r\nHost: x\r\nContent-Length: -1\r\n\r\n",
+		"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("x", 64<<10) + "\r\n\r\n",
+	} {
 		c, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		defer c.Close()
-		_, _ = io.WriteString(c, bad) // it may be closed on before all is written
+		_, _ = io.WriteString(c, bad) // the server may close the connection before all is written
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(3*time.Second)))
 		line, err := bufio.NewReader(c).ReadString('\n')
 		if err == nil {
@@ -95,7 +98,8 @@
 	}
 }
 
-// Callers who connect and send no whole call block nobody, however many they are, and are closed in the end.
+// Connections without a complete request do not block other requests, however many there are, and are closed by the
+// read timeout at the latest.
 func TestUnfinishedCallsDoNotBlockOthers(t *testing.T) {
 	address := start(t, Operations{})
 	var hanging []net.Conn
@@ -113,11 +117,12 @@
 	for _, c := range hanging {
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(4*time.Second)))
 		_, err := io.Copy(io.Discard, c)
-		require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "it is still held")
+		require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "the connection is still open")
 	}
 }
 
-// A command that is not carried out in time is answered within the second that a caller waits. Reads go on.
+// A command that is not carried out in time gets a response within the 1 s that clients wait. Other requests are served
+// meanwhile.
 func TestCommandTimesOut(t *testing.T) {
 	address := start(t, Operations{Drain: func(ctx context.Context, _ bool) error {
 		<-ctx.Done()
