--- a/internal/endpoints/merge.go
+++ b/internal/endpoints/merge.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// departureHoldTime is how long a departure reported in one epoch overrides the lists of a later epoch, which may be
-	// older than the departure. After that time the node has every change that the new discovery had when its first
+	// departureHoldTime is how long a departure reported in one epoch overrides the lists of a later epoch, which may
+	// be older than the departure. After that time the node has every change that the new discovery had when its first
 	// list arrived.
 	departureHoldTime = 6 * time.Second
 	// departureRetention is how long a removed endpoint is remembered, in case an older list still contains it.
--- a/internal/endpoints/overrides_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -47,16 +47,16 @@
 // A disabled backend is draining, whatever the source reports. An enabled backend counts as started at that moment,
 // even if the source reports an older start.
 func TestOverridesHoldUntilEnabled(t *testing.T) {
-	o, core := newTestOverrides(t, nil)
-	full := func(all ...node.Endpoint) { o.Update(fullList(all...)) }
-	delta := func(changed node.Endpoint) { o.Update(deltaList(changed)) }
+	overrides, core := newTestOverrides(t, nil)
+	full := func(all ...node.Endpoint) { overrides.Update(fullList(all...)) }
+	delta := func(changed node.Endpoint) { overrides.Update(deltaList(changed)) }
 	full(endpoint("a", ready, 5), endpoint("b", ready, 0))
-	require.ErrorIs(t, o.Disable("c"), ErrNeverListed)
-	require.ErrorIs(t, o.Enable("c"), ErrNeverListed)
-	require.NoError(t, o.Enable("a"), "a backend that is not disabled may be enabled")
+	require.ErrorIs(t, overrides.Disable("c"), ErrNeverListed)
+	require.ErrorIs(t, overrides.Enable("c"), ErrNeverListed)
+	require.NoError(t, overrides.Enable("a"), "a backend that is not disabled may be enabled")
 	require.EqualValues(t, 5, core["a"].ReadyAt)
 	for range 3 {
-		require.NoError(t, o.Disable("a"))
+		require.NoError(t, overrides.Disable("a"))
 		require.Equal(t, draining, core["a"].State)
 	}
 	moved := endpoint("a", ready, clock.Now())
@@ -73,17 +73,17 @@
 			full(endpoint("b", ready, 0))
 			full(moved, endpoint("b", ready, 0))
 		},
-		func() { o.Update(node.EndpointList{Kind: standpoint.ListFailed}) },
-		func() { o.cache.Resend(core.update) },
+		func() { overrides.Update(node.EndpointList{Kind: standpoint.ListFailed}) },
+		func() { overrides.cache.Resend(core.update) },
 	} {
 		report()
 		require.Equal(t, draining, core["a"].State)
 		require.Equal(t, ready, core["b"].State)
 	}
 	full(endpoint("b", ready, 0))
-	require.NoError(t, o.Disable("a"), "a backend that was listed earlier may be disabled")
+	require.NoError(t, overrides.Disable("a"), "a backend that was listed earlier may be disabled")
 	before := clock.Now()
-	require.NoError(t, o.Enable("a"))
+	require.NoError(t, overrides.Enable("a"))
 	require.NotContains(t, core, "a")
 	delta(endpoint("a", ready, 5))
 	require.Equal(t, ready, core["a"].State)
@@ -146,10 +146,10 @@
 	channel := openChannel(t, dir)
 	t.Cleanup(func() { _ = channel.Close() })
 	notify, updates := receiver(t)
-	o := NewOverrides(NewCache(nil, zap.NewNop()), notify, channel, zap.NewNop())
-	o.Update(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)))
+	overrides := NewOverrides(NewCache(nil, zap.NewNop()), notify, channel, zap.NewNop())
+	overrides.Update(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)))
 	receive(t, updates)
-	require.NoError(t, o.Enable("s")) // creates the lock file
+	require.NoError(t, overrides.Enable("s")) // creates the lock file
 	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
 	require.NoError(t, err)
 	require.Len(t, locks, 1)
@@ -158,10 +158,10 @@
 	defer func() { _ = lock.Close() }()
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_EX))
 	done := make(chan error, 1)
-	go func() { done <- o.Disable("t") }()
+	go func() { done <- overrides.Disable("t") }()
 	require.Equal(t, states{"t": draining}, statesOf(receive(t, updates)))
-	o.Sync()
-	o.Update(deltaList(endpoint("s", draining, 0)))
+	overrides.Sync()
+	overrides.Update(deltaList(endpoint("s", draining, 0)))
 	require.Equal(t, states{"s": draining}, statesOf(receive(t, updates)))
 	require.Empty(t, done)
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_UN))
--- a/internal/endpoints/service_test.go
+++ b/internal/endpoints/service_test.go
@@ -67,10 +67,10 @@
 // The keys of a TXT record set the endpoint's fields. An invalid instance affects no other, and its origin has the
 // fault.
 func TestServiceSourceReadsAttributes(t *testing.T) {
-	h := newSourceHarness()
+	source := newSourceHarness()
 	lost := instance("lost")
 	lost.Fault = errors.New("no SRV record")
-	h.observe(1,
+	source.observe(1,
 		instance("box-1", "site=b", "class=slow", "share=2.5", "born_ms=7", "SITE=c"),
 		instance("box-2", "health=draining", "mode=batch", "new=1"),
 		instance("odd", "share=much"),
@@ -92,9 +92,9 @@
 			Address: address, Source: "hall",
 			Engine: standpoint.Engine{Name: "box-3", Size: 1},
 		},
-	}, h.published)
+	}, source.published)
 	origins := map[string]Origin{}
-	for _, origin := range h.Origins() {
+	for _, origin := range source.Origins() {
 		origins[origin.Name] = origin
 	}
 	require.Len(t, origins, 6)
@@ -125,103 +125,103 @@
 // once.
 func TestServiceSourceHoldsLostList(t *testing.T) {
 	all := []record.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
-	h := newSourceHarness()
-	h.observe(7, all...)
-	h.now = h.now.Add(30 * time.Second)
-	require.Positive(t, h.observe(7))
-	require.Len(t, h.published, 3)
-	h.now = h.now.Add(9 * time.Second)
-	h.observe(0)
-	require.Len(t, h.published, 3)
-	h.observe(7, all...) // the server had restarted
-	h.now = h.now.Add(9 * time.Second)
-	h.observe(6) // an older serial
-	require.Len(t, h.published, 3)
-	h.now = h.now.Add(11 * time.Second)
-	h.observe(6)
-	require.Empty(t, h.published)
+	source := newSourceHarness()
+	source.observe(7, all...)
+	source.now = source.now.Add(30 * time.Second)
+	require.Positive(t, source.observe(7))
+	require.Len(t, source.published, 3)
+	source.now = source.now.Add(9 * time.Second)
+	source.observe(0)
+	require.Len(t, source.published, 3)
+	source.observe(7, all...) // the server had restarted
+	source.now = source.now.Add(9 * time.Second)
+	source.observe(6) // an older serial
+	require.Len(t, source.published, 3)
+	source.now = source.now.Add(11 * time.Second)
+	source.observe(6)
+	require.Empty(t, source.published)
 
-	h = newSourceHarness()
-	h.observe(7, all...)
-	h.observe(8) // a newer serial: the zone was emptied on purpose
-	require.Empty(t, h.published)
+	source = newSourceHarness()
+	source.observe(7, all...)
+	source.observe(8) // a newer serial: the zone was emptied on purpose
+	require.Empty(t, source.published)
 
-	h = newSourceHarness()
-	h.observe(7, all...)
-	h.observe(7, all[:2]...)
-	require.Len(t, h.published, 2)
+	source = newSourceHarness()
+	source.observe(7, all...)
+	source.observe(7, all[:2]...)
+	require.Len(t, source.published, 2)
 }
 
 // An endpoint stays in use while its records are pending, and a new instance is not used before they are known.
 func TestServiceSourceKeepsEndpointsOfPendingRecords(t *testing.T) {
-	h := newSourceHarness()
-	h.observe(7, instance("box-1", "site=b"))
+	source := newSourceHarness()
+	source.observe(7, instance("box-1", "site=b"))
 	pending := instance("box-1")
 	pending.Pending = true
 	pending.Fault = errors.New("records pending")
-	h.observe(8, pending)
-	require.Len(t, h.published, 1)
-	require.Equal(t, 1, h.published[0].Zone)
+	source.observe(8, pending)
+	require.Len(t, source.published, 1)
+	require.Equal(t, 1, source.published[0].Zone)
 	pending.Name = "new._engine._tcp.hall.test."
 	pending.Label = "new"
-	h.observe(9, pending)
-	require.Empty(t, h.published, "box-1 is missing, and the records of the new instance are pending")
+	source.observe(9, pending)
+	require.Empty(t, source.published, "box-1 is missing, and the records of the new instance are pending")
 }
 
 // A flapping instance is held back when it reappears; its disappearance always takes effect at once.
 func TestServiceSourceDampsFlappingInstances(t *testing.T) {
-	h := newSourceHarness()
+	source := newSourceHarness()
 	steady := instance("steady")
 	for i := range 3 {
-		h.observe(0, instance("box-1"), steady)
-		require.Equal(t, []string{"box-1", "steady"}, h.publishedNames(), i)
-		h.observe(0, steady)
-		require.Equal(t, []string{"steady"}, h.publishedNames(), i)
-		h.now = h.now.Add(time.Second)
+		source.observe(0, instance("box-1"), steady)
+		require.Equal(t, []string{"box-1", "steady"}, source.publishedNames(), i)
+		source.observe(0, steady)
+		require.Equal(t, []string{"steady"}, source.publishedNames(), i)
+		source.now = source.now.Add(time.Second)
 	}
-	h.observe(0, instance("box-1"), steady) // three flaps are allowed
-	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
-	h.observe(0, steady)
-	recheckAfter := h.observe(0, instance("box-1"), steady)
-	require.Equal(t, []string{"steady"}, h.publishedNames())
+	source.observe(0, instance("box-1"), steady) // three flaps are allowed
+	require.Equal(t, []string{"box-1", "steady"}, source.publishedNames())
+	source.observe(0, steady)
+	recheckAfter := source.observe(0, instance("box-1"), steady)
+	require.Equal(t, []string{"steady"}, source.publishedNames())
 	require.Positive(t, recheckAfter)
-	require.Contains(t, h.faults["box-1._engine._tcp.hall.test."], "held back until")
+	require.Contains(t, source.faults["box-1._engine._tcp.hall.test."], "held back until")
 	require.Less(t, recheckAfter, time.Minute)
-	h.now = h.now.Add(recheckAfter)
-	h.observe(0, instance("box-1"), steady)
-	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
+	source.now = source.now.Add(recheckAfter)
+	source.observe(0, instance("box-1"), steady)
+	require.Equal(t, []string{"box-1", "steady"}, source.publishedNames())
 }
 
 // An instance that publishes no start counts as started when it appears after the first list, or reappears after
 // maxAbsence, but not if it is in the first list or is missing for a shorter time, as after a lost message.
 func TestServiceSourceObservesStarts(t *testing.T) {
-	h := newSourceHarness()
-	h.observe(0, instance("old"))
-	require.Zero(t, h.published[0].ReadyAt)
-	h.now = h.now.Add(time.Minute)
-	h.observe(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
-	require.Zero(t, h.published[1].ReadyAt)
-	startedAt := h.published[0].ReadyAt
-	h.observe(0, instance("old"))
-	h.now = h.now.Add(100 * time.Millisecond)
-	h.observe(0, instance("old"), instance("new"))
-	require.Equal(t, startedAt, h.published[0].ReadyAt)
-	h.observe(0, instance("new"))
-	h.now = h.now.Add(5 * time.Second)
-	h.observe(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(h.now), h.published[1].ReadyAt)
+	source := newSourceHarness()
+	source.observe(0, instance("old"))
+	require.Zero(t, source.published[0].ReadyAt)
+	source.now = source.now.Add(time.Minute)
+	source.observe(0, instance("old"), instance("new"))
+	require.Equal(t, clock.Of(source.now), source.published[0].ReadyAt)
+	require.Zero(t, source.published[1].ReadyAt)
+	startedAt := source.published[0].ReadyAt
+	source.observe(0, instance("old"))
+	source.now = source.now.Add(100 * time.Millisecond)
+	source.observe(0, instance("old"), instance("new"))
+	require.Equal(t, startedAt, source.published[0].ReadyAt)
+	source.observe(0, instance("new"))
+	source.now = source.now.Add(5 * time.Second)
+	source.observe(0, instance("old"), instance("new"))
+	require.Equal(t, clock.Of(source.now), source.published[1].ReadyAt)
 }
 
 // For any sequence of snapshots, no instance that is missing from the latest one is in use unless the guard holds the
 // list, and no faulty instance is in use.
 func TestServiceSourceNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newSourceHarness()
-		h.Guard.MaxLossFraction = 1
+		source := newSourceHarness()
+		source.Guard.MaxLossFraction = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			elapsed := rapid.IntRange(0, 20_000).Draw(t, "ms")
-			h.now = h.now.Add(time.Duration(elapsed) * time.Millisecond)
+			source.now = source.now.Add(time.Duration(elapsed) * time.Millisecond)
 			var all []record.Instance
 			listed := map[string]bool{}
 			for i := range 5 {
@@ -235,13 +235,13 @@
 					all = append(all, found)
 				}
 			}
-			h.observe(0, all...)
-			for _, used := range h.published {
+			source.observe(0, all...)
+			for _, used := range source.published {
 				if !listed[used.Name] {
 					t.Fatalf("%s is in use, although it is missing or faulty", used.Name)
 				}
 			}
-			if last := h.notified[len(h.notified)-1]; len(last.Endpoints) != len(h.published) {
+			if last := source.notified[len(source.notified)-1]; len(last.Endpoints) != len(source.published) {
 				t.Fatal("the last list passed on differs from the published one")
 			}
 		}
@@ -250,16 +250,16 @@
 
 // An instance that publishes no start and changes its address is another process, and counts as started at that moment.
 func TestServiceSourceTreatsNewAddressAsStart(t *testing.T) {
-	h := newSourceHarness()
-	h.observe(0, instance("box"))
-	require.Zero(t, h.published[0].ReadyAt)
-	h.now = h.now.Add(time.Minute)
+	source := newSourceHarness()
+	source.observe(0, instance("box"))
+	require.Zero(t, source.published[0].ReadyAt)
+	source.now = source.now.Add(time.Minute)
 	other := instance("box")
 	other.Address = netip.MustParseAddrPort("127.0.0.1:8002")
-	h.observe(0, other)
-	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
-	startedAt := clock.Of(h.now)
-	h.now = h.now.Add(time.Minute)
-	h.observe(0, other)
-	require.Equal(t, startedAt, h.published[0].ReadyAt)
+	source.observe(0, other)
+	require.Equal(t, clock.Of(source.now), source.published[0].ReadyAt)
+	startedAt := clock.Of(source.now)
+	source.now = source.now.Add(time.Minute)
+	source.observe(0, other)
+	require.Equal(t, startedAt, source.published[0].ReadyAt)
 }
--- a/internal/endpoints/services_test.go
+++ b/internal/endpoints/services_test.go
@@ -68,13 +68,15 @@
 // that does not respond affects only its own domain, whose persisted endpoints stay in use. The set of domains changes
 // while the sources run.
 func TestServiceSourcesCombineDomains(t *testing.T) {
-	a := serveDomain(t, "a.test", "box-1", "box-2")
-	b := serveDomain(t, "b.test", "box-1")
-	c := serveDomain(t, "c.test", "box-1")
-	c.Set(responder.Faults{Silent: true})
+	serverA := serveDomain(t, "a.test", "box-1", "box-2")
+	serverB := serveDomain(t, "b.test", "box-1")
+	serverC := serveDomain(t, "c.test", "box-1")
+	serverC.Set(responder.Faults{Silent: true})
 	notify, updates := receiver(t)
 	sources := NewServiceSources(notify,
-		newTestSource(a, "a.test", "a"), newTestSource(b, "b.test", "b"), newTestSource(c, "c.test", "a"))
+		newTestSource(serverA, "a.test", "a"),
+		newTestSource(serverB, "b.test", "b"),
+		newTestSource(serverC, "c.test", "a"))
 	persisted := node.Endpoint{
 		Source: "_engine._tcp.c.test",
 		Engine: standpoint.Engine{Name: "box-9@c.test", Stale: true},
@@ -83,17 +85,19 @@
 	runUntilEnd(t, sources.Run)
 	require.Equal(t, []string{"box-1@a.test", "box-2@a.test", "box-1@b.test", "box-9@c.test"},
 		endpointNames(receive(t, updates)))
-	require.NoError(t, a.Zone.Withdraw(publishedBackend("box-1", 8001)))
+	require.NoError(t, serverA.Zone.Withdraw(publishedBackend("box-1", 8001)))
 	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-9@c.test"}, endpointNames(receive(t, updates)))
-	c.Set(responder.Faults{})
+	serverC.Set(responder.Faults{})
 	last := receive(t, updates)
 	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-1@c.test"}, endpointNames(last))
 	require.False(t, last.Endpoints[2].Stale)
 
-	// a is unchanged, b gets another configuration, c is removed, d is added.
-	d := serveDomain(t, "d.test", "box-7")
+	// The source of a.test is unchanged, that of b.test gets another configuration, c.test is removed, d.test added.
+	serverD := serveDomain(t, "d.test", "box-7")
 	sources.Replace([]*ServiceSource{
-		newTestSource(a, "a.test", "a"), newTestSource(b, "b.test", "a"), newTestSource(d, "d.test", "a"),
+		newTestSource(serverA, "a.test", "a"),
+		newTestSource(serverB, "b.test", "a"),
+		newTestSource(serverD, "d.test", "a"),
 	})
 	require.Eventually(t, func() bool {
 		last = <-updates
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -172,8 +172,8 @@
 // await waits for a poll's result, and meanwhile handles late results of earlier polls. A timeout means that the watch
 // is lost: the connection is half open, or discovery has dropped the poll. After a timeout or a failure await pauses,
 // and the next poll uses another connection.
-func (w *Watcher) await(ctx context.Context, p *poll) {
-	timer := time.NewTimer(w.timeout(p))
+func (w *Watcher) await(ctx context.Context, awaited *poll) {
+	timer := time.NewTimer(w.timeout(awaited))
 	defer timer.Stop()
 	for {
 		select {
@@ -185,17 +185,17 @@
 		case result := <-w.results:
 			current, err := w.handleResult(ctx, result)
 			switch {
-			case result.poll != p && current && p.opensWatch: // an earlier poll has established the watch
-				p.cancel()
+			case result.poll != awaited && current && awaited.opensWatch: // an earlier poll has established the watch
+				awaited.cancel()
 				return
-			case result.poll != p:
+			case result.poll != awaited:
 				continue
 			case !current:
 				w.backOff(ctx, err)
 			}
 			return
 		case <-timer.C:
-			if p.opensWatch || p.full {
+			if awaited.opensWatch || awaited.full {
 				w.timeouts++
 			}
 			w.backOff(ctx, errTimeout)
--- a/internal/endpoints/watcher_silence_test.go
+++ b/internal/endpoints/watcher_silence_test.go
@@ -56,7 +56,7 @@
 			}
 			respondDraining(w, 43)
 		})
-		require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "the watch is opened again without a call of Watch")
+		require.Equal(t, "s", receive(t, updates).Endpoints[0].Name, "no call of Watch is needed")
 		require.GreaterOrEqual(t, len(queries), 4)
 	})
 }
@@ -122,14 +122,17 @@
 		"malformed JSON":                      {faultyPolls: 3, fault: respond(malformedResponse, resetConnection)},
 		"four rejections":                     {faultyPolls: 4, fault: respond(rejection, resetConnection)},
 		"resets, for 9 s":                     {faultDuration: 9 * time.Second, fault: resetConnection},
-		"rejections, for 9 s":                 {faultDuration: 9 * time.Second, fault: respond(rejection, resetConnection)},
-		"no responses, for 9 s":               {faultDuration: 9 * time.Second, fault: holdOpen},
-		"versions restart":                    {faultyPolls: 1, fault: respond(olderVersion, resetConnection)},
+		"rejections, for 9 s": {
+			faultDuration: 9 * time.Second, fault: respond(rejection, resetConnection),
+		},
+		"no responses, for 9 s": {faultDuration: 9 * time.Second, fault: holdOpen},
+		"versions restart":      {faultyPolls: 1, fault: respond(olderVersion, resetConnection)},
 		"pushed: resets, for 3 s": {
 			pushed: true, faultDuration: 3 * time.Second, reportWithin: 500 * time.Millisecond, fault: resetConnection,
 		},
 		"pushed: rejections, for 3 s": {
-			pushed: true, faultDuration: 3 * time.Second, reportWithin: time.Second, fault: respond(rejection, resetConnection),
+			pushed: true, faultDuration: 3 * time.Second, reportWithin: time.Second,
+			fault: respond(rejection, resetConnection),
 		},
 		"pushed: one poll without a response":  {pushed: true, faultyPolls: 1, fault: holdOpen},
 		"pushed: two polls without a response": {pushed: true, faultyPolls: 2, fault: holdOpen},
