--- a/internal/endpoints/service_test.go
+++ b/internal/endpoints/service_test.go
@@ -18,13 +18,15 @@
 	"standpoint/internal/node"
 )
 
-// sourceHarness is a browser without its browser: snapshots are handed in, with the time.
+// sourceHarness is a ServiceSource without a browser: tests pass snapshots and the time to it.
 type sourceHarness struct {
 	*ServiceSource
 	now      time.Time
 	notified []node.EndpointList
 }
 
+// newSourceHarness returns a harness with a guard of 0.5 and 10 s, and a damper of 3 flaps.
+
 func newSourceHarness() *sourceHarness {
 	h := &sourceHarness{now: time.Unix(1_800_000_000, 0)}
 	h.ServiceSource = &ServiceSource{
@@ -40,8 +42,8 @@
 	return h
 }
 
-// find evaluates a snapshot with these instances, and a zone's serial if that is not 0.
-func (h *sourceHarness) find(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
+// observe evaluates a snapshot with the given instances, and with the zone's serial if that is not 0.
+func (h *sourceHarness) observe(serial uint32, all ...record.Instance) (recheckAfter time.Duration) {
 	snapshot := browser.Snapshot{Instances: all, ObservedAt: h.now, Mechanism: browser.Poll}
 	if serial != 0 {
 		snapshot.Serial = &serial
@@ -51,7 +53,7 @@
 
 func (h *sourceHarness) publishedNames() []string { return endpointNames(fullList(h.published...)) }
 
-// instance returns one whose TXT record has the given text.
+// instance returns an instance whose TXT record has the given strings.
 func instance(label string, text ...string) record.Instance {
 	return record.Instance{
 		Name:       label + "._engine._tcp.hall.test.",
@@ -62,12 +64,13 @@
 	}
 }
 
-// The keys of a TXT record set the endpoint's fields, and an invalid instance affects itself alone, with its fault.
+// The keys of a TXT record set the endpoint's fields. An invalid instance affects no other, and its origin has the
+// fault.
 func TestServiceSourceReadsAttributes(t *testing.T) {
-	h := newSourceHarness()
+	source := newSourceHarness()
 	lost := instance("lost")
 	lost.Fault = errors.New("no SRV record")
-	h.find(1,
+	source.observe(1,
 		instance("box-1", "site=b", "class=slow", "share=2.5", "born_ms=7", "SITE=c"),
 		instance("box-2", "health=draining", "mode=batch", "new=1"),
 		instance("odd", "share=much"),
@@ -89,9 +92,9 @@
 			Address: address, Source: "hall",
 			Engine: standpoint.Engine{Name: "box-3", Size: 1},
 		},
-	}, h.published)
+	}, source.published)
 	origins := map[string]Origin{}
-	for _, origin := range h.Origins() {
+	for _, origin := range source.Origins() {
 		origins[origin.Name] = origin
 	}
 	require.Len(t, origins, 6)
@@ -102,7 +105,7 @@
 	require.Equal(t, uint32(120), origins["box-1"].TTL)
 }
 
-// The error of an invalid value has its key.
+// The error of an invalid value contains its key.
 func TestServiceSourceReportsInvalidAttributes(t *testing.T) {
 	for key, value := range map[string]string{
 		attributeBlock:  "first",
@@ -117,107 +120,108 @@
 	}
 }
 
-// A server that was silent for 30 s and then lists nothing has not withdrawn all: the list is held until it has stayed
-// empty, or the zone's serial has grown. A single instance that is missing is removed at once.
+// A server that lists nothing after 30 s of silence may have restarted: the previous list is held until the list has
+// been empty for the guard's hold time, or the zone's serial has increased. A single missing instance is removed at
+// once.
 func TestServiceSourceHoldsLostList(t *testing.T) {
 	all := []record.Instance{instance("box-1"), instance("box-2"), instance("box-3")}
-	h := newSourceHarness()
-	h.find(7, all...)
-	h.now = h.now.Add(30 * time.Second)
-	require.Positive(t, h.find(7))
-	require.Len(t, h.published, 3)
-	h.now = h.now.Add(9 * time.Second)
-	h.find(0)
-	require.Len(t, h.published, 3)
-	h.find(7, all...) // it was only a restart
-	h.now = h.now.Add(9 * time.Second)
-	h.find(6) // an older zone
-	require.Len(t, h.published, 3)
-	h.now = h.now.Add(11 * time.Second)
-	h.find(6)
-	require.Empty(t, h.published)
+	source := newSourceHarness()
+	source.observe(7, all...)
+	source.now = source.now.Add(30 * time.Second)
+	require.Positive(t, source.observe(7))
+	require.Len(t, source.published, 3)
+	source.now = source.now.Add(9 * time.Second)
+	source.observe(0)
+	require.Len(t, source.published, 3)
+	source.observe(7, all...) // the server had restarted
+	source.now = source.now.Add(9 * time.Second)
+	source.observe(6) // an older serial
+	require.Len(t, source.published, 3)
+	source.now = source.now.Add(11 * time.Second)
+	source.observe(6)
+	require.Empty(t, source.published)
 
-	h = newSourceHarness()
-	h.find(7, all...)
-	h.find(8) // somebody has emptied it
-	require.Empty(t, h.published)
+	source = newSourceHarness()
+	source.observe(7, all...)
+	source.observe(8) // a newer serial: the zone was emptied on purpose
+	require.Empty(t, source.published)
 
-	h = newSourceHarness()
-	h.find(7, all...)
-	h.find(7, all[:2]...)
-	require.Len(t, h.published, 2)
+	source = newSourceHarness()
+	source.observe(7, all...)
+	source.observe(7, all[:2]...)
+	require.Len(t, source.published, 2)
 }
 
-// Records that are not known for now change nothing.
+// An endpoint stays in use while its records are pending, and a new instance is not used before they are known.
 func TestServiceSourceKeepsEndpointsOfPendingRecords(t *testing.T) {
-	h := newSourceHarness()
-	h.find(7, instance("box-1", "site=b"))
+	source := newSourceHarness()
+	source.observe(7, instance("box-1", "site=b"))
 	pending := instance("box-1")
 	pending.Pending = true
-	pending.Fault = errors.New("not all records are told yet")
-	h.find(8, pending)
-	require.Len(t, h.published, 1)
-	require.Equal(t, 1, h.published[0].Zone)
+	pending.Fault = errors.New("records pending")
+	source.observe(8, pending)
+	require.Len(t, source.published, 1)
+	require.Equal(t, 1, source.published[0].Zone)
 	pending.Name = "new._engine._tcp.hall.test."
 	pending.Label = "new"
-	h.find(9, pending)
-	require.Empty(t, h.published, "box-1 is missing, and the new one is not known yet")
+	source.observe(9, pending)
+	require.Empty(t, source.published, "box-1 is missing, and the records of the new instance are pending")
 }
 
-// An instance that flaps is held back when it returns, never when it disappears.
+// A flapping instance is held back when it reappears; its disappearance always takes effect at once.
 func TestServiceSourceDampsFlappingInstances(t *testing.T) {
-	h := newSourceHarness()
+	source := newSourceHarness()
 	steady := instance("steady")
 	for i := range 3 {
-		h.find(0, instance("box-1"), steady)
-		require.Equal(t, []string{"box-1", "steady"}, h.publishedNames(), i)
-		h.find(0, steady)
-		require.Equal(t, []string{"steady"}, h.publishedNames(), i)
-		h.now = h.now.Add(time.Second)
+		source.observe(0, instance("box-1"), steady)
+		require.Equal(t, []string{"box-1", "steady"}, source.publishedNames(), i)
+		source.observe(0, steady)
+		require.Equal(t, []string{"steady"}, source.publishedNames(), i)
+		source.now = source.now.Add(time.Second)
 	}
-	h.find(0, instance("box-1"), steady) // three times are allowed
-	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
-	h.find(0, steady)
-	recheckAfter := h.find(0, instance("box-1"), steady)
-	require.Equal(t, []string{"steady"}, h.publishedNames())
+	source.observe(0, instance("box-1"), steady) // three flaps are allowed
+	require.Equal(t, []string{"box-1", "steady"}, source.publishedNames())
+	source.observe(0, steady)
+	recheckAfter := source.observe(0, instance("box-1"), steady)
+	require.Equal(t, []string{"steady"}, source.publishedNames())
 	require.Positive(t, recheckAfter)
-	require.Contains(t, h.faults["box-1._engine._tcp.hall.test."], "held back until")
+	require.Contains(t, source.faults["box-1._engine._tcp.hall.test."], "held back until")
 	require.Less(t, recheckAfter, time.Minute)
-	h.now = h.now.Add(recheckAfter)
-	h.find(0, instance("box-1"), steady)
-	require.Equal(t, []string{"box-1", "steady"}, h.publishedNames())
+	source.now = source.now.Add(recheckAfter)
+	source.observe(0, instance("box-1"), steady)
+	require.Equal(t, []string{"box-1", "steady"}, source.publishedNames())
 }
 
-// An instance that publishes no start counts as started when it appears while this node watches, or returns after a
-// while; not if it was there before, nor if a message was lost.
+// An instance that publishes no start counts as started when it appears after the first list, or reappears after
+// maxAbsence, but not if it is in the first list or is missing for a shorter time, as after a lost message.
 func TestServiceSourceObservesStarts(t *testing.T) {
-	h := newSourceHarness()
-	h.find(0, instance("old"))
-	require.Zero(t, h.published[0].ReadyAt)
-	h.now = h.now.Add(time.Minute)
-	h.find(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
-	require.Zero(t, h.published[1].ReadyAt)
-	startedAt := h.published[0].ReadyAt
-	h.find(0, instance("old"))
-	h.now = h.now.Add(100 * time.Millisecond)
-	h.find(0, instance("old"), instance("new"))
-	require.Equal(t, startedAt, h.published[0].ReadyAt)
-	h.find(0, instance("new"))
-	h.now = h.now.Add(5 * time.Second)
-	h.find(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(h.now), h.published[1].ReadyAt)
+	source := newSourceHarness()
+	source.observe(0, instance("old"))
+	require.Zero(t, source.published[0].ReadyAt)
+	source.now = source.now.Add(time.Minute)
+	source.observe(0, instance("old"), instance("new"))
+	require.Equal(t, clock.Of(source.now), source.published[0].ReadyAt)
+	require.Zero(t, source.published[1].ReadyAt)
+	startedAt := source.published[0].ReadyAt
+	source.observe(0, instance("old"))
+	source.now = source.now.Add(100 * time.Millisecond)
+	source.observe(0, instance("old"), instance("new"))
+	require.Equal(t, startedAt, source.published[0].ReadyAt)
+	source.observe(0, instance("new"))
+	source.now = source.now.Add(5 * time.Second)
+	source.observe(0, instance("old"), instance("new"))
+	require.Equal(t, clock.Of(source.now), source.published[1].ReadyAt)
 }
 
-// Whatever comes and goes: an instance that is not listed is never used after the snapshot without it, unless the guard
-// holds the list; and no faulty one is used.
+// For any sequence of snapshots, no instance that is missing from the latest one is in use unless the guard holds the
+// list, and no faulty instance is in use.
 func TestServiceSourceNeverUsesWithdrawnInstances(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newSourceHarness()
-		h.Guard.MaxLossFraction = 1
+		source := newSourceHarness()
+		source.Guard.MaxLossFraction = 1
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			elapsed := rapid.IntRange(0, 20_000).Draw(t, "ms")
-			h.now = h.now.Add(time.Duration(elapsed) * time.Millisecond)
+			source.now = source.now.Add(time.Duration(elapsed) * time.Millisecond)
 			var all []record.Instance
 			listed := map[string]bool{}
 			for i := range 5 {
@@ -231,32 +235,31 @@
 					all = append(all, found)
 				}
 			}
-			h.find(0, all...)
-			for _, used := range h.published {
+			source.observe(0, all...)
+			for _, used := range source.published {
 				if !listed[used.Name] {
-					t.Fatalf("%s is in use", used.Name)
+					t.Fatalf("%s is in use, although it is missing or faulty", used.Name)
 				}
 			}
-			if last := h.notified[len(h.notified)-1]; len(last.Endpoints) != len(h.published) {
-				t.Fatal("another list was passed on")
+			if last := source.notified[len(source.notified)-1]; len(last.Endpoints) != len(source.published) {
+				t.Fatal("the last list passed on differs from the published one")
 			}
 		}
 	})
 }
 
-// An instance that publishes no start, and is suddenly at another address, is another process and counts as started
-// then.
+// An instance that publishes no start and changes its address is another process, and counts as started at that moment.
 func TestServiceSourceTreatsNewAddressAsStart(t *testing.T) {
-	h := newSourceHarness()
-	h.find(0, instance("box"))
-	require.Zero(t, h.published[0].ReadyAt)
-	h.now = h.now.Add(time.Minute)
+	source := newSourceHarness()
+	source.observe(0, instance("box"))
+	require.Zero(t, source.published[0].ReadyAt)
+	source.now = source.now.Add(time.Minute)
 	other := instance("box")
 	other.Address = netip.MustParseAddrPort("127.0.0.1:8002")
-	h.find(0, other)
-	require.Equal(t, clock.Of(h.now), h.published[0].ReadyAt)
-	startedAt := clock.Of(h.now)
-	h.now = h.now.Add(time.Minute)
-	h.find(0, other)
-	require.Equal(t, startedAt, h.published[0].ReadyAt)
+	source.observe(0, other)
+	require.Equal(t, clock.Of(source.now), source.published[0].ReadyAt)
+	startedAt := clock.Of(source.now)
+	source.now = source.now.Add(time.Minute)
+	source.observe(0, other)
+	require.Equal(t, startedAt, source.published[0].ReadyAt)
 }
