--- a/internal/endpoints/overrides_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -17,7 +17,7 @@
 	"standpoint/internal/store"
 )
 
-// coreView is what the core has been notified of, by the endpoints' names.
+// coreView is the endpoint list of the core, from the notifications that it got, by endpoint name.
 type coreView map[string]node.Endpoint
 
 func (c coreView) update(list node.EndpointList) {
@@ -44,19 +44,19 @@
 	return channel
 }
 
-// A disabled backend is draining, whatever the source says; an enabled one counts as started then, which an older start
-// from the source does not undo.
+// A disabled backend is draining, whatever the source reports. An enabled backend counts as started at that moment,
+// even if the source reports an older start.
 func TestOverridesHoldUntilEnabled(t *testing.T) {
-	o, core := newTestOverrides(t, nil)
-	full := func(all ...node.Endpoint) { o.Update(fullList(all...)) }
-	delta := func(changed node.Endpoint) { o.Update(deltaList(changed)) }
+	overrides, core := newTestOverrides(t, nil)
+	full := func(all ...node.Endpoint) { overrides.Update(fullList(all...)) }
+	delta := func(changed node.Endpoint) { overrides.Update(deltaList(changed)) }
 	full(endpoint("a", ready, 5), endpoint("b", ready, 0))
-	require.ErrorIs(t, o.Disable("c"), ErrNeverListed)
-	require.ErrorIs(t, o.Enable("c"), ErrNeverListed)
-	require.NoError(t, o.Enable("a"), "it is not disabled")
+	require.ErrorIs(t, overrides.Disable("c"), ErrNeverListed)
+	require.ErrorIs(t, overrides.Enable("c"), ErrNeverListed)
+	require.NoError(t, overrides.Enable("a"), "a backend that is not disabled may be enabled")
 	require.EqualValues(t, 5, core["a"].ReadyAt)
 	for range 3 {
-		require.NoError(t, o.Disable("a"))
+		require.NoError(t, overrides.Disable("a"))
 		require.Equal(t, draining, core["a"].State)
 	}
 	moved := endpoint("a", ready, clock.Now())
@@ -73,17 +73,17 @@
 			full(endpoint("b", ready, 0))
 			full(moved, endpoint("b", ready, 0))
 		},
-		func() { o.Update(node.EndpointList{Kind: standpoint.ListFailed}) },
-		func() { o.cache.Resend(core.update) },
+		func() { overrides.Update(node.EndpointList{Kind: standpoint.ListFailed}) },
+		func() { overrides.cache.Resend(core.update) },
 	} {
 		report()
 		require.Equal(t, draining, core["a"].State)
 		require.Equal(t, ready, core["b"].State)
 	}
 	full(endpoint("b", ready, 0))
-	require.NoError(t, o.Disable("a"), "it was listed")
+	require.NoError(t, overrides.Disable("a"), "a backend that was listed earlier may be disabled")
 	before := clock.Now()
-	require.NoError(t, o.Enable("a"))
+	require.NoError(t, overrides.Enable("a"))
 	require.NotContains(t, core, "a")
 	delta(endpoint("a", ready, 5))
 	require.Equal(t, ready, core["a"].State)
@@ -91,15 +91,15 @@
 	startedAt := core["a"].ReadyAt
 	require.GreaterOrEqual(t, startedAt, before)
 	delta(moved)
-	require.Equal(t, startedAt, core["a"].ReadyAt, "it started while it was disabled")
+	require.Equal(t, startedAt, core["a"].ReadyAt, "the start that the source reports is before Enable")
 	later := endpoint("a", ready, startedAt+int64(time.Second))
 	delta(later)
 	require.Equal(t, later.ReadyAt, core["a"].ReadyAt)
 	require.False(t, core["b"].Reinstated)
 }
 
-// A command to one process is in effect in the other, and in the one after both, also for backends that were listed
-// once.
+// A command to one process also takes effect in the sibling process, and for backends that only the other process has
+// ever listed. If the shared record cannot be written, the command still takes effect in its own process.
 func TestOverridesAreSharedAcrossUpgrade(t *testing.T) {
 	dir := t.TempDir()
 	first := openChannel(t, dir)
@@ -107,7 +107,7 @@
 	list := fullList(endpoint("a", ready, 5), endpoint("b", ready, 5))
 	old.Update(list)
 	require.NoError(t, old.Disable("a"))
-	require.NoError(t, first.Close()) // this process's mark; a second one of the same number cannot be made beside it
+	require.NoError(t, first.Close()) // the channel's file is named after the process ID, so only one can be open here
 	next, core := newTestOverrides(t, openChannel(t, dir))
 	next.Update(list)
 	require.Equal(t, draining, core["a"].State)
@@ -130,26 +130,26 @@
 	require.Len(t, files, 1)
 	require.NoError(t, os.Chmod(dir, 0o500))
 	t.Cleanup(func() { _ = os.Chmod(dir, 0o700) })
-	if os.Geteuid() != 0 { // root may write all the same
+	if os.Geteuid() != 0 { // root may write despite the mode
 		require.ErrorIs(t, next.Enable("b"), ErrNotPersisted)
 	} else {
 		require.NoError(t, next.Enable("b"))
 	}
-	require.Equal(t, ready, core["b"].State, "carried out in any case")
+	require.Equal(t, ready, core["b"].State, "the command takes effect even if it is not persisted")
 }
 
-// While another process holds the lock of the shared file, lists are passed on, and a command is in effect here at
-// once.
+// While another process holds the lock of the shared file, lists are still passed on, and a command takes effect in
+// this process at once.
 func TestOverridesPassListsOnWhileSharedFileIsLocked(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	channel := openChannel(t, dir)
 	t.Cleanup(func() { _ = channel.Close() })
 	notify, updates := receiver(t)
-	o := NewOverrides(NewCache(nil, zap.NewNop()), notify, channel, zap.NewNop())
-	o.Update(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)))
+	overrides := NewOverrides(NewCache(nil, zap.NewNop()), notify, channel, zap.NewNop())
+	overrides.Update(fullList(endpoint("s", ready, 0), endpoint("t", ready, 0)))
 	receive(t, updates)
-	require.NoError(t, o.Enable("s")) // creates the lock's file
+	require.NoError(t, overrides.Enable("s")) // creates the lock file
 	locks, err := filepath.Glob(filepath.Join(dir, "*.lock"))
 	require.NoError(t, err)
 	require.Len(t, locks, 1)
@@ -158,10 +158,10 @@
 	defer func() { _ = lock.Close() }()
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_EX))
 	done := make(chan error, 1)
-	go func() { done <- o.Disable("t") }()
+	go func() { done <- overrides.Disable("t") }()
 	require.Equal(t, states{"t": draining}, statesOf(receive(t, updates)))
-	o.Sync()
-	o.Update(deltaList(endpoint("s", draining, 0)))
+	overrides.Sync()
+	overrides.Update(deltaList(endpoint("s", draining, 0)))
 	require.Equal(t, states{"s": draining}, statesOf(receive(t, updates)))
 	require.Empty(t, done)
 	require.NoError(t, unix.Flock(int(lock.Fd()), unix.LOCK_UN))
