--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -12,20 +12,20 @@
 	"standpoint/internal/node"
 )
 
-// ledgerFullWait is the Retry-After of a request that is rejected because the ledger takes no entries for now.
-const ledgerFullWait = 500 * time.Millisecond
+// ledgerFullRetryAfter is the Retry-After of a request rejected because the ledger accepts no entries for now.
+const ledgerFullRetryAfter = 500 * time.Millisecond
 
-// maxRetrySpread bounds the random part of a Retry-After.
-const maxRetrySpread = 500 * time.Millisecond
+// maxRetryJitter is the upper bound of the random part of a Retry-After.
+const maxRetryJitter = 500 * time.Millisecond
 
-// noBudget is the budget of a charge that counts against none.
+// noBudget is the budget index of a charge that counts against no budget.
 const noBudget = -1
 
-// Admit reserves the most that a request may cost from its tenant's budget. False: there is not enough, and the
-// client should come back after the wait.
+// Admit charges the maximum cost of a request to its tenant's budget. It returns false if the quota is not
+// sufficient or the ledger is full; the client should then retry after the wait.
 func (f *Fleet) Admit(request *standpoint.Request) (charge node.Charge, wait time.Duration, ok bool) {
 	if f.LedgerFull != nil && f.LedgerFull() {
-		return node.Charge{}, ledgerFullWait, false
+		return node.Charge{}, ledgerFullRetryAfter, false
 	}
 	if request.Tenant < 0 || request.Tenant >= len(f.TokenBudgets) || f.TokenBudgets[request.Tenant] < 0 {
 		return node.Charge{Budget: noBudget}, 0, true
@@ -45,21 +45,21 @@
 	return node.Charge{Budget: budget, Window: window, Amount: amount}, 0, true
 }
 
-// mayOverdraw reports whether requests of a class may use the overdraft now. f.mu is held.
+// mayOverdraw reports whether requests of a class may use the overdraft now. The caller holds f.mu.
 func (f *Fleet) mayOverdraw(class int) bool {
 	return class < len(f.OverdraftClasses) && f.OverdraftClasses[class] && f.isolated()
 }
 
-// retryAfter is when the client of a rejected request should come back: when the next window has begun, and not all
-// clients at that moment.
+// retryAfter returns the time after which the client of a rejected request should retry: when the next window has
+// begun, plus a random part, so that clients do not all retry at that moment.
 func (f *Fleet) retryAfter(allocation *quota.Allocation) time.Duration {
 	nextWindow := max(0, time.Duration(allocation.NextWindowStart()-f.Now()))
-	spread := max(time.Millisecond, min(allocation.Window/4, maxRetrySpread))
-	return nextWindow + rand.N(spread)
+	jitterRange := max(time.Millisecond, min(allocation.Window/4, maxRetryJitter))
+	return nextWindow + rand.N(jitterRange)
 }
 
-// Settle takes in the outcome of a request that was admitted: what it did not cost is refunded, and what it did is
-// counted.
+// Settle settles the charge of an admitted request by its outcome: it refunds the difference to the actual cost, and
+// counts and records that cost.
 func (f *Fleet) Settle(request *standpoint.Request, charge node.Charge, answer node.Answer) {
 	promptTokens := request.PromptTokens
 	if charge.UncachedTokens > 0 {
@@ -79,7 +79,7 @@
 	f.refund(charge, cost)
 }
 
-// tokenCost is what a request has cost. Where that is not known it is the most that it can have been.
+// tokenCost returns the cost of a request in tokens, or the maximum that it may be if the actual cost is not known.
 func tokenCost(promptTokens float64, request *standpoint.Request, answer node.Answer) int64 {
 	switch answer.Kind {
 	case node.Served:
@@ -97,7 +97,7 @@
 	return int64(promptTokens + request.MaxTokens)
 }
 
-// ledgerEntry is the entry of a request that was served, at least in part.
+// ledgerEntry returns the ledger entry of a request that was served, at least in part.
 func (f *Fleet) ledgerEntry(promptTokens float64, request *standpoint.Request, answer node.Answer) ledger.Entry {
 	entry := ledger.Entry{
 		Session:      request.Session,
@@ -120,7 +120,8 @@
 	return entry
 }
 
-// refund gives back what a request was charged beyond its cost. f.mu is held.
+// refund returns to its budget what a request was charged beyond its cost, unless the window has ended. The caller
+// holds f.mu.
 func (f *Fleet) refund(charge node.Charge, cost int64) {
 	if charge.Budget < 0 || cost >= charge.Amount {
 		return
@@ -133,28 +134,30 @@
 	allocation.Refund(charge.Amount-cost, charge.Window, charge.Window)
 }
 
-// Messages of logSpending. The multi-process tests sum up what nodes of this and of earlier versions spent by them.
+// Messages of logSpending. The multi-process tests use them to sum up what nodes of this and of earlier versions
+// have spent.
 const (
 	messageSpent    = "spent"
 	messageRefunded = "given back"
 )
 
-// logSpending logs what is spent, at debug level, before anything comes of it.
+// logSpending logs a charge or a refund at debug level, before anything else depends on it.
 func (f *Fleet) logSpending(message, budget string, window, amount int64) {
 	if entry := f.Log.Check(zap.DebugLevel, message); entry != nil {
 		entry.Write(zap.String("budget", budget), zap.Int64("window", window), zap.Int64("amount", amount))
 	}
 }
 
-// reservation is one of a budget's units, held in each window from first to last.
+// reservation is one unit of a budget, spent in each window from first to last.
 type reservation struct {
 	allocation *quota.Allocation
-	first      int64
-	last       int64
+	first      int64 // number of the first window
+	last       int64 // number of the last window
 }
 
-// ReserveSession reserves room for a paused session of a tenant in each window of its wait, in every budget that it
-// counts against or in none. False: there is not enough. release gives it back, and is called once.
+// ReserveSession reserves one unit for a paused session of a tenant, in each window of its wait and in every budget
+// that it counts against. It returns false, and reserves nothing, if any of them is not sufficient. The caller calls
+// release once.
 func (f *Fleet) ReserveSession(tenant int, wait time.Duration) (release func(), ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,7 +171,7 @@
 		first := allocation.CurrentWindow()
 		last := allocation.WindowAt(now + int64(wait))
 		if !allocation.Spend(1, int(last-first)) {
-			releaseAll(reservations)
+			releaseReservations(reservations)
 			return nil, false
 		}
 		reservations = append(reservations, reservation{allocation: allocation, first: first, last: last})
@@ -177,11 +180,11 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.member.Advance(f.Now())
-		releaseAll(reservations)
+		releaseReservations(reservations)
 	}, true
 }
 
-func releaseAll(reservations []reservation) {
+func releaseReservations(reservations []reservation) {
 	for _, r := range reservations {
 		r.allocation.Refund(1, r.first, r.last)
 	}
--- a/internal/fleet/admission_test.go
+++ b/internal/fleet/admission_test.go
@@ -11,9 +11,9 @@
 	"standpoint/internal/node"
 )
 
-// A request is admitted by quota that the node has, what it did not need is refunded, and its outcome is an entry;
-// what was never served costs nothing. Without quota, or where the ledger takes nothing more, it is rejected with
-// when to come back.
+// A request is charged its maximum cost, the difference to the actual cost is refunded, and its usage is recorded. A
+// request that was not served costs nothing. Without quota, or while the ledger is full, requests are rejected with
+// a time after which to retry.
 func TestAdmissionSpendsAndRefunds(t *testing.T) {
 	f := newTestFleet(t, 100, 0, true)
 	spent := func() int64 {
@@ -22,10 +22,13 @@
 	}
 	var entries []ledger.Entry
 	f.RecordUsage = func(e ledger.Entry) bool { entries = append(entries, e); return true }
-	full := false
-	f.LedgerFull = func() bool { return full }
-	served := func(out float64) node.Answer {
-		return node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Begun: true, CachedTokens: 3, OutputTokens: out}}
+	ledgerFull := false
+	f.LedgerFull = func() bool { return ledgerFull }
+	served := func(outputTokens float64) node.Answer {
+		return node.Answer{
+			Kind:  node.Served,
+			Usage: node.Usage{Known: true, Begun: true, CachedTokens: 3, OutputTokens: outputTokens},
+		}
 	}
 	charge, _, ok := f.Admit(request(20, 60))
 	require.True(t, ok)
@@ -35,8 +38,8 @@
 	f.Settle(request(20, 60), charge, served(10))
 	require.EqualValues(t, 30, spent())
 	charge, _, ok = f.Admit(request(20, 50))
-	require.True(t, ok, "what was not needed is there again")
-	charge.UncachedTokens = 5 // the rest of the prompt was charged with an earlier part
+	require.True(t, ok, "unused tokens are refunded")
+	charge.UncachedTokens = 5 // the other prompt tokens were charged with an earlier part of the session
 	paused := node.Answer{Kind: node.Served, Usage: node.Usage{Known: true, Paused: true, OutputTokens: 7}}
 	f.Settle(request(20, 50), charge, paused)
 	charge, _, ok = f.Admit(request(20, 38))
@@ -46,24 +49,24 @@
 	charge, _, ok = f.Admit(request(20, 38))
 	require.True(t, ok)
 	f.Settle(request(20, 38), charge, node.Answer{Kind: node.Broken, Usage: node.Usage{Begun: true}})
-	require.EqualValues(t, 100, spent(), "what it was is not known")
+	require.EqualValues(t, 100, spent(), "an interrupted request costs its maximum")
 	require.Equal(t, []ledger.Entry{
 		{Tenant: "acme", Class: "chat", InputTokens: 20, CachedTokens: 3, OutputTokens: 10},
 		{Tenant: "acme", Class: "chat", InputTokens: 5, OutputTokens: 7, Outcome: ledger.Paused},
 		{Tenant: "acme", Class: "chat", InputTokens: 20, Outcome: ledger.Interrupted},
 	}, entries)
-	free := request(1e6, 1e6)
-	free.Tenant = 1
-	_, _, ok = f.Admit(free)
-	require.True(t, ok, "a tenant without a budget")
-	full = true
-	_, wait, ok = f.Admit(free)
-	require.False(t, ok, "nothing is admitted that could not be charged")
+	unbudgeted := request(1e6, 1e6)
+	unbudgeted.Tenant = 1
+	_, _, ok = f.Admit(unbudgeted)
+	require.True(t, ok, "a tenant without a budget is not limited")
+	ledgerFull = true
+	_, wait, ok = f.Admit(unbudgeted)
+	require.False(t, ok, "nothing is admitted whose usage cannot be recorded")
 	require.Positive(t, wait)
 }
 
-// Safe first: an incarnation without a lease spends nothing, whoever it hears; one that is isolated uses the
-// overdraft class by class.
+// An incarnation without a lease spends nothing, whichever nodes it receives packets from. An isolated node uses the
+// overdraft, but only for the classes that may.
 func TestAdmissionWhileIsolated(t *testing.T) {
 	_, _, ok := newTestFleet(t, 100, 0, false).Admit(request(1, 1))
 	require.False(t, ok)
@@ -71,20 +74,20 @@
 	f.OverdraftClasses = []bool{true, false}
 	f.CoreSlots = []string{"b"}
 	f.siteConnectivity = site.New(site.Timing{}, f.Now(), nil)
-	other := request(20, 80)
-	other.Class = 1
-	_, _, ok = f.Admit(other)
+	otherClass := request(20, 80)
+	otherClass.Class = 1
+	_, _, ok = f.Admit(otherClass)
 	require.True(t, ok)
-	other.MaxTokens = 10
-	_, _, ok = f.Admit(other)
-	require.False(t, ok, "not this class")
+	otherClass.MaxTokens = 10
+	_, _, ok = f.Admit(otherClass)
+	require.False(t, ok, "class 1 may not use the overdraft")
 	_, _, ok = f.Admit(request(20, 30))
-	require.True(t, ok, "this one")
+	require.True(t, ok, "class 0 may use the overdraft")
 	_, _, ok = f.Admit(request(1, 1))
-	require.False(t, ok, "and no more than the overdraft")
+	require.False(t, ok, "the overdraft is used up")
 }
 
-// Room for paused sessions is reserved in all windows of the wait, and free again once it is released.
+// A paused session is reserved a unit in each window of its wait, which is free again after release.
 func TestSessionReservations(t *testing.T) {
 	f := newTestFleet(t, 1, 0, true)
 	release, ok := f.ReserveSession(0, 90*time.Minute)
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -8,10 +8,11 @@
 	"standpoint/internal/node"
 )
 
-// minConsecutiveErrors is how many errors in a row speak against a backend: one may be the request's fault.
+// minConsecutiveErrors is the number of consecutive errors that count as evidence against a backend. A single one may
+// be the fault of the request.
 const minConsecutiveErrors = 2
 
-// Listed takes in a change of the endpoint list: the backends that are ready are those that evidence is collected on.
+// Listed applies a change of the endpoint list. Evidence is collected on the backends that are ready.
 func (f *Fleet) Listed(list node.EndpointList) {
 	if list.Kind == standpoint.ListFailed {
 		return
@@ -50,7 +51,7 @@
 	delete(f.backendZones, name)
 }
 
-// backends are the backends that may be used, as the detector takes them. f.mu is held.
+// backends returns the ready backends for the detector. The caller holds f.mu.
 func (f *Fleet) backends() []outlier.Backend {
 	var backends []outlier.Backend
 	for name, startedAt := range f.backendStarts {
@@ -63,14 +64,15 @@
 	return backends
 }
 
-// BackendStart is when a backend's process was started, as listed; 0 where it is not.
+// BackendStart returns the start time of a backend's process in the endpoint list, in Unix nanoseconds, or 0 if the
+// backend is not listed as ready.
 func (f *Fleet) BackendStart(backend string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.backendStarts[backend]
 }
 
-// Finished takes in how an attempt ended, as evidence on its backend.
+// Finished records the result of an attempt as evidence on its backend.
 func (f *Fleet) Finished(observation node.Observation) {
 	name := observation.Backend
 	f.mu.Lock()
@@ -91,8 +93,8 @@
 	})
 }
 
-// evidenceKind is what the result of an attempt says of its backend, and counts errors in a row. False: it says
-// nothing. f.mu is held.
+// evidenceKind returns the kind of evidence that the result of an attempt gives on its backend, or false if it gives
+// none. It also updates the count of consecutive errors. The caller holds f.mu.
 func (f *Fleet) evidenceKind(backend string, code standpoint.OutcomeCode) (outlier.Kind, bool) {
 	switch code {
 	case standpoint.Served:
@@ -107,7 +109,8 @@
 	return 0, false
 }
 
-// outlierAdvice is what other nodes' evidence says of the backends, for the decision module to weigh. f.mu is held.
+// outlierAdvice returns the backends that are outliers by the evidence of other nodes, as advice to the decision
+// module. The caller holds f.mu.
 func (f *Fleet) outlierAdvice() *standpoint.Advice {
 	advice := &standpoint.Advice{}
 	for _, ejection := range f.member.Detector.Ejections(f.Now()) {
--- a/internal/fleet/backends_test.go
+++ b/internal/fleet/backends_test.go
@@ -12,7 +12,8 @@
 	"standpoint/internal/node"
 )
 
-// What others have observed of a backend becomes advice; a success here, or a restart of the backend, outweighs it.
+// Faults of a backend that other nodes observed become advice to the decision module. A success on this node, or a
+// restart of the backend, overrides them.
 func TestAdviceFromOthers(t *testing.T) {
 	f := newTestFleet(t, 1, 0, true)
 	list := node.EndpointList{Kind: standpoint.ListFull}
@@ -28,13 +29,13 @@
 			ObservedAt:  f.Now(),
 		}, f.Now())
 	}
-	doubts := f.outlierAdvice().Suspicions
-	require.Len(t, doubts, 1)
-	require.Equal(t, "p", doubts[0].Engine)
+	suspicions := f.outlierAdvice().Suspicions
+	require.Len(t, suspicions, 1)
+	require.Equal(t, "p", suspicions[0].Engine)
 	f.Finished(node.Observation{Backend: "p", Result: node.Result{Code: standpoint.Served}})
 	require.Empty(t, f.outlierAdvice().Suspicions)
 	f.Finished(node.Observation{Backend: "q", Result: node.Result{Code: standpoint.ServerError}})
-	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "one error may be the request's")
+	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "a single error may be the fault of the request")
 	list.Endpoints[0].ReadyAt = 8
 	f.Listed(list)
 	require.Empty(t, f.outlierAdvice().Suspicions)
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -15,8 +15,8 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// newTestFleet is the actor of one slot of three, which has no member list and sends nothing. It has a budget of
-// tokens, of which its slot's share is given, and one of two paused sessions a slot.
+// newTestFleet returns the actor of one slot of three. It has no member list and sends nothing. It has a token
+// budget, of which amount and overdraft are the quota of its slot, and a budget of two paused sessions per slot.
 func newTestFleet(t testing.TB, amount, overdraft int64, leased bool) *Fleet {
 	t.Helper()
 	tokens := &quota.Budget{
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is the actor round one member of a fleet (internal/fleet/member): it sends and receives, maintains
-// the lease of the node's slot, and serves the core. The library memberlist knows which nodes are there, and
-// carries the messages between them; what is shared, and within which bounds, is decided by the packages below this
-// one.
+// Package fleet runs one member of a fleet as an actor (internal/fleet/member has its protocol): it sends and
+// receives messages, maintains the lease of the node's slot, and serves the request core. The memberlist library
+// detects which nodes are up and carries the messages between them. What nodes share, and within which bounds, is
+// decided by the packages below this one.
 package fleet
 
 import (
@@ -28,97 +28,99 @@
 	"standpoint/internal/store"
 )
 
-// mailboxSize is how many messages may wait to be handled. Those beyond it are dropped.
+// mailboxSize is the maximum number of received messages that wait to be handled. Further ones are dropped.
 const mailboxSize = 512
 
-// SlotAddress is a member slot, and where this node reaches it.
+// SlotAddress is a member slot and the address at which this node reaches it.
 type SlotAddress struct {
 	Name    string
 	Address string
 }
 
-// Options configure a Fleet. Function fields are called from any goroutine, and must not wait.
+// Options configure a Fleet. Function fields are called from any goroutine, and must not block.
 type Options struct {
-	// MemberConfig is the protocol's configuration, but for the owner and the seed, which Open fills in.
+	// MemberConfig is the configuration of the protocol. Open fills in the owner and the seed.
 	MemberConfig member.Config
 
-	SlotName      string        // this node's
-	Listen        string        // UDP and TCP
-	Dir           string        // the node's own directory
-	Slots         []SlotAddress // in the order of MemberConfig.Slots
-	LeaseDuration time.Duration // for which the slot is claimed
-	// CoreSlots are those whose store decides for the fleet; none: all of them. A slot that is none of these is
-	// that of a site.
+	SlotName      string        // name of this node's slot
+	Listen        string        // host:port to listen on, UDP and TCP
+	Dir           string        // directory of this node's persistent state
+	Slots         []SlotAddress // all member slots, in the order of MemberConfig.Slots
+	LeaseDuration time.Duration // duration of the slot's lease, requested with each claim
+	// CoreSlots are the slots whose nodes run the store that decides for the fleet. If empty, all slots do. Every
+	// other slot is that of a remote site.
 	CoreSlots  []string
 	SiteTiming site.Timing
 
-	ClassNames       []string
-	TenantNames      []string
-	TokenBudgets     []int           // by tenant: the budget of its tokens; -1: none
+	ClassNames       []string        // class names by index, for ledger entries
+	TenantNames      []string        // tenant names by index, for ledger entries
+	TokenBudgets     []int           // by tenant: index of its token budget, or -1 for none
 	OverdraftClasses []bool          // by class: whether it may use the overdraft while this node is isolated
-	RetryBudget      int             // the budget of retries; -1: none
-	SessionBudgets   []SessionBudget // of paused sessions
-
-	RecordUsage func(ledger.Entry) bool // nil: there is no ledger
-	LedgerFull  func() bool             // nil: it never is
-	// LedgerBehind reports whether this ledger or that of the core lacks entries of the other; nil: neither does.
+	RetryBudget      int             // index of the retry budget, or -1 for none
+	SessionBudgets   []SessionBudget // budgets of paused sessions
+
+	// RecordUsage writes an entry to the ledger, and reports whether it was accepted. Nil if there is no ledger.
+	RecordUsage func(ledger.Entry) bool
+	// LedgerFull reports whether the ledger accepts no entries for now. Nil if it always accepts them.
+	LedgerFull func() bool
+	// LedgerBehind reports whether this ledger or that of the core lacks entries of the other. Nil if neither does.
 	LedgerBehind func() bool
 
 	Store       store.Store
-	Advise      func(*standpoint.Advice) // the decision module's; nil: nobody's
-	ClockOffset time.Duration            // that this node's clock is off by, for tests
+	Advise      func(*standpoint.Advice) // passes advice to the decision module; nil to discard it
+	ClockOffset time.Duration            // offset added to this node's clock, for tests
 	Invariants  *invariant.Monitor
 	Log         *zap.Logger
 }
 
-// SessionBudget is a budget of paused sessions: of one tenant, or, where that is -1, of all.
+// SessionBudget is a budget that limits paused sessions.
 type SessionBudget struct {
-	Budget int
-	Tenant int
+	Budget int // index of the budget
+	Tenant int // tenant whose sessions it limits, or -1 for all tenants
 }
 
-// Counters that a node keeps. From FirstTenantCounter on there is one for each tenant: its tokens.
+// Indexes of the counters of a node. From FirstTenantCounter on there is one for each tenant, of its tokens.
 const (
 	RequestCounter = iota
 	TokenCounter
 	FirstTenantCounter
 )
 
-// Fleet is the actor. It is safe for concurrent use.
+// Fleet is the actor of one node. It is safe for concurrent use.
 type Fleet struct {
 	Options
 	directory    *lease.Directory
 	incarnation  uint64
-	predecessors []uint64
-	addresses    map[string]string // by slot name
+	predecessors []uint64          // earlier incarnations of the same directory
+	addresses    map[string]string // addresses by slot name
 	memberlist   *memberlist.Memberlist
-	mailbox      chan []byte
+	mailbox      chan []byte // received messages that wait to be handled
 
-	droppedMessages atomic.Uint64
-	sentBytes       atomic.Uint64 // of packets and calls
+	droppedMessages atomic.Uint64 // messages dropped because the mailbox was full
+	sentBytes       atomic.Uint64 // bytes of packets and RPC messages sent
 
-	// mu guards what follows.
+	// mu guards the fields from here to callsMu.
 	mu                sync.Mutex
 	member            *member.Member
 	lease             quota.Lease
-	siteConnectivity  *site.Machine     // nil: this slot is one of the core's
-	consecutiveErrors map[string]int    // by backend
-	backendNames      map[uint64]string // by the hash of their names
-	backendStarts     map[string]int64  // by backend, as listed
-	backendZones      map[string]int    // by backend
-	rejectedRequests  uint64
-
-	// callsMu guards what follows.
+	siteConnectivity  *site.Machine     // nil if this slot is a core slot
+	consecutiveErrors map[string]int    // errors in a row, by backend name
+	backendNames      map[uint64]string // backend names by the hash of the name
+	backendStarts     map[string]int64  // start times of the listed processes, Unix nanoseconds, by backend name
+	backendZones      map[string]int    // zones by backend name
+	rejectedRequests  uint64            // requests rejected for lack of quota
+
+	// callsMu guards the fields from here to callSemaphore.
 	callsMu      sync.Mutex
-	pendingCalls map[uint64]chan rpcResponse
-	nextCallID   uint64
-	handlers     map[string]handler
-	coreLeader   string // as a site last found it; "": not known
+	pendingCalls map[uint64]chan rpcResponse // channels that receive the responses, by call ID
+	nextCallID   uint64                      // ID of the latest call
+	handlers     map[string]handler          // handlers by method
+	coreLeader   string                      // the core's leader as a site last found it; "" if not known
 
-	callSemaphore chan struct{} // holds an element for each call of another node that is being handled
+	callSemaphore chan struct{} // has an element for each call of another node that is being handled
 }
 
-// Open locks the node's directory and joins the member list. Run has to be called next, Close in the end.
+// Open locks the node's directory and joins the member list. The caller calls Run next, and Close at the end.
 func Open(options Options) (*Fleet, error) {
 	f := newFleet(options)
 	var err error
@@ -139,7 +141,7 @@
 	return f, nil
 }
 
-// newFleet returns an actor without a member, a directory and a member list.
+// newFleet returns an actor that has no member, directory or member list yet.
 func newFleet(options Options) *Fleet {
 	f := &Fleet{
 		Options:           options,
@@ -159,13 +161,13 @@
 	return f
 }
 
-// slotIndex is the index of a slot; -1: there is none of that name.
+// slotIndex returns the index of the slot with a name, or -1 if there is none.
 func (f *Fleet) slotIndex(name string) int {
 	return slices.IndexFunc(f.Slots, func(s SlotAddress) bool { return s.Name == name })
 }
 
-// Run works until ctx ends. It does not wait for calls of other nodes that are still being handled; these end by
-// callTimeout.
+// Run handles messages and timers, and maintains the lease, until ctx is done. It does not wait for calls of other
+// nodes that are still being handled; these end within callTimeout.
 func (f *Fleet) Run(ctx context.Context) {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -194,23 +196,25 @@
 	return errors.Join(f.memberlist.Leave(leaveTimeout), f.memberlist.Shutdown(), f.directory.Close())
 }
 
-// Now is the time by this node's clock, in Unix nanoseconds.
+// Now returns the time by this node's clock, in Unix nanoseconds.
 func (f *Fleet) Now() int64 { return clock.Now() + int64(f.ClockOffset) }
 
-// Owner is this incarnation of the node, in its slot.
+// Owner returns this incarnation of the node and its slot.
 func (f *Fleet) Owner() quota.Owner { return f.MemberConfig.Owner }
 
-// Identity is this incarnation of the node, and those of its directory that have ended.
+// Identity returns the slot, this incarnation of the node, and the earlier incarnations of its directory, which have
+// ended.
 func (f *Fleet) Identity() (slot string, incarnation uint64, predecessors []uint64) {
 	return f.SlotName, f.incarnation, f.predecessors
 }
 
-// IsSite reports that this node's slot is none of the core's: its own store decides nothing for the fleet.
+// IsSite reports whether this node is at a remote site, that is, in no core slot. The store of such a node decides
+// nothing for the fleet.
 func (f *Fleet) IsSite() bool {
 	return len(f.CoreSlots) > 0 && !slices.Contains(f.CoreSlots, f.SlotName)
 }
 
-// RateFactor is the part of its usual rate, from 0 to 1, at which this node takes on what others left.
+// RateFactor returns the fraction of the usual rate, from 0 to 1, at which this node takes over the work of others.
 func (f *Fleet) RateFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,8 +224,8 @@
 	return f.member.Connectivity.RateFactor(f.Now())
 }
 
-// isolated reports that this node is cut off from a majority of the others, or, if it is a site's, from the core.
-// f.mu is held.
+// isolated reports whether this node is cut off from a majority of the fleet or, at a remote site, from the core.
+// The caller holds f.mu.
 func (f *Fleet) isolated() bool {
 	if f.siteConnectivity != nil {
 		state, _ := f.siteConnectivity.Current()
@@ -231,7 +235,7 @@
 	return state == connectivity.Minority || state == connectivity.Isolated
 }
 
-// coreAlive reports that a core slot is alive. f.mu is held.
+// coreAlive reports whether any core slot is alive. The caller holds f.mu.
 func (f *Fleet) coreAlive() bool {
 	for i, slot := range f.Slots {
 		if slices.Contains(f.CoreSlots, slot.Name) && f.member.IsAlive(i) {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -23,7 +23,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// encodeFrame encodes a message as it goes between nodes: a byte that says what it is, and CBOR.
+// encodeFrame returns a function that encodes a message as nodes send it: a byte with its kind, and CBOR.
 func encodeFrame[T any](kind byte) func(T) ([]byte, error) {
 	return func(v T) ([]byte, error) {
 		raw, err := cbor.Marshal(v)
@@ -31,27 +31,28 @@
 	}
 }
 
+// decodeFrame returns a function that decodes a message of a kind.
 func decodeFrame[T any](kind byte) func([]byte) (T, error) {
 	return func(b []byte) (v T, err error) {
 		if b[0] != kind {
-			return v, fmt.Errorf("a message of kind %d, not %d", b[0], kind)
+			return v, fmt.Errorf("message has kind %d, want %d", b[0], kind)
 		}
 		return v, decoding.Unmarshal(b[1:], &v)
 	}
 }
 
-func TestGoldenCall(t *testing.T) {
+func TestGoldenRequest(t *testing.T) {
 	request := rpcRequest{ID: 1, From: 2, Method: "seat", Body: []byte(`{"name":"a"}`)}
 	golden.RoundTrip(t, "call.bin", request, encodeFrame[rpcRequest](kindRequest), decodeFrame[rpcRequest](kindRequest))
 }
 
-func TestGoldenAnswer(t *testing.T) {
+func TestGoldenResponse(t *testing.T) {
 	response := rpcResponse{ID: 1, Body: []byte("{}"), Error: "no", NotLeader: true, Leader: "b"}
 	golden.RoundTrip(t, "answer.bin", response,
 		encodeFrame[rpcResponse](kindResponse), decodeFrame[rpcResponse](kindResponse))
 }
 
-// A packet of the build before is read as it comes from the network.
+// A packet sent by an earlier build is decoded and handled.
 func TestGoldenPacket(t *testing.T) {
 	packet := member.Packet{
 		From:          quota.Owner{Slot: 1, Incarnation: 2},
@@ -82,13 +83,13 @@
 	f := newTestFleet(t, 1, 0, true)
 	f.handleMessage(t.Context(), golden.Read(t, "packet.bin", nil))
 	require.Equal(t, 2, f.member.LivePeers())
-	row, ok := f.member.Counters.Latest(2)
+	snapshot, ok := f.member.Counters.Latest(2)
 	require.True(t, ok)
-	require.Equal(t, packet.Updates[0].Counters, row)
+	require.Equal(t, packet.Updates[0].Counters, snapshot)
 }
 
-// A record of a seat that an earlier build wrote is read by the leader, and the next claim goes by it.
-func TestGoldenSeatInTheStore(t *testing.T) {
+// The leader decodes a lease record that an earlier build wrote, and bases its decision on the next claim on it.
+func TestGoldenLeaseRecordInStore(t *testing.T) {
 	f := newTestFleet(t, 1, 0, true)
 	f.Store = store.NewMemory()
 	record := golden.Read(t, "seat-record.json", func() []byte {
@@ -118,11 +119,11 @@
 	raw, err := f.handleLeaseClaim(t.Context(), claim)
 	require.NoError(t, err)
 	require.Equal(t, string(raw), string(f.Store.Get("fleet/seat/b").Data))
-	var given lease.Record
-	require.NoError(t, json.Unmarshal(raw, &given))
-	require.EqualValues(t, 9, given.Incarnation)
-	require.EqualValues(t, 8, given.FencingToken)
-	require.True(t, given.Successor)
+	var granted lease.Record
+	require.NoError(t, json.Unmarshal(raw, &granted))
+	require.EqualValues(t, 9, granted.Incarnation)
+	require.EqualValues(t, 8, granted.FencingToken)
+	require.True(t, granted.Successor)
 }
 
 func TestGoldenStatus(t *testing.T) {
@@ -174,88 +175,88 @@
 		func(b []byte) (v Status, err error) { return v, json.Unmarshal(b, &v) })
 }
 
-// shape lists the keys of a JSON value, sorted; of lists that of their first element.
-func shape(value any, path string) []string {
+// jsonKeys returns the paths of all keys of a JSON value, sorted. Of a list, it takes the first element.
+func jsonKeys(value any, path string) []string {
 	switch value := value.(type) {
 	case map[string]any:
-		var all []string
+		var keys []string
 		for key, v := range value {
-			all = append(all, shape(v, path+"."+key)...)
+			keys = append(keys, jsonKeys(v, path+"."+key)...)
 		}
-		slices.Sort(all)
-		return all
+		slices.Sort(keys)
+		return keys
 	case []any:
 		if len(value) > 0 {
-			return shape(value[0], path+"[]")
+			return jsonKeys(value[0], path+"[]")
 		}
 		return []string{path + "[]"}
 	}
 	return []string{path}
 }
 
-// The keys of a running node's status, those of maps included.
-func TestGoldenStatusOfANode(t *testing.T) {
+// The status of a running node has the expected keys, including those of maps.
+func TestGoldenStatusKeys(t *testing.T) {
 	raw, err := json.Marshal(startNode(t, "a", freeSlots(t, "a", "b")).Status())
 	require.NoError(t, err)
 	var value any
 	require.NoError(t, json.Unmarshal(raw, &value))
-	golden.Bytes(t, "status-keys.txt", []byte(strings.Join(shape(value, ""), "\n")+"\n"))
+	golden.Bytes(t, "status-keys.txt", []byte(strings.Join(jsonKeys(value, ""), "\n")+"\n"))
 }
 
 func TestGoldenErrors(t *testing.T) {
 	var text strings.Builder
-	say := func(err error) {
+	writeError := func(err error) {
 		t.Helper()
 		require.Error(t, err)
 		fmt.Fprintln(&text, err)
 	}
-	say(ErrNoLeader)
+	writeError(ErrNoLeader)
 
 	slots := freeSlots(t, "a", "b", "c")
 	a, b := startNode(t, "a", slots), startNode(t, "b", slots)
-	var back string
-	say(a.CallMember(t.Context(), "nobody", "x", 1, &back))
-	say(a.CallMember(t.Context(), "a", "x", 1, &back))
-	say(a.CallMember(t.Context(), "b", "nothing", 1, &back))
+	var result string
+	writeError(a.CallMember(t.Context(), "nobody", "x", 1, &result))
+	writeError(a.CallMember(t.Context(), "a", "x", 1, &result))
+	writeError(a.CallMember(t.Context(), "b", "nothing", 1, &result))
 	HandleOnAnyMember(b, "fails", func(int) (string, error) { return "", fmt.Errorf("it does not") })
-	say(a.CallMember(t.Context(), "b", "fails", 1, &back))
-	err := a.CallMember(t.Context(), "c", "x", 1, &back)
+	writeError(a.CallMember(t.Context(), "b", "fails", 1, &result))
+	err := a.CallMember(t.Context(), "c", "x", 1, &result)
 	require.ErrorIs(t, err, ErrNoLeader)
 	require.True(t, strings.HasPrefix(err.Error(), ErrNoLeader.Error()+": "), err)
 
 	f := newTestFleet(t, 1, 0, true)
 	f.Store = store.NewMemory()
 	_, err = f.handleLeaseClaim(t.Context(), []byte(`{"name":"nobody"}`))
-	say(err)
+	writeError(err)
 	_, err = f.Store.Write(t.Context(), store.Op{Key: "fleet/seat/b", Data: []byte("{")})
 	require.NoError(t, err)
 	_, err = f.handleLeaseClaim(t.Context(), []byte(`{"name":"b"}`))
-	say(err)
+	writeError(err)
 	f.CoreSlots, f.SlotName = []string{"b"}, "elsewhere"
 	f.Slots[1].Name = "other"
-	say(f.CallLeader(t.Context(), "seat", 1, nil))
+	writeError(f.CallLeader(t.Context(), "seat", 1, nil))
 
 	_, err = Open(Options{MemberConfig: a.MemberConfig, Dir: a.Dir, Slots: slots, SlotName: "a", Log: zap.NewNop()})
 	require.Error(t, err)
-	say(fmt.Errorf("%s", strings.ReplaceAll(err.Error(), a.Dir, "DIR")))
-	o := a.Options
-	o.Dir = filepath.Join(t.TempDir(), "fleet")
-	o.Listen = "127.0.0.1"
-	_, err = Open(o)
-	say(err)
-	o.Listen = "127.0.0.1:port"
-	_, err = Open(o)
-	say(err)
-	o.Listen = slots[1].Address
-	_, err = Open(o)
+	writeError(fmt.Errorf("%s", strings.ReplaceAll(err.Error(), a.Dir, "DIR")))
+	options := a.Options
+	options.Dir = filepath.Join(t.TempDir(), "fleet")
+	options.Listen = "127.0.0.1"
+	_, err = Open(options)
+	writeError(err)
+	options.Listen = "127.0.0.1:port"
+	_, err = Open(options)
+	writeError(err)
+	options.Listen = slots[1].Address
+	_, err = Open(options)
 	require.ErrorContains(t, err, "fleet.listen: ")
 	golden.Bytes(t, "errors.txt", []byte(text.String()))
-	_, err = os.Stat(filepath.Join(o.Dir, "seat.json"))
+	_, err = os.Stat(filepath.Join(options.Dir, "seat.json"))
 	require.NoError(t, err)
 }
 
-// The names of what a node does for others, and of what its own seat is kept under.
-func TestGoldenNames(t *testing.T) {
+// The kinds of messages, the name of the method that grants leases, and the store key of a lease do not change.
+func TestGoldenMessageKindsAndLeaseKey(t *testing.T) {
 	a := startNode(t, "a", freeSlots(t, "a"))
 	require.Contains(t, a.handlers, "seat")
 	leased := func() bool { return a.Store.Get("fleet/seat/a").Version != 0 }
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -11,19 +11,21 @@
 	"standpoint/internal/fleet/member"
 )
 
-// rejoinInterval is how often slots are looked for that the member list lacks.
+// rejoinInterval is the time between two attempts to join a slot that is missing from the member list.
 const rejoinInterval = time.Second
 
-// Kinds of messages between nodes: the first byte of each. CBOR follows.
+// Kinds of messages between nodes. The kind is the first byte of a message, and is followed by CBOR.
 const (
 	kindPacket = iota + 1
 	kindRequest
 	kindResponse
 )
 
+// maxMessageBytes is the maximum size of a received message, in bytes. Larger ones are dropped.
 const maxMessageBytes = 64 << 10
 
-// decoding is bounded: what comes from the network takes no more memory than a message may hold.
+// decoding decodes messages from the network. Its limits keep a malformed message from taking more memory than a
+// valid one.
 var decoding = newDecoding()
 
 func newDecoding() cbor.DecMode {
@@ -35,12 +37,12 @@
 	}
 	mode, err := options.DecMode()
 	if err != nil {
-		panic(err) // the options are constants of this program
+		panic(err) // cannot happen: the options are constants
 	}
 	return mode
 }
 
-// tick sends this node's packets, and gives the decision module the advice that follows from those of others.
+// tick sends this node's packets, and passes the suspicions that follow from those of others to the decision module.
 func (f *Fleet) tick() {
 	listed := f.listedMembers()
 	f.mu.Lock()
@@ -54,7 +56,7 @@
 	}
 }
 
-// updateSiteConnectivity moves on the state of a site. f.mu is held.
+// updateSiteConnectivity updates the connectivity state of a remote site. The caller holds f.mu.
 func (f *Fleet) updateSiteConnectivity() {
 	if f.siteConnectivity == nil {
 		return
@@ -74,15 +76,15 @@
 			continue
 		}
 		f.sentBytes.Add(uint64(len(encoded)))
-		_ = f.memberlist.SendBestEffort(f.memberNode(o.To), frame(kindPacket, encoded)) // a packet may be lost
+		_ = f.memberlist.SendBestEffort(f.memberNode(o.To), frame(kindPacket, encoded)) // packets may be lost
 	}
 }
 
-// frame puts the kind of a message before it.
+// frame returns a message of a kind: the kind byte and the encoded content.
 func frame(kind byte, encoded []byte) []byte { return append([]byte{kind}, encoded...) }
 
-// rejoin looks for a slot that the member list lacks: after a partition the library's two sides do not look for
-// each other.
+// rejoin tries to join one slot that is missing from the member list, chosen at random. The library does not
+// reconnect the two sides of a partition by itself.
 func (f *Fleet) rejoin() {
 	listed := f.listedMembers()
 	var missing []SlotAddress
@@ -95,11 +97,11 @@
 		return
 	}
 	slot := missing[rand.IntN(len(missing))]
-	// Not waited for, since it may take as long as a dial; it fails where the node is down.
+	// Join is not awaited, since it may take as long as a dial. It fails if the node is down.
 	go func() { _, _ = f.memberlist.Join([]string{slot.Name + "/" + slot.Address}) }()
 }
 
-// handleMessage handles a message from the mailbox. Those that are malformed are dropped.
+// handleMessage handles a message from the mailbox. Malformed messages are dropped.
 func (f *Fleet) handleMessage(ctx context.Context, message []byte) {
 	if len(message) < 2 || len(message) > maxMessageBytes {
 		return
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	leaseKeyPrefix = "fleet/seat/" // in the store; the slot's name follows
-	claimMethod    = "seat"        // by which the leader is called
+	leaseKeyPrefix = "fleet/seat/" // prefix of the store keys of lease records; the slot's name follows
+	claimMethod    = "seat"        // name of the leader's method that grants leases
 )
 
 const (
-	claimRetryInterval = 2 * time.Second // at the most, after a claim that failed
-	firstClaimRetry    = claimRetryInterval / 8
-	renewalsPerLease   = 3 // a lease is claimed anew after this part of its duration
+	claimRetryInterval = 2 * time.Second        // maximum interval between claims while they fail
+	firstClaimRetry    = claimRetryInterval / 8 // doubled with each failed claim, up to claimRetryInterval
+	renewalsPerLease   = 3                      // renewals within the duration of a lease
 )
 
-// handleLeaseClaim grants a slot, or renews its lease. This node leads.
+// handleLeaseClaim grants a slot, or renews its lease. It is called on the store's leader.
 func (f *Fleet) handleLeaseClaim(ctx context.Context, body []byte) ([]byte, error) {
 	var claim lease.Claim
 	if err := json.Unmarshal(body, &claim); err != nil {
@@ -57,8 +57,8 @@
 	return encoded, nil
 }
 
-// maintainLease claims the node's slot, and renews its lease in time, until ctx ends. A node whose claim fails goes
-// on by its last lease until that expires.
+// maintainLease claims the node's slot, and renews its lease before it expires, until ctx is done. A node whose
+// claims fail continues under its last lease until that expires.
 func (f *Fleet) maintainLease(ctx context.Context) {
 	interval := firstClaimRetry
 	for {
@@ -72,14 +72,14 @@
 			}
 			interval = min(claimRetryInterval, 2*interval, f.LeaseDuration/renewalsPerLease)
 		}
-		// Half of the interval is random: all nodes of a fleet may have started together.
+		// Half of the interval is random, since all nodes of a fleet may have started at the same time.
 		if !transient.Sleep(ctx, interval/2+time.Duration(float64(interval)/2*rand.Float64())) {
 			return
 		}
 	}
 }
 
-// claimSlot asks the leader for the node's slot.
+// claimSlot claims the node's slot from the leader, and returns the record that the leader wrote.
 func (f *Fleet) claimSlot(ctx context.Context) (lease.Record, error) {
 	claim := lease.Claim{
 		Slot:         f.SlotName,
@@ -93,7 +93,7 @@
 	return record, err
 }
 
-// applyLease takes in a lease that was granted to this incarnation.
+// applyLease puts a lease that was granted to this incarnation into effect.
 func (f *Fleet) applyLease(record lease.Record) {
 	f.mu.Lock()
 	if record.FencingToken != f.lease.FencingToken {
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -19,8 +19,8 @@
 	"standpoint/internal/store"
 )
 
-// startNode opens and runs the node of a slot, which leads a store of its own unless edits say otherwise. It is stopped
-// when the test ends.
+// startNode opens and runs the node of a slot until the test ends. It has a store of its own, which it leads, unless
+// edits change that.
 func startNode(t *testing.T, name string, slots []SlotAddress, edits ...func(*Options)) *Fleet {
 	t.Helper()
 	budget := &quota.Budget{
@@ -85,11 +85,11 @@
 	t.Cleanup(func() {
 		cancel()
 		<-stopped
-		_ = f.Close() // it fails where nobody heard in time that the node leaves
+		_ = f.Close() // fails if no other node acknowledged in time that this one leaves
 	})
 }
 
-// freeSlots are slots of the given names, at addresses that are free.
+// freeSlots returns slots with the given names, each with the address of an unused port.
 func freeSlots(t *testing.T, names ...string) (slots []SlotAddress) {
 	t.Helper()
 	for _, name := range names {
--- a/internal/fleet/rpc.go
+++ b/internal/fleet/rpc.go
@@ -15,55 +15,56 @@
 )
 
 const (
-	callTimeout        = 1500 * time.Millisecond // after which a response is not waited for any more
-	maxConcurrentCalls = 32                      // of other nodes that are handled at once
+	callTimeout        = 1500 * time.Millisecond // maximum time of a call, at its caller and at its handler
+	maxConcurrentCalls = 32                      // maximum number of calls of other nodes handled at once
 )
 
-// rpcRequest calls a method of another node, mostly one that only the store's leader has. It may be carried out
-// although its response is lost, so methods have to be idempotent.
+// rpcRequest is a call of a method of another node, in most cases one that only the store's leader handles. The call
+// may be handled although its response is lost, so methods must be idempotent.
 type rpcRequest struct {
 	ID     uint64 `cbor:"1,keyasint"`
-	From   int    `cbor:"2,keyasint"` // the caller's slot
+	From   int    `cbor:"2,keyasint"` // index of the caller's slot
 	Method string `cbor:"3,keyasint"`
-	Body   []byte `cbor:"4,keyasint"` // JSON
+	Body   []byte `cbor:"4,keyasint"` // arguments, as JSON
 }
 
+// rpcResponse is the response to an rpcRequest.
 type rpcResponse struct {
-	ID        uint64 `cbor:"1,keyasint"`
-	Body      []byte `cbor:"2,keyasint"` // JSON
-	Error     string `cbor:"3,keyasint,omitempty"`
-	NotLeader bool   `cbor:"4,keyasint,omitempty"` // nothing was done: the node does not lead
-	Leader    string `cbor:"5,keyasint,omitempty"` // the node that does, as far as known there
+	ID        uint64 `cbor:"1,keyasint"`           // ID of the request
+	Body      []byte `cbor:"2,keyasint"`           // result, as JSON
+	Error     string `cbor:"3,keyasint,omitempty"` // why the call was rejected; "" if it succeeded
+	NotLeader bool   `cbor:"4,keyasint,omitempty"` // the call was not handled, because the node does not lead
+	Leader    string `cbor:"5,keyasint,omitempty"` // the leader's name, if that node knows it
 }
 
-// ErrNoLeader is returned where no leader can be reached: this node can neither know nor change what the fleet
-// agrees on.
+// ErrNoLeader is returned if no leader can be reached. Without one, this node can neither read nor change the state
+// that the fleet agrees on.
 var ErrNoLeader = errors.New("no leader of the store can be reached")
 
-// RejectedError is returned where another node has rejected a call.
+// RejectedError is returned if another node has rejected a call.
 type RejectedError struct {
 	Method string
-	Reason string
+	Reason string // error text of the other node
 }
 
-// Error implements error. It is the reason alone, as the other node gave it.
+// Error implements error. It returns the reason alone, as the other node gave it.
 func (e *RejectedError) Error() string { return e.Reason }
 
-// handlerFunc carries out a call. Its body and its result are JSON.
+// handlerFunc handles a call. Its body and its result are JSON.
 type handlerFunc func(ctx context.Context, body []byte) ([]byte, error)
 
 // handler is a method that other nodes may call.
 type handler struct {
 	handle      handlerFunc
-	onAnyMember bool // false: only where this node leads
+	onAnyMember bool // whether the method is handled even if this node does not lead
 }
 
-// HandleOnLeader registers a method that other nodes may call while this node leads.
+// HandleOnLeader registers a method that other nodes may call while this node is the store's leader.
 func (f *Fleet) HandleOnLeader(method string, handle func(context.Context, []byte) ([]byte, error)) {
 	f.register(method, handler{handle: handle})
 }
 
-// HandleOnAnyMember registers a method that other nodes may call whether or not this node leads.
+// HandleOnAnyMember registers a method that other nodes may call whether or not this node is the store's leader.
 func HandleOnAnyMember[In, Out any](f *Fleet, method string, handle func(In) (Out, error)) {
 	f.register(method, handler{onAnyMember: true, handle: func(_ context.Context, body []byte) ([]byte, error) {
 		var in In
@@ -84,15 +85,15 @@
 	f.handlers[method] = h
 }
 
+// handlerOf returns the handler of a method. Its handle is nil if there is none.
 func (f *Fleet) handlerOf(method string) handler {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
 	return f.handlers[method]
 }
 
-// CallMember calls a method of the node in a slot. in is encoded as JSON, and the result decoded into out. The
-// error is a *RejectedError where that node has rejected the call, and wraps ErrNoLeader where it cannot be
-// reached.
+// CallMember calls a method of the node in another slot. It encodes in as JSON, and decodes the result into out. The
+// error is a *RejectedError if that node rejected the call, and wraps ErrNoLeader if it cannot be reached.
 func (f *Fleet) CallMember(ctx context.Context, slotName, method string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -100,7 +101,7 @@
 	}
 	slot := f.slotIndex(slotName)
 	if slot < 0 || slot == f.MemberConfig.Owner.Slot {
-		return fmt.Errorf("%q is no other seat", slotName)
+		return fmt.Errorf("%q is not another member slot", slotName)
 	}
 	response, err := f.roundTrip(ctx, slot, method, body)
 	if err != nil {
@@ -109,9 +110,9 @@
 	return json.Unmarshal(response.Body, out)
 }
 
-// CallLeader calls a method of the store's leader, which may be this node. in is encoded as JSON, and the result
-// decoded into out, if that is not nil. An error that is no *RejectedError leaves open whether the call was carried
-// out.
+// CallLeader calls a method of the store's leader, which may be this node. It encodes in as JSON, and decodes the
+// result into out unless that is nil. After an error other than a *RejectedError, the call may or may not have been
+// handled.
 func (f *Fleet) CallLeader(ctx context.Context, method string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -132,7 +133,8 @@
 	return json.Unmarshal(result, out)
 }
 
-// callRemoteLeader calls the leader of the core's store. A site that does not know it asks a core node, which names it.
+// callRemoteLeader calls the leader of the core's store. A remote site that does not know the leader calls a core
+// node, whose response names it.
 func (f *Fleet) callRemoteLeader(ctx context.Context, method string, body []byte) ([]byte, error) {
 	leader := f.presumedLeader()
 	for range 2 {
@@ -142,10 +144,10 @@
 		}
 		response, err := f.roundTrip(ctx, slot, method, body)
 		if err != nil || !response.NotLeader {
-			f.rememberLeader(leader, err == nil)
+			f.recordLeader(leader, err == nil)
 			return response.Body, err
 		}
-		f.rememberLeader(leader, false)
+		f.recordLeader(leader, false)
 		if !f.IsSite() || response.Leader == "" {
 			break
 		}
@@ -154,8 +156,8 @@
 	return nil, ErrNoLeader
 }
 
-// presumedLeader is the node to call first: the leader as far as known, or, at a site that does not know it, any
-// core node.
+// presumedLeader returns the node to call first: the leader if it is known, else, at a remote site, a random core
+// node.
 func (f *Fleet) presumedLeader() string {
 	if !f.IsSite() {
 		return f.Store.Leader()
@@ -168,8 +170,8 @@
 	return f.CoreSlots[rand.IntN(len(f.CoreSlots))]
 }
 
-// rememberLeader notes whether a node answered as the leader. Where it did not the leader is not known.
-func (f *Fleet) rememberLeader(name string, leads bool) {
+// recordLeader records the result of calling a node as the leader. Unless it was, the core's leader is unknown.
+func (f *Fleet) recordLeader(name string, leads bool) {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
 	f.coreLeader = ""
@@ -186,7 +188,7 @@
 	defer f.endCall(id)
 	request := rpcRequest{ID: id, From: f.MemberConfig.Owner.Slot, Method: method, Body: body}
 	sent := make(chan error, 1)
-	go func() { sent <- f.sendReliable(slot, kindRequest, request) }() // it ends by the library's timeout
+	go func() { sent <- f.sendReliable(slot, kindRequest, request) }() // bounded by the library's timeout
 	for {
 		select {
 		case <-ctx.Done():
@@ -204,7 +206,7 @@
 	}
 }
 
-// beginCall registers a call, so that handleResponse hands its response on.
+// beginCall registers a call. handleResponse sends its response to the returned channel.
 func (f *Fleet) beginCall() (id uint64, responses chan rpcResponse) {
 	responses = make(chan rpcResponse, 1)
 	f.callsMu.Lock()
@@ -214,13 +216,14 @@
 	return f.nextCallID, responses
 }
 
+// endCall removes a call. Responses to it are ignored from then on.
 func (f *Fleet) endCall(id uint64) {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
 	delete(f.pendingCalls, id)
 }
 
-// sendReliable sends a message over TCP. It returns an error where the library could not bring it to the node.
+// sendReliable sends a message to a slot over TCP. It returns an error if the library could not deliver it.
 func (f *Fleet) sendReliable(slot int, kind byte, message any) error {
 	encoded, err := cbor.Marshal(message)
 	if err != nil {
@@ -230,8 +233,8 @@
 	return f.memberlist.SendReliable(f.memberNode(slot), frame(kind, encoded))
 }
 
-// handleRequest carries out a call of another node, on a goroutine of its own. Where too many are being handled the
-// request is dropped: its caller hears nothing, and calls again.
+// handleRequest handles a call of another node on a goroutine of its own. If maxConcurrentCalls are being handled,
+// the request is dropped; its caller times out and calls again.
 func (f *Fleet) handleRequest(ctx context.Context, encoded []byte) {
 	var request rpcRequest
 	err := decoding.Unmarshal(encoded, &request)
@@ -248,15 +251,15 @@
 		defer func() { <-f.callSemaphore }()
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		response := f.carryOut(ctx, request)
+		response := f.dispatch(ctx, request)
 		if err := f.sendReliable(request.From, kindResponse, response); err != nil {
 			f.Log.Info("response not sent", zap.String("to", f.Slots[request.From].Name), zap.Error(err))
 		}
 	}()
 }
 
-// carryOut calls the handler of a request.
-func (f *Fleet) carryOut(ctx context.Context, request rpcRequest) rpcResponse {
+// dispatch calls the handler of a request, and returns the response to send.
+func (f *Fleet) dispatch(ctx context.Context, request rpcRequest) rpcResponse {
 	response := rpcResponse{ID: request.ID}
 	h := f.handlerOf(request.Method)
 	_, leads := f.Store.Leadership()
@@ -280,7 +283,7 @@
 	return response
 }
 
-// handleResponse hands a response to the call that waits for it.
+// handleResponse passes a response to the call that waits for it.
 func (f *Fleet) handleResponse(encoded []byte) {
 	var response rpcResponse
 	if err := decoding.Unmarshal(encoded, &response); err != nil {
@@ -295,6 +298,6 @@
 	}
 	select {
 	case responses <- response:
-	default: // it has a response already
+	default: // the call has received a response already
 	}
 }
--- a/internal/fleet/rpc_test.go
+++ b/internal/fleet/rpc_test.go
@@ -11,8 +11,8 @@
 	"standpoint/internal/store"
 )
 
-// A call has its result from the other node, or that node's rejection as a typed error; a node that cannot be
-// reached is told apart from both.
+// A call returns the result of the other node, or its rejection as a RejectedError. The error for a node that cannot
+// be reached is a different one.
 func TestCallMember(t *testing.T) {
 	slots := freeSlots(t, "a", "b", "c")
 	a, b := startNode(t, "a", slots), startNode(t, "b", slots)
@@ -33,7 +33,7 @@
 	require.False(t, errors.As(err, &rejected))
 }
 
-// followerStore is a store that another member leads.
+// followerStore is a store whose leader is another member.
 type followerStore struct {
 	store.Store
 	leader string
@@ -42,7 +42,8 @@
 func (s followerStore) Leadership() (uint64, bool) { return 0, false }
 func (s followerStore) Leader() string             { return s.leader }
 
-// A site does not ask its own store who leads. It calls a core node, which names the leader, and remembers that one.
+// The store of a remote site does not know the leader of the core. The site calls a core node, whose response names
+// the leader, calls that one, and remembers it.
 func TestSiteFindsTheLeaderOfTheCore(t *testing.T) {
 	slots := freeSlots(t, "site", "core1", "core2")
 	core := func(o *Options) { o.CoreSlots = []string{"core1", "core2"} }
@@ -52,7 +53,7 @@
 			return json.Marshal(node.SlotName)
 		})
 	}
-	// It knows one core node alone, so that it calls the follower first.
+	// Only the follower is configured as a core node, so that the site calls it first.
 	site := startNode(t, "site", slots, func(o *Options) { o.CoreSlots = []string{"core1"} })
 	var name string
 	require.NoError(t, site.CallLeader(t.Context(), "name", 1, &name))
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,51 +7,51 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// PeerStatus is what is known of another member slot.
+// PeerStatus is what this node knows of another member slot.
 type PeerStatus struct {
 	Slot        string  `json:"seat"`
-	Listed      bool    `json:"there"`  // by the member list
-	Alive       bool    `json:"heard"`  // within the heartbeat timeout
-	ReportAge   float64 `json:"age"`    // seconds, of its latest counters; -1: there are none
-	Incarnation uint64  `json:"life"`   // that sent them
-	Tokens      int64   `json:"tokens"` // that that incarnation has charged
+	Listed      bool    `json:"there"`  // whether the member list has it
+	Alive       bool    `json:"heard"`  // whether it was alive within the heartbeat timeout
+	ReportAge   float64 `json:"age"`    // age of its latest counters in seconds; -1 if there are none
+	Incarnation uint64  `json:"life"`   // incarnation that sent its latest counters
+	Tokens      int64   `json:"tokens"` // tokens that this incarnation has charged
 }
 
-// Status is how this node stands in its fleet.
+// Status is the state of this node in its fleet.
 type Status struct {
 	Slot             string                     `json:"seat"`
 	Incarnation      uint64                     `json:"life"`
-	State            string                     `json:"mode"`           // of its connectivity
-	SiteState        string                     `json:"site,omitempty"` // of a site's connectivity to the core
-	StateAge         float64                    `json:"since"`          // seconds, of State
-	RateFactor       float64                    `json:"pace"`
-	LeaseRemaining   float64                    `json:"lease"` // seconds; 0: there is no lease
-	FencingToken     uint64                     `json:"epoch"`
-	Leader           string                     `json:"leader"` // of the store, as far as known
+	State            string                     `json:"mode"`           // connectivity state
+	SiteState        string                     `json:"site,omitempty"` // a remote site's connectivity to the core
+	StateAge         float64                    `json:"since"`          // age of State in seconds
+	RateFactor       float64                    `json:"pace"`           // see connectivity.Machine.RateFactor
+	LeaseRemaining   float64                    `json:"lease"`          // seconds to its expiry; 0 without a lease
+	FencingToken     uint64                     `json:"epoch"`          // fencing token of the lease; 0 without one
+	Leader           string                     `json:"leader"`         // the store's leader; "" if not known
 	Peers            []PeerStatus               `json:"peers"`
 	Budgets          []quota.Usage              `json:"budgets"`
-	Counters         map[string]counter.Reading `json:"counts"`
-	LiveMembers      counter.Reading            `json:"live"`
-	SuspectBackends  []string                   `json:"doubted"`  // that other nodes' evidence speaks against
-	RejectedRequests uint64                     `json:"refused"`  // for want of quota
-	SentBytes        uint64                     `json:"sent"`     // of packets and calls
-	DroppedMessages  uint64                     `json:"dropped"`  // that came while too many waited
-	Violations       map[string]uint64          `json:"breaches"` // of invariants
+	Counters         map[string]counter.Reading `json:"counts"`   // sums over the fleet, by counter name
+	LiveMembers      counter.Reading            `json:"live"`     // number of nodes that are up
+	SuspectBackends  []string                   `json:"doubted"`  // backends to eject by the evidence of other nodes
+	RejectedRequests uint64                     `json:"refused"`  // requests rejected for lack of quota
+	SentBytes        uint64                     `json:"sent"`     // bytes of packets and RPC messages sent
+	DroppedMessages  uint64                     `json:"dropped"`  // messages dropped because the mailbox was full
+	Violations       map[string]uint64          `json:"breaches"` // invariant violations by rule name
 }
 
-// Status describes the node as it stands.
+// Status returns the present state of the node.
 func (f *Fleet) Status() Status {
 	listed := f.listedMembers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.member.Advance(f.Now())
-	state, since := f.member.Connectivity.Current()
+	state, enteredAt := f.member.Connectivity.Current()
 	counters := f.member.Counters
 	status := Status{
 		Slot:         f.SlotName,
 		Incarnation:  f.incarnation,
 		State:        state.String(),
-		StateAge:     seconds(now - since),
+		StateAge:     seconds(now - enteredAt),
 		RateFactor:   f.member.Connectivity.RateFactor(now),
 		FencingToken: f.lease.FencingToken,
 		Leader:       f.Store.Leader(),
@@ -81,13 +81,13 @@
 	for _, allocation := range f.member.Allocations {
 		status.Budgets = append(status.Budgets, allocation.Usage())
 	}
-	for _, doubt := range f.outlierAdvice().Suspicions {
-		status.SuspectBackends = append(status.SuspectBackends, doubt.Engine)
+	for _, suspicion := range f.outlierAdvice().Suspicions {
+		status.SuspectBackends = append(status.SuspectBackends, suspicion.Engine)
 	}
 	return status
 }
 
-// peerStatus describes another slot. f.mu is held.
+// peerStatus returns the status of another slot. The caller holds f.mu.
 func (f *Fleet) peerStatus(slot int, listed map[string]bool, now int64) PeerStatus {
 	name := f.Slots[slot].Name
 	status := PeerStatus{Slot: name, Listed: listed[name], Alive: f.member.IsAlive(slot), ReportAge: -1}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -11,16 +11,17 @@
 	"go.uber.org/zap"
 )
 
-// memberlistLabel keeps apart the member lists of this program and of others.
+// memberlistLabel marks the packets of this program's member lists, so that those of other programs are ignored.
 const memberlistLabel = "standpoint-fleet"
 
-// transport is the library's own, but for the addresses of the others: they are those in this node's file, and what
-// a node says of its own address is ignored.
+// transport is the library's own transport, except that it uses the configured addresses of the other nodes. The
+// addresses that nodes announce themselves are ignored.
 type transport struct {
 	*memberlist.NetTransport
-	addresses map[string]string // by slot name
+	addresses map[string]string // addresses by slot name
 }
 
+// resolve replaces an announced address by the configured one.
 func (t transport) resolve(address memberlist.Address) memberlist.Address {
 	if known, ok := t.addresses[address.Name]; ok {
 		address.Addr = known
@@ -38,7 +39,7 @@
 	return t.NetTransport.DialAddressTimeout(t.resolve(address), timeout)
 }
 
-// join opens the member list: who is there, and messages between them.
+// join starts listening and creates this node's member list.
 func (f *Fleet) join() error {
 	host, portText, err := net.SplitHostPort(f.Listen)
 	if err != nil {
@@ -71,25 +72,25 @@
 	config.ProbeTimeout = 250 * time.Millisecond
 	config.TCPTimeout = time.Second
 	config.PushPullInterval = 10 * time.Second
-	config.DeadNodeReclaimTime = time.Second // a slot's next incarnation may come from another address
+	config.DeadNodeReclaimTime = time.Second // the slot's next incarnation may have another address
 	f.memberlist, err = memberlist.Create(config)
 	if err != nil {
-		_ = netTransport.Shutdown() // the first error counts
+		_ = netTransport.Shutdown() // the error of Create is returned
 		return fmt.Errorf("fleet.listen: %w", err)
 	}
 	return nil
 }
 
-// logWriter writes the lines of the library's log to ours.
+// logWriter writes the lines of the library's log to this program's log.
 type logWriter struct{ log *zap.Logger }
 
-// Write implements io.Writer. Each call has one line.
+// Write implements io.Writer. The library writes one line with each call.
 func (w logWriter) Write(line []byte) (int, error) {
 	w.log.Debug("memberlist", zap.ByteString("line", line[:max(0, len(line)-1)]))
 	return len(line), nil
 }
 
-// NodeMeta implements memberlist.Delegate: nothing is sent with the member list itself.
+// NodeMeta implements memberlist.Delegate. No metadata is sent with the member list.
 func (f *Fleet) NodeMeta(int) []byte { return nil }
 
 // GetBroadcasts implements memberlist.Delegate.
@@ -101,17 +102,17 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (f *Fleet) MergeRemoteState([]byte, bool) {}
 
-// NotifyMsg implements memberlist.Delegate: it puts a message into the mailbox. It never waits, since a message
-// that does not fit may be lost as well as one on its way.
+// NotifyMsg implements memberlist.Delegate. It puts a message into the mailbox, and drops it if the mailbox is full:
+// the protocol tolerates lost messages, and the library's goroutine must not block.
 func (f *Fleet) NotifyMsg(message []byte) {
 	select {
-	case f.mailbox <- append([]byte(nil), message...): // the library uses its buffer again
+	case f.mailbox <- append([]byte(nil), message...): // copied, since the library reuses its buffer
 	default:
 		f.droppedMessages.Add(1)
 	}
 }
 
-// listedMembers are the slots whose nodes are there by the member list.
+// listedMembers returns the names of the slots whose nodes are in the member list.
 func (f *Fleet) listedMembers() map[string]bool {
 	listed := map[string]bool{}
 	for _, node := range f.memberlist.Members() {
@@ -120,7 +121,7 @@
 	return listed
 }
 
-// memberNode is a slot as the library takes it. Its address is never used: transport resolves the name.
+// memberNode returns a slot as a node of the library. Its address is a placeholder: transport resolves the name.
 func (f *Fleet) memberNode(slot int) *memberlist.Node {
 	return &memberlist.Node{Name: f.Slots[slot].Name, Addr: net.IPv4(127, 0, 0, 1), Port: 1}
 }
