--- a/internal/fleet/lease/directory.go
+++ b/internal/fleet/lease/directory.go
@@ -10,17 +10,18 @@
 	"syscall"
 )
 
-// Names of the files in the directory.
+// Names of the files in a node's directory.
 const (
-	lockName  = "lock"
-	stateName = "seat.json"
+	lockFileName  = "lock"
+	stateFileName = "seat.json"
 )
 
-// maxIncarnations is how many incarnations are persisted. None of them was ever granted the slot, so the latest are
-// enough.
+// maxIncarnations is the maximum number of incarnations in the state file. When it is reached, only the latest half
+// is kept. That is enough, since no grant to one of them after the first was confirmed.
 const maxIncarnations = 64
 
-// Directory is a node's own directory, which one incarnation locks at a time. It is not safe for concurrent use.
+// Directory is the directory of a node's persistent state. One incarnation at a time holds its lock. It is not safe
+// for concurrent use.
 type Directory struct {
 	path      string
 	lock      *os.File
@@ -29,50 +30,51 @@
 
 // persistedState is the content of the state file.
 type persistedState struct {
-	// Incarnations are those that may have claimed the slot since its holder was last known, the latest last.
+	// Incarnations are the last one whose grant was confirmed, if any, and those that may have claimed the slot after
+	// it, in order.
 	Incarnations []uint64 `json:"lives"`
 }
 
-// Open locks the directory at path, which it creates where it is missing, and numbers this incarnation: by
-// wallTime, the node's clock in Unix nanoseconds, and higher than every incarnation before it. It returns the
-// number, and the predecessors that may hold the slot. It fails where another process has the lock, or where the
-// state file cannot be read.
+// Open locks the directory at path, creates it if it is missing, and numbers this incarnation: by wallTime, the
+// node's clock in Unix nanoseconds, or one above the previous incarnation if that is higher. It returns the number,
+// and the predecessors that may hold the slot. It fails if another process holds the lock, or if the state file
+// cannot be read.
 func Open(path string, wallTime int64) (directory *Directory, incarnation uint64, predecessors []uint64, err error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, 0, nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, 0, nil, err
 	}
 	directory = &Directory{path: path, lock: lock}
-	incarnation, predecessors, err = directory.begin(wallTime)
+	incarnation, predecessors, err = directory.registerIncarnation(wallTime)
 	if err != nil {
 		return nil, 0, nil, errors.Join(err, lock.Close())
 	}
 	return directory, incarnation, predecessors, nil
 }
 
-// begin takes the lock and persists a new incarnation.
-func (d *Directory) begin(wallTime int64) (incarnation uint64, predecessors []uint64, err error) {
+// registerIncarnation acquires the lock and persists a new incarnation.
+func (d *Directory) registerIncarnation(wallTime int64) (incarnation uint64, predecessors []uint64, err error) {
 	if err := syscall.Flock(int(d.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return 0, nil, fmt.Errorf("%s: another program has this folder: %w", d.path, err)
+		return 0, nil, fmt.Errorf("%s is locked by another process: %w", d.path, err)
 	}
 	if err := d.load(); err != nil {
 		return 0, nil, err
 	}
 	predecessors = slices.Clone(d.persisted.Incarnations)
 	incarnation = nextIncarnation(predecessors, wallTime)
-	d.persisted.Incarnations = append(latest(predecessors), incarnation)
-	// Before the claim: an incarnation that claimed without being on record could not be told from that of another
-	// directory.
+	d.persisted.Incarnations = append(latestIncarnations(predecessors), incarnation)
+	// The incarnation is persisted before it claims the slot. Otherwise its successor could not list it among its
+	// predecessors, and would have to wait for the lease to expire.
 	if err := d.save(); err != nil {
 		return 0, nil, err
 	}
 	return incarnation, predecessors, nil
 }
 
-// nextIncarnation is the number after those of the predecessors, or the time where that is later. It is never 0.
+// nextIncarnation returns wallTime, or the number after the last predecessor if that is higher. It is never 0.
 func nextIncarnation(predecessors []uint64, wallTime int64) uint64 {
 	incarnation := max(uint64(1), uint64(max(0, wallTime)))
 	if count := len(predecessors); count > 0 {
@@ -81,15 +83,16 @@
 	return incarnation
 }
 
-// latest returns a copy of the incarnations, cut to the latest half of maxIncarnations where there are too many.
-func latest(incarnations []uint64) []uint64 {
+// latestIncarnations returns a copy of the incarnations. If there are maxIncarnations or more, it returns only the
+// latest half of that number.
+func latestIncarnations(incarnations []uint64) []uint64 {
 	if len(incarnations) >= maxIncarnations {
 		incarnations = incarnations[len(incarnations)-maxIncarnations/2:]
 	}
 	return slices.Clone(incarnations)
 }
 
-// ConfirmGrant notes that the slot was granted to this incarnation, so that none of its predecessors can hold it
+// ConfirmGrant persists that the slot was granted to this incarnation, so that none of its predecessors can hold it
 // any more.
 func (d *Directory) ConfirmGrant(incarnation uint64) error {
 	if len(d.persisted.Incarnations) == 1 && d.persisted.Incarnations[0] == incarnation {
@@ -102,9 +105,9 @@
 // Close releases the lock.
 func (d *Directory) Close() error { return d.lock.Close() }
 
-func (d *Directory) statePath() string { return filepath.Join(d.path, stateName) }
+func (d *Directory) statePath() string { return filepath.Join(d.path, stateFileName) }
 
-// load reads the state file; a missing one is an empty state.
+// load reads the state file. If the file is missing, the state is empty.
 func (d *Directory) load() error {
 	raw, err := os.ReadFile(d.statePath())
 	if errors.Is(err, os.ErrNotExist) {
@@ -114,12 +117,12 @@
 		return err
 	}
 	if err := json.Unmarshal(raw, &d.persisted); err != nil {
-		return fmt.Errorf("%s cannot be read; whose life was the last is not known: %w", d.statePath(), err)
+		return fmt.Errorf("%s cannot be decoded, so earlier incarnations are unknown: %w", d.statePath(), err)
 	}
 	return nil
 }
 
-// save replaces the state file by a whole one, so that a crash leaves either the old or the new state.
+// save replaces the state file atomically: after a crash it has either the old or the new state.
 func (d *Directory) save() error {
 	raw, err := json.Marshal(d.persisted)
 	if err != nil {
--- a/internal/fleet/lease/directory_test.go
+++ b/internal/fleet/lease/directory_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each incarnation has a number of its own, later than those before it, whatever the clock says; they are known
-// until the slot is its own.
+// Each incarnation has a higher number than those before it, even if the clock was set back. Its predecessors are
+// returned until a grant is confirmed.
 func TestDirectoryNumbersIncarnations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet")
 	directory, first, predecessors, err := Open(path, 50)
 	require.NoError(t, err)
 	require.Empty(t, predecessors)
 	_, _, _, err = Open(path, 60)
-	require.ErrorContains(t, err, "another program")
+	require.ErrorContains(t, err, "is locked by another process")
 	require.NoError(t, directory.Close())
 	directory, second, predecessors, err := Open(path, 10)
 	require.NoError(t, err)
@@ -34,5 +34,5 @@
 	require.NoError(t, directory.Close())
 	require.NoError(t, os.WriteFile(filepath.Join(path, "seat.json"), []byte(`{"lives":[1`), 0o600))
 	_, _, _, err = Open(path, 10)
-	require.ErrorContains(t, err, "cannot be read")
+	require.ErrorContains(t, err, "seat.json cannot be decoded")
 }
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -34,37 +34,37 @@
 		func(b []byte) (v Claim, err error) { return v, json.Unmarshal(b, &v) })
 }
 
-// The file in the node's own folder names the lives that may have claimed the seat.
-func TestGoldenSeatFile(t *testing.T) {
+// The state file lists the incarnations that may have claimed the slot, and the file of an earlier build is decoded.
+func TestGoldenStateFile(t *testing.T) {
 	dir := t.TempDir()
-	f, _, _, err := Open(dir, 50)
+	directory, _, _, err := Open(dir, 50)
 	require.NoError(t, err)
-	require.NoError(t, f.Close())
-	f, _, _, err = Open(dir, 70)
+	require.NoError(t, directory.Close())
+	directory, _, _, err = Open(dir, 70)
 	require.NoError(t, err)
 	raw, err := os.ReadFile(filepath.Join(dir, "seat.json"))
 	require.NoError(t, err)
 	golden.Bytes(t, "seat.json", raw)
-	require.NoError(t, f.ConfirmGrant(70))
-	require.NoError(t, f.Close())
+	require.NoError(t, directory.ConfirmGrant(70))
+	require.NoError(t, directory.Close())
 	raw, err = os.ReadFile(filepath.Join(dir, "seat.json"))
 	require.NoError(t, err)
 	golden.Bytes(t, "seat-given.json", raw)
 	require.FileExists(t, filepath.Join(dir, "lock"))
 
-	// A folder as the build before left it.
+	// A directory written by an earlier build.
 	dir = t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "seat.json"), golden.Read(t, "seat.json", nil), 0o600))
-	f, inc, before, err := Open(dir, 60)
+	directory, incarnation, predecessors, err := Open(dir, 60)
 	require.NoError(t, err)
-	require.Equal(t, []uint64{50, 70}, before)
-	require.EqualValues(t, 71, inc)
-	require.NoError(t, f.Close())
+	require.Equal(t, []uint64{50, 70}, predecessors)
+	require.EqualValues(t, 71, incarnation)
+	require.NoError(t, directory.Close())
 }
 
 func TestGoldenErrors(t *testing.T) {
 	var text strings.Builder
-	say := func(err error) {
+	writeError := func(err error) {
 		t.Helper()
 		require.Error(t, err)
 		fmt.Fprintln(&text, err)
@@ -80,22 +80,22 @@
 		c := claim
 		edit(&c)
 		_, err := Decide(record, c, 105*second, time.Second)
-		say(err)
+		writeError(err)
 	}
-	say(ErrHeld)
+	writeError(ErrSlotHeld)
 	dir := filepath.Join(t.TempDir(), "fleet")
-	sayAt := func(err error) {
+	writeDirError := func(err error) {
 		t.Helper()
 		require.Error(t, err)
 		fmt.Fprintln(&text, strings.ReplaceAll(err.Error(), dir, "DIR"))
 	}
-	f, _, _, err := Open(dir, 50)
+	directory, _, _, err := Open(dir, 50)
 	require.NoError(t, err)
 	_, _, _, err = Open(dir, 60)
-	sayAt(err)
-	require.NoError(t, f.Close())
+	writeDirError(err)
+	require.NoError(t, directory.Close())
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "seat.json"), []byte(`{"lives":[1`), 0o600))
 	_, _, _, err = Open(dir, 10)
-	sayAt(err)
+	writeDirError(err)
 	golden.Bytes(t, "errors.txt", []byte(text.String()))
 }
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 const second = int64(time.Second)
 
-func TestDecideGrantsRenewsAndRefusesLeases(t *testing.T) {
+func TestDecideGrantsRenewsAndRejectsLeases(t *testing.T) {
 	claim := func(incarnation uint64, predecessors ...uint64) Claim {
 		return Claim{Slot: "a", Incarnation: incarnation, Predecessors: predecessors, Duration: 10 * time.Second}
 	}
@@ -21,20 +21,20 @@
 	require.NoError(t, err)
 	require.Equal(t, Record{Incarnation: 5, FencingToken: 1, ValidFrom: 100 * second, ExpiresAt: 115 * second}, renewed)
 	_, err = Decide(renewed, claim(9), 116*second, time.Second)
-	require.ErrorIs(t, err, ErrHeld, "clocks may differ by a second each way")
-	stranger, err := Decide(renewed, claim(9), 117*second, time.Second)
+	require.ErrorIs(t, err, ErrSlotHeld, "the lease has expired, but clocks may differ by a second each way")
+	unrelated, err := Decide(renewed, claim(9), 117*second, time.Second)
 	require.NoError(t, err)
-	granted := Record{Incarnation: 9, FencingToken: 2, ValidFrom: 117 * second, ExpiresAt: 127 * second}
-	require.Equal(t, granted, stranger)
+	want := Record{Incarnation: 9, FencingToken: 2, ValidFrom: 117 * second, ExpiresAt: 127 * second}
+	require.Equal(t, want, unrelated)
 	successor, err := Decide(renewed, claim(9, 4, 5), 106*second, time.Second)
 	require.NoError(t, err)
 	require.True(t, successor.Successor)
 	_, err = Decide(successor, claim(5), 106*second, time.Second)
-	require.ErrorIs(t, err, ErrHeld, "the predecessor does not come back")
+	require.ErrorIs(t, err, ErrSlotHeld, "a predecessor cannot claim the slot again")
 }
 
-// Of two incarnations of which neither is the other's successor, the second's lease begins after the first's end,
-// however they claim.
+// If neither of two incarnations is the successor of the other, their leases do not overlap, in whatever order and
+// by whatever clocks they claim.
 func TestLeasesOfDifferentIncarnationsDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var record Record
@@ -53,11 +53,11 @@
 			}
 			previousEnd := expiries[record.FencingToken]
 			if next.FencingToken != record.FencingToken && record.FencingToken > 0 && next.ValidFrom < previousEnd {
-				t.Fatalf("lease %d begins at %d, the one before ended at %d",
+				t.Fatalf("lease %d is valid from %d, but the previous one expires at %d",
 					next.FencingToken, next.ValidFrom, previousEnd)
 			}
 			if next.FencingToken < record.FencingToken {
-				t.Fatal("the fencing token went back")
+				t.Fatal("the fencing token fell")
 			}
 			record = next
 			expiries[record.FencingToken] = record.ExpiresAt
