--- a/internal/fleet/member/golden_test.go
+++ b/internal/fleet/member/golden_test.go
@@ -38,8 +38,8 @@
 		func(b []byte) (v Packet, err error) { return v, cbor.Unmarshal(b, &v) })
 }
 
-// What is empty is left out of a packet.
-func TestGoldenPacketOfOneOrder(t *testing.T) {
+// Empty fields are left out of an encoded packet.
+func TestGoldenPacketOmitsEmptyFields(t *testing.T) {
 	raw, err := cbor.Marshal(Packet{
 		From:          quota.Owner{Slot: 1, Incarnation: 2},
 		QuotaMessages: []QuotaMessage{{BudgetHash: 3, To: quota.Owner{Slot: 4}}},
@@ -50,7 +50,7 @@
 	golden.Bytes(t, "order.cbor", raw)
 }
 
-func TestGoldenNumbers(t *testing.T) {
+func TestGoldenMessageKindsAndBounds(t *testing.T) {
 	numbers := fmt.Appendf(nil, "ask %d\nlend %d\nreturn %d\n", RequestQuota, GrantTransfer, ReturnTransfer)
 	numbers = fmt.Appendf(numbers, "beats %d\nnews %d\norders %d\nspares %d\nno beat %d\n",
 		MaxHeartbeats, MaxForwardedUpdates, MaxQuotaMessages, MaxSurpluses, ageUnknown)
--- a/internal/fleet/member/gossip.go
+++ b/internal/fleet/member/gossip.go
@@ -6,12 +6,12 @@
 	"standpoint/internal/fleet/outlier"
 )
 
-// drawPeers draws up to count slots that a packet goes to. Those that are not listed are tried too, now and then:
-// nobody else would find out that a partition has healed.
-func (m *Member) drawPeers(count int, listed func(slot int) bool) []int {
+// samplePeers draws up to count slots to send a packet to. Slots that are not listed are drawn too, with a lower
+// probability: otherwise the end of a partition would not be detected.
+func (m *Member) samplePeers(count int, listed func(slot int) bool) []int {
 	const (
-		drawsPerPeer   = 4
-		unlistedChance = 8 // one in
+		drawsPerPeer   = 4 // maximum number of draws for each peer
+		unlistedChance = 8 // an unlisted slot that is drawn is used with a probability of one in this number
 	)
 	var peers []int
 	for range drawsPerPeer * count {
@@ -30,14 +30,14 @@
 	return peers
 }
 
-// buildPacket returns what a slot is sent now: this node's own update, some of others', heartbeats, and the quota
-// messages that are pending for it.
+// buildPacket returns the packet to send to a slot now: this node's update, up to MaxForwardedUpdates of other
+// nodes, heartbeat ages, and the quota messages that are pending for the slot.
 func (m *Member) buildPacket(to int) Packet {
-	packet := Packet{From: m.Owner, Updates: []Update{m.ownUpdate()}, QuotaMessages: m.pending[to]}
-	first := m.rng.IntN(len(m.Slots))
-	for _, unforwarded := range []bool{true, false} { // those that have not been forwarded come first
+	packet := Packet{From: m.Owner, Updates: []Update{m.ownUpdate()}, QuotaMessages: m.pendingMessages[to]}
+	firstSlot := m.rng.IntN(len(m.Slots))
+	for _, unforwarded := range []bool{true, false} { // updates that have not been forwarded come first
 		for i := range m.Slots {
-			slot := (first + i) % len(m.Slots)
+			slot := (firstSlot + i) % len(m.Slots)
 			full := len(packet.Updates) > MaxForwardedUpdates
 			if !full && m.forwards(slot, to) && m.unforwarded[slot] == unforwarded {
 				packet.Updates = append(packet.Updates, m.updates[slot])
@@ -45,21 +45,22 @@
 			}
 		}
 	}
-	m.addHeartbeats(&packet, first)
+	m.addHeartbeats(&packet, firstSlot)
 	return packet
 }
 
-// forwards reports whether there is an update of a slot that may be forwarded to another.
+// forwards reports whether there is an update of a slot to forward to another slot.
 func (m *Member) forwards(slot, to int) bool {
 	return slot != to && slot != m.Owner.Slot && m.incarnations[slot] != 0
 }
 
-// addHeartbeats puts in how long ago the slots were alive. They are ages and not times, so that nobody's clock
-// matters for who is heard. Where there are more slots than fit, first is the one to begin with.
-func (m *Member) addHeartbeats(packet *Packet, first int) {
+// addHeartbeats adds the times since the slots were alive to a packet. They are ages rather than times, so that
+// differences between clocks do not affect which nodes count as alive. If not all slots fit, firstSlot is the index of
+// the first one included.
+func (m *Member) addHeartbeats(packet *Packet, firstSlot int) {
 	packet.AgeUnit = int64(max(minAgeUnit, m.HeartbeatTimeout/(ageUnknown-1)))
 	if len(m.Slots) > MaxHeartbeats {
-		packet.FirstSlot = first
+		packet.FirstSlot = firstSlot
 	}
 	for i := range min(len(m.Slots), MaxHeartbeats) {
 		slot := (packet.FirstSlot + i) % len(m.Slots)
@@ -67,7 +68,7 @@
 	}
 }
 
-// heartbeatAge is how long ago a slot was alive, in units, rounded up.
+// heartbeatAge returns the time since a slot was alive, in units of that many nanoseconds, rounded up.
 func (m *Member) heartbeatAge(slot int, unit int64) byte {
 	age := (m.now - m.lastAlive[slot] + unit - 1) / unit
 	if m.lastAlive[slot] == 0 || age >= ageUnknown {
@@ -76,32 +77,33 @@
 	return byte(age)
 }
 
-// ownUpdate is what this node says of itself. Which budgets' surpluses are in it goes round.
+// ownUpdate returns the update that this node publishes of itself. Successive updates begin with the surplus of
+// another budget each, so that all are published although an update has at most MaxSurpluses.
 func (m *Member) ownUpdate() Update {
 	update := Update{Counters: m.Counters.OwnSnapshot(m.now), Evidence: m.Detector.EvidenceToPublish(m.now)}
 	for i := range m.Allocations {
 		if len(update.Surpluses) >= MaxSurpluses {
 			break
 		}
-		budget := (m.nextSurplus + i) % len(m.Allocations)
+		budget := (m.firstSurplusBudget + i) % len(m.Allocations)
 		allocation := m.Allocations[budget]
 		window := allocation.CurrentWindow()
 		if surplus := allocation.Surplus(window, window+int64(allocation.TransferWindows)-1); surplus > 0 {
 			update.Surpluses = append(update.Surpluses, Surplus{Budget: budget, Amount: surplus})
 		}
 	}
-	m.nextSurplus++
+	m.firstSurplusBudget++
 	return update
 }
 
-// markAlive notes that a slot was alive at a time, which is not in the future.
+// markAlive records that a slot was alive at a time. A time in the future counts as the present.
 func (m *Member) markAlive(slot int, at int64) {
 	if slot >= 0 && slot < len(m.lastAlive) && slot != m.Owner.Slot {
 		m.lastAlive[slot] = max(m.lastAlive[slot], min(at, m.now))
 	}
 }
 
-// mergeUpdate takes in an update, unless it is malformed or no news.
+// mergeUpdate merges an update into this node's state, unless it is malformed or not newer.
 func (m *Member) mergeUpdate(update Update) {
 	owner := update.Counters.Owner
 	if owner.Slot < 0 || owner.Slot >= len(m.Slots) {
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,8 +1,8 @@
-// Package member is the protocol of one node of a fleet: what it sends to the others, what it takes in from them,
-// and what it may do by that. It joins the state machines of its neighbours (quota, counter, outlier, connectivity)
-// and is deterministic like them: the time is an argument, what is to be sent is returned, and random draws come
-// from a seed. The actor in internal/fleet does the I/O; the fleet simulation plays hundreds of members in virtual
-// time.
+// Package member implements the protocol of one node of a fleet: which packets it sends, how it handles those of other
+// nodes, and what it may spend as a result. It combines the state machines of the packages quota, counter, outlier
+// and connectivity, and is deterministic like them: the time is an argument, packets to send are returned, and random
+// draws come from a seed. The actor in internal/fleet does the I/O; the fleet simulation runs hundreds of members in
+// virtual time.
 package member
 
 import (
@@ -19,29 +19,29 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// TransfersPerTick is how many transfers a member grants in a tick at its usual rate.
+// TransfersPerTick is the maximum number of transfers that a member grants in a tick at its usual rate.
 const TransfersPerTick = 8
 
-// Slot is a place in the fleet that one node holds at a time.
+// Slot is a member slot of the fleet. One node at a time holds it.
 type Slot struct {
 	Name string
 	Zone int
 }
 
-// Config is what all nodes of a fleet agree on, and which of them this one is.
+// Config is the configuration of a member. All nodes of a fleet have the same, except for Owner and Seed.
 type Config struct {
-	Owner              quota.Owner
+	Owner              quota.Owner // this incarnation and its slot
 	Slots              []Slot
 	Budgets            []*quota.Budget
-	MaxRates           []int64       // by counter: what a node can add to it in a second
-	GossipInterval     time.Duration // between two calls of Tick
-	GossipFanout       int           // nodes that are sent a packet in each tick
-	HeartbeatTimeout   time.Duration // after which a node that was not heard counts as gone
+	MaxRates           []int64       // by counter: maximum that one node adds to it in a second
+	GossipInterval     time.Duration // time between two calls of Tick
+	GossipFanout       int           // number of nodes that are sent a packet in each tick
+	HeartbeatTimeout   time.Duration // time without a heartbeat after which a node counts as down
 	ConnectivityTiming connectivity.Timing
 	OutlierLimits      outlier.Limits
-	ClockError         time.Duration // by which two clocks may differ
-	RequestInterval    time.Duration // between two requests for quota of one budget, at the usual rate
-	Seed               uint64        // of the random draws
+	ClockError         time.Duration // maximum difference between the clocks of two nodes
+	RequestInterval    time.Duration // mean time between two requests for quota of a budget, at the usual rate
+	Seed               uint64        // seed of the random draws
 }
 
 // Member is the state of one node. It is not safe for concurrent use.
@@ -56,39 +56,39 @@
 	rng *rand.Rand
 	now int64
 
-	// By slot.
-	lastAlive    []int64  // Unix nanoseconds, as far as known; 0: never heard
-	incarnations []uint64 // the latest that an update came from; 0: none
-	updates      []Update // the latest
-	unforwarded  []bool   // the latest update has not been forwarded yet
-	pending      map[int][]QuotaMessage
+	// Indexed by slot.
+	lastAlive       []int64                // latest time at which the slot was alive, Unix nanoseconds; 0 if never
+	incarnations    []uint64               // incarnation that the latest update came from; 0 if there is none
+	updates         []Update               // latest update
+	unforwarded     []bool                 // whether the latest update has not been forwarded yet
+	pendingMessages map[int][]QuotaMessage // quota messages for the next packet to the slot
 
-	// By budget.
-	nextRequestAt  []int64 // before which no more quota is requested
-	reviewedWindow []int64 // in which borrowed transfers were last looked through for those that are not needed
+	// Indexed by budget.
+	nextRequestAt  []int64 // time before which no more quota is requested, Unix nanoseconds
+	reviewedWindow []int64 // window in which unneeded transfers were last returned
 
-	nextSurplus int // the budget whose surplus is the first in the next update
-	grantsLeft  int // in this tick
+	firstSurplusBudget int // number, modulo the budgets, of the budget whose surplus comes first in the next update
+	grantsLeft         int // number of transfers that may still be granted in this tick
 }
 
 // New returns a member that starts now, in Unix nanoseconds.
 func New(config Config, now int64, monitor *invariant.Monitor) *Member {
 	slots, budgets := len(config.Slots), len(config.Budgets)
 	m := &Member{
-		Config:         config,
-		Invariants:     monitor,
-		Counters:       counter.New(slots, config.MaxRates, config.Owner, int64(config.ClockError), now, monitor),
-		Detector:       outlier.New(config.OutlierLimits, config.Owner, monitor),
-		Connectivity:   connectivity.New(config.ConnectivityTiming, now, monitor),
-		rng:            rand.New(rand.NewPCG(config.Seed, uint64(config.Owner.Slot))),
-		now:            now,
-		lastAlive:      make([]int64, slots),
-		incarnations:   make([]uint64, slots),
-		updates:        make([]Update, slots),
-		unforwarded:    make([]bool, slots),
-		pending:        map[int][]QuotaMessage{},
-		nextRequestAt:  make([]int64, budgets),
-		reviewedWindow: make([]int64, budgets),
+		Config:          config,
+		Invariants:      monitor,
+		Counters:        counter.New(slots, config.MaxRates, config.Owner, int64(config.ClockError), now, monitor),
+		Detector:        outlier.New(config.OutlierLimits, config.Owner, monitor),
+		Connectivity:    connectivity.New(config.ConnectivityTiming, now, monitor),
+		rng:             rand.New(rand.NewPCG(config.Seed, uint64(config.Owner.Slot))),
+		now:             now,
+		lastAlive:       make([]int64, slots),
+		incarnations:    make([]uint64, slots),
+		updates:         make([]Update, slots),
+		unforwarded:     make([]bool, slots),
+		pendingMessages: map[int][]QuotaMessage{},
+		nextRequestAt:   make([]int64, budgets),
+		reviewedWindow:  make([]int64, budgets),
 	}
 	for _, budget := range config.Budgets {
 		allocation := quota.NewAllocation(budget, config.Owner, int64(config.ClockError), now, monitor)
@@ -97,7 +97,7 @@
 	return m
 }
 
-// SetLease replaces the node's hold of its slot, in all budgets.
+// SetLease sets the lease of the node's slot in all budgets.
 func (m *Member) SetLease(lease quota.Lease) {
 	for _, allocation := range m.Allocations {
 		allocation.SetLease(lease)
@@ -109,7 +109,7 @@
 	return m.lastAlive[slot] > 0 && m.now-m.lastAlive[slot] <= int64(m.HeartbeatTimeout)
 }
 
-// LivePeers is how many other slots have been alive within the heartbeat timeout.
+// LivePeers returns the number of other slots that have been alive within the heartbeat timeout.
 func (m *Member) LivePeers() int {
 	count := 0
 	for slot := range m.lastAlive {
@@ -120,7 +120,7 @@
 	return count
 }
 
-// Advance moves on to a time, in Unix nanoseconds, and returns the member's time, which never goes back.
+// Advance advances the member's time to now, in Unix nanoseconds, and returns it. It is never set back.
 func (m *Member) Advance(now int64) int64 {
 	m.now = max(m.now, now)
 	for _, allocation := range m.Allocations {
@@ -129,8 +129,8 @@
 	return m.now
 }
 
-// Tick is called once in each GossipInterval. It returns the packets that the node sends of its own accord, by
-// slot. listed reports whether a slot is taken to be there by other means; nil: every one is.
+// Tick is called once in each GossipInterval. It returns the packets to send now, in the order of their slots. listed
+// reports whether a slot is up by the member list of the transport; if it is nil, all are taken to be.
 func (m *Member) Tick(now int64, listed func(slot int) bool) []Outgoing {
 	now = m.Advance(now)
 	m.Connectivity.Update(now, m.LivePeers(), len(m.Slots)-1)
@@ -140,26 +140,26 @@
 		m.requestQuota(budget, rateFactor)
 		m.returnUnneeded(budget)
 	}
-	return m.packets(m.drawPeers(m.GossipFanout, listed))
+	return m.packets(m.samplePeers(m.GossipFanout, listed))
 }
 
-// packets builds the packets of a tick: to the peers, and to all that quota messages are pending for.
+// packets builds the packets of a tick: to the peers, and to all slots with pending quota messages.
 func (m *Member) packets(peers []int) []Outgoing {
 	var outgoing []Outgoing
 	for _, slot := range peers {
 		outgoing = append(outgoing, Outgoing{To: slot, Packet: m.buildPacket(slot)})
 	}
-	for _, slot := range slices.Sorted(maps.Keys(m.pending)) {
+	for _, slot := range slices.Sorted(maps.Keys(m.pendingMessages)) {
 		if !slices.Contains(peers, slot) {
 			outgoing = append(outgoing, Outgoing{To: slot, Packet: m.buildPacket(slot)})
 		}
 	}
-	clear(m.pending)
+	clear(m.pendingMessages)
 	slices.SortFunc(outgoing, func(a, b Outgoing) int { return cmp.Compare(a.To, b.To) })
 	return outgoing
 }
 
-// Receive takes in a packet, and returns what is to be sent at once. A malformed packet is ignored.
+// Receive handles a packet, and returns the packets to send at once. A malformed packet is ignored.
 func (m *Member) Receive(now int64, packet Packet) []Outgoing {
 	now = m.Advance(now)
 	if !m.wellFormed(packet) {
@@ -186,7 +186,7 @@
 	return []Outgoing{{To: packet.From.Slot, Packet: Packet{From: m.Owner, QuotaMessages: replies}}}
 }
 
-// wellFormed reports whether a packet keeps its bounds. What is in it is checked where it is taken in.
+// wellFormed reports whether a packet is within its bounds. Its elements are checked where they are handled.
 func (m *Member) wellFormed(packet Packet) bool {
 	slots := len(m.Slots)
 	switch {
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -23,7 +23,7 @@
 	settleTime   = 300 * time.Millisecond
 )
 
-// newFleet returns the members of a fleet of one budget.
+// newFleet returns the members of a fleet with one budget, each with a lease of its slot.
 func newFleet(t require.TestingT, slots int, monitor *invariant.Monitor) []*Member {
 	budget := &quota.Budget{Name: "b", Amount: 900, Window: time.Second, TransferWindows: 4}
 	for range slots {
@@ -62,7 +62,8 @@
 	return members
 }
 
-// run ticks the members and delivers their packets at once, where they reach each other; nil: they all do.
+// run ticks the members, and delivers their packets at once if the destination is reachable. If reaches is nil, all
+// members reach each other.
 func run(members []*Member, from, to int64, reaches func(from, to int) bool) {
 	for now := from; now < to; now += tick {
 		for _, m := range members {
@@ -78,8 +79,8 @@
 	}
 }
 
-// One node demands all of a budget and the others nothing: it gets nearly all. Cut off from the others it has its
-// base quota, and what it borrowed until that ends; once they meet again it recovers, and gets nearly all again.
+// One node demands a whole budget and the others nothing, so it is lent nearly all of it. Isolated from the others it
+// has its base quota, and borrowed quota until the transfers end. After it has recovered it is lent nearly all again.
 func TestQuotaMovesToWhereItIsDemanded(t *testing.T) {
 	monitor := &invariant.Monitor{}
 	members := newFleet(t, 3, monitor)
@@ -109,7 +110,7 @@
 	require.Empty(t, monitor.Violations())
 }
 
-// What is lent is bound to the budget's definition: nodes whose budgets are not the same lend each other nothing.
+// Nodes whose definitions of a budget differ lend each other nothing of it.
 func TestNoTransferBetweenDifferentDefinitions(t *testing.T) {
 	members := newFleet(t, 2, nil)
 	other := &quota.Budget{Name: "b", Amount: 901, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 1}}
@@ -131,7 +132,7 @@
 	}
 }
 
-// packetGenerator draws packets that are well-formed CBOR and say anything.
+// packetGenerator draws packets that are well-formed CBOR with arbitrary values.
 type packetGenerator struct {
 	number *rapid.Generator[int64]
 	owner  *rapid.Generator[quota.Owner]
@@ -200,7 +201,7 @@
 	}
 }
 
-// Whatever comes from a peer that sends well-formed nonsense, nothing is overspent and nothing grows beyond its bounds.
+// Packets with arbitrary values from a faulty peer cause no overspending, and no packet larger than 4096 bytes.
 func TestMalformedPacketsDoNoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monitor := &invariant.Monitor{}
@@ -220,7 +221,7 @@
 			m.Receive(now, packet)
 			for _, outgoing := range m.Tick(now, nil) {
 				if raw, _ := cbor.Marshal(outgoing.Packet); len(raw) > 4096 {
-					t.Fatalf("a packet of %d bytes", len(raw))
+					t.Fatalf("packet has %d bytes, maximum 4096", len(raw))
 				}
 			}
 			available := m.Allocations[0].Quota(m.Allocations[0].CurrentWindow())
--- a/internal/fleet/member/quota.go
+++ b/internal/fleet/member/quota.go
@@ -6,18 +6,19 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// lendersPerRequest is how many nodes are asked for quota at once.
+// lendersPerRequest is the number of nodes that quota is requested from at once.
 const lendersPerRequest = 3
 
-// enqueue adds a message to the next packet to a slot. Messages beyond MaxQuotaMessages are dropped, as they could
-// be on their way.
+// enqueue adds a message to the next packet to a slot. Messages beyond MaxQuotaMessages are dropped; the protocol
+// tolerates that, since messages may be lost in transit too.
 func (m *Member) enqueue(slot int, message QuotaMessage) {
-	if len(m.pending[slot]) < MaxQuotaMessages {
-		m.pending[slot] = append(m.pending[slot], message)
+	if len(m.pendingMessages[slot]) < MaxQuotaMessages {
+		m.pendingMessages[slot] = append(m.pendingMessages[slot], message)
 	}
 }
 
-// requestQuota requests quota of a budget that is demanded and lacking, in the current window or in the next.
+// requestQuota requests quota of a budget from other nodes if this node has less than its demand, in the current
+// window or in the next.
 func (m *Member) requestQuota(budget int, rateFactor float64) {
 	allocation := m.Allocations[budget]
 	first := allocation.CurrentWindow()
@@ -29,9 +30,10 @@
 	if shortfall == 0 || rateFactor == 0 || m.now < m.nextRequestAt[budget] {
 		return
 	}
-	// Half of the interval is random: many nodes find out together that they lack something.
+	// The interval is between half and one and a half of RequestInterval, since many nodes may find a shortfall at the
+	// same time.
 	m.nextRequestAt[budget] = m.now + int64(float64(m.RequestInterval)*(0.5+m.rng.Float64())/rateFactor)
-	lenders := m.drawLenders(budget)
+	lenders := m.sampleLenders(budget)
 	for _, slot := range lenders {
 		m.enqueue(slot, QuotaMessage{
 			Kind:        RequestQuota,
@@ -44,7 +46,7 @@
 	}
 }
 
-// returnUnneeded returns what is borrowed of a budget and not needed, once in each window.
+// returnUnneeded returns borrowed quota of a budget that this node does not need, once in each window.
 func (m *Member) returnUnneeded(budget int) {
 	allocation := m.Allocations[budget]
 	window := allocation.CurrentWindow()
@@ -63,36 +65,36 @@
 	}
 }
 
-// lender is a node that could lend.
+// lender is a node that may lend quota.
 type lender struct {
 	slot   int
-	weight float64
+	weight float64 // its surplus
 }
 
-// drawLenders draws the slots that quota of a budget is requested from: weighted by their surplus when they were
-// last heard, or, where no surplus is known, any that are alive.
-func (m *Member) drawLenders(budget int) []int {
+// sampleLenders draws the slots to request quota of a budget from, weighted by the surplus in their latest updates.
+// If no surplus is known, it draws from all that are alive.
+func (m *Member) sampleLenders(budget int) []int {
 	candidates, total := m.knownLenders(budget)
 	if len(candidates) == 0 {
-		return m.drawPeers(lendersPerRequest, m.withinHeartbeatTimeout)
+		return m.samplePeers(lendersPerRequest, m.withinHeartbeatTimeout)
 	}
-	var drawn []int
-	for len(drawn) < lendersPerRequest && len(candidates) > 0 {
+	var sampled []int
+	for len(sampled) < lendersPerRequest && len(candidates) > 0 {
 		position := m.rng.Float64() * total
 		i := 0
 		for i < len(candidates)-1 && position >= candidates[i].weight {
 			position -= candidates[i].weight
 			i++
 		}
-		drawn = append(drawn, candidates[i].slot)
+		sampled = append(sampled, candidates[i].slot)
 		total -= candidates[i].weight
 		candidates = slices.Delete(candidates, i, i+1)
 	}
-	return drawn
+	return sampled
 }
 
-// knownLenders returns the slots that are alive and said that they had a surplus of a budget, and the sum of their
-// weights.
+// knownLenders returns the slots that are alive and have a surplus of a budget by their latest updates, and the sum of
+// their weights.
 func (m *Member) knownLenders(budget int) (lenders []lender, total float64) {
 	for slot, update := range m.updates {
 		if slot == m.Owner.Slot || m.incarnations[slot] == 0 || !m.withinHeartbeatTimeout(slot) {
@@ -108,14 +110,14 @@
 	return lenders, total
 }
 
-// withinHeartbeatTimeout is IsAlive without its test that the slot was ever heard.
+// withinHeartbeatTimeout is IsAlive without the check that the slot was ever alive.
 func (m *Member) withinHeartbeatTimeout(slot int) bool {
 	return m.now-m.lastAlive[slot] <= int64(m.HeartbeatTimeout)
 }
 
-// handleQuotaMessage takes in a message from another owner, and returns the reply, if there is one.
+// handleQuotaMessage handles a message from another owner, and returns the reply, if there is one.
 func (m *Member) handleQuotaMessage(from quota.Owner, message QuotaMessage) (reply QuotaMessage, ok bool) {
-	// Another definition: nothing is lent between nodes whose budgets are not the same.
+	// Nodes lend to each other only if their definitions of the budget are the same.
 	budget := slices.IndexFunc(m.Budgets, func(b *quota.Budget) bool {
 		return b.DefinitionHash() == message.BudgetHash
 	})
@@ -143,13 +145,13 @@
 	return QuotaMessage{}, false
 }
 
-// grant lends what is requested, as far as there is a surplus and this tick's grants last.
+// grant lends quota in answer to a request, if there is a surplus and this tick's limit of grants is not reached.
 func (m *Member) grant(allocation *quota.Allocation, borrower quota.Owner, request QuotaMessage) (QuotaMessage, bool) {
-	further := request.LastWindow - request.FirstWindow
-	if m.grantsLeft <= 0 || request.LastWindow < request.FirstWindow || further >= quota.MaxWindows {
+	furtherWindows := request.LastWindow - request.FirstWindow
+	if m.grantsLeft <= 0 || request.LastWindow < request.FirstWindow || furtherWindows >= quota.MaxWindows {
 		return QuotaMessage{}, false
 	}
-	transfer, ok := allocation.Lend(borrower, request.Amount, request.FirstWindow, int(further+1))
+	transfer, ok := allocation.Lend(borrower, request.Amount, request.FirstWindow, int(furtherWindows+1))
 	if !ok {
 		return QuotaMessage{}, false
 	}
@@ -163,7 +165,7 @@
 		LastWindow:  transfer.LastWindow,
 	}
 	m.grantsLeft--
-	// It is sent again with the next tick, since a grant that is lost is spent by nobody until its end.
+	// The grant is sent again with the next tick: if it were lost, no node could spend the quota until its end.
 	m.enqueue(borrower.Slot, granted)
 	return granted, true
 }
