--- a/internal/fleet/quota/allocation_test.go
+++ b/internal/fleet/quota/allocation_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A clock that is set back does not reopen a window: what is spent stays spent, and nothing is spent twice.
+// A clock that is set back does not reopen a window, so that its quota is not spent twice.
 func TestClockThatGoesBackReopensNoWindow(t *testing.T) {
 	s := newSimulation(t, 1, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 2})
 	s.advance(2 * second)
@@ -21,8 +21,8 @@
 	require.False(t, s.spend(0, 1, 0))
 }
 
-// A node that hears nobody has its slot's base quota, while its lease lasts, and nothing more; a successor leaves
-// the windows alone of which its predecessor can have spent or lent.
+// A node that receives no packets has the base quota of its slot while its lease is valid, and nothing more. A
+// successor skips the windows of which its predecessor can have spent or lent quota.
 func TestBaseQuotaNeedsALeaseAndSuccessorsWait(t *testing.T) {
 	s := newSimulation(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 2})
 	s.advance(second)
@@ -40,14 +40,14 @@
 	s.advance(second)
 	require.True(t, s.spend(0, 10, 0))
 	s.start(1, 0, time.Minute, false)
-	require.False(t, s.spend(1, 1, 0), "the lease of its predecessor lasts")
+	require.False(t, s.spend(1, 1, 0), "the lease of its predecessor is still valid")
 	s.lend(0, 1, 5, 1, 2)
 	s.messages[0].deliver(s)
 	s.advance(second)
-	require.True(t, s.spend(1, 5, 0), "but it may borrow")
+	require.True(t, s.spend(1, 5, 0), "it may borrow without a lease")
 }
 
-// An overdraft becomes a debt: the windows that follow give up a quarter of their base quota each until it is repaid.
+// An overdraft becomes a debt. Each of the next windows repays up to a quarter of its base quota until none is left.
 func TestOverdraftIsRepaidFromLaterWindows(t *testing.T) {
 	s := newSimulation(t, 1, Budget{Name: "b", Amount: 20, Overdraft: 12, Window: time.Second, TransferWindows: 2})
 	s.advance(second)
--- a/internal/fleet/quota/budget.go
+++ b/internal/fleet/quota/budget.go
@@ -1,11 +1,11 @@
-// Package quota decides what a node may spend of the budgets that its fleet shares, by escrow. It is pure: the time
-// is an argument, and what has to be sent to other nodes is returned.
+// Package quota decides how much of the budgets that a fleet shares a node may spend. It uses an escrow scheme, and
+// is pure: the time is an argument, and messages to other nodes are returned.
 //
-// A budget has an amount for each of its windows, and every member slot has a base quota of that, which needs no
-// message. A node spends only quota that it owns: its slot's base quota, less what it has lent, plus what others
-// have lent to it. Quota is for windows by their number, so that what is spent in a window is at most the budget,
-// whatever messages are lost, duplicated, late or cut off, and whatever the clocks say. docs/design/onefleet.md
-// explains the design.
+// A budget has an amount for each of its time windows, and every member slot has a base quota of that amount, for
+// which no message is needed. A node spends only quota that it owns: its slot's base quota, less what it has lent,
+// plus what others have lent to it. Quota belongs to windows with a number, so that no more than the budget is spent
+// in a window, even if messages are lost, duplicated or late, nodes are partitioned, or clocks are wrong.
+// docs/design/onefleet.md explains the design.
 package quota
 
 import (
@@ -16,35 +16,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what a node holds for one budget.
+// Limits of budgets and allocations.
 const (
-	MaxTransfers = 64             // that a node has lent, and as many that it has borrowed
-	MaxWindows   = 4096           // after the current one, in which something may be spent already
-	MaxAmount    = int64(1) << 53 // of anything that is spent, lent or counted
-	maxWeight    = int64(1) << 20 // of a slot
-	maxSlots     = 1 << 16        // of a fleet
+	MaxTransfers = 64             // maximum number of lent transfers, and of borrowed ones, of a node and a budget
+	MaxWindows   = 4096           // maximum number of windows in which quota can be spent or lent at a time
+	MaxAmount    = int64(1) << 53 // maximum of every amount that is spent, lent or counted
+	maxWeight    = int64(1) << 20 // maximum weight of a slot
+	maxSlots     = 1 << 16        // maximum number of slots of a fleet
 	minWindow    = 10 * time.Millisecond
 	maxWindow    = 366 * 24 * time.Hour
 )
 
-// Budget is what the fleet may spend of something in each window. Its exported fields are set before Complete is
-// called, and never change afterwards; from then on it is safe for concurrent use.
+// Budget defines an amount, of tokens for example, that the fleet may spend in each window. Its exported fields are
+// set before Complete is called, and do not change afterwards; from then on it is safe for concurrent use.
 type Budget struct {
 	Name            string
-	Amount          int64         // in each window
-	Overdraft       int64         // beyond the amount, in each window; divided among the slots like it
-	Window          time.Duration // windows are counted from Unix time 0
-	WindowsAhead    int           // windows after the current one in which something may be spent now
-	TransferWindows int           // windows for which quota is lent at the most, the current one included
-	Weights         []int64       // by slot; a slot of weight 0 has no base quota
+	Amount          int64         // amount in each window
+	Overdraft       int64         // further amount in each window, divided among the slots like Amount
+	Window          time.Duration // length of a window; windows are numbered from Unix time 0
+	WindowsAhead    int           // number of windows after the current one in which quota can be spent now
+	TransferWindows int           // maximum number of windows of a transfer
+	Weights         []int64       // weights of the slots; a slot of weight 0 has no base quota
 
 	totalWeight        int64
-	amountRemainder    int64 // of the amount, which does not divide evenly by weight
-	overdraftRemainder int64
-	definitionHash     uint64
+	amountRemainder    int64  // part of Amount that does not divide evenly by weight
+	overdraftRemainder int64  // part of Overdraft that does not divide evenly by weight
+	definitionHash     uint64 // see DefinitionHash
 }
 
-// Complete checks the budget and computes what follows from its fields. The error is a *BudgetError.
+// Complete validates the budget and computes the values that depend on its fields. The error is a *BudgetError.
 func (b *Budget) Complete() error {
 	if err := b.validate(); err != nil {
 		return err
@@ -59,7 +59,7 @@
 		b.overdraftRemainder -= b.evenShare(b.Overdraft, slot)
 	}
 	hash := xxhash.New()
-	// Nodes compare the hash with that of nodes of other versions: its input must never change.
+	// Nodes compare the hash with those of nodes of other versions, so its input must never change.
 	fmt.Fprint(hash, b.Name, "\x00", b.Amount, b.Overdraft, b.Window, b.WindowsAhead, b.TransferWindows, b.Weights)
 	b.definitionHash = hash.Sum64()
 	return nil
@@ -67,9 +67,9 @@
 
 // BudgetError reports a field of a budget that is missing or out of range.
 type BudgetError struct {
-	// Key is the field as the operator's file names it; "" where the fault is in no single one.
+	// Key is the key of the field in the operator's file, or "" if the fault is in no single field.
 	Key string
-	// Reason says what is wrong with its value.
+	// Reason describes the fault.
 	Reason string
 }
 
@@ -85,7 +85,7 @@
 	return &BudgetError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// validate checks the fields, but for the weights.
+// validate checks all fields except the weights.
 func (b *Budget) validate() error {
 	switch {
 	case b.Name == "":
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// sumWeights checks the weights and sums them up.
+// sumWeights checks the weights and computes their sum.
 func (b *Budget) sumWeights() error {
 	b.totalWeight = 0
 	for slot, weight := range b.Weights {
@@ -121,24 +121,25 @@
 	return nil
 }
 
-// DefinitionHash is the same at all nodes whose budgets are defined alike. Nodes lend to each other only where it is.
+// DefinitionHash returns a hash of the budget's definition. Nodes lend to each other only if their hashes are equal.
 func (b *Budget) DefinitionHash() uint64 { return b.definitionHash }
 
-// WindowAt returns the number of the window that a time, in Unix nanoseconds, falls in.
+// WindowAt returns the number of the window that contains a time, in Unix nanoseconds.
 func (b *Budget) WindowAt(now int64) int64 { return now / int64(b.Window) }
 
-// WindowStart returns when a window begins, in Unix nanoseconds.
+// WindowStart returns the start of a window in Unix nanoseconds.
 func (b *Budget) WindowStart(window int64) int64 { return window * int64(b.Window) }
 
-// evenShare is the part of a total that a slot's weight gives it, rounded down.
+// evenShare returns a slot's share of a total by its weight, rounded down.
 func (b *Budget) evenShare(total int64, slot int) int64 {
 	high, low := bits.Mul64(uint64(total), uint64(b.Weights[slot]))
 	quotient, _ := bits.Div64(high, low, uint64(b.totalWeight))
 	return int64(quotient)
 }
 
-// remainderUnit is 1 where it is the slot's turn, in this window, for one unit of a remainder that does not divide
-// evenly, else 0. Turns go round, so that a budget smaller than the number of slots is everybody's in turn.
+// remainderUnit returns 1 if a slot receives one unit of a remainder in a window, else 0. The units rotate over the
+// slots from window to window, so that every slot has quota at times even if the budget is smaller than the number of
+// slots.
 func (b *Budget) remainderUnit(remainder int64, slot int, window int64) int64 {
 	if remainder == 0 {
 		return 0
@@ -151,8 +152,8 @@
 	return 0
 }
 
-// BaseQuota is what the owner of a slot may spend in a window without a message from anybody. The base quotas of
-// all slots sum up to the amount.
+// BaseQuota returns the amount that the owner of a slot may spend in a window without a message from another node.
+// The base quotas of all slots sum to Amount.
 func (b *Budget) BaseQuota(slot int, window int64) int64 {
 	if slot < 0 || slot >= len(b.Weights) {
 		return 0
@@ -160,7 +161,7 @@
 	return b.evenShare(b.Amount, slot) + b.remainderUnit(b.amountRemainder, slot, window)
 }
 
-// OverdraftQuota is a slot's share of the overdraft in a window.
+// OverdraftQuota returns a slot's share of the overdraft in a window.
 func (b *Budget) OverdraftQuota(slot int, window int64) int64 {
 	if slot < 0 || slot >= len(b.Weights) {
 		return 0
--- a/internal/fleet/quota/budget_test.go
+++ b/internal/fleet/quota/budget_test.go
@@ -15,8 +15,8 @@
 	return &budget
 }
 
-// The base quotas of all slots sum up to the amount in every window, and each slot has its turn for what does not
-// divide evenly.
+// The base quotas of all slots sum to the amount in every window, and the units of the remainder rotate evenly over the
+// slots.
 func TestBaseQuotasSumToTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := Budget{
@@ -32,8 +32,8 @@
 		}
 		slots := int64(len(budget.Weights))
 		turns := make([]int64, slots)
-		first := rapid.Int64Range(0, 1000).Draw(t, "window")
-		for window := first; window < first+slots; window++ {
+		firstWindow := rapid.Int64Range(0, 1000).Draw(t, "window")
+		for window := firstWindow; window < firstWindow+slots; window++ {
 			sum, overdraft := int64(0), int64(0)
 			for slot := range budget.Weights {
 				base := budget.BaseQuota(slot, window)
@@ -42,13 +42,13 @@
 				turns[slot] += base - budget.evenShare(budget.Amount, slot)
 			}
 			if sum != budget.Amount || overdraft != budget.Overdraft {
-				t.Fatalf("window %d: base quotas of %d in all, of an amount of %d; %d of %d",
+				t.Fatalf("window %d: base quotas sum to %d, amount %d; overdraft quotas sum to %d, overdraft %d",
 					window, sum, budget.Amount, overdraft, budget.Overdraft)
 			}
 		}
 		for slot := range turns {
 			if turns[slot] != budget.amountRemainder {
-				t.Fatalf("slot %d had %d turns of %d", slot, turns[slot], budget.amountRemainder)
+				t.Fatalf("slot %d has %d units of the remainder, want %d", slot, turns[slot], budget.amountRemainder)
 			}
 		}
 	})
--- a/internal/fleet/quota/demand.go
+++ b/internal/fleet/quota/demand.go
@@ -2,52 +2,53 @@
 
 import "math"
 
-// Of the demand's estimate.
+// Parameters of the demand estimate.
 const (
-	latestWindowWeight = 0.5 // of the latest window in the moving average
-	maxWindowsAveraged = 16  // after which nothing of an earlier average is left
-	forecastMargin     = 1.1 // a tenth to spare
+	latestWindowWeight = 0.5 // weight of the latest window in the moving average
+	maxWindowsAveraged = 16  // number of windows without a request after which an earlier average is negligible
+	forecastMargin     = 1.1 // factor of the forecast: a tenth above the estimate
 )
 
-// demandEstimate estimates how much is requested of a budget in a window, granted or not.
+// demandEstimate estimates the amount that is requested of a budget in a window, whether granted or not.
 type demandEstimate struct {
-	requested int64   // in the current window
-	perWindow float64 // an exponential moving average
-	first     bool    // no window has ended yet
+	requested        int64   // amount requested in the current window
+	averagePerWindow float64 // exponential moving average of the amounts requested in a window
+	noHistory        bool    // whether no window has ended yet
 }
 
-func newDemandEstimate() demandEstimate { return demandEstimate{first: true} }
+func newDemandEstimate() demandEstimate { return demandEstimate{noHistory: true} }
 
-func (d *demandEstimate) request(amount int64) { d.requested += max(0, amount) }
+// record adds a requested amount to the current window.
+func (d *demandEstimate) record(amount int64) { d.requested += max(0, amount) }
 
-// endWindows takes in that the current window and those after it have ended, so many in all.
+// endWindows updates the average after the end of a number of windows, from the current one on.
 func (d *demandEstimate) endWindows(windows int64) {
 	for range min(windows, maxWindowsAveraged) {
-		if d.first {
-			d.perWindow = float64(d.requested)
-			d.first = false
+		if d.noHistory {
+			d.averagePerWindow = float64(d.requested)
+			d.noHistory = false
 		} else {
-			d.perWindow += latestWindowWeight * (float64(d.requested) - d.perWindow)
+			d.averagePerWindow += latestWindowWeight * (float64(d.requested) - d.averagePerWindow)
 		}
 		d.requested = 0
 	}
 }
 
-// currentWindow is the demand of the current window, of which the given fraction is left: what was requested
-// already, and the usual rate for the rest.
-func (d *demandEstimate) currentWindow(left float64) float64 {
-	if d.first {
+// forecastCurrentWindow returns the expected demand of the current window, of which the given fraction remains: the
+// amount requested so far, plus the average rate, or the window's own if that is higher, for the remainder.
+func (d *demandEstimate) forecastCurrentWindow(remaining float64) float64 {
+	if d.noHistory {
 		return float64(d.requested)
 	}
-	return float64(d.requested) + max(0, min(1, left))*max(d.perWindow, float64(d.requested))
+	return float64(d.requested) + max(0, min(1, remaining))*max(d.averagePerWindow, float64(d.requested))
 }
 
-// forecastDemand is the demand expected of a window, with a margin.
+// forecastDemand returns the expected demand of a window, plus a margin.
 func (a *Allocation) forecastDemand(window int64) int64 {
-	expected := a.demand.perWindow
+	expected := a.demand.averagePerWindow
 	if window == a.currentWindow {
-		left := 1 - float64(a.now-a.WindowStart(window))/float64(a.Window)
-		expected = a.demand.currentWindow(left)
+		remaining := 1 - float64(a.now-a.WindowStart(window))/float64(a.Window)
+		expected = a.demand.forecastCurrentWindow(remaining)
 	}
 	return int64(math.Ceil(expected * forecastMargin))
 }
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -19,7 +19,7 @@
 		func(b []byte) (v Owner, err error) { return v, cbor.Unmarshal(b, &v) })
 }
 
-func TestGoldenUse(t *testing.T) {
+func TestGoldenUsage(t *testing.T) {
 	usage := Usage{
 		Budget:            "tokens/acme",
 		Window:            1,
@@ -41,9 +41,9 @@
 		func(b []byte) (v Usage, err error) { return v, json.Unmarshal(b, &v) })
 }
 
-// Two nodes lend to each other only where their budgets have the same hash, and every node computes the base quotas for
-// itself: neither may change between versions.
-func TestGoldenDefinitionsAndShares(t *testing.T) {
+// Nodes lend to each other only if their budgets have the same hash, and every node computes the base quotas itself, so
+// neither may change between versions.
+func TestGoldenDefinitionsAndBaseQuotas(t *testing.T) {
 	var text strings.Builder
 	for _, b := range []Budget{
 		{Name: "tokens/acme", Amount: 1000, Window: time.Second, TransferWindows: 4, Weights: []int64{1, 1, 1}},
@@ -73,7 +73,7 @@
 }
 
 func TestGoldenBudgetErrors(t *testing.T) {
-	good := Budget{Name: "b", Amount: 1, Window: time.Second, TransferWindows: 1, Weights: []int64{1}}
+	valid := Budget{Name: "b", Amount: 1, Window: time.Second, TransferWindows: 1, Weights: []int64{1}}
 	var text strings.Builder
 	for _, edit := range []func(*Budget){
 		func(b *Budget) { b.Name = "" },
@@ -88,7 +88,7 @@
 		func(b *Budget) { b.Weights = []int64{1, -1} },
 		func(b *Budget) { b.Weights = []int64{0, 0} },
 	} {
-		b := good
+		b := valid
 		edit(&b)
 		err := b.Complete()
 		require.Error(t, err)
@@ -97,7 +97,7 @@
 	golden.Bytes(t, "errors.txt", []byte(text.String()))
 }
 
-// The bounds are part of what nodes agree on: a message beyond them is dropped.
+// Messages beyond the bounds are dropped, so the bounds may not differ between nodes.
 func TestGoldenBounds(t *testing.T) {
 	bounds := fmt.Appendf(nil, "loans %d\nwindows %d\namount %d\n", MaxTransfers, MaxWindows, MaxAmount)
 	golden.Bytes(t, "bounds.txt", bounds)
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -12,13 +12,13 @@
 
 const clockError = second / 2
 
-// simulation is a few nodes with one budget, whose messages may be lost, duplicated and late, whose incarnations
-// end, and whose clocks are off.
+// simulation runs nodes that share one budget. Their messages may be lost, duplicated or late, incarnations end, and
+// clocks are off.
 type simulation struct {
 	budget   *Budget
 	monitor  *invariant.Monitor
 	nodes    []*simulatedNode
-	spent    map[int64]int64 // by window, over all incarnations
+	spent    map[int64]int64 // amounts spent by all incarnations, by window
 	messages []message
 	now      int64
 	leases   []Lease
@@ -30,7 +30,7 @@
 	clockOffset int64
 }
 
-// message is what one node sends to another: a transferGrant or a transferReturn.
+// message is a message between two nodes: a transferGrant or a transferReturn.
 type message interface{ deliver(s *simulation) }
 
 type transferGrant struct{ Transfer }
@@ -69,8 +69,8 @@
 	return s
 }
 
-// start begins an incarnation in a slot. successor: on the same directory as the one before; else it has a lease
-// only once that of the one before has expired.
+// start starts an incarnation in a slot. If it is the successor of the previous one, in the same directory, it has a
+// lease at once, else only if that of the previous one has expired.
 func (s *simulation) start(slot int, clockOffset int64, duration time.Duration, successor bool) {
 	previous := s.leases[slot]
 	now := s.now + clockOffset
@@ -78,7 +78,7 @@
 	s.nodes[slot] = &simulatedNode{NewAllocation(s.budget, s.owners[slot], clockError, now, s.monitor), clockOffset}
 	successor = successor && previous.FencingToken != 0
 	if previous.FencingToken != 0 && !successor && now <= previous.ExpiresAt+2*clockError {
-		return // without a lease: it may borrow
+		return // without a lease, it can only borrow
 	}
 	s.leases[slot] = Lease{
 		FencingToken: previous.FencingToken + 1,
@@ -96,12 +96,12 @@
 	}
 }
 
-func (s *simulation) spend(slot int, amount int64, further int) bool {
+func (s *simulation) spend(slot int, amount int64, furtherWindows int) bool {
 	node := s.nodes[slot]
-	if !node.Overdraw(amount, further) {
+	if !node.Overdraw(amount, furtherWindows) {
 		return false
 	}
-	for i := range int64(further) + 1 {
+	for i := range int64(furtherWindows) + 1 {
 		s.spent[node.CurrentWindow()+i] += amount
 	}
 	return true
@@ -133,8 +133,8 @@
 	}
 }
 
-// Whatever is lost, duplicated or late, whoever restarts and however clocks are off within what they may: no window
-// is overspent.
+// No window is overspent although messages are lost, duplicated or late, nodes restart, and clocks are off by up to
+// clockError.
 func TestNoWindowIsOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.IntRange(2, 5).Draw(t, "slots"), Budget{
@@ -163,11 +163,11 @@
 					rapid.Int64Range(0, 2).Draw(t, "ahead"), rapid.IntRange(1, 5).Draw(t, "windows"))
 			},
 			"return": func(t *rapid.T) { s.returnUnneeded(slot.Draw(t, "slot")) },
-			"deliver": func(t *rapid.T) { // and perhaps once more later
+			"deliver": func(t *rapid.T) { // a message may be delivered again later
 				if len(s.messages) > 0 {
 					i := rapid.IntRange(0, len(s.messages)-1).Draw(t, "which")
 					s.messages[i].deliver(s)
-					if rapid.Bool().Draw(t, "gone") {
+					if rapid.Bool().Draw(t, "last delivery") {
 						s.messages = append(s.messages[:i], s.messages[i+1:]...)
 					}
 				}
--- a/internal/fleet/quota/transfer.go
+++ b/internal/fleet/quota/transfer.go
@@ -8,32 +8,34 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// Transfer is quota that one owner lends to another, in each window from FirstWindow to LastWindow. Its lender and
-// its number identify it.
+// Transfer is quota that one owner lends to another, in each window from FirstWindow to LastWindow. It is identified
+// by its lender and its number.
 type Transfer struct {
 	Lender      Owner
 	Number      uint64
 	Borrower    Owner
-	Amount      int64 // in each window
-	FirstWindow int64
-	LastWindow  int64
+	Amount      int64 // amount in each window
+	FirstWindow int64 // number of the first window
+	LastWindow  int64 // number of the last window
 }
 
-// transferRecord is a transfer as its lender or its borrower has it.
+// transferRecord is the record that the lender or the borrower has of a transfer.
 type transferRecord struct {
 	Transfer
-	// originalLast is the last window that it had at first. It is remembered until then, so that it counts once
-	// however often it is announced.
+	// originalLast is the last window at the time of the grant. The record is kept until that window has ended, so that
+	// the transfer counts once however often its grant is received.
 	originalLast int64
-	// reclaimAt is when its lender uses again what was not returned, in Unix nanoseconds; 0 at its borrower.
+	// reclaimAt is the time from which the lender uses quota again that was not returned, in Unix nanoseconds. It is 0
+	// after a return, and in the borrower's record.
 	reclaimAt int64
 }
 
+// covers reports whether a window is one of the transfer's.
 func (t *transferRecord) covers(window int64) bool {
 	return t.FirstWindow <= window && window <= t.LastWindow
 }
 
-// lentAmount is what is lent of a window, or was lent and may not be used again yet.
+// lentAmount returns the amount of a window that is lent, or was lent and must not be used again yet.
 func (a *Allocation) lentAmount(window int64) int64 {
 	total := int64(0)
 	for i := range a.lent {
@@ -45,13 +47,13 @@
 	return total
 }
 
-// awaitsReclaim reports whether a transfer has ended before a window, but a clock in the fleet may still be before
-// its end.
+// awaitsReclaim reports whether a transfer ends before a window, but may not have ended by the slowest clock of the
+// fleet.
 func (a *Allocation) awaitsReclaim(transfer *transferRecord, window int64) bool {
 	return window > transfer.LastWindow && a.now < transfer.reclaimAt && window <= a.WindowAt(transfer.reclaimAt)
 }
 
-// borrowedAmount is what is borrowed for a window.
+// borrowedAmount returns the amount that is borrowed in a window.
 func (a *Allocation) borrowedAmount(window int64) int64 {
 	total := int64(0)
 	for i := range a.borrowed {
@@ -62,8 +64,8 @@
 	return total
 }
 
-// Surplus is what may be lent in each window from first to last: of the base quota alone, beyond what is spent,
-// lent or expected to be demanded.
+// Surplus returns the amount that can be lent in each window from first to last. It is the part of the base quota
+// that is neither spent, nor lent, nor expected to be demanded. Borrowed quota is not lent on.
 func (a *Allocation) Surplus(first, last int64) int64 {
 	minimum := int64(math.MaxInt64)
 	for window := first; window <= last; window++ {
@@ -74,18 +76,20 @@
 	return max(0, minimum)
 }
 
-// minSurplusDivisor is the part of its base quota that a lender must have to spare: less is not worth a message.
+// minSurplusDivisor is the divisor of the base quota that gives the minimum surplus of a lender. A smaller transfer is
+// not worth a message.
 const minSurplusDivisor = 64
 
-// Lend lends to another owner up to an amount, in so many windows from first on; TransferWindows bounds them. Of
-// the surplus half is lent at a time, since several may ask, and each asks several. False: nothing is lent.
+// Lend lends up to an amount to another owner, in a number of windows from first on, at most TransferWindows. It
+// lends at most half of the surplus, since several nodes may request quota, each from several lenders. It returns
+// false if it lends nothing.
 func (a *Allocation) Lend(borrower Owner, amount, first int64, windows int) (Transfer, bool) {
 	first = max(first, a.currentWindow)
 	last := first + int64(min(windows, a.TransferWindows)) - 1
 	if borrower.Slot == a.Owner.Slot || amount <= 0 || windows < 1 || first > a.currentWindow+int64(a.TransferWindows) {
 		return Transfer{}, false
 	}
-	// Refused rather than forgotten: a transfer that its lender does not remember would be spent twice.
+	// A further transfer is rejected, since dropping the record of one would let its quota be spent twice.
 	if len(a.lent) >= MaxTransfers {
 		return Transfer{}, false
 	}
@@ -97,10 +101,10 @@
 	if amount <= 0 {
 		return Transfer{}, false
 	}
-	a.lastNumber++
+	a.lastTransferNumber++
 	transfer := Transfer{
 		Lender:      a.Owner,
-		Number:      a.lastNumber,
+		Number:      a.lastTransferNumber,
 		Borrower:    borrower,
 		Amount:      amount,
 		FirstWindow: first,
@@ -115,20 +119,21 @@
 	return transfer, true
 }
 
-// checkLent reports windows of which more is lent than the owner has.
+// checkLent reports a violation for each window from first to last of which more is lent than the base quota.
 func (a *Allocation) checkLent(first, last int64) {
 	for window := first; window <= last; window++ {
 		lent := a.lentAmount(window)
 		own := a.leasedQuota(window)
 		if lent > own {
-			detail := fmt.Sprintf("%s, window %d: %d of %d", a.Name, window, lent, own)
+			detail := fmt.Sprintf("budget %s, window %d: %d lent, base quota %d", a.Name, window, lent, own)
 			a.Invariants.Violated(invariant.LentOverBaseQuota, detail)
 		}
 	}
 }
 
-// Accept takes in a transfer to this owner, once, unless it has ended or is malformed. It reports whether it did.
-// What cannot be remembered is not accepted: it is nobody's until its end.
+// Accept records a transfer to this owner, and reports whether it did. It rejects a transfer that it has recorded
+// before, that has ended or that is malformed, and any beyond MaxTransfers. No node can spend the quota of a rejected
+// transfer until its end.
 func (a *Allocation) Accept(transfer Transfer) bool {
 	if transfer.Borrower != a.Owner || transfer.LastWindow < a.currentWindow || !a.wellFormed(transfer) {
 		return false
@@ -146,7 +151,7 @@
 	return true
 }
 
-// wellFormed reports whether a transfer is one that a lender of this budget can have granted by now.
+// wellFormed reports whether a lender of this budget can have granted a transfer by now.
 func (a *Allocation) wellFormed(transfer Transfer) bool {
 	if transfer.Amount <= 0 || transfer.Amount > MaxAmount || transfer.FirstWindow > transfer.LastWindow {
 		return false
@@ -156,12 +161,12 @@
 }
 
 // ReturnUnneeded ends borrowed transfers that are not needed after the current window, and returns them with their
-// new end. A transfer is not needed where each of its further windows has twice its amount to spare.
+// new end. A transfer is not needed if each of its later windows has spare quota of at least twice its amount.
 func (a *Allocation) ReturnUnneeded() []Transfer {
 	var returned []Transfer
 	for i := range a.borrowed {
 		transfer := &a.borrowed[i].Transfer
-		if transfer.LastWindow > a.currentWindow && a.unneeded(transfer) {
+		if transfer.LastWindow > a.currentWindow && a.isUnneeded(transfer) {
 			transfer.LastWindow = a.currentWindow
 			returned = append(returned, *transfer)
 		}
@@ -169,7 +174,8 @@
 	return returned
 }
 
-func (a *Allocation) unneeded(transfer *Transfer) bool {
+// isUnneeded reports whether a borrowed transfer is not needed after the current window.
+func (a *Allocation) isUnneeded(transfer *Transfer) bool {
 	for window := max(a.currentWindow+1, transfer.FirstWindow); window <= transfer.LastWindow; window++ {
 		spare := a.Quota(window) - max(a.Spent(window), a.forecastDemand(window))
 		if spare < 2*transfer.Amount {
@@ -179,21 +185,21 @@
 	return true
 }
 
-// AcceptReturn takes in that a borrower has ended a transfer early, after window last.
+// AcceptReturn records that a borrower has ended a transfer early, after window last.
 func (a *Allocation) AcceptReturn(borrower Owner, number uint64, last int64) {
 	for i := range a.lent {
 		transfer := &a.lent[i]
 		if transfer.Number == number && transfer.Borrower == borrower && last < transfer.LastWindow {
 			transfer.LastWindow = last
-			transfer.reclaimAt = 0 // the borrower has said so itself: no clock matters
+			transfer.reclaimAt = 0 // the borrower has ended it itself, so its clock does not matter
 		}
 	}
 }
 
-// dropEndedTransfers forgets transfers that can neither be spent nor be counted twice any more.
+// dropEndedTransfers removes the records of transfers that can neither be spent nor be counted twice any more.
 func (a *Allocation) dropEndedTransfers() {
 	window := a.currentWindow
-	// By the end that they had at first: one that was returned early could come once more, as a message that was late.
+	// Their original end counts, since the grant of a transfer that was returned early may be received once more.
 	a.borrowed = slices.DeleteFunc(a.borrowed, func(t transferRecord) bool { return t.originalLast < window })
 	a.lent = slices.DeleteFunc(a.lent, func(t transferRecord) bool {
 		return t.originalLast < window && t.reclaimAt <= a.now
--- a/internal/fleet/quota/transfer_test.go
+++ b/internal/fleet/quota/transfer_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What is lent is spent by one of the two, and comes back at the transfer's end plus what clocks may be off, or
-// when it is returned.
+// Quota that is lent belongs to the borrower alone until the end of its transfer, and to the lender again when that
+// end has passed by every clock, or when the borrower returns it.
 func TestTransferredQuotaComesBack(t *testing.T) {
 	s := newSimulation(t, 2, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 3})
 	s.advance(second)
@@ -17,11 +17,11 @@
 	transfer, ok := lender.Lend(borrower.Owner, 4, window, 2)
 	require.True(t, ok)
 	require.True(t, borrower.Accept(transfer))
-	require.False(t, borrower.Accept(transfer), "a second time it is the same transfer")
+	require.False(t, borrower.Accept(transfer), "a transfer is accepted once")
 	require.EqualValues(t, []int64{6, 14}, []int64{lender.Quota(window), borrower.Quota(window)})
 	require.EqualValues(t, 10, borrower.Quota(window+2))
 	s.advance(2 * second)
-	require.EqualValues(t, 6, lender.Quota(window+2), "a clock may still be before the end")
+	require.EqualValues(t, 6, lender.Quota(window+2), "the transfer may not have ended by another clock")
 	s.advance(clockError)
 	require.EqualValues(t, 10, lender.Quota(window+2))
 	transfer, _ = lender.Lend(borrower.Owner, 4, window+2, 3)
@@ -31,17 +31,17 @@
 	require.EqualValues(t, 10, borrower.Quota(window+3))
 	lender.AcceptReturn(borrower.Owner, returned[0].Number, returned[0].LastWindow)
 	require.EqualValues(t, []int64{6, 10}, []int64{lender.Quota(window + 2), lender.Quota(window + 3)})
-	require.False(t, borrower.Accept(transfer), "nor once it has been returned")
+	require.False(t, borrower.Accept(transfer), "a returned transfer is not accepted again")
 	s.advance(second)
-	require.False(t, borrower.Accept(transfer), "nor while it would last")
+	require.False(t, borrower.Accept(transfer), "a returned transfer is not accepted before its original end")
 	other := transfer
 	other.Number = 99
 	other.Borrower.Incarnation = borrower.Owner.Incarnation + 1
-	require.False(t, borrower.Accept(other), "nor one to another incarnation")
+	require.False(t, borrower.Accept(other), "a transfer to another incarnation is not accepted")
 }
 
-// Transfers are bounded: a lender with as many as it remembers lends no more, and a borrower accepts none that it
-// would forget.
+// The number of transfers is bounded: a lender with MaxTransfers lends no more, and a borrower with as many accepts no
+// more.
 func TestTransfersAreBounded(t *testing.T) {
 	s := newSimulation(t, 2, Budget{Name: "b", Amount: 1 << 40, Window: time.Second, TransferWindows: 2})
 	s.advance(second)
