--- a/internal/fleet/counter/counter.go
+++ b/internal/fleet/counter/counter.go
@@ -1,10 +1,10 @@
-// Package counter keeps counts that the nodes of a fleet add to together. Each incarnation of a node counts what it
-// did itself, every node forwards the snapshots that it has received, and a reading gives the bounds between which
-// the sum lies. It is pure: the time is an argument.
+// Package counter implements counters that all nodes of a fleet add to. Each incarnation of a node counts its own
+// events, every node forwards the snapshots that it has received, and a reading gives bounds of the sum over the
+// fleet. The package is pure: the time is an argument.
 //
 // The counts of an incarnation only grow, and a snapshot is replaced by later ones of the same incarnation, as in a
-// grow-only counter (G-counter). So a snapshot that is received twice, late or out of order counts once, as does
-// what a node did before it was restarted.
+// grow-only counter (G-counter). So a snapshot that is received twice, late or out of order counts once, and so do
+// the counts of a node from before its restart.
 package counter
 
 import (
@@ -15,39 +15,41 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// MaxIncarnations is how many incarnations of a slot are kept apart. The counts of earlier ones are summed up.
+// MaxIncarnations is the maximum number of incarnations of a slot with a snapshot of their own. The counts of earlier
+// ones are summed up.
 const MaxIncarnations = 4
 
-// Snapshot is the counts of one incarnation at a time of its own clock, in Unix nanoseconds.
+// Snapshot has the counts of one incarnation at a time.
 type Snapshot struct {
 	Owner  quota.Owner `cbor:"1,keyasint"`
-	At     int64       `cbor:"2,keyasint"`
-	Counts []int64     `cbor:"3,keyasint"`
+	At     int64       `cbor:"2,keyasint"` // Unix nanoseconds, by the owner's clock
+	Counts []int64     `cbor:"3,keyasint"` // counts by key
 }
 
-// Table is what one node knows of all counts. A count is named by its key, an index. It is not safe for concurrent use.
+// Table has the counts of all nodes, as far as one node knows them. A key is the index of a counter. It is not safe
+// for concurrent use.
 type Table struct {
-	// MaxRates is what an incarnation adds to each count in a second at the most, as configured. What it has added
-	// since its last snapshot lies between 0 and that.
+	// MaxRates has, for each key, the maximum that an incarnation adds to the count in a second, as configured. What an
+	// incarnation has added since its latest snapshot is between 0 and that rate times the age of the snapshot.
 	MaxRates   []int64
-	ClockError int64 // nanoseconds by which two clocks may differ
+	ClockError int64 // maximum difference between the clocks of two nodes, in nanoseconds
 	Invariants *invariant.Monitor
 
-	own       Snapshot
-	slots     []slotState
-	startedAt int64
+	own       Snapshot    // this node's own counts
+	slots     []slotState // received snapshots by slot
+	startedAt int64       // Unix nanoseconds
 }
 
-// slotState is what is known of a member slot.
+// slotState has the counts of a member slot.
 type slotState struct {
-	incarnations []Snapshot // the latest ones, the newest first
-	// mergedThrough is the last incarnation that is summed up in mergedCounts. Snapshots of it, or of one before
-	// it, change nothing any more.
+	incarnations []Snapshot // snapshots of the latest incarnations, newest incarnation first
+	// mergedThrough is the latest incarnation whose counts are summed up in mergedCounts. Snapshots of it and of
+	// earlier incarnations are ignored.
 	mergedThrough uint64
-	mergedCounts  []int64 // nil: none
+	mergedCounts  []int64 // sums by key; nil if no incarnation is summed up
 }
 
-// New returns the table of an incarnation that begins now, in Unix nanoseconds.
+// New returns the table of an incarnation that starts now, in Unix nanoseconds.
 func New(slots int, maxRates []int64, owner quota.Owner, clockError, now int64, monitor *invariant.Monitor) *Table {
 	return &Table{
 		MaxRates:   maxRates,
@@ -59,20 +61,20 @@
 	}
 }
 
-// Add adds to one of this node's own counts. Keys that do not exist and amounts that are not positive are ignored.
+// Add adds an amount to one of this node's own counts. Invalid keys and amounts that are not positive are ignored.
 func (t *Table) Add(key int, amount int64) {
 	if key >= 0 && key < len(t.own.Counts) && amount > 0 {
 		t.own.Counts[key] += amount
 	}
 }
 
-// OwnSnapshot returns the counts of this incarnation, to be sent to others.
+// OwnSnapshot returns the counts of this incarnation, to be sent to other nodes.
 func (t *Table) OwnSnapshot(now int64) Snapshot {
 	return Snapshot{Owner: t.own.Owner, At: now, Counts: slices.Clone(t.own.Counts)}
 }
 
-// Merge takes in a snapshot. It reports whether that was news: well-formed, of an incarnation that is still kept
-// apart, and later than what is known of it.
+// Merge adds a received snapshot to the table, and reports whether it did. A snapshot is ignored if it is malformed,
+// not newer than the known one of its incarnation, or of an incarnation that is already summed up.
 func (t *Table) Merge(snapshot Snapshot, now int64) bool {
 	if !t.wellFormed(snapshot, now) {
 		return false
@@ -90,14 +92,14 @@
 		slot.mergeOldest()
 		return true
 	}
-	if !snapshot.follows(slot.incarnations[position]) {
+	if !snapshot.supersedes(slot.incarnations[position]) {
 		return false
 	}
 	slot.incarnations[position] = snapshot
 	return true
 }
 
-// wellFormed reports whether a snapshot is one that another node of this fleet can have taken by now.
+// wellFormed reports whether another node of this fleet can have taken a snapshot by now.
 func (t *Table) wellFormed(snapshot Snapshot, now int64) bool {
 	slot := snapshot.Owner.Slot
 	if slot < 0 || slot >= len(t.slots) || snapshot.Owner == t.own.Owner {
@@ -109,9 +111,9 @@
 	return !slices.ContainsFunc(snapshot.Counts, func(count int64) bool { return count < 0 || count > quota.MaxAmount })
 }
 
-// follows reports whether a snapshot was taken after another of the same incarnation. Counts do not fall: one with a
-// lower count is not of this incarnation at all.
-func (s Snapshot) follows(known Snapshot) bool {
+// supersedes reports whether a snapshot was taken after another of the same incarnation. Since counts only grow, a
+// snapshot with a lower count is invalid.
+func (s Snapshot) supersedes(known Snapshot) bool {
 	if s.At <= known.At {
 		return false
 	}
@@ -123,7 +125,7 @@
 	return true
 }
 
-// mergeOldest sums up the oldest incarnations where there are more than MaxIncarnations.
+// mergeOldest sums up the oldest incarnations if there are more than MaxIncarnations.
 func (s *slotState) mergeOldest() {
 	for len(s.incarnations) > MaxIncarnations {
 		last := len(s.incarnations) - 1
@@ -139,7 +141,7 @@
 	}
 }
 
-// Age returns how old the latest snapshot of a slot is, in nanoseconds by this node's clock. False: there is none.
+// Age returns the age of the latest snapshot of a slot in nanoseconds, by this node's clock, or false if there is none.
 func (t *Table) Age(slot int, now int64) (int64, bool) {
 	if slot == t.own.Owner.Slot {
 		return 0, true
@@ -151,7 +153,7 @@
 	return max(0, now-latest.At), true
 }
 
-// Latest returns the snapshot of the latest incarnation in another node's slot. False: there is none.
+// Latest returns the snapshot of the latest incarnation in another node's slot, or false if there is none.
 func (t *Table) Latest(slot int) (Snapshot, bool) {
 	known := t.slots[slot].incarnations
 	if len(known) == 0 {
--- a/internal/fleet/counter/counter_test.go
+++ b/internal/fleet/counter/counter_test.go
@@ -20,15 +20,15 @@
 
 var maxRates = []int64{50, 1}
 
-// simulation is nodes that count, and a reader that is up throughout and receives their snapshots in any order.
+// simulation runs nodes that count, and a reader that is up throughout and receives their snapshots in any order.
 type simulation struct {
 	monitor      *invariant.Monitor
 	now          int64
-	incarnations []uint64 // by slot
-	nodes        []*Table // by slot; that of the reader is not used
+	incarnations []uint64 // latest incarnations by slot
+	nodes        []*Table // tables by slot; that of slot 0, the reader's, is not used
 	reader       *Table
-	snapshots    []Snapshot // that were sent
-	total        int64      // that was counted under key 0
+	snapshots    []Snapshot // all snapshots sent so far
+	total        int64      // true sum of the counts of key 0
 }
 
 func newSimulation() *simulation {
@@ -51,7 +51,7 @@
 	s.nodes[slot] = New(slots, maxRates, owner, clockError, s.now, s.monitor)
 }
 
-// advance moves on. Nobody adds faster than its stated rate, over any time.
+// advance advances the time. No node counts faster than its maximum rate, over any time.
 func (s *simulation) advance(t *rapid.T) {
 	by := rapid.Int64Range(0, second).Draw(t, "by")
 	s.now += by
@@ -69,7 +69,7 @@
 	s.snapshots = append(s.snapshots, node.OwnSnapshot(at))
 }
 
-// receive hands the reader any of the snapshots. It is called any number of times.
+// receive merges one of the snapshots into the reader's table, perhaps not for the first time.
 func (s *simulation) receive(t *rapid.T) {
 	if len(s.snapshots) > 0 {
 		i := rapid.IntRange(0, len(s.snapshots)-1).Draw(t, "snapshot")
@@ -77,8 +77,8 @@
 	}
 }
 
-// restart restarts a node. Its last snapshot is received first: what an incarnation did after that is not known to
-// anybody.
+// restart restarts a node. The reader receives its last snapshot before, since the counts of an incarnation after its
+// last received snapshot are lost.
 func (s *simulation) restart(t *rapid.T) {
 	slot := rapid.IntRange(1, slots-1).Draw(t, "node")
 	s.now += 2 * clockError
@@ -89,17 +89,17 @@
 func (s *simulation) check(t *rapid.T) {
 	reading := s.reader.Read(0, s.now)
 	if reading.Lower > s.total || s.total > reading.Upper || len(s.monitor.Violations()) > 0 {
-		t.Fatalf("%d counted, read as %d to %d", s.total, reading.Lower, reading.Upper)
+		t.Fatalf("true sum %d, read as %d to %d", s.total, reading.Lower, reading.Upper)
 	}
 	for slot := range s.reader.slots {
 		if len(s.reader.slots[slot].incarnations) > MaxIncarnations {
-			t.Fatal("too many incarnations are kept")
+			t.Fatal("a slot has more than MaxIncarnations incarnations")
 		}
 	}
 }
 
-// A restart, a node replaced in the same slot, a snapshot received twice, late or out of order: nothing counts twice,
-// and the true sum lies within the bounds, wider the longer nothing is received.
+// The true sum lies within the bounds of a reading although nodes restart, other nodes replace them in the same slot,
+// and snapshots are received twice, late or out of order.
 func TestReadingBoundsTheTrueSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
@@ -113,7 +113,8 @@
 	})
 }
 
-// Who is up, as far as known: a node that fell silent may be up or not.
+// A node whose snapshot is too old may be up or not, so it counts in the upper bound alone. Snapshots with falling
+// counts, older ones and ones from the future are ignored.
 func TestLiveMembersAndStaleSnapshots(t *testing.T) {
 	table := New(3, []int64{1}, quota.Owner{Slot: 0, Incarnation: 1}, 0, 0, nil)
 	merge := func(at, count, now int64) bool {
@@ -124,7 +125,7 @@
 	require.True(t, merge(second, 5, second))
 	require.Equal(t, Reading{Lower: 2, Upper: 3, Age: second, Reported: 2, Unreported: 1}, live(2*second))
 	require.Equal(t, Reading{Lower: 1, Upper: 3, Reported: 2, Unreported: 1}, live(9*second))
-	require.False(t, merge(2*second, 4, 2*second), "counts that fall")
+	require.False(t, merge(2*second, 4, 2*second), "counts fall")
 	require.False(t, merge(second/2, 5, 2*second), "an older snapshot")
 	age, _ := table.Age(1, 2*second)
 	require.Equal(t, second, age)
--- a/internal/fleet/counter/golden_test.go
+++ b/internal/fleet/counter/golden_test.go
@@ -11,7 +11,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-func TestGoldenRow(t *testing.T) {
+func TestGoldenSnapshot(t *testing.T) {
 	snapshot := Snapshot{Owner: quota.Owner{Slot: 1, Incarnation: 2}, At: 3, Counts: []int64{4, 5, 6}}
 	golden.RoundTrip(t, "row.cbor", snapshot,
 		func(v Snapshot) ([]byte, error) { return cbor.Marshal(v) },
--- a/internal/fleet/counter/reading.go
+++ b/internal/fleet/counter/reading.go
@@ -6,17 +6,17 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// Reading is a sum over the fleet. The true sum is from Lower to Upper. Upper includes all that slots can have
-// added since their latest snapshot, or, where there is none, since this node began.
+// Reading is a sum over the fleet, given by its bounds. Upper includes the maximum that slots can have added since
+// their latest snapshots or, for a slot without a snapshot, since this node started.
 type Reading struct {
-	Lower      int64 `json:"lower"`
-	Upper      int64 `json:"upper"`
-	Age        int64 `json:"age"`    // nanoseconds, of the oldest snapshot in it
-	Reported   int   `json:"heard"`  // slots whose snapshots are in it
-	Unreported int   `json:"silent"` // slots of which there is no snapshot
+	Lower      int64 `json:"lower"`  // lower bound of the sum
+	Upper      int64 `json:"upper"`  // upper bound of the sum
+	Age        int64 `json:"age"`    // age in nanoseconds of the oldest snapshot in the sum
+	Reported   int   `json:"heard"`  // number of slots with a snapshot
+	Unreported int   `json:"silent"` // number of slots without a snapshot
 }
 
-// Read sums up the count of a key. A key that does not exist reads as zero.
+// Read returns the sum of the counts of a key. The sum for an invalid key is zero.
 func (t *Table) Read(key int, now int64) Reading {
 	var reading Reading
 	if key < 0 || key >= len(t.MaxRates) {
@@ -37,18 +37,19 @@
 		}
 	}
 	if reading.Lower > reading.Upper || reading.Lower < 0 {
-		detail := fmt.Sprintf("key %d: from %d to %d", key, reading.Lower, reading.Upper)
+		detail := fmt.Sprintf("counter %d: lower bound %d, upper bound %d", key, reading.Lower, reading.Upper)
 		t.Invariants.Violated(invariant.CounterBounds, detail)
 	}
 	return reading
 }
 
+// add adds a known count to both bounds.
 func (r *Reading) add(count int64) {
 	r.Lower += count
 	r.Upper += count
 }
 
-// knownCount is what all incarnations of a slot have counted, as far as this node knows.
+// knownCount returns the sum of the counts of all incarnations of a slot, as far as this node knows them.
 func (t *Table) knownCount(slot, key int) int64 {
 	state := &t.slots[slot]
 	total := int64(0)
@@ -64,14 +65,14 @@
 	return total
 }
 
-// possibleGrowth is what a slot can have added to a count since its latest snapshot, which is so old by this node's
-// clock.
+// possibleGrowth returns the maximum that a slot can have added to a count since its latest snapshot, whose age in
+// nanoseconds is given by this node's clock.
 func (t *Table) possibleGrowth(key int, age int64) int64 {
 	return int64(float64(age+2*t.ClockError) / 1e9 * float64(t.MaxRates[key]))
 }
 
-// LiveMembers counts the nodes that are up: at least those of which there is a snapshot no older than maxAge, in
-// nanoseconds; at most all of them.
+// LiveMembers returns bounds of the number of nodes that are up. The lower bound is the number of those, this node
+// included, whose snapshot is no older than maxAge, in nanoseconds; the upper bound is the number of all nodes.
 func (t *Table) LiveMembers(now, maxAge int64) Reading {
 	reading := Reading{Lower: 1, Upper: 1, Reported: 1} // this node
 	for slot := range t.slots {
