--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -8,43 +8,44 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// Limits configure a Detector. Spans are nanoseconds, shares lie from 0 to 1.
+// Limits configure a Detector. Durations are in nanoseconds, shares are from 0 to 1.
 type Limits struct {
-	MinSources       int   // other nodes that must agree before a backend is ejected
-	EvidenceLifetime int64 // for which evidence counts
-	// OwnEvidenceLifetime is for how long a node's own observation that a backend is healthy outweighs those of others.
+	MinSources       int   // number of other nodes that must find a backend at fault before it is ejected
+	EvidenceLifetime int64 // time after which evidence expires
+	// OwnEvidenceLifetime is the time for which a node's own observation that a backend is healthy outweighs the
+	// evidence of other nodes.
 	OwnEvidenceLifetime int64
-	MaxEjectedShare     float64 // of a zone's backends
-	// IsolationShare is a share of all backends. A node that finds more than that at fault is taken to be isolated
+	MaxEjectedShare     float64 // maximum share of a zone's backends that is ejected
+	// IsolationShare is a share of all backends. A node that finds more of them at fault is taken to be isolated
 	// itself.
 	IsolationShare float64
-	ClockError     int64 // by which two clocks may differ
+	ClockError     int64 // maximum difference between the clocks of two nodes
 }
 
-// Bounds of what is kept.
+// Limits of the evidence that a node stores and publishes.
 const (
-	MaxBackends          = 4096
-	MaxSourcesPerBackend = 16 // the latest are kept
-	MaxEvidencePerNode   = 8  // that a node publishes at once
-	minBackendsForShare  = 4  // with fewer backends a share of them says nothing
+	MaxBackends          = 4096 // maximum number of backends; further ones are ignored
+	MaxSourcesPerBackend = 16   // maximum number of other nodes' evidence on a backend; the oldest is replaced
+	MaxEvidencePerNode   = 8    // maximum number of backends on which a node publishes evidence at once
+	minBackendsForShare  = 4    // with fewer backends, IsolationShare is not applied
 )
 
-// Backend is a backend as the endpoint list has it.
+// Backend is a backend in the endpoint list.
 type Backend struct {
-	Hash      uint64 // of its name
+	Hash      uint64 // hash of its name
 	Zone      int
-	StartedAt int64
+	StartedAt int64 // start time of its process, Unix nanoseconds
 }
 
-// Detector collects one node's evidence and that of the others. It is not safe for concurrent use.
+// Detector collects the evidence of this node and of the others. It is not safe for concurrent use.
 type Detector struct {
 	Limits
 	Owner      quota.Owner
 	Invariants *invariant.Monitor
 
-	backends map[uint64]Backend
-	own      map[uint64]Evidence
-	received map[uint64][]receivedEvidence // by backend, one for each slot
+	backends map[uint64]Backend            // backends by hash
+	own      map[uint64]Evidence           // this node's evidence by backend hash
+	received map[uint64][]receivedEvidence // other nodes' evidence by backend hash, at most one of each slot
 }
 
 // New returns the detector of a node that has observed nothing.
@@ -59,7 +60,7 @@
 	}
 }
 
-// SetBackends replaces the backends that may be used. Evidence on others, and on earlier processes of these, is
+// SetBackends replaces the list of ready backends. Evidence on other backends, and on earlier processes of these, is
 // dropped.
 func (d *Detector) SetBackends(backends []Backend) {
 	clear(d.backends)
@@ -81,13 +82,13 @@
 	}
 }
 
-// obsolete reports that evidence is about no process that is listed.
+// obsolete reports whether evidence is on a backend or a process that is not listed.
 func (d *Detector) obsolete(evidence Evidence) bool {
 	backend, listed := d.backends[evidence.BackendHash]
 	return !listed || backend.StartedAt != evidence.StartedAt
 }
 
-// Observe takes in what this node has observed itself. It replaces any earlier observation of the backend.
+// Observe records an observation of this node. It replaces any earlier one of the same backend.
 func (d *Detector) Observe(evidence Evidence) {
 	known, ok := d.own[evidence.BackendHash]
 	if d.obsolete(evidence) || ok && known.ObservedAt > evidence.ObservedAt {
@@ -96,7 +97,7 @@
 	d.own[evidence.BackendHash] = evidence
 }
 
-// Receive takes in what another node has observed. Evidence that is malformed, void, expired or from the future is
+// Receive records the evidence of another node. Evidence that is malformed, obsolete, expired or from the future is
 // ignored.
 func (d *Detector) Receive(owner quota.Owner, zone int, evidence Evidence, now int64) {
 	if owner.Slot == d.Owner.Slot || d.obsolete(evidence) || evidence.Kind > Unreachable {
@@ -122,7 +123,7 @@
 	}
 }
 
-// oldestReport is the position of the oldest of some evidence, the first where there are several.
+// oldestReport returns the index of the oldest evidence, or of the first of several that are equally old.
 func oldestReport(reports []receivedEvidence) int {
 	oldest := 0
 	for i := range reports {
@@ -133,8 +134,8 @@
 	return oldest
 }
 
-// EvidenceToPublish returns the evidence that this node sends to others: the latest, faults first. A node that is
-// isolated itself sends none.
+// EvidenceToPublish returns the evidence to send to other nodes: faults first, then the latest. A node that is isolated
+// itself publishes none.
 func (d *Detector) EvidenceToPublish(now int64) []Evidence {
 	if d.isolated(now) {
 		return nil
@@ -160,7 +161,7 @@
 	return now-evidence.ObservedAt <= d.EvidenceLifetime
 }
 
-// isolated reports that this node finds so many backends at fault that it is more likely isolated itself.
+// isolated reports whether this node finds so many backends at fault that it is more likely isolated itself.
 func (d *Detector) isolated(now int64) bool {
 	faults := 0
 	for _, evidence := range d.own {
@@ -171,6 +172,7 @@
 	return d.exceedsIsolationShare(faults)
 }
 
+// exceedsIsolationShare reports whether a number of faulty backends exceeds IsolationShare of all backends.
 func (d *Detector) exceedsIsolationShare(faults int) bool {
 	backends := len(d.backends)
 	return backends >= minBackendsForShare && float64(faults) > d.IsolationShare*float64(backends)
--- a/internal/fleet/outlier/ejection.go
+++ b/internal/fleet/outlier/ejection.go
@@ -8,17 +8,17 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// Ejection says that a backend should get nothing but trials, by the evidence of other nodes. Whoever applies it
-// gives precedence to a success of its own that is later than LatestEvidence.
+// Ejection is the advice to send a backend nothing but trial requests, by the evidence of other nodes. A success on
+// this node that is later than LatestEvidence takes precedence over it.
 type Ejection struct {
 	Backend         Backend
-	LatestEvidence  int64 // Unix nanoseconds, by its source's clock
-	Sources         int
-	UnreachableOnly bool // all evidence against it may be the network's fault
+	LatestEvidence  int64 // time of the latest evidence, Unix nanoseconds by its source's clock
+	Sources         int   // number of other nodes that find the backend at fault
+	UnreachableOnly bool  // whether all evidence against it is Unreachable, so that the network may be at fault
 }
 
-// Ejections returns the backends that the evidence of other nodes speaks against, by their hash. There are none
-// while this node is isolated itself: it does not know which side of the network is at fault.
+// Ejections returns the backends to eject by the evidence of other nodes, sorted by hash. There are none while this
+// node is isolated itself, since it cannot tell which side of the network is at fault.
 func (d *Detector) Ejections(now int64) []Ejection {
 	if d.isolated(now) {
 		return nil
@@ -35,8 +35,8 @@
 	return ejections
 }
 
-// faultsBySlot counts the backends that each other node finds at fault. One that finds too many is isolated itself,
-// and its evidence does not count.
+// faultsBySlot returns the number of backends that each other node finds at fault. A node that finds too many is
+// taken to be isolated itself, and its evidence is ignored.
 func (d *Detector) faultsBySlot(now int64) map[int]int {
 	faults := map[int]int{}
 	for _, reports := range d.received {
@@ -49,7 +49,7 @@
 	return faults
 }
 
-// evaluate weighs the evidence on a backend. False: it is not ejected.
+// evaluate evaluates the evidence on a backend. It returns false if the backend is not to be ejected.
 func (d *Detector) evaluate(
 	backend Backend, reports []receivedEvidence, faultsBySlot map[int]int, now int64,
 ) (Ejection, bool) {
@@ -59,7 +59,7 @@
 		return ejection, false
 	}
 	healthy := 0
-	zones := map[int]bool{} // from which it is found at fault
+	zones := map[int]bool{} // zones with nodes that find it at fault
 	for _, report := range reports {
 		if !d.current(report.Evidence, now) || d.exceedsIsolationShare(faultsBySlot[report.owner.Slot]) {
 			continue
@@ -75,30 +75,29 @@
 		ejection.addFault(own)
 		zones[ownZone] = true
 	}
-	// That a backend is not reached from one zone alone says more of the network than of the backend, unless nobody
-	// reaches it.
+	// If a backend is unreachable from a single zone but healthy for other nodes, the network is more likely at fault.
 	if ejection.UnreachableOnly && len(zones) < 2 && healthy > 0 {
 		return ejection, false
 	}
 	return ejection, ejection.Sources >= d.MinSources && ejection.Sources > 2*healthy
 }
 
-// addSource takes in the evidence of another node against the backend.
+// addSource adds the evidence of another node against the backend.
 func (e *Ejection) addSource(evidence Evidence) {
 	e.Sources++
 	e.LatestEvidence = max(e.LatestEvidence, evidence.ObservedAt)
 	e.addFault(evidence)
 }
 
-// addFault takes in what evidence against the backend, this node's own included, says of its kind.
+// addFault updates UnreachableOnly by evidence against the backend, of this node or another.
 func (e *Ejection) addFault(evidence Evidence) {
 	e.UnreachableOnly = e.UnreachableOnly && evidence.Kind == Unreachable
 }
 
-// ownZone stands for the place of this node, which counts as a zone of its own.
+// ownZone represents this node's zone. This node's evidence counts as that of a further zone.
 const ownZone = -1
 
-// limitByZone keeps as many candidates as may be ejected of each zone, those with the most evidence first.
+// limitByZone limits the candidates to the maximum for each zone. Those with the most sources take precedence.
 func (d *Detector) limitByZone(candidates []Ejection) []Ejection {
 	slices.SortFunc(candidates, func(a, b Ejection) int {
 		return cmp.Or(
@@ -107,11 +106,11 @@
 			cmp.Compare(a.Backend.Hash, b.Backend.Hash),
 		)
 	})
-	backends := map[int]int{} // by zone
+	backends := map[int]int{} // number of backends by zone
 	for _, backend := range d.backends {
 		backends[backend.Zone]++
 	}
-	ranked := map[int]int{} // by zone
+	ranked := map[int]int{} // number of candidates looked at so far, by zone
 	ejections := slices.DeleteFunc(candidates, func(e Ejection) bool {
 		ranked[e.Backend.Zone]++
 		return ranked[e.Backend.Zone] > d.maxEjected(backends[e.Backend.Zone])
@@ -120,19 +119,19 @@
 	return ejections
 }
 
-// checkShares reports zones of which more is ejected than may be.
+// checkShares reports a violation for each zone with more ejections than the maximum.
 func (d *Detector) checkShares(ejections []Ejection, backends map[int]int) {
-	ejected := map[int]int{} // by zone
+	ejected := map[int]int{} // number of ejections by zone
 	for _, ejection := range ejections {
 		ejected[ejection.Backend.Zone]++
 	}
 	for zone, count := range ejected {
 		if count > d.maxEjected(backends[zone]) {
-			detail := fmt.Sprintf("zone %d: %d of %d", zone, count, backends[zone])
+			detail := fmt.Sprintf("zone %d: %d of %d backends ejected", zone, count, backends[zone])
 			d.Invariants.Violated(invariant.EjectionLimit, detail)
 		}
 	}
 }
 
-// maxEjected is how many of a zone's backends may be ejected.
+// maxEjected returns the maximum number of ejected backends of a zone with a number of backends.
 func (d *Detector) maxEjected(backends int) int { return int(d.MaxEjectedShare * float64(backends)) }
--- a/internal/fleet/outlier/golden_test.go
+++ b/internal/fleet/outlier/golden_test.go
@@ -15,7 +15,7 @@
 		func(b []byte) (v Evidence, err error) { return v, cbor.Unmarshal(b, &v) })
 }
 
-func TestGoldenNumbers(t *testing.T) {
+func TestGoldenKindsAndBounds(t *testing.T) {
 	numbers := fmt.Appendf(nil, "well %d\nfault %d\npath %d\n", Healthy, BackendFault, Unreachable)
 	numbers = fmt.Appendf(numbers, "servers %d\nsources of a server %d\npieces of a node %d\n",
 		MaxBackends, MaxSourcesPerBackend, MaxEvidencePerNode)
