--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -1,5 +1,5 @@
-// Package connectivity tells, for one node, how it is connected to the other nodes of its fleet. It is a pure state
-// machine with one table of transitions: the time is an argument, and nothing is random.
+// Package connectivity determines how one node is connected to the other nodes of its fleet. It is a pure state machine
+// with a single transition table: the time is an argument, and nothing is random.
 package connectivity
 
 import (
@@ -10,20 +10,20 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// State is how a node is connected to the others.
+// State is the state of a node's connections to the others.
 type State uint8
 
-// The states.
+// The connectivity states. Another node is connected if its heartbeats arrive.
 const (
-	Joining    State = iota // it has started, and has not heard a majority yet
+	Joining    State = iota // the node has started, and was not connected to a majority yet
 	Standalone              // no other node is configured
-	Majority                // it hears a majority of the fleet, itself included
-	Minority                // it hears some others, but no majority
-	Isolated                // it hears nobody
-	Recovering              // it hears a majority again, and ramps up to its usual rate
+	Majority                // the node is in a connected majority of the fleet
+	Minority                // the node is connected to others, but not to a majority
+	Isolated                // the node is connected to no other node
+	Recovering              // the node is in a majority again, and increases its rate to the usual one
 )
 
-// stateNames are read by operators, and must not change.
+// stateNames are part of the status that operators read, and must not change.
 var stateNames = [...]string{
 	Joining:    "joining",
 	Standalone: "alone",
@@ -36,7 +36,7 @@
 // String implements fmt.Stringer.
 func (s State) String() string { return stateNames[s] }
 
-// predecessors is the table of transitions: the states from which each may be entered.
+// predecessors is the transition table: it has the states from which each state may be entered.
 var predecessors = [...][]State{
 	Joining:    {},
 	Standalone: {Joining},
@@ -48,9 +48,9 @@
 
 // Timing configures a Machine.
 type Timing struct {
-	JoinTimeout  time.Duration // for which a node that has started waits for a majority
-	SettleTime   time.Duration // for which what is heard must have changed before the state does: hysteresis
-	RecoveryRamp time.Duration // over which a node that hears a majority again returns to its usual rate
+	JoinTimeout  time.Duration // maximum time for which a node stays in Joining
+	SettleTime   time.Duration // time for which a new target state must persist before it is entered: hysteresis
+	RecoveryRamp time.Duration // time in which a recovering node increases its rate to the usual one
 }
 
 // Machine is the state machine of one node. Times are Unix nanoseconds. It is not safe for concurrent use.
@@ -59,23 +59,23 @@
 	Invariants *invariant.Monitor
 
 	state       State
-	since       int64
-	target      State // that what is heard now speaks for
-	targetSince int64
+	enteredAt   int64 // time at which state was entered
+	target      State // state by the number of live slots at present
+	targetSince int64 // time from which target is the same
 }
 
 // New returns the machine of a node that starts now, in Joining.
 func New(timing Timing, now int64, monitor *invariant.Monitor) *Machine {
-	return &Machine{Timing: timing, Invariants: monitor, since: now, targetSince: now}
+	return &Machine{Timing: timing, Invariants: monitor, enteredAt: now, targetSince: now}
 }
 
-// Current returns the state, and since when it holds.
-func (m *Machine) Current() (state State, since int64) { return m.state, m.since }
+// Current returns the state and the time at which it was entered.
+func (m *Machine) Current() (state State, enteredAt int64) { return m.state, m.enteredAt }
 
-// Update takes in how many of the other member slots are live, of so many. It reports whether the state has
+// Update updates the state by the number of live slots among the other member slots, and reports whether the state has
 // changed.
 func (m *Machine) Update(now int64, live, others int) bool {
-	now = max(now, m.since)
+	now = max(now, m.enteredAt)
 	if target := stateFor(live, others); target != m.target {
 		m.target = target
 		m.targetSince = now
@@ -83,7 +83,7 @@
 	return m.transition(now, m.next(now))
 }
 
-// stateFor is the state that a number of live slots speaks for, apart from any history.
+// stateFor returns the state for a number of live slots, regardless of earlier states.
 func stateFor(live, others int) State {
 	switch {
 	case others == 0:
@@ -96,12 +96,12 @@
 	return Isolated
 }
 
-// next is the state that follows from the target and the time.
+// next returns the state that follows from the target and the time.
 func (m *Machine) next(now int64) State {
 	settled := now-m.targetSince >= int64(m.SettleTime)
 	switch m.state {
 	case Joining:
-		if m.target == Standalone || m.target == Majority || now-m.since >= int64(m.JoinTimeout) {
+		if m.target == Standalone || m.target == Majority || now-m.enteredAt >= int64(m.JoinTimeout) {
 			return m.target
 		}
 	case Majority, Minority, Isolated:
@@ -115,38 +115,38 @@
 		if m.target != Majority && settled {
 			return m.target
 		}
-		if m.target == Majority && now-m.since >= int64(m.RecoveryRamp) {
+		if m.target == Majority && now-m.enteredAt >= int64(m.RecoveryRamp) {
 			return Majority
 		}
 	}
 	return m.state
 }
 
-// transition enters the next state, if the table allows that.
+// transition enters the next state if the transition table allows it, and reports whether it did.
 func (m *Machine) transition(now int64, next State) bool {
 	if next == m.state {
 		return false
 	}
 	if !slices.Contains(predecessors[next], m.state) {
-		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("%v after %v", next, m.state))
+		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("connectivity: %q entered from %q", next, m.state))
 		return false
 	}
 	m.state = next
-	m.since = now
+	m.enteredAt = now
 	return true
 }
 
-// minRampFactor is where the ramp of a recovering node begins.
+// minRampFactor is the rate factor at the beginning of a recovery.
 const minRampFactor = 0.05
 
-// RateFactor is the part of its usual rate, from 0 to 1, at which the node requests and grants quota, resumes
-// sessions and retries now: 0 where nobody hears it, and growing while it recovers.
+// RateFactor returns the fraction of the usual rate, from 0 to 1, at which the node requests and grants quota, resumes
+// sessions and retries now. It is 0 without connected nodes, and grows during a recovery.
 func (m *Machine) RateFactor(now int64) float64 {
 	switch m.state {
 	case Isolated, Standalone:
 		return 0
 	case Recovering:
-		elapsed := float64(now - m.since)
+		elapsed := float64(now - m.enteredAt)
 		return min(1, max(minRampFactor, elapsed/max(1, float64(m.RecoveryRamp))))
 	}
 	return 1
--- a/internal/fleet/connectivity/connectivity_test.go
+++ b/internal/fleet/connectivity/connectivity_test.go
@@ -14,8 +14,8 @@
 
 const second = int64(time.Second)
 
-// A node joins, is cut off with another, hears nothing, hears a majority again and recovers.
-func TestStatesOfANode(t *testing.T) {
+// A node joins, is cut off in a minority, is isolated, is connected to a majority again and recovers.
+func TestConnectivityStates(t *testing.T) {
 	machine := New(timing, 0, nil)
 	expect := func(want State, at int64, live int) {
 		t.Helper()
@@ -26,9 +26,9 @@
 	expect(Joining, second, 1)
 	expect(Majority, 2*second, 2)
 	expect(Majority, 10*second, 1)
-	expect(Majority, 10*second+second/2, 1) // not settled
+	expect(Majority, 10*second+second/2, 1) // the settle time has not passed
 	expect(Majority, 10*second+second*3/4, 2)
-	expect(Majority, 11*second, 1) // begins anew: it has heard a majority in between
+	expect(Majority, 11*second, 1) // the settle time begins again: there was a majority in between
 	expect(Minority, 12*second, 1)
 	expect(Minority, 13*second, 0)
 	expect(Isolated, 14*second, 0)
@@ -46,24 +46,25 @@
 	require.Equal(t, Standalone, state)
 }
 
-// Whatever is heard, and however the clock jumps, each state follows one that the table names, and nothing changes
-// twice within the time to settle, but that joining and recovering end.
+// With any number of live slots and a clock that jumps, each transition is one of the table. Two changes are at least
+// the settle time apart, except for the ends of joining and recovering.
 func TestTransitionsFollowTheTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monitor := &invariant.Monitor{}
 		machine := New(timing, 0, monitor)
-		now, changed := int64(0), -10*second
+		now, lastChange := int64(0), -10*second
 		others := rapid.IntRange(0, 6).Draw(t, "others")
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Int64Range(-second, 2*second).Draw(t, "ahead")
 			before, _ := machine.Current()
 			if machine.Update(now, rapid.IntRange(0, max(0, others)).Draw(t, "live"), others) {
-				after, since := machine.Current()
-				unsettled := since-changed < int64(timing.SettleTime)
+				after, enteredAt := machine.Current()
+				unsettled := enteredAt-lastChange < int64(timing.SettleTime)
 				if before != Joining && before != Recovering && after != Majority && unsettled {
-					t.Fatalf("%v to %v after %v", before, after, time.Duration(since-changed))
+					t.Fatalf("transition from %v to %v only %v after the one before",
+						before, after, time.Duration(enteredAt-lastChange))
 				}
-				changed = since
+				lastChange = enteredAt
 			}
 			if factor := machine.RateFactor(now); factor < 0 || factor > 1 {
 				t.Fatalf("rate factor %g", factor)
--- a/internal/fleet/connectivity/golden_test.go
+++ b/internal/fleet/connectivity/golden_test.go
@@ -7,11 +7,11 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// The words stand in what operators and the laboratory read.
-func TestGoldenWords(t *testing.T) {
+// Operators and the test laboratory read the state names, so they do not change.
+func TestGoldenStateNames(t *testing.T) {
 	var text []byte
-	for _, m := range []State{Joining, Standalone, Majority, Minority, Isolated, Recovering} {
-		text = fmt.Appendf(text, "%d %s\n", m, m)
+	for _, state := range []State{Joining, Standalone, Majority, Minority, Isolated, Recovering} {
+		text = fmt.Appendf(text, "%d %s\n", state, state)
 	}
 	golden.Bytes(t, "words.txt", text)
 }
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -1,6 +1,6 @@
-// Package site tells how the node of a remote site is connected to the core sites, whose store decides for the
-// fleet ("halls" in the operator's file). It is a pure state machine with one table of transitions, and hysteresis:
-// the time is an argument.
+// Package site determines how the node of a remote site is connected to the core, that is, the nodes in core slots
+// ("halls" in the operator's file), whose store decides for the fleet. It is a pure state machine with a single
+// transition table and hysteresis: the time is an argument.
 package site
 
 import (
@@ -11,19 +11,20 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// State is how a site is connected to the core.
+// State is the state of a site's connection to the core.
 type State uint8
 
-// The states.
+// The states of a site. The core is reachable if heartbeats of a core node arrive.
 const (
-	Connected State = iota // it hears a core node
-	Suspect                // it has heard none for a while; nothing has changed yet
-	// Isolated: it goes on by itself, with its own backends, the last endpoint list and quota that was granted ahead.
+	Connected State = iota // the core is reachable
+	Suspect                // the core is not reachable for some time; the site still operates as if connected
+	// Isolated is the state of a site that operates by itself, with its own backends, the last endpoint list and quota
+	// that was granted in advance.
 	Isolated
-	Reconciling // it hears a core node again, and both sides fetch what they lack
+	Reconciling // the core is reachable again, and both sides fetch the data that they lack
 )
 
-// stateNames are read by operators, and must not change.
+// stateNames are part of the status that operators read, and must not change.
 var stateNames = [...]string{
 	Connected:   "connected",
 	Suspect:     "doubtful",
@@ -34,7 +35,7 @@
 // String implements fmt.Stringer.
 func (s State) String() string { return stateNames[s] }
 
-// predecessors is the table of transitions: the states from which each may be entered.
+// predecessors is the transition table: it has the states from which each state may be entered.
 var predecessors = [...][]State{
 	Connected:   {Suspect, Reconciling},
 	Suspect:     {Connected, Reconciling},
@@ -44,9 +45,9 @@
 
 // Timing configures a Machine.
 type Timing struct {
-	SuspectAfter  time.Duration // without a core node, until a connected site is suspect
-	IsolatedAfter time.Duration // of being suspect, until the site is isolated
-	SettleTime    time.Duration // for which a core node must have been heard until an isolated site reconciles
+	SuspectAfter  time.Duration // time without a reachable core after which a site is suspect
+	IsolatedAfter time.Duration // time after which a suspect site is isolated
+	SettleTime    time.Duration // time for which the core must be reachable before an isolated site reconciles
 }
 
 // Machine is the state machine of one site. Times are Unix nanoseconds. It is not safe for concurrent use.
@@ -55,23 +56,23 @@
 	Invariants *invariant.Monitor
 
 	state            State
-	since            int64
-	reachableSince   int64 // since when core nodes are heard without a break; 0: they are not
-	unreachableSince int64 // since when none is heard; 0: one is
+	enteredAt        int64 // time at which state was entered
+	reachableSince   int64 // time from which the core is reachable without a break; 0 while it is not
+	unreachableSince int64 // time from which the core is not reachable; 0 while it is
 }
 
-// New returns the machine of a site that starts now. It has heard nobody, so it begins isolated.
+// New returns the machine of a site that starts now, in Isolated, since the core was not reachable yet.
 func New(timing Timing, now int64, monitor *invariant.Monitor) *Machine {
-	return &Machine{Timing: timing, Invariants: monitor, state: Isolated, since: now, unreachableSince: now}
+	return &Machine{Timing: timing, Invariants: monitor, state: Isolated, enteredAt: now, unreachableSince: now}
 }
 
-// Current returns the state, and since when it holds.
-func (m *Machine) Current() (state State, since int64) { return m.state, m.since }
+// Current returns the state and the time at which it was entered.
+func (m *Machine) Current() (state State, enteredAt int64) { return m.state, m.enteredAt }
 
-// Update takes in whether a core node is heard, and whether either side still lacks data of the other. It reports
-// whether the state has changed.
+// Update updates the state by whether the core is reachable, and whether either side lacks data of the other. It
+// reports whether the state has changed.
 func (m *Machine) Update(now int64, coreReachable, dataMissing bool) bool {
-	now = max(now, m.since)
+	now = max(now, m.enteredAt)
 	switch {
 	case coreReachable && m.reachableSince == 0:
 		m.reachableSince = now
@@ -83,19 +84,19 @@
 	return m.transition(now, m.next(now, coreReachable, dataMissing))
 }
 
-// next is the state that follows from what is heard and the time.
+// next returns the state that follows from the inputs of Update.
 func (m *Machine) next(now int64, coreReachable, dataMissing bool) State {
-	lost := !coreReachable && now-m.unreachableSince >= int64(m.SuspectAfter)
+	coreUnreachable := !coreReachable && now-m.unreachableSince >= int64(m.SuspectAfter)
 	switch m.state {
 	case Connected:
-		if lost {
+		if coreUnreachable {
 			return Suspect
 		}
 	case Suspect:
 		if coreReachable {
 			return Connected
 		}
-		if now-m.since >= int64(m.IsolatedAfter) {
+		if now-m.enteredAt >= int64(m.IsolatedAfter) {
 			return Isolated
 		}
 	case Isolated:
@@ -103,7 +104,7 @@
 			return Reconciling
 		}
 	case Reconciling:
-		if lost {
+		if coreUnreachable {
 			return Suspect
 		}
 		if coreReachable && !dataMissing {
@@ -113,16 +114,16 @@
 	return m.state
 }
 
-// transition enters the next state, if the table allows that.
+// transition enters the next state if the transition table allows it, and reports whether it did.
 func (m *Machine) transition(now int64, next State) bool {
 	if next == m.state {
 		return false
 	}
 	if !slices.Contains(predecessors[next], m.state) {
-		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("site: %v after %v", next, m.state))
+		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("site: %q entered from %q", next, m.state))
 		return false
 	}
 	m.state = next
-	m.since = now
+	m.enteredAt = now
 	return true
 }
--- a/internal/fleet/site/site_test.go
+++ b/internal/fleet/site/site_test.go
@@ -14,9 +14,9 @@
 
 var timing = Timing{SuspectAfter: 2 * time.Second, IsolatedAfter: 5 * time.Second, SettleTime: time.Second}
 
-// A line that fails for a moment makes a site suspect, and no more; one that fails for long isolates it until both
-// sides have fetched what they lack.
-func TestStatesOfASite(t *testing.T) {
+// A short outage of the link to the core makes a site suspect and no more. A long one isolates it, until the link is
+// up again and both sides have fetched the data that they lack.
+func TestSiteStates(t *testing.T) {
 	machine := New(timing, 0, nil)
 	expect := func(at int64, coreReachable, dataMissing bool, want State) {
 		t.Helper()
@@ -49,11 +49,11 @@
 		now := int64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Int64Range(-second, 3*second).Draw(t, "by")
-			before, since := machine.Current()
+			before, enteredBefore := machine.Current()
 			if machine.Update(now, rapid.Bool().Draw(t, "core reachable"), rapid.Bool().Draw(t, "data missing")) {
-				after, at := machine.Current()
-				if after == Isolated && at-since < int64(timing.IsolatedAfter) {
-					t.Fatalf("isolated after %v of being suspect, from %v", time.Duration(at-since), before)
+				after, enteredAt := machine.Current()
+				if after == Isolated && enteredAt-enteredBefore < int64(timing.IsolatedAfter) {
+					t.Fatalf("isolated after %v in state %v", time.Duration(enteredAt-enteredBefore), before)
 				}
 			}
 		}
--- a/internal/lab/mutation/guards.go
+++ b/internal/lab/mutation/guards.go
@@ -232,7 +232,7 @@
 		What:    "a site isolated at the first silence",
 		Package: "site",
 		File:    "site.go",
-		Text:    "now-m.since >= int64(m.IsolatedAfter)",
+		Text:    "now-m.enteredAt >= int64(m.IsolatedAfter)",
 		Without: "true",
 	},
 	{
