--- a/internal/fleet/invariant/golden_test.go
+++ b/internal/fleet/invariant/golden_test.go
@@ -9,14 +9,14 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// The words are keys of what operators read, and labels of what is logged.
-func TestGoldenWords(t *testing.T) {
+// The rule names are keys in the status that operators read, and values in log lines, so they do not change.
+func TestGoldenRuleNames(t *testing.T) {
 	text := fmt.Appendf(nil, "exit %d\n", ExitCode)
-	var g Monitor
-	for r := range ruleCount {
-		g.Violated(r, "in this test")
-		text = fmt.Appendf(text, "%d %s\n", r, r)
-		require.EqualValues(t, 1, g.Violations()[r.String()])
+	var monitor Monitor
+	for rule := range ruleCount {
+		monitor.Violated(rule, "in this test")
+		text = fmt.Appendf(text, "%d %s\n", rule, rule)
+		require.EqualValues(t, 1, monitor.Violations()[rule.String()])
 	}
 	golden.Bytes(t, "words.txt", text)
 }
--- a/internal/fleet/invariant/invariant.go
+++ b/internal/fleet/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant receives violations of what must always hold from the code that checks it as it runs. In tests
-// a violation ends the process. In service it is counted and logged, and whoever found it contains it: it rejects,
-// drops or quarantines what is at fault.
+// Package invariant collects violations of invariants that the program checks at run time. In tests a violation ends
+// the process. In production it is counted and logged, and the code that detected it contains the fault: it rejects,
+// drops or quarantines the data concerned.
 package invariant
 
 import (
@@ -11,23 +11,23 @@
 	"go.uber.org/zap"
 )
 
-// Rule is what must hold.
+// Rule is an invariant.
 type Rule uint8
 
-// The rules, each with the package that checks it.
+// The rules, each with the packages that check it.
 const (
-	SpentOverQuota    Rule = iota // quota: what a node has spent in a window is at most the quota that it has there
-	LentOverBaseQuota             // quota: what a node has lent of a window is at most its base quota of it
-	StateTransition               // connectivity, site: a state follows only one that its table names
-	CounterBounds                 // counter: a reading's lower bound is at most its upper one, and not negative
-	EjectionLimit                 // outlier: of a zone at most the configured share is ejected
-	SingleClaim                   // session: a session has one claim at a time, and fencing tokens only grow
-	SessionTransition             // session: a state follows only one that its table names
-	LedgerSums                    // ledger: sums are those of the entries, each counted once
+	SpentOverQuota    Rule = iota // quota: a node spends no more in a window than its quota and overdraft
+	LentOverBaseQuota             // quota: a node lends no more of a window than its base quota
+	StateTransition               // connectivity, site: each state transition is allowed by the transition table
+	CounterBounds                 // counter: the lower bound of a reading is at most the upper one, and not negative
+	EjectionLimit                 // outlier: at most the configured share of a zone's backends is ejected
+	SingleClaim                   // session: a session has one claim at a time, and its fencing token only grows
+	SessionTransition             // session: each state transition is allowed by the transition table
+	LedgerSums                    // ledger: the sums are those of the entries, each counted once
 	ruleCount
 )
 
-// ruleNames are keys of what operators read, and must not change.
+// ruleNames are keys in the status that operators read, and must not change.
 var ruleNames = [ruleCount]string{
 	SpentOverQuota:    "spent_over_rights",
 	LentOverBaseQuota: "lent_over_share",
@@ -42,21 +42,21 @@
 // String implements fmt.Stringer.
 func (r Rule) String() string { return ruleNames[r] }
 
-// ExitCode is the code with which a strict process ends at a violation.
+// ExitCode is the exit code of a process that a strict monitor ends.
 const ExitCode = 70
 
-// Monitor receives violations. Its zero value counts them. It is safe for concurrent use; its exported fields are
-// set before it is first used.
+// Monitor counts violations. Its zero value is ready for use, and does nothing else. It is safe for concurrent use; its
+// exported fields are set before it is first used.
 type Monitor struct {
-	// Strict has the first violation end the process.
+	// Strict makes the first violation end the process.
 	Strict bool
-	// Log, if not nil, receives each violation.
+	// Log receives each violation. It may be nil.
 	Log *zap.Logger
 
 	counts [ruleCount]atomic.Uint64
 }
 
-// Violated reports that a rule does not hold. A nil monitor ignores it.
+// Violated records a violation of a rule. The detail describes it. A nil monitor ignores violations.
 func (m *Monitor) Violated(rule Rule, detail string) {
 	if m == nil {
 		return
@@ -70,15 +70,16 @@
 	}
 }
 
+// exit ends the process because of a violation.
 func (m *Monitor) exit(rule Rule, detail string) {
 	if m.Log != nil {
-		_ = m.Log.Sync() // the process ends whether or not it succeeds
+		_ = m.Log.Sync() // the process ends even if it fails
 	}
 	fmt.Fprintf(os.Stderr, "invariant %s: %s\n", rule, detail)
 	os.Exit(ExitCode)
 }
 
-// Violations returns how often each rule was violated, by its name. Rules that held are left out.
+// Violations returns the number of violations of each rule, by the rule's name. Rules without violations are left out.
 func (m *Monitor) Violations() map[string]uint64 {
 	violations := map[string]uint64{}
 	for rule := range ruleCount {
--- a/internal/fleet/invariant/invariant_test.go
+++ b/internal/fleet/invariant/invariant_test.go
@@ -15,7 +15,7 @@
 	require.NotPanics(t, func() { monitor.Violated(LedgerSums, "in this test") })
 }
 
-// A strict monitor ends its process with a code of its own, and says on standard error what does not hold.
+// A strict monitor ends its process with ExitCode, and writes the rule and the detail to standard error.
 func TestStrictMonitorEndsTheProcess(t *testing.T) {
 	const inChild = "STRICT_MONITOR"
 	if os.Getenv(inChild) != "" {
