--- a/internal/fleet/quota/allocation.go
+++ b/internal/fleet/quota/allocation.go
@@ -19,7 +19,7 @@
 	lease              Lease
 	now                int64   // Unix nanoseconds; never set back
 	currentWindow      int64   // number of the current window
-	spent              []int64 // amounts spent in the current window and those after it
+	spent              []int64 // amount spent in each window, from the current one on
 	lent               []transferRecord
 	borrowed           []transferRecord
 	lastTransferNumber uint64 // number of the latest transfer lent
@@ -65,8 +65,8 @@
 	a.dropEndedTransfers()
 }
 
-// settleOverdraft deducts what the current window has repaid from the debt, and adds the amount by which the window was
-// overdrawn.
+// settleOverdraft deducts from the debt what the current window has repaid, and adds the amount by which that window
+// was overdrawn.
 func (a *Allocation) settleOverdraft() {
 	a.debt -= min(a.debt, a.debtRepayment(a.currentWindow))
 	a.debt += max(0, a.spent[0]-a.Quota(a.currentWindow))
@@ -148,6 +148,7 @@
 	return a.spend(amount, furtherWindows, true)
 }
 
+// spend implements Spend and Overdraw.
 func (a *Allocation) spend(amount int64, furtherWindows int, withOverdraft bool) bool {
 	a.demand.record(amount)
 	if amount < 0 || furtherWindows < 0 || furtherWindows >= len(a.spent) {
