--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -60,7 +60,8 @@
 	case claim.Incarnation < record.Incarnation && now < record.ExpiresAt:
 		return record, fmt.Errorf("%w: a later one", ErrSlotHeld)
 	case now < record.ExpiresAt+2*int64(clockError):
-		return record, fmt.Errorf("%w until %s", ErrSlotHeld, time.Unix(0, record.ExpiresAt).UTC().Format(time.RFC3339Nano))
+		return record, fmt.Errorf("%w until %s",
+			ErrSlotHeld, time.Unix(0, record.ExpiresAt).UTC().Format(time.RFC3339Nano))
 	}
 	granted.ValidFrom = max(granted.ValidFrom, record.ExpiresAt)
 	return granted, nil
