--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -17,7 +17,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// An entry of the replicated log, and the state that a snapshot holds.
+// The encodings of a log entry and of a snapshot do not change: both have to be readable by other versions.
 func TestGoldenEntryAndSnapshot(t *testing.T) {
 	ops := []Op{{Key: "move/current", Data: []byte("a record"), ExpectedVersion: 7}}
 	golden.JSON(t, "entry.json", ops)
@@ -27,33 +27,33 @@
 		Values:  map[string]Value{"config/shared": {Data: []byte("a document"), Version: 8}},
 	})
 
-	var at atomic.Uint64
-	m := stateMachine{newKeyspace(), &at}
-	require.NoError(t, m.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, "snapshot.json", nil)))))
-	require.Equal(t, Value{Data: []byte("a document"), Version: 8}, m.Get("config/shared"))
-	require.EqualValues(t, 12, at.Load())
-	taken, err := m.Snapshot()
+	var index atomic.Uint64
+	machine := stateMachine{newKeyspace(), &index}
+	require.NoError(t, machine.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, "snapshot.json", nil)))))
+	require.Equal(t, Value{Data: []byte("a document"), Version: 8}, machine.Get("config/shared"))
+	require.EqualValues(t, 12, index.Load())
+	snapshot, err := machine.Snapshot()
 	require.NoError(t, err)
-	golden.Bytes(t, "snapshot.json", taken.(encodedSnapshot))
-	done := m.Apply(&raft.Log{
+	golden.Bytes(t, "snapshot.json", snapshot.(encodedSnapshot))
+	result := machine.Apply(&raft.Log{
 		Index: 13,
 		Data:  []byte(`[{"key":"config/shared","data":"YW5vdGhlcg==","if":8}]`),
 	}).(applyResult)
-	require.NoError(t, done.err)
-	require.Equal(t, Value{Data: []byte("another"), Version: 10}, m.Get("config/shared"))
-	done = m.Apply(&raft.Log{Index: 14, Data: golden.Read(t, "entry.json", nil)}).(applyResult)
-	require.ErrorIs(t, done.err, ErrConflict)
+	require.NoError(t, result.err)
+	require.Equal(t, Value{Data: []byte("another"), Version: 10}, machine.Get("config/shared"))
+	result = machine.Apply(&raft.Log{Index: 14, Data: golden.Read(t, "entry.json", nil)}).(applyResult)
+	require.ErrorIs(t, result.err, ErrConflict)
 }
 
-// What is deleted, and a key's first writing, as the log has them.
+// In the log, a deletion (nil data) differs from setting a key to an empty value.
 func TestGoldenDeletion(t *testing.T) {
 	raw, err := json.Marshal([]Op{{Key: "a", ExpectedVersion: AnyVersion}, {Key: "b", Data: []byte{}}})
 	require.NoError(t, err)
 	golden.Bytes(t, "deletion.json", raw)
 }
 
-// writeDirectory writes a member's directory: a snapshot, and entries behind it.
-func writeDirectory(t *testing.T, to string) {
+// writeDirectory writes a member's directory with a snapshot and log entries after it.
+func writeDirectory(t *testing.T, target string) {
 	t.Helper()
 	dir := t.TempDir()
 	r, err := openSingle(t, dir)
@@ -66,17 +66,18 @@
 	_, err = r.Write(t.Context(), update, Op{Key: "gone", ExpectedVersion: AnyVersion})
 	require.NoError(t, err)
 	require.NoError(t, r.Close())
-	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
+	require.NoError(t, os.CopyFS(target, os.DirFS(dir)))
 }
 
-// A member's directory that an earlier build wrote is opened as it is, and keeps its files' names.
+// A member's directory written by an earlier version can be opened, read and written, and the names of its files stay
+// the same.
 func TestGoldenDirectory(t *testing.T) {
-	from := golden.Path("member")
-	if _, err := os.Stat(from); os.IsNotExist(err) && os.Getenv("UPDATE_GOLDEN") != "" {
-		writeDirectory(t, from)
+	source := golden.Path("member")
+	if _, err := os.Stat(source); os.IsNotExist(err) && os.Getenv("UPDATE_GOLDEN") != "" {
+		writeDirectory(t, source)
 	}
 	dir := filepath.Join(t.TempDir(), "member")
-	require.NoError(t, os.CopyFS(dir, os.DirFS(from)))
+	require.NoError(t, os.CopyFS(dir, os.DirFS(source)))
 	r, err := openSingle(t, dir)
 	require.NoError(t, err)
 	awaitLeader(t, r)
@@ -96,13 +97,13 @@
 	require.Equal(t, []string{"lock", "raft.db", "snapshots"}, names)
 }
 
-// Texts that operators and clients get.
+// The texts of errors that operators and clients see.
 func TestGoldenErrorTexts(t *testing.T) {
 	_, conflict := NewMemory().Write(t.Context(), Op{Key: "a/key", Data: []byte("1"), ExpectedVersion: 4})
 	var index atomic.Uint64
-	m := stateMachine{newKeyspace(), &index}
-	applied := m.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(applyResult)
-	restored := m.Restore(io.NopCloser(strings.NewReader("[")))
+	machine := stateMachine{newKeyspace(), &index}
+	applied := machine.Apply(&raft.Log{Index: 5, Data: []byte("{")}).(applyResult)
+	restored := machine.Restore(io.NopCloser(strings.NewReader("[")))
 
 	dir := t.TempDir()
 	r, err := openSingle(t, dir)
@@ -115,8 +116,8 @@
 	require.NoError(t, os.WriteFile(filepath.Join(damagedDir, logFileName), bytes.Repeat([]byte("x"), 4096), 0o600))
 	_, damaged := openSingle(t, damagedDir)
 	require.Error(t, damaged)
-	_, unlistened := OpenRaft(RaftOptions{ID: "node-1", ListenAddress: "127.0.0.1:none"})
-	require.Error(t, unlistened)
+	_, listenFailed := OpenRaft(RaftOptions{ID: "node-1", ListenAddress: "127.0.0.1:none"})
+	require.Error(t, listenFailed)
 
 	texts := []string{
 		ErrConflict.Error(),
@@ -126,7 +127,7 @@
 		restored.Error(),
 		strings.ReplaceAll(locked.Error(), dir, "DIR"),
 		strings.ReplaceAll(damaged.Error(), damagedDir, "DIR"),
-		unlistened.Error(),
+		listenFailed.Error(),
 		recoverFault(func() error { panic("a fault") }).Error(),
 	}
 	golden.Bytes(t, "errors.txt", fmt.Appendln(nil, strings.Join(texts, "\n")))
--- a/internal/store/keyspace.go
+++ b/internal/store/keyspace.go
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// keyspace is the state that every member holds: the keys, and the version of the last write.
+// keyspace is the state that is replicated to every member: the keys with their values, and the version of the last
+// write.
 type keyspace struct {
 	mu      sync.RWMutex     // guards the fields below
 	values  map[string]Value // by key
@@ -37,7 +38,7 @@
 	return found
 }
 
-// write carries out all ops or, with a *ConflictError, none.
+// write applies all ops, or none and returns a *ConflictError.
 func (k *keyspace) write(ops []Op) (version uint64, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,18 +61,18 @@
 // snapshotImage is the content of a snapshot.
 type snapshotImage struct {
 	Version uint64           `json:"version"`
-	Applied uint64           `json:"applied,omitempty"` // index of the last log entry that the snapshot includes
+	Applied uint64           `json:"applied,omitempty"` // index of the last log entry included in the snapshot
 	Values  map[string]Value `json:"values"`
 }
 
-// encode returns the snapshot of the keys, with appliedIndex as the last log entry that they include.
+// encode returns a snapshot of the keys; appliedIndex is the index of the last log entry included in them.
 func (k *keyspace) encode(appliedIndex uint64) ([]byte, error) {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return json.Marshal(snapshotImage{Version: k.version, Applied: appliedIndex, Values: k.values})
 }
 
-// restore replaces the keys by those of a snapshot.
+// restore replaces the keys with those of a snapshot.
 func (k *keyspace) restore(image snapshotImage) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// Memory is a store of one member without a disk. It always leads. Use NewMemory; the zero value is not usable.
+// Memory is a single-member store that is not persisted. It is always the leader. Use NewMemory; the zero value is not
+// usable.
 type Memory struct{ *keyspace }
 
 // NewMemory returns an empty store.
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// applyTimeout bounds the wait for a write or a barrier to be accepted, and a transport's read or write.
+	// applyTimeout bounds the wait until a write or a barrier is accepted, and each read or write of the transport.
 	applyTimeout       = 5 * time.Second
-	retainedSnapshots  = 2
-	connectionPoolSize = 3 // idle connections to each other member
-	// A migration's record is some 10 KB and written every few seconds; the library's own 10,240 entries behind a
-	// snapshot would come to 100 MB.
+	retainedSnapshots  = 2 // snapshots that remain on disk
+	connectionPoolSize = 3 // idle connections per other member
+	// snapshotThreshold is the number of new log entries after which a snapshot is taken, and trailingLogs the number of
+	// entries that remain in the log after a snapshot. A migration's record is about 10 KB and is written every few
+	// seconds: the library's default of 10,240 trailing entries would come to 100 MB.
 	snapshotThreshold = 2048
 	trailingLogs      = 1024
 )
@@ -30,24 +31,25 @@
 // Member is one member of the replicated store.
 type Member struct {
 	ID      string
-	Address string // by which the replicated configuration names it
-	// DialAddress is where this member reaches it, if not at Address: members behind a relay need not agree on that.
+	Address string // the member's address in the replicated configuration
+	// DialAddress is the address to dial instead of Address, if set. It may differ between members, for example if they
+	// connect through a relay.
 	DialAddress string
 }
 
 // RaftOptions configure one member.
 type RaftOptions struct {
 	ID            string
-	ListenAddress string // of this member's listener
-	Dir           string // directory of the log and the snapshots; "" keeps them in memory
-	// Members are all members, this one included. A first start replicates them; later starts use their DialAddress
-	// alone.
+	ListenAddress string // address of this member's listener
+	Dir           string // directory of the log and the snapshots; "" stores them in memory
+	// Members are all members, including this one. The first start writes them to the replicated configuration; later
+	// starts use only their DialAddress.
 	Members []Member
-	// Listener, if set, is used in place of a new one at ListenAddress.
+	// Listener, if set, is used instead of a new listener on ListenAddress.
 	Listener  net.Listener
-	LogOutput io.Writer // the library's log; nil is os.Stderr
-	// HeartbeatTimeout, also that of elections, replaces the library's timeouts, which scale with it; 0 leaves its
-	// defaults.
+	LogOutput io.Writer // destination of the raft library's log; nil means os.Stderr
+	// HeartbeatTimeout is the heartbeat and election timeout; the leader lease and commit timeouts are derived from it.
+	// 0 means the raft library's defaults for all of them.
 	HeartbeatTimeout time.Duration
 }
 
@@ -56,16 +58,16 @@
 	*keyspace
 	raft             *raft.Raft
 	storage          *storage
-	leaderTerm       atomic.Uint64 // under which this member leads and has applied all earlier entries; 0: it does not
-	bytesSent        *atomic.Int64
-	lastIndexAtStart uint64        // of the last write that the disk held at the start
-	appliedIndex     atomic.Uint64 // of the last log entry that the keys include
+	leaderTerm       atomic.Uint64 // term in which this member leads and has applied all earlier entries; 0 otherwise
+	bytesSent        *atomic.Int64 // bytes written to other members
+	lastIndexAtStart uint64        // index of the last write that was on disk at start-up
+	appliedIndex     atomic.Uint64 // index of the last log entry included in the keys
 
-	closed     chan struct{} // ends trackLeadership
+	closed     chan struct{} // stops trackLeadership when closed
 	background sync.WaitGroup
 }
 
-// OpenRaft starts this member. Close ends it.
+// OpenRaft starts this member. Close stops it.
 func OpenRaft(o RaftOptions) (*Raft, error) {
 	if o.LogOutput == nil {
 		o.LogOutput = os.Stderr
@@ -78,7 +80,7 @@
 	layer := countingStreamLayer{Listener: listener, bytesWritten: r.bytesSent, dialAddresses: o.dialAddresses()}
 	transport := raft.NewNetworkTransport(layer, connectionPoolSize, applyTimeout, o.LogOutput)
 	if err := r.start(o, transport); err != nil {
-		_ = transport.Close() // the first error is the one to report
+		_ = transport.Close() // the error of start takes precedence
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	r.background.Go(r.trackLeadership)
@@ -92,7 +94,7 @@
 	return net.Listen("tcp", o.ListenAddress)
 }
 
-// dialAddresses returns where members are reached, by their address, where that differs.
+// dialAddresses returns the addresses to dial for the members that have a DialAddress, by their Address.
 func (o *RaftOptions) dialAddresses() map[string]string {
 	addresses := map[string]string{}
 	for _, m := range o.Members {
@@ -103,7 +105,7 @@
 	return addresses
 }
 
-// config returns the library's configuration.
+// config returns the configuration of the raft library.
 func (o *RaftOptions) config() *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(o.ID)
@@ -120,7 +122,7 @@
 	return config
 }
 
-// configuration returns the members as a first start writes them to the log.
+// configuration returns the members in the form in which the first start writes them to the log.
 func (o *RaftOptions) configuration() raft.Configuration {
 	var c raft.Configuration
 	for _, m := range o.Members {
@@ -129,7 +131,7 @@
 	return c
 }
 
-// start opens the storage and runs the library on it. After an error nothing of either is left open.
+// start opens the storage and starts the raft library on it. On error, both are closed again.
 func (r *Raft) start(options RaftOptions, transport raft.Transport) (err error) {
 	if options.Dir == "" {
 		r.storage = memoryStorage()
@@ -138,7 +140,7 @@
 	}
 	defer func() {
 		if err != nil {
-			_ = r.storage.close() // the first error is the one to report
+			_ = r.storage.close() // the error that is returned takes precedence
 		}
 	}()
 	log, stable, snapshots := r.storage.log, r.storage.stable, r.storage.snapshots
@@ -155,13 +157,13 @@
 		return nil
 	}
 	if err := r.raft.BootstrapCluster(options.configuration()).Error(); err != nil {
-		_ = r.raft.Shutdown().Error() // the first error is the one to report
+		_ = r.raft.Shutdown().Error() // the error that is returned takes precedence
 		return err
 	}
 	return nil
 }
 
-// trackLeadership keeps leaderTerm until the member is closed.
+// trackLeadership updates leaderTerm on each change of leadership until the member is closed.
 func (r *Raft) trackLeadership() {
 	for {
 		select {
@@ -176,12 +178,12 @@
 	}
 }
 
-// takeLeadership sets leaderTerm once a barrier has shown that everything committed before this member was elected is
-// applied here: only then do its reads show what earlier leaders wrote.
+// takeLeadership sets leaderTerm once a barrier has confirmed that all entries committed before this member's election
+// are applied here. Only then do reads at this member return all writes of earlier leaders.
 func (r *Raft) takeLeadership() {
 	for r.raft.State() == raft.Leader {
 		if r.raft.Barrier(applyTimeout).Error() != nil {
-			continue // the barrier's own timeout paces this; leadership that was lost ends it
+			continue // the barrier's timeout paces the retries; the loop ends when this member loses leadership
 		}
 		term, _ := strconv.ParseUint(r.raft.Stats()["term"], 10, 64) // the library writes it as a decimal number
 		r.leaderTerm.Store(term)
@@ -195,8 +197,8 @@
 	return term, term != 0 && r.raft.State() == raft.Leader
 }
 
-// CaughtUp reports whether a leader is known and this member has applied at least all that its disk held at its
-// start. A leader that was without this member for long may take seconds to send it anything.
+// CaughtUp reports whether a leader is known and this member has applied at least all writes that were on its disk at
+// start-up. A leader that could not reach this member for a long time may take seconds to send it the first entry.
 func (r *Raft) CaughtUp() bool {
 	return r.Leader() != "" && r.appliedIndex.Load() >= r.lastIndexAtStart
 }
@@ -207,8 +209,8 @@
 	return string(id)
 }
 
-// Write implements Store. It returns once the write is applied here. ctx is checked before the write is begun, not
-// while it is under way: a write that is in the log cannot be taken back.
+// Write implements Store. It returns once the write is applied at this member. ctx is checked only before the write
+// begins: a write that is in the log cannot be withdrawn.
 func (r *Raft) Write(ctx context.Context, ops ...Op) (uint64, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, err
@@ -231,10 +233,10 @@
 	return result.version, result.err
 }
 
-// BytesSent returns how many bytes this member has written to the others.
+// BytesSent returns the number of bytes that this member has written to other members.
 func (r *Raft) BytesSent() int64 { return r.bytesSent.Load() }
 
-// Close ends this member and what runs for it. It must be called once.
+// Close stops this member and its goroutines, and closes the storage. It must be called exactly once.
 func (r *Raft) Close() error {
 	close(r.closed)
 	err := r.raft.Shutdown().Error()
--- a/internal/store/raft_test.go
+++ b/internal/store/raft_test.go
@@ -20,7 +20,7 @@
 	return listener
 }
 
-// openMembers starts a replicated store of three on loopback, with their logs in the directories that dir returns.
+// openMembers starts a replicated store with three members on loopback. dir returns the directory of each member's log.
 func openMembers(t testing.TB, dir func(i int) string) []*Raft {
 	t.Helper()
 	var listeners []net.Listener
@@ -46,7 +46,7 @@
 	return opened
 }
 
-// openSingle starts a store of one member.
+// openSingle starts a replicated store with one member.
 func openSingle(t testing.TB, dir string) (*Raft, error) {
 	t.Helper()
 	listener := listen(t)
@@ -60,8 +60,8 @@
 	})
 }
 
-// awaitLeader waits for a leader among members, of which those that are closed are nil.
-func awaitLeader(t testing.TB, members ...*Raft) (leader *Raft, at int) {
+// awaitLeader waits until one of the members leads, and returns it with its index. Closed members are nil.
+func awaitLeader(t testing.TB, members ...*Raft) (leader *Raft, index int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, m := range members {
@@ -70,33 +70,34 @@
 			}
 			if _, leads := m.Leadership(); leads {
 				leader = m
-				at = i
+				index = i
 				return true
 			}
 		}
 		return false
 	}, 20*time.Second, 5*time.Millisecond)
-	return leader, at
+	return leader, index
 }
 
-// A committed key outlives the leader that wrote it; followers write nothing.
+// A committed key survives the loss of the leader that wrote it, and writes to a follower fail.
 func TestLeaderIsLost(t *testing.T) {
 	members := openMembers(t, func(int) string { return t.TempDir() })
-	first, at := awaitLeader(t, members...)
+	first, firstIndex := awaitLeader(t, members...)
 	version, err := first.Write(t.Context(), Op{Key: "line", Data: []byte("out")})
 	require.NoError(t, err)
-	_, err = members[(at+1)%3].Write(t.Context(), Op{Key: "line", Data: []byte("mine"), ExpectedVersion: AnyVersion})
+	_, err = members[(firstIndex+1)%3].
+		Write(t.Context(), Op{Key: "line", Data: []byte("mine"), ExpectedVersion: AnyVersion})
 	require.ErrorIs(t, err, ErrNotLeader)
 	term, _ := first.Leadership()
 	require.NoError(t, first.Close())
-	members[at] = nil
-	second, next := awaitLeader(t, members...)
-	later, _ := second.Leadership()
-	require.Greater(t, later, term)
-	require.Equal(t, Value{[]byte("out"), version}, second.Get("line"), "a leader has all that was committed before it")
+	members[firstIndex] = nil
+	second, secondIndex := awaitLeader(t, members...)
+	laterTerm, _ := second.Leadership()
+	require.Greater(t, laterTerm, term)
+	require.Equal(t, Value{[]byte("out"), version}, second.Get("line"), "a new leader has all committed writes")
 	_, err = second.Write(t.Context(), Op{Key: "line", Data: []byte("done"), ExpectedVersion: version})
 	require.NoError(t, err)
-	members[next] = nil
+	members[secondIndex] = nil
 	require.NoError(t, second.Close())
 	for _, m := range members {
 		if m != nil {
@@ -105,8 +106,8 @@
 	}
 }
 
-// BenchmarkRaftCommit measures what a commit of a small key costs three members on loopback, for the page that says
-// why the platform has one member in memory.
+// BenchmarkRaftCommit measures the cost of committing a small key with three members on loopback, which is the reason
+// why the platform uses a single member in memory.
 func BenchmarkRaftCommit(b *testing.B) {
 	b.Run("memory", func(b *testing.B) {
 		benchmarkCommit(b, openMembers(b, func(int) string { return "" }))
@@ -125,26 +126,26 @@
 		}
 		return bytes
 	}
-	beforeIdle := sent()
-	time.Sleep(time.Second) // what heartbeats alone cost is measured
-	idlePerSecond := float64(sent() - beforeIdle)
-	before := sent()
-	began := time.Now()
+	idleStart := sent()
+	time.Sleep(time.Second) // measures the traffic of heartbeats alone
+	idlePerSecond := float64(sent() - idleStart)
+	sentAtStart := sent()
+	startedAt := time.Now()
 	for i := 0; b.Loop(); i++ {
 		op := Op{Key: fmt.Sprintf("line/%d", i%100), Data: data, ExpectedVersion: AnyVersion}
 		_, err := leader.Write(b.Context(), op)
 		require.NoError(b, err)
 	}
-	heartbeats := idlePerSecond * time.Since(began).Seconds()
-	b.ReportMetric((float64(sent()-before)-heartbeats)/float64(b.N), "wire-B/op")
+	heartbeats := idlePerSecond * time.Since(startedAt).Seconds()
+	b.ReportMetric((float64(sent()-sentAtStart)-heartbeats)/float64(b.N), "wire-B/op")
 	b.ReportMetric(idlePerSecond, "idle-B/s")
 	for _, m := range members {
 		_ = m.Close()
 	}
 }
 
-// What was acknowledged is there after a kill at any moment; a log file that is damaged is named, and never opened as
-// an empty one.
+// An acknowledged write is there after a restart. A second process cannot open the directory meanwhile, and a corrupt
+// log file is reported with its path and never opened as an empty one.
 func TestDamagedLog(t *testing.T) {
 	dir := t.TempDir()
 	r, err := openSingle(t, dir)
@@ -153,14 +154,14 @@
 	_, err = r.Write(t.Context(), Op{Key: "line", Data: []byte("out")})
 	require.NoError(t, err)
 	_, err = openSingle(t, dir)
-	require.ErrorContains(t, err, "another program has this store open")
+	require.ErrorContains(t, err, "store is locked by another process")
 	require.NoError(t, r.Close())
 	content, err := os.ReadFile(filepath.Join(dir, logFileName))
 	require.NoError(t, err)
 	for name, damaged := range map[string][]byte{
-		"cut off":     content[:len(content)/2],
-		"a page long": content[:4096],
-		"overwritten": bytes.Repeat([]byte("x"), len(content)),
+		"truncated":     content[:len(content)/2],
+		"one page long": content[:4096],
+		"overwritten":   bytes.Repeat([]byte("x"), len(content)),
 	} {
 		other := t.TempDir()
 		path := filepath.Join(other, logFileName)
--- a/internal/store/state_machine.go
+++ b/internal/store/state_machine.go
@@ -13,16 +13,16 @@
 // stateMachine applies committed log entries to the keys. It implements raft.FSM.
 type stateMachine struct {
 	*keyspace
-	appliedIndex *atomic.Uint64 // of the last log entry that the keys include
+	appliedIndex *atomic.Uint64 // index of the last log entry included in the keys
 }
 
-// applyResult is what Apply returns for an entry, and the leader passes on to the writer.
+// applyResult is the result of Apply for one entry, which the leader returns to the writer.
 type applyResult struct {
 	version uint64
 	err     error
 }
 
-// Apply implements raft.FSM. An entry that cannot be decoded changes nothing, at every member alike.
+// Apply implements raft.FSM. An entry that cannot be decoded changes nothing, on any member.
 func (m stateMachine) Apply(entry *raft.Log) any {
 	defer m.appliedIndex.Store(entry.Index)
 	var ops []Op
@@ -40,18 +40,18 @@
 }
 
 // Restore implements raft.FSM. A snapshot that cannot be decoded changes nothing.
-func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer from.Close()
+func (m stateMachine) Restore(source io.ReadCloser) error {
+	defer source.Close()
 	var image snapshotImage
-	if err := json.NewDecoder(from).Decode(&image); err != nil {
-		return fmt.Errorf("the snapshot cannot be read: %w", err)
+	if err := json.NewDecoder(source).Decode(&image); err != nil {
+		return fmt.Errorf("decode snapshot: %w", err)
 	}
 	m.restore(image)
 	m.appliedIndex.Store(max(m.appliedIndex.Load(), image.Applied))
 	return nil
 }
 
-// encodedSnapshot is a snapshot that is to be written.
+// encodedSnapshot is an encoded snapshot that is ready to be written.
 type encodedSnapshot []byte
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/store/state_machine_test.go
+++ b/internal/store/state_machine_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A member that was brought up to date by a snapshot has caught up, though it never applied the writes one by one; an
-// entry that cannot be read is reported, and counts as applied all the same.
+// Restoring a snapshot sets the applied index, so that a member restored from a snapshot counts as caught up although
+// it never applied the single writes. An entry that cannot be decoded returns an error and still counts as applied.
 func TestCaughtUpBySnapshot(t *testing.T) {
 	var index, restoredIndex atomic.Uint64
 	m := stateMachine{newKeyspace(), &index}
@@ -26,13 +26,12 @@
 	require.NoError(t, restored.Restore(io.NopCloser(bytes.NewReader(encoded))))
 	require.Equal(t, "1", string(restored.Get("a").Data))
 	require.EqualValues(t, 8, restoredIndex.Load())
-	torn := io.NopCloser(bytes.NewReader(encoded[:9]))
-	require.ErrorContains(t, restored.Restore(torn), "the snapshot cannot be read")
-	require.Equal(t, "1", string(restored.Get("a").Data), "what cannot be read changes nothing")
+	truncated := io.NopCloser(bytes.NewReader(encoded[:9]))
+	require.ErrorContains(t, restored.Restore(truncated), "decode snapshot")
+	require.Equal(t, "1", string(restored.Get("a").Data), "an unreadable snapshot changes nothing")
 }
 
-// Whatever the log or a snapshot holds, the keys are as they were or as a complete record says, and can be written
-// afterwards.
+// Malformed log entries and snapshots never leave the keys partly changed, and the keys can be written afterwards.
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte(`[{"key":"a","data":"MQ==","if":0}]`))
 	f.Add([]byte(`{"version":3,"applied":2,"values":{"a":{"data":"MQ==","version":3}}}`))
@@ -43,16 +42,16 @@
 		m := stateMachine{newKeyspace(), &index}
 		m.Apply(&raft.Log{Index: 1, Data: raw})
 		if index.Load() != 1 {
-			t.Fatal("an entry that was not counted as applied")
+			t.Fatal("the entry does not count as applied")
 		}
 		before := m.version
 		if m.Restore(io.NopCloser(bytes.NewReader(raw))) != nil && m.version != before {
-			t.Fatal("a snapshot that cannot be read has changed the keys")
+			t.Fatal("an unreadable snapshot changed the keys")
 		}
 		write := []byte(`[{"key":"z","data":"MQ==","if":18446744073709551615}]`)
 		result := m.Apply(&raft.Log{Index: 2, Data: write}).(applyResult)
 		if result.err != nil || string(m.Get("z").Data) != "1" {
-			t.Fatal("the keys cannot be written any more")
+			t.Fatal("the keys cannot be written after a malformed entry and snapshot")
 		}
 	})
 }
--- a/internal/store/storage.go
+++ b/internal/store/storage.go
@@ -12,20 +12,20 @@
 	boltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Names in a member's directory. raft adds "snapshots" beside them.
+// Names of the files in a member's directory. The raft library adds the directory "snapshots".
 const (
 	lockFileName = "lock"
 	logFileName  = "raft.db"
 )
 
-// storage is where a member keeps the replicated log, its vote and term, and its snapshots.
+// storage holds a member's replicated log, its vote and term, and its snapshots.
 type storage struct {
 	log       raft.LogStore
 	stable    raft.StableStore
 	snapshots raft.SnapshotStore
-	// Set where the storage is on a disk.
+	// database and lockFile are set only if the storage is on disk.
 	database *boltdb.BoltStore
-	lockFile *os.File // locked for as long as the directory is this process's
+	lockFile *os.File // holds an exclusive lock while this process has the directory open
 }
 
 func memoryStorage() *storage {
@@ -33,13 +33,13 @@
 	return &storage{log: log, stable: log, snapshots: raft.NewInmemSnapshotStore()}
 }
 
-// openDirectory opens, or creates, the storage in the options' directory. The whole log is read once: a damaged file is
-// reported here, by its name, and is never taken for an empty one.
+// openDirectory opens the storage in options.Dir, and creates it if it does not exist. It reads the whole log once, so
+// that a corrupt file is reported with its path and never treated as an empty log.
 func openDirectory(options RaftOptions) (_ *storage, err error) {
 	s := &storage{}
 	defer func() {
 		if err != nil {
-			_ = s.close() // the first error is the one to report
+			_ = s.close() // the error that is returned takes precedence
 		}
 	}()
 	if err = os.MkdirAll(options.Dir, 0o700); err != nil {
@@ -76,32 +76,32 @@
 	return errors.Join(err, s.lockFile.Close())
 }
 
-// lockDirectory locks a directory for this process by a file in it. The log's own library would wait, without a word,
-// for another process to release the directory.
+// lockDirectory takes an exclusive lock on the file at path, and fails if another process holds it. Without it, boltdb
+// would block without any message until the other process closes the database.
 func lockDirectory(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: another program has this store open: %w", path, err), f.Close())
+		return nil, errors.Join(fmt.Errorf("%s: store is locked by another process: %w", path, err), f.Close())
 	}
 	return f, nil
 }
 
-// recoverFault runs a check of the log's file, and returns a panic or a memory fault in it as an error. The library
-// maps the file into memory: where the file was cut off or written over, reading it panics or faults.
+// recoverFault runs check on the log file and returns a panic or a memory fault in it as an error. boltdb maps the file
+// into memory: reading a file that was truncated or overwritten panics or faults.
 func recoverFault(check func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
-			err = fmt.Errorf("the file is damaged: %v", fault)
+			err = fmt.Errorf("log file is corrupt: %v", fault)
 		}
 	}()
 	return check()
 }
 
-// verifyLog reads every entry of a log, so that one that cannot be read is found before anything relies on it.
+// verifyLog reads every entry of a log, so that an unreadable entry is detected before the log is used.
 func verifyLog(log raft.LogStore) error {
 	first, err := log.FirstIndex()
 	if err != nil {
@@ -114,14 +114,14 @@
 	for index := max(first, 1); index <= last; index++ {
 		var entry raft.Log
 		if err := log.GetLog(index, &entry); err != nil {
-			return fmt.Errorf("entry %d of the log: %w", index, err)
+			return fmt.Errorf("read log entry %d: %w", index, err)
 		}
 	}
 	return nil
 }
 
-// lastCommandIndex returns the index of the last write in the log that no snapshot includes; 0 where there is none,
-// or where the log cannot be read.
+// lastCommandIndex returns the index of the last write in the log that is not included in a snapshot. It returns 0 if
+// there is none, or if the log cannot be read.
 func (s *storage) lastCommandIndex() uint64 {
 	first, err := s.log.FirstIndex()
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps the small versioned keys of an installation: shared configuration, the last endpoint list,
-// migrations, paused sessions and batches. Memory is one member without a disk; Raft replicates the same keys between
-// the members of a deployment.
+// Package store implements a small versioned key-value store for the shared state of an installation: the shared
+// configuration, the last endpoint list, migrations, paused sessions and batches. Memory is a single-member store
+// without persistence; Raft replicates the same keys among the members of a deployment.
 package store
 
 import (
@@ -10,10 +10,10 @@
 )
 
 var (
-	// ErrConflict is the error of a write that expected another version of a key. Nothing was written. A
-	// *ConflictError, which names the key, wraps it.
+	// ErrConflict is returned by a write whose expected version of a key is not the current one. Nothing was written.
+	// It is wrapped by a *ConflictError, which names the key.
 	ErrConflict = errors.New("store: the key has changed meanwhile")
-	// ErrNotLeader is the error of a write at a member that does not lead.
+	// ErrNotLeader is returned by a write to a member that is not the leader.
 	ErrNotLeader = errors.New("store: this member does not lead")
 )
 
@@ -23,42 +23,43 @@
 // Error implements error.
 func (e *ConflictError) Error() string { return fmt.Sprintf("%v: %s", ErrConflict, e.Key) }
 
-// Unwrap makes errors.Is(err, ErrConflict) hold.
+// Unwrap returns ErrConflict.
 func (*ConflictError) Unwrap() error { return ErrConflict }
 
-// AnyVersion matches every version of a key, and a key that does not exist, as the expected version of an Op.
+// AnyVersion as the expected version of an Op matches every version of a key, and a key that does not exist.
 const AnyVersion = ^uint64(0)
 
-// Value is what a key holds. The zero value stands for a key that does not exist.
+// Value is the value of a key. The zero Value represents a key that does not exist.
 type Value struct {
 	Data []byte `json:"data"`
-	// Version is that of the write that set the key. Versions count all writes to the store, not those of one key; the
-	// first is 1.
+	// Version is the version of the write that set the key. Versions count all writes to the store, not the writes to
+	// one key; the first is 1.
 	Version uint64 `json:"version"`
 }
 
-// Op sets one key, or deletes it where Data is nil, provided that the key is at ExpectedVersion; 0 expects that the
-// key does not exist.
+// Op sets one key, or deletes it if Data is nil, on condition that the key's version is ExpectedVersion. An
+// ExpectedVersion of 0 means that the key must not exist.
 type Op struct {
 	Key             string `json:"key"`
 	Data            []byte `json:"data"`
 	ExpectedVersion uint64 `json:"if"`
 }
 
-// Store holds versioned keys. Its methods may be called concurrently.
+// Store is a versioned key-value store. Its methods are safe for concurrent use.
 type Store interface {
-	// Get returns what a key holds at this member, which may be behind the leader. The value's data must not be
-	// changed.
+	// Get returns the value of a key at this member, which may lag behind the leader. The caller must not modify the
+	// value's data.
 	Get(key string) Value
-	// List returns the keys with a prefix, sorted.
+	// List returns the keys that begin with prefix, sorted.
 	List(prefix string) []string
-	// Write carries out all ops or none, and returns the version that they gave their keys. After an error other than a
-	// *ConflictError or ErrNotLeader it is not known whether the write was carried out.
+	// Write applies all ops or none, and returns the new version of their keys. After an error other than a
+	// *ConflictError or ErrNotLeader, it is unknown whether the write was applied.
 	Write(ctx context.Context, ops ...Op) (version uint64, err error)
-	// Leadership returns the term under which this member may write now; leads is false where it may not. Two
-	// leaderships never have the same term.
+	// Leadership returns the term in which this member is the leader and may write; leads is false if it may not. No
+	// two leaderships share a term.
 	Leadership() (term uint64, leads bool)
-	// Leader returns the ID of the member that leads, "" where none is known.
+	// Leader returns the ID of the leader, "" if none is known.
 	Leader() string
+	// Close stops this member and releases its resources.
 	Close() error
 }
--- a/internal/store/transport.go
+++ b/internal/store/transport.go
@@ -8,13 +8,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// countingStreamLayer carries the members' connections. It counts the bytes that this member writes, and dials
-// members at other addresses than the replicated configuration has, where dialAddresses has one. It implements
-// raft.StreamLayer.
+// countingStreamLayer opens and accepts the connections between members. It counts the bytes that this member writes,
+// and dials the address in dialAddresses, if there is one, instead of the one in the replicated configuration. It
+// implements raft.StreamLayer.
 type countingStreamLayer struct {
 	net.Listener
 	bytesWritten  *atomic.Int64
-	dialAddresses map[string]string // by the address in the replicated configuration
+	dialAddresses map[string]string // address to dial, by the address in the replicated configuration
 }
 
 // Accept implements net.Listener.
@@ -39,7 +39,7 @@
 	return countingConn{conn, l.bytesWritten}, nil
 }
 
-// countingConn adds the bytes that it writes to a counter.
+// countingConn is a connection that adds the number of bytes written to a counter.
 type countingConn struct {
 	net.Conn
 	bytesWritten *atomic.Int64
