--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -8,14 +8,14 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// releasedGrace is for how long a released session may be claimed again at the least, though its tools' deadline has
-// passed.
-const releasedGrace = int64(time.Second)
+// minReclaimWindow is the minimum time, in nanoseconds, for which a released session can be claimed again, even if its
+// tools' deadline has already passed.
+const minReclaimWindow = int64(time.Second)
 
-// Apply returns the record that a command leads to: r is the present one, nil where there is none, and the result nil
-// where the session is to be forgotten. now is the leader's clock in Unix nanoseconds, and clockError how far a
-// node's clock may be from it. The record passed in is not changed. Commands that are applied twice are the same one,
-// as long as nothing came between.
+// Apply applies a command to a session's record and returns the new record. r is the current record, nil if there is
+// none; the result is nil if the record is to be deleted. now is the leader's clock in Unix nanoseconds, and clockError
+// the maximum difference between it and a node's clock. Apply does not modify r. A command that is repeated, with no
+// other command in between, has no further effect.
 func Apply(
 	r *Record, c Command, now int64, clockError time.Duration,
 	limits Limits, counts PausedCounts, invariants *invariant.Monitor,
@@ -34,7 +34,7 @@
 	}
 	claimChanged := next.ClaimID != r.ClaimID && next.ClaimID != ""
 	if next.FencingToken < r.FencingToken || next.FencingToken == r.FencingToken && claimChanged {
-		detail := fmt.Sprintf("%s: fence %d of %q after %d of %q",
+		detail := fmt.Sprintf("%s: fencing token %d of claim %q after %d of claim %q",
 			r.ID, next.FencingToken, next.ClaimID, r.FencingToken, r.ClaimID)
 		invariants.Violated(invariant.SingleClaim, detail)
 		return nil, ErrStaleFencingToken
@@ -42,12 +42,12 @@
 	return next, nil
 }
 
-// change is a command that is applied to a record.
+// change is one command together with the record and the conditions that it is applied to.
 type change struct {
-	record     *Record // nil: there is none
+	record     *Record // nil if the session has no record
 	command    Command
-	now        int64
-	clockError int64
+	now        int64 // the leader's clock, in Unix nanoseconds
+	clockError int64 // maximum difference between the leader's and a node's clock, in nanoseconds
 	limits     Limits
 	counts     PausedCounts
 }
@@ -80,22 +80,22 @@
 	return nil, fmt.Errorf("%w: %q", ErrInvalidTransition, c.command.Kind)
 }
 
-// holdsClaim reports whether the command comes from the holder of the session's latest claim.
+// holdsClaim reports whether the sender of the command holds the session's latest claim.
 func (c *change) holdsClaim() bool {
 	return c.record.claimed() && c.command.FencingToken == c.record.FencingToken && c.command.Owner == c.record.Owner
 }
 
-// claimLapsed reports whether a claim's deadline has passed by every clock: its holder's may be as far behind as the
-// leader's is ahead.
+// claimLapsed reports whether the deadline of the claim has passed by the clock of every node. The clock of the claim's
+// holder may be behind the true time by clockError while the leader's is ahead of it by clockError.
 func (c *change) claimLapsed() bool {
 	return c.record.claimed() && c.now >= c.record.Deadline+2*c.clockError
 }
 
-// firstPause records a session.
+// firstPause returns the record of a session at its first pause.
 func (c *change) firstPause() (*Record, error) {
 	r := c.record
 	switch {
-	case r != nil && r.Turn == 1 && r.Owner == c.command.Owner && r.State == Paused: // the same command once more
+	case r != nil && r.Turn == 1 && r.Owner == c.command.Owner && r.State == Paused: // repeated command
 		return r, nil
 	case r != nil:
 		return nil, ErrInvalidTransition
@@ -120,7 +120,7 @@
 	}, nil
 }
 
-// furtherPause records that a resumed session pauses again.
+// furtherPause returns the record of a resumed session that pauses again.
 func (c *change) furtherPause() (*Record, error) {
 	r := c.record
 	repeated := r.State == Paused && r.Turn == c.command.Turn+1 && c.command.FencingToken == r.FencingToken
@@ -143,8 +143,8 @@
 	return &next, nil
 }
 
-// claim gives a claim. One whose deadline has passed may be replaced; one of an incarnation that is known to be over,
-// at once.
+// claim grants a claim. An existing claim is replaced if it has lapsed, or at once if its holder's incarnation is known
+// to have ended.
 func (c *change) claim() (*Record, error) {
 	if repeated, err := c.checkClaim(); repeated || err != nil {
 		return c.record, err
@@ -164,7 +164,8 @@
 	return &next, nil
 }
 
-// checkClaim returns why a session cannot be claimed; repeated, that the claim is given already.
+// checkClaim returns an error if the session cannot be claimed. repeated is true if the command has already been
+// granted its claim.
 func (c *change) checkClaim() (repeated bool, err error) {
 	r := c.record
 	turn := c.command.Turn
@@ -189,20 +190,21 @@
 	return false, nil
 }
 
-// repeatsClaim reports whether the command is the one that made the session's claim, once more.
+// repeatsClaim reports whether the command repeats the one that made the session's current claim.
 func (c *change) repeatsClaim() bool {
 	r := c.record
 	return r.claimed() && r.ClaimID == c.command.ClaimID && r.Owner == c.command.Owner && c.command.ClaimID != ""
 }
 
-// ownerEnded reports whether the claim's holder is an incarnation of the command's own slot that is known to be over.
+// ownerEnded reports whether the claim's holder is an earlier incarnation of the sender's slot that is known to have
+// ended.
 func (c *change) ownerEnded() bool {
 	owner := c.record.Owner
 	return c.record.claimed() && owner.Slot == c.command.Owner.Slot &&
 		slices.Contains(c.command.Predecessors, owner.Incarnation)
 }
 
-// checkResults returns why a claim's results are not those of the session's calls.
+// checkResults returns an error if the results of a claim do not match the session's calls.
 func (c *change) checkResults() error {
 	for _, call := range c.record.Calls {
 		if !slices.Contains(c.command.ResultIDs, call.ID) {
@@ -232,7 +234,7 @@
 	next := *c.record
 	next.State = Paused
 	next.ClaimID = ""
-	next.Deadline = max(c.record.ToolDeadline, c.now+releasedGrace)
+	next.Deadline = max(c.record.ToolDeadline, c.now+minReclaimWindow)
 	return &next, nil
 }
 
@@ -249,7 +251,7 @@
 func (c *change) cancel() (*Record, error) {
 	switch {
 	case c.record.State == Ended || c.record.State == Expired:
-		return c.record, nil // it is over already
+		return c.record, nil // the session has already ended
 	case c.record.State != Paused && !c.claimLapsed():
 		return nil, ErrClaimed
 	}
@@ -271,7 +273,7 @@
 	return nil, nil
 }
 
-// finished returns the record of a session that is over, without its data.
+// finished returns the record of a session that has ended or expired, without its data.
 func (c *change) finished(state State, reason EndReason) *Record {
 	next := *c.record
 	next.State = state
--- a/internal/fleet/session/command.go
+++ b/internal/fleet/session/command.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Errors of commands that are rejected. Clients get their texts.
+// Errors for which a command is rejected. Their texts are sent to clients.
 var (
 	ErrMalformedKey      = errors.New("that is no resume key")
 	ErrUnknownKey        = errors.New("no session has this key; it was over long ago, or never was")
@@ -17,51 +17,52 @@
 	ErrTooLarge          = errors.New("the session is too large to be kept")
 )
 
-// CommandKind says what a command does.
+// CommandKind is the operation of a Command.
 type CommandKind string
 
-// The commands.
+// The kinds of commands.
 const (
-	Pause   CommandKind = "pause"   // records a first pause, or by its claim's holder a further one
-	Claim   CommandKind = "claim"   // claims a paused session, with the results of all calls
-	Begin   CommandKind = "begin"   // the claim's holder passes output on
-	Release CommandKind = "release" // the claim's holder gives the session back as it was
-	End     CommandKind = "end"     // the claim's holder has given the final answer
-	Cancel  CommandKind = "cancel"  // the client gives a paused session up
-	Expire  CommandKind = "expire"  // by the leader itself, once the tools' deadline has passed
-	Forget  CommandKind = "forget"  // by the leader itself, once a session has been over for the retention time
+	Pause   CommandKind = "pause"   // records the first pause, or, from the claim's holder, a further one
+	Claim   CommandKind = "claim"   // claims a paused session; the results of all its calls have to be there
+	Begin   CommandKind = "begin"   // records that the claim's holder has begun to forward output
+	Release CommandKind = "release" // returns a claimed session to its pause, from the claim's holder
+	End     CommandKind = "end"     // records the final response, from the claim's holder
+	Cancel  CommandKind = "cancel"  // ends a paused session at its client's request
+	Expire  CommandKind = "expire"  // expires a session after the tools' deadline; issued by the leader
+	Forget  CommandKind = "forget"  // deletes an ended or expired session after the retention time; issued by the leader
 )
 
-// Command asks for a change of one session. Which fields count depends on its kind.
+// Command requests a change of one session. Which fields are used depends on its kind.
 type Command struct {
 	Kind         CommandKind `json:"kind"`
-	ID           string      `json:"id"`
-	Turn         int         `json:"turn"`  // the pause that is meant
-	FencingToken uint64      `json:"fence"` // the claim that is meant; 0 for a first pause
-	ClaimID      string      `json:"claim"` // of Claim: the request that makes it
-	Owner        Owner       `json:"by"`    // who gives the command
-	// Predecessors are those of the owner's member that are known to be over: their claims may be taken at once.
+	ID           string      `json:"id"`    // session ID
+	Turn         int         `json:"turn"`  // number of the pause that the command refers to
+	FencingToken uint64      `json:"fence"` // fencing token of the sender's claim; 0 for a first pause
+	ClaimID      string      `json:"claim"` // Claim: ID of the request that makes the claim
+	Owner        Owner       `json:"by"`    // sender of the command
+	// Predecessors are earlier incarnations of the sender's slot that are known to have ended. Their claims can be
+	// replaced at once.
 	Predecessors  []uint64   `json:"before,omitempty"`
 	Tenant        int        `json:"tenant"`
-	ToolTimeout   int64      `json:"wait"`    // nanoseconds; of Pause: the longest wait for results
-	ClaimDuration int64      `json:"for"`     // nanoseconds; of Claim
-	ResultIDs     []string   `json:"results"` // of Claim: IDs of the calls that have results
-	Calls         []ToolCall `json:"calls"`   // of Pause
+	ToolTimeout   int64      `json:"wait"`    // Pause: maximum wait for the results, in nanoseconds
+	ClaimDuration int64      `json:"for"`     // Claim: time from the claim to its deadline, in nanoseconds
+	ResultIDs     []string   `json:"results"` // Claim: IDs of the calls that have results
+	Calls         []ToolCall `json:"calls"`   // Pause: the calls to wait for
 	Data          []byte     `json:"data,omitempty"`
-	EndReason     EndReason  `json:"last,omitempty"` // of End
+	EndReason     EndReason  `json:"last,omitempty"` // End: how the session ended
 }
 
-// Limits bound what is recorded.
+// Limits bound the recorded sessions.
 type Limits struct {
-	MaxDataBytes int   // of a session's data
-	Retention    int64 // nanoseconds for which a session that is over is remembered
-	// MaxPaused and MaxPausedPerTenant are how many sessions may be paused or claimed, in all and of one tenant.
+	MaxDataBytes int   // maximum size of a session's data
+	Retention    int64 // time for which the record of an ended or expired session remains, in nanoseconds
+	// MaxPaused and MaxPausedPerTenant are the maximum numbers of paused or claimed sessions, overall and per tenant.
 	MaxPaused          int
 	MaxPausedPerTenant int
 }
 
-// PausedCounts are how many other sessions are paused or claimed.
+// PausedCounts are the numbers of other sessions that are paused or claimed.
 type PausedCounts struct {
 	Total  int
-	Tenant int // of the command's tenant
+	Tenant int // sessions of the command's tenant
 }
--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -12,10 +12,10 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// A session as the store has it, and what a node asks of the leader.
-func TestGoldenRecordAndOperation(t *testing.T) {
+// The encodings of a stored session and of a command to the leader do not change: other versions read both.
+func TestGoldenRecordAndCommand(t *testing.T) {
 	golden.JSON(t, "record.json", Record{
-		ID:           id,
+		ID:           sessionID,
 		Turn:         2,
 		State:        Claimed,
 		FencingToken: 3,
@@ -30,7 +30,7 @@
 	})
 	golden.JSON(t, "operation.json", Command{
 		Kind:          Claim,
-		ID:            id,
+		ID:            sessionID,
 		Turn:          2,
 		FencingToken:  3,
 		ClaimID:       "trace-4",
@@ -49,8 +49,8 @@
 	golden.Bytes(t, "empty.json", raw)
 }
 
-// The words in records and commands, keys, and the texts that clients get.
-func TestGoldenWords(t *testing.T) {
+// The names of states and commands, the format of resume keys, and the error texts that clients get.
+func TestGoldenNamesAndErrors(t *testing.T) {
 	var lines []string
 	for _, s := range []State{Running, Pausing, Paused, Claimed, Resuming, Ended, Expired} {
 		lines = append(lines, "state "+string(s))
@@ -58,7 +58,7 @@
 	for _, k := range []CommandKind{Pause, Claim, Begin, Release, End, Cancel, Expire, Forget} {
 		lines = append(lines, "operation "+string(k))
 	}
-	lines = append(lines, "key "+ResumeKey(id, 2))
+	lines = append(lines, "key "+ResumeKey(sessionID, 2))
 	for _, err := range []error{
 		ErrMalformedKey,
 		ErrUnknownKey,
@@ -77,14 +77,14 @@
 	_, _, err := ParseResumeKey("spoilt")
 	lines = append(lines, "error "+err.Error())
 	r := paused(t)
-	one := claim(b, "q1")
-	one.ResultIDs = both[:1]
-	three := claim(b, "q1")
-	three.ResultIDs = append(append([]string{}, both...), "c3")
-	for _, o := range []Command{one, three, {Kind: "another"}} {
-		lines = append(lines, "error "+step(t, &r, o, second).Error())
+	oneResult := claim(ownerB, "q1")
+	oneResult.ResultIDs = resultIDs[:1]
+	threeResults := claim(ownerB, "q1")
+	threeResults.ResultIDs = append(append([]string{}, resultIDs...), "c3")
+	for _, command := range []Command{oneResult, threeResults, {Kind: "another"}} {
+		lines = append(lines, "error "+step(t, &r, command, second).Error())
 	}
-	require.True(t, errors.Is(step(t, &r, one, second), ErrResultsMismatch))
+	require.True(t, errors.Is(step(t, &r, oneResult, second), ErrResultsMismatch))
 	require.NoError(t, step(t, &r, Command{Kind: Cancel}, second))
 	lines = append(lines, "last "+string(r.EndReason))
 	r = paused(t)
--- a/internal/fleet/session/key.go
+++ b/internal/fleet/session/key.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	idLength  = 32
+	idLength  = 32 // characters of a session ID
 	hexDigits = "0123456789abcdef"
 )
 
-// ResumeKey returns the key by which a client resumes a session at a pause.
+// ResumeKey returns the key with which a client resumes a session from the pause of the given turn.
 func ResumeKey(id string, turn int) string { return id + "." + strconv.Itoa(turn) }
 
-// ParseResumeKey splits a key into the session's ID and the pause's turn. The error wraps ErrMalformedKey.
+// ParseResumeKey splits a resume key into the session ID and the turn of the pause. Its error wraps ErrMalformedKey.
 func ParseResumeKey(key string) (id string, turn int, err error) {
-	id, number, found := strings.Cut(key, ".")
-	turn, err = strconv.Atoi(number)
+	id, turnText, found := strings.Cut(key, ".")
+	turn, err = strconv.Atoi(turnText)
 	if !found || err != nil || turn < 1 || len(id) != idLength || strings.Trim(id, hexDigits) != "" {
 		return "", 0, fmt.Errorf("%w: %q", ErrMalformedKey, key)
 	}
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -1,11 +1,11 @@
-// Package session decides what may happen to a session that pauses for a tool: who may resume it, and when it ends.
-// It is pure: the store's leader applies commands, one after the other, each to the present record, and time is
-// passed in.
+// Package session is the state machine of sessions that pause at tool calls: it decides who may resume a session and
+// when the session ends. It is pure: the leader of the store applies commands one at a time, each to the current
+// record, and passes in the time.
 //
-// A session is never decoded twice at once, over all nodes: whoever decodes holds a claim, under a fencing token that
-// grows with each claim, and stops decoding before the claim's deadline by the greatest difference between two
-// clocks; no further claim is granted before the deadline plus that difference. A resume key names a session and the
-// pause that it belongs to, and is used once.
+// At most one node decodes a session at any time. A node that decodes holds a claim, identified by a fencing token
+// that grows with each claim, and stops decoding before the claim's deadline by the maximum difference between the
+// clocks of two nodes. The next claim is not granted until that difference has passed after the deadline. A resume
+// key identifies a session and one of its pauses, and can be used once.
 package session
 
 import "slices"
@@ -13,18 +13,19 @@
 // State is the state of a session.
 type State string
 
-// The states. A session is on record from its first pause on: the first two are those of a node's own sessions.
+// The states. The store has a record of a session from its first pause on, so Running and Pausing never occur in a
+// record: they exist only at the node that decodes the session.
 const (
-	Running  State = "running"  // its answer is being decoded for the first time
-	Pausing  State = "pausing"  // its decoding has ended at a tool call, which is being recorded
-	Paused   State = "paused"   // it waits for its tools' results; any node may claim it
-	Claimed  State = "claimed"  // a node has its results and may decode it
-	Resuming State = "resuming" // a part of what follows has been passed on to the client
-	Ended    State = "ended"    // it has had its final answer, or was cancelled
-	Expired  State = "expired"  // its tools did not answer in time
+	Running  State = "running"  // the response is being decoded for the first time
+	Pausing  State = "pausing"  // decoding has ended at a tool call, and the pause is being recorded
+	Paused   State = "paused"   // the session waits for the results of its tool calls; any node may claim it
+	Claimed  State = "claimed"  // a node has the results and may decode the session
+	Resuming State = "resuming" // the claiming node has forwarded output to the client
+	Ended    State = "ended"    // the client has received the final response, or the session was cancelled
+	Expired  State = "expired"  // the tools did not return their results in time
 )
 
-// transitions are the states that may follow each state.
+// transitions lists the states that may follow each state.
 var transitions = map[State][]State{
 	Running:  {Pausing, Ended},
 	Pausing:  {Paused, Ended},
@@ -35,7 +36,7 @@
 	Expired:  {},
 }
 
-// CanTransition reports whether a state may follow another.
+// CanTransition reports whether a session in state from may change to state to.
 func CanTransition(from, to State) bool { return slices.Contains(transitions[from], to) }
 
 // EndReason says how a session ended.
@@ -43,41 +44,43 @@
 
 // The reasons for which a session ends.
 const (
-	ReasonServed    EndReason = "served"     // its client has had the final answer
-	ReasonCancelled EndReason = "called off" // by its client
-	ReasonExpired   EndReason = "expired"    // its tools did not answer in time
+	ReasonServed    EndReason = "served"     // the client has received the final response
+	ReasonCancelled EndReason = "called off" // the client cancelled the session
+	ReasonExpired   EndReason = "expired"    // the tools did not return their results in time
 )
 
-// ToolCall is one call of a tool, as the model made it.
+// ToolCall identifies one tool call made by the model.
 type ToolCall struct {
 	ID   string `json:"id"`
 	Name string `json:"name"`
 }
 
-// Owner is one incarnation of a member.
+// Owner is one incarnation of a fleet member.
 type Owner struct {
 	Slot        string `json:"seat"`
 	Incarnation uint64 `json:"life"`
 }
 
-// Record is a session as the store has it. Times are Unix nanoseconds, by the leader's clock.
+// Record is the stored state of a session. Times are Unix nanoseconds by the leader's clock.
 type Record struct {
 	ID           string `json:"id"`
-	Turn         int    `json:"turn"` // of the pause, from 1; the second part of its resume key
+	Turn         int    `json:"turn"` // number of the latest pause, from 1; the second part of its resume key
 	State        State  `json:"state"`
-	FencingToken uint64 `json:"fence"` // of the latest claim; 0: there was none
-	// Deadline is when a paused session expires, when a claim ends, or when a session that is over is forgotten.
+	FencingToken uint64 `json:"fence"` // fencing token of the latest claim; 0 if there was none
+	// Deadline is the time at which a paused session expires, at which a claim ends, or at which the record of an ended
+	// or expired session is deleted.
 	Deadline int64 `json:"until"`
-	// ToolDeadline is when the wait for the results of the latest pause ends. It stays while the session is claimed.
+	// ToolDeadline is the time at which the wait for the results of the latest pause ends. A claim does not change it.
 	ToolDeadline int64      `json:"wait"`
 	Tenant       int        `json:"tenant"`
-	Owner        Owner      `json:"by"`    // who paused the session, or holds the claim
-	ClaimID      string     `json:"claim"` // the request that made the claim
-	Calls        []ToolCall `json:"calls"` // that wait for results
-	// Data is what a node needs to resume the session. It is opaque here, and removed once the session is over.
+	Owner        Owner      `json:"by"`    // the member that paused the session or holds its claim
+	ClaimID      string     `json:"claim"` // ID of the request that made the claim
+	Calls        []ToolCall `json:"calls"` // tool calls whose results the session waits for
+	// Data is what a node needs to resume the session. It is opaque to this package, and removed when the session ends
+	// or expires.
 	Data      []byte    `json:"data,omitempty"`
 	EndReason EndReason `json:"last,omitempty"`
 }
 
-// claimed reports whether a node holds a claim, which may have passed its deadline.
+// claimed reports whether a node holds a claim on the session. The claim's deadline may have passed.
 func (r *Record) claimed() bool { return r.State == Claimed || r.State == Resuming }
