--- a/internal/fleet/session/service/cluster_test.go
+++ b/internal/fleet/session/service/cluster_test.go
@@ -20,16 +20,17 @@
 	"standpoint/internal/store"
 )
 
-// cluster is nodes that share one store, which the first of them leads.
+// cluster is a set of nodes that share one store. The first node is the leader.
 type cluster struct {
 	store      store.Store
 	nodes      []*Service
 	monitor    *invariant.Monitor
 	now        atomic.Int64 // Unix nanoseconds
-	leaderless atomic.Bool  // no node reaches the leader
+	leaderless atomic.Bool  // set while no node can reach the leader
 	rateFactor float64
 }
 
+// testTools returns two tools that pause the session, one that is passed through and one that is rejected.
 func testTools() []Tool {
 	return []Tool{
 		{Name: "hours", Action: PauseSession, ResultTimeout: 30 * time.Second, MaxResultBytes: 100, Class: -1},
@@ -39,6 +40,7 @@
 	}
 }
 
+// newCluster returns a cluster of nodes, whose options edit changes if it is not nil.
 func newCluster(t testing.TB, nodes int, edit func(*Options)) *cluster {
 	t.Helper()
 	c := &cluster{store: store.NewMemory(), rateFactor: 1, monitor: &invariant.Monitor{}}
@@ -76,6 +78,7 @@
 	return c
 }
 
+// callLeader calls the leader's registry, or fails while the cluster is leaderless.
 func (c *cluster) callLeader(ctx context.Context, _ string, in, out any) error {
 	if c.leaderless.Load() {
 		return fleet.ErrNoLeader
@@ -94,31 +97,33 @@
 const requestBody = `{"model":"m","stream":true,"tools":[{"type":"function"}],` +
 	`"messages":[{"role":"user","content":"who works today?"}],"max_tokens":90}`
 
-// hook returns what inspects the answer to a request at a node.
-func (c *cluster) hook(at int) node.Hook {
+// hook returns a node's hook for the response to requestBody.
+func (c *cluster) hook(nodeIndex int) node.Hook {
 	request := standpoint.Request{Tenant: 2, Session: 9, PromptTokens: 10, MaxTokens: 90}
-	return c.nodes[at].Hook(request, []byte(requestBody), func() string { return "box" })
+	return c.nodes[nodeIndex].Hook(request, []byte(requestBody), func() string { return "box" })
 }
 
-// pause has an answer pause at a node by calls of tools, and returns the client's key; "" where it got none.
-func (c *cluster) pause(t testing.TB, at int, tools ...string) string {
+// pause pauses a session at a node by tool calls in its response, and returns the client's resume key, "" if it got
+// none.
+func (c *cluster) pause(t testing.TB, nodeIndex int, tools ...string) string {
 	t.Helper()
-	h := c.hook(at)
+	h := c.hook(nodeIndex)
 	passed, then := h.Event([]byte(contentEvent("the crew is ") + callEvents(tools...)))
 	require.Equal(t, node.HookStop, then)
 	require.Contains(t, string(passed), "tool_calls")
 	last, usage := h.Stopped()
 	require.Contains(t, string(last), "[DONE]")
-	require.EqualValues(t, 3+(len(tools)*10+3)/4, usage.OutputTokens, "four characters a token")
+	require.EqualValues(t, 3+(len(tools)*10+3)/4, usage.OutputTokens, "four characters per token")
 	h.Finished(node.Answer{Kind: node.Served})
 	return resumeKeyIn(last)
 }
 
+// contentEvent returns an event with produced text.
 func contentEvent(text string) string {
 	return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", text)
 }
 
-// callEvents are calls as streams bring them: a name, then its arguments in parts.
+// callEvents returns the events of tool calls as backends stream them: the name first, then the arguments in parts.
 func callEvents(tools ...string) string {
 	const event = "data: {\"choices\":[{\"index\":0,\"delta\":{\"tool_calls\":[{\"index\":%d,%s}]}}]}\n\n"
 	var b strings.Builder
@@ -131,14 +136,14 @@
 	return b.String() + "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"tool_calls\"}]}\n\n"
 }
 
-// resumeKeyIn returns the key that the end of a stream holds, "" where it holds none.
+// resumeKeyIn returns the resume key in the last events of a stream, "" if there is none.
 func resumeKeyIn(last []byte) string {
 	_, rest, _ := strings.Cut(string(last), `"resume":"`)
 	key, _, _ := strings.Cut(rest, `"`)
 	return key
 }
 
-// resultsFor is the body of a request that resumes a session with results of calls.
+// resultsFor returns the body of a request that resumes a session with results for the calls with the given IDs.
 func resultsFor(ids ...string) []byte {
 	var messages []string
 	for _, id := range ids {
@@ -147,4 +152,5 @@
 	return []byte(`{"messages":[` + strings.Join(messages, ",") + `]}`)
 }
 
+// noBackend stands for a response whose backend is unknown.
 func noBackend() string { return "" }
--- a/internal/fleet/session/service/continuation.go
+++ b/internal/fleet/session/service/continuation.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	maxBodyBytes       = 256 << 10 // of a rebuilt request, as of any
-	maxDecodedBytes    = 4 << 20   // of a record's data, decompressed
-	charactersPerToken = 4
+	maxBodyBytes       = 256 << 10 // maximum size of a rebuilt request's body, the same as of any request
+	maxDecodedBytes    = 4 << 20   // maximum size of a record's data after decompression
+	charactersPerToken = 4         // estimate
 )
 
-// continuation is what a node needs to resume a session: the data of its record, as compressed JSON.
+// continuation is what a node needs to resume a session. It is stored as compressed JSON in the data of the session's
+// record.
 type continuation struct {
-	Body           json.RawMessage `json:"body"` // the request's, with all messages up to the call
+	Body           json.RawMessage `json:"body"` // body of the request, with all messages up to the calls
 	Class          int             `json:"class"`
 	Tenant         int             `json:"tenant"`
 	Session        uint64          `json:"session"`
 	Prefix         uint64          `json:"prefix"`
 	PrefixTokens   float64         `json:"shared"`
-	MaxTokens      float64         `json:"most"`   // that are left for the answer
-	Backend        string          `json:"server"` // that decoded the session last
-	BackendStart   int64           `json:"start"`
-	PromptTokens   float64         `json:"prompt"`   // that the backend has read and produced
-	ProducedTokens float64         `json:"produced"` // of all parts, each charged by the node that produced it
-	Parts          int             `json:"parts"`    // times that the session was paused
-	MaxResultBytes int             `json:"result"`   // of all results together
+	MaxTokens      float64         `json:"most"`     // tokens that remain for the response
+	Backend        string          `json:"server"`   // backend that last decoded the session
+	BackendStart   int64           `json:"start"`    // start time of the backend
+	PromptTokens   float64         `json:"prompt"`   // tokens that the backend has read and produced so far
+	ProducedTokens float64         `json:"produced"` // tokens of all parts, each charged by the node that produced it
+	PauseCount     int             `json:"parts"`    // number of times that the session has paused
+	MaxResultBytes int             `json:"result"`   // maximum size of all results together
 }
 
-// encode returns a continuation as a record holds it.
+// encode encodes and compresses a continuation.
 func (s *Service) encode(c continuation) ([]byte, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -38,6 +39,7 @@
 	return s.compressor.EncodeAll(raw, nil), nil
 }
 
+// decode decompresses and decodes a continuation.
 func (s *Service) decode(data []byte) (continuation, error) {
 	var c continuation
 	raw, err := s.decompressor.DecodeAll(data, nil)
@@ -47,8 +49,8 @@
 	return c, err
 }
 
-// appendMessages returns a request's body with messages added, otherwise unchanged. The error is session.ErrTooLarge
-// where it would be larger than a request may be.
+// appendMessages returns a request's body with messages appended and all other fields unchanged. The error is
+// session.ErrTooLarge if the result exceeds maxBodyBytes.
 func appendMessages(body []byte, added ...any) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -76,7 +78,7 @@
 	return raw, err
 }
 
-// tokensOf estimates the tokens of a text by its length in characters.
+// tokensOf estimates the number of tokens in a text from its length in characters.
 func tokensOf(characters int) float64 {
 	return float64((characters + charactersPerToken - 1) / charactersPerToken)
 }
--- a/internal/fleet/session/service/golden_test.go
+++ b/internal/fleet/session/service/golden_test.go
@@ -15,11 +15,11 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// What a session is resumed with, as its record holds it, compressed and plain; the leader's answer; and what a node
-// shows.
+// The encodings of a continuation, compressed and plain, of the leader's reply and of a node's status do not change:
+// other versions and clients read them.
 func TestGoldenFormats(t *testing.T) {
 	s := newCluster(t, 1, nil).nodes[0]
-	k := continuation{
+	next := continuation{
 		Body:           json.RawMessage(`{"messages":[]}`),
 		Class:          1,
 		Tenant:         2,
@@ -31,11 +31,11 @@
 		BackendStart:   7,
 		PromptTokens:   8,
 		ProducedTokens: 9,
-		Parts:          10,
+		PauseCount:     10,
 		MaxResultBytes: 11,
 	}
-	golden.JSON(t, "kept.json", k)
-	golden.RoundTrip(t, "kept.zst", k, s.encode, s.decode)
+	golden.JSON(t, "kept.json", next)
+	golden.RoundTrip(t, "kept.zst", next, s.encode, s.decode)
 	golden.JSON(t, "reply.json", reply{
 		Record: &session.Record{
 			ID:           "one",
@@ -65,52 +65,52 @@
 	})
 }
 
-// Faults by the names and with the texts and statuses that others get.
-func TestGoldenFaults(t *testing.T) {
+// The codes of errors between nodes, and the statuses, texts and retry delays that clients get.
+func TestGoldenRequestErrors(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	s := c.nodes[0]
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(errorsByCode)) {
-		f := newRequestError(errorsByCode[name])
-		lines = append(lines, fmt.Sprintf("%s: %d %q %v", name, f.Status, f.Message, f.RetryAfter))
+		rejection := newRequestError(errorsByCode[name])
+		lines = append(lines, fmt.Sprintf("%s: %d %q %v", name, rejection.Status, rejection.Message, rejection.RetryAfter))
 	}
-	add := func(f *RequestError) {
+	add := func(rejection *RequestError) {
 		t.Helper()
-		require.NotNil(t, f)
-		lines = append(lines, fmt.Sprintf("%d %q %v", f.Status, f.Message, f.RetryAfter))
+		require.NotNil(t, rejection)
+		lines = append(lines, fmt.Sprintf("%d %q %v", rejection.Status, rejection.Message, rejection.RetryAfter))
 	}
-	k := c.pause(t, 0, "hours")
-	resume := func(key string, tenant int, body string) {
+	key := c.pause(t, 0, "hours")
+	resume := func(resumeKey string, tenant int, body string) {
 		t.Helper()
-		_, f := s.Resume(t.Context(), key, "q", tenant, []byte(body))
-		add(f)
+		_, rejection := s.Resume(t.Context(), resumeKey, "q", tenant, []byte(body))
+		add(rejection)
 	}
 	resume("spoilt", 2, "{}")
-	resume(k, 2, "{")
-	resume(k, 2, `{"messages":[{"role":"user","content":"x"}]}`)
-	resume(k, 2, `{"messages":[]}`)
-	resume(k, 1, string(resultsFor("c0")))
-	resume(k, 2, strings.Replace(string(resultsFor("c0")), "Aidar", strings.Repeat("x", 200), 1))
+	resume(key, 2, "{")
+	resume(key, 2, `{"messages":[{"role":"user","content":"x"}]}`)
+	resume(key, 2, `{"messages":[]}`)
+	resume(key, 1, string(resultsFor("c0")))
+	resume(key, 2, strings.Replace(string(resultsFor("c0")), "Aidar", strings.Repeat("x", 200), 1))
 	c.leaderless.Store(true)
-	resume(k, 2, string(resultsFor("c0")))
-	add(s.Cancel(t.Context(), k))
+	resume(key, 2, string(resultsFor("c0")))
+	add(s.Cancel(t.Context(), key))
 	c.leaderless.Store(false)
 	s.MaxConcurrentResumes = 0
-	resume(k, 2, string(resultsFor("c0")))
+	resume(key, 2, string(resultsFor("c0")))
 	golden.Bytes(t, "faults.txt", []byte(strings.Join(lines, "\n")+"\n"))
 }
 
-// The key of a record, and what a client's stream gets at a pause, at a call that may not be made, and where no key
-// can be given.
+// The store key of a record, and the events that a client gets at a pause, at a rejected call, and if no resume key can
+// be given.
 func TestGoldenStream(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	h := c.hook(0)
 	var out []string
 	pass, _ := h.Event([]byte(contentEvent("the crew is ") + callEvents("hours")))
 	last, _ := h.Stopped()
-	k := resumeKeyIn(last)
-	require.NotEmpty(t, k)
-	id, turn, err := session.ParseResumeKey(k)
+	key := resumeKeyIn(last)
+	require.NotEmpty(t, key)
+	id, turn, err := session.ParseResumeKey(key)
 	require.NoError(t, err)
 	require.Equal(t, 1, turn)
 	require.Equal(t, []string{"session/" + id}, c.store.List(""))
@@ -118,7 +118,7 @@
 	require.NoError(t, err)
 	decoded, err := c.nodes[0].decode(record.Data)
 	require.NoError(t, err)
-	text := strings.ReplaceAll(string(last), k, "KEY")
+	text := strings.ReplaceAll(string(last), key, "KEY")
 	before, rest, ok := strings.Cut(text, `"within_ms":`)
 	require.True(t, ok)
 	out = append(out, string(pass), before+`"within_ms":N`+strings.TrimLeft(rest, "0123456789"), string(decoded.Body))
--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -19,9 +19,9 @@
 	"standpoint/internal/node"
 )
 
-// Bounds of an answer that can be paused.
+// Limits of a response that can be paused.
 const (
-	maxTextBytes   = 128 << 10 // produced before a call, and of a call's arguments
+	maxTextBytes   = 128 << 10 // of the text before the calls, and of the arguments of one call
 	maxCalls       = 16
 	maxCallIDBytes = 128
 )
@@ -31,35 +31,35 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// finishToolCalls is the finish reason of an answer that ends with tool calls.
+// finishToolCalls is the finish reason of a response that ends with tool calls.
 const finishToolCalls = "tool_calls"
 
-// hook inspects one answer: it collects what is produced, and has the decoding end at a call that pauses the session.
-// It implements node.Hook; its methods are called one at a time, Over after all others.
+// hook inspects one response: it collects the produced text and tool calls, and stops the decoding at a call that
+// pauses the session. It implements node.Hook; its methods are called one at a time, Finished after all others.
 type hook struct {
 	service *Service
 	request standpoint.Request
-	body    []byte        // of the request
-	backend func() string // that decodes the answer
+	body    []byte        // body of the request
+	backend func() string // returns the name of the backend that decodes the response
 
-	content      strings.Builder
-	calls        map[int]*toolCall // by their index in the answer
-	tooLarge     bool
-	rejectedTool string // the tool that may not be called; "": none was
-	ended        bool   // the end of the session is recorded
-	paused       bool   // the session is recorded as paused
+	content      strings.Builder   // text that was produced
+	calls        map[int]*toolCall // tool calls that were produced, by their index in the response
+	tooLarge     bool              // the response exceeds a limit and cannot be paused
+	rejectedTool string            // name of the called tool that may not be called; "" if there is none
+	ended        bool              // the end of the session is recorded
+	paused       bool              // the session is recorded as paused
 
-	// Of an answer of a resumed session; the zero values stand for the first part of an answer.
+	// The fields below are set if the response is that of a resumed session, and zero otherwise. A first pause sets id.
 	id           string
 	turn         int
 	fencingToken uint64
 	previous     continuation
 	beginOnce    sync.Once
-	timer        *time.Timer // breaks the answer off at the claim's end
-	done         func()      // takes the request off those in flight
+	timer        *time.Timer // aborts the response at the deadline
+	finish       func()      // removes the request from those in flight
 }
 
-// toolCall is a call as the model makes it. Streams bring its parts one after the other.
+// toolCall is a tool call made by the model. A stream contains it in several parts.
 type toolCall struct {
 	ID       string `json:"id"`
 	Type     string `json:"type"`
@@ -69,7 +69,7 @@
 	} `json:"function"`
 }
 
-// chunk is what the hook reads of a streamed event.
+// chunk holds the fields of a streamed event that the hook reads.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -80,24 +80,25 @@
 	} `json:"choices"`
 }
 
-// toolCallDelta is a part of a call.
+// toolCallDelta is one part of a tool call in a stream.
 type toolCallDelta struct {
 	Index int `json:"index"`
 	toolCall
 }
 
-// Hook returns what inspects the answer to a request that resumes no session. backend returns who decodes it.
+// Hook returns the hook for the response to a request that does not resume a session. backend returns the name of the
+// backend that decodes the response.
 func (s *Service) Hook(request standpoint.Request, body []byte, backend func() string) node.Hook {
 	return &hook{service: s, request: request, body: body, backend: backend, calls: map[int]*toolCall{}}
 }
 
-// resumed reports whether the answer is that of a resumed session, on which this node holds a claim.
+// resumed reports whether the response is that of a resumed session, on which this node holds a claim.
 func (h *hook) resumed() bool { return h.fencingToken > 0 }
 
 // Event implements node.Hook.
 func (h *hook) Event(event []byte) ([]byte, node.HookAction) {
 	if h.resumed() {
-		// Nothing waits for it, and it needs no answer: the claim says as much without it.
+		// Nothing waits for the result, and a failure has no consequences: the claim protects the session anyway.
 		h.beginOnce.Do(func() { go h.recordBegin() })
 	}
 	for line := range bytes.Lines(event) {
@@ -107,7 +108,8 @@
 		}
 		data = bytes.TrimSpace(data)
 		if bytes.Equal(data, doneMarker) {
-			// The final answer of a session is recorded before it is passed on: its key gets no second one.
+			// The end of the session is recorded before the response is completed, so that its key cannot lead to a
+			// second final response.
 			if h.resumed() && !h.recordEnd() {
 				return nil, node.HookBreak
 			}
@@ -115,7 +117,7 @@
 		}
 		var c chunk
 		if json.Unmarshal(data, &c) != nil {
-			continue // passed on as it is
+			continue // forwarded unchanged
 		}
 		switch h.observe(&c) {
 		case RejectCall:
@@ -127,7 +129,7 @@
 	return event, node.HookContinue
 }
 
-// observe collects a chunk, and returns what happens to the answer.
+// observe collects the text and tool calls of a chunk, and returns what happens to the response.
 func (h *hook) observe(c *chunk) ToolAction {
 	for _, choice := range c.Choices {
 		h.addContent(choice.Delta.Content)
@@ -145,6 +147,7 @@
 	return PassThrough
 }
 
+// addContent appends produced text, and sets tooLarge if it exceeds its limit.
 func (h *hook) addContent(text string) {
 	if h.content.Len()+len(text) > maxTextBytes {
 		h.tooLarge = true
@@ -153,6 +156,7 @@
 	h.content.WriteString(text)
 }
 
+// addCall adds one part of a tool call, and sets tooLarge if the calls exceed a limit.
 func (h *hook) addCall(delta *toolCallDelta) {
 	call := h.calls[delta.Index]
 	if call == nil {
@@ -171,8 +175,8 @@
 	}
 }
 
-// action returns what the collected calls do together: one that is rejected ends the answer, else one that pauses the
-// session does.
+// action returns the action for all collected calls together: RejectCall if any call is rejected, else PauseSession if
+// any call pauses the session, else PassThrough.
 func (h *hook) action() ToolAction {
 	action := PassThrough
 	for _, call := range h.sortedCalls() {
@@ -197,14 +201,14 @@
 	return calls
 }
 
-// rejection is passed on in place of a call that may not be made.
+// rejection returns the event that is forwarded instead of a call that may not be made.
 func (h *hook) rejection() []byte {
 	message := "the tool " + h.rejectedTool + " may not be called here"
 	return fmt.Appendf(nil, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],"+
 		"\"error\":{\"message\":%q,\"type\":\"tool_refused\"}}\n\n", message)
 }
 
-// producedTokens estimates the tokens of this part of the answer.
+// producedTokens estimates the number of tokens in this part of the response.
 func (h *hook) producedTokens() float64 {
 	characters := utf8.RuneCountInString(h.content.String())
 	for _, call := range h.calls {
@@ -213,8 +217,8 @@
 	return tokensOf(characters)
 }
 
-// Stopped implements node.Hook: the decoding has ended at a call. Where the session cannot be recorded its client
-// gets the call without a key, and sends the conversation again with the call's result.
+// Stopped implements node.Hook: the decoding has stopped at a call. If the session cannot be recorded, the client gets
+// the call without a resume key, and has to send the whole conversation again with the call's result.
 func (h *hook) Stopped() ([]byte, node.Usage) {
 	produced := h.producedTokens()
 	usage := node.Usage{Known: true, Begun: true, OutputTokens: produced}
@@ -231,7 +235,8 @@
 		h.service.Unrecorded.Add(1)
 		h.service.Log.Info("pause not recorded", zap.Error(err))
 		if h.resumed() {
-			// Nor may the session be resumed from the pause before: what came since is with the client alone.
+			// The session must not be resumed from its previous pause either: only the client has the text produced
+			// after it.
 			h.recordEnd()
 		}
 		return last, usage
@@ -243,16 +248,16 @@
 	return append(resume, last...), usage
 }
 
-// recordBegin records that output is passed on.
+// recordBegin records that output has been forwarded to the client.
 func (h *hook) recordBegin() {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	begin := session.Command{Kind: session.Begin, ID: h.id, FencingToken: h.fencingToken}
-	_, _ = h.service.execute(ctx, begin) // the claim says as much without it
+	_, _ = h.service.execute(ctx, begin) // the claim protects the session without it
 }
 
-// recordEnd records the end of the session. It returns false where that is not known to have been done: the answer
-// may not be completed then.
+// recordEnd records the end of the session, and reports whether that succeeded. If it did not, the response must not be
+// completed.
 func (h *hook) recordEnd() bool {
 	if h.ended {
 		return true
@@ -266,27 +271,28 @@
 		EndReason:    session.ReasonServed,
 	}
 	if _, err := h.service.executeWithRetry(ctx, end); err != nil {
-		h.service.Log.Info("session end not recorded; answer broken off", zap.String("session", h.id), zap.Error(err))
+		h.service.Log.Info("session end not recorded; response aborted", zap.String("session", h.id), zap.Error(err))
 		return false
 	}
 	h.ended = true
 	return true
 }
 
-// Finished implements node.Hook: a claim that has neither ended the session nor paused it anew is released.
+// Finished implements node.Hook. It releases the claim unless the session has ended or paused again.
 func (h *hook) Finished(node.Answer) {
 	if !h.resumed() {
 		return
 	}
 	h.timer.Stop()
-	h.done()
+	h.finish()
 	if h.ended || h.paused {
 		return
 	}
-	// Nothing waits for it: it ends in time, and a claim that is not released lapses by itself.
+	// Nothing waits for the release: it has a timeout, and a claim that is not released lapses.
 	go h.release()
 }
 
+// release returns the session to its pause.
 func (h *hook) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
--- a/internal/fleet/session/service/hook_test.go
+++ b/internal/fleet/session/service/hook_test.go
@@ -12,9 +12,9 @@
 	"standpoint/internal/node"
 )
 
-// A call is passed on and the decoding continues, or ends the answer, or pauses the session; of several in one answer
-// one that may not be made ends it, else one that pauses the session does.
-func TestWhatCallsDo(t *testing.T) {
+// A call is forwarded, ends the response or pauses the session. Of several calls in one response, a rejected one takes
+// precedence over one that pauses the session.
+func TestToolCallActions(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	for tools, want := range map[string]node.HookAction{
 		"look":       node.HookContinue,
@@ -29,22 +29,23 @@
 		passed, then := h.Event([]byte(events))
 		require.Equal(t, want, then, tools)
 		if strings.Contains(tools, "pay") {
-			require.NotContains(t, string(passed), "tool_calls", "a call that may not be made is not passed on")
+			require.NotContains(t, string(passed), "tool_calls", "a rejected call is not forwarded")
 			require.Contains(t, string(passed), "pay may not be called")
 			last, _ := h.Stopped()
 			require.Empty(t, resumeKeyIn(last))
 			require.Contains(t, string(last), "[DONE]")
 			continue
 		}
-		require.Equal(t, events, string(passed), "as it came")
+		require.Equal(t, events, string(passed), "events are forwarded unchanged")
 	}
 	require.Empty(t, c.store.List(""))
 	require.False(t, c.nodes[0].InspectsResponse([]byte(`{"messages":[]}`)))
 	require.True(t, c.nodes[0].InspectsResponse([]byte(requestBody)))
 }
 
-// What is not final is released: a request that was rejected or broken off leaves its session to be claimed again.
-func TestBrokenAnswersReleaseTheirClaim(t *testing.T) {
+// A claim is released if the resumed response does not complete, whether or not output was forwarded, so that the
+// session can be claimed again.
+func TestBrokenResponsesReleaseTheirClaim(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	key := c.pause(t, 0, "hours")
 	for i := range 3 {
--- a/internal/fleet/session/service/leader_call.go
+++ b/internal/fleet/session/service/leader_call.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	recordTimeout     = 2 * time.Second        // for recording a session while its client waits
-	retryDelay        = 80 * time.Millisecond  // before a command is tried again that reached no leader
-	defaultRetryAfter = 500 * time.Millisecond // of a rejection that will not last
+	recordTimeout     = 2 * time.Second        // time allowed to record a session while its client waits
+	retryDelay        = 80 * time.Millisecond  // delay before a command that failed is sent to the leader again
+	defaultRetryAfter = 500 * time.Millisecond // RetryAfter of a rejection that is temporary
 )
 
-// reply is what the leader answers to a command.
+// reply is the leader's response to a command.
 type reply struct {
-	Record *session.Record `json:"record,omitempty"`
-	Code   errorCode       `json:"fault,omitempty"` // "": the command was carried out
-	Text   string          `json:"text,omitempty"`  // of the error
+	Record *session.Record `json:"record,omitempty"` // the session's new record
+	Code   errorCode       `json:"fault,omitempty"`  // "" if the command was applied
+	Text   string          `json:"text,omitempty"`   // text of the error
 }
 
-// errorCode names an error of package session between nodes.
+// errorCode identifies an error of package session in messages between nodes.
 type errorCode string
 
 const codeMalformedKey errorCode = "key"
 
+// errorsByCode holds the errors of package session by their codes, which are part of the protocol between nodes.
 var errorsByCode = map[errorCode]error{
 	codeMalformedKey: session.ErrMalformedKey,
 	"unknown":        session.ErrUnknownKey,
@@ -43,7 +44,7 @@
 	"large":          session.ErrTooLarge,
 }
 
-// codeOf returns the code of an error of package session, "" for any other.
+// codeOf returns the code of an error of package session, "" for any other error.
 func codeOf(err error) errorCode {
 	for code, known := range errorsByCode {
 		if errors.Is(err, known) {
@@ -53,8 +54,8 @@
 	return ""
 }
 
-// execute has the leader carry out a command of this node. Errors of package session are returned as such, with the
-// leader's text.
+// execute sends a command to the leader and returns the session's new record. An error of package session is returned
+// as the same error with the leader's text.
 func (s *Service) execute(ctx context.Context, c session.Command) (*session.Record, error) {
 	c.Owner = s.owner
 	var r reply
@@ -70,8 +71,8 @@
 	return nil, errors.New(r.Text)
 }
 
-// executeWithRetry has a command carried out for as long as ctx lasts: another leader may be elected in a moment, and
-// a command that is given twice is the same one. An error of package session ends it at once.
+// executeWithRetry is like execute, but retries until ctx ends, since a new leader may be elected soon and repeating a
+// command has no further effect. It does not retry after an error of package session.
 func (s *Service) executeWithRetry(ctx context.Context, c session.Command) (*session.Record, error) {
 	for {
 		record, err := s.execute(ctx, c)
@@ -86,21 +87,21 @@
 	}
 }
 
-// RequestError is how a request about a session is rejected.
+// RequestError is the error for which a client's request to resume or cancel a session is rejected.
 type RequestError struct {
-	Status     int // of HTTP
-	Message    string
-	RetryAfter time.Duration // 0: the request will not succeed with this key
+	Status     int           // HTTP status code
+	Message    string        // text of the error, for the client
+	RetryAfter time.Duration // time after which the client may retry; 0 if a retry with this key cannot succeed
 	cause      error
 }
 
 // Error implements error.
 func (e *RequestError) Error() string { return e.Message }
 
-// Unwrap returns the error that the request is rejected for, nil where it has none.
+// Unwrap returns the cause of the rejection, nil if it has none.
 func (e *RequestError) Unwrap() error { return e.cause }
 
-// newRequestError returns the answer to a client for an error.
+// newRequestError returns the RequestError for an error.
 func newRequestError(err error) *RequestError {
 	rejection := &RequestError{
 		Status:     http.StatusServiceUnavailable,
@@ -110,23 +111,23 @@
 	}
 	switch {
 	case errors.Is(err, session.ErrClaimed):
-		rejection.Status = http.StatusConflict // until the claim ends
+		rejection.Status = http.StatusConflict // temporary: the claim ends
 	case errors.Is(err, session.ErrMalformedKey), errors.Is(err, session.ErrResultsMismatch):
-		rejection.final(http.StatusBadRequest)
+		rejection.setPermanent(http.StatusBadRequest)
 	case errors.Is(err, session.ErrUnknownKey):
-		rejection.final(http.StatusNotFound)
+		rejection.setPermanent(http.StatusNotFound)
 	case errors.Is(err, session.ErrKeyUsed):
-		rejection.final(http.StatusConflict)
+		rejection.setPermanent(http.StatusConflict)
 	case errors.Is(err, session.ErrExpired), errors.Is(err, session.ErrEnded):
-		rejection.final(http.StatusGone)
+		rejection.setPermanent(http.StatusGone)
 	case errors.Is(err, session.ErrTooLarge):
-		rejection.final(http.StatusRequestEntityTooLarge)
+		rejection.setPermanent(http.StatusRequestEntityTooLarge)
 	}
 	return rejection
 }
 
-// final makes of an error one that a further attempt with the same key does not change.
-func (e *RequestError) final(status int) {
+// setPermanent sets the status of a rejection that a retry with the same key cannot change.
+func (e *RequestError) setPermanent(status int) {
 	e.Status = status
 	e.RetryAfter = 0
 }
--- a/internal/fleet/session/service/pause.go
+++ b/internal/fleet/session/service/pause.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	maxRecordBytes = 512 << 10 // of a record's data
-	sessionIDBytes = 16
+	maxRecordBytes = 512 << 10 // maximum size of a record's data
+	sessionIDBytes = 16        // random bytes of a session ID, which has twice as many hexadecimal digits
 )
 
-// newSessionID returns a random ID. A resume key is worth as much as what it resumes: it cannot be guessed.
+// newSessionID returns a random session ID. Whoever has a resume key can resume the session, so the ID must not be
+// guessable.
 func newSessionID() string {
 	b := make([]byte, sessionIDBytes)
 	_, _ = rand.Read(b) // never fails
 	return hex.EncodeToString(b)
 }
 
-// pause records the session as paused, and returns the key by which its client resumes it until the deadline.
+// pause records the session as paused, and returns the key with which the client can resume it until the deadline.
+// produced is the number of tokens that were produced in this part of the response.
 func (h *hook) pause(produced float64) (key string, deadline time.Time, err error) {
 	command, err := h.pauseCommand(produced)
 	if err != nil {
@@ -51,7 +53,7 @@
 	return session.ResumeKey(command.ID, record.Turn), time.Now().Add(timeout), nil
 }
 
-// pauseCommand returns the command that records the session; its ID is empty at a first pause.
+// pauseCommand returns the command that records the pause. Its ID is empty at the first pause of a session.
 func (h *hook) pauseCommand(produced float64) (session.Command, error) {
 	command := session.Command{
 		Kind:         session.Pause,
@@ -67,7 +69,7 @@
 	calls := h.sortedCalls()
 	for _, call := range calls {
 		if call.ID == "" {
-			return command, fmt.Errorf("%w: a call without an id", session.ErrResultsMismatch)
+			return command, fmt.Errorf("%w: tool call without an ID", session.ErrResultsMismatch)
 		}
 		command.Calls = append(command.Calls, session.ToolCall{ID: call.ID, Name: call.Function.Name})
 		tool := h.service.tool(call.Function.Name)
@@ -93,7 +95,7 @@
 	return command, nil
 }
 
-// continuation returns what the session is resumed with, but for its body and what its tools add.
+// continuation returns the continuation of the session, without its body and without the limits and class of its tools.
 func (h *hook) continuation(produced float64) continuation {
 	backend := h.backend()
 	return continuation{
@@ -107,19 +109,19 @@
 		BackendStart:   h.service.BackendStart(backend),
 		PromptTokens:   h.request.PromptTokens + produced,
 		ProducedTokens: h.previous.ProducedTokens + produced,
-		Parts:          h.previous.Parts + 1,
+		PauseCount:     h.previous.PauseCount + 1,
 	}
 }
 
-// assistantMessage is what the model produced, up to its calls.
+// assistantMessage is the message with the text and the tool calls that the model produced.
 type assistantMessage struct {
 	Role    string      `json:"role"`
 	Content string      `json:"content"`
 	Calls   []*toolCall `json:"tool_calls"`
 }
 
-// holdReservation keeps a session's slot until the session is resumed. One that it held from an earlier pause is
-// released.
+// holdReservation stores the function that releases a session's slot, to be called once the session is no longer
+// paused. The slot of an earlier pause of the session, if any, is released now.
 func (s *Service) holdReservation(id string, release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/session/service/registry.go
+++ b/internal/fleet/session/service/registry.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	keyPrefix        = "session/" // of records in the store
+	keyPrefix        = "session/" // prefix of the store keys of records
 	sweepInterval    = time.Second
-	maxSweptRecords  = 256 // that a sweep changes
-	maxWriteAttempts = 4   // of a command whose record changed meanwhile
+	maxSweptRecords  = 256 // maximum number of records that one sweep changes
+	maxWriteAttempts = 4   // attempts to apply a command while other writers change its record
 )
 
-// registry is the leader's side: it applies commands to the records in the store. Any member may come to lead; what
-// it needs besides the records it derives from them when it does.
+// registry implements the leader's part: it applies commands to the records in the store. Any member may become the
+// leader; a new leader derives all state besides the records from the records.
 type registry struct {
 	store      store.Store
 	limits     session.Limits
@@ -34,10 +34,10 @@
 	log        *zap.Logger
 
 	mu              sync.Mutex       // guards the fields below
-	term            uint64           // of the leadership for which they were derived
-	deadlines       map[string]int64 // by session ID: when a sweep has to look at it
-	tenantBySession map[string]int   // by session ID: of sessions that are paused or claimed
-	pausedByTenant  map[int]int      // sessions that are paused or claimed
+	term            uint64           // term of the leadership for which they were derived
+	deadlines       map[string]int64 // time at which a sweep has to check a session, by session ID, in Unix nanoseconds
+	tenantBySession map[string]int   // tenants of the paused or claimed sessions, by session ID
+	pausedByTenant  map[int]int      // numbers of paused or claimed sessions, by tenant
 }
 
 func newRegistry(o *Options) *registry {
@@ -51,8 +51,8 @@
 	}
 }
 
-// handle carries out an encoded command and returns the encoded reply. It returns an error where this node does not
-// lead or the store fails.
+// handle applies an encoded command and returns the encoded reply. It returns an error if this node is not the leader
+// or the store fails.
 func (r *registry) handle(ctx context.Context, body []byte) ([]byte, error) {
 	var command session.Command
 	if err := json.Unmarshal(body, &command); err != nil {
@@ -72,7 +72,7 @@
 	return json.Marshal(reply{Code: code, Text: err.Error()})
 }
 
-// readRecord returns a session's record and its version in the store; nil and 0 where there is none.
+// readRecord returns a session's record and its version in the store, nil and 0 if there is none.
 func readRecord(keys store.Store, id string) (*session.Record, uint64, error) {
 	value := keys.Get(keyPrefix + id)
 	if value.Version == 0 {
@@ -85,7 +85,8 @@
 	return &record, value.Version, nil
 }
 
-// apply applies a command to its session's record. A record that another writer changed meanwhile is read anew.
+// apply applies a command to its session's record. If another writer changes the record meanwhile, it reads the record
+// again and retries, up to maxWriteAttempts times in all.
 func (r *registry) apply(ctx context.Context, command session.Command) (*session.Record, error) {
 	if err := r.ensureLeading(); err != nil {
 		return nil, err
@@ -99,6 +100,8 @@
 	return nil, store.ErrConflict
 }
 
+// applyOnce applies a command to its session's record. The error wraps store.ErrConflict if another writer changes the
+// record meanwhile.
 func (r *registry) applyOnce(ctx context.Context, command session.Command) (_ *session.Record, err error) {
 	present, version, err := readRecord(r.store, command.ID)
 	if err != nil {
@@ -107,7 +110,7 @@
 	counts, undo := r.reserve(present, command)
 	defer func() {
 		if err != nil {
-			undo() // a write that was carried out all the same is counted by the next leadership
+			undo() // if the write was applied despite the error, the next leadership counts the session
 		}
 	}()
 	next, err := session.Apply(present, command, r.now(), r.clockError, r.limits, counts, r.invariants)
@@ -127,8 +130,8 @@
 	return next, nil
 }
 
-// ensureLeading returns store.ErrNotLeader where this node does not lead. At the beginning of a leadership it derives
-// from the records how many sessions there are and when each is due.
+// ensureLeading returns store.ErrNotLeader if this node is not the leader. On the first call in a leadership it derives
+// the counts and the deadlines of the sessions from the records.
 func (r *registry) ensureLeading() error {
 	term, leads := r.store.Leadership()
 	if !leads {
@@ -147,7 +150,7 @@
 		id := strings.TrimPrefix(key, keyPrefix)
 		record, _, err := readRecord(r.store, id)
 		if err != nil {
-			// The record stays; nobody can resume the session.
+			// The record remains in the store, and the session cannot be resumed.
 			r.log.Error("session record unreadable", zap.String("session", id), zap.Error(err))
 			continue
 		}
@@ -158,8 +161,8 @@
 	return nil
 }
 
-// reserve counts a new session before it is recorded, so that concurrent commands cannot exceed the limits together.
-// undo takes that back.
+// reserve counts a new session before it is recorded, so that concurrent commands cannot exceed the limits together. It
+// returns the counts without that session. undo removes the session from the counts again.
 func (r *registry) reserve(present *session.Record, command session.Command) (_ session.PausedCounts, undo func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,7 +179,7 @@
 	}
 }
 
-// uncountLocked takes a session off the counts. r.mu must be held.
+// uncountLocked removes a session from the counts. The caller holds r.mu.
 func (r *registry) uncountLocked(id string) {
 	tenant, counted := r.tenantBySession[id]
 	if !counted {
@@ -189,14 +192,14 @@
 	}
 }
 
-// track brings the counts and deadlines up to date with a session's record; nil: it has none any more.
+// track updates the counts and deadlines after a change of a session's record, which is nil if it was deleted.
 func (r *registry) track(id string, record *session.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.trackLocked(id, record)
 }
 
-// trackLocked is track for a caller that holds r.mu.
+// trackLocked is like track. The caller holds r.mu.
 func (r *registry) trackLocked(id string, record *session.Record) {
 	if record == nil {
 		delete(r.deadlines, id)
@@ -212,8 +215,8 @@
 	}
 }
 
-// sweep expires sessions whose tools' deadline has passed, releases claims that have lapsed, and forgets sessions
-// that have been over for the retention time. It does nothing where this node does not lead.
+// sweep expires sessions whose tools' deadline has passed, releases claims that have lapsed, and deletes the records of
+// sessions that have been over for the retention time. It does nothing if this node is not the leader.
 func (r *registry) sweep(ctx context.Context) {
 	if r.ensureLeading() != nil {
 		return
@@ -236,7 +239,7 @@
 	}
 }
 
-// due returns sessions whose deadline has passed, up to maxSweptRecords.
+// due returns the IDs of sessions whose deadline has passed, up to maxSweptRecords.
 func (r *registry) due(now int64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,14 +252,14 @@
 	return ids
 }
 
-// dueCommand returns the command for a session whose deadline has passed; due is false where it has to wait on.
+// dueCommand returns the command for a session whose deadline has passed. due is false if it is too early for it.
 func (r *registry) dueCommand(record *session.Record, id string, now int64) (command session.Command, due bool) {
 	switch record.State {
 	case session.Ended, session.Expired:
 		return session.Command{Kind: session.Forget, ID: id}, true
 	case session.Claimed, session.Resuming:
-		// The claim's holder has ended without a word. The session is released in its name: its client may present
-		// the key again, or lets the session expire.
+		// The claim's holder has failed. The session is released on its behalf: the client may resume it with the same
+		// key, or else it expires.
 		release := session.Command{
 			Kind:         session.Release,
 			ID:           id,
@@ -268,7 +271,7 @@
 	return session.Command{Kind: session.Expire, ID: id}, true
 }
 
-// pausedCount returns how many sessions are paused or claimed.
+// pausedCount returns the number of paused or claimed sessions.
 func (r *registry) pausedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/session/service/resume.go
+++ b/internal/fleet/session/service/resume.go
@@ -17,40 +17,43 @@
 )
 
 const (
-	// breakOffMargin is what breaking an answer off may take, besides what clocks may differ by.
-	breakOffMargin = 500 * time.Millisecond
-	minResumeRate  = 0.1 // sessions a second
+	// abortMargin is the time allowed for aborting a response before its claim ends, in addition to the difference
+	// between clocks.
+	abortMargin   = 500 * time.Millisecond
+	minResumeRate = 0.1 // sessions per second
 )
 
-// ResumedSession is a session that this node has claimed. Its Hook has to inspect the answer: else the claim lasts
-// until it lapses.
+// ResumedSession is a session that this node has claimed. Its Hook has to inspect the response; otherwise the claim
+// remains until it lapses.
 type ResumedSession struct {
-	Request        standpoint.Request // without an ID and a deadline, which are the caller's
-	Body           []byte
-	UncachedTokens float64 // tokens of the prompt that no earlier part was charged for: the results'
-	Backend        string  // that is expected to have cached the rest
-	BackendStart   int64   // when it was started, as far as known
-	CachedTokens   float64 // tokens of the rest
-	// Deadline is when nothing of the answer may be decoded any more.
+	Request        standpoint.Request // request for the rest of the response; the caller sets its ID and deadline
+	Body           []byte             // body of the request, with the tools' results
+	UncachedTokens float64            // tokens of the results, the only prompt tokens that have not been charged yet
+	Backend        string             // backend that probably has the rest of the prompt in its cache
+	BackendStart   int64              // start time of that backend, as far as known
+	CachedTokens   float64            // tokens of the rest of the prompt
+	// Deadline is the time by which the decoding has to end.
 	Deadline time.Time
 	hook     *hook
 }
 
-// Hook returns what inspects the answer. backend returns who decodes it; breakOff is called at the deadline.
-func (r *ResumedSession) Hook(backend func() string, breakOff func()) node.Hook {
+// Hook returns the hook for the response. backend returns the name of the backend that decodes the response; abort is
+// called at the deadline.
+func (r *ResumedSession) Hook(backend func() string, abort func()) node.Hook {
 	r.hook.backend = backend
-	r.hook.timer = time.AfterFunc(time.Until(r.Deadline), breakOff)
+	r.hook.timer = time.AfterFunc(time.Until(r.Deadline), abort)
 	return r.hook
 }
 
-// toolMessage is a tool's result, as a client resumes a session with it.
+// toolMessage is a message with a tool's result, as a client sends it to resume a session.
 type toolMessage struct {
 	Role    string          `json:"role"`
 	ID      string          `json:"tool_call_id"`
 	Content json.RawMessage `json:"content"`
 }
 
-// parseResults decodes the results of a request that resumes a session. The error wraps session.ErrResultsMismatch.
+// parseResults decodes the results in the body of a request that resumes a session. Its error wraps
+// session.ErrResultsMismatch.
 func parseResults(body []byte) ([]toolMessage, error) {
 	var request struct {
 		Messages []toolMessage `json:"messages"`
@@ -66,7 +69,7 @@
 	return request.Messages, nil
 }
 
-// Cancel ends a paused session for its client.
+// Cancel ends a paused session at its client's request.
 func (s *Service) Cancel(ctx context.Context, key string) *RequestError {
 	id, turn, err := session.ParseResumeKey(key)
 	if err == nil {
@@ -78,9 +81,9 @@
 	return nil
 }
 
-// Resume claims the session that a key names, with its tools' results in body. claimID names the request that resumes
-// it: resuming once more by the same request is the same claim. tenant is the request's: another tenant's session is
-// unknown to it.
+// Resume claims the session that a resume key refers to; body contains the results of its tool calls. claimID
+// identifies the request: if the same request resumes the session again, it gets the same claim. tenant is the tenant
+// of the request: sessions of other tenants are treated as unknown.
 func (s *Service) Resume(
 	ctx context.Context, key, claimID string, tenant int, body []byte,
 ) (*ResumedSession, *RequestError) {
@@ -100,8 +103,8 @@
 			RetryAfter: wait,
 		}
 	}
-	// Before the claim is made, so that it is early rather than late.
-	deadline := time.Now().Add(s.DecodeTimeout - 2*s.ClockError - breakOffMargin)
+	// Computed before the claim is made, so that it is too early rather than too late.
+	deadline := time.Now().Add(s.DecodeTimeout - 2*s.ClockError - abortMargin)
 	record, err := s.claim(ctx, id, turn, claimID, results)
 	if err != nil {
 		s.finishResume()
@@ -112,7 +115,7 @@
 	if err != nil {
 		s.finishResume()
 		release := session.Command{Kind: session.Release, ID: id, FencingToken: record.FencingToken}
-		_, _ = s.execute(ctx, release) // a claim that is not released lapses by itself
+		_, _ = s.execute(ctx, release) // a claim that is not released lapses
 		return nil, newRequestError(err)
 	}
 	resumed.Deadline = deadline
@@ -122,6 +125,7 @@
 	return resumed, nil
 }
 
+// claim claims the session at the pause of the given turn, and returns its record.
 func (s *Service) claim(
 	ctx context.Context, id string, turn int, claimID string, results []toolMessage,
 ) (*session.Record, error) {
@@ -139,7 +143,7 @@
 	return s.execute(ctx, command)
 }
 
-// claimError returns the answer to a client whose claim was not granted.
+// claimError returns the error for a client whose claim was not granted.
 func claimError(err error) *RequestError {
 	rejection := newRequestError(err)
 	if errors.Is(err, fleet.ErrNoLeader) {
@@ -148,7 +152,7 @@
 	return rejection
 }
 
-// rebuild returns the request that a claimed session is resumed with, whose prompt ends with the tools' results.
+// rebuild returns the claimed session with the request to resume it, whose prompt ends with the tools' results.
 func (s *Service) rebuild(record *session.Record, results []toolMessage, tenant int) (*ResumedSession, error) {
 	previous, err := s.decode(record.Data)
 	if err != nil {
@@ -197,13 +201,14 @@
 			calls:        map[int]*toolCall{},
 			fencingToken: record.FencingToken,
 			previous:     previous,
-			done:         s.finishResume,
+			finish:       s.finishResume,
 		},
 	}, nil
 }
 
-// admitResume admits a resume, which finishResume has to follow, or returns how long to wait for it. Resumes are
-// admitted at a rate, which is lower while the fleet heals, and no more at once than leaves room for other requests.
+// admitResume admits a resume if ok is true; finishResume has to be called when the request is complete. Otherwise it
+// returns the time to wait before the next attempt. A token bucket limits the rate of resumes, which is lower while the
+// fleet recovers from a partition, and their number in flight is bounded to leave capacity for other requests.
 func (s *Service) admitResume() (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,5 +228,5 @@
 	return 0, true
 }
 
-// finishResume takes a resumed request off those in flight.
+// finishResume removes a resumed request from those in flight.
 func (s *Service) finishResume() { s.inFlight.Add(-1) }
--- a/internal/fleet/session/service/resume_test.go
+++ b/internal/fleet/session/service/resume_test.go
@@ -12,8 +12,8 @@
 	"standpoint/internal/node"
 )
 
-// requireRejected has a node reject a resume: with a status, and with or without a time after which it may be tried
-// again.
+// requireRejected requires that a node rejects a resume with the given status, and with a retry delay only if retry is
+// set.
 func requireRejected(t *testing.T, s *Service, key string, tenant int, body []byte, status int, retry bool) {
 	t.Helper()
 	resumed, rejection := s.Resume(t.Context(), key, "q", tenant, body)
@@ -22,7 +22,8 @@
 	require.Equal(t, retry, rejection.RetryAfter > 0)
 }
 
-// Wrong results, and another tenant's request, leave a session as it was.
+// Requests with results that do not match or are too large, and requests of another tenant, leave a session unchanged:
+// it can still be resumed.
 func TestRejectedResumes(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	key := c.pause(t, 0, "hours", "roster")
@@ -37,7 +38,8 @@
 	require.Empty(t, c.monitor.Violations())
 }
 
-// A session is resumed at another node, with its prompt rebuilt, charged for the results alone and by its tool's class.
+// A session is resumed at another node with its prompt rebuilt and in its tool's class. Only the results count as
+// uncached prompt tokens.
 func TestResumeRebuildsTheRequest(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	key := c.pause(t, 0, "hours", "roster")
@@ -58,13 +60,13 @@
 	require.Equal(t, `{"crew":1}`, body.Messages[1].ToolCalls[1].Function.Arguments)
 	require.Equal(t, "c1", body.Messages[3].ToolCallID)
 	require.Equal(t, 1, resumed.Request.Class)
-	require.EqualValues(t, 4, resumed.UncachedTokens, "two results of seven characters, as they stand")
+	require.EqualValues(t, 4, resumed.UncachedTokens, "two results of seven characters with their quotes")
 	require.EqualValues(t, 7, resumed.BackendStart)
 	require.Equal(t, "box", resumed.Backend)
 }
 
-// A session is claimed by one request at a time; it may pause again at the node that resumed it, under a new key; and
-// each key is used once.
+// Only one request at a time can claim a session. A resumed session can pause again at the node that resumed it, which
+// gives it a new key, and each key can be used only once.
 func TestResumedSessionsPauseAgain(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	backend := func() string { return "box" }
@@ -73,7 +75,7 @@
 	require.Nil(t, rejection)
 	_, rejection = c.nodes[0].Resume(t.Context(), first, "another", 2, resultsFor("c0", "c1"))
 	require.Equal(t, 409, rejection.Status)
-	require.Positive(t, rejection.RetryAfter, "it is claimed now")
+	require.Positive(t, rejection.RetryAfter, "the claim is temporary")
 	h := resumed.Hook(backend, func() {})
 	_, then := h.Event([]byte(contentEvent("and ") + callEvents("hours")))
 	require.Equal(t, node.HookStop, then)
@@ -92,8 +94,9 @@
 	require.Empty(t, c.monitor.Violations())
 }
 
-// A tool that never answers, a cancel that races the result, and sessions that are over.
-func TestSessionsEnd(t *testing.T) {
+// A session expires if its tool returns no result in time, and a cancelled session cannot be resumed. A cancellation
+// after a claim fails. Records of sessions that are over are deleted after the retention time.
+func TestExpiredAndCancelledSessions(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	s := c.nodes[0]
 	late := c.pause(t, 0, "hours")
@@ -105,41 +108,41 @@
 	require.Equal(t, 410, rejection.Status)
 	_, rejection = s.Resume(t.Context(), raced, "q", 2, resultsFor("c0"))
 	require.Nil(t, rejection)
-	require.Equal(t, 409, s.Cancel(t.Context(), raced).Status, "the result was first")
+	require.Equal(t, 409, s.Cancel(t.Context(), raced).Status, "the claim came before the cancellation")
 	c.now.Add(int64(31 * time.Second))
 	s.registry.sweep(t.Context())
 	_, rejection = s.Resume(t.Context(), late, "q", 2, resultsFor("c0"))
 	require.Equal(t, 410, rejection.Status)
 	require.Zero(t, rejection.RetryAfter)
-	require.Equal(t, 1, s.registry.pausedCount(), "the one whose claim lapsed is paused again")
+	require.Equal(t, 1, s.registry.pausedCount(), "the session whose claim lapsed is paused again")
 	c.now.Add(int64(2 * time.Minute))
 	for range 3 {
 		s.registry.sweep(t.Context())
 		c.now.Add(int64(2 * time.Minute))
 	}
-	require.Empty(t, c.store.List(keyPrefix), "what is over is forgotten")
+	require.Empty(t, c.store.List(keyPrefix), "records of sessions that are over are deleted")
 	_, rejection = s.Resume(t.Context(), late, "q", 2, resultsFor("c0"))
 	require.Equal(t, 404, rejection.Status)
 }
 
-// A node that reaches no leader gives no key and claims nothing, and says at once when to try again.
+// A node that cannot reach the leader gives no resume key, and rejects a resume without delay and with a retry delay.
 func TestWithoutALeader(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	key := c.pause(t, 0, "hours")
 	c.leaderless.Store(true)
-	began := time.Now()
+	startedAt := time.Now()
 	_, rejection := c.nodes[1].Resume(t.Context(), key, "q", 2, resultsFor("c0"))
 	require.Equal(t, 503, rejection.Status)
 	require.Positive(t, rejection.RetryAfter)
-	require.Less(t, time.Since(began), time.Second)
-	require.Empty(t, c.pause(t, 0, "hours"), "the call is passed on, without a key")
+	require.Less(t, time.Since(startedAt), time.Second)
+	require.Empty(t, c.pause(t, 0, "hours"), "the call is forwarded without a resume key")
 	require.EqualValues(t, 1, c.nodes[0].Unrecorded.Load())
 	c.leaderless.Store(false)
 	_, rejection = c.nodes[1].Resume(t.Context(), key, "q", 2, resultsFor("c0"))
 	require.Nil(t, rejection)
 }
 
-// Resumes are admitted at a rate, which is lower while the fleet heals, and up to a number in flight.
+// Resumes are limited in rate, by a lower rate while the fleet recovers from a partition, and in number in flight.
 func TestResumeRate(t *testing.T) {
 	c := newCluster(t, 1, func(o *Options) {
 		o.ResumeRate = 10
@@ -162,7 +165,7 @@
 		}
 		return count
 	}
-	admitted(2 * time.Second) // what was saved up
+	admitted(2 * time.Second) // uses up the tokens saved so far
 	require.InDelta(t, 10, admitted(time.Second), 1)
 	c.rateFactor = 0.2
 	require.InDelta(t, 2, admitted(time.Second), 1)
@@ -171,8 +174,8 @@
 	require.Zero(t, admitted(time.Second))
 }
 
-// The leader bounds the sessions that are paused; and 10,000 sessions that were paused at one node are resumed at
-// another, each once.
+// The leader bounds the number of paused sessions. 10,000 sessions that were paused at one node can be resumed at
+// another after the first has left, each only once.
 func TestManySessions(t *testing.T) {
 	c := newCluster(t, 2, nil)
 	var keys []string
@@ -181,8 +184,8 @@
 	}
 	bounded := c.nodes[0].Options
 	bounded.Limits.MaxPaused = 10_000
-	c.nodes[0].registry = newRegistry(&bounded) // that of another leader
-	require.Empty(t, c.pause(t, 0, "hours"), "as many are paused as may be")
+	c.nodes[0].registry = newRegistry(&bounded) // the registry of a new leader
+	require.Empty(t, c.pause(t, 0, "hours"), "the maximum number of sessions is paused")
 	c.nodes[0] = nil // the node that paused them has left
 	restarted, err := New(c.nodes[1].Options, nil)
 	require.NoError(t, err)
--- a/internal/fleet/session/service/service.go
+++ b/internal/fleet/session/service/service.go
@@ -1,7 +1,8 @@
-// Package service pauses answers where the model calls a tool, and resumes them at any node once the tool has
-// answered. What may happen to a session is decided in package session, by the store's leader. Here is what a node
-// does about it: it inspects answers as they pass (node.Hook), ends the decoding at a call, records the session and
-// gives its client a resume key; and it takes keys and results, claims the session, and rebuilds its prompt.
+// Package service pauses sessions when the model calls a tool, and resumes them at any node once the tool's result is
+// there. The leader of the store decides which changes of a session are valid, with the state machine of package
+// session. This package implements the node's part: it inspects responses as they are forwarded (node.Hook), stops the
+// decoding at a tool call, records the session and sends its client a resume key. To resume a session it takes the key
+// and the results from the client, claims the session and rebuilds its prompt.
 package service
 
 import (
@@ -24,56 +25,58 @@
 type Options struct {
 	Tools  []Tool
 	Limits session.Limits
-	// DecodeTimeout is the duration of a claim: what follows a resume must have been decoded by then.
+	// DecodeTimeout is the duration of a claim. A resumed response that is not complete by then is aborted.
 	DecodeTimeout time.Duration
-	// ResumeRate is how many sessions a second this node resumes, at a rate factor of 1.
+	// ResumeRate is how many sessions per second this node resumes, at a rate factor of 1.
 	ResumeRate           float64
-	MaxConcurrentResumes int // resumed requests in flight
-	// Slot and Incarnation identify this node; Predecessors are earlier incarnations of the slot that are over.
+	MaxConcurrentResumes int // maximum number of resumed requests in flight
+	// Slot and Incarnation identify this node. Predecessors are earlier incarnations of the slot that have ended.
 	Slot         string
 	Incarnation  uint64
 	Predecessors []uint64
-	ClockError   time.Duration // by which two nodes' clocks may differ
-	Now          func() int64  // Unix nanoseconds
-	// RateFactor slows resumes down, as while the fleet heals: 1 is the usual rate.
+	ClockError   time.Duration // maximum difference between the clocks of two nodes
+	Now          func() int64  // current time in Unix nanoseconds
+	// RateFactor returns the factor that ResumeRate is multiplied by. It is 1 in normal operation, and lower while the
+	// fleet recovers from a partition.
 	RateFactor func() float64
-	// CallLeader has the store's leader carry out a method, and decodes its result into out.
+	// CallLeader calls a method at the leader of the store and decodes its result into out.
 	CallLeader func(ctx context.Context, method string, in, out any) error
-	// ReserveSession takes one of the fleet's slots for paused sessions for a tenant, until release is called; ok is
-	// false where none is free. A nil ReserveSession bounds nothing.
+	// ReserveSession reserves one of the fleet's slots for paused sessions for a tenant until release is called; ok is
+	// false if no slot is free. If ReserveSession is nil, no slot is needed.
 	ReserveSession func(tenant int, timeout time.Duration) (release func(), ok bool)
 	Store          store.Store
 	Invariants     *invariant.Monitor
 	Log            *zap.Logger
-	// BackendStart returns when a backend was started, by which its cache is known to be the one that held a session.
+	// BackendStart returns the time at which a backend was started. A restarted backend no longer has a session's prompt
+	// in its cache.
 	BackendStart func(backend string) int64
 }
 
-// methodSession is the method that the leader carries out: a session.Command to a reply.
+// methodSession is the method that nodes call at the leader, with a session.Command. Its result is a reply.
 const methodSession = "session"
 
-// Service pauses and resumes sessions at one node. Its methods may be called concurrently.
+// Service pauses and resumes sessions at one node. Its methods are safe for concurrent use.
 type Service struct {
 	Options
 	registry     *registry
 	owner        session.Owner
 	compressor   *zstd.Encoder
 	decompressor *zstd.Decoder
-	inFlight     atomic.Int64 // resumed requests
+	inFlight     atomic.Int64 // resumed requests in flight
 
 	mu           sync.Mutex        // guards the fields below
-	resumeTokens float64           // resumes that may be admitted now
-	tokensAt     int64             // Unix nanoseconds: when resumeTokens was brought up to date
-	reservations map[string]func() // by session ID: releases the slot of a session that was paused here
+	resumeTokens float64           // token bucket: resumes that may be admitted now
+	tokensAt     int64             // time of the last update of resumeTokens, in Unix nanoseconds
+	reservations map[string]func() // functions that release the slots of sessions paused here, by session ID
 
-	// Counts since the start of this process.
+	// Counters since the start of this process.
 	Paused     atomic.Uint64
 	Resumed    atomic.Uint64
-	Rejected   atomic.Uint64 // resumes that may be tried again
-	Unrecorded atomic.Uint64 // pauses that could not be recorded: their clients got no key
+	Rejected   atomic.Uint64 // resumes rejected by the rate limit or because the claim was not granted
+	Unrecorded atomic.Uint64 // pauses that could not be recorded, so that the client got no resume key
 }
 
-// New returns a service. f, if not nil, has it carry out commands where this node leads.
+// New returns a service. If f is not nil, the service registers with it to handle commands while this node leads.
 func New(o Options, f *fleet.Fleet) (*Service, error) {
 	s := &Service{
 		Options:      o,
@@ -97,8 +100,8 @@
 	return s, nil
 }
 
-// Run ends and forgets sessions in time while this node leads, and releases the slots of sessions that have been
-// resumed, until ctx ends.
+// Run expires and deletes due sessions while this node leads, and releases the slots of sessions that are no longer
+// paused, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -113,7 +116,7 @@
 	}
 }
 
-// releaseReservations releases the slots of sessions that were paused here and are not paused any more.
+// releaseReservations releases the slots of sessions that were paused here and are no longer paused.
 func (s *Service) releaseReservations() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,18 +128,18 @@
 	}
 }
 
-// Status describes a node's sessions.
+// Status holds a node's session counters.
 type Status struct {
 	Paused     uint64 `json:"paused"`
 	Resumed    uint64 `json:"resumed"`
-	Rejected   uint64 `json:"refused"` // resumes that may be tried again
-	Unrecorded uint64 `json:"unkept"`  // pauses that could not be recorded: their clients got no key
-	InFlight   int64  `json:"in_hand"` // resumed requests
-	PausedHere int    `json:"here"`    // sessions for which this node holds a slot
-	Records    int    `json:"records"` // paused or claimed sessions, as of this node's latest leadership
+	Rejected   uint64 `json:"refused"` // resumes rejected by the rate limit or because the claim was not granted
+	Unrecorded uint64 `json:"unkept"`  // pauses that could not be recorded, so that the client got no resume key
+	InFlight   int64  `json:"in_hand"` // resumed requests in flight
+	PausedHere int    `json:"here"`    // paused sessions for which this node holds a slot
+	Records    int    `json:"records"` // paused or claimed sessions, as of the last time that this node led
 }
 
-// Status returns the node's counts.
+// Status returns the node's session counters.
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	pausedHere := len(s.reservations)
