--- a/internal/fleet/ledger/disk_faults_test.go
+++ b/internal/fleet/ledger/disk_faults_test.go
@@ -10,14 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// faultyDisk fails calls to files while failing is set, by a seed: with a full disk, errors of the device and partial
-// writes.
+// faultyDisk injects faults into file operations while failing is set: a full disk, device errors and partial writes.
+// Its random numbers are seeded.
 type faultyDisk struct {
 	rng     *rand.Rand
 	failing bool
 	faults  int
 }
 
+// fault returns an error in a third of the calls while failing is set, and nil otherwise.
 func (d *faultyDisk) fault() error {
 	if !d.failing || d.rng.IntN(3) > 0 {
 		return nil
@@ -61,9 +62,8 @@
 	return f.File.Truncate(size)
 }
 
-// While a disk fails now and then, entries are rejected or durable. Once it works again, whatever was rejected is
-// accepted, also where a segment was to begin meanwhile; after a restart all that was acknowledged is there, and
-// counts once.
+// While file operations fail at random, an append either fails or is durable, and succeeds once the disk works again,
+// even if a new segment was due during the faults. After a restart all acknowledged entries are there and count once.
 func TestADiskThatFails(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/fleet/ledger/entry.go
+++ b/internal/fleet/ledger/entry.go
@@ -1,7 +1,7 @@
-// Package ledger records what a fleet's tenants have used: an entry for each final outcome of a request. The node
-// that gave the outcome writes the entry durably before it counts as charged; nodes pass entries on to each other, in
-// any order and as often as need be, until all have them. An entry counts once: its slot, the incarnation that held
-// the slot and its sequence number identify it.
+// Package ledger records the usage of a fleet's tenants, with one entry for each final outcome of a request. The node
+// that served the request writes the entry durably before it counts as charged. Nodes exchange entries, in any order
+// and repeatedly, until all nodes have all entries. An entry is identified by its member slot, the incarnation that
+// occupied the slot and its sequence number, and is counted only once.
 package ledger
 
 import (
@@ -9,33 +9,33 @@
 	"fmt"
 )
 
-// Outcome is how a request ended.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
 // Outcomes that are charged.
 const (
-	Served      Outcome = iota
-	Paused              // at a tool call; what follows is charged by the nodes that resume the session
-	Interrupted         // after a part of its answer
+	Served      Outcome = iota // the response was complete
+	Paused                     // the response paused at a tool call; the nodes that resume it charge for the rest
+	Interrupted                // the response ended after a part of it was sent
 )
 
-// Entry is what one final outcome used.
+// Entry is the usage of one request.
 type Entry struct {
 	Slot        string `cbor:"1,keyasint" json:"Seat"`
 	Incarnation uint64 `cbor:"2,keyasint" json:"Life"`
-	Sequence    uint64 `cbor:"3,keyasint" json:"Number"` // within the incarnation, from 1
-	At          int64  `cbor:"4,keyasint" json:"At"`     // Unix nanoseconds, by that node's clock
+	Sequence    uint64 `cbor:"3,keyasint" json:"Number"` // number within the incarnation, from 1
+	At          int64  `cbor:"4,keyasint" json:"At"`     // time in Unix nanoseconds, by the clock of the charging node
 	Tenant      string `cbor:"5,keyasint" json:"Tenant"`
 	Class       string `cbor:"6,keyasint" json:"Class"`
 	Session     uint64 `cbor:"7,keyasint" json:"Session"`
-	// InputTokens are those of the prompt that no earlier entry charged.
+	// InputTokens are the prompt tokens that no earlier entry has charged.
 	InputTokens  int64   `cbor:"8,keyasint" json:"In"`
-	CachedTokens int64   `cbor:"9,keyasint" json:"Kept"` // of the prompt, that the backend had cached
+	CachedTokens int64   `cbor:"9,keyasint" json:"Kept"` // prompt tokens that the backend had in its cache
 	OutputTokens int64   `cbor:"10,keyasint" json:"Out"`
 	Outcome      Outcome `cbor:"11,keyasint" json:"Outcome"`
 }
 
-// Source is one incarnation of a member. It numbers its entries.
+// Source is one incarnation of a member, which numbers its entries consecutively.
 type Source struct {
 	Slot        string `cbor:"1,keyasint" json:"seat"`
 	Incarnation uint64 `cbor:"2,keyasint" json:"life"`
@@ -46,16 +46,16 @@
 	return cmp.Or(cmp.Compare(s.Slot, other.Slot), cmp.Compare(s.Incarnation, other.Incarnation))
 }
 
-// Source returns who numbered the entry.
+// Source returns the incarnation that wrote the entry.
 func (e *Entry) Source() Source { return Source{Slot: e.Slot, Incarnation: e.Incarnation} }
 
-// Bounds of an entry that is accepted.
+// Bounds of a valid entry.
 const (
-	maxTokens    = int64(1) << 40
-	maxNameBytes = 128
+	maxTokens    = int64(1) << 40 // in each token count
+	maxNameBytes = 128            // in each of slot, tenant and class
 )
 
-// Check returns why an entry is not valid, nil where it is.
+// Check returns an error if the entry is invalid.
 func (e *Entry) Check() error {
 	switch {
 	case e.Slot == "" || len(e.Slot) > maxNameBytes || len(e.Tenant) > maxNameBytes || len(e.Class) > maxNameBytes:
--- a/internal/fleet/ledger/golden_test.go
+++ b/internal/fleet/ledger/golden_test.go
@@ -18,12 +18,12 @@
 	golden.JSON(t, name+".json", value)
 }
 
-// goldenEntry has all fields set, each to a value of its own.
-func goldenEntry(number uint64, outcome Outcome) *Entry {
+// goldenEntry returns an entry with a distinct value in each field.
+func goldenEntry(sequence uint64, outcome Outcome) *Entry {
 	return &Entry{
 		Slot:         "node-1",
 		Incarnation:  3,
-		Sequence:     number,
+		Sequence:     sequence,
 		At:           1796121600000000005,
 		Tenant:       "acme",
 		Class:        "chat",
@@ -35,6 +35,7 @@
 	}
 }
 
+// The encodings of entries, digests and totals do not change: other versions and clients read them.
 func TestGoldenMessages(t *testing.T) {
 	roundTrip(t, "entry", goldenEntry(4, Interrupted))
 	roundTrip(t, "digest", Digest{
@@ -49,15 +50,15 @@
 	require.Equal(t, []Outcome{0, 1, 2}, []Outcome{Served, Paused, Interrupted})
 }
 
-// A segment as it lies on the disk: its name, its head and its records. What an earlier build wrote is read, and gone
-// on with.
+// The file name and format of a segment do not change, and a segment written by an earlier version can be read and
+// appended to.
 func TestGoldenSegment(t *testing.T) {
 	entries := []*Entry{goldenEntry(1, Served), goldenEntry(2, Paused), goldenEntry(3, Interrupted)}
 	write := func() []byte {
 		dir := t.TempDir()
-		f, _, _ := open(t, dir)
-		require.NoError(t, f.Append(entries))
-		require.NoError(t, f.Close())
+		log, _, _ := open(t, dir)
+		require.NoError(t, log.Append(entries))
+		require.NoError(t, log.Close())
 		raw, err := os.ReadFile(filepath.Join(dir, "00000001.ledger"))
 		require.NoError(t, err)
 		return raw
@@ -68,21 +69,21 @@
 	content := golden.Read(t, "00000001.ledger", nil)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "00000001.ledger"), content, 0o600))
 	var read []*Entry
-	f, damages, err := Open(dir, 1<<20, func(e *Entry) { read = append(read, e) })
+	log, corruptions, err := Open(dir, 1<<20, func(e *Entry) { read = append(read, e) })
 	require.NoError(t, err)
-	require.Empty(t, damages)
+	require.Empty(t, corruptions)
 	require.Equal(t, entries, read)
-	found, err := f.Read(Source{Slot: "node-1", Incarnation: 3}, Range{First: 2, Last: 3}, 10)
+	found, err := log.Read(Source{Slot: "node-1", Incarnation: 3}, Range{First: 2, Last: 3}, 10)
 	require.NoError(t, err)
 	require.Equal(t, entries[1:], found)
-	require.NoError(t, f.startSegment())
-	require.NoError(t, f.Append([]*Entry{goldenEntry(4, Served)}))
-	require.NoError(t, f.Close())
+	require.NoError(t, log.startSegment())
+	require.NoError(t, log.Append([]*Entry{goldenEntry(4, Served)}))
+	require.NoError(t, log.Close())
 	_, err = os.Stat(filepath.Join(dir, "00000002.ledger"))
 	require.NoError(t, err)
 }
 
-// Texts that operators get.
+// The texts of errors that operators see.
 func TestGoldenErrorTexts(t *testing.T) {
 	var lines []string
 	add := func(err error) {
@@ -90,14 +91,14 @@
 		require.Error(t, err)
 		lines = append(lines, err.Error())
 	}
-	for _, spoil := range []func(*Entry){
+	for _, invalidate := range []func(*Entry){
 		func(e *Entry) { e.Slot = "" },
 		func(e *Entry) { e.Incarnation = 0 },
 		func(e *Entry) { e.OutputTokens = -1 },
 		func(e *Entry) { e.Outcome = 9 },
 	} {
 		e := goldenEntry(4, Served)
-		spoil(e)
+		invalidate(e)
 		add(e.Check())
 	}
 	add(&CorruptionError{File: "00000001.ledger", Offset: 20, Reason: "a record that is not whole", Torn: true})
@@ -111,18 +112,18 @@
 	} {
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "00000001.ledger"), raw, 0o600))
-		damages, err := Inspect(dir, func(*Entry) {})
+		corruptions, err := Inspect(dir, func(*Entry) {})
 		require.NoError(t, err)
-		require.Len(t, damages, 1)
-		add(damages[0])
+		require.Len(t, corruptions, 1)
+		add(corruptions[0])
 	}
-	f, _, _ := open(t, t.TempDir())
-	f.MaxBytes = 10
-	add(f.Append([]*Entry{goldenEntry(1, Served)}))
-	f.MaxBytes = 1 << 20
+	log, _, _ := open(t, t.TempDir())
+	log.MaxBytes = 10
+	add(log.Append([]*Entry{goldenEntry(1, Served)}))
+	log.MaxBytes = 1 << 20
 	long := goldenEntry(1, Served)
 	long.Class = strings.Repeat("x", maxRecordBytes)
-	add(f.Append([]*Entry{long}))
-	require.NoError(t, f.Close())
+	add(log.Append([]*Entry{long}))
+	require.NoError(t, log.Close())
 	golden.Bytes(t, "errors.txt", []byte(strings.Join(lines, "\n")+"\n"))
 }
--- a/internal/fleet/ledger/index.go
+++ b/internal/fleet/ledger/index.go
@@ -7,24 +7,26 @@
 	"standpoint/internal/fleet/invariant"
 )
 
-// MaxRanges is how many ranges of one source's numbers an index holds. An entry that would make more is not added,
-// and has to be fetched again.
+// MaxRanges is the maximum number of ranges of sequence numbers per source in an index. An entry that would exceed it
+// is not added, and has to be fetched again.
 const MaxRanges = 64
 
-// Index tells which entries are known, and their totals by tenant. It is not safe for concurrent use.
+// Index holds the sequence numbers of the known entries, and the totals of the entries by tenant. It is not safe for
+// concurrent use.
 type Index struct {
 	invariants *invariant.Monitor
-	sources    map[Source][]Range // sorted, with a gap between each two
-	totals     map[string]*Totals // by tenant
-	count      int64
+	sources    map[Source][]Range // known sequence numbers by source; the ranges are sorted and do not adjoin
+	totals     map[string]*Totals // totals by tenant
+	count      int64              // number of known entries
 }
 
-// NewIndex returns an empty index, which reports totals that do not match its entries to invariants.
+// NewIndex returns an empty index. Verify reports totals that do not match the entries to invariants.
 func NewIndex(invariants *invariant.Monitor) *Index {
 	return &Index{invariants: invariants, sources: map[Source][]Range{}, totals: map[string]*Totals{}}
 }
 
-// Add counts an entry. It returns false for one that is known already, is not valid, or would make too many ranges.
+// Add counts an entry and returns true. It returns false, and changes nothing, if the entry is already known, invalid
+// or would exceed MaxRanges.
 func (x *Index) Add(e *Entry) bool {
 	if e.Check() != nil {
 		return false
@@ -45,13 +47,13 @@
 	return true
 }
 
-// Contains reports whether an entry's number is known.
+// Contains reports whether the entry of a source with a sequence number is known.
 func (x *Index) Contains(source Source, sequence uint64) bool {
 	return len(uncovered(x.sources[source], Range{First: sequence, Last: sequence})) == 0
 }
 
-// Verify reports whether each known number is one entry in some tenant's totals. Where it is not, the violation is
-// reported to the monitor.
+// Verify reports whether the number of known sequence numbers equals the number of entries in the totals of all
+// tenants. It reports a mismatch to the monitor as a violation.
 func (x *Index) Verify() bool {
 	known := uint64(0)
 	for _, ranges := range x.sources {
@@ -71,16 +73,16 @@
 	return true
 }
 
-// Digest is which numbers of each source an index knows, sorted by source.
+// Digest lists the sequence numbers that an index knows, sorted by source.
 type Digest []SourceRanges
 
-// SourceRanges are numbers of one source.
+// SourceRanges are ranges of sequence numbers of one source.
 type SourceRanges struct {
 	Source Source  `cbor:"1,keyasint" json:"source"`
 	Ranges []Range `cbor:"2,keyasint" json:"ranges"`
 }
 
-// Digest returns which numbers this index knows.
+// Digest returns the sequence numbers that the index knows.
 func (x *Index) Digest() Digest {
 	var digest Digest
 	for source, ranges := range x.sources {
@@ -90,7 +92,8 @@
 	return digest
 }
 
-// Missing returns what another index knows and this one does not, in that one's order and up to maxRanges ranges.
+// Missing returns the sequence numbers that are in the digest of another index and not in this one, in the order of the
+// digest and up to maxRanges ranges.
 func (x *Index) Missing(other Digest, maxRanges int) Digest {
 	var missing Digest
 	count := 0
@@ -109,7 +112,7 @@
 	return missing
 }
 
-// Totals returns what each tenant has used, as far as known here.
+// Totals returns the usage of each tenant according to the known entries.
 func (x *Index) Totals() map[string]Totals {
 	totals := map[string]Totals{}
 	for tenant, sums := range x.totals {
@@ -118,5 +121,5 @@
 	return totals
 }
 
-// Count returns how many entries are known.
+// Count returns the number of known entries.
 func (x *Index) Count() int64 { return x.count }
--- a/internal/fleet/ledger/index_test.go
+++ b/internal/fleet/ledger/index_test.go
@@ -9,6 +9,7 @@
 	"standpoint/internal/fleet/invariant"
 )
 
+// entry returns an entry whose numbers depend on its sequence number.
 func entry(slot string, incarnation, sequence uint64) *Entry {
 	return &Entry{
 		Slot:         slot,
@@ -22,7 +23,8 @@
 	}
 }
 
-// Entries come in any order, and repeatedly: each counts once, and what is missing is what the other index knows.
+// Entries that arrive in any order and repeatedly count once each, and fetching what Missing returns makes an index
+// equal to the other.
 func TestIndexCountsEachEntryOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monitor := &invariant.Monitor{}
@@ -30,11 +32,11 @@
 		want := map[string]Totals{}
 		known := map[[3]uint64]bool{}
 		for range rapid.IntRange(0, 300).Draw(t, "entries") {
-			slot := string(rune('a' + rapid.IntRange(0, 1).Draw(t, "seat")))
-			e := entry(slot, rapid.Uint64Range(1, 2).Draw(t, "life"), rapid.Uint64Range(1, 40).Draw(t, "number"))
+			slot := string(rune('a' + rapid.IntRange(0, 1).Draw(t, "slot")))
+			e := entry(slot, rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 40).Draw(t, "sequence"))
 			key := [3]uint64{uint64(e.Slot[0]), e.Incarnation, e.Sequence}
 			if a.Add(e) == known[key] {
-				t.Fatal("counted twice, or not at all")
+				t.Fatal("an entry was counted twice or not at all")
 			}
 			if !known[key] {
 				totals := want[e.Tenant]
@@ -50,11 +52,11 @@
 		for _, index := range []*Index{a, b} {
 			got := index.Totals()
 			if len(got) != len(want) || !index.Verify() {
-				t.Fatalf("%v, not %v", got, want)
+				t.Fatalf("totals are %v, want %v", got, want)
 			}
 			for tenant, totals := range want {
 				if got[tenant] != totals {
-					t.Fatalf("%s: %v, not %v", tenant, got[tenant], totals)
+					t.Fatalf("totals of tenant %s are %v, want %v", tenant, got[tenant], totals)
 				}
 			}
 		}
@@ -64,21 +66,21 @@
 	})
 }
 
-// addMissing adds to an index what it misses of another, a few ranges at a time.
+// addMissing adds to index the entries of other that it misses, a few ranges at a time.
 func addMissing(t *rapid.T, index, other *Index) {
 	for {
 		missing := index.Missing(other.Digest(), 3)
 		if len(missing) == 0 {
 			return
 		}
-		for _, part := range missing {
-			for _, sequences := range part.Ranges {
+		for _, sourceRanges := range missing {
+			for _, sequences := range sourceRanges.Ranges {
 				for sequence := sequences.First; sequence <= sequences.Last; sequence++ {
-					if index.Contains(part.Source, sequence) {
-						t.Fatal("known and missing")
+					if index.Contains(sourceRanges.Source, sequence) {
+						t.Fatal("a known entry is reported as missing")
 					}
-					if !index.Add(entry(part.Source.Slot, part.Source.Incarnation, sequence)) {
-						t.Fatal("not missing")
+					if !index.Add(entry(sourceRanges.Source.Slot, sourceRanges.Source.Incarnation, sequence)) {
+						t.Fatal("an entry reported as missing was not added")
 					}
 				}
 			}
--- a/internal/fleet/ledger/range.go
+++ b/internal/fleet/ledger/range.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Range is the sequence numbers from First to Last, both included.
+// Range is the range of sequence numbers from First to Last, inclusive.
 type Range struct {
 	First uint64 `cbor:"1,keyasint" json:"first"`
 	Last  uint64 `cbor:"2,keyasint" json:"last"`
 }
 
-// Len returns how many numbers are in the range.
+// Len returns the number of sequence numbers in the range.
 func (r Range) Len() uint64 { return r.Last - r.First + 1 }
 
-// Contains reports whether a number is in the range.
+// Contains reports whether a sequence number is in the range.
 func (r Range) Contains(sequence uint64) bool { return sequence >= r.First && sequence <= r.Last }
 
 // overlaps reports whether two ranges have a number in common.
 func (r Range) overlaps(other Range) bool { return r.First <= other.Last && other.First <= r.Last }
 
-// insert adds a number to sorted ranges that do not touch each other. added is false where it is in one of them
-// already. It may change the ranges in place where it extends or joins them.
+// insert adds a sequence number to ranges that are sorted and neither overlap nor adjoin. added is false if the number
+// is already in one of them. It modifies ranges in place if the number extends or joins existing ranges.
 func insert(ranges []Range, sequence uint64) (result []Range, added bool) {
 	i, found := slices.BinarySearchFunc(ranges, sequence, func(r Range, sequence uint64) int {
 		switch {
@@ -43,16 +43,16 @@
 	case extendsNext:
 		ranges[i].First = sequence
 	default:
-		// The caller may discard the result for having too many ranges: its own must stay as they are.
+		// The caller may discard a result with too many ranges, so its own slice must not be modified.
 		return slices.Insert(slices.Clone(ranges), i, Range{First: sequence, Last: sequence}), true
 	}
 	return ranges, true
 }
 
-// uncovered returns the parts of a range that are in none of the sorted ranges.
+// uncovered returns the parts of r that are in none of the sorted ranges.
 func uncovered(ranges []Range, r Range) []Range {
 	var parts []Range
-	first := r.First // of what the ranges so far do not cover
+	first := r.First // first number that the ranges so far do not cover
 	for _, covered := range ranges {
 		if !covered.overlaps(Range{First: first, Last: r.Last}) {
 			continue
--- a/internal/fleet/ledger/record.go
+++ b/internal/fleet/ledger/record.go
@@ -10,27 +10,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A segment is a file that begins with segmentMagic, with records behind it. A record is the length of its payload, a
-// checksum of that length and the payload, both big-endian, and the payload: one entry in CBOR.
+// A segment is a file that consists of segmentMagic and a sequence of records. A record consists of the length of its
+// payload, a checksum of that length and the payload, both as big-endian 32-bit numbers, and the payload, which is one
+// entry in CBOR.
 //
-// A record that is not complete at the end of the last segment was being written when its process ended: it was
-// charged to nobody, and is cut off. Any other record that cannot be read is reported, and nothing behind it in that
-// segment is used.
+// An incomplete record at the end of the last segment was being written when the process ended. It was never
+// acknowledged, so it is truncated. Any other record that cannot be read is reported as corruption, and the records
+// after it in the same segment are not used.
 const (
 	segmentMagic      = "standpoint ledger 1\n"
 	lengthBytes       = 4
-	recordHeaderBytes = 8
-	maxRecordBytes    = 4 << 10 // of a payload
+	recordHeaderBytes = 8       // length and checksum
+	maxRecordBytes    = 4 << 10 // maximum size of a payload
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// CorruptionError names a place in a segment that cannot be read.
+// CorruptionError reports a position in a segment from which on it cannot be read.
 type CorruptionError struct {
-	File   string // its name within the directory
-	Offset int64  // in bytes
+	File   string // name of the segment's file in the directory
+	Offset int64  // position in the file, in bytes
 	Reason string
-	// Torn marks the end of the last segment as a write that was not finished. Nothing acknowledged is lost by it.
+	// Torn is set for an unfinished write at the end of the last segment. No acknowledged entry is missing then.
 	Torn bool
 }
 
@@ -39,14 +40,14 @@
 	return fmt.Sprintf("%s, byte %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// appendRecord appends an entry's record to b.
+// appendRecord appends the record of an entry to b.
 func appendRecord(b []byte, e *Entry) ([]byte, error) {
 	payload, err := cbor.Marshal(e)
 	if err != nil {
 		return b, err
 	}
 	if len(payload) > maxRecordBytes {
-		return b, fmt.Errorf("an entry of %d bytes", len(payload))
+		return b, fmt.Errorf("encoded entry too large: %d bytes", len(payload))
 	}
 	length := binary.BigEndian.AppendUint32(nil, uint32(len(payload)))
 	b = append(b, length...)
@@ -54,8 +55,8 @@
 	return append(b, payload...), nil
 }
 
-// decodeRecord decodes the record that b begins with, and returns its size. The error is io.ErrUnexpectedEOF where b
-// ends within the record.
+// decodeRecord decodes the record at the start of b, and returns its entry and its size in bytes. The error is
+// io.ErrUnexpectedEOF if b ends within the record.
 func decodeRecord(b []byte) (e *Entry, size int64, err error) {
 	if len(b) < recordHeaderBytes {
 		return nil, 0, io.ErrUnexpectedEOF
@@ -78,6 +79,7 @@
 	return e, recordHeaderBytes + length, e.Check()
 }
 
+// checksum returns the CRC-32C of a record's encoded length and its payload.
 func checksum(length, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, payload)
+	return crc32.Update(crc32.Checksum(length, castagnoliTable), castagnoliTable, payload)
 }
--- a/internal/fleet/ledger/replication/golden_test.go
+++ b/internal/fleet/ledger/replication/golden_test.go
@@ -14,7 +14,7 @@
 	golden.CBOR(t, name+".cbor", value)
 }
 
-// What nodes exchange about their ledgers, and what a node shows of its own.
+// The encodings of the replication messages and of the status do not change: other versions and clients read them.
 func TestGoldenMessages(t *testing.T) {
 	source := ledger.Source{Slot: "node-1", Incarnation: 3}
 	roundTrip(t, "digest_ask", DigestRequest{After: source})
--- a/internal/fleet/ledger/replication/replicator.go
+++ b/internal/fleet/ledger/replication/replicator.go
@@ -1,6 +1,6 @@
-// Package replication writes a node's usage ledger and brings in what other members have charged: it compares ledgers
-// with one other member at a time and fetches missing entries range by range, at a rate that leaves the node's own
-// traffic alone.
+// Package replication writes a node's usage ledger and replicates the entries of other members into it. It compares the
+// ledger with that of one other member at a time and fetches missing entries range by range, at a limited rate so that
+// the node's own traffic is not affected.
 package replication
 
 import (
@@ -16,22 +16,22 @@
 	"standpoint/internal/fleet/ledger"
 )
 
-// Options configure a Replicator. All are required but Peers.
+// Options configure a Replicator. All fields but Peers are required.
 type Options struct {
-	Dir      string // the ledger's directory
-	MaxBytes int64  // of the ledger
-	// Slot and Incarnation are whose entries this node writes.
+	Dir      string // directory of the ledger
+	MaxBytes int64  // maximum size of the ledger
+	// Slot and Incarnation identify this node in its entries.
 	Slot        string
 	Incarnation uint64
 	Peers       []string     // the other members
-	Now         func() int64 // Unix nanoseconds
+	Now         func() int64 // current time in Unix nanoseconds
 	// SyncInterval is the mean time between two comparisons with another member's ledger.
 	SyncInterval time.Duration
-	// SyncRate is how many entries a second are taken from other members, at a rate factor of 1.
+	// SyncRate is the maximum number of entries per second received from other members, at a rate factor of 1.
 	SyncRate float64
-	// RateFactor slows replication down: 1 is the usual rate, 0 pauses it.
+	// RateFactor returns the factor that SyncRate is multiplied by. It is 1 in normal operation; 0 pauses replication.
 	RateFactor func() float64
-	// CallMember has another member carry out a method, and decodes its result into out.
+	// CallMember calls a method at another member and decodes its result into out.
 	CallMember func(ctx context.Context, member, method string, in, out any) error
 	Invariants *invariant.Monitor
 	Log        *zap.Logger
@@ -39,31 +39,32 @@
 
 // Methods that members call at each other.
 const (
-	MethodDigest = "ledger.digest" // DigestRequest to DigestResponse
-	MethodFetch  = "ledger.fetch"  // FetchRequest to FetchResponse
+	MethodDigest = "ledger.digest" // takes a DigestRequest and returns a DigestResponse
+	MethodFetch  = "ledger.fetch"  // takes a FetchRequest and returns a FetchResponse
 )
 
-// Replicator writes one node's ledger and replicates those of the others into it. Its methods may be called
-// concurrently.
+// Replicator writes one node's ledger and replicates the ledgers of the other members into it. Its methods are safe for
+// concurrent use.
 type Replicator struct {
 	Options
-	queue        chan *ledger.Entry // entries that wait to be written
-	lastSequence uint64             // of the latest entry; only the writer's goroutine uses it
+	queue        chan *ledger.Entry // entries to be written
+	lastSequence uint64             // sequence number of the latest entry; used only by the writer's goroutine
 
 	mu          sync.Mutex // guards the ledger and its index
 	segments    *ledger.SegmentedLog
 	index       *ledger.Index
 	corruptions []*ledger.CorruptionError // found by Open; not changed afterwards
 
-	charged       atomic.Uint64 // entries that were written, received ones included
-	dropped       atomic.Uint64 // entries for which the queue had no room
-	received      atomic.Uint64 // entries of other members that were written
-	writeFailures atomic.Uint64 // in a row, by now
-	syncedAt      atomic.Int64  // Unix nanoseconds: when this ledger last missed nothing of another; 0: it never has
-	missing       atomic.Int64  // entries that this ledger missed when it was last compared
+	charged       atomic.Uint64 // entries written, including received ones
+	dropped       atomic.Uint64 // entries dropped because the queue was full
+	received      atomic.Uint64 // entries received from other members and written
+	writeFailures atomic.Uint64 // consecutive failed writes; 0 after a successful one
+	syncedAt      atomic.Int64  // end of the last complete sync with another member, in Unix nanoseconds; 0: none yet
+	missing       atomic.Int64  // entries that this ledger missed at the last comparison
 }
 
-// Open reads the ledger. Corruption in it is logged, and named in Status; what could be read is used.
+// Open opens the ledger and reads it. Corruption is logged and listed in Status, and the entries that can be read are
+// used.
 func Open(o Options) (*Replicator, error) {
 	r := &Replicator{Options: o, queue: make(chan *ledger.Entry, maxQueued), index: ledger.NewIndex(o.Invariants)}
 	var err error
@@ -73,18 +74,18 @@
 	}
 	for _, corruption := range r.corruptions {
 		if corruption.Torn {
-			// The write was not acknowledged: it was charged to nobody.
-			o.Log.Info("unfinished ledger write cut off", zap.Error(corruption))
+			// The write was not acknowledged, so no charge is missing.
+			o.Log.Info("unfinished ledger write truncated", zap.Error(corruption))
 		} else {
-			// The entries behind the corruption are missing, and fetched from other members.
+			// The entries after the corruption are missing, and are fetched from other members.
 			o.Log.Error("ledger segment corrupt", zap.Error(corruption))
 		}
 	}
 	return r, nil
 }
 
-// Charge queues an entry to be written, without waiting. It returns false where the queue is full and the entry is
-// lost; Full reports that beforehand.
+// Charge queues an entry to be written, without blocking. It returns false if the queue is full, in which case the
+// entry is dropped; Full reports true well before that.
 func (r *Replicator) Charge(e ledger.Entry) bool {
 	e.Slot = r.Slot
 	e.Incarnation = r.Incarnation
@@ -98,16 +99,17 @@
 	}
 }
 
-// Behind reports whether this ledger missed entries when it was last compared with another, or never was.
+// Behind reports whether this ledger missed entries at the last comparison, or has not completed a sync yet.
 func (r *Replicator) Behind() bool { return r.missing.Load() > 0 || r.syncedAt.Load() == 0 }
 
-// Full reports whether entries are charged faster than they are written, or cannot be written: no request that would
-// have to be charged may be admitted.
+// Full reports whether entries are charged faster than they are written, or cannot be written. While it does, no
+// request that has to be charged may be admitted.
 func (r *Replicator) Full() bool {
 	return len(r.queue) > maxQueued/2 || r.writeFailures.Load() > 0
 }
 
-// Run writes entries, and compares with other members, until ctx ends. Entries that are queued by then are written.
+// Run writes queued entries and syncs with other members until ctx ends. It writes the entries that are still queued
+// then before it returns.
 func (r *Replicator) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { r.runWriter(ctx) })
--- a/internal/fleet/ledger/replication/replicator_test.go
+++ b/internal/fleet/ledger/replication/replicator_test.go
@@ -17,9 +17,9 @@
 	"standpoint/internal/fleet/ledger"
 )
 
-// network carries calls between replicators. A part of them fails, before or after they were carried out.
+// network carries calls between replicators. Half of the lost calls fail before the peer handles them, half afterwards.
 type network struct {
-	loss float64
+	loss float64 // fraction of calls that fail
 
 	mu        sync.Mutex // guards the fields below
 	rng       *rand.Rand
@@ -37,7 +37,7 @@
 	replicator := n.members[member]
 	n.mu.Unlock()
 	if draw < n.loss/2 || replicator == nil {
-		return errors.New("lost")
+		return errors.New("request lost")
 	}
 	request, err := json.Marshal(in)
 	if err != nil {
@@ -51,12 +51,12 @@
 	n.sentBytes += int64(len(request) + len(response))
 	n.mu.Unlock()
 	if draw < n.loss {
-		return errors.New("its answer was lost")
+		return errors.New("response lost")
 	}
 	return json.Unmarshal(response, out)
 }
 
-// serve has a replicator carry out a method.
+// serve calls a method of a replicator.
 func serve(r *Replicator, method string, body []byte) ([]byte, error) {
 	var response any
 	var err error
@@ -80,6 +80,7 @@
 	return json.Marshal(response)
 }
 
+// open opens a replicator and adds it to the network.
 func open(t testing.TB, n *network, dir, slot string, incarnation uint64, peers ...string) *Replicator {
 	t.Helper()
 	r, err := Open(Options{
@@ -115,7 +116,7 @@
 	}
 }
 
-// charge charges entries, and returns once they are written.
+// charge charges a number of entries, and returns once that many are written.
 func charge(t testing.TB, r *Replicator, count int) {
 	t.Helper()
 	for i := range count {
@@ -127,8 +128,8 @@
 	require.Eventually(t, func() bool { return int(r.Status().Charged) >= count }, 20*time.Second, time.Millisecond)
 }
 
-// Three ledgers over a network that loses a third of the calls, one of them restarted in between: all come to the
-// same totals, each entry counted once.
+// Three ledgers come to the same totals, with each entry counted once, over a network that loses 30% of the calls, and
+// although one of them restarts in between.
 func TestLedgersAgree(t *testing.T) {
 	n := newNetwork(0.3)
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
@@ -156,13 +157,13 @@
 		stop()
 	}
 	reopened := open(t, n, dirs[0], "a", 2)
-	require.EqualValues(t, 2900, reopened.Status().Entries, "received entries are written too")
+	require.EqualValues(t, 2900, reopened.Status().Entries, "received entries are durable as well")
 	require.NoError(t, reopened.Close())
 }
 
-// On a disk that takes nothing more, the node reports that it is full, charges nothing meanwhile, and loses nothing
-// that is queued.
-func TestAFullDisk(t *testing.T) {
+// While the disk is full, Full reports true and nothing is charged. Queued entries are not lost: they are written once
+// there is space.
+func TestFullDisk(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1)
 	r.segments.MaxBytes = r.segments.Bytes() + 10
 	defer run(r)()
@@ -175,9 +176,9 @@
 	require.Eventually(t, func() bool { return r.Status().Charged == 1 && !r.Full() }, 5*time.Second, time.Millisecond)
 }
 
-// Entries that the queue had no room for leave no gaps: the sequence numbers of an incarnation follow each other,
-// however many were dropped.
-func TestLostEntriesLeaveNoGaps(t *testing.T) {
+// Entries that are dropped because the queue is full leave no gaps in the sequence numbers of an incarnation. Gaps
+// would count as entries that other members miss.
+func TestDroppedEntriesLeaveNoGaps(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1)
 	queued := 0
 	for i := range maxQueued + 100 {
@@ -185,7 +186,7 @@
 			queued++
 		}
 		if i%2 == 0 && len(r.queue) == maxQueued {
-			<-r.queue // room for one now and then: what follows is dropped and queued in turn
+			<-r.queue // makes room for one entry, so that entries are dropped and queued in turn
 			queued--
 		}
 	}
@@ -198,7 +199,7 @@
 	require.Equal(t, []ledger.Range{{First: 1, Last: uint64(queued)}}, digest.Sources[0].Ranges)
 }
 
-// Entries from a peer that were not asked for, or are not valid, are not taken.
+// Entries from a peer that were not requested or are invalid are rejected.
 func TestMalformedEntriesAreNotTaken(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1, "b")
 	t.Cleanup(func() { require.NoError(t, r.Close()) })
@@ -227,29 +228,29 @@
 	}
 }
 
-// BenchmarkMillion replicates a million entries from one ledger to another, and reads them again as a start does.
+// BenchmarkMillion measures the replication of a million entries from one ledger to another, and opening that ledger.
 func BenchmarkMillion(b *testing.B) {
 	const count = 1_000_000
 	for b.Loop() {
 		n := newNetwork(0)
 		dirs := []string{b.TempDir(), b.TempDir()}
-		from := open(b, n, dirs[0], "a", 1, "c")
-		to := open(b, n, dirs[1], "c", 1, "a")
-		from.segments.MaxBytes = 1 << 40
-		to.segments.MaxBytes = 1 << 40
-		appendMany(b, from, count)
-		began := time.Now()
-		if err := to.syncWith(context.Background(), "a"); err != nil {
+		source := open(b, n, dirs[0], "a", 1, "c")
+		target := open(b, n, dirs[1], "c", 1, "a")
+		source.segments.MaxBytes = 1 << 40
+		target.segments.MaxBytes = 1 << 40
+		appendBatches(b, source, count)
+		startedAt := time.Now()
+		if err := target.syncWith(context.Background(), "a"); err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(time.Since(began).Seconds(), "s/reconcile")
+		b.ReportMetric(time.Since(startedAt).Seconds(), "s/reconcile")
 		b.ReportMetric(float64(n.sentBytes)/1e6, "MB/reconcile")
-		b.ReportMetric(float64(to.Status().Bytes)/1e6, "MB/ledger")
-		_ = from.Close()
-		_ = to.Close()
-		began = time.Now()
+		b.ReportMetric(float64(target.Status().Bytes)/1e6, "MB/ledger")
+		_ = source.Close()
+		_ = target.Close()
+		startedAt = time.Now()
 		reopened := open(b, n, dirs[1], "c", 2)
-		b.ReportMetric(time.Since(began).Seconds(), "s/start")
+		b.ReportMetric(time.Since(startedAt).Seconds(), "s/start")
 		if reopened.Status().Entries != count {
 			b.Fatal("entries are missing")
 		}
@@ -257,8 +258,8 @@
 	}
 }
 
-// appendMany writes entries in large batches.
-func appendMany(b *testing.B, r *Replicator, count uint64) {
+// appendBatches writes entries in large batches.
+func appendBatches(b *testing.B, r *Replicator, count uint64) {
 	b.Helper()
 	var batch []*ledger.Entry
 	for sequence := uint64(1); sequence <= count; sequence++ {
@@ -276,7 +277,7 @@
 		})
 		if len(batch) == 4096 || sequence == count {
 			if !r.append(batch) {
-				b.Fatal("not written")
+				b.Fatal("write failed")
 			}
 			batch = nil
 		}
--- a/internal/fleet/ledger/replication/status.go
+++ b/internal/fleet/ledger/replication/status.go
@@ -6,25 +6,26 @@
 	"standpoint/internal/fleet/ledger"
 )
 
-// neverSynced is Status.SyncedSecondsAgo of a ledger that has always missed something.
+// neverSynced is the value of Status.SyncedSecondsAgo if no sync has been completed.
 const neverSynced = -1
 
-// Status describes a node's ledger.
+// Status is the state of a node's ledger.
 type Status struct {
 	Slot        string                   `json:"seat"`
 	Incarnation uint64                   `json:"life"`
 	Entries     int64                    `json:"entries"`
 	Bytes       int64                    `json:"bytes"`
-	Totals      map[string]ledger.Totals `json:"sums"` // by tenant, as far as known here
+	Totals      map[string]ledger.Totals `json:"sums"` // usage by tenant, according to the entries known here
 	Sources     int                      `json:"sources"`
-	Charged     uint64                   `json:"charged"` // written by this process, received ones included
-	Received    uint64                   `json:"taken"`   // from other members
-	Dropped     uint64                   `json:"lost"`    // for which the queue had no room
-	Queued      int                      `json:"waiting"`
-	Missing     int64                    `json:"lacking"` // of another ledger, when it was last compared
-	// SyncedSecondsAgo is since when this ledger missed nothing of another; -1: it always has.
+	Charged     uint64                   `json:"charged"` // entries written by this process, including received ones
+	Received    uint64                   `json:"taken"`   // entries received from other members and written
+	Dropped     uint64                   `json:"lost"`    // entries dropped because the queue was full
+	Queued      int                      `json:"waiting"` // entries in the queue
+	Missing     int64                    `json:"lacking"` // entries that this ledger missed at the last comparison
+	// SyncedSecondsAgo is the time since this ledger last had all entries of another member's ledger, in seconds. It is
+	// -1 if that has not happened since the start of the process.
 	SyncedSecondsAgo float64  `json:"agreed"`
-	Consistent       bool     `json:"holds"` // the totals match the entries
+	Consistent       bool     `json:"holds"` // whether the totals match the entries
 	Corruptions      []string `json:"damages"`
 }
 
--- a/internal/fleet/ledger/replication/sync.go
+++ b/internal/fleet/ledger/replication/sync.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	maxFetchEntries   = 256 // of a FetchResponse
-	maxRangesPerRound = 32  // that are fetched before what is missing is worked out anew
-	maxDigestSources  = 16  // of a DigestResponse
+	maxFetchEntries   = 256 // maximum number of entries in a FetchResponse
+	maxRangesPerRound = 32  // ranges that are fetched before the missing ranges are computed again
+	maxDigestSources  = 16  // maximum number of sources in a DigestResponse
 	verifyInterval    = 10 * time.Second
 )
 
 var (
-	errNothingReceived = errors.New("what it says it has does not come")
-	errNilEntry        = errors.New("an answer with entries that are none")
-	errNotRequested    = errors.New("entries that were not asked for")
+	errNothingReceived = errors.New("peer returned none of the missing entries")
+	errNilEntry        = errors.New("fetch response contains a nil entry")
+	errNotRequested    = errors.New("fetch response contains entries that were not requested")
 )
 
-// DigestRequest asks which entries a ledger has, from the source that follows After.
+// DigestRequest requests the part of a ledger's digest that begins with the source following After.
 type DigestRequest struct {
 	After ledger.Source `cbor:"1,keyasint" json:"after"`
 }
 
-// DigestResponse is which entries a ledger has of some sources; More, that there are further sources behind them.
+// DigestResponse contains a part of a ledger's digest. More is set if further sources follow.
 type DigestResponse struct {
 	Sources ledger.Digest `cbor:"1,keyasint" json:"have"`
 	More    bool          `cbor:"2,keyasint" json:"more"`
 }
 
-// FetchRequest asks for entries.
+// FetchRequest requests the entries of a source with the given sequence numbers.
 type FetchRequest struct {
 	Source    ledger.Source `cbor:"1,keyasint" json:"source"`
 	Sequences ledger.Range  `cbor:"2,keyasint" json:"numbers"`
 }
 
-// FetchResponse is the first of the entries that were asked for; none, where the ledger has none of them.
+// FetchResponse contains the first of the requested entries, up to maxFetchEntries. It is empty if the ledger has none
+// of them.
 type FetchResponse struct {
 	Entries []*ledger.Entry `cbor:"1,keyasint" json:"entries"`
 }
 
-// Digest serves MethodDigest.
+// Digest handles MethodDigest.
 func (r *Replicator) Digest(request DigestRequest) (DigestResponse, error) {
 	r.mu.Lock()
 	digest := r.index.Digest()
@@ -62,7 +63,7 @@
 	return DigestResponse{Sources: digest[:count], More: count < len(digest)}, nil
 }
 
-// Fetch serves MethodFetch.
+// Fetch handles MethodFetch.
 func (r *Replicator) Fetch(request FetchRequest) (FetchResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +71,8 @@
 	return FetchResponse{Entries: entries}, err
 }
 
-// runSync compares this ledger with that of one random peer after the other, until ctx ends.
+// runSync syncs with one random peer after another, and verifies the index at intervals of at least verifyInterval,
+// until ctx ends.
 func (r *Replicator) runSync(ctx context.Context) {
 	verifiedAt := time.Now()
 	for {
@@ -94,15 +96,15 @@
 	}
 }
 
-// verify has the index check its totals, which reports violations.
+// verify checks the totals of the index, which reports violations to the monitor.
 func (r *Replicator) verify() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.index.Verify()
 }
 
-// syncWith fetches what a peer's ledger has and this one misses. Where it is interrupted, the next sync continues
-// from there: what was received by then is written, and is not missing any more.
+// syncWith fetches the entries that a peer's ledger has and this one misses. If it is interrupted, the next sync
+// continues there, since the entries received so far are written and no longer missing.
 func (r *Replicator) syncWith(ctx context.Context, peer string) error {
 	var after ledger.Source
 	requested := int64(0)
@@ -123,8 +125,8 @@
 	}
 }
 
-// fetchMissing fetches what this ledger misses of a part of a peer's digest. It adds the number of entries that it
-// asks for to requested.
+// fetchMissing fetches the entries that are in a part of a peer's digest and missing in this ledger. It adds the number
+// of entries that it requests to requested.
 func (r *Replicator) fetchMissing(ctx context.Context, peer string, known ledger.Digest, requested *int64) error {
 	for {
 		r.mu.Lock()
@@ -134,10 +136,10 @@
 			return nil
 		}
 		before := r.received.Load()
-		for _, part := range missing {
-			for _, sequences := range part.Ranges {
+		for _, sourceRanges := range missing {
+			for _, sequences := range sourceRanges.Ranges {
 				*requested += int64(sequences.Len())
-				if err := r.fetchRange(ctx, peer, part.Source, sequences); err != nil {
+				if err := r.fetchRange(ctx, peer, sourceRanges.Source, sequences); err != nil {
 					r.missing.Store(*requested)
 					return err
 				}
@@ -158,7 +160,7 @@
 			return err
 		}
 		if len(response.Entries) == 0 {
-			return nil // the peer has them no more, or cannot read them; another may
+			return nil // the peer no longer has them or cannot read them; another peer may
 		}
 		if slices.Contains(response.Entries, nil) {
 			return errNilEntry
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// acceptable returns the entries that are valid, were asked for and are not known yet. Entries of this node's own
-// incarnation are never taken from a peer: only the writer numbers them.
+// acceptable returns the entries that are valid, were requested and are not known yet. Entries of this node's own
+// incarnation are never accepted from a peer, since only the writer assigns their sequence numbers.
 func (r *Replicator) acceptable(entries []*ledger.Entry, request FetchRequest) []*ledger.Entry {
 	own := ledger.Source{Slot: r.Slot, Incarnation: r.Incarnation}
 	var accepted []*ledger.Entry
@@ -196,7 +198,8 @@
 	return accepted
 }
 
-// throttle waits for as long as a number of entries takes at the configured rate, or returns ctx's error.
+// throttle waits for the time that a number of entries takes at the configured rate, or until ctx ends, in which case
+// it returns the error of ctx.
 func (r *Replicator) throttle(ctx context.Context, entries int) error {
 	rate := max(1, r.SyncRate*r.RateFactor())
 	select {
--- a/internal/fleet/ledger/replication/writer.go
+++ b/internal/fleet/ledger/replication/writer.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxQueued  = 4096                   // entries that wait to be written
-	maxBatch   = 256                    // entries of a write
-	batchDelay = 3 * time.Millisecond   // for which a write waits for further entries
-	retryDelay = 500 * time.Millisecond // before a write that failed is tried again
+	maxQueued  = 4096                   // maximum number of entries in the queue
+	maxBatch   = 256                    // maximum number of entries in one write
+	batchDelay = 3 * time.Millisecond   // time for which a write waits for further entries
+	retryDelay = 500 * time.Millisecond // delay before a failed write is retried
 )
 
 // runWriter writes queued entries in batches until ctx ends.
@@ -35,14 +35,15 @@
 	}
 }
 
-// assignSequence numbers an entry as it is about to be written: one that the queue had no room for leaves no gap.
+// assignSequence assigns the next sequence number to an entry. It is called when the entry is about to be written, so
+// that dropped entries leave no gaps.
 func (r *Replicator) assignSequence(e *ledger.Entry) *ledger.Entry {
 	r.lastSequence++
 	e.Sequence = r.lastSequence
 	return e
 }
 
-// drainQueue adds all queued entries to a batch.
+// drainQueue appends all queued entries to a batch.
 func (r *Replicator) drainQueue(batch []*ledger.Entry) []*ledger.Entry {
 	for len(r.queue) > 0 {
 		batch = append(batch, r.assignSequence(<-r.queue))
@@ -50,7 +51,7 @@
 	return batch
 }
 
-// collectBatch adds entries that are queued within batchDelay, up to maxBatch.
+// collectBatch appends entries to a batch for batchDelay or until it has maxBatch entries.
 func (r *Replicator) collectBatch(batch []*ledger.Entry) []*ledger.Entry {
 	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
@@ -65,8 +66,8 @@
 	return batch
 }
 
-// appendWithRetry writes entries until that succeeds, since a disk that is full may have room again. It returns false
-// where ctx ended before.
+// appendWithRetry retries the write of entries until it succeeds, since a full disk may have free space later. It
+// returns false if ctx ends before that.
 func (r *Replicator) appendWithRetry(ctx context.Context, entries []*ledger.Entry) bool {
 	for !r.append(entries) {
 		select {
@@ -78,7 +79,7 @@
 	return true
 }
 
-// append writes entries, and counts them once they are on the disk. It returns false where they could not be written.
+// append writes entries, and counts them once they are durable. It returns false if they could not be written.
 func (r *Replicator) append(entries []*ledger.Entry) bool {
 	if len(entries) == 0 {
 		return true
@@ -87,7 +88,7 @@
 	defer r.mu.Unlock()
 	if err := r.segments.Append(entries); err != nil {
 		r.writeFailures.Add(1)
-		// Full reports it, so that no further requests are admitted meanwhile.
+		// Full returns true until a write succeeds, so that no further requests are admitted.
 		r.Log.Error("ledger write failed", zap.Int("entries", len(entries)), zap.Error(err))
 		return false
 	}
--- a/internal/fleet/ledger/segment.go
+++ b/internal/fleet/ledger/segment.go
@@ -13,7 +13,7 @@
 
 const segmentSuffix = ".ledger"
 
-// segmentFile is a segment that is written.
+// segmentFile is a segment's file that is open for writing.
 type segmentFile interface {
 	io.Writer
 	io.Seeker
@@ -26,7 +26,7 @@
 
 func segmentName(number int) string { return fmt.Sprintf("%08d%s", number, segmentSuffix) }
 
-// listSegments returns the numbers of a directory's segments, sorted.
+// listSegments returns the numbers of the segments in a directory, sorted.
 func listSegments(dir string) ([]int, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return segments, nil
 }
 
-// createSegment creates a segment's file, with its magic and its name on the disk. A file that an earlier attempt has
-// left unfinished is created anew.
+// createSegment creates a segment's file with segmentMagic, and syncs both the file and its directory. It truncates a
+// file left by an earlier attempt that failed.
 func (l *SegmentedLog) createSegment(path string) (segmentFile, error) {
 	file, err := l.openSegment(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return file, nil
 }
 
-// syncDirectory has the names in a directory on the disk.
+// syncDirectory makes the creation of files in a directory durable.
 func syncDirectory(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -71,7 +71,8 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// readSegment reads a segment's file. The magic of the last one may not be complete: it is written anew.
+// readSegment reads a segment's file. If the file is the last segment and its magic is incomplete, the magic is written
+// again.
 func readSegment(path string, last bool) ([]byte, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -84,11 +85,12 @@
 	return content, nil
 }
 
-// visitFunc is called for an entry, with its record's place in the segment in bytes.
+// visitFunc is called for an entry, with the offset and size of its record in the segment, in bytes.
 type visitFunc func(e *Entry, offset, size int64)
 
-// scanSegment calls visit for each entry of a segment, with its place, and returns how many bytes could be read;
-// corruption names what ended that before the segment's end.
+// scanSegment calls visit for each entry of a segment, and returns the number of bytes that could be read. corruption
+// is the reason why it stopped before the end of the segment, nil if it did not. last is set for the last segment, the
+// only one in which an incomplete record is an unfinished write.
 func scanSegment(content []byte, number int, last bool, visit visitFunc) (valid int64, corruption *CorruptionError) {
 	corrupt := func(offset int64, reason string) *CorruptionError {
 		return &CorruptionError{File: segmentName(number), Offset: offset, Reason: reason}
--- a/internal/fleet/ledger/segmented_log.go
+++ b/internal/fleet/ledger/segmented_log.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	// MaxSegmentBytes is how large a segment grows before the next is begun.
+	// MaxSegmentBytes is the maximum size of a segment, unless a single batch of entries exceeds it.
 	MaxSegmentBytes = 4 << 20
-	// maxRunEntries is how many entries a run has at the most: so many are read to find one.
+	// maxRunEntries is the maximum number of entries in a run, all of which are read to find one.
 	maxRunEntries = 256
 )
 
-// ErrFull is the error of a write for which a ledger has no room.
-var ErrFull = errors.New("the ledger is full")
+// ErrFull is returned by a write that would exceed the maximum size of the ledger.
+var ErrFull = errors.New("ledger is full")
 
-// entryRun is where entries of one source lie that have consecutive numbers, one behind the other in one segment.
+// entryRun is the position of a run of entries: entries of one source with consecutive sequence numbers whose records
+// are adjacent in one segment.
 type entryRun struct {
 	sequences Range
-	segment   int
-	offset    int64 // in bytes
-	bytes     int64
+	segment   int   // number of the segment
+	offset    int64 // offset of the first record in the segment, in bytes
+	bytes     int64 // size of all records
 }
 
-// SegmentedLog keeps a ledger's entries in segments in a directory, which only one process may open at a time. It is
-// not safe for concurrent use.
+// SegmentedLog stores a ledger's entries in segment files in a directory, which only one process may open at a time. It
+// is not safe for concurrent use.
 type SegmentedLog struct {
 	// Dir is the directory. It must not be changed.
 	Dir string
-	// MaxBytes bounds the size of all segments together.
+	// MaxBytes is the maximum size of all segments together.
 	MaxBytes int64
 
-	segments     []int       // their numbers, sorted
-	current      segmentFile // the last segment, which is written
-	currentBytes int64       // of the last segment
-	totalBytes   int64       // of all segments
-	// tailUncertain is set where it is not known what lies behind the last acknowledged record: the next goes to a new
-	// segment.
+	segments     []int       // numbers of the segments, sorted
+	current      segmentFile // the last segment, to which records are appended
+	currentBytes int64       // size of the last segment
+	totalBytes   int64       // size of all segments
+	// tailUncertain is set after a failed write, when the content of the file after the last acknowledged record is
+	// unknown. The next write then goes to a new segment.
 	tailUncertain bool
 	runs          map[Source][]entryRun
 	openSegment   func(path string, flag int) (segmentFile, error)
 }
 
-// Open reads all segments of a directory, which is created where it does not exist, and calls visit for each entry.
-// Segments that cannot be read to their end are reported beside: what could be read of them is used.
+// Open reads all segments of a directory and calls visit for each entry. It creates the directory if it does not exist.
+// For segments that cannot be read to their end it returns a CorruptionError each, and uses the entries before the
+// corruption.
 func Open(dir string, maxBytes int64, visit func(*Entry)) (*SegmentedLog, []*CorruptionError, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
@@ -65,7 +67,7 @@
 	}
 	last := l.lastSegment()
 	if isCorrupt(last, corruptions) {
-		// What lies behind the corruption stays as it is, for whoever examines it.
+		// The rest of the corrupt segment is left unchanged so that it can be examined.
 		return l, corruptions, l.startSegment()
 	}
 	if l.current, err = l.openSegment(l.segmentPath(last), os.O_WRONLY); err != nil {
@@ -74,8 +76,8 @@
 	return l, corruptions, l.truncateCurrent()
 }
 
-// isCorrupt reports whether a segment, the last one read, could not be read to its end for another reason than a
-// write that was not finished.
+// isCorrupt reports whether a segment, which must be the last one read, could not be read to its end for a reason other
+// than an unfinished write.
 func isCorrupt(segment int, corruptions []*CorruptionError) bool {
 	if len(corruptions) == 0 {
 		return false
@@ -84,7 +86,7 @@
 	return !latest.Torn && latest.File == segmentName(segment)
 }
 
-// Inspect reads all segments of a directory and changes nothing. It calls visit for each entry that could be read.
+// Inspect reads all segments of a directory without changing them. It calls visit for each entry that can be read.
 func Inspect(dir string, visit func(*Entry)) ([]*CorruptionError, error) {
 	segments, err := listSegments(dir)
 	if err != nil {
@@ -105,7 +107,7 @@
 	return corruptions, nil
 }
 
-// readSegments reads the segments that are listed, and sets the log's sizes.
+// readSegments reads all segments in l.segments, and sets currentBytes and totalBytes.
 func (l *SegmentedLog) readSegments(visit func(*Entry)) ([]*CorruptionError, error) {
 	var corruptions []*CorruptionError
 	for i, number := range l.segments {
@@ -127,7 +129,7 @@
 	return corruptions, nil
 }
 
-// truncateCurrent cuts off what lies behind the last record of the last segment.
+// truncateCurrent truncates the last segment after its last complete record.
 func (l *SegmentedLog) truncateCurrent() error {
 	err := l.current.Truncate(l.currentBytes)
 	if err == nil {
@@ -142,7 +144,7 @@
 
 func (l *SegmentedLog) lastSegment() int { return l.segments[len(l.segments)-1] }
 
-// startSegment begins a segment. After an error the one before stays the last, and is written no more than before.
+// startSegment starts a new segment. After an error the previous segment remains the last one, in an unchanged state.
 func (l *SegmentedLog) startSegment() error {
 	number := 1
 	if len(l.segments) > 0 {
@@ -153,7 +155,7 @@
 		return err
 	}
 	if l.current != nil {
-		_ = l.current.Close() // all that was acknowledged of it is on the disk
+		_ = l.current.Close() // all acknowledged records in it have been synced
 	}
 	l.current = file
 	l.currentBytes = int64(len(segmentMagic))
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// addToRuns remembers where an entry lies.
+// addToRuns adds the position of an entry to the runs of its source.
 func (l *SegmentedLog) addToRuns(e *Entry, segment int, offset, size int64) {
 	source := e.Source()
 	runs := l.runs[source]
@@ -184,8 +186,8 @@
 	})
 }
 
-// Append writes entries, and returns once they are on the disk. After an error none of them is written, or some: they
-// may be appended again, and count once. The error wraps ErrFull where they would exceed MaxBytes.
+// Append writes entries, and returns once they are durable. After an error, any number of them may have been written;
+// they can be appended again and are still counted once. The error wraps ErrFull if they would exceed MaxBytes.
 func (l *SegmentedLog) Append(entries []*Entry) error {
 	var records []byte
 	var sizes []int64
@@ -199,7 +201,7 @@
 	}
 	size := int64(len(records))
 	if l.totalBytes+size > l.MaxBytes {
-		return fmt.Errorf("%w: %d bytes of %d", ErrFull, l.totalBytes, l.MaxBytes)
+		return fmt.Errorf("%w: %d of %d bytes used", ErrFull, l.totalBytes, l.MaxBytes)
 	}
 	full := l.currentBytes+size > MaxSegmentBytes && l.currentBytes > int64(len(segmentMagic))
 	if l.tailUncertain || full {
@@ -220,7 +222,7 @@
 	return nil
 }
 
-// write appends records to the last segment and has them on the disk.
+// write appends records to the last segment and syncs it.
 func (l *SegmentedLog) write(records []byte) error {
 	_, err := l.current.Write(records)
 	if err == nil {
@@ -229,15 +231,16 @@
 	if err == nil {
 		return nil
 	}
-	// What may lie behind the last complete record is cut off, or it would be taken for corruption. A sync that failed
-	// proves nothing when it is repeated, so that what is written next goes to another file.
+	// The file is truncated after its last complete record, because a partial record would be reported as corruption once
+	// other records follow. Repeating a failed sync can succeed although data is missing, so the next write goes to
+	// another file.
 	l.tailUncertain = true
 	_, seekErr := l.current.Seek(l.currentBytes, io.SeekStart)
 	return errors.Join(err, l.current.Truncate(l.currentBytes), seekErr)
 }
 
-// Read returns entries of a source whose numbers are in a range and are written here, up to maxEntries. A record that
-// cannot be read any more is a *CorruptionError.
+// Read returns the entries of a source in this log whose sequence numbers are in a range, up to maxEntries. The error
+// is a *CorruptionError if a record can no longer be read.
 func (l *SegmentedLog) Read(source Source, sequences Range, maxEntries int) ([]*Entry, error) {
 	var entries []*Entry
 	for _, run := range l.runs[source] {
@@ -260,7 +263,7 @@
 	return entries, nil
 }
 
-// readRun reads a run's entries.
+// readRun reads the entries of a run.
 func (l *SegmentedLog) readRun(run entryRun) ([]*Entry, error) {
 	file, err := os.Open(l.segmentPath(run.segment))
 	if err != nil {
@@ -286,7 +289,7 @@
 // Bytes returns the size of all segments together.
 func (l *SegmentedLog) Bytes() int64 { return l.totalBytes }
 
-// Close ends the writing.
+// Close closes the segment that is open for writing.
 func (l *SegmentedLog) Close() error {
 	if l.current == nil {
 		return nil
--- a/internal/fleet/ledger/segmented_log_test.go
+++ b/internal/fleet/ledger/segmented_log_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// open opens a log with its index.
 func open(t *testing.T, dir string) (*SegmentedLog, *Index, []*CorruptionError) {
 	t.Helper()
 	index := NewIndex(nil)
@@ -17,8 +18,8 @@
 	return log, index, corruptions
 }
 
-// Wherever a write is torn, what was complete is there at the next start, the rest is cut off, and writing continues
-// behind it.
+// If the process ends during a write, wherever the file ends, the next start uses the complete records, reports and
+// truncates the rest as an unfinished write, and appends after them.
 func TestTornTails(t *testing.T) {
 	dir := t.TempDir()
 	log, _, _ := open(t, dir)
@@ -29,28 +30,28 @@
 	path := filepath.Join(dir, segmentName(1))
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
-	last := -1
+	lastCount := -1
 	for cut := len(content); cut >= len(segmentMagic); cut -= 1 + cut%3 {
 		require.NoError(t, os.WriteFile(path, content[:cut], 0o600))
 		log, index, corruptions := open(t, dir)
 		for _, corruption := range corruptions {
 			require.True(t, corruption.Torn)
 		}
-		if last >= 0 {
-			require.LessOrEqual(t, int(index.Count()), last)
+		if lastCount >= 0 {
+			require.LessOrEqual(t, int(index.Count()), lastCount)
 		}
-		last = int(index.Count())
+		lastCount = int(index.Count())
 		require.NoError(t, log.Append([]*Entry{entry("b", 1, 1)}))
 		require.NoError(t, log.Close())
 		log, index, corruptions = open(t, dir)
 		require.Empty(t, corruptions)
-		require.EqualValues(t, last+1, index.Count())
+		require.EqualValues(t, lastCount+1, index.Count())
 		require.NoError(t, log.Close())
 	}
-	require.Zero(t, last)
+	require.Zero(t, lastCount)
 }
 
-// A flipped bit is found and named; what lies before it, and in other segments, is used.
+// A flipped bit is reported as corruption of its segment. The entries before it and those in other segments are used.
 func TestFlippedBits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
@@ -72,14 +73,14 @@
 		require.Len(t, corruptions, 1)
 		require.Equal(t, segmentName(1), corruptions[0].File)
 		require.False(t, corruptions[0].Torn)
-		require.GreaterOrEqual(t, index.Count(), int64(10), "the other segment")
+		require.GreaterOrEqual(t, index.Count(), int64(10), "entries of the other segment")
 		require.Less(t, index.Count(), int64(20))
 		require.NoError(t, log.Close())
 	}
 }
 
-// Read returns a source's entries in their order, though others lie between them, and no more than it is asked for;
-// and a log takes no entry beyond its size.
+// Read returns the entries of a source in their order even if entries of other sources are between them, and no more
+// than requested. Append fails with ErrFull beyond the maximum size.
 func TestReadAndBounds(t *testing.T) {
 	log, _, _ := open(t, t.TempDir())
 	t.Cleanup(func() { require.NoError(t, log.Close()) })
