--- a/internal/settings/diff.go
+++ b/internal/settings/diff.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Diff returns how two documents differ, a line for each value that was removed or added: "- path = old", "+ path =
-// new". Lines are sorted by path.
+// Diff returns the differences between two documents, one line for each value that was removed ("- path = old") or
+// added ("+ path = new"); a changed value gives both. The lines are sorted by path.
 func Diff(before, after string) ([]string, error) {
 	old, err := literals(before)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return lines, nil
 }
 
-// literals returns the values of a document as they are shown, by path.
+// literals returns the values of a document as text, by path.
 func literals(text string) (map[string]string, error) {
 	document, err := Parse(text)
 	if err != nil {
@@ -53,6 +53,7 @@
 	return values, nil
 }
 
+// literal returns a value as text; strings are quoted.
 func literal(value any) string {
 	if text, ok := value.(string); ok {
 		return strconv.Quote(text)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -1,5 +1,5 @@
-// Package settings decides about the configuration that the nodes of an installation share: a document in TOML, its
-// versions, and how it is merged with a node's own file. It is pure: no clock, no I/O.
+// Package settings implements the configuration that is shared by the nodes of an installation: a TOML document, its
+// versions, and its merge with a node's local file. It is pure: it uses no clock and no I/O.
 package settings
 
 import (
@@ -10,10 +10,11 @@
 	"github.com/BurntSushi/toml"
 )
 
-// MaxDocumentBytes is how many bytes a document may have.
+// MaxDocumentBytes is the maximum size of a document.
 const MaxDocumentBytes = 256 << 10
 
-// nodeLocalKeys are the sections, and keys of sections, that stay in each node's own file.
+// nodeLocalKeys are the sections, and the keys within sections, that cannot be shared: they are set in each node's
+// local file.
 var nodeLocalKeys = map[string]bool{
 	"name":           true,
 	"listen":         true,
@@ -29,7 +30,7 @@
 	"module.nodes":   true,
 }
 
-// Parse decodes a document. It returns a *PathError for a key that stays in each node's own file.
+// Parse decodes a document. It returns a *PathError if the document contains a node-local key.
 func Parse(text string) (map[string]any, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, fmt.Errorf("the document has %d bytes, %d at most", len(text), MaxDocumentBytes)
@@ -46,6 +47,7 @@
 	return document, nil
 }
 
+// decode decodes TOML text without checking for node-local keys.
 func decode(text string) (map[string]any, error) {
 	document := map[string]any{}
 	if _, err := toml.Decode(text, &document); err != nil {
@@ -54,7 +56,7 @@
 	return document, nil
 }
 
-// isNodeLocal reports whether a path lies in a section, or is a key of one, that stays in each node's own file.
+// isNodeLocal reports whether a path is, or is within, one of nodeLocalKeys.
 func isNodeLocal(path string) bool {
 	section, rest, _ := strings.Cut(path, ".")
 	section, _, _ = strings.Cut(section, "[")
@@ -62,7 +64,7 @@
 	return nodeLocalKeys[section] || nodeLocalKeys[section+"."+key]
 }
 
-// Format encodes a document, with its keys sorted.
+// Format encodes a document as TOML with sorted keys.
 func Format(document map[string]any) (string, error) {
 	var b strings.Builder
 	encoder := toml.NewEncoder(&b)
@@ -71,10 +73,10 @@
 	return b.String(), err
 }
 
-// Merge returns a node's own file with the shared document laid over it: values of the document replace the file's,
-// key by key; lists of sections, such as [[class]], are replaced as a whole.
-func Merge(own, shared string) (string, error) {
-	base, err := decode(own)
+// Merge merges the shared document into a node's local file and returns the result. Values of the document replace
+// those of the file key by key; lists of sections, such as [[class]], are replaced as a whole.
+func Merge(local, shared string) (string, error) {
+	base, err := decode(local)
 	if err != nil {
 		return "", err
 	}
@@ -86,6 +88,7 @@
 	return Format(base)
 }
 
+// overlay copies the values of document into base, recursively for sections that exist in both.
 func overlay(base, document map[string]any) {
 	for key, value := range document {
 		if section, ok := value.(map[string]any); ok {
@@ -98,9 +101,10 @@
 	}
 }
 
-// ExtractShared returns what of a node's own file may be shared, for an installation's first document.
-func ExtractShared(own string) (string, error) {
-	document, err := decode(own)
+// ExtractShared returns the part of a node's local file that can be shared, for use as an installation's first
+// document.
+func ExtractShared(local string) (string, error) {
+	document, err := decode(local)
 	if err != nil {
 		return "", err
 	}
@@ -115,7 +119,8 @@
 	return Format(document)
 }
 
-// Equal reports whether two documents have the same keys and values. A document that cannot be parsed equals none.
+// Equal reports whether two documents have the same keys and values. A document that cannot be parsed is not equal to
+// any document.
 func Equal(a, b string) bool {
 	documentA, errA := Parse(a)
 	documentB, errB := Parse(b)
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -18,9 +18,9 @@
 `
 
 func TestMerge(t *testing.T) {
-	own := "name = \"node-1\"\nlisten = \"127.0.0.1:1\"\n[module]\nzone = \"b\"\nmax_attempts = 2\n" +
+	local := "name = \"node-1\"\nlisten = \"127.0.0.1:1\"\n[module]\nzone = \"b\"\nmax_attempts = 2\n" +
 		"[[class]]\nname = \"old\"\n[move]\nfloor = 0.8\n"
-	merged, err := Merge(own, document+"[module]\nmax_attempts = 3\n")
+	merged, err := Merge(local, document+"[module]\nmax_attempts = 3\n")
 	require.NoError(t, err)
 	for _, want := range []string{
 		`name = "node-1"`, `zone = "b"`, "max_attempts = 3", `floor = 0.8`, `hold = "20s"`, `name = "import"`,
@@ -28,7 +28,7 @@
 		require.Contains(t, merged, want)
 	}
 	require.NotContains(t, merged, `"old"`, "lists are replaced as a whole")
-	shared, err := ExtractShared(own)
+	shared, err := ExtractShared(local)
 	require.NoError(t, err)
 	require.NotContains(t, shared, "node-1")
 	require.NotContains(t, shared, "zone")
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -11,7 +11,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// A version as the store has it and the control interface shows it.
+// The encoding of a version does not change: it is stored, and shown by the control interface.
 func TestGoldenVersion(t *testing.T) {
 	v := Version{
 		Number:     12,
@@ -22,9 +22,9 @@
 		RollbackTo: 7,
 	}
 	golden.JSON(t, "version.json", v)
-	least, err := json.Marshal(Version{Number: 1, Author: "asel"})
+	minimal, err := json.Marshal(Version{Number: 1, Author: "asel"})
 	require.NoError(t, err)
-	golden.Bytes(t, "version_least.json", least)
+	golden.Bytes(t, "version_least.json", minimal)
 }
 
 const nodeFile = `name = "node-1"
@@ -54,29 +54,28 @@
 floor = 0.8
 `
 
-// A node's file with the document over it, what of the file may be shared, and how a document and its paths are
-// written.
+// The results of merging, extracting, editing and comparing documents, and the format of paths.
 func TestGoldenDocuments(t *testing.T) {
-	over, err := Merge(nodeFile, document+"[module]\nmax_attempts = 3\n")
+	merged, err := Merge(nodeFile, document+"[module]\nmax_attempts = 3\n")
 	require.NoError(t, err)
-	golden.Bytes(t, "over.toml", []byte(over))
+	golden.Bytes(t, "over.toml", []byte(merged))
 	shared, err := ExtractShared(nodeFile)
 	require.NoError(t, err)
 	golden.Bytes(t, "shared.toml", []byte(shared))
-	set, err := Set(document, "class[2].name", "night")
+	edited, err := Set(document, "class[2].name", "night")
 	require.NoError(t, err)
-	golden.Bytes(t, "set.toml", []byte(set))
-	lines, err := Diff(document, set)
+	golden.Bytes(t, "set.toml", []byte(edited))
+	lines, err := Diff(document, edited)
 	require.NoError(t, err)
-	further, err := Diff(document, "[move]\nhold = \"30s\"\n")
+	moreLines, err := Diff(document, "[move]\nhold = \"30s\"\n")
 	require.NoError(t, err)
-	golden.Bytes(t, "diff.txt", []byte(strings.Join(append(lines, further...), "\n")+"\n"))
+	golden.Bytes(t, "diff.txt", []byte(strings.Join(append(lines, moreLines...), "\n")+"\n"))
 	doc, err := Parse(document + "[empty]\n")
 	require.NoError(t, err)
 	golden.Bytes(t, "keys.txt", []byte(strings.Join(Keys(doc), "\n")+"\n"))
 }
 
-// Texts that operators get.
+// The texts of errors that operators see.
 func TestGoldenErrorTexts(t *testing.T) {
 	var lines []string
 	add := func(err error) {
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// maxDepth is how many sections a path may lead through.
+// maxDepth is the maximum number of segments in a path.
 const maxDepth = 8
 
+// reasonNotSet is the reason of a PathError for a path that has no value.
 const reasonNotSet = "not set in the shared configuration"
 
-// PathError says what is wrong with a key or section of a document, or with a path to one.
+// PathError reports an invalid key or section of a document, or an invalid path.
 type PathError struct {
 	Path   string
 	Reason string
@@ -21,17 +22,18 @@
 // Error implements error.
 func (e *PathError) Error() string { return e.Path + ": " + e.Reason }
 
+// pathErrorf returns a PathError with a formatted reason.
 func pathErrorf(path, format string, args ...any) *PathError {
 	return &PathError{Path: path, Reason: fmt.Sprintf(format, args...)}
 }
 
-// pathSegment is one part of a path: a key, and where the key holds a list of sections, an index into it.
+// pathSegment is one segment of a path: a key and, if the value is a list of sections, an index into the list.
 type pathSegment struct {
 	key   string
-	index int // -1: none
+	index int // -1 if there is none
 }
 
-// parsePath splits a path such as class[0].worth.
+// parsePath splits a path, such as class[0].worth, into its segments.
 func parsePath(path string) ([]pathSegment, error) {
 	var segments []pathSegment
 	for part := range strings.SplitSeq(path, ".") {
@@ -47,6 +49,7 @@
 	return segments, nil
 }
 
+// parseSegment parses one segment of a path.
 func parseSegment(path, part string) (pathSegment, error) {
 	key, rest, indexed := strings.Cut(part, "[")
 	segment := pathSegment{key: key, index: -1}
@@ -70,8 +73,8 @@
 	return paths
 }
 
-// flatten calls visit for each value within a value of a document. Empty sections count as values; what lies deeper
-// than maxDepth is left out.
+// flatten calls visit for each value within a value of a document. Empty sections count as values. Values nested deeper
+// than maxDepth are skipped.
 func flatten(value any, path string, depth int, visit func(path string, value any)) {
 	if depth > maxDepth {
 		return
@@ -88,6 +91,7 @@
 	}
 }
 
+// flattenSection is flatten for a section.
 func flattenSection(section map[string]any, path string, depth int, visit func(path string, value any)) {
 	if len(section) == 0 && path != "" {
 		visit(path, section)
@@ -99,15 +103,15 @@
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		under := key
+		keyPath := key
 		if path != "" {
-			under = path + "." + key
+			keyPath = path + "." + key
 		}
-		flatten(section[key], under, depth+1, visit)
+		flatten(section[key], keyPath, depth+1, visit)
 	}
 }
 
-// Get returns the value, or section, at a path of a document, or a *PathError.
+// Get returns the value or section at a path of a document. The error is a *PathError if there is none.
 func Get(text, path string) (any, error) {
 	document, err := Parse(text)
 	if err != nil {
@@ -138,10 +142,10 @@
 	return value, nil
 }
 
-// Set returns the document with the value at a path replaced. value is written as in TOML: 3, "30s", true, ["a"]; a
-// word without quotes is taken as a string. An empty value removes the key, or the section of a list. Sections that
-// the path leads through are created, and the index that follows a list's last appends to the list. It returns a
-// *PathError for a path that cannot be set.
+// Set returns the document with the value at a path replaced. value is in TOML syntax, such as 3, "30s", true or ["a"];
+// text that is not valid TOML is used as a string, so that strings need no quotes. An empty value removes the key, or
+// the section of a list. Missing sections along the path are created, and an index one past the end of a list appends a
+// section to it. The error is a *PathError if the path cannot be set.
 func Set(text, path, value string) (string, error) {
 	document, err := Parse(text)
 	if err != nil {
@@ -169,11 +173,11 @@
 	if err != nil {
 		return "", err
 	}
-	_, err = Parse(edited) // what was set may be a node's own key, or make the document too large
+	_, err = Parse(edited) // the path may be a node-local key, and the document may now be too large
 	return edited, err
 }
 
-// parseValue decodes a value; nil stands for one that is empty.
+// parseValue decodes a value. It returns nil if the value is empty.
 func parseValue(path, value string) (any, error) {
 	if value == "" {
 		return nil, nil
@@ -188,7 +192,7 @@
 	return decoded["v"], nil
 }
 
-// descend returns the section that a segment leads to, which is created where it does not exist.
+// descend returns the section that a segment refers to, and creates it if it does not exist.
 func descend(section map[string]any, segment pathSegment, path string) (map[string]any, error) {
 	if segment.index < 0 {
 		return descendKey(section, segment.key, path)
@@ -204,6 +208,7 @@
 	return list[segment.index], nil
 }
 
+// descendKey is descend for a segment without an index.
 func descendKey(section map[string]any, key, path string) (map[string]any, error) {
 	if existing, ok := section[key].(map[string]any); ok {
 		return existing, nil
@@ -216,7 +221,7 @@
 	return created, nil
 }
 
-// listFor returns the list of sections that a segment indexes. The index may be that of the section that would be next.
+// listFor returns the list of sections that a segment indexes. The index may be one past the end of the list.
 func listFor(section map[string]any, segment pathSegment, path string) ([]map[string]any, error) {
 	list, _ := section[segment.key].([]map[string]any)
 	if segment.index > len(list) {
@@ -225,7 +230,7 @@
 	return list, nil
 }
 
-// assign sets a path's last segment in its section; a nil value removes it.
+// assign sets the value of a path's last segment in its section. A nil value removes it.
 func assign(section map[string]any, segment pathSegment, path string, value any) error {
 	if segment.index >= 0 {
 		return removeFromList(section, segment, path, value)
@@ -241,7 +246,7 @@
 	return nil
 }
 
-// removeFromList removes a section of a list. A section of a list cannot be given a value.
+// removeFromList removes a section from a list. value must be nil, since a section of a list cannot be set to a value.
 func removeFromList(section map[string]any, segment pathSegment, path string, value any) error {
 	list, err := listFor(section, segment, path)
 	if err != nil {
--- a/internal/settings/path_test.go
+++ b/internal/settings/path_test.go
@@ -50,8 +50,8 @@
 	require.ErrorContains(t, err, "not set")
 }
 
-// Whatever is set can be read back, setting it twice makes no difference, and a diff is empty only where nothing
-// differs.
+// A value that was set can be read back, setting it again changes nothing, and a diff is empty if and only if the
+// documents are equal.
 func TestSetRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		path := rapid.SampledFrom([]string{
@@ -65,13 +65,13 @@
 		if _, err := Get(edited, path); err != nil {
 			t.Fatal(err)
 		}
-		again, err := Set(edited, path, value)
-		if err != nil || !Equal(edited, again) {
-			t.Fatalf("set twice differs: %v", err)
+		editedTwice, err := Set(edited, path, value)
+		if err != nil || !Equal(edited, editedTwice) {
+			t.Fatalf("setting the value again changes the document, error: %v", err)
 		}
 		lines, err := Diff(document, edited)
 		if err != nil || (len(lines) == 0) != Equal(document, edited) {
-			t.Fatalf("%v, %v", lines, err)
+			t.Fatalf("diff is %v, error: %v", lines, err)
 		}
 	})
 }
--- a/internal/settings/version.go
+++ b/internal/settings/version.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// MaxNoteBytes is how many bytes a version's note, and its author's name, may have.
+	// MaxNoteBytes is the maximum size of a version's note, and of its author's name.
 	MaxNoteBytes = 1000
-	// MaxVersions is how many versions are kept.
+	// MaxVersions is the maximum number of versions that are stored.
 	MaxVersions = 200
 )
 
 // Version is one version of the shared document.
 type Version struct {
-	Number     uint64    `json:"number"` // from 1
+	Number     uint64    `json:"number"` // version number, from 1
 	Author     string    `json:"author"`
 	Note       string    `json:"note,omitempty"`
 	CreatedAt  time.Time `json:"at"`
 	Text       string    `json:"text,omitempty"`
-	RollbackTo uint64    `json:"back,omitempty"` // the version whose text this one restores; 0: none
+	RollbackTo uint64    `json:"back,omitempty"` // number of the version whose text this one restores; 0 if none
 }
 
-// ErrStale is the error of a change that was made to a version which is no longer the latest. A *StaleError wraps it.
+// ErrStale is returned for a change that is based on a version other than the latest. It is wrapped by a *StaleError.
 var ErrStale = errors.New("the configuration has changed meanwhile")
 
-// StaleError names the versions of a change that came too late. It wraps ErrStale.
+// StaleError reports that a change is based on a version other than the latest. It wraps ErrStale.
 type StaleError struct {
-	Latest uint64
-	Base   uint64 // the version that the change was made to
+	Latest uint64 // number of the latest version
+	Base   uint64 // number of the version that the change is based on
 }
 
 // Error implements error.
@@ -38,10 +38,10 @@
 	return fmt.Sprintf("%v: version %d is the latest, the change is to %d", ErrStale, e.Latest, e.Base)
 }
 
-// Unwrap makes errors.Is(err, ErrStale) hold.
+// Unwrap returns ErrStale.
 func (*StaleError) Unwrap() error { return ErrStale }
 
-// NextVersion checks a change that was made to version base, and returns it with its number, the one after latest.
+// NextVersion validates a change that is based on version base, and returns it with the version number after latest.
 func NextVersion(latest, base uint64, change Version) (Version, error) {
 	if base != latest {
 		return change, &StaleError{Latest: latest, Base: base}
