--- a/internal/fleet/ledger/index_test.go
+++ b/internal/fleet/ledger/index_test.go
@@ -33,7 +33,8 @@
 		known := map[[3]uint64]bool{}
 		for range rapid.IntRange(0, 300).Draw(t, "entries") {
 			slot := string(rune('a' + rapid.IntRange(0, 1).Draw(t, "slot")))
-			e := entry(slot, rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 40).Draw(t, "sequence"))
+			e := entry(slot,
+				rapid.Uint64Range(1, 2).Draw(t, "incarnation"), rapid.Uint64Range(1, 40).Draw(t, "sequence"))
 			key := [3]uint64{uint64(e.Slot[0]), e.Incarnation, e.Sequence}
 			if a.Add(e) == known[key] {
 				t.Fatal("an entry was counted twice or not at all")
--- a/internal/fleet/ledger/replication/replicator.go
+++ b/internal/fleet/ledger/replication/replicator.go
@@ -108,8 +108,8 @@
 	return len(r.queue) > maxQueued/2 || r.writeFailures.Load() > 0
 }
 
-// Run writes queued entries and syncs with other members until ctx ends. It writes the entries that are still queued
-// then before it returns.
+// Run writes queued entries and syncs with other members until ctx ends. Before it returns it writes the entries that
+// are still queued, unless writes fail.
 func (r *Replicator) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { r.runWriter(ctx) })
--- a/internal/fleet/ledger/segmented_log.go
+++ b/internal/fleet/ledger/segmented_log.go
@@ -231,9 +231,9 @@
 	if err == nil {
 		return nil
 	}
-	// The file is truncated after its last complete record, because a partial record would be reported as corruption once
-	// other records follow. Repeating a failed sync can succeed although data is missing, so the next write goes to
-	// another file.
+	// The file is truncated after its last complete record, because a partial record would be reported as corruption
+	// once other records follow. Repeating a failed sync can succeed although data is missing, so the next write goes
+	// to another file.
 	l.tailUncertain = true
 	_, seekErr := l.current.Seek(l.currentBytes, io.SeekStart)
 	return errors.Join(err, l.current.Truncate(l.currentBytes), seekErr)
--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -14,8 +14,8 @@
 
 // Apply applies a command to a session's record and returns the new record. r is the current record, nil if there is
 // none; the result is nil if the record is to be deleted. now is the leader's clock in Unix nanoseconds, and clockError
-// the maximum difference between it and a node's clock. Apply does not modify r. A command that is repeated, with no
-// other command in between, has no further effect.
+// the maximum error of the clock of any node, including the leader. Apply does not modify r. A command that is
+// repeated, with no other command in between, has no further effect.
 func Apply(
 	r *Record, c Command, now int64, clockError time.Duration,
 	limits Limits, counts PausedCounts, invariants *invariant.Monitor,
@@ -47,7 +47,7 @@
 	record     *Record // nil if the session has no record
 	command    Command
 	now        int64 // the leader's clock, in Unix nanoseconds
-	clockError int64 // maximum difference between the leader's and a node's clock, in nanoseconds
+	clockError int64 // maximum error of the clock of any node, in nanoseconds
 	limits     Limits
 	counts     PausedCounts
 }
--- a/internal/fleet/session/service/golden_test.go
+++ b/internal/fleet/session/service/golden_test.go
@@ -72,7 +72,8 @@
 	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(errorsByCode)) {
 		rejection := newRequestError(errorsByCode[name])
-		lines = append(lines, fmt.Sprintf("%s: %d %q %v", name, rejection.Status, rejection.Message, rejection.RetryAfter))
+		lines = append(lines,
+			fmt.Sprintf("%s: %d %q %v", name, rejection.Status, rejection.Message, rejection.RetryAfter))
 	}
 	add := func(rejection *RequestError) {
 		t.Helper()
--- a/internal/fleet/session/service/service.go
+++ b/internal/fleet/session/service/service.go
@@ -25,7 +25,8 @@
 type Options struct {
 	Tools  []Tool
 	Limits session.Limits
-	// DecodeTimeout is the duration of a claim. A resumed response that is not complete by then is aborted.
+	// DecodeTimeout is the duration of a claim. A resumed response that is not complete shortly before the claim ends
+	// is aborted.
 	DecodeTimeout time.Duration
 	// ResumeRate is how many sessions per second this node resumes, at a rate factor of 1.
 	ResumeRate           float64
@@ -34,7 +35,7 @@
 	Slot         string
 	Incarnation  uint64
 	Predecessors []uint64
-	ClockError   time.Duration // maximum difference between the clocks of two nodes
+	ClockError   time.Duration // maximum error of a node's clock
 	Now          func() int64  // current time in Unix nanoseconds
 	// RateFactor returns the factor that ResumeRate is multiplied by. It is 1 in normal operation, and lower while the
 	// fleet recovers from a partition.
@@ -47,8 +48,8 @@
 	Store          store.Store
 	Invariants     *invariant.Monitor
 	Log            *zap.Logger
-	// BackendStart returns the time at which a backend was started. A restarted backend no longer has a session's prompt
-	// in its cache.
+	// BackendStart returns the time at which a backend was started. A restarted backend no longer has a session's
+	// prompt in its cache.
 	BackendStart func(backend string) int64
 }
 
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -3,9 +3,9 @@
 // record, and passes in the time.
 //
 // At most one node decodes a session at any time. A node that decodes holds a claim, identified by a fencing token
-// that grows with each claim, and stops decoding before the claim's deadline by the maximum difference between the
-// clocks of two nodes. The next claim is not granted until that difference has passed after the deadline. A resume
-// key identifies a session and one of its pauses, and can be used once.
+// that grows with each claim. It stops decoding before the claim's deadline by at least the maximum difference between
+// two clocks, which is twice the clock error, and the next claim is not granted until as much time has passed after
+// the deadline. A resume key identifies a session and one of its pauses, and can be used once.
 package session
 
 import "slices"
--- a/internal/fleet/session/session_test.go
+++ b/internal/fleet/session/session_test.go
@@ -48,7 +48,14 @@
 
 // claim returns a command that claims turn 1 with all results for 10 s.
 func claim(owner Owner, claimID string) Command {
-	return Command{Kind: Claim, Turn: 1, Owner: owner, ClaimID: claimID, ClaimDuration: 10 * second, ResultIDs: resultIDs}
+	return Command{
+		Kind:          Claim,
+		Turn:          1,
+		Owner:         owner,
+		ClaimID:       claimID,
+		ClaimDuration: 10 * second,
+		ResultIDs:     resultIDs,
+	}
 }
 
 // withResults returns the command with other result IDs.
@@ -69,7 +76,7 @@
 	require.NoError(t, step(t, &r, claim(ownerB, "q1"), second), "the reply was lost, and the claim is repeated")
 	require.EqualValues(t, 1, r.FencingToken)
 	require.ErrorIs(t, step(t, &r, claim(ownerA, "q2"), 2*second), ErrClaimed)
-	require.ErrorIs(t, step(t, &r, Command{Kind: Cancel}, 2*second), ErrClaimed, "the claim came before the cancellation")
+	require.ErrorIs(t, step(t, &r, Command{Kind: Cancel}, 2*second), ErrClaimed, "the claim came first")
 	require.NoError(t, step(t, &r, Command{Kind: Begin, FencingToken: 1, Owner: ownerB}, 2*second))
 	require.ErrorIs(t, step(t, &r, claim(ownerA, "q2"), 11*second), ErrClaimed, "the holder's clock may be behind")
 	require.NoError(t, step(t, &r, claim(ownerA, "q2"), 12*second), "the claim has lapsed by every clock")
