--- a/internal/fleet/ledger/golden_test.go
+++ b/internal/fleet/ledger/golden_test.go
@@ -97,9 +97,9 @@
 		func(e *Entry) { e.OutputTokens = -1 },
 		func(e *Entry) { e.Outcome = 9 },
 	} {
-		e := goldenEntry(4, Served)
-		invalidate(e)
-		add(e.Check())
+		invalid := goldenEntry(4, Served)
+		invalidate(invalid)
+		add(invalid.Check())
 	}
 	add(&CorruptionError{File: "00000001.ledger", Offset: 20, Reason: "a record that is not whole", Torn: true})
 	content := golden.Read(t, "00000001.ledger", nil)
--- a/internal/fleet/ledger/segmented_log.go
+++ b/internal/fleet/ledger/segmented_log.go
@@ -53,27 +53,27 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
-	l := &SegmentedLog{Dir: dir, MaxBytes: maxBytes, runs: map[Source][]entryRun{}, openSegment: openFile}
+	log := &SegmentedLog{Dir: dir, MaxBytes: maxBytes, runs: map[Source][]entryRun{}, openSegment: openFile}
 	var err error
-	if l.segments, err = listSegments(dir); err != nil {
+	if log.segments, err = listSegments(dir); err != nil {
 		return nil, nil, err
 	}
-	if len(l.segments) == 0 {
-		return l, nil, l.startSegment()
+	if len(log.segments) == 0 {
+		return log, nil, log.startSegment()
 	}
-	corruptions, err := l.readSegments(visit)
+	corruptions, err := log.readSegments(visit)
 	if err != nil {
 		return nil, nil, err
 	}
-	last := l.lastSegment()
+	last := log.lastSegment()
 	if isCorrupt(last, corruptions) {
 		// The rest of the corrupt segment is left unchanged so that it can be examined.
-		return l, corruptions, l.startSegment()
+		return log, corruptions, log.startSegment()
 	}
-	if l.current, err = l.openSegment(l.segmentPath(last), os.O_WRONLY); err != nil {
+	if log.current, err = log.openSegment(log.segmentPath(last), os.O_WRONLY); err != nil {
 		return nil, nil, err
 	}
-	return l, corruptions, l.truncateCurrent()
+	return log, corruptions, log.truncateCurrent()
 }
 
 // isCorrupt reports whether a segment, which must be the last one read, could not be read to its end for a reason other
@@ -191,10 +191,10 @@
 func (l *SegmentedLog) Append(entries []*Entry) error {
 	var records []byte
 	var sizes []int64
-	for _, e := range entries {
+	for _, entry := range entries {
 		before := len(records)
 		var err error
-		if records, err = appendRecord(records, e); err != nil {
+		if records, err = appendRecord(records, entry); err != nil {
 			return err
 		}
 		sizes = append(sizes, int64(len(records)-before))
--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -74,8 +74,8 @@
 		return c.cancel()
 	case Expire:
 		return c.expire()
-	case Forget:
-		return c.forget()
+	case Delete:
+		return c.delete()
 	}
 	return nil, fmt.Errorf("%w: %q", ErrInvalidTransition, c.command.Kind)
 }
@@ -265,7 +265,7 @@
 	return c.finished(Expired, ReasonExpired), nil
 }
 
-func (c *change) forget() (*Record, error) {
+func (c *change) delete() (*Record, error) {
 	over := c.record.State == Ended || c.record.State == Expired
 	if !over || c.now < c.record.Deadline {
 		return nil, ErrInvalidTransition
--- a/internal/fleet/session/command.go
+++ b/internal/fleet/session/command.go
@@ -29,7 +29,7 @@
 	End     CommandKind = "end"     // records the final response, from the claim's holder
 	Cancel  CommandKind = "cancel"  // ends a paused session at its client's request
 	Expire  CommandKind = "expire"  // expires a session after the tools' deadline; issued by the leader
-	Forget  CommandKind = "forget"  // deletes a finished session after the retention time; issued by the leader
+	Delete  CommandKind = "forget"  // deletes a finished session after the retention time; issued by the leader
 )
 
 // Command requests a change of one session. Which fields are used depends on its kind.
--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -55,7 +55,7 @@
 	for _, s := range []State{Running, Pausing, Paused, Claimed, Resuming, Ended, Expired} {
 		lines = append(lines, "state "+string(s))
 	}
-	for _, k := range []CommandKind{Pause, Claim, Begin, Release, End, Cancel, Expire, Forget} {
+	for _, k := range []CommandKind{Pause, Claim, Begin, Release, End, Cancel, Expire, Delete} {
 		lines = append(lines, "operation "+string(k))
 	}
 	lines = append(lines, "key "+ResumeKey(sessionID, 2))
--- a/internal/fleet/session/service/cluster_test.go
+++ b/internal/fleet/session/service/cluster_test.go
@@ -46,7 +46,7 @@
 	c := &cluster{store: store.NewMemory(), rateFactor: 1, monitor: &invariant.Monitor{}}
 	c.now.Store(1000 * int64(time.Second))
 	for i := range nodes {
-		o := Options{
+		options := Options{
 			Tools: testTools(),
 			Limits: session.Limits{
 				MaxDataBytes:       1 << 20,
@@ -69,11 +69,11 @@
 			BackendStart:         func(string) int64 { return 7 },
 		}
 		if edit != nil {
-			edit(&o)
+			edit(&options)
 		}
-		s, err := New(o, nil)
+		created, err := New(options, nil)
 		require.NoError(t, err)
-		c.nodes = append(c.nodes, s)
+		c.nodes = append(c.nodes, created)
 	}
 	return c
 }
--- a/internal/fleet/session/service/golden_test.go
+++ b/internal/fleet/session/service/golden_test.go
@@ -18,7 +18,7 @@
 // The encodings of a continuation, compressed and plain, of the leader's reply and of a node's status do not change:
 // other versions and clients read them.
 func TestGoldenFormats(t *testing.T) {
-	s := newCluster(t, 1, nil).nodes[0]
+	service := newCluster(t, 1, nil).nodes[0]
 	next := continuation{
 		Body:           json.RawMessage(`{"messages":[]}`),
 		Class:          1,
@@ -35,7 +35,7 @@
 		MaxResultBytes: 11,
 	}
 	golden.JSON(t, "kept.json", next)
-	golden.RoundTrip(t, "kept.zst", next, s.encode, s.decode)
+	golden.RoundTrip(t, "kept.zst", next, service.encode, service.decode)
 	golden.JSON(t, "reply.json", reply{
 		Record: &session.Record{
 			ID:           "one",
--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -115,11 +115,11 @@
 			}
 			continue
 		}
-		var c chunk
-		if json.Unmarshal(data, &c) != nil {
+		var parsed chunk
+		if json.Unmarshal(data, &parsed) != nil {
 			continue // forwarded unchanged
 		}
-		switch h.observe(&c) {
+		switch h.observe(&parsed) {
 		case RejectCall:
 			return h.rejection(), node.HookStop
 		case PauseSession:
--- a/internal/fleet/session/service/registry.go
+++ b/internal/fleet/session/service/registry.go
@@ -117,13 +117,13 @@
 	if err != nil {
 		return nil, err
 	}
-	op := store.Op{Key: keyPrefix + command.ID, ExpectedVersion: version}
+	write := store.Op{Key: keyPrefix + command.ID, ExpectedVersion: version}
 	if next != nil {
-		if op.Data, err = json.Marshal(next); err != nil {
+		if write.Data, err = json.Marshal(next); err != nil {
 			return nil, err
 		}
 	}
-	if _, err = r.store.Write(ctx, op); err != nil {
+	if _, err = r.store.Write(ctx, write); err != nil {
 		return nil, err
 	}
 	r.track(command.ID, next)
@@ -256,7 +256,7 @@
 func (r *registry) dueCommand(record *session.Record, id string, now int64) (command session.Command, due bool) {
 	switch record.State {
 	case session.Ended, session.Expired:
-		return session.Command{Kind: session.Forget, ID: id}, true
+		return session.Command{Kind: session.Delete, ID: id}, true
 	case session.Claimed, session.Resuming:
 		// The claim's holder has failed. The session is released on its behalf: the client may resume it with the same
 		// key, or else it expires.
--- a/internal/fleet/session/service/resume_test.go
+++ b/internal/fleet/session/service/resume_test.go
@@ -144,9 +144,9 @@
 
 // Resumes are limited in rate, by a lower rate while the fleet recovers from a partition, and in number in flight.
 func TestResumeRate(t *testing.T) {
-	c := newCluster(t, 1, func(o *Options) {
-		o.ResumeRate = 10
-		o.MaxConcurrentResumes = 3
+	c := newCluster(t, 1, func(options *Options) {
+		options.ResumeRate = 10
+		options.MaxConcurrentResumes = 3
 	})
 	s := c.nodes[0]
 	var keys []string
--- a/internal/fleet/session/session_test.go
+++ b/internal/fleet/session/session_test.go
@@ -109,8 +109,8 @@
 	require.NoError(t, step(t, &r, end, 15*second), "repeated command")
 	require.Nil(t, r.Data)
 	require.ErrorIs(t, step(t, &r, next, 16*second), ErrKeyUsed)
-	require.ErrorIs(t, step(t, &r, Command{Kind: Forget}, 16*second), ErrInvalidTransition)
-	require.NoError(t, step(t, &r, Command{Kind: Forget}, 76*second))
+	require.ErrorIs(t, step(t, &r, Command{Kind: Delete}, 16*second), ErrInvalidTransition)
+	require.NoError(t, step(t, &r, Command{Kind: Delete}, 76*second))
 	require.Nil(t, r)
 	require.ErrorIs(t, step(t, &r, next, 77*second), ErrUnknownKey)
 }
@@ -232,7 +232,7 @@
 
 // drawCommand draws a new command, or repeats one that was issued before.
 func drawCommand(t *rapid.T, issued []Command) Command {
-	kinds := []CommandKind{Pause, Claim, Claim, Begin, Release, End, Cancel, Expire, Forget}
+	kinds := []CommandKind{Pause, Claim, Claim, Begin, Release, End, Cancel, Expire, Delete}
 	owners := []Owner{{"a", 1}, {"b", 1}, {"c", 1}}
 	c := Command{
 		Kind:          rapid.SampledFrom(kinds).Draw(t, "kind"),
--- a/internal/store/raft_test.go
+++ b/internal/store/raft_test.go
@@ -99,9 +99,9 @@
 	require.NoError(t, err)
 	members[secondIndex] = nil
 	require.NoError(t, second.Close())
-	for _, m := range members {
-		if m != nil {
-			require.NoError(t, m.Close())
+	for _, member := range members {
+		if member != nil {
+			require.NoError(t, member.Close())
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	leader, _ := awaitLeader(b, members...)
 	data := []byte(`{"state":"out","until":1796121600000,"tries":1}`)
 	sent := func() (bytes int64) {
-		for _, m := range members {
-			bytes += m.BytesSent()
+		for _, member := range members {
+			bytes += member.BytesSent()
 		}
 		return bytes
 	}
@@ -139,8 +139,8 @@
 	heartbeats := idlePerSecond * time.Since(startedAt).Seconds()
 	b.ReportMetric((float64(sent()-sentAtStart)-heartbeats)/float64(b.N), "wire-B/op")
 	b.ReportMetric(idlePerSecond, "idle-B/s")
-	for _, m := range members {
-		_ = m.Close()
+	for _, member := range members {
+		_ = member.Close()
 	}
 }
 
--- a/internal/store/storage.go
+++ b/internal/store/storage.go
@@ -36,33 +36,33 @@
 // openDirectory opens the storage in options.Dir, and creates it if it does not exist. It reads the whole log once, so
 // that a corrupt file is reported with its path and never treated as an empty log.
 func openDirectory(options RaftOptions) (_ *storage, err error) {
-	s := &storage{}
+	disk := &storage{}
 	defer func() {
 		if err != nil {
-			_ = s.close() // the error that is returned takes precedence
+			_ = disk.close() // the error that is returned takes precedence
 		}
 	}()
 	if err = os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	if s.lockFile, err = lockDirectory(filepath.Join(options.Dir, lockFileName)); err != nil {
+	if disk.lockFile, err = lockDirectory(filepath.Join(options.Dir, lockFileName)); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(options.Dir, logFileName)
 	if err = recoverFault(func() (err error) {
-		if s.database, err = boltdb.NewBoltStore(path); err != nil {
+		if disk.database, err = boltdb.NewBoltStore(path); err != nil {
 			return err
 		}
-		return verifyLog(s.database)
+		return verifyLog(disk.database)
 	}); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	s.log = s.database
-	s.stable = s.database
-	if s.snapshots, err = raft.NewFileSnapshotStore(options.Dir, retainedSnapshots, options.LogOutput); err != nil {
+	disk.log = disk.database
+	disk.stable = disk.database
+	if disk.snapshots, err = raft.NewFileSnapshotStore(options.Dir, retainedSnapshots, options.LogOutput); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return disk, nil
 }
 
 func (s *storage) close() error {
