--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -16,11 +16,11 @@
 // Kinds of a fleet's budget.
 const (
 	BudgetTokens   = "tokens"   // of a tenant
-	BudgetAttempts = "attempts" // retries, of all requests
-	BudgetPlaces   = "places"   // for paused sessions: of all tenants, or of one
+	BudgetRetries  = "attempts" // retries, of all requests
+	BudgetSessions = "places"   // for paused sessions: of all tenants, or of one
 )
 
-var budgetKinds = []string{BudgetTokens, BudgetAttempts, BudgetPlaces}
+var budgetKinds = []string{BudgetTokens, BudgetRetries, BudgetSessions}
 
 // Fleet is the section [fleet]: what the nodes share, and by which times. Without a listener nothing is shared.
 type Fleet struct {
@@ -57,7 +57,7 @@
 
 // FleetBudget is a [[fleet.budget]]: what the fleet may spend in each window.
 type FleetBudget struct {
-	Kind            string   `toml:"kind"`   // BudgetTokens, BudgetAttempts or BudgetPlaces
+	Kind            string   `toml:"kind"`   // BudgetTokens, BudgetRetries or BudgetSessions
 	Tenant          string   `toml:"tenant"` // "" for all
 	Amount          int64    `toml:"amount"`
 	Overdraft       int64    `toml:"overdraft"`
@@ -283,7 +283,7 @@
 // windowsAhead is for how many further windows a budget is spent in advance: a place is held until the slowest tool
 // has answered.
 func (o *OperatorFile) windowsAhead(b *FleetBudget) int {
-	if b.Kind != BudgetPlaces || b.Window <= 0 {
+	if b.Kind != BudgetSessions || b.Window <= 0 {
 		return 0
 	}
 	var longest Duration
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -7,17 +7,17 @@
 
 // What happens to an answer that calls a tool.
 const (
-	ToolPause  = "pause"  // the session pauses until the result comes
-	ToolKeep   = "keep"   // the call is passed on, and the session goes on
-	ToolRefuse = "refuse" // the request fails
+	ToolPause       = "pause"  // the session pauses until the result comes
+	ToolPassThrough = "keep"   // the call is passed on, and the session goes on
+	ToolReject      = "refuse" // the request fails
 )
 
-var toolActions = []string{ToolPause, ToolKeep, ToolRefuse}
+var toolActions = []string{ToolPause, ToolPassThrough, ToolReject}
 
 // Tool is a [[tool]] that the model may call.
 type Tool struct {
 	Name          string   `toml:"name"`
-	Action        string   `toml:"does"`      // ToolPause, ToolKeep or ToolRefuse
+	Action        string   `toml:"does"`      // ToolPause, ToolPassThrough or ToolReject
 	ResultTimeout Duration `toml:"wait"`      // after which a paused session ends
 	MaxResultKB   int      `toml:"result_kb"` // KiB
 	Class         string   `toml:"class"`     // of the requests that continue the session; "" for its own
--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -31,23 +31,25 @@
 type component struct {
 	name string
 	// start is called once all components are constructed, before any of them runs and before clients are accepted. It
-	// returns early when the context ends: the process has been told to stop.
+	// returns early when the context ends, which is when the process receives a signal to stop.
 	start func(context.Context)
-	// run runs until its context ends, which is after every accepted request has been answered.
+	// run blocks until its context ends, which is after every accepted request has been answered.
 	run func(context.Context)
-	// check tells whether the component can apply a deployment. No component reloads before all have agreed.
+	// check returns an error if the component cannot apply a deployment. No component reloads before every check has
+	// passed.
 	check func(next deployment) error
-	// reload applies a deployment that check has accepted.
+	// reload applies a deployment for which check returned no error.
 	reload func(next deployment)
-	// stop releases what the component has opened. Components stop in the reverse order of their construction.
+	// stop releases the resources that the component has opened. Components stop in the reverse order of their
+	// construction.
 	stop func() error
 }
 
-// constructor constructs a component from those before it. Where the deployment has no use for the component, its name
-// is "".
+// constructor constructs a component, which may use the components constructed before it. If the deployment does not
+// need the component, the result has the name "".
 type constructor func(*assembly) (component, error)
 
-// platformComponents make up the daemon on the platform, in the order of their construction.
+// platformComponents are the components of a daemon that the platform configures, in the order of construction.
 var platformComponents = []constructor{
 	consoleComponent,
 	siblingsComponent,
@@ -58,7 +60,7 @@
 	edgeComponent,
 }
 
-// operatorComponents make up the daemon of an operator's file, in the order of their construction.
+// operatorComponents are the components of a daemon that an operator's file configures, in the order of construction.
 var operatorComponents = []constructor{
 	consoleComponent,
 	siblingsComponent,
@@ -80,60 +82,60 @@
 	metricsComponent,
 }
 
-// assembly is what the components share. Constructors set its fields in the order of their table; afterwards the fields
-// are constant, but for those that say otherwise.
+// assembly holds the state that the components share. Constructors set its fields in the order of their table;
+// afterwards the fields do not change, except for those whose comments say so.
 type assembly struct {
-	deployment    // of the start
+	deployment    // the deployment at the start of the process
 	configFile    string
-	baseDirectory string      // that relative paths of the operator's file start from
-	log           *zap.Logger // of the components
-	processLog    *zap.Logger // of the process's phases: log with the node's name
+	baseDirectory string      // directory against which relative paths in the operator's file are resolved
+	log           *zap.Logger // log of the components
+	processLog    *zap.Logger // log of the process's phases, with the node's name as a field
 	level         zap.AtomicLevel
 	lifecycle     *node.Lifecycle
 	components    []component
 
-	// The supervising goroutine alone uses these.
-	current        deployment              // in force
-	sharedSettings string                  // laid over the operator's file; "" for none
-	siblingCount   int                     // other live processes of this node
+	// The following fields are used by the supervising goroutine alone.
+	current        deployment              // the deployment in force
+	sharedSettings string                  // shared configuration that overrides the operator's file; "" for none
+	siblingCount   int                     // number of other live processes of this node
 	clients        *edge.ConnectionTracker // nil until clients are accepted
 
-	// Requests to the supervising goroutine.
+	// The following channels carry requests to the supervising goroutine.
 	settingsRequests chan settingsRequest
 	drainRequests    chan drainRequest
-	siblingCounts    chan int // the number of siblings, when it has changed
+	siblingCounts    chan int // the new number of siblings after each change
 
-	overrideRequests chan overrideRequest // to the console's component
-	siblings         *handover.Channel    // nil where the node is always one process
-	adoptedStreams   sync.WaitGroup       // streams of a sibling that this process carries on
+	overrideRequests chan overrideRequest // requests to the console component
+	siblings         *handover.Channel    // nil if the node is always a single process
+	adoptedStreams   sync.WaitGroup       // streams that this process has adopted from siblings
 
 	store      store.Store
 	backends   *backend.Fleet
-	pools      node.Pools // nil for none
+	pools      node.Pools // nil if the file defines no pools
 	tracker    *controller.Tracker
 	migrations *controller.Controller
-	fleet      *fleet.Fleet            // nil: nothing is shared
-	ledger     *replication.Replicator // nil: the use of tenants is not recorded
-	sessions   *service.Service        // nil: no session pauses
+	fleet      *fleet.Fleet            // nil if nothing is shared with other nodes
+	ledger     *replication.Replicator // nil if the usage of tenants is not recorded
+	sessions   *service.Service        // nil if sessions are never paused
 	core       *node.Core
 	front      *edge.Front
-	handlers   []prefixHandler // of paths that the front does not serve
-	routes     []control.Route // of the control interface
+	handlers   []prefixHandler // handlers of the paths that the front does not serve
+	routes     []control.Route // routes of the control interface
 
 	endpointCache     *endpoints.Cache
 	overrides         *endpoints.Overrides
 	endpointSource    runnableSource
 	updateEndpoints   func(node.EndpointList)
-	endpointsReceived chan struct{} // closed at the source's first list; nil for a source that is not waited for
-	discoveryFailing  func() bool   // whether the source refuses, or cannot be reached
+	endpointsReceived chan struct{} // closed at the source's first list; nil if the start does not wait for that
+	discoveryFailing  func() bool   // reports whether the source rejects calls or cannot be reached
 
 	counters         *metrics.Counters
-	registry         *prometheus.Registry // nil for no metrics
+	registry         *prometheus.Registry // nil if no metrics are served
 	discoveryMetrics *browser.Metrics
 
-	coreMutex      sync.Mutex   // guards coreDeployment, and orders changes of the core's settings
-	coreDeployment deployment   // that the core's settings come from
-	nodeCount      atomic.Int64 // nodes of the installation that were found; 0 for as many as the deployment says
+	coreMutex      sync.Mutex   // guards coreDeployment, and serializes changes of the core's settings
+	coreDeployment deployment   // deployment from which the core's settings were derived
+	nodeCount      atomic.Int64 // number of nodes found by discovery; 0 if only the deployment states it
 }
 
 // runnableSource is a source of the endpoint list that runs until its context ends.
@@ -142,12 +144,13 @@
 	Run(context.Context)
 }
 
-// prefixHandler serves the paths that begin with one of the prefixes.
+// prefixHandler is an HTTP handler for the paths that begin with one of the prefixes.
 type prefixHandler struct {
 	prefixes []string
 	handler  http.Handler
 }
 
+// newAssembly returns an assembly without components.
 func newAssembly(d deployment, o Options) *assembly {
 	a := &assembly{
 		deployment:       d,
@@ -171,6 +174,7 @@
 	return a
 }
 
+// constructors returns the table of components for the kind of configuration.
 func (a *assembly) constructors() []constructor {
 	if a.operator != nil {
 		return operatorComponents
@@ -178,7 +182,7 @@
 	return platformComponents
 }
 
-// assemble constructs the components. On an error those that are constructed are stopped again.
+// assemble constructs the components. On an error it stops those that it has constructed.
 func (a *assembly) assemble(constructors []constructor) error {
 	for _, construct := range constructors {
 		c, err := construct(a)
@@ -226,7 +230,7 @@
 	return errors.Join(errs...)
 }
 
-// runTogether combines functions that run until their context ends.
+// runTogether returns a function that runs the given functions concurrently, and returns when all have returned.
 func runTogether(functions ...func(context.Context)) func(context.Context) {
 	return func(ctx context.Context) {
 		var running sync.WaitGroup
--- a/internal/daemon/backends.go
+++ b/internal/daemon/backends.go
@@ -6,7 +6,7 @@
 	"standpoint/internal/backend"
 )
 
-// backendsComponent sends attempts to backends.
+// backendsComponent creates the connections over which attempts are sent to backends.
 func backendsComponent(a *assembly) (component, error) {
 	_, names, _ := a.requestSettings()
 	options := backend.Options{
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -7,10 +7,10 @@
 	"standpoint/internal/batch"
 )
 
-// uploadTimeout is how long a batch file may take, which is longer than a single request may.
+// uploadTimeout bounds the upload of a batch file, which may take longer than the body of a single request.
 const uploadTimeout = 2 * time.Minute
 
-// batchComponent serves the batch API, where the operator's file enables it.
+// batchComponent serves the batch API, if the operator's file enables it.
 func batchComponent(a *assembly) (component, error) {
 	cfg := &a.operator.Batch
 	if !cfg.Enabled {
@@ -37,7 +37,7 @@
 	})
 	handler := service.Handler()
 	upload := func(w http.ResponseWriter, r *http.Request) {
-		// Where the deadline cannot be set, the server's shorter one holds.
+		// If the deadline cannot be set, the server's shorter one stays in force.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(uploadTimeout))
 		handler.ServeHTTP(w, r)
 	}
--- a/internal/daemon/console.go
+++ b/internal/daemon/console.go
@@ -12,8 +12,8 @@
 	"standpoint/internal/node"
 )
 
-// consoleComponent serves the operations console, where the deployment names an address for it. It answers before the
-// other components have started, and until all have stopped.
+// consoleComponent serves the operations console, if the deployment has an address for it. The console responds before
+// the other components have started, and until all of them have stopped.
 func consoleComponent(a *assembly) (component, error) {
 	if a.console == "" {
 		return component{}, nil
@@ -30,7 +30,7 @@
 		return component{}, fmt.Errorf("console: %w", err)
 	}
 	start := func(context.Context) {
-		go func() { // ends with stop
+		go func() { // returns after stop
 			if err := server.Serve(); err != nil {
 				a.log.Error("console server failed", zap.Error(err))
 			}
@@ -39,13 +39,13 @@
 	return component{name: "console", start: start, run: a.applyOverrides, stop: server.Close}, nil
 }
 
-// overrideRequest asks for a change of a backend's override by an operator.
+// overrideRequest asks applyOverrides to change the override of a backend.
 type overrideRequest struct {
 	apply  func() error
-	result chan error // buffered for one
+	result chan error // has capacity 1, so that applyOverrides never blocks on it
 }
 
-// applyOverrides applies one override after the other until the context ends.
+// applyOverrides applies override requests one at a time until the context ends.
 func (a *assembly) applyOverrides(ctx context.Context) {
 	for {
 		select {
@@ -57,8 +57,8 @@
 	}
 }
 
-// overrideOperation returns an operation that has applyOverrides run apply for a backend. It gives up when its context
-// ends, after which the override may still be applied.
+// overrideOperation returns a console operation that passes apply to applyOverrides and waits for the result. If its
+// context ends first, the override may still be applied later.
 func (a *assembly) overrideOperation(apply func(id string) error) func(context.Context, string) error {
 	return func(ctx context.Context, id string) error {
 		request := overrideRequest{apply: func() error { return apply(id) }, result: make(chan error, 1)}
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -18,7 +18,7 @@
 	"standpoint/internal/testpeer"
 )
 
-// withConsole returns an operator's file with a console, and the console's address.
+// withConsole writes an operator's file with a console, and returns its path and the console's address.
 func withConsole(t *testing.T, listen, server string) (path, console string) {
 	t.Helper()
 	path = operatorFile(t, listen, server)
@@ -29,7 +29,7 @@
 	return path, console
 }
 
-// callConsole returns the status and text of an answer; status 0 where there is none.
+// callConsole returns the status and the body of a response; the status is 0 if there is no response.
 func callConsole(t *testing.T, console, method, target string) (int, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+console+target, nil)
@@ -44,21 +44,21 @@
 	return response.StatusCode, string(body)
 }
 
-// operatedNode is a daemon with a console, before one backend that holds the answer to the request "held" back until
-// release is closed.
-type operatedNode struct {
+// consoleNode is a daemon with a console and one backend. The backend delays the end of its response to the request
+// with the trace id "held" until release is closed.
+type consoleNode struct {
 	t       *testing.T
 	listen  string
 	console string
 	logs    *observer.ObservedLogs
 	exit    chan error
 	release chan struct{}
-	sent    atomic.Int32 // requests that the backend got
+	sent    atomic.Int32 // requests that the backend has received
 }
 
-func startOperatedNode(t *testing.T) *operatedNode {
+func startConsoleNode(t *testing.T) *consoleNode {
 	t.Helper()
-	n := &operatedNode{t: t, listen: testpeer.FreeAddress(t), exit: make(chan error, 1), release: make(chan struct{})}
+	n := &consoleNode{t: t, listen: testpeer.FreeAddress(t), exit: make(chan error, 1), release: make(chan struct{})}
 	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		n.sent.Add(1)
 		testpeer.Event(w, "x")
@@ -69,11 +69,11 @@
 	})
 	var path string
 	path, n.console = withConsole(t, n.listen, server)
-	taken, err := net.Listen("tcp", n.console)
+	occupied, err := net.Listen("tcp", n.console)
 	require.NoError(t, err)
 	require.ErrorContains(t, Run(Options{ConfigFile: path, Log: zap.NewNop()}), "console: ",
-		"an address in use is named")
-	require.NoError(t, taken.Close())
+		"the error names the key of an address in use")
+	require.NoError(t, occupied.Close())
 	core, logs := observer.New(zap.InfoLevel)
 	n.logs = logs
 	go func() { n.exit <- Run(Options{ConfigFile: path, Log: zap.New(core)}) }()
@@ -81,36 +81,36 @@
 	return n
 }
 
-func (n *operatedNode) status(method, target string) int {
+func (n *consoleNode) status(method, target string) int {
 	status, _ := callConsole(n.t, n.console, method, target)
 	return status
 }
 
-func (n *operatedNode) statistics() string {
+func (n *consoleNode) statistics() string {
 	status, text := callConsole(n.t, n.console, "GET", "/ops/stats")
 	require.Equal(n.t, 200, status)
 	return text
 }
 
-func (n *operatedNode) health() int {
+func (n *consoleNode) health() int {
 	response, err := http.Get("http://" + n.listen + "/_health")
 	require.NoError(n.t, err)
 	require.NoError(n.t, response.Body.Close())
 	return response.StatusCode
 }
 
-func (n *operatedNode) eventually(condition func() bool) {
+func (n *consoleNode) eventually(condition func() bool) {
 	n.t.Helper()
 	require.Eventually(n.t, condition, 5*time.Second, 5*time.Millisecond)
 }
 
-func (n *operatedNode) signal(s syscall.Signal) {
+func (n *consoleNode) signal(s syscall.Signal) {
 	n.t.Helper()
 	require.NoError(n.t, syscall.Kill(os.Getpid(), s))
 }
 
-// Draining by hand can be repeated and ended, more than once.
-func (n *operatedNode) drainAndResume() {
+// drainAndResume checks that a manual drain can be requested repeatedly, ended, and begun again.
+func (n *consoleNode) drainAndResume() {
 	for range 2 {
 		for range 2 {
 			require.Equal(n.t, 200, n.status("POST", "/ops/drain/start"))
@@ -124,9 +124,9 @@
 	}
 }
 
-// While the only backend is marked down a request waits, also over a reload, which lists the backend as ready. It is
-// sent once the backend is marked up.
-func (n *operatedNode) markDownAndUp() {
+// markDownAndUp checks that a request waits while the only backend is marked down, even across a reload that lists the
+// backend as ready, and that it is sent once the backend is marked up.
+func (n *consoleNode) markDownAndUp() {
 	require.Equal(n.t, 200, n.status("POST", "/ops/engines/down?id=box-1"))
 	answer := make(chan string, 1)
 	go func() {
@@ -145,14 +145,14 @@
 	}, 2*time.Second, 5*time.Millisecond)
 	n.signal(syscall.SIGHUP)
 	n.eventually(func() bool { return n.logs.FilterMessage("configuration reloaded").Len() == 1 })
-	require.EqualValues(n.t, 1, n.sent.Load(), "the attempt in progress goes on, and no new one is sent")
+	require.EqualValues(n.t, 1, n.sent.Load(), "the attempt in progress continues, and no new one is sent")
 	require.Equal(n.t, 200, n.status("POST", "/ops/engines/up?id=box-1"))
 	require.Contains(n.t, <-answer, "[DONE]")
 	require.EqualValues(n.t, 2, n.sent.Load())
 }
 
-// A node that was told to stop stays drained, and answers the console until it exits.
-func (n *operatedNode) stopWhileDrained() {
+// stopWhileDrained checks that a node that received SIGTERM stays drained, and serves the console until it exits.
+func (n *consoleNode) stopWhileDrained() {
 	require.Equal(n.t, 200, n.status("POST", "/ops/drain/start"))
 	require.Equal(n.t, 503, n.health())
 	n.signal(syscall.SIGTERM)
@@ -160,9 +160,10 @@
 	require.Equal(n.t, 200, n.status("POST", "/ops/drain/start"))
 }
 
-// A daemon and its operators: readiness, statistics, drains by hand, a backend that is marked down, and the end.
+// TestConsoleOperations covers the console of a running daemon: readiness, statistics, manual drains, a backend that is
+// marked down, and the shutdown.
 func TestConsoleOperations(t *testing.T) {
-	n := startOperatedNode(t)
+	n := startConsoleNode(t)
 	require.Equal(t, 200, n.health())
 	n.drainAndResume()
 	held, err := http.DefaultClient.Do(testpeer.ChatRequest(t, n.listen, "held", "3000m"))
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,18 +15,18 @@
 	"standpoint/internal/control"
 )
 
-// statusAnswer is the answer of GET /v1/status.
-type statusAnswer struct {
+// statusResponse is the response to GET /v1/status.
+type statusResponse struct {
 	Name          string  `json:"name"`
 	Version       string  `json:"version"`
 	Phase         string  `json:"phase"`
 	OpenRequests  int     `json:"open_flows"`
-	Endpoints     int     `json:"service_entries"` // in use
+	Endpoints     int     `json:"service_entries"` // number of endpoints in use
 	UptimeSeconds float64 `json:"up_s"`
 }
 
-// controlComponent serves the control interface, where the file names an address for it. It is constructed after the
-// components that add routes.
+// controlComponent serves the control interface, if the operator's file has an address for it. It is constructed after
+// the components that add routes.
 func controlComponent(a *assembly) (component, error) {
 	cfg := &a.operator.Control
 	if cfg.Listen == "" {
@@ -48,7 +48,7 @@
 	}
 	return component{
 		name: "control",
-		run: func(context.Context) { // ends with stop
+		run: func(context.Context) { // returns after stop
 			if err := server.Serve(); err != nil {
 				a.log.Error("control server failed", zap.Error(err))
 			}
@@ -67,8 +67,8 @@
 	}, nil
 }
 
-func (a *assembly) status(started time.Time) statusAnswer {
-	return statusAnswer{
+func (a *assembly) status(started time.Time) statusResponse {
+	return statusResponse{
 		Name:          a.name,
 		Version:       Version + " " + runtime.Version(),
 		Phase:         a.lifecycle.Phase().String(),
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -8,7 +8,7 @@
 	"standpoint/internal/node"
 )
 
-// coreComponent runs the core, which decides about requests.
+// coreComponent runs the core, which schedules requests by means of the decision module.
 func coreComponent(a *assembly) (component, error) {
 	settings, _, seed := a.requestSettings()
 	options := node.Options{
@@ -21,7 +21,7 @@
 		Metrics:     a.counters,
 		Log:         a.log,
 	}
-	if a.fleet != nil { // else a nil *fleet.Fleet would make a non-nil interface
+	if a.fleet != nil { // a nil *fleet.Fleet would make the interface non-nil
 		options.Fleet = a.fleet
 	}
 	exchange := a.newExchange()
@@ -41,7 +41,8 @@
 	return component{name: "core", run: runTogether(a.core.Run, runExchange), reload: reload}, nil
 }
 
-// newExchange returns what carries the decision module's messages between nodes; nil where the platform permits none.
+// newExchange returns the datagram exchange for the decision module's messages between nodes; nil if the platform does
+// not permit such messages.
 func (a *assembly) newExchange() *datagram.Exchange {
 	if a.platform == nil || !a.platform.Settings.Peers || a.platform.PeerListen == "" {
 		return nil
@@ -49,8 +50,8 @@
 	return datagram.New(a.platform.PeerListen, a.platform.Peers, a.log)
 }
 
-// adjustCore gives the core new settings: those of the next deployment, or, where that is nil, those of the deployment
-// that the core goes by with the number of nodes as it is now.
+// adjustCore gives the core the settings of the next deployment. If next is nil, it keeps the core's deployment and
+// applies only the current number of nodes.
 func (a *assembly) adjustCore(next *deployment) {
 	a.coreMutex.Lock()
 	defer a.coreMutex.Unlock()
@@ -60,7 +61,7 @@
 	a.core.Adjust(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
 }
 
-// coreSettings is a deployment's settings with the number of nodes that was found.
+// coreSettings returns the settings of a deployment, with the number of nodes found by discovery where that is greater.
 func (a *assembly) coreSettings(d deployment) standpoint.Settings {
 	settings, _, _ := d.requestSettings()
 	settings.Gateways = max(settings.Gateways, int(a.nodeCount.Load()))
--- a/internal/daemon/deployment.go
+++ b/internal/daemon/deployment.go
@@ -11,19 +11,20 @@
 	"standpoint/internal/transient"
 )
 
-// deployment is one configuration of the daemon. Exactly one of platform and operator is set.
+// deployment is a configuration of the daemon. Exactly one of platform and operator is set.
 type deployment struct {
 	name       string
 	listen     string
-	console    string        // "" for no console
-	limits     config.Limits // of this process
-	nodeLimits config.Limits // of the node, which may be two processes
-	killDelay  time.Duration // after SIGTERM, when the platform kills the process at the earliest; 0 for never
+	console    string        // address of the operations console; "" for none
+	limits     config.Limits // limits of this process
+	nodeLimits config.Limits // limits of the node, which may consist of several processes
+	killDelay  time.Duration // minimum time from SIGTERM until the platform kills the process; 0 if it never does
 	platform   *config.PlatformConfig
 	operator   *config.OperatorFile
 }
 
-// readDeployment reads the configuration at the start.
+// readDeployment reads the configuration at the start: the operator's file, or, if file is "", the platform's
+// configuration.
 func readDeployment(file string) (deployment, error) {
 	if file != "" {
 		cfg, err := config.ReadOperatorFile(file)
@@ -56,7 +57,8 @@
 	}
 }
 
-// requestSettings is what both kinds of configuration say about requests, and the seed of the decision module.
+// requestSettings returns what both kinds of configuration have in common: the settings and the seed of the decision
+// module, and the names that belong to the settings.
 func (d deployment) requestSettings() (standpoint.Settings, config.Names, int64) {
 	if d.platform != nil {
 		return d.platform.Settings, d.platform.Names, d.platform.Seed
@@ -64,7 +66,8 @@
 	return d.operator.Settings, d.operator.Names, d.operator.Seed
 }
 
-// rereadDeployment reads the configuration for the running process. An error names what is invalid, or may not change.
+// rereadDeployment reads the configuration again for the running process. The error names a key that is invalid, or
+// that cannot change without a restart.
 func (a *assembly) rereadDeployment() (deployment, error) {
 	if a.current.platform != nil {
 		cfg, err := a.current.platform.Reload(os.Getenv)
@@ -78,7 +81,7 @@
 	return fromOperator(cfg), err
 }
 
-// operatorText is the operator's file with the shared configuration laid over it.
+// operatorText returns the operator's file merged with the shared configuration, which takes precedence.
 func (a *assembly) operatorText() (string, error) {
 	raw, err := transient.ReadFile(a.configFile)
 	if err != nil {
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon composes the program from its components, applies new configurations to them, and leads the process
-// through its phases from start to exit.
+// Package daemon is the composition root of the program: it constructs and starts the components, applies configuration
+// reloads to them, and takes the process through its phases from start to exit.
 package daemon
--- a/internal/daemon/edge.go
+++ b/internal/daemon/edge.go
@@ -9,7 +9,7 @@
 	"standpoint/internal/node"
 )
 
-// edgeComponent creates the HTTP front for single requests.
+// edgeComponent creates the HTTP front that serves single requests.
 func edgeComponent(a *assembly) (component, error) {
 	_, names, _ := a.requestSettings()
 	a.front = &edge.Front{
@@ -29,7 +29,7 @@
 	return component{name: "edge", reload: reload}, nil
 }
 
-// handler serves all paths that clients use.
+// handler returns the handler for all paths that clients use.
 func (a *assembly) handler() http.Handler {
 	front := a.front.Handler()
 	if len(a.handlers) == 0 {
@@ -46,6 +46,7 @@
 	})
 }
 
+// matches reports whether the path begins with one of the prefixes.
 func (h *prefixHandler) matches(path string) bool {
 	return slices.ContainsFunc(h.prefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -16,20 +16,26 @@
 )
 
 const (
-	minPushedInterval = 20 * time.Millisecond // between two calls to a discovery that pushes, and does not answer
+	// minPushedInterval is the minimum time between two calls to a discovery server that pushes lists, while it does not
+	// respond.
+	minPushedInterval = 20 * time.Millisecond
 
-	awaitPollInterval = 10 * time.Millisecond
-	awaitPushedList   = 1500 * time.Millisecond // for the first list of a discovery that pushes and gives none
-	maxAwait          = 4 * time.Second         // a new process has 6 s from its start to say that it serves
+	// endpointsPollInterval is the interval at which the start checks whether to wait any longer for the first list.
+	endpointsPollInterval = 10 * time.Millisecond
+	// pushedListWait is the minimum wait for the first list of a discovery server that pushes lists.
+	pushedListWait = 1500 * time.Millisecond
+	// maxEndpointsWait bounds the wait for the first list: a new process has to report that it serves within 6 s of its
+	// start.
+	maxEndpointsWait = 4 * time.Second
 )
 
-// createEndpointCache creates the cache, which keeps the endpoint list in the store, and the overrides, through which
-// lists go on to the core.
+// createEndpointCache creates the cache, which persists the endpoint list in the store, and the overrides, which pass
+// lists on to the core.
 func (a *assembly) createEndpointCache() {
 	_, names, _ := a.requestSettings()
 	a.endpointCache = endpoints.NewCache(a.store, a.log)
 	a.endpointCache.Names = endpointNames(names)
-	update := func(l node.EndpointList) { a.core.UpdateEndpoints(l) } // the core is constructed later
+	update := func(l node.EndpointList) { a.core.UpdateEndpoints(l) } // a.core is set later
 	a.overrides = endpoints.NewOverrides(a.endpointCache, update, a.siblings, a.log)
 	a.updateEndpoints = a.overrides.Update
 }
@@ -38,7 +44,7 @@
 	return endpoints.Names{Zones: names.Zones, Kinds: names.Kinds}
 }
 
-// platformEndpointsComponent watches the platform's discovery.
+// platformEndpointsComponent receives the endpoint list from the platform's discovery server.
 func platformEndpointsComponent(a *assembly) (component, error) {
 	cfg := a.platform
 	sequence, known, err := a.knownEndpoints()
@@ -53,20 +59,21 @@
 		first.Do(func() { close(a.endpointsReceived) })
 	}
 	watcher := endpoints.NewWatcher(cfg.Discovery, endpointNames(cfg.Names), sequence, update, a.log)
-	if !cfg.Settings.SubscribeDiscovery { // a change binds at once, so it is to be known well within the grace for drains
+	// A pushed change applies at once, so this node has to learn of it well within the grace time for drains.
+	if !cfg.Settings.SubscribeDiscovery {
 		watcher.MaxPushedPause = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
 	}
 	watcher.Nodes = cfg.Settings.Gateways
 	watcher.Restore(known)
-	watcher.Watch() // before anything else that the start waits for, since the known list is old
+	watcher.Watch() // before the start waits for anything else, since the known list is old
 	if a.siblingCount > 0 {
-		watcher.RequestFullList() // a serving sibling knows a newer list than the one this process was started with
+		watcher.RequestFullList() // a serving sibling has a newer list than the one this process was started with
 	}
 	a.endpointSource = watcher
 	a.discoveryFailing = watcher.Failing
 	return component{
 		name:  "endpoints",
-		start: func(context.Context) { a.updateEndpoints(known) }, // until the watch has the present list
+		start: func(context.Context) { a.updateEndpoints(known) }, // in force until the watch delivers the current list
 		run:   runTogether(a.endpointCache.Run, watcher.Run),
 		reload: func(next deployment) {
 			old, now := a.current.platform, next.platform
@@ -77,7 +84,7 @@
 	}, nil
 }
 
-// knownEndpoints decodes the list that the process was started with, and its sequence number.
+// knownEndpoints decodes the endpoint list that the process was started with, and its sequence number.
 func (a *assembly) knownEndpoints() (int64, node.EndpointList, error) {
 	cfg := a.platform
 	if len(cfg.KnownEndpoints) == 0 {
@@ -94,13 +101,13 @@
 }
 
 // awaitEndpoints waits, for a bounded time, for the source's first list before clients are accepted: the list that the
-// process was started with is old, and backends may have begun to drain since.
+// process was started with is old, and some of its backends may have started to drain in the meantime.
 func (a *assembly) awaitEndpoints(stop context.Context) {
 	if a.endpointsReceived == nil {
 		return
 	}
 	started := time.Now()
-	ticker := time.NewTicker(awaitPollInterval)
+	ticker := time.NewTicker(endpointsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -116,16 +123,17 @@
 	}
 }
 
-// awaitedLongEnough tells whether to serve by the list that the process was started with. While a sibling serves,
-// nobody waits for this process. Else a discovery that refuses, or cannot be reached, is not waited for where lists
-// are asked for: no call of this process is queued there, and it has 6 s to learn the list. A pushed list binds from
-// its first moment, so it is waited for a little longer.
+// awaitedLongEnough reports whether to serve with the list that the process was started with. While a sibling serves,
+// no client waits for this process, so it waits for up to maxEndpointsWait. Otherwise it does not wait for a discovery
+// server that rejects calls or cannot be reached, if lists are requested: no call of this process is queued there, and
+// the process has 6 s to learn the list. A pushed list applies from the moment that it is sent, so the process waits at
+// least pushedListWait for one.
 func (a *assembly) awaitedLongEnough(waited time.Duration) bool {
-	if waited >= maxAwait {
+	if waited >= maxEndpointsWait {
 		return true
 	}
 	hasKnownList := len(a.platform.KnownEndpoints) > 0 && a.platform.Settings.SubscribeDiscovery
-	if waited < awaitPushedList && !hasKnownList {
+	if waited < pushedListWait && !hasKnownList {
 		return false
 	}
 	alone := a.siblings == nil || a.siblings.SiblingCount() == 0
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -21,11 +21,11 @@
 	"standpoint/internal/node"
 )
 
-// maxTokensPerSecond bounds the tokens that a request is charged for in a second. It widens the bounds of counters
-// whose latest values have not been received, and nothing else.
+// maxTokensPerSecond bounds the tokens per second that one request is charged for. It only serves to estimate the
+// largest possible growth of counters whose latest values have not been received.
 const maxTokensPerSecond = 1000
 
-// fleetComponent shares quotas, counters and evidence with other nodes, where the operator's file has a [fleet].
+// fleetComponent shares quotas, counters and evidence with other nodes, if the operator's file configures a [fleet].
 func fleetComponent(a *assembly) (component, error) {
 	if a.operator.Fleet.Listen == "" {
 		return component{}, nil
@@ -81,7 +81,7 @@
 	}
 	assignBudgets(&options, cfg.Budgets, names.Tenants)
 	if a.operator.Ledger.Dir != "" {
-		// The ledger is constructed after the fleet, so it is looked up at each call.
+		// The ledger is constructed after the fleet, so these closures read a.ledger at each call.
 		options.RecordUsage = func(e ledger.Entry) bool { return a.ledger.Charge(e) }
 		options.LedgerFull = func() bool { return a.ledger.Full() }
 		options.LedgerBehind = func() bool { return a.ledger.Behind() }
@@ -89,16 +89,17 @@
 	return options
 }
 
-// assignBudgets finds the budgets of tokens, retries and paused sessions by their numbers.
+// assignBudgets sets the indexes of the budgets for tokens, by tenant, for retries and for paused sessions. A tenant
+// without a token budget, and a missing retry budget, have the index -1.
 func assignBudgets(options *fleet.Options, budgets []config.FleetBudget, tenants []string) {
 	for _, tenant := range tenants {
 		isTenants := func(b config.FleetBudget) bool { return b.Kind == config.BudgetTokens && b.Tenant == tenant }
 		options.TokenBudgets = append(options.TokenBudgets, slices.IndexFunc(budgets, isTenants))
 	}
-	isRetries := func(b config.FleetBudget) bool { return b.Kind == config.BudgetAttempts }
+	isRetries := func(b config.FleetBudget) bool { return b.Kind == config.BudgetRetries }
 	options.RetryBudget = slices.IndexFunc(budgets, isRetries)
 	for i, b := range budgets {
-		if b.Kind == config.BudgetPlaces {
+		if b.Kind == config.BudgetSessions {
 			sessionBudget := fleet.SessionBudget{Budget: i, Tenant: slices.Index(tenants, b.Tenant)}
 			options.SessionBudgets = append(options.SessionBudgets, sessionBudget)
 		}
@@ -137,7 +138,8 @@
 	return memberConfig
 }
 
-// maxCounterRates is by how much each counter can grow in a second, which the requests that a node may hold bound.
+// maxCounterRates returns the maximum growth of each counter per second, which follows from the maximum number of open
+// requests.
 func (a *assembly) maxCounterRates(tenants int) []int64 {
 	maxRequests := int64(a.limits.MaxRequests())
 	rates := make([]int64, fleet.FirstTenantCounter+max(1, tenants))
--- a/internal/daemon/golden_control_test.go
+++ b/internal/daemon/golden_control_test.go
@@ -23,8 +23,9 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// goldenFile has every section that one process alone may have, so that every call of the control interface is there.
-const goldenFile = `name = "node-a"
+// goldenOperatorFile has every section that a single process may have, so that every route of the control interface
+// exists.
+const goldenOperatorFile = `name = "node-a"
 listen = %q
 console = %q
 [module]
@@ -80,7 +81,7 @@
 dir = "ledger"
 `
 
-// shape lists the keys of a JSON value, each with the type of what it holds.
+// shape lists the paths in a JSON value, each with the type of its value.
 func shape(value any, path string) []string {
 	switch value := value.(type) {
 	case map[string]any:
@@ -101,16 +102,17 @@
 	return []string{fmt.Sprintf("%s %T", path, value)}
 }
 
-// goldenDaemon runs the daemon with goldenFile until the test ends, and returns how its control interface is called
-// and where its metrics are.
-func goldenDaemon(t *testing.T) (call func(method, path, body string) (status string, answer []byte), metrics string) {
+// goldenDaemon runs the daemon with goldenOperatorFile until the test ends. It returns a function that calls its
+// control interface, and the address of its metrics.
+func goldenDaemon(t *testing.T) (call func(method, path, body string) (status string, content []byte), metrics string) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "golden") // a test's own folder has a name too long for a socket
+	dir, err := os.MkdirTemp("", "golden") // the path of t.TempDir may be too long for a unix socket
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	metrics = testpeer.FreeAddress(t)
 	path := filepath.Join(dir, "operator.toml")
-	text := fmt.Sprintf(goldenFile, testpeer.FreeAddress(t), testpeer.FreeAddress(t), metrics, testpeer.FreeAddress(t))
+	text := fmt.Sprintf(goldenOperatorFile,
+		testpeer.FreeAddress(t), testpeer.FreeAddress(t), metrics, testpeer.FreeAddress(t))
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	exit := make(chan error, 1)
 	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.NewNop()}) }()
@@ -129,18 +131,19 @@
 			return "", nil
 		}
 		defer response.Body.Close()
-		answer, err := io.ReadAll(response.Body)
+		content, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
-		return response.Status, answer
+		return response.Status, content
 	}
 	require.Eventually(t, func() bool {
-		_, answer := call(http.MethodGet, "/v1/status", "")
-		return strings.Contains(string(answer), `"serving"`)
+		_, response := call(http.MethodGet, "/v1/status", "")
+		return strings.Contains(string(response), `"serving"`)
 	}, 10*time.Second, 10*time.Millisecond)
 	return call, metrics
 }
 
-// The control interface: paths, the keys of answers, and errors word for word.
+// TestGoldenControlInterface compares the control interface with golden files: its paths, the keys and types in its
+// responses, and the texts of its errors. It also compares the names and the help of the metrics that are served.
 func TestGoldenControlInterface(t *testing.T) {
 	call, metrics := goldenDaemon(t)
 	var shapes strings.Builder
@@ -158,15 +161,15 @@
 		{"GET", "/v1/config", ""},
 		{"GET", "/v1/config/history", ""},
 	} {
-		status, answer := call(c.method, c.path, c.body)
+		status, response := call(c.method, c.path, c.body)
 		var value any
-		require.NoError(t, json.Unmarshal(answer, &value), string(answer))
+		require.NoError(t, json.Unmarshal(response, &value), string(response))
 		fmt.Fprintf(&shapes, "%s %s\n\t%s\n\t%s\n", c.method, c.path, status, strings.Join(shape(value, "$"), "\n\t"))
 	}
 	golden.Bytes(t, "control-shapes.txt", []byte(shapes.String()))
 
-	moment := regexp.MustCompile(`"at":"[^"]*"`)
-	var words strings.Builder
+	timestamp := regexp.MustCompile(`"at":"[^"]*"`)
+	var messages strings.Builder
 	for _, c := range []struct{ method, path, body string }{
 		{"GET", "/v1/none", ""},
 		{"GET", "/v1/move?wait=soon", ""},
@@ -193,11 +196,11 @@
 		{"GET", "/v1/config/history", ""},
 		{"POST", "/v1/config", `{"text":"[module]\ncold_share = 0.6\n","author":"kim"}`},
 	} {
-		status, answer := call(c.method, c.path, c.body)
-		fmt.Fprintf(&words, "%s %s %s\n\t%s\n\t%s", c.method, c.path, c.body, status,
-			moment.ReplaceAll(answer, []byte(`"at":"AT"`)))
+		status, response := call(c.method, c.path, c.body)
+		fmt.Fprintf(&messages, "%s %s %s\n\t%s\n\t%s", c.method, c.path, c.body, status,
+			timestamp.ReplaceAll(response, []byte(`"at":"AT"`)))
 	}
-	golden.Bytes(t, "control-words.txt", []byte(words.String()))
+	golden.Bytes(t, "control-words.txt", []byte(messages.String()))
 
 	response, err := http.Get("http://" + metrics + "/metrics")
 	require.NoError(t, err)
--- a/internal/daemon/golden_metrics_test.go
+++ b/internal/daemon/golden_metrics_test.go
@@ -20,7 +20,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// ownMetrics are the lines of an exposition that are not of the runtime, with their values or without.
+// ownMetrics returns the lines of an exposition that concern the daemon's own metrics, with or without their values.
 func ownMetrics(text string, values bool) []string {
 	var lines []string
 	for _, line := range strings.Split(text, "\n") {
@@ -35,7 +35,7 @@
 	return lines
 }
 
-// goldenAssembly has the parts that metrics are read from, with a core that does not run.
+// goldenAssembly returns an assembly with the components that metrics are read from. Its core does not run.
 func goldenAssembly(t *testing.T) *assembly {
 	t.Helper()
 	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
@@ -51,7 +51,8 @@
 	return a
 }
 
-// The metrics' names, types, help and labels, those of discovery among them, and which count each shows.
+// TestGoldenMetrics compares the names, types, help texts and labels of all metrics, including those of discovery, with
+// a golden file. Each counter has a different value, so that exchanged metrics show.
 func TestGoldenMetrics(t *testing.T) {
 	a := goldenAssembly(t)
 	r, err := newRegistry(a)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -24,6 +24,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
+// jsonRoundTrip compares the JSON of a value with a golden file, and decodes that file back into the value.
 func jsonRoundTrip[T any](t *testing.T, name string, value T, unset ...string) {
 	t.Helper()
 	decode := func(raw []byte) (T, error) {
@@ -34,12 +35,12 @@
 	golden.RoundTrip(t, name, value, func(v T) ([]byte, error) { return json.Marshal(v) }, decode, unset...)
 }
 
-// What the daemon sends and answers in types of its own.
+// TestGoldenMessages compares the messages whose types this package declares with golden files.
 func TestGoldenMessages(t *testing.T) {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	jsonRoundTrip(t, "status.json", statusAnswer{Name: "node-a", Version: "0.3.0", Phase: "serving",
+	jsonRoundTrip(t, "status.json", statusResponse{Name: "node-a", Version: "0.3.0", Phase: "serving",
 		OpenRequests: 5, Endpoints: 6, UptimeSeconds: 7.5})
-	jsonRoundTrip(t, "nodes.json", nodesAnswer{Count: 3, Nodes: []peers.Node{{Name: "node-a",
+	jsonRoundTrip(t, "nodes.json", nodesResponse{Count: 3, Nodes: []peers.Node{{Name: "node-a",
 		Address: "127.0.0.1:8443"}}})
 	version := settings.Version{Number: 4, Author: "kim", Note: "why", CreatedAt: at, Text: "[module]\n", RollbackTo: 2}
 	jsonRoundTrip(t, "settings-status.json", SettingsStatus{Node: "node-a", Latest: 4, Applied: 3,
@@ -49,7 +50,7 @@
 	jsonRoundTrip(t, "moving.json", streamTransfer{Class: "chat", Stream: json.RawMessage(`{"trace":"t-1"}`)})
 }
 
-// The shared settings that the leader keeps in the store, of which members compare every byte.
+// TestGoldenAgreement compares the stored member settings with a golden file, since members compare them byte by byte.
 func TestGoldenAgreement(t *testing.T) {
 	cfg, err := config.ReadOperatorFile("../config/testdata/operator/full.toml")
 	require.NoError(t, err)
@@ -65,7 +66,7 @@
 	require.Equal(t, []string{"config/shared"}, keys.List(""))
 	golden.Bytes(t, "agreement.json", keys.Get("config/shared").Data)
 
-	// Read back: each key goes where it came from.
+	// Decoding restores each value to the field that it came from.
 	var decoded memberSettings
 	batch := config.OperatorFile{}.Batch
 	decoded.Batch = &batch
@@ -75,7 +76,8 @@
 	require.Equal(t, cfg.Batch, batch)
 }
 
-// The store's keys and values of the shared configuration.
+// TestGoldenSettingsInTheStore compares the keys and values of the stored shared configuration with a golden file, and
+// likewise the errors of members that are not the leader.
 func TestGoldenSettingsInTheStore(t *testing.T) {
 	cfg := config.OperatorFile{}
 	cfg.Store.SharedSettings = true
@@ -84,58 +86,58 @@
 		settingsRequests: make(chan settingsRequest), log: zap.NewNop()}
 	f := &settingsFollower{assembly: a}
 	go func() {
-		for w := range a.settingsRequests {
-			w.result <- nil
+		for request := range a.settingsRequests {
+			request.result <- nil
 		}
 	}()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/config", nil)
 	written, err := f.serveChange(r, []byte(`{"text":"[module]\ncold_share = 0.5\n","author":"kim","note":"why"}`))
 	require.NoError(t, err)
 	var lines strings.Builder
-	moment := regexp.MustCompile(`"at":"[^"]*"`)
+	timestamp := regexp.MustCompile(`"at":"[^"]*"`)
 	for _, key := range keys.List("") {
-		fmt.Fprintf(&lines, "%s %s\n", key, moment.ReplaceAll(keys.Get(key).Data, []byte(`"at":"AT"`)))
+		fmt.Fprintf(&lines, "%s %s\n", key, timestamp.ReplaceAll(keys.Get(key).Data, []byte(`"at":"AT"`)))
 	}
 	golden.Bytes(t, "settings-keys.txt", []byte(lines.String()))
 	v, ok := f.version(1)
 	require.True(t, ok)
 	require.Equal(t, written, v)
 
-	// A member that does not lead says who does.
-	follows := &settingsFollower{assembly: &assembly{deployment: deployment{operator: &cfg},
+	// A member that is not the leader names the leader.
+	follower := &settingsFollower{assembly: &assembly{deployment: deployment{operator: &cfg},
 		store: followerStore{keys}, log: zap.NewNop()}}
 	cfg.Store.Members = []config.Member{{ID: "node-b", Address: "127.0.0.1:7002", ControlAddress: "127.0.0.1:9802"}}
-	_, err = follows.serveChange(r, []byte(`{"text":"","author":"kim"}`))
-	var led *control.Error
-	require.ErrorAs(t, err, &led)
+	_, err = follower.serveChange(r, []byte(`{"text":"","author":"kim"}`))
+	var withLeader *control.Error
+	require.ErrorAs(t, err, &withLeader)
 	cfg.Store.Members = nil
-	_, err = follows.serveChange(r, []byte(`{"text":"","author":"kim"}`))
-	var alone *control.Error
-	require.ErrorAs(t, err, &alone)
-	var said []byte
-	for _, e := range []*control.Error{led, alone} {
-		said = fmt.Appendf(said, "%d %s: %s; leader %q\n", e.Status, e.Code, e.Message, e.Leader)
+	_, err = follower.serveChange(r, []byte(`{"text":"","author":"kim"}`))
+	var withoutLeader *control.Error
+	require.ErrorAs(t, err, &withoutLeader)
+	var messages []byte
+	for _, e := range []*control.Error{withLeader, withoutLeader} {
+		messages = fmt.Appendf(messages, "%d %s: %s; leader %q\n", e.Status, e.Code, e.Message, e.Leader)
 	}
-	golden.Bytes(t, "settings-leader.txt", said)
+	golden.Bytes(t, "settings-leader.txt", messages)
 }
 
-// followerStore is the store of a member that another one leads.
+// followerStore is the store of a member that is not the leader.
 type followerStore struct{ store.Store }
 
 func (followerStore) Leadership() (uint64, bool) { return 0, false }
 
 func (followerStore) Leader() string { return "127.0.0.1:7002" }
 
-// The words in which an inherited socket is refused.
+// TestGoldenInheritedErrors checks the error texts for a descriptor that is not the expected listening socket.
 func TestGoldenInheritedErrors(t *testing.T) {
 	_, err := inheritedListener(9999, "127.0.0.1:1")
-	require.EqualError(t, err, "descriptor 9999 is no listening socket")
+	require.EqualError(t, err, "descriptor 9999 is not a listening socket")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	file, err := l.(*net.TCPListener).File()
 	require.NoError(t, err)
-	fd, err := unix.Dup(int(file.Fd())) // which is closed below
+	fd, err := unix.Dup(int(file.Fd())) // inheritedListener closes this duplicate
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
 	_, err = inheritedListener(fd, "127.0.0.1:1")
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// operatorFile writes an operator's file with one class, one backend and batches, and returns its path.
 func operatorFile(t *testing.T, listen, server string) string {
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	require.NoError(t, os.WriteFile(path, []byte(fmt.Sprintf(`listen = %q
--- a/internal/daemon/ledger.go
+++ b/internal/daemon/ledger.go
@@ -9,7 +9,7 @@
 	"standpoint/internal/fleet/ledger/replication"
 )
 
-// ledgerComponent records the use of tenants, where the operator's file names a directory for the ledger.
+// ledgerComponent records the usage of tenants, if the operator's file has a directory for the ledger.
 func ledgerComponent(a *assembly) (component, error) {
 	cfg := &a.operator.Ledger
 	if cfg.Dir == "" || a.fleet == nil {
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -10,10 +10,10 @@
 	"standpoint/internal/transient"
 )
 
-// inheritsListener tells whether the platform holds the clients' listening socket and passes it to the process.
+// inheritsListener reports whether the platform owns the listening socket for clients and passes it to the process.
 func (a *assembly) inheritsListener() bool { return a.platform != nil && a.platform.ListenerFD != 0 }
 
-// openListener returns the clients' listening socket: the inherited one, or a new one.
+// openListener returns the listener for clients, on the inherited socket or on a new one.
 func (a *assembly) openListener() (net.Listener, error) {
 	if a.inheritsListener() {
 		l, err := inheritedListener(a.platform.ListenerFD, a.listen)
@@ -29,19 +29,19 @@
 	return l, nil
 }
 
-// inheritedListener turns a descriptor into a listener. The descriptor is examined before it is used: a number that was
-// not inherited may be a descriptor of this process's own.
+// inheritedListener returns a listener for an inherited file descriptor. It first checks that the descriptor is a
+// listening socket: a number that was not inherited may be a descriptor that this process uses for something else.
 func inheritedListener(fd int, address string) (net.Listener, error) {
 	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listening == 0 {
-		return nil, fmt.Errorf("descriptor %d is no listening socket", fd)
+		return nil, fmt.Errorf("descriptor %d is not a listening socket", fd)
 	}
 	file := os.NewFile(uintptr(fd), "clients")
-	defer func() { _ = file.Close() }() // FileListener duplicates the descriptor
+	defer func() { _ = file.Close() }() // net.FileListener duplicates the descriptor
 	l, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	if want, err := net.ResolveTCPAddr("tcp", address); err != nil || l.Addr().String() != want.String() {
+	if configured, err := net.ResolveTCPAddr("tcp", address); err != nil || l.Addr().String() != configured.String() {
 		l.Close()
 		return nil, fmt.Errorf("descriptor %d listens at %v, not at %s", fd, l.Addr(), address)
 	}
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -10,28 +10,28 @@
 	"standpoint/internal/config"
 )
 
-// Of the lines with the same message and level in one second, the first are written, and then every so many-th.
+// Sampling of log lines that have the same message and level, in each second.
 const (
-	sampledFirst      = 20
-	sampledThereafter = 200
+	sampledFirst      = 20  // number of first lines that are all written
+	sampledThereafter = 200 // of the further lines, one in this many is written
 )
 
-// logging is the level and the format of the log.
+// logging holds the level and the format of the log.
 type logging struct {
 	level   zapcore.Level
-	console bool
+	console bool // human-readable lines instead of JSON
 }
 
 func (d deployment) logging() logging {
 	if d.operator == nil {
 		return logging{level: zap.InfoLevel}
 	}
-	level, _ := zapcore.ParseLevel(d.operator.Log.Level) // checked by config
+	level, _ := zapcore.ParseLevel(d.operator.Log.Level) // validated by package config
 	return logging{level, d.operator.Log.Format == config.LogConsole}
 }
 
-// newLog returns a log that writes to standard error. Its level can be changed through level. Repeated lines are
-// sampled, since a faulty client may cause thousands a second, which would fill the log and slow the node down.
+// newLog returns a logger that writes to standard error. Its level can be changed through level. Repeated lines are
+// sampled, since a faulty client may cause thousands per second, which would fill the log and slow the node down.
 func newLog(l logging, level zap.AtomicLevel) *zap.Logger {
 	level.SetLevel(l.level)
 	encoding := zap.NewProductionEncoderConfig()
--- a/internal/daemon/log_test.go
+++ b/internal/daemon/log_test.go
@@ -9,7 +9,7 @@
 	"standpoint/internal/config"
 )
 
-// The level of the log changes while the program runs; the form is that of its start.
+// TestLogLevel checks that the log level can change while the process runs. The format is fixed at the start.
 func TestLogLevel(t *testing.T) {
 	level := zap.NewAtomicLevel()
 	log := newLog(deployment{operator: &config.OperatorFile{}}.logging(), level)
--- a/internal/daemon/membersettings.go
+++ b/internal/daemon/membersettings.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	memberSettingsKey      = "config/shared" // in the store
+	memberSettingsKey      = "config/shared" // key in the store
 	memberSettingsInterval = 2 * time.Second
 )
 
-// memberSettings is the part of an operator's file in which the members of a store must not differ. A member with other
-// classes would read the lines of a batch differently once it leads.
+// memberSettings is the part of an operator's file that must be the same at all members of a store. A member with other
+// classes would interpret the lines of a batch differently once it becomes the leader.
 type memberSettings struct {
 	Classes []standpoint.Class  `json:"classes"`
 	Tenants []standpoint.Tenant `json:"tenants"`
-	Batch   any                 `json:"batch"` // config.Batch
+	Batch   any                 `json:"batch"` // a config.Batch
 }
 
-// memberSettingsComponent compares the members' settings, where batches run.
+// memberSettingsComponent compares the settings of the store's members, if batches are enabled.
 func memberSettingsComponent(a *assembly) (component, error) {
 	if !a.operator.Batch.Enabled {
 		return component{}, nil
@@ -34,7 +34,8 @@
 	return component{name: "member settings", run: maintainMemberSettings(a.store, *a.operator, a.log)}, nil
 }
 
-// maintainMemberSettings keeps the leader's settings in the store, and logs where this member's differ from them.
+// maintainMemberSettings returns a function that, until its context ends, keeps the leader's settings in the store and
+// logs a warning where this member's settings differ from them.
 func maintainMemberSettings(keys store.Store, cfg config.OperatorFile, log *zap.Logger) func(context.Context) {
 	settings := memberSettings{Classes: cfg.Settings.Classes, Tenants: cfg.Settings.Tenants, Batch: cfg.Batch}
 	own, err := json.Marshal(settings)
@@ -48,13 +49,16 @@
 	}
 }
 
+// memberSettingsComparison compares this member's settings with those in the store.
 type memberSettingsComparison struct {
 	store    store.Store
 	own      []byte // this member's settings as JSON
 	log      *zap.Logger
-	reported uint64 // the version in the store whose difference has been logged
+	reported uint64 // store version of the last settings whose difference was logged
 }
 
+// update writes this member's settings to the store if it is the leader, and otherwise logs a difference once for each
+// version.
 func (c *memberSettingsComparison) update(ctx context.Context) {
 	stored := c.store.Get(memberSettingsKey)
 	if bytes.Equal(stored.Data, c.own) {
--- a/internal/daemon/membersettings_test.go
+++ b/internal/daemon/membersettings_test.go
@@ -12,7 +12,7 @@
 	"standpoint/internal/store"
 )
 
-// The leader's settings are in the store.
+// TestLeaderStoresMemberSettings checks that the leader writes its settings to the store.
 func TestLeaderStoresMemberSettings(t *testing.T) {
 	cfg, err := config.ReadOperatorFile(operatorFile(t, "127.0.0.1:1", "127.0.0.1:2"))
 	require.NoError(t, err)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -18,10 +18,10 @@
 	"standpoint/internal/transient"
 )
 
-// Bounds of the metrics' listener.
+// Limits of the HTTP server for metrics.
 const (
-	maxMetricsRequests    = 4
-	metricsTimeout        = 5 * time.Second
+	maxMetricsRequests    = 4               // concurrent requests
+	metricsTimeout        = 5 * time.Second // for collecting the metrics of one request
 	metricsReadTimeout    = 5 * time.Second
 	metricsWriteTimeout   = 10 * time.Second
 	maxMetricsHeaderBytes = 16 << 10
@@ -29,17 +29,17 @@
 
 var (
 	requestsDesc = prometheus.NewDesc("standpoint_requests_total",
-		"Requests that ended, by class and end.", []string{"class", "end"}, nil)
+		"Requests that have ended, by class and outcome.", []string{"class", "end"}, nil)
 	attemptsDesc = prometheus.NewDesc("standpoint_attempts_total",
-		"Attempts written whole to backends.", nil, nil)
+		"Attempts that were written in full to backends.", nil, nil)
 	listedDesc = prometheus.NewDesc("standpoint_real_servers_listed",
-		"Backends in the list.", nil, nil)
+		"Backends in the decision module's endpoint list.", nil, nil)
 	avoidedDesc = prometheus.NewDesc("standpoint_real_servers_avoided",
-		"Listed backends that the module avoids.", nil, nil)
+		"Backends in the decision module's endpoint list that it avoids.", nil, nil)
 )
 
-// registryComponent creates the registry of metrics, before the components that register theirs. metricsComponent
-// serves it.
+// registryComponent creates the registry of metrics, if the operator's file has an address for them. It is constructed
+// before the components that register metrics; metricsComponent serves the registry.
 func registryComponent(a *assembly) (component, error) {
 	if a.operator.Metrics.Listen == "" {
 		return component{}, nil
@@ -52,7 +52,7 @@
 	return component{}, err
 }
 
-// newRegistry registers the metrics of the runtime and of the daemon itself.
+// newRegistry returns a registry with the metrics of the Go runtime, the process and the daemon.
 func newRegistry(a *assembly) (*prometheus.Registry, error) {
 	registry := prometheus.NewRegistry()
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
@@ -64,14 +64,14 @@
 	return registry, errors.Join(
 		registry.Register(collectors.NewGoCollector()),
 		registry.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})),
-		registry.Register(gauge("open_flows", "Flows that wait for their answer.", openRequests)),
-		registry.Register(gauge("service_entries", "Endpoints in use.", usedEndpoints)),
+		registry.Register(gauge("open_flows", "Requests that were accepted and have not ended.", openRequests)),
+		registry.Register(gauge("service_entries", "Endpoints in the endpoint cache.", usedEndpoints)),
 		registry.Register(counterCollector{a.counters}),
-		registry.Register(gauge("nodes", "Nodes by which the module divides.", nodes)),
+		registry.Register(gauge("nodes", "Nodes counted by DNS-SD, at least module.nodes; 1 without counting.", nodes)),
 	)
 }
 
-// counterCollector collects the counters that the console shows too.
+// counterCollector exports the counters that the console shows as well.
 type counterCollector struct{ *metrics.Counters }
 
 // Describe implements prometheus.Collector.
@@ -97,7 +97,7 @@
 	send(avoidedDesc, prometheus.GaugeValue, float64(c.Avoided()))
 }
 
-// metricsComponent serves GET /metrics, where there is a registry.
+// metricsComponent serves GET /metrics, if there is a registry.
 func metricsComponent(a *assembly) (component, error) {
 	if a.registry == nil {
 		return component{}, nil
@@ -126,7 +126,7 @@
 	return component{name: "metrics", run: run, stop: stop}, nil
 }
 
-// closeListener closes a listener that its server may have closed already.
+// closeListener closes a listener. It ignores the error of a listener that its server has already closed.
 func closeListener(l net.Listener) error {
 	if err := l.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
--- a/internal/daemon/migrations.go
+++ b/internal/daemon/migrations.go
@@ -13,17 +13,19 @@
 	"standpoint/internal/node"
 )
 
-// storeTimeout is how long the start waits for a store that may know of a migration, or of a shared configuration.
+// storeTimeout bounds how long the start waits for the store to catch up, since the store may contain a migration in
+// progress or a shared configuration.
 const storeTimeout = 15 * time.Second
 
-// migrationsComponent divides requests among pools and migrates traffic between them, where the file has pools.
+// migrationsComponent divides requests among pools and migrates traffic between them, if the operator's file defines
+// pools.
 func migrationsComponent(a *assembly) (component, error) {
 	if a.operator.PoolSet.Len() == 0 {
 		return component{}, nil
 	}
 	a.tracker = controller.NewTracker(a.operator, a.log)
 	a.pools = a.tracker
-	var plan atomic.Pointer[migration.Plan] // of the deployment in force
+	var plan atomic.Pointer[migration.Plan] // the plan of the deployment in force
 	plan.Store(&a.operator.MigrationPlan)
 	controlAddresses := map[string]string{}
 	for _, m := range a.operator.Store.Members {
@@ -47,13 +49,14 @@
 		reload: func(next deployment) {
 			plan.Store(&next.operator.MigrationPlan)
 			a.tracker.Adjust(next.operator)
-			// The core assigns endpoints to pools as it gets them, so it gets them all again.
+			// The core assigns endpoints to pools as it receives them, so all of them are sent again.
 			a.endpointCache.Resend(func(l node.EndpointList) { a.core.UpdateEndpoints(l) })
 		},
 	}, nil
 }
 
-// controlToken reads the token with which members call each other's control interface; "" where it cannot be read.
+// controlToken reads the token with which members call each other's control interface. It returns "" if the token
+// cannot be read.
 func (a *assembly) controlToken() string {
 	token, err := control.ReadToken(a.operator.ResolvePath(a.baseDirectory, a.operator.Control.TokenFile))
 	if err != nil {
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -15,18 +15,18 @@
 	"standpoint/internal/peers"
 )
 
-// deregisterTimeout is how long the exit waits until the node's record is withdrawn.
+// deregisterTimeout bounds how long the exit waits for the withdrawal of the node's DNS record.
 const deregisterTimeout = 3 * time.Second
 
-var errNotDeregistered = errors.New("the node's record was not taken back in time; it ends with its lease")
+var errNotDeregistered = errors.New("node record not withdrawn in time; it expires with its lease")
 
-// nodesAnswer is the answer of GET /v1/nodes.
-type nodesAnswer struct {
-	Count int          `json:"reckoned"` // by which the decision module divides
+// nodesResponse is the response to GET /v1/nodes.
+type nodesResponse struct {
+	Count int          `json:"reckoned"` // number of nodes that the decision module assumes
 	Nodes []peers.Node `json:"nodes"`
 }
 
-// nodesComponent finds and counts the nodes of the installation, and has the core reckon with their number.
+// nodesComponent discovers the nodes of the installation, and passes their number to the core.
 func nodesComponent(a *assembly) (component, error) {
 	if a.operator.Nodes.Server == "" {
 		return component{}, nil
@@ -37,7 +37,7 @@
 		Pattern: "GET /v1/nodes",
 		Handle: func(*http.Request, []byte) (any, error) {
 			nodes, count := registry.Nodes()
-			return nodesAnswer{Count: count, Nodes: append([]peers.Node{}, nodes...)}, nil
+			return nodesResponse{Count: count, Nodes: append([]peers.Node{}, nodes...)}, nil
 		},
 	})
 	var started atomic.Bool
@@ -49,7 +49,7 @@
 			defer close(finished)
 			registry.Run(ctx)
 		},
-		stop: func() error { // run withdraws the node's record at its end
+		stop: func() error { // run withdraws the node's record before it returns
 			if !started.Load() {
 				return nil
 			}
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -23,7 +23,8 @@
 	"standpoint/internal/node"
 )
 
-// operatorEndpointsComponent has the endpoint list from the operator's file, or from the services that it browses.
+// operatorEndpointsComponent provides the endpoint list, from the operator's file or from the DNS-SD services that the
+// file browses.
 func operatorEndpointsComponent(a *assembly) (component, error) {
 	a.createEndpointCache()
 	if a.operator.Endpoints.Source == config.SourceDNSSD {
@@ -32,7 +33,7 @@
 	return listedEndpointsComponent(a)
 }
 
-// listedEndpointsComponent has the endpoint list from the operator's file.
+// listedEndpointsComponent provides the endpoint list from the operator's file.
 func listedEndpointsComponent(a *assembly) (component, error) {
 	a.endpointSource = endpoints.Fixed{List: listedEndpoints(a.operator), Notify: a.updateEndpoints}
 	a.addEntriesRoute(func() []endpoints.Origin {
@@ -54,6 +55,7 @@
 	}, nil
 }
 
+// addEntriesRoute adds the control route that lists the endpoints with their origins.
 func (a *assembly) addEntriesRoute(origins func() []endpoints.Origin) {
 	a.routes = append(a.routes, control.Route{
 		Pattern: "GET /v1/entries",
@@ -61,7 +63,7 @@
 	})
 }
 
-// listedEndpoints is the endpoint list of an operator's file.
+// listedEndpoints returns the endpoint list of an operator's file.
 func listedEndpoints(cfg *config.OperatorFile) node.EndpointList {
 	list := node.EndpointList{Kind: standpoint.ListFull}
 	for _, b := range cfg.Backends {
@@ -82,12 +84,13 @@
 	return list
 }
 
-// replacedBackends notes when a listed backend that states no start was given another address. It is then another
-// backend, which starts cold: nothing that was learned of the old one holds for it.
+// replacedBackends records, by name, when the address of a listed backend changed, in nanoseconds of Unix time. A new
+// address means another backend, which starts cold: nothing that was learned about the old one applies to it. The
+// recorded time serves as its start unless the file states one.
 type replacedBackends map[string]int64
 
-// apply sets the starts of the list's backends, given the endpoints as they were. It keeps no more names than the list
-// has.
+// apply compares the list with the previous endpoints and sets the start times of replaced backends. It forgets names
+// that are not in the list.
 func (r replacedBackends) apply(list *node.EndpointList, previous []node.Endpoint) {
 	addresses := map[string]string{}
 	for _, e := range previous {
@@ -107,7 +110,7 @@
 	})
 }
 
-// browsedEndpointsComponent has the endpoint list from DNS-SD.
+// browsedEndpointsComponent provides the endpoint list from DNS-SD.
 func browsedEndpointsComponent(a *assembly) (component, error) {
 	all, err := a.newBrowsers(a.operator)
 	if err != nil {
@@ -117,7 +120,7 @@
 	a.endpointSource = browsers
 	a.endpointCache.ExpiryTimes = browsers.ExpiryTimes
 	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, browsers.Origins()...) })
-	var next []*endpoints.ServiceSource // made by check, for reload
+	var next []*endpoints.ServiceSource // created by check for the reload that follows it
 	return component{
 		name: "endpoints",
 		run:  runTogether(a.endpointCache.Run, browsers.Run),
@@ -135,7 +138,7 @@
 	}, nil
 }
 
-// newBrowsers returns a browser for each service that a file browses.
+// newBrowsers returns a source for each DNS-SD service that the operator's file browses.
 func (a *assembly) newBrowsers(cfg *config.OperatorFile) ([]*endpoints.ServiceSource, error) {
 	var all []*endpoints.ServiceSource
 	for i := range cfg.Endpoints.Browses {
@@ -148,6 +151,7 @@
 	return all, nil
 }
 
+// newBrowser returns the source for the i-th browsed service.
 func (a *assembly) newBrowser(cfg *config.OperatorFile, i int, roots *x509.CertPool) *endpoints.ServiceSource {
 	section := &cfg.Endpoints
 	browse := section.Browses[i]
@@ -176,19 +180,21 @@
 		Names:          endpointNames(cfg.Names),
 		Log:            log,
 	}
-	if len(section.Browses) > 1 { // the same name in two domains is two backends
+	if len(section.Browses) > 1 { // instances with the same name in two domains are two backends
 		browser.Suffix = "@" + strings.TrimSuffix(browse.Domain, ".")
 	}
 	return browser
 }
 
-// browserConfig has all that a browser is configured by, to tell whether a new one would differ.
+// browserConfig returns a text of all settings of a browser. Two browsers with the same text are configured alike, so
+// that a reload need not replace the old one.
 func browserConfig(section *config.Endpoints, browse config.Browse) string {
 	several := len(section.Browses) > 1
 	return fmt.Sprint(browse, section.PollInterval, section.RefreshInterval, section.GuardHold, section.GuardFraction,
 		*section.FlapHalfLife, section.MaxFlaps, several)
 }
 
+// pushTLS returns the TLS configuration for push sessions, or nil if they are not encrypted.
 func pushTLS(roots *x509.CertPool, serverName string) *tls.Config {
 	if roots == nil {
 		return nil
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// poll calls f at once, and again after each interval, until the context ends.
+// poll calls f immediately and then at each interval until the context ends.
 func poll(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -4,8 +4,8 @@
 	"go.uber.org/zap"
 )
 
-// reloadConfiguration reads the configuration again and applies it in all components, or in none. The error has been
-// logged. The supervising goroutine calls it.
+// reloadConfiguration reads the configuration again and applies it to all components or to none. It logs the error that
+// it returns. Only the supervising goroutine may call it.
 func (a *assembly) reloadConfiguration() error {
 	next, err := a.rereadDeployment()
 	if err == nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// reload applies a deployment in every component, or in none.
+// reload applies a deployment to all components or, if one of them cannot apply it, to none.
 func (a *assembly) reload(next deployment) error {
 	if err := a.checkComponents(next); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// checkComponents tells whether every component can apply a deployment.
+// checkComponents returns the first error of a component that cannot apply a deployment.
 func (a *assembly) checkComponents(next deployment) error {
 	for _, c := range a.components {
 		if c.check == nil {
@@ -57,14 +57,14 @@
 	return nil
 }
 
-// settingsRequest asks the supervising goroutine to check a shared configuration, or to apply it.
+// settingsRequest asks the supervising goroutine to apply a shared configuration, or only to check it.
 type settingsRequest struct {
 	text   string
-	dryRun bool
-	result chan error // buffered for one
+	dryRun bool       // check only
+	result chan error // has capacity 1, so that the supervising goroutine never blocks on it
 }
 
-// handleSettings checks or applies a shared configuration. On an error the one that was in force stays.
+// handleSettings checks or applies a shared configuration. On an error the previous one stays in force.
 func (a *assembly) handleSettings(request settingsRequest) error {
 	previous := a.sharedSettings
 	a.sharedSettings = request.text
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -17,8 +17,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// SIGHUP reads the file again: a faulty one changes nothing and is logged by its key, a good one changes the real
-// servers.
+// TestReloadOnHangup checks that SIGHUP reads the file again: an invalid file changes nothing and its key is logged; a
+// valid file replaces the backends.
 func TestReloadOnHangup(t *testing.T) {
 	server := func(name string) string {
 		return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -28,13 +28,13 @@
 	}
 	listen := testpeer.FreeAddress(t)
 	path := operatorFile(t, listen, server("old"))
-	seen, logs := observer.New(zap.InfoLevel)
+	core, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
-	asked := 0
-	ask := func() string {
-		asked++
-		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, listen, fmt.Sprint("t-", asked), "3000m"))
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(core)}) }()
+	requests := 0
+	request := func() string {
+		requests++
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, listen, fmt.Sprint("t-", requests), "3000m"))
 		if err != nil {
 			return ""
 		}
@@ -42,26 +42,26 @@
 		body, _ := io.ReadAll(response.Body)
 		return string(body)
 	}
-	answers := func(name string) func() bool { return func() bool { return strings.Contains(ask(), name) } }
-	require.Eventually(t, answers("old"), 5*time.Second, 5*time.Millisecond)
+	servedBy := func(name string) func() bool { return func() bool { return strings.Contains(request(), name) } }
+	require.Eventually(t, servedBy("old"), 5*time.Second, 5*time.Millisecond)
 	hangup := func(text string) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	}
-	good, err := os.ReadFile(path)
+	valid, err := os.ReadFile(path)
 	require.NoError(t, err)
-	hangup(strings.Replace(string(good), `first_token = "1s"`, `first_token = "-1s"`, 1))
+	hangup(strings.Replace(string(valid), `first_token = "1s"`, `first_token = "-1s"`, 1))
 	require.Eventually(t, func() bool {
 		for _, e := range logs.FilterLevelExact(zap.ErrorLevel).All() {
 			return strings.Contains(fmt.Sprint(e.ContextMap()["error"]), "class[0].first_token:")
 		}
 		return false
 	}, 5*time.Second, 5*time.Millisecond)
-	require.True(t, answers("old")())
-	begin := strings.Index(string(good), "[[real_server]]")
-	hangup(string(good[:begin]) + fmt.Sprintf("[[real_server]]\nname = \"box-2\"\naddress = %q\n", server("new")) +
-		string(good[strings.Index(string(good), "[batch]"):]))
-	require.Eventually(t, answers("new"), 5*time.Second, 5*time.Millisecond)
+	require.True(t, servedBy("old")())
+	begin := strings.Index(string(valid), "[[real_server]]")
+	hangup(string(valid[:begin]) + fmt.Sprintf("[[real_server]]\nname = \"box-2\"\naddress = %q\n", server("new")) +
+		string(valid[strings.Index(string(valid), "[batch]"):]))
+	require.Eventually(t, servedBy("new"), 5*time.Second, 5*time.Millisecond)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	require.NoError(t, <-exit)
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -18,32 +18,32 @@
 	"standpoint/internal/node"
 )
 
-// Version is the daemon's version. A build may set it.
+// Version is the daemon's version. A build may set it through the linker.
 var Version = "0.3.0-dev"
 
 // Options configure Run.
 type Options struct {
-	// ConfigFile is the path of an operator's file; "" stands for the platform's variables.
+	// ConfigFile is the path of an operator's file. If it is "", the platform's environment variables apply.
 	ConfigFile string
-	// Log, if not nil, is used in place of the log that the configuration describes.
+	// Log, if not nil, replaces the logger that the configuration describes.
 	Log *zap.Logger
 }
 
-// ConfigError wraps the error of a configuration that cannot be served. Its message begins with the key at fault.
+// ConfigError wraps an error in the configuration. Its message begins with the key at fault.
 type ConfigError struct{ error }
 
 // Unwrap implements errors.Unwrap.
 func (e *ConfigError) Unwrap() error { return e.error }
 
-// Run serves until SIGTERM or SIGINT, and returns once every accepted request is answered. SIGHUP has it reload its
-// configuration. An unusable configuration is a *ConfigError.
+// Run serves until SIGTERM or SIGINT, and returns once every accepted request has been answered. On SIGHUP it reloads
+// its configuration. An invalid configuration at the start is returned as a *ConfigError.
 func Run(o Options) error {
 	started := time.Now()
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	hangup := make(chan os.Signal, 1) // signals that come before one has been handled are the same request
+	hangup := make(chan os.Signal, 1) // further signals before the first is handled coalesce with it
 	signal.Notify(hangup, syscall.SIGHUP)
-	// After the return nothing is left to do but to exit with success, so a further signal must not kill the process.
+	// After the return all that remains is to exit with success, so a further signal must not kill the process.
 	defer signal.Ignore(syscall.SIGHUP, syscall.SIGTERM)
 
 	d, err := readDeployment(o.ConfigFile)
@@ -63,12 +63,12 @@
 	return a.serve(stop, hangup, started)
 }
 
-// serve starts the components, opens the clients' listener, and returns when the process is to exit.
+// serve starts the components, opens the client listener, and returns when the process is to exit.
 func (a *assembly) serve(stop context.Context, hangup <-chan os.Signal, started time.Time) error {
 	applyLimits(a.limits)
 	var listener net.Listener
 	var err error
-	if a.inheritsListener() { // a sibling may serve at the socket meanwhile
+	if a.inheritsListener() { // a sibling process may serve on this socket in the meantime
 		if listener, err = a.openListener(); err != nil {
 			return err
 		}
@@ -79,7 +79,7 @@
 	a.runComponents(running)
 	a.awaitEndpoints(stop)
 	a.restoreLearned(stop, started)
-	if listener == nil { // not earlier: clients that connect before the process serves would wait up to their deadline
+	if listener == nil { // not earlier: clients that connect before the process serves might wait until their deadline
 		if listener, err = a.openListener(); err != nil {
 			return err
 		}
@@ -92,7 +92,7 @@
 	return a.supervise(stop, hangup, serveErrors)
 }
 
-// openFront has the HTTP front accept clients. The channel tells when, and why, it has ended.
+// openFront starts to accept clients at the HTTP front. The channel receives the error with which serving ended.
 func (a *assembly) openFront(listener net.Listener) <-chan error {
 	a.clients = edge.NewConnectionTracker(listener, a.current.limits.MaxClientConnections(), a.processLog)
 	a.clients.Metrics = a.counters
@@ -103,8 +103,8 @@
 }
 
 // supervise handles signals and requests until the process has drained. It alone changes the deployment in force, and
-// goes on to do so while draining: a new configuration may say where the endpoint list is, and drains in that list are
-// to be kept until the end.
+// continues to do so while draining: a new configuration may change the source of the endpoint list, and backends that
+// this list marks as draining must be respected until the exit.
 func (a *assembly) supervise(stop context.Context, hangup <-chan os.Signal, serveErrors <-chan error) error {
 	stopRequested := stop.Done()
 	drained := make(chan error, 1)
@@ -121,7 +121,7 @@
 		case err := <-drained:
 			return err
 		case <-hangup:
-			_ = a.reloadConfiguration() // logged there; the configuration in force stays
+			_ = a.reloadConfiguration() // it logs its error, and the configuration in force stays
 		case count := <-a.siblingCounts:
 			a.setSiblingCount(count)
 		case request := <-a.drainRequests:
@@ -132,7 +132,8 @@
 	}
 }
 
-// applyLimits bounds the heap to six tenths of the memory, and the threads that run Go code to the cores.
+// applyLimits sets the soft limit of the Go heap to six tenths of the memory limit, and GOMAXPROCS to the number of
+// cores, rounded.
 func applyLimits(l config.Limits) {
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 6 / 10)
 	runtime.GOMAXPROCS(max(1, int(l.Cores+0.5)))
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -20,32 +20,35 @@
 	"standpoint/internal/testpeer"
 )
 
-// SIGTERM while the program waits for a store that has no leader ends the wait.
+// TestStopWhileStarting checks that SIGTERM ends the start's wait for a store that has no leader. Otherwise the process
+// would wait for storeTimeout.
 func TestStopWhileStarting(t *testing.T) {
 	path := operatorFile(t, testpeer.FreeAddress(t), testpeer.FreeAddress(t))
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	more := "[control]\nlisten = \"unix:c.sock\"\n[store]\nkind = \"raft\"\nid = \"a\"\nsettings = true\nheartbeat = \"100ms\"\n"
-	for _, id := range []string{"a", "b", "c"} { // the others are not there
-		more += fmt.Sprintf("[[store.member]]\nid = %q\naddress = %q\n", id, testpeer.FreeAddress(t))
+	sections := "[control]\nlisten = \"unix:c.sock\"\n[store]\nkind = \"raft\"\nid = \"a\"\nsettings = true\n" +
+		"heartbeat = \"100ms\"\n"
+	for _, id := range []string{"a", "b", "c"} { // only a runs, so no leader can be elected
+		sections += fmt.Sprintf("[[store.member]]\nid = %q\naddress = %q\n", id, testpeer.FreeAddress(t))
 	}
-	require.NoError(t, os.WriteFile(path, append(text, more...), 0o600))
-	seen, logs := observer.New(zap.InfoLevel)
+	require.NoError(t, os.WriteFile(path, append(text, sections...), 0o600))
+	core, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(core)}) }()
 	require.Eventually(t, func() bool {
-		_, err := os.Stat(filepath.Join(filepath.Dir(path), "c.sock")) // opened while the parts are put together
+		_, err := os.Stat(filepath.Join(filepath.Dir(path), "c.sock")) // opened while the components are constructed
 		return err == nil
 	}, 5*time.Second, time.Millisecond)
-	began := time.Now()
+	signaledAt := time.Now()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	require.NoError(t, <-exit)
-	require.Less(t, time.Since(began), storeTimeout/2)
+	require.Less(t, time.Since(signaledAt), storeTimeout/2)
 	require.Equal(t, 1, logs.FilterMessage("draining").Len())
 }
 
-// SIGHUP in every phase, beside calls that read what the daemon is: it is heard while draining too, for a drain told by
-// the new file must be kept until the end.
+// TestReloadInEveryPhase sends SIGHUP while the daemon serves and while it drains, concurrently with status calls that
+// read the daemon's state. A draining process must reload too: backends that the new file marks as draining have to be
+// respected until the exit.
 func TestReloadInEveryPhase(t *testing.T) {
 	release := make(chan struct{})
 	server := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -53,35 +56,35 @@
 		<-release
 		testpeer.Finish(w)
 	})
-	listen, controls := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
+	listen, controlAddress := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	path := operatorFile(t, listen, server)
 	token := filepath.Join(filepath.Dir(path), "token")
 	require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	require.NoError(t, err)
-	_, err = fmt.Fprintf(file, "[control]\nlisten = %q\ntoken_file = \"token\"\n", controls)
+	_, err = fmt.Fprintf(file, "[control]\nlisten = %q\ntoken_file = \"token\"\n", controlAddress)
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
-	seen, logs := observer.New(zap.InfoLevel)
+	core, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(seen)}) }()
-	up := func() bool { return logs.FilterMessage("serving").Len() == 1 }
-	require.Eventually(t, up, 5*time.Second, time.Millisecond)
-	client := control.NewClient(controls, "")
+	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(core)}) }()
+	serving := func() bool { return logs.FilterMessage("serving").Len() == 1 }
+	require.Eventually(t, serving, 5*time.Second, time.Millisecond)
+	client := control.NewClient(controlAddress, "")
 	defer client.Close()
-	ctx, done := context.WithCancel(t.Context())
-	var reading sync.WaitGroup
-	reading.Go(func() {
+	ctx, stopReading := context.WithCancel(t.Context())
+	var readers sync.WaitGroup
+	readers.Go(func() {
 		for ctx.Err() == nil {
-			var s statusAnswer
-			_ = client.Call(ctx, http.MethodGet, "/v1/status", nil, &s)
+			var status statusResponse
+			_ = client.Call(ctx, http.MethodGet, "/v1/status", nil, &status)
 		}
 	})
-	read := func() int { return logs.FilterMessage("configuration reloaded").Len() }
+	reloads := func() int { return logs.FilterMessage("configuration reloaded").Len() }
 	hangup := func() {
-		before := read()
+		before := reloads()
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-		require.Eventually(t, func() bool { return read() > before }, 5*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return reloads() > before }, 5*time.Second, time.Millisecond)
 	}
 	for range 5 {
 		hangup()
@@ -93,8 +96,8 @@
 	require.Eventually(t, func() bool { return logs.FilterMessage("draining").Len() == 1 }, 5*time.Second,
 		time.Millisecond)
 	hangup()
-	done()
-	reading.Wait()
+	stopReading()
+	readers.Wait()
 	close(release)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
--- a/internal/daemon/sessions.go
+++ b/internal/daemon/sessions.go
@@ -11,10 +11,10 @@
 	"standpoint/internal/fleet/session/service"
 )
 
-// maxSessionRecordBytes bounds the compressed record of a session.
+// maxSessionRecordBytes is the maximum size of a session's compressed record, in bytes.
 const maxSessionRecordBytes = 512 << 10
 
-// sessionsComponent pauses sessions at calls of tools, where the operator's file has a [[tool]].
+// sessionsComponent pauses sessions at tool calls, if the operator's file has a [[tool]].
 func sessionsComponent(a *assembly) (component, error) {
 	if len(a.operator.Tools) == 0 || a.fleet == nil {
 		return component{}, nil
@@ -61,9 +61,9 @@
 }
 
 var toolActions = map[string]service.ToolAction{
-	config.ToolPause:  service.PauseSession,
-	config.ToolKeep:   service.PassThrough,
-	config.ToolRefuse: service.RejectCall,
+	config.ToolPause:       service.PauseSession,
+	config.ToolPassThrough: service.PassThrough,
+	config.ToolReject:      service.RejectCall,
 }
 
 func sessionTools(cfg *config.OperatorFile) []service.Tool {
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -17,47 +17,47 @@
 )
 
 const (
-	currentKey       = "settings/current"  // the number of the latest version
-	versionKeyPrefix = "settings/version/" // and the version's number
+	currentKey       = "settings/current"  // holds the number of the latest version
+	versionKeyPrefix = "settings/version/" // followed by the version's number; holds the version
 
 	settingsPollInterval = 150 * time.Millisecond
 	catchUpPollInterval  = 20 * time.Millisecond
-	settingsTimeout      = 10 * time.Second // for a version to be checked, or applied, here
+	settingsTimeout      = 10 * time.Second // bounds the wait until this node has checked or applied a version
 )
 
-// SettingsStatus is what a node reports of the shared configuration.
+// SettingsStatus is the state of the shared configuration at a node.
 type SettingsStatus struct {
 	Node     string           `json:"node"`
-	Latest   uint64           `json:"latest"`            // version in the store, as this node knows it; 0 for none
-	Applied  uint64           `json:"applied"`           // version in force here; 0 for the node's own file alone
-	Rejected string           `json:"refused,omitempty"` // why the latest version is not applied
-	Version  settings.Version `json:"version"`           // the latest
+	Latest   uint64           `json:"latest"`            // latest version in this node's replica of the store; 0 for none
+	Applied  uint64           `json:"applied"`           // version in force; 0 if only the node's own file is
+	Rejected string           `json:"refused,omitempty"` // reason why the latest version is not applied
+	Version  settings.Version `json:"version"`           // the latest version
 }
 
-// SettingsChange is a request to write a version of the shared configuration.
+// SettingsChange is a request to write a new version of the shared configuration.
 type SettingsChange struct {
-	BaseVersion uint64 `json:"base"` // the version that was changed
+	BaseVersion uint64 `json:"base"` // version that the author changed
 	Text        string `json:"text"`
 	Author      string `json:"author"`
 	Note        string `json:"note,omitempty"`
-	RollbackTo  uint64 `json:"back,omitempty"`  // the version whose text this is
-	DryRun      bool   `json:"check,omitempty"` // nothing is written
+	RollbackTo  uint64 `json:"back,omitempty"`  // version whose text is restored; 0 for none
+	DryRun      bool   `json:"check,omitempty"` // check the change without writing it
 }
 
-// settingsFollower applies the versions of the shared configuration as they appear in the store, and writes new ones.
+// settingsFollower applies versions of the shared configuration as they appear in the store, and writes new versions.
 type settingsFollower struct {
 	*assembly
 
 	mu                sync.Mutex // guards the fields below
-	applied           uint64     // version in force
-	lastTried         uint64     // latest version that was to be applied
-	rejection         string     // why lastTried is not applied
-	unreadableVersion uint64     // store version of a record that has been reported as unreadable
+	applied           uint64     // number of the version in force
+	lastAttempted     uint64     // number of the latest version that this node tried to apply
+	rejection         string     // reason why lastAttempted is not applied; "" if it is
+	unreadableVersion uint64     // store version of the last unreadable record that was logged
 
 	writeMutex sync.Mutex // held while a version is checked and written
 }
 
-// settingsComponent shares the configuration through the store, where the operator's file says so.
+// settingsComponent shares configuration through the store, if the operator's file enables it.
 func settingsComponent(a *assembly) (component, error) {
 	if !a.operator.Store.SharedSettings {
 		return component{}, nil
@@ -71,15 +71,16 @@
 	return component{name: "settings", start: f.start, run: f.run}, nil
 }
 
-// start applies the latest version before clients are accepted: a node that comes back must not serve by old settings
-// once it can know the new ones.
+// start applies the latest version before clients are accepted: a restarted node must not serve with old settings when
+// newer ones are available.
 func (f *settingsFollower) start(ctx context.Context) {
 	if f.awaitStore(ctx) {
 		f.follow(f.handleSettings)
 	}
 }
 
-// awaitStore waits until the store has caught up with its leader. It returns false where that takes too long.
+// awaitStore waits until the store has caught up with its leader. It returns false if that takes longer than
+// storeTimeout.
 func (f *settingsFollower) awaitStore(ctx context.Context) bool {
 	replica, ok := f.store.(interface{ CaughtUp() bool })
 	if !ok {
@@ -96,6 +97,7 @@
 	return true
 }
 
+// run polls the store for new versions until the context ends.
 func (f *settingsFollower) run(ctx context.Context) {
 	poll(ctx, settingsPollInterval, func() {
 		f.follow(func(request settingsRequest) error { return f.submit(ctx, request) })
@@ -120,21 +122,21 @@
 	}
 }
 
-// follow has the latest version applied, unless that was tried before.
+// follow calls apply with the latest version, unless that version has been attempted before.
 func (f *settingsFollower) follow(apply func(settingsRequest) error) {
 	number, _ := f.latest()
-	if number == 0 || number == f.tried() {
+	if number == 0 || number == f.attemptedVersion() {
 		return
 	}
 	version, ok := f.version(number)
 	if !ok {
-		return // it has not been replicated yet
+		return // the version has not been replicated to this node yet
 	}
 	err := apply(settingsRequest{text: version.Text})
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return // it is tried again
+		return // the next poll tries again
 	}
-	f.noteApplied(number, err)
+	f.recordResult(number, err)
 	if err != nil {
 		f.log.Error("shared configuration version rejected", zap.Uint64("version", number), zap.Error(err))
 		return
@@ -143,16 +145,17 @@
 		zap.Uint64("version", number), zap.String("author", version.Author), zap.String("note", version.Note))
 }
 
-func (f *settingsFollower) tried() uint64 {
+func (f *settingsFollower) attemptedVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lastTried
+	return f.lastAttempted
 }
 
-func (f *settingsFollower) noteApplied(number uint64, err error) {
+// recordResult records that applying a version succeeded, or failed with err.
+func (f *settingsFollower) recordResult(number uint64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastTried = number
+	f.lastAttempted = number
 	if err != nil {
 		f.rejection = err.Error()
 		return
@@ -161,7 +164,7 @@
 	f.applied = number
 }
 
-// latest is the number of the latest version, 0 for none, and the store version of that record.
+// latest returns the number of the latest version, 0 if there is none, and the store version of the currentKey record.
 func (f *settingsFollower) latest() (number, storeVersion uint64) {
 	storeVersion, _ = f.read(currentKey, &number)
 	return number, storeVersion
@@ -174,7 +177,7 @@
 
 func versionKey(number uint64) string { return fmt.Sprintf("%s%010d", versionKeyPrefix, number) }
 
-// read decodes a record of the store. A record that cannot be decoded counts as missing, and is logged once.
+// read decodes a record of the store into the value. An undecodable record counts as missing, and is logged once.
 func (f *settingsFollower) read(key string, into any) (storeVersion uint64, ok bool) {
 	record := f.store.Get(key)
 	if record.Version == 0 {
@@ -187,6 +190,8 @@
 	return record.Version, err == nil
 }
 
+// isNewUnreadable reports whether the unreadable record with this store version has not been logged yet, and marks it
+// as logged.
 func (f *settingsFollower) isNewUnreadable(storeVersion uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,7 +214,7 @@
 	}, nil
 }
 
-// serveHistory lists the versions that the store retains, the latest first, without their text.
+// serveHistory lists the versions that the store retains, latest first, without their texts.
 func (f *settingsFollower) serveHistory(*http.Request, []byte) (any, error) {
 	versions := []settings.Version{}
 	latest, _ := f.latest()
@@ -237,7 +242,8 @@
 	return version, nil
 }
 
-// serveChange checks a version as a whole, and writes it. Each node applies it when it sees it in the store.
+// serveChange checks a new version as the complete configuration of this node, and writes it to the store. Each node
+// applies it when the version reaches its replica.
 func (f *settingsFollower) serveChange(r *http.Request, body []byte) (any, error) {
 	var change SettingsChange
 	if err := control.Decode(body, &change); err != nil {
@@ -256,7 +262,8 @@
 	return version, f.write(r.Context(), version, storeVersion)
 }
 
-// notLeader tells a client which member writes the shared configuration.
+// notLeader returns the error for a client that should have called the leader. It names the leader's control address
+// if that is known.
 func (f *settingsFollower) notLeader() *control.Error {
 	leader := f.store.Leader()
 	for _, m := range f.operator.Store.Members {
@@ -276,7 +283,7 @@
 	}
 }
 
-// checkChange makes a change the version after latest, and has it checked as the configuration of this node.
+// checkChange turns a change into the version after latest, and checks it as the configuration of this node.
 func (f *settingsFollower) checkChange(ctx context.Context, latest uint64,
 	change *SettingsChange) (settings.Version, error) {
 	version, err := settings.NextVersion(latest, change.BaseVersion, settings.Version{
@@ -298,8 +305,8 @@
 	return version, nil
 }
 
-// write stores a version and points to it, unless the pointer's record has changed since storeVersion. The oldest
-// retained version is deleted.
+// write stores a version and sets the currentKey record to it, unless that record has changed since storeVersion. The
+// version that exceeds settings.MaxVersions is deleted.
 func (f *settingsFollower) write(ctx context.Context, version settings.Version, storeVersion uint64) error {
 	text, err := json.Marshal(version)
 	if err != nil {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -13,18 +13,26 @@
 )
 
 const (
-	acceptAfterStop = 600 * time.Millisecond  // clients still connect for up to 0.4 s after SIGTERM
-	shutdownTimeout = time.Minute             // for what was accepted, where nobody kills the process
-	handBackDelay   = 2200 * time.Millisecond // after SIGTERM, when the platform gets requests back that it would kill
-	killMargin      = 400 * time.Millisecond  // before the kill, when no request may be left
-	exitMargin      = 100 * time.Millisecond  // before the kill, when the process exits whatever hangs
+	// acceptAfterStop is how long the listener stays open after SIGTERM; clients still connect for up to 0.4 s.
+	acceptAfterStop = 600 * time.Millisecond
+	// shutdownTimeout bounds the wait for accepted requests if the platform does not kill the process.
+	shutdownTimeout = time.Minute
+	// handBackDelay is the time from SIGTERM until requests that the kill would interrupt are handed back to the
+	// platform.
+	handBackDelay = 2200 * time.Millisecond
+	// killMargin is the time before the kill at which no request may remain.
+	killMargin = 400 * time.Millisecond
+	// exitMargin is the time before the kill at which the process exits even if something still blocks.
+	exitMargin = 100 * time.Millisecond
 
-	closeIdleDelay   = 600 * time.Millisecond // after a hand-over begins, when idle connections are closed
-	passStreamsDelay = 2 * time.Second        // after a hand-over begins, when unfinished streams are passed on
+	// closeIdleDelay is the time from the beginning of a hand-over until idle connections are closed.
+	closeIdleDelay = 600 * time.Millisecond
+	// passStreamsDelay is the time from the beginning of a hand-over until unfinished streams are passed to a sibling.
+	passStreamsDelay = 2 * time.Second
 )
 
-// beginShutdown drains the process, or hands over to a sibling that serves at the same socket. The result is sent to
-// drained.
+// beginShutdown starts to drain the process, or to hand over to a sibling that serves on the same socket. The result is
+// sent to drained.
 func (a *assembly) beginShutdown(drained chan<- error) {
 	killDelay := a.current.killDelay
 	if a.inheritsListener() && a.siblings != nil && a.siblings.SiblingCount() > 0 {
@@ -34,8 +42,9 @@
 	go func() { drained <- a.drain(killDelay, shutdownTimeout) }()
 }
 
-// drain accepts while clients may still come, then closes the listener and waits for what was accepted. What the
-// platform would kill is handed back in time; where it kills nothing, what is left after timeout is answered instead.
+// drain accepts clients for acceptAfterStop, then closes the listener and waits for the accepted requests. Requests
+// that a kill by the platform would interrupt are handed back before it. If the platform does not kill the process
+// (killDelay is 0), requests that remain shortly before timeout are answered by this node instead.
 func (a *assembly) drain(killDelay, timeout time.Duration) error {
 	if err := a.lifecycle.Enter(node.Draining); err != nil {
 		return err
@@ -53,8 +62,8 @@
 	return a.finishDraining(timeout)
 }
 
-// handOver drains while a sibling serves at the same socket. It stops accepting before it closes any connection, so
-// that clients who connect again reach the sibling.
+// handOver drains while a sibling serves on the same socket. It stops accepting before it closes any connection, so
+// that clients that reconnect reach the sibling.
 func (a *assembly) handOver(killDelay time.Duration) error {
 	if err := a.lifecycle.Enter(node.HandingOver); err != nil {
 		return err
@@ -70,13 +79,13 @@
 	}
 	defer time.AfterFunc(end-killMargin, func() { a.core.HandBack(true) }).Stop()
 	defer time.AfterFunc(passStreamsDelay, a.passStreams).Stop()
-	// Idle connections are closed at once after this; a client that sends request after request is told to close with
-	// its next answer, and gets the time for it.
+	// Draining closes idle connections at once. The delay lets a client that sends requests back to back receive its
+	// next response, which asks it to close the connection.
 	time.Sleep(closeIdleDelay)
 	return a.finishDraining(end - closeIdleDelay - exitMargin)
 }
 
-// finishDraining waits for what was accepted, and for adopted streams, and ends the process's last phase.
+// finishDraining waits for accepted requests and adopted streams, at most for timeout, and enters the stopped phase.
 func (a *assembly) finishDraining(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -92,19 +101,19 @@
 		err = errors.Join(err, ctx.Err())
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = fmt.Errorf("draining: %d flows were left: %w", a.core.OpenRequests(), err)
+		err = fmt.Errorf("draining: %d requests unfinished: %w", a.core.OpenRequests(), err)
 	}
-	if moveErr := a.lifecycle.Enter(node.Stopped); moveErr != nil {
-		return moveErr
+	if phaseErr := a.lifecycle.Enter(node.Stopped); phaseErr != nil {
+		return phaseErr
 	}
 	a.processLog.Info("stopped")
 	return err
 }
 
-// drainRequest asks the supervising goroutine to drain the node by hand, or to end such a drain.
+// drainRequest asks the supervising goroutine to begin or to end a manual drain of the node.
 type drainRequest struct {
 	drained bool
-	result  chan error // buffered for one
+	result  chan error // has capacity 1, so that the supervising goroutine never blocks on it
 }
 
 // requestDrain sends a drainRequest and waits for its result.
@@ -118,8 +127,8 @@
 	return <-request.result // setDrained does not block
 }
 
-// setDrained drains the node by hand, or ends that. A node that has been told to stop has sent its clients away for
-// good.
+// setDrained begins or ends a manual drain of the node. A node that is shutting down stays drained: ending the drain
+// returns console.ErrStopping.
 func (a *assembly) setDrained(drained bool) error {
 	phase := a.lifecycle.Phase()
 	if phase > node.ManuallyDrained {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -16,8 +16,8 @@
 	"standpoint/internal/testpeer"
 )
 
-// After SIGTERM the program goes on accepting for as long as clients may still come, answers all it took, a
-// stream under way too, and then exits.
+// TestDrainAcceptsLateClients checks that after SIGTERM the process accepts clients for as long as some may still
+// connect, completes every accepted request, including a stream in progress, and then exits.
 func TestDrainAcceptsLateClients(t *testing.T) {
 	release := make(chan struct{})
 	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -35,18 +35,18 @@
 		response, err := client.Get("http://" + listen + "/_health")
 		return err == nil && response.Body.Close() == nil && response.StatusCode == http.StatusOK
 	}, 5*time.Second, 5*time.Millisecond)
-	asked := 0
-	ask := func(trace string) *http.Response {
-		asked++
-		response, err := client.Do(testpeer.ChatRequest(t, listen, fmt.Sprintf("%s-%d", trace, asked), "3000m"))
+	requests := 0
+	request := func(trace string) *http.Response {
+		requests++
+		response, err := client.Do(testpeer.ChatRequest(t, listen, fmt.Sprintf("%s-%d", trace, requests), "3000m"))
 		require.NoError(t, err)
 		return response
 	}
-	slow := ask("slow")
+	slow := request("slow")
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	began := time.Now()
-	for time.Since(began) < 400*time.Millisecond {
-		late := ask("late")
+	signaledAt := time.Now()
+	for time.Since(signaledAt) < 400*time.Millisecond {
+		late := request("late")
 		body, err := io.ReadAll(late.Body)
 		require.NoError(t, err)
 		require.Contains(t, string(body), "[DONE]")
@@ -54,7 +54,7 @@
 	}
 	time.Sleep(400 * time.Millisecond)
 	_, err := net.Dial("tcp", listen)
-	require.Error(t, err, "the listener is closed by now")
+	require.Error(t, err, "the listener has been closed")
 	close(release)
 	body, err := io.ReadAll(slow.Body)
 	require.NoError(t, err)
@@ -62,20 +62,20 @@
 	require.NoError(t, <-exit)
 }
 
-// Where nobody kills the program, what it still holds at the end of its time to stop is answered, and told when to come
-// back: its exit is no answer.
+// TestRequestsLeftAtTheEndAreAnswered checks a process that no platform kills: requests that are still open at the end
+// of the drain get a response with Retry-After, rather than a connection that closes without one.
 func TestRequestsLeftAtTheEndAreAnswered(t *testing.T) {
-	came := make(chan struct{})
+	arrived := make(chan struct{})
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter,
 		r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		close(came)
+		close(arrived)
 		<-r.Context().Done()
 	})))
 	a := &assembly{core: n.Core, lifecycle: n.Lifecycle, clients: n.Connections, processLog: zap.NewNop()}
 	ended := make(chan error, 1)
 	go func() {
-		<-came
+		<-arrived
 		ended <- a.drain(0, 1500*time.Millisecond)
 	}()
 	status, header, _, err := n.Do(n.Chat(t.Context(), func(r *http.Request) {
--- a/internal/daemon/siblings.go
+++ b/internal/daemon/siblings.go
@@ -14,15 +14,15 @@
 
 const (
 	siblingPollInterval = 100 * time.Millisecond
-	learnedTimeout      = 500 * time.Millisecond // for the learned state of a sibling
+	learnedTimeout      = 500 * time.Millisecond // bounds both publishing and awaiting learned state
 	learnedPollInterval = 10 * time.Millisecond
 )
 
-// siblingsName stands in errors of the process's exit.
-const siblingsName = "company"
+// siblingsComponentName appears in errors at the exit of the process.
+const siblingsComponentName = "company"
 
-// joinSiblings finds the other processes of this node. Operators may start a second process beside a running one; both
-// find each other in the directory of temporary files, and divide the node's limits.
+// joinSiblings finds the other processes of this node. Operators may start a second process while one is running: the
+// processes find each other through files in TMPDIR, and divide the node's limits among themselves.
 func (a *assembly) joinSiblings() {
 	dir := os.Getenv("TMPDIR")
 	if dir == "" || a.console == "" && !a.inheritsListener() {
@@ -38,17 +38,17 @@
 	a.current.limits = a.limits
 }
 
-// siblingsComponent watches the other processes, applies overrides that they record, and adopts their streams.
+// siblingsComponent watches the sibling processes, applies overrides that they record, and adopts their streams.
 func siblingsComponent(a *assembly) (component, error) {
 	if a.siblings == nil {
 		return component{}, nil
 	}
-	known := a.siblingCount // read here, since run is another goroutine
+	known := a.siblingCount // read here, since run is called in another goroutine
 	watch := func(ctx context.Context) { a.watchSiblings(ctx, known) }
-	return component{name: siblingsName, run: runTogether(a.acceptStreams, watch), stop: a.siblings.Close}, nil
+	return component{name: siblingsComponentName, run: runTogether(a.acceptStreams, watch), stop: a.siblings.Close}, nil
 }
 
-// watchSiblings polls the number of siblings and their record until the context ends.
+// watchSiblings polls the number of siblings and their recorded overrides until the context ends.
 func (a *assembly) watchSiblings(ctx context.Context, known int) {
 	ticker := time.NewTicker(siblingPollInterval)
 	defer ticker.Stop()
@@ -63,7 +63,7 @@
 		if count == known {
 			continue
 		}
-		if count > known { // the new process goes on by what this one knows
+		if count > known { // the new process takes over the state of this one
 			a.overrides.Persist()
 			a.publishLearned(ctx)
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// setSiblingCount divides the node's limits among its processes.
+// setSiblingCount divides the node's limits among this process and its siblings.
 func (a *assembly) setSiblingCount(count int) {
 	a.siblingCount = count
 	next := a.current
@@ -89,7 +89,7 @@
 	a.processLog.Info("sibling process count changed", zap.Int("siblings", count), zap.Any("limits", next.limits))
 }
 
-// publishLearned leaves the decision module's learned state to a process that takes over.
+// publishLearned writes the decision module's learned state to a file for a sibling that takes over.
 func (a *assembly) publishLearned(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, learnedTimeout)
 	defer cancel()
@@ -106,8 +106,8 @@
 	}
 }
 
-// restoreLearned loads the learned state that a serving sibling publishes once it has seen this process. started is
-// when this process was started: state that is older was meant for another.
+// restoreLearned waits for the learned state that a serving sibling publishes once it detects this process, and loads
+// it. State older than started, when this process began, was published for another process.
 func (a *assembly) restoreLearned(stop context.Context, started time.Time) {
 	if a.siblings == nil || a.siblingCount == 0 {
 		return
@@ -127,6 +127,7 @@
 	a.log.Info("no learned state available")
 }
 
+// applyLearned imports encoded learned state into the core.
 func (a *assembly) applyLearned(ctx context.Context, raw []byte) {
 	var learned standpoint.Learned
 	err := json.Unmarshal(raw, &learned)
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -7,12 +7,13 @@
 	"standpoint/internal/store"
 )
 
+// memoryStoreComponent creates a store in the memory of this process.
 func memoryStoreComponent(a *assembly) (component, error) {
 	a.store = store.NewMemory()
 	return component{name: "store", stop: a.store.Close}, nil
 }
 
-// storeComponent opens the store that the operator's file describes.
+// storeComponent opens the store that the operator's file configures.
 func storeComponent(a *assembly) (component, error) {
 	cfg := &a.operator.Store
 	if cfg.Kind == config.StoreMemory {
--- a/internal/daemon/streams.go
+++ b/internal/daemon/streams.go
@@ -11,14 +11,14 @@
 	"standpoint/internal/node"
 )
 
-// streamTransfer describes a stream that is passed to a sibling. The class goes by its name: the sibling's
-// configuration may number classes otherwise.
+// streamTransfer describes a stream that is passed to a sibling. It has the name of the class and not its index, since
+// the sibling's configuration may list classes in another order.
 type streamTransfer struct {
 	Class  string          `json:"class"`
 	Stream json.RawMessage `json:"stream"`
 }
 
-// passStreams passes the unfinished streams to the sibling that serves.
+// passStreams passes the unfinished streams to the serving sibling.
 func (a *assembly) passStreams() {
 	count := a.backends.HandOver(func(stream backend.Stream, clientFD, backendFD int) error {
 		err := a.passStream(stream, clientFD, backendFD)
@@ -30,6 +30,7 @@
 	a.processLog.Info("streams passed to sibling process", zap.Int("streams", count))
 }
 
+// passStream passes one stream, with its connections to the client and the backend, to the serving sibling.
 func (a *assembly) passStream(stream backend.Stream, clientFD, backendFD int) error {
 	encoded, err := json.Marshal(stream)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return a.siblings.PassStream(text, clientFD, backendFD)
 }
 
-// acceptStreams adopts streams that siblings pass, until the context ends.
+// acceptStreams adopts streams that siblings pass to this process, until the context ends.
 func (a *assembly) acceptStreams(ctx context.Context) {
 	adopt := func(text []byte, client, server net.Conn) bool { return a.adoptStream(ctx, text, client, server) }
 	if err := a.siblings.AcceptStreams(ctx, adopt); err != nil {
@@ -50,7 +51,8 @@
 	}
 }
 
-// adoptStream carries on with a stream of a sibling. It returns false where it does not take the connections.
+// adoptStream continues a stream of a sibling in a goroutine. It returns false if it does not take ownership of the
+// connections.
 func (a *assembly) adoptStream(ctx context.Context, text []byte, client, server net.Conn) bool {
 	transfer, stream, err := decodeTransfer(text)
 	if phase := a.lifecycle.Phase(); err != nil || phase > node.ManuallyDrained {
@@ -58,9 +60,9 @@
 		return false
 	}
 	a.adoptedStreams.Go(func() {
-		defer server.Close() // where the core does not admit the request, nothing else closes it
-		carry := func(attempt *node.Attempt) { a.backends.Continue(stream, server, attempt) }
-		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.ClientStall, carry)
+		defer server.Close() // if the core does not admit the request, nothing else closes the connection
+		resume := func(attempt *node.Attempt) { a.backends.Continue(stream, server, attempt) }
+		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.ClientStall, resume)
 	})
 	return true
 }
