--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,5 +1,5 @@
-// Package metrics owns the counters that a node shows to its operators. Each counter is written in one place, where the
-// event itself happens, and read by the console and by the Prometheus endpoint. No call blocks.
+// Package metrics holds the counters that a node exposes to its operators. Each counter is incremented in one place,
+// where the counted event happens, and read by the console and the Prometheus endpoint. No call blocks.
 package metrics
 
 import (
@@ -7,34 +7,34 @@
 	"sync/atomic"
 )
 
-// maxClasses bounds the classes that are counted: configurations that are reloaded may bring new ones without end.
+// maxClasses bounds the number of classes that are exposed, since each configuration reload may add new ones.
 const maxClasses = 256
 
-// Class counts the requests of one class.
+// Class holds the request counters of one class.
 type Class struct {
-	Name   string
+	Name   string // as configured
 	counts [outcomeCount]atomic.Uint64
 }
 
-// Count is how many of its requests had this outcome.
+// Count returns the number of requests of the class that ended with this outcome.
 func (c *Class) Count(o Outcome) uint64 { return c.counts[o].Load() }
 
-// Counters are the counters of a node. All methods may be called concurrently. Those that count do nothing on a nil
-// *Counters.
+// Counters holds the counters of a node. All methods may be called concurrently, but SetClasses not with itself. The
+// methods that record an event, and SetBackends, do nothing on a nil *Counters.
 type Counters struct {
-	// OpenRequests returns how many requests are accepted and not ended. It must not block.
+	// OpenRequests returns the number of requests that were accepted and have not ended. It must not block.
 	OpenRequests func() int
 
-	classes     atomic.Pointer[[]*Class] // of the configuration in force, by the decision module's indexes
-	allClasses  atomic.Pointer[[]*Class] // of earlier configurations too
-	attempts    atomic.Uint64
-	listed      atomic.Int64
-	avoided     atomic.Int64
+	classes     atomic.Pointer[[]*Class] // classes of the configuration in force, by the decision module's index
+	allClasses  atomic.Pointer[[]*Class] // these classes, and those of earlier configurations
+	attempts    atomic.Uint64            // attempts written in full to backends
+	listed      atomic.Int64             // backends in the endpoint list
+	avoided     atomic.Int64             // listed backends that the decision module avoids
 	unsent      [unsentCauseCount]atomic.Uint64
 	silentClose [silentCloseCauseCount]atomic.Uint64
 }
 
-// New returns counters that are all 0. openRequests becomes OpenRequests.
+// New returns counters that are 0, for these classes. openRequests is stored as OpenRequests.
 func New(classes []string, openRequests func() int) *Counters {
 	c := &Counters{OpenRequests: openRequests}
 	c.allClasses.Store(&[]*Class{})
@@ -42,8 +42,8 @@
 	return c
 }
 
-// SetClasses applies the classes of a new configuration. A class of the same name goes on with its counts. It must not
-// be called concurrently with itself.
+// SetClasses applies the classes of a new configuration. A class with a known name keeps its counts. It must not be
+// called concurrently with itself.
 func (c *Counters) SetClasses(names []string) {
 	all := slices.Clone(*c.allClasses.Load())
 	var classes []*Class
@@ -55,7 +55,7 @@
 		}
 		class := &Class{Name: name}
 		classes = append(classes, class)
-		if len(all) < maxClasses { // else it is counted, but not shown
+		if len(all) < maxClasses { // beyond that, a class is counted but not exposed
 			all = append(all, class)
 		}
 	}
@@ -63,7 +63,7 @@
 	c.allClasses.Store(&all)
 }
 
-// CountRequest counts the end of a request. An index that is no class is ignored.
+// CountRequest counts a request that has ended. It ignores indexes that are not classes.
 func (c *Counters) CountRequest(class int, outcome Outcome) {
 	if c == nil {
 		return
@@ -73,28 +73,28 @@
 	}
 }
 
-// CountAttempt counts an attempt that is written in full to a backend.
+// CountAttempt counts an attempt that has been written in full to a backend.
 func (c *Counters) CountAttempt() {
 	if c != nil {
 		c.attempts.Add(1)
 	}
 }
 
-// CountFailedUnsent counts a request that is answered as failed and was never sent.
+// CountFailedUnsent counts a request that failed without an attempt.
 func (c *Counters) CountFailedUnsent(cause UnsentCause) {
 	if c != nil {
 		c.unsent[cause].Add(1)
 	}
 }
 
-// CountSilentClose counts a client's connection that this node closed without an answer.
+// CountSilentClose counts a client connection that this node closed without writing anything to it.
 func (c *Counters) CountSilentClose(cause SilentCloseCause) {
 	if c != nil {
 		c.silentClose[cause].Add(1)
 	}
 }
 
-// SetBackends notes how many backends are listed, and how many of them the decision module avoids.
+// SetBackends sets the number of listed backends, and the number of those that the decision module avoids.
 func (c *Counters) SetBackends(listed, avoided int) {
 	if c != nil {
 		c.listed.Store(int64(listed))
@@ -102,10 +102,10 @@
 	}
 }
 
-// Classes are all classes that are counted and shown.
+// Classes returns all classes that are exposed, including those of earlier configurations.
 func (c *Counters) Classes() []*Class { return *c.allClasses.Load() }
 
-// RequestTotal is how many requests have ended, over Classes.
+// RequestTotal returns the number of requests that have ended, over all Classes.
 func (c *Counters) RequestTotal() uint64 {
 	total := uint64(0)
 	for _, class := range c.Classes() {
@@ -116,19 +116,19 @@
 	return total
 }
 
-// Attempts is how many attempts were written in full to backends.
+// Attempts returns the number of attempts that were written in full to backends.
 func (c *Counters) Attempts() uint64 { return c.attempts.Load() }
 
-// Listed is how many backends are listed.
+// Listed returns the number of backends in the endpoint list.
 func (c *Counters) Listed() int64 { return c.listed.Load() }
 
-// Avoided is how many of the listed backends the decision module avoids.
+// Avoided returns the number of listed backends that the decision module avoids.
 func (c *Counters) Avoided() int64 { return c.avoided.Load() }
 
-// FailedUnsentCount is how many requests failed unsent for this cause.
+// FailedUnsentCount returns the number of requests that failed without an attempt for this cause.
 func (c *Counters) FailedUnsentCount(cause UnsentCause) uint64 { return c.unsent[cause].Load() }
 
-// SilentCloseCount is how many connections were closed silently for this cause.
+// SilentCloseCount returns the number of connections that were closed silently for this cause.
 func (c *Counters) SilentCloseCount(cause SilentCloseCause) uint64 {
 	return c.silentClose[cause].Load()
 }
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A class keeps its counts over a reload, by its name, and what is shown is bounded.
+// TestSetClasses checks that a class keeps its counts across a reload that changes its index, that invalid indexes are
+// ignored, and that the number of exposed classes is bounded.
 func TestSetClasses(t *testing.T) {
 	c := New([]string{"chat", "import"}, func() int { return 0 })
 	c.CountRequest(1, Succeeded)
@@ -16,7 +17,7 @@
 	c.CountRequest(1, Failed)
 	c.CountRequest(2, Failed)
 	c.CountRequest(-1, Failed)
-	require.EqualValues(t, 3, c.RequestTotal(), "indexes that are no class are ignored")
+	require.EqualValues(t, 3, c.RequestTotal(), "indexes that are not classes are ignored")
 	classes := c.Classes()
 	require.Len(t, classes, 3)
 	require.Equal(t, "import", classes[1].Name)
@@ -28,7 +29,7 @@
 	require.Len(t, c.Classes(), maxClasses)
 }
 
-// Nil counters count nothing.
+// TestNilCounters checks that counting on a nil *Counters does not panic.
 func TestNilCounters(t *testing.T) {
 	var c *Counters
 	require.NotPanics(t, func() {
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -6,28 +6,29 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// The counters as the console shows them: names, order and form. Each has another value, so that exchanged ones show.
+// TestGoldenText compares the names, order and format of the counters at the console with a golden file. Each counter
+// has a different value, so that exchanged ones show.
 func TestGoldenText(t *testing.T) {
-	f := New([]string{"chat", "import"}, func() int { return 70 })
-	times := 0
-	count := func(what func()) {
-		times++
-		for range times {
-			what()
+	counters := New([]string{"chat", "import"}, func() int { return 70 })
+	repetitions := 0
+	count := func(increment func()) {
+		repetitions++
+		for range repetitions {
+			increment()
 		}
 	}
 	for class := range 2 {
-		for e := range outcomeCount {
-			count(func() { f.CountRequest(class, e) })
+		for outcome := range outcomeCount {
+			count(func() { counters.CountRequest(class, outcome) })
 		}
 	}
-	for why := range unsentCauseCount {
-		count(func() { f.CountFailedUnsent(why) })
+	for cause := range unsentCauseCount {
+		count(func() { counters.CountFailedUnsent(cause) })
 	}
-	for why := range silentCloseCauseCount {
-		count(func() { f.CountSilentClose(why) })
+	for cause := range silentCloseCauseCount {
+		count(func() { counters.CountSilentClose(cause) })
 	}
-	count(f.CountAttempt)
-	f.SetBackends(80, 81)
-	golden.Bytes(t, "figures.txt", f.Text())
+	count(counters.CountAttempt)
+	counters.SetBackends(80, 81)
+	golden.Bytes(t, "figures.txt", counters.Text())
 }
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Text returns all counters, one a line, as "name=value".
+// Text returns all counters in the format of the console: one line "name=value" for each.
 func (c *Counters) Text() []byte {
 	var text bytes.Buffer
 	for _, class := range c.Classes() {
