--- a/internal/config/batch.go
+++ b/internal/config/batch.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// BatchBackend is the section [batch_server]: how backends that take files are driven.
+// BatchBackend is the section [batch_server]: how requests are sent to backends that take files.
 type BatchBackend struct {
-	GatherDelay  Duration `toml:"gather"` // for which lines are gathered before a file is sent
-	MaxLines     int      `toml:"lines"`  // in a file
-	PollInterval Duration `toml:"poll"`   // of a job's state
-	LostTimeout  Duration `toml:"lost"`   // without a state, after which a job counts as lost
+	GatherDelay  Duration `toml:"gather"` // time for which lines are collected before a file is sent
+	MaxLines     int      `toml:"lines"`  // maximum number of lines in a file
+	PollInterval Duration `toml:"poll"`   // interval between queries for a job's state
+	LostTimeout  Duration `toml:"lost"`   // time without a state after which a job counts as lost
 }
 
 func (b *BatchBackend) setDefaults() {
@@ -17,19 +17,22 @@
 	setDefault(&b.LostTimeout, Duration(10*time.Second))
 }
 
-// Batch is the section [batch]: the API for files of requests. The leader keeps it in the store as JSON, under the
-// names of the tags.
+// Batch is the section [batch]: the API for files of requests. The leader writes it to the store as JSON, with the
+// names in the json tags.
 type Batch struct {
-	Enabled            bool        `toml:"enabled" json:"Enabled"`
-	MaxConcurrentLines int         `toml:"lines_at_once" json:"LinesAtOnce"` // of all batches together
-	LineTimeout        Duration    `toml:"line_time" json:"LineTime"`        // of one attempt, its stream included
-	MaxAttempts        int         `toml:"tries" json:"Tries"`               // of a line
-	MaxFileMB          int         `toml:"file_mb" json:"FileMB"`
-	Fields             BatchFields `toml:"fields" json:"Fields"`     // the metadata keys of a line
-	Defaults           BatchFields `toml:"defaults" json:"Defaults"` // for lines without them
+	Enabled bool `toml:"enabled" json:"Enabled"`
+	// MaxConcurrentLines is the maximum number of lines in progress, over all batches.
+	MaxConcurrentLines int `toml:"lines_at_once" json:"LinesAtOnce"`
+	// LineTimeout bounds one attempt for a line, including its stream.
+	LineTimeout Duration    `toml:"line_time" json:"LineTime"`
+	MaxAttempts int         `toml:"tries" json:"Tries"`       // maximum number of attempts for a line
+	MaxFileMB   int         `toml:"file_mb" json:"FileMB"`    // maximum size of a file, in MiB
+	Fields      BatchFields `toml:"fields" json:"Fields"`     // metadata keys that describe a line's request
+	Defaults    BatchFields `toml:"defaults" json:"Defaults"` // values for lines without these metadata keys
 }
 
-// BatchFields are the metadata keys, or the defaults, of what a line says about its request.
+// BatchFields holds a metadata key, or a default value, for each property of a line's request. As a key, MaxTokens is
+// not used: that property has only a default, in tokens.
 type BatchFields struct {
 	Class     string  `toml:"class" json:"Class"`
 	Tenant    string  `toml:"tenant" json:"Tenant"`
@@ -50,8 +53,7 @@
 	setDefault(&b.Defaults.MaxTokens, 256)
 }
 
-// validateBatch sets the defaults that depend on the classes and tenants, and validates the section where it is
-// enabled.
+// validateBatch sets the defaults that depend on the classes and tenants, and validates the section, if it is enabled.
 func (o *OperatorFile) validateBatch() error {
 	b := &o.Batch
 	if !b.Enabled {
@@ -63,13 +65,13 @@
 	}
 	switch {
 	case !o.hasClass(b.Defaults.Class):
-		return keyError("batch.defaults.class", "%q is no class of this file", b.Defaults.Class)
+		return keyError("batch.defaults.class", "%q is not among the class names", b.Defaults.Class)
 	case len(o.Tenants) > 0 && !o.hasTenant(b.Defaults.Tenant):
-		return keyError("batch.defaults.tenant", "%q is no tenant of this file", b.Defaults.Tenant)
+		return keyError("batch.defaults.tenant", "%q is not among the tenant names", b.Defaults.Tenant)
 	case !between(b.MaxConcurrentLines, 1, 256):
 		return keyError("batch.lines_at_once", "%d is not from 1 to 256", b.MaxConcurrentLines)
 	case b.LineTimeout < Duration(time.Second):
-		return keyError("batch.line_time", "shorter than 1s")
+		return keyError("batch.line_time", "%v is shorter than 1s", time.Duration(b.LineTimeout))
 	case !between(b.MaxAttempts, 1, 100):
 		return keyError("batch.tries", "%d is not from 1 to 100", b.MaxAttempts)
 	case !between(b.MaxFileMB, 1, 64):
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Duration is a time span that TOML and JSON hold as text, such as "250ms".
+// Duration is a time.Duration whose TOML and JSON form is a text such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -15,7 +15,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// between tells whether the span is from minimum to maximum, both included.
+// between reports whether the duration is from minimum to maximum, both included.
 func (d Duration) between(minimum, maximum time.Duration) bool {
 	return time.Duration(d) >= minimum && time.Duration(d) <= maximum
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -9,72 +9,75 @@
 )
 
 const (
-	maxSlots   = 4096
-	maxBudgets = 64
+	maxSlots   = 4096 // maximum number of member slots
+	maxBudgets = 64   // maximum number of budgets
 )
 
-// Kinds of a fleet's budget.
+// Kinds of a fleet's budgets.
 const (
-	BudgetTokens   = "tokens"   // of a tenant
-	BudgetRetries  = "attempts" // retries, of all requests
-	BudgetSessions = "places"   // for paused sessions: of all tenants, or of one
+	BudgetTokens   = "tokens"   // tokens of one tenant
+	BudgetRetries  = "attempts" // retries of all requests
+	BudgetSessions = "places"   // paused sessions of all tenants or of one
 )
 
 var budgetKinds = []string{BudgetTokens, BudgetRetries, BudgetSessions}
 
-// Fleet is the section [fleet]: what the nodes share, and by which times. Without a listener nothing is shared.
+// Fleet is the section [fleet]: what the nodes share, and the timing of that. Without Listen nothing is shared.
 type Fleet struct {
-	Listen           string   `toml:"listen"` // UDP and TCP, between nodes
-	Dir              string   `toml:"dir"`    // of the node's incarnation and lease
-	Strict           bool     `toml:"strict"` // a violated invariant ends the process
-	ClockError       Duration `toml:"clock_error"`
-	ClockOffset      Duration `toml:"clock_offset"` // for tests: by how much this node's clock is wrong
-	HeartbeatTimeout Duration `toml:"silence"`
-	JoinTimeout      Duration `toml:"join"`
-	SettleTime       Duration `toml:"settle"` // for which a change of connectivity must last
-	RecoveryRamp     Duration `toml:"heal"`   // over which a node that was apart returns to its rate
-	GossipInterval   Duration `toml:"beat"`
-	RequestInterval  Duration `toml:"ask"`   // between two requests for quota
-	GossipFanout     int      `toml:"peers"` // nodes that a packet goes to
-	LeaseDuration    Duration `toml:"lease"` // of a member slot
-	// CoreSlots are the slots whose store decides for the fleet; empty for all. The others are sites.
+	Listen           string   `toml:"listen"`       // loopback address for other nodes, UDP and TCP, host:port
+	Dir              string   `toml:"dir"`          // directory with the node's incarnation and lease
+	Strict           bool     `toml:"strict"`       // whether a violated invariant ends the process
+	ClockError       Duration `toml:"clock_error"`  // maximum difference between the clocks of two nodes
+	ClockOffset      Duration `toml:"clock_offset"` // offset added to this node's clock, for tests
+	HeartbeatTimeout Duration `toml:"silence"`      // time without a packet after which a node counts as unreachable
+	JoinTimeout      Duration `toml:"join"`         // maximum time that a starting node waits for a majority
+	SettleTime       Duration `toml:"settle"`       // time for which a change of connectivity must last to count
+	RecoveryRamp     Duration `toml:"heal"`         // time over which a formerly isolated node returns to its full rate
+	GossipInterval   Duration `toml:"beat"`         // interval between gossip packets
+	RequestInterval  Duration `toml:"ask"`          // minimum interval between two requests for quota of one budget
+	GossipFanout     int      `toml:"peers"`        // number of nodes to which each gossip packet is sent
+	LeaseDuration    Duration `toml:"lease"`        // duration of the lease of a member slot
+	// CoreSlots names the slots whose store decides for the fleet; empty for all slots. The other slots are sites.
 	CoreSlots        []string      `toml:"halls"`
-	SuspectAfter     Duration      `toml:"doubt"`     // of a site without a core node
-	IsolatedAfter    Duration      `toml:"alone"`     // of a site that suspects it
+	SuspectAfter     Duration      `toml:"doubt"`     // time without a core node after which a site suspects isolation
+	IsolatedAfter    Duration      `toml:"alone"`     // further time after which the site counts as isolated
 	OverdraftClasses []string      `toml:"overdraws"` // classes that may use the overdraft while their node is isolated
 	Slots            []FleetSlot   `toml:"seat"`
 	Budgets          []FleetBudget `toml:"budget"`
 	Evidence         FleetEvidence `toml:"evidence"`
 }
 
-// FleetSlot is a [[fleet.seat]]: a member slot, named for the node that holds it.
+// FleetSlot is a [[fleet.seat]]: a member slot, with the name of the node that occupies it.
 type FleetSlot struct {
 	Name    string `toml:"name"`
-	Address string `toml:"address"` // where this node reaches it
-	Zone    string `toml:"zone"`
-	Weight  int64  `toml:"weight"` // of its part in the budgets
+	Address string `toml:"address"` // address at which this node reaches it, host:port
+	Zone    string `toml:"zone"`    // zone of its node, one of Module.Zones; "" for the first of them
+	Weight  int64  `toml:"weight"`  // weight by which budgets are divided among the slots
 }
 
-// FleetBudget is a [[fleet.budget]]: what the fleet may spend in each window.
+// FleetBudget is a [[fleet.budget]]: an amount that the fleet may spend in each time window.
 type FleetBudget struct {
-	Kind            string   `toml:"kind"`   // BudgetTokens, BudgetRetries or BudgetSessions
-	Tenant          string   `toml:"tenant"` // "" for all
-	Amount          int64    `toml:"amount"`
-	Overdraft       int64    `toml:"overdraft"`
-	Window          Duration `toml:"window"`
-	TransferWindows int      `toml:"loan"` // for how many windows nodes may transfer quota to each other
+	Kind            string   `toml:"kind"`      // BudgetTokens, BudgetRetries or BudgetSessions
+	Tenant          string   `toml:"tenant"`    // tenant that the budget applies to; "" for all
+	Amount          int64    `toml:"amount"`    // amount in each window, in units of the kind
+	Overdraft       int64    `toml:"overdraft"` // additional amount in each window for isolated nodes
+	Window          Duration `toml:"window"`    // length of a window
+	TransferWindows int      `toml:"loan"`      // maximum number of windows for which nodes transfer quota to each other
 }
 
-// name identifies the budget at all nodes.
+// name returns the name that identifies the budget at all nodes.
 func (b *FleetBudget) name() string { return b.Kind + "/" + b.Tenant }
 
-// FleetEvidence is the section [fleet.evidence]: when the evidence of other nodes has a backend ejected.
+// FleetEvidence is the section [fleet.evidence]: when evidence from other nodes leads to the ejection of a backend.
 type FleetEvidence struct {
-	MinSources      int      `toml:"sources"` // nodes that must have evidence
-	Lifetime        Duration `toml:"lasts"`
-	OwnLifetime     Duration `toml:"own"`  // of a node's own good experience, which outweighs the others' evidence
-	MaxEjectedShare float64  `toml:"most"` // of a zone's backends
-	// IsolationShare of all backends: a node with evidence against more of them is taken to be cut off itself.
+	MinSources int      `toml:"sources"` // minimum number of other nodes with evidence against a backend
+	Lifetime   Duration `toml:"lasts"`   // time for which evidence is valid
+	// OwnLifetime is the time for which a node's own good experience with a backend outweighs the others' evidence.
+	OwnLifetime Duration `toml:"own"`
+	// MaxEjectedShare is the maximum fraction of a zone's backends that may be ejected, 0 to 1.
+	MaxEjectedShare float64 `toml:"most"`
+	// IsolationShare is the fraction of all backends, 0 to 1, beyond which evidence from one node indicates that this
+	// node itself is disconnected.
 	IsolationShare float64 `toml:"many"`
 }
 
@@ -114,17 +117,17 @@
 	setDefault(&e.IsolationShare, 0.34)
 }
 
-// isSite tells whether this node is none of the core nodes, whose store decides for the fleet.
+// isSite reports whether this node is a site, that is, not among the core nodes whose store decides for the fleet.
 func (o *OperatorFile) isSite() bool {
 	return len(o.Fleet.CoreSlots) > 0 && !slices.Contains(o.Fleet.CoreSlots, o.Name)
 }
 
-// validateFleet completes and validates [fleet], where it has a listener.
+// validateFleet sets the defaults of [fleet] and validates it, if it has a listener.
 func (o *OperatorFile) validateFleet() error {
 	f := &o.Fleet
 	if f.Listen == "" {
 		if len(f.Slots) > 0 || len(f.Budgets) > 0 {
-			return keyError("fleet.listen", "missing; without it nothing is shared")
+			return keyError("fleet.listen", "missing; fleet.seat and fleet.budget have no effect without it")
 		}
 		return nil
 	}
@@ -173,7 +176,7 @@
 	validShares := between(e.MaxEjectedShare, 0, 1) && between(e.IsolationShare, 0, 1) && e.IsolationShare > 0
 	if e.MinSources < 1 || !validShares {
 		return keyError("fleet.evidence",
-			"sources %d, most %g, many %g: at least one source, and shares from 0 to 1",
+			"out of range: sources is %d (at least 1), most is %g (from 0 to 1), many is %g (above 0, at most 1)",
 			e.MinSources, e.MaxEjectedShare, e.IsolationShare)
 	}
 	return nil
@@ -182,12 +185,12 @@
 func (o *OperatorFile) validateSlots() error {
 	slots := o.Fleet.Slots
 	if len(slots) > maxSlots {
-		return keyError("fleet.seat", "more than 4,096")
+		return keyError("fleet.seat", "%d sections are more than %d", len(slots), maxSlots)
 	}
 	seen := map[string]bool{}
 	for i, s := range slots {
 		if s.Name == "" || seen[s.Name] {
-			return keyError(indexed("fleet.seat", i, "name"), "%q is missing, or there twice", s.Name)
+			return keyError(indexed("fleet.seat", i, "name"), "%q is empty or a duplicate", s.Name)
 		}
 		seen[s.Name] = true
 		if err := validateLoopback(indexed("fleet.seat", i, "address"), s.Address); err != nil {
@@ -200,34 +203,35 @@
 	return nil
 }
 
-// validateRoles checks who decides for the fleet, and that this node has its place in it.
+// validateRoles checks that this node has a member slot, that core slots and overdraft classes exist, and that the
+// store and the tools suit the node's role.
 func (o *OperatorFile) validateRoles() error {
 	f := &o.Fleet
 	isSlot := func(name string) bool {
 		return slices.ContainsFunc(f.Slots, func(s FleetSlot) bool { return s.Name == name })
 	}
 	if !isSlot(o.Name) {
-		return keyError("name", "%q is no fleet.seat", o.Name)
+		return keyError("name", "%q is not among the fleet.seat names", o.Name)
 	}
 	if o.Store.Kind == StoreRaft && o.Store.ID != o.Name {
-		return keyError("store.id", "%q is not the node's name, %q, by which the fleet calls its leader",
+		return keyError("store.id", "%q differs from the node's name, %q, by which the fleet addresses its leader",
 			o.Store.ID, o.Name)
 	}
 	for i, name := range f.CoreSlots {
 		if !isSlot(name) {
-			return keyError(fmt.Sprintf("fleet.halls[%d]", i), "%q is no fleet.seat", name)
+			return keyError(fmt.Sprintf("fleet.halls[%d]", i), "%q is not among the fleet.seat names", name)
 		}
 	}
 	for i, name := range f.OverdraftClasses {
 		if !o.hasClass(name) {
-			return keyError(fmt.Sprintf("fleet.overdraws[%d]", i), "%q is no class of this file", name)
+			return keyError(fmt.Sprintf("fleet.overdraws[%d]", i), "%q is not among the class names", name)
 		}
 	}
 	if o.isSite() && len(o.Tools) > 0 {
-		return keyError("tool", "a site's sessions do not pause; their records are the halls'")
+		return keyError("tool", "not available at a site, a node that fleet.halls does not name: core nodes store sessions")
 	}
 	if len(f.Slots) > 1 && o.Store.Kind != StoreRaft && !o.isSite() {
-		return keyError("store.kind", "seats of a fleet are given by a replicated store, %q", StoreRaft)
+		return keyError("store.kind", "a fleet with several seats requires %q", StoreRaft)
 	}
 	return nil
 }
@@ -235,7 +239,7 @@
 func (o *OperatorFile) validateBudgets() error {
 	budgets := o.Fleet.Budgets
 	if len(budgets) > maxBudgets {
-		return keyError("fleet.budget", "more than %d", maxBudgets)
+		return keyError("fleet.budget", "%d sections are more than %d", len(budgets), maxBudgets)
 	}
 	seen := map[string]bool{}
 	for i, b := range budgets {
@@ -243,11 +247,11 @@
 		switch {
 		case !slices.Contains(budgetKinds, b.Kind):
 			return keyError(indexed("fleet.budget", i, "kind"),
-				"%q is none of \"tokens\", \"attempts\" and \"places\"", b.Kind)
+				"%q is not one of \"tokens\", \"attempts\", \"places\"", b.Kind)
 		case needsTenant && !o.hasTenant(b.Tenant):
-			return keyError(indexed("fleet.budget", i, "tenant"), "%q is no tenant of this file", b.Tenant)
+			return keyError(indexed("fleet.budget", i, "tenant"), "%q is not among the tenant names", b.Tenant)
 		case seen[b.name()]:
-			return keyError(fmt.Sprintf("fleet.budget[%d]", i), "there is one of these already")
+			return keyError(fmt.Sprintf("fleet.budget[%d]", i), "duplicate of an earlier fleet.budget: same kind and tenant")
 		}
 		seen[b.name()] = true
 	}
@@ -255,7 +259,7 @@
 	return err
 }
 
-// QuotaBudgets returns the budgets in the form in which nodes account for them.
+// QuotaBudgets returns the budgets in the form that package quota accounts for.
 func (o *OperatorFile) QuotaBudgets() ([]*quota.Budget, error) {
 	var weights []int64
 	for _, s := range o.Fleet.Slots {
@@ -280,8 +284,8 @@
 	return all, nil
 }
 
-// windowsAhead is for how many further windows a budget is spent in advance: a place is held until the slowest tool
-// has answered.
+// windowsAhead returns the number of windows after the current one for which a budget is spent in advance: a paused
+// session counts until the tool with the longest timeout has returned its result.
 func (o *OperatorFile) windowsAhead(b *FleetBudget) int {
 	if b.Kind != BudgetSessions || b.Window <= 0 {
 		return 0
--- a/internal/config/golden_errors_test.go
+++ b/internal/config/golden_errors_test.go
@@ -12,15 +12,15 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// faultyInput is a good file with one text in place of another.
-type faultyInput struct{ from, to string }
+// substitution makes an invalid file from a valid one: the first occurrence of from is replaced by to.
+type substitution struct{ from, to string }
 
-// faultyOperatorFiles are the faults by section; each is made in the file of its base.
-var faultyOperatorFiles = []struct {
+// operatorFaults lists invalid operator files by section, each as a substitution in the base file.
+var operatorFaults = []struct {
 	section, base string
-	inputs        []faultyInput
+	inputs        []substitution
 }{
-	{"file", minimalFile, []faultyInput{
+	{"file", minimalFile, []substitution{
 		{`listen = "127.0.0.1:8443"`, `listen = `},
 		{`listen = "127.0.0.1:8443"`, `listen = 8443`},
 		{`worth = 1.0`, `weight = 1.0`},
@@ -28,19 +28,19 @@
 		{`amount = 10`, `amount = "ten"`},
 		{`give_up = "5s"`, `give_up = "soon"`},
 	}},
-	{"addresses", fullFile, []faultyInput{
+	{"addresses", fullFile, []substitution{
 		{`listen = "127.0.0.1:8443"`, ``},
 		{`listen = "127.0.0.1:8443"`, `listen = "10.0.0.1:8443"`},
 		{`console = "127.0.0.1:9901"`, `console = "9901"`},
 		{`console = "127.0.0.1:9901"`, `console = "0.0.0.0:9901"`},
 		{`listen = "127.0.0.1:9701"`, `listen = "10.0.0.1:9701"`},
 	}},
-	{"limits", fullFile, []faultyInput{
+	{"limits", fullFile, []substitution{
 		{`cores = 2.5`, `cores = -1.0`},
 		{`memory_mb = 384`, `memory_mb = -1`},
 		{`sockets = 2048`, `sockets = 127`},
 	}},
-	{"module", fullFile, []faultyInput{
+	{"module", fullFile, []substitution{
 		{`zone = "hall-b"` + "\nzones", `zone = "hall-c"` + "\nzones"},
 		{`ordinal = 2`, `ordinal = 4`},
 		{`ordinal = 2`, `ordinal = -1`},
@@ -48,18 +48,18 @@
 		{`cold_share = 0.17`, `cold_share = 1.5`},
 		{`warm_up = "25s"`, `warm_up = "2h"`},
 	}},
-	{"log", fullFile, []faultyInput{
+	{"log", fullFile, []substitution{
 		{`level = "warn"`, `level = "loud"`},
 		{`form = "console"`, `form = "xml"`},
 	}},
-	{"control", fullFile, []faultyInput{
+	{"control", fullFile, []substitution{
 		{`listen = "127.0.0.1:9801"`, `listen = "unix:"`},
 		{`listen = "127.0.0.1:9801"`, `listen = "0.0.0.0:9801"`},
 		{`token_file = "control.token"`, ``},
 		{`listen = "127.0.0.1:9801"` + "\ntoken_file", `token_file`},
 		{`listen = "127.0.0.1:9801"` + "\ntoken_file", `listen = "127.0.0.1:9809"` + "\ntoken_file"},
 	}},
-	{"pool", fullFile, []faultyInput{
+	{"pool", fullFile, []substitution{
 		{`name = "old"`, ``},
 		{`name = "new"`, `name = "old"`},
 		{`select = 'version == "v1"'`, `select = 'version = "v1"'`},
@@ -67,7 +67,7 @@
 		{`share = 1.0`, `share = 0.5`},
 		{`share = 1.0`, `share = 1.5`},
 	}},
-	{"move", fullFile, []faultyInput{
+	{"move", fullFile, []substitution{
 		{`steps = [0.1, 0.6, 1.0]`, `steps = []`},
 		{`steps = [0.1, 0.6, 1.0]`, `steps = [0.1, 0.6, 1.1]`},
 		{`steps = [0.1, 0.6, 1.0]`, `steps = [0.1, 0.1, 1.0]`},
@@ -85,17 +85,17 @@
 		{`stall = "6s"`, `stall = "-6s"`},
 		{`return_every = "3s"`, `return_every = "10ms"`},
 	}},
-	{"class", fullFile, []faultyInput{
+	{"class", fullFile, []substitution{
 		{`name = "foreman-chat"` + "\nfirst_token", `first_token`},
 		{`first_token = "2.5s"`, `first_token = "0s"`},
 		{`give_up = "5s"`, `give_up = "1s"`},
 		{`worth = 5.0`, `worth = -5.0`},
 		{`name = "site-office"` + "\nshare", `share`},
 	}},
-	{"class-none", minimalFile, []faultyInput{
+	{"class-none", minimalFile, []substitution{
 		{"[[class]]\nname = \"chat\"\nfirst_token = \"1s\"\ngive_up = \"5s\"\nworth = 1.0\n", ""},
 	}},
-	{"entries", fullFile, []faultyInput{
+	{"entries", fullFile, []substitution{
 		{`source = "dns-sd"`, `source = "hosts"`},
 		{`poll = "160ms"`, `poll = "1ms"`},
 		{`refresh = "3s"`, `refresh = "100ms"`},
@@ -117,22 +117,25 @@
 		{"push = \"127.0.0.1:5303\"\npush_root = \"root.pem\"\n", ""},
 		{"push_root = \"root.pem\"\n", ""},
 	}},
-	{"entries-one", fullFile, []faultyInput{
-		{"[[entries.browse]]\nserver = \"127.0.0.1:5302\"\nservice = \"_engine._tcp\"\ndomain = \"hall-a.example.org\"\nsite = \"hall-a\"\nsubtype = \"_large\"\n" +
-			"news = \"push\"\npush = \"127.0.0.1:5303\"\npush_root = \"root.pem\"\npush_name = \"push.example.org\"\n\n" +
-			"[[entries.browse]]\nserver = \"127.0.0.1:5304\"\nservice = \"_engine._tcp\"\ndomain = \"hall-b.example.org\"\n",
+	{"entries-one", fullFile, []substitution{
+		{"[[entries.browse]]\nserver = \"127.0.0.1:5302\"\nservice = \"_engine._tcp\"\n" +
+			"domain = \"hall-a.example.org\"\nsite = \"hall-a\"\nsubtype = \"_large\"\n" +
+			"news = \"push\"\npush = \"127.0.0.1:5303\"\n" +
+			"push_root = \"root.pem\"\npush_name = \"push.example.org\"\n\n" +
+			"[[entries.browse]]\nserver = \"127.0.0.1:5304\"\nservice = \"_engine._tcp\"\n" +
+			"domain = \"hall-b.example.org\"\n",
 			"[[entries.browse]]\n" + strings.Repeat("[[entries.browse]]\n", maxBrowses)},
 	}},
-	{"real-server", fullFile, []faultyInput{
+	{"real-server", fullFile, []substitution{
 		{`name = "box-1"`, ``},
 		{`mode = "batch"`, `mode = "tape"`},
 		{`address = "127.0.0.1:9001"`, `address = "box"`},
 		{`address = "127.0.0.1:9001"`, `address = "10.0.0.1:9001"`},
 	}},
-	{"real-server-none", minimalFile, []faultyInput{
+	{"real-server-none", minimalFile, []substitution{
 		{"[[real_server]]\nname = \"box-1\"\naddress = \"127.0.0.1:9001\"\n", ""},
 	}},
-	{"nodes", fullFile, []faultyInput{
+	{"nodes", fullFile, []substitution{
 		{`server = "127.0.0.1:5305"`, ``},
 		{`server = "127.0.0.1:5305"`, `server = "10.0.0.1:53"`},
 		{`service = "_node._tcp"`, `service = "node"`},
@@ -140,7 +143,7 @@
 		{`lease = "33s"`, `lease = "1s"`},
 		{`hold = "14s"`, `hold = "-1s"`},
 	}},
-	{"batch", fullFile, []faultyInput{
+	{"batch", fullFile, []substitution{
 		{`lines_at_once = 9`, `lines_at_once = 999`},
 		{`line_time = "70s"`, `line_time = "5ms"`},
 		{`tries = 6`, `tries = 101`},
@@ -148,7 +151,7 @@
 		{`class = "foreman-chat"` + "\ntenant", `class = "gold"` + "\ntenant"},
 		{`tenant = "site-office"` + "\nsession", `tenant = "gold"` + "\nsession"},
 	}},
-	{"store", fullFile, []faultyInput{
+	{"store", fullFile, []substitution{
 		{`kind = "raft"`, `kind = "etcd"`},
 		{`id = "node-a"` + "\ndir", `id = "node-c"` + "\ndir"},
 		{`id = "node-b"`, ``},
@@ -158,7 +161,7 @@
 		{`control = "127.0.0.1:9802"`, ``},
 		{`heartbeat = "110ms"`, `heartbeat = "1ms"`},
 	}},
-	{"fleet", fullFile, []faultyInput{
+	{"fleet", fullFile, []substitution{
 		{`listen = "127.0.0.1:7301"` + "\ndir", `dir`},
 		{`listen = "127.0.0.1:7301"` + "\ndir", `listen = "10.0.0.1:7301"` + "\ndir"},
 		{`clock_error = "400ms"`, `clock_error = "1us"`},
@@ -185,7 +188,7 @@
 		{`halls = ["node-a", "node-b"]`, `halls = ["node-b"]`},
 		{`overdraws = ["foreman-chat"]`, `overdraws = ["gold"]`},
 	}},
-	{"fleet-budget", fullFile, []faultyInput{
+	{"fleet-budget", fullFile, []substitution{
 		{`kind = "tokens"`, `kind = "words"`},
 		{`kind = "attempts"`, `kind = "tokens"`},
 		{`tenant = "payroll-office"` + "\namount", `tenant = "gold"` + "\namount"},
@@ -197,18 +200,20 @@
 		{`weight = 3`, `weight = -3`},
 		{"kind = \"places\"\ntenant = \"site-office\"", "kind = \"places\"\nwindow = \"10ms\""},
 	}},
-	{"fleet-alone", minimalFile, []faultyInput{
+	{"fleet-alone", minimalFile, []substitution{
 		{"[fleet]\nlisten = \"127.0.0.1:7301\"\n", "[fleet]\n"},
 		{"[[fleet.budget]]\ntenant = \"office\"\namount = 10\n",
 			"[[fleet.seat]]\nname = \"other\"\naddress = \"127.0.0.1:7302\"\n"},
 		{"[[fleet.budget]]\ntenant = \"office\"\namount = 10\n",
 			strings.Repeat("[[fleet.budget]]\ntenant = \"office\"\n", 65)},
-		{"[fleet]\nlisten = \"127.0.0.1:7301\"\n\n[[fleet.seat]]\nname = \"standpoint\"\naddress = \"127.0.0.1:7301\"\n\n" +
+		{"[fleet]\nlisten = \"127.0.0.1:7301\"\n\n" +
+			"[[fleet.seat]]\nname = \"standpoint\"\naddress = \"127.0.0.1:7301\"\n\n" +
 			"[[fleet.budget]]\ntenant = \"office\"\namount = 10\n", ""},
-		{"[fleet]\nlisten = \"127.0.0.1:7301\"\n\n[[fleet.seat]]\nname = \"standpoint\"\naddress = \"127.0.0.1:7301\"\n\n" +
+		{"[fleet]\nlisten = \"127.0.0.1:7301\"\n\n" +
+			"[[fleet.seat]]\nname = \"standpoint\"\naddress = \"127.0.0.1:7301\"\n\n" +
 			"[[fleet.budget]]\ntenant = \"office\"\namount = 10\n\n[[tool]]\nname = \"look_up\"\n", ""},
 	}},
-	{"tool", fullFile, []faultyInput{
+	{"tool", fullFile, []substitution{
 		{`name = "look_up"`, ``},
 		{`name = "look_up"`, "name = \"look_up\"\n[[tool]]\nname = \"look_up\""},
 		{`does = "keep"`, `does = "dance"`},
@@ -216,53 +221,54 @@
 		{`result_kb = 65`, `result_kb = 257`},
 		{`class = "foreman-chat"` + "\n\n[sessions]", `class = "gold"` + "\n\n[sessions]"},
 	}},
-	{"sessions", fullFile, []faultyInput{
+	{"sessions", fullFile, []substitution{
 		{`most = 9000`, `most = 100001`},
 		{`most_tenant = 4000`, `most_tenant = -1`},
 		{`keep = "12m"`, `keep = "1ms"`},
 		{`decode = "65s"`, `decode = "1s"`},
 		{`resumes = 55.0`, `resumes = -1.0`},
 	}},
-	{"ledger", fullFile, []faultyInput{
+	{"ledger", fullFile, []substitution{
 		{`max_mb = 260`, `max_mb = -1`},
 		{`every = "1.1s"`, `every = "1ms"`},
 		{`rate = 2100.0`, `rate = 0.5`},
 	}},
 }
 
-// The words in which each fault of an operator's file is named.
+// TestGoldenOperatorErrors compares the error text for each fault of an operator's file with a golden file.
 func TestGoldenOperatorErrors(t *testing.T) {
-	for _, s := range faultyOperatorFiles {
+	for _, s := range operatorFaults {
 		t.Run(s.section, func(t *testing.T) {
 			base := operatorText(t, s.base)
-			var said strings.Builder
+			var messages strings.Builder
 			for _, input := range s.inputs {
 				require.Contains(t, base, input.from)
 				_, err := ParseOperatorFile(strings.Replace(base, input.from, input.to, 1))
 				require.Error(t, err, "%q", input.to)
-				fmt.Fprintf(&said, "%q in place of %q\n\t%s\n", shortened(input.to), shortened(input.from),
+				fmt.Fprintf(&messages, "%q in place of %q\n\t%s\n", truncate(input.to), truncate(input.from),
 					strings.ReplaceAll(err.Error(), "\n", "\n\t"))
 			}
-			golden.Bytes(t, "errors/operator-"+s.section+".txt", []byte(said.String()))
+			golden.Bytes(t, "errors/operator-"+s.section+".txt", []byte(messages.String()))
 		})
 	}
 }
 
-func shortened(text string) string {
-	const longest = 120
-	if len(text) > longest {
-		return text[:longest] + "..."
+// truncate shortens a long text for the golden file.
+func truncate(text string) string {
+	const maxBytes = 120
+	if len(text) > maxBytes {
+		return text[:maxBytes] + "..."
 	}
 	return text
 }
 
-// What cannot change while the program runs, and in which words it is refused.
+// TestGoldenRereadErrors compares the error texts for changes that a running process cannot apply with a golden file.
 func TestGoldenRereadErrors(t *testing.T) {
 	full := operatorText(t, fullFile)
 	o, err := ParseOperatorFile(full)
 	require.NoError(t, err)
-	var said strings.Builder
-	for _, input := range []faultyInput{
+	var messages strings.Builder
+	for _, input := range []substitution{
 		{`listen = "127.0.0.1:8443"`, `listen = "127.0.0.1:8449"`},
 		{`console = "127.0.0.1:9901"`, `console = "127.0.0.1:9909"`},
 		{`source = "dns-sd"`, `source = "list"`},
@@ -278,62 +284,64 @@
 		{`max_mb = 260`, `max_mb = 261`},
 		{`zones = ["hall-a", "hall-b"]`, `zones = ["hall-a", "hall-b", "hall-c"]`},
 		{`kinds = ["fast", "slow"]`, `kinds = ["fast"]`},
-		{"[[pool]]\nname = \"old\"\nselect = 'version == \"v1\"'\nshare = 1.0\n\n[[pool]]\nname = \"new\"\nselect = 'version == \"v2\"'\n", ""},
+		{"[[pool]]\nname = \"old\"\nselect = 'version == \"v1\"'\nshare = 1.0\n\n" +
+			"[[pool]]\nname = \"new\"\nselect = 'version == \"v2\"'\n", ""},
 		{`name = "payroll-office"` + "\nshare", `name = "pay-office"` + "\nshare"},
 	} {
 		require.Contains(t, full, input.from)
 		text := strings.Replace(full, input.from, input.to, 1)
-		if strings.HasPrefix(input.from, `name = "payroll`) { // the budgets name tenants too
+		if strings.HasPrefix(input.from, `name = "payroll`) { // budgets refer to tenants by name
 			text = strings.Replace(full, "payroll-office", "pay-office", -1)
 			text = text[:strings.Index(text, "[[fleet.budget]]")] + full[strings.Index(full,
 				"[[fleet.budget]]\nkind = \"attempts\""):]
 		}
-		kept, err := o.ReloadText(text)
+		unchanged, err := o.ReloadText(text)
 		require.Error(t, err, input.to)
-		require.Equal(t, o, kept)
-		fmt.Fprintf(&said, "%q\n\t%s\n", shortened(input.to), err)
+		require.Equal(t, o, unchanged)
+		fmt.Fprintf(&messages, "%q\n\t%s\n", truncate(input.to), err)
 	}
-	small, err := ParseOperatorFile(operatorText(t, minimalFile))
+	minimal, err := ParseOperatorFile(operatorText(t, minimalFile))
 	require.NoError(t, err)
-	for _, input := range []faultyInput{
+	for _, input := range []substitution{
 		{`listen = "127.0.0.1:8443"`, "name = \"other\"\nlisten = \"127.0.0.1:8443\""},
 		{`name = "office"`, "name = \"office\"\n[[tenant]]\nname = \"site\""},
 		{`name = "chat"`, `name = "talk"`},
 		{`name = "office"`, ``},
 	} {
-		_, err := small.ReloadText(strings.Replace(operatorText(t, minimalFile), input.from, input.to, 1))
+		_, err := minimal.ReloadText(strings.Replace(operatorText(t, minimalFile), input.from, input.to, 1))
 		require.Error(t, err)
-		fmt.Fprintf(&said, "%q\n\t%s\n", input.to, err)
+		fmt.Fprintf(&messages, "%q\n\t%s\n", input.to, err)
 	}
 	_, err = o.ReloadFile("/nowhere/operator.toml")
-	fmt.Fprintf(&said, "no file\n\t%s\n", err)
+	fmt.Fprintf(&messages, "no file\n\t%s\n", err)
 	_, err = ReadOperatorFile("/nowhere/operator.toml")
-	fmt.Fprintf(&said, "no file at the start\n\t%s\n", err)
-	golden.Bytes(t, "errors/operator-reread.txt", []byte(said.String()))
+	fmt.Fprintf(&messages, "no file at the start\n\t%s\n", err)
+	golden.Bytes(t, "errors/operator-reread.txt", []byte(messages.String()))
 }
 
-// What is said of root certificates that cannot be read.
+// TestGoldenRootsErrors compares the error texts for unreadable root certificates with a golden file.
 func TestGoldenRootsErrors(t *testing.T) {
 	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	dir := t.TempDir()
 	_, err = o.RootCertificates(dir, 0)
 	require.Error(t, err)
-	said := err.Error() + "\n"
+	messages := err.Error() + "\n"
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "root.pem"), []byte("none"), 0o600))
 	_, err = o.RootCertificates(dir, 0)
 	require.Error(t, err)
-	said += err.Error() + "\n"
-	golden.Bytes(t, "errors/operator-roots.txt", []byte(strings.ReplaceAll(said, dir, "DIR")))
+	messages += err.Error() + "\n"
+	golden.Bytes(t, "errors/operator-roots.txt", []byte(strings.ReplaceAll(messages, dir, "DIR")))
 }
 
-// The words in which each fault of the platform's file and variables is named.
+// TestGoldenPlatformErrors compares the error text for each fault of the platform's file and environment variables with
+// a golden file.
 func TestGoldenPlatformErrors(t *testing.T) {
 	raw, err := os.ReadFile(golden.Path("platform.json"))
 	require.NoError(t, err)
-	good := string(raw)
-	var said strings.Builder
-	for _, input := range []faultyInput{
+	valid := string(raw)
+	var messages strings.Builder
+	for _, input := range []substitution{
 		{`{`, ``},
 		{`"name": "n3"`, `"name": ""`},
 		{`"listen": "127.0.0.4:8443"`, `"listen": "8443"`},
@@ -365,35 +373,35 @@
 		{`"startCapacity": 0.13`, `"startCapacity": 1.5`},
 		{`"overloadFactor": 4.5`, `"overloadFactor": -1`},
 	} {
-		require.Contains(t, good, input.from)
-		_, err := parsePlatform([]byte(strings.Replace(good, input.from, input.to, 1)), none)
+		require.Contains(t, valid, input.from)
+		_, err := parsePlatform([]byte(strings.Replace(valid, input.from, input.to, 1)), noVariables)
 		require.Error(t, err, input.to)
-		fmt.Fprintf(&said, "%q in place of %q\n\t%s\n", input.to, input.from, err)
+		fmt.Fprintf(&messages, "%q in place of %q\n\t%s\n", input.to, input.from, err)
 	}
 	for _, fd := range []string{"x", "2"} {
 		_, err := parsePlatform(raw, func(key string) string {
 			return map[string]string{"PROXY_SOCKET_FD": fd}[key]
 		})
 		require.Error(t, err)
-		fmt.Fprintf(&said, "PROXY_SOCKET_FD=%s\n\t%s\n", fd, err)
+		fmt.Fprintf(&messages, "PROXY_SOCKET_FD=%s\n\t%s\n", fd, err)
 	}
-	_, err = ReadPlatform(none)
-	fmt.Fprintf(&said, "without PROXY_CONFIG\n\t%s\n", err)
+	_, err = ReadPlatform(noVariables)
+	fmt.Fprintf(&messages, "without PROXY_CONFIG\n\t%s\n", err)
 	_, err = ReadPlatform(func(string) string { return "/nowhere/config.json" })
-	fmt.Fprintf(&said, "no file\n\t%s\n", err)
-	p, err := parsePlatform(raw, none)
+	fmt.Fprintf(&messages, "no file\n\t%s\n", err)
+	p, err := parsePlatform(raw, noVariables)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] }
-	for _, input := range []faultyInput{
+	for _, input := range []substitution{
 		{`"name": "n3"`, `"name": "n4"`},
 		{`"listen": "127.0.0.4:8443"`, `"listen": "127.0.0.4:8444"`},
 		{`"console": "127.0.0.4:9901"`, `"console": "127.0.0.4:9902"`},
 	} {
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, input.from, input.to, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(valid, input.from, input.to, 1)), 0o600))
 		_, err := p.Reload(getenv)
 		require.Error(t, err)
-		fmt.Fprintf(&said, "read again with %q\n\t%s\n", input.to, err)
+		fmt.Fprintf(&messages, "read again with %q\n\t%s\n", input.to, err)
 	}
-	golden.Bytes(t, "errors/platform.txt", []byte(said.String()))
+	golden.Bytes(t, "errors/platform.txt", []byte(messages.String()))
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -27,23 +27,25 @@
 	return string(raw)
 }
 
-func checkedText(t testing.TB, o OperatorFile) string {
+// encodeOperatorFile returns the file as TOML, as `standpoint check` prints it.
+func encodeOperatorFile(t testing.TB, o OperatorFile) string {
 	t.Helper()
 	var text strings.Builder
 	require.NoError(t, toml.NewEncoder(&text).Encode(o))
 	return text.String()
 }
 
-// The keys of an operator's file and their defaults, as `standpoint check` prints them: once with every key given,
-// once with as few as there may be. What is printed means the same when it is read.
+// TestGoldenOperatorFile compares the keys of an operator's file and their defaults, as `standpoint check` prints them,
+// with golden files: for a file with every key, and for one with as few keys as possible. It also checks that reading
+// the printed file yields the same configuration.
 func TestGoldenOperatorFile(t *testing.T) {
 	for name, path := range map[string]string{"operator-full.toml": fullFile, "operator-defaults.toml": minimalFile} {
 		o, err := ParseOperatorFile(operatorText(t, path))
 		require.NoError(t, err)
-		golden.Bytes(t, name, []byte(checkedText(t, o)))
+		golden.Bytes(t, name, []byte(encodeOperatorFile(t, o)))
 		again, err := ParseOperatorFile(operatorText(t, golden.Path(name)))
 		require.NoError(t, err)
-		require.Equal(t, checkedText(t, o), checkedText(t, again))
+		require.Equal(t, encodeOperatorFile(t, o), encodeOperatorFile(t, again))
 		require.Equal(t, o.Settings, again.Settings)
 		require.Equal(t, o.Names, again.Names)
 		require.Equal(t, o.EffectiveLimits, again.EffectiveLimits)
@@ -56,13 +58,13 @@
 		name, _, _ := strings.Cut(path, ".")
 		field, ok := reflect.TypeFor[OperatorFile]().FieldByName(name)
 		require.True(t, ok)
-		if field.Tag.Get("toml") != "-" { // else it is worked out from the keys
+		if field.Tag.Get("toml") != "-" { // other fields are derived from the keys
 			t.Errorf("%s does not set %s", fullFile, path)
 		}
 	}
 }
 
-// What an operator's file of every key means to the decision module.
+// TestGoldenOperatorSettings checks the settings that are derived from an operator's file with every key.
 func TestGoldenOperatorSettings(t *testing.T) {
 	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
@@ -71,15 +73,16 @@
 		Reports:       standpoint.ReportReplies,
 		MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 2, Tick: int64(2 * time.Millisecond),
 		DiscoveryTimeout: int64(10 * time.Second),
-		DrainGrace:       int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second), OverloadWindow: int64(3 * time.Second),
+		DrainGrace:       int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second),
+		OverloadWindow:       int64(3 * time.Second),
 		ColdCapacityFraction: 0.17, OverloadFactor: 4,
 		Classes: []standpoint.Class{
-			{Streamed: true, TTFTObjective: int64(2500 * time.Millisecond), TTFTObjectivePer1000Tokens: int64(60 * time.Millisecond),
-				TPOTObjective: int64(50 * time.Millisecond),
-				Deadline:      int64(10 * time.Second), Weight: 2, LateWeight: 0.25, Description: "sheet-import"},
-			{Streamed: true, TTFTObjective: int64(1200 * time.Millisecond), TTFTObjectivePer1000Tokens: int64(30 * time.Millisecond),
-				TPOTObjective: int64(100 * time.Millisecond),
-				Deadline:      int64(5 * time.Second), Weight: 5, LateWeight: 0.5, Description: "foreman-chat"},
+			{Streamed: true, TTFTObjective: int64(2500 * time.Millisecond),
+				TTFTObjectivePer1000Tokens: int64(60 * time.Millisecond), TPOTObjective: int64(50 * time.Millisecond),
+				Deadline: int64(10 * time.Second), Weight: 2, LateWeight: 0.25, Description: "sheet-import"},
+			{Streamed: true, TTFTObjective: int64(1200 * time.Millisecond),
+				TTFTObjectivePer1000Tokens: int64(30 * time.Millisecond), TPOTObjective: int64(100 * time.Millisecond),
+				Deadline: int64(5 * time.Second), Weight: 5, LateWeight: 0.5, Description: "foreman-chat"},
 		},
 		Tenants: []standpoint.Tenant{{Share: 0.75, QuotaRPS: 12.5}, {Share: 0.25, QuotaRPS: 6.5}},
 	}, o.Settings)
@@ -90,11 +93,11 @@
 	require.Equal(t, Limits{Cores: 2.5, MemoryMB: 384, Sockets: 2048}, o.EffectiveLimits)
 }
 
-// Every key of the platform's file, and what it means.
+// TestGoldenPlatformFile checks the configuration that is derived from a platform file with every key.
 func TestGoldenPlatformFile(t *testing.T) {
 	raw, err := os.ReadFile(golden.Path("platform.json"))
 	require.NoError(t, err)
-	p, err := parsePlatform(raw, none)
+	p, err := parsePlatform(raw, noVariables)
 	require.NoError(t, err)
 	require.JSONEq(t, `{"seq":9,"whole":true,"hosts":[]}`, string(p.KnownEndpoints))
 	p.KnownEndpoints = nil
@@ -112,23 +115,25 @@
 		Reports: standpoint.ReportProbes, SubscribeDiscovery: true, Resume: true,
 		SecondCopies: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001,
 		MaxAttempts: 3, Tick: 2000002,
-		DiscoveryTimeout: 10000003, DrainGrace: 500004, WarmUp: 20000005, OverloadWindow: 3000006, ColdCapacityFraction: 0.13, OverloadFactor: 4.5,
+		DiscoveryTimeout: 10000003, DrainGrace: 500004, WarmUp: 20000005, OverloadWindow: 3000006,
+		ColdCapacityFraction: 0.13, OverloadFactor: 4.5,
 		CrossZonePrice: 0.01, LateFailPrice: 0.02, PeerPrice: 0.03, ProbePrice: 0.04, WastePrice: 0.05,
 		Classes: []standpoint.Class{
 			{Effect: standpoint.Safe, Group: standpoint.GroupZone, Window: 31, Streamed: true, TTFTObjective: 32,
 				TTFTObjectivePer1000Tokens: 1500, TPOTObjective: 33, ObjectiveStretch: 1.2,
 				Deadline: 34, Weight: 2.5, LateWeight: 0.5, Description: "chat"},
-			{Effect: standpoint.Keyed, Group: standpoint.GroupCell, TTFTObjective: 42, TTFTObjectivePer1000Tokens: 2500, TPOTObjective: 43,
+			{Effect: standpoint.Keyed, Group: standpoint.GroupCell, TTFTObjective: 42,
+				TTFTObjectivePer1000Tokens: 2500, TPOTObjective: 43,
 				Deadline: 44, Weight: 3.5, Description: "import"},
 			{Effect: standpoint.Unsafe, TTFTObjective: 52, Deadline: 54, Weight: 4.5, Description: "night"},
 		},
 		Tenants: []standpoint.Tenant{{Share: 0.6, QuotaRPS: 11}, {Share: 0.4, QuotaRPS: 12}},
 	}, p.Settings)
-	p.ListenerFD, p.KnownEndpoints = 5, json.RawMessage("{}") // a variable, and what was compared above
+	p.ListenerFD, p.KnownEndpoints = 5, json.RawMessage("{}") // set by an environment variable, and compared above
 	p.Settings.Classes = p.Settings.Classes[:1]
-	p.Settings.Classes[0].Effect = standpoint.Keyed // for safe is the zero value
+	p.Settings.Classes[0].Effect = standpoint.Keyed // since Safe is the zero value, which Unset would report
 	require.Empty(t, golden.Unset(p))
-	piggyback, err := parsePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), none)
+	piggyback, err := parsePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), noVariables)
 	require.NoError(t, err)
 	require.Equal(t, standpoint.ReportReplies, piggyback.Settings.Reports)
 	environment := map[string]string{"PROXY_NAME": "n4", "PROXY_LISTEN": "127.0.0.8:1",
@@ -140,7 +145,8 @@
 		[]any{p.Name, p.Listen, p.Discovery, p.Console, p.ListenerFD})
 }
 
-// The platform's limits keep their keys: they stand in a log line and in the configuration file.
+// TestGoldenLimits compares the JSON keys of Limits with a golden file, since they appear in log lines and in the
+// platform's file.
 func TestGoldenLimits(t *testing.T) {
 	decode := func(raw []byte) (Limits, error) {
 		var l Limits
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,44 +1,47 @@
 package config
 
-// Limits that hold where a configuration names none: the tightest that the platform grants.
+// Defaults of Limits, which are the smallest limits that the platform grants, and the minimum of the sockets.
 const (
-	defaultCores    = 1
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	minSockets      = 128
+	defaultCores    = 1    // CPU cores
+	defaultMemoryMB = 192  // MiB
+	defaultSockets  = 1024 // open sockets
+
+	minSockets = 128 // minimum number of sockets with which a node can serve
 )
 
-// Limits bound what a process may use of its machine. In a file, 0 stands for the default.
+// Limits bound the resources that a process may use. In a file, 0 stands for the default.
 type Limits struct {
-	Cores    float64 `json:"cores" toml:"cores"`
-	MemoryMB int     `json:"memory_mb" toml:"memory_mb"`
-	Sockets  int     `json:"sockets" toml:"sockets"`
+	Cores    float64 `json:"cores" toml:"cores"`         // CPU cores
+	MemoryMB int     `json:"memory_mb" toml:"memory_mb"` // memory in MiB
+	Sockets  int     `json:"sockets" toml:"sockets"`     // open sockets
 }
 
-// PerProcess divides the limits of a node among so many processes. The cores stay shared.
+// PerProcess returns the limits of each of a node's processes. Memory and sockets are divided; cores are shared.
 func (l Limits) PerProcess(processes int) Limits {
 	l.MemoryMB /= processes
 	l.Sockets /= processes
 	return l
 }
 
-// MaxClientConnections is how many of the sockets clients may hold. At most a third of all sockets serve requests;
-// the rest of these connections are idle between requests.
+// MaxClientConnections returns the maximum number of client connections: 58 % of the sockets. At most a third of the
+// sockets serve requests (see MaxRequests); the other client connections are idle between requests.
 func (l Limits) MaxClientConnections() int { return l.Sockets * 58 / 100 }
 
-// MaxRequests is how many requests may be open, each with at most one connection to a backend.
+// MaxRequests returns the maximum number of open requests, each of which has at most one connection to a backend.
 func (l Limits) MaxRequests() int { return l.Sockets * 33 / 100 }
 
-// MaxBodyBytes is how many bytes of request bodies may be held at once. The heap is kept to six tenths of the memory.
+// MaxBodyBytes returns the maximum total size of buffered request bodies, in bytes: a quarter of the memory, while the
+// heap is limited to six tenths of it.
 func (l Limits) MaxBodyBytes() int { return l.MemoryMB << 20 / 4 }
 
-// MaxFileBytes is how many bytes the files of the batch API may have together: the store keeps them in memory.
+// MaxFileBytes returns the maximum total size of the batch API's files, in bytes, since the store keeps them in
+// memory.
 func (l Limits) MaxFileBytes() int { return l.MemoryMB << 20 / 4 }
 
-// MaxIdleConnections is how many connections may be kept to one backend between requests.
+// MaxIdleConnections returns the maximum number of idle connections to one backend.
 func (l Limits) MaxIdleConnections() int { return max(2, l.Sockets/100) }
 
-// complete validates the limits and sets the defaults.
+// complete validates the limits and then sets the defaults.
 func (l *Limits) complete() error {
 	switch {
 	case l.Cores < 0:
@@ -46,7 +49,7 @@
 	case l.MemoryMB < 0:
 		return keyError("limits.memory_mb", "%d is negative", l.MemoryMB)
 	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets:
-		return keyError("limits.sockets", "%d is too few; a node needs %d", l.Sockets, minSockets)
+		return keyError("limits.sockets", "%d is less than %d", l.Sockets, minSockets)
 	}
 	setDefault(&l.Cores, defaultCores)
 	setDefault(&l.MemoryMB, defaultMemoryMB)
--- a/internal/config/migration.go
+++ b/internal/config/migration.go
@@ -9,30 +9,30 @@
 	"standpoint/internal/pool"
 )
 
-// Pool is a [[pool]] of backends.
+// Pool is a [[pool]] of backends, between which traffic can be divided and migrated.
 type Pool struct {
 	Name     string  `toml:"name"`
-	Selector string  `toml:"select"` // an expression over the labels and keys of a backend
-	Share    float64 `toml:"share"`  // of the requests; where no pool has a share the first has all
+	Selector string  `toml:"select"` // expression over the labels and keys of a backend
+	Share    float64 `toml:"share"`  // fraction of the requests; if no pool has a share, the first gets all
 }
 
-// Migration is the section [move]: the plan of a migration between pools, unless its start says otherwise. See
-// migration.Plan.
+// Migration is the section [move]: the default plan of migrations between pools, which the start of a migration may
+// override. Its fields are those of migration.Plan.
 type Migration struct {
-	Steps       []float64 `toml:"steps"`
-	Trickle     float64   `toml:"trickle"`
-	Warm        Duration  `toml:"warm"`
-	Hold        Duration  `toml:"hold"`
-	Samples     int       `toml:"samples"`
-	Floor       float64   `toml:"floor"`
-	FirstToken  float64   `toml:"first_token"`
-	Pace        float64   `toml:"pace"`
-	Errors      float64   `toml:"errors"`
-	Stall       Duration  `toml:"stall"`
-	Alarm       float64   `toml:"alarm"`
-	OnWorse     string    `toml:"on_worse"`
-	ReturnSteps int       `toml:"return_steps"`
-	ReturnEvery Duration  `toml:"return_every"`
+	Steps       []float64 `toml:"steps"`        // share of the requests at each step, ascending, above 0 and at most 1
+	Trickle     float64   `toml:"trickle"`      // share of the requests while the new pool warms up
+	Warm        Duration  `toml:"warm"`         // minimum duration of the warm-up
+	Hold        Duration  `toml:"hold"`         // minimum duration of the analysis of each step
+	Samples     int       `toml:"samples"`      // number of ended requests that each pool needs before a step is passed
+	Floor       float64   `toml:"floor"`        // minimum of the new pool's on-time weight, as a fraction of the old one's
+	FirstToken  float64   `toml:"first_token"`  // tolerated factor of the time to first token
+	Pace        float64   `toml:"pace"`         // tolerated factor of the time per token
+	Errors      float64   `toml:"errors"`       // tolerated fraction of failed attempts beyond the old pool's
+	Stall       Duration  `toml:"stall"`        // maximum disturbance that does not end the migration by itself
+	Alarm       float64   `toml:"alarm"`        // minimum mean number of windows between false alarms
+	OnWorse     string    `toml:"on_worse"`     // migration.Return or migration.Stay
+	ReturnSteps int       `toml:"return_steps"` // number of steps in which traffic returns
+	ReturnEvery Duration  `toml:"return_every"` // interval between these steps
 }
 
 func (m *Migration) setDefaults() {
@@ -59,7 +59,7 @@
 	setDefault(&m.ReturnEvery, Duration(standard.ReturnEvery))
 }
 
-// parsePools parses the selectors and derives PoolSet.
+// parsePools parses the selectors of the pools and sets PoolSet.
 func (o *OperatorFile) parsePools() error {
 	var definitions []pool.Definition
 	for i, p := range o.Pools {
@@ -74,7 +74,7 @@
 	return err
 }
 
-// derivePlan derives MigrationPlan from [move] and [module], and validates it.
+// derivePlan sets MigrationPlan from [move] and [module], and validates it.
 func (o *OperatorFile) derivePlan() error {
 	section := &o.Migration
 	o.MigrationPlan = migration.Plan{
@@ -107,13 +107,13 @@
 	return &KeyError{Key: prefix + invalid.Key, Reason: invalid.Reason}
 }
 
-// validateMigrationMembers checks that the members of a store can reach each other's control interface, where their
-// reports of a migration go.
+// validateMigrationMembers checks that the members of a store can reach each other's control interface, to which they
+// send reports about a migration.
 func (o *OperatorFile) validateMigrationMembers() error {
 	if len(o.Pools) == 0 || o.Store.Kind != StoreRaft || len(o.Store.Members) <= 1 {
 		return nil
 	}
-	const missing = "missing; members that move traffic between pools report to each other there"
+	const missing = "missing; store members with pools send migration reports to this address"
 	for i, m := range o.Store.Members {
 		if m.ControlAddress == "" {
 			return keyError(indexed("store.member", i, "control"), missing)
@@ -122,7 +122,7 @@
 	for i, m := range o.Store.Members {
 		if m.ID == o.Store.ID && o.Control.Listen != "" && m.ControlAddress != o.Control.Listen {
 			return keyError(indexed("store.member", i, "control"),
-				"%q is not control.listen, %q, and this is its own member", m.ControlAddress, o.Control.Listen)
+				"%q differs from this node's control.listen, %q", m.ControlAddress, o.Control.Listen)
 		}
 	}
 	if o.Control.Listen == "" {
--- a/internal/config/module.go
+++ b/internal/config/module.go
@@ -7,32 +7,34 @@
 	"standpoint"
 )
 
-// maxAttempts is how many times a request may be sent at most, the first time included.
+// maxAttempts is the maximum number of attempts for a request, including the first.
 const maxAttempts = 3
 
-// Settings of the decision module that an operator's file does not offer.
+// Settings of the decision module that an operator's file cannot change.
 const (
-	maxRetryAfter   = 2 * time.Second
-	moduleTick      = 2 * time.Millisecond
-	discoveryWithin = 10 * time.Second
-	drainGrace      = 500 * time.Millisecond
-	overloadWindow  = 3 * time.Second // in which a cold backend falls over at overloadFactor times its capacity
-	overloadFactor  = 4
+	maxRetryAfter    = 2 * time.Second        // maximum value of a Retry-After header
+	moduleTick       = 2 * time.Millisecond   // minimum time between two batches of events
+	discoveryTimeout = 10 * time.Second       // time within which discovery has to be queried again
+	drainGrace       = 500 * time.Millisecond // time after which no request may be sent to a draining backend
+	// overloadWindow is the time after which a cold backend fails under a load of overloadFactor times its capacity.
+	overloadWindow = 3 * time.Second
+	overloadFactor = 4
 )
 
-// Module is the section [module]: the node's place among the nodes, and settings of the decision module.
+// Module is the section [module]: the position of this node among the nodes of the installation, and settings of the
+// decision module.
 type Module struct {
-	Nodes       int      `toml:"nodes"`   // of the installation
-	Ordinal     int      `toml:"ordinal"` // of this node, from 0
-	Zone        string   `toml:"zone"`    // of this node; one of Zones
-	Zones       []string `toml:"zones"`
-	Kinds       []string `toml:"kinds"` // of backends
-	MaxAttempts int      `toml:"max_attempts"`
-	DialTimeout Duration `toml:"dial_timeout"`
-	IdleTimeout Duration `toml:"conn_idle"` // of connections to backends
-	WarmUp      Duration `toml:"warm_up"`   // for how long a backend warms up after its start
-	ColdShare   float64  `toml:"cold_share"`
-	Resume      bool     `toml:"resume"` // clients ask for the rest of a broken stream
+	Nodes       int      `toml:"nodes"`        // number of nodes in the installation
+	Ordinal     int      `toml:"ordinal"`      // index of this node, from 0 to Nodes - 1
+	Zone        string   `toml:"zone"`         // zone of this node, one of Zones; "" for the first of Zones
+	Zones       []string `toml:"zones"`        // names of all zones
+	Kinds       []string `toml:"kinds"`        // names of the kinds of backends
+	MaxAttempts int      `toml:"max_attempts"` // maximum attempts for a request, including the first
+	DialTimeout Duration `toml:"dial_timeout"` // timeout for opening a connection to a backend
+	IdleTimeout Duration `toml:"conn_idle"`    // time after which an idle connection to a backend is closed
+	WarmUp      Duration `toml:"warm_up"`      // time from the start of a backend until it has its full capacity
+	ColdShare   float64  `toml:"cold_share"`   // fraction of its capacity that a backend has at its start, 0 to 1
+	Resume      bool     `toml:"resume"`       // whether clients can request the rest of an interrupted stream
 }
 
 func (m *Module) setDefaults() {
@@ -58,27 +60,33 @@
 	return nil
 }
 
-// Class is a [[class]]: a kind of requests, what is expected for them, and what serving them is worth.
+// Class is a [[class]] of requests, with their latency objectives and their weight.
 type Class struct {
-	Name                   string   `toml:"name"`
-	FirstTokenObjective    Duration `toml:"first_token"`
-	ObjectivePer1000Tokens Duration `toml:"per_1000_prompt_tokens"` // added to FirstTokenObjective
-	TokenGapObjective      Duration `toml:"token_gap"`              // between two tokens; 0 for none
-	Deadline               Duration `toml:"give_up"`
-	Weight                 float64  `toml:"worth"`
-	LateWeight             float64  `toml:"late_worth"` // of an answer that misses its objective
+	Name string `toml:"name"`
+	// FirstTokenObjective is the objective for the time to first token of an empty prompt.
+	FirstTokenObjective Duration `toml:"first_token"`
+	// ObjectivePer1000Tokens is added to FirstTokenObjective for every 1000 tokens of the prompt.
+	ObjectivePer1000Tokens Duration `toml:"per_1000_prompt_tokens"`
+	// TokenGapObjective is the objective for the time between two tokens; 0 for none.
+	TokenGapObjective Duration `toml:"token_gap"`
+	// Deadline is the time after which clients abandon a request.
+	Deadline Duration `toml:"give_up"`
+	// Weight is the value of a response that meets its objectives, relative to other classes.
+	Weight float64 `toml:"worth"`
+	// LateWeight is the value of a response that misses an objective.
+	LateWeight float64 `toml:"late_worth"`
 }
 
-// Tenant is a [[tenant]].
+// Tenant is a [[tenant]], whose requests count together against its quota.
 type Tenant struct {
 	Name     string  `toml:"name"`
-	Share    float64 `toml:"share"`
-	QuotaRPS float64 `toml:"quota_rps"` // requests a second, over all nodes; 0 for no quota
+	Share    float64 `toml:"share"`     // share of the tenant, passed to the decision module
+	QuotaRPS float64 `toml:"quota_rps"` // requests per second at all nodes together; 0 for no quota
 }
 
 func (o *OperatorFile) validateClasses() error {
 	if len(o.Classes) == 0 {
-		return keyError("class", "at least one class is needed")
+		return keyError("class", "missing; at least one is required")
 	}
 	for i, c := range o.Classes {
 		key := func(name string) string { return indexed("class", i, name) }
@@ -86,7 +94,7 @@
 		case c.Name == "":
 			return keyError(key("name"), "missing")
 		case c.FirstTokenObjective <= 0:
-			return keyError(key("first_token"), "a positive span is needed")
+			return keyError(key("first_token"), "%v is not positive", time.Duration(c.FirstTokenObjective))
 		case c.Deadline < c.FirstTokenObjective:
 			return keyError(key("give_up"), "shorter than first_token")
 		case c.Weight < 0:
@@ -101,6 +109,7 @@
 	return nil
 }
 
+// deriveNames sets Names.
 func (o *OperatorFile) deriveNames() {
 	module := &o.Module
 	o.Names = Names{
@@ -117,7 +126,7 @@
 	}
 }
 
-// deriveSettings computes the decision module's settings.
+// deriveSettings sets Settings, the settings of the decision module.
 func (o *OperatorFile) deriveSettings() {
 	module := &o.Module
 	o.Settings = standpoint.Settings{
@@ -133,7 +142,7 @@
 		MaxRetryAfter:        int64(maxRetryAfter),
 		MaxAttempts:          module.MaxAttempts,
 		Tick:                 int64(moduleTick),
-		DiscoveryTimeout:     int64(discoveryWithin),
+		DiscoveryTimeout:     int64(discoveryTimeout),
 		DrainGrace:           int64(drainGrace),
 		WarmUp:               int64(module.WarmUp),
 		OverloadWindow:       int64(overloadWindow),
@@ -158,8 +167,8 @@
 	}
 }
 
-// hasBatchBackend tells whether a backend takes files. A line of a file cannot be cancelled, so where there is such a
-// backend an attempt that looks slow is left to end.
+// hasBatchBackend reports whether a backend takes files of requests. A line of a file cannot be cancelled, so if there
+// is such a backend, the decision module does not cancel slow attempts.
 func (o *OperatorFile) hasBatchBackend() bool {
 	return slices.ContainsFunc(o.Backends, func(b Backend) bool { return b.Mode == BackendBatch })
 }
--- a/internal/config/nodes.go
+++ b/internal/config/nodes.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// Nodes is the section [nodes]: how the nodes of an installation find and count each other by DNS-SD.
+// Nodes is the section [nodes]: how the nodes of an installation discover and count each other by DNS-SD.
 type Nodes struct {
-	Server      string   `toml:"server"` // of DNS, host:port; "" switches it off
-	Service     string   `toml:"service"`
-	Domain      string   `toml:"domain"`
-	Publish     bool     `toml:"publish"` // this node registers itself by DNS UPDATE; else somebody else publishes it
-	Lease       Duration `toml:"lease"`   // of its record
-	ShrinkDelay Duration `toml:"hold"`    // for which a smaller number must last before it counts
+	Server  string `toml:"server"`  // address of the DNS server, host:port; "" disables the discovery of nodes
+	Service string `toml:"service"` // DNS-SD service type, such as "_standpoint._tcp"
+	Domain  string `toml:"domain"`  // DNS domain of the service
+	// Publish has this node register itself by DNS UPDATE. Without it the operator publishes the node's record.
+	Publish bool     `toml:"publish"`
+	Lease   Duration `toml:"lease"` // lifetime of the node's record unless it is renewed
+	// ShrinkDelay is how long a smaller number of nodes must last before it takes effect.
+	ShrinkDelay Duration `toml:"hold"`
 }
 
 func (n *Nodes) setDefaults() {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,17 +14,22 @@
 	"standpoint/internal/transient"
 )
 
+// defaultName is the name of a node whose file has none.
 const defaultName = "standpoint"
 
-// OperatorFile is the configuration of a node that an operator runs: the sections of the TOML file, and what is
-// derived from them.
+// OperatorFile is the configuration of a node that an operator runs: the sections of the TOML file, and values derived
+// from them.
 type OperatorFile struct {
-	Name   string `toml:"name"`
+	// Name identifies the node in the installation.
+	Name string `toml:"name"`
+	// Listen is the loopback address for clients, host:port.
 	Listen string `toml:"listen"`
-	// Console is the loopback address of the operations console; "" for none.
-	Console      string       `toml:"console"`
-	Seed         int64        `toml:"seed"`
-	Limits       Limits       `toml:"limits"` // as written; EffectiveLimits has the defaults
+	// Console is the loopback address of the operations console, host:port; "" for none.
+	Console string `toml:"console"`
+	// Seed is the seed of the decision module's random choices.
+	Seed int64 `toml:"seed"`
+	// Limits are the limits as the file states them; EffectiveLimits includes the defaults.
+	Limits       Limits       `toml:"limits"`
 	Module       Module       `toml:"module"`
 	Log          Log          `toml:"log"`
 	Control      Control      `toml:"control"`
@@ -44,16 +49,16 @@
 	Sessions     Sessions     `toml:"sessions"`
 	Ledger       Ledger       `toml:"ledger"`
 
-	// Derived from the keys above.
+	// The following fields are derived from the keys above.
 	Settings        standpoint.Settings `toml:"-"`
 	Names           Names               `toml:"-"`
 	EffectiveLimits Limits              `toml:"-"`
 	PoolSet         *pool.Set           `toml:"-"`
-	MigrationPlan   migration.Plan      `toml:"-"` // without its pools
+	MigrationPlan   migration.Plan      `toml:"-"` // without the pools, which the start of a migration names
 }
 
-// ResolvePath resolves a path that the file names against the directory where the file is. "" and absolute paths stay
-// as they are.
+// ResolvePath resolves a path from the file against base, the directory of the file. It returns "" and absolute paths
+// unchanged.
 func (o *OperatorFile) ResolvePath(base, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -61,7 +66,7 @@
 	return filepath.Join(base, path)
 }
 
-// ReadOperatorFile reads, validates and completes a file.
+// ReadOperatorFile reads a file, sets the defaults and validates the values.
 func ReadOperatorFile(path string) (OperatorFile, error) {
 	raw, err := transient.ReadFile(path)
 	if err != nil {
@@ -70,7 +75,7 @@
 	return ParseOperatorFile(string(raw))
 }
 
-// ParseOperatorFile validates and completes the text of a file.
+// ParseOperatorFile decodes the text of a file, sets the defaults and validates the values.
 func ParseOperatorFile(text string) (OperatorFile, error) {
 	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
@@ -99,9 +104,9 @@
 	return o.ReloadText(string(raw))
 }
 
-// ReloadText parses a new text of the file for a running process. Backends, classes, tenants, module and limits may
-// change; what the process bound or opened at its start, or promised to batches, may not. On an error the receiver is
-// returned unchanged.
+// ReloadText parses a new text of the file for a running process. Backends, classes, tenants, the module and limits may
+// change. Listeners and files that the process opened at its start may not change, nor the settings that accepted
+// batches depend on. On an error the receiver is returned unchanged.
 func (o OperatorFile) ReloadText(text string) (OperatorFile, error) {
 	next, err := ParseOperatorFile(text)
 	if err != nil {
@@ -113,7 +118,7 @@
 	return next, nil
 }
 
-// validateChange rejects changes that a running process cannot apply.
+// validateChange returns an error for a change that a running process cannot apply.
 func (o *OperatorFile) validateChange(next *OperatorFile) error {
 	for _, fixed := range []struct {
 		key      string
@@ -141,17 +146,16 @@
 		}
 	}
 	if (len(o.Pools) == 0) != (len(next.Pools) == 0) {
-		return keyError("pool", "pools cannot be brought in or done away with while the program runs")
+		return keyError("pool", "the first pool cannot be added, nor the last removed, while the program runs")
 	}
 	sameNames := slices.Equal(o.Names.Classes, next.Names.Classes) && slices.Equal(o.Names.Tenants, next.Names.Tenants)
 	if o.Batch.Enabled && !sameNames {
-		return keyError("class, tenant", "names cannot change while batches run")
+		return keyError("class, tenant", "names cannot change while batch.enabled is true")
 	}
 	return nil
 }
 
-// complete sets the defaults, validates every section, and derives what the program works with. The first error is
-// returned.
+// complete sets the defaults, validates every section, and sets the derived fields. It returns the first error.
 func (o *OperatorFile) complete() error {
 	o.setDefaults()
 	o.EffectiveLimits = o.Limits
@@ -182,8 +186,8 @@
 	return nil
 }
 
-// setDefaults completes the sections whose defaults do not depend on other sections. The others are completed as they
-// are validated.
+// setDefaults sets the defaults of sections that do not depend on other sections. The defaults of the others are set by
+// their validation.
 func (o *OperatorFile) setDefaults() {
 	setDefault(&o.Name, defaultName)
 	o.Module.setDefaults()
@@ -203,12 +207,12 @@
 	return validateOptionalLoopback("console", o.Console)
 }
 
-// hasClass tells whether the file defines a class of this name.
+// hasClass reports whether the file defines a class with this name.
 func (o *OperatorFile) hasClass(name string) bool {
 	return slices.ContainsFunc(o.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// hasTenant tells whether the file defines a tenant of this name.
+// hasTenant reports whether the file defines a tenant with this name.
 func (o *OperatorFile) hasTenant(name string) bool {
 	return slices.ContainsFunc(o.Tenants, func(t Tenant) bool { return t.Name == name })
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	defaultIdleTimeout = 15 * time.Second
-	defaultDialTimeout = 100 * time.Millisecond
+	defaultIdleTimeout = 15 * time.Second       // default of Names.IdleTimeout
+	defaultDialTimeout = 100 * time.Millisecond // default of Names.DialTimeout
 
-	maxKillDeadline = 3 * time.Second // how much of the longest deadline delays the kill after SIGTERM
+	// The platform kills a process killGrace after the longest deadline of a class, of which at most maxKillDeadline
+	// counts.
+	maxKillDeadline = 3 * time.Second
 	killGrace       = 700 * time.Millisecond
 
-	firstInheritedFD = 3 // descriptors below are the standard streams
+	firstInheritedFD = 3 // lower descriptors are the standard streams
 )
 
-// Variables of the platform. Those with a key of the same meaning in the file win over it.
+// Environment variables of the platform. They override the keys of the file with the same meaning.
 const (
 	configVariable    = "PROXY_CONFIG"
 	nameVariable      = "PROXY_NAME"
@@ -34,25 +36,25 @@
 type PlatformConfig struct {
 	Name      string
 	Listen    string
-	Discovery string // the address of the endpoint list's source
-	Console   string // the address of the operations console; "" for none
-	// ListenerFD is the descriptor of the clients' listening socket, inherited from the platform; 0 for none.
+	Discovery string // address of the discovery server, the source of the endpoint list
+	Console   string // address of the operations console; "" for none
+	// ListenerFD is the file descriptor of the client listener inherited from the platform; 0 for none.
 	ListenerFD     int
-	Seed           int64
+	Seed           int64 // seed of the decision module
 	Limits         Limits
-	PeerListen     string
-	AllPeers       string
-	Peers          []string
-	KnownEndpoints json.RawMessage // the endpoint list as last known, in discovery's form
+	PeerListen     string          // address for datagrams from other nodes; "" for none
+	AllPeers       string          // address of all other nodes together
+	Peers          []string        // addresses of the other nodes
+	KnownEndpoints json.RawMessage // last known endpoint list, in the form of the discovery server
 	Settings       standpoint.Settings
 	Names          Names
 }
 
-// ReadPlatform reads the platform's variables and the file that PROXY_CONFIG names.
+// ReadPlatform reads the platform's environment variables and the file that PROXY_CONFIG names.
 func ReadPlatform(getenv func(string) string) (PlatformConfig, error) {
 	path := getenv(configVariable)
 	if path == "" {
-		return PlatformConfig{}, keyError(configVariable, "not set; it names the configuration file")
+		return PlatformConfig{}, keyError(configVariable, "missing; the path of the configuration file is required")
 	}
 	raw, err := transient.ReadFile(path)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return parsePlatform(raw, getenv)
 }
 
-// KillDelay is how long after SIGTERM the platform kills the process at the earliest.
+// KillDelay returns the minimum time from SIGTERM until the platform kills the process.
 func (p PlatformConfig) KillDelay() time.Duration {
 	var longest time.Duration
 	for _, class := range p.Settings.Classes {
@@ -70,8 +72,8 @@
 	return min(longest, maxKillDeadline) + killGrace
 }
 
-// Reload reads the file again for a running process. The variables are as old as the process, so the file's discovery
-// address holds now. On an error the receiver is returned unchanged.
+// Reload reads the file again for a running process. Environment variables still have the values from the start of the
+// process, so the discovery address comes from the file alone. On an error the receiver is returned unchanged.
 func (p PlatformConfig) Reload(getenv func(string) string) (PlatformConfig, error) {
 	next, err := ReadPlatform(func(key string) string {
 		if key == discoveryVariable {
@@ -94,7 +96,7 @@
 	return next, nil
 }
 
-// parsePlatform decodes the file, applies the variables, and validates the result.
+// parsePlatform decodes the file, applies the environment variables, and validates the result.
 func parsePlatform(raw []byte, getenv func(string) string) (PlatformConfig, error) {
 	var file struct {
 		Name       string          `json:"name"`
@@ -134,7 +136,7 @@
 	return p, err
 }
 
-// applyVariables overrides keys of the file by the variables that are set.
+// applyVariables overrides keys of the file with the environment variables that are set.
 func (p *PlatformConfig) applyVariables(getenv func(string) string) {
 	for variable, field := range map[string]*string{
 		nameVariable:      &p.Name,
@@ -164,37 +166,40 @@
 	return validateHostPort("console", p.Console)
 }
 
+// parseListenerFD sets ListenerFD from the value of its environment variable.
 func (p *PlatformConfig) parseListenerFD(text string) error {
 	if text == "" {
 		return nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return keyError(listenerVariable, "%q is no descriptor from %d on", text, firstInheritedFD)
+		return keyError(listenerVariable, "%q is not a file descriptor of at least %d", text, firstInheritedFD)
 	}
 	p.ListenerFD = fd
 	return nil
 }
 
+// parseSeed sets Seed from a hexadecimal number.
 func (p *PlatformConfig) parseSeed(text string) error {
 	if text == "" {
 		return nil
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return keyError("seed", "%q is not a hex number of at most 16 digits", text)
+		return keyError("seed", "%q is not a hexadecimal number of at most 16 digits", text)
 	}
 	p.Seed = int64(seed)
 	return nil
 }
 
+// parseSettings decodes the settings object into Settings and Names, and sets the defaults of Names.
 func (p *PlatformConfig) parseSettings(raw json.RawMessage) error {
 	var err error
 	if p.Settings, p.Names, err = DecodeSettings(raw); err != nil {
 		return err
 	}
 	if len(p.Settings.Classes) == 0 {
-		return keyError("settings.classes", "at least one class is needed")
+		return keyError("settings.classes", "missing; at least one is required")
 	}
 	if p.Names.IdleTimeout <= 0 {
 		p.Names.IdleTimeout = defaultIdleTimeout
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// What happens to an answer that calls a tool.
+// Actions for a response that calls a tool.
 const (
-	ToolPause       = "pause"  // the session pauses until the result comes
-	ToolPassThrough = "keep"   // the call is passed on, and the session goes on
+	ToolPause       = "pause"  // the session pauses until the result of the call arrives
+	ToolPassThrough = "keep"   // the call is passed on to the client, and the session does not pause
 	ToolReject      = "refuse" // the request fails
 )
 
@@ -18,18 +18,18 @@
 type Tool struct {
 	Name          string   `toml:"name"`
 	Action        string   `toml:"does"`      // ToolPause, ToolPassThrough or ToolReject
-	ResultTimeout Duration `toml:"wait"`      // after which a paused session ends
-	MaxResultKB   int      `toml:"result_kb"` // KiB
-	Class         string   `toml:"class"`     // of the requests that continue the session; "" for its own
+	ResultTimeout Duration `toml:"wait"`      // time without a result after which a paused session ends
+	MaxResultKB   int      `toml:"result_kb"` // maximum size of a result, in KiB
+	Class         string   `toml:"class"`     // class of the requests that resume the session; "" for its own class
 }
 
-// Sessions is the section [sessions]: the bounds of paused sessions. Without a [[tool]] no session pauses.
+// Sessions is the section [sessions]: the limits of paused sessions. Without a [[tool]] no session pauses.
 type Sessions struct {
-	MaxPaused          int      `toml:"most"`        // paused or claimed at once, over all nodes
-	MaxPausedPerTenant int      `toml:"most_tenant"` // likewise, of one tenant
-	Retention          Duration `toml:"keep"`        // of the record of a session that has ended
-	DecodeTimeout      Duration `toml:"decode"`      // in which the answer to a result must have been decoded
-	ResumeRate         float64  `toml:"resumes"`     // a second, at each node
+	MaxPaused          int      `toml:"most"`        // maximum number of paused or claimed sessions, over all nodes
+	MaxPausedPerTenant int      `toml:"most_tenant"` // maximum number of them for one tenant
+	Retention          Duration `toml:"keep"`        // time for which the record of an ended session is retained
+	DecodeTimeout      Duration `toml:"decode"`      // time within which the response to a result must be complete
+	ResumeRate         float64  `toml:"resumes"`     // maximum number of resumed sessions per second at each node
 }
 
 func (t *Tool) setDefaults() {
@@ -46,7 +46,7 @@
 	setDefault(&s.ResumeRate, 50)
 }
 
-// validateTools completes and validates the tools and [sessions], where there are tools.
+// validateTools sets the defaults of the tools and of [sessions] and validates them, if there are tools.
 func (o *OperatorFile) validateTools() error {
 	if len(o.Tools) == 0 {
 		return nil
@@ -57,7 +57,7 @@
 		t := &o.Tools[i]
 		t.setDefaults()
 		if t.Name == "" || seen[t.Name] {
-			return keyError(indexed("tool", i, "name"), "%q is missing, or there twice", t.Name)
+			return keyError(indexed("tool", i, "name"), "%q is empty or a duplicate", t.Name)
 		}
 		seen[t.Name] = true
 		if err := o.validateTool(i); err != nil {
@@ -72,13 +72,13 @@
 	key := func(name string) string { return indexed("tool", i, name) }
 	switch {
 	case !slices.Contains(toolActions, t.Action):
-		return keyError(key("does"), "%q is none of \"pause\", \"keep\" and \"refuse\"", t.Action)
+		return keyError(key("does"), "%q is not one of \"pause\", \"keep\", \"refuse\"", t.Action)
 	case !t.ResultTimeout.between(100*time.Millisecond, 24*time.Hour):
 		return keyError(key("wait"), "%v is not from 100ms to 24h", time.Duration(t.ResultTimeout))
 	case !between(t.MaxResultKB, 1, 256):
 		return keyError(key("result_kb"), "%d is not from 1 to 256", t.MaxResultKB)
 	case t.Class != "" && !o.hasClass(t.Class):
-		return keyError(key("class"), "%q is no class of this file", t.Class)
+		return keyError(key("class"), "%q is not among the class names", t.Class)
 	}
 	return nil
 }
@@ -87,18 +87,18 @@
 	s := &o.Sessions
 	switch {
 	case !between(s.MaxPaused, 1, 100_000):
-		return keyError("sessions.most", "%d is not from 1 to 100,000", s.MaxPaused)
+		return keyError("sessions.most", "%d is not from 1 to 100000", s.MaxPaused)
 	case s.MaxPausedPerTenant < 1:
 		return keyError("sessions.most_tenant", "%d is not positive", s.MaxPausedPerTenant)
 	case !s.Retention.between(time.Second, 24*time.Hour):
 		return keyError("sessions.keep", "%v is not from 1s to 24h", time.Duration(s.Retention))
 	case !s.DecodeTimeout.between(5*time.Second, time.Hour) || s.DecodeTimeout <= 4*o.Fleet.ClockError:
-		return keyError("sessions.decode", "%v is not from 5s to 1h, or not well over fleet.clock_error",
+		return keyError("sessions.decode", "%v is not from 5s to 1h, or not more than 4 times fleet.clock_error",
 			time.Duration(s.DecodeTimeout))
 	case !between(s.ResumeRate, 0, 10_000) || s.ResumeRate == 0:
-		return keyError("sessions.resumes", "%g is not from 0 to 10,000 a second", s.ResumeRate)
+		return keyError("sessions.resumes", "%g is not above 0 and at most 10000 per second", s.ResumeRate)
 	case o.Fleet.Listen == "":
-		return keyError("tool", "sessions that pause need a [fleet]: fleet.listen is missing")
+		return keyError("tool", "requires [fleet], but fleet.listen is missing")
 	}
 	return nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,7 +8,7 @@
 	"standpoint"
 )
 
-// Values of the settings object that are words.
+// Enumerated values in the settings object.
 const (
 	discoveryOnRequest = "on_request"
 	reportsPiggyback   = "piggyback"
@@ -19,7 +19,7 @@
 	groupCell          = "cell"
 )
 
-// settings is the settings object as the platform writes it. Times are in nanoseconds, but for
+// settings is the settings object as the platform writes it. Times are in nanoseconds, except in
 // aimUsPer1000PromptTokens.
 type settings struct {
 	Balancers int `json:"balancers"`
@@ -37,9 +37,9 @@
 	} `json:"classes"`
 	Discovery  string `json:"discovery"`
 	FamilyInfo struct {
-		ObjectivePer1000Tokens []float64 `json:"aimUsPer1000PromptTokens"` // microseconds, by class
+		ObjectivePer1000Tokens []float64 `json:"aimUsPer1000PromptTokens"` // microseconds, for each class
 		Resume                 bool      `json:"resume"`
-		TokenGapObjective      []float64 `json:"tokenAim"` // by class
+		TokenGapObjective      []float64 `json:"tokenAim"` // nanoseconds, for each class
 	} `json:"familyInfo"`
 	Limits struct {
 		Cancel         bool  `json:"cancel"`
@@ -84,22 +84,22 @@
 	Zones []string `json:"zones"`
 }
 
-// Names holds what the settings call things, in the order of the decision module's indexes, and limits that the
-// module has no use for.
+// Names holds the names of classes, tenants, zones and kinds, in the order of their indexes in the decision module, and
+// settings of connections, which the decision module does not need.
 type Names struct {
 	Classes        []string
 	Tenants        []string
 	Zones          []string
 	Kinds          []string
-	IdleTimeout    time.Duration // of connections to backends
-	DialTimeout    time.Duration
-	MaxConnections int // to backends; 0 for no limit
+	IdleTimeout    time.Duration // time after which an idle connection to a backend is closed
+	DialTimeout    time.Duration // timeout for opening a connection to a backend
+	MaxConnections int           // maximum number of connections to backends; 0 for no limit
 }
 
-// DecodeSettings decodes and validates the settings object that the platform and the simulator both hand out.
+// DecodeSettings decodes and validates the settings object, whose form the platform and the simulator share.
 func DecodeSettings(raw json.RawMessage) (standpoint.Settings, Names, error) {
 	if len(raw) == 0 {
-		return standpoint.Settings{}, Names{}, keyError("settings", "the object is missing")
+		return standpoint.Settings{}, Names{}, keyError("settings", "missing")
 	}
 	var wire settings
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -123,7 +123,7 @@
 	return decoded, names, nil
 }
 
-// moduleSettings are the decision module's settings but for classes and tenants.
+// moduleSettings returns the decision module's settings without classes and tenants.
 func (w *settings) moduleSettings() standpoint.Settings {
 	decoded := standpoint.Settings{
 		Gateways:             w.Balancers,
@@ -163,6 +163,7 @@
 	return decoded
 }
 
+// names returns the names, and the settings of connections.
 func (w *settings) names() Names {
 	names := Names{
 		Zones:          w.Zones,
@@ -180,6 +181,7 @@
 	return names
 }
 
+// moduleClass returns the i-th class in the form of the decision module.
 func (w *settings) moduleClass(i int) standpoint.Class {
 	wire := &w.Classes[i]
 	class := standpoint.Class{
@@ -196,7 +198,7 @@
 	case semanticsSafe:
 	case semanticsKeyed:
 		class.Effect = standpoint.Keyed
-	default: // requests whose effect is not known must not be repeated
+	default: // requests with an unknown effect must not be repeated
 		class.Effect = standpoint.Unsafe
 	}
 	switch wire.Group {
@@ -214,6 +216,7 @@
 	return class
 }
 
+// validateClassSettings rejects negative numbers in the i-th class.
 func validateClassSettings(i int, class standpoint.Class) error {
 	for _, v := range []struct {
 		key   string
@@ -234,7 +237,7 @@
 	return nil
 }
 
-// validateRanges rejects numbers that the decision module could not compute with.
+// validateRanges rejects numbers with which the decision module cannot compute.
 func (w *settings) validateRanges() error {
 	const (
 		maxCount = 1e6
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Kinds of store.
+// Kinds of stores.
 const (
-	StoreMemory = "memory"
-	StoreRaft   = "raft"
+	StoreMemory = "memory" // in the memory of this process
+	StoreRaft   = "raft"   // replicated by Raft
 )
 
+// minHeartbeatTimeout is the minimum of Store.HeartbeatTimeout.
 const minHeartbeatTimeout = 20 * time.Millisecond
 
-// Store is the section [store].
+// Store is the section [store]: the key-value store that nodes share.
 type Store struct {
 	Kind             string   `toml:"kind"`      // StoreMemory or StoreRaft
-	ID               string   `toml:"id"`        // of this member
-	Dir              string   `toml:"dir"`       // of its log; "" keeps it in memory
-	HeartbeatTimeout Duration `toml:"heartbeat"` // 0 for the library's default
-	Members          []Member `toml:"member"`
-	SharedSettings   bool     `toml:"settings"` // the store's shared configuration is laid over this file
+	ID               string   `toml:"id"`        // id of this member
+	Dir              string   `toml:"dir"`       // directory of this member's log; "" for a log in memory
+	HeartbeatTimeout Duration `toml:"heartbeat"` // Raft heartbeat timeout; 0 for the library's default
+	Members          []Member `toml:"member"`    // all members, including this one
+	SharedSettings   bool     `toml:"settings"`  // whether shared configuration in the store overrides this file
 }
 
-// Member is a [[store.member]]: a member of the store, and where its listeners are.
+// Member is a [[store.member]]: a member of the store, and the addresses of its listeners, host:port.
 type Member struct {
 	ID             string `toml:"id"`
-	Address        string `toml:"address"`
-	FrontAddress   string `toml:"front"`   // of its clients' listener
-	ControlAddress string `toml:"control"` // of its control interface; needed where traffic moves between pools
-	DialAddress    string `toml:"reach"`   // where this node reaches it, if not at Address
+	Address        string `toml:"address"` // address on which the member listens for other members
+	FrontAddress   string `toml:"front"`   // address of its listener for clients
+	ControlAddress string `toml:"control"` // address of its control interface; required if there are pools
+	DialAddress    string `toml:"reach"`   // address at which this node reaches the member; "" for Address
 }
 
 func (s *Store) validate() error {
@@ -34,7 +35,7 @@
 		return nil
 	}
 	if s.Kind != StoreRaft {
-		return keyError("store.kind", "%q is neither %q nor %q", s.Kind, StoreMemory, StoreRaft)
+		return keyError("store.kind", "%q is not one of %q, %q", s.Kind, StoreMemory, StoreRaft)
 	}
 	isMember := false
 	for i, m := range s.Members {
@@ -44,10 +45,10 @@
 		isMember = isMember || m.ID == s.ID
 	}
 	if s.HeartbeatTimeout != 0 && s.HeartbeatTimeout < Duration(minHeartbeatTimeout) {
-		return keyError("store.heartbeat", "shorter than %v", minHeartbeatTimeout)
+		return keyError("store.heartbeat", "%v is shorter than %v", time.Duration(s.HeartbeatTimeout), minHeartbeatTimeout)
 	}
 	if !isMember {
-		return keyError("store.id", "%q is not among store.member", s.ID)
+		return keyError("store.id", "%q is not among the store.member ids", s.ID)
 	}
 	return nil
 }
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// setDefault stores standard in a value that the file leaves at its zero value.
+// setDefault sets *v to standard if *v is the zero value, that is, if the file has no such key.
 func setDefault[T comparable](v *T, standard T) {
 	var zero T
 	if *v == zero {
@@ -18,30 +18,30 @@
 	}
 }
 
-// between tells whether v is from minimum to maximum; no NaN is.
+// between reports whether v is from minimum to maximum, both included. It is false for NaN.
 func between[T cmp.Ordered](v, minimum, maximum T) bool { return v >= minimum && v <= maximum }
 
-// validateHostPort checks the form of an address.
+// validateHostPort checks that an address has the form host:port.
 func validateHostPort(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return keyError(key, "%q is no host:port address", address)
+		return keyError(key, "%q is not a host:port address", address)
 	}
 	return nil
 }
 
-// validateLoopback checks that an address is a loopback address: an operator's deployment may use no other.
+// validateLoopback checks that an address is a loopback address, since an operator's file may contain no others.
 func validateLoopback(key, address string) error {
 	if err := validateHostPort(key, address); err != nil {
 		return err
 	}
-	host, _, _ := net.SplitHostPort(address) // checked above
+	host, _, _ := net.SplitHostPort(address) // validated above
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return keyError(key, "%q is no loopback address", address)
+		return keyError(key, "%q is not a loopback address", address)
 	}
 	return nil
 }
 
-// validateOptionalLoopback accepts an address that is not given, too.
+// validateOptionalLoopback is validateLoopback for an address that may be "".
 func validateOptionalLoopback(key, address string) error {
 	if address == "" {
 		return nil
@@ -49,7 +49,7 @@
 	return validateLoopback(key, address)
 }
 
-// firstError runs checks in order and returns the first error.
+// firstError calls the checks in order until one returns an error, and returns that.
 func firstError(checks ...func() error) error {
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -60,7 +60,7 @@
 }
 
 // findNonFinite returns the path of the first number, in the order of keys, that is NaN or infinite; "" if there is
-// none. TOML has such numbers, and no range check is sure to reject them.
+// none. TOML permits such numbers, and range checks that use < and > do not reject NaN.
 func findNonFinite(value any, path string) string {
 	switch value := value.(type) {
 	case float64:
@@ -81,6 +81,7 @@
 	return ""
 }
 
+// findNonFiniteElement is findNonFinite for the elements of a list.
 func findNonFiniteElement[T any](list []T, path string) string {
 	for i := range list {
 		if found := findNonFinite(list[i], fmt.Sprintf("%s[%d]", path, i)); found != "" {
