--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -94,7 +94,7 @@
 	lifecycle     *node.Lifecycle
 	components    []component
 
-	// The following fields are used by the supervising goroutine alone.
+	// Only the supervising goroutine uses the following fields.
 	current        deployment              // the deployment in force
 	sharedSettings string                  // shared configuration that overrides the operator's file; "" for none
 	siblingCount   int                     // number of other live processes of this node
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// minPushedInterval is the minimum time between two calls to a discovery server that pushes lists, while it does not
-	// respond.
+	// minPushedInterval is the minimum time between two calls to a discovery server that pushes lists, while it does
+	// not respond.
 	minPushedInterval = 20 * time.Millisecond
 
 	// endpointsPollInterval is the interval at which the start checks whether to wait any longer for the first list.
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -28,7 +28,7 @@
 // SettingsStatus is the state of the shared configuration at a node.
 type SettingsStatus struct {
 	Node     string           `json:"node"`
-	Latest   uint64           `json:"latest"`            // latest version in this node's replica of the store; 0 for none
+	Latest   uint64           `json:"latest"`            // latest version known to this node; 0 for none
 	Applied  uint64           `json:"applied"`           // version in force; 0 if only the node's own file is
 	Rejected string           `json:"refused,omitempty"` // reason why the latest version is not applied
 	Version  settings.Version `json:"version"`           // the latest version
