--- a/internal/migration/advance.go
+++ b/internal/migration/advance.go
@@ -3,12 +3,18 @@
 import "math"
 
 const (
-	quietFraction     = 0.5   // of the alarm level; with more evidence than this a step is not passed
-	warmMinAnswers    = 5     // on-time answers that the new pool must have given before the first step
-	minTrickleChange  = 0.002 // of the share, below which a growing trickle is not put in force
-	minStepChange     = 0.005 // of the share, below which a growing step is not
-	shareTolerance    = 1e-9  // within which a share counts as reached
-	minOfferedDivisor = 1e-9  // keeps a division by an offered weight of 0 defined
+	// maxPassEvidence is the maximum evidence with which a step is passed, as a fraction of the alarm level.
+	maxPassEvidence = 0.5
+	// warmUpMinResponses is the number of on-time responses of the new pool that the first step requires.
+	warmUpMinResponses = 5
+	// minTrickleChange is the minimum increase of the share during the warm-up. Smaller increases are not applied.
+	minTrickleChange = 0.002
+	// minStepChange is the minimum increase of the share during a step. Smaller increases are not applied.
+	minStepChange = 0.005
+	// shareTolerance is the difference within which a share counts as reached.
+	shareTolerance = 1e-9
+	// minOfferedDivisor avoids a division by zero if the offered weight is 0.
+	minOfferedDivisor = 1e-9
 )
 
 // observePlanned starts the warm-up once all live nodes follow the record.
@@ -25,12 +31,12 @@
 	}
 }
 
-// attainableShare is the largest share that the new pool's backends can take now.
+// attainableShare returns the largest share that the new pool's backends can handle now.
 func (m *Machine) attainableShare(window *Window) float64 {
 	return m.record.Plan.maximumShare(window.From.Health, window.To.Health, m.record.FromCapacity)
 }
 
-// targetShare is the share that the present step aims at.
+// targetShare returns the share that the current step is to reach.
 func (m *Machine) targetShare() float64 {
 	if m.record.Step == warmUpStep {
 		return m.record.Plan.Trickle
@@ -38,9 +44,9 @@
 	return m.record.Plan.Steps[m.record.Step]
 }
 
-// advance continues with the present step as far as cold backends, lagging nodes, samples and evidence allow.
+// advance continues with the current step as far as cold backends, lagging nodes, samples and evidence allow.
 func (m *Machine) advance(window *Window) {
-	// Backends that restart during a migration are cold again, and never keep more than cold ones can take.
+	// Backends that restart during a migration are cold again, so the share is reduced to what they can handle.
 	attainable := m.attainableShare(window)
 	if share := min(m.targetShare(), attainable); share < m.record.Shares.Share {
 		m.setShare(share)
@@ -63,34 +69,36 @@
 	}
 }
 
-// observeWarming starts the first step once the new pool is warm enough and has answered some requests on time.
+// observeWarming starts the first step once the new pool is warm enough and has given warmUpMinResponses responses on
+// time.
 func (m *Machine) observeWarming(attainable float64) {
 	plan := &m.record.Plan
 	trickle := min(plan.Trickle, attainable)
 	if trickle > m.record.Shares.Share+minTrickleChange {
 		m.setShare(trickle)
 	}
-	answers := m.onTimeAnswers()
+	responses := m.onTimeResponses()
 	switch {
 	case m.record.StateWindows < windowCount(plan.Warm):
 		m.setReason("warming up: at least %v", plan.Warm)
 	case attainable < plan.Steps[0]:
 		m.setReason("warming up: the new pool's boxes can take %.1f%% by now", 100*attainable)
-	case answers < warmMinAnswers:
-		m.setReason("too few samples: %d of %d answers in time from the new pool", answers, warmMinAnswers)
+	case responses < warmUpMinResponses:
+		m.setReason("too few samples: %d of %d answers in time from the new pool", responses, warmUpMinResponses)
 	default:
 		m.startNextStep(attainable)
 	}
 }
 
-// onTimeAnswers estimates how many answers of the new pool were on time since the step began, from their weight.
-func (m *Machine) onTimeAnswers() int {
+// onTimeResponses estimates from their weight how many responses of the new pool have been on time since the step
+// began.
+func (m *Machine) onTimeResponses() int {
 	offered := m.record.StepWeight[0]
 	onTime := m.record.StepWeight[1]
 	return int(math.Round(float64(m.record.StepRequests[1]) * onTime / max(offered, minOfferedDivisor)))
 }
 
-// startNextStep puts the next step in force, as far as it is attainable yet.
+// startNextStep applies the share of the next step, limited to the attainable share.
 func (m *Machine) startNextStep(attainable float64) {
 	m.record.Step++
 	m.resetStepCounts()
@@ -98,8 +106,8 @@
 	m.transition(Stepping, "step %d of %d: %.0f%%", m.record.Step+1, len(m.record.Plan.Steps), 100*m.targetShare())
 }
 
-// observeStepping raises the share as the new pool's backends warm up, and holds it once the step is in force at all
-// nodes.
+// observeStepping raises the share as the new pool's backends warm up. Once the target is reached and all live nodes
+// have applied it, the step is held and analysed.
 func (m *Machine) observeStepping(window *Window, attainable float64) {
 	target := m.targetShare()
 	share := m.record.Shares.Share
@@ -117,12 +125,12 @@
 	}
 }
 
-// observeHolding passes the step once it has been held for long enough, over enough samples, without a sign that the
-// new pool is worse.
+// observeHolding passes the step once it has been held for Plan.Hold and both pools have enough samples, unless there
+// is evidence that the new pool is worse.
 func (m *Machine) observeHolding(window *Window) {
 	plan := &m.record.Plan
 	from, _ := m.recent()
-	oldUnfit := unfitReason(window.From.Health, from)
+	oldUnavailable := unavailableReason(window.From.Health, from)
 	switch {
 	case m.record.StateWindows < windowCount(plan.Hold):
 		m.setReason("watched for at least %v", plan.Hold)
@@ -130,13 +138,13 @@
 		m.setReason("waiting for %v", window.Lagging)
 	case m.record.StepRequests[1] < plan.Samples:
 		m.setReason("too few samples: %d of %d from the new pool", m.record.StepRequests[1], plan.Samples)
-	case oldUnfit != "" && window.From.Health.Ready > 0:
-		m.setReason("the old pool %s: nothing to compare with", oldUnfit)
-	case m.record.StepRequests[0] < plan.Samples && m.record.Shares.Share < 1 && oldUnfit == "":
+	case oldUnavailable != "" && window.From.Health.Ready > 0:
+		m.setReason("the old pool %s: nothing to compare with", oldUnavailable)
+	case m.record.StepRequests[0] < plan.Samples && m.record.Shares.Share < 1 && oldUnavailable == "":
 		m.setReason("too few samples: %d of %d from the old pool", m.record.StepRequests[0], plan.Samples)
-	case m.analysis.evidence.level() > quietFraction*m.analysis.alarmLevel():
-		m.setReason("the new pool looks worse by its %s; not sure yet", processNames[m.analysis.evidence.strongest()])
-	case m.record.StepWeight[1] < plan.Floor*m.usualOnTime()*m.record.StepWeight[0]:
+	case m.analysis.evidence.level() > maxPassEvidence*m.analysis.alarmLevel():
+		m.setReason("the new pool looks worse by its %s; not sure yet", criterionNames[m.analysis.evidence.strongest()])
+	case m.record.StepWeight[1] < plan.Floor*m.expectedOnTime()*m.record.StepWeight[0]:
 		onTime := 100 * m.record.StepWeight[1] / m.record.StepWeight[0]
 		m.setReason("the new pool answered %.0f%% of its worth in time, under the floor", onTime)
 	default:
@@ -144,7 +152,7 @@
 	}
 }
 
-// passStep goes from a step that has been held to the next one, or ends the migration after the last.
+// passStep starts the next step, or ends the migration after the last one.
 func (m *Machine) passStep(window *Window) {
 	switch {
 	case m.record.Step < len(m.record.Plan.Steps)-1:
--- a/internal/migration/analysis.go
+++ b/internal/migration/analysis.go
@@ -2,29 +2,42 @@
 
 import "math"
 
-// The analysis gathers evidence that the new pool is worse than the old one in the same windows. Each criterion is an
-// e-detector (Shin, Ramdas, Rinaldo 2022): in every window a bet against "the new pool is no worse" multiplies a
-// capital by a factor whose mean is at most 1 while that is true, and a capital below 1 starts again at 1. So the
-// mean number of windows up to a false alarm is at least the capital that raises one, however often it is looked at.
-// Limiting what one window may win preserves that, and keeps a short stall from winning enough.
+// The analysis collects evidence that the new pool is worse than the old one in the same windows. Each criterion is an
+// e-detector (Shin, Ramdas, Rinaldo 2022): in every window a bet against the hypothesis "the new pool is not worse"
+// multiplies a capital by a factor whose mean is at most 1 while the hypothesis is true, and a capital below 1 restarts
+// at 1. The mean number of windows until a false alarm is therefore at least the capital that raises the alarm, however
+// often it is checked. Limiting the gain of a single window preserves this bound and prevents a short stall from
+// raising the alarm.
 //
-//   - errors: failed attempts, one by one, against the old pool's fraction of them and what is allowed beyond it;
-//   - service: the fraction of the weight that is not answered on time, against the old pool's and the floor;
-//   - first token, token gap: each answer against comparable ones of the old pool, the nearest in time first (the same
-//     class, prompt tokens to read and load), less what the old pool itself has slowed down meanwhile. Only whether it
-//     is slower by more than the allowed factor counts, so a long tail or a single long prompt weighs no more than any
-//     other answer.
+//   - errors: each failed attempt, against the old pool's fraction of failed attempts plus the allowed excess;
+//   - late weight: the fraction of the weight that is not served on time, against the old pool's fraction and the
+//     floor;
+//   - first token, token gap: each response against comparable ones of the old pool, the most recent first (similar
+//     uncached prompt tokens or the same class, and similar load), corrected for the slowdown of the old pool itself in
+//     the meantime. Only whether the response is slower by more than the allowed factor counts, so a long tail or a
+//     single long prompt has no more weight than any other response.
 const (
-	toleratedAdvantage = 0.1  // mean advantage of the old pool, from -1 to 1, that means nothing
-	referenceWindows   = 15   // over which the old pool's errors and late weight are taken
-	referenceMinimum   = 12.0 // requests or attempts in them; with fewer the long-term ratio is used
-	commonWindows      = 3    // the latest, in which both pools may suffer together
-	commonMinimum      = 6.0  // requests or attempts in them
-	answersPerBet      = 2    // answers of the new pool that make a bet
-	maxBets            = 4    // of one criterion in a window
-	stallAftermath     = 2    // windows after a stall in which answers that it delayed still end
-	maxUsualErrors     = 0.9  // of attempts, beyond which errors are no evidence
-	minAllowedLate     = 0.05 // of the weight: keeps a bet on late answers from winning without bound
+	// toleratedAdvantage is the mean advantage of the old pool, from -1 to 1, that is not evidence.
+	toleratedAdvantage = 0.1
+	// referenceWindows is the number of recent windows that define the old pool's fractions of errors and late weight.
+	referenceWindows = 15
+	// referenceMinEvents is the minimum number of requests or attempts in these windows. With fewer the long-term ratio
+	// is used.
+	referenceMinEvents = 12.0
+	// commonWindows is the number of latest windows in which a disturbance of both pools is recognised.
+	commonWindows = 3
+	// commonMinEvents is the minimum number of requests or attempts in these windows.
+	commonMinEvents = 6.0
+	// responsesPerBet is the number of responses of the new pool that are combined into one bet.
+	responsesPerBet = 2
+	// maxBetsPerWindow is the maximum number of bets on one response-time criterion in a window.
+	maxBetsPerWindow = 4
+	// stallAftermathWindows is the number of windows after a stall in which responses that it delayed still end.
+	stallAftermathWindows = 2
+	// maxExpectedErrors is the fraction of failed attempts beyond which errors are no evidence.
+	maxExpectedErrors = 0.9
+	// minAllowedLate is the minimum fraction of late weight to divide by. It bounds the gain of a bet on late responses.
+	minAllowedLate = 0.05
 )
 
 // analysis compares the pools of one migration window by window.
@@ -33,44 +46,46 @@
 	evidence Evidence
 	window   int // windows observed
 
-	// What the old pool does: over the whole migration, in the latest windows, and answer by answer.
+	// The old pool's performance: ratios over the whole migration (decaying), ratios of the latest windows, and
+	// individual responses.
 	longErrors ratio
 	longLate   ratio
 	errors     [referenceWindows]ratio
 	late       [referenceWindows]ratio
-	baseline   [criteria][]observation
+	baseline   [criterionCount][]observation
 
-	// slope is the relative rise of the old pool's token gap with the load, around its mean at meanLoad.
+	// slope is the relative increase of the old pool's token gap per unit of load, around the mean gap at meanLoad.
 	slope    float64
 	meanLoad float64
-	// drift is how much slower the old pool's answers have become, for each of the latest windows.
-	drift [criteria][commonWindows]ratio
+	// drift is the slowdown of the old pool's responses against its own earlier ones, for each of the latest windows.
+	drift [criterionCount][commonWindows]ratio
 }
 
 func newAnalysis(plan Plan) *analysis { return &analysis{plan: plan} }
 
-// alarmLevel is the logarithm of the mean capital that raises an alarm.
+// alarmLevel returns the logarithm of the mean capital that raises the alarm.
 func (a *analysis) alarmLevel() float64 { return math.Log(a.plan.Alarm) }
 
-// windowLimit is the most that one window may add to one capital, so that no stall of the tolerated length is enough.
-// A capital that is alone in growing has to make up for the others' part of the mean too.
+// windowLimit returns the maximum that one window may add to the logarithm of a capital, so that a stall of the
+// tolerated length does not raise the alarm. A single capital that grows while the others do not must reach the alarm
+// level times the number of capitals.
 func (a *analysis) windowLimit() float64 {
-	alone := a.alarmLevel() + math.Log(float64(criteria*betsPerCriterion))
-	return alone / float64(windowCount(a.plan.Stall)+stallAftermath)
+	singleCapitalAlarm := a.alarmLevel() + math.Log(float64(criterionCount*betsPerCriterion))
+	return singleCapitalAlarm / float64(windowCount(a.plan.Stall)+stallAftermathWindows)
 }
 
-// observe takes a window in and updates the evidence.
+// observe updates the evidence with a window.
 func (a *analysis) observe(window *Window) {
 	a.window++
 	a.observeRatios(&window.From)
-	for criterion := byFirstToken; criterion <= byTokenGap; criterion++ {
+	for criterion := firstTokenCriterion; criterion <= tokenGapCriterion; criterion++ {
 		a.observeDrift(window.From.Samples, criterion)
 		a.extendBaseline(window.From.Samples, criterion)
 	}
 	a.fitSlope()
 	a.betOnErrors(&window.To)
-	a.betOnService(&window.To)
-	a.betOnAnswers(&window.To)
+	a.betOnLateWeight(&window.To)
+	a.betOnResponses(&window.To)
 }
 
 func (a *analysis) observeRatios(old *PoolWindow) {
@@ -83,7 +98,7 @@
 	a.longLate.decayAndAdd(late.Bad, late.Total)
 }
 
-// observeDrift compares the old pool's answers with its own earlier ones.
+// observeDrift compares the old pool's responses with its own earlier ones.
 func (a *analysis) observeDrift(samples []Sample, criterion criterion) {
 	differences := a.compareAll(samples, criterion)
 	count := float64(len(differences))
@@ -94,10 +109,10 @@
 	a.drift[criterion][a.window%commonWindows] = drift
 }
 
-// reference is the old pool's fraction of bad events: in the latest windows, or over the migration if there are too
-// few; and not less than in the very same windows, so that what both pools suffer together is not held against the
-// new one. unit is the weight of one event.
-func (a *analysis) reference(recent *[referenceWindows]ratio, longTerm ratio, unit float64) float64 {
+// expectedFraction returns the old pool's fraction of bad events in the reference windows, or over the whole migration
+// if these have too few events. It is not less than the fraction in the latest commonWindows, so that a disturbance of
+// both pools does not count against the new one. unit is the weight of one event.
+func (a *analysis) expectedFraction(recent *[referenceWindows]ratio, longTerm ratio, unit float64) float64 {
 	var sum, common ratio
 	for i := range referenceWindows {
 		slot := ((a.window-i)%referenceWindows + referenceWindows) % referenceWindows
@@ -106,27 +121,27 @@
 			common = sum
 		}
 	}
-	usual := longTerm.estimate()
-	if sum.Total >= referenceMinimum*unit {
-		usual = sum.estimate()
+	expected := longTerm.estimate()
+	if sum.Total >= referenceMinEvents*unit {
+		expected = sum.estimate()
 	}
-	if common.Total >= commonMinimum*unit {
-		usual = max(usual, common.Bad/common.Total)
+	if common.Total >= commonMinEvents*unit {
+		expected = max(expected, common.Bad/common.Total)
 	}
-	return usual
+	return expected
 }
 
-// addEvidence adds to a criterion's capitals what each of its bets has won in this window.
-func (a *analysis) addEvidence(criterion criterion, won func(bet float64) float64) {
+// addEvidence adds each bet's gain in this window to the logarithms of a criterion's capitals.
+func (a *analysis) addEvidence(criterion criterion, logGain func(bet float64) float64) {
 	limit := a.windowLimit()
-	for i, bet := range bets[criterion] {
+	for i, bet := range betFractions[criterion] {
 		capital := &a.evidence[criterion][i]
-		*capital = max(0, *capital) + min(limit, won(bet))
+		*capital = max(0, *capital) + min(limit, logGain(bet))
 	}
 }
 
-// betOnErrors counts a request that overflowed as a failed attempt once the new pool is warm, since none of its
-// backends was eligible.
+// betOnErrors updates the evidence of failed attempts. Once the new pool is warm, an overflowed request counts as a
+// failed attempt, since none of the pool's backends was eligible.
 func (a *analysis) betOnErrors(pool *PoolWindow) {
 	failed := pool.Errors
 	attempts := pool.Attempts
@@ -137,47 +152,49 @@
 	if attempts == 0 {
 		return
 	}
-	usual := min(maxUsualErrors, a.reference(&a.errors, a.longErrors, 1)+a.plan.Errors)
-	a.addEvidence(byErrors, func(bet float64) float64 {
-		return float64(failed)*math.Log1p(bet*(1-usual)/usual) + float64(attempts-failed)*math.Log1p(-bet)
+	expected := min(maxExpectedErrors, a.expectedFraction(&a.errors, a.longErrors, 1)+a.plan.Errors)
+	a.addEvidence(errorsCriterion, func(bet float64) float64 {
+		return float64(failed)*math.Log1p(bet*(1-expected)/expected) + float64(attempts-failed)*math.Log1p(-bet)
 	})
 }
 
-func (a *analysis) betOnService(pool *PoolWindow) {
+// betOnLateWeight updates the evidence of weight that is not served on time.
+func (a *analysis) betOnLateWeight(pool *PoolWindow) {
 	if pool.OfferedWeight <= 0 {
 		return
 	}
-	usual := a.reference(&a.late, a.longLate, pool.OfferedWeight/float64(max(1, pool.Requests)))
-	allowed := 1 - a.plan.Floor*(1-usual)
+	expected := a.expectedFraction(&a.late, a.longLate, pool.OfferedWeight/float64(max(1, pool.Requests)))
+	allowed := 1 - a.plan.Floor*(1-expected)
 	late := 1 - pool.OnTimeWeight/pool.OfferedWeight
-	a.addEvidence(byService, func(bet float64) float64 {
+	a.addEvidence(lateWeightCriterion, func(bet float64) float64 {
 		return math.Log1p(bet * (late - allowed) / max(allowed, minAllowedLate))
 	})
 }
 
-func (a *analysis) betOnAnswers(pool *PoolWindow) {
-	for criterion := byFirstToken; criterion <= byTokenGap; criterion++ {
+// betOnResponses updates the evidence of slow responses, in groups of about responsesPerBet.
+func (a *analysis) betOnResponses(pool *PoolWindow) {
+	for criterion := firstTokenCriterion; criterion <= tokenGapCriterion; criterion++ {
 		differences := a.compareAll(pool.Samples, criterion)
 		if len(differences) == 0 {
 			continue
 		}
-		common := a.commonSlowdown(criterion)
+		common := a.sharedSlowdown(criterion)
 		count := len(differences)
-		groups := min(maxBets, max(1, count/answersPerBet))
+		groups := min(maxBetsPerWindow, max(1, count/responsesPerBet))
 		a.addEvidence(criterion, func(bet float64) float64 {
-			won := 0.0
+			logGain := 0.0
 			for i := range groups {
 				group := differences[i*count/groups : (i+1)*count/groups]
 				excess := max(-1, mean(group)-common)
-				won += math.Log1p(bet * (excess - toleratedAdvantage) / (1 + toleratedAdvantage))
+				logGain += math.Log1p(bet * (excess - toleratedAdvantage) / (1 + toleratedAdvantage))
 			}
-			return won
+			return logGain
 		})
 	}
 }
 
-// commonSlowdown is what has slowed the old pool down too, and is not held against the new one.
-func (a *analysis) commonSlowdown(criterion criterion) float64 {
+// sharedSlowdown returns the old pool's own slowdown, which does not count against the new pool.
+func (a *analysis) sharedSlowdown(criterion criterion) float64 {
 	var drift ratio
 	for _, window := range a.drift[criterion] {
 		drift = drift.plus(window)
--- a/internal/migration/analysis_test.go
+++ b/internal/migration/analysis_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stall that is shorter than allowed never ends a move, nor does one of both pools, nor an evening in which both
-// get slow.
+// Guards against a rollback because of a stall shorter than Plan.Stall, a stall of both pools, or a slowdown of both
+// pools.
 func TestShortStallsRaiseNoAlarm(t *testing.T) {
 	for name, c := range map[string]struct {
 		windows  int
@@ -17,64 +17,68 @@
 	}{
 		"one pool, 2 s":                    {2, condition{health: warm}, condition{stall: true, health: warm}},
 		"one pool, 4 s":                    {4, condition{health: warm}, condition{stall: true, health: warm}},
-		"one pool, 4 s in which all fails": {4, condition{health: warm}, condition{errors: 1, health: warm}},
-		"both, 10 s":                       {10, condition{stall: true, health: warm}, condition{stall: true, health: warm}},
-		"both slow, 40 s":                  {40, condition{slow: 2, health: warm}, condition{slow: 2, health: warm}},
+		"one pool, 4 s in which all fails": {4, condition{health: warm}, condition{errorRate: 1, health: warm}},
+		"both, 10 s": {
+			10, condition{stall: true, health: warm}, condition{stall: true, health: warm},
+		},
+		"both slow, 40 s": {40, condition{slowdown: 2, health: warm}, condition{slowdown: 2, health: warm}},
 	} {
 		for seed := range uint64(40) {
-			s := newScenario(seed)
-			m := startMigration(t, s, nil)
-			observeUntil(t, m, s, 400, atStep(int(seed%4)))
-			s.old, s.new = c.old, c.new
+			sim := newSimulation(seed)
+			machine := startMigration(t, sim, nil)
+			observeUntil(t, machine, sim, 400, atStep(int(seed%4)))
+			sim.old, sim.new = c.old, c.new
 			for range c.windows {
-				m.Observe(clock, s.nextWindow(m))
+				machine.Observe(clock, sim.nextWindow(machine))
 			}
-			s.old, s.new = condition{health: warm}, condition{health: warm}
-			observeUntil(t, m, s, 500, inState(Done, Undone, Halted))
-			require.Equal(t, Done, m.Record().State, "%s, seed %d: %s", name, seed, m.Record().Cause)
+			sim.old, sim.new = condition{health: warm}, condition{health: warm}
+			observeUntil(t, machine, sim, 500, inState(Done, Undone, Halted))
+			require.Equal(t, Done, machine.Record().State, "%s, seed %d: %s", name, seed, machine.Record().Cause)
 		}
 	}
 }
 
-// The bound on false alarms holds for windows without end: the alarm is looked at in every one of them.
+// The bound on the mean number of windows between false alarms must hold over many windows, although the alarm is
+// checked in each of them.
 func TestLongAnalysisRaisesNoFalseAlarm(t *testing.T) {
-	alarms, seen := 0, 0
+	alarms, observed := 0, 0
 	for seed := range uint64(4) {
-		s := newScenario(seed)
+		sim := newSimulation(seed)
 		p := Default()
 		p.Alarm = 1000
-		j := newAnalysis(p)
+		analysis := newAnalysis(p)
 		for range 1500 {
-			j.observe(&Window{From: s.poolWindow(s.old, 0.5), To: s.poolWindow(s.new, 0.5)})
-			seen++
-			if j.evidence.level() >= j.alarmLevel() {
+			analysis.observe(&Window{From: sim.poolWindow(sim.old, 0.5), To: sim.poolWindow(sim.new, 0.5)})
+			observed++
+			if analysis.evidence.level() >= analysis.alarmLevel() {
 				alarms++
-				j.evidence = Evidence{}
+				analysis.evidence = Evidence{}
 			}
 		}
 	}
-	require.LessOrEqual(t, alarms, seen/1000, "in %d windows", seen)
+	require.LessOrEqual(t, alarms, observed/1000, "false alarms in %d windows", observed)
 }
 
-// Evidence goes over with the record: a mover that is killed after every window still finds a pool that fails.
+// Guards against the loss of evidence when the machine is resumed from its record: a pool that fails must be detected
+// even if the machine is resumed after every window.
 func TestEvidenceSurvivesResume(t *testing.T) {
-	s := newScenario(8)
-	m := startMigration(t, s, nil)
-	observeUntil(t, m, s, 400, atStep(2))
-	s.new.errors = 0.3
+	sim := newSimulation(8)
+	machine := startMigration(t, sim, nil)
+	observeUntil(t, machine, sim, 400, atStep(2))
+	sim.new.errorRate = 0.3
 	for range 40 {
-		m.Observe(clock, s.nextWindow(m))
-		m = Resume(m.Record())
+		machine.Observe(clock, sim.nextWindow(machine))
+		machine = Resume(machine.Record())
 	}
-	require.Equal(t, Undone, m.Record().State)
+	require.Equal(t, Undone, machine.Record().State)
 }
 
-// Lateness of both pools in the same windows is no evidence, also while the old pool's last quarter of a minute, in the
-// mean, was still good.
+// Late responses and errors of both pools in the same windows must not be evidence, even while the old pool's mean over
+// the last 15 windows is still good.
 func TestCommonSlowdownIsNoEvidence(t *testing.T) {
-	j := newAnalysis(Default())
+	analysis := newAnalysis(Default())
 	window := func(late float64) *Window {
-		side := PoolWindow{
+		poolWindow := PoolWindow{
 			Requests:      10,
 			OfferedWeight: 10,
 			OnTimeWeight:  10 * (1 - late),
@@ -82,47 +86,47 @@
 			Errors:        int(10 * late),
 			Health:        warm,
 		}
-		return &Window{From: side, To: side}
+		return &Window{From: poolWindow, To: poolWindow}
 	}
 	for range 60 {
-		j.observe(window(0))
+		analysis.observe(window(0))
 	}
 	for range 12 {
-		j.observe(window(0.7))
+		analysis.observe(window(0.7))
 	}
-	for _, process := range []criterion{byErrors, byService} {
-		for _, l := range j.evidence[process] {
-			require.Less(t, l, 0.7*j.alarmLevel(), processNames[process])
+	for _, criterion := range []criterion{errorsCriterion, lateWeightCriterion} {
+		for _, l := range analysis.evidence[criterion] {
+			require.Less(t, l, 0.7*analysis.alarmLevel(), criterionNames[criterion])
 		}
 	}
 }
 
-// As shares grow the new boxes run fuller than the old ones. Tokens that come slower for that alone are no evidence;
-// the same at the same load are.
+// With a growing share the new pool's backends have a higher load than the old pool's. A token gap that is longer only
+// because of the load must not be evidence; one that is longer at the same load must be.
 func TestHigherLoadIsNoEvidence(t *testing.T) {
-	level := func(slow float64) float64 {
+	level := func(slowdown float64) float64 {
 		rng := rand.New(rand.NewPCG(5, 5))
-		j := newAnalysis(Default())
-		answers := func(n int, least, most, slow float64) PoolWindow {
-			side := PoolWindow{Health: warm}
+		analysis := newAnalysis(Default())
+		poolWindow := func(n int, minLoad, maxLoad, slowdown float64) PoolWindow {
+			window := PoolWindow{Health: warm}
 			for range n {
-				load := least + (most-least)*rng.Float64()
-				side.Samples = append(
-					side.Samples,
+				load := minLoad + (maxLoad-minLoad)*rng.Float64()
+				window.Samples = append(
+					window.Samples,
 					Sample{
 						UncachedTokens: 500,
 						Load:           load,
 						FirstToken:     0.2,
-						TokenGap:       slow * 0.018 * (1 + 3*load) * math.Exp(0.05*rng.NormFloat64()),
+						TokenGap:       slowdown * 0.018 * (1 + 3*load) * math.Exp(0.05*rng.NormFloat64()),
 					},
 				)
 			}
-			return side
+			return window
 		}
 		for range 60 {
-			j.observe(&Window{From: answers(9, 0, 0.3, 1), To: answers(9, 0.28, 0.5, slow)})
+			analysis.observe(&Window{From: poolWindow(9, 0, 0.3, 1), To: poolWindow(9, 0.28, 0.5, slowdown)})
 		}
-		return j.evidence.level() / j.alarmLevel()
+		return analysis.evidence.level() / analysis.alarmLevel()
 	}
 	require.Less(t, level(1), 0.3)
 	require.Greater(t, level(2), 1.0)
--- a/internal/migration/comparison.go
+++ b/internal/migration/comparison.go
@@ -2,55 +2,77 @@
 
 import "math"
 
-// What makes answers of the two pools comparable.
+// The limits within which responses of the two pools are comparable.
 const (
-	maxPairs          = 24   // answers of the old pool that one of the new is compared with
-	minPairs          = 4    // below which nothing is said of it
-	recentMinAnswers  = 4    // that the old pool must have given
-	recentWindows     = 10   // in these latest windows
-	baselineWindows   = 45   // for which the old pool's answers are kept
-	maxBaseline       = 3000 // of them
-	loadBelow         = 0.03 // by how much the load of the old pool's backend may have been lower
-	loadAbove         = 0.12 // or higher
-	gapLoadRange      = 0.25 // the same, both ways, for the token gap, which is converted to the same load
-	gapLoadTolerance  = 0.5  // error of that conversion, for each unit of load between them
-	similarityRange   = 0.5  // of a doubling of the tokens to read; classes differ by more
-	minSimilarTokens  = 64   // prompts with fewer tokens to read are alike
-	slopePrior        = 1.0  // relative rise of the token gap over the range of load, before the old pool shows it
-	slopePriorWeight  = 1.0  // its weight, as a sum of squares of load
-	minRelativeGap    = 0.1  // to which the fitted token gap may fall
-	maxLoadConversion = 2    // factor by which a token gap is converted to another load, and its inverse
+	// maxPairs is the maximum number of old-pool responses that a response of the new pool is compared with.
+	maxPairs = 24
+	// minPairs is the minimum number of comparable responses. With fewer a response is not used.
+	minPairs = 4
+	// recentMinResponses is the number of responses that the old pool must have given in the last recentWindows windows.
+	recentMinResponses = 4
+	// recentWindows is the number of windows that count as recent for recentMinResponses.
+	recentWindows = 10
+	// baselineWindows is the number of windows for which the old pool's responses are retained.
+	baselineWindows = 45
+	// maxBaseline is the maximum number of retained responses of the old pool.
+	maxBaseline = 3000
+	// loadBelow is the maximum difference by which the load of the old pool's backend may have been lower, as a fraction
+	// of its slots.
+	loadBelow = 0.03
+	// loadAbove is the maximum difference by which the load of the old pool's backend may have been higher.
+	loadAbove = 0.12
+	// gapLoadRange is the maximum difference of load in either direction for token gaps, which are converted to the same
+	// load.
+	gapLoadRange = 0.25
+	// gapLoadTolerance is the relative error of that conversion per unit of difference in load.
+	gapLoadTolerance = 0.5
+	// similarityRange is the maximum difference of similarity: half of a doubling of the uncached prompt tokens. Two
+	// classes always differ by more.
+	similarityRange = 0.5
+	// minSimilarTokens is the number of uncached prompt tokens below which prompts count as similar.
+	minSimilarTokens = 64
+	// slopePrior is the relative increase of the token gap from load 0 to load 1 that is assumed before the old pool has
+	// responses to fit it to.
+	slopePrior = 1.0
+	// slopePriorWeight is the weight of slopePrior in the fit, as a sum of squared load deviations.
+	slopePriorWeight = 1.0
+	// minRelativeGap is the minimum of the fitted token gap relative to its mean.
+	minRelativeGap = 0.1
+	// maxLoadConversion is the maximum factor by which a token gap is converted to another load; its inverse is the
+	// minimum.
+	maxLoadConversion = 2
 )
 
-// observation is what an answer says for one criterion.
+// observation is the value of a response for one criterion, with the properties that make it comparable.
 type observation struct {
-	value      float64 // seconds
-	load       float64 // of its backend
-	similarity float64 // logarithm of the tokens to read, or the class
-	kind       int     // of its backend
-	window     int
+	value      float64 // time to first token or time per token, in seconds
+	load       float64 // fraction of the backend's slots in use
+	similarity float64 // binary logarithm of the uncached prompt tokens, or the class
+	kind       int     // kind of the backend
+	window     int     // number of the window in which the response was observed
 }
 
-// measure extracts the observation of an answer. The first token waits for the prompt to be read, behind what else
-// runs; each further token takes the longer, the more runs.
+// measure extracts a response's observation for a criterion. The time to first token depends on the uncached prompt
+// tokens to process, behind the backend's other work; the time per token increases with the load.
 func measure(sample Sample, criterion criterion, window int) observation {
-	o := observation{load: sample.Load, kind: sample.Kind, window: window}
-	if criterion == byFirstToken {
-		o.value = sample.FirstToken
-		o.similarity = math.Log2(sample.UncachedTokens + minSimilarTokens)
+	measured := observation{load: sample.Load, kind: sample.Kind, window: window}
+	if criterion == firstTokenCriterion {
+		measured.value = sample.FirstToken
+		measured.similarity = math.Log2(sample.UncachedTokens + minSimilarTokens)
 	} else {
-		o.value = sample.TokenGap
-		o.similarity = float64(sample.Class)
+		measured.value = sample.TokenGap
+		measured.similarity = float64(sample.Class)
 	}
-	return o
+	return measured
 }
 
-// extendBaseline adds the old pool's answers of this window, and drops those that are too old or too many.
+// extendBaseline adds the old pool's responses of this window and drops the oldest ones beyond baselineWindows and
+// maxBaseline.
 func (a *analysis) extendBaseline(samples []Sample, criterion criterion) {
 	baseline := a.baseline[criterion]
 	for _, sample := range samples {
-		if o := measure(sample, criterion, a.window); o.value > 0 {
-			baseline = append(baseline, o)
+		if measured := measure(sample, criterion, a.window); measured.value > 0 {
+			baseline = append(baseline, measured)
 		}
 	}
 	drop := max(0, len(baseline)-maxBaseline)
@@ -60,43 +82,43 @@
 	a.baseline[criterion] = baseline[drop:]
 }
 
-// fitSlope learns from the old pool how the token gap rises with the load, within each kind of backend.
+// fitSlope fits from the old pool's responses how the token gap increases with the load within each kind of backend.
 func (a *analysis) fitSlope() {
 	type sums struct{ count, load, value float64 }
 	kinds := map[int]*sums{}
-	for _, o := range a.baseline[byTokenGap] {
-		kind := kinds[o.kind]
+	for _, response := range a.baseline[tokenGapCriterion] {
+		kind := kinds[response.kind]
 		if kind == nil {
 			kind = &sums{}
-			kinds[o.kind] = kind
+			kinds[response.kind] = kind
 		}
 		kind.count++
-		kind.load += o.load
-		kind.value += o.value
+		kind.load += response.load
+		kind.value += response.value
 	}
 	covariance := slopePrior * slopePriorWeight
 	variance := slopePriorWeight
 	load := 0.0
 	count := 0.0
-	for _, o := range a.baseline[byTokenGap] {
-		kind := kinds[o.kind]
-		deviation := o.load - kind.load/kind.count
-		covariance += deviation * (o.value*kind.count/kind.value - 1)
+	for _, response := range a.baseline[tokenGapCriterion] {
+		kind := kinds[response.kind]
+		deviation := response.load - kind.load/kind.count
+		covariance += deviation * (response.value*kind.count/kind.value - 1)
 		variance += deviation * deviation
-		load += o.load
+		load += response.load
 		count++
 	}
 	a.slope = max(0, covariance/variance)
 	a.meanLoad = load / max(count, 1)
 }
 
-// loadConversion is the factor by which the token gap at one load exceeds that at another.
+// loadConversion returns the factor that converts a token gap at the load from to the expected gap at the load to.
 func (a *analysis) loadConversion(to, from float64) float64 {
 	relativeGap := func(load float64) float64 { return max(minRelativeGap, 1+a.slope*(load-a.meanLoad)) }
 	return min(maxLoadConversion, max(1.0/maxLoadConversion, relativeGap(to)/relativeGap(from)))
 }
 
-// compareAll compares answers with the baseline, leaving out those that have too little to be compared with.
+// compareAll compares responses with the baseline and omits those with too few comparable ones.
 func (a *analysis) compareAll(samples []Sample, criterion criterion) []float64 {
 	var differences []float64
 	for _, sample := range samples {
@@ -107,8 +129,8 @@
 	return differences
 }
 
-// comparisons sums how an answer compares with others: one for each that it is slower than, less one for each that it
-// is not.
+// comparisons accumulates the comparisons of a response: +1 for each response that it is slower than, -1 for each
+// other.
 type comparisons struct {
 	sum   float64
 	count float64
@@ -119,13 +141,13 @@
 	c.count++
 }
 
-// compare is how far an answer is slower than comparable ones of the old pool, from -1 to 1: the fraction that it is
-// slower than by more than the allowed factor, less the fraction that it is not. A pool that is slower by just the
-// factor has a mean of 0, so one that is a little slower, as backends are, gathers no evidence however long it is
-// observed. Backends of the same kind are preferred; if the old pool has none, those of other kinds count. It is
-// false if there are too few.
-func (a *analysis) compare(o observation, criterion criterion) (float64, bool) {
-	if o.value <= 0 || !a.hasRecentBaseline(criterion) {
+// compare returns how much slower a response is than comparable ones of the old pool, from -1 to 1: the fraction of
+// them that it is slower than by more than the allowed factor, minus the remaining fraction. A pool that is slower by
+// exactly the factor has a mean of 0, so a slightly slower pool, which is within normal variation, accumulates no
+// evidence however long it is observed. Responses of backends of the same kind are preferred; if there are none, those
+// of other kinds are used. The second result is false if there are too few comparable responses.
+func (a *analysis) compare(candidate observation, criterion criterion) (float64, bool) {
+	if candidate.value <= 0 || !a.hasRecentBaseline(criterion) {
 		return 0, false
 	}
 	var sameKind, anyKind comparisons
@@ -134,11 +156,11 @@
 		if sameKind.count >= maxPairs || anyKind.count >= maxPairs && sameKind.count == 0 {
 			break
 		}
-		difference, ok := a.comparePair(&o, &baseline[i], criterion)
+		difference, ok := a.comparePair(&candidate, &baseline[i], criterion)
 		if !ok {
 			continue
 		}
-		if baseline[i].kind == o.kind {
+		if baseline[i].kind == candidate.kind {
 			sameKind.add(difference)
 		}
 		anyKind.add(difference)
@@ -151,32 +173,33 @@
 	return 0, false
 }
 
-// hasRecentBaseline reports whether the old pool has answered often enough of late to compare with.
+// hasRecentBaseline reports whether the old pool has given enough responses in the latest windows to compare with.
 func (a *analysis) hasRecentBaseline(criterion criterion) bool {
 	baseline := a.baseline[criterion]
-	return len(baseline) >= recentMinAnswers &&
-		baseline[len(baseline)-recentMinAnswers].window > a.window-recentWindows
+	return len(baseline) >= recentMinResponses &&
+		baseline[len(baseline)-recentMinResponses].window > a.window-recentWindows
 }
 
-// comparePair is 1 if an answer is slower than one of the old pool by more than the allowed factor, and -1 if not. It
-// is false if the two are not comparable.
-func (a *analysis) comparePair(o, old *observation, criterion criterion) (float64, bool) {
+// comparePair returns 1 if a response is slower than one of the old pool by more than the allowed factor, and -1 if
+// not. The second result is false if the two are not comparable.
+func (a *analysis) comparePair(candidate, reference *observation, criterion criterion) (float64, bool) {
 	below, above := loadBelow, loadAbove
 	factor := a.plan.FirstToken
-	if criterion == byTokenGap {
+	if criterion == tokenGapCriterion {
 		below, above = gapLoadRange, gapLoadRange
 		factor = a.plan.Pace
 	}
-	excessLoad := o.load - old.load
-	if excessLoad > below || excessLoad < -above || math.Abs(o.similarity-old.similarity) > similarityRange {
+	excessLoad := candidate.load - reference.load
+	if excessLoad > below || excessLoad < -above ||
+		math.Abs(candidate.similarity-reference.similarity) > similarityRange {
 		return 0, false
 	}
-	value := old.value
-	if criterion == byTokenGap {
-		value *= a.loadConversion(o.load, old.load)
+	value := reference.value
+	if criterion == tokenGapCriterion {
+		value *= a.loadConversion(candidate.load, reference.load)
 		factor *= 1 + gapLoadTolerance*math.Abs(excessLoad)
 	}
-	if o.value > factor*value {
+	if candidate.value > factor*value {
 		return 1, true
 	}
 	return -1, true
--- a/internal/migration/evidence.go
+++ b/internal/migration/evidence.go
@@ -2,40 +2,40 @@
 
 import "math"
 
-// criterion is something in which the new pool may be worse than the old one. Its value is an index into Evidence,
-// which is stored.
+// criterion is an aspect in which the new pool may be worse than the old one. Its value is an index into Evidence,
+// which is stored, so existing values must not change.
 type criterion int
 
 const (
-	byErrors criterion = iota
-	byService
-	byFirstToken
-	byTokenGap
-	criteria
+	errorsCriterion criterion = iota
+	lateWeightCriterion
+	firstTokenCriterion
+	tokenGapCriterion
+	criterionCount
 )
 
-// processNames are the criteria as operators read them.
-var processNames = [criteria]string{"errors", "worth in time", "first token", "token pace"}
+// criterionNames are the names of the criteria in reasons and causes shown to operators.
+var criterionNames = [criterionCount]string{"errors", "worth in time", "first token", "token pace"}
 
-// betsPerCriterion is the number of detectors of a criterion, each with a stake of its own.
+// betsPerCriterion is the number of detectors of each criterion. Each bets a different fraction of its capital.
 const betsPerCriterion = 3
 
-// bets are the fractions of the capital that each detector stakes. Failed attempts are rare, so a small excess of
-// them shows only to small stakes.
-var bets = [criteria][betsPerCriterion]float64{
+// betFractions are the fractions of its capital that each detector bets. Failed attempts are rare, so only small bets
+// detect a small excess of them.
+var betFractions = [criterionCount][betsPerCriterion]float64{
 	{0.02, 0.08, 0.3},
 	{0.1, 0.3, 0.8},
 	{0.2, 0.5, 0.9},
 	{0.2, 0.5, 0.9},
 }
 
-// maxLogCapital keeps the exponential of a capital finite.
+// maxLogCapital limits the logarithm of a capital so that its exponential stays finite.
 const maxLogCapital = 600
 
-// Evidence is the evidence against the new pool: the logarithm of each detector's capital.
-type Evidence [criteria][betsPerCriterion]float64
+// Evidence is the evidence that the new pool is worse: the logarithm of each detector's capital.
+type Evidence [criterionCount][betsPerCriterion]float64
 
-// level is the logarithm of the mean capital.
+// level returns the logarithm of the mean capital of all detectors.
 func (e *Evidence) level() float64 {
 	sum := 0.0
 	for criterion := range e {
@@ -43,14 +43,14 @@
 			sum += math.Exp(min(capital, maxLogCapital))
 		}
 	}
-	return math.Log(sum / float64(criteria*betsPerCriterion))
+	return math.Log(sum / float64(criterionCount*betsPerCriterion))
 }
 
-// strongest is the criterion with the most evidence.
+// strongest returns the criterion with the most evidence.
 func (e *Evidence) strongest() criterion {
 	highest := math.Inf(-1)
-	strongest := byErrors
-	for criterion := byErrors; criterion < criteria; criterion++ {
+	strongest := errorsCriterion
+	for criterion := errorsCriterion; criterion < criterionCount; criterion++ {
 		for _, capital := range e[criterion] {
 			if capital > highest {
 				highest = capital
@@ -62,26 +62,26 @@
 }
 
 const (
-	ratioDecay = 0.98 // of a long-term ratio, for each window
-	ratioPrior = 0.02 // what a ratio is taken to be before anything is counted
+	ratioDecay = 0.98 // factor by which the counts of a long-term ratio shrink in each window
+	ratioPrior = 0.02 // estimate of a ratio before any event is counted
 )
 
-// ratio is a fraction of bad events among all, which may decay.
+// ratio counts bad events among all events. The counts may decay with time.
 type ratio struct {
 	Bad   float64 `json:"bad"`
 	Total float64 `json:"all"`
 }
 
-// decayAndAdd ages the ratio by a window and adds that window's events.
+// decayAndAdd applies the decay of one window and adds that window's events.
 func (r *ratio) decayAndAdd(bad, total float64) {
 	r.Bad = r.Bad*ratioDecay + bad
 	r.Total = r.Total*ratioDecay + total
 }
 
-// plus is the ratio over both counts.
+// plus returns the ratio over the events of both.
 func (r ratio) plus(other ratio) ratio {
 	return ratio{Bad: r.Bad + other.Bad, Total: r.Total + other.Total}
 }
 
-// estimate is the fraction, drawn towards the prior by the weight of one event.
+// estimate returns the fraction of bad events, with ratioPrior weighted as one event.
 func (r ratio) estimate() float64 { return (r.Bad + ratioPrior) / (r.Total + 1) }
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -9,7 +9,8 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// A record with every field set: the names of the evidence and of the short memory are stored ones.
+// A record with every field set. The encoded names of the evidence and of the window summaries must not change, since
+// records are stored.
 func TestGoldenRecordFields(t *testing.T) {
 	at := time.Date(2026, 11, 1, 10, 0, 0, 0, time.UTC)
 	plan := Default()
@@ -38,9 +39,9 @@
 		ReturnFromShare: 0.75,
 		Cause:           "worse",
 	}
-	for process := range record.Evidence {
-		for bet := range record.Evidence[process] {
-			record.Evidence[process][bet] = float64(process) + 0.1*float64(bet+1)
+	for criterion := range record.Evidence {
+		for bet := range record.Evidence[criterion] {
+			record.Evidence[criterion][bet] = float64(criterion) + 0.1*float64(bet+1)
 		}
 	}
 	for i := range record.LongTerm {
@@ -48,14 +49,14 @@
 	}
 	for i := range record.Recent {
 		n := 100 * (i + 1)
-		record.Recent[i] = windowSummary{From: goldenPulse(n), To: goldenPulse(n + 50)}
+		record.Recent[i] = windowSummary{From: goldenPoolSummary(n), To: goldenPoolSummary(n + 50)}
 	}
 	golden.RoundTrip(t, "record.json", record,
 		func(r Record) ([]byte, error) { return json.MarshalIndent(r, "", "  ") },
 		func(raw []byte) (r Record, err error) { err = json.Unmarshal(raw, &r); return r, err })
 }
 
-func goldenPulse(n int) poolSummary {
+func goldenPoolSummary(n int) poolSummary {
 	return poolSummary{
 		Requests:      n + 1,
 		LateWindows:   n + 2,
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// warmThreshold is the fraction of its capacity from which a pool counts as warm: it is then no longer limited.
+	// warmThreshold is the fraction of its capacity from which a pool counts as warm and its share is no longer limited.
 	warmThreshold = 0.9
-	// coldBudgetFraction is the fraction of the slow-start allowance that a migration gives to a cold pool, all nodes
-	// together; the decision modules give their own starting backends as much (coldMargin).
+	// coldBudgetFraction is the fraction of the slow-start allowance that a migration sends to a cold pool, over all
+	// nodes together. The decision module limits starting backends by a fraction of its own, coldMargin.
 	coldBudgetFraction = 0.4
-	// minCapacity keeps a division by an unknown capacity defined.
+	// minCapacity avoids a division by zero if the capacity is unknown.
 	minCapacity = 1e-9
 )
 
-// Health is what is known of a pool's backends. Capacities are in units of a usual backend.
+// Health summarises the state of a pool's backends. Capacities are relative to a standard backend, whose capacity is 1.
 type Health struct {
-	Backends     int     `json:"boxes"` // listed, draining ones included
-	Ready        int     `json:"ready"`
-	Capacity     float64 `json:"size"` // of the ready ones
-	WarmCapacity float64 `json:"able"` // the part of it that has warmed up by now
+	Backends     int     `json:"boxes"` // listed backends, including draining ones
+	Ready        int     `json:"ready"` // backends that accept requests
+	Capacity     float64 `json:"size"`  // total capacity of the ready backends
+	WarmCapacity float64 `json:"able"`  // the part of Capacity that has warmed up
 }
 
-// WarmFraction is the fraction of a backend's capacity that is available at an age since its start.
+// WarmFraction returns the fraction of a backend's capacity that is available at the given time after its start.
 func (p Plan) WarmFraction(age time.Duration) float64 {
 	if p.WarmUp <= 0 || age >= p.WarmUp {
 		return 1
@@ -28,9 +28,10 @@
 	return p.ColdShare + (1-p.ColdShare)*max(0, float64(age)/float64(p.WarmUp))
 }
 
-// maximumShare is the largest share of From's requests that To can take now. The capacity of a backend in requests is
-// not known, so what the old pool carries for its capacity is the guide, and a cold backend is taken to carry its
-// warm fraction of that. The share is smaller still where a cold pool would be overloaded by less.
+// maximumShare returns the largest share of From's requests that To can handle now. How many requests a backend can
+// handle is not known, so the estimate is based on the old pool's load per capacity, and a cold backend is assumed to
+// handle its warm fraction of that. If a cold pool collapses under less than that (a small FallFactor), the share is
+// reduced further.
 func (p Plan) maximumShare(from, to Health, fromCapacity float64) float64 {
 	if to.Capacity <= 0 {
 		return 0
@@ -42,8 +43,8 @@
 	return min(1, coldBudget*to.WarmCapacity/max(from.Capacity, fromCapacity, minCapacity))
 }
 
-// merge combines the views of two nodes. A node that sees no backend of a pool does not outweigh one that does; of
-// the warm fractions the smaller counts.
+// merge combines the health that two nodes see. A node that sees no ready backend of the pool does not override one
+// that does. Of two warm fractions the smaller applies.
 func (h Health) merge(other Health) Health {
 	backends := max(h.Backends, other.Backends)
 	if h.Capacity == 0 {
--- a/internal/migration/machine.go
+++ b/internal/migration/machine.go
@@ -10,37 +10,40 @@
 )
 
 const (
-	maxEvents      = 64 // that a record's history keeps
-	persistWindows = 5  // windows after which the record is stored anyway, for readers and for a successor
+	// maxEvents is the maximum number of events in a record's history.
+	maxEvents = 64
+	// maxWindowsUnpersisted is the number of windows after which an otherwise unchanged record is stored, so that
+	// readers see current counts and a new leader loses little of them.
+	maxWindowsUnpersisted = 5
 )
 
-// Errors of commands.
+// Errors returned for commands that the migration's state does not allow.
 var (
-	ErrOver    = errors.New("the move is over")
-	ErrRunning = errors.New("a move is under way")
+	ErrTerminal = errors.New("the move is over")
+	ErrRunning  = errors.New("a move is under way")
 )
 
-// Command is what an operator may ask of a migration that has been started. Its text is that of the control interface.
+// Command is an operator's command to a migration that has been started. Its text is the one of the control interface.
 type Command string
 
 // The commands.
 const (
-	CommandPause  Command = "pause"  // take no further step
-	CommandResume Command = "resume" // go on after a pause or a halt
-	CommandUndo   Command = "undo"   // move all traffic back
+	CommandPause  Command = "pause"  // start no further step
+	CommandResume Command = "resume" // continue after a pause or a halt
+	CommandUndo   Command = "undo"   // shift all traffic back
 )
 
-// Machine is the state machine of one migration. It has no clock and does no I/O: Observe shows it one window after
-// another, and the record that it then holds is put in force by storing it. It is not safe for concurrent use.
+// Machine is the state machine of one migration. It reads no clock and does no I/O: Observe is called with one window
+// after another, and the resulting record takes effect when the caller stores it. It is not safe for concurrent use.
 type Machine struct {
-	record         Record
-	analysis       *analysis
-	now            time.Time
-	sincePersisted int // windows since Observe last asked for the record to be stored
+	record              Record
+	analysis            *analysis
+	now                 time.Time
+	windowsSincePersist int // windows since Observe last requested that the record be stored
 }
 
-// Start begins a migration on top of the shares in force. from and to are the present health of the plan's pools. The
-// error is a *PlanError if the plan cannot be carried out.
+// Start creates a migration in addition to the shares in force, base. from and to are the current health of the plan's
+// pools. The error is a *PlanError if the plan is invalid or the new pool has no ready backend.
 func Start(id string, plan Plan, base pool.Shares, from, to Health, now time.Time) (*Machine, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -65,7 +68,7 @@
 	return m, nil
 }
 
-// Resume continues a migration from its stored record.
+// Resume returns a machine that continues a migration from its stored record.
 func Resume(record Record) *Machine {
 	m := &Machine{record: record, analysis: newAnalysis(record.Plan)}
 	m.record.Events = slices.Clone(record.Events)
@@ -75,7 +78,7 @@
 	return m
 }
 
-// Record returns a copy of the migration's state, complete enough for Resume.
+// Record returns a copy of the migration's state, with everything that Resume needs.
 func (m *Machine) Record() Record {
 	record := m.record
 	record.Events = slices.Clone(record.Events)
@@ -84,14 +87,14 @@
 	return record
 }
 
-// SetAuthor records who started the migration, and why.
+// SetAuthor records who started the migration and the operator's note.
 func (m *Machine) SetAuthor(by, note string) {
 	m.record.By = by
 	m.record.Note = note
 }
 
-// Execute carries out an operator's command. A command that the present state does not allow changes nothing and
-// returns an error.
+// Execute carries out an operator's command. A command that the current state does not allow has no effect and returns
+// an error.
 func (m *Machine) Execute(now time.Time, command Command) error {
 	m.now = now
 	switch command {
@@ -109,7 +112,7 @@
 	switch m.record.State {
 	case Planned, Warming, Stepping, Holding:
 	case Undone, Done:
-		return ErrOver
+		return ErrTerminal
 	default:
 		return fmt.Errorf("a move that is %s takes no step that could be paused", m.record.State)
 	}
@@ -123,7 +126,7 @@
 func (m *Machine) resume() error {
 	switch {
 	case m.record.State.Terminal():
-		return ErrOver
+		return ErrTerminal
 	case m.record.State == Halted:
 		m.analysis.evidence = Evidence{}
 		m.record.Recent = [severeWindows]windowSummary{}
@@ -142,14 +145,14 @@
 func (m *Machine) undo() error {
 	switch m.record.State {
 	case Undone:
-		return ErrOver
+		return ErrTerminal
 	case Returning:
 		return nil
 	case Planned:
 		m.finishUndone("undone before any step")
 		return nil
 	case Done:
-		// The traffic that From had is returned by the same means as from an unfinished migration.
+		// From's former traffic is shifted back in the same way as that of an unfinished migration.
 		m.record.Shares = pool.Shares{
 			Moved: m.record.BaseMoved,
 			From:  m.record.Plan.From,
@@ -164,8 +167,8 @@
 	return nil
 }
 
-// Observe takes the next window in and advances the migration as far as it allows. It reports whether the record
-// should be stored now: storing it is what puts a step in force, since all nodes follow the stored record.
+// Observe processes the next window and advances the migration if the window allows it. It reports whether the record
+// must be stored now: a step takes effect only when it is stored, since all nodes follow the stored record.
 func (m *Machine) Observe(now time.Time, window Window) bool {
 	m.now = now
 	if m.record.State.Terminal() {
@@ -191,21 +194,21 @@
 	return m.persistDue(&before)
 }
 
-// persistDue reports whether the record has to be stored: it has changed since before, or it has not been stored for
-// a while.
+// persistDue reports whether the record must be stored: it differs from before, or it has not been stored for
+// maxWindowsUnpersisted windows.
 func (m *Machine) persistDue(before *Record) bool {
-	m.sincePersisted++
+	m.windowsSincePersist++
 	due := m.record.State != before.State ||
 		m.record.Version != before.Version ||
 		m.record.Changed != before.Changed ||
-		m.sincePersisted >= persistWindows
+		m.windowsSincePersist >= maxWindowsUnpersisted
 	if due {
-		m.sincePersisted = 0
+		m.windowsSincePersist = 0
 	}
 	return due
 }
 
-// countWindow updates the counts of the step and of the latest windows.
+// countWindow adds a window to the counts of the current step and to the most recent windows.
 func (m *Machine) countWindow(window *Window) {
 	m.record.StepRequests[0] += window.From.Requests
 	m.record.StepRequests[1] += window.To.Requests
@@ -215,14 +218,14 @@
 	m.record.Recent[0] = windowSummary{From: summarize(&window.From), To: summarize(&window.To)}
 }
 
-// resetStepCounts starts the counts of a step again.
+// resetStepCounts sets the counts of the current step to zero.
 func (m *Machine) resetStepCounts() {
 	m.record.StepRequests = [2]int{}
 	m.record.StepWeight = [2]float64{}
 	m.record.ShareWindows = 0
 }
 
-// recent returns the sums over the latest windows.
+// recent returns the sums over the most recent windows, for each pool.
 func (m *Machine) recent() (from, to poolSummary) {
 	for _, window := range m.record.Recent {
 		from = from.plus(window.From)
@@ -231,7 +234,7 @@
 	return from, to
 }
 
-// setShare puts a share in force, at all nodes that follow the record.
+// setShare changes the share that the new pool gets on all nodes that follow the record.
 func (m *Machine) setShare(share float64) {
 	if share == m.record.Shares.Share {
 		return
@@ -241,12 +244,12 @@
 	m.record.ShareWindows = 0
 }
 
-// setReason states why the migration does not advance.
+// setReason records why the migration does not advance.
 func (m *Machine) setReason(format string, args ...any) {
 	m.record.Reason = fmt.Sprintf(format, args...)
 }
 
-// transition enters another state, and adds an event that explains it.
+// transition enters another state and adds an event with the reason to the history.
 func (m *Machine) transition(state State, format string, args ...any) {
 	m.record.State = state
 	m.record.StateWindows = 0
@@ -263,7 +266,7 @@
 	}
 	m.record.Events = append(m.record.Events, event)
 	if excess := len(m.record.Events) - maxEvents; excess > 0 {
-		m.record.Events = slices.Delete(m.record.Events, 1, 1+excess) // the first says how the migration began
+		m.record.Events = slices.Delete(m.record.Events, 1, 1+excess) // the first event is retained: it marks the start
 	}
 	m.record.Changed = m.now
 }
--- a/internal/migration/machine_test.go
+++ b/internal/migration/machine_test.go
@@ -11,12 +11,12 @@
 
 func TestMigrationBetweenEqualPoolsFinishes(t *testing.T) {
 	for seed := range uint64(40) {
-		s := newScenario(seed)
-		m := startMigration(t, s, nil)
-		n := observeUntil(t, m, s, 400, inState(Done, Undone, Halted))
-		require.Equal(t, Done, m.Record().State, "seed %d: %s", seed, m.Record().Cause)
-		require.GreaterOrEqual(t, time.Duration(n)*WindowTime, m.Record().Plan.MinimumDuration()-7*WindowTime)
-		r := m.Record()
+		sim := newSimulation(seed)
+		machine := startMigration(t, sim, nil)
+		n := observeUntil(t, machine, sim, 400, inState(Done, Undone, Halted))
+		require.Equal(t, Done, machine.Record().State, "seed %d: %s", seed, machine.Record().Cause)
+		require.GreaterOrEqual(t, time.Duration(n)*WindowTime, machine.Record().Plan.MinimumDuration()-7*WindowTime)
+		r := machine.Record()
 		require.Equal(t, map[string]string{"old": "new"}, r.Shares.Moved)
 		require.Equal(t, 1.0, r.CurrentShare())
 		require.Equal(t, 1.0, r.Events[len(r.Events)-1].Share)
@@ -24,55 +24,55 @@
 }
 
 func TestTooFewSamplesHoldTheStep(t *testing.T) {
-	s := newScenario(5)
-	s.rate = 1
-	m := startMigration(t, s, nil)
-	observeUntil(t, m, s, 2000, inState(Holding))
+	sim := newSimulation(5)
+	sim.rate = 1
+	machine := startMigration(t, sim, nil)
+	observeUntil(t, machine, sim, 2000, inState(Holding))
 	for range 60 {
-		m.Observe(clock, s.nextWindow(m))
+		machine.Observe(clock, sim.nextWindow(machine))
 	}
-	r := m.Record()
+	r := machine.Record()
 	require.Equal(t, 0, r.Step)
 	require.Contains(t, r.Reason, "too few samples")
-	s.rate = 0
+	sim.rate = 0
 	for range 500 {
-		m.Observe(clock, s.nextWindow(m))
+		machine.Observe(clock, sim.nextWindow(machine))
 	}
-	require.Equal(t, r.Step, m.Record().Step, "time alone passes no step")
+	require.Equal(t, r.Step, machine.Record().Step, "a step must not be passed without requests")
 }
 
 func TestStepWaitsForLaggingNodes(t *testing.T) {
-	s := newScenario(6)
-	s.behind = []string{"n2"}
-	m := startMigration(t, s, nil)
+	sim := newSimulation(6)
+	sim.lagging = []string{"n2"}
+	machine := startMigration(t, sim, nil)
 	for range 30 {
-		m.Observe(clock, s.nextWindow(m))
+		machine.Observe(clock, sim.nextWindow(machine))
 	}
-	require.Equal(t, Planned, m.Record().State)
-	require.Contains(t, m.Record().Reason, "n2")
-	s.behind = nil
-	observeUntil(t, m, s, 50, inState(Warming))
-	s.behind = []string{"n1"}
+	require.Equal(t, Planned, machine.Record().State)
+	require.Contains(t, machine.Record().Reason, "n2")
+	sim.lagging = nil
+	observeUntil(t, machine, sim, 50, inState(Warming))
+	sim.lagging = []string{"n1"}
 	for range 100 {
-		m.Observe(clock, s.nextWindow(m))
+		machine.Observe(clock, sim.nextWindow(machine))
 	}
-	require.Equal(t, Stepping, m.Record().State, "the step is not in force everywhere, so it is not watched yet")
-	s.behind = nil
-	observeUntil(t, m, s, 200, atStep(0))
-	s.behind = []string{"n3"}
+	require.Equal(t, Stepping, machine.Record().State, "a step must not be held before all nodes have applied it")
+	sim.lagging = nil
+	observeUntil(t, machine, sim, 200, atStep(0))
+	sim.lagging = []string{"n3"}
 	for range 100 {
-		m.Observe(clock, s.nextWindow(m))
+		machine.Observe(clock, sim.nextWindow(machine))
 	}
-	require.Equal(t, 0, m.Record().Step)
-	require.Contains(t, m.Record().Reason, "n3")
-	s.behind = nil
-	observeUntil(t, m, s, 400, inState(Done))
+	require.Equal(t, 0, machine.Record().Step)
+	require.Contains(t, machine.Record().Reason, "n3")
+	sim.lagging = nil
+	observeUntil(t, machine, sim, 400, inState(Done))
 }
 
-// Whatever the boxes' starts, no share is ever in force that cold boxes could not take.
+// Guards against a share above what cold backends can handle, for random ages and restarts of the new pool's backends.
 func TestColdBackendsNeverGetMoreThanTheyCanTake(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := newScenario(rapid.Uint64().Draw(r, "seed"))
+		sim := newSimulation(rapid.Uint64().Draw(r, "seed"))
 		n := rapid.IntRange(1, 12).Draw(r, "boxes")
 		ages := make([]float64, n)
 		for i := range ages {
@@ -86,19 +86,20 @@
 			}
 			return h
 		}
-		s.new.health = health()
-		m := startMigration(t, s, nil)
+		sim.new.health = health()
+		machine := startMigration(t, sim, nil)
 		for i := range 200 {
 			if rapid.IntRange(0, 40).Draw(r, "restart") == 0 {
 				ages[i%n] = 0
 			}
-			s.new.health = health()
-			m.Observe(clock, s.nextWindow(m))
-			h, share := s.new.health, m.record.Shares.Share
-			if h.WarmCapacity < warmThreshold*h.Capacity && m.record.State != Returning &&
-				share > h.WarmCapacity/9+1e-9 &&
+			sim.new.health = health()
+			machine.Observe(clock, sim.nextWindow(machine))
+			present, share := sim.new.health, machine.record.Shares.Share
+			if present.WarmCapacity < warmThreshold*present.Capacity && machine.record.State != Returning &&
+				share > present.WarmCapacity/9+1e-9 &&
 				share > 0.02 {
-				r.Fatalf("%.3f in force, and the boxes can do %.2f of 9: %s", share, h.WarmCapacity, m.record.State)
+				r.Fatalf("share %.3f with a warm capacity of %.2f of 9, state %s",
+					share, present.WarmCapacity, machine.record.State)
 			}
 			for j := range ages {
 				ages[j]++
@@ -107,38 +108,38 @@
 	})
 }
 
-// Every wish in every state: what it leads to, or that it is refused and changes nothing.
+// Each command in each state either leads to the given state or is rejected and changes nothing.
 func TestCommandsInEveryState(t *testing.T) {
-	reach := map[State]func() (*Machine, *scenario){}
-	bringTo := func(state State, bring func(m *Machine, s *scenario)) {
-		reach[state] = func() (*Machine, *scenario) {
-			s := newScenario(9)
-			m := startMigration(t, s, func(p *Plan) {
+	reach := map[State]func() (*Machine, *simulation){}
+	bringTo := func(state State, bring func(machine *Machine, sim *simulation)) {
+		reach[state] = func() (*Machine, *simulation) {
+			sim := newSimulation(9)
+			machine := startMigration(t, sim, func(p *Plan) {
 				if state == Halted {
 					p.OnWorse = Stay
 				}
 			})
-			bring(m, s)
-			require.Equal(t, state, m.Record().State)
-			return m, s
+			bring(machine, sim)
+			require.Equal(t, state, machine.Record().State)
+			return machine, sim
 		}
 	}
-	bringTo(Planned, func(*Machine, *scenario) {})
-	bringTo(Warming, func(m *Machine, s *scenario) { observeUntil(t, m, s, 50, inState(Warming)) })
-	bringTo(Stepping, func(m *Machine, s *scenario) { observeUntil(t, m, s, 100, inState(Stepping)) })
-	bringTo(Holding, func(m *Machine, s *scenario) { observeUntil(t, m, s, 300, atStep(1)) })
-	worse := func(end ...State) func(m *Machine, s *scenario) {
-		return func(m *Machine, s *scenario) {
-			observeUntil(t, m, s, 300, atStep(2))
-			s.new.slow = 3
-			observeUntil(t, m, s, 60, inState(end...))
+	bringTo(Planned, func(*Machine, *simulation) {})
+	bringTo(Warming, func(machine *Machine, sim *simulation) { observeUntil(t, machine, sim, 50, inState(Warming)) })
+	bringTo(Stepping, func(machine *Machine, sim *simulation) { observeUntil(t, machine, sim, 100, inState(Stepping)) })
+	bringTo(Holding, func(machine *Machine, sim *simulation) { observeUntil(t, machine, sim, 300, atStep(1)) })
+	worse := func(end ...State) func(machine *Machine, sim *simulation) {
+		return func(machine *Machine, sim *simulation) {
+			observeUntil(t, machine, sim, 300, atStep(2))
+			sim.new.slowdown = 3
+			observeUntil(t, machine, sim, 60, inState(end...))
 		}
 	}
 	bringTo(Halted, worse(Halted))
 	bringTo(Returning, worse(Returning))
 	bringTo(Undone, worse(Undone))
-	bringTo(Done, func(m *Machine, s *scenario) { observeUntil(t, m, s, 400, inState(Done)) })
-	for state, wishes := range map[State]map[string]State{
+	bringTo(Done, func(machine *Machine, sim *simulation) { observeUntil(t, machine, sim, 400, inState(Done)) })
+	for state, commands := range map[State]map[string]State{
 		Planned:   {"pause": Planned, "resume": Planned, "undo": Undone},
 		Warming:   {"pause": Warming, "resume": Warming, "undo": Returning},
 		Stepping:  {"pause": Stepping, "resume": Stepping, "undo": Returning},
@@ -148,88 +149,92 @@
 		Undone:    {"pause": "", "resume": "", "undo": ""},
 		Done:      {"pause": "", "resume": "", "undo": Returning},
 	} {
-		for wish, want := range wishes {
-			m, s := reach[state]()
-			before := m.Record()
-			err := m.Execute(clock, Command(wish))
+		for command, want := range commands {
+			machine, sim := reach[state]()
+			before := machine.Record()
+			err := machine.Execute(clock, Command(command))
 			if want == "" {
-				require.Error(t, err, "%s while %s", wish, state)
-				require.Equal(t, before, m.Record(), "%s while %s", wish, state)
+				require.Error(t, err, "%s while %s", command, state)
+				require.Equal(t, before, machine.Record(), "%s while %s", command, state)
 				continue
 			}
-			require.NoError(t, err, "%s while %s", wish, state)
-			require.Equal(t, want, m.Record().State, "%s while %s", wish, state)
-			if wish == "pause" {
+			require.NoError(t, err, "%s while %s", command, state)
+			require.Equal(t, want, machine.Record().State, "%s while %s", command, state)
+			if command == "pause" {
 				for range 100 {
-					m.Observe(clock, s.nextWindow(m))
+					machine.Observe(clock, sim.nextWindow(machine))
 				}
-				require.Equal(t, want, m.Record().State, "paused while %s", state)
-				s.new.slow = 3 // the watch goes on
+				require.Equal(t, want, machine.Record().State, "paused while %s", state)
+				sim.new.slowdown = 3 // the analysis continues while paused
 				if state == Holding {
-					observeUntil(t, m, s, 60, inState(Undone))
+					observeUntil(t, machine, sim, 60, inState(Undone))
 				}
 			}
 			if want == Returning {
-				s.new = condition{health: warm}
-				observeUntil(t, m, s, 60, inState(Undone))
-				require.Zero(t, m.Record().Shares.Share)
-				require.Empty(t, m.Record().Shares.Moved)
+				sim.new = condition{health: warm}
+				observeUntil(t, machine, sim, 60, inState(Undone))
+				require.Zero(t, machine.Record().Shares.Share)
+				require.Empty(t, machine.Record().Shares.Moved)
 			}
 		}
-		require.ErrorContains(t, func() error { m, _ := reach[state](); return m.Execute(clock, "jump") }(), "jump")
+		require.ErrorContains(t, func() error {
+			machine, _ := reach[state]()
+			return machine.Execute(clock, "jump")
+		}(), "jump")
 	}
 }
 
-// Whoever takes the record over carries the same move on: no step is left out, none granted twice.
+// A machine that is resumed from the stored record at any time must continue the same migration: no step is skipped, no
+// step is repeated, and the version never decreases.
 func TestRecordCanBeResumedAtAnyTime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := newScenario(rapid.Uint64().Draw(r, "seed"))
-		m := startMigration(t, s, nil)
+		sim := newSimulation(rapid.Uint64().Draw(r, "seed"))
+		machine := startMigration(t, sim, nil)
 		step, version := -1, uint64(1)
 		worse := rapid.IntRange(0, 300).Draw(r, "worse from")
-		for n := 0; n < 400 && !m.record.State.Terminal(); n++ {
+		for n := 0; n < 400 && !machine.record.State.Terminal(); n++ {
 			if n == worse {
-				s.new.slow = 2.5
+				sim.new.slowdown = 2.5
 			}
-			m.Observe(clock, s.nextWindow(m))
+			machine.Observe(clock, sim.nextWindow(machine))
 			if rapid.IntRange(0, 9).Draw(r, "killed") == 0 {
-				raw, err := json.Marshal(m.Record())
+				raw, err := json.Marshal(machine.Record())
 				require.NoError(t, err)
 				var back Record
 				require.NoError(t, json.Unmarshal(raw, &back))
-				m = Resume(back)
+				machine = Resume(back)
 			}
-			if m.record.Step > step+1 || m.record.Step < step || m.record.Version < version {
+			if machine.record.Step > step+1 || machine.record.Step < step || machine.record.Version < version {
 				r.Fatalf(
-					"from step %d, version %d to step %d, version %d",
+					"changed from step %d, version %d to step %d, version %d",
 					step,
 					version,
-					m.record.Step,
-					m.record.Version,
+					machine.record.Step,
+					machine.record.Version,
 				)
 			}
-			step, version = m.record.Step, m.record.Version
+			step, version = machine.record.Step, machine.record.Version
 		}
-		if !m.record.State.Terminal() {
-			r.Fatalf("%s after 400 windows: %s", m.record.State, m.record.Reason)
+		if !machine.record.State.Terminal() {
+			r.Fatalf("state %s after 400 windows: %s", machine.record.State, machine.record.Reason)
 		}
-		if worse < 60 && m.record.State != Undone {
-			r.Fatalf("worse from window %d on, and %s", worse, m.record.State)
+		if worse < 60 && machine.record.State != Undone {
+			r.Fatalf("new pool worse from window %d on, but the migration is %s", worse, machine.record.State)
 		}
 	})
 }
 
 func TestHistoryIsBounded(t *testing.T) {
-	s := newScenario(7)
-	m := startMigration(t, s, nil)
-	observeUntil(t, m, s, 100, inState(Holding))
+	sim := newSimulation(7)
+	machine := startMigration(t, sim, nil)
+	observeUntil(t, machine, sim, 100, inState(Holding))
 	for range 500 {
-		require.NoError(t, m.Execute(clock, CommandPause))
-		require.NoError(t, m.Execute(clock, CommandResume))
+		require.NoError(t, machine.Execute(clock, CommandPause))
+		require.NoError(t, machine.Execute(clock, CommandResume))
 	}
-	require.Len(t, m.Record().Events, maxEvents)
-	require.Equal(t, "planned", m.Record().Events[0].Text)
-	raw, err := json.Marshal(m.Record())
+	require.Len(t, machine.Record().Events, maxEvents)
+	require.Equal(t, "planned", machine.Record().Events[0].Text)
+	raw, err := json.Marshal(machine.Record())
 	require.NoError(t, err)
 	require.Less(t, len(raw), 16<<10)
 }
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -1,6 +1,6 @@
-// Package migration decides how traffic migrates from one pool of backends to another, a step at a time, and when it
-// has to return. It has no clock and does no I/O: its time is the number of windows that it has been shown, each
-// WindowTime long.
+// Package migration implements the state machine of a progressive traffic migration from one pool of backends to
+// another: it decides when the next share of the traffic is shifted and when a degradation requires a rollback. It
+// reads no clock and does no I/O: it measures time in observed windows, each WindowTime long.
 package migration
 
 import (
@@ -9,65 +9,66 @@
 	"time"
 )
 
-// WindowTime is the length of a window.
+// WindowTime is the length of an observation window.
 const WindowTime = time.Second
 
-// The values of Plan.OnWorse: what is done once the new pool is found worse.
+// The values of Plan.OnWorse: how a migration reacts once the new pool is found to be worse than the old one.
 const (
-	Return = "return" // traffic moves back
-	Stay   = "stay"   // the share stays as it is until an operator decides
+	Return = "return" // traffic is shifted back to the old pool
+	Stay   = "stay"   // the share remains unchanged until an operator decides
 )
 
 // The limits of a plan's values.
 const (
-	maxSteps       = 100
-	minFloor       = 0.01
-	maxFactor      = 100 // of FirstToken, Pace and FallFactor
-	minErrors      = 0.0001
-	maxErrors      = 0.5
-	minAlarm       = 100
-	maxAlarm       = 1e9
-	maxPlanSamples = 1e6
-	minFallFactor  = 0.1
-	minHold        = 2 * WindowTime
-	maxSpan        = time.Hour
+	maxSteps          = 100 // entries of Steps, and ReturnSteps
+	minFloor          = 0.01
+	maxFactor         = 100 // upper limit of FirstToken, Pace and FallFactor
+	minErrorAllowance = 0.0001
+	maxErrorAllowance = 0.5
+	minAlarmWindows   = 100
+	maxAlarmWindows   = 1e9
+	maxPlanSamples    = 1e6
+	minFallFactor     = 0.1
+	minHold           = 2 * WindowTime
+	maxDuration       = time.Hour
 )
 
-// Plan is how a migration is carried out. Durations count in whole windows.
+// Plan describes how a migration is carried out. Durations are rounded up to whole windows.
 type Plan struct {
-	From    string        `json:"from"`
-	To      string        `json:"to"`
-	Steps   []float64     `json:"steps"`   // shares of From's requests, ascending; the last is 1 for a complete migration
-	Trickle float64       `json:"trickle"` // the share while the new pool warms up
+	From string `json:"from"` // the old pool, which the traffic leaves
+	To   string `json:"to"`   // the new pool
+	// Steps are the shares of From's requests that To gets, in ascending order; the last is 1 for a complete migration.
+	Steps   []float64     `json:"steps"`
+	Trickle float64       `json:"trickle"` // share of From's requests that To gets while it warms up
 	Warm    time.Duration `json:"warm"`    // minimum duration of the warm-up
-	Hold    time.Duration `json:"hold"`    // minimum duration of the analysis of each step
+	Hold    time.Duration `json:"hold"`    // minimum duration for which each step is analysed
 	Samples int           `json:"samples"` // requests that must have ended in each pool before a step is passed
 
-	// Floor is the fraction of the old pool's on-time weight that the new one must reach.
+	// Floor is the minimum on-time fraction of the new pool's weight, as a fraction of the old pool's on-time fraction.
 	Floor float64 `json:"floor"`
-	// FirstToken and Pace are the factors by which an answer must be slower than a comparable one of the old pool to
-	// count against the new one: in its time to first token, and in its time for each token.
+	// FirstToken and Pace are the factors by which a response must be slower than a comparable one of the old pool to
+	// count against the new pool: FirstToken applies to the time to first token, Pace to the time per output token.
 	FirstToken float64 `json:"first_token"`
 	Pace       float64 `json:"pace"`
-	// Errors is the fraction of failed attempts that is allowed beyond the old pool's.
+	// Errors is the fraction of failed attempts that is allowed in addition to the old pool's.
 	Errors float64 `json:"errors"`
-	// Stall is the longest disturbance that never ends a migration by itself, however bad it is.
+	// Stall is the longest disturbance that never ends a migration by itself, however severe it is.
 	Stall time.Duration `json:"stall"`
-	// Alarm is the minimum mean number of windows between two false alarms while the pools are alike.
+	// Alarm is the minimum mean number of windows between two false alarms while both pools perform equally.
 	Alarm float64 `json:"alarm"`
 
 	OnWorse     string        `json:"on_worse"`     // Return or Stay
-	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic moves back
-	ReturnEvery time.Duration `json:"return_every"` // between two of them
+	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic is shifted back
+	ReturnEvery time.Duration `json:"return_every"` // time between two of these steps
 
-	// ColdShare is the fraction of its capacity that a backend has at its start, WarmUp the time until it has all of
-	// it, and FallFactor the multiple of its cold capacity at which it collapses.
+	// ColdShare is the fraction of its capacity that a backend has when it starts, WarmUp the time until it has its
+	// full capacity, and FallFactor the multiple of its cold capacity at which it collapses.
 	ColdShare  float64       `json:"cold_share"`
 	WarmUp     time.Duration `json:"warm_up"`
 	FallFactor float64       `json:"fall_factor"`
 }
 
-// Default returns the plan that applies where the configuration says nothing else.
+// Default returns the plan that applies to all values that the configuration does not set.
 func Default() Plan {
 	return Plan{
 		Steps:       []float64{0.05, 0.25, 0.5, 0.75, 1},
@@ -90,7 +91,7 @@
 	}
 }
 
-// PlanError tells which key of a plan is wrong.
+// PlanError reports which key of a plan is invalid, and why.
 type PlanError struct {
 	Key    string
 	Reason string
@@ -103,7 +104,7 @@
 	return &PlanError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Check returns a *PlanError for the first key of the plan that cannot be carried out.
+// Check returns a *PlanError for the first invalid key of the plan.
 func (p Plan) Check() error {
 	for _, check := range []func() error{p.checkSteps, p.checkAnalysis, p.checkReturn, p.checkDurations} {
 		if err := check(); err != nil {
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// between is false for a value that is not a number.
-func between(value, minimum, maximum float64) bool { return value >= minimum && value <= maximum }
+// inRange reports whether value is from minimum to maximum. It is false for NaN.
+func inRange(value, minimum, maximum float64) bool { return value >= minimum && value <= maximum }
 
 func (p Plan) checkSteps() error {
 	if p.From == p.To && p.From != "" {
@@ -124,14 +125,14 @@
 		return planError("steps", "%d steps are not from 1 to 100", len(p.Steps))
 	}
 	for i, step := range p.Steps {
-		if !between(step, 0, 1) || step == 0 {
+		if !inRange(step, 0, 1) || step == 0 {
 			return planError(fmt.Sprintf("steps[%d]", i), "%g is no share above 0 and up to 1", step)
 		}
 		if i > 0 && step <= p.Steps[i-1] {
 			return planError(fmt.Sprintf("steps[%d]", i), "%g is not more than the step before", step)
 		}
 	}
-	if !between(p.Trickle, 0, p.Steps[0]) {
+	if !inRange(p.Trickle, 0, p.Steps[0]) {
 		return planError("trickle", "%g is not from 0 to the first step", p.Trickle)
 	}
 	if p.Trickle == 0 {
@@ -142,15 +143,15 @@
 
 func (p Plan) checkAnalysis() error {
 	switch {
-	case !between(p.Floor, minFloor, 1):
+	case !inRange(p.Floor, minFloor, 1):
 		return planError("floor", "%g is not from 0.01 to 1", p.Floor)
-	case !between(p.FirstToken, 1, maxFactor):
+	case !inRange(p.FirstToken, 1, maxFactor):
 		return planError("first_token", "%g is not from 1 to 100", p.FirstToken)
-	case !between(p.Pace, 1, maxFactor):
+	case !inRange(p.Pace, 1, maxFactor):
 		return planError("pace", "%g is not from 1 to 100", p.Pace)
-	case !between(p.Errors, minErrors, maxErrors):
+	case !inRange(p.Errors, minErrorAllowance, maxErrorAllowance):
 		return planError("errors", "%g is not from 0.0001 to 0.5", p.Errors)
-	case !between(p.Alarm, minAlarm, maxAlarm):
+	case !inRange(p.Alarm, minAlarmWindows, maxAlarmWindows):
 		return planError("alarm", "%g is not from 100 to 1e9 windows", p.Alarm)
 	case p.Samples < 1 || p.Samples > maxPlanSamples:
 		return planError("samples", "%d is not from 1 to 1000000", p.Samples)
@@ -164,9 +165,9 @@
 		return planError("on_worse", "%q is neither %q nor %q", p.OnWorse, Return, Stay)
 	case p.ReturnSteps < 1 || p.ReturnSteps > maxSteps:
 		return planError("return_steps", "%d is not from 1 to 100", p.ReturnSteps)
-	case !between(p.ColdShare, 0, 1):
+	case !inRange(p.ColdShare, 0, 1):
 		return planError("cold_share", "%g is not from 0 to 1", p.ColdShare)
-	case !between(p.FallFactor, minFallFactor, maxFactor):
+	case !inRange(p.FallFactor, minFallFactor, maxFactor):
 		return planError("fall_factor", "%g is not from 0.1 to 100", p.FallFactor)
 	}
 	return nil
@@ -184,19 +185,19 @@
 		{"return_every", p.ReturnEvery, WindowTime},
 		{"warm_up", p.WarmUp, 0},
 	} {
-		if duration.value < duration.minimum || duration.value > maxSpan {
+		if duration.value < duration.minimum || duration.value > maxDuration {
 			return planError(duration.key, "%v is not from %v to 1h", duration.value, duration.minimum)
 		}
 	}
 	return nil
 }
 
-// MinimumDuration is how long a migration takes if nothing delays it.
+// MinimumDuration returns how long a migration takes if nothing delays it.
 func (p Plan) MinimumDuration() time.Duration {
 	return p.Warm + time.Duration(len(p.Steps))*(p.Hold+2*WindowTime)
 }
 
-// windowCount is the number of windows that cover a span.
-func windowCount(span time.Duration) int {
-	return int(math.Ceil(float64(span) / float64(WindowTime)))
+// windowCount returns the number of windows that cover a duration, rounded up.
+func windowCount(duration time.Duration) int {
+	return int(math.Ceil(float64(duration) / float64(WindowTime)))
 }
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -7,7 +7,7 @@
 	"standpoint/internal/pool"
 )
 
-// warmUpStep is the Step of a record whose first step has not begun.
+// warmUpStep is the value of Record.Step before the first step has begun.
 const warmUpStep = -1
 
 // State is the state of a migration.
@@ -15,20 +15,20 @@
 
 // The states of a migration. The record stores their text.
 const (
-	Planned   State = "planned"   // stored; some live nodes do not follow it yet
-	Warming   State = "warming"   // a trickle of traffic goes to the new pool
-	Stepping  State = "stepping"  // a step is put in force as far as cold backends and lagging nodes allow
-	Holding   State = "holding"   // the step is in force and analysed
-	Halted    State = "halted"    // no further step; an operator decides, or the old pool's recovery does
-	Returning State = "returning" // traffic moves back
-	Undone    State = "undone"    // all traffic is back
-	Done      State = "done"      // all traffic has moved
+	Planned   State = "planned"   // the record is stored, but not all live nodes follow it yet
+	Warming   State = "warming"   // a small share of the traffic goes to the new pool while it warms up
+	Stepping  State = "stepping"  // the share is raised as far as cold backends and lagging nodes allow
+	Holding   State = "holding"   // the step's share is in force, and the pools are compared
+	Halted    State = "halted"    // no further step until an operator decides or the old pool recovers
+	Returning State = "returning" // traffic is shifted back to the old pool
+	Undone    State = "undone"    // all traffic is back in the old pool
+	Done      State = "done"      // all traffic goes to the new pool
 )
 
-// Terminal reports whether the migration changes no more unless an operator undoes it.
+// Terminal reports whether the migration is over; only an operator's undo of a Done migration still changes it.
 func (s State) Terminal() bool { return s == Undone || s == Done }
 
-// Event is an entry of a migration's history.
+// Event is an entry in a migration's history.
 type Event struct {
 	At    time.Time `json:"at"`
 	State State     `json:"state"`
@@ -36,7 +36,7 @@
 	Text  string    `json:"text"`
 }
 
-// Record is the stored state of a migration, with all that Resume needs to continue it.
+// Record is the stored state of a migration, with everything that Resume needs to continue it.
 type Record struct {
 	ID     string `json:"id"`
 	Plan   Plan   `json:"plan"`
@@ -44,40 +44,41 @@
 	Note   string `json:"note,omitempty"`
 	State  State  `json:"state"`
 	Paused bool   `json:"paused,omitempty"`
-	// Reason is why the migration does not advance, or why traffic moved back.
+	// Reason states why the migration does not advance.
 	Reason string `json:"reason,omitempty"`
-	// Step is the index into Plan.Steps; -1 while the new pool warms up.
+	// Step is the index of the current step in Plan.Steps; -1 while the new pool warms up.
 	Step int `json:"step"`
-	// Shares are those in force; Version grows by one with each change of them.
+	// Shares are the shares in force. Version increases by one with each change of them.
 	Shares  pool.Shares `json:"shares"`
 	Version uint64      `json:"version"`
 	Started time.Time   `json:"started"`
 	Changed time.Time   `json:"changed"`
 	Events  []Event     `json:"events,omitempty"`
 
-	// BaseMoved is Shares.Moved as it was before the migration.
+	// BaseMoved is the value of Shares.Moved before the migration.
 	BaseMoved map[string]string `json:"base,omitempty"`
-	// FromCapacity is the capacity of From's ready backends at the start.
+	// FromCapacity is the capacity of From's ready backends when the migration started.
 	FromCapacity float64 `json:"from_size"`
-	// StateWindows and ShareWindows count the windows in this state and since the last change of the share.
+	// StateWindows is the number of windows in the current state, ShareWindows the number of windows since the last
+	// change of the share or reset of the step's counts.
 	StateWindows int `json:"windows"`
 	ShareWindows int `json:"granted"`
-	// StepRequests are the requests of From and To that ended since the step was put in force.
+	// StepRequests are the numbers of requests of From and To that have ended in the current step.
 	StepRequests [2]int `json:"seen"`
-	// StepWeight is the priority weight offered to To since then, and the part of it that was answered on time.
+	// StepWeight is the priority weight offered to To in the current step, and the part of it that was served on time.
 	StepWeight [2]float64 `json:"in_step"`
-	// ReturnFromShare is the share at which the return began.
+	// ReturnFromShare is the share at which the return to the old pool began.
 	ReturnFromShare float64 `json:"back"`
-	// Cause is why the migration was halted; empty if an operator asked for it.
+	// Cause states why the migration was halted; it is empty if an operator requested the return.
 	Cause    string   `json:"cause"`
 	Evidence Evidence `json:"evidence"`
 	// LongTerm are the decaying ratios of errors and of late weight in the old pool.
 	LongTerm [2]ratio `json:"long"`
-	// Recent summarises the latest windows, the newest first.
+	// Recent summarises the latest windows, most recent first.
 	Recent [severeWindows]windowSummary `json:"recent"`
 }
 
-// CurrentShare is the share of From's requests that To gets now.
+// CurrentShare returns the share of From's requests that To gets now.
 func (r *Record) CurrentShare() float64 {
 	if r.State == Done {
 		return 1
@@ -85,27 +86,27 @@
 	return r.Shares.Share
 }
 
-// EvidenceLevel is the evidence against the new pool as a fraction of what raises the alarm.
+// EvidenceLevel returns the evidence that the new pool is worse, as a fraction of the evidence that raises the alarm.
 func (r *Record) EvidenceLevel() float64 {
 	return max(0, r.Evidence.level()) / math.Log(r.Plan.Alarm)
 }
 
-// windowSummary is what one window showed of both pools, for the rules that do not wait for evidence.
+// windowSummary summarises one window of both pools, for the rules that do not wait for evidence.
 type windowSummary struct {
 	From poolSummary `json:"from"`
 	To   poolSummary `json:"to"`
 }
 
-// poolSummary is what one window showed of a pool, or the sum over several windows.
+// poolSummary summarises one window of a pool, or is the sum over several windows.
 type poolSummary struct {
-	Requests      int     `json:"Flows"`
-	LateWindows   int     `json:"Late"`
-	OfferedWeight float64 `json:"Asked"`
-	OnTimeWeight  float64 `json:"InTime"`
-	Attempted     int     `json:"Tried"` // attempts, and requests that overflowed
-	Failed        int     `json:"Failed"`
-	Ready         int     `json:"Ready"`
-	Assigned      int     `json:"Assigned"`
+	Requests      int     `json:"Flows"`    // requests that ended
+	LateWindows   int     `json:"Late"`     // windows in which a request was late
+	OfferedWeight float64 `json:"Asked"`    // priority weight of these requests
+	OnTimeWeight  float64 `json:"InTime"`   // the part of OfferedWeight that was served on time
+	Attempted     int     `json:"Tried"`    // attempts and overflowed requests
+	Failed        int     `json:"Failed"`   // failed attempts and overflowed requests
+	Ready         int     `json:"Ready"`    // ready backends
+	Assigned      int     `json:"Assigned"` // requests that ended, and overflowed ones
 }
 
 func summarize(pool *PoolWindow) poolSummary {
--- a/internal/migration/rollback.go
+++ b/internal/migration/rollback.go
@@ -5,20 +5,28 @@
 	"math"
 )
 
-// The rules that halt a migration without waiting for evidence, and those that tell a pool to be unable to take
-// traffic.
+// The limits of the rules that halt a migration without waiting for evidence, and of those that detect a pool that
+// cannot serve traffic.
 const (
-	severeWindows        = 8   // the latest windows that the rules look at
-	severeMinRequests    = 10  // that each pool must have ended in them
-	severeMinLateWindows = 5   // of them, with a late answer
-	severeFraction       = 0.5 // of the floor, below which the new pool is severely worse
-	severeDeviations     = 4.5 // standard deviations that the difference must exceed
-	failedMinAttempts    = 6   // attempts and overflowed requests that show a pool to fail
-	failedFraction       = 0.5 // of them that must have failed
+	// severeWindows is the number of latest windows to which the rules apply.
+	severeWindows = 8
+	// severeMinRequests is the minimum number of requests of a pool that must have ended in these windows.
+	severeMinRequests = 10
+	// severeMinLateWindows is the minimum number of these windows that must have a late response.
+	severeMinLateWindows = 5
+	// severeFraction is the fraction of the floor below which the new pool is severely worse. The old pool must serve at
+	// least this fraction of its weight on time.
+	severeFraction = 0.5
+	// severeDeviations is the number of standard deviations that the difference must exceed.
+	severeDeviations = 4.5
+	// failedMinAttempts is the minimum number of attempts and overflowed requests for a pool to count as failed.
+	failedMinAttempts = 6
+	// failedFraction is the fraction of these that must have failed.
+	failedFraction = 0.5
 )
 
 // checkDegradation halts the migration if the new pool is worse than the old one, and starts the return if the plan
-// wants it and the old pool can take the traffic. It reports whether it did.
+// requires it and the old pool can serve the traffic. It reports whether the migration was halted.
 func (m *Machine) checkDegradation(window *Window) bool {
 	from, to := m.recent()
 	cause := m.degradation(window, to)
@@ -27,65 +35,64 @@
 	}
 	m.record.Cause = cause
 	m.transition(Halted, "%s", cause)
-	if m.record.Plan.OnWorse == Stay || unfitReason(window.From.Health, from) != "" {
+	if m.record.Plan.OnWorse == Stay || unavailableReason(window.From.Health, from) != "" {
 		m.observeHalted(window)
 		return true
 	}
 	m.startReturn("returning: %s", cause)
 	if m.clientsAffected(window, to) {
-		// Otherwise the return takes its steps, which gives the old pool time to read prompts again that it no longer
-		// has cached.
+		// Otherwise the return takes several steps, which gives the old pool time to refill its prompt caches.
 		m.setShare(m.minimumReturnShare(window))
 	}
 	return true
 }
 
-// degradation says in which way the new pool is worse than the old one; empty if it is not known to be.
+// degradation returns in which way the new pool is worse than the old one; empty if it is not known to be worse.
 func (m *Machine) degradation(window *Window, to poolSummary) string {
 	switch {
 	case m.record.Shares.Share > 0 && window.To.Health.Ready == 0:
-		return fmt.Sprintf("the new pool %s", unfitReason(window.To.Health, to))
+		return fmt.Sprintf("the new pool %s", unavailableReason(window.To.Health, to))
 	case m.farBelowFloor():
 		onTime := 100 * to.OnTimeWeight / to.OfferedWeight
 		return fmt.Sprintf("the new pool answers %.0f%% of its worth in time, far under the floor", onTime)
 	case m.analysis.evidence.level() >= m.analysis.alarmLevel():
-		return "the new pool is worse by its " + processNames[m.analysis.evidence.strongest()]
+		return "the new pool is worse by its " + criterionNames[m.analysis.evidence.strongest()]
 	}
 	return ""
 }
 
-// clientsAffected reports whether the new pool's clients already get less than the plan's floor.
+// clientsAffected reports whether the new pool already serves its clients below the plan's floor.
 func (m *Machine) clientsAffected(window *Window, to poolSummary) bool {
 	return window.To.Health.Ready == 0 ||
 		m.farBelowFloor() ||
-		to.OnTimeWeight < m.record.Plan.Floor*m.usualOnTime()*to.OfferedWeight
+		to.OnTimeWeight < m.record.Plan.Floor*m.expectedOnTime()*to.OfferedWeight
 }
 
-// usualOnTime is the fraction of the old pool's offered weight that is usually answered on time.
-func (m *Machine) usualOnTime() float64 {
+// expectedOnTime returns the long-term fraction of the old pool's offered weight that is served on time.
+func (m *Machine) expectedOnTime() float64 {
 	return 1 - m.analysis.longLate.estimate()
 }
 
-// farBelowFloor reports whether the new pool is so far below the floor that evidence need not be waited for. Both
-// pools have to be seen in the same windows, and the old one has to do well in them.
+// farBelowFloor reports whether the new pool is so far below the floor that no further evidence is needed. The old pool
+// must serve well in the same windows; if it has too few requests in them, its long-term ratio is used.
 func (m *Machine) farBelowFloor() bool {
 	from, to := m.recent()
 	if to.Requests < severeMinRequests || to.LateWindows < severeMinLateWindows || to.OfferedWeight <= 0 {
 		return false
 	}
-	usual := m.usualOnTime()
+	expected := m.expectedOnTime()
 	if from.Requests >= severeMinRequests {
-		usual = from.OnTimeWeight / from.OfferedWeight
+		expected = from.OnTimeWeight / from.OfferedWeight
 	}
-	present := to.OnTimeWeight / to.OfferedWeight
-	deviation := math.Sqrt(usual*(1-usual)/float64(to.Requests)) + 1e-9
-	return usual >= severeFraction &&
-		present < severeFraction*m.record.Plan.Floor*usual &&
-		(usual-present)/deviation > severeDeviations
+	actual := to.OnTimeWeight / to.OfferedWeight
+	deviation := math.Sqrt(expected*(1-expected)/float64(to.Requests)) + 1e-9
+	return expected >= severeFraction &&
+		actual < severeFraction*m.record.Plan.Floor*expected &&
+		(expected-actual)/deviation > severeDeviations
 }
 
-// unfitReason says why a pool can take no traffic; empty if it can.
-func unfitReason(health Health, recent poolSummary) string {
+// unavailableReason returns why a pool cannot serve traffic; empty if it can.
+func unavailableReason(health Health, recent poolSummary) string {
 	switch {
 	case health.Ready == 0:
 		return "has no box that is ready"
@@ -95,16 +102,16 @@
 	return ""
 }
 
-// observeHalted waits for an operator. If only the old pool's state prevented the return, it starts once that pool
-// has recovered.
+// observeHalted waits for an operator. If only the old pool's state prevented the return, the return starts once that
+// pool has recovered.
 func (m *Machine) observeHalted(window *Window) {
 	from, _ := m.recent()
-	oldUnfit := unfitReason(window.From.Health, from)
+	oldUnavailable := unavailableReason(window.From.Health, from)
 	switch {
 	case m.record.Plan.OnWorse == Stay && m.record.Cause != "":
 		m.setReason("waiting for resume or undo: %s", m.record.Cause)
-	case oldUnfit != "":
-		m.setReason("not returned: the old pool %s", oldUnfit)
+	case oldUnavailable != "":
+		m.setReason("not returned: the old pool %s", oldUnavailable)
 	case m.record.StateWindows >= severeWindows:
 		m.startReturn("the old pool is fit again: returning")
 	}
@@ -115,12 +122,12 @@
 	m.transition(Returning, format, args...)
 }
 
-// observeReturning moves the next part of the traffic back when it is due.
+// observeReturning shifts the next part of the traffic back when it is due.
 func (m *Machine) observeReturning(window *Window) {
 	from, to := m.recent()
 	if m.oldPoolFailed(window, from, to) {
 		m.record.Cause = "the old pool failed during the return"
-		m.transition(Halted, "the old pool %s: no more goes back", unfitReason(window.From.Health, from))
+		m.transition(Halted, "the old pool %s: no more goes back", unavailableReason(window.From.Health, from))
 		return
 	}
 	share := m.record.Shares.Share
@@ -131,24 +138,24 @@
 	case share <= 0:
 		m.setReason("waiting for %v", window.Lagging)
 	case share <= minimum:
-		left := 100 * window.From.Health.WarmCapacity / m.record.FromCapacity
-		m.setReason("the old pool has %.0f%% of its size left and cannot take more back", left)
+		remaining := 100 * window.From.Health.WarmCapacity / m.record.FromCapacity
+		m.setReason("the old pool has %.0f%% of its size left and cannot take more back", remaining)
 	case m.record.StateWindows == 1 || m.record.ShareWindows >= windowCount(m.record.Plan.ReturnEvery):
 		m.setShare(max(minimum, m.nextReturnShare(share)))
 		m.addEvent("%.0f%% left", 100*m.record.Shares.Share)
 	}
 }
 
-// oldPoolFailed reports whether the old pool has become unfit during the return, while the new one still serves.
+// oldPoolFailed reports whether the old pool has become unavailable during the return while the new one still serves.
 func (m *Machine) oldPoolFailed(window *Window, from, to poolSummary) bool {
-	return unfitReason(window.From.Health, from) != "" &&
+	return unavailableReason(window.From.Health, from) != "" &&
 		window.To.Health.Ready > 0 &&
 		m.record.Shares.Share > 0 &&
 		(from.Failed > to.Failed || window.From.Health.Ready == 0)
 }
 
-// nextReturnShare is the share after the next step of the return. A last step of less than a half is taken with the
-// one before it.
+// nextReturnShare returns the share after the next step of the return. A last step of less than half a step is combined
+// with the one before it.
 func (m *Machine) nextReturnShare(share float64) float64 {
 	step := m.record.ReturnFromShare / float64(m.record.Plan.ReturnSteps)
 	next := share - step
@@ -158,8 +165,8 @@
 	return next
 }
 
-// minimumReturnShare is the smallest share that the new pool has to keep: if some of the old pool's backends are gone
-// by now, not all traffic can return.
+// minimumReturnShare returns the smallest share that the new pool must continue to serve: if the old pool has lost
+// capacity since the migration started, not all traffic can return.
 func (m *Machine) minimumReturnShare(window *Window) float64 {
 	if m.record.FromCapacity <= 0 {
 		return 0
--- a/internal/migration/scenario_test.go
+++ b/internal/migration/scenario_test.go
@@ -12,32 +12,32 @@
 	"standpoint/internal/pool"
 )
 
-// scenario makes windows of two pools with a share of the traffic each.
-type scenario struct {
+// simulation generates windows of two pools, each with a share of the traffic.
+type simulation struct {
 	rng      *rand.Rand
-	rate     float64 // flows in a window
+	rate     float64 // mean number of requests in a window, over both pools
 	old, new condition
-	behind   []string
+	lagging  []string
 }
 
-// condition is how a pool does.
+// condition describes how a simulated pool performs.
 type condition struct {
-	slow   float64 // factor on its times; 0: 1
-	errors float64
-	stall  bool
-	health Health
+	slowdown  float64 // factor by which response times increase; 0 stands for 1
+	errorRate float64
+	stall     bool
+	health    Health
 }
 
 var warm = Health{Backends: 9, Ready: 9, Capacity: 9, WarmCapacity: 9}
 
-// The same verdict every time: property tests draw from one seed.
+// Property tests use a fixed seed so that their result is reproducible.
 func init() {
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.checks", "30")
 }
 
-func newScenario(seed uint64) *scenario {
-	return &scenario{
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
 		rng:  rand.New(rand.NewPCG(seed, 1)),
 		rate: 18,
 		old:  condition{health: warm},
@@ -45,100 +45,105 @@
 	}
 }
 
-func (s *scenario) poisson(mean float64) int {
-	n, p := 0, s.rng.Float64()
+func (sim *simulation) poisson(mean float64) int {
+	n, p := 0, sim.rng.Float64()
 	for limit := math.Exp(-mean); p > limit; n++ {
-		p *= s.rng.Float64()
+		p *= sim.rng.Float64()
 	}
 	return n
 }
 
-func (s *scenario) poolWindow(c condition, share float64) PoolWindow {
-	side := PoolWindow{Health: c.health}
-	slow := max(c.slow, 1)
-	for range s.poisson(s.rate * share) {
-		side.Requests++
-		side.OfferedWeight++
+func (sim *simulation) poolWindow(c condition, share float64) PoolWindow {
+	window := PoolWindow{Health: c.health}
+	slow := max(c.slowdown, 1)
+	for range sim.poisson(sim.rate * share) {
+		window.Requests++
+		window.OfferedWeight++
 		if c.health.Ready == 0 {
-			side.Overflowed++
-			side.OnTimeWeight++
+			window.Overflowed++
+			window.OnTimeWeight++
 			continue
 		}
-		side.Attempts++
-		if s.rng.Float64() < c.errors {
-			side.Errors++ // the flow goes elsewhere, and is late half of the time
-			if s.rng.IntN(2) == 0 {
-				side.OnTimeWeight++
+		window.Attempts++
+		if sim.rng.Float64() < c.errorRate {
+			window.Errors++ // the request is retried elsewhere, and is late in half of the cases
+			if sim.rng.IntN(2) == 0 {
+				window.OnTimeWeight++
 			}
 			continue
 		}
 		a := Sample{
-			Class:          s.rng.IntN(2),
-			Kind:           s.rng.IntN(3),
-			UncachedTokens: 900 * math.Exp(0.7*s.rng.NormFloat64()),
-			Load:           0.2 + 0.2*s.rng.Float64(),
+			Class:          sim.rng.IntN(2),
+			Kind:           sim.rng.IntN(3),
+			UncachedTokens: 900 * math.Exp(0.7*sim.rng.NormFloat64()),
+			Load:           0.2 + 0.2*sim.rng.Float64(),
 		}
-		a.FirstToken = slow * (0.1 + a.UncachedTokens/15_000) * math.Exp(0.5*s.rng.NormFloat64())
-		a.TokenGap = slow * (0.02 + 0.02*a.Load) * math.Exp(0.15*s.rng.NormFloat64())
+		a.FirstToken = slow * (0.1 + a.UncachedTokens/15_000) * math.Exp(0.5*sim.rng.NormFloat64())
+		a.TokenGap = slow * (0.02 + 0.02*a.Load) * math.Exp(0.15*sim.rng.NormFloat64())
 		if c.stall {
 			a.FirstToken, a.TokenGap = a.FirstToken+2, a.TokenGap*2
 		}
 		if a.FirstToken < 1.5 && a.TokenGap < 0.05 {
-			side.OnTimeWeight++
+			window.OnTimeWeight++
 		}
-		side.Samples = append(side.Samples, a)
+		window.Samples = append(window.Samples, a)
 	}
-	return side
+	return window
 }
 
-func (s *scenario) nextWindow(m *Machine) Window {
-	share := m.record.Shares.Share
-	if m.record.State == Done {
+func (sim *simulation) nextWindow(machine *Machine) Window {
+	share := machine.record.Shares.Share
+	if machine.record.State == Done {
 		share = 1
 	}
-	return Window{From: s.poolWindow(s.old, 1-share), To: s.poolWindow(s.new, share), Nodes: 3, Lagging: s.behind}
+	return Window{
+		From:    sim.poolWindow(sim.old, 1-share),
+		To:      sim.poolWindow(sim.new, share),
+		Nodes:   3,
+		Lagging: sim.lagging,
+	}
 }
 
 var clock = time.Unix(1_800_000_000, 0)
 
-func startMigration(t testing.TB, s *scenario, edit func(*Plan)) *Machine {
+func startMigration(t testing.TB, sim *simulation, edit func(*Plan)) *Machine {
 	p := Default()
 	p.From, p.To = "old", "new"
 	if edit != nil {
 		edit(&p)
 	}
-	m, err := Start("m-1", p, pool.Shares{}, s.old.health, s.new.health, clock)
+	machine, err := Start("m-1", p, pool.Shares{}, sim.old.health, sim.new.health, clock)
 	require.NoError(t, err)
-	return m
+	return machine
 }
 
-// observeUntil shows the machine windows until it is in a state, and returns how many.
-func observeUntil(t testing.TB, m *Machine, s *scenario, most int, done func(Record) bool) int {
-	for n := range most {
-		if done(m.Record()) {
+// observeUntil passes windows to the machine until done is true for its record, and returns their number.
+func observeUntil(t testing.TB, machine *Machine, sim *simulation, maxWindows int, done func(Record) bool) int {
+	for n := range maxWindows {
+		if done(machine.Record()) {
 			return n
 		}
-		m.Observe(clock, s.nextWindow(m))
+		machine.Observe(clock, sim.nextWindow(machine))
 	}
-	r := m.Record()
+	r := machine.Record()
 	require.True(
 		t,
 		done(r),
-		"after %d windows the move is %s, step %d, %.3f: %s; %v",
-		most,
+		"after %d windows the migration is in state %s, step %d, share %.3f: %s; events %v",
+		maxWindows,
 		r.State,
 		r.Step,
 		r.Shares.Share,
 		r.Reason,
 		r.Events,
 	)
-	return most
+	return maxWindows
 }
 
 func inState(states ...State) func(Record) bool {
 	return func(r Record) bool {
-		for _, s := range states {
-			if r.State == s {
+		for _, state := range states {
+			if r.State == state {
 				return true
 			}
 		}
--- a/internal/migration/window_test.go
+++ b/internal/migration/window_test.go
@@ -6,9 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A node that has lost sight of the boxes must not speak for the others, and the colder view of their warmth holds.
+// Guards against a node without endpoints that resets the pool's health for all nodes. Of two views of the warm-up the
+// colder one applies.
 func TestWindowsOfSeveralNodesAreMerged(t *testing.T) {
-	seen, cold, blind := Health{
+	warmView, coldView, emptyView := Health{
 		Backends:     4,
 		Ready:        4,
 		Capacity:     4,
@@ -19,12 +20,16 @@
 		Capacity:     3,
 		WarmCapacity: 1.5,
 	}, Health{}
-	for _, order := range [][]Health{{seen, cold, blind}, {blind, cold, seen}, {cold, blind, seen}} {
-		var s PoolWindow
+	for _, order := range [][]Health{
+		{warmView, coldView, emptyView},
+		{emptyView, coldView, warmView},
+		{coldView, emptyView, warmView},
+	} {
+		var merged PoolWindow
 		for _, h := range order {
-			s = s.Add(PoolWindow{Health: h})
+			merged = merged.Add(PoolWindow{Health: h})
 		}
-		require.Equal(t, Health{Backends: 4, Ready: 4, Capacity: 4, WarmCapacity: 2}, s.Health)
+		require.Equal(t, Health{Backends: 4, Ready: 4, Capacity: 4, WarmCapacity: 2}, merged.Health)
 	}
 	require.Zero(t, PoolWindow{}.Add(PoolWindow{Health: Health{Backends: 2}}).Health.Ready)
 }
