--- a/internal/migration/controller/calls.go
+++ b/internal/migration/controller/calls.go
@@ -12,10 +12,10 @@
 	"standpoint/internal/migration"
 )
 
-// maxWait is the longest that a status call waits for a change.
+// maxWait is the maximum time for which a status call waits for a change.
 const maxWait = 25 * time.Second
 
-// Routes are the calls of the control interface about pools and migrations.
+// Routes returns the routes of the control interface for pools and migrations.
 func (c *Controller) Routes() []control.Route {
 	return []control.Route{
 		{Pattern: "GET /v1/pools", Handle: c.callPools},
@@ -26,7 +26,7 @@
 	}
 }
 
-// send hands Run a message and waits for the reply to it.
+// send sends Run a message and waits for the reply.
 func send[T any](ctx context.Context, c *Controller, m message, reply chan T) (T, error) {
 	var none T
 	select {
@@ -46,7 +46,7 @@
 	return c.options.Tracker.Members(time.Now()), nil
 }
 
-// callStatus answers at once, or, with ?wait=10s, when the record changes, and after that time at the latest.
+// callStatus returns the status at once or, with ?wait=10s, when the record changes, but after at most that time.
 func (c *Controller) callStatus(r *http.Request, _ []byte) (any, error) {
 	ctx := r.Context()
 	if text := r.FormValue("wait"); text != "" {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// callHistory lists the migrations that are over, the newest first. One that is not readable is left out.
+// callHistory returns the migrations that are over, most recent first. Unreadable records are omitted.
 func (c *Controller) callHistory(*http.Request, []byte) (any, error) {
 	records := []migration.Record{}
 	for _, key := range slices.Backward(c.options.Store.List(historyPrefix)) {
@@ -110,7 +110,7 @@
 		}
 	}
 	if _, leads := c.options.Store.Leadership(); !leads {
-		return nil, c.notLeader()
+		return nil, c.notLeaderError()
 	}
 	for _, report := range reports {
 		select {
--- a/internal/migration/controller/command.go
+++ b/internal/migration/controller/command.go
@@ -13,18 +13,18 @@
 	"standpoint/internal/pool"
 )
 
-// The calls that make a new plan; every other command is a migration.Command.
+// The commands that create a plan. All other commands are a migration.Command.
 const (
 	startCommand = "start" // start a migration
-	planCommand  = "plan"  // show the migration that a start would begin
+	planCommand  = "plan"  // return the migration that start would begin, without starting it
 )
 
-// StartRequest is the body of a start. What it leaves out is taken from the configuration's plan.
+// StartRequest is the body of a start or plan command. Values that it omits are taken from the configuration's plan.
 type StartRequest struct {
-	From        string    `json:"from,omitempty"` // empty: the pool that has the largest share
+	From        string    `json:"from,omitempty"` // empty stands for the pool with the largest share
 	To          string    `json:"to"`
 	Steps       []float64 `json:"steps,omitempty"`
-	Hold        string    `json:"hold,omitempty"` // a duration such as 30s, as those below
+	Hold        string    `json:"hold,omitempty"` // duration such as 30s, like Warm and ReturnEvery
 	Warm        string    `json:"warm,omitempty"`
 	Trickle     float64   `json:"trickle,omitempty"`
 	Samples     int       `json:"samples,omitempty"`
@@ -44,8 +44,8 @@
 		}
 		return machine.Record(), nil
 	}
-	if !c.takeLead() {
-		return migration.Record{}, c.notLeader()
+	if !c.checkLeadership() {
+		return migration.Record{}, c.notLeaderError()
 	}
 	if err := c.applyCommand(request); err != nil {
 		return migration.Record{}, err
@@ -57,7 +57,7 @@
 	return record, nil
 }
 
-// applyCommand applies a command to the machine, whose record is then to be stored.
+// applyCommand applies a command to the machine. The caller must store the machine's record.
 func (c *Controller) applyCommand(request commandRequest) error {
 	if request.name == startCommand {
 		return c.applyStart(request.start)
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// notLeader is the error of a call that only the leader of the store can answer.
-func (c *Controller) notLeader() error {
+// notLeaderError returns the error for a call that only the leader of the store can handle.
+func (c *Controller) notLeaderError() error {
 	leader := c.options.Peers[c.options.Store.Leader()]
 	if leader == "" {
 		return &control.Error{
@@ -118,7 +118,7 @@
 	}
 }
 
-// newMachine plans a migration on top of the shares in force.
+// newMachine creates the machine of a new migration in addition to the shares in force, base.
 func (c *Controller) newMachine(start StartRequest, base pool.Shares) (*migration.Machine, error) {
 	plan, err := start.plan(c.options.Plan())
 	if err != nil {
@@ -139,7 +139,7 @@
 	machine, err := migration.Start(id, plan, pool.Shares{Moved: base.Moved}, from, to, now)
 	var planError *migration.PlanError
 	if errors.As(err, &planError) {
-		return nil, badPlan(planError.Key, "%s", planError.Reason)
+		return nil, badPlanError(planError.Key, "%s", planError.Reason)
 	}
 	if err != nil {
 		return nil, err
@@ -148,8 +148,8 @@
 	return machine, nil
 }
 
-// badPlan is the error of a start that cannot be carried out as asked.
-func badPlan(key, format string, args ...any) error {
+// badPlanError returns the error for a start whose plan is invalid.
+func badPlanError(key, format string, args ...any) error {
 	return &control.Error{
 		Status:  http.StatusBadRequest,
 		Code:    control.CodeBadPlan,
@@ -158,7 +158,7 @@
 	}
 }
 
-// checkPools reports the first pool of the plan that does not exist.
+// checkPools returns an error for the first pool of the plan that does not exist.
 func checkPools(pools *pool.Set, plan *migration.Plan) error {
 	for _, end := range []struct{ key, name string }{{"from", plan.From}, {"to", plan.To}} {
 		if pools.Number(end.name) != 0 {
@@ -168,12 +168,12 @@
 		for _, definition := range pools.Definitions() {
 			names = append(names, definition.Name)
 		}
-		return badPlan(end.key, "%q is no pool; there are: %s", end.name, strings.Join(names, ", "))
+		return badPlanError(end.key, "%q is no pool; there are: %s", end.name, strings.Join(names, ", "))
 	}
 	return nil
 }
 
-// largestPool is the pool that has the largest share of the requests now.
+// largestPool returns the pool that has the largest share of the requests now.
 func largestPool(pools *pool.Set, base pool.Shares) string {
 	shares := map[string]float64{}
 	largest := ""
@@ -190,7 +190,7 @@
 	return largest
 }
 
-// plan lays the request over the plan of the configuration.
+// plan returns the configuration's plan with the request's values in place of its own.
 func (s StartRequest) plan(plan migration.Plan) (migration.Plan, error) {
 	plan.From = s.From
 	plan.To = s.To
@@ -214,7 +214,7 @@
 		}
 		value, err := time.ParseDuration(duration.text)
 		if err != nil {
-			return plan, badPlan(duration.key, "%q is no span such as 30s", duration.text)
+			return plan, badPlanError(duration.key, "%q is no span such as 30s", duration.text)
 		}
 		*duration.target = value
 	}
--- a/internal/migration/controller/controller.go
+++ b/internal/migration/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller carries traffic migrations out. On every node a Tracker assigns requests to pools and counts
-// what becomes of them, and a Controller follows the stored record of the migration; on the node that leads the store
-// the Controller also runs the state machine of package migration with the counts that all nodes report.
+// Package controller carries out traffic migrations. On every node a Tracker assigns requests to pools and counts their
+// outcomes, and a Controller follows the stored record of the migration. On the node that leads the store the
+// Controller also runs the state machine of package migration on the counts that all nodes report.
 package controller
 
 import (
@@ -15,77 +15,79 @@
 )
 
 const (
-	followInterval = 100 * time.Millisecond // between two reads of the record
-	liveTimeout    = 5 * time.Second        // after which a node that sends no report does not count as live
-	mailboxSize    = 64                     // messages that may wait
-	awaitInterval  = 10 * time.Millisecond  // between two checks whether the store has caught up
+	followInterval     = 100 * time.Millisecond // interval between two reads of the stored record
+	defaultLiveTimeout = 5 * time.Second        // time without a report after which a node is not live
+	mailboxSize        = 64                     // maximum number of queued messages to Run
+	awaitInterval      = 10 * time.Millisecond  // interval between two checks whether the store has caught up
 )
 
 // Options configure a Controller.
 type Options struct {
-	Name    string // of this node
+	Name    string // name of this node
 	Tracker *Tracker
 	Store   store.Store
-	// Plan returns the plan of the configuration file in force.
+	// Plan returns the migration plan of the configuration file in force.
 	Plan func() migration.Plan
 	// Peers are the control addresses of the store's members, by ID.
 	Peers map[string]string
-	// Token returns the token that calls to other members carry.
+	// Token returns the token that authenticates calls to other members.
 	Token func() string
-	// Window is the length of a window; 0 stands for migration.WindowTime.
+	// Window is the length of an observation window; 0 stands for migration.WindowTime.
 	Window time.Duration
-	// Live is how long after its last report a node counts as live; 0 stands for 5 s.
-	Live time.Duration
-	Log  *zap.Logger
+	// LiveTimeout is the time after its last report for which a node counts as live; 0 stands for 5 s.
+	LiveTimeout time.Duration
+	Log         *zap.Logger
 }
 
 // Controller follows the record of the latest migration, and carries the migration out while this node leads the
-// store. Its state belongs to the goroutine of Run; all other methods but AwaitStore send it messages.
+// store. Its state belongs to the goroutine of Run; all other methods except AwaitStore send messages to that
+// goroutine.
 type Controller struct {
 	options Options
 	mailbox chan message
-	// reportResults receives how the report to the leader ended; one is sent at a time.
+	// reportResults receives the result of each call that sends reports to the leader. Only one call is in flight at a
+	// time.
 	reportResults chan error
-	// sender is the goroutine that sends a report; Run waits for it.
+	// sender tracks the goroutine that sends reports; Run waits for it.
 	sender sync.WaitGroup
 
-	version uint64 // of the followed record in the store
+	version uint64 // store version of the followed record
 	record  migration.Record
 	changed chan struct{} // closed when the followed record changes
 
-	// While this node leads.
-	term          uint64
-	leaderSince   time.Time
-	reports       map[string]*nodeReport // by node
+	// The following fields are used while this node leads.
+	term          uint64                 // term of the leadership; 0 while another node leads
+	leaderSince   time.Time              // when this node noticed its leadership
+	reports       map[string]*nodeReport // by node name
 	machine       *migration.Machine     // nil while no migration is in progress
-	recordVersion uint64                 // of the store's record that the machine continues
+	recordVersion uint64                 // store version of the record that the machine continues
 
-	// While another node leads.
-	unsent          []Report
-	sending         bool
-	lastReportError string // logged already
+	// The following fields are used while another node leads.
+	unsent          []Report // reports that have not been sent to the leader
+	sending         bool     // a call with reports is in flight
+	lastReportError string   // last failure of such a call, which has been logged
 }
 
-// message is what Run receives from other goroutines.
+// message is implemented by the messages that Run receives from other goroutines.
 type message interface{ message() }
 
-// commandRequest asks for a command to be carried out.
+// commandRequest requests that a command be carried out.
 type commandRequest struct {
 	name  string // "start", "plan", or a migration.Command
 	start StartRequest
 	reply chan commandReply
 }
 
-// commandReply is the record after a command, or why it was not carried out.
+// commandReply is the record after a command, or the reason why it was not carried out.
 type commandReply struct {
 	record migration.Record
 	err    error
 }
 
-// statusRequest asks for the status.
+// statusRequest requests the status.
 type statusRequest struct{ reply chan Status }
 
-// changeRequest asks for a channel that is closed when the followed record changes.
+// changeRequest requests a channel that is closed when the followed record changes.
 type changeRequest struct{ reply chan chan struct{} }
 
 func (Report) message()         {}
@@ -93,13 +95,13 @@
 func (statusRequest) message()  {}
 func (changeRequest) message()  {}
 
-// New creates a Controller; Run starts it.
+// New creates a Controller. Run must be called to start it.
 func New(options Options) *Controller {
 	if options.Window == 0 {
 		options.Window = migration.WindowTime
 	}
-	if options.Live == 0 {
-		options.Live = liveTimeout
+	if options.LiveTimeout == 0 {
+		options.LiveTimeout = defaultLiveTimeout
 	}
 	return &Controller{
 		options:       options,
@@ -110,9 +112,9 @@
 	}
 }
 
-// AwaitStore waits until a store that restarts has caught up with what it held, for at most the given time, and then
-// follows the record, so that no request is assigned as though there had been no migration. It has to be called
-// before Run.
+// AwaitStore waits, for at most the given time, until a restarting store has caught up with its state before the
+// restart, and then follows the record. Otherwise the first requests would be assigned as if there had been no
+// migration. It must be called before Run.
 func (c *Controller) AwaitStore(ctx context.Context, maximum time.Duration) {
 	restarting, ok := c.options.Store.(interface{ CaughtUp() bool })
 	deadline := time.Now().Add(maximum)
@@ -126,7 +128,7 @@
 	c.follow()
 }
 
-// Run works until ctx ends.
+// Run processes windows, reports and requests until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	defer c.sender.Wait()
 	window := time.NewTicker(c.options.Window)
--- a/internal/migration/controller/controller_test.go
+++ b/internal/migration/controller/controller_test.go
@@ -19,24 +19,26 @@
 )
 
 const (
-	window  = 30 * time.Millisecond
-	patient = 40 * time.Second // for what a busy machine may delay
+	windowLength = 30 * time.Millisecond
+	waitTimeout  = 40 * time.Second // long enough for a busy machine
 )
 
-// A move among three nodes, begun at one that does not lead; the one that carries it on is killed in the middle. All
-// shares stay the same at all nodes, no step is left out, and the move comes to its end.
+// Three nodes, of which the leader is killed during the migration. Guards against a new leader that starts again, skips
+// a step, or leaves nodes with different shares: the same migration must be completed.
 func TestNewLeaderResumesTheMigration(t *testing.T) {
-	all := startGroup(t)
-	leader := leading(t, all)
-	witness := all[(leader+1)%3]
-	witness.start(t, StartRequest{From: "old", To: "new"})
-	witness.reaches(t, func(s Status) bool { return s.Migration.Step >= 0 && s.Migration.State == migration.Holding })
-	before := witness.status(t).Migration
+	all := startCluster(t)
+	leader := awaitLeader(t, all)
+	follower := all[(leader+1)%3]
+	follower.start(t, StartRequest{From: "old", To: "new"})
+	follower.awaitStatus(t, func(s Status) bool {
+		return s.Migration.Step >= 0 && s.Migration.State == migration.Holding
+	})
+	before := follower.status(t).Migration
 	all[leader].kill()
 	all[leader] = nil
 	var versions []uint64
 	var steps []int
-	witness.reaches(t, func(s Status) bool {
+	follower.awaitStatus(t, func(s Status) bool {
 		if n := len(versions); n == 0 || versions[n-1] != s.Migration.Version {
 			versions, steps = append(versions, s.Migration.Version), append(steps, s.Migration.Step)
 		}
@@ -45,41 +47,44 @@
 	require.GreaterOrEqual(t, steps[0], before.Step)
 	for i := 1; i < len(steps); i++ {
 		require.Greater(t, versions[i], versions[i-1])
-		require.LessOrEqual(t, steps[i], steps[i-1]+1, "no step is left out")
+		require.LessOrEqual(t, steps[i], steps[i-1]+1, "no step is skipped")
 	}
 	for _, n := range all {
 		if n != nil {
-			require.Eventually(t, func() bool { return n.share() == 1 }, patient, window)
+			require.Eventually(t, func() bool { return n.share() == 1 }, waitTimeout, windowLength)
 		}
 	}
-	require.Equal(t, before.ID, witness.status(t).Migration.ID)
+	require.Equal(t, before.ID, follower.status(t).Migration.ID)
 }
 
-// No step goes on until the live nodes have taken the last; one that is cut off keeps its shares, and stops counting
-// once it was not heard for as long as that takes.
+// A node that is partitioned from the store must keep its shares. The migration must wait for it only until it no
+// longer counts as live.
 func TestPartitionedNodeKeepsItsShares(t *testing.T) {
-	all := startGroup(t)
-	leader := leading(t, all)
-	n, cut := all[leader], all[(leader+1)%3]
+	all := startCluster(t)
+	leader := awaitLeader(t, all)
+	n, partitioned := all[leader], all[(leader+1)%3]
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool {
+	n.awaitStatus(t, func(s Status) bool {
 		return s.Migration.Step == 0 && s.Migration.State == migration.Holding && len(s.Nodes) == 3
 	})
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/pause", struct{}{}, nil))
-	require.Eventually(t, func() bool { return cut.share() > 0.2 && cut.share() < 0.3 }, patient, window)
-	kept := cut.share()
-	require.NoError(t, cut.keys.Close()) // its store is gone; its traffic and its reports are not
-	cut.stop()
-	<-cut.stopped
+	require.Eventually(t, func() bool {
+		return partitioned.share() > 0.2 && partitioned.share() < 0.3
+	}, waitTimeout, windowLength)
+	shareBefore := partitioned.share()
+	require.NoError(t, partitioned.store.Close()) // it can no longer read the record
+	partitioned.stop()
+	<-partitioned.stopped
 	require.NoError(t, n.client.Call(t.Context(), http.MethodPost, "/v1/move/resume", struct{}{}, nil))
-	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
-	require.Equal(t, kept, cut.share())
+	n.awaitStatus(t, func(s Status) bool { return s.Migration.State == migration.Done })
+	require.Equal(t, shareBefore, partitioned.share())
 	require.Len(t, n.status(t).Nodes, 2)
 }
 
-// The recorded step is in force wherever it is read: the mover may have died before it applied what it wrote.
+// Guards against a share that is stored but not applied: the leader may crash after it has stored a step and before it
+// has applied it. A restarted node must apply the stored step.
 func TestRestartedNodeResumesTheRecordedStep(t *testing.T) {
-	cfg := file(t, nil)
+	cfg := newOperatorFile(t, nil)
 	healthy := migration.Health{Backends: 1, Ready: 1, Capacity: 1, WarmCapacity: 1}
 	p := cfg.MigrationPlan
 	p.From, p.To = "old", "new"
@@ -89,23 +94,23 @@
 	r.State, r.Step, r.Shares.Share, r.Version = migration.Stepping, 1, 0.5, 4
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
-	keys := store.NewMemory()
-	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: 0})
+	kv := store.NewMemory()
+	_, err = kv.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: 0})
 	require.NoError(t, err)
-	n := startNode(t, "n1", keys, nil, "127.0.0.1:0", cfg)
-	require.Eventually(t, func() bool { s := n.share(); return s > 0.45 && s < 0.55 }, patient, time.Millisecond)
-	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Holding && s.Migration.Step == 1 })
-	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
+	n := startNode(t, "n1", kv, nil, "127.0.0.1:0", cfg)
+	require.Eventually(t, func() bool { s := n.share(); return s > 0.45 && s < 0.55 }, waitTimeout, time.Millisecond)
+	n.awaitStatus(t, func(s Status) bool { return s.Migration.State == migration.Holding && s.Migration.Step == 1 })
+	n.awaitStatus(t, func(s Status) bool { return s.Migration.State == migration.Done })
 }
 
-// A node whose store is on disk has the recorded shares before it assigns any flow.
+// A node whose store is on disk must apply the recorded shares before it assigns the first request.
 func TestRestartingStoreIsAwaited(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	members := []store.Member{{ID: "n1", Address: l.Addr().String()}}
 	dir := t.TempDir()
 	open := func(l net.Listener) *store.Raft {
-		keys, err := store.OpenRaft(
+		kv, err := store.OpenRaft(
 			store.RaftOptions{
 				ID:               "n1",
 				Listener:         l,
@@ -117,10 +122,10 @@
 			},
 		)
 		require.NoError(t, err)
-		return keys
+		return kv
 	}
-	keys := open(l)
-	require.Eventually(t, func() bool { _, ok := keys.Leadership(); return ok }, patient, 5*time.Millisecond)
+	kv := open(l)
+	require.Eventually(t, func() bool { _, ok := kv.Leadership(); return ok }, waitTimeout, 5*time.Millisecond)
 	raw, err := json.Marshal(
 		migration.Record{
 			ID:      "m-1",
@@ -130,25 +135,26 @@
 		},
 	)
 	require.NoError(t, err)
-	_, err = keys.Write(t.Context(), store.Op{Key: currentKey, Data: raw})
+	_, err = kv.Write(t.Context(), store.Op{Key: currentKey, Data: raw})
 	require.NoError(t, err)
-	require.NoError(t, keys.Close())
-	keys = open(nil)
-	defer func() { _ = keys.Close() }()
-	tr := NewTracker(file(t, nil), zap.NewNop())
-	New(Options{Name: "n1", Tracker: tr, Store: keys, Log: zap.NewNop()}).AwaitStore(t.Context(), patient)
-	require.Equal(t, 2, tr.Assign(&standpoint.Request{Session: 1}))
+	require.NoError(t, kv.Close())
+	kv = open(nil)
+	defer func() { _ = kv.Close() }()
+	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
+	New(Options{Name: "n1", Tracker: tracker, Store: kv, Log: zap.NewNop()}).AwaitStore(t.Context(), waitTimeout)
+	require.Equal(t, 2, tracker.Assign(&standpoint.Request{Session: 1}))
 }
 
-// Nodes whose files differ in their pools do not carry a move on together.
+// The migration must not advance while live nodes define their pools differently, since their counts cannot be
+// combined.
 func TestNodesWithOtherPoolsHoldTheMigration(t *testing.T) {
-	n := startAlone(t, file(t, nil))
+	n := startSingleNode(t, newOperatorFile(t, nil))
 	n.start(t, StartRequest{To: "new"})
-	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Holding && s.Migration.Step == 0 })
+	n.awaitStatus(t, func(s Status) bool { return s.Migration.State == migration.Holding && s.Migration.Step == 0 })
 	ctx, cancel := context.WithCancel(t.Context())
-	told := make(chan struct{})
-	go func() { // a second node, whose pools are others
-		defer close(told)
+	reporterDone := make(chan struct{})
+	go func() { // a second node, whose pools are defined differently
+		defer close(reporterDone)
 		for ctx.Err() == nil {
 			_ = n.client.Call(
 				ctx,
@@ -157,28 +163,28 @@
 				[]Report{{Node: "n2", Migration: n.status(t).Migration.ID, Version: 99, Digest: 1}},
 				nil,
 			)
-			time.Sleep(window / 2)
+			time.Sleep(windowLength / 2)
 		}
 	}()
-	n.reaches(t, func(s Status) bool { return len(s.Nodes) == 2 })
-	s := n.reaches(t, func(s Status) bool { return s.Migration.Reason == "waiting for [n2 (its pools differ)]" })
+	n.awaitStatus(t, func(s Status) bool { return len(s.Nodes) == 2 })
+	s := n.awaitStatus(t, func(s Status) bool { return s.Migration.Reason == "waiting for [n2 (its pools differ)]" })
 	cancel()
-	<-told
+	<-reporterDone
 	require.Less(t, s.Migration.Shares.Share, 1.0)
-	n.reaches(t, func(s Status) bool { return s.Migration.State == migration.Done })
+	n.awaitStatus(t, func(s Status) bool { return s.Migration.State == migration.Done })
 }
 
-// Two that both think they lead write under the version that they saw last: one of the two writes counts, and the
-// other takes the record up anew. No step is left out and no version given twice.
+// Two nodes that both believe to lead write with the version that they last read: one of the writes succeeds, and the
+// other node resumes from the stored record. No step may be skipped, and no version may be used for two shares.
 func TestTwoNodesThatBothBelieveToLead(t *testing.T) {
-	keys := store.NewMemory() // whose every user leads
-	first := startNode(t, "n1", keys, nil, "127.0.0.1:0", file(t, nil))
-	second := startNode(t, "n2", keys, nil, "127.0.0.1:0", file(t, nil))
+	kv := store.NewMemory() // every user of it is a leader
+	first := startNode(t, "n1", kv, nil, "127.0.0.1:0", newOperatorFile(t, nil))
+	second := startNode(t, "n2", kv, nil, "127.0.0.1:0", newOperatorFile(t, nil))
 	first.start(t, StartRequest{To: "new"})
 	shares, step := map[uint64]float64{}, -1
-	second.reaches(t, func(s Status) bool {
+	second.awaitStatus(t, func(s Status) bool {
 		var r migration.Record
-		require.NoError(t, json.Unmarshal(keys.Get(currentKey).Data, &r))
+		require.NoError(t, json.Unmarshal(kv.Get(currentKey).Data, &r))
 		if share, ok := shares[r.Version]; ok && !r.State.Terminal() {
 			require.Equal(t, share, r.Shares.Share, "version %d", r.Version)
 		}
@@ -187,5 +193,5 @@
 		step = r.Step
 		return s.Migration.State == migration.Done
 	})
-	require.Len(t, keys.List(historyPrefix), 1)
+	require.Len(t, kv.List(historyPrefix), 1)
 }
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -11,18 +11,18 @@
 	"standpoint/internal/node"
 )
 
-// minWeight is the priority weight of a request whose class has none.
+// minWeight is the minimum priority weight of a request, for classes without a weight.
 const minWeight = 1e-3
 
 // The indices of a migration's pools in Tracker.counters.
 const (
 	fromPool  = 0
 	toPool    = 1
-	uncounted = -1
-	anyKind   = -1
+	uncounted = -1 // the pool takes no part in the migration
+	anyKind   = -1 // Sample.Kind of a backend whose kind is not configured
 )
 
-// Sent implements node.Pools. A request whose first attempt goes to another pool found no eligible backend in its own.
+// Sent implements node.Pools. If a request's first attempt goes to another pool, no backend of its own was eligible.
 func (t *Tracker) Sent(request *standpoint.Request, server string, attempt int) {
 	if attempt > 0 || request.Pool == 0 {
 		return
@@ -34,13 +34,13 @@
 		return
 	}
 	t.overflowed[request.Pool]++
-	if index := t.counterOf(request.Pool); index != uncounted {
+	if index := t.counterIndex(request.Pool); index != uncounted {
 		t.counters[index].Overflowed++
 	}
 }
 
-// counterOf is the index of a pool's counters, or uncounted if it takes no part in the migration.
-func (t *Tracker) counterOf(number int) int {
+// counterIndex returns the index of a pool's counters, or uncounted if the pool takes no part in the migration.
+func (t *Tracker) counterIndex(number int) int {
 	switch {
 	case number == 0 || t.from == 0:
 		return uncounted
@@ -58,7 +58,7 @@
 	defer t.mu.Unlock()
 	backend := t.backends[o.Backend]
 	if backend != nil && backend.readyAt > clock.Of(o.Sent) {
-		backend = nil // the attempt went to the process before, and says nothing of this one
+		backend = nil // the attempt went to an earlier incarnation, so it does not count for this one
 	}
 	if backend != nil && o.Result.Report != nil {
 		backend.load = o.Result.Report.SlotUsage
@@ -70,21 +70,21 @@
 	if backend != nil {
 		t.countAttempt(backend, &o)
 	}
-	if served || o.FirstToken > 0 { // complete, or broken after its first event: the request's final answer
+	if served || o.FirstToken > 0 { // a complete response, or one that broke off after its first event, is final
 		t.countRequest(o.Request, served && t.onTime(&o))
 	}
 }
 
 // countAttempt counts an attempt for the pool of its backend.
 func (t *Tracker) countAttempt(backend *backendState, o *node.Observation) {
-	index := t.counterOf(backend.pool)
+	index := t.counterIndex(backend.pool)
 	if index == uncounted {
 		return
 	}
 	served := o.Result.Code == standpoint.Served
 	if o.Result.Code != standpoint.NotSent {
 		t.counters[index].Attempts++
-		// A backend without capacity is busy, not broken; what clients lose by that counts as late weight.
+		// A rejection means that the backend is busy, not faulty. The effect on clients counts as late weight.
 		if !served && o.Result.Code != standpoint.Rejected {
 			t.counters[index].Errors++
 		}
@@ -98,15 +98,15 @@
 func (t *Tracker) Rejected(request *standpoint.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if index := t.counterOf(request.Pool); index != uncounted {
+	if index := t.counterIndex(request.Pool); index != uncounted {
 		t.counters[index].Rejected++
 	}
 	t.countRequest(request, false)
 }
 
-// countRequest counts a request that has ended for the pool that it was assigned to.
+// countRequest counts a completed request for the pool that it was assigned to.
 func (t *Tracker) countRequest(request *standpoint.Request, onTime bool) {
-	index := t.counterOf(request.Pool)
+	index := t.counterIndex(request.Pool)
 	if index == uncounted {
 		return
 	}
@@ -126,7 +126,7 @@
 	return request.Class >= 0 && request.Class < len(t.classes)
 }
 
-// onTime reports whether an answer met the latency objectives of its class.
+// onTime reports whether a response met the latency objectives of its class.
 func (t *Tracker) onTime(o *node.Observation) bool {
 	if !t.hasClass(o.Request) {
 		return true
@@ -140,7 +140,7 @@
 	return class.TPOTObjective <= 0 || gap*1e9 <= float64(class.TPOTObjective)
 }
 
-// tokenGap is the time for each token after the first, in seconds; 0 if the answer's length is not known.
+// tokenGap returns the time per token after the first, in seconds; 0 if the response's length is not known.
 func tokenGap(o *node.Observation) float64 {
 	if o.Result.OutputTokens < 2 || o.Request.Resumed {
 		return 0
@@ -148,7 +148,8 @@
 	return o.Decode.Seconds() / (o.Result.OutputTokens - 1)
 }
 
-// sample keeps the answer among at most migration.MaxSamples of the window, each with the same probability.
+// sample adds a response to the window's samples. If there are more than migration.MaxSamples responses, each is
+// retained with the same probability.
 func (t *Tracker) sample(index int, backend *backendState, o *node.Observation) {
 	kind := anyKind
 	if i := slices.Index(t.names.Kinds, backend.description.Kind); i >= 0 {
@@ -163,15 +164,15 @@
 		TokenGap:       tokenGap(o),
 	}
 	counters := &t.counters[index]
-	t.samplesSeen[index]++
+	t.samplesOffered[index]++
 	if len(counters.Samples) < migration.MaxSamples {
 		counters.Samples = append(counters.Samples, sample)
-	} else if i := rand.IntN(t.samplesSeen[index]); i < migration.MaxSamples {
+	} else if i := rand.IntN(t.samplesOffered[index]); i < migration.MaxSamples {
 		counters.Samples[i] = sample
 	}
 }
 
-// TakeWindow returns what was counted since the last call, with the pools' present health, and starts again.
+// TakeWindow returns the counts since the last call with the current health of the pools, and resets the counts.
 func (t *Tracker) TakeWindow(now time.Time) (from, to migration.PoolWindow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,5 +186,5 @@
 
 func (t *Tracker) resetCounters() {
 	t.counters = [2]migration.PoolWindow{}
-	t.samplesSeen = [2]int{}
+	t.samplesOffered = [2]int{}
 }
--- a/internal/migration/controller/fuzz_test.go
+++ b/internal/migration/controller/fuzz_test.go
@@ -13,12 +13,13 @@
 	"standpoint/internal/store"
 )
 
-// Whatever comes by the control interface as a wish or as reports, it is refused, or the move and its figures stay
-// whole.
+// Arbitrary bodies of commands and reports must be rejected or leave a valid migration; nothing may panic, and the
+// number of reporting nodes stays bounded.
 func FuzzCalls(f *testing.F) {
 	f.Add(
 		[]byte(
-			`{"to":"new","steps":[0.1,1],"hold":"1s","warm":"1s","trickle":0.05,"samples":30,"floor":0.9,"on_worse":"undo","by":"kim"}`,
+			`{"to":"new","steps":[0.1,1],"hold":"1s","warm":"1s","trickle":0.05,` +
+				`"samples":30,"floor":0.9,"on_worse":"undo","by":"kim"}`,
 		),
 	)
 	f.Add([]byte(`{"to":"new","steps":[],"hold":"-1s"}`))
@@ -28,30 +29,31 @@
 	)
 	f.Add([]byte(`[{"node":"b"},{"node":"b"}] x`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		a, m := begun(t)
-		var wish StartRequest
-		if control.Decode(raw, &wish) == nil {
-			if m, err := a.newMachine(wish, a.record.Shares); err == nil {
+		controller, m := newPlannedMigration(t)
+		var start StartRequest
+		if control.Decode(raw, &start) == nil {
+			if m, err := controller.newMachine(start, controller.record.Shares); err == nil {
 				_, _ = json.Marshal(m.Record())
 			}
 		}
 		var reports []Report
 		if control.Decode(raw, &reports) == nil {
 			for _, r := range reports {
-				r.Migration, r.Version, r.Digest = a.record.ID, a.record.Version, a.options.Tracker.Digest()
-				a.addReport(r)
+				r.Migration, r.Version, r.Digest = controller.record.ID, controller.record.Version, controller.options.Tracker.Digest()
+				controller.addReport(r)
 			}
-			m.Observe(time.Unix(2000, 0), a.mergeWindow(time.Now()))
-			if len(a.reports) > maxNodes {
-				t.Fatal("more nodes than may report")
+			m.Observe(time.Unix(2000, 0), controller.mergeWindow(time.Now()))
+			if len(controller.reports) > maxNodes {
+				t.Fatal("reports of more than maxNodes nodes accepted")
 			}
 		}
 	})
 }
 
-// Whatever stands in the store as the move's record, it is passed over or followed.
+// An arbitrary stored record must be ignored or followed, without a panic or an assignment to a pool that does not
+// exist.
 func FuzzRecord(f *testing.F) {
-	_, m := begun(f)
+	_, m := newPlannedMigration(f)
 	raw, err := json.Marshal(m.Record())
 	if err != nil {
 		f.Fatal(err)
@@ -64,36 +66,39 @@
 	)
 	f.Add([]byte(`{"id":"m","state":"stepping","step":-7}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		a, _ := begun(t)
-		if _, err := a.options.Store.Write(t.Context(), store.Op{Key: currentKey, Data: raw, ExpectedVersion: store.AnyVersion}); err != nil {
+		controller, _ := newPlannedMigration(t)
+		if _, err := controller.options.Store.Write(
+			t.Context(),
+			store.Op{Key: currentKey, Data: raw, ExpectedVersion: store.AnyVersion},
+		); err != nil {
 			t.Fatal(err)
 		}
-		a.follow()
-		if pool := a.options.Tracker.Assign(&standpoint.Request{Session: 1}); pool < 0 || pool > 2 {
+		controller.follow()
+		if pool := controller.options.Tracker.Assign(&standpoint.Request{Session: 1}); pool < 0 || pool > 2 {
 			t.Fatalf("pool %d", pool)
 		}
-		if a.takeLead() && a.machine != nil {
-			a.machine.Observe(time.Unix(2000, 0), migration.Window{Nodes: 1})
+		if controller.checkLeadership() && controller.machine != nil {
+			controller.machine.Observe(time.Unix(2000, 0), migration.Window{Nodes: 1})
 		}
 	})
 }
 
-// begun is an actor with a move that has just begun.
-func begun(t testing.TB) (*Controller, *migration.Machine) {
-	tr := NewTracker(file(t, nil), zap.NewNop())
-	updateEndpoints(tr, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
-	a := New(
+// newPlannedMigration returns a controller with the machine of a migration that has just been planned.
+func newPlannedMigration(t testing.TB) (*Controller, *migration.Machine) {
+	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
+	updateEndpoints(tracker, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
+	controller := New(
 		Options{
 			Name:    "n",
-			Tracker: tr,
+			Tracker: tracker,
 			Store:   store.NewMemory(),
 			Plan:    func() migration.Plan { return migration.Default() },
 			Log:     zap.NewNop(),
 		},
 	)
-	m, err := a.newMachine(StartRequest{To: "new"}, a.record.Shares)
+	m, err := controller.newMachine(StartRequest{To: "new"}, controller.record.Shares)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a, m
+	return controller, m
 }
--- a/internal/migration/controller/golden_test.go
+++ b/internal/migration/controller/golden_test.go
@@ -19,7 +19,7 @@
 
 var goldenHealth = migration.Health{Backends: 5, Ready: 4, Capacity: 3.5, WarmCapacity: 2.25}
 
-var goldenSide = migration.PoolWindow{
+var goldenWindow = migration.PoolWindow{
 	Requests:      30,
 	OfferedWeight: 28.5,
 	OnTimeWeight:  27.25,
@@ -33,20 +33,20 @@
 	Health: goldenHealth,
 }
 
-// What a node reports to the one that carries the move on.
+// The encoding of a node's report to the leader.
 func TestGoldenReport(t *testing.T) {
-	other := goldenSide
+	other := goldenWindow
 	other.Requests = 31
 	golden.RoundTrip(
 		t,
 		"report.json",
-		Report{Node: "n1", Migration: "m-7", Version: 9, Digest: 77, From: goldenSide, To: other},
+		Report{Node: "n1", Migration: "m-7", Version: 9, Digest: 77, From: goldenWindow, To: other},
 		encodeJSON[Report],
 		decodeJSON[Report],
 	)
 }
 
-// What an operator's start says.
+// The encoding of an operator's start command.
 func TestGoldenStart(t *testing.T) {
 	golden.RoundTrip(t, "start.json", StartRequest{
 		From:        "old",
@@ -64,7 +64,7 @@
 	}, encodeJSON[StartRequest], decodeJSON[StartRequest])
 }
 
-// What is shown of a move.
+// The encoding of a migration's status.
 func TestGoldenStatus(t *testing.T) {
 	record := migration.Record{
 		ID:     "m-7",
@@ -87,7 +87,7 @@
 	golden.Bytes(t, "status.json", raw)
 }
 
-// The record of a move, in the store under move/current and move/history/.
+// The record of a migration, as stored under move/current and move/history/.
 func TestGoldenRecord(t *testing.T) {
 	at := time.Date(2026, 11, 1, 10, 0, 0, 500, time.UTC)
 	machine, err := migration.Start(
@@ -105,7 +105,7 @@
 	for i := range 30 {
 		machine.Observe(
 			at.Add(time.Duration(i)*time.Second),
-			migration.Window{From: goldenSide, To: goldenSide, Nodes: 3},
+			migration.Window{From: goldenWindow, To: goldenWindow, Nodes: 3},
 		)
 	}
 	record := machine.Record()
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Carried on from the stored record, the move is where it was.
+	// A machine that is resumed from the stored record has the same state.
 	again, err := encodeJSON(migration.Resume(decoded).Record())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -16,20 +16,20 @@
 	"standpoint/internal/pool"
 )
 
-// The modes of a backend, as selectors name them.
+// The modes of a backend in selectors.
 const (
 	streamMode = "stream"
 	batchMode  = "batch"
 )
 
-// backendState is what the tracker knows of a backend.
+// backendState is the tracker's state of one backend.
 type backendState struct {
 	description pool.Backend
-	pool        int      // 0 for none
-	alsoFits    []string // further pools whose selectors match
+	pool        int      // number of its pool; 0 for none
+	otherPools  []string // other pools whose selectors match too
 	state       standpoint.State
-	readyAt     int64   // in nanoseconds of the process's clock; 0 if unknown
-	load        float64 // fraction of its slots in use, as last reported
+	readyAt     int64   // when it became ready, in nanoseconds of the process's clock; 0 if unknown
+	load        float64 // fraction of its slots in use, by its last load report
 }
 
 // Place implements node.Pools.
@@ -41,16 +41,16 @@
 		backend = &backendState{}
 		t.backends[endpoint.Name] = backend
 	}
-	backend.description = t.describe(endpoint)
+	backend.description = t.selectorView(endpoint)
 	if endpoint.State == standpoint.Gone && endpoint.Address == "" && backend.pool != 0 {
-		return backend.pool // a withdrawal may come without the labels
+		return backend.pool // the endpoint of a removed backend may lack the labels
 	}
-	backend.pool, backend.alsoFits = t.set.PoolOf(backend.description)
+	backend.pool, backend.otherPools = t.set.PoolOf(backend.description)
 	return backend.pool
 }
 
-// describe is an endpoint as selectors see it.
-func (t *Tracker) describe(endpoint *node.Endpoint) pool.Backend {
+// selectorView returns the properties of an endpoint that selectors match.
+func (t *Tracker) selectorView(endpoint *node.Endpoint) pool.Backend {
 	description := pool.Backend{
 		Name:    endpoint.Name,
 		Address: endpoint.Address,
@@ -88,7 +88,7 @@
 			delete(t.backends, endpoint.Name)
 			continue
 		}
-		// It is unknown if the same list also has it as gone.
+		// The backend is unknown if the same list contains it as gone, too.
 		if backend := t.backends[endpoint.Name]; backend != nil {
 			backend.state = endpoint.State
 			backend.readyAt = endpoint.ReadyAt
@@ -97,40 +97,40 @@
 	if list.Kind == standpoint.ListFull {
 		maps.DeleteFunc(t.backends, func(name string, _ *backendState) bool { return !listed[name] })
 	}
-	t.warnOfPlacement()
+	t.warnAboutPoolAssignment()
 }
 
-// warnOfPlacement logs the endpoints that no selector matches or several do, when they have changed.
-func (t *Tracker) warnOfPlacement() {
-	var none, several []string
+// warnAboutPoolAssignment logs the endpoints that are matched by no selector or by several, if they have changed.
+func (t *Tracker) warnAboutPoolAssignment() {
+	var unassigned, ambiguous []string
 	for name, backend := range t.backends {
 		switch {
 		case backend.pool == 0:
-			none = append(none, name)
-		case len(backend.alsoFits) > 0:
-			first := t.set.Name(backend.pool)
-			several = append(
-				several,
-				fmt.Sprintf("%s (%s; also %s)", name, first, strings.Join(backend.alsoFits, ", ")),
+			unassigned = append(unassigned, name)
+		case len(backend.otherPools) > 0:
+			assigned := t.set.Name(backend.pool)
+			ambiguous = append(
+				ambiguous,
+				fmt.Sprintf("%s (%s; also %s)", name, assigned, strings.Join(backend.otherPools, ", ")),
 			)
 		}
 	}
-	slices.Sort(none)
-	slices.Sort(several)
-	warning := fmt.Sprint(none, several)
+	slices.Sort(unassigned)
+	slices.Sort(ambiguous)
+	warning := fmt.Sprint(unassigned, ambiguous)
 	if warning == t.lastWarning {
 		return
 	}
 	t.lastWarning = warning
-	if len(none) > 0 {
-		t.log.Warn("endpoints in no pool", zap.Strings("endpoints", none))
+	if len(unassigned) > 0 {
+		t.log.Warn("endpoints in no pool", zap.Strings("endpoints", unassigned))
 	}
-	if len(several) > 0 {
-		t.log.Warn("endpoints in several pools, the first counts", zap.Strings("endpoints", several))
+	if len(ambiguous) > 0 {
+		t.log.Warn("endpoints in several pools, the first counts", zap.Strings("endpoints", ambiguous))
 	}
 }
 
-// Health is the health of the pool of that name.
+// Health returns the health of the pool with the given name.
 func (t *Tracker) Health(name string, now time.Time) migration.Health {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,7 +154,7 @@
 	return health
 }
 
-// warmFraction is the fraction of a backend's capacity that has warmed up; 1 if its start is unknown.
+// warmFraction returns the fraction of a backend's capacity that has warmed up; 1 if its start is unknown.
 func (t *Tracker) warmFraction(backend *backendState, now time.Time) float64 {
 	if backend.readyAt <= 0 {
 		return 1
@@ -164,22 +164,23 @@
 
 // Members is a pool and its backends.
 type Members struct {
-	Pool       string   `json:"pool"` // empty for the backends that are in no pool
-	Select     string   `json:"select,omitempty"`
-	Share      float64  `json:"share"` // as configured
+	Pool       string   `json:"pool"`             // name; empty for the backends that are in no pool
+	Select     string   `json:"select,omitempty"` // selector
+	Share      float64  `json:"share"`            // configured share of the requests
 	Backends   []Member `json:"boxes"`
-	Overflowed int64    `json:"fell_over"` // requests sent to another pool, since no backend of this one was eligible
+	Overflowed int64    `json:"fell_over"` // requests sent to another pool because no backend of this one was eligible
 }
 
 // Member is a backend in a pool.
 type Member struct {
 	Name    string   `json:"name"`
 	State   string   `json:"state"`
-	Warmth  float64  `json:"warmth"`              // the fraction of its capacity that has warmed up
-	AlsoFit []string `json:"also_fits,omitempty"` // further pools whose selectors match
+	Warmth  float64  `json:"warmth"`              // fraction of its capacity that has warmed up
+	AlsoFit []string `json:"also_fits,omitempty"` // other pools whose selectors match too
 }
 
-// Members lists all pools, and last the backends that are in none, if there are any.
+// Members returns all pools with their backends. The last element has the backends that are in no pool, if there are
+// any.
 func (t *Tracker) Members(now time.Time) []Members {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +204,7 @@
 			Name:    name,
 			State:   [...]string{"ready", "draining", "gone"}[backend.state],
 			Warmth:  t.warmFraction(backend, now),
-			AlsoFit: backend.alsoFits,
+			AlsoFit: backend.otherPools,
 		})
 	}
 	if len(all[unplaced].Backends) == 0 {
--- a/internal/migration/controller/node_test.go
+++ b/internal/migration/controller/node_test.go
@@ -25,8 +25,8 @@
 	"standpoint/internal/store"
 )
 
-// file is an operator's with two pools.
-func file(t testing.TB, edit func(*config.OperatorFile)) *config.OperatorFile {
+// newOperatorFile returns an operator's configuration with two pools, "old" and "new".
+func newOperatorFile(t testing.TB, edit func(*config.OperatorFile)) *config.OperatorFile {
 	plan := migration.Default()
 	plan.Steps, plan.Trickle, plan.Warm, plan.Hold, plan.Samples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
 	cfg := &config.OperatorFile{MigrationPlan: plan}
@@ -57,25 +57,26 @@
 	}
 }
 
-// updateEndpoints tells a tracker of a whole list, as the core would.
-func updateEndpoints(tr *Tracker, entries ...node.Endpoint) {
+// updateEndpoints passes a full endpoint list to a tracker, as the core does.
+func updateEndpoints(tracker *Tracker, entries ...node.Endpoint) {
 	for i := range entries {
-		entries[i].Pool = tr.Place(&entries[i])
+		entries[i].Pool = tracker.Place(&entries[i])
 	}
-	tr.Listed(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
+	tracker.Listed(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
 }
 
-// testNode is a node of a story: an actor with its tracker, control interface, and traffic of its own.
+// testNode is a simulated node: a controller with its tracker, control interface and traffic.
 type testNode struct {
 	*Controller
-	keys    store.Store
-	server  *control.Server
-	client  *control.Client
-	stop    context.CancelFunc
-	errors  atomic.Bool // attempts at the new pool fail
-	stopped chan struct{}
+	store       store.Store
+	server      *control.Server
+	client      *control.Client
+	stop        context.CancelFunc
+	failNewPool atomic.Bool // attempts at the new pool fail
+	stopped     chan struct{}
 }
 
+// share returns the fraction of 2000 sessions that the node assigns to the new pool.
 func (n *testNode) share() float64 {
 	moved := 0
 	for key := range uint64(2000) {
@@ -90,7 +91,7 @@
 	n.stop()
 	<-n.stopped
 	_ = n.server.Close()
-	_ = n.keys.Close()
+	_ = n.store.Close()
 }
 
 func (n *testNode) status(t testing.TB) Status {
@@ -99,9 +100,9 @@
 	return s
 }
 
-// traffic has flows come and end at once, as fast as the windows want them.
+// traffic generates requests that end at once, 12 in each window.
 func (n *testNode) traffic(ctx context.Context) {
-	tick := time.NewTicker(window / 12)
+	tick := time.NewTicker(windowLength / 12)
 	defer tick.Stop()
 	for id := int64(1); ; id++ {
 		select {
@@ -111,7 +112,7 @@
 		}
 		r := &standpoint.Request{ID: id, Session: uint64(id)*2654435761 + 1, PromptTokens: 500}
 		r.Pool = n.options.Tracker.Assign(r)
-		server := fmt.Sprintf("box-%d", r.Pool)
+		server := fmt.Sprintf("backend-%d", r.Pool)
 		n.options.Tracker.Sent(r, server, 0)
 		o := node.Observation{
 			Request:           r,
@@ -125,7 +126,7 @@
 				Report:       &standpoint.Report{SlotUsage: 0.3},
 			},
 		}
-		if r.Pool == 2 && n.errors.Load() {
+		if r.Pool == 2 && n.failNewPool.Load() {
 			o.FirstToken, o.AttemptFirstToken, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
 			n.options.Tracker.Finished(o)
 			n.options.Tracker.Rejected(r)
@@ -135,39 +136,40 @@
 	}
 }
 
-const secret = "a token of the members"
+// sharedToken authenticates the members to each other.
+const sharedToken = "a token of the members"
 
 // startNode starts a node over a store.
 func startNode(
 	t testing.TB,
 	name string,
-	keys store.Store,
+	kv store.Store,
 	peers map[string]string,
 	listen string,
 	cfg *config.OperatorFile,
 ) *testNode {
 	token := filepath.Join(t.TempDir(), "token")
-	require.NoError(t, os.WriteFile(token, []byte(secret), 0o600))
-	tr := NewTracker(cfg, zap.NewNop())
-	updateEndpoints(tr, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
-	n := &testNode{keys: keys, stopped: make(chan struct{})}
+	require.NoError(t, os.WriteFile(token, []byte(sharedToken), 0o600))
+	tracker := NewTracker(cfg, zap.NewNop())
+	updateEndpoints(tracker, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
+	n := &testNode{store: kv, stopped: make(chan struct{})}
 	n.Controller = New(
 		Options{
-			Name:    name,
-			Tracker: tr,
-			Store:   keys,
-			Peers:   peers,
-			Plan:    func() migration.Plan { return cfg.MigrationPlan },
-			Token:   func() string { return secret },
-			Window:  window,
-			Live:    2 * time.Second,
-			Log:     zap.NewNop(),
+			Name:        name,
+			Tracker:     tracker,
+			Store:       kv,
+			Peers:       peers,
+			Plan:        func() migration.Plan { return cfg.MigrationPlan },
+			Token:       func() string { return sharedToken },
+			Window:      windowLength,
+			LiveTimeout: 2 * time.Second,
+			Log:         zap.NewNop(),
 		},
 	)
 	var err error
 	n.server, err = control.Listen(listen, token, n.Routes(), zap.NewNop())
 	require.NoError(t, err)
-	n.client = control.NewClient(n.server.Address(), secret)
+	n.client = control.NewClient(n.server.Address(), sharedToken)
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	go func() { _ = n.server.Serve() }()
@@ -185,12 +187,13 @@
 	return n
 }
 
-func startAlone(t testing.TB, cfg *config.OperatorFile) *testNode {
+// startSingleNode starts a node with a store of its own.
+func startSingleNode(t testing.TB, cfg *config.OperatorFile) *testNode {
 	return startNode(t, "n1", store.NewMemory(), nil, "127.0.0.1:0", cfg)
 }
 
-// startGroup is three nodes over a replicated store.
-func startGroup(t testing.TB) []*testNode {
+// startCluster starts three nodes with a replicated store.
+func startCluster(t testing.TB) []*testNode {
 	var raft, front []net.Listener
 	var members []store.Member
 	peers := map[string]string{}
@@ -206,7 +209,7 @@
 	}
 	var all []*testNode
 	for i := range 3 {
-		keys, err := store.OpenRaft(
+		kv, err := store.OpenRaft(
 			store.RaftOptions{
 				ID:               members[i].ID,
 				Listener:         raft[i],
@@ -217,51 +220,54 @@
 		)
 		require.NoError(t, err)
 		require.NoError(t, front[i].Close())
-		n := startNode(t, members[i].ID, keys, peers, peers[members[i].ID], file(t, nil))
+		n := startNode(t, members[i].ID, kv, peers, peers[members[i].ID], newOperatorFile(t, nil))
 		all = append(all, n)
-		t.Cleanup(func() { _ = recovered(keys.Close) })
+		t.Cleanup(func() { _ = closeRecovering(kv.Close) })
 	}
 	return all
 }
 
-// recovered closes what a story may have closed already.
-func recovered(f func() error) (err error) {
+// closeRecovering calls a close function that may panic because the test has already closed its object.
+func closeRecovering(f func() error) (err error) {
 	defer func() { _ = recover() }()
 	return f()
 }
 
-func leading(t testing.TB, all []*testNode) (leader int) {
+// awaitLeader returns the index of the node that leads the store.
+func awaitLeader(t testing.TB, all []*testNode) (leader int) {
 	require.Eventually(t, func() bool {
 		for i, n := range all {
 			if n == nil {
 				continue
 			}
-			if _, ok := n.keys.Leadership(); ok {
+			if _, ok := n.store.Leadership(); ok {
 				leader = i
 				return true
 			}
 		}
 		return false
-	}, patient, 5*time.Millisecond)
+	}, waitTimeout, 5*time.Millisecond)
 	return leader
 }
 
+// start starts a migration, and retries until the store has a leader.
 func (n *testNode) start(t testing.TB, w StartRequest) migration.Record {
 	var r migration.Record
 	require.Eventually(t, func() bool { // a leader may just have been elected
 		return n.client.Call(t.Context(), http.MethodPost, "/v1/move/start", w, &r) == nil
-	}, patient, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	return r
 }
 
-func (n *testNode) reaches(t testing.TB, done func(Status) bool) Status {
+// awaitStatus polls the status until done is true for it, and returns it.
+func (n *testNode) awaitStatus(t testing.TB, done func(Status) bool) Status {
 	var s Status
-	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(window / 2) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(windowLength / 2) {
 		if s = n.status(t); s.Migration != nil && done(s) {
 			return s
 		}
 	}
 	raw, _ := json.Marshal(s)
-	require.Fail(t, "never came to be", "%s", raw)
+	require.Fail(t, "status not reached before the timeout", "last status: %s", raw)
 	return s
 }
--- a/internal/migration/controller/record.go
+++ b/internal/migration/controller/record.go
@@ -14,15 +14,15 @@
 
 // Keys of the store.
 const (
-	currentKey    = "move/current"
-	historyPrefix = "move/history/"
+	currentKey    = "move/current"  // record of the latest migration
+	historyPrefix = "move/history/" // prefix of the records of migrations that are over
 )
 
-// maxHistory is the number of migrations that are over and kept.
+// maxHistory is the maximum number of migrations in the history.
 const maxHistory = 50
 
-// follow puts the stored record in force. Every node does so, the leader included: what is stored is in force, and
-// nothing else is. A store that holds nothing yet, or has lost its quorum, changes nothing here.
+// follow applies the stored record. Every node, including the leader, applies only what is stored. A store that has no
+// record yet or has lost its quorum changes nothing here.
 func (c *Controller) follow() {
 	stored := c.options.Store.Get(currentKey)
 	if stored.Version == c.version || stored.Version == 0 {
@@ -55,8 +55,9 @@
 		zap.Uint64("version", record.Version))
 }
 
-// takeLead reports whether this node leads the store, and resumes the recorded migration when it begins to.
-func (c *Controller) takeLead() bool {
+// checkLeadership reports whether this node leads the store. When a new leadership begins, it resumes the migration in
+// progress.
+func (c *Controller) checkLeadership() bool {
 	term, leads := c.options.Store.Leadership()
 	if !leads || term != c.term {
 		c.machine = nil
@@ -83,8 +84,9 @@
 	c.recordVersion = c.version
 }
 
-// persist stores the machine's record, which puts it in force, here too. If another node has changed the record
-// meanwhile, the machine is dropped: whoever leads now resumes from the stored record.
+// persist stores the machine's record, which puts it in force on all nodes including this one. If that fails, for
+// example because another node has changed the record in the meantime, the machine is discarded; the current leader
+// resumes from the stored record.
 func (c *Controller) persist(ctx context.Context) error {
 	record := c.machine.Record()
 	version, err := c.writeRecord(ctx, &record)
@@ -113,7 +115,8 @@
 	return c.options.Store.Write(ctx, operations...)
 }
 
-// archive returns the operations that add a migration to the history and drop the oldest ones.
+// archive returns the store operations that add a migration to the history and delete the oldest ones beyond
+// maxHistory.
 func (c *Controller) archive(id string, data []byte) []store.Op {
 	key := historyPrefix + id
 	operations := []store.Op{{Key: key, Data: data, ExpectedVersion: store.AnyVersion}}
--- a/internal/migration/controller/report.go
+++ b/internal/migration/controller/report.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	maxNodes      = 64              // whose reports are taken
-	reportTimeout = 2 * time.Second // for one call with reports
-	maxBacklog    = 5               // windows that a node keeps for a leader that does not answer
+	maxNodes      = 64              // maximum number of nodes whose reports are accepted
+	reportTimeout = 2 * time.Second // timeout of one call with reports
+	maxBacklog    = 5               // maximum number of windows that a node buffers for an unresponsive leader
 )
 
-// Report is what a node reports to the leader of the store: what it saw in one window of a migration.
+// Report is a node's report on one window of a migration to the leader of the store.
 type Report struct {
-	Node      string               `json:"node"`
-	Migration string               `json:"move"`
-	Version   uint64               `json:"version"` // of the shares that the node has in force
-	Digest    uint64               `json:"digest"`  // of its pools
+	Node      string               `json:"node"`    // name of the node
+	Migration string               `json:"move"`    // ID of the migration that the node follows
+	Version   uint64               `json:"version"` // version of the shares in force on the node
+	Digest    uint64               `json:"digest"`  // Tracker.Digest of the node's pools
 	From      migration.PoolWindow `json:"from"`
 	To        migration.PoolWindow `json:"to"`
 }
 
-// nodeReport is the latest report of a node, and what it saw since the last merged window.
+// nodeReport holds the metadata of a node's latest report and its counts since the last merged window.
 type nodeReport struct {
 	receivedAt time.Time
-	migration  string
+	migration  string // ID of the migration that the node follows
 	version    uint64
 	digest     uint64
 	from       migration.PoolWindow
 	to         migration.PoolWindow
 }
 
-// lags reports whether the node does not follow a record.
-func (r *nodeReport) lags(record *migration.Record) bool {
+// lagsBehind reports whether the node has not applied the current version of a record.
+func (r *nodeReport) lagsBehind(record *migration.Record) bool {
 	return r.migration != record.ID || r.version != record.Version
 }
 
-// closeWindow ends a window: this node's counts go to the leader, or, if this node leads, into the machine together
-// with what the other nodes have reported.
+// closeWindow ends a window. The node's counts are sent to the leader or, if this node leads, passed to the machine
+// together with the reports of the other nodes.
 func (c *Controller) closeWindow(ctx context.Context) {
 	now := time.Now()
 	from, to := c.options.Tracker.TakeWindow(now)
@@ -56,7 +56,7 @@
 		From:      from,
 		To:        to,
 	}
-	if !c.takeLead() {
+	if !c.checkLeadership() {
 		c.sendReport(ctx, own)
 		return
 	}
@@ -67,18 +67,18 @@
 	}
 	window := c.mergeWindow(now)
 	if c.machine.Observe(now, window) {
-		// A failure is logged by persist, and the machine resumes from the stored record with the next window.
+		// persist logs a failure, and the migration is resumed from the stored record in the next window.
 		_ = c.persist(ctx)
 	}
 }
 
-// knowsLiveNodes reports whether a leader can tell which nodes are live: it has heard all members, or has led for as
-// long as a silent node counts as live.
+// knowsLiveNodes reports whether a leader can decide which nodes are live: it has reports of all members, or has led
+// for the time for which a silent node counts as live.
 func (c *Controller) knowsLiveNodes(now time.Time) bool {
-	return len(c.reports) >= len(c.options.Peers) || now.Sub(c.leaderSince) >= c.options.Live
+	return len(c.reports) >= len(c.options.Peers) || now.Sub(c.leaderSince) >= c.options.LiveTimeout
 }
 
-// addReport takes a report in.
+// addReport adds a node's report to the counts of the current window.
 func (c *Controller) addReport(report Report) {
 	node := c.reports[report.Node]
 	if node == nil {
@@ -97,29 +97,29 @@
 	}
 	node.from = node.from.Add(report.From)
 	node.to = node.to.Add(report.To)
-	// Of several windows the latest health counts, not the worst.
+	// If several windows are combined, the latest health applies, not the merged one.
 	node.from.Health = report.From.Health
 	node.to.Health = report.To.Health
 }
 
-// mergeWindow combines what all live nodes have reported since the last call.
+// mergeWindow combines the reports of all live nodes since the last call.
 func (c *Controller) mergeWindow(now time.Time) migration.Window {
 	var window migration.Window
 	digest := c.options.Tracker.Digest()
 	for name, node := range c.reports {
-		if now.Sub(node.receivedAt) > c.options.Live {
+		if now.Sub(node.receivedAt) > c.options.LiveTimeout {
 			delete(c.reports, name)
 			c.options.Log.Warn("node sends no reports, migration continues without it", zap.String("node", name))
 			continue
 		}
 		window.Nodes++
-		if node.digest != digest { // its counts are of other pools
+		if node.digest != digest { // its pools are defined differently, so its counts cannot be used
 			window.Lagging = append(window.Lagging, name+" (its pools differ)")
 			node.from = migration.PoolWindow{}
 			node.to = migration.PoolWindow{}
 			continue
 		}
-		if node.lags(&c.record) {
+		if node.lagsBehind(&c.record) {
 			window.Lagging = append(window.Lagging, name)
 		}
 		window.From = window.From.Add(node.from)
@@ -131,7 +131,7 @@
 	return window
 }
 
-// sendReport sends this node's windows to the leader, one call at a time.
+// sendReport sends this node's unsent windows to the leader unless a call is in flight.
 func (c *Controller) sendReport(ctx context.Context, own Report) {
 	c.unsent = append(c.unsent, own)
 	if excess := len(c.unsent) - maxBacklog; excess > 0 {
@@ -153,7 +153,7 @@
 	})
 }
 
-// reportSent notes how a call with reports ended. A failure is logged once until another one follows.
+// reportSent handles the result of a call with reports. A failure is logged only if it differs from the previous one.
 func (c *Controller) reportSent(err error) {
 	c.sending = false
 	text := ""
--- a/internal/migration/controller/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -14,49 +14,48 @@
 	"standpoint/internal/pool"
 )
 
-// Tracker assigns requests to pools and counts, for the pools of the followed migration, what becomes of them. It
-// implements node.Pools. All methods are safe for concurrent use; Assign takes no lock.
+// Tracker assigns requests to pools and counts their outcomes for the pools of the followed migration. It implements
+// node.Pools. All methods are safe for concurrent use; Assign does not lock.
 type Tracker struct {
 	log   *zap.Logger
 	table atomic.Pointer[pool.Table]
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	set      *pool.Set
 	names    config.Names
 	classes  []standpoint.Class
 	plan     migration.Plan
-	backends map[string]*backendState // the listed ones, by name
-	followed migration.Record         // State is empty if there is none
-	// from and to are the numbers of the pools that are counted; 0 if no migration is in progress.
-	from        int
-	to          int
-	counters    [2]migration.PoolWindow // of from and to, since the last TakeWindow
-	samplesSeen [2]int                  // offered to counters, for an even choice among them
-	overflowed  map[int]int64           // by pool, over the life of the process
-	lastWarning string                  // about endpoints in no pool or in several, as it was logged
+	backends map[string]*backendState // listed backends, by name
+	followed migration.Record         // record of the followed migration; its State is empty if there is none
+	// from and to are the numbers of the migration's pools; 0 if no migration is in progress.
+	from           int
+	to             int
+	counters       [2]migration.PoolWindow // counts of from and to since the last TakeWindow
+	samplesOffered [2]int                  // responses of from and to since then, for uniform sampling
+	overflowed     map[int]int64           // overflowed requests by pool since the process started
+	lastWarning    string                  // last logged warning about endpoints in no pool or in several
 }
 
-// NewTracker creates the tracker of an operator's pools.
+// NewTracker creates a tracker for the pools of an operator's configuration file.
 func NewTracker(file *config.OperatorFile, log *zap.Logger) *Tracker {
 	t := &Tracker{log: log, backends: map[string]*backendState{}, overflowed: map[int]int64{}}
-	t.adopt(file)
+	t.applyFile(file)
 	t.table.Store(t.set.Bind(pool.Shares{}))
 	return t
 }
 
-func (t *Tracker) adopt(file *config.OperatorFile) {
+func (t *Tracker) applyFile(file *config.OperatorFile) {
 	t.set = file.PoolSet
 	t.names = file.Names
 	t.classes = file.Settings.Classes
 	t.plan = file.MigrationPlan
 }
 
-// Check returns an error if the migration in progress does not allow a changed file to be adopted: it has to keep its
-// pools.
+// Check returns an error if a changed file lacks a pool of the migration in progress.
 func (t *Tracker) Check(file *config.OperatorFile) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !inProgress(&t.followed) {
+	if !isInProgress(&t.followed) {
 		return nil
 	}
 	for _, name := range []string{t.followed.Plan.From, t.followed.Plan.To} {
@@ -72,16 +71,17 @@
 	return nil
 }
 
-// Adjust adopts a changed file. The endpoint list has to be sent again after it, so that the endpoints are placed anew.
+// Adjust applies a changed file. The caller must send the endpoint list again afterwards, so that the endpoints are
+// assigned to the changed pools.
 func (t *Tracker) Adjust(file *config.OperatorFile) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.adopt(file)
+	t.applyFile(file)
 	t.bind()
 }
 
-// Follow puts the shares of a record in force for requests that arrive from now on, and counts the pools of its
-// migration.
+// Follow applies the shares of a record to requests that arrive from now on, and counts the requests of its
+// migration's pools.
 func (t *Tracker) Follow(record migration.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,12 +92,13 @@
 	t.bind()
 }
 
-// bind builds the table of shares and looks the followed migration's pools up. The lock is held.
+// bind builds the assignment table for the followed shares and looks up the migration's pools. The caller must hold
+// the lock.
 func (t *Tracker) bind() {
 	t.table.Store(t.set.Bind(t.followed.Shares))
 	t.from = 0
 	t.to = 0
-	if !inProgress(&t.followed) {
+	if !isInProgress(&t.followed) {
 		return
 	}
 	from := t.set.Number(t.followed.Plan.From)
@@ -108,7 +109,7 @@
 	}
 }
 
-func inProgress(record *migration.Record) bool {
+func isInProgress(record *migration.Record) bool {
 	return record.State != "" && !record.State.Terminal()
 }
 
@@ -117,7 +118,7 @@
 	return t.table.Load().Assign(request.Session, request.Prefix, uint64(request.ID))
 }
 
-// Digest is equal on two nodes if their pools are defined alike.
+// Digest returns a hash of the pool definitions, which is equal on two nodes with the same definitions.
 func (t *Tracker) Digest() uint64 {
 	digest := xxhash.New()
 	for i, definition := range t.pools().Definitions() {
--- a/internal/migration/controller/tracker_test.go
+++ b/internal/migration/controller/tracker_test.go
@@ -14,45 +14,46 @@
 )
 
 func TestOverflowedRequestsAreCounted(t *testing.T) {
-	tr := NewTracker(file(t, nil), zap.NewNop())
-	updateEndpoints(tr, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
-	tr.Sent(&standpoint.Request{Pool: 2}, "box-1", 0)
-	tr.Sent(&standpoint.Request{Pool: 2}, "box-1", 1) // a second attempt goes where it may
-	tr.Sent(&standpoint.Request{Pool: 2}, "box-2", 0)
-	members := tr.Members(time.Now())
+	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
+	updateEndpoints(tracker, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
+	tracker.Sent(&standpoint.Request{Pool: 2}, "backend-1", 0)
+	tracker.Sent(&standpoint.Request{Pool: 2}, "backend-1", 1) // a second attempt may go to any pool
+	tracker.Sent(&standpoint.Request{Pool: 2}, "backend-2", 0)
+	members := tracker.Members(time.Now())
 	require.Equal(t, []int64{0, 1}, []int64{members[0].Overflowed, members[1].Overflowed})
-	// Cold boxes count by their warmth, draining ones not at all.
-	cold := endpoint("box-2", "v2")
+	// Cold backends count by their warm fraction, draining ones not at all.
+	cold := endpoint("backend-2", "v2")
 	now := time.Now()
 	cold.ReadyAt = clock.Of(now)
-	draining := endpoint("box-3", "v2")
+	draining := endpoint("backend-3", "v2")
 	draining.State = standpoint.Draining
-	updateEndpoints(tr, endpoint("box-1", "v1"), cold, draining)
-	require.Equal(t, migration.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13}, tr.Health("new", now))
+	updateEndpoints(tracker, endpoint("backend-1", "v1"), cold, draining)
+	require.Equal(t, migration.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13}, tracker.Health("new", now))
 }
 
-// A list that has a box as gone and as there takes the daemon nowhere it cannot come back from.
+// Guards against a crash on a list that contains the same backend as gone and as ready.
 func TestBackendThatIsListedTwice(t *testing.T) {
-	tr := NewTracker(file(t, nil), zap.NewNop())
-	gone := endpoint("box-1", "v1")
+	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
+	gone := endpoint("backend-1", "v1")
 	gone.State = standpoint.Gone
-	updateEndpoints(tr, gone, endpoint("box-1", "v1"), endpoint("box-2", "v2"))
-	require.Len(t, tr.Members(time.Now())[1].Backends, 1)
+	updateEndpoints(tracker, gone, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
+	require.Len(t, tracker.Members(time.Now())[1].Backends, 1)
 }
 
-// What comes late from the process before is not held for or against the box that was started anew under its name.
+// Results of attempts that were sent to an earlier incarnation must not count for a backend that was restarted under
+// the same name.
 func TestLateAnswersOfAnEarlierProcess(t *testing.T) {
-	tr := NewTracker(file(t, nil), zap.NewNop())
+	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
 	now := time.Now()
-	again := endpoint("box-2", "v2")
+	again := endpoint("backend-2", "v2")
 	again.ReadyAt = clock.Of(now)
-	updateEndpoints(tr, endpoint("box-1", "v1"), again)
-	tr.Follow(migration.Record{ID: "m", State: migration.Holding, Plan: migration.Plan{From: "old", To: "new"}})
+	updateEndpoints(tracker, endpoint("backend-1", "v1"), again)
+	tracker.Follow(migration.Record{ID: "m", State: migration.Holding, Plan: migration.Plan{From: "old", To: "new"}})
 	for i, sent := range []time.Time{now.Add(-time.Second), now.Add(time.Second)} {
-		tr.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Backend: "box-2", Sent: sent,
+		tracker.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Backend: "backend-2", Sent: sent,
 			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{SlotUsage: 0.9}}})
-		_, to := tr.TakeWindow(now)
+		_, to := tracker.TakeWindow(now)
 		require.Equal(t, i, to.Errors)
-		require.Equal(t, 0.9*float64(i), tr.backends["box-2"].load)
+		require.Equal(t, 0.9*float64(i), tracker.backends["backend-2"].load)
 	}
 }
