--- a/internal/migration/analysis.go
+++ b/internal/migration/analysis.go
@@ -36,7 +36,7 @@
 	stallAftermathWindows = 2
 	// maxExpectedErrors is the fraction of failed attempts beyond which errors are no evidence.
 	maxExpectedErrors = 0.9
-	// minAllowedLate is the minimum fraction of late weight to divide by. It bounds the gain of a bet on late responses.
+	// minAllowedLate is the minimum fraction of late weight to divide by. It limits the gain of a bet on late weight.
 	minAllowedLate = 0.05
 )
 
--- a/internal/migration/comparison.go
+++ b/internal/migration/comparison.go
@@ -8,7 +8,8 @@
 	maxPairs = 24
 	// minPairs is the minimum number of comparable responses. With fewer a response is not used.
 	minPairs = 4
-	// recentMinResponses is the number of responses that the old pool must have given in the last recentWindows windows.
+	// recentMinResponses is the number of responses that the old pool must have given in the last
+	// recentWindows windows.
 	recentMinResponses = 4
 	// recentWindows is the number of windows that count as recent for recentMinResponses.
 	recentWindows = 10
@@ -16,13 +17,13 @@
 	baselineWindows = 45
 	// maxBaseline is the maximum number of retained responses of the old pool.
 	maxBaseline = 3000
-	// loadBelow is the maximum difference by which the load of the old pool's backend may have been lower, as a fraction
-	// of its slots.
+	// loadBelow is the maximum difference by which the load of the old pool's backend may have been lower, as a
+	// fraction of its slots.
 	loadBelow = 0.03
 	// loadAbove is the maximum difference by which the load of the old pool's backend may have been higher.
 	loadAbove = 0.12
-	// gapLoadRange is the maximum difference of load in either direction for token gaps, which are converted to the same
-	// load.
+	// gapLoadRange is the maximum difference of load in either direction for token gaps, which are converted to
+	// the same load.
 	gapLoadRange = 0.25
 	// gapLoadTolerance is the relative error of that conversion per unit of difference in load.
 	gapLoadTolerance = 0.5
@@ -31,8 +32,8 @@
 	similarityRange = 0.5
 	// minSimilarTokens is the number of uncached prompt tokens below which prompts count as similar.
 	minSimilarTokens = 64
-	// slopePrior is the relative increase of the token gap from load 0 to load 1 that is assumed before the old pool has
-	// responses to fit it to.
+	// slopePrior is the relative increase of the token gap from load 0 to load 1 that is assumed before the old pool
+	// has responses to fit it to.
 	slopePrior = 1.0
 	// slopePriorWeight is the weight of slopePrior in the fit, as a sum of squared load deviations.
 	slopePriorWeight = 1.0
--- a/internal/migration/controller/command_test.go
+++ b/internal/migration/controller/command_test.go
@@ -114,7 +114,11 @@
 	)
 	members := n.options.Tracker.Members(time.Now())
 	require.Len(t, members, 3)
-	require.Equal(t, []string{"backend-2", "backend-3"}, []string{members[1].Backends[0].Name, members[1].Backends[1].Name})
+	require.Equal(
+		t,
+		[]string{"backend-2", "backend-3"},
+		[]string{members[1].Backends[0].Name, members[1].Backends[1].Name},
+	)
 	require.Equal(t, "backend-4", members[2].Backends[0].Name)
 	n.awaitStatus(t, func(s Status) bool { return s.Migration.State == migration.Done })
 	require.NoError(t, n.options.Tracker.Check(without), "the migration is over")
--- a/internal/migration/controller/fuzz_test.go
+++ b/internal/migration/controller/fuzz_test.go
@@ -39,7 +39,8 @@
 		var reports []Report
 		if control.Decode(raw, &reports) == nil {
 			for _, r := range reports {
-				r.Migration, r.Version, r.Digest = controller.record.ID, controller.record.Version, controller.options.Tracker.Digest()
+				r.Migration, r.Version, r.Digest =
+					controller.record.ID, controller.record.Version, controller.options.Tracker.Digest()
 				controller.addReport(r)
 			}
 			m.Observe(time.Unix(2000, 0), controller.mergeWindow(time.Now()))
--- a/internal/migration/controller/tracker_test.go
+++ b/internal/migration/controller/tracker_test.go
@@ -28,7 +28,11 @@
 	draining := endpoint("backend-3", "v2")
 	draining.State = standpoint.Draining
 	updateEndpoints(tracker, endpoint("backend-1", "v1"), cold, draining)
-	require.Equal(t, migration.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13}, tracker.Health("new", now))
+	require.Equal(
+		t,
+		migration.Health{Backends: 2, Ready: 1, Capacity: 1, WarmCapacity: 0.13},
+		tracker.Health("new", now),
+	)
 }
 
 // Guards against a crash on a list that contains the same backend as gone and as ready.
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// warmThreshold is the fraction of its capacity from which a pool counts as warm and its share is no longer limited.
+	// warmThreshold is the fraction of its capacity from which a pool counts as warm, so that its share is not limited.
 	warmThreshold = 0.9
 	// coldBudgetFraction is the fraction of the slow-start allowance that a migration sends to a cold pool, over all
 	// nodes together. The decision module limits starting backends by a fraction of its own, coldMargin.
--- a/internal/migration/rollback.go
+++ b/internal/migration/rollback.go
@@ -14,8 +14,8 @@
 	severeMinRequests = 10
 	// severeMinLateWindows is the minimum number of these windows that must have a late response.
 	severeMinLateWindows = 5
-	// severeFraction is the fraction of the floor below which the new pool is severely worse. The old pool must serve at
-	// least this fraction of its weight on time.
+	// severeFraction is the fraction of the floor below which the new pool is severely worse. The old pool must serve
+	// at least this fraction of its weight on time.
 	severeFraction = 0.5
 	// severeDeviations is the number of standard deviations that the difference must exceed.
 	severeDeviations = 4.5
--- a/internal/migration/rollback_test.go
+++ b/internal/migration/rollback_test.go
@@ -47,7 +47,7 @@
 		sim.old = failed
 		for range 30 {
 			machine.Observe(clock, sim.nextWindow(machine))
-			require.GreaterOrEqual(t, machine.Record().Shares.Share, 0.5, "traffic must not return because the old pool failed")
+			require.GreaterOrEqual(t, machine.Record().Shares.Share, 0.5, "a failed old pool must not cause a return")
 		}
 		share := machine.Record().Shares.Share
 		// The new pool degrades too: still no traffic returns to the failed pool.
--- a/internal/migration/window.go
+++ b/internal/migration/window.go
@@ -22,7 +22,7 @@
 	OfferedWeight float64  `json:"asked"`    // sum of the priority weights of these requests
 	OnTimeWeight  float64  `json:"in_time"`  // the part of OfferedWeight that met its latency objectives
 	Rejected      int      `json:"refused"`  // requests that were rejected, or failed without a backend
-	Overflowed    int      `json:"fallen"`   // requests sent to another pool because no backend of this one was eligible
+	Overflowed    int      `json:"fallen"`   // requests sent to another pool as no backend of this one was eligible
 	Attempts      int      `json:"attempts"` // attempts that ended in the window, except cancelled ones
 	Errors        int      `json:"errors"`   // attempts among these that failed
 	Samples       []Sample `json:"samples,omitempty"`
