--- a/internal/batch/answer.go
+++ b/internal/batch/answer.go
@@ -7,27 +7,28 @@
 	"fmt"
 )
 
-const maxAnswerBytes = 4 << 20
+// maxResponseBytes is the maximum size of a response's text.
+const maxResponseBytes = 4 << 20
 
 var (
-	errAnswerTooLarge = errors.New("the answer is larger than 4 MiB")
+	errResponseTooLarge = errors.New("response is larger than 4 MiB")
 
 	dataPrefix = []byte("data:")
 	doneMarker = []byte("[DONE]")
 	jsonNull   = []byte("null")
 )
 
-// collector is the client connection of a line: it puts a streamed answer together. It implements
+// responseCollector is the client connection of a line's request: it assembles a streamed response. It implements
 // node.ClientConnection.
-type collector struct {
-	content bytes.Buffer
-	model   string
-	finish  string
-	usage   json.RawMessage
+type responseCollector struct {
+	content      bytes.Buffer
+	model        string
+	finishReason string
+	usage        json.RawMessage
 }
 
-// answerChunk is what the collector reads of an event.
-type answerChunk struct {
+// responseChunk holds the fields of an event that the responseCollector uses.
+type responseChunk struct {
 	Model   string `json:"model"`
 	Choices []struct {
 		Delta struct {
@@ -39,29 +40,29 @@
 }
 
 // Begin implements node.ClientConnection.
-func (c *collector) Begin() error { return nil }
+func (c *responseCollector) Begin() error { return nil }
 
 // Event implements node.ClientConnection.
-func (c *collector) Event(event []byte) error {
+func (c *responseCollector) Event(event []byte) error {
 	for line := range bytes.Lines(event) {
 		data, ok := bytes.CutPrefix(line, dataPrefix)
 		data = bytes.TrimSpace(data)
 		if !ok || bytes.Equal(data, doneMarker) {
 			continue
 		}
-		var chunk answerChunk
+		var chunk responseChunk
 		if err := json.Unmarshal(data, &chunk); err != nil {
-			return fmt.Errorf("event of an answer: %w", err)
+			return fmt.Errorf("decode event of a response: %w", err)
 		}
 		c.add(&chunk)
-		if c.content.Len() > maxAnswerBytes {
-			return errAnswerTooLarge
+		if c.content.Len() > maxResponseBytes {
+			return errResponseTooLarge
 		}
 	}
 	return nil
 }
 
-func (c *collector) add(chunk *answerChunk) {
+func (c *responseCollector) add(chunk *responseChunk) {
 	if chunk.Model != "" {
 		c.model = chunk.Model
 	}
@@ -71,12 +72,12 @@
 	for _, choice := range chunk.Choices {
 		c.content.WriteString(choice.Delta.Content)
 		if choice.Finish != nil {
-			c.finish = *choice.Finish
+			c.finishReason = *choice.Finish
 		}
 	}
 }
 
-// completion is a chat completion as a backend answers that does not stream.
+// completion is a chat completion object as in a response that is not streamed.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -87,9 +88,9 @@
 }
 
 type completionChoice struct {
-	Index   int               `json:"index"`
-	Message completionMessage `json:"message"`
-	Finish  string            `json:"finish_reason"`
+	Index        int               `json:"index"`
+	Message      completionMessage `json:"message"`
+	FinishReason string            `json:"finish_reason"`
 }
 
 type completionMessage struct {
@@ -97,8 +98,9 @@
 	Content string `json:"content"`
 }
 
-// completion returns the answer as one chat completion. model is the request's, for an answer that names none.
-func (c *collector) completion(id, model string, created int64) (json.RawMessage, error) {
+// completion returns the response as one chat completion object. model is the requested model, which is used if the
+// response names none. created is in Unix seconds.
+func (c *responseCollector) completion(id, model string, created int64) (json.RawMessage, error) {
 	if c.model != "" {
 		model = c.model
 	}
@@ -108,7 +110,7 @@
 		Object:  "chat.completion",
 		Created: created,
 		Model:   model,
-		Choices: []completionChoice{{Index: 0, Message: message, Finish: c.finish}},
+		Choices: []completionChoice{{Index: 0, Message: message, FinishReason: c.finishReason}},
 		Usage:   c.usage,
 	})
 }
--- a/internal/batch/api_test.go
+++ b/internal/batch/api_test.go
@@ -14,7 +14,7 @@
 	"standpoint/internal/testpeer"
 )
 
-// A file with errors is not run; each error names its line.
+// A batch whose input file has errors must fail before any line is sent, with an error for each faulty line.
 func TestValidationNamesTheLine(t *testing.T) {
 	c := start(t, testpeer.Start(t, testpeer.Settings()), store.NewMemory(), nil)
 	valid := strings.TrimSuffix(inputLines(1), "\n")
@@ -61,39 +61,39 @@
 	}
 }
 
-// An upload that breaks off in the store, or with the member that took it, leaves no file that can be seen, and
-// nothing else once somebody leads again.
+// An upload that is interrupted by a failed write, or because the receiving member stops, must leave no visible file.
+// Its chunks must be deleted at once or by the next leader.
 func TestUploadsThatBreakOff(t *testing.T) {
-	keys := &interruptedStore{Memory: store.NewMemory(), at: 2}
+	kv := &interruptedStore{Memory: store.NewMemory(), failAt: 2}
 	core := testpeer.Start(t, testpeer.Settings())
-	service, c := serve(t, core, keys, func(o *batch.Options) { o.MaxFileBytes = 8 << 20 })
+	service, c := serve(t, core, kv, func(o *batch.Options) { o.MaxFileBytes = 8 << 20 })
 	content := inputLines(5000) // three chunks
 	require.Equal(t, http.StatusServiceUnavailable, c.upload(content, nil))
-	require.Empty(t, keys.List(""))
-	// A member that dies in the middle: its chunks stay, and no record of the file.
-	torn := store.Op{Key: "data/file-torn/000000", Data: []byte("half")}
-	_, err := keys.Memory.Write(t.Context(), torn)
+	require.Empty(t, kv.List(""))
+	// A member that stops during an upload leaves chunks but no record of the file.
+	orphan := store.Op{Key: "data/file-torn/000000", Data: []byte("half")}
+	_, err := kv.Memory.Write(t.Context(), orphan)
 	require.NoError(t, err)
 	var file batch.File
 	require.Equal(t, http.StatusOK, c.upload(content, &file))
 	require.Equal(t, http.StatusNotFound, c.call(http.MethodGet, "/v1/files/file-torn/content", "", nil))
 	run(t, service)
-	require.Eventually(t, func() bool { return keys.Get(torn.Key).Version == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return kv.Get(orphan.Key).Version == 0 }, 5*time.Second, time.Millisecond)
 	var stored string
 	require.Equal(t, http.StatusOK, c.call(http.MethodGet, "/v1/files/"+file.ID+"/content", "", &stored))
-	require.Equal(t, content, stored, "a complete one stays")
+	require.Equal(t, content, stored, "a complete file must not be deleted")
 }
 
-// Files that nobody deletes do not fill the store: beyond a bound no further one is accepted until some are deleted.
-// The lines of a batch that is over are not kept besides its files.
+// Guards against a store that grows without bound: once the files have MaxTotalFileBytes together, uploads must be
+// rejected until files are deleted, and the lines of a batch that is over must be deleted.
 func TestFilesThatNobodyDeletes(t *testing.T) {
 	backend := streamingBackend(t, testpeer.NewAttemptLedger(), succeed)
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
-	keys := store.NewMemory()
-	c := start(t, core, keys, func(o *batch.Options) { o.MaxTotalFileBytes = 4 << 10 })
+	kv := store.NewMemory()
+	c := start(t, core, kv, func(o *batch.Options) { o.MaxTotalFileBytes = 4 << 10 })
 	b := c.wait(c.submit(inputLines(2), "1h").ID, 10*time.Second)
 	require.Eventually(t, func() bool {
-		return len(keys.List("line/"))+len(keys.List("result/")) == 0
+		return len(kv.List("line/"))+len(kv.List("result/")) == 0
 	}, 5*time.Second, time.Millisecond)
 	_, written := c.results(b.OutputFileID)
 	require.Equal(t, 2, written)
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -11,40 +11,45 @@
 )
 
 const (
-	guardDivisor  = 10              // a line's attempts end this part of its time before it runs out
-	maxGuard      = 2 * time.Second // and this much before at the most
-	rejectedDelay = 500 * time.Millisecond
-	failedDelay   = 200 * time.Millisecond // doubled with each attempt
-	maxDoublings  = 5
+	// deadlineMarginDivisor determines how long before its timeout an attempt ends: the timeout divided by this.
+	deadlineMarginDivisor = 10
+	// maxDeadlineMargin is the maximum time that an attempt ends before its timeout.
+	maxDeadlineMargin = 2 * time.Second
+	// minRejectionDelay is the minimum delay before a rejected line is sent again.
+	minRejectionDelay = 500 * time.Millisecond
+	// failureDelay is the delay before a failed line is sent again. It is doubled with each attempt, at most
+	// maxDelayDoublings times.
+	failureDelay      = 200 * time.Millisecond
+	maxDelayDoublings = 5
 )
 
-// sendLine sends a line once and records what follows. The store has the line as out before anything is sent, and its
-// result before anybody is notified: a later leader neither sends it while an attempt may be in flight nor gives it a
-// second result.
+// sendLine sends a line once and records the outcome. The line is stored as in flight before anything is sent, and its
+// result is stored before the scheduler learns of it. A later leader therefore neither sends the line while an attempt
+// may be in flight nor gives it a second result.
 func (s *Service) sendLine(ctx context.Context, expires time.Time, l *line) node.AnswerKind {
 	request, body, invalid := s.requestFor(l.task.Body)
-	if invalid != nil { // it was valid before; the operator's file may have changed since
+	if invalid != nil { // the operator's file may have changed since the line was validated
 		s.logUnrecorded(l, s.failLine(ctx, l, CodeServerError))
 		return node.Failed
 	}
 	began := time.Now()
 	until := began.Add(s.LineTimeout)
-	out := lineRecord{State: lineOut, Attempts: l.record.Attempts + 1}.withUntil(until)
-	if err := s.writeLine(ctx, l, out, nil); err != nil {
+	inFlight := lineRecord{State: lineInFlight, Attempts: l.record.Attempts + 1}.withUntil(until)
+	if err := s.writeLine(ctx, l, inFlight, nil); err != nil {
 		s.logUnrecorded(l, err)
-		sleep(ctx, failedDelay) // a store that takes nothing is not tried at full speed
+		sleep(ctx, failureDelay) // avoids a busy loop while the store rejects writes
 		return node.ClientGone
 	}
-	end := until.Add(-min(s.LineTimeout/guardDivisor, maxGuard))
+	end := until.Add(-min(s.LineTimeout/deadlineMarginDivisor, maxDeadlineMargin))
 	if expires.Before(end) {
 		end = expires
 	}
-	// The end of the request's context ends even a stream that has begun, for which no deadline runs.
+	// The request's deadline does not apply to a stream that has begun, but the end of its context ends it, too.
 	requestCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	request.Deadline = s.Core.Expires(began, time.Until(end))
 	traceID := newID("")
-	content := &collector{}
+	content := &responseCollector{}
 	answer, ended := s.serve(requestCtx, node.NewRequest(request, node.Work{
 		Method:      http.MethodPost,
 		Target:      l.task.URL,
@@ -53,17 +58,17 @@
 		Body:        body,
 	}, content))
 	if !ended || ctx.Err() != nil {
-		return node.ClientGone // the line is not ours any more: the store has it out until then
+		return node.ClientGone // another leader may own the line; it is stored as in flight until its time has passed
 	}
-	s.recordAnswer(ctx, l, answer, traceID, content)
+	s.recordOutcome(ctx, l, answer, traceID, content)
 	return answer.Kind
 }
 
-// serve has the core serve a request, and returns once no attempt of it is in flight; ended is false where the core
-// stopped before.
+// serve passes a request to the core and returns once no attempt of it is in flight. ended is false if the core stopped
+// before.
 func (s *Service) serve(ctx context.Context, request *node.Request) (answer node.Answer, ended bool) {
 	answer, err := s.Core.Serve(ctx, request)
-	if err != nil { // it takes no requests
+	if err != nil { // the core accepts no requests
 		return node.Answer{Kind: node.Rejected}, true
 	}
 	select {
@@ -74,27 +79,33 @@
 	}
 }
 
-// recordAnswer records a line's result, or when it may be sent again.
-func (s *Service) recordAnswer(ctx context.Context, l *line, answer node.Answer, traceID string, content *collector) {
+// recordOutcome records a line's result, or the time at which it may be sent again.
+func (s *Service) recordOutcome(
+	ctx context.Context,
+	l *line,
+	answer node.Answer,
+	traceID string,
+	content *responseCollector,
+) {
 	switch {
 	case answer.Kind == node.Served:
 		s.logUnrecorded(l, s.completeLine(ctx, l, traceID, content))
-	case answer.Kind == node.Rejected: // a rejection costs none of the line's attempts
-		s.retryLine(ctx, l, l.record.Attempts-1, max(answer.Wait, rejectedDelay))
+	case answer.Kind == node.Rejected: // a rejection does not count as an attempt
+		s.retryLine(ctx, l, l.record.Attempts-1, max(answer.Wait, minRejectionDelay))
 	case l.record.Attempts >= s.MaxAttempts || answer.Kind == node.Invalid:
 		s.logUnrecorded(l, s.failLine(ctx, l, CodeServerError))
 	default:
-		s.retryLine(ctx, l, l.record.Attempts, failedDelay<<min(l.record.Attempts, maxDoublings))
+		s.retryLine(ctx, l, l.record.Attempts, failureDelay<<min(l.record.Attempts, maxDelayDoublings))
 	}
 }
 
-// completeLine gives a line its answer as its result.
-func (s *Service) completeLine(ctx context.Context, l *line, traceID string, content *collector) error {
+// completeLine records a line's response as its result.
+func (s *Service) completeLine(ctx context.Context, l *line, traceID string, content *responseCollector) error {
 	completion, err := content.completion(traceID, modelOf(l.task.Body), unixNow())
 	if err != nil {
 		return s.failLine(ctx, l, CodeServerError)
 	}
-	record := lineRecord{State: lineDone, Attempts: l.record.Attempts}
+	record := lineRecord{State: lineCompleted, Attempts: l.record.Attempts}
 	return s.writeLine(ctx, l, record, &Result{
 		ID:       newID("batch_req_"),
 		CustomID: l.task.CustomID,
@@ -102,14 +113,14 @@
 	})
 }
 
-// retryLine has a line sent again after a wait, which is made longer by up to a half at random.
+// retryLine schedules a line to be sent again after a delay, which is extended by a random jitter of up to one half.
 func (s *Service) retryLine(ctx context.Context, l *line, attempts int, wait time.Duration) {
 	wait += time.Duration(rand.Int64N(int64(wait)/2 + 1))
 	record := lineRecord{State: lineWaiting, Attempts: attempts}.withUntil(time.Now().Add(wait))
 	s.logUnrecorded(l, s.writeLine(ctx, l, record, nil))
 }
 
-// modelOf returns the model that a line's body names.
+// modelOf returns the model named in a line's body.
 func modelOf(body json.RawMessage) string {
 	var fields struct {
 		Model string `json:"model"`
--- a/internal/batch/batch_handlers.go
+++ b/internal/batch/batch_handlers.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxBodyBytes = 64 << 10 // of a request that creates a batch
-	minWindow    = time.Second
-	maxWindow    = 7 * 24 * time.Hour
+	maxCreateBodyBytes  = 64 << 10 // maximum size of the body of a request that creates a batch
+	minCompletionWindow = time.Second
+	maxCompletionWindow = 7 * 24 * time.Hour
 )
 
 // createRequest is the body of a request that creates a batch.
@@ -25,7 +25,7 @@
 
 func (s *Service) handleCreateBatch(w http.ResponseWriter, r *http.Request) {
 	var request createRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCreateBodyBytes)).Decode(&request); err != nil {
 		writeInvalid(w, "", "the body is not a JSON object of this form: "+err.Error())
 		return
 	}
@@ -58,10 +58,11 @@
 	writeJSON(w, http.StatusOK, b)
 }
 
-// checkCreate returns the completion window of a request that creates a batch, or which parameter is at fault, and why.
+// checkCreate returns the completion window of a request that creates a batch, or the invalid parameter and an error
+// message.
 func (s *Service) checkCreate(request *createRequest) (window time.Duration, param, message string) {
 	window, err := time.ParseDuration(request.CompletionWindow)
-	file, ok := s.file(request.InputFileID)
+	file, ok := s.loadFile(request.InputFileID)
 	switch {
 	case !ok:
 		return 0, "input_file_id", fmt.Sprintf("no such file: %q", request.InputFileID)
@@ -69,24 +70,24 @@
 		return 0, "input_file_id", fmt.Sprintf("the file's purpose is %q, not %q", file.Purpose, purposeInput)
 	case request.Endpoint != Endpoint:
 		return 0, "endpoint", fmt.Sprintf("endpoint %q; only %q is served", request.Endpoint, Endpoint)
-	case err != nil || window < minWindow || window > maxWindow:
+	case err != nil || window < minCompletionWindow || window > maxCompletionWindow:
 		return 0, "completion_window", fmt.Sprintf(
 			"completion_window %q; a span such as \"24h\", from 1s to 168h, is taken", request.CompletionWindow)
 	}
 	return window, "", ""
 }
 
-// withCounts fills in how many lines of a batch have their result by now.
+// withCounts returns a batch with the current numbers of its completed and failed lines.
 func (s *Service) withCounts(b Batch) Batch {
 	if b.Status.Terminal() {
 		return b
 	}
 	b.RequestCounts.Completed = 0
 	b.RequestCounts.Failed = 0
-	for _, key := range s.Store.List(lineKeys(b.ID)) {
-		record, _, _ := read[lineRecord](s.Store, key)
+	for _, key := range s.Store.List(batchLinesPrefix(b.ID)) {
+		record, _, _ := readJSON[lineRecord](s.Store, key)
 		switch record.State {
-		case lineDone:
+		case lineCompleted:
 			b.RequestCounts.Completed++
 		case lineFailed:
 			b.RequestCounts.Failed++
@@ -97,8 +98,8 @@
 
 func (s *Service) handleListBatches(w http.ResponseWriter, r *http.Request) {
 	batches := []Batch{}
-	for _, id := range s.list(batchKeyPrefix) {
-		if b, _, ok := s.batch(id); ok {
+	for _, id := range s.listIDs(batchKeyPrefix) {
+		if b, _, ok := s.loadBatch(id); ok {
 			batches = append(batches, s.withCounts(b))
 		}
 	}
@@ -107,7 +108,7 @@
 
 func (s *Service) handleGetBatch(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	b, _, ok := s.batch(id)
+	b, _, ok := s.loadBatch(id)
 	if !ok {
 		writeNotFound(w, "batch", id)
 		return
@@ -115,10 +116,10 @@
 	writeJSON(w, http.StatusOK, s.withCounts(b))
 }
 
-// handleCancel ends what has not been sent; lines in flight end by themselves.
+// handleCancel cancels a batch. Lines that are not in flight fail; those in flight are completed.
 func (s *Service) handleCancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if _, _, ok := s.batch(id); !ok {
+	if _, _, ok := s.loadBatch(id); !ok {
 		writeNotFound(w, "batch", id)
 		return
 	}
@@ -134,12 +135,12 @@
 		s.writeStoreError(w, err)
 		return
 	}
-	b, _, _ := s.batch(id)
+	b, _, _ := s.loadBatch(id)
 	if tooLate {
 		writeError(w, http.StatusConflict, invalidRequest, "id",
 			fmt.Sprintf("a batch that is %s cannot be cancelled", b.Status))
 		return
 	}
-	notify(s.changed(id))
+	notify(s.changeNotification(id))
 	writeJSON(w, http.StatusOK, s.withCounts(b))
 }
--- a/internal/batch/file_handlers.go
+++ b/internal/batch/file_handlers.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	formOverheadBytes = 1 << 20 // of an upload's form, besides the file
-	maxPurposeBytes   = 64
+	formOverheadBytes = 1 << 20 // maximum size of an upload's form in addition to the file
+	maxPurposeBytes   = 64      // maximum size of the purpose field; a longer one is truncated
 )
 
 // Purposes of files.
 const (
-	purposeInput  = "batch"
-	purposeOutput = "batch_output"
+	purposeInput  = "batch"        // an uploaded input file
+	purposeOutput = "batch_output" // an output or error file
 )
 
 var errFileTooLarge = errors.New("the file is too large")
 
-// uploadForm is what an upload's form holds.
+// uploadForm holds the fields of an upload's form.
 type uploadForm struct {
 	purpose  string
 	filename string
@@ -69,21 +69,21 @@
 	s.storeUpload(w, r, form)
 }
 
-// storeUpload stores an uploaded file and answers with its object.
+// storeUpload stores an uploaded file and responds with its file object.
 func (s *Service) storeUpload(w http.ResponseWriter, r *http.Request, form *uploadForm) {
 	id := newID("file-")
-	// A client that leaves is no reason to store half a file: it is complete, and the store takes it or does not.
+	// The file has been received completely, so a client that disconnects now must not interrupt the writes.
 	ctx := context.WithoutCancel(r.Context())
 	if err := s.storeFile(ctx, File{ID: id, Filename: form.filename, Purpose: form.purpose}, form.content); err != nil {
-		_ = s.deleteFile(ctx, id) // what cannot be deleted now is swept by the next leader
+		_ = s.deleteFile(ctx, id) // chunks that cannot be deleted now are deleted by the next leader
 		s.writeStoreError(w, err)
 		return
 	}
-	file, _ := s.file(id)
+	file, _ := s.loadFile(id)
 	writeJSON(w, http.StatusOK, file)
 }
 
-// readForm reads an upload's form. The error is errFileTooLarge where the file, or the form with it, is too large.
+// readForm reads an upload's form. The error is errFileTooLarge if the file or the whole form is too large.
 func (s *Service) readForm(reader *multipart.Reader) (*uploadForm, error) {
 	form := &uploadForm{}
 	for {
@@ -119,7 +119,7 @@
 	return err
 }
 
-// check returns which parameter of the form is at fault, and why; "" where none is.
+// check returns the first invalid parameter of the form and an error message, or "" if the form is valid.
 func (f *uploadForm) check() (param, message string) {
 	switch {
 	case f.purpose != purposeInput:
@@ -134,8 +134,8 @@
 
 func (s *Service) handleListFiles(w http.ResponseWriter, r *http.Request) {
 	files := []File{}
-	for _, id := range s.list(fileKeyPrefix) {
-		if file, ok := s.file(id); ok {
+	for _, id := range s.listIDs(fileKeyPrefix) {
+		if file, ok := s.loadFile(id); ok {
 			files = append(files, file)
 		}
 	}
@@ -144,7 +144,7 @@
 
 func (s *Service) handleGetFile(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	file, ok := s.file(id)
+	file, ok := s.loadFile(id)
 	if !ok {
 		writeNotFound(w, "file", id)
 		return
@@ -161,16 +161,16 @@
 	}
 	w.Header().Set("Content-Type", "application/jsonl")
 	w.Header().Set("Content-Length", strconv.Itoa(len(content)))
-	_, _ = w.Write(content) // a client that has left gets no answer
+	_, _ = w.Write(content) // an error means that the client has disconnected
 }
 
 func (s *Service) handleDeleteFile(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if _, ok := s.file(id); !ok {
+	if _, ok := s.loadFile(id); !ok {
 		writeNotFound(w, "file", id)
 		return
 	}
-	if user := s.batchUsing(id); user != "" {
+	if user := s.activeBatchUsing(id); user != "" {
 		writeError(w, http.StatusConflict, invalidRequest, "id", "the file is in use by batch "+user)
 		return
 	}
@@ -185,10 +185,11 @@
 	}{id, "file", true})
 }
 
-// batchUsing returns the ID of a batch that is not over and has a file as its input, "" where there is none.
-func (s *Service) batchUsing(fileID string) string {
-	for _, id := range s.list(batchKeyPrefix) {
-		if b, _, ok := s.batch(id); ok && b.InputFileID == fileID && !b.Status.Terminal() {
+// activeBatchUsing returns the ID of a batch that is not over and whose input is the given file, or "" if there is
+// none.
+func (s *Service) activeBatchUsing(fileID string) string {
+	for _, id := range s.listIDs(batchKeyPrefix) {
+		if b, _, ok := s.loadBatch(id); ok && b.InputFileID == fileID && !b.Status.Terminal() {
 			return b.ID
 		}
 	}
--- a/internal/batch/files.go
+++ b/internal/batch/files.go
@@ -8,10 +8,11 @@
 	"standpoint/internal/store"
 )
 
-const chunkBytes = 256 << 10 // of a file's content under one key
+// chunkBytes is the maximum size of the part of a file's content that is stored under one key.
+const chunkBytes = 256 << 10
 
-// storeFile writes a file: its content first, so that a file that can be seen is complete. What it leaves where it
-// breaks off is swept by the next leader.
+// storeFile writes a file. The content is written first, so that a visible file is complete. Chunks that are left after
+// a failure are deleted by the next leader.
 func (s *Service) storeFile(ctx context.Context, file File, content []byte) error {
 	s.setWriting(file.ID, true)
 	defer s.setWriting(file.ID, false)
@@ -34,13 +35,14 @@
 	return err
 }
 
+// setWriting records whether this member is writing a file's content.
 func (s *Service) setWriting(id string, writing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if writing {
-		s.writing[id] = true
+		s.filesBeingWritten[id] = true
 	} else {
-		delete(s.writing, id)
+		delete(s.filesBeingWritten, id)
 	}
 }
 
@@ -48,12 +50,12 @@
 func (s *Service) isWriting(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.writing[id]
+	return s.filesBeingWritten[id]
 }
 
-// fileContent returns a file's content. It is an error where the file, or a part of its content, is not in the store.
+// fileContent returns a file's content. It returns an error if the file or a chunk of its content is not in the store.
 func (s *Service) fileContent(id string) ([]byte, error) {
-	file, ok := s.file(id)
+	file, ok := s.loadFile(id)
 	if !ok {
 		return nil, fmt.Errorf("file %s is not in the store", id)
 	}
@@ -68,19 +70,19 @@
 	return content, nil
 }
 
-// deleteFile deletes a file, complete or not, in one write.
+// deleteFile deletes a file, which may be incomplete, in one write.
 func (s *Service) deleteFile(ctx context.Context, id string) error {
-	keys := append([]string{fileKey(id)}, s.Store.List(chunkKeys(id))...)
+	keys := append([]string{fileKey(id)}, s.Store.List(fileChunksPrefix(id))...)
 	_, err := s.Store.Write(ctx, deleteOps(keys...)...)
 	return err
 }
 
-// storedBytes returns the size of all files. Files that are being written do not count yet; there are up to
-// maxUploads of them.
+// storedBytes returns the total size of all files. Files that are still being written, at most maxUploads, are not
+// counted.
 func (s *Service) storedBytes() int {
 	total := 0
-	for _, id := range s.list(fileKeyPrefix) {
-		if file, ok := s.file(id); ok {
+	for _, id := range s.listIDs(fileKeyPrefix) {
+		if file, ok := s.loadFile(id); ok {
 			total += file.Bytes
 		}
 	}
--- a/internal/batch/fixture_test.go
+++ b/internal/batch/fixture_test.go
@@ -29,7 +29,7 @@
 	url string
 }
 
-// serve starts a service that takes files and does not run batches.
+// serve starts a service that accepts requests but does not run batches.
 func serve(t *testing.T, n *testpeer.Node, s store.Store, edit func(*batch.Options)) (*batch.Service, *client) {
 	t.Helper()
 	o := batch.Options{
@@ -75,8 +75,8 @@
 	return c
 }
 
-// call sends a request and returns its status. The answer is decoded into result, unless that is nil; a string gets
-// it as it is.
+// call sends a request and returns the status of the response. The body is decoded into result if that is not nil, or
+// copied unchanged if result is a *string.
 func (c *client) call(method, path, body string, result any) int {
 	c.t.Helper()
 	request, err := http.NewRequest(method, c.url+path, strings.NewReader(body))
@@ -84,6 +84,7 @@
 	return c.do(request, result)
 }
 
+// do sends a request as call does.
 func (c *client) do(request *http.Request, result any) int {
 	c.t.Helper()
 	response, err := http.DefaultClient.Do(request)
@@ -99,7 +100,7 @@
 	return response.StatusCode
 }
 
-// upload uploads an input file.
+// upload uploads an input file and returns the status of the response.
 func (c *client) upload(content string, result any) int {
 	c.t.Helper()
 	contentType, body := testpeer.Upload(content)
@@ -109,7 +110,7 @@
 	return c.do(request, result)
 }
 
-// submit uploads a file and creates a batch of it.
+// submit uploads a file and creates a batch for it.
 func (c *client) submit(content, window string) batch.Batch {
 	c.t.Helper()
 	var file batch.File
@@ -131,7 +132,7 @@
 	return b
 }
 
-// results returns the results in a file by custom_id, and how many there are.
+// results returns the results in a file by custom_id, and the number of results.
 func (c *client) results(fileID string) (byID map[string]batch.Result, count int) {
 	c.t.Helper()
 	byID = map[string]batch.Result{}
@@ -149,7 +150,7 @@
 	return byID, count
 }
 
-// inputLines is an input file of so many lines.
+// inputLines returns an input file with the given number of lines.
 func inputLines(count int) string {
 	var b strings.Builder
 	for i := range count {
@@ -159,9 +160,11 @@
 	return b.String()
 }
 
+// succeed is a status function for streamingBackend that never fails.
 func succeed(string, int) int { return http.StatusOK }
 
-// streamingBackend is a backend that streams, and answers each line with the status that answer returns.
+// streamingBackend starts a backend that streams its responses, with the status that answer returns for each line and
+// attempt. It returns its address.
 func streamingBackend(t *testing.T, ledger *testpeer.AttemptLedger, answer func(line string, attempt int) int) string {
 	t.Helper()
 	return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -182,17 +185,17 @@
 	})
 }
 
-// batchEndpoint is the endpoint of a backend that takes files.
+// batchEndpoint returns the endpoint of a backend that accepts batch files.
 func batchEndpoint(name string, server *testpeer.BatchBackend) node.Endpoint {
 	endpoint := testpeer.Endpoint(name, server.Address)
 	endpoint.Batch = true
 	return endpoint
 }
 
-// electedStore is a store whose member leads at times.
+// electedStore is a store whose leadership the test controls.
 type electedStore struct {
 	store.Memory
-	term atomic.Uint64 // 0: another member leads
+	term atomic.Uint64 // 0 while another member leads
 }
 
 func (s *electedStore) Leadership() (uint64, bool) { return s.term.Load(), s.term.Load() != 0 }
@@ -204,21 +207,21 @@
 	return s.Memory.Write(ctx, ops...)
 }
 
-// interruptedStore is a store one of whose writes, the at-th, fails: it is not carried out, or it is and reported as
-// failed all the same.
+// interruptedStore is a store whose write number failAt, counted from 1, reports an error. The write is carried out all
+// the same if carriedOut is true.
 type interruptedStore struct {
 	store.Memory
-	at         int64
+	failAt     int64
 	carriedOut bool
 	writes     atomic.Int64
 }
 
 func (s *interruptedStore) Write(ctx context.Context, ops ...store.Op) (uint64, error) {
-	if s.writes.Add(1) != s.at {
+	if s.writes.Add(1) != s.failAt {
 		return s.Memory.Write(ctx, ops...)
 	}
 	if s.carriedOut {
 		_, _ = s.Memory.Write(ctx, ops...)
 	}
-	return 0, errors.New("store: the write broke off")
+	return 0, errors.New("store: write interrupted")
 }
--- a/internal/batch/fuzz_test.go
+++ b/internal/batch/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Whatever a file holds, each line is a task with its request, or has an error that names a line of the file.
+// Each line of an arbitrary file must be a task with a valid request, or the file has errors with a message and a line.
 func FuzzLines(f *testing.F) {
 	const (
 		begin = `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":`
@@ -47,13 +47,13 @@
 	})
 }
 
-// Whatever events a line's answer is made of, it is put together or rejected.
+// Arbitrary events of a response must be assembled to a valid completion or rejected.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("data: {\"model\":\"m\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]," +
 		"\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: {\"usage\":null}\n\ndata: [1]\n\n"))
 	f.Fuzz(func(t *testing.T, events []byte) {
-		c := &collector{}
+		c := &responseCollector{}
 		if c.Event(events) != nil {
 			return
 		}
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -20,7 +20,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// goldenBatch has all fields set, each to a value of its own.
+// goldenBatch returns a batch with all fields set, each to a different value.
 func goldenBatch() Batch {
 	return Batch{
 		ID:       "batch_1",
@@ -49,7 +49,7 @@
 	}
 }
 
-// Batches, files, lines and their results, as they lie in the store and in files.
+// The encoding of batches, files, lines and results in the store and in files, and the keys of the store.
 func TestGoldenRecords(t *testing.T) {
 	golden.JSON(t, "batch.json", goldenBatch())
 	golden.JSON(t, "file.json", File{
@@ -61,7 +61,7 @@
 		Purpose:   "batch",
 		Status:    "processed",
 	})
-	golden.JSON(t, "line.json", lineRecord{State: lineOut, Until: 1796121600000, Attempts: 2})
+	golden.JSON(t, "line.json", lineRecord{State: lineInFlight, Until: 1796121600000, Attempts: 2})
 	golden.JSON(t, "task.json", Task{
 		CustomID: "sheet-1",
 		Method:   "POST",
@@ -89,26 +89,27 @@
 		LastID:  "file-2",
 		HasMore: true,
 	})
-	least, err := json.Marshal([]any{Batch{}, File{}, lineRecord{}, Result{}, ValidationError{}, listing[Batch]{}})
+	zeroValues, err := json.Marshal([]any{Batch{}, File{}, lineRecord{}, Result{}, ValidationError{}, listing[Batch]{}})
 	require.NoError(t, err)
-	golden.Bytes(t, "least.json", least)
-	var words []string
+	golden.Bytes(t, "least.json", zeroValues)
+	var lines []string
 	for _, s := range []Status{Validating, Failed, InProgress, Finalizing, Completed, Expired, Cancelling, Cancelled} {
-		words = append(words, fmt.Sprintf("%s %t", s, s.Terminal()))
+		lines = append(lines, fmt.Sprintf("%s %t", s, s.Terminal()))
 	}
-	for _, s := range []lineState{lineWaiting, lineOut, lineDone, lineFailed} {
-		words = append(words, "line "+string(s))
+	for _, s := range []lineState{lineWaiting, lineInFlight, lineCompleted, lineFailed} {
+		lines = append(lines, "line "+string(s))
 	}
-	words = append(words,
+	lines = append(lines,
 		batchKey("b"), fileKey("f"), lineKey("b", 7), resultKey("b", 7), chunkKey("f", 7),
-		lineKeys("b"), resultKeys("b"), chunkKeyPrefix)
-	golden.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+		batchLinesPrefix("b"), batchResultsPrefix("b"), chunkKeyPrefix)
+	golden.Bytes(t, "words.txt", []byte(strings.Join(lines, "\n")+"\n"))
 }
 
-func goldenService(t *testing.T, keys store.Store, edit func(*Options)) *Service {
+// newGoldenService returns a service without a core, which cannot run batches.
+func newGoldenService(t *testing.T, kv store.Store, edit func(*Options)) *Service {
 	t.Helper()
 	o := Options{
-		Store:              keys,
+		Store:              kv,
 		Log:                zap.NewNop(),
 		Classes:            []string{"chat", "import"},
 		Tenants:            []string{"acme", "bolt"},
@@ -127,16 +128,16 @@
 	return New(o)
 }
 
-// A file's pieces and its record, as the store has them.
+// The chunks and the record of a stored file, and the errors for incomplete and unknown files.
 func TestGoldenStore(t *testing.T) {
-	keys := store.NewMemory()
-	service := goldenService(t, keys, nil)
+	kv := store.NewMemory()
+	service := newGoldenService(t, kv, nil)
 	content := strings.Repeat("x", chunkBytes) + "tail"
 	input := File{ID: "file-1", Filename: "a.jsonl", Purpose: "batch"}
 	require.NoError(t, service.storeFile(t.Context(), input, []byte(content)))
-	require.Equal(t, []string{"data/file-1/000000", "data/file-1/000001", "file/file-1"}, keys.List(""))
-	require.Equal(t, "tail", string(keys.Get("data/file-1/000001").Data))
-	file, ok := service.file("file-1")
+	require.Equal(t, []string{"data/file-1/000000", "data/file-1/000001", "file/file-1"}, kv.List(""))
+	require.Equal(t, "tail", string(kv.Get("data/file-1/000001").Data))
+	file, ok := service.loadFile("file-1")
 	require.True(t, ok)
 	file.CreatedAt = 3
 	raw, err := json.Marshal(file)
@@ -145,17 +146,17 @@
 	stored, err := service.fileContent("file-1")
 	require.NoError(t, err)
 	require.Equal(t, content, string(stored))
-	_, err = keys.Write(t.Context(), store.Op{Key: "data/file-1/000001", ExpectedVersion: store.AnyVersion})
+	_, err = kv.Write(t.Context(), store.Op{Key: "data/file-1/000001", ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
-	_, torn := service.fileContent("file-1")
-	_, none := service.fileContent("file-2")
-	golden.Bytes(t, "content_errors.txt", []byte(torn.Error()+"\n"+none.Error()+"\n"))
+	_, incompleteErr := service.fileContent("file-1")
+	_, unknownErr := service.fileContent("file-2")
+	golden.Bytes(t, "content_errors.txt", []byte(incompleteErr.Error()+"\n"+unknownErr.Error()+"\n"))
 }
 
-// What a line's record and its result are once it has failed.
+// The stored record and result of a failed line, for each error code.
 func TestGoldenFailedLines(t *testing.T) {
-	keys := store.NewMemory()
-	service := goldenService(t, keys, nil)
+	kv := store.NewMemory()
+	service := newGoldenService(t, kv, nil)
 	var out []string
 	for i, code := range []LineErrorCode{"batch_cancelled", "batch_expired", "server_error"} {
 		l := &line{
@@ -167,22 +168,22 @@
 		}
 		require.NoError(t, service.failLine(t.Context(), l, code))
 		var r Result
-		raw := keys.Get(l.resultKey).Data
+		raw := kv.Get(l.resultKey).Data
 		require.NoError(t, json.Unmarshal(raw, &r))
 		require.Len(t, r.ID, len("batch_req_")+24)
-		out = append(out, string(keys.Get(l.key).Data), strings.ReplaceAll(string(raw), r.ID, "ID"))
+		out = append(out, string(kv.Get(l.key).Data), strings.ReplaceAll(string(raw), r.ID, "ID"))
 	}
 	golden.Bytes(t, "failed_lines.txt", []byte(strings.Join(out, "\n")+"\n"))
 }
 
-// What is sent for a line, and the answer that is put together of the events.
+// The request that is sent for a line, and the completion that is assembled from the response's events.
 func TestGoldenLineRequestAndCompletion(t *testing.T) {
-	service := goldenService(t, store.NewMemory(), nil)
+	service := newGoldenService(t, store.NewMemory(), nil)
 	line := `{"model":"m","messages":[{"content":"an opening"},{"content":"x"}],"max_tokens":5,` +
 		`"metadata":{"class":"import","tenant":"bolt","session":"s","prefix":"00000000000000ff"}}`
 	request, body, invalid := service.requestFor(json.RawMessage(line))
 	require.Nil(t, invalid)
-	c := &collector{}
+	c := &responseCollector{}
 	events := "data: {\"model\":\"m2\",\"choices\":[{\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]," +
 		"\"usage\":{\"a\":1}}\n\ndata: [DONE]\n\n"
 	require.NoError(t, c.Event([]byte(events)))
@@ -194,9 +195,9 @@
 		request.PromptTokens, request.PrefixTokens, request.MaxTokens, body, completion))
 }
 
-// Faults of an input file's lines: codes, parameters and texts.
+// The validation errors of an input file: codes, parameters and messages.
 func TestGoldenFaults(t *testing.T) {
-	service := goldenService(t, store.NewMemory(), nil)
+	service := newGoldenService(t, store.NewMemory(), nil)
 	const good = `{"custom_id":"%s","method":"POST","url":"/v1/chat/completions","body":%s}`
 	body := `{"model":"m","messages":[{"content":"x"}]}`
 	lines := []string{
@@ -212,36 +213,37 @@
 		fmt.Sprintf(good, "g", `{"messages":[{}],"metadata":{"tenant":"none"}}`),
 		strings.Repeat("x", maxLineBytes+1),
 	}
-	_, faults := service.validate([]byte(strings.Join(lines, "\n")), Endpoint)
+	_, invalid := service.validate([]byte(strings.Join(lines, "\n")), Endpoint)
 	_, empty := service.validate(nil, Endpoint)
-	_, many := service.validate(bytes.Repeat([]byte("{}\n"), maxLines+1), Endpoint)
-	raw, err := json.MarshalIndent(append(append(faults, empty...), many...), "", " ")
+	_, tooMany := service.validate(bytes.Repeat([]byte("{}\n"), maxLines+1), Endpoint)
+	raw, err := json.MarshalIndent(append(append(invalid, empty...), tooMany...), "", " ")
 	require.NoError(t, err)
 	golden.Bytes(t, "faults.json", raw)
 }
 
-// led is a store that another member leads, or nobody.
-type led struct {
+// followerStore is a store that another member or no member leads.
+type followerStore struct {
 	store.Memory
 	leader string
 }
 
-func (l led) Leadership() (uint64, bool) { return 0, false }
-func (l led) Leader() string             { return l.leader }
+func (l followerStore) Leadership() (uint64, bool) { return 0, false }
+func (l followerStore) Leader() string             { return l.leader }
 
-// unwritable is a store that takes nothing.
-type unwritable struct{ store.Memory }
+// readOnlyStore is a store that rejects all writes.
+type readOnlyStore struct{ store.Memory }
 
-func (unwritable) Write(context.Context, ...store.Op) (uint64, error) {
+func (readOnlyStore) Write(context.Context, ...store.Op) (uint64, error) {
 	return 0, errors.New("store: the write broke off")
 }
 
-// apiCalls records the answers of a service's API.
+// apiCalls records the responses of a service's API.
 type apiCalls struct {
-	service *Service
-	answers []string
+	service   *Service
+	responses []string
 }
 
+// call sends a request to the handler and records the response.
 func (c *apiCalls) call(method, path, contentType, body string) {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	if contentType != "" {
@@ -250,16 +252,17 @@
 	w := httptest.NewRecorder()
 	c.service.Handler().ServeHTTP(w, r)
 	header := w.Header()
-	c.answers = append(c.answers, fmt.Sprintf("%s %s %d %q %q %q %s", method, path, w.Code,
+	c.responses = append(c.responses, fmt.Sprintf("%s %s %d %q %q %q %s", method, path, w.Code,
 		header.Get("Content-Type"), header.Get("Retry-After"), header.Get("Location"), w.Body))
 }
 
+// create requests a batch.
 func (c *apiCalls) create(fileID, endpoint, window string) {
 	const body = `{"input_file_id":%q,"endpoint":%q,"completion_window":%q}`
 	c.call(http.MethodPost, "/v1/batches", "", fmt.Sprintf(body, fileID, endpoint, window))
 }
 
-// upload uploads a form, with or without a file.
+// upload uploads a form with or without a file.
 func (c *apiCalls) upload(t *testing.T, purpose, content string, withFile bool) {
 	t.Helper()
 	var body bytes.Buffer
@@ -276,20 +279,20 @@
 	c.call(http.MethodPost, "/v1/files", form.FormDataContentType(), body.String())
 }
 
-// putJSON sets a key.
-func putJSON(t *testing.T, keys store.Store, key string, value any) {
+// putJSON writes a value in JSON to a key.
+func putJSON(t *testing.T, kv store.Store, key string, value any) {
 	t.Helper()
 	raw, err := json.Marshal(value)
 	require.NoError(t, err)
-	_, err = keys.Write(t.Context(), store.Op{Key: key, Data: raw, ExpectedVersion: store.AnyVersion})
+	_, err = kv.Write(t.Context(), store.Op{Key: key, Data: raw, ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
 }
 
-// Answers of the batch API: statuses, headers and bodies.
+// The responses of the batch API: statuses, headers and bodies.
 func TestGoldenAPI(t *testing.T) {
-	keys := store.NewMemory()
-	c := &apiCalls{service: goldenService(t, keys, nil)}
-	putJSON(t, keys, fileKey("file-1"), File{
+	kv := store.NewMemory()
+	c := &apiCalls{service: newGoldenService(t, kv, nil)}
+	putJSON(t, kv, fileKey("file-1"), File{
 		ID:        "file-1",
 		Object:    "file",
 		Bytes:     2,
@@ -298,7 +301,7 @@
 		Purpose:   "batch",
 		Status:    "processed",
 	})
-	putJSON(t, keys, fileKey("file-2"), File{
+	putJSON(t, kv, fileKey("file-2"), File{
 		ID:        "file-2",
 		Object:    "file",
 		Bytes:     2,
@@ -307,14 +310,14 @@
 		Purpose:   "batch_output",
 		Status:    "processed",
 	})
-	_, err := keys.Write(t.Context(), store.Op{
+	_, err := kv.Write(t.Context(), store.Op{
 		Key:             chunkKey("file-1", 0),
 		Data:            []byte("{}"),
 		ExpectedVersion: store.AnyVersion,
 	})
 	require.NoError(t, err)
-	over := goldenBatch()
-	putJSON(t, keys, batchKey(over.ID), over)
+	cancelled := goldenBatch()
+	putJSON(t, kv, batchKey(cancelled.ID), cancelled)
 	running := Batch{
 		ID:               "batch_2",
 		Object:           "batch",
@@ -326,12 +329,12 @@
 		ExpiresAt:        10,
 		RequestCounts:    RequestCounts{Total: 3},
 	}
-	putJSON(t, keys, batchKey(running.ID), running)
-	putJSON(t, keys, lineKey(running.ID, 0), lineRecord{State: lineDone})
-	putJSON(t, keys, lineKey(running.ID, 1), lineRecord{State: lineFailed})
-	ending := running
-	ending.ID, ending.Status = "batch_3", Finalizing
-	putJSON(t, keys, batchKey(ending.ID), ending)
+	putJSON(t, kv, batchKey(running.ID), running)
+	putJSON(t, kv, lineKey(running.ID, 0), lineRecord{State: lineCompleted})
+	putJSON(t, kv, lineKey(running.ID, 1), lineRecord{State: lineFailed})
+	finalizing := running
+	finalizing.ID, finalizing.Status = "batch_3", Finalizing
+	putJSON(t, kv, batchKey(finalizing.ID), finalizing)
 	for _, path := range []string{
 		"/v1/files",
 		"/v1/files?limit=1",
@@ -365,7 +368,7 @@
 	c.create("none", "/v1/chat/completions", "24h")
 	c.create("file-1", "/v1/x", "24h")
 	c.create("file-1", "/v1/chat/completions", "ever")
-	putJSON(t, keys, fileKey("file-9"), File{
+	putJSON(t, kv, fileKey("file-9"), File{
 		ID:        "file-9",
 		Object:    "file",
 		Bytes:     2 << 20,
@@ -380,11 +383,11 @@
 		c.service.uploadSlots <- struct{}{}
 	}
 	c.upload(t, "batch", "x", true)
-	c.service = goldenService(t, led{keys, "other"}, nil)
+	c.service = newGoldenService(t, followerStore{kv, "other"}, nil)
 	c.call(http.MethodDelete, "/v1/files/file-1?a=b", "", "")
-	c.service = goldenService(t, led{keys, "nobody"}, nil)
+	c.service = newGoldenService(t, followerStore{kv, "nobody"}, nil)
 	c.call(http.MethodDelete, "/v1/files/file-1", "", "")
-	c.service = goldenService(t, unwritable{keys}, nil)
+	c.service = newGoldenService(t, readOnlyStore{kv}, nil)
 	c.call(http.MethodPost, "/v1/batches/batch_2/cancel", "", "")
-	golden.Bytes(t, "api.txt", []byte(strings.Join(c.answers, "\n")+"\n"))
+	golden.Bytes(t, "api.txt", []byte(strings.Join(c.responses, "\n")+"\n"))
 }
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -8,10 +8,10 @@
 	"go.uber.org/zap"
 )
 
-// retryAfterSeconds is the Retry-After header of what may succeed in a moment.
+// retryAfterSeconds is the value of the Retry-After header for temporary errors.
 const retryAfterSeconds = "1"
 
-// errorType is the kind of an error of the public API.
+// errorType is the type of an error in the public API.
 type errorType string
 
 const (
@@ -19,7 +19,7 @@
 	serverError    errorType = "server_error"
 )
 
-// Handler returns the HTTP handler for the paths below /v1/files and /v1/batches.
+// Handler returns the HTTP handler for the paths under /v1/files and /v1/batches.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/files", s.onLeader(s.handleUpload))
@@ -34,7 +34,7 @@
 	return mux
 }
 
-// onLeader redirects a request to the leader where this member does not lead.
+// onLeader returns a handler that redirects requests to the leader if this member does not lead.
 func (s *Service) onLeader(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, leads := s.Store.Leadership(); leads {
@@ -51,7 +51,7 @@
 	}
 }
 
-// writeError answers with an error object. param is the parameter at fault; "": none.
+// writeError responds with an error object. param is the invalid parameter, or "" if there is none.
 func writeError(w http.ResponseWriter, status int, kind errorType, param, message string) {
 	type errorObject struct {
 		Message string    `json:"message"`
@@ -74,7 +74,7 @@
 	writeError(w, http.StatusNotFound, invalidRequest, "id", fmt.Sprintf("no such %s: %q", object, id))
 }
 
-// writeStoreError answers for a write that the store did not carry out.
+// writeStoreError responds to a request whose write the store did not carry out.
 func (s *Service) writeStoreError(w http.ResponseWriter, err error) {
 	s.Log.Warn("store write failed", zap.Error(err))
 	w.Header().Set("Retry-After", retryAfterSeconds)
@@ -89,5 +89,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // a client that has left gets no answer
+	_, _ = w.Write(raw) // an error means that the client has disconnected
 }
--- a/internal/batch/input.go
+++ b/internal/batch/input.go
@@ -12,23 +12,32 @@
 )
 
 const (
-	// Endpoint is the one endpoint that lines may name.
-	Endpoint            = "/v1/chat/completions"
-	maxLines            = 50_000
-	maxLineBytes        = 256 << 10 // what a backend accepts as one body
-	maxReportedErrors   = 20
-	charactersPerToken  = 4
-	hexKeyLength        = 16
-	streamOptions       = `{"include_usage":true}`
-	minMessagesToPrefix = 2 // of a prompt whose first message is the prefix that it may share with others
+	// Endpoint is the only endpoint that lines may name.
+	Endpoint = "/v1/chat/completions"
+	// maxLines is the maximum number of lines of an input file that are not empty.
+	maxLines = 50_000
+	// maxLineBytes is the maximum size of a line, which is the maximum size of a body that a backend accepts.
+	maxLineBytes = 256 << 10
+	// maxReportedErrors is the maximum number of validation errors that are returned for an input file.
+	maxReportedErrors = 20
+	// charactersPerToken is the mean number of characters per token, for estimates.
+	charactersPerToken = 4
+	// hexKeyLength is the number of hexadecimal digits of a session or prefix key.
+	hexKeyLength = 16
+	// streamOptions is the value of stream_options with which lines are sent.
+	streamOptions = `{"include_usage":true}`
+	// minMessagesForPrefix is the minimum number of messages of a prompt whose first message is treated as a prefix
+	// that it may share with other prompts.
+	minMessagesForPrefix = 2
 )
 
 // numberedLine is a line of a file that is not empty.
 type numberedLine struct {
-	number int // from 1, empty lines counted
+	number int // from 1; empty lines are counted
 	text   []byte
 }
 
+// splitLines returns the lines of a file that are not empty.
 func splitLines(content []byte) []numberedLine {
 	var lines []numberedLine
 	number := 0
@@ -41,12 +50,12 @@
 	return lines
 }
 
-// validator collects the errors of an input file, the first maxReportedErrors of them.
+// validator collects the first maxReportedErrors errors of an input file.
 type validator struct {
-	service   *Service
-	endpoint  string
-	firstUses map[string]int // line numbers, by custom_id
-	errors    []ValidationError
+	service    *Service
+	endpoint   string
+	firstLines map[string]int // line numbers, by custom_id
+	errors     []ValidationError
 }
 
 func (v *validator) report(line int, code ValidationCode, param, format string, args ...any) {
@@ -56,9 +65,9 @@
 	}
 }
 
-// validate reads and checks every line of an input file. The tasks are of use only where there are no errors.
+// validate parses and checks each line of an input file. The tasks are valid only if there are no errors.
 func (s *Service) validate(content []byte, endpoint string) ([]Task, []ValidationError) {
-	v := &validator{service: s, endpoint: endpoint, firstUses: map[string]int{}}
+	v := &validator{service: s, endpoint: endpoint, firstLines: map[string]int{}}
 	lines := splitLines(content)
 	if len(lines) == 0 {
 		v.report(0, CodeEmptyFile, "input_file_id", "the input file holds no requests")
@@ -74,7 +83,7 @@
 	return tasks, v.errors
 }
 
-// parse reads a line into a task.
+// parse decodes a line into a task and reports its errors.
 func (v *validator) parse(line numberedLine, task *Task) {
 	if len(line.text) > maxLineBytes {
 		v.report(line.number, CodeLineTooLarge, "body",
@@ -85,15 +94,15 @@
 		v.report(line.number, CodeInvalidJSON, "", "this line is not a valid JSON object: %v", err)
 		return
 	}
-	if first, used := v.firstUses[task.CustomID]; used {
+	if first, used := v.firstLines[task.CustomID]; used {
 		v.report(line.number, CodeDuplicateID, "custom_id",
 			"custom_id %q was used on line %d already", task.CustomID, first)
 	}
-	v.firstUses[task.CustomID] = line.number
+	v.firstLines[task.CustomID] = line.number
 	v.check(line.number, task)
 }
 
-// check reports the first thing that is wrong with a task.
+// check reports the first error of a task.
 func (v *validator) check(number int, task *Task) {
 	switch {
 	case task.CustomID == "":
@@ -109,9 +118,10 @@
 	}
 }
 
-// chatRequest is what the service reads of a line's body; the rest goes to the backend as it is.
+// chatRequest holds the fields of a line's body that the service uses. All other fields are sent to the backend
+// unchanged.
 type chatRequest struct {
-	Model    string `json:"model"` // read so that one which is no string is rejected
+	Model    string `json:"model"` // decoded only to reject a model that is not a string
 	Messages []struct {
 		Content json.RawMessage `json:"content"`
 	} `json:"messages"`
@@ -120,17 +130,17 @@
 	Metadata            map[string]string `json:"metadata"`
 }
 
-// field returns what the metadata states under a key, or a default.
-func (c *chatRequest) field(key, standard string) string {
+// metadataField returns the metadata's value for a key, or a default value if the metadata lacks it.
+func (c *chatRequest) metadataField(key, defaultValue string) string {
 	if value := c.Metadata[key]; value != "" {
 		return value
 	}
-	return standard
+	return defaultValue
 }
 
-// requestFor returns the request for a line's body, without its deadline, and the body to send. Class, tenant,
-// session and prefix stand in the body's metadata under the keys that the operator's file states; what is not stated
-// there has the file's defaults.
+// requestFor returns the request for a line's body, without a deadline, and the body to send. Class, tenant, session
+// and prefix are read from the body's metadata, with the keys of the operator's file. Values that the metadata lacks
+// have the defaults of the operator's file.
 func (s *Service) requestFor(body json.RawMessage) (standpoint.Request, []byte, *ValidationError) {
 	var request standpoint.Request
 	var chat chatRequest
@@ -141,11 +151,11 @@
 	if len(chat.Messages) == 0 {
 		return request, nil, &ValidationError{Param: "body.messages", Message: "body.messages is missing or empty"}
 	}
-	if invalid := s.setMetadata(&request, &chat); invalid != nil {
+	if invalid := s.applyMetadata(&request, &chat); invalid != nil {
 		return request, nil, invalid
 	}
 	s.estimateTokens(&request, &chat)
-	// Backends stream; the answer is put together here.
+	// Backends stream responses, which the responseCollector assembles.
 	fields["stream"] = json.RawMessage("true")
 	fields["stream_options"] = json.RawMessage(streamOptions)
 	raw, err := json.Marshal(fields)
@@ -155,36 +165,37 @@
 	return request, raw, nil
 }
 
-// setMetadata sets what a body's metadata states. Tenants are not checked where the operator's file names none.
-func (s *Service) setMetadata(request *standpoint.Request, chat *chatRequest) *ValidationError {
+// applyMetadata sets the class, tenant, session and prefix of a request from a body's metadata. Tenants are not checked
+// if the operator's file names none.
+func (s *Service) applyMetadata(request *standpoint.Request, chat *chatRequest) *ValidationError {
 	var ok bool
-	class := chat.field(s.Fields.Class, s.Defaults.Class)
+	class := chat.metadataField(s.Fields.Class, s.Defaults.Class)
 	if request.Class, ok = s.classes[class]; !ok {
 		return &ValidationError{
 			Param:   "body.metadata." + s.Fields.Class,
 			Message: fmt.Sprintf("unknown class %q", class),
 		}
 	}
-	tenant := chat.field(s.Fields.Tenant, s.Defaults.Tenant)
+	tenant := chat.metadataField(s.Fields.Tenant, s.Defaults.Tenant)
 	if request.Tenant, ok = s.tenants[tenant]; !ok && len(s.tenants) > 0 {
 		return &ValidationError{
 			Param:   "body.metadata." + s.Fields.Tenant,
 			Message: fmt.Sprintf("unknown tenant %q", tenant),
 		}
 	}
-	request.Session = hashKey(chat.field(s.Fields.Session, s.Defaults.Session))
-	request.Prefix = hashKey(chat.field(s.Fields.Prefix, s.Defaults.Prefix))
+	request.Session = hashKey(chat.metadataField(s.Fields.Session, s.Defaults.Session))
+	request.Prefix = hashKey(chat.metadataField(s.Fields.Prefix, s.Defaults.Prefix))
 	return nil
 }
 
-// estimateTokens sets the tokens of a request by the length of its messages in JSON.
+// estimateTokens estimates the token counts of a request from the length of its messages in JSON.
 func (s *Service) estimateTokens(request *standpoint.Request, chat *chatRequest) {
 	characters := 0
 	for _, message := range chat.Messages {
 		characters += len(message.Content)
 	}
 	request.PromptTokens = float64(characters) / charactersPerToken
-	if len(chat.Messages) >= minMessagesToPrefix {
+	if len(chat.Messages) >= minMessagesForPrefix {
 		prefix := chat.Messages[0].Content
 		request.PrefixTokens = float64(len(prefix)) / charactersPerToken
 		if request.Prefix == 0 {
@@ -197,8 +208,8 @@
 	}
 }
 
-// hashKey turns the name of a session or prefix into a request's key: itself if it is one of 16 hexadecimal digits,
-// else its hash; 0 for no name.
+// hashKey returns the key for the name of a session or prefix: the name's value if it has 16 hexadecimal digits,
+// otherwise its hash; 0 for an empty name.
 func hashKey(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -6,23 +6,24 @@
 	"standpoint/internal/node"
 )
 
-// concurrencyLimiter bounds the lines in flight, so that single requests keep their service. A rejection halves the
-// bound, since the fleet has no capacity for more; answers raise it again.
+// concurrencyLimiter limits the lines in flight, so that batches do not impair interactive requests. A rejection halves
+// the limit, since it shows that the backends have no capacity for more; served lines raise it again.
 type concurrencyLimiter struct {
-	// slots holds an element for each line in flight and each slot that is withheld. Sending to it acquires a slot.
+	// slots holds an element for each line in flight and each withheld slot. Sending to it acquires a slot.
 	slots chan struct{}
 
 	mu       sync.Mutex // guards the fields below
-	maximum  int
-	bound    float64 // from 1 to maximum
-	withheld int     // slots that are kept out of use
+	maximum  int        // maximum number of lines in flight
+	bound    float64    // current limit, from 1 to maximum
+	withheld int        // slots that are occupied to enforce the limit
 }
 
 func newConcurrencyLimiter(maximum int) *concurrencyLimiter {
 	return &concurrencyLimiter{slots: make(chan struct{}, maximum), maximum: maximum, bound: float64(maximum)}
 }
 
-// release gives a line's slot back, or withholds it while the bound is lower than the slots in use.
+// release adjusts the limit to a line's outcome, and then frees the line's slot or withholds it if more slots must be
+// withheld.
 func (l *concurrencyLimiter) release(answer node.AnswerKind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -12,27 +12,27 @@
 	"standpoint/internal/store"
 )
 
-// lineState is the state of a line. One that has no record is waiting and was never sent.
+// lineState is the state of a line. A line without a record is waiting and has never been sent.
 type lineState string
 
 const (
-	lineWaiting lineState = "waiting"
-	lineOut     lineState = "out" // an attempt of it may be in flight
-	lineDone    lineState = "completed"
-	lineFailed  lineState = "failed"
+	lineWaiting   lineState = "waiting"
+	lineInFlight  lineState = "out" // an attempt may be in flight
+	lineCompleted lineState = "completed"
+	lineFailed    lineState = "failed"
 )
 
-// lineRecord is a line's state in the store. Its result lies under a key of its own, written in the same step.
+// lineRecord is the stored state of a line. The line's result is stored under a separate key in the same write.
 type lineRecord struct {
 	State lineState `json:"state"`
-	// Until is when a line that is out has no attempt in flight any more at the latest, or when one that waits may be
-	// sent. Unix milliseconds.
+	// Until is the time after which a line in flight has no attempt in flight any more, or the time from which a
+	// waiting line may be sent, in Unix milliseconds.
 	Until    int64 `json:"until,omitempty"`
 	Attempts int   `json:"tries,omitempty"`
 }
 
-// final reports whether a line has its result.
-func (r lineRecord) final() bool { return r.State == lineDone || r.State == lineFailed }
+// final reports whether a line has a result.
+func (r lineRecord) final() bool { return r.State == lineCompleted || r.State == lineFailed }
 
 // untilTime returns Until as a time.
 func (r lineRecord) untilTime() time.Time { return time.UnixMilli(r.Until) }
@@ -43,17 +43,17 @@
 	return r
 }
 
-// line is one line of a batch that runs.
+// line is a line of a running batch.
 type line struct {
-	number    int // from 0, empty lines of the file not counted
+	number    int // from 0; empty lines of the file are not counted
 	task      Task
-	key       string
-	resultKey string
-	version   uint64 // of the record in the store; 0: there is none
+	key       string // store key of the record
+	resultKey string // store key of the result
+	version   uint64 // version of the record in the store; 0 if there is none
 	record    lineRecord
 }
 
-// loadLine returns a line of a batch as the store has it.
+// loadLine returns a line of a batch with its stored record.
 func (s *Service) loadLine(batchID string, number int, task Task) (*line, error) {
 	l := &line{number: number, task: task, key: lineKey(batchID, number), resultKey: resultKey(batchID, number)}
 	value := s.Store.Get(l.key)
@@ -61,14 +61,14 @@
 		return l, nil
 	}
 	if err := json.Unmarshal(value.Data, &l.record); err != nil {
-		return nil, fmt.Errorf("%s: %w", l.key, err)
+		return nil, fmt.Errorf("decode line record %s: %w", l.key, err)
 	}
 	l.version = value.Version
 	return l, nil
 }
 
-// writeLine writes a line's record, and its result with it, provided that nobody else has. After an error the line is
-// as the store has it: whether a write that broke off was carried out is not known otherwise.
+// writeLine writes a line's record and result, provided that no other writer has changed the record. After an error the
+// line is reloaded from the store, since a write that was interrupted may have been carried out.
 func (s *Service) writeLine(ctx context.Context, l *line, record lineRecord, result *Result) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// reloadLine brings a line up to date with the store.
+// reloadLine updates a line from the store.
 func (s *Service) reloadLine(l *line) error {
 	value := s.Store.Get(l.key)
 	if value.Version == l.version {
@@ -98,20 +98,21 @@
 	}
 	var record lineRecord
 	if err := json.Unmarshal(value.Data, &record); err != nil {
-		return fmt.Errorf("%s: %w", l.key, err)
+		return fmt.Errorf("decode line record %s: %w", l.key, err)
 	}
 	l.version = value.Version
 	l.record = record
 	return nil
 }
 
+// lineErrorMessages are the messages in the error file.
 var lineErrorMessages = map[LineErrorCode]string{
 	CodeBatchCancelled: "The batch was cancelled before this request was run.",
 	CodeBatchExpired:   "This request could not be executed before the completion window expired.",
 	CodeServerError:    "The request failed each time that it was tried.",
 }
 
-// failLine gives a line an error as its result.
+// failLine records an error as a line's result.
 func (s *Service) failLine(ctx context.Context, l *line, code LineErrorCode) error {
 	record := lineRecord{State: lineFailed, Attempts: l.record.Attempts}
 	return s.writeLine(ctx, l, record, &Result{
@@ -121,8 +122,8 @@
 	})
 }
 
-// logUnrecorded logs a record that could not be written. Where another leader has the line it is that leader's; the
-// store still has ours as out until its time.
+// logUnrecorded logs an error of writing a line's record. Nothing else is needed: if another leader has changed the
+// record, the line belongs to that leader; otherwise the line stays in flight in the store until its time has passed.
 func (s *Service) logUnrecorded(l *line, err error) {
 	if err != nil {
 		s.Log.Warn("line not recorded", zap.String("line", l.key), zap.Error(err))
--- a/internal/batch/listing.go
+++ b/internal/batch/listing.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	defaultPageSize = 20
-	maxPageSize     = 100
+	defaultPageSize = 20  // entries of a page if the request sets no limit
+	maxPageSize     = 100 // maximum limit of a request
 )
 
-// listing is one page of a list, newest first.
+// listing is one page of a list, most recent entries first.
 type listing[T any] struct {
 	Object  string `json:"object"`
 	Data    []T    `json:"data"`
@@ -22,7 +22,7 @@
 	HasMore bool   `json:"has_more"`
 }
 
-// listed is an object that lists show.
+// listed is implemented by the objects in listings.
 type listed interface {
 	listID() string
 	createdAt() int64
@@ -34,7 +34,7 @@
 func (b Batch) listID() string   { return b.ID }
 func (b Batch) createdAt() int64 { return b.CreatedAt }
 
-// writeListing answers with the page of a list that the query's limit and after name.
+// writeListing responds with the page of a list that the query parameters limit and after select.
 func writeListing[T listed](w http.ResponseWriter, r *http.Request, objects []T) {
 	limit := defaultPageSize
 	if text := r.URL.Query().Get("limit"); text != "" {
--- a/internal/batch/model.go
+++ b/internal/batch/model.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Status is the state of a batch, as the public API names it.
+// Status is the state of a batch in the public API.
 type Status string
 
 // The states of a batch.
@@ -22,12 +22,12 @@
 	Cancelled  Status = "cancelled"
 )
 
-// Terminal reports whether a batch will not change any more.
+// Terminal reports whether a batch in this state no longer changes.
 func (s Status) Terminal() bool {
 	return s == Failed || s == Completed || s == Expired || s == Cancelled
 }
 
-// File is the file object. Times are Unix seconds.
+// File is the file object. Times are in Unix seconds.
 type File struct {
 	ID        string `json:"id"`
 	Object    string `json:"object"`
@@ -38,14 +38,14 @@
 	Status    string `json:"status"`
 }
 
-// RequestCounts are a batch's request_counts.
+// RequestCounts is the request_counts object of a batch: its lines by outcome.
 type RequestCounts struct {
 	Total     int `json:"total"`
 	Completed int `json:"completed"`
 	Failed    int `json:"failed"`
 }
 
-// ValidationCode says what is wrong with an input file.
+// ValidationCode identifies an error of an input file.
 type ValidationCode string
 
 // The codes of validation errors.
@@ -62,21 +62,21 @@
 	CodeInvalidRequest   ValidationCode = "invalid_request"
 )
 
-// ValidationError is what is wrong with an input file, or one line of it.
+// ValidationError is an error of an input file or of one of its lines.
 type ValidationError struct {
 	Code    ValidationCode `json:"code"`
 	Message string         `json:"message"`
 	Param   string         `json:"param,omitempty"`
-	Line    int            `json:"line,omitempty"` // from 1; 0: the file as a whole
+	Line    int            `json:"line,omitempty"` // line number from 1; 0 for the whole file
 }
 
-// ValidationErrors is the list of them.
+// ValidationErrors is the list of an input file's errors.
 type ValidationErrors struct {
 	Object string            `json:"object"`
 	Data   []ValidationError `json:"data"`
 }
 
-// Batch is the batch object. Times are Unix seconds; those of states not reached are absent.
+// Batch is the batch object. Times are in Unix seconds; times of states that were not reached are omitted.
 type Batch struct {
 	ID               string            `json:"id"`
 	Object           string            `json:"object"`
@@ -119,39 +119,40 @@
 	Error    *LineError `json:"error"`
 }
 
-// Response is what a backend answered.
+// Response is a backend's response to a line.
 type Response struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// LineErrorCode says why a line has no answer.
+// LineErrorCode identifies the reason why a line has no response.
 type LineErrorCode string
 
-// The reasons for which a line has no answer.
+// The reasons why a line has no response.
 const (
 	CodeBatchCancelled LineErrorCode = "batch_cancelled"
 	CodeBatchExpired   LineErrorCode = "batch_expired"
 	CodeServerError    LineErrorCode = "server_error"
 )
 
-// LineError is the error of a line that has no answer.
+// LineError is the error of a line without a response.
 type LineError struct {
 	Code    LineErrorCode `json:"code"`
 	Message string        `json:"message"`
 }
 
-const idRandomBytes = 12
+// idBytes is the number of random bytes in an ID.
+const idBytes = 12
 
-// newID returns a random ID with a prefix.
+// newID returns a random ID with the given prefix.
 func newID(prefix string) string {
-	var b [idRandomBytes]byte
+	var b [idBytes]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return prefix + hex.EncodeToString(b[:])
 }
 
-// unixSeconds is how objects show a time.
+// unixSeconds returns a time as it is encoded in objects.
 func unixSeconds(t time.Time) int64 { return t.Unix() }
 
 func unixNow() int64 { return unixSeconds(time.Now()) }
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -19,8 +19,9 @@
 	"standpoint/internal/testpeer"
 )
 
-// 2,000 lines over two streaming backends and two that take files: one of the latter drains halfway, and every
-// seventh line fails at its first attempt. Each line has its answer once, and never two attempts in flight.
+// A batch of 2,000 lines on two streaming backends and two that accept batch files. One of the latter drains halfway,
+// and every seventh line fails at its first attempt. Each line must get one response and never have two attempts in
+// flight.
 func TestTwoThousandLines(t *testing.T) {
 	const n = 2000
 	ledger := testpeer.NewAttemptLedger()
@@ -41,7 +42,7 @@
 	var drained *testpeer.BatchBackend
 	var drain func()
 	drained = testpeer.NewBatchBackend(t, ledger, func(line string, attempt int) int {
-		if drained.Waiting() > 1 { // in the middle of a file, however many a slow machine lets come to it
+		if drained.Waiting() > 1 { // while lines of a file are queued, independent of the machine's speed
 			once.Do(drain)
 		}
 		return answer(line, attempt)
@@ -60,7 +61,7 @@
 		draining := slices.Clone(endpoints)
 		draining[2].State = standpoint.Draining
 		core.UpdateEndpoints(draining...)
-		time.Sleep(200 * time.Millisecond) // the line is being run while the cancel comes
+		time.Sleep(200 * time.Millisecond) // the line must still be running when the drain arrives
 	}
 	c := start(t, core, store.NewMemory(), nil)
 	b := c.submit(inputLines(n), "10m")
@@ -78,14 +79,14 @@
 	}
 	ranDrained, unrun := drained.Lines()
 	ranOther, _ := other.Lines()
-	t.Logf("drained backend %d lines run and %d left unrun, the other that takes files %d, streaming backends %d",
+	t.Logf("drained backend: %d lines run, %d not run; other batch backend: %d; streaming backends: %d",
 		ranDrained, unrun, ranOther, n-ranDrained-ranOther)
-	require.Positive(t, unrun, "the drain found lines that had not run")
-	require.Positive(t, min(ranDrained, ranOther), "both backends that take files had work")
-	require.Equal(t, 1, ledger.MaximumInFlight(), "no line ever has two attempts in flight")
+	require.Positive(t, unrun, "the drain must find lines that have not run")
+	require.Positive(t, min(ranDrained, ranOther), "both batch backends must run lines")
+	require.Equal(t, 1, ledger.MaximumInFlight(), "no line may have two attempts in flight")
 }
 
-// A cancel, and the end of the window, leave every line with its one result all the same.
+// After a cancellation or the end of the completion window, each line must have exactly one result.
 func TestCancelAndExpiry(t *testing.T) {
 	ledger := testpeer.NewAttemptLedger()
 	backend := streamingBackend(t, ledger, func(string, int) int {
@@ -114,7 +115,7 @@
 		answered, answers := c.results(b.OutputFileID)
 		failed, failures := c.results(b.ErrorFileID)
 		require.Equal(t, 100, answers+failures)
-		require.Equal(t, 100, len(answered)+len(failed), "no line twice")
+		require.Equal(t, 100, len(answered)+len(failed), "no line may have two results")
 		require.Equal(t, batch.RequestCounts{Total: 100, Completed: answers, Failed: failures}, b.RequestCounts)
 		codes := map[batch.LineErrorCode]bool{}
 		for _, result := range failed {
@@ -124,18 +125,18 @@
 	}
 }
 
-// A line that the store has as out is not sent by the next leader until its time has passed, and a line that has its
-// result, an answer or an error, is not sent at all.
-func TestRestartWaitsForLinesThatWereOut(t *testing.T) {
+// A new leader must not send a line that is stored as in flight until its time has passed, and must never send a line
+// that has a result.
+func TestRestartWaitsForLinesInFlight(t *testing.T) {
 	ledger := testpeer.NewAttemptLedger()
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", streamingBackend(t, ledger, succeed)))
-	keys := store.NewMemory()
+	kv := store.NewMemory()
 	until := time.Now().Add(1500 * time.Millisecond)
-	_, first := serve(t, core, keys, nil) // takes the file, and dies before it runs all of it
+	_, first := serve(t, core, kv, nil) // stores the file and the batch, and runs no line
 	b := first.submit(inputLines(4), "1h")
 	write := func(format string, line int, data string) {
 		t.Helper()
-		_, err := keys.Write(t.Context(), store.Op{Key: fmt.Sprintf(format, b.ID, line), Data: []byte(data)})
+		_, err := kv.Write(t.Context(), store.Op{Key: fmt.Sprintf(format, b.ID, line), Data: []byte(data)})
 		require.NoError(t, err)
 	}
 	write("line/%s/%06d", 0, fmt.Sprintf(`{"state":"out","until":%d,"tries":1}`, until.UnixMilli()))
@@ -145,7 +146,7 @@
 		`"response":{"status_code":200,"request_id":"r","body":{}},"error":null}`)
 	write("result/%s/%06d", 2, `{"id":"y","custom_id":"sheet-2","response":null,`+
 		`"error":{"code":"server_error","message":"m"}}`)
-	second := start(t, core, keys, nil)
+	second := start(t, core, kv, nil)
 	require.Eventually(t, func() bool { return ledger.Total() == 1 }, time.Second, time.Millisecond)
 	b = second.wait(b.ID, 10*time.Second)
 	require.False(t, time.Now().Before(until))
@@ -153,8 +154,8 @@
 	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Sent())
 }
 
-// A leader that loses leadership ends its attempts at once, even a stream that has begun, and writes no result; the
-// next leader waits until the time that the store names.
+// A member that loses leadership must end its attempts at once, even a stream that has begun, and write no result. The
+// next leader must wait until the stored time of the line in flight.
 func TestLostLeadershipEndsAttempts(t *testing.T) {
 	ledger := testpeer.NewAttemptLedger()
 	begun := make(chan struct{})
@@ -173,16 +174,16 @@
 		testpeer.Finish(w)
 	})
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
-	keys := &electedStore{Memory: store.NewMemory()}
-	keys.term.Store(1)
-	c := start(t, core, keys, func(o *batch.Options) { o.LineTimeout = 2 * time.Second })
+	kv := &electedStore{Memory: store.NewMemory()}
+	kv.term.Store(1)
+	c := start(t, core, kv, func(o *batch.Options) { o.LineTimeout = 2 * time.Second })
 	sent := time.Now()
 	b := c.submit(inputLines(1), "1h")
 	<-begun
 	lost := time.Now()
-	keys.term.Store(0)
+	kv.term.Store(0)
 	require.Less(t, (<-ended).Sub(lost), 500*time.Millisecond)
-	keys.term.Store(2)
+	kv.term.Store(2)
 	b = c.wait(b.ID, 10*time.Second)
 	require.Greater(t, time.Since(sent), 2*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
@@ -190,54 +191,54 @@
 	require.Equal(t, 1, ledger.MaximumInFlight())
 }
 
-// Whichever write of a batch fails, carried out or not, every line gets its one result, and no line has two attempts
-// in flight at once.
+// If any one write of a batch reports an error, whether it was carried out or not, each line must still get exactly one
+// result, and no line may have two attempts in flight.
 func TestEveryWriteOfABatchMayBreakOff(t *testing.T) {
 	for _, carriedOut := range []bool{false, true} {
-		for at := int64(4); at <= 12; at++ { // the first three are the client's: its file, and the batch
+		for at := int64(4); at <= 12; at++ { // the first three writes store the input file and the batch
 			t.Run(fmt.Sprintf("%d %v", at, carriedOut), func(t *testing.T) {
 				t.Parallel()
 				ledger := testpeer.NewAttemptLedger()
 				backend := streamingBackend(t, ledger, succeed)
 				core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
-				keys := &interruptedStore{Memory: store.NewMemory(), at: at, carriedOut: carriedOut}
-				c := start(t, core, keys, func(o *batch.Options) { o.LineTimeout = time.Second })
+				kv := &interruptedStore{Memory: store.NewMemory(), failAt: at, carriedOut: carriedOut}
+				c := start(t, core, kv, func(o *batch.Options) { o.LineTimeout = time.Second })
 				b := c.wait(c.submit(inputLines(2), "1h").ID, 15*time.Second)
 				require.Equal(t, batch.Completed, b.Status)
 				require.Equal(t, batch.RequestCounts{Total: 2, Completed: 2}, b.RequestCounts)
 				_, written := c.results(b.OutputFileID)
 				require.Equal(t, 2, written)
 				require.Equal(t, 1, ledger.MaximumInFlight())
-				require.LessOrEqual(t, ledger.Total(), 3, "one line at the most was sent again")
+				require.LessOrEqual(t, ledger.Total(), 3, "at most one line may be sent again")
 			})
 		}
 	}
 }
 
-// A batch whose input is not complete fails, and says so; it does not wait for ever.
+// A batch whose input file is incomplete must fail with a message instead of waiting for ever.
 func TestInputThatIsNotWhole(t *testing.T) {
 	core := testpeer.Start(t, testpeer.Settings())
-	keys := store.NewMemory()
-	_, c := serve(t, core, keys, nil)
+	kv := store.NewMemory()
+	_, c := serve(t, core, kv, nil)
 	b := c.submit(inputLines(1), "1h")
 	chunk := "data/" + b.InputFileID + "/000000"
-	_, err := keys.Write(t.Context(), store.Op{Key: chunk, ExpectedVersion: store.AnyVersion})
+	_, err := kv.Write(t.Context(), store.Op{Key: chunk, ExpectedVersion: store.AnyVersion})
 	require.NoError(t, err)
-	b = start(t, core, keys, nil).wait(b.ID, 5*time.Second)
+	b = start(t, core, kv, nil).wait(b.ID, 5*time.Second)
 	require.Equal(t, batch.Failed, b.Status)
 	require.Contains(t, b.Errors.Data[0].Message, "not whole")
 }
 
-// A line whose time runs out at a backend that takes files is not sent again before that backend has said that it is
-// over.
-func TestALineThatCannotBeCalledBack(t *testing.T) {
+// A line that times out at a backend that accepts batch files cannot be cancelled there. It must not be sent again
+// before that backend has ended it.
+func TestLineThatCannotBeCancelled(t *testing.T) {
 	t.Parallel()
 	ledger := testpeer.NewAttemptLedger()
 	settings := testpeer.Settings()
 	settings.Cancel = false
 	server := testpeer.NewBatchBackend(t, ledger, func(_ string, attempt int) int {
 		if attempt == 1 {
-			time.Sleep(2500 * time.Millisecond) // longer than a line's time: this is what is tested
+			time.Sleep(2500 * time.Millisecond) // longer than the line's timeout
 		}
 		return http.StatusOK
 	})
--- a/internal/batch/runner.go
+++ b/internal/batch/runner.go
@@ -13,15 +13,21 @@
 )
 
 const (
+	// leadershipCheckInterval is the interval between two checks whether this member leads the store.
 	leadershipCheckInterval = 20 * time.Millisecond
-	maxRunningBatches       = 4                      // each with its file in memory; others wait in their state
-	minRetryDelay           = 100 * time.Millisecond // before an interrupted batch is run again; doubled each time
-	maxRetryDelay           = 10 * time.Second
-	maxDeletesPerWrite      = 1000
+	// maxRunningBatches is the maximum number of running batches, each of which has its input file in memory. Other
+	// batches wait in their state.
+	maxRunningBatches = 4
+	// minRetryDelay is the delay before an interrupted batch is run again. It is doubled with each retry up to
+	// maxRetryDelay.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 10 * time.Second
+	// maxDeletesPerWrite is the maximum number of keys that one write deletes.
+	maxDeletesPerWrite = 1000
 )
 
-// Run runs batches while this member leads the store, until ctx ends. Where leadership is lost, all attempts of lines
-// are ended at once, well before the time until which the store has them out.
+// Run runs batches while this member leads the store, until ctx ends. When leadership is lost, all attempts of lines
+// end at once, long before the time until which they are stored as in flight.
 func (s *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		term, leads := s.Store.Leadership()
@@ -34,7 +40,7 @@
 	}
 }
 
-// runTerm runs batches until a leadership is lost or ctx ends.
+// runTerm runs batches until the leadership of a term is lost or ctx ends.
 func (s *Service) runTerm(ctx context.Context, term uint64) {
 	termCtx, end := context.WithCancel(ctx)
 	var watch sync.WaitGroup
@@ -52,7 +58,7 @@
 	watch.Wait()
 }
 
-// runBatches runs the batches that are not over, and those that are created, until ctx ends.
+// runBatches runs the unfinished batches and the ones that are created, until ctx ends.
 func (s *Service) runBatches(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -61,12 +67,12 @@
 	slots := make(chan struct{}, maxRunningBatches)
 	s.sweep(ctx)
 	for ctx.Err() == nil {
-		for _, id := range s.list(batchKeyPrefix) {
+		for _, id := range s.listIDs(batchKeyPrefix) {
 			if started[id] {
 				continue
 			}
 			started[id] = true
-			b, _, ok := s.batch(id)
+			b, _, ok := s.loadBatch(id)
 			if !ok {
 				s.Log.Error("batch record unreadable", zap.String("batch", id))
 			}
@@ -82,9 +88,9 @@
 	}
 }
 
-// runWithRetry runs a batch once one of the slots is free. A step that the store did not take leaves the batch as the
-// store has it: it is run again from there. A batch that is cancelled or expires meanwhile keeps its turn; what it
-// still needs is little.
+// runWithRetry runs a batch once one of the slots is free. After a failed write to the store the batch is run again
+// from its stored state. A batch that is cancelled or expires meanwhile still waits for its slot or retry, since little
+// remains to be done for it.
 func (s *Service) runWithRetry(ctx context.Context, id string, slots chan struct{}, limiter *concurrencyLimiter) {
 	select {
 	case slots <- struct{}{}:
@@ -106,29 +112,29 @@
 	}
 }
 
-// sweep deletes what is left of files that were never complete, since their uploads broke off with the member that
-// took them, and the lines of batches that are over.
+// sweep deletes the chunks of incomplete files, whose upload was interrupted when the receiving member stopped, and the
+// lines of batches that are over.
 func (s *Service) sweep(ctx context.Context) {
-	for _, id := range s.list(batchKeyPrefix) {
-		if b, _, ok := s.batch(id); ok && b.Status.Terminal() {
+	for _, id := range s.listIDs(batchKeyPrefix) {
+		if b, _, ok := s.loadBatch(id); ok && b.Status.Terminal() {
 			s.deleteLines(ctx, b.ID)
 		}
 	}
 	for _, key := range s.Store.List(chunkKeyPrefix) {
 		id, _, _ := strings.Cut(strings.TrimPrefix(key, chunkKeyPrefix), "/")
-		if _, complete := s.file(id); complete || s.isWriting(id) {
+		if _, complete := s.loadFile(id); complete || s.isWriting(id) {
 			continue
 		}
 		if _, err := s.Store.Write(ctx, deleteOps(key)...); err != nil {
-			s.Log.Warn("remains of an upload not deleted", zap.String("key", key), zap.Error(err))
+			s.Log.Warn("chunk of an incomplete file not deleted", zap.String("key", key), zap.Error(err))
 			return
 		}
 	}
 }
 
-// deleteLines deletes the lines of a batch that is over: its files have their results.
+// deleteLines deletes the lines of a batch that is over. Their results are in the batch's files.
 func (s *Service) deleteLines(ctx context.Context, id string) {
-	keys := append(s.Store.List(lineKeys(id)), s.Store.List(resultKeys(id))...)
+	keys := append(s.Store.List(batchLinesPrefix(id)), s.Store.List(batchResultsPrefix(id))...)
 	for chunk := range slices.Chunk(keys, maxDeletesPerWrite) {
 		if _, err := s.Store.Write(ctx, deleteOps(chunk...)...); err != nil {
 			s.Log.Warn("lines of a batch not deleted", zap.String("batch", id), zap.Error(err))
@@ -137,9 +143,9 @@
 	}
 }
 
-// runBatch runs a batch from where the store has it to its end.
+// runBatch runs a batch from its stored state to its end.
 func (s *Service) runBatch(ctx context.Context, id string, limiter *concurrencyLimiter) error {
-	b, _, ok := s.batch(id)
+	b, _, ok := s.loadBatch(id)
 	if !ok {
 		return fmt.Errorf("batch %s is not in the store", id)
 	}
@@ -171,7 +177,7 @@
 	return s.finalize(ctx, id, lines)
 }
 
-// loadTasks reads and checks a batch's input file.
+// loadTasks reads and validates a batch's input file.
 func (s *Service) loadTasks(b *Batch) ([]Task, []ValidationError) {
 	content, err := s.fileContent(b.InputFileID)
 	if err != nil {
@@ -180,18 +186,18 @@
 	return s.validate(content, b.Endpoint)
 }
 
-// beginBatch records that a batch's lines are being sent.
+// beginBatch records the number of lines of a batch, and that they are being sent.
 func (s *Service) beginBatch(ctx context.Context, id string, lines int) error {
 	return s.changeBatch(ctx, id, func(b *Batch) {
 		b.RequestCounts.Total = lines
-		if b.Status == Validating { // it may have been cancelled meanwhile
+		if b.Status == Validating { // it may have been cancelled in the meantime
 			b.Status = InProgress
 			b.InProgressAt = unixNow()
 		}
 	})
 }
 
-// finalize writes the output and error files, and then ends the batch in one write.
+// finalize writes the output and error files and then sets the batch's final state in one write.
 func (s *Service) finalize(ctx context.Context, id string, lines []*line) error {
 	err := s.changeBatch(ctx, id, func(b *Batch) {
 		if b.Status == InProgress {
@@ -231,8 +237,8 @@
 
 // batchResults are the results of a batch's lines.
 type batchResults struct {
-	output  []byte // of lines that have an answer, a result a line
-	errors  []byte // of the others
+	output  []byte // results of the lines with a response, one per line
+	errors  []byte // results of the other lines
 	counts  RequestCounts
 	expired bool // a line was not run before the batch expired
 }
@@ -243,7 +249,7 @@
 	for _, l := range lines {
 		results.counts.Total++
 		result := s.Store.Get(l.resultKey).Data
-		if l.record.State == lineDone {
+		if l.record.State == lineCompleted {
 			results.counts.Completed++
 			results.output = append(append(results.output, result...), '\n')
 			continue
@@ -255,8 +261,8 @@
 	return results
 }
 
-// storeResults stores a file of results, if there are any, and returns its ID. The ID comes from the batch's: a
-// leader that finishes what another began writes the same files.
+// storeResults stores a file of results, if there are any, and returns its ID. The ID is derived from the batch's ID,
+// so that a later leader that repeats an interrupted finalization overwrites the same files.
 func (s *Service) storeResults(ctx context.Context, batchID, kind string, content []byte) (fileID string, err error) {
 	if len(content) == 0 {
 		return "", nil
--- a/internal/batch/scheduler.go
+++ b/internal/batch/scheduler.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// stoppingCheckInterval is how often a batch that ends looks for lines that are due.
+	// stoppingCheckInterval is the interval at which a batch that is being ended checks for lines that are due.
 	stoppingCheckInterval = 100 * time.Millisecond
-	// minCheckInterval and maxCheckInterval bound the wait for the next line that is due.
+	// minCheckInterval and maxCheckInterval limit the wait for the next line that is due.
 	minCheckInterval = time.Millisecond
 	maxCheckInterval = time.Second
 )
 
-// scheduler sends the lines of one batch until each has its result.
+// scheduler sends the lines of one batch until each has a result.
 type scheduler struct {
 	service *Service
 	batchID string
 	expires time.Time
 	limiter *concurrencyLimiter
 
-	waiting   []*line    // that are not being sent
-	remaining int        // lines without a result
-	finished  chan *line // lines that have been sent; large enough for all, so that none waits to be received
-	sending   sync.WaitGroup
+	waiting   []*line        // lines without a result that are not being sent
+	remaining int            // number of lines without a result
+	finished  chan *line     // lines that have been sent; has capacity for all lines, so that senders never block
+	sending   sync.WaitGroup // goroutines that send lines
 }
 
 func (s *Service) newScheduler(b *Batch, lines []*line, limiter *concurrencyLimiter) *scheduler {
@@ -42,7 +42,7 @@
 		if l.record.final() {
 			continue
 		}
-		if l.record.State == lineOut { // sent by an earlier leader: an attempt may be in flight until then
+		if l.record.State == lineInFlight { // sent by an earlier leader; an attempt may still be in flight
 			s.Log.Info("line in flight under an earlier leader",
 				zap.String("batch", b.ID), zap.Int("line", l.number), zap.Time("until", l.record.untilTime()))
 		}
@@ -52,8 +52,8 @@
 	return d
 }
 
-// run returns once each line has its result, or with an error once no line is in flight any more: ctx's, which ends
-// those in flight, or the store's.
+// run returns nil once each line has a result. It returns an error if ctx ends, which ends the attempts in flight, or
+// if a write to the store fails; in both cases it waits until no line is in flight.
 func (d *scheduler) run(ctx context.Context) error {
 	defer d.sending.Wait()
 	for d.remaining > 0 {
@@ -64,28 +64,29 @@
 	return nil
 }
 
-// step fails the next line, where the batch ends and it is due, or sends it, or waits.
+// step fails the next line if the batch is being ended and the line may fail now; otherwise it sends the next line or
+// waits.
 func (d *scheduler) step(ctx context.Context) error {
-	ending := d.endingCode()
+	endCode := d.endCode()
 	next := d.nextLine()
-	if next != nil && ending != "" && d.mayFail(next) {
+	if next != nil && endCode != "" && d.canFailNow(next) {
 		d.waiting = d.waiting[1:]
-		if err := d.service.failLine(ctx, next, ending); err != nil {
+		if err := d.service.failLine(ctx, next, endCode); err != nil {
 			return err
 		}
 		d.remaining--
 		return nil
 	}
-	var slots chan struct{} // nil, which is never ready, unless the next line may be sent
-	if next != nil && ending == "" && !time.Now().Before(next.record.untilTime()) {
+	var slots chan struct{} // remains nil, and so is never ready, unless the next line may be sent
+	if next != nil && endCode == "" && !time.Now().Before(next.record.untilTime()) {
 		slots = d.limiter.slots
 	}
-	timer := time.NewTimer(d.wait(next, ending, slots != nil))
+	timer := time.NewTimer(d.waitDuration(next, endCode, slots != nil))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-d.service.changed(d.batchID):
+	case <-d.service.changeNotification(d.batchID):
 	case l := <-d.finished:
 		if l.record.final() {
 			d.remaining--
@@ -102,9 +103,10 @@
 	return ctx.Err()
 }
 
-// endingCode returns why lines that are not in flight get an error; "": the batch runs.
-func (d *scheduler) endingCode() LineErrorCode {
-	b, _, ok := d.service.batch(d.batchID)
+// endCode returns the error code for lines that are not in flight if the batch is cancelled or has expired, otherwise
+// "".
+func (d *scheduler) endCode() LineErrorCode {
+	b, _, ok := d.service.loadBatch(d.batchID)
 	switch {
 	case !ok || b.Status == Cancelling:
 		return CodeBatchCancelled
@@ -114,7 +116,7 @@
 	return ""
 }
 
-// nextLine returns the line that is due first, nil where all are being sent.
+// nextLine returns the waiting line that is due first, or nil if there is none.
 func (d *scheduler) nextLine() *line {
 	sort.SliceStable(d.waiting, func(i, j int) bool { return d.waiting[i].record.Until < d.waiting[j].record.Until })
 	if len(d.waiting) == 0 {
@@ -123,22 +125,22 @@
 	return d.waiting[0]
 }
 
-// mayFail reports whether a line of a batch that ends may be given its error now. One that an
-// earlier leader had in flight waits until it is due, unless the batch has expired.
-func (d *scheduler) mayFail(l *line) bool {
-	return d.untilDue(l) <= 0 || l.record.State != lineOut
+// canFailNow reports whether a line of a batch that is being ended may fail now. A line that was in flight under an
+// earlier leader must wait until it is due, unless the batch has expired.
+func (d *scheduler) canFailNow(l *line) bool {
+	return d.untilDue(l) <= 0 || l.record.State != lineInFlight
 }
 
-// untilDue returns how long it is until a line is due or the batch expires.
+// untilDue returns the time until a line is due or the batch expires.
 func (d *scheduler) untilDue(l *line) time.Duration {
 	return min(time.Until(d.expires), time.Until(l.record.untilTime()))
 }
 
-// wait returns for how long to wait for something to happen.
-func (d *scheduler) wait(next *line, ending LineErrorCode, sendable bool) time.Duration {
+// waitDuration returns the maximum time to wait for an event in step.
+func (d *scheduler) waitDuration(next *line, endCode LineErrorCode, sendable bool) time.Duration {
 	wait := time.Until(d.expires)
 	switch {
-	case ending != "":
+	case endCode != "":
 		wait = stoppingCheckInterval
 	case next != nil && !sendable:
 		wait = d.untilDue(next)
