--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	maxResponseBytes   = 16 << 20
+	maxResponseBytes   = 16 << 20 // the rest of a larger response is not read
 	dialTimeout        = 2 * time.Second
-	maxIdleConnections = 2
+	maxIdleConnections = 2 // per host
 	clientIdleTimeout  = 20 * time.Second
 )
 
 // Client calls a daemon's control interface. It may be used concurrently.
 type Client struct {
-	base  string // of URLs
-	token string
+	base  string // the part of every URL before the path
+	token string // "" for none
 	http  *http.Client
 }
 
-// NewClient returns a client for an address in the form that Listen takes. token may be "". Close releases its
-// connections.
+// NewClient returns a client for an address in the form that Listen accepts. token may be "", which permits reading
+// calls alone, unless the caller owns the unix socket. Close releases the client's connections.
 func NewClient(address, token string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -46,8 +46,9 @@
 	return &Client{base: base, token: token, http: &http.Client{Transport: transport}}
 }
 
-// Call sends one request. in, unless nil, is sent as JSON; out, unless nil, is a pointer that the answer is decoded
-// into. A call that only the leader answers is sent to it once. The daemon's own errors are *Error.
+// Call sends one request. in, unless nil, is encoded as the JSON body; out, unless nil, is a pointer that the response
+// is decoded into. If the daemon responds with CodeNotLeader and the leader's address, the call is repeated once at the
+// leader. Errors that the daemon reports are *Error.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	err := c.call(ctx, method, path, in, out)
 	var rejected *Error
@@ -116,5 +117,5 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// WithAddress returns a client of another daemon with the same token.
+// WithAddress returns a client for another daemon with the same token.
 func (c *Client) WithAddress(address string) *Client { return NewClient(address, c.token) }
--- a/internal/control/json.go
+++ b/internal/control/json.go
@@ -6,7 +6,8 @@
 	"net/http"
 )
 
-// Decode decodes a call's body into a pointer. Unknown keys are an error, as is a second value. Its errors are *Error.
+// Decode decodes the JSON body of a call into the value that into points to. Unknown keys are an error, as is a second
+// JSON value. Its errors are *Error.
 func Decode(body []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -28,7 +29,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(raw, '\n')) // a client that has gone away needs no answer
+	_, _ = w.Write(append(raw, '\n')) // fails if the client has disconnected, which needs no handling
 }
 
 func writeError(w http.ResponseWriter, err error) {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	maxBodyBytes       = 1 << 20
-	maxHeaderBytes     = 8 << 10
+	maxBodyBytes       = 1 << 20 // 1 MiB
+	maxHeaderBytes     = 8 << 10 // 8 KiB
 	maxConcurrentCalls = 64
 	headerTimeout      = 2 * time.Second
-	callTimeout        = 30 * time.Second // in which a call must have come whole
+	callTimeout        = 30 * time.Second // from the start of a call until its body has been received
 	idleTimeout        = time.Minute
 )
 
-// Route is one call that the daemon answers. Every method but GET needs the token, or the socket's owner: what only
-// reads is a GET.
+// Route is one call of the control interface. A call that only reads has the method GET; every other method requires
+// the token or a connection from the socket's owner.
 type Route struct {
-	Pattern string // of http.ServeMux, such as "POST /v1/move/{wish}"
-	// Handle answers a request. The body has been read; a GET's is empty. The result is encoded as JSON. An error that
-	// wraps no *Error is answered with CodeInternal.
+	Pattern string // of http.ServeMux, such as "POST /v1/move/{command}"
+	// Handle returns the response to a request, which is encoded as JSON. body is the complete body; it is empty for a
+	// GET. An error that wraps no *Error is sent with CodeInternal.
 	Handle func(r *http.Request, body []byte) (any, error)
 }
 
@@ -42,11 +42,11 @@
 	socketPath string // "" for TCP
 	tokenFile  string // "" for none
 	tokenSum   atomic.Pointer[[sha256.Size]byte]
-	slots      chan struct{} // holds one element a call in progress
+	slots      chan struct{} // holds one element for each call in progress
 }
 
-// Listen opens a listener at a loopback address, or at "unix:" and a path. tokenFile may be "" for a unix socket; then
-// only the socket's owner may change anything. The caller runs Serve.
+// Listen opens a listener at a loopback address, or at a unix socket with the address "unix:" followed by its path.
+// tokenFile may be "" for a unix socket; then only the socket's owner may make changes. The caller must run Serve.
 func Listen(address, tokenFile string, routes []Route, log *zap.Logger) (*Server, error) {
 	s := &Server{log: log, tokenFile: tokenFile, slots: make(chan struct{}, maxConcurrentCalls)}
 	if err := s.ReloadToken(); err != nil {
@@ -74,7 +74,7 @@
 	return s, nil
 }
 
-// Address is where the server listens, in the form that Listen takes.
+// Address returns the address of the listener, in the form that Listen accepts.
 func (s *Server) Address() string {
 	if s.socketPath != "" {
 		return unixPrefix + s.socketPath
@@ -82,7 +82,7 @@
 	return s.listener.Addr().String()
 }
 
-// Serve answers calls until Close, after which it returns nil.
+// Serve accepts and serves calls until Close, after which it returns nil.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
 func (s *Server) handler(routes []Route) http.Handler {
@@ -143,10 +143,11 @@
 	}
 }
 
+// isRead reports whether a request only reads, and so needs no authorization.
 func isRead(r *http.Request) bool { return r.Method == http.MethodGet || r.Method == http.MethodHead }
 
-// readBody reads the body of a call. A GET's is left alone: nobody without the token can hold a slot by sending a body
-// slowly.
+// readBody reads the body of a call. It does not read the body of a GET, which needs no token: otherwise a caller
+// without the token could occupy a slot by sending a body slowly.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.Method == http.MethodGet {
 		return nil, nil
--- a/internal/control/token.go
+++ b/internal/control/token.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	minTokenLength = 16 // characters
-	maxTokenLength = 1024
+	minTokenLength = 16   // bytes
+	maxTokenLength = 1024 // bytes
 
-	othersPermissions = 0o077 // the mode bits of the group and of others
-	bearerPrefix      = "Bearer "
+	groupOtherPermissions = 0o077 // the mode bits that permit access to the group and to others
+	bearerPrefix          = "Bearer "
 )
 
-// ReadToken reads a token from a file, which nobody but its owner may be permitted to read.
+// ReadToken reads a token from a file. It returns an error if the file's mode permits access to anyone but its owner.
 func ReadToken(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return "", err
 	}
-	if mode := info.Mode().Perm(); mode&othersPermissions != 0 {
+	if mode := info.Mode().Perm(); mode&groupOtherPermissions != 0 {
 		return "", fmt.Errorf("%s: others may read it (mode %04o); chmod 600 it", path, mode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(file, maxTokenLength+1))
@@ -44,7 +44,7 @@
 	return token, nil
 }
 
-// ReloadToken reads the token file again. On an error the old token stays in force.
+// ReloadToken reads the token file again. On an error the previous token remains valid.
 func (s *Server) ReloadToken() error {
 	if s.tokenFile == "" {
 		return nil
@@ -58,16 +58,17 @@
 	return nil
 }
 
-// authorized tells whether the caller may change something: it has the token, or is the owner of the unix socket.
+// authorized reports whether the caller may make changes: it presented the token, or it is the owner of the unix
+// socket.
 func (s *Server) authorized(r *http.Request) bool {
 	if owner, _ := r.Context().Value(peerOwnerKey{}).(bool); owner {
 		return true
 	}
 	want := s.tokenSum.Load()
-	given, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
+	presented, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if want == nil || !ok {
 		return false
 	}
-	sum := sha256.Sum256([]byte(given)) // of equal lengths, so that the time of the comparison tells nothing
+	sum := sha256.Sum256([]byte(presented)) // hashed to equal lengths, so that the time of the comparison reveals nothing
 	return subtle.ConstantTimeCompare(sum[:], want[:]) == 1
 }
