--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,4 +1,4 @@
-// Command lab is the laboratory: measurements in virtual time, and emulated boxes on sockets.
+// Command lab is the laboratory: measurements in virtual time, and emulated backends on sockets.
 package main
 
 import (
--- a/cmd/standpoint/main.go
+++ b/cmd/standpoint/main.go
@@ -1,4 +1,4 @@
-// Command standpoint is the node; see its help, or README.md.
+// Command standpoint is a node: the load balancer, and the commands that control it. Its help describes them.
 package main
 
 import (
