--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -12,9 +12,9 @@
 func (o *options) checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check an operator's file and print the settings that hold",
-		Long: `Reads and checks an operator's file as serve does, and prints it with all defaults filled in. A faulty file ends
-with exit code 2 and a message that begins with the key.`,
+		Short: "Check an operator's file and print the effective settings",
+		Long: `Reads and validates an operator's file as serve does, and prints it with all defaults filled in. If the file is
+invalid, the exit code is 2 and the message begins with the key.`,
 		Example: "  standpoint check deploy/operator.toml",
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE:    func(_ *cobra.Command, args []string) error { return o.check(args[0]) },
@@ -36,7 +36,7 @@
 	return o.print(keys, nil)
 }
 
-// tomlKeys returns a value under the keys by which TOML has it.
+// tomlKeys returns value as a map with the keys that its TOML encoding has.
 func tomlKeys(value any) (map[string]any, error) {
 	var text strings.Builder
 	if err := toml.NewEncoder(&text).Encode(value); err != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -12,12 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
+// run runs a command line, and returns its standard output, its standard error and its exit code.
 func run(args ...string) (out, errs string, code int) {
 	var o, e bytes.Buffer
 	code = Main(context.Background(), args, Streams{Out: &o, Err: &e})
 	return o.String(), e.String(), code
 }
 
+// The output of check is itself an operator's file with the same settings, and an error names the faulty key.
 func TestCheckPrintsWhatHolds(t *testing.T) {
 	out, _, code := run("check", "../../deploy/operator.toml")
 	require.Zero(t, code)
@@ -27,12 +29,12 @@
 	require.NoError(t, os.WriteFile(again, []byte(out), 0o600))
 	twice, errs, code := run("check", again)
 	require.Zero(t, code, errs)
-	require.Equal(t, out, twice, "what is printed is a file that holds the same")
+	require.Equal(t, out, twice, "the printed file has the same effective settings")
 	out, _, code = run("check", "../../deploy/operator.toml", "-o", "json")
 	require.Zero(t, code)
-	var whole map[string]any
-	require.NoError(t, json.Unmarshal([]byte(out), &whole))
-	require.Equal(t, "payroll-1", whole["name"])
+	var printed map[string]any
+	require.NoError(t, json.Unmarshal([]byte(out), &printed))
+	require.Equal(t, "payroll-1", printed["name"])
 	raw, err := os.ReadFile("../../deploy/operator.toml")
 	require.NoError(t, err)
 	bad := filepath.Join(t.TempDir(), "bad.toml")
@@ -47,10 +49,10 @@
 
 func TestFaultyCommandLines(t *testing.T) {
 	for args, want := range map[string]struct {
-		code int
-		says string
+		code      int
+		wantError string
 	}{
-		"-config /nowhere":                    {InvalidUsage, "/nowhere"}, // the old form, serving
+		"-config /nowhere":                    {InvalidUsage, "/nowhere"}, // the legacy form, without a sub-command
 		"-config=/nowhere":                    {InvalidUsage, "/nowhere"},
 		"serve --config /nowhere":             {InvalidUsage, "/nowhere"},
 		"move start":                          {InvalidUsage, "--to"},
@@ -65,7 +67,7 @@
 	} {
 		_, errs, code := run(strings.Fields(args)...)
 		require.Equal(t, want.code, code, "%s: %s", args, errs)
-		require.Contains(t, errs, want.says, args)
+		require.Contains(t, errs, want.wantError, args)
 	}
 	out, _, code := run("version", "-o", "json")
 	require.Zero(t, code)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -14,22 +14,24 @@
 	"standpoint/internal/control"
 )
 
-// registerDaemonFlags registers the flags that say where the daemon's control interface is.
+// registerDaemonFlags registers the flags with the address and the token of the daemon's control interface.
 func (o *options) registerDaemonFlags(c *cobra.Command) {
 	flags := c.PersistentFlags()
 	flags.StringVar(&o.control, "control", os.Getenv(controlVariable),
-		"the control interface, host:port or unix:PATH; else control.listen of --config (also STANDPOINT_CONTROL)")
-	flags.StringVar(&o.tokenFile, "token-file", "", "a file with the token; else control.token_file of --config")
+		"address of the control interface, host:port or unix:PATH "+
+			"(default: $STANDPOINT_CONTROL, or control.listen of --config)")
+	flags.StringVar(&o.tokenFile, "token-file", "",
+		"path of the file with the control token (default: control.token_file of --config)")
 }
 
-// client returns a client of the daemon that the flags, or the operator's file, name.
+// client returns a client of the daemon whose address is set by the flags or the operator's file.
 func (o *options) client() (*control.Client, error) {
 	address, tokenFile, err := o.controlAddress()
 	if err != nil {
 		return nil, err
 	}
 	if address == "" {
-		err := errors.New("--control: not given, and no --config says control.listen")
+		err := errors.New("--control: not set, and no --config file sets control.listen; set one of them")
 		return nil, exitError{InvalidUsage, err}
 	}
 	token := ""
@@ -41,7 +43,8 @@
 	return control.NewClient(address, token), nil
 }
 
-// controlAddress returns the flags, completed from the operator's file.
+// controlAddress returns the address and the token file of the flags. Those that are not set are read from the
+// operator's file.
 func (o *options) controlAddress() (address, tokenFile string, err error) {
 	address, tokenFile = o.control, o.tokenFile
 	if o.config == "" || address != "" && tokenFile != "" {
@@ -64,7 +67,7 @@
 	return address, tokenFile, nil
 }
 
-// call calls the daemon once; see control.Client. Its errors have their exit codes.
+// call sends one call to the daemon, as control.Client.Call does. Its errors carry their exit codes.
 func (o *options) call(ctx context.Context, method, path string, in, out any) error {
 	client, err := o.client()
 	if err != nil {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -18,7 +18,7 @@
 )
 
 func (o *options) configCommand() *cobra.Command {
-	c := group("config", "Read and change the configuration that the nodes share", "")
+	c := group("config", "Read and change the configuration that all nodes share", "")
 	o.registerDaemonFlags(c)
 	c.AddCommand(
 		o.configGetCommand(),
@@ -34,18 +34,19 @@
 	return c
 }
 
-// latestSettings returns the latest version of the shared configuration, as the daemon knows it.
+// latestSettings returns the latest version of the shared configuration that the daemon knows.
 func (o *options) latestSettings(ctx context.Context) (daemon.SettingsStatus, error) {
 	var status daemon.SettingsStatus
 	err := o.call(ctx, http.MethodGet, "/v1/config", nil, &status)
 	return status, err
 }
 
-// settingsVersion returns a version by its number as an argument has it.
+// settingsVersion fetches a version by its number, which is given as a command line argument.
 func (o *options) settingsVersion(ctx context.Context, number string) (settings.Version, error) {
 	var version settings.Version
 	if _, err := strconv.ParseUint(number, 10, 64); err != nil {
-		return version, exitError{InvalidUsage, fmt.Errorf("%q is no version's number", number)}
+		return version, exitError{InvalidUsage,
+			fmt.Errorf("version %q: not a number; config history lists the versions", number)}
 	}
 	err := o.call(ctx, http.MethodGet, "/v1/config/version/"+number, nil, &version)
 	return version, err
@@ -54,7 +55,7 @@
 func (o *options) configGetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "get [PATH]",
-		Short:   "Print the shared configuration, or what is at a path",
+		Short:   "Print the shared configuration, or the value at a path",
 		Example: "  standpoint config get class[0].worth --config deploy/operator.toml",
 		Args:    usageArgs(cobra.MaximumNArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -74,10 +75,10 @@
 	}
 }
 
-// writeTOMLValue writes a table as TOML, and any other value plainly.
+// writeTOMLValue writes a table as TOML, and any other value in its default format.
 func (o *options) writeTOMLValue(value any) {
 	if table, ok := value.(map[string]any); ok {
-		_ = toml.NewEncoder(o.Out).Encode(table) // it was decoded from TOML
+		_ = toml.NewEncoder(o.Out).Encode(table) // cannot fail: the table was decoded from TOML
 		return
 	}
 	fmt.Fprintln(o.Out, value)
@@ -86,7 +87,7 @@
 func (o *options) configDiffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE|VERSION [VERSION]",
-		Short: "Say how a file or a version differs from the latest, or two versions from each other",
+		Short: "Compare a file or a version with the latest version, or two versions with each other",
 		Args:  usageArgs(cobra.RangeArgs(1, 2)),
 		RunE: func(c *cobra.Command, args []string) error {
 			from, to, err := o.textsToCompare(c.Context(), args)
@@ -102,8 +103,8 @@
 	}
 }
 
-// textsToCompare returns what the arguments of diff stand for: the latest version and a file, a version and the latest,
-// or two versions.
+// textsToCompare returns the two texts that the arguments of diff select: the latest version and a file, a version and
+// the latest version, or two versions.
 func (o *options) textsToCompare(ctx context.Context, args []string) (from, to string, err error) {
 	latest, err := o.latestSettings(ctx)
 	if err != nil {
@@ -128,9 +129,9 @@
 func (o *options) configHistoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "List the versions that are kept",
+		Short: "List the stored versions, the latest first",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE:  printAnswer(o, "/v1/config/history", o.writeSettingsHistory),
+		RunE:  printResponse(o, "/v1/config/history", o.writeSettingsHistory),
 	}
 }
 
--- a/internal/cli/configstatus.go
+++ b/internal/cli/configstatus.go
@@ -14,19 +14,19 @@
 	"standpoint/internal/daemon"
 )
 
-// memberSettingsStatus is what a member reports of the shared configuration, or why it does not.
+// memberSettingsStatus is the status of the shared configuration at one member, or the error of the call for it.
 type memberSettingsStatus struct {
 	daemon.SettingsStatus
 	Error string `json:"error,omitempty"`
 }
 
-// serves tells whether the member is known to serve by the latest version.
-func (s *memberSettingsStatus) serves() bool { return s.Error == "" && s.Applied == s.Latest }
+// isCurrent reports whether the member responded and has applied the latest version that it knows.
+func (s *memberSettingsStatus) isCurrent() bool { return s.Error == "" && s.Applied == s.Latest }
 
 func (o *options) configStatusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Say by which version each node serves, and why one does not take on the latest",
+		Short: "Show the version that each node serves by, and why a node has not applied the latest",
 		Args:  usageArgs(cobra.NoArgs),
 		RunE:  func(c *cobra.Command, _ []string) error { return o.configStatus(c.Context()) },
 	}
@@ -43,22 +43,23 @@
 	}
 	defer client.Close()
 	var all []memberSettingsStatus
-	allServe := true
+	allCurrent := true
 	for _, member := range members {
 		status := fetchMemberStatus(ctx, client, member)
-		allServe = allServe && status.serves()
+		allCurrent = allCurrent && status.isCurrent()
 		all = append(all, status)
 	}
 	if err := o.print(all, func() { o.writeMemberStatus(all) }); err != nil {
 		return err
 	}
-	if !allServe {
+	if !allCurrent {
 		return exitError{Failed, errors.New("not all nodes serve by the latest version")}
 	}
 	return nil
 }
 
-// members are those of the store that the operator's file has; without any, one whose daemon the flags name.
+// members returns the store members of the operator's file. Without any it returns one empty member, which stands for
+// the daemon that the flags select.
 func (o *options) members() ([]config.Member, error) {
 	if o.config == "" {
 		return []config.Member{{}}, nil
@@ -73,11 +74,11 @@
 	return cfg.Store.Members, nil
 }
 
-// fetchMemberStatus asks a member's control interface; own answers for a member without an address.
-func fetchMemberStatus(ctx context.Context, own *control.Client, member config.Member) memberSettingsStatus {
-	client := own
+// fetchMemberStatus queries a member's control interface. localClient is used for a member without an address.
+func fetchMemberStatus(ctx context.Context, localClient *control.Client, member config.Member) memberSettingsStatus {
+	client := localClient
 	if member.ControlAddress != "" {
-		client = own.WithAddress(member.ControlAddress)
+		client = localClient.WithAddress(member.ControlAddress)
 		defer client.Close()
 	}
 	var status memberSettingsStatus
--- a/internal/cli/configwrite.go
+++ b/internal/cli/configwrite.go
@@ -16,23 +16,23 @@
 	"standpoint/internal/settings"
 )
 
-// defaultEditor is used where EDITOR is not set.
+// defaultEditor is the editor if EDITOR is not set.
 const defaultEditor = "vi"
 
-// changeFlags are the flags of a command that writes a version.
+// changeFlags holds the flags of a command that writes a version of the shared configuration.
 type changeFlags struct {
-	author string
-	note   string
-	dryRun bool
+	author string // recorded as the author of the version
+	note   string // recorded with the version
+	dryRun bool   // validate the change without writing a version
 }
 
-// changeCommand registers the flags of a command, and has it run with them.
+// changeCommand registers changeFlags on c and sets its RunE to call run with them.
 func changeCommand(c *cobra.Command, run func(ctx context.Context, args []string,
 	flags changeFlags) error) *cobra.Command {
 	var flags changeFlags
-	c.Flags().StringVar(&flags.author, "by", defaultAuthor(), "who changes it")
-	c.Flags().StringVarP(&flags.note, "note", "m", "", "why")
-	c.Flags().BoolVar(&flags.dryRun, "check", false, "check it, and write nothing")
+	c.Flags().StringVar(&flags.author, "by", defaultAuthor(), "author to record with the version")
+	c.Flags().StringVarP(&flags.note, "note", "m", "", "reason for the change, recorded with the version")
+	c.Flags().BoolVar(&flags.dryRun, "check", false, "validate the change without writing a version")
 	c.RunE = func(c *cobra.Command, args []string) error { return run(c.Context(), args, flags) }
 	return c
 }
@@ -44,7 +44,7 @@
 	return currentUser()
 }
 
-// currentUser is the name of the user who runs the program; "" if it is unknown.
+// currentUser returns the name of the user who runs the program, or "" if it is unknown.
 func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
@@ -53,8 +53,8 @@
 	return u.Username
 }
 
-// writeSettings sends a changed text as the version after latest, unless it is the same. rollbackTo is the version
-// whose text it is; 0 for none.
+// writeSettings sends text as the version after latest, unless it equals the text of latest. rollbackTo is the number
+// of the earlier version that text was copied from, or 0.
 func (o *options) writeSettings(
 	ctx context.Context, latest daemon.SettingsStatus, text string, flags changeFlags, rollbackTo uint64,
 ) error {
@@ -91,7 +91,7 @@
 func (o *options) configSetCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:     "set PATH VALUE",
-		Short:   "Change one value; an empty one takes the key out",
+		Short:   "Set one value; an empty value removes the key",
 		Example: "  standpoint config set class[0].give_up 12s -m 'slow evenings' --config deploy/operator.toml",
 		Args:    usageArgs(cobra.ExactArgs(2)),
 	}
@@ -111,7 +111,7 @@
 func (o *options) configApplyCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "Make a file the next version",
+		Short: "Write a file as the next version",
 		Args:  usageArgs(cobra.ExactArgs(1)),
 	}
 	return changeCommand(command, func(ctx context.Context, args []string, flags changeFlags) error {
@@ -130,11 +130,11 @@
 func (o *options) configInitCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "init",
-		Short: "Make the first version of what this node's own file may share",
+		Short: "Write the first version from the shareable part of this node's own file",
 		Args:  usageArgs(cobra.NoArgs),
 	}
 	return changeCommand(command, func(ctx context.Context, _ []string, flags changeFlags) error {
-		text, err := o.sharedPart()
+		text, err := o.sharedSettings()
 		if err != nil {
 			return exitError{InvalidUsage, err}
 		}
@@ -149,10 +149,10 @@
 	})
 }
 
-// sharedPart is the part of the operator's file that nodes may share.
-func (o *options) sharedPart() (string, error) {
+// sharedSettings returns the part of the operator's file that nodes may share.
+func (o *options) sharedSettings() (string, error) {
 	if o.config == "" {
-		return "", errors.New("--config: not given; the first version is made of that file")
+		return "", errors.New("--config: not set; name the operator's file to make the first version from")
 	}
 	raw, err := os.ReadFile(o.config)
 	if err != nil {
@@ -164,7 +164,7 @@
 func (o *options) configRollbackCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "rollback VERSION",
-		Short: "Make an earlier version's text the next version",
+		Short: "Write the text of an earlier version as the next version",
 		Args:  usageArgs(cobra.ExactArgs(1)),
 	}
 	return changeCommand(command, func(ctx context.Context, args []string, flags changeFlags) error {
@@ -183,7 +183,7 @@
 func (o *options) configEditCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "edit",
-		Short: "Change the shared configuration in $EDITOR",
+		Short: "Edit the shared configuration in $EDITOR",
 		Args:  usageArgs(cobra.NoArgs),
 	}
 	return changeCommand(command, func(ctx context.Context, _ []string, flags changeFlags) error {
@@ -199,7 +199,7 @@
 	})
 }
 
-// edit has the user's editor change a text.
+// edit opens text in the user's editor and returns the edited text.
 func edit(ctx context.Context, text string) (string, error) {
 	path, err := writeTemporary(text)
 	if err != nil {
@@ -207,8 +207,8 @@
 	}
 	defer func() { _ = os.Remove(path) }()
 	editor := firstNonEmpty(os.Getenv("EDITOR"), defaultEditor)
-	words := append(strings.Fields(editor), path)
-	run := exec.CommandContext(ctx, words[0], words[1:]...)
+	commandLine := append(strings.Fields(editor), path)
+	run := exec.CommandContext(ctx, commandLine[0], commandLine[1:]...)
 	run.Stdin = os.Stdin
 	run.Stdout = os.Stdout
 	run.Stderr = os.Stderr
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,2 +1,2 @@
-// Package cli is the command line: sub-commands, their flags, what they print and their exit codes.
+// Package cli implements the standpoint command line: its sub-commands, their flags, output and exit codes.
 package cli
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -18,7 +18,7 @@
 const entriesPath = "/v1/entries"
 
 func (o *options) endpointsCommand() *cobra.Command {
-	c := group("entries", "Show the endpoints, and where they come from", "")
+	c := group("entries", "Show the endpoints and their sources", "")
 	o.registerDaemonFlags(c)
 	c.AddCommand(
 		o.endpointsListCommand(),
@@ -29,7 +29,7 @@
 	return c
 }
 
-// origins returns all endpoints, those that are left out too.
+// origins returns all endpoints, including those that are left out of routing because of a fault.
 func (o *options) origins(ctx context.Context) ([]endpoints.Origin, error) {
 	var all []endpoints.Origin
 	err := o.call(ctx, http.MethodGet, entriesPath, nil, &all)
@@ -39,18 +39,18 @@
 func (o *options) endpointsListCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
-		Short:   "List all entries, those that are left out too",
+		Short:   "List all entries, including those that are left out because of a fault",
 		Example: "  standpoint entries list --config deploy/operator.toml",
 		Args:    usageArgs(cobra.NoArgs),
-		RunE:    printAnswer(o, entriesPath, o.writeOrigins),
+		RunE:    printResponse(o, entriesPath, o.writeOrigins),
 	}
 }
 
 func (o *options) writeOrigins(all []endpoints.Origin) {
 	o.writeTable("ENTRY\tADDRESS\tSTATE\tNEWS\tTTL\tCHANGED\tLEFT OUT", func(w io.Writer) {
 		for _, e := range all {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, orDash(e.Address), formatState(e), orDash(e.Mechanism),
-				formatTTL(e), formatAge(e.ChangedAt), e.Fault)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Name, orDash(e.Address), formatState(e),
+				orDash(e.Mechanism), formatTTL(e), formatAge(e.ChangedAt), e.Fault)
 		}
 	})
 }
@@ -58,24 +58,24 @@
 func (o *options) endpointsExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain NAME",
-		Short: "Say where an entry comes from, and why it is left out if it is",
+		Short: "Show the source of an entry, and the reason if it is left out",
 		Args:  usageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			all, err := o.origins(c.Context())
 			if err != nil {
 				return err
 			}
-			named := func(e endpoints.Origin) bool { return e.Name == args[0] || e.Instance == args[0] }
-			i := slices.IndexFunc(all, named)
+			matches := func(e endpoints.Origin) bool { return e.Name == args[0] || e.Instance == args[0] }
+			i := slices.IndexFunc(all, matches)
 			if i < 0 {
-				return exitError{Failed, fmt.Errorf("no entry %q; standpoint entries list has all", args[0])}
+				return exitError{Failed, fmt.Errorf("entry %q: not found; standpoint entries list shows all entries", args[0])}
 			}
 			return o.print(all[i], func() { explain(o.Out, all[i]) })
 		},
 	}
 }
 
-// explain writes where an endpoint comes from, and its state.
+// explain writes the source of an endpoint and its state.
 func explain(w io.Writer, e endpoints.Origin) {
 	explainSource(w, e)
 	if e.Fault != "" {
@@ -107,29 +107,29 @@
 	}
 }
 
-// servicesCommand queries a server for the services of a domain (RFC 6763, section 9).
+// servicesCommand returns the command that queries a DNS server for the services of a domain (RFC 6763, section 9).
 func (o *options) servicesCommand() *cobra.Command {
 	var server string
 	c := &cobra.Command{
 		Use:     "services DOMAIN",
-		Short:   "Ask a DNS server which services a domain offers",
+		Short:   "Query a DNS server for the service types of a domain",
 		Example: "  standpoint entries services hall-a.example.org --server 127.0.0.1:5353",
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			client := &resolver.Client{Server: server}
-			answer, err := client.Query(c.Context(), record.EnumerationName(args[0]), record.PTR)
+			response, err := client.Query(c.Context(), record.EnumerationName(args[0]), record.PTR)
 			if err != nil {
 				return exitError{Failed, err}
 			}
 			var services []string
-			for _, record := range answer.Records {
+			for _, record := range response.Records {
 				services = append(services, record.Target)
 			}
 			slices.Sort(services)
 			return o.printLines(services)
 		},
 	}
-	c.Flags().StringVar(&server, "server", "127.0.0.1:53", "the server")
+	c.Flags().StringVar(&server, "server", "127.0.0.1:53", "address of the DNS server, host:port")
 	return c
 }
 
@@ -149,7 +149,7 @@
 	return (time.Duration(e.TTL) * time.Second).String()
 }
 
-// formatAge is how long ago a time was; "-" for the zero time.
+// formatAge returns how long ago t was, to 100 ms, or "-" for the zero time.
 func formatAge(t time.Time) string {
 	if t.IsZero() {
 		return "-"
--- a/internal/cli/endpointswatch.go
+++ b/internal/cli/endpointswatch.go
@@ -15,18 +15,18 @@
 	minWatchInterval     = 50 * time.Millisecond
 )
 
-// ChangeKind is what has happened to an endpoint.
+// ChangeKind says how an endpoint changed.
 type ChangeKind string
 
-// The kinds of changes.
+// The values of ChangeKind.
 const (
-	EndpointPresent ChangeKind = "there" // in the first list
+	EndpointListed  ChangeKind = "there" // listed when the watch starts
 	EndpointNew     ChangeKind = "new"
 	EndpointChanged ChangeKind = "changed"
-	EndpointGone    ChangeKind = "gone"
+	EndpointRemoved ChangeKind = "gone"
 )
 
-// EndpointChange is a line of entries watch.
+// EndpointChange is one change that entries watch prints.
 type EndpointChange struct {
 	At       time.Time        `json:"at"`
 	Kind     ChangeKind       `json:"what"`
@@ -37,29 +37,30 @@
 func (c EndpointChange) String() string {
 	line := fmt.Sprintf("%s %-7s %s", c.At.Format("15:04:05.000"), c.Kind, c.Endpoint.Name)
 	switch {
-	case c.Kind == EndpointGone:
+	case c.Kind == EndpointRemoved:
 		return line
 	case c.Endpoint.Fault != "":
 		return line + ", left out: " + c.Endpoint.Fault
 	}
-	return line + fmt.Sprintf(" %s at %s, by %s", formatState(c.Endpoint), c.Endpoint.Address, orDash(c.Endpoint.Mechanism))
+	return line + fmt.Sprintf(" %s at %s, by %s", formatState(c.Endpoint), c.Endpoint.Address,
+		orDash(c.Endpoint.Mechanism))
 }
 
 func (o *options) endpointsWatchCommand() *cobra.Command {
 	var interval time.Duration
 	c := &cobra.Command{
 		Use:   "watch",
-		Short: "Print every change of the entries as it is seen, until Ctrl-C",
-		Long: `Prints a line for each entry that comes, goes, or changes its address, its state, the way its news comes or why it
-is left out. With -o json each line is an object.`,
+		Short: "Print every change of the entries as it is observed, until Ctrl-C",
+		Long: `Prints a line for each entry that is added or removed, or that changes its address, its state, the mechanism
+that reports its updates, or the reason why it is left out. With -o json a JSON object is printed for each change.`,
 		Args: usageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return o.watchEndpoints(c.Context(), interval) },
 	}
-	c.Flags().DurationVar(&interval, "every", defaultWatchInterval, "between two looks")
+	c.Flags().DurationVar(&interval, "every", defaultWatchInterval, "interval between two polls, at least 50ms")
 	return c
 }
 
-// watchEndpoints prints changes, one a line, until the context ends.
+// watchEndpoints prints changes of the endpoints until ctx ends. It polls the daemon every interval.
 func (o *options) watchEndpoints(ctx context.Context, interval time.Duration) error {
 	if interval < minWatchInterval {
 		return exitError{InvalidUsage, fmt.Errorf("--every: %v is shorter than %v", interval, minWatchInterval)}
@@ -86,7 +87,8 @@
 	}
 }
 
-// endpointChanges compares a list with the known endpoints, and updates these.
+// endpointChanges returns the differences between known and the list all, and updates known to match the list. With
+// first set, every endpoint is reported as EndpointListed.
 func endpointChanges(known map[string]endpoints.Origin, all []endpoints.Origin, first bool) []EndpointChange {
 	now := time.Now()
 	var changes []EndpointChange
@@ -97,7 +99,7 @@
 		known[e.Name] = e
 		switch {
 		case first:
-			changes = append(changes, EndpointChange{now, EndpointPresent, e})
+			changes = append(changes, EndpointChange{now, EndpointListed, e})
 		case !isKnown:
 			changes = append(changes, EndpointChange{now, EndpointNew, e})
 		case !sameEndpoint(old, e):
@@ -107,13 +109,13 @@
 	for name, e := range known {
 		if !listed[name] {
 			delete(known, name)
-			changes = append(changes, EndpointChange{now, EndpointGone, e})
+			changes = append(changes, EndpointChange{now, EndpointRemoved, e})
 		}
 	}
 	return changes
 }
 
-// sameEndpoint compares what a change is printed for.
+// sameEndpoint reports whether a and b are equal in the fields whose changes are printed.
 func sameEndpoint(a, b endpoints.Origin) bool {
 	return a.Address == b.Address && a.State == b.State && a.Fault == b.Fault && a.Mechanism == b.Mechanism &&
 		a.StartedAt.Equal(b.StartedAt) && a.Stale == b.Stale
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -8,17 +8,17 @@
 	"standpoint/internal/control"
 )
 
-// Exit codes.
+// Exit codes of the command line. Scripts depend on their numbers.
 const (
-	OK                = 0
-	Failed            = 1 // the command could not do what it was asked
-	InvalidUsage      = 2 // the command line or a configuration is wrong; the message names the key
-	Unreachable       = 3 // no daemon answers at the control interface
-	Rejected          = 4 // the daemon refused: not allowed, or not now
+	OK                = 0 // the command succeeded
+	Failed            = 1 // the command failed, for a reason without a code of its own
+	InvalidUsage      = 2 // the command line or a configuration is invalid; the message names the key
+	Unreachable       = 3 // no daemon responds at the control interface
+	Rejected          = 4 // the daemon rejected the call: unauthorized, or invalid in its present state
 	MigrationReverted = 5 // a watched migration was halted or reverted
 )
 
-// exitError is an error with the exit code that it ends the program with.
+// exitError is an error together with the exit code that the program ends with.
 type exitError struct {
 	code int
 	err  error
@@ -27,7 +27,7 @@
 func (e exitError) Error() string { return e.err.Error() }
 func (e exitError) Unwrap() error { return e.err }
 
-// exitCode is the exit code of a command's error.
+// exitCode returns the exit code for a command's error; nil is OK, an error without a code is Failed.
 func exitCode(err error) int {
 	if err == nil {
 		return OK
@@ -39,7 +39,7 @@
 	return Failed
 }
 
-// withExitCode gives the error of a call to the daemon its exit code.
+// withExitCode adds the exit code to an error that a call to the daemon returned.
 func withExitCode(err error) error {
 	if err == nil {
 		return nil
@@ -54,7 +54,7 @@
 	return exitError{Rejected, err}
 }
 
-// usageArgs gives positional arguments that do not fit their exit code.
+// usageArgs returns check with InvalidUsage as the exit code of its errors.
 func usageArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -15,11 +15,11 @@
 func (o *options) fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
-		Short: "Show how this node stands to its fleet, what it holds of shared budgets, and what is known of the others",
-		Long: `Shows the node's mode, its seat and how long it has it, the other seats as last heard, the budgets with what this node may
-spend and has spent in the present window, and the fleet's counts with the bounds between which they lie.`,
+		Short: "Show this node's fleet membership, its part of the shared budgets, and the state of the other nodes",
+		Long: `Shows the node's mode, its seat with the remaining lease in seconds, the last report of each other seat, each
+budget with this node's quota and its use in the present window, and the fleet-wide counts with their bounds.`,
 		Args: usageArgs(cobra.NoArgs),
-		RunE: printAnswer(o, "/v1/fleet", o.writeFleet),
+		RunE: printResponse(o, "/v1/fleet", o.writeFleet),
 	}
 	o.registerDaemonFlags(c)
 	return c
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -35,15 +35,15 @@
 
 const goldenToken = "0123456789abcdef0123"
 
-// plainEnvironment has the flags' defaults the same on every machine.
-func plainEnvironment(t *testing.T) {
+// fixedEnvironment sets the environment so that the defaults of flags are the same on every machine.
+func fixedEnvironment(t *testing.T) {
 	t.Helper()
 	t.Setenv("STANDPOINT_CONFIG", "")
 	t.Setenv("STANDPOINT_CONTROL", "")
 	t.Setenv("USER", "operator")
 }
 
-// commandPaths are the words of all commands.
+// commandPaths returns the words of each command below c, whose own words are path.
 func commandPaths(c *cobra.Command, path []string) [][]string {
 	paths := [][]string{path}
 	for _, sub := range c.Commands() {
@@ -52,13 +52,13 @@
 	return paths
 }
 
-// Every command's name, flags, defaults and help.
+// The name, the flags with their defaults, and the help of every command.
 func TestGoldenHelp(t *testing.T) {
-	plainEnvironment(t)
+	fixedEnvironment(t)
 	var text strings.Builder
 	for _, path := range commandPaths(newRoot(Streams{}), nil) {
 		if len(path) == 1 && (path[0] == "lab" || path[0] == "load") {
-			continue // whose flags are the laboratory's own
+			continue // their flags are those of the laboratory's program
 		}
 		out, errs, code := run(append(path, "--help")...)
 		require.Equal(t, OK, code, "%s: %s", path, errs)
@@ -67,12 +67,12 @@
 	golden.Bytes(t, "help.txt", []byte(text.String()))
 }
 
-// What a shell completes.
+// The suggestions of shell completion.
 func TestGoldenCompletion(t *testing.T) {
-	plainEnvironment(t)
+	fixedEnvironment(t)
 	var text strings.Builder
-	for _, args := range []string{"|", "move |", "config |", "entries |", "ledger |", "lab|", "--output |", "serve --|", "--config |", "move start --on-worse |",
-		"move start --|", "config set --|"} {
+	for _, args := range []string{"|", "move |", "config |", "entries |", "ledger |", "lab|", "--output |", "serve --|",
+		"--config |", "move start --on-worse |", "move start --|", "config set --|"} {
 		words := strings.Split(strings.TrimSuffix(args, "|"), " ")
 		out, _, code := run(append([]string{"__complete"}, words...)...)
 		require.Equal(t, OK, code)
@@ -105,7 +105,7 @@
 	return r
 }
 
-func goldenMove() controller.Status {
+func goldenMigration() controller.Status {
 	r := goldenRecord()
 	return controller.Status{Node: "node-a", Leads: true, Leader: "node-b", Version: 9, Migration: &r, Evidence: 0.25,
 		Nodes: []controller.NodeStatus{{Name: "node-a", Version: 9, Age: 0.5},
@@ -141,7 +141,8 @@
 	return []endpoints.Origin{
 		{Name: "box-1", Instance: "box-1._engine._tcp.hall-a.test", Server: "127.0.0.1:53", Mechanism: "push",
 			Address: "127.0.0.1:9001", State: "ready", StartedAt: at,
-			TTL: 75, ExpiresAt: at.Add(75 * time.Second), ChangedAt: at.Add(time.Second), CheckedAt: at.Add(2 * time.Second), Stale: true},
+			TTL: 75, ExpiresAt: at.Add(75 * time.Second), ChangedAt: at.Add(time.Second),
+			CheckedAt: at.Add(2 * time.Second), Stale: true},
 		{Name: "box-2", Instance: "box-2._engine._tcp.hall-a.test", Server: "127.0.0.1:53", Mechanism: "poll",
 			Fault: "no SRV record", ChangedAt: at},
 		{Name: "box-3", Address: "127.0.0.1:9003", State: "draining"},
@@ -155,16 +156,16 @@
 		Text:      fmt.Sprintf("[module]\ncold_share = 0.%d\n", number)}
 }
 
-// fakeDaemon answers the control interface's calls from typed samples, and notes what it is sent.
+// fakeDaemon serves the calls of the control interface with fixed samples, and records the changes that it is sent.
 type fakeDaemon struct {
-	address, token string
-	sent           []string
-	move           controller.Status
+	address, token string   // of the control interface; the token's file
+	sent           []string // the path and body of each POST
+	migration      controller.Status
 }
 
 func startFakeDaemon(t *testing.T) *fakeDaemon {
 	t.Helper()
-	d := &fakeDaemon{token: filepath.Join(t.TempDir(), "token"), move: goldenMove()}
+	d := &fakeDaemon{token: filepath.Join(t.TempDir(), "token"), migration: goldenMigration()}
 	require.NoError(t, os.WriteFile(d.token, []byte(goldenToken), 0o600))
 	fixed := func(v any) func(*http.Request, []byte) (any, error) {
 		return func(*http.Request, []byte) (any, error) { return v, nil }
@@ -179,11 +180,11 @@
 			{Pool: "new", Backends: []controller.Member{}},
 			{Backends: []controller.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
 		})},
-		{Pattern: "GET /v1/move", Handle: func(*http.Request, []byte) (any, error) { return d.move, nil }},
+		{Pattern: "GET /v1/move", Handle: func(*http.Request, []byte) (any, error) { return d.migration, nil }},
 		{Pattern: "GET /v1/move/history", Handle: fixed([]migration.Record{goldenRecord()})},
-		{Pattern: "POST /v1/move/{wish}", Handle: func(r *http.Request, body []byte) (any, error) {
+		{Pattern: "POST /v1/move/{command}", Handle: func(r *http.Request, body []byte) (any, error) {
 			d.sent = append(d.sent, r.URL.Path+" "+string(body))
-			switch r.PathValue("wish") {
+			switch r.PathValue("command") {
 			case "undo":
 				return nil, &control.Error{Status: http.StatusConflict, Code: "not_now", Message: "the move is over"}
 			case "resume":
@@ -228,28 +229,29 @@
 	atKey     = regexp.MustCompile(`(?m)^  "at": "[^"]*"`)
 )
 
-// plain replaces what differs from run to run.
-func (d *fakeDaemon) plain(text string) string {
+// normalize replaces the parts of text that differ from run to run.
+func (d *fakeDaemon) normalize(text string) string {
 	text = strings.ReplaceAll(text, d.address, "ADDRESS")
 	text = strings.ReplaceAll(text, filepath.Dir(d.token), "DIR")
-	if agoText.MatchString(text) { // a column is as wide as its longest span
+	if agoText.MatchString(text) { // the width of a column depends on its longest time
 		text = columnGap.ReplaceAllString(agoText.ReplaceAllString(text, "SPAN ago"), "$1  ")
 	}
 	return clockText.ReplaceAllString(text, "TIME")
 }
 
-// What each command prints, in text and as JSON, its exit code, and what it sends to the daemon.
+// The output of each command as text and as JSON, its exit code, and the requests that it sends to the daemon.
 func TestGoldenOutput(t *testing.T) {
-	plainEnvironment(t)
+	fixedEnvironment(t)
 	for name, args := range map[string]string{
-		"pools":           "pools",
-		"move-status":     "move status",
-		"move-history":    "move history",
-		"move-plan":       "move plan --to new",
-		"move-pause":      "move pause",
-		"move-resume":     "move resume",
-		"move-undo":       "move undo",
-		"move-start":      "move start --from old --to new --steps 0.1,0.5,1 --hold 30s --warm 5s --trickle 0.02 --samples 40 --floor 0.85 --on-worse stay --return-every 4s --note build",
+		"pools":        "pools",
+		"move-status":  "move status",
+		"move-history": "move history",
+		"move-plan":    "move plan --to new",
+		"move-pause":   "move pause",
+		"move-resume":  "move resume",
+		"move-undo":    "move undo",
+		"move-start": "move start --from old --to new --steps 0.1,0.5,1 --hold 30s --warm 5s --trickle 0.02 " +
+			"--samples 40 --floor 0.85 --on-worse stay --return-every 4s --note build",
 		"fleet":           "fleet",
 		"ledger":          "ledger",
 		"entries-list":    "entries list",
@@ -287,16 +289,16 @@
 					fmt.Fprintf(&text, "---- standard error\n%s", errs)
 				}
 				for _, s := range d.sent {
-					fmt.Fprintf(&text, "---- sent\n%s\n", withoutUser(t, s))
+					fmt.Fprintf(&text, "---- sent\n%s\n", maskUser(t, s))
 				}
 			}
-			golden.Bytes(t, "output/"+name+".txt", []byte(d.plain(text.String())))
+			golden.Bytes(t, "output/"+name+".txt", []byte(d.normalize(text.String())))
 		})
 	}
 }
 
-// withoutUser takes the name of the user who runs the test out of a body that is sent.
-func withoutUser(t *testing.T, sent string) string {
+// maskUser replaces the name of the user who runs the test in a request that was sent.
+func maskUser(t *testing.T, sent string) string {
 	t.Helper()
 	path, body, _ := strings.Cut(sent, " ")
 	fields := map[string]any{}
@@ -310,9 +312,9 @@
 	return sent
 }
 
-// Commands that read a file, or a folder, of their own.
+// The output of commands that read a local file or directory.
 func TestGoldenOutputOfFiles(t *testing.T) {
-	plainEnvironment(t)
+	fixedEnvironment(t)
 	d := startFakeDaemon(t)
 	dir := filepath.Dir(d.token)
 	shared := filepath.Join(dir, "shared.toml")
@@ -385,7 +387,7 @@
 		fmt.Fprintf(&text, "==== %s: exit %d\n%s%s", command, code, out,
 			strings.ReplaceAll(errs, filepath.Dir(own), "BIN"))
 	}
-	golden.Bytes(t, "files.txt", []byte(d.plain(text.String())))
+	golden.Bytes(t, "files.txt", []byte(d.normalize(text.String())))
 	checked, err := os.ReadFile("../config/testdata/golden/operator-full.toml")
 	require.NoError(t, err)
 	out, _, code := run("check", "../config/testdata/operator/full.toml")
@@ -393,31 +395,31 @@
 	require.Equal(t, string(checked), out)
 }
 
-// The ends of a watched move, and a watch of the entries.
+// The output of move watch for each way that a move ends, and of entries watch.
 func TestGoldenWatches(t *testing.T) {
-	plainEnvironment(t)
+	fixedEnvironment(t)
 	d := startFakeDaemon(t)
 	var text strings.Builder
 	for _, end := range []struct {
-		state  migration.State
-		cause  string
-		wishes string
+		state   migration.State
+		cause   string
+		onWorse string
 	}{{migration.Done, "", migration.Return}, {migration.Undone, "late", migration.Return}, {migration.Undone, "",
 		migration.Return}, {migration.Halted, "late", migration.Stay}} {
 		r := goldenRecord()
-		r.State, r.Cause, r.Plan.OnWorse = end.state, end.cause, end.wishes
-		d.move.Migration = &r
+		r.State, r.Cause, r.Plan.OnWorse = end.state, end.cause, end.onWorse
+		d.migration.Migration = &r
 		out, errs, code := run("move", "watch", "--control", d.address)
 		fmt.Fprintf(&text, "==== move watch, %s: exit %d\n%s%s", end.state, code, out, errs)
 	}
-	d.move = controller.Status{Node: "node-a", Version: 4, Leader: ""}
+	d.migration = controller.Status{Node: "node-a", Version: 4, Leader: ""}
 	for _, args := range [][]string{{"move", "watch"}, {"move", "status"}} {
 		out, errs, code := run(append(args, "--control", d.address)...)
 		fmt.Fprintf(&text, "==== %s, none: exit %d\n%s%s", strings.Join(args, " "), code, out, errs)
 	}
 	r := goldenRecord()
 	r.State, r.Paused = migration.Done, false
-	d.move.Migration = &r
+	d.migration.Migration = &r
 	out, _, _ := run("move", "status", "--control", d.address)
 	fmt.Fprintf(&text, "==== move status at a node that follows\n%s", out)
 	var plan bytes.Buffer
@@ -427,7 +429,7 @@
 	fmt.Fprintf(&text, "==== a plan that stays\n%s", plan.String())
 	for _, output := range []string{"text", "json"} {
 		ctx, cancel := context.WithCancel(t.Context())
-		printed := &cancelling{cancel: cancel, after: len(goldenEntries())}
+		printed := &cancellingWriter{cancel: cancel, after: len(goldenEntries())}
 		code := Main(ctx, []string{"entries", "watch", "--control", d.address, "-o", output},
 			Streams{Out: printed, Err: printed})
 		fmt.Fprintf(&text, "==== entries watch -o %s: exit %d\n%s", output, code,
@@ -435,29 +437,29 @@
 	}
 	out, errs, code := run("entries", "watch", "--every", "1ms", "--control", d.address)
 	fmt.Fprintf(&text, "==== entries watch --every 1ms: exit %d\n%s%s", code, out, errs)
-	golden.Bytes(t, "watches.txt", []byte(d.plain(text.String())))
+	golden.Bytes(t, "watches.txt", []byte(d.normalize(text.String())))
 }
 
-// cancelling is a writer that cancels a context after so many writes.
-type cancelling struct {
+// cancellingWriter is a writer that cancels a context at the write whose number, from 1, is after.
+type cancellingWriter struct {
 	bytes.Buffer
 	cancel context.CancelFunc
 	after  int
 }
 
-func (c *cancelling) Write(p []byte) (int, error) {
+func (c *cancellingWriter) Write(p []byte) (int, error) {
 	if c.after--; c.after == 0 {
 		defer c.cancel()
 	}
 	return c.Buffer.Write(p)
 }
 
-// The lines of a change, of each kind.
+// The line and the JSON of an endpoint change of each kind.
 func TestGoldenEntryChanges(t *testing.T) {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	var text strings.Builder
-	for i, what := range []ChangeKind{EndpointPresent, EndpointNew, EndpointChanged, EndpointGone} {
-		change := EndpointChange{At: at, Kind: what, Endpoint: goldenEntries()[i]}
+	for i, kind := range []ChangeKind{EndpointListed, EndpointNew, EndpointChanged, EndpointRemoved} {
+		change := EndpointChange{At: at, Kind: kind, Endpoint: goldenEntries()[i]}
 		raw, err := json.Marshal(change)
 		require.NoError(t, err)
 		fmt.Fprintf(&text, "%s\n%s\n", change, raw)
@@ -465,16 +467,16 @@
 	golden.Bytes(t, "entry-changes.txt", []byte(text.String()))
 }
 
-// The live view of a move.
+// The live view of a move, and the view before the first status.
 func TestGoldenLiveView(t *testing.T) {
-	m := liveView{status: goldenMove(), shareHistory: []float64{0, 0.25, 0.5, 0.75, 1}, note: "pause: done"}
+	m := liveView{status: goldenMigration(), shareHistory: []float64{0, 0.25, 0.5, 0.75, 1}, note: "pause: done"}
 	golden.Bytes(t, "live.txt", []byte(m.View().Content))
 	golden.Bytes(t, "live-empty.txt", []byte(liveView{}.View().Content))
 }
 
-// Exit codes, and the words of command lines that are wrong.
+// Exit codes, and the error messages of invalid command lines.
 func TestGoldenExitCodes(t *testing.T) {
-	plainEnvironment(t)
+	fixedEnvironment(t)
 	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, []int{OK, Failed, InvalidUsage, Unreachable, Rejected, MigrationReverted})
 	var text strings.Builder
 	for _, args := range []string{
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -9,18 +9,19 @@
 	"github.com/spf13/cobra"
 )
 
-// labCommands run the laboratory's program, which is beside this one: the daemon does not contain it.
+// labCommands returns the commands that run the separate laboratory program, which must be in the same directory as
+// this one. The daemon does not contain it.
 func labCommands() []*cobra.Command {
 	return []*cobra.Command{
 		{
 			Use:                "lab COMMAND",
-			Short:              "The laboratory: emulated boxes, experiments, measurements",
+			Short:              "Run the laboratory: emulated backends, experiments and measurements",
 			DisableFlagParsing: true,
 			RunE:               func(_ *cobra.Command, args []string) error { return execLab(args) },
 		},
 		{
 			Use:                "load PLAN",
-			Short:              "Send load as a plan says, or a recorded trace, and report what came of it",
+			Short:              "Send the load of a plan or a recorded trace, and report the results",
 			DisableFlagParsing: true,
 			RunE: func(_ *cobra.Command,
 				args []string) error {
@@ -30,7 +31,7 @@
 	}
 }
 
-// execLab replaces the process by the laboratory's program. It returns on an error alone.
+// execLab replaces the process with the laboratory's program. It returns only on an error.
 func execLab(args []string) error {
 	own, err := os.Executable()
 	if err != nil {
--- a/internal/cli/ledger.go
+++ b/internal/cli/ledger.go
@@ -17,9 +17,9 @@
 func (o *options) ledgerCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "ledger",
-		Short: "Show what tenants have used, as far as this node knows, and how its ledger stands",
+		Short: "Show the token usage of each tenant that this node knows of, and the state of its ledger",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE:  printAnswer(o, "/v1/ledger", o.writeLedger),
+		RunE:  printResponse(o, "/v1/ledger", o.writeLedger),
 	}
 	o.registerDaemonFlags(c)
 	c.AddCommand(o.ledgerVerifyCommand())
@@ -48,15 +48,17 @@
 func (o *options) ledgerVerifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Read a ledger's folder, that no process has open, and say whether it holds",
-		Long: `Reads every segment of a ledger and holds each record against its checksum, and the sums against the entries. Exit code 1: something
-does not hold; it is named. A last write that was not finished is no damage: it was charged to nobody.`,
+		Short: "Verify a ledger directory that no process has open",
+		Long: `Reads every segment of a ledger and compares each record with its checksum, and the totals with the entries.
+Each corruption is printed on a line that begins with DAMAGE, and the exit code is 1. An incomplete last write is no
+corruption: it was not charged to any tenant.`,
 		Example: "  standpoint ledger verify state/ledger",
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE:    func(_ *cobra.Command, args []string) error { return o.verifyLedger(args[0]) },
 	}
 }
 
+// verifyLedger reads the ledger in dir, and prints its totals and its corruptions. Any corruption is an error.
 func (o *options) verifyLedger(dir string) error {
 	if _, err := os.Stat(dir); err != nil {
 		return exitError{InvalidUsage, err}
@@ -69,15 +71,15 @@
 	o.writeTotals(index.Totals())
 	corrupt := false
 	for _, c := range corruptions {
-		if c.Torn { // a write that a crash cut off
-			fmt.Fprintln(o.Out, "not finished:", c)
+		if c.Torn { // a write that a crash interrupted
+			fmt.Fprintln(o.Out, "incomplete last write:", c)
 			continue
 		}
 		corrupt = true
 		fmt.Fprintln(o.Out, "DAMAGE", c)
 	}
 	if corrupt || !index.Verify() {
-		return errors.New("the ledger does not hold")
+		return errors.New("ledger verify: corrupt records, or totals that do not match the entries")
 	}
 	fmt.Fprintf(o.Out, "%d entries hold\n", index.Count())
 	return nil
--- a/internal/cli/liveview.go
+++ b/internal/cli/liveview.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	barWidth        = 40
-	maxShareHistory = 240
-	maxLiveEvents   = 8 // the latest
+	barWidth        = 40  // characters
+	maxShareHistory = 240 // samples kept, the latest
+	maxLiveEvents   = 8   // events shown, the latest
 )
 
 var (
@@ -27,31 +27,32 @@
 	warn  = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
 )
 
-// sparkLevels are the heights of a sparkline, the lowest first.
+// sparkLevels are the characters of a sparkline, from the lowest level to the highest.
 var sparkLevels = []rune(" ▁▂▃▄▅▆▇█")
 
 func isTerminal(f *os.File) bool { return term.IsTerminal(int(f.Fd())) }
 
-// liveView is the view of a migration on a terminal. It implements tea.Model.
+// liveView shows a migration on a terminal and updates as it goes on. It implements tea.Model.
 type liveView struct {
 	call         func(method, path string, in, out any) error
 	status       controller.Status
-	shareHistory []float64 // the latest last
-	note         string    // the result of the last command
-	err          error     // that ended the view
+	shareHistory []float64 // the share of the new pool at each update, the latest last
+	note         string    // the result of the last command that a key sent
+	err          error     // the error that ended the view; nil for none
 }
 
-// Messages of the view.
+// Messages that update the view.
 type (
-	// statusReceived has the daemon's latest status.
+	// statusReceived carries the daemon's latest status.
 	statusReceived controller.Status
-	// statusFailed ends the view.
+	// statusFailed carries the error of a status call, which ends the view.
 	statusFailed struct{ err error }
-	// commandFinished has the result of a command that a key sent.
+	// commandFinished carries the result of a command that a key sent.
 	commandFinished struct{ text string }
 )
 
-// watchLive shows the migration until it is over, or the user leaves. The error says how it ended.
+// watchLive shows the migration until it ends or the user quits. If the migration ended otherwise than planned, the
+// error says how.
 func (o *options) watchLive(ctx context.Context, out *os.File) error {
 	client, err := o.client()
 	if err != nil {
@@ -127,7 +128,7 @@
 	return m, m.fetchStatus(migrationWaitPath)
 }
 
-// keyCommand is what a key does; nil for nothing.
+// keyCommand returns the command that a key runs, or nil.
 func (m liveView) keyCommand(key string) tea.Cmd {
 	switch key {
 	case "q", "ctrl+c", "esc":
@@ -146,7 +147,7 @@
 func (m liveView) View() tea.View {
 	record := m.status.Migration
 	if record == nil {
-		return tea.NewView("asking the daemon ...\n")
+		return tea.NewView("waiting for the daemon ...\n")
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s  %s to %s\n\n", bold.Render(record.ID), record.Plan.From, record.Plan.To)
@@ -154,14 +155,14 @@
 	shareBar := bar(share, lipgloss.NewStyle())
 	fmt.Fprintf(&text, "%-12s %s %5.1f%%\n", formatMigrationState(record), shareBar, 100*share)
 	fmt.Fprintf(&text, "%-12s %s\n", "evidence", bar(min(1, m.status.Evidence), warn))
-	fmt.Fprintf(&text, "%-12s %s\n", "trail", sparkline(m.shareHistory))
+	fmt.Fprintf(&text, "%-12s %s\n", "history", sparkline(m.shareHistory))
 	if record.Reason != "" {
 		fmt.Fprintf(&text, "\n%s\n", record.Reason)
 	}
 	text.WriteString("\n")
 	writeLiveEvents(&text, record.Events)
 	writeLiveNodes(&text, m.status.Nodes)
-	keys := faint.Render("p pause   r resume   u undo   q leave")
+	keys := faint.Render("p pause   r resume   u undo   q quit")
 	fmt.Fprintf(&text, "\n%s  %s\n", keys, m.note)
 	return tea.NewView(text.String())
 }
@@ -186,13 +187,13 @@
 	}
 }
 
-// bar draws a fraction from 0 to 1.
+// bar draws a fraction from 0 to 1 as a horizontal bar.
 func bar(fraction float64, style lipgloss.Style) string {
-	full := int(fraction*barWidth + 0.5)
-	return style.Render(strings.Repeat("█", full)) + faint.Render(strings.Repeat("░", barWidth-full))
+	filled := int(fraction*barWidth + 0.5)
+	return style.Render(strings.Repeat("█", filled)) + faint.Render(strings.Repeat("░", barWidth-filled))
 }
 
-// sparkline draws the latest fractions as small bars.
+// sparkline draws the latest fractions, one character each.
 func sparkline(fractions []float64) string {
 	var line strings.Builder
 	highest := len(sparkLevels) - 1
--- a/internal/cli/migration.go
+++ b/internal/cli/migration.go
@@ -13,7 +13,8 @@
 	"standpoint/internal/migration/controller"
 )
 
-// The calls about migrations, and the long poll for the next change.
+// Paths of the control interface's calls about migrations. migrationWaitPath is a long poll, which returns after the
+// next change or after 1 s.
 const (
 	migrationPath        = "/v1/move"
 	migrationWaitPath    = migrationPath + "?wait=1s"
@@ -23,9 +24,9 @@
 var errNoMigration = errors.New("no move was ever started")
 
 func (o *options) migrationCommand() *cobra.Command {
-	c := group("move", "Move traffic between pools, a step at a time",
-		`A move takes traffic from one pool to another in steps. It halts, and goes back, when the new pool is found worse
-than the old one in the same windows.`)
+	c := group("move", "Move traffic between pools in steps",
+		`A move shifts traffic from one pool to another in steps. It halts when the new pool is found worse than the old one
+in the same time windows; the traffic then returns to the old pool, unless --on-worse is stay.`)
 	o.registerDaemonFlags(c)
 	c.AddCommand(
 		o.migrationPlanCommand(),
@@ -33,9 +34,9 @@
 		o.migrationStatusCommand(),
 		o.migrationWatchCommand(),
 		o.migrationHistoryCommand(),
-		o.migrationControlCommand("pause", "Take no further step; the watch goes on"),
-		o.migrationControlCommand("resume", "Go on after a pause or a halt"),
-		o.migrationControlCommand("undo", "Take all traffic back"),
+		o.migrationControlCommand("pause", "Take no further step; the comparison of the pools continues"),
+		o.migrationControlCommand("resume", "Continue after a pause or a halt"),
+		o.migrationControlCommand("undo", "Return all traffic to the old pool"),
 	)
 	return c
 }
@@ -57,7 +58,7 @@
 	var request controller.StartRequest
 	var watch bool
 	c := startCommand("start", "Start a move", &request)
-	c.Flags().BoolVar(&watch, "watch", false, "go on as move watch does")
+	c.Flags().BoolVar(&watch, "watch", false, "after the start, follow the move as move watch does")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		record, err := o.postStart(c.Context(), "start", request)
 		if err != nil {
@@ -71,7 +72,7 @@
 	return c
 }
 
-// startCommand returns a command with the flags of a migration's start.
+// startCommand returns a command with the flags that describe a migration to start.
 func startCommand(name, short string, request *controller.StartRequest) *cobra.Command {
 	c := &cobra.Command{
 		Use:   name,
@@ -81,30 +82,32 @@
 		Args: usageArgs(cobra.NoArgs),
 	}
 	flags := c.Flags()
-	flags.StringVar(&request.From, "from", "", "the pool that traffic leaves; else the one that has most")
-	flags.StringVar(&request.To, "to", "", "the pool that traffic goes to")
-	flags.Float64SliceVar(&request.Steps, "steps", nil, "shares, growing, such as 0.05,0.25,0.5,1")
-	flags.StringVar(&request.Hold, "hold", "", "for which each step is watched at the least, such as 30s")
-	flags.StringVar(&request.Warm, "warm", "", "for which the new pool gets a trickle at the least")
-	flags.Float64Var(&request.Trickle, "trickle", 0, "that trickle's share")
+	flags.StringVar(&request.From, "from", "", "pool to move traffic from (default: the pool with the largest share)")
+	flags.StringVar(&request.To, "to", "", "pool to move traffic to; required")
+	flags.Float64SliceVar(&request.Steps, "steps", nil,
+		"share of the old pool's requests to move at each step, from 0 to 1, ascending, such as 0.05,0.25,0.5,1")
+	flags.StringVar(&request.Hold, "hold", "", "minimum duration of the analysis of each step, such as 30s")
+	flags.StringVar(&request.Warm, "warm", "", "minimum duration of the new pool's warm-up, such as 10s")
+	flags.Float64Var(&request.Trickle, "trickle", 0, "share of the requests to move during the warm-up, from 0 to 1")
 	flags.IntVar(&request.Samples, "samples", 0,
-		"flows that must have ended in each pool before a step is passed")
+		"number of requests that must have ended in each pool before a step is passed")
 	flags.Float64Var(&request.Floor, "floor", 0,
-		"part of the old pool's worth in time that the new one must bring")
-	flags.StringVar(&request.OnWorse, "on-worse", "", "return or stay")
-	flags.StringVar(&request.ReturnEvery, "return-every", "", "between two steps back")
-	flags.StringVar(&request.Note, "note", "", "why, for the history")
+		"fraction of the old pool's on-time weight that the new pool must reach, from 0 to 1")
+	flags.StringVar(&request.OnWorse, "on-worse", "",
+		"action when the new pool is worse: return (move traffic back) or stay (halt)")
+	flags.StringVar(&request.ReturnEvery, "return-every", "", "interval between two steps back, such as 2s")
+	flags.StringVar(&request.Note, "note", "", "reason for the move, recorded in the history")
 	onWorse := cobra.FixedCompletions([]string{migration.Return, migration.Stay}, cobra.ShellCompDirectiveNoFileComp)
-	_ = c.RegisterFlagCompletionFunc("on-worse", onWorse) // fails for flags that do not exist alone
+	_ = c.RegisterFlagCompletionFunc("on-worse", onWorse) // fails only for a flag that does not exist
 	return c
 }
 
-// postStart sends a start, or a request for its plan.
+// postStart sends the request for a start, or for the plan of one; name is "start" or "plan".
 func (o *options) postStart(ctx context.Context, name string, request controller.StartRequest) (migration.Record,
 	error) {
 	var record migration.Record
 	if request.To == "" {
-		return record, exitError{InvalidUsage, errors.New("--to: the pool to move to is missing")}
+		return record, exitError{InvalidUsage, errors.New("--to: not set; name the pool to move traffic to")}
 	}
 	if request.By == "" {
 		request.By = currentUser()
@@ -113,7 +116,7 @@
 	return record, err
 }
 
-// migrationControlCommand returns a command that changes the migration in progress.
+// migrationControlCommand returns a command that pauses, resumes or undoes the migration in progress.
 func (o *options) migrationControlCommand(name, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   name,
@@ -133,38 +136,39 @@
 func (o *options) migrationStatusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show the move under way, or the last one",
+		Short: "Show the move in progress, or the last one",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE:  printAnswer(o, migrationPath, func(s controller.Status) { writeStatus(o.Out, s) }),
+		RunE:  printResponse(o, migrationPath, func(s controller.Status) { writeStatus(o.Out, s) }),
 	}
 }
 
 func (o *options) migrationHistoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history",
-		Short: "List the moves that are over, the latest first",
+		Short: "List the finished moves, the latest first",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE:  printAnswer(o, migrationHistoryPath, o.writeMigrationHistory),
+		RunE:  printResponse(o, migrationHistoryPath, o.writeMigrationHistory),
 	}
 }
 
 func (o *options) migrationWatchCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "watch",
-		Short: "Follow the move until it is over",
-		Long: `Follows the move until it is over. On a terminal the view is live (p pauses, r resumes, u undoes, q leaves);
-elsewhere, and with -o json, a line is printed for each change. Exit code 5 says that the move went back.`,
+		Short: "Follow the move until it ends",
+		Long: `Follows the move until it ends. On a terminal the view is live (p pauses, r resumes, u undoes, q quits);
+otherwise, and with -o json, the status is printed after each change. Exit code 5 means that the move was halted or
+undone.`,
 		Args: usageArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return o.watchMigration(c.Context()) },
 	}
 }
 
-// watchMigration follows the migration until it is over. The error says how it ended.
+// watchMigration follows the migration until it ends. If it ended otherwise than planned, the error says how.
 func (o *options) watchMigration(ctx context.Context) error {
 	if terminal, ok := o.Out.(*os.File); ok && o.output == outputText && isTerminal(terminal) {
 		return o.watchLive(ctx, terminal)
 	}
-	printed := ""
+	lastLine := ""
 	for {
 		var status controller.Status
 		if err := o.call(ctx, http.MethodGet, migrationWaitPath, nil, &status); err != nil {
@@ -175,8 +179,8 @@
 		}
 		record := status.Migration
 		line := fmt.Sprintf("%s %.1f%% %s", record.State, 100*record.CurrentShare(), record.Reason)
-		if line != printed {
-			printed = line
+		if line != lastLine {
+			lastLine = line
 			if err := o.print(status, func() { fmt.Fprintln(o.Out, line) }); err != nil {
 				return err
 			}
@@ -187,12 +191,12 @@
 	}
 }
 
-// hasEnded tells whether nothing follows unless an operator decides so.
+// hasEnded reports whether the migration takes no further step without an operator's command.
 func hasEnded(r *migration.Record) bool {
 	return r.State.Terminal() || r.State == migration.Halted && r.Plan.OnWorse == migration.Stay
 }
 
-// endError is the error of a migration that has ended otherwise than planned.
+// endError returns the error for a migration that ended otherwise than planned, or nil.
 func endError(r *migration.Record) error {
 	if r.State == migration.Done {
 		return nil
--- a/internal/cli/migrationtext.go
+++ b/internal/cli/migrationtext.go
@@ -9,13 +9,14 @@
 	"standpoint/internal/migration/controller"
 )
 
+// eventTime is the time layout of migration events.
 const eventTime = "15:04:05"
 
 func (o *options) writeMigrationHistory(records []migration.Record) {
 	o.writeTable("MOVE\tFROM\tTO\tEND\tTOOK\tBY\tWHY", func(w io.Writer) {
 		for _, r := range records {
-			took := r.Changed.Sub(r.Started).Round(time.Second)
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%s\n", r.ID, r.Plan.From, r.Plan.To, r.State, took, r.By,
+			duration := r.Changed.Sub(r.Started).Round(time.Second)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%s\n", r.ID, r.Plan.From, r.Plan.To, r.State, duration, r.By,
 				firstNonEmpty(r.Cause, r.Note))
 		}
 	})
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -9,18 +9,18 @@
 	"standpoint/internal/peers"
 )
 
-// nodesStatus is the answer of GET /v1/nodes.
+// nodesStatus is the response to GET /v1/nodes.
 type nodesStatus struct {
-	Count int          `json:"reckoned"` // by which a node divides what all nodes may do together
+	Count int          `json:"reckoned"` // the number of nodes that the limits of all nodes together are divided by
 	Nodes []peers.Node `json:"nodes"`
 }
 
 func (o *options) nodesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "nodes",
-		Short: "Show the installation's nodes as this one finds them, and by how many it divides",
+		Short: "Show the nodes that this one has discovered, and the number it divides shared limits by",
 		Args:  usageArgs(cobra.NoArgs),
-		RunE:  printAnswer(o, "/v1/nodes", o.writeNodes),
+		RunE:  printResponse(o, "/v1/nodes", o.writeNodes),
 	}
 	o.registerDaemonFlags(c)
 	return c
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// print writes a value as JSON, or has writeText write it.
+// print writes value as indented JSON if --output is json, and calls writeText otherwise.
 func (o *options) print(value any, writeText func()) error {
 	if o.output == outputJSON {
 		encoder := json.NewEncoder(o.Out)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// printLines writes lines as a JSON list, or one a line.
+// printLines writes lines as a JSON array, or as text with one on each line.
 func (o *options) printLines(lines []string) error {
 	return o.print(append([]string{}, lines...), func() { o.writeLines(lines) })
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// writeTable writes rows in columns. A row is a line of cells that end with tabs.
+// writeTable writes a header and rows in aligned columns. The cells of a row are separated by tabs.
 func (o *options) writeTable(header string, writeRows func(w io.Writer)) {
 	w := tabwriter.NewWriter(o.Out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -53,18 +53,18 @@
 	w.Flush()
 }
 
-// printAnswer returns a command's function that prints what the daemon answers to a GET of path.
-func printAnswer[T any](o *options, path string, writeText func(T)) func(*cobra.Command, []string) error {
+// printResponse returns the RunE function of a command that prints the daemon's response to a GET of path.
+func printResponse[T any](o *options, path string, writeText func(T)) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, _ []string) error {
-		var answer T
-		if err := o.call(c.Context(), http.MethodGet, path, nil, &answer); err != nil {
+		var response T
+		if err := o.call(c.Context(), http.MethodGet, path, nil, &response); err != nil {
 			return err
 		}
-		return o.print(answer, func() { writeText(answer) })
+		return o.print(response, func() { writeText(response) })
 	}
 }
 
-// firstNonEmpty returns the first text that is not "".
+// firstNonEmpty returns the first of texts that is not empty, or "".
 func firstNonEmpty(texts ...string) string {
 	for _, text := range texts {
 		if text != "" {
--- a/internal/cli/pools.go
+++ b/internal/cli/pools.go
@@ -13,10 +13,10 @@
 func (o *options) poolsCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "pools",
-		Short:   "List the pools and the real servers in them",
+		Short:   "List the pools and their backends",
 		Example: "  standpoint pools --config deploy/operator.toml",
 		Args:    usageArgs(cobra.NoArgs),
-		RunE:    printAnswer(o, "/v1/pools", o.writePools),
+		RunE:    printResponse(o, "/v1/pools", o.writePools),
 	}
 	o.registerDaemonFlags(c)
 	return c
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -13,19 +13,19 @@
 	"standpoint/internal/daemon"
 )
 
-// Environment variables that are the defaults of flags.
+// Environment variables that hold the default values of flags.
 const (
 	configVariable  = "STANDPOINT_CONFIG"
 	controlVariable = "STANDPOINT_CONTROL"
 )
 
-// Streams are where a command writes.
+// Streams are the writers that a command prints to.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// Main runs a command line and returns its exit code.
+// Main runs the command line args and returns the exit code of the process.
 func Main(ctx context.Context, args []string, s Streams) int {
 	root := newRoot(s)
 	root.SetArgs(acceptLegacyFlags(args))
@@ -36,7 +36,7 @@
 	return exitCode(err)
 }
 
-// acceptLegacyFlags lets -config FILE and -config=FILE go on working beside --config.
+// acceptLegacyFlags rewrites the legacy forms -config FILE and -config=FILE to --config.
 func acceptLegacyFlags(args []string) []string {
 	accepted := make([]string, len(args))
 	for i, arg := range args {
@@ -48,12 +48,12 @@
 	return accepted
 }
 
-// options are the streams and the flags that several commands have.
+// options holds the output streams and the flags that several commands share.
 type options struct {
 	Streams
-	config    string // the operator's file
+	config    string // the path of the operator's file
 	control   string // the address of the control interface
-	tokenFile string
+	tokenFile string // the path of the control token; "" for none
 	output    string // outputText or outputJSON
 }
 
@@ -61,12 +61,12 @@
 	o := &options{Streams: s}
 	root := &cobra.Command{
 		Use:   "standpoint",
-		Short: "A node in front of servers that run a language model",
-		Long: `standpoint takes requests, sends each to the server that should answer it best, and passes the answer on as it
-comes. Without a sub-command it serves: on the platform from its variables, elsewhere from an operator's file.
+		Short: "A load balancer for servers that run a language model",
+		Long: `standpoint accepts requests, sends each to the backend expected to serve it best, and streams the response
+back. Without a sub-command it serves, configured by an operator's file or by its platform's environment variables.
 
-Exit codes: 0 done; 1 failed; 2 the command line or a configuration is wrong; 3 no daemon answers; 4 the daemon
-refused; 5 a move that was watched went back.`,
+Exit codes: 0 success; 1 the command failed; 2 invalid command line or configuration; 3 the daemon is unreachable;
+4 the daemon rejected the call; 5 a watched move was halted or undone.`,
 		Example: `  standpoint --config deploy/operator.toml
   standpoint check deploy/operator.toml
   standpoint move start --config deploy/operator.toml --to new`,
@@ -96,18 +96,19 @@
 	return root
 }
 
-// registerFlags registers the flags of all commands.
+// registerFlags registers the flags that every command accepts.
 func (o *options) registerFlags(root *cobra.Command) {
 	flags := root.PersistentFlags()
-	flags.StringVar(&o.config, "config", os.Getenv(configVariable), "an operator's file (also STANDPOINT_CONFIG)")
-	flags.StringVarP(&o.output, "output", "o", outputText, "what is printed: text or json")
+	flags.StringVar(&o.config, "config", os.Getenv(configVariable),
+		"path of the operator's file (default: $STANDPOINT_CONFIG)")
+	flags.StringVarP(&o.output, "output", "o", outputText, "output format: text or json")
 	completeOutput := cobra.FixedCompletions([]string{outputText, outputJSON}, cobra.ShellCompDirectiveNoFileComp)
-	// Both fail for flags that do not exist alone.
+	// Both calls fail only for a flag that does not exist.
 	_ = root.MarkPersistentFlagFilename("config", "toml")
 	_ = root.RegisterFlagCompletionFunc("output", completeOutput)
 }
 
-// group returns a command that has sub-commands, and prints its help.
+// group returns a command that has sub-commands and, run without one, prints its help.
 func group(use, short, long string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -121,7 +122,7 @@
 func (o *options) serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "serve",
-		Short:   "Serve until SIGTERM; SIGHUP reads the configuration again",
+		Short:   "Serve requests until SIGTERM; SIGHUP reloads the configuration",
 		Example: "  standpoint serve --config deploy/operator.toml",
 		Args:    usageArgs(cobra.NoArgs),
 		RunE:    func(*cobra.Command, []string) error { return o.serve() },
