--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -39,7 +39,8 @@
 settings = true
 %s`
 
-// configurationCluster are three nodes as processes, a, b and c, that share their configuration. c runs batches.
+// configurationCluster is a cluster of three node processes, a, b and c, that share their configuration. c runs
+// batches.
 type configurationCluster struct {
 	t       *testing.T
 	dir     string
@@ -96,7 +97,7 @@
 	_ = c.running[id].Wait()
 }
 
-// command runs a config command at a node, and returns what it prints and its exit code.
+// command runs a config command at a node and returns its output and its exit code.
 func (c *configurationCluster) command(id string, args ...string) (string, int) {
 	var out, errs bytes.Buffer
 	words := append(append([]string{"config"}, args...), "--config", c.file(id))
@@ -104,7 +105,7 @@
 	return out.String() + errs.String(), code
 }
 
-// requireCommand runs a config command that must end with a code, and returns what it prints.
+// requireCommand runs a config command that must end with this exit code, and returns its output.
 func (c *configurationCluster) requireCommand(code int, id string, args ...string) string {
 	c.t.Helper()
 	text, got := c.command(id, args...)
@@ -117,39 +118,39 @@
 	require.Eventually(c.t, condition, 40*time.Second, 50*time.Millisecond, what)
 }
 
-// eventuallyDone repeats a command until it succeeds: there may be no leader yet.
-func (c *configurationCluster) eventuallyDone(id string, args ...string) {
+// eventuallySucceeds repeats a command until it succeeds, since the cluster may have no leader yet.
+func (c *configurationCluster) eventuallySucceeds(id string, args ...string) {
 	c.t.Helper()
 	c.eventually(strings.Join(args, " "), func() bool { _, code := c.command(id, args...); return code == OK })
 }
 
-// allServeBy tells whether all nodes serve by a version.
-func (c *configurationCluster) allServeBy(version int) bool {
+// allApplied reports whether all nodes serve by this version.
+func (c *configurationCluster) allApplied(version int) bool {
 	text, code := c.command("a", "status")
 	return code == OK && strings.Count(text, fmt.Sprintf("  %d  ", version)) >= 3
 }
 
-func (c *configurationCluster) eventuallyAllServeBy(version int) {
+func (c *configurationCluster) eventuallyAllApplied(version int) {
 	c.t.Helper()
-	c.eventually(fmt.Sprint("version ", version), func() bool { return c.allServeBy(version) })
+	c.eventually(fmt.Sprint("version ", version), func() bool { return c.allApplied(version) })
 }
 
-// A change is checked as a whole and applied by all nodes, whichever of them it is sent to. One that is faulty is
-// rejected with its key.
+// A change to the shared configuration is validated and applied by all nodes, whichever node it is sent to. An invalid
+// change is rejected with its key, and --check writes nothing.
 func TestSharedConfiguration(t *testing.T) {
 	c := startConfigurationCluster(t)
-	c.eventuallyDone("a", "init", "--by", "kim", "-m", "first")
-	c.eventuallyAllServeBy(1)
-	c.eventuallyDone("b", "set", "class[0].give_up", "6s", "--by", "kim")
-	c.eventuallyAllServeBy(2)
-	c.eventuallyDone("c", "set", "class[0].give_up", "7s", "--by", "kim")
-	c.eventuallyAllServeBy(3)
+	c.eventuallySucceeds("a", "init", "--by", "kim", "-m", "first")
+	c.eventuallyAllApplied(1)
+	c.eventuallySucceeds("b", "set", "class[0].give_up", "6s", "--by", "kim")
+	c.eventuallyAllApplied(2)
+	c.eventuallySucceeds("c", "set", "class[0].give_up", "7s", "--by", "kim")
+	c.eventuallyAllApplied(3)
 	require.Equal(t, "7s\n", c.requireCommand(OK, "a", "get", "class[0].give_up"))
 	text := c.requireCommand(InvalidUsage, "b", "set", "class[0].give_up", "1s", "--by", "kim")
 	require.Contains(t, text, "class[0].give_up: shorter than first_token")
 	c.requireCommand(InvalidUsage, "b", "set", "listen", "127.0.0.1:1", "--by", "kim")
 	c.requireCommand(OK, "b", "set", "class[0].give_up", "9s", "--by", "kim", "--check")
-	require.True(t, c.allServeBy(3), "nothing was written")
+	require.True(t, c.allApplied(3), "nothing was written")
 	c.changeWithoutMember()
 	c.changeThatOneMemberRejects()
 	require.Contains(t, c.requireCommand(OK, "b", "history"), "while c is down")
@@ -157,18 +158,18 @@
 	require.Equal(t, "- class[0].give_up = \"5s\"\n+ class[0].give_up = \"6s\"\n", text)
 }
 
-// A node that was down while a setting changed comes back by the latest version.
+// changeWithoutMember changes a setting while c is down. After its restart c serves by the latest version.
 func (c *configurationCluster) changeWithoutMember() {
 	c.t.Helper()
 	c.kill("c")
-	c.eventuallyDone("a", "set", "class[0].worth", "3.0", "--by", "kim", "-m", "while c is down")
+	c.eventuallySucceeds("a", "set", "class[0].worth", "3.0", "--by", "kim", "-m", "while c is down")
 	c.requireCommand(Failed, "a", "status")
 	c.start("c")
-	c.eventuallyAllServeBy(4)
+	c.eventuallyAllApplied(4)
 }
 
-// c carries batches, and cannot rename its classes while they run. It says so and goes on by the version before.
-// Where c leads, the change is rejected at once.
+// changeThatOneMemberRejects renames a class, which c cannot do while it runs batches. c reports the reason and
+// continues with the previous version. If c is the leader, the change is rejected immediately.
 func (c *configurationCluster) changeThatOneMemberRejects() {
 	c.t.Helper()
 	var text string
@@ -186,5 +187,5 @@
 		return strings.Contains(text, "cannot change while")
 	})
 	c.requireCommand(OK, "a", "rollback", "4", "--by", "kim")
-	c.eventuallyAllServeBy(6)
+	c.eventuallyAllApplied(6)
 }
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -24,18 +24,19 @@
 	"standpoint/internal/testpeer"
 )
 
-// notingBackends are backends that note their requests. A request whose id begins with "hold" or "queue" is not
-// answered before release is closed; the first has had one event by then.
-type notingBackends struct {
-	begun   chan string // a request that is not answered yet
+// recordingBackends records the requests of several backends. The response to a request whose id begins with "hold" or
+// "queue" ends only after release is closed; for "hold" its first event is sent at once.
+type recordingBackends struct {
+	pending chan string // the backend of each request whose response waits for release
 	release chan struct{}
 
-	mu    sync.Mutex // guards the maps
-	last  map[string]time.Time
-	count map[string]int
+	mu    sync.Mutex           // guards the maps
+	last  map[string]time.Time // when each backend got its last request
+	count map[string]int       // of requests, by backend
 }
 
-func (b *notingBackends) start(t *testing.T, name string) netip.AddrPort {
+// start starts a backend and returns its address.
+func (b *recordingBackends) start(t *testing.T, name string) netip.AddrPort {
 	t.Helper()
 	return netip.MustParseAddrPort(testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -48,7 +49,7 @@
 			testpeer.Event(w, name)
 		}
 		if strings.HasPrefix(id, "hold") || strings.HasPrefix(id, "queue") {
-			b.begun <- name
+			b.pending <- name
 			<-b.release
 		}
 		testpeer.Event(w, name)
@@ -56,8 +57,8 @@
 	}))
 }
 
-// requests is when a backend got its last request, and how many it has got.
-func (b *notingBackends) requests(name string) (time.Time, int) {
+// requests returns when a backend got its last request, and the number of its requests.
+func (b *recordingBackends) requests(name string) (time.Time, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last[name], b.count[name]
@@ -92,14 +93,15 @@
 poll = "50ms"
 %s`
 
-// discoveryTest is a daemon that finds its backends in two domains, hall-a.test and hall-b.test; at first in the one.
+// discoveryTest is a daemon that discovers its backends by DNS-SD, in the domains hall-a.test and hall-b.test. It
+// starts with hall-a.test alone.
 type discoveryTest struct {
 	t        *testing.T
 	listen   string
 	metrics  string
-	path     string // of the operator's file
+	path     string // the operator's file
 	exit     chan error
-	backends *notingBackends
+	backends *recordingBackends
 	hallA    *responder.Server
 	hallB    *responder.Server
 	records  map[string]responder.Box
@@ -113,8 +115,8 @@
 		metrics: testpeer.FreeAddress(t),
 		path:    filepath.Join(t.TempDir(), "operator.toml"),
 		exit:    make(chan error, 1),
-		backends: &notingBackends{
-			begun:   make(chan string, 100),
+		backends: &recordingBackends{
+			pending: make(chan string, 100),
 			release: make(chan struct{}),
 			last:    map[string]time.Time{},
 			count:   map[string]int{},
@@ -136,6 +138,7 @@
 	return d
 }
 
+// browseSection returns the section of the operator's file that browses the responder's domain.
 func browseSection(s *responder.Server) string {
 	return fmt.Sprintf("[[entries.browse]]\nserver = %q\nservice = \"_engine._tcp\"\ndomain = %q\npush = %q\n",
 		s.Address, s.Zone.Domain, s.Address)
@@ -147,7 +150,7 @@
 	require.NoError(d.t, to.Zone.Publish(d.records[label]))
 }
 
-// write writes the operator's file with these browsed services.
+// write writes the operator's file with these browse sections.
 func (d *discoveryTest) write(browse string) {
 	d.t.Helper()
 	text := fmt.Sprintf(discoveryTestFile, d.listen, d.metrics, d.hallA.Address, browse)
@@ -160,7 +163,7 @@
 	require.NoError(d.t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 }
 
-// command runs a command line, and returns what it prints.
+// command runs a command line and returns its output and errors.
 func (d *discoveryTest) command(args ...string) string {
 	var out, errs bytes.Buffer
 	Main(d.t.Context(), append(args, "--config", d.path), Streams{Out: &out, Err: &errs})
@@ -179,7 +182,7 @@
 		30*time.Second, interval)
 }
 
-// request sends a request, and tells whether it was answered in full.
+// request sends a request and reports whether its response was complete.
 func (d *discoveryTest) request(id string) bool {
 	r, err := http.NewRequest("POST", "http://"+d.listen+"/v1/chat/completions", strings.NewReader(`{"messages":[]}`))
 	if err != nil {
@@ -197,68 +200,70 @@
 	return err == nil && strings.Contains(string(body), "[DONE]")
 }
 
-// requestsInFlight are requests that are not answered before the backends are released: streams that have begun, and
-// requests whose backend has sent nothing.
+// requestsInFlight is a group of requests whose responses wait for the release of the backends: half of them are
+// streams that have started, and for the other half the backend has sent nothing.
 type requestsInFlight struct {
 	running  sync.WaitGroup
 	answered atomic.Int64
 }
 
-func (d *discoveryTest) holdRequests(count int) *requestsInFlight {
-	held := &requestsInFlight{}
+func (d *discoveryTest) startUnansweredRequests(count int) *requestsInFlight {
+	requests := &requestsInFlight{}
 	for i := range count {
-		held.running.Go(func() {
+		requests.running.Go(func() {
 			kind := []string{"hold", "queue"}[i%2]
 			if d.request(fmt.Sprintf("%s-%d", kind, i)) {
-				held.answered.Add(1)
+				requests.answered.Add(1)
 			}
 		})
 	}
 	for range count {
-		<-d.backends.begun
+		<-d.backends.pending
 	}
-	return held
+	return requests
 }
 
-// Nothing new is sent to a backend after its withdrawal was learnt, and work in flight goes on to its end.
+// withdrawEach withdraws each backend of hall-a.test in turn. A backend gets no new request after its withdrawal is
+// known, and requests in flight complete.
 func (d *discoveryTest) withdrawEach() {
 	const inFlight = 6
-	held := d.holdRequests(inFlight)
+	requests := d.startUnansweredRequests(inFlight)
 	best := time.Hour
 	for _, label := range []string{"a-1", "a-2", "a-3"} {
 		best = min(best, d.withdraw(label))
 	}
 	require.Less(d.t, best, 500*time.Millisecond)
-	require.Zero(d.t, held.answered.Load())
+	require.Zero(d.t, requests.answered.Load())
 	close(d.backends.release)
-	held.running.Wait()
-	require.EqualValues(d.t, inFlight, held.answered.Load(), "work in flight goes on to its end")
+	requests.running.Wait()
+	require.EqualValues(d.t, inFlight, requests.answered.Load(), "requests in flight complete")
 }
 
-// withdraw returns how long after a backend's withdrawal it got its last request. The backend is published again.
+// withdraw withdraws a backend and returns how long after that it got its last request. It publishes the backend again.
 func (d *discoveryTest) withdraw(label string) time.Duration {
 	d.t.Helper()
 	require.NoError(d.t, d.hallA.Zone.Withdraw(d.records[label]))
 	withdrawn := time.Now()
 	d.eventuallyUnlisted(label+" ", 5*time.Millisecond)
-	time.Sleep(200 * time.Millisecond) // for what was on its way
+	time.Sleep(200 * time.Millisecond) // for requests sent before the withdrawal was known
 	last, count := d.backends.requests(label)
 	time.Sleep(300 * time.Millisecond)
 	_, later := d.backends.requests(label)
-	require.Equal(d.t, count, later, "nothing new after its withdrawal was learnt")
+	require.Equal(d.t, count, later, "no new request after the withdrawal is known")
 	require.NoError(d.t, d.hallA.Zone.Publish(d.records[label]))
 	d.eventuallyShows(label+" ", "entries", "list")
 	return last.Sub(withdrawn)
 }
 
-// requestsInHallB counts the requests of both backends: which of them is chosen is up to the decision module.
+// requestsInHallB counts the requests of both backends in hall-b.test together, as the decision module chooses between
+// them.
 func (d *discoveryTest) requestsInHallB() int {
 	_, first := d.backends.requests("b-1")
 	_, second := d.backends.requests("b-2")
 	return first + second
 }
 
-// Another domain, under load: first beside, then in place of the first. A faulty file changes nothing.
+// changeDomains adds hall-b.test under load, then removes hall-a.test. A reload of an invalid file changes nothing.
 func (d *discoveryTest) changeDomains() {
 	d.reload(browseSection(d.hallA) + browseSection(d.hallB))
 	d.eventuallyShows("b-2@hall-b.test", "entries", "list")
@@ -280,7 +285,7 @@
 	d.eventuallyShows("b-1", "entries", "list")
 }
 
-// The node registers itself, and counts the others.
+// countNodes checks that the node registers itself, and counts the nodes that are registered.
 func (d *discoveryTest) countNodes() {
 	d.eventuallyShows("node-1", "nodes")
 	d.eventuallyShows("divided by 1", "nodes")
@@ -301,7 +306,8 @@
 	return string(text)
 }
 
-// Backends by DNS-SD on a whole daemon, under load: withdrawals, a change of the domains, the number of nodes, metrics.
+// Discovery by DNS-SD with a complete daemon under load: withdrawn backends get no new requests, a reload changes the
+// domains, nodes are counted and metrics report it. No request is lost.
 func TestDiscovery(t *testing.T) {
 	d := startDiscoveryTest(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	drainGrace   = 500 * time.Millisecond
-	socketsSlack = 50 * time.Millisecond // every time limit on sockets is so much longer
+	drainGrace   = 500 * time.Millisecond // the longest time after a notification in which a server may get requests
+	socketsSlack = 50 * time.Millisecond  // added to every time limit, as the test runs on real sockets
 )
 
-// drainFleet is a fleet of real processes before stand-in discoveries and servers.
+// drainFleet is a fleet of node processes with emulated discoveries, backends and clients.
 type drainFleet struct {
 	t             *testing.T
 	program       string
-	mode          string // how discovery tells
+	mode          string // the discovery mode of the nodes: on_request or pushed
 	rng           *rand.Rand
 	record        *drain.Record
 	hosts         []drain.Host
@@ -41,15 +41,15 @@
 	stop          chan struct{}
 }
 
-// drainNode is one node, which may be several processes one after the other.
+// drainNode is one node. It may run as several processes, one after another.
 type drainNode struct {
 	name, listen, file, dir string
-	first, second           string // its addresses of the discoveries
+	first, second           string // the addresses at which it calls the two discoveries
 	process                 *exec.Cmd
-	said                    *log
+	output                  *processLog
 }
 
-// newDrainFleet puts a fleet together: nothing runs yet.
+// newDrainFleet returns a fleet of nodes that are not started yet. port is the port of every node's listener.
 func newDrainFleet(t *testing.T, program, mode string, port int, seed uint64, nodes, servers int) *drainFleet {
 	f := &drainFleet{t: t, program: program, mode: mode, rng: rand.New(rand.NewPCG(seed, 34)),
 		stop: make(chan struct{})}
@@ -60,9 +60,9 @@
 			Class: "m", Health: "ready", Share: 1})
 	}
 	f.first = drain.NewDiscovery(t, f.record, 41, f.hosts)
-	f.second = drain.NewDiscovery(t, f.record, 7, f.hosts) // versions of its own, lower ones
+	f.second = drain.NewDiscovery(t, f.record, 7, f.hosts) // its versions are independent of the first's, and lower
 	for i := range nodes {
-		n := &drainNode{name: fmt.Sprint("n", i), listen: ownAddress(i, port), dir: t.TempDir(), said: &log{}}
+		n := &drainNode{name: fmt.Sprint("n", i), listen: processAddress(i, port), dir: t.TempDir(), output: &processLog{}}
 		n.file = filepath.Join(n.dir, "config.json")
 		n.first, n.second = f.first.Listen(n.name), f.second.Listen(n.name)
 		f.nodes = append(f.nodes, n)
@@ -70,14 +70,15 @@
 	return f
 }
 
-// ownAddress is a node's of this process alone: on an address that was free a moment ago another run's node, of the
-// same name, might listen by now, and its sends be taken for this one's.
-func ownAddress(node, port int) string {
+// processAddress returns a listen address for a node that is unique to this test process. On an address that is merely
+// free at the moment, a node of another test run with the same name might listen, and its requests would be counted as
+// this one's.
+func processAddress(node, port int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid>>8&63, pid&255, 1+node, port)
 }
 
-// configure writes a node's configuration; what it last knew is the first list.
+// configure writes a node's configuration, with the first list as its initial one.
 func (f *drainFleet) configure(n *drainNode, discovery string) {
 	known, err := json.Marshal(map[string]any{"seq": 41, "whole": true, "hosts": f.hosts})
 	require.NoError(f.t, err)
@@ -90,22 +91,22 @@
 	require.NoError(f.t, os.Rename(n.file+".new", n.file))
 }
 
-// start starts a process of a node.
+// start starts a process of node n.
 func (f *drainFleet) start(n *drainNode) {
 	n.process = exec.Command("/bin/sh", "-c", "trap '' HUP; exec "+f.program)
 	n.process.Env = append(os.Environ(), "PROXY_CONFIG="+n.file, "TMPDIR="+n.dir)
-	n.process.Stderr = n.said
+	n.process.Stderr = n.output
 	f.record.Started(n.name, time.Now())
 	require.NoError(f.t, n.process.Start())
 }
 
-// kill ends a node's process at once.
+// kill kills the process of node n.
 func (f *drainFleet) kill(n *drainNode) {
 	_ = n.process.Process.Kill()
 	_ = n.process.Wait()
 }
 
-// run starts all nodes, and a client before each that sends one request after another until the test ends.
+// run starts all nodes, and for each a client that sends one request after another until the test ends.
 func (f *drainFleet) run() {
 	for _, n := range f.nodes {
 		f.configure(n, n.first)
@@ -122,6 +123,7 @@
 	}
 }
 
+// client sends requests to node n, 60 ms apart, until the test ends.
 func (f *drainFleet) client(n *drainNode) {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -133,14 +135,14 @@
 		}
 		response, err := client.Do(testpeer.ChatRequest(f.t, n.listen, drain.TraceID(n.name, number), "1500m"))
 		if err != nil {
-			continue // it has not started, or was killed
+			continue // the node has not started yet, or was killed
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		response.Body.Close()
 	}
 }
 
-// reload has all nodes move to the second discovery, one after the other.
+// reload switches the nodes to the second discovery by SIGHUP, one after another in random order, in the time over.
 func (f *drainFleet) reload(over time.Duration) {
 	for _, i := range f.rng.Perm(len(f.nodes)) {
 		n := f.nodes[i]
@@ -152,30 +154,30 @@
 	}
 }
 
-// pause stops a node's process, as one whose processor others take.
+// pause stops the process of node n for span, as if it got no processor time.
 func (f *drainFleet) pause(n *drainNode, span time.Duration) {
 	_ = n.process.Process.Signal(syscall.SIGSTOP)
 	time.AfterFunc(span, func() { _ = n.process.Process.Signal(syscall.SIGCONT) })
 }
 
-// end stops the clients and gives the violations.
-func (f *drainFleet) end() []drain.Violation {
+// finish stops the clients, and returns the requests that were sent to a server too late after the notification of its
+// departure.
+func (f *drainFleet) finish() []drain.Violation {
 	close(f.stop)
 	f.clients.Wait()
-	found := f.record.Violations(
+	violations := f.record.Violations(
 		append(f.first.DueNotifications(), f.second.DueNotifications()...),
 		drainGrace+socketsSlack,
 	)
-	f.t.Logf("%d sends judged, %d violations, %v late at most; calls %v and %v", len(f.record.Sends()), len(found),
-		f.record.MaximumLag(),
-		f.first.Counts(), f.second.Counts())
-	return found
+	f.t.Logf("%d sends checked, %d violations, latest after %v; discovery calls %v and %v", len(f.record.Sends()),
+		len(violations), f.record.MaximumLag(), f.first.Counts(), f.second.Counts())
+	return violations
 }
 
-// Faults of a few dozen real processes' discovery, one behind the other, and a server that leaves in each: watches
-// that fall silent, come in pieces, whole or late; discovery down, and back with a queue that turns callers away;
-// SIGHUP to another discovery that is behind the first; processes killed and started anew with an old list; processes
-// that get no processor time for a while.
+// No node sends a request to a server later than drainGrace after the notification of its drain or removal, whatever
+// fault hides the notification. A server departs during each fault: watches that never respond, respond in pieces, with
+// the full list or late; discovery down, and back with a queue that rejects callers; a SIGHUP that switches to a
+// discovery behind the first; processes killed and restarted with an outdated list; processes without processor time.
 func TestNothingIsSentToServersThatLeave(t *testing.T) {
 	t.Parallel()
 	program := build(t)
@@ -189,42 +191,42 @@
 				f := newDrainFleet(t, program, mode, port, seed, 24+int(seed%13), 12)
 				f.first.Fault, f.second.Fault = f.faults(), f.faults()
 				f.run()
-				f.play()
-				found := f.end()
-				for i, v := range found {
+				f.runScenario()
+				violations := f.finish()
+				for i, v := range violations {
 					if i == 10 {
-						t.Logf("and %d more", len(found)-i)
+						t.Logf("and %d more", len(violations)-i)
 						break
 					}
 					t.Log(v)
 				}
-				if len(found) > 0 {
-					f.tell(found[0])
+				if len(violations) > 0 {
+					f.logContext(violations[0])
 				}
-				require.Empty(t, found)
+				require.Empty(t, violations)
 				require.Greater(t, len(f.record.Sends()), 1000)
 			})
 		}
 	}
 }
 
-// tell logs what the node of a violation said around it.
-func (f *drainFleet) tell(v drain.Violation) {
+// logContext logs the times of a violation, and the lines about discovery that its node logged.
+func (f *drainFleet) logContext(v drain.Violation) {
 	for _, n := range f.nodes {
 		if n.name != v.Send.Node {
 			continue
 		}
-		for line := range strings.Lines(n.said.String()) {
+		for line := range strings.Lines(n.output.String()) {
 			if strings.Contains(line, "discover") || strings.Contains(line, "serving") {
 				f.t.Log(strings.TrimSpace(line))
 			}
 		}
 	}
-	f.t.Logf("told at %s, sent at %s", v.Notification.At.UTC().Format(time.RFC3339Nano),
+	f.t.Logf("notified at %s, sent at %s", v.Notification.At.UTC().Format(time.RFC3339Nano),
 		v.Send.At.UTC().Format(time.RFC3339Nano))
 }
 
-// drainSeeds are the plays of the test, or what DRAIN_SEEDS says: "first-last".
+// drainSeeds returns the seeds of the test's scenarios: 1, or the range "first-last" of DRAIN_SEEDS.
 func drainSeeds() []uint64 {
 	first, last := uint64(1), uint64(1)
 	_, _ = fmt.Sscanf(os.Getenv("DRAIN_SEEDS"), "%d-%d", &first, &last)
@@ -235,7 +237,7 @@
 	return all
 }
 
-// faults draws what becomes of each node's calls.
+// faults returns a function that draws the fault of a node's call to discovery at random.
 func (f *drainFleet) faults() func(node string, call int) drain.Fault {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(f.rng.Uint64(), 0))
@@ -263,26 +265,26 @@
 	}
 }
 
-// play is the day: twelve servers, of which some leave.
-func (f *drainFleet) play() {
-	began := time.Now()
-	until := func(ms int) { time.Sleep(time.Until(began.Add(time.Duration(ms) * time.Millisecond))) }
-	both := func(server, health string) { f.first.Set(server, health); f.second.Set(server, health) }
+// runScenario runs the faults and departures one after another, in 19.5 s. Seven of the twelve servers depart.
+func (f *drainFleet) runScenario() {
+	start := time.Now()
+	until := func(ms int) { time.Sleep(time.Until(start.Add(time.Duration(ms) * time.Millisecond))) }
+	setBoth := func(server, health string) { f.first.Set(server, health); f.second.Set(server, health) }
 	until(1500)
-	both("s0", "draining") // behind watches that have fallen silent
+	setBoth("s0", "draining") // while some watches never respond
 	until(3000)
-	both("s1", "gone")
+	setBoth("s1", "gone")
 	until(4500)
 	f.first.SetDown(true)
 	until(5500)
-	both("s2", "draining")
+	setBoth("s2", "draining")
 	until(6000)
 	f.first.SetQueue(
 		drain.Queue{ServiceTime: 100 * time.Millisecond, RejectionTime: 10 * time.Millisecond, Maximum: 15},
 	)
-	f.first.SetDown(false) // and all call at once
+	f.first.SetDown(false) // all nodes call at once
 	until(6500)
-	both("s3", "draining")
+	setBoth("s3", "draining")
 	for _, n := range f.nodes {
 		if f.rng.Float64() < 0.3 {
 			f.pause(n, time.Duration(100+f.rng.IntN(300))*time.Millisecond)
@@ -291,7 +293,7 @@
 	until(11000)
 	go func() {
 		time.Sleep(150 * time.Millisecond)
-		f.first.Set("s4", "draining") // as the nodes move; the second discovery hears of it later
+		f.first.Set("s4", "draining") // while the nodes switch; the second discovery is updated 1.5 s later
 		time.Sleep(1500 * time.Millisecond)
 		f.second.Set("s4", "draining")
 	}()
@@ -303,7 +305,8 @@
 		if f.rng.Float64() < 0.25 {
 			f.kill(n)
 			f.second.Detach(n.name, time.Now())
-			f.second.Attach(n.name, time.Now()) // this process has 6 s of its own, but for what is written to it
+			// The new process has 6 s of its own to learn of changes, except those that are sent to it.
+			f.second.Attach(n.name, time.Now())
 			f.start(n)
 		}
 	}
@@ -312,11 +315,11 @@
 	until(19500)
 }
 
-// A process that starts with an old list serves nobody before it has heard discovery, as long as its call stands in
-// the line there: the server that was told to drain meanwhile gets nothing.
+// A process that starts with an outdated list must not serve from it while its call is queued at discovery: it accepts
+// no client before the response, and sends nothing to the server that started to drain in the meantime.
 func TestAnOldListIsNotServedFrom(t *testing.T) {
 	t.Parallel()
-	const inLine = 800 * time.Millisecond
+	const queueWait = 800 * time.Millisecond
 	record := drain.NewRecord(t.Context().Done())
 	var hosts []drain.Host
 	for _, name := range []string{"leaves", "stays"} {
@@ -325,34 +328,35 @@
 	}
 	d := drain.NewDiscovery(t, record, 41, hosts)
 	d.Set("leaves", "draining")
-	d.SetQueue(drain.Queue{ServiceTime: inLine, Maximum: 10})
-	l := &lone{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"), said: &log{}}
+	d.SetQueue(drain.Queue{ServiceTime: queueWait, Maximum: 10})
+	node := &standaloneNode{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"),
+		output: &processLog{}}
 	known, err := json.Marshal(map[string]any{"seq": 41, "whole": true, "hosts": hosts})
 	require.NoError(t, err)
-	raw, err := json.Marshal(platformConfig(l.listen, d.Listen("n"), map[string]any{"known": json.RawMessage(known)}))
+	raw, err := json.Marshal(platformConfig(node.listen, d.Listen("n"), map[string]any{"known": json.RawMessage(known)}))
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(l.file, raw, 0o600))
-	l.Cmd = exec.Command(build(t))
-	l.Env = append(os.Environ(), "PROXY_CONFIG="+l.file, "TMPDIR="+t.TempDir())
-	l.Stderr = l.said
-	began := time.Now()
-	require.NoError(t, l.Start())
+	require.NoError(t, os.WriteFile(node.file, raw, 0o600))
+	node.Cmd = exec.Command(build(t))
+	node.Env = append(os.Environ(), "PROXY_CONFIG="+node.file, "TMPDIR="+t.TempDir())
+	node.Stderr = node.output
+	started := time.Now()
+	require.NoError(t, node.Start())
 	t.Cleanup(func() {
-		_ = l.Process.Kill()
-		_ = l.Wait()
+		_ = node.Process.Kill()
+		_ = node.Wait()
 	})
-	for !l.ready() {
-		c, err := net.Dial("tcp", l.listen)
+	for !node.ready() {
+		c, err := net.Dial("tcp", node.listen)
 		if err == nil {
 			c.Close()
-			require.GreaterOrEqual(t, time.Since(began), inLine,
-				"a client that connects before would wait for its answer")
+			require.GreaterOrEqual(t, time.Since(started), queueWait,
+				"a client that connects before would wait for its response")
 		}
-		require.Less(t, time.Since(began), 10*time.Second)
+		require.Less(t, time.Since(started), 10*time.Second)
 	}
-	require.GreaterOrEqual(t, time.Since(began), inLine)
+	require.GreaterOrEqual(t, time.Since(started), queueWait)
 	for number := range 20 {
-		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, l.listen, drain.TraceID("n", number), "1500m"))
+		response, err := http.DefaultClient.Do(testpeer.ChatRequest(t, node.listen, drain.TraceID("n", number), "1500m"))
 		require.NoError(t, err)
 		_, err = io.Copy(io.Discard, response.Body)
 		require.NoError(t, err)
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -21,7 +21,7 @@
 	"standpoint/internal/testpeer"
 )
 
-// build makes the program as operators have it.
+// build builds the standpoint program and returns its path.
 func build(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "standpoint")
 	out, err := exec.Command("go", "build", "-o", program, "standpoint/cmd/standpoint").CombinedOutput()
@@ -29,18 +29,18 @@
 	return program
 }
 
-// victim is a node as a process, with its store on disk.
-type victim struct {
+// batchNode is a node process that runs batches and has its store on disk.
+type batchNode struct {
 	t             *testing.T
 	program, file string
 	url           string
 	running       *exec.Cmd
 }
 
-func newVictim(t *testing.T, box, lineTime string) *victim {
-	v := &victim{t: t, program: build(t), file: filepath.Join(t.TempDir(), "node.toml"), url: "http://" +
+func newBatchNode(t *testing.T, backend, lineTime string) *batchNode {
+	node := &batchNode{t: t, program: build(t), file: filepath.Join(t.TempDir(), "node.toml"), url: "http://" +
 		testpeer.FreeAddress(t)}
-	require.NoError(t, os.WriteFile(v.file, []byte(fmt.Sprintf(`listen = %q
+	require.NoError(t, os.WriteFile(node.file, []byte(fmt.Sprintf(`listen = %q
 [log]
 level = "error"
 [[class]]
@@ -64,32 +64,32 @@
 [[store.member]]
 id = "a"
 address = %q
-`, strings.TrimPrefix(v.url, "http://"), box, lineTime, testpeer.FreeAddress(t))), 0o600))
-	v.start()
-	t.Cleanup(v.kill)
-	return v
+`, strings.TrimPrefix(node.url, "http://"), backend, lineTime, testpeer.FreeAddress(t))), 0o600))
+	node.start()
+	t.Cleanup(node.kill)
+	return node
 }
 
-// start starts it and waits until it serves and its store may be written.
-func (v *victim) start() {
-	v.running = exec.Command(v.program, "serve", "--config", v.file)
-	v.running.Stderr = os.Stderr
-	require.NoError(v.t, v.running.Start())
-	require.Eventually(v.t, func() bool {
-		status, _ := v.call("POST", "/v1/batches", "application/json", strings.NewReader("{}"))
+// start starts the process and waits until it serves and its store accepts writes.
+func (node *batchNode) start() {
+	node.running = exec.Command(node.program, "serve", "--config", node.file)
+	node.running.Stderr = os.Stderr
+	require.NoError(node.t, node.running.Start())
+	require.Eventually(node.t, func() bool {
+		status, _ := node.call("POST", "/v1/batches", "application/json", strings.NewReader("{}"))
 		return status == http.StatusBadRequest
 	}, 30*time.Second, 10*time.Millisecond)
 }
 
-func (v *victim) kill() {
-	_ = v.running.Process.Kill()
-	_ = v.running.Wait()
+func (node *batchNode) kill() {
+	_ = node.running.Process.Kill()
+	_ = node.running.Wait()
 }
 
-// call asks once; status 0: no answer.
-func (v *victim) call(method, path, kind string, body io.Reader) (int, string) {
-	r, err := http.NewRequest(method, v.url+path, body)
-	require.NoError(v.t, err)
+// call sends one request. Status 0 means that there was no complete response.
+func (node *batchNode) call(method, path, kind string, body io.Reader) (int, string) {
+	r, err := http.NewRequest(method, node.url+path, body)
+	require.NoError(node.t, err)
 	r.Header.Set("Content-Type", kind)
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -103,31 +103,31 @@
 	return response.StatusCode, string(raw)
 }
 
-func (v *victim) upload(content string) (id string, ok bool) {
+func (node *batchNode) upload(content string) (id string, ok bool) {
 	kind, body := testpeer.Upload(content)
-	status, said := v.call("POST", "/v1/files", kind, body)
+	status, response := node.call("POST", "/v1/files", kind, body)
 	var file struct{ ID string }
-	ok = status == http.StatusOK && json.Unmarshal([]byte(said), &file) == nil
+	ok = status == http.StatusOK && json.Unmarshal([]byte(response), &file) == nil
 	return file.ID, ok
 }
 
-func (v *victim) chat(ctx context.Context, trace string) (*http.Response, error) {
-	return http.DefaultClient.Do(testpeer.ChatRequest(v.t, strings.TrimPrefix(v.url, "http://"), trace,
+func (node *batchNode) chat(ctx context.Context, trace string) (*http.Response, error) {
+	return http.DefaultClient.Do(testpeer.ChatRequest(node.t, strings.TrimPrefix(node.url, "http://"), trace,
 		"15000m").WithContext(ctx))
 }
 
-// A node is killed while a request waits at a box, a stream is passed on, and lines of a batch are out. What it held
-// is the client's to ask again, and ends at the box; what its store had acknowledged holds after the restart: the
-// file, the batch, and that no line is sent again before the time until which it was out.
-func TestKilledInTheMiddle(t *testing.T) {
+// A node is killed while a backend holds a request, a stream is relayed and lines of a batch are in flight. Clients get
+// an error, and the attempts end at the backend; the node does not repeat clients' requests. What the store had
+// acknowledged survives the restart: the file, the batch, and the time before which no line in flight is sent again.
+func TestKillWithWorkInFlight(t *testing.T) {
 	t.Parallel()
 	const lineTime = 3 * time.Second
 	ledger := testpeer.NewAttemptLedger()
 	var healthy atomic.Bool
 	var mu sync.Mutex
 	sent := map[string][]time.Time{}
-	came, ended := make(chan string, 100), make(chan string, 100)
-	box := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	started, ended := make(chan string, 100), make(chan string, 100)
+	backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		var body struct{ Messages []struct{ Content string } }
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -145,104 +145,106 @@
 		if name == "stream" {
 			testpeer.Event(w, "begun")
 		}
-		came <- name
+		started <- name
 		<-r.Context().Done()
 		ledger.End(name, false)
 		ended <- name
 	})
-	v := newVictim(t, box, lineTime.String())
+	node := newBatchNode(t, backend, lineTime.String())
 	var content strings.Builder
 	for i := range 3 {
 		fmt.Fprintf(&content,
-			`{"custom_id":"c%d","method":"POST","url":"/v1/chat/completions","body":{"messages":[{"role":"user","content":"line %d"}]}}`+"\n", i, i)
+			`{"custom_id":"c%d","method":"POST","url":"/v1/chat/completions",`+
+				`"body":{"messages":[{"role":"user","content":"line %d"}]}}`+"\n", i, i)
 	}
-	file, ok := v.upload(content.String())
+	file, ok := node.upload(content.String())
 	require.True(t, ok)
-	status, said := v.call("POST", "/v1/batches", "application/json",
-		strings.NewReader(fmt.Sprintf(`{"input_file_id":%q,"endpoint":"/v1/chat/completions","completion_window":"1h"}`, file)))
-	require.Equal(t, http.StatusOK, status, said)
+	status, response := node.call("POST", "/v1/batches", "application/json",
+		strings.NewReader(fmt.Sprintf(
+			`{"input_file_id":%q,"endpoint":"/v1/chat/completions","completion_window":"1h"}`, file)))
+	require.Equal(t, http.StatusOK, status, response)
 	var b struct {
 		ID, Status   string
 		OutputFileID string `json:"output_file_id"`
 	}
-	require.NoError(t, json.Unmarshal([]byte(said), &b))
-	stream, err := v.chat(t.Context(), "stream")
+	require.NoError(t, json.Unmarshal([]byte(response), &b))
+	stream, err := node.chat(t.Context(), "stream")
 	require.NoError(t, err)
 	defer stream.Body.Close()
-	waits := make(chan error, 1)
+	pendingResult := make(chan error, 1)
 	go func() {
-		response, err := v.chat(t.Context(), "waits")
+		response, err := node.chat(t.Context(), "waits")
 		if err == nil {
 			response.Body.Close()
 		}
-		waits <- err
+		pendingResult <- err
 	}()
-	for range 5 { // three lines, the stream, and the one that waits
-		<-came
+	for range 5 { // three lines, the stream and the waiting request
+		<-started
 	}
-	v.kill()
+	node.kill()
 	healthy.Store(true)
-	for range 5 { // at the box too
+	for range 5 { // the attempts end at the backend too
 		<-ended
 	}
-	require.Error(t, <-waits)
-	half, err := io.ReadAll(stream.Body)
+	require.Error(t, <-pendingResult)
+	partial, err := io.ReadAll(stream.Body)
 	require.Error(t, err, "no last chunk")
-	require.Contains(t, string(half), "begun")
-	v.start()
-	_, back := v.call("GET", "/v1/files/"+file+"/content", "", nil)
-	require.Equal(t, content.String(), back)
+	require.Contains(t, string(partial), "begun")
+	node.start()
+	_, downloaded := node.call("GET", "/v1/files/"+file+"/content", "", nil)
+	require.Equal(t, content.String(), downloaded)
 	require.Eventually(t, func() bool {
-		_, said = v.call("GET", "/v1/batches/"+b.ID, "", nil)
-		return json.Unmarshal([]byte(said), &b) == nil && b.Status == "completed"
-	}, 30*time.Second, 20*time.Millisecond, said)
-	_, output := v.call("GET", "/v1/files/"+b.OutputFileID+"/content", "", nil)
+		_, response = node.call("GET", "/v1/batches/"+b.ID, "", nil)
+		return json.Unmarshal([]byte(response), &b) == nil && b.Status == "completed"
+	}, 30*time.Second, 20*time.Millisecond, response)
+	_, output := node.call("GET", "/v1/files/"+b.OutputFileID+"/content", "", nil)
 	require.Equal(t, 3, strings.Count(output, "answer to line"))
 	mu.Lock()
 	defer mu.Unlock()
 	for i := range 3 {
 		at := sent[fmt.Sprintf("line %d", i)]
 		require.Len(t, at, 2)
-		require.Greater(t, at[1].Sub(at[0]), lineTime*9/10, "the store had it out until then")
+		require.Greater(t, at[1].Sub(at[0]), lineTime*9/10, "a line is not sent again before its time is over")
 	}
-	require.Len(t, sent["waits"], 1, "a killed node owes nothing that it held; its client asks again")
+	require.Len(t, sent["waits"], 1, "a restarted node does not repeat a client's request")
 	require.Equal(t, 1, ledger.MaximumInFlight())
 }
 
-// A node is killed again and again in the middle of uploads. What it had acknowledged is there and whole; of the others
-// nothing can be seen that is not whole.
-func TestKilledInTheMiddleOfUploads(t *testing.T) {
+// A node is killed at random moments during uploads. After each restart, every upload that it had acknowledged is
+// complete, and of the others none is visible in part.
+func TestKillDuringUploads(t *testing.T) {
 	t.Parallel()
-	v := newVictim(t, testpeer.FreeAddress(t), "3s")
+	node := newBatchNode(t, testpeer.FreeAddress(t), "3s")
 	rng := rand.New(rand.NewPCG(1, 2))
-	given := map[string]bool{}
-	kept := map[string]string{}
+	uploaded := map[string]bool{}
+	acknowledged := map[string]string{}
 	for round := range 4 {
-		after := time.Duration(rng.IntN(150)) * time.Millisecond // a kill at any moment is what is tested
+		after := time.Duration(rng.IntN(150)) * time.Millisecond // each kill at a random moment
 		killed := make(chan struct{})
-		time.AfterFunc(after, func() { v.kill(); close(killed) })
+		time.AfterFunc(after, func() { node.kill(); close(killed) })
 		for i := range 1000 {
 			content := fmt.Sprintf("%d %d %s\n", round, i, strings.Repeat("x", rng.IntN(900<<10)))
-			given[content] = true
-			id, ok := v.upload(content)
+			uploaded[content] = true
+			id, ok := node.upload(content)
 			if !ok {
 				break
 			}
-			kept[id] = content
+			acknowledged[id] = content
 		}
 		<-killed
-		v.start()
-		for id, content := range kept {
-			_, back := v.call("GET", "/v1/files/"+id+"/content", "", nil)
-			require.True(t, content == back, "round %d: %s of %d bytes came back with %d", round, id, len(content),
-				len(back))
+		node.start()
+		for id, content := range acknowledged {
+			_, downloaded := node.call("GET", "/v1/files/"+id+"/content", "", nil)
+			require.True(t, content == downloaded, "round %d: %s of %d bytes came back with %d", round, id, len(content),
+				len(downloaded))
 		}
 	}
-	_, said := v.call("GET", "/v1/files?limit=100", "", nil)
+	_, listing := node.call("GET", "/v1/files?limit=100", "", nil)
 	var all struct{ Data []struct{ ID string } }
-	require.NoError(t, json.Unmarshal([]byte(said), &all))
+	require.NoError(t, json.Unmarshal([]byte(listing), &all))
 	for _, file := range all.Data {
-		_, back := v.call("GET", "/v1/files/"+file.ID+"/content", "", nil)
-		require.True(t, given[back], "%s is none of those that were given", file.ID)
+		_, downloaded := node.call("GET", "/v1/files/"+file.ID+"/content", "", nil)
+		require.True(t, uploaded[downloaded], "%s: content differs from every upload", file.ID)
 	}
 }
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -46,20 +46,20 @@
 	newPool = "[[pool]]\nname = \"new\"\nselect = 'version == \"v2\"'\n"
 )
 
-// migrationTest is a daemon with two backends in each of two pools, its clients, and an operator's commands.
+// migrationTest is a daemon with two pools of two backends each. Its methods run clients and operator commands.
 type migrationTest struct {
 	t        *testing.T
 	listen   string
-	path     string // of the operator's file
-	head     string
-	backends string
-	exit     chan error
+	path     string     // the operator's file
+	head     string     // the part of the operator's file before the pools
+	backends string     // its part with the backends
+	exit     chan error // the result of the daemon
 
 	failing atomic.Bool // the new pool's backends fail
 
-	mu    sync.Mutex // guards count and last
-	count map[string]int
-	last  map[string]time.Time // request of a backend
+	mu    sync.Mutex           // guards count and last
+	count map[string]int       // of requests, by backend
+	last  map[string]time.Time // when each backend got its last request
 }
 
 func startMigrationTest(t *testing.T) *migrationTest {
@@ -85,7 +85,7 @@
 	return m
 }
 
-// backend starts a backend that notes its requests, and returns its address.
+// backend starts a backend that records its requests, and returns its address.
 func (m *migrationTest) backend(name string) string {
 	return testpeer.Backend(m.t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -102,7 +102,7 @@
 	})
 }
 
-// requests is how many requests a backend has got, and when the last came.
+// requests returns the number of requests that a backend has got, and when it got the last.
 func (m *migrationTest) requests(name string) (int, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,14 +119,14 @@
 	require.NoError(m.t, syscall.Kill(os.Getpid(), s))
 }
 
-// command runs a command line, and returns what it prints and its exit code.
+// command runs a command line and returns its output and its exit code.
 func (m *migrationTest) command(args ...string) (string, int) {
 	var out, errs bytes.Buffer
 	code := Main(m.t.Context(), append(args, "--config", m.path), Streams{Out: &out, Err: &errs})
 	return out.String() + errs.String(), code
 }
 
-// requireCommand runs a command line that must end with the code and print the texts.
+// requireCommand runs a command line that must end with this exit code and print these texts.
 func (m *migrationTest) requireCommand(code int, args []string, texts ...string) {
 	m.t.Helper()
 	printed, got := m.command(args...)
@@ -144,7 +144,7 @@
 	return s
 }
 
-// migrationClients send requests until they are stopped.
+// migrationClients is a group of clients that send requests until they are stopped.
 type migrationClients struct {
 	running sync.WaitGroup
 	cancel  context.CancelFunc
@@ -191,11 +191,12 @@
 	c.running.Wait()
 }
 
-// What can be shown and asked before and at the start of a migration.
+// startMigration starts a migration and waits for its first step. Before that it checks the commands that need no
+// migration; a second start is rejected.
 func (m *migrationTest) startMigration() {
 	fresh, _ := m.requests("new-1")
 	other, _ := m.requests("new-2")
-	require.Zero(m.t, fresh+other, "before a migration the first pool has all requests")
+	require.Zero(m.t, fresh+other, "the new pool has no requests before the migration")
 	m.requireCommand(OK, []string{"entries", "list"}, "old-1")
 	m.requireCommand(OK, []string{"entries", "explain", "new-2"}, "the operator's file")
 	m.requireCommand(Failed, []string{"entries", "explain", "new-9"})
@@ -207,8 +208,8 @@
 	require.Eventually(m.t, func() bool { return m.status().Migration.Step == 1 }, 60*time.Second, 50*time.Millisecond)
 }
 
-// While a migration runs, a file without the new pool is rejected; one in which a backend drains is applied, and
-// nothing new goes there 500 ms later.
+// reloadDuringMigration reloads a file without the new pool, which is rejected, and then one in which a backend of the
+// new pool drains, which is applied: later than 500 ms after that the backend gets no request.
 func (m *migrationTest) reloadDuringMigration() {
 	m.write(m.head + oldPool + m.backends)
 	m.signal(syscall.SIGHUP)
@@ -218,13 +219,13 @@
 	m.signal(syscall.SIGHUP)
 	require.Eventually(m.t, func() bool { text, _ := m.command("pools"); return strings.Contains(text, "draining") },
 		10*time.Second, 20*time.Millisecond)
-	known := time.Now()
+	applied := time.Now()
 	time.Sleep(time.Second)
 	_, last := m.requests("new-1")
-	require.Less(m.t, last.Sub(known), 500*time.Millisecond)
+	require.Less(m.t, last.Sub(applied), 500*time.Millisecond)
 }
 
-// Once the new pool fails, the migration is reverted, and nothing goes there any more.
+// failNewPool has the backends of the new pool fail. The migration is reverted, and the pool gets no more requests.
 func (m *migrationTest) failNewPool() {
 	m.failing.Store(true)
 	m.requireCommand(MigrationReverted, []string{"move", "watch"}, "returning")
@@ -233,11 +234,11 @@
 	before, _ := m.requests("new-2")
 	time.Sleep(time.Second)
 	after, _ := m.requests("new-2")
-	require.Equal(m.t, before, after, "nothing goes to the new pool any more")
+	require.Equal(m.t, before, after, "requests sent to the new pool after the migration was reverted")
 }
 
-// A migration on a whole daemon, by an operator's commands: traffic moves, the new backends begin to fail, and all of
-// it goes back.
+// A migration with a complete daemon, run by operator commands: traffic moves to the new pool until its backends fail,
+// then all of it returns to the old pool.
 func TestMigration(t *testing.T) {
 	m := startMigrationTest(t)
 	clients := m.startClients(6)
--- a/internal/cli/platform_test.go
+++ b/internal/cli/platform_test.go
@@ -21,49 +21,52 @@
 	"standpoint/internal/testpeer"
 )
 
-// platform is what a node on the platform finds: its list, the clients' socket and its folder.
+// platform is the environment of a node on the platform: its endpoint list, the listening socket for clients and its
+// directory.
 type platform struct {
 	t         *testing.T
 	program   string
 	dir       string
 	listen    *net.TCPListener
 	discovery string
-	known     json.RawMessage // the list that processes are started with; nil: none
+	known     json.RawMessage // the endpoint list in the configuration of each process; nil for none
 }
 
-// log is what a process says, read while it goes on.
-type log struct {
+// processLog collects the output of a process. It may be read while the process runs.
+type processLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *log) Write(b []byte) (int, error) {
+func (l *processLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *log) String() string {
+func (l *processLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// process is one process of the node.
+// process is one process of the node. Several may run at once during an upgrade.
 type process struct {
 	*exec.Cmd
 	console string
-	said    *log
+	output  *processLog
 }
 
-func newPlatform(t *testing.T, boxes map[string]string) *platform {
+// newPlatform returns the environment of a node with these backends, by name and address. Its discovery serves one list
+// and never a change.
+func newPlatform(t *testing.T, backends map[string]string) *platform {
 	p := &platform{t: t, program: build(t), dir: t.TempDir()}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	p.listen = l.(*net.TCPListener)
 	var hosts []string
-	for name, address := range boxes {
+	for name, address := range backends {
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","health":"ready","share":1}`,
 			name, address))
 	}
@@ -77,7 +80,8 @@
 	return p
 }
 
-// platformConfig is what the platform tells a node; more are further keys, or others in their place.
+// platformConfig returns a node's configuration as the platform writes it. The keys in more are added, or replace those
+// of the same name.
 func platformConfig(listen, discovery string, more map[string]any) map[string]any {
 	settings := map[string]any{"balancers": 1, "discovery": "on_request", "period": 2000000, "zones": []string{"a"},
 		"shapes": []string{"m"},
@@ -91,15 +95,15 @@
 	return all
 }
 
-// start starts a process of the node, with further variables.
+// start starts a process of the node, with additional environment variables.
 func (p *platform) start(variables ...string) *process {
 	return p.startProgram(p.program, variables...)
 }
 
-// startProgram starts a process of the node that runs another program than the platform's.
+// startProgram is like start for another program than the platform's.
 func (p *platform) startProgram(program string, variables ...string) *process {
-	q := &process{console: testpeer.FreeAddress(p.t), said: &log{}}
-	more := map[string]any{"console": q.console}
+	started := &process{console: testpeer.FreeAddress(p.t), output: &processLog{}}
+	more := map[string]any{"console": started.console}
 	if p.known != nil {
 		more["known"] = p.known
 	}
@@ -110,21 +114,21 @@
 	socket, err := p.listen.File()
 	require.NoError(p.t, err)
 	defer func() { _ = socket.Close() }()
-	q.Cmd = exec.Command(program)
-	q.ExtraFiles = []*os.File{socket}
-	q.Env = append(append(os.Environ(), "PROXY_CONFIG="+file, "TMPDIR="+p.dir, "PROXY_SOCKET_FD=3"), variables...)
-	q.Stderr = q.said
-	require.NoError(p.t, q.Start())
+	started.Cmd = exec.Command(program)
+	started.ExtraFiles = []*os.File{socket}
+	started.Env = append(append(os.Environ(), "PROXY_CONFIG="+file, "TMPDIR="+p.dir, "PROXY_SOCKET_FD=3"), variables...)
+	started.Stderr = started.output
+	require.NoError(p.t, started.Start())
 	p.t.Cleanup(func() {
-		_ = q.Process.Kill()
-		_ = q.Wait()
+		_ = started.Process.Kill()
+		_ = started.Wait()
 	})
-	return q
+	return started
 }
 
-// says asks a process's console; status 0: no answer.
-func (q *process) says(method, target string) (int, string) {
-	r, _ := http.NewRequest(method, "http://"+q.console+target, nil) // a constant form: cannot fail
+// callConsole sends a request to a process's console. Status 0 means that there was no response.
+func (p *process) callConsole(method, target string) (int, string) {
+	r, _ := http.NewRequest(method, "http://"+p.console+target, nil) // cannot fail: the URL is well formed
 	response, err := (&http.Client{Timeout: time.Second}).Do(r)
 	if err != nil {
 		return 0, ""
@@ -134,21 +138,22 @@
 	return response.StatusCode, string(body)
 }
 
-func (q *process) ready() bool {
-	status, _ := q.says("GET", "/ops/readiness")
+func (p *process) ready() bool {
+	status, _ := p.callConsole("GET", "/ops/readiness")
 	return status == http.StatusOK
 }
 
-func (q *process) shows(line string) func() bool {
+// showsStat returns a function that reports whether the console's statistics contain line.
+func (p *process) showsStat(line string) func() bool {
 	return func() bool {
-		_, text := q.says("GET", "/ops/stats")
+		_, text := p.callConsole("GET", "/ops/stats")
 		return strings.Contains(text, line+"\n")
 	}
 }
 
-// logged is the first line of its log with some text. The process has written it by then.
-func (q *process) logged(text string) string {
-	for _, line := range strings.Split(q.said.String(), "\n") {
+// logLine returns the first line of the process's output that contains text, or "".
+func (p *process) logLine(text string) string {
+	for _, line := range strings.Split(p.output.String(), "\n") {
 		if strings.Contains(line, text) {
 			return line
 		}
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -22,48 +22,55 @@
 	"standpoint/internal/testpeer"
 )
 
-// lone is a node as the platform starts it, a process with the deploy file's own command and limits.
-type lone struct {
+// standaloneNode is a node process started as the platform starts it, with the deploy file's command and limits.
+type standaloneNode struct {
 	*exec.Cmd
 	listen string
 	file   string
-	said   *log
+	output *processLog
 	ended  chan error
 }
 
-// startLone starts one with a list of its own to begin with, at the discovery; sockets is its limit of descriptors.
-func startLone(t *testing.T, program, discovery, server string, sockets int, settings map[string]any) *lone {
-	l := &lone{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"), said: &log{},
-		ended: make(chan error, 1)}
-	l.configure(t, discovery, server, sockets, settings)
-	l.Cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; trap '' HUP; exec %s", sockets, program))
-	l.Env = append(os.Environ(), "PROXY_CONFIG="+l.file, "TMPDIR="+t.TempDir())
-	l.Stderr = l.said
-	require.NoError(t, l.Start())
-	go func() { l.ended <- l.Wait() }()
+// startStandalone starts a node with the address of its discovery and an initial list of one server. sockets limits its
+// file descriptors; settings are added to its settings.
+func startStandalone(
+	t *testing.T, program, discovery, server string, sockets int, settings map[string]any,
+) *standaloneNode {
+	node := &standaloneNode{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"),
+		output: &processLog{}, ended: make(chan error, 1)}
+	node.configure(t, discovery, server, sockets, settings)
+	node.Cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; trap '' HUP; exec %s", sockets, program))
+	node.Env = append(os.Environ(), "PROXY_CONFIG="+node.file, "TMPDIR="+t.TempDir())
+	node.Stderr = node.output
+	require.NoError(t, node.Start())
+	go func() { node.ended <- node.Wait() }()
 	t.Cleanup(func() {
-		_ = l.Process.Kill()
-		t.Logf("the process ended: %v", <-l.ended)
+		_ = node.Process.Kill()
+		t.Logf("the process ended: %v", <-node.ended)
 	})
-	return l
+	return node
 }
 
-func (l *lone) configure(t *testing.T, discovery, server string, sockets int, settings map[string]any) {
-	known := json.RawMessage(fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","class":"m","health":"ready","share":1}]}`, server))
-	config := platformConfig(l.listen, discovery, map[string]any{"known": known,
+// configure writes the node's configuration file, atomically.
+func (node *standaloneNode) configure(
+	t *testing.T, discovery, server string, sockets int, settings map[string]any,
+) {
+	known := json.RawMessage(fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[`+
+		`{"host":"s","dial":%q,"site":"a","class":"m","health":"ready","share":1}]}`, server))
+	config := platformConfig(node.listen, discovery, map[string]any{"known": known,
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": sockets}})
 	for k, v := range settings {
 		config["settings"].(map[string]any)[k] = v
 	}
 	raw, err := json.Marshal(config)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(l.file+".new", raw, 0o600))
-	require.NoError(t, os.Rename(l.file+".new", l.file))
+	require.NoError(t, os.WriteFile(node.file+".new", raw, 0o600))
+	require.NoError(t, os.Rename(node.file+".new", node.file))
 }
 
-func (l *lone) ready() bool {
+func (node *standaloneNode) ready() bool {
 	response, err := (&http.Client{Timeout: time.Second,
-		Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + l.listen + "/_health")
+		Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + node.listen + "/_health")
 	if err != nil {
 		return false
 	}
@@ -71,17 +78,17 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// moody is a discovery whose manner changes.
-type moody struct {
+// scriptedDiscovery is a discovery that passes each connection to a handler, which may be replaced.
+type scriptedDiscovery struct {
 	address string
-	manner  atomic.Pointer[func(net.Conn)]
+	handler atomic.Pointer[func(net.Conn)]
 }
 
-func startMoody(t *testing.T, manner func(net.Conn)) *moody {
+func startScriptedDiscovery(t *testing.T, handle func(net.Conn)) *scriptedDiscovery {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &moody{address: l.Addr().String()}
-	d.manner.Store(&manner)
+	d := &scriptedDiscovery{address: l.Addr().String()}
+	d.handler.Store(&handle)
 	var open sync.WaitGroup
 	var mu sync.Mutex
 	var all []net.Conn
@@ -96,7 +103,7 @@
 			mu.Unlock()
 			open.Go(func() {
 				defer c.Close()
-				(*d.manner.Load())(c)
+				(*d.handler.Load())(c)
 			})
 		}
 	})
@@ -112,35 +119,38 @@
 	return d
 }
 
-func resets(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }
-func silent(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
-func busy(c net.Conn) {
+func resetConnection(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }
+func neverRespond(c net.Conn)    { _, _ = io.Copy(io.Discard, c) }
+func rejectBusy(c net.Conn) {
 	_, _ = http.ReadRequest(bufio.NewReader(c))
 	_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
 
-// lists tells the whole list, and has watches wait.
-func lists(server, health string) func(net.Conn) {
+// serveList returns a handler that serves the full list of one server with this health, and never responds to a watch
+// for changes.
+func serveList(server, health string) func(net.Conn) {
 	return func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
 		}
 		if r.URL.Query().Get("after") == "9" {
-			silent(c)
+			neverRespond(c)
 			return
 		}
-		body := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s","dial":%q,"site":"a","class":"m","health":%q,"share":1}]}`, server, health)
+		body := fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[`+
+			`{"host":"s","dial":%q,"site":"a","class":"m","health":%q,"share":1}]}`, server, health)
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body)
 	}
 }
 
-// A server is told to drain, to the process that serves alone: discovery says nothing to the one that is to take over
-// until its third call. Both were started with a list in which the server stands ready. Nothing more goes there from
-// either, before, in and behind the hand-over, and the new one is ready within 6 s.
+// A drain that only the first process was notified of must not be lost in an upgrade. Both processes start with a list
+// in which the server is ready; discovery reports the drain to the first, and does not respond to the second until its
+// third call for the full list. Neither process sends the server a request before, during or after the hand-over, and
+// the second is ready within 6 s.
 func TestADrainBeforeAnUpgradesHandOver(t *testing.T) {
 	t.Parallel()
-	asked, stays := make(chan string, 1000), make(chan string, 1000)
+	received, stayingReceived := make(chan string, 1000), make(chan string, 1000)
 	server := func(to chan<- string) string {
 		return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -152,33 +162,33 @@
 	p := newPlatform(t, nil)
 	list := func(seq int, health string) string {
 		host := `{"host":%q,"dial":%q,"site":"a","class":"m","health":%q,"share":1}`
-		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[`+host+`,`+host+`]}`, seq, "leaves", server(asked),
-			health, "stays", server(stays), "ready")
+		return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[`+host+`,`+host+`]}`, seq, "leaves", server(received),
+			health, "stays", server(stayingReceived), "ready")
 	}
 	p.known = json.RawMessage(list(1, "ready"))
 	drained := strings.Replace(strings.Replace(string(p.known), `"ready"`, `"draining"`, 1), `"seq":1`, `"seq":2`, 1)
-	told, held := make(chan struct{}), make(chan struct{}, 100)
-	var wholes atomic.Int32 // calls of the new process for the whole list
-	d := startMoody(t, func(c net.Conn) {
+	drainSent, watchOpen := make(chan struct{}), make(chan struct{}, 100)
+	var fullListCalls atomic.Int32 // calls of the second process for the full list
+	d := startScriptedDiscovery(t, func(c net.Conn) {
 		r, err := http.ReadRequest(bufio.NewReader(c))
 		switch {
 		case err != nil:
-		case r.URL.Query().Get("after") == "1": // the first process has the list that it was started with
+		case r.URL.Query().Get("after") == "1": // the first process watches for changes to its initial list
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
 				len(drained), drained)
-			close(told)
-		case r.URL.Query().Get("after") == "" && wholes.Add(1) > 2:
+			close(drainSent)
+		case r.URL.Query().Get("after") == "" && fullListCalls.Add(1) > 2:
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
 				len(drained), drained)
 		default:
-			held <- struct{}{}
-			silent(c)
+			watchOpen <- struct{}{}
+			neverRespond(c)
 		}
 	})
 	p.discovery = d.address
 	first := p.start()
 	require.Eventually(t, first.ready, 10*time.Second, 5*time.Millisecond)
-	ask := func(id string) error {
+	send := func(id string) error {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		response, err := client.Do(testpeer.ChatRequest(t, p.listen.Addr().String(), id, "3000m"))
 		if err != nil {
@@ -191,80 +201,83 @@
 		}
 		return err
 	}
-	require.NoError(t, ask("first")) // the watch is asked for with it
-	<-told
-	<-held // the next watch stands: the answer before it is taken in
+	require.NoError(t, send("first")) // the first request starts the watch
+	<-drainSent
+	<-watchOpen // the next watch is open, so the response to the one before has been processed
 	time.Sleep(500 * time.Millisecond)
-	for len(asked) > 0 {
-		<-asked
+	for len(received) > 0 {
+		<-received
 	}
-	began := time.Now()
+	started := time.Now()
 	second := p.start()
 	for i := 0; !second.ready(); i++ {
-		require.NoError(t, ask(fmt.Sprint("beside-", i)))
-		require.Less(t, time.Since(began), 6*time.Second)
+		require.NoError(t, send(fmt.Sprint("beside-", i)))
+		require.Less(t, time.Since(started), 6*time.Second)
 	}
-	t.Logf("ready after %v and %d calls", time.Since(began), wholes.Load())
-	for i := range 40 { // the system gives either of them the connections
-		require.NoError(t, ask(fmt.Sprint("both-", i)))
+	t.Logf("ready after %v and %d calls", time.Since(started), fullListCalls.Load())
+	for i := range 40 { // the operating system gives either process the connections
+		require.NoError(t, send(fmt.Sprint("both-", i)))
 	}
 	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
 	for i := range 40 {
-		require.NoError(t, ask(fmt.Sprint("after-", i)))
+		require.NoError(t, send(fmt.Sprint("after-", i)))
 	}
 	require.NoError(t, first.Wait())
-	require.NoError(t, ask("alone"))
-	require.Empty(t, asked, "sent to a server that this node was told is leaving")
-	require.GreaterOrEqual(t, len(stays), 82)
+	require.NoError(t, send("alone"))
+	require.Empty(t, received, "requests sent to a server that is draining")
+	require.GreaterOrEqual(t, len(stayingReceived), 82)
 }
 
-// A process is ready within 10 s of its start, whatever discovery does, whether lists are pushed or asked for.
+// A process is ready within 10 s of its start even if discovery resets connections, never responds or rejects every
+// call, whether lists are requested or pushed.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	t.Parallel()
 	program := build(t)
-	for name, manner := range map[string]func(net.Conn){"resets": resets, "is silent": silent,
-		"has too many callers": busy} {
+	for name, handle := range map[string]func(net.Conn){"resets connections": resetConnection, "never responds": neverRespond,
+		"rejects every call": rejectBusy} {
 		for _, mode := range []string{"on_request", "pushed"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
 				t.Parallel()
-				d := startMoody(t, manner)
-				began := time.Now()
-				l := startLone(t, program, d.address, testpeer.FreeAddress(t), 512, map[string]any{"discovery": mode})
-				require.Eventually(t, l.ready, 10*time.Second, 10*time.Millisecond, "%s", l.said)
-				t.Logf("ready after %v", time.Since(began))
+				d := startScriptedDiscovery(t, handle)
+				started := time.Now()
+				node := startStandalone(t, program, d.address, testpeer.FreeAddress(t), 512,
+					map[string]any{"discovery": mode})
+				require.Eventually(t, node.ready, 10*time.Second, 10*time.Millisecond, "%s", node.output)
+				t.Logf("ready after %v", time.Since(started))
 			})
 		}
 	}
 }
 
-// Idle clients, more than there are descriptors, come while discovery is down. The node keeps what it needs to call
-// discovery and its servers: once discovery is back it is heard, and a client that has a request is served.
+// Idle clients, three times as many as the node has file descriptors, connect while discovery is down. The node must
+// reserve descriptors for discovery and its backends: within 6 s of discovery's return it has the new list, and serves
+// a client with a request from it.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	const sockets = 128
-	asked := make(chan string, 1000)
-	old := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	received := make(chan string, 1000)
+	listedBackend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		asked <- r.Header.Get("X-Trace-Id")
+		received <- r.Header.Get("X-Trace-Id")
 		testpeer.Event(w, "old")
 		testpeer.Finish(w)
 	})
-	fresh := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	newBackend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		testpeer.Event(w, "fresh")
 		testpeer.Finish(w)
 	})
-	for name, ask := range map[string]bool{"that say nothing": false, "that asked once": true} {
+	for name, sendRequest := range map[string]bool{"without a request": false, "after one request": true} {
 		t.Run(name, func(t *testing.T) {
-			d := startMoody(t, resets)
-			l := startLone(t, build(t), d.address, old, sockets, nil)
-			require.Eventually(t, l.ready, 10*time.Second, 10*time.Millisecond, "%s", l.said)
+			d := startScriptedDiscovery(t, resetConnection)
+			node := startStandalone(t, build(t), d.address, listedBackend, sockets, nil)
+			require.Eventually(t, node.ready, 10*time.Second, 10*time.Millisecond, "%s", node.output)
 			var idle []net.Conn
 			for range 3 * sockets {
-				c, err := net.Dial("tcp", l.listen) // the system takes it whether the node does or not
+				c, err := net.Dial("tcp", node.listen) // the operating system accepts it, whether the node does or not
 				require.NoError(t, err)
 				idle = append(idle, c)
-				if ask {
+				if sendRequest {
 					_, err = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: n\r\n\r\n")
 					require.NoError(t, err)
 				}
@@ -274,12 +287,13 @@
 					c.Close()
 				}
 			})
-			back := lists(fresh, "ready")
-			d.manner.Store(&back)
+			serveNewList := serveList(newBackend, "ready")
+			d.handler.Store(&serveNewList)
 			returned := time.Now()
 			served := func() bool {
 				client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-				response, err := client.Do(testpeer.ChatRequest(t, l.listen, fmt.Sprint("t", time.Now().UnixNano()), "2500m"))
+				response, err := client.Do(testpeer.ChatRequest(t, node.listen, fmt.Sprint("t", time.Now().UnixNano()),
+					"2500m"))
 				if err != nil {
 					return false
 				}
@@ -287,49 +301,50 @@
 				body, _ := io.ReadAll(response.Body)
 				return strings.Contains(string(body), "fresh")
 			}
-			require.Eventually(t, served, 6*time.Second, 10*time.Millisecond, "%s", l.said)
-			t.Logf("served by what discovery told %v after its return", time.Since(returned))
-			require.NotContains(t, l.said.String(), "too many open files")
+			require.Eventually(t, served, 6*time.Second, 10*time.Millisecond, "%s", node.output)
+			t.Logf("served from the new list %v after discovery returned", time.Since(returned))
+			require.NotContains(t, node.output.String(), "too many open files")
 		})
 	}
 }
 
-// SIGTERM, and another, with SIGHUPs between: what is under way ends whole, what still comes on a kept connection is
-// answered, and the exit is a good one. SIGHUP from the first moment of a process on ends nothing.
-func TestSignalsAcrossEachOther(t *testing.T) {
+// Signals may arrive at any time: SIGHUP from the start of the process, then SIGTERM and SIGHUP twice while it drains,
+// and both repeatedly until its exit. Requests in flight complete, a request on an open connection is still served, and
+// the process exits with status 0.
+func TestOverlappingSignals(t *testing.T) {
 	t.Parallel()
-	came, release := make(chan struct{}, 100), make(chan struct{})
+	started, release := make(chan struct{}, 100), make(chan struct{})
 	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		testpeer.Event(w, "begun")
-		came <- struct{}{}
+		started <- struct{}{}
 		if r.Header.Get("X-Trace-Id") == "long" {
 			<-release
 		}
 		testpeer.Finish(w)
 	})
-	d := startMoody(t, lists(server, "ready"))
-	l := startLone(t, build(t), d.address, server, 512, nil)
-	signal := func(s syscall.Signal) { require.NoError(t, l.Process.Signal(s)) }
-	for !l.ready() { // the shell's own first moments, before its trap, are not the program's
-		if l.said.String() != "" {
+	d := startScriptedDiscovery(t, serveList(server, "ready"))
+	node := startStandalone(t, build(t), d.address, server, 512, nil)
+	signal := func(s syscall.Signal) { require.NoError(t, node.Process.Signal(s)) }
+	for !node.ready() { // without output it may still be the shell, which has not set its trap
+		if node.output.String() != "" {
 			signal(syscall.SIGHUP)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	long, err := http.DefaultClient.Do(testpeer.ChatRequest(t, l.listen, "long", "2500m"))
+	long, err := http.DefaultClient.Do(testpeer.ChatRequest(t, node.listen, "long", "2500m"))
 	require.NoError(t, err)
 	defer long.Body.Close()
-	<-came
-	kept, err := net.Dial("tcp", l.listen)
+	<-started
+	idleConn, err := net.Dial("tcp", node.listen)
 	require.NoError(t, err)
-	defer kept.Close()
-	in := bufio.NewReader(kept)
+	defer idleConn.Close()
+	reader := bufio.NewReader(idleConn)
 	once := func(id string) *http.Response {
-		r := testpeer.ChatRequest(t, l.listen, id, "2500m")
-		require.NoError(t, r.Write(kept))
-		require.NoError(t, kept.SetReadDeadline(time.Now().Add(5*time.Second)))
-		response, err := http.ReadResponse(in, r)
+		r := testpeer.ChatRequest(t, node.listen, id, "2500m")
+		require.NoError(t, r.Write(idleConn))
+		require.NoError(t, idleConn.SetReadDeadline(time.Now().Add(5*time.Second)))
+		response, err := http.ReadResponse(reader, r)
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
 		require.NoError(t, err)
@@ -338,7 +353,7 @@
 	require.Equal(t, http.StatusOK, once("before").StatusCode)
 	signal(syscall.SIGTERM)
 	signal(syscall.SIGHUP)
-	require.Eventually(t, func() bool { return strings.Contains(l.said.String(), "draining") }, 3*time.Second,
+	require.Eventually(t, func() bool { return strings.Contains(node.output.String(), "draining") }, 3*time.Second,
 		time.Millisecond)
 	signal(syscall.SIGTERM)
 	signal(syscall.SIGHUP)
@@ -347,17 +362,17 @@
 	body, err := io.ReadAll(long.Body)
 	require.NoError(t, err)
 	require.Contains(t, string(body), "[DONE]")
-	// Up to its very end nothing but its own exit ends it.
-	for late := time.Now().Add(10 * time.Second); ; {
+	// Until its own exit, no signal may end the process.
+	for deadline := time.Now().Add(10 * time.Second); ; {
 		select {
-		case err := <-l.ended:
-			require.NoError(t, err, "%s", l.said)
-			l.ended <- nil
+		case err := <-node.ended:
+			require.NoError(t, err, "%s", node.output)
+			node.ended <- nil
 			return
 		default:
-			_ = l.Process.Signal(syscall.SIGHUP)
-			_ = l.Process.Signal(syscall.SIGTERM)
-			require.True(t, time.Now().Before(late), "it does not end")
+			_ = node.Process.Signal(syscall.SIGHUP)
+			_ = node.Process.Signal(syscall.SIGTERM)
+			require.True(t, time.Now().Before(deadline), "the process does not exit within 10 s")
 		}
 	}
 }
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -15,18 +15,18 @@
 	"standpoint/internal/testpeer"
 )
 
-// upgradeTest is a node on the platform before three backends, of which operators mark some down, and requests that
-// outlive processes of the node.
+// upgradeTest is a node on the platform with three backends, some of which operators mark down, and with requests that
+// are in flight for longer than the process that accepted them runs.
 type upgradeTest struct {
 	t        *testing.T
 	platform *platform
 	address  string
-	ledger   *testpeer.AttemptLedger // of the requests that reach backends
-	begin    chan struct{}           // closed: the request "late" gets its first event
-	release  chan struct{}           // closed: the requests "long" and "late" get the rest
+	ledger   *testpeer.AttemptLedger // the attempts that reach the backends
+	begin    chan struct{}           // closed to send the first event of the request "late"
+	release  chan struct{}           // closed to send the rest of the responses to "long" and "late"
 
 	mu   sync.Mutex           // guards used
-	used map[string]time.Time // when a backend got its last request
+	used map[string]time.Time // when each backend got its last request
 }
 
 func newUpgradeTest(t *testing.T) *upgradeTest {
@@ -47,7 +47,7 @@
 	return u
 }
 
-// answer is a backend's answer. That to "long" is held back in the middle of an event.
+// answer is the handler of a backend. It withholds the response to "long" from the middle of an event.
 func (u *upgradeTest) answer(name string, w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	u.used[name] = time.Now()
@@ -67,19 +67,19 @@
 		<-u.release
 		fmt.Fprint(w, `lta":{"content":"the rest"}}]}`+"\n\n")
 	}
-	time.Sleep(20 * time.Millisecond) // the pace of a server, so that streams are under way at any time
+	time.Sleep(20 * time.Millisecond) // so that streams are in progress at any time
 	testpeer.Finish(w)
 	u.ledger.End(id, true)
 }
 
-// unusedSince tells whether a backend has got no request since a time.
+// unusedSince reports whether a backend has got no request since a time.
 func (u *upgradeTest) unusedSince(name string, since time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.used[name].Before(since)
 }
 
-// startReady starts a process of the node, which must become ready in time.
+// startReady starts a process of the node, which must become ready within this time.
 func (u *upgradeTest) startReady(within time.Duration) *process {
 	u.t.Helper()
 	started := u.platform.start()
@@ -87,14 +87,15 @@
 	return started
 }
 
-// requireStatus calls a process's console.
+// requireStatus sends a POST to a process's console, which must respond with this status.
 func (u *upgradeTest) requireStatus(want int, p *process, target string) {
 	u.t.Helper()
-	status, _ := p.says("POST", target)
+	status, _ := p.callConsole("POST", target)
 	require.Equal(u.t, want, status)
 }
 
-// sendLate sends a request that begins only once begin is closed. It returns once a backend has it.
+// sendLate sends the request "late", whose response starts when begin is closed. It returns when a backend has got the
+// request; the channel receives the response.
 func (u *upgradeTest) sendLate() <-chan string {
 	u.t.Helper()
 	answer := make(chan string, 1)
@@ -112,28 +113,30 @@
 	return answer
 }
 
-// A second process takes over what operators have set, what was learned, and half of the limits.
+// takeOver starts a second process, which takes over the operators' overrides, the learned state and half of the
+// limits.
 func (u *upgradeTest) takeOver(first *process) *process {
 	second := u.startReady(6 * time.Second)
-	require.Eventually(u.t, second.shows("app.hosts_down=1"), 2*time.Second, 5*time.Millisecond)
-	learned := second.logged("learned state restored")
+	require.Eventually(u.t, second.showsStat("app.hosts_down=1"), 2*time.Second, 5*time.Millisecond)
+	learned := second.logLine("learned state restored")
 	require.Contains(u.t, learned, `"servers":3`)
 	require.NotContains(u.t, learned, `"error"`)
 	u.requireStatus(http.StatusOK, first, "/ops/engines/down?id=box-3")
-	require.Eventually(u.t, second.shows("app.hosts_down=2"), time.Second, 5*time.Millisecond)
-	require.Contains(u.t, second.logged("serving"), `"memory_mb":64,"sockets":256`, "half, while there are two")
+	require.Eventually(u.t, second.showsStat("app.hosts_down=2"), time.Second, 5*time.Millisecond)
+	require.Contains(u.t, second.logLine("serving"), `"memory_mb":64,"sockets":256`,
+		"half of the limits, while two processes run")
 	return second
 }
 
-// The first process passes its streams and exits. An answer that stood in the middle of an event goes on without it, as
-// does one that had not begun.
+// handOver stops the first process, which passes its streams to the second and exits. The responses continue without
+// it: one that was in the middle of an event, and one that had not started.
 func (u *upgradeTest) handOver(first *process, long *http.Response) {
 	late := u.sendLate()
 	require.NoError(u.t, first.Process.Signal(syscall.SIGTERM))
-	require.Eventually(u.t, func() bool { return first.logged("streams passed to sibling process") != "" },
+	require.Eventually(u.t, func() bool { return first.logLine("streams passed to sibling process") != "" },
 		4*time.Second, time.Millisecond)
 	close(u.begin)
-	require.NoError(u.t, first.Wait(), first.said)
+	require.NoError(u.t, first.Wait(), first.output)
 	close(u.release)
 	rest, err := io.ReadAll(long.Body)
 	require.NoError(u.t, err)
@@ -145,46 +148,47 @@
 	require.Equal(u.t, 1, u.ledger.Sent()["late"])
 }
 
-// A process that cannot come up, because its descriptor is no listening socket, says so and leaves the other serving.
+// failToStart starts processes whose file descriptor is not a listening socket. They exit with an error that names it,
+// and the other process continues to serve.
 func (u *upgradeTest) failToStart(serving *process) {
 	for _, bad := range []string{"77", "three", "1"} {
 		failing := u.platform.start("PROXY_SOCKET_FD=" + bad)
 		require.Error(u.t, failing.Wait())
 		require.Equal(u.t, InvalidUsage, failing.ProcessState.ExitCode())
-		require.Contains(u.t, failing.said.String(), "PROXY_SOCKET_FD: ")
+		require.Contains(u.t, failing.output.String(), "PROXY_SOCKET_FD: ")
 	}
 	require.True(u.t, serving.ready())
 }
 
-// A third process takes over from the second while a backend is marked up at the second.
+// takeOverAgain starts a third process, which takes over from the second while a backend is marked up at the second.
 func (u *upgradeTest) takeOverAgain(second *process) *process {
 	third := u.startReady(6 * time.Second)
 	markedUp := time.Now()
 	u.requireStatus(http.StatusOK, second, "/ops/engines/up?id=box-3")
-	require.Eventually(u.t, third.shows("app.hosts_down=1"), time.Second, 5*time.Millisecond)
+	require.Eventually(u.t, third.showsStat("app.hosts_down=1"), time.Second, 5*time.Millisecond)
 	require.NoError(u.t, second.Process.Signal(syscall.SIGTERM))
-	require.NoError(u.t, second.Wait(), second.said)
+	require.NoError(u.t, second.Wait(), second.output)
 	require.Eventually(u.t, func() bool { return !u.unusedSince("box-3", markedUp) }, 5*time.Second, 5*time.Millisecond)
 	return third
 }
 
-// A process that is killed leaves its part of the limits, and what operators have set, to the one that lives.
+// killOld kills a process. The one that remains gets its part of the limits and keeps the operators' overrides.
 func (u *upgradeTest) killOld(old *process) {
 	last := u.startReady(6 * time.Second)
 	require.NoError(u.t, old.Process.Kill())
 	_ = old.Wait() // killed
 	const limits = `"siblings":0,"limits":{"cores":1,"memory_mb":128,"sockets":512}`
 	require.Eventually(u.t, func() bool {
-		return strings.Contains(last.logged("sibling process count changed"),
+		return strings.Contains(last.logLine("sibling process count changed"),
 			limits)
 	},
 		2*time.Second, 5*time.Millisecond)
-	require.True(u.t, last.shows("app.hosts_down=1")())
+	require.True(u.t, last.showsStat("app.hosts_down=1")())
 }
 
-// A second process takes over beside the first, and a third from the second, under clients who never stop: each
-// request has its one complete answer and was sent once, and a backend that is marked down stays so, whichever
-// process was told.
+// Two upgrades in a row under load must neither lose nor repeat a request, nor forget what operators set: each request
+// is sent once and gets one complete response, and a backend that is marked down stays down, whichever process the
+// operator called.
 func TestUpgradeUnderClients(t *testing.T) {
 	u := newUpgradeTest(t)
 	first := u.startReady(10 * time.Second)
@@ -200,7 +204,7 @@
 	require.True(t, u.unusedSince("box-2", down))
 	u.failToStart(second)
 	third := u.takeOverAgain(second)
-	require.True(t, u.unusedSince("box-2", down), "down over two upgrades")
+	require.True(t, u.unusedSince("box-2", down), "a backend stays down over two upgrades")
 	served := clients.stop()
 	u.killOld(third)
 	require.NotEmpty(t, served)
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -17,9 +17,9 @@
 	"standpoint/internal/testpeer/release"
 )
 
-// The earlier program is upgraded to this one under clients, and rolled back, with nothing lost on the way: what was
-// learned and what staff decided goes over, a stream that has begun moves, and every request has one whole answer and
-// went out once.
+// An upgrade from the previous release to this program and a rollback, under load, must lose nothing: the learned state
+// and the backends that operators marked down are taken over, a stream in progress continues, and every request is sent
+// once and gets one complete response.
 func TestUpgradeBetweenVersions(t *testing.T) {
 	earlier, present := release.Program(t), build(t)
 	for name, programs := range map[string][2]string{
@@ -40,20 +40,20 @@
 	}
 	p := newPlatform(t, backends)
 	address := p.listen.Addr().String()
-	old := p.startProgram(from)
-	require.Eventually(t, old.ready, 10*time.Second, 5*time.Millisecond)
+	first := p.startProgram(from)
+	require.Eventually(t, first.ready, 10*time.Second, 5*time.Millisecond)
 	long, err := http.DefaultClient.Do(testpeer.ChatRequest(t, address, "long", "8000m"))
 	require.NoError(t, err)
 	defer long.Body.Close()
 	clients := startClients(t, address, 4)
-	status, _ := old.says("POST", "/ops/engines/down?id=box-2")
+	status, _ := first.callConsole("POST", "/ops/engines/down?id=box-2")
 	require.Equal(t, http.StatusOK, status)
 
 	next := p.startProgram(to)
 	require.Eventually(t, next.ready, 6*time.Second, 5*time.Millisecond)
-	require.Eventually(t, next.shows("app.hosts_down=1"), 2*time.Second, 5*time.Millisecond)
-	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, old.Wait(), old.said)
+	require.Eventually(t, next.showsStat("app.hosts_down=1"), 2*time.Second, 5*time.Millisecond)
+	require.NoError(t, first.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, first.Wait(), first.output)
 	close(release)
 	rest, err := io.ReadAll(long.Body)
 	require.NoError(t, err)
@@ -66,12 +66,12 @@
 		require.Equal(t, 1, ledger.Sent()[id], id)
 	}
 	require.Equal(t, 1, ledger.MaximumInFlight())
-	require.True(t, next.shows("app.hosts_down=1")())
-	require.Contains(t, next.said.String(), `"servers":3`, "learned state restored")
+	require.True(t, next.showsStat("app.hosts_down=1")())
+	require.Contains(t, next.output.String(), `"servers":3`, "learned state restored")
 }
 
-// answerOnceReleased is a backend that holds the second half of the answer to the request "long" back until release
-// is closed.
+// answerOnceReleased returns the handler of a backend that withholds the second half of the response to the request
+// "long" until release is closed.
 func answerOnceReleased(ledger *testpeer.AttemptLedger, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Trace-Id")
@@ -80,20 +80,20 @@
 		if id == "long" {
 			<-release
 		}
-		time.Sleep(20 * time.Millisecond) // the pace of a server, so that streams are under way at any time
+		time.Sleep(20 * time.Millisecond) // so that streams are in progress at any time
 		testpeer.Finish(w)
 		ledger.End(id, true)
 	}
 }
 
-// clientGroup is clients that send one request after another until they are stopped.
+// clientGroup is a group of clients that each send one request after another until they are stopped.
 type clientGroup struct {
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 
 	mu       sync.Mutex // guards served and failures
-	served   []string
-	failures []string
+	served   []string   // ids of requests with a complete response
+	failures []string   // of the other requests, the id and the error
 }
 
 func startClients(t *testing.T, address string, number int) *clientGroup {
@@ -133,7 +133,7 @@
 	g.served = append(g.served, id)
 }
 
-// stop ends the clients once each has its answer, and returns the requests that were served.
+// stop stops the clients after their last response, and returns the ids of the requests that were served.
 func (g *clientGroup) stop() []string {
 	g.cancel()
 	g.wait.Wait()
