--- a/internal/dnssd/record/cache.go
+++ b/internal/dnssd/record/cache.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// Bounds of a Cache.
+// Limits of a Cache.
 const (
-	// MaxSets bounds the keys; further ones are not stored.
+	// MaxSets is the maximum number of sets; further ones are not stored.
 	MaxSets = 40_000
-	// maxRecordsPerSet bounds the records of a key.
+	// maxRecordsPerSet is the maximum number of records in a set.
 	maxRecordsPerSet = 8192
-	// maxNegativeTTL bounds how long the lack of a record is believed, whatever the SOA says: an instance that is
-	// published a moment later must not wait long.
+	// maxNegativeTTL is the longest time for which the absence of records is cached, even if the SOA record allows
+	// more: an instance that is published shortly afterwards must be discovered soon.
 	maxNegativeTTL = 5 * time.Second
-	maxTTL         = 24 * time.Hour
-	// maxScannedSet is the size up to which sets are compared record by record.
-	maxScannedSet = 16
+	// maxTTL is the longest time for which records are cached, even if their TTL is longer.
+	maxTTL = 24 * time.Hour
+	// maxPairwiseComparison is the number of records up to which sets are compared pairwise, without hashing.
+	maxPairwiseComparison = 16
 )
 
-// Key names a set of records.
+// Key identifies a set of records.
 type Key struct {
-	Name string // canonical
+	Name string // canonical name
 	Kind Kind
 }
 
-// Set is what is known under a key. Times are in nanoseconds.
+// Set has the cached records of a key. Times are in nanoseconds.
 type Set struct {
-	Records    []Record // empty: there are none, as the server said (RFC 2308)
-	ReceivedAt int64    // 0: nothing was received, only queries failed
-	ExpiresAt  int64    // the end of its time to live
-	RefreshAt  int64    // when it is to be queried again
-	Failure    string   // of the latest query; "" if it was answered
+	Records    []Record // empty if the server has reported that there are none (RFC 2308)
+	ReceivedAt int64    // time of the latest response; 0 if all queries have failed
+	ExpiresAt  int64    // time at which the records' TTL ends
+	RefreshAt  int64    // time at which the set is due to be queried again
+	Failure    string   // error of the latest query; "" if it succeeded
 }
 
-// Cache is what is known of a domain's records. It is not safe for concurrent use.
+// Cache has the cached records of a domain. It is not safe for concurrent use.
 type Cache struct{ sets map[Key]*Set }
 
-// NewCache makes an empty Cache.
+// NewCache returns an empty Cache.
 func NewCache() *Cache { return &Cache{sets: map[Key]*Set{}} }
 
-// Len is the number of sets.
+// Len returns the number of sets.
 func (c *Cache) Len() int { return len(c.sets) }
 
-// Get is the set under a key; nil if nothing is known of it.
+// Get returns the set of a key, or nil if there is none.
 func (c *Cache) Get(name string, kind Kind) *Set { return c.sets[Key{name, kind}] }
 
-// Records are those under a key.
+// Records returns the records of a key.
 func (c *Cache) Records(name string, kind Kind) []Record {
 	if set := c.sets[Key{name, kind}]; set != nil {
 		return set.Records
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// getOrAdd is the set under a key, which is added if need be; nil if the cache is full.
+// getOrAdd returns the set of a key, which is added if it is missing, or nil if the cache is full.
 func (c *Cache) getOrAdd(key Key) *Set {
 	set := c.sets[key]
 	if set == nil {
@@ -69,8 +70,8 @@
 	return set
 }
 
-// Put replaces a set by a complete answer. Without records the answer is that there are none, which is believed for
-// negativeTTL seconds, bounded to 5 s. Put reports whether anything has changed.
+// Put replaces a set by the records of a complete response. If there are none, their absence is cached for negativeTTL
+// seconds, at most 5 s. Put reports whether the set has changed.
 func (c *Cache) Put(key Key, records []Record, negativeTTL uint32, now int64) bool {
 	set := c.getOrAdd(key)
 	if set == nil {
@@ -86,27 +87,27 @@
 	if len(records) > maxRecordsPerSet {
 		records = records[:maxRecordsPerSet]
 	}
-	changed := set.ReceivedAt == 0 || !sameRecords(set.Records, records)
+	changed := set.ReceivedAt == 0 || !equalRecords(set.Records, records)
 	set.Records = records
-	set.received(now, now+int64(lifetime))
+	set.markReceived(now, now+int64(lifetime))
 	set.RefreshAt = set.ExpiresAt
 	return changed
 }
 
-// received notes that a set was received, and when its time to live ends.
-func (s *Set) received(now, expiresAt int64) {
+// markReceived records that the set was received now, and when its TTL ends.
+func (s *Set) markReceived(now, expiresAt int64) {
 	s.ReceivedAt = now
 	s.ExpiresAt = expiresAt
 	s.Failure = ""
 }
 
-// sameRecords reports whether two sets have the same records in any order.
-func sameRecords(a, b []Record) bool {
+// equalRecords reports whether two sets have the same records, in any order and with any TTL.
+func equalRecords(a, b []Record) bool {
 	if len(a) != len(b) {
 		return false
 	}
-	if len(a) > maxScannedSet {
-		return sameLargeSets(a, b)
+	if len(a) > maxPairwiseComparison {
+		return equalLargeSets(a, b)
 	}
 	for _, r := range a {
 		if !slices.ContainsFunc(b, r.EqualIgnoringTTL) {
@@ -116,8 +117,8 @@
 	return true
 }
 
-// sameLargeSets is sameRecords in linear time.
-func sameLargeSets(a, b []Record) bool {
+// equalLargeSets does the work of equalRecords in linear time, for two sets of the same size.
+func equalLargeSets(a, b []Record) bool {
 	content := func(r Record) string {
 		return fmt.Sprint(CanonicalName(r.Target), r.Server, r.Text, r.IP)
 	}
@@ -133,7 +134,7 @@
 	return true
 }
 
-// RecordFailure notes that a query failed, and when it is to be sent again. What was known stays.
+// RecordFailure records the error of a failed query and the time at which the set is due again. Cached records remain.
 func (c *Cache) RecordFailure(key Key, failure string, retryAt int64) {
 	set := c.getOrAdd(key)
 	if set == nil {
@@ -143,7 +144,7 @@
 	set.RefreshAt = retryAt
 }
 
-// Add adds one record, as push and mDNS send them, and reports whether it is new.
+// Add adds one record, as received by push or mDNS, and reports whether it is new.
 func (c *Cache) Add(r Record, now int64) bool {
 	set := c.getOrAdd(Key{r.Name, r.Kind})
 	if set == nil {
@@ -153,7 +154,7 @@
 	for i, known := range set.Records {
 		if known.EqualIgnoringTTL(r) {
 			set.Records[i].TTL = r.TTL
-			set.received(now, expiresAt)
+			set.markReceived(now, expiresAt)
 			return false
 		}
 	}
@@ -161,11 +162,11 @@
 		return false
 	}
 	set.Records = append(slices.Clone(set.Records), r)
-	set.received(now, expiresAt)
+	set.markReceived(now, expiresAt)
 	return true
 }
 
-// Remove removes one record, and reports whether it was there.
+// Remove removes one record and reports whether it was in the cache.
 func (c *Cache) Remove(r Record, now int64) bool {
 	set := c.sets[Key{r.Name, r.Kind}]
 	if set == nil {
@@ -178,7 +179,7 @@
 	return removed
 }
 
-// Clear empties the set of a kind at a name, or with kind 0 all sets there, and reports whether there was any record.
+// Clear removes the records of one kind at a name, or of all kinds if kind is 0, and reports whether there were any.
 func (c *Cache) Clear(name string, kind Kind, now int64) bool {
 	removed := false
 	for _, k := range []Kind{PTR, SRV, TXT, A, AAAA} {
@@ -193,14 +194,14 @@
 	return removed
 }
 
-// Invalidate has every set queried again by now at the latest: the zone has changed.
+// Invalidate makes every set due now, because the zone has changed.
 func (c *Cache) Invalidate(now int64) {
 	for _, set := range c.sets {
 		set.RefreshAt = min(set.RefreshAt, now)
 	}
 }
 
-// NextRefresh is when the first set is to be queried again.
+// NextRefresh returns the earliest time at which a set is due, or math.MaxInt64 if the cache is empty.
 func (c *Cache) NextRefresh() int64 {
 	next := int64(math.MaxInt64)
 	for _, set := range c.sets {
@@ -209,7 +210,7 @@
 	return next
 }
 
-// Retain drops the sets that are not required.
+// Retain deletes the sets that are not required.
 func (c *Cache) Retain(required map[Key]bool) {
 	for key := range c.sets {
 		if !required[key] {
--- a/internal/dnssd/record/guard.go
+++ b/internal/dnssd/record/guard.go
@@ -1,52 +1,54 @@
 package record
 
-// Guard tells a list that was really emptied from one that only looks so. A server that has lost its zone answers "no
-// such instances" as readily as one whose instances were all withdrawn, and to take the first for the second would stop
-// all traffic. The loss of one instance is always accepted at once, as requests to it must stop within 500 ms. Only if
-// more than MaxLossFraction of the instances go in one step is the answer held: it is accepted once it has stayed the
-// same for HoldTime, or when the zone's serial shows that the zone was changed. It is not safe for concurrent use.
+// Guard decides whether a list that has shrunk is accepted. A server that has lost its zone reports that there are no
+// instances, exactly like one whose instances were all withdrawn, and accepting its list would stop all traffic. The
+// loss of a single instance is always accepted immediately, because requests to that instance must stop within 500 ms.
+// A list that lacks more than MaxLossFraction of the instances is held instead: it is accepted once it has remained the
+// same for HoldTime, or if the zone's serial shows that the zone has changed. It is not safe for concurrent use.
 type Guard struct {
-	// MaxLossFraction of the list may go in one step without being held; 1 holds nothing.
+	// MaxLossFraction is the largest fraction of the list that may disappear at once without being held; with 1 no list
+	// is held.
 	MaxLossFraction float64
-	// HoldTime is how long a greater loss must stay the same, in nanoseconds.
+	// HoldTime is the time in nanoseconds for which a larger loss must remain the same before it is accepted.
 	HoldTime int64
 
-	holding   bool
-	heldSince int64
-	remaining int // instances in the answer that is held
+	isHolding    bool  // whether a list is held
+	holdingSince int64 // time in nanoseconds since which the list has been held
+	remaining    int   // number of known instances in the held list
 }
 
-// Decision is what a Guard decides about an answer.
+// Decision is the decision of a Guard on a list.
 type Decision int
 
 // The decisions of a Guard.
 const (
-	Accept Decision = iota // the answer is the list
-	Hold                   // keep the last list, and query again
+	Accept Decision = iota // use the new list
+	Hold                   // use the previous list, and query again
 )
 
-// Check decides about a complete answer: listed is how many instances the last list has, remaining how many of them the
-// answer still has, changed whether the zone's serial has gone up since that list, and now is in nanoseconds.
+// Check decides on a complete list. listed is the number of instances in the previous list, remaining the number of
+// those that the new list still has, and changed reports whether the zone's serial has increased in between. now is in
+// nanoseconds.
 func (g *Guard) Check(listed, remaining int, changed bool, now int64) Decision {
-	lost := listed - remaining
-	if listed == 0 || lost <= 1 || float64(lost) <= g.MaxLossFraction*float64(listed) || changed {
-		g.holding = false
+	missing := listed - remaining
+	if listed == 0 || missing <= 1 || float64(missing) <= g.MaxLossFraction*float64(listed) || changed {
+		g.isHolding = false
 		return Accept
 	}
-	if !g.holding || g.remaining != remaining {
-		g.holding = true
-		g.heldSince = now
+	if !g.isHolding || g.remaining != remaining {
+		g.isHolding = true
+		g.holdingSince = now
 		g.remaining = remaining
 	}
-	if now-g.heldSince >= g.HoldTime {
-		g.holding = false
+	if now-g.holdingSince >= g.HoldTime {
+		g.isHolding = false
 		return Accept
 	}
 	return Hold
 }
 
-// HeldSince reports whether an answer is being held, and since when.
-func (g *Guard) HeldSince() (since int64, held bool) { return g.heldSince, g.holding }
+// HeldSince reports whether a list is held, and since which time in nanoseconds.
+func (g *Guard) HeldSince() (since int64, held bool) { return g.holdingSince, g.isHolding }
 
-// Newer reports whether serial a of a zone is later than b (RFC 1982).
+// Newer reports whether zone serial a is later than b in serial number arithmetic (RFC 1982).
 func Newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
--- a/internal/dnssd/record/names.go
+++ b/internal/dnssd/record/names.go
@@ -1,6 +1,6 @@
-// Package record decides what DNS-SD records mean (RFC 6763): names, attributes, which target an instance has, what
-// is known of a domain, and whether a list of instances that has changed is to be believed. It has no clock and does
-// no I/O.
+// Package record interprets DNS-SD records (RFC 6763): it decodes names and attributes, selects an instance's target,
+// caches the records of a domain, and decides whether a list that has lost instances is accepted. It has no clock and
+// does no I/O.
 package record
 
 import (
@@ -10,12 +10,12 @@
 	"unicode/utf8"
 )
 
-// maxLabelLength is in bytes (RFC 1035, 2.3.4).
+// maxLabelLength is the maximum length of a label in bytes (RFC 1035, 2.3.4).
 const maxLabelLength = 63
 
-// SplitInstance splits a full instance name in presentation form into the instance's own label, unescaped, and the
-// rest: service and domain. Labels of instances are UTF-8 of any kind, dots and spaces included (RFC 6763, 4.1.1).
-func SplitInstance(full string) (label, rest string, err error) {
+// SplitInstance splits a full instance name in presentation form into the unescaped instance label and the service,
+// which is the service type and domain. Instance labels are any UTF-8, including dots and spaces (RFC 6763, 4.1.1).
+func SplitInstance(full string) (label, service string, err error) {
 	var unescaped strings.Builder
 	for i := 0; i < len(full); {
 		switch full[i] {
@@ -23,14 +23,14 @@
 			label = unescaped.String()
 			if label == "" || len(label) > maxLabelLength {
 				return "", "", fmt.Errorf(
-					"%q: the first label has %d bytes, not 1 to %d",
+					"instance name %q: first label has %d bytes, not 1 to %d",
 					full,
 					len(label),
 					maxLabelLength,
 				)
 			}
 			if !utf8.ValidString(label) {
-				return "", "", fmt.Errorf("%q: the first label is not UTF-8", full)
+				return "", "", fmt.Errorf("instance name %q: first label is not valid UTF-8", full)
 			}
 			return label, full[i+1:], nil
 		case '\\':
@@ -45,27 +45,28 @@
 			i++
 		}
 	}
-	return "", "", fmt.Errorf("%q has nothing behind its first label", full)
+	return "", "", fmt.Errorf("instance name %q: no service after the first label", full)
 }
 
-// unescape reads the escape at full[at]: a backslash and three decimal digits, or and any other character. size is how
-// many bytes it has.
+// unescape decodes the escape sequence at full[at]: a backslash followed by three decimal digits or by any other
+// character. size is the length of the sequence in bytes.
 func unescape(full string, at int) (c byte, size int, err error) {
 	const decimalSize = 4
 	if end := at + decimalSize; end <= len(full) && allDigits(full[at+1:end]) {
 		digits := full[at+1 : end]
 		value := int(digits[0]-'0')*100 + int(digits[1]-'0')*10 + int(digits[2]-'0')
 		if value > math.MaxUint8 {
-			return 0, 0, fmt.Errorf("%q: \\%s is no byte", full, digits)
+			return 0, 0, fmt.Errorf("instance name %q: escape \\%s exceeds 255", full, digits)
 		}
 		return byte(value), decimalSize, nil
 	}
 	if at+1 == len(full) {
-		return 0, 0, fmt.Errorf("%q ends in an escape", full)
+		return 0, 0, fmt.Errorf("instance name %q: incomplete escape at the end", full)
 	}
 	return full[at+1], 2, nil
 }
 
+// allDigits reports whether s has decimal digits only.
 func allDigits(s string) bool {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
@@ -75,10 +76,11 @@
 	return true
 }
 
-// JoinInstance is the full name, in presentation form, of the instance label in the service and domain rest.
-func JoinInstance(label, rest string) (string, error) {
+// JoinInstance returns the full name, in presentation form, of the instance with the given label. service is the
+// service type and domain.
+func JoinInstance(label, service string) (string, error) {
 	if label == "" || len(label) > maxLabelLength || !utf8.ValidString(label) {
-		return "", fmt.Errorf("%q is no label: 1 to %d bytes of UTF-8", label, maxLabelLength)
+		return "", fmt.Errorf("instance label %q is not 1 to %d bytes of valid UTF-8", label, maxLabelLength)
 	}
 	var escaped strings.Builder
 	for i := range len(label) {
@@ -92,5 +94,5 @@
 			escaped.WriteByte(c)
 		}
 	}
-	return escaped.String() + "." + rest, nil
+	return escaped.String() + "." + service, nil
 }
--- a/internal/dnssd/record/record.go
+++ b/internal/dnssd/record/record.go
@@ -7,10 +7,10 @@
 	"github.com/miekg/dns"
 )
 
-// Kind of a record, by its number on the wire.
+// Kind is the type of a resource record (RFC 1035, 3.2.2), as on the wire.
 type Kind uint16
 
-// Kinds that are read. All others are passed over.
+// The kinds of records that are decoded. All others are ignored.
 const (
 	PTR  = Kind(dns.TypePTR)
 	SRV  = Kind(dns.TypeSRV)
@@ -25,21 +25,22 @@
 
 // Record is a decoded resource record. Which fields are set depends on the kind.
 type Record struct {
-	Name       string // canonical
+	Name       string // canonical name
 	Kind       Kind
-	TTL        uint32 // seconds
-	CacheFlush bool   // mDNS: the sender sends the whole set (RFC 6762, 10.2)
-	Target     string // PTR: the name that it points to, in the letters that were sent
-	Server     Target // SRV
-	Text       string // TXT: its strings, separated by NUL, so that records can be compared
-	IP         netip.Addr
-	Serial     uint32 // SOA
-	// NegativeTTL of an SOA is how many seconds the lack of a record may be believed (RFC 2308, 4).
+	TTL        uint32     // time to live in seconds
+	CacheFlush bool       // mDNS: whether the message has the whole set (RFC 6762, 10.2)
+	Target     string     // PTR: target name, in the case that was sent
+	Server     Target     // SRV: target of the service
+	Text       string     // TXT: strings, joined by NUL so that records can be compared
+	IP         netip.Addr // A and AAAA: address
+	Serial     uint32     // SOA: serial of the zone
+	// NegativeTTL is set for SOA records: the number of seconds for which the absence of records may be cached (RFC
+	// 2308, 4).
 	NegativeTTL uint32
 }
 
-// CanonicalName is the form in which names are compared: lower case, fully qualified, escapes written one way. It is ""
-// for a name that has no wire form.
+// CanonicalName returns the form in which names are compared: in lower case, fully qualified, with uniform escapes. It
+// returns "" for a name that has no wire form.
 func CanonicalName(name string) string {
 	if isPlainName(name) {
 		return strings.ToLower(dns.Fqdn(name))
@@ -56,13 +57,14 @@
 	return strings.ToLower(one)
 }
 
-// maxPlainName bounds, in bytes, the names that isPlainName accepts: well below the limit of 255 in wire form.
-const maxPlainName = 200
+// maxPlainNameLength is the maximum length in bytes of names that isPlainName accepts, well below the limit of 255
+// bytes in wire form.
+const maxPlainNameLength = 200
 
-// isPlainName reports whether a name has no escapes to be rewritten: letters, digits, "-", "_" and dots, no empty
-// label.
+// isPlainName reports whether a name needs no normalization of escapes: it has only letters, digits, "-", "_" and dots,
+// and no empty label.
 func isPlainName(name string) bool {
-	if name == "" || len(name) > maxPlainName || name[0] == '.' {
+	if name == "" || len(name) > maxPlainNameLength || name[0] == '.' {
 		return false
 	}
 	label := 0
@@ -74,7 +76,7 @@
 			label = 0
 			continue
 		}
-		if !isPlainLetter(name[i]) {
+		if !isPlainCharacter(name[i]) {
 			return false
 		}
 		label++
@@ -85,21 +87,23 @@
 	return true
 }
 
-func isPlainLetter(c byte) bool {
+// isPlainCharacter reports whether c is a letter, a digit, "-" or "_".
+func isPlainCharacter(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '-' || c == '_'
 }
 
-// Within reports whether a canonical name is in a canonical domain.
+// Within reports whether a canonical name is equal to a canonical domain or below it.
 func Within(name, domain string) bool {
 	return name == domain || domain == "." || strings.HasSuffix(name, "."+domain)
 }
 
 const (
-	classMask     = 0x7fff
-	cacheFlushBit = 0x8000 // of the class, with mDNS (RFC 6762, 10.2)
+	classMask     = 0x7fff // bits of the class field that have the class
+	cacheFlushBit = 0x8000 // bit of the class field in mDNS messages (RFC 6762, 10.2)
 )
 
-// Decode decodes a record; ok is false for kinds that are not read, and for records that make no sense.
+// Decode decodes a record. ok is false for kinds that are not supported, classes other than IN, and invalid names and
+// addresses.
 func Decode(rr dns.RR) (r Record, ok bool) {
 	header := rr.Header()
 	r = Record{
@@ -133,7 +137,7 @@
 	return r, true
 }
 
-// EqualIgnoringTTL reports whether two records say the same, their TTLs and cache-flush bits aside.
+// EqualIgnoringTTL reports whether two records are equal except for their TTLs and cache-flush bits.
 func (r Record) EqualIgnoringTTL(other Record) bool {
 	r.TTL = other.TTL
 	r.CacheFlush = other.CacheFlush
--- a/internal/dnssd/record/record_test.go
+++ b/internal/dnssd/record/record_test.go
@@ -15,6 +15,8 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
+// Guards against instance names that SplitInstance and JoinInstance damage, and against the acceptance of invalid
+// names.
 func TestInstanceNamesRoundTrip(t *testing.T) {
 	for full, label := range map[string]string{
 		`box-1._engine._tcp.hall-a.test.`:            "box-1",
@@ -46,10 +48,12 @@
 		require.NoError(t, err)
 		got, _, err := SplitInstance(back)
 		require.NoError(t, err)
-		require.Equal(t, label, got, "over the wire and back")
+		require.Equal(t, label, got, "label after a round trip through the wire form")
 	})
 }
 
+// Guards against TXT strings that override an earlier value of the same key, against invalid keys, and against an
+// unbounded number of keys.
 func TestParseTXTKeepsFirstValueOfEachKey(t *testing.T) {
 	all := ParseTXT([]string{"Site=hall-a", "site=hall-b", "SITE", "empty=", "bare", "=x", "", "v=a=b", "bad\x07=1"})
 	require.Equal(
@@ -64,11 +68,13 @@
 	require.Len(t, ParseTXT(many), 64)
 }
 
+// Guards against a choice of SRV targets that differs from RFC 2782: the lowest priority first, then by weight, and an
+// error for no records, the root as target, or port 0.
 func TestChooseFollowsPriorityAndWeight(t *testing.T) {
 	a, b, c := Target{10, 3, 1, "a."}, Target{10, 1, 2, "b."}, Target{5, 0, 3, "c."}
 	got, err := Choose([]Target{a, b, c}, 0.5)
 	require.NoError(t, err)
-	require.Equal(t, c, got, "the lowest priority")
+	require.Equal(t, c, got, "target with the lowest priority")
 	count := map[string]int{}
 	for i := range 1000 {
 		got, err = Choose([]Target{a, b}, float64(i)/1000)
@@ -84,21 +90,22 @@
 	require.ErrorContains(t, err, "no port")
 }
 
-// The loss of one instance is accepted at once; that of most only when it lasts, or the zone was changed.
+// Guards against an outage at a server that has lost its zone: the loss of most instances must be accepted only once it
+// has lasted for HoldTime or the serial has changed, the loss of one instance immediately.
 func TestGuardHoldsLargeLosses(t *testing.T) {
 	const second = int64(1e9)
 	g := Guard{MaxLossFraction: 0.5, HoldTime: 10 * second}
 	require.Equal(t, Accept, g.Check(8, 7, false, 0))
-	require.Equal(t, Accept, g.Check(1, 0, false, 0), "the only one")
+	require.Equal(t, Accept, g.Check(1, 0, false, 0), "loss of the only instance")
 	require.Equal(t, Accept, g.Check(8, 4, false, 0))
 	require.Equal(t, Hold, g.Check(8, 0, false, second))
 	require.Equal(t, Hold, g.Check(8, 0, false, 10*second))
-	require.Equal(t, Accept, g.Check(8, 8, false, 10*second+1), "they are back")
-	require.Equal(t, Hold, g.Check(8, 0, false, 12*second), "held anew")
-	require.Equal(t, Hold, g.Check(8, 2, false, 21*second), "another loss")
+	require.Equal(t, Accept, g.Check(8, 8, false, 10*second+1), "all instances listed again")
+	require.Equal(t, Hold, g.Check(8, 0, false, 12*second), "a new hold starts")
+	require.Equal(t, Hold, g.Check(8, 2, false, 21*second), "a different loss restarts the hold")
 	require.Equal(t, Hold, g.Check(8, 2, false, 30*second))
 	require.Equal(t, Accept, g.Check(8, 2, false, 31*second))
-	require.Equal(t, Accept, g.Check(8, 0, true, 40*second), "the zone's serial says so")
+	require.Equal(t, Accept, g.Check(8, 0, true, 40*second), "serial has changed")
 	for _, s := range []struct {
 		a, b  uint32
 		newer bool
@@ -107,6 +114,7 @@
 	}
 }
 
+// record returns a record, with further fields set by fill if it is not nil.
 func record(name string, kind Kind, ttl uint32, fill func(*Record)) Record {
 	r := Record{Name: name, Kind: kind, TTL: ttl}
 	if fill != nil {
@@ -115,12 +123,13 @@
 	return r
 }
 
-// A cache tells known, missing and unknown records apart, and says when to query them again.
+// Guards against a cache that confuses records which are known, known to be absent, and unknown, or that reports wrong
+// changes, required keys or refresh times.
 func TestCacheTracksKnownAndMissingRecords(t *testing.T) {
 	const second = int64(time.Second)
-	s := Service{Type: "_e._tcp", Domain: "Hall.test"}
+	service := Service{Type: "_e._tcp", Domain: "Hall.test"}
 	cache := NewCache()
-	list := Key{s.ListName(), PTR}
+	list := Key{service.ListName(), PTR}
 	require.Equal(t, "_e._tcp.hall.test.", list.Name)
 	require.Equal(
 		t,
@@ -156,7 +165,7 @@
 			second,
 		),
 	)
-	names, omitted := cache.Instances(s)
+	names, omitted := cache.Instances(service)
 	require.Equal(t, []string{"a._e._tcp.hall.test.", "b._e._tcp.hall.test."}, names)
 	require.Zero(t, omitted)
 	a := names[0]
@@ -168,23 +177,23 @@
 		t,
 		second+int64(maxNegativeTTL),
 		cache.Get(a, TXT).ExpiresAt,
-		"that there is nothing is believed for 5 s at the most",
+		"the absence of records is cached for at most 5 s",
 	)
 	require.Equal(t, []Key{{a, SRV}, {a, TXT}, {"h.test.", A}}, cache.RequiredKeys(a))
 	cache.RecordFailure(Key{"h.test.", A}, "SERVFAIL", 2*second)
-	in := cache.Assemble(a, "a")
-	require.True(t, in.Pending)
-	require.ErrorContains(t, in.Fault, "A h.test.: SERVFAIL")
+	instance := cache.Assemble(a, "a")
+	require.True(t, instance.Pending)
+	require.ErrorContains(t, instance.Fault, "A h.test.: SERVFAIL")
 	cache.Put(Key{"h.test.", A}, nil, 1, second)
 	require.Contains(t, cache.RequiredKeys(a), Key{"h.test.", AAAA})
 	address := func(text string) Record {
 		return record("h.test.", AAAA, 30, func(r *Record) { r.IP = netip.MustParseAddr(text) })
 	}
 	cache.Put(Key{"h.test.", AAAA}, []Record{address("::2"), address("::1")}, 0, second)
-	in = cache.Assemble(a, "a")
-	require.NoError(t, in.Fault)
-	require.Equal(t, "[::1]:1", in.Address.String())
-	require.Equal(t, uint32(30), in.TTL)
+	instance = cache.Assemble(a, "a")
+	require.NoError(t, instance.Fault)
+	require.Equal(t, "[::1]:1", instance.Address.String())
+	require.Equal(t, uint32(30), instance.TTL)
 	require.True(t, cache.Remove(srv, 2*second))
 	require.False(t, cache.Remove(srv, 2*second))
 	require.ErrorContains(t, cache.Assemble(a, "a").Fault, "no SRV record")
@@ -197,7 +206,7 @@
 	require.Equal(t, 1, cache.Len())
 }
 
-// An instance that is held back returns within a bounded time, however often it was withdrawn.
+// Guards against an instance that is suppressed without a bound after many withdrawals.
 func TestDamperHoldTimeIsBounded(t *testing.T) {
 	const minute = int64(time.Minute)
 	d := Damper{HalfLife: minute, MaxFlaps: 3}
--- a/internal/dnssd/record/service.go
+++ b/internal/dnssd/record/service.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// MaxInstances bounds the instances of one service.
+// MaxInstances is the maximum number of instances of one service; further ones are left out.
 const MaxInstances = 4096
 
-// Service is what is browsed for.
+// Service identifies a service in a domain.
 type Service struct {
-	Type    string // such as _engine._tcp
-	Subtype string // such as _large; "" for all of the type
-	Domain  string
+	Type    string // service type, such as _engine._tcp
+	Subtype string // subtype, such as _large; "" for all instances of the type
+	Domain  string // domain that is browsed
 }
 
-// BaseName is the canonical name that the instances' names end in.
+// BaseName returns the canonical name of the service type in the domain, which the names of all instances end in.
 func (s Service) BaseName() string { return CanonicalName(s.Type + "." + s.Domain) }
 
-// ListName is the canonical name whose PTR records list the instances (RFC 6763, 4 and 7.1).
+// ListName returns the canonical name whose PTR records list the instances (RFC 6763, 4 and 7.1).
 func (s Service) ListName() string {
 	if s.Subtype != "" {
 		return CanonicalName(s.Subtype + "._sub." + s.Type + "." + s.Domain)
@@ -29,23 +29,23 @@
 	return s.BaseName()
 }
 
-// EnumerationName is the name whose PTR records list a domain's service types (RFC 6763, 9).
+// EnumerationName returns the canonical name whose PTR records list the service types of a domain (RFC 6763, 9).
 func EnumerationName(domain string) string { return CanonicalName("_services._dns-sd._udp." + domain) }
 
 // Instance is one instance of a service, assembled from its records.
 type Instance struct {
-	Name       string // full and canonical: its identity
-	Label      string // as people read it
-	Address    netip.AddrPort
-	Attributes Attributes
-	TTL        uint32 // seconds: the shortest of its records
-	ExpiresAt  int64  // the earliest end of its records' time to live, nanoseconds
-	Pending    bool   // some of its records are not known yet
-	Fault      error  // what is wrong with its records; with one, the address is not valid
+	Name       string         // full canonical name, which identifies the instance
+	Label      string         // unescaped instance label, for display
+	Address    netip.AddrPort // address of the target; invalid if Fault is set
+	Attributes Attributes     // attributes of the TXT records
+	TTL        uint32         // shortest TTL of the instance's records in seconds
+	ExpiresAt  int64          // earliest expiry of the instance's records in nanoseconds
+	Pending    bool           // whether records are missing that have not been received yet
+	Fault      error          // reason why the instance cannot be used; nil if it can
 }
 
-// Instances are the sorted canonical names that the service's list has now, up to MaxInstances. omitted is how many
-// more there are. Names that are not in the service are passed over.
+// Instances returns the sorted canonical names of the instances in the service's list, up to MaxInstances. omitted is
+// the number of further ones. Names outside the service are ignored.
 func (c *Cache) Instances(s Service) (names []string, omitted int) {
 	base := s.BaseName()
 	seen := map[string]bool{}
@@ -64,8 +64,9 @@
 	return names, omitted
 }
 
-// RequiredKeys are the sets that a listed instance needs, as far as they are known by now: its SRV and TXT, and the
-// addresses of the target that its SRV records give. AAAA is required only where there is no A.
+// RequiredKeys returns the keys of the sets that a listed instance needs, as far as they can be derived from the cached
+// records: its SRV and TXT, and the addresses of the selected SRV target. AAAA is required only if the target is known
+// to have no A records.
 func (c *Cache) RequiredKeys(instance string) []Key {
 	keys := []Key{{instance, SRV}, {instance, TXT}}
 	target, err := c.target(instance)
@@ -79,16 +80,17 @@
 	return keys
 }
 
-// target is the one of an instance's SRV records that all nodes use.
+// target selects the target of an instance from its SRV records. The choice is the same at all nodes.
 func (c *Cache) target(instance string) (Target, error) {
 	var targets []Target
 	for _, r := range c.Records(instance, SRV) {
 		targets = append(targets, r.Server)
 	}
-	return Choose(targets, draw(instance))
+	return Choose(targets, selectionFraction(instance))
 }
 
-// Assemble makes an instance of what is known. An empty label is taken from the name.
+// Assemble returns the instance with the given name, assembled from the cached records. If label is empty, it is taken
+// from the name.
 func (c *Cache) Assemble(name, label string) Instance {
 	instance := Instance{Name: name, Label: label, TTL: math.MaxUint32, ExpiresAt: math.MaxInt64}
 	if instance.Label == "" {
@@ -97,8 +99,8 @@
 			return instance
 		}
 	}
-	if !c.include(&instance, name, SRV) || !c.include(&instance, name, TXT) {
-		instance.Fault = c.failure(name)
+	if !c.applySet(&instance, name, SRV) || !c.applySet(&instance, name, TXT) {
+		instance.Fault = c.missingReason(name)
 		return instance
 	}
 	target, err := c.target(name)
@@ -110,7 +112,7 @@
 	if !ip.IsValid() {
 		instance.Fault = fmt.Errorf("no address of %s", target.Host)
 		if instance.Pending {
-			instance.Fault = c.failure(target.Host)
+			instance.Fault = c.missingReason(target.Host)
 		}
 		return instance
 	}
@@ -124,9 +126,9 @@
 	return instance
 }
 
-// include bounds an instance's times by those of a set, and reports whether the set is known. Where it is not, the
-// instance is pending.
-func (c *Cache) include(instance *Instance, name string, kind Kind) bool {
+// applySet reduces an instance's TTL and expiry to those of a set, and reports whether the set has been received. If
+// not, the instance is marked as pending.
+func (c *Cache) applySet(instance *Instance, name string, kind Kind) bool {
 	set := c.Get(name, kind)
 	if set == nil || set.ReceivedAt == 0 {
 		instance.Pending = true
@@ -139,12 +141,12 @@
 	return true
 }
 
-// address is a host's IPv4 address, or else its IPv6 address; the zero Addr if neither is known. The instance is
-// pending then if the last set that was looked at is unknown.
+// address returns a host's IPv4 address or else its IPv6 address, or the zero Addr if neither is known. It marks the
+// instance as pending if the last of the sets that it examined has not been received.
 func (c *Cache) address(instance *Instance, host string) netip.Addr {
 	for _, kind := range []Kind{A, AAAA} {
 		instance.Pending = false
-		if !c.include(instance, host, kind) {
+		if !c.applySet(instance, host, kind) {
 			continue
 		}
 		if records := c.Records(host, kind); len(records) > 0 {
@@ -154,17 +156,17 @@
 	return netip.Addr{}
 }
 
-// lowestAddress is the same at all nodes, whatever the order of the records.
+// lowestAddress returns the lowest address, so that all nodes choose the same one whatever the order of the records.
 func lowestAddress(records []Record) netip.Addr {
 	return slices.MinFunc(records, func(a, b Record) int { return a.IP.Compare(b.IP) }).IP
 }
 
-// failure is why required records of a name are unknown.
-func (c *Cache) failure(name string) error {
+// missingReason returns the reason why records of a name are unknown: the error of the latest query, if one failed.
+func (c *Cache) missingReason(name string) error {
 	for _, kind := range []Kind{SRV, TXT, A, AAAA} {
 		if set := c.Get(name, kind); set != nil && set.Failure != "" {
 			return fmt.Errorf("%s %s: %s", kind, name, set.Failure)
 		}
 	}
-	return fmt.Errorf("not all records of %s are told yet", name)
+	return fmt.Errorf("not all records of %s have been received yet", name)
 }
--- a/internal/dnssd/record/target.go
+++ b/internal/dnssd/record/target.go
@@ -7,20 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is what one SRV record points to.
+// Target is the target of an SRV record (RFC 2782).
 type Target struct {
 	Priority uint16
 	Weight   uint16
 	Port     uint16
-	Host     string // canonical
+	Host     string // canonical name
 }
 
-// ErrWithdrawn reports that an instance is not offered: its target is the root (RFC 2782).
-var ErrWithdrawn = errors.New("the service is decidedly not available here: its SRV record names the root")
+// ErrWithdrawn reports that the service is not available at the domain: its SRV target is the root (RFC 2782).
+var ErrWithdrawn = errors.New("service not available: its SRV record names the root")
 
-// Choose chooses one of an instance's targets as RFC 2782 has it: among those of the lowest priority, by weight. draw,
-// from 0 up to 1, is the random number of the choice; a caller that passes the same one always has the same target.
-func Choose(targets []Target, draw float64) (Target, error) {
+// Choose selects one of an instance's targets according to RFC 2782: among those of the lowest priority, by weight.
+// fraction, in the range from 0 to below 1, replaces the random number of the selection; the same value always selects
+// the same target.
+func Choose(targets []Target, fraction float64) (Target, error) {
 	if len(targets) == 0 {
 		return Target{}, errors.New("no SRV record")
 	}
@@ -33,7 +34,7 @@
 		totalWeight += int(target.Weight)
 	}
 	var chosen Target
-	remaining := draw * float64(totalWeight)
+	remaining := fraction * float64(totalWeight)
 	for _, target := range lowest {
 		chosen = target
 		remaining -= float64(target.Weight)
@@ -42,12 +43,12 @@
 		}
 	}
 	if chosen.Port == 0 {
-		return Target{}, fmt.Errorf("the SRV record of %s has no port", chosen.Host)
+		return Target{}, fmt.Errorf("no port in SRV record with target %s", chosen.Host)
 	}
 	return chosen, nil
 }
 
-// lowestPriority are the targets that come first.
+// lowestPriority returns the targets with the lowest priority value.
 func lowestPriority(targets []Target) (lowest []Target) {
 	for _, target := range targets {
 		switch {
@@ -60,5 +61,8 @@
 	return lowest
 }
 
-// draw is an instance's random number for Choose, the same at all nodes.
-func draw(instance string) float64 { return float64(xxhash.Sum64String(instance)>>11) / (1 << 53) }
+// selectionFraction returns a number in the range from 0 to below 1 that is derived from the name of an instance, and
+// so is the same at all nodes.
+func selectionFraction(instance string) float64 {
+	return float64(xxhash.Sum64String(instance)>>11) / (1 << 53)
+}
--- a/internal/dnssd/record/txt.go
+++ b/internal/dnssd/record/txt.go
@@ -2,22 +2,25 @@
 
 import "strings"
 
-// Attributes are the values of TXT records by key, in lower case.
+// Attributes has the attributes of TXT records by key in lower case.
 type Attributes map[string]Attribute
 
-// Attribute is a key's value. Given tells "key=" from "key", which has none.
+// Attribute is the value of a key. HasValue distinguishes "key=", with an empty value, from "key", without a value.
 type Attribute struct {
 	Value    string
 	HasValue bool
 }
 
 const (
+	// maxAttributes is the maximum number of keys of an instance.
 	maxAttributes = 64
-	maxKeyLength  = 64 // bytes; nine are recommended
+	// maxKeyLength is the maximum length of a key in bytes; RFC 6763, 6.4 recommends at most nine.
+	maxKeyLength = 64
 )
 
-// ParseTXT parses the strings of TXT records (RFC 6763, 6.4): keys are printable ASCII without "=", in any case; the
-// first of a key wins; strings that begin with "=" are ignored, as empty ones are. Keys beyond 64 are ignored.
+// ParseTXT parses the strings of TXT records (RFC 6763, 6.4). Keys are printable ASCII without "=", in any case. The
+// first string with a key takes precedence. Empty strings, strings that begin with "=", and keys beyond the first 64
+// are ignored.
 func ParseTXT(texts []string) Attributes {
 	attributes := Attributes{}
 	for _, text := range texts {
@@ -34,6 +37,7 @@
 	return attributes
 }
 
+// validKey reports whether a key has 1 to maxKeyLength printable ASCII characters.
 func validKey(key string) bool {
 	if key == "" || len(key) > maxKeyLength {
 		return false
