--- a/internal/dnssd/push/decode.go
+++ b/internal/dnssd/push/decode.go
@@ -10,11 +10,11 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// IsDSO tells a DSO message from an ordinary one by its opcode.
+// IsDSO reports whether a DNS message is a DSO message, by its opcode.
 func IsDSO(raw []byte) bool { return len(raw) >= headerSize && raw[2]>>3&0xf == dns.OpcodeStateful }
 
 // Decode decodes a message. Additional TLVs are skipped (RFC 8490, 5.4.4). After an error the rest of the stream cannot
-// be trusted, and the session has to end (RFC 8765, 6.3.2).
+// be trusted, and the session must be ended (RFC 8765, 6.3.2).
 func Decode(raw []byte) (m Message, err error) {
 	if len(raw) < headerSize {
 		return m, ErrShort
@@ -46,7 +46,7 @@
 	return m, nil
 }
 
-// decodeTLV decodes the data of the primary TLV, whose type is set. Unknown types are left undecoded.
+// decodeTLV decodes the data of the primary TLV, whose type is m.Type. The data of unknown types is ignored.
 func (m *Message) decodeTLV(data []byte) error {
 	switch m.Type {
 	case Keepalive:
@@ -73,17 +73,20 @@
 	return nil
 }
 
+// requireSize returns an error if the data of the primary TLV does not have the given size in bytes.
 func (m *Message) requireSize(data []byte, size int) error {
 	if len(data) != size {
-		return fmt.Errorf("TLV %#x has %d bytes, not %d", uint16(m.Type), len(data), size)
+		return fmt.Errorf("TLV of type %#x has %d bytes, not %d", uint16(m.Type), len(data), size)
 	}
 	return nil
 }
 
+// decodeMillis decodes a duration in milliseconds from the first four bytes of data.
 func decodeMillis(data []byte) time.Duration {
 	return time.Duration(binary.BigEndian.Uint32(data)) * time.Millisecond
 }
 
+// decodeSubscribe decodes the data of a SUBSCRIBE TLV.
 func (m *Message) decodeSubscribe(data []byte) error {
 	const kindAndClassSize = 4
 	name, end, err := dns.UnpackDomainName(data, 0)
@@ -91,13 +94,14 @@
 		return fmt.Errorf("SUBSCRIBE: %w", err)
 	}
 	if len(data) != end+kindAndClassSize {
-		return fmt.Errorf("SUBSCRIBE: %d bytes behind the name, not 4", len(data)-end)
+		return fmt.Errorf("SUBSCRIBE: %d bytes after the name, not 4", len(data)-end)
 	}
 	m.Name = record.CanonicalName(name)
 	m.Kind = record.Kind(binary.BigEndian.Uint16(data[end:]))
 	return nil
 }
 
+// decodePush decodes the data of a PUSH TLV. Records of unsupported kinds are skipped.
 func (m *Message) decodePush(data []byte) error {
 	for offset := 0; offset < len(data); {
 		if len(m.Changes) == maxChanges {
@@ -115,10 +119,10 @@
 	return nil
 }
 
-// decodeChange decodes the record at offset; next is the offset behind it. The record's name is "" if its kind is not
-// read here.
+// decodeChange decodes the record at offset; next is the offset of the following one. The name of the returned record
+// is "" if its kind is not supported.
 func decodeChange(data []byte, offset int) (change Change, next int, err error) {
-	const fixedSize = 10 // kind, class, TTL and the data's size
+	const fixedSize = 10 // bytes of type, class, TTL and data length
 	name, fixed, err := dns.UnpackDomainName(data, offset)
 	if err != nil {
 		return change, 0, err
@@ -132,7 +136,7 @@
 	if next > len(data) {
 		return change, 0, ErrShort
 	}
-	if ttl == removeAll {
+	if ttl == removeCollectionTTL {
 		return collectiveRemoval(name, kind), next, nil
 	}
 	rr, end, err := dns.UnpackRR(data[:next], offset)
@@ -140,16 +144,17 @@
 		return change, 0, err
 	}
 	if end != next {
-		return change, 0, fmt.Errorf("%s: its data ends early", name)
+		return change, 0, fmt.Errorf("%s: record data is shorter than its length field", name)
 	}
 	decoded, ok := record.Decode(rr)
 	if !ok {
 		return Change{}, next, nil
 	}
-	return Change{Remove: ttl == removeOne, Record: decoded}, next, nil
+	return Change{Remove: ttl == removeRecordTTL, Record: decoded}, next, nil
 }
 
-// collectiveRemoval removes all records of a name, of one kind or with ANY of all (RFC 8765, 6.3.1).
+// collectiveRemoval returns the removal of all records at a name, of one type or with ANY of all types (RFC 8765,
+// 6.3.1).
 func collectiveRemoval(name string, kind uint16) Change {
 	removed := record.Record{Name: record.CanonicalName(name)}
 	if kind != dns.TypeANY {
--- a/internal/dnssd/push/encode.go
+++ b/internal/dnssd/push/encode.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxPushSize is the size in bytes beyond which no further record is added to a PUSH message.
+	// maxPushSize is the maximum size in bytes of the records in a PUSH message with more than one record.
 	maxPushSize = 16_000
-	// recordBufferSize holds any record, whose data and name are at most 65,535 and 255 bytes.
+	// recordBufferSize is a size in bytes that fits any record, whose data and name have at most 65,535 and 255 bytes.
 	recordBufferSize = 70_000
-	// nameAndTypeSize holds a name in wire form, and the kind and class behind it.
+	// nameAndTypeSize is a size in bytes that fits a name in wire form, followed by type and class.
 	nameAndTypeSize = 260
 )
 
-// newHeader makes a message without TLVs.
+// newHeader returns a message without TLVs.
 func newHeader(id uint16, response bool, rcode int) []byte {
 	raw := make([]byte, headerSize, 64)
 	binary.BigEndian.PutUint16(raw, id)
@@ -38,27 +38,29 @@
 // Response encodes a response without TLVs.
 func Response(id uint16, rcode int) []byte { return newHeader(id, true, rcode) }
 
-// encodeMillis encodes a time in milliseconds; a negative or too long one is infinite.
+// encodeMillis returns a duration in milliseconds. Negative durations, and those too long for the field, are encoded as
+// infinite.
 func encodeMillis(d time.Duration) uint32 {
-	if d < 0 || d.Milliseconds() >= infiniteTime {
-		return infiniteTime
+	if d < 0 || d.Milliseconds() >= infiniteTimeout {
+		return infiniteTimeout
 	}
 	return uint32(d.Milliseconds())
 }
 
-// KeepaliveMessage encodes a keep-alive: a request or the response to one, or with id 0 a unidirectional message.
+// KeepaliveMessage encodes a keep-alive: a request, the response to one, or with id 0 a unidirectional message.
 func KeepaliveMessage(id uint16, response bool, inactivity, interval time.Duration) []byte {
 	data := binary.BigEndian.AppendUint32(nil, encodeMillis(inactivity))
 	return appendTLV(newHeader(id, response, 0), Keepalive, binary.BigEndian.AppendUint32(data, encodeMillis(interval)))
 }
 
-// RetryDelayMessage encodes the request to a client to end its session, and not to connect again before delay.
+// RetryDelayMessage encodes a server's request that the client end the session and not reconnect before the delay has
+// passed.
 func RetryDelayMessage(rcode int, delay time.Duration) []byte {
 	return appendTLV(newHeader(0, false, rcode), RetryDelay, binary.BigEndian.AppendUint32(nil, encodeMillis(delay)))
 }
 
-// SubscribeMessage encodes the subscription to the changes of a name's records of one kind, or of all with
-// dns.TypeANY. It fails for a name that has no wire form.
+// SubscribeMessage encodes a request to subscribe to a name's records of one type, or of all types with dns.TypeANY. It
+// returns an error for a name that has no wire form.
 func SubscribeMessage(id uint16, name string, kind uint16) ([]byte, error) {
 	data := make([]byte, nameAndTypeSize)
 	n, err := dns.PackDomainName(dns.Fqdn(name), data, 0, nil, false)
@@ -69,18 +71,18 @@
 	return appendTLV(newHeader(id, false, 0), Subscribe, binary.BigEndian.AppendUint16(data, dns.ClassINET)), nil
 }
 
-// UnsubscribeMessage encodes the end of a subscription, which is named by the id of its SUBSCRIBE request.
+// UnsubscribeMessage encodes the end of a subscription, identified by the message id of its SUBSCRIBE request.
 func UnsubscribeMessage(subscription uint16) []byte {
 	return appendTLV(newHeader(0, false, 0), Unsubscribe, binary.BigEndian.AppendUint16(nil, subscription))
 }
 
-// RecordChange is a record of a PUSH message: added or, with Remove, removed.
+// RecordChange is a change to be sent in a PUSH message: a record that is added or, if Remove is set, removed.
 type RecordChange struct {
 	RR     dns.RR
 	Remove bool
 }
 
-// ChangeMessages encodes changes in as many messages as are needed. Names are not compressed (RFC 8765, 6.3.1).
+// ChangeMessages encodes changes as one or more PUSH messages. Names are not compressed (RFC 8765, 6.3.1).
 func ChangeMessages(changes []RecordChange) ([][]byte, error) {
 	var messages [][]byte
 	var data []byte
@@ -88,7 +90,7 @@
 	for _, change := range changes {
 		rr := dns.Copy(change.RR)
 		if change.Remove {
-			rr.Header().Ttl = removeOne
+			rr.Header().Ttl = removeRecordTTL
 		}
 		size, err := dns.PackRR(rr, buffer, 0, nil, false)
 		if err != nil {
@@ -106,4 +108,5 @@
 	return messages, nil
 }
 
+// pushMessage encodes a PUSH message with the given records.
 func pushMessage(data []byte) []byte { return appendTLV(newHeader(0, false, 0), Push, data) }
--- a/internal/dnssd/push/message.go
+++ b/internal/dnssd/push/message.go
@@ -9,10 +9,10 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// Type is a TLV's.
+// Type is the type of a TLV.
 type Type uint16
 
-// The types that are supported (RFC 8490, 10.3, and RFC 8765, 8.2).
+// The TLV types of RFC 8490, 10.3, and RFC 8765, 8.2. Decode decodes the data of all but Padding and Reconfirm.
 const (
 	Keepalive   Type = 0x0001
 	RetryDelay  Type = 0x0002
@@ -23,50 +23,54 @@
 	Reconfirm   Type = 0x0043
 )
 
-// Change is a change in a PUSH message: a record that was added or, with Remove, removed.
+// Change is a change in a PUSH message: a record that was added or, if Remove is set, removed.
 type Change struct {
 	Remove bool
-	// All has everything at the name removed: of Record.Kind, or of all kinds where that is 0.
+	// All reports a collective removal: all records at the name with the kind Record.Kind are removed, or those of all
+	// kinds if Record.Kind is 0.
 	All    bool
 	Record record.Record
 }
 
-// Message is one DSO message. Which fields are set depends on the primary TLV's type.
+// Message is one DSO message. Which fields are set depends on the type of the primary TLV.
 type Message struct {
-	ID       uint16 // 0: unidirectional
-	Response bool
-	Rcode    int
-	Type     Type // of the primary TLV; 0: none, as in most responses
+	ID       uint16 // message id; 0 for unidirectional messages
+	Response bool   // whether the message is a response
+	Rcode    int    // response code
+	Type     Type   // type of the primary TLV; 0 if there is none, as in most responses
 
-	// Inactivity and Interval are a Keepalive's: the client closes the session after Inactivity without
-	// subscriptions, and sends a message at least once in each Interval.
+	// Inactivity and Interval are set for Keepalive: the client closes the session after the time Inactivity without
+	// subscriptions, and sends a message at least once per Interval.
 	Inactivity time.Duration
 	Interval   time.Duration
 
-	Delay        time.Duration // RetryDelay
-	Name         string        // Subscribe
-	Kind         record.Kind   // Subscribe
-	Subscription uint16        // Unsubscribe: the SUBSCRIBE's id
-	Changes      []Change      // Push
+	Delay        time.Duration // RetryDelay: time for which the client must not connect
+	Name         string        // Subscribe: canonical name
+	Kind         record.Kind   // Subscribe: type of records, possibly ANY
+	Subscription uint16        // Unsubscribe: message id of the SUBSCRIBE request
+	Changes      []Change      // Push: changes of records
 }
 
-// The layout of messages (RFC 8490, 5.4, and RFC 8765, 6.3.1).
+// The layout of messages (RFC 8490, 5.4, and RFC 8765, 6.3.1), with sizes in bytes.
 const (
 	headerSize    = 12
 	tlvHeaderSize = 4
-	responseFlag  = 0x80 // of the header's third byte
-	rcodeMask     = 0xf  // of its fourth
-	// removeOne and removeAll are the TTLs in PUSH messages that remove one record, or all of a name.
-	removeOne = 0xffffffff
-	removeAll = 0xfffffffe
-	// infiniteTime is the time in Keepalive TLVs that never ends.
-	infiniteTime = 0xffffffff
-	// maxChanges bounds one PUSH message.
+	responseFlag  = 0x80 // response bit in the third byte of the header
+	rcodeMask     = 0xf  // bits of the response code in the fourth byte of the header
+	// removeRecordTTL is the TTL that marks the removal of one record in a PUSH message.
+	removeRecordTTL = 0xffffffff
+	// removeCollectionTTL is the TTL that marks a collective removal at a name in a PUSH message.
+	removeCollectionTTL = 0xfffffffe
+	// infiniteTimeout is the value of an infinite timeout in Keepalive TLVs.
+	infiniteTimeout = 0xffffffff
+	// maxChanges is the maximum number of changes in one PUSH message.
 	maxChanges = 4096
 )
 
-// Errors of Decode.
+// Errors that Decode returns.
 var (
-	ErrShort  = errors.New("the message ends early")
-	ErrNotDSO = errors.New("no DSO message: another opcode, or counts that are not 0")
+	// ErrShort reports that a message is truncated.
+	ErrShort = errors.New("truncated DSO message")
+	// ErrNotDSO reports that a message is not a DSO message.
+	ErrNotDSO = errors.New("not a DSO message: wrong opcode or non-zero record counts")
 )
--- a/internal/dnssd/push/message_test.go
+++ b/internal/dnssd/push/message_test.go
@@ -10,66 +10,67 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// Every message that is written is decoded to the same meaning.
+// Guards against an encoder and a decoder that disagree on any message, and against PUSH messages that are too large.
 func TestMessagesRoundTrip(t *testing.T) {
-	m, err := Decode(KeepaliveMessage(5, true, time.Minute, 15*time.Second))
+	message, err := Decode(KeepaliveMessage(5, true, time.Minute, 15*time.Second))
 	require.NoError(t, err)
 	require.Equal(
 		t,
 		Message{ID: 5, Response: true, Type: Keepalive, Inactivity: time.Minute, Interval: 15 * time.Second},
-		m,
+		message,
 	)
 	raw, err := SubscribeMessage(6, `Hall\032A\.7._engine._tcp.Test.`, dns.TypeANY)
 	require.NoError(t, err)
-	m, err = Decode(raw)
+	message, err = Decode(raw)
 	require.NoError(t, err)
 	require.Equal(
 		t,
 		Message{ID: 6, Type: Subscribe, Name: `hall\ a\.7._engine._tcp.test.`, Kind: record.Kind(dns.TypeANY)},
-		m,
+		message,
 	)
-	m, err = Decode(UnsubscribeMessage(6))
+	message, err = Decode(UnsubscribeMessage(6))
 	require.NoError(t, err)
-	require.Equal(t, uint16(6), m.Subscription)
-	m, err = Decode(RetryDelayMessage(dns.RcodeServerFailure, time.Minute))
+	require.Equal(t, uint16(6), message.Subscription)
+	message, err = Decode(RetryDelayMessage(dns.RcodeServerFailure, time.Minute))
 	require.NoError(t, err)
-	require.Equal(t, time.Minute, m.Delay)
+	require.Equal(t, time.Minute, message.Delay)
 	ptr, err := dns.NewRR("_e._tcp.test. 9 IN PTR a._e._tcp.test.")
 	require.NoError(t, err)
-	all, err := ChangeMessages([]RecordChange{{RR: ptr}, {RR: ptr, Remove: true}})
+	messages, err := ChangeMessages([]RecordChange{{RR: ptr}, {RR: ptr, Remove: true}})
 	require.NoError(t, err)
-	require.Len(t, all, 1)
-	m, err = Decode(all[0])
+	require.Len(t, messages, 1)
+	message, err = Decode(messages[0])
 	require.NoError(t, err)
-	require.Len(t, m.Changes, 2)
-	require.False(t, m.Changes[0].Remove)
-	require.Equal(t, uint32(9), m.Changes[0].Record.TTL)
-	require.True(t, m.Changes[1].Remove)
-	require.Equal(t, "a._e._tcp.test.", m.Changes[1].Record.Target)
-	// Many records go out in as many messages as are needed, none of them too large.
+	require.Len(t, message.Changes, 2)
+	require.False(t, message.Changes[0].Remove)
+	require.Equal(t, uint32(9), message.Changes[0].Record.TTL)
+	require.True(t, message.Changes[1].Remove)
+	require.Equal(t, "a._e._tcp.test.", message.Changes[1].Record.Target)
+	// Many records are split into several messages of limited size.
 	many := make([]RecordChange, 3000)
 	for i := range many {
 		many[i] = RecordChange{RR: ptr}
 	}
-	all, err = ChangeMessages(many)
+	messages, err = ChangeMessages(many)
 	require.NoError(t, err)
 	n := 0
-	for _, raw := range all {
+	for _, raw := range messages {
 		require.Less(t, len(raw), 20_000)
-		m, err = Decode(raw)
+		message, err = Decode(raw)
 		require.NoError(t, err)
-		n += len(m.Changes)
+		n += len(message.Changes)
 	}
 	require.Equal(t, 3000, n)
-	// A collective removal (RFC 8765, 6.3.1): all kinds at a name.
+	// A collective removal of all types at a name (RFC 8765, 6.3.1).
 	raw = append(newHeader(0, false, 0), 0, 0x41, 0, 0)
 	name := []byte("\x01a\x04test\x00\x00\xff\x00\xff\xff\xff\xff\xfe\x00\x00")
 	raw[15] = byte(len(name))
-	m, err = Decode(append(raw, name...))
+	message, err = Decode(append(raw, name...))
 	require.NoError(t, err)
-	require.Equal(t, []Change{{Remove: true, All: true, Record: record.Record{Name: "a.test."}}}, m.Changes)
+	require.Equal(t, []Change{{Remove: true, All: true, Record: record.Record{Name: "a.test."}}}, message.Changes)
 }
 
+// Guards against the acceptance of truncated messages, and of DSO messages with non-zero record counts.
 func TestDecodeRejectsDamagedMessages(t *testing.T) {
 	good, err := SubscribeMessage(6, "a.test.", dns.TypePTR)
 	require.NoError(t, err)
@@ -86,7 +87,7 @@
 	require.ErrorIs(t, err, ErrNotDSO)
 }
 
-// FuzzDecode: whatever arrives is read or refused; what is read keeps its bounds.
+// FuzzDecode checks that any message is decoded or rejected, with at most maxChanges changes and canonical names.
 func FuzzDecode(f *testing.F) {
 	subscribe, _ := SubscribeMessage(6, "a._engine._tcp.hall-a.test.", dns.TypeANY)
 	f.Add(subscribe)
@@ -103,23 +104,23 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		all, err := ChangeMessages([]RecordChange{{RR: rr}, {RR: rr, Remove: true}})
+		messages, err := ChangeMessages([]RecordChange{{RR: rr}, {RR: rr, Remove: true}})
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(all[0])
+		f.Add(messages[0])
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, err := Decode(raw)
+		message, err := Decode(raw)
 		if err != nil {
 			return
 		}
-		if len(m.Changes) > maxChanges {
-			t.Fatal("too many changes")
+		if len(message.Changes) > maxChanges {
+			t.Fatal("more than maxChanges changes decoded")
 		}
-		for _, c := range m.Changes {
+		for _, c := range message.Changes {
 			if c.Record.Name == "" || record.CanonicalName(c.Record.Name) != c.Record.Name {
-				t.Fatalf("%q is no canonical name", c.Record.Name)
+				t.Fatalf("%q is not a canonical name", c.Record.Name)
 			}
 		}
 	})
