--- a/internal/dnssd/mdns/querier.go
+++ b/internal/dnssd/mdns/querier.go
@@ -1,5 +1,5 @@
-// Package mdns is a querier of Multicast DNS (RFC 6762) without its transport and clock: it is given the messages that
-// arrive and the time, and returns what to send and when it wants to be called again. It neither probes nor answers.
+// Package mdns is a Multicast DNS querier (RFC 6762) without transport and clock: the caller passes the received
+// messages and the time, and gets the messages to send and the time of the next call. It neither probes nor responds.
 package mdns
 
 import (
@@ -12,74 +12,76 @@
 )
 
 const (
-	// GracePeriod is how long a record lives on after a goodbye, or after its set was sent anew without it. RFC 6762,
-	// 10.1 and 10.2 have it 1 s; here requests must stop within 500 ms, and a record that is sent again within the
-	// grace period has never been away.
+	// GracePeriod is how long a record remains valid after a goodbye, or after a cache flush without it. RFC 6762, 10.1
+	// and 10.2 specify 1 s, but requests must stop within 500 ms after a withdrawal. A record that is received again
+	// within the grace period has been valid throughout.
 	GracePeriod = 200 * time.Millisecond
-	maxRecords  = 40_000
-	// maxLabels bounds the labels that are kept of instances, listed or not.
+	// maxRecords is the maximum number of cached records.
+	maxRecords = 40_000
+	// maxLabels is the maximum number of cached instance labels, including those of instances that are not listed.
 	maxLabels = 2 * record.MaxInstances
-	// maxTTL bounds a record's time to live, whatever it says.
+	// maxTTL is the longest time for which records are cached, even if their TTL is longer.
 	maxTTL = 24 * time.Hour
 )
 
-// entry is a record that is known. Its times are spans since the querier's moment.
+// entry is a cached record. Its times are relative to the querier's reference time.
 type entry struct {
 	record       record.Record
-	receivedAt   time.Duration
-	expiresAt    time.Duration
-	refreshCount int           // queries sent to refresh it
-	refreshAt    time.Duration // when the next is sent; 0: none any more
+	receivedAt   time.Duration // time at which the record was last received
+	expiresAt    time.Duration // time at which the record expires
+	refreshCount int           // number of queries sent to refresh the record
+	refreshAt    time.Duration // time at which the next one is sent; 0 if none is due any more
 }
 
-// set notes that the record was received now.
-func (e *entry) set(r record.Record, now time.Duration) {
+// update updates the entry with a record received now.
+func (e *entry) update(r record.Record, now time.Duration) {
 	e.record = r
 	e.receivedAt = now
 	e.expiresAt = now + min(time.Duration(r.TTL)*time.Second, maxTTL)
 	e.refreshCount = 0
 }
 
-// expireSoon ends the record's time after the grace period, without a refresh.
-func (e *entry) expireSoon(now time.Duration) {
+// startGracePeriod makes the record expire after the grace period, without a refresh.
+func (e *entry) startGracePeriod(now time.Duration) {
 	e.expiresAt = now + GracePeriod
 	e.refreshAt = 0
 }
 
-// Querier keeps the records of one service current. All times are spans since one moment of the caller's choice. It is
-// not safe for concurrent use.
+// Querier caches and refreshes the records of one service. All times are relative to a reference time that the caller
+// chooses. It is not safe for concurrent use.
 type Querier struct {
 	Service record.Service
-	Random  func() float64 // draws from 0 up to 1
+	Random  func() float64 // returns random numbers in the range from 0 to below 1
 
 	entries    map[record.Key][]*entry
-	entryCount int
-	questions  map[record.Key]*question
-	// wanted are the sets that are to be known. wantedStale tells that records have changed since it was worked out.
-	wanted      map[record.Key]bool
-	wantedStale bool
-	labels      map[string]string // of instances, by canonical name
+	entryCount int // number of records in entries
+	questions  map[record.Key]*questionSchedule
+	// required has the sets that the service and its listed instances need. requiredStale reports whether records have
+	// changed since it was computed.
+	required      map[record.Key]bool
+	requiredStale bool
+	labels        map[string]string // instance labels by canonical name
 }
 
-// New makes a querier that knows nothing yet. random draws from 0 up to 1.
+// New returns a querier without records. random returns random numbers in the range from 0 to below 1.
 func New(service record.Service, random func() float64) *Querier {
 	return &Querier{
-		Service:     service,
-		Random:      random,
-		entries:     map[record.Key][]*entry{},
-		questions:   map[record.Key]*question{},
-		labels:      map[string]string{},
-		wantedStale: true,
+		Service:       service,
+		Random:        random,
+		entries:       map[record.Key][]*entry{},
+		questions:     map[record.Key]*questionSchedule{},
+		labels:        map[string]string{},
+		requiredStale: true,
 	}
 }
 
-// listKey is the set whose records list the instances.
+// listKey returns the key of the PTR records that list the instances.
 func (q *Querier) listKey() record.Key {
 	return record.Key{Name: q.Service.ListName(), Kind: record.PTR}
 }
 
-// Handle takes in a message and reports whether any record has come, gone or been given notice. Messages that are no
-// responses, or have another opcode or an error, are ignored (RFC 6762, 18).
+// Handle handles a message and reports whether any record was added, will expire after the grace period, or no longer
+// will. Messages that are not responses, or have an opcode or response code other than 0, are ignored (RFC 6762, 18).
 func (q *Querier) Handle(message *dns.Msg, now time.Duration) bool {
 	if !message.Response || message.Opcode != dns.OpcodeQuery || message.Rcode != dns.RcodeSuccess {
 		return false
@@ -88,7 +90,7 @@
 	received := map[record.Key][]record.Record{}
 	for _, r := range q.relevantRecords(message) {
 		if r.Kind == record.PTR {
-			q.rememberLabel(r.Target)
+			q.storeLabel(r.Target)
 		}
 		key := record.Key{Name: r.Name, Kind: r.Kind}
 		received[key] = append(received[key], r)
@@ -99,11 +101,11 @@
 			changed = q.expireMissing(key, records, now) || changed
 		}
 	}
-	q.wantedStale = q.wantedStale || changed
+	q.requiredStale = q.requiredStale || changed
 	return changed
 }
 
-// relevantRecords are a message's records within the service's domain.
+// relevantRecords returns a message's records within the service's domain, except for SOA records.
 func (q *Querier) relevantRecords(message *dns.Msg) (records []record.Record) {
 	domain := record.CanonicalName(q.Service.Domain)
 	for _, rr := range append(slices.Clone(message.Answer), message.Extra...) {
@@ -115,14 +117,15 @@
 	return records
 }
 
-func (q *Querier) rememberLabel(instance string) {
+// storeLabel stores the label of an instance, in the case that was sent, unless there are maxLabels.
+func (q *Querier) storeLabel(instance string) {
 	label, _, err := record.SplitInstance(instance)
 	if err == nil && len(q.labels) < maxLabels {
 		q.labels[record.CanonicalName(instance)] = label
 	}
 }
 
-// storeRecord takes in one record, and reports whether it is new, was given notice or had been.
+// storeRecord stores one record and reports whether it is new, will expire after the grace period, or no longer will.
 func (q *Querier) storeRecord(key record.Key, r record.Record, now time.Duration) bool {
 	for _, known := range q.entries[key] {
 		if known.record.EqualIgnoringTTL(r) {
@@ -133,45 +136,47 @@
 		return false
 	}
 	added := &entry{}
-	added.set(r, now)
+	added.update(r, now)
 	q.scheduleRefresh(added)
 	q.entries[key] = append(q.entries[key], added)
 	q.entryCount++
 	return true
 }
 
-// updateEntry takes in a record that is known: again, or as a goodbye.
+// updateEntry updates a cached record that was received again or with a goodbye. It reports whether the record will
+// expire after the grace period, or no longer will.
 func (q *Querier) updateEntry(known *entry, r record.Record, now time.Duration) bool {
 	expiring := known.expiresAt <= now+GracePeriod
 	if r.TTL == 0 { // a goodbye
 		if expiring {
 			return false
 		}
-		known.expireSoon(now)
+		known.startGracePeriod(now)
 		return true
 	}
 	revived := known.refreshAt == 0 && expiring
-	known.set(r, now)
+	known.update(r, now)
 	q.scheduleRefresh(known)
 	return revived
 }
 
-// expireMissing gives notice to the records of a set that was sent whole and without them (the cache-flush bit).
+// expireMissing starts the grace period of the cached records that are missing in a set received with the cache-flush
+// bit, and reports whether there are any.
 func (q *Querier) expireMissing(key record.Key, received []record.Record, now time.Duration) (changed bool) {
 	for _, known := range q.entries[key] {
-		// What came just before may be another part of the same set (RFC 6762, 10.2).
+		// A record received shortly before may be another part of the same set (RFC 6762, 10.2).
 		recent := now-known.receivedAt <= GracePeriod
 		expiring := known.expiresAt <= now+GracePeriod
 		if recent || expiring || slices.ContainsFunc(received, known.record.EqualIgnoringTTL) {
 			continue
 		}
-		known.expireSoon(now)
+		known.startGracePeriod(now)
 		changed = true
 	}
 	return changed
 }
 
-// Expire drops the records whose time has ended, and reports whether there were any.
+// Expire deletes expired records and reports whether there were any.
 func (q *Querier) Expire(now time.Duration) bool {
 	expired := false
 	for key, entries := range q.entries {
@@ -191,13 +196,13 @@
 			delete(q.entries, key)
 		}
 	}
-	q.wantedStale = q.wantedStale || expired
+	q.requiredStale = q.requiredStale || expired
 	return expired
 }
 
-// Cache is what is known now, with the labels of the instances by canonical name. Times in the cache are nanoseconds,
-// and epoch is the querier's moment in them. The labels are the querier's own, and are valid until it is called
-// again.
+// Cache returns the cached records, and the instance labels by canonical name. Times in the returned cache are in
+// nanoseconds, where epoch is the querier's reference time. The map of labels is shared with the querier and valid
+// until its next method call.
 func (q *Querier) Cache(epoch int64) (*record.Cache, map[string]string) {
 	cache := record.NewCache()
 	for _, entries := range q.entries {
@@ -205,8 +210,8 @@
 			cache.Add(e.record, max(1, epoch+int64(e.receivedAt)))
 		}
 	}
-	// A host that has sent one kind of address and not the other has none of that: it would have sent it along (RFC
-	// 6762, 6.1).
+	// A host that has sent AAAA records without A records has no A records: it would have sent them in the same message
+	// (RFC 6762, 6.1).
 	for key := range q.entries {
 		ipv4 := record.Key{Name: key.Name, Kind: record.A}
 		if key.Kind == record.AAAA && len(q.entries[ipv4]) == 0 {
--- a/internal/dnssd/mdns/querier_test.go
+++ b/internal/dnssd/mdns/querier_test.go
@@ -15,7 +15,7 @@
 
 var service = record.Service{Type: "_engine._tcp", Domain: "local"}
 
-// newTestQuerier makes a querier without jitter.
+// newTestQuerier returns a querier without jitter.
 func newTestQuerier() *Querier { return New(service, func() float64 { return 0 }) }
 
 // parseRR parses a record in presentation form.
@@ -28,7 +28,7 @@
 	return r
 }
 
-// response makes a response; "!" before a record sets its cache-flush bit.
+// response returns a response with the given records; "!" before a record sets its cache-flush bit.
 func response(t testing.TB, records ...string) *dns.Msg {
 	t.Helper()
 	m := &dns.Msg{MsgHdr: dns.MsgHdr{Response: true, Authoritative: true}}
@@ -45,7 +45,7 @@
 
 const listName = "_engine._tcp.local."
 
-// instanceRecords are the records of one instance: PTR, SRV, TXT and A.
+// instanceRecords returns the records of one instance: PTR, SRV, TXT and A.
 func instanceRecords(name string, port int) []string {
 	return []string{
 		listName + " 120 IN PTR " + name + "." + listName,
@@ -55,54 +55,56 @@
 	}
 }
 
-// resolvedInstances are the labels and ports of the instances without a fault.
-func resolvedInstances(q *Querier) (all []string) {
-	v, labels := q.Cache(0)
-	list, _ := v.Instances(service)
+// resolvedInstances returns the labels and ports of the instances without a fault.
+func resolvedInstances(querier *Querier) (all []string) {
+	cache, labels := querier.Cache(0)
+	list, _ := cache.Instances(service)
 	for _, name := range list {
-		if in := v.Assemble(name, labels[name]); in.Fault == nil {
+		if in := cache.Assemble(name, labels[name]); in.Fault == nil {
 			all = append(all, fmt.Sprint(in.Label, " ", in.Address.Port()))
 		}
 	}
 	return all
 }
 
-// The first question is sent after 20 to 120 ms, and the interval doubles; known answers are sent along.
+// Guards against a flood of queries: the first is sent after 20 to 120 ms, the interval doubles, and known answers are
+// included.
 func TestQuestionsBackOffAndCarryKnownAnswers(t *testing.T) {
-	q := newTestQuerier()
-	m, next := q.PendingQueries(0)
+	querier := newTestQuerier()
+	m, next := querier.PendingQueries(0)
 	require.Empty(t, m)
 	require.Equal(t, minInitialDelay, next)
 	var at []time.Duration
 	for now := next; now < 20*time.Second; now = next {
-		if m, next = q.PendingQueries(now); len(m) > 0 {
+		if m, next = querier.PendingQueries(now); len(m) > 0 {
 			require.Equal(t, listName, m[0].Question[0].Name)
 			at = append(at, now.Round(time.Second))
 		}
 	}
 	require.Equal(t, []time.Duration{0, time.Second, 3 * time.Second, 7 * time.Second, 15 * time.Second}, at)
 
-	q = newTestQuerier()
-	q.PendingQueries(0)
-	require.True(t, q.Handle(response(t, append(instanceRecords("a", 1), instanceRecords("b", 2)...)...), 0))
-	m, _ = q.PendingQueries(minInitialDelay)
+	querier = newTestQuerier()
+	querier.PendingQueries(0)
+	require.True(t, querier.Handle(response(t, append(instanceRecords("a", 1), instanceRecords("b", 2)...)...), 0))
+	m, _ = querier.PendingQueries(minInitialDelay)
 	require.Len(t, m, 1)
-	require.Len(t, m[0].Question, 1, "everything else is known")
+	require.Len(t, m[0].Question, 1, "all other records are cached")
 	require.Len(t, m[0].Answer, 2)
-	// Past half of its time an answer is not sent along.
-	m, _ = q.PendingQueries(61 * time.Second)
+	// After half of its TTL a record is no longer included as a known answer.
+	m, _ = querier.PendingQueries(61 * time.Second)
 	require.Len(t, m, 1)
 	require.Empty(t, m[0].Answer)
 }
 
-// Known answers that do not fit go on in further messages, the TC bit set in all but the last.
+// Guards against oversized messages and omitted known answers: those that do not fit must follow in further messages,
+// with the TC bit set in all but the last.
 func TestKnownAnswersContinueInFurtherMessages(t *testing.T) {
-	q := newTestQuerier()
+	querier := newTestQuerier()
 	for i := range 200 {
-		q.Handle(response(t, instanceRecords(fmt.Sprintf("some-long-name-of-a-box-%d", i), 1+i)...), 0)
+		querier.Handle(response(t, instanceRecords(fmt.Sprintf("some-long-name-of-a-box-%d", i), 1+i)...), 0)
 	}
-	q.PendingQueries(0)
-	m, _ := q.PendingQueries(minInitialDelay)
+	querier.PendingQueries(0)
+	m, _ := querier.PendingQueries(minInitialDelay)
 	require.Greater(t, len(m), 2)
 	known := 0
 	for i, one := range m {
@@ -116,43 +118,44 @@
 	require.Equal(t, 200, known)
 }
 
-// Records end by a goodbye, by a set that is sent without them, and at the end of their time.
+// Guards against records that remain valid after a goodbye, a cache flush without them, or the end of their TTL, and
+// against the loss of records that are received again within the grace period.
 func TestRecordsEndByGoodbyeFlushAndExpiry(t *testing.T) {
-	q := newTestQuerier()
-	q.Handle(response(t, append(instanceRecords("a", 1), instanceRecords("b", 2)...)...), 0)
-	require.Equal(t, []string{"a 1", "b 2"}, resolvedInstances(q))
+	querier := newTestQuerier()
+	querier.Handle(response(t, append(instanceRecords("a", 1), instanceRecords("b", 2)...)...), 0)
+	require.Equal(t, []string{"a 1", "b 2"}, resolvedInstances(querier))
 	now := 10 * time.Second
-	require.True(t, q.Handle(response(t, listName+" 0 IN PTR a."+listName), now))
-	require.False(t, q.Expire(now+GracePeriod/2))
-	require.True(t, q.Expire(now+GracePeriod))
-	require.Equal(t, []string{"b 2"}, resolvedInstances(q))
-	// A goodbye and the record again within the grace: it has never been away.
-	q.Handle(response(t, listName+" 0 IN PTR b."+listName), now)
-	require.True(t, q.Handle(response(t, listName+" 120 IN PTR b."+listName), now+GracePeriod/2))
-	require.False(t, q.Expire(now+2*GracePeriod))
-	require.Equal(t, []string{"b 2"}, resolvedInstances(q))
-	// Another target: the flush bit ends the old one's time.
+	require.True(t, querier.Handle(response(t, listName+" 0 IN PTR a."+listName), now))
+	require.False(t, querier.Expire(now+GracePeriod/2))
+	require.True(t, querier.Expire(now+GracePeriod))
+	require.Equal(t, []string{"b 2"}, resolvedInstances(querier))
+	// A goodbye, and the record again within the grace period: it remains valid.
+	querier.Handle(response(t, listName+" 0 IN PTR b."+listName), now)
+	require.True(t, querier.Handle(response(t, listName+" 120 IN PTR b."+listName), now+GracePeriod/2))
+	require.False(t, querier.Expire(now+2*GracePeriod))
+	require.Equal(t, []string{"b 2"}, resolvedInstances(querier))
+	// A new target with the cache-flush bit replaces the old one.
 	now += time.Second
-	require.True(t, q.Handle(response(t, "!b."+listName+" 120 IN SRV 0 0 9 b.local."), now))
-	q.Expire(now + GracePeriod)
-	require.Equal(t, []string{"b 9"}, resolvedInstances(q))
-	// Two records of a shared set, and of a unique set sent in two messages, stand beside each other.
-	q.Handle(response(t, "!b.local. 120 IN A 127.0.0.2"), now)
-	q.Handle(response(t, "!b.local. 120 IN A 127.0.0.3"), now+GracePeriod/2)
-	v, _ := q.Cache(0)
-	require.Len(t, v.Records("b.local.", record.A), 3)
-	q.Expire(now + 130*time.Second)
-	require.Empty(t, resolvedInstances(q))
+	require.True(t, querier.Handle(response(t, "!b."+listName+" 120 IN SRV 0 0 9 b.local."), now))
+	querier.Expire(now + GracePeriod)
+	require.Equal(t, []string{"b 9"}, resolvedInstances(querier))
+	// Records of a unique set that is split into two messages are all retained.
+	querier.Handle(response(t, "!b.local. 120 IN A 127.0.0.2"), now)
+	querier.Handle(response(t, "!b.local. 120 IN A 127.0.0.3"), now+GracePeriod/2)
+	cache, _ := querier.Cache(0)
+	require.Len(t, cache.Records("b.local.", record.A), 3)
+	querier.Expire(now + 130*time.Second)
+	require.Empty(t, resolvedInstances(querier))
 }
 
-// A record is asked for again at 80, 85, 90 and 95% of its time, and no longer when it has been sent anew.
+// Guards against records that expire without a refresh: a record must be queried at 80, 85, 90 and 95% of its TTL.
 func TestRecordsAreRefreshedBeforeTheyExpire(t *testing.T) {
-	q := newTestQuerier()
-	q.Handle(response(t, instanceRecords("a", 1)...), 0)
-	q.PendingQueries(0)
+	querier := newTestQuerier()
+	querier.Handle(response(t, instanceRecords("a", 1)...), 0)
+	querier.PendingQueries(0)
 	asked := map[time.Duration]int{}
 	for now := time.Duration(0); now < 119*time.Second; now += time.Second {
-		m, _ := q.PendingQueries(now)
+		m, _ := querier.PendingQueries(now)
 		for _, one := range m {
 			for _, question := range one.Question {
 				if question.Qtype == dns.TypeSRV {
@@ -168,20 +171,20 @@
 	)
 }
 
-// Messages that are no responses, have an error or concern another domain change nothing.
+// Guards against records accepted from queries, from responses with an error code, or from another domain.
 func TestIrrelevantMessagesAreIgnored(t *testing.T) {
-	q := newTestQuerier()
+	querier := newTestQuerier()
 	m := response(t, instanceRecords("a", 1)...)
 	m.Response = false
-	require.False(t, q.Handle(m, 0))
+	require.False(t, querier.Handle(m, 0))
 	m = response(t, instanceRecords("a", 1)...)
 	m.Rcode = dns.RcodeServerFailure
-	require.False(t, q.Handle(m, 0))
-	require.False(t, q.Handle(response(t, "x.elsewhere. 120 IN A 127.0.0.1"), 0))
+	require.False(t, querier.Handle(m, 0))
+	require.False(t, querier.Handle(response(t, "x.elsewhere. 120 IN A 127.0.0.1"), 0))
 }
 
-// FuzzHandle: whatever arrives, the querier stays within its bounds, what it sends can be packed, and instances that
-// have no fault have an address.
+// FuzzHandle checks that after any message the querier's own messages can be packed, its next call is later than now,
+// and instances without a fault have an address and a port.
 func FuzzHandle(f *testing.F) {
 	for _, records := range [][]string{
 		instanceRecords("a", 1),
@@ -198,27 +201,27 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		q := newTestQuerier()
-		q.Handle(response(t, instanceRecords("known", 7)...), 0)
+		querier := newTestQuerier()
+		querier.Handle(response(t, instanceRecords("known", 7)...), 0)
 		m := new(dns.Msg)
 		if m.Unpack(raw) != nil {
 			return
 		}
-		q.Handle(m, time.Second)
-		v, labels := q.Cache(0)
-		list, _ := v.Instances(service)
+		querier.Handle(m, time.Second)
+		cache, labels := querier.Cache(0)
+		list, _ := cache.Instances(service)
 		for _, name := range list {
-			in := v.Assemble(name, labels[name])
+			in := cache.Assemble(name, labels[name])
 			if in.Fault == nil &&
 				(!in.Address.IsValid() || in.Address.Port() == 0 || net.ParseIP(in.Address.Addr().String()) == nil) {
 				t.Fatalf("%+v has no address", in)
 			}
 		}
 		for _, now := range []time.Duration{time.Second, 2 * time.Second, time.Hour} {
-			q.Expire(now)
-			messages, next := q.PendingQueries(now)
+			querier.Expire(now)
+			messages, next := querier.PendingQueries(now)
 			if next <= now {
-				t.Fatal("it wants to be called again at once")
+				t.Fatal("next call is not later than now")
 			}
 			for _, m := range messages {
 				if _, err := m.Pack(); err != nil {
--- a/internal/dnssd/mdns/queries.go
+++ b/internal/dnssd/mdns/queries.go
@@ -11,48 +11,51 @@
 )
 
 const (
-	// The first question is sent after a random delay between these (RFC 6762, 5.2).
+	// minInitialDelay is the shortest random delay before the first query (RFC 6762, 5.2).
 	minInitialDelay = 20 * time.Millisecond
+	// maxInitialDelay is the longest random delay before the first query (RFC 6762, 5.2).
 	maxInitialDelay = 120 * time.Millisecond
-	// initialInterval is the time between the first question and the second; it doubles each time up to maxInterval.
+	// initialInterval is the time between the first and the second query. The interval doubles with each query.
 	initialInterval = time.Second
-	maxInterval     = time.Hour
-	// refreshJitter is the part of a record's time that is added to a refresh point at most (RFC 6762, 5.2).
+	// maxInterval is the upper bound of the interval between two queries.
+	maxInterval = time.Hour
+	// refreshJitter is the largest fraction of a record's TTL that is added at random to a refresh point (RFC 6762,
+	// 5.2).
 	refreshJitter = 0.02
-	// maxMessageSize is in bytes, so that a message fits an Ethernet frame.
+	// maxMessageSize is the maximum size of a message in bytes, so that it fits into an Ethernet frame.
 	maxMessageSize = 1_400
-	// maxQuestions is how many questions one message has at most.
+	// maxQuestions is the maximum number of questions in one message.
 	maxQuestions = 20
 )
 
-// refreshPoints are the parts of a record's time at which it is queried again (RFC 6762, 5.2).
-var refreshPoints = [...]float64{0.80, 0.85, 0.90, 0.95}
+// refreshFractions are the fractions of a record's TTL at which it is queried again (RFC 6762, 5.2).
+var refreshFractions = [...]float64{0.80, 0.85, 0.90, 0.95}
 
-// question is a wanted set's.
-type question struct {
-	sendAt   time.Duration
-	interval time.Duration // from sendAt to the time after it
+// questionSchedule has the times at which the question for a set is sent.
+type questionSchedule struct {
+	sendAt   time.Duration // time of the next query
+	interval time.Duration // interval between the next query and the one after it
 }
 
-// scheduleRefresh works out when a record is queried again, with jitter.
+// scheduleRefresh sets the time at which a record is queried again, with jitter.
 func (q *Querier) scheduleRefresh(e *entry) {
-	if e.refreshCount == len(refreshPoints) {
+	if e.refreshCount == len(refreshFractions) {
 		e.refreshAt = 0
 		return
 	}
-	part := refreshPoints[e.refreshCount] + refreshJitter*q.Random()
-	e.refreshAt = e.receivedAt + time.Duration(part*float64(e.expiresAt-e.receivedAt))
+	fraction := refreshFractions[e.refreshCount] + refreshJitter*q.Random()
+	e.refreshAt = e.receivedAt + time.Duration(fraction*float64(e.expiresAt-e.receivedAt))
 }
 
-// PendingQueries are the messages that are to be sent now, and when to call again.
+// PendingQueries returns the messages to send now, and the time of the next call.
 func (q *Querier) PendingQueries(now time.Duration) (messages []*dns.Msg, next time.Duration) {
-	if q.wantedStale {
-		q.updateWanted()
-		q.wantedStale = false
+	if q.requiredStale {
+		q.updateRequired()
+		q.requiredStale = false
 	}
 	next = now + maxInterval
 	var due []record.Key
-	for key := range q.wanted {
+	for key := range q.required {
 		isDue, nextOfKey := q.advance(key, now)
 		if isDue {
 			due = append(due, key)
@@ -70,23 +73,23 @@
 	return q.buildMessages(due, now), max(next, now+time.Millisecond)
 }
 
-// advance reports whether a set is to be queried now, and when to look at it again.
+// advance reports whether a set is to be queried now, updates its schedule, and returns the time of the next call.
 func (q *Querier) advance(key record.Key, now time.Duration) (due bool, next time.Duration) {
-	asked := q.questionFor(key, now)
-	due = asked.sendAt <= now
+	schedule := q.scheduleFor(key, now)
+	due = schedule.sendAt <= now
 	if due {
-		asked.sendAt = now + asked.interval
-		asked.interval = min(2*asked.interval, maxInterval)
+		schedule.sendAt = now + schedule.interval
+		schedule.interval = min(2*schedule.interval, maxInterval)
 	}
 	next = now + maxInterval
 	answered := len(q.entries[key]) > 0
 	if key.Kind != record.PTR && answered {
-		// The set is unique, so that its records are refreshed and nothing more is to be found.
+		// A unique set has no further records to discover; its records are only refreshed.
 		due = false
-		asked.interval = initialInterval
-		asked.sendAt = now + initialInterval
+		schedule.interval = initialInterval
+		schedule.sendAt = now + initialInterval
 	} else {
-		next = min(next, asked.sendAt)
+		next = min(next, schedule.sendAt)
 	}
 	for _, e := range q.entries[key] {
 		if e.refreshAt == 0 {
@@ -104,30 +107,31 @@
 	return due, next
 }
 
-// questionFor is a set's question, which is scheduled if it is new.
-func (q *Querier) questionFor(key record.Key, now time.Duration) *question {
-	asked := q.questions[key]
-	if asked == nil {
+// scheduleFor returns the schedule of a set's question, which is created if it is missing.
+func (q *Querier) scheduleFor(key record.Key, now time.Duration) *questionSchedule {
+	schedule := q.questions[key]
+	if schedule == nil {
 		delay := minInitialDelay + time.Duration(q.Random()*float64(maxInitialDelay-minInitialDelay))
-		asked = &question{sendAt: now + delay, interval: initialInterval}
-		q.questions[key] = asked
+		schedule = &questionSchedule{sendAt: now + delay, interval: initialInterval}
+		q.questions[key] = schedule
 	}
-	return asked
+	return schedule
 }
 
-// updateWanted works out what is to be known: the list, and each instance's records. What belongs to nothing wanted is
-// dropped, but for records that may be of an instance which is listed next.
-func (q *Querier) updateWanted() {
+// updateRequired computes the required sets: the list, and the records of each listed instance. It deletes the
+// schedules of other questions, the PTR records of other lists, and surplus labels. Other records remain, as they may
+// belong to an instance that will be listed later.
+func (q *Querier) updateRequired() {
 	cache, _ := q.Cache(0)
-	q.wanted = map[record.Key]bool{q.listKey(): true}
+	q.required = map[record.Key]bool{q.listKey(): true}
 	names, _ := cache.Instances(q.Service)
 	for _, name := range names {
 		for _, key := range cache.RequiredKeys(name) {
-			q.wanted[key] = true
+			q.required[key] = true
 		}
 	}
 	for key := range q.questions {
-		if !q.wanted[key] {
+		if !q.required[key] {
 			delete(q.questions, key)
 		}
 	}
@@ -138,14 +142,15 @@
 		}
 	}
 	for name := range q.labels {
-		if len(q.labels) > record.MaxInstances && !q.wanted[record.Key{Name: name, Kind: record.SRV}] {
+		if len(q.labels) > record.MaxInstances && !q.required[record.Key{Name: name, Kind: record.SRV}] {
 			delete(q.labels, name)
 		}
 	}
 }
 
-// buildMessages makes messages of questions. One that asks for the list has the answers known to it (RFC 6762, 7.1);
-// those that do not fit follow in further messages, with the TC bit set in all but the last (7.2).
+// buildMessages returns messages with the questions for keys. A message with the question for the list includes its
+// known answers (RFC 6762, 7.1). Those that do not fit follow in further messages, with the TC bit set in all but the
+// last (RFC 6762, 7.2).
 func (q *Querier) buildMessages(keys []record.Key, now time.Duration) (messages []*dns.Msg) {
 	for chunk := range slices.Chunk(keys, maxQuestions) {
 		message := new(dns.Msg)
@@ -163,7 +168,7 @@
 	return messages
 }
 
-// knownAnswers are the list's records with more than half of their time left.
+// knownAnswers returns the list's records with more than half of their TTL left.
 func (q *Querier) knownAnswers(now time.Duration) (answers []dns.RR) {
 	for _, e := range q.entries[q.listKey()] {
 		left := e.expiresAt - now
@@ -181,19 +186,19 @@
 	return answers
 }
 
-// addAnswers adds answers to a message, and returns the further messages for those that do not fit.
-func addAnswers(message *dns.Msg, answers []dns.RR) (further []*dns.Msg) {
+// addAnswers adds known answers to a message, and returns further messages with those that do not fit.
+func addAnswers(message *dns.Msg, answers []dns.RR) (continuations []*dns.Msg) {
 	size := message.Len()
 	for _, answer := range answers {
 		answerSize := dns.Len(answer)
 		if size+answerSize > maxMessageSize {
 			message.Truncated = true
 			message = new(dns.Msg)
-			further = append(further, message)
+			continuations = append(continuations, message)
 			size = message.Len()
 		}
 		size += answerSize
 		message.Answer = append(message.Answer, answer)
 	}
-	return further
+	return continuations
 }
