--- a/internal/dnssd/browser/auto.go
+++ b/internal/dnssd/browser/auto.go
@@ -10,15 +10,18 @@
 	"go.uber.org/zap"
 )
 
-// Times between two attempts at a push session: short after one that became active, long where the domain offers none.
+// Delays between two attempts to open a push session.
 const (
-	minPushRetry         = 500 * time.Millisecond
-	maxPushRetry         = time.Minute
+	// minPushRetry is the delay after a session that became active.
+	minPushRetry = 500 * time.Millisecond
+	// maxPushRetry is the upper bound of the exponential backoff.
+	maxPushRetry = time.Minute
+	// unsupportedPushRetry is the delay where the domain offers no push service.
 	unsupportedPushRetry = 5 * time.Minute
 )
 
-// runAuto polls, and keeps trying to open a push session. Polling pauses while a session is active and resumes at once
-// when it ends, so that no change waits for the next session.
+// runAuto polls and repeatedly tries to open a push session. Polling pauses while a session is active and resumes
+// immediately when the session ends, so that no change has to wait for the next session.
 func (b *Browser) runAuto(ctx context.Context) {
 	p := newPoller(b)
 	retry := backoff.NewExponentialBackOff()
@@ -26,14 +29,14 @@
 	retry.MaxInterval = maxPushRetry
 	retry.Multiplier = 2
 	for ctx.Err() == nil {
-		activated, err := b.pushBesidePolling(ctx, p)
+		activated, err := b.pollUntilPushActive(ctx, p)
 		if ctx.Err() != nil {
 			return
 		}
 		if activated {
 			retry.Reset()
 			b.Log.Warn("push session ended, polling instead", zap.Error(err))
-			b.Metrics.sessionEnded(b)
+			b.Metrics.countEndedSession(b)
 		}
 		delay := b.pushRetryDelay(err, activated, retry.NextBackOff())
 		p.invalidate()
@@ -43,9 +46,9 @@
 	}
 }
 
-// pushBesidePolling has one push session, and polls until it is active. activated tells whether it became so; err is
-// why it ended.
-func (b *Browser) pushBesidePolling(ctx context.Context, p *poller) (activated bool, err error) {
+// pollUntilPushActive runs one push session and polls until the session is active. activated reports whether it became
+// active; err is the reason for its end.
+func (b *Browser) pollUntilPushActive(ctx context.Context, p *poller) (activated bool, err error) {
 	polling, cancel := context.WithCancel(ctx)
 	var poll sync.WaitGroup
 	poll.Go(func() { p.run(polling) })
@@ -61,11 +64,11 @@
 	return activated, err
 }
 
-// pushRetryDelay is how long to poll before the next attempt at a push session, after one that ended with err.
-// fallback is the delay where err asks for no other.
+// pushRetryDelay returns how long to poll before the next attempt to open a push session, after one that ended with
+// err. fallback is the delay if err requires no other.
 func (b *Browser) pushRetryDelay(err error, activated bool, fallback time.Duration) time.Duration {
 	var unavailable *pushUnavailableError
-	var later *retryDelayError
+	var retryLater *retryDelayError
 	switch {
 	case errors.As(err, &unavailable):
 		if b.Mechanism != Push {
@@ -73,8 +76,8 @@
 		}
 		b.Log.Warn("push unavailable, polling instead", zap.Error(err))
 		return maxPushRetry
-	case errors.As(err, &later):
-		return max(fallback, later.delay)
+	case errors.As(err, &retryLater):
+		return max(fallback, retryLater.delay)
 	case !activated:
 		b.Log.Info("push session failed, polling instead", zap.Error(err))
 	}
--- a/internal/dnssd/browser/browser.go
+++ b/internal/dnssd/browser/browser.go
@@ -1,6 +1,6 @@
-// Package browser finds the instances of a DNS-SD service (RFC 6763) by polling a DNS server, by DNS Push Notifications
-// (RFC 8765) or by mDNS (RFC 6762) over a transport that it is given, and publishes them as snapshots. What the records
-// mean is decided in internal/dnssd/record.
+// Package browser discovers the instances of a DNS-SD service (RFC 6763) by polling a DNS server, by DNS Push
+// Notifications (RFC 8765) or by mDNS (RFC 6762) over a transport that the caller provides, and publishes them as
+// snapshots. Package internal/dnssd/record interprets the records.
 package browser
 
 import (
@@ -14,19 +14,19 @@
 	"standpoint/internal/dnssd/resolver"
 )
 
-// Browser finds the instances of one service in one domain. LastContact may be called concurrently with Run.
+// Browser discovers the instances of one service in one domain. LastContact may be called concurrently with Run.
 type Browser struct {
 	Options
 	client *resolver.Client
-	domain string // canonical
+	domain string // the service's domain as a canonical name
 
 	mu          sync.Mutex // guards the fields below
-	failing     bool       // the last contact failed
-	lastContact time.Time
-	mechanism   Mechanism // of lastContact
+	failing     bool       // whether the latest attempt to reach the server failed
+	lastContact time.Time  // time of the latest valid response; zero before the first
+	mechanism   Mechanism  // mechanism by which the latest valid response was received
 }
 
-// New makes a Browser; Run starts it.
+// New returns a Browser that is not running yet; Run starts it.
 func New(o Options) *Browser {
 	return &Browser{
 		Options:   o,
@@ -36,7 +36,7 @@
 	}
 }
 
-// Run browses until ctx ends.
+// Run browses until ctx is done.
 func (b *Browser) Run(ctx context.Context) {
 	defer b.Metrics.register(b)()
 	switch b.Mechanism {
@@ -49,14 +49,16 @@
 	}
 }
 
-// LastContact is when the server last answered, and by which mechanism. The time is zero if it never has.
+// LastContact returns the time of the latest valid response and the mechanism by which it was received. The time is
+// zero before the first response.
 func (b *Browser) LastContact() (time.Time, Mechanism) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lastContact, b.mechanism
 }
 
-// recordContact notes whether the server answers, and logs when that changes.
+// recordContact records the result of a contact with the server, nil for a valid response, and logs the change between
+// success and failure.
 func (b *Browser) recordContact(mechanism Mechanism, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dnssd/browser/browser_test.go
+++ b/internal/dnssd/browser/browser_test.go
@@ -20,11 +20,13 @@
 
 var testService = record.Service{Type: service, Domain: "hall-a.test"}
 
+// instance returns an instance of the test service at a port of 127.0.0.1.
 func instance(label string, port int) responder.Box {
 	return responder.Box{Label: label, Service: service, TTL: 120, Text: []string{"site=a"},
 		Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))}
 }
 
+// instances returns n instances, box-1 to box-n, at the ports from 8001.
 func instances(n int) (all []responder.Box) {
 	for i := range n {
 		all = append(all, instance(fmt.Sprintf("box-%d", i+1), 8001+i))
@@ -32,28 +34,29 @@
 	return all
 }
 
-func startResponder(t *testing.T, c *tls.Certificate, all ...responder.Box) *responder.Server {
+// startResponder starts a DNS server with the given instances; it offers push over TLS if c is not nil.
+func startResponder(t *testing.T, certificate *tls.Certificate, all ...responder.Box) *responder.Server {
 	t.Helper()
-	z := responder.NewZone("hall-a.test", 7)
-	require.NoError(t, z.Publish(all...))
-	s, err := responder.Start(z, "127.0.0.1:0", c)
+	zone := responder.NewZone("hall-a.test", 7)
+	require.NoError(t, zone.Publish(all...))
+	server, err := responder.Start(zone, "127.0.0.1:0", certificate)
 	require.NoError(t, err)
-	t.Cleanup(func() { require.NoError(t, s.Close()) })
-	return s
+	t.Cleanup(func() { require.NoError(t, server.Close()) })
+	return server
 }
 
-// startBrowser runs a browser until the test ends, and passes on its snapshots.
+// startBrowser runs a browser until the test ends and returns it with the channel of its snapshots.
 func startBrowser(
 	t *testing.T,
-	s *responder.Server,
+	server *responder.Server,
 	mechanism Mechanism,
 	change func(*Options),
 ) (*Browser, <-chan Snapshot) {
 	t.Helper()
 	snapshots := make(chan Snapshot, 10_000)
-	o := Options{
+	options := Options{
 		Service:         testService,
-		Server:          s.Address,
+		Server:          server.Address,
 		Mechanism:       mechanism,
 		PollInterval:    50 * time.Millisecond,
 		RefreshInterval: time.Second,
@@ -62,22 +65,22 @@
 	}
 	switch mechanism {
 	case Push:
-		o.PushAddress = s.Address
+		options.PushAddress = server.Address
 	case MDNS:
-		o.DialMDNS = func() (Transport, error) { return DialUnicast(s.MDNS) }
+		options.DialMDNS = func() (Transport, error) { return DialUnicast(server.MDNS) }
 	}
 	if change != nil {
-		change(&o)
+		change(&options)
 	}
-	f := New(o)
+	browser := New(options)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { f.Run(ctx); close(done) }()
+	go func() { browser.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return f, snapshots
+	return browser, snapshots
 }
 
-// waitForSnapshot waits for a snapshot that is accepted.
+// waitForSnapshot returns the first snapshot that accept reports true for, and fails the test after 60 s without one.
 func waitForSnapshot(t *testing.T, snapshots <-chan Snapshot, accept func(Snapshot) bool) Snapshot {
 	t.Helper()
 	limit := time.After(60 * time.Second)
@@ -89,13 +92,13 @@
 				return last
 			}
 		case <-limit:
-			require.FailNow(t, "no such snapshot", "%d of %d instances ready by %s",
+			require.FailNow(t, "no accepted snapshot within 60 s", "last one: %d of %d instances ready, mechanism %s",
 				len(readyLabels(last)), len(last.Instances), last.Mechanism)
 		}
 	}
 }
 
-// readyLabels are the labels of the instances without a fault.
+// readyLabels returns the labels of the instances without a fault.
 func readyLabels(s Snapshot) (labels []string) {
 	for _, in := range s.Instances {
 		if in.Fault == nil {
@@ -105,39 +108,41 @@
 	return labels
 }
 
+// readyBy accepts snapshots obtained by mechanism that have n instances without a fault.
 func readyBy(n int, mechanism Mechanism) func(Snapshot) bool {
 	return func(s Snapshot) bool { return len(readyLabels(s)) == n && s.Mechanism == mechanism }
 }
 
-// Every mechanism tells of boxes that come, change and go, and of names of any kind.
+// Guards against a mechanism that misses an added, changed or withdrawn instance, or damages an instance name with
+// spaces, dots, quotes or non-ASCII letters.
 func TestAllMechanismsSeeInstancesComeChangeAndGo(t *testing.T) {
 	label := "Зал Қ. 3 \"б\"" // dots, spaces, quotes, Kazakh letters
 	for _, mechanism := range []Mechanism{Poll, Push, MDNS} {
 		t.Run(string(mechanism), func(t *testing.T) {
-			s := startResponder(t, nil, instance(label, 8001), instance("box-2", 8002))
-			_, snapshots := startBrowser(t, s, mechanism, nil)
+			server := startResponder(t, nil, instance(label, 8001), instance("box-2", 8002))
+			_, snapshots := startBrowser(t, server, mechanism, nil)
 			first := waitForSnapshot(t, snapshots, readyBy(2, mechanism))
 			require.ElementsMatch(t, []string{label, "box-2"}, readyLabels(first))
 			added := instance("box-3", 8003)
 			added.Address = netip.MustParseAddrPort("[::1]:8003")
-			require.NoError(t, s.Zone.Publish(added))
+			require.NoError(t, server.Zone.Publish(added))
 			three := waitForSnapshot(t, snapshots, readyBy(3, mechanism))
-			at := slices.IndexFunc(three.Instances, func(in record.Instance) bool { return in.Label == "box-3" })
-			require.Equal(t, "[::1]:8003", three.Instances[at].Address.String())
-			require.Equal(t, "a", three.Instances[at].Attributes["site"].Value)
-			// A target that changes in one step.
-			old, err := s.Zone.Records(instance("box-2", 8002))
+			index := slices.IndexFunc(three.Instances, func(in record.Instance) bool { return in.Label == "box-3" })
+			require.Equal(t, "[::1]:8003", three.Instances[index].Address.String())
+			require.Equal(t, "a", three.Instances[index].Attributes["site"].Value)
+			// Replace an SRV record in one change.
+			old, err := server.Zone.Records(instance("box-2", 8002))
 			require.NoError(t, err)
-			moved, err := s.Zone.Records(instance("box-2", 8099))
+			moved, err := server.Zone.Records(instance("box-2", 8099))
 			require.NoError(t, err)
-			s.Zone.Apply(responder.Change{RR: old[1], Remove: true}, responder.Change{RR: moved[1]})
+			server.Zone.Apply(responder.Change{RR: old[1], Remove: true}, responder.Change{RR: moved[1]})
 			waitForSnapshot(t, snapshots, func(s Snapshot) bool {
 				return slices.ContainsFunc(
 					s.Instances,
 					func(in record.Instance) bool { return in.Label == "box-2" && in.Address.Port() == 8099 },
 				)
 			})
-			require.NoError(t, s.Zone.Withdraw(instance(label, 8001)))
+			require.NoError(t, server.Zone.Withdraw(instance(label, 8001)))
 			require.ElementsMatch(
 				t,
 				[]string{"box-2", "box-3"},
@@ -147,48 +152,49 @@
 	}
 }
 
-// bestWithdrawalDelay is the least time of several that a withdrawal takes to be seen; a busy machine may hold one or
-// two up.
-func bestWithdrawalDelay(t *testing.T, s *responder.Server, snapshots <-chan Snapshot, n int) time.Duration {
+// bestWithdrawalDelay returns the shortest of three times from the withdrawal of an instance to the snapshot without
+// it. The others may be delayed by load on the machine.
+func bestWithdrawalDelay(t *testing.T, server *responder.Server, snapshots <-chan Snapshot, n int) time.Duration {
 	t.Helper()
 	best := time.Hour
 	for i := range 3 {
 		began := time.Now()
-		require.NoError(t, s.Zone.Withdraw(instance(fmt.Sprintf("box-%d", i+1), 8001+i)))
+		require.NoError(t, server.Zone.Withdraw(instance(fmt.Sprintf("box-%d", i+1), 8001+i)))
 		waitForSnapshot(t, snapshots, func(s Snapshot) bool { return len(readyLabels(s)) == n-i-1 })
 		best = min(best, time.Since(began))
 	}
 	return best
 }
 
+// Guards against a mechanism that takes 500 ms or more to discover a withdrawal, with and without packet loss.
 func TestWithdrawalIsSeenWithinBoundDespitePacketLoss(t *testing.T) {
 	for _, mechanism := range []Mechanism{Poll, Push, MDNS} {
-		for _, every := range []int{0, 3} { // no packet is lost, or each third
+		for _, every := range []int{0, 3} { // no packet is lost, or every third one
 			t.Run(fmt.Sprint(mechanism, every), func(t *testing.T) {
-				s := startResponder(t, nil, instances(6)...)
-				_, snapshots := startBrowser(t, s, mechanism, nil)
+				server := startResponder(t, nil, instances(6)...)
+				_, snapshots := startBrowser(t, server, mechanism, nil)
 				waitForSnapshot(t, snapshots, readyBy(6, mechanism))
-				s.Set(responder.Faults{Every: every, Jitter: 5 * time.Millisecond})
-				require.Less(t, bestWithdrawalDelay(t, s, snapshots, 6), 500*time.Millisecond)
+				server.Set(responder.Faults{Every: every, Jitter: 5 * time.Millisecond})
+				require.Less(t, bestWithdrawalDelay(t, server, snapshots, 6), 500*time.Millisecond)
 			})
 		}
 	}
 }
 
-// A zone without a serial is asked for its list; one that is published again within 100 ms is there again.
+// Guards against the permanent loss of an instance that is withdrawn and published again within 100 ms.
 func TestInstanceRepublishedWithin100msIsListed(t *testing.T) {
 	for _, mechanism := range []Mechanism{Poll, Push, MDNS} {
 		t.Run(string(mechanism), func(t *testing.T) {
-			s := startResponder(t, nil, instances(3)...)
-			_, snapshots := startBrowser(t, s, mechanism, nil)
+			server := startResponder(t, nil, instances(3)...)
+			_, snapshots := startBrowser(t, server, mechanism, nil)
 			waitForSnapshot(t, snapshots, readyBy(3, mechanism))
 			for range 3 {
-				require.NoError(t, s.Zone.Withdraw(instance("box-1", 8001)))
+				require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 				time.Sleep(60 * time.Millisecond)
-				require.NoError(t, s.Zone.Publish(instance("box-1", 8001)))
+				require.NoError(t, server.Zone.Publish(instance("box-1", 8001)))
 				time.Sleep(300 * time.Millisecond)
 			}
-			// Whatever was seen between, at the end it is there.
+			// Intermediate snapshots may lack the instance; the last one must have it.
 			time.Sleep(400 * time.Millisecond)
 			for len(snapshots) > 1 {
 				<-snapshots
@@ -198,11 +204,12 @@
 	}
 }
 
-// Forged and damaged answers change nothing: a wrong id, the wrong case, a name outside the zone, noise.
+// Guards against the acceptance of forged or damaged responses: a wrong id, a name in the wrong case, additional
+// records outside the domain, or random bytes.
 func TestForgedAnswersAreRejected(t *testing.T) {
-	s := startResponder(t, nil, instances(4)...)
-	s.Set(responder.Faults{WrongID: 1, Poison: 1, Garbage: 1})
-	f, snapshots := startBrowser(t, s, Poll, nil)
+	server := startResponder(t, nil, instances(4)...)
+	server.Set(responder.Faults{WrongID: 1, Poison: 1, Garbage: 1})
+	browser, snapshots := startBrowser(t, server, Poll, nil)
 	waitForSnapshot(t, snapshots, readyBy(4, Poll))
 	for range 20 {
 		time.Sleep(20 * time.Millisecond)
@@ -210,31 +217,32 @@
 			require.Len(t, readyLabels(<-snapshots), 4)
 		}
 	}
-	require.Positive(t, f.client.RejectedAnswers.Load())
-	a, err := f.client.Query(t.Context(), "box-1."+testService.BaseName(), record.SRV)
+	require.Positive(t, browser.client.RejectedResponses.Load())
+	response, err := browser.client.Query(t.Context(), "box-1."+testService.BaseName(), record.SRV)
 	require.NoError(t, err)
-	for _, r := range a.Additional {
+	for _, r := range response.Additional {
 		require.True(t, record.Within(r.Name, "hall-a.test."), r.Name)
 	}
 }
 
-// Answers that do not fit a packet come over TCP; a TTL of 0 does not flood the server.
+// Guards against a failure to retry truncated responses over TCP, and against a flood of queries for records with a TTL
+// of 0.
 func TestTruncatedAnswersAndZeroTTL(t *testing.T) {
-	s := startResponder(t, nil, instances(5)...)
-	s.Set(responder.Faults{Truncate: true, ZeroTTL: true})
-	_, snapshots := startBrowser(t, s, Poll, nil)
+	server := startResponder(t, nil, instances(5)...)
+	server.Set(responder.Faults{Truncate: true, ZeroTTL: true})
+	_, snapshots := startBrowser(t, server, Poll, nil)
 	waitForSnapshot(t, snapshots, readyBy(5, Poll))
-	before := s.Questions.Load()
+	before := server.Questions.Load()
 	time.Sleep(time.Second)
 	require.Less(
 		t,
-		s.Questions.Load()-before,
+		server.Questions.Load()-before,
 		int64(150),
-	) // 40 serials, and 16 sets at most once a second, each asked twice
+	) // in one second: 40 queries for the serial, and 16 sets queried at most once, with one retry each
 }
 
-// 2,000 instances in one domain, polled and pushed; 400 by mDNS, whose questions after lost messages come ever more
-// seldom.
+// Guards against a mechanism that cannot handle a large domain: 2,000 instances by polling and push, and 400 by mDNS,
+// where queries that replace lost messages are sent at growing intervals.
 func TestTwoThousandInstances(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -245,24 +253,24 @@
 			if mechanism == MDNS {
 				n = 400
 			}
-			s := startResponder(t, nil, instances(n)...)
-			_, snapshots := startBrowser(t, s, mechanism, nil)
+			server := startResponder(t, nil, instances(n)...)
+			_, snapshots := startBrowser(t, server, mechanism, nil)
 			waitForSnapshot(t, snapshots, readyBy(n, mechanism))
-			require.NoError(t, s.Zone.Withdraw(instance("box-1", 8001)))
+			require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 			waitForSnapshot(t, snapshots, readyBy(n-1, mechanism))
 		})
 	}
 }
 
-// Two servers behind one address, one of which lags: what is withdrawn stays so, though half of the answers still
-// list it.
+// Guards against withdrawn instances that reappear: of two servers behind one address, one has an outdated zone, so
+// half of the responses still list the instance.
 func TestLaggingServerDoesNotReviveWithdrawnInstances(t *testing.T) {
-	s := startResponder(t, nil, instances(4)...)
-	s.Set(responder.Faults{Other: s.Zone.Copy()})
-	_, snapshots := startBrowser(t, s, Poll, nil)
+	server := startResponder(t, nil, instances(4)...)
+	server.Set(responder.Faults{Other: server.Zone.Copy()})
+	_, snapshots := startBrowser(t, server, Poll, nil)
 	waitForSnapshot(t, snapshots, readyBy(4, Poll))
 	for i := range 3 {
-		require.NoError(t, s.Zone.Withdraw(instance(fmt.Sprintf("box-%d", i+1), 8001+i)))
+		require.NoError(t, server.Zone.Withdraw(instance(fmt.Sprintf("box-%d", i+1), 8001+i)))
 		waitForSnapshot(t, snapshots, readyBy(3-i, Poll))
 		for range 10 {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/dnssd/browser/multicast.go
+++ b/internal/dnssd/browser/multicast.go
@@ -16,16 +16,16 @@
 	*Browser
 	transport Transport
 	querier   *mdns.Querier
-	base      time.Time // the querier's times count from here
-	epoch     int64     // base, in nanoseconds of internal/clock
-	received  bool      // a response has arrived
-	// changed tells that the records differ from the last snapshot, which was published at publishedAt.
+	base      time.Time // reference time of the querier's time spans
+	epoch     int64     // base in nanoseconds of internal/clock
+	received  bool      // whether a response has been received
+	// changed reports whether the records differ from the latest snapshot, which was published at publishedAt.
 	changed     bool
 	publishedAt time.Time
 	throttle    throttle
 }
 
-// runMulticast browses by mDNS until ctx ends.
+// runMulticast browses by mDNS until ctx is done.
 func (b *Browser) runMulticast(ctx context.Context) {
 	transport, err := b.DialMDNS()
 	if err != nil {
@@ -44,12 +44,12 @@
 		epoch:     clock.Of(base),
 	}
 	inbox := make(chan []byte, inboxSize)
-	// The reader ends once ctx has ended and the transport is closed; nothing that it holds outlives that.
+	// The reader ends once ctx is done and the transport is closed.
 	go m.receive(ctx, inbox)
 	m.run(ctx, inbox)
 }
 
-// receive passes messages on to inbox until ctx ends, and then closes it.
+// receive forwards messages from the transport to inbox until ctx is done, and then closes inbox.
 func (b *multicastBrowser) receive(ctx context.Context, inbox chan<- []byte) {
 	defer close(inbox)
 	for {
@@ -58,7 +58,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			// A read may fail because the peer is not there yet.
+			// A read may fail because the peer has not started yet.
 			select {
 			case <-ctx.Done():
 				return
@@ -74,7 +74,7 @@
 	}
 }
 
-// run handles messages and timers until ctx ends.
+// run handles messages and timers until ctx is done.
 func (b *multicastBrowser) run(ctx context.Context, inbox <-chan []byte) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -99,11 +99,12 @@
 	}
 }
 
-// handleMessage takes in one message, and reports whether it is a response. idle tells that no other message waits.
+// handleMessage handles one message and reports whether it is a response. idle reports whether no further message is
+// queued.
 func (b *multicastBrowser) handleMessage(raw []byte, idle bool) bool {
 	message := new(dns.Msg)
 	if err := message.Unpack(raw); err != nil || !message.Response {
-		b.client.RejectedAnswers.Add(1)
+		b.client.RejectedResponses.Add(1)
 		return false
 	}
 	b.changed = b.querier.Handle(message, time.Since(b.base)) || b.changed
@@ -114,8 +115,8 @@
 	return true
 }
 
-// step expires records, sends the queries that are due and publishes a snapshot if there is one to publish. It returns
-// the time until the next step.
+// step expires records, sends the queries that are due, and publishes a snapshot if the records have changed or
+// republishInterval has passed. It returns the time until the next step.
 func (b *multicastBrowser) step() time.Duration {
 	began := time.Now()
 	now := began.Sub(b.base)
@@ -134,7 +135,7 @@
 	return max(time.Millisecond, min(next-time.Since(b.base), republishInterval))
 }
 
-// send sends one query. A failure is counted and recorded; the querier repeats the query by itself.
+// send sends one query. A failure is counted and recorded; the querier repeats the query on its own schedule.
 func (b *multicastBrowser) send(message *dns.Msg) {
 	raw, err := message.Pack()
 	if err == nil {
--- a/internal/dnssd/browser/options.go
+++ b/internal/dnssd/browser/options.go
@@ -9,10 +9,11 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// Mechanism is how a browser learns of changes.
+// Mechanism selects how a browser discovers changes.
 type Mechanism string
 
-// The mechanisms. Auto uses DNS Push Notifications where the domain's server offers them, and polls otherwise.
+// The mechanisms of discovery. Auto uses DNS Push Notifications if the domain's server offers them, and polls
+// otherwise.
 const (
 	Auto Mechanism = "auto"
 	Poll Mechanism = "poll"
@@ -22,29 +23,32 @@
 
 // Options configure a Browser.
 type Options struct {
-	// Service is what is browsed for.
+	// Service is the service type, subtype and domain to browse.
 	Service record.Service
-	// Server is the DNS server's host:port, used for queries. It is unused with MDNS.
+	// Server is the host:port of the DNS server that is queried. It is unused with MDNS.
 	Server string
-	// Mechanism is how changes are learnt. Push differs from Auto in that a missing push service is logged as a warning
-	// and retried more often. An unknown value is treated as Auto.
+	// Mechanism selects how changes are discovered. Push differs from Auto in that an unavailable push service is
+	// logged as a warning and retried more often. An unknown value is treated as Auto.
 	Mechanism Mechanism
-	// PollInterval is the longest time between two queries for the zone's serial; each wait is drawn from the upper
-	// half of it. With MDNS it is the pause after a failed read.
+	// PollInterval is the longest wait between two queries for the zone's serial; each wait is drawn at random from the
+	// upper half of the interval. With MDNS it is the wait after a failed read.
 	PollInterval time.Duration
-	// RefreshInterval bounds the time between two queries for the same records at a server that reports no serial.
+	// RefreshInterval is the longest time between two queries for the same records from a server that reports no
+	// serial.
 	RefreshInterval time.Duration
-	// PushAddress is the push server's host:port; "" finds it by the domain's SRV record, which needs TLS.
+	// PushAddress is the host:port of the push server. If it is empty, the server is located by the domain's SRV
+	// record, which requires TLS.
 	PushAddress string
-	// TLS secures push sessions. With nil they are in clear text, which the caller allows on loopback addresses alone.
+	// TLS configures the encryption of push sessions. With nil, sessions are in clear text; the caller must restrict
+	// these to loopback addresses.
 	TLS *tls.Config
-	// DialMDNS opens the transport of MDNS, and is required with it.
+	// DialMDNS opens the transport for MDNS, and is required with it.
 	DialMDNS func() (Transport, error)
-	// Publish receives each snapshot: whenever the instances have changed, and every few seconds otherwise. It is never
-	// called concurrently, and must not block.
+	// Publish receives each snapshot: whenever the instances have changed, and every few seconds otherwise. Calls are
+	// never concurrent. It must not block.
 	Publish func(Snapshot)
-	// Metrics may be nil.
+	// Metrics records the browser's metrics; it may be nil.
 	Metrics *Metrics
-	// Log is required.
+	// Log receives the browser's log lines, and is required.
 	Log *zap.Logger
 }
--- a/internal/dnssd/browser/poller.go
+++ b/internal/dnssd/browser/poller.go
@@ -13,26 +13,28 @@
 )
 
 const (
-	// staleSerialGrace is how long an older serial must be reported before it is believed.
+	// staleSerialGrace is how long an older serial must be reported before it is accepted.
 	staleSerialGrace = 10 * time.Second
-	// lookupWaves is how many rounds of queries an instance's records may need: SRV and TXT, then A, then AAAA.
-	lookupWaves = 3
-	// waveTimeout bounds each of them once a complete snapshot has been published.
-	waveTimeout = 200 * time.Millisecond
+	// lookupRounds is the number of rounds of queries that an instance's records may need: SRV and TXT, then A, then
+	// AAAA.
+	lookupRounds = 3
+	// roundTimeout bounds each round of queries once a complete snapshot has been published.
+	roundTimeout = 200 * time.Millisecond
 )
 
-// poller browses by queries alone. It belongs to one goroutine at a time.
+// poller browses by queries alone. It must be used by one goroutine at a time.
 type poller struct {
 	*Browser
-	cache       *record.Cache
-	labels      map[string]string // of instances, by canonical name
-	serial      *uint32           // the zone's at the last refresh
-	behindSince time.Time         // since when only an older serial has been reported; zero if it is not
-	nextRefresh int64             // when the first set in the cache is to be queried again; 0: not known
-	complete    bool              // a snapshot of a complete refresh has been published
-	publishedAt time.Time
+	cache             *record.Cache
+	labels            map[string]string // instance labels by canonical name
+	serial            *uint32           // serial of the zone at the latest refresh; nil if none was reported
+	serialBehindSince time.Time         // time from which only older serials have been reported; zero if none
+	nextRefresh       int64             // earliest time in nanoseconds at which a cached set is due; 0 if unknown
+	complete          bool              // whether a snapshot of a complete refresh has been published
+	publishedAt       time.Time         // time of the latest snapshot
 }
 
+// newPoller returns a poller with an empty cache.
 func newPoller(b *Browser) *poller {
 	return &poller{Browser: b, cache: record.NewCache(), labels: map[string]string{}}
 }
@@ -43,7 +45,7 @@
 	p.publishedAt = time.Time{}
 }
 
-// run polls until ctx ends.
+// run polls until ctx is done.
 func (p *poller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := p.refresh(ctx)
@@ -51,16 +53,17 @@
 			return
 		}
 		p.recordContact(Poll, err)
-		// With jitter, so that nodes do not query together.
+		// Jitter keeps nodes from querying at the same time.
 		transient.Sleep(ctx, p.PollInterval/2+rand.N(p.PollInterval/2+1))
 	}
 }
 
-// refresh queries what has changed or is due, and publishes a snapshot if the instances have changed.
+// refresh queries the records that may have changed or are due, and publishes a snapshot if any record has changed or
+// republishInterval has passed.
 func (p *poller) refresh(ctx context.Context) error {
 	serial, err := p.querySerial(ctx)
 	if err != nil && p.serial != nil {
-		return err // the server reported a serial before, so that this is no server without one
+		return err // the server has reported a serial before, so it is not a server without serials
 	}
 	now := time.Now()
 	if p.serialLags(serial, now) {
@@ -92,31 +95,32 @@
 	return nil
 }
 
-// serialDiffers reports whether the zone may have changed since the last refresh: it has another serial, or none.
+// serialDiffers reports whether the zone may have changed since the latest refresh: the serial differs or is unknown.
 func (p *poller) serialDiffers(serial *uint32) bool {
 	return serial == nil || p.serial == nil || *serial != *p.serial
 }
 
-// serialLags reports whether an answer came from a server that is behind what was known before. Such an answer is
-// passed over, unless nothing newer has been reported for staleSerialGrace: then the zone itself was put back.
+// serialLags reports whether a response came from a server with an older copy of the zone than the latest refresh. Such
+// a response is ignored unless only older serials have been reported for staleSerialGrace: then the zone itself was
+// reset to an older serial.
 func (p *poller) serialLags(serial *uint32, now time.Time) bool {
 	if serial == nil || p.serial == nil || !record.Newer(*p.serial, *serial) {
-		p.behindSince = time.Time{}
+		p.serialBehindSince = time.Time{}
 		return false
 	}
-	if p.behindSince.IsZero() {
-		p.behindSince = now
+	if p.serialBehindSince.IsZero() {
+		p.serialBehindSince = now
 	}
-	return now.Sub(p.behindSince) < staleSerialGrace
+	return now.Sub(p.serialBehindSince) < staleSerialGrace
 }
 
-// listKey is the set whose records list the instances.
+// listKey returns the key of the PTR records that list the instances.
 func (p *poller) listKey() record.Key {
 	return record.Key{Name: p.Service.ListName(), Kind: record.PTR}
 }
 
 // refreshList queries the list of instances if the serial has changed or the list is due, and reports whether the list
-// has changed.
+// differs from the cached one.
 func (p *poller) refreshList(
 	ctx context.Context, serial *uint32, serialChanged bool, now time.Time,
 ) (changed bool, err error) {
@@ -124,25 +128,25 @@
 	if !serialChanged && !p.due(list, now) {
 		return false, nil
 	}
-	answer, err := p.queryList(ctx, list, serial)
+	response, err := p.queryList(ctx, list, serial)
 	if err != nil {
 		return false, err
 	}
-	changed = p.store(list, answer.Records, answer.NegativeTTL, serial != nil)
-	p.storeAdditional(answer.Additional, serial != nil)
-	for _, r := range answer.Records {
+	changed = p.store(list, response.Records, response.NegativeTTL, serial != nil)
+	p.storeAdditional(response.Additional, serial != nil)
+	for _, r := range response.Records {
 		if label, _, err := record.SplitInstance(r.Target); err == nil {
 			p.labels[record.CanonicalName(r.Target)] = label
 		}
 	}
 	if changed && p.complete {
-		// Withdrawals do not wait for the records of new instances.
+		// Publish withdrawals before the records of new instances are queried.
 		p.publish(now, serial)
 	}
 	return changed, nil
 }
 
-// listedInstances are the names of the listed instances, up to record.MaxInstances.
+// listedInstances returns the names of the listed instances, up to record.MaxInstances.
 func (p *poller) listedInstances() []string {
 	names, omitted := p.cache.Instances(p.Service)
 	if omitted > 0 {
@@ -152,23 +156,23 @@
 	return names
 }
 
-// refreshRecords queries the records of the named instances that are due. required are the keys that the instances and
-// the list need; changed tells whether any record is another.
+// refreshRecords queries those records of the named instances that are due. required has the keys of the list and of
+// all records that the instances need; changed reports whether any record has changed.
 func (p *poller) refreshRecords(
 	ctx context.Context, instances []string, hasSerial bool, now time.Time,
 ) (required map[record.Key]bool, changed bool) {
 	required = map[record.Key]bool{p.listKey(): true}
-	for range lookupWaves {
+	for range lookupRounds {
 		due := p.dueKeys(instances, required, now)
 		if len(due) == 0 {
 			continue
 		}
-		changed = p.queryWave(ctx, due, hasSerial) || changed
+		changed = p.queryRound(ctx, due, hasSerial) || changed
 	}
 	return required, changed
 }
 
-// dueKeys adds the keys that the instances need to required, and returns those that are new in it and due.
+// dueKeys adds the keys that the instances need to required, and returns the added ones that are due.
 func (p *poller) dueKeys(instances []string, required map[record.Key]bool, now time.Time) (due []record.Key) {
 	for _, name := range instances {
 		for _, key := range p.cache.RequiredKeys(name) {
@@ -181,18 +185,18 @@
 	return due
 }
 
-// due reports whether a set is unknown, or to be queried again.
+// due reports whether a set is unknown or its refresh time has come.
 func (p *poller) due(key record.Key, now time.Time) bool {
 	set := p.cache.Get(key.Name, key.Kind)
 	return set == nil || set.RefreshAt <= clock.Of(now)
 }
 
-// queryWave queries keys together. Before the first complete snapshot it waits for all answers. Later a snapshot must
-// not wait for a few records that are lost on the way: what is not answered within waveTimeout stays due.
-func (p *poller) queryWave(ctx context.Context, keys []record.Key, hasSerial bool) (changed bool) {
+// queryRound queries keys concurrently. Before the first complete snapshot it waits for all responses. Later a snapshot
+// must not be delayed by a few lost packets: keys without a response within roundTimeout stay due.
+func (p *poller) queryRound(ctx context.Context, keys []record.Key, hasSerial bool) (changed bool) {
 	if p.complete {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, waveTimeout)
+		ctx, cancel = context.WithTimeout(ctx, roundTimeout)
 		defer cancel()
 	}
 	return p.queryKeys(ctx, keys, hasSerial)
--- a/internal/dnssd/browser/poller_queries.go
+++ b/internal/dnssd/browser/poller_queries.go
@@ -14,56 +14,58 @@
 )
 
 const (
+	// maxConcurrentQueries is the number of queries in flight in one round.
 	maxConcurrentQueries = 32
-	// maxListAttempts is how often a list is queried that comes from a server which is behind.
+	// maxListAttempts is the number of times the list is queried while responses come from a server with an older
+	// serial.
 	maxListAttempts = 6
-	// failureRetryDelay is when a set is queried again after a failure.
+	// failureRetryDelay is the time after a failed query at which the set is due again.
 	failureRetryDelay = time.Second
-	// minRefreshInterval bounds how often a set is queried whose TTL is 0 or nearly so.
+	// minRefreshInterval is the shortest lifetime that is assumed for a set, even if its TTL is 0.
 	minRefreshInterval = time.Second
 )
 
-// querySerial queries the zone's serial; it is nil where the server reports none with authority.
+// querySerial queries the zone's serial; it is nil if the server's response is not authoritative or has no SOA record.
 func (p *poller) querySerial(ctx context.Context) (*uint32, error) {
-	answer, err := p.client.Query(ctx, p.domain, record.SOA)
+	response, err := p.client.Query(ctx, p.domain, record.SOA)
 	if err != nil {
 		return nil, err
 	}
-	for _, r := range answer.Records {
-		if answer.Authoritative { // one from a resolver's cache may be old
+	for _, r := range response.Records {
+		if response.Authoritative { // a serial from a resolver's cache may be outdated
 			return &r.Serial, nil
 		}
 	}
 	return nil, nil
 }
 
-// queryList queries the list of instances. With a serial the list must come from a server that is no older than the one
-// which reported that serial: serial and list are queried from one socket until they fit.
-func (p *poller) queryList(ctx context.Context, key record.Key, serial *uint32) (resolver.Answer, error) {
+// queryList queries the list of instances. If serial is not nil, the list must come from a server whose serial is not
+// older: serial and list are queried over one socket until that is so, at most maxListAttempts times.
+func (p *poller) queryList(ctx context.Context, key record.Key, serial *uint32) (resolver.Response, error) {
 	if serial == nil {
 		return p.client.Query(ctx, key.Name, key.Kind)
 	}
 	for range maxListAttempts {
-		listSerial, answer, err := p.client.QueryWithSerial(ctx, p.domain, key.Name, key.Kind)
+		listSerial, response, err := p.client.QueryWithSerial(ctx, p.domain, key.Name, key.Kind)
 		if err != nil || listSerial == nil || !record.Newer(*serial, *listSerial) {
-			return answer, err
+			return response, err
 		}
 	}
-	return resolver.Answer{}, fmt.Errorf(
-		"PTR %s: its servers differ, and the one that is ahead does not answer",
+	return resolver.Response{}, fmt.Errorf(
+		"PTR %s: every response came from a server with an outdated serial",
 		key.Name,
 	)
 }
 
-// queryResult is the outcome of one of several concurrent queries.
+// queryResult is the result of one of several concurrent queries.
 type queryResult struct {
-	key    record.Key
-	answer resolver.Answer
-	err    error
+	key      record.Key
+	response resolver.Response
+	err      error
 }
 
-// queryKeys queries several sets concurrently, stores the answers, and reports whether any has changed. A query that
-// failed is retried at a later refresh.
+// queryKeys queries several sets concurrently, stores the responses, and reports whether any set has changed. A failed
+// query is retried at a later refresh.
 func (p *poller) queryKeys(ctx context.Context, keys []record.Key, hasSerial bool) (changed bool) {
 	results := make(chan queryResult, maxConcurrentQueries)
 	go func() {
@@ -72,30 +74,31 @@
 		group.SetLimit(maxConcurrentQueries)
 		for _, key := range keys {
 			group.Go(func() error {
-				answer, err := p.client.Query(ctx, key.Name, key.Kind)
-				results <- queryResult{key: key, answer: answer, err: err}
+				response, err := p.client.Query(ctx, key.Name, key.Kind)
+				results <- queryResult{key: key, response: response, err: err}
 				return nil
 			})
 		}
-		_ = group.Wait() // the errors are in the results
+		_ = group.Wait() // errors are passed in results
 	}()
 	for result := range results {
 		if result.err != nil {
-			if ctx.Err() == nil { // otherwise the query was cut short, and the set stays due
+			if ctx.Err() == nil { // otherwise the query was cancelled, and the set stays due
 				retryAt := clock.Of(time.Now().Add(failureRetryDelay))
 				p.cache.RecordFailure(result.key, result.err.Error(), retryAt)
 			}
 			continue
 		}
-		answer := result.answer
-		changed = p.store(result.key, answer.Records, answer.NegativeTTL, hasSerial) || changed
-		changed = p.storeAdditional(answer.Additional, hasSerial) || changed
+		response := result.response
+		changed = p.store(result.key, response.Records, response.NegativeTTL, hasSerial) || changed
+		changed = p.storeAdditional(response.Additional, hasSerial) || changed
 	}
 	return changed
 }
 
-// store puts an answer into the cache and schedules the next query of the set, in the last quarter of its TTL. Where
-// the server has no serial that would show a change, the set is queried again within RefreshInterval.
+// store puts the records of a response into the cache and schedules the next query of the set at a random time in the
+// last quarter of its TTL. If the server has no serial to indicate changes, the set is queried again within
+// RefreshInterval. store reports whether the set has changed.
 func (p *poller) store(key record.Key, records []record.Record, negativeTTL uint32, hasSerial bool) bool {
 	now := clock.Now()
 	changed := p.cache.Put(key, records, negativeTTL, now)
@@ -111,7 +114,8 @@
 	return changed
 }
 
-// storeAdditional stores the additional records of an answer, as far as they would be due anyway.
+// storeAdditional stores those additional records of a response whose sets are unknown or due, and reports whether any
+// set has changed.
 func (p *poller) storeAdditional(records []record.Record, hasSerial bool) (changed bool) {
 	sets := map[record.Key][]record.Record{}
 	for _, r := range records {
--- a/internal/dnssd/browser/push_connection.go
+++ b/internal/dnssd/browser/push_connection.go
@@ -16,27 +16,30 @@
 )
 
 const (
-	connectTimeout = 2 * time.Second // for TCP and TLS together, and for the first response
-	writeTimeout   = time.Second
-	maxMessageSize = 65_535 // bytes of one message, whose length has two bytes (RFC 8490, 5.4)
+	// connectTimeout bounds the TCP connection and TLS handshake together, and the wait for the first response.
+	connectTimeout = 2 * time.Second
+	// writeTimeout bounds the write of one message.
+	writeTimeout = time.Second
+	// maxMessageSize is the maximum size of a message in bytes; its length field has two bytes (RFC 8490, 5.4).
+	maxMessageSize = 65_535
 )
 
-// pushUnavailableError reports that the server offers no push session, and why.
+// pushUnavailableError reports that no push session can be opened with the server, and the reason.
 type pushUnavailableError struct{ reason string }
 
 // Error implements error.
-func (e *pushUnavailableError) Error() string { return "the server offers no push: " + e.reason }
+func (e *pushUnavailableError) Error() string { return "push service unavailable: " + e.reason }
 
-// retryDelayError reports that the server wants no session for a time.
+// retryDelayError reports that the server has requested that no session be opened before the delay has passed.
 type retryDelayError struct{ delay time.Duration }
 
 // Error implements error.
 func (e *retryDelayError) Error() string {
-	return fmt.Sprintf("the server wants no session for %v", e.delay)
+	return fmt.Sprintf("push server requested a retry delay of %v", e.delay)
 }
 
-// runPushSession has one push session, and returns why it ended. start is called once its cache is complete, before the
-// first snapshot is published.
+// runPushSession runs one push session and returns the reason for its end. start is called once the session's cache is
+// complete, before the first snapshot is published.
 func (b *Browser) runPushSession(ctx context.Context, start func()) error {
 	address, host, err := b.locatePushServer(ctx)
 	if err != nil {
@@ -58,7 +61,8 @@
 	return newPushSession(b, conn).run(ctx, start)
 }
 
-// secure puts TLS over a connection where it is configured; host is the name that the server's certificate must have.
+// secure returns conn with TLS on top if TLS is configured. host is the name that the server's certificate must be
+// valid for, unless the configuration has another one.
 func (b *Browser) secure(ctx context.Context, conn net.Conn, host string) (net.Conn, error) {
 	if b.TLS == nil {
 		return conn, nil
@@ -74,45 +78,45 @@
 	return secured, nil
 }
 
-// locatePushServer is the push server's host:port and its host name: as configured, or by the domain's SRV record
-// (RFC 8765, 6.1).
+// locatePushServer returns the push server's host:port and its host name, from the configured address or the domain's
+// SRV record (RFC 8765, 6.1).
 func (b *Browser) locatePushServer(ctx context.Context) (address, host string, err error) {
 	if b.PushAddress != "" {
 		host, _, err = net.SplitHostPort(b.PushAddress)
 		return b.PushAddress, host, err
 	}
 	if b.TLS == nil {
-		return "", "", &pushUnavailableError{"no root certificate is configured, and no address"}
+		return "", "", &pushUnavailableError{"neither a root certificate nor an address is configured"}
 	}
 	service := "_dns-push-tls._tcp." + b.domain
-	answer, err := b.client.Query(ctx, service, record.SRV)
+	response, err := b.client.Query(ctx, service, record.SRV)
 	if err != nil {
 		return "", "", err
 	}
 	var targets []record.Target
-	for _, r := range answer.Records {
+	for _, r := range response.Records {
 		targets = append(targets, r.Server)
 	}
 	target, err := record.Choose(targets, 0)
 	if err != nil {
-		return "", "", &pushUnavailableError{"no SRV record of " + service}
+		return "", "", &pushUnavailableError{"no usable SRV record for " + service}
 	}
 	return b.resolvePushServer(ctx, target)
 }
 
-// resolvePushServer looks up the address of a push server.
+// resolvePushServer queries the address of a push server and returns its host:port and host name.
 func (b *Browser) resolvePushServer(ctx context.Context, target record.Target) (address, host string, err error) {
 	for _, kind := range []record.Kind{record.A, record.AAAA} {
-		answer, err := b.client.Query(ctx, target.Host, kind)
+		response, err := b.client.Query(ctx, target.Host, kind)
 		if err != nil {
 			return "", "", err
 		}
-		if len(answer.Records) == 0 {
+		if len(response.Records) == 0 {
 			continue
 		}
-		ip := answer.Records[0].IP
+		ip := response.Records[0].IP
 		if !ip.IsLoopback() {
-			return "", "", &pushUnavailableError{fmt.Sprintf("its address, %v, is no loopback address", ip)}
+			return "", "", &pushUnavailableError{fmt.Sprintf("address %v is not a loopback address", ip)}
 		}
 		address = net.JoinHostPort(ip.String(), strconv.Itoa(int(target.Port)))
 		return address, strings.TrimSuffix(target.Host, "."), nil
@@ -120,7 +124,7 @@
 	return "", "", &pushUnavailableError{"no address of " + target.Host}
 }
 
-// readMessages passes complete messages on to inbox until the connection ends or done is closed.
+// readMessages forwards complete messages to inbox until a read fails or done is closed.
 func readMessages(r io.Reader, inbox chan<- []byte, done <-chan struct{}) error {
 	buffered := bufio.NewReader(r)
 	var size [2]byte
@@ -140,12 +144,12 @@
 	}
 }
 
-// writeMessage writes one message behind its length, in one write.
+// writeMessage writes one message, preceded by its length, in a single write.
 func writeMessage(conn net.Conn, raw []byte, now time.Time) error {
 	if len(raw) > maxMessageSize {
-		return fmt.Errorf("a message of %d bytes", len(raw))
+		return fmt.Errorf("push message of %d bytes exceeds the maximum size", len(raw))
 	}
-	_ = conn.SetWriteDeadline(now.Add(writeTimeout)) // on a closed connection the write says so
+	_ = conn.SetWriteDeadline(now.Add(writeTimeout)) // on a closed connection the write returns the error
 	frame := binary.BigEndian.AppendUint16(make([]byte, 0, len(raw)+2), uint16(len(raw)))
 	_, err := conn.Write(append(frame, raw...))
 	return err
--- a/internal/dnssd/browser/push_liveness.go
+++ b/internal/dnssd/browser/push_liveness.go
@@ -12,19 +12,23 @@
 )
 
 const (
-	// checkInterval is the time between two queries for the zone's serial over the session. If the check is under way
-	// and nothing arrives for maxSilentTicks, the session has died silently, and polling takes over: together under
-	// 500 ms.
-	checkInterval  = 150 * time.Millisecond
-	tickInterval   = checkInterval / 3
+	// checkInterval is the time between two queries for the zone's serial over the session. If a check is in flight and
+	// no message arrives for more than maxSilentTicks, the session is considered dead and polling resumes, in less than
+	// 500 ms altogether.
+	checkInterval = 150 * time.Millisecond
+	// tickInterval is the time between two runs of the session's maintenance.
+	tickInterval = checkInterval / 3
+	// maxSilentTicks is the number of ticks without a message that an active session tolerates while a check is in
+	// flight.
 	maxSilentTicks = 4
-	// minAuditInterval is the shortest time between two comparisons of the pushed list with the queried one.
+	// minAuditInterval is the shortest time between two audits, which compare the pushed list with the queried one.
 	minAuditInterval = time.Second
-	// maxMismatches is how many audits in a row may differ; one may, as a change can be on its way.
+	// maxMismatches is the number of consecutive audits that may differ. One may, as a PUSH message can still be in
+	// flight.
 	maxMismatches = 1
 )
 
-// checkLiveness sends the check that is due, and returns an error once the server has been silent for too long.
+// checkLiveness sends a check if one is due, and returns an error once the server has been silent for too long.
 func (s *pushSession) checkLiveness(now time.Time) error {
 	if s.checkID != 0 {
 		return s.checkSilence()
@@ -44,23 +48,25 @@
 	return s.sendQuery(s.checkID, s.domain, dns.TypeSOA)
 }
 
+// checkSilence returns an error if no message has been received for too many ticks.
 func (s *pushSession) checkSilence() error {
 	limit := maxSilentTicks
 	if !s.active {
-		limit = int(initialSyncTimeout / tickInterval) // the server has much to send first
+		limit = int(initialSyncTimeout / tickInterval) // the initial transfer of records may delay the response
 	}
 	if s.silentTicks > limit {
-		return fmt.Errorf("the server has been silent for %v", time.Duration(s.silentTicks)*tickInterval)
+		return fmt.Errorf("push server sent no message for %v", time.Duration(s.silentTicks)*tickInterval)
 	}
 	return nil
 }
 
-// handleCheckAnswer handles the answer to a check, and starts an audit where the serial has changed.
-func (s *pushSession) handleCheckAnswer(m *dns.Msg, now time.Time) (changed bool, err error) {
+// handleCheckResponse handles the response to a check, starts an audit if one is due, and reports whether the cache has
+// changed.
+func (s *pushSession) handleCheckResponse(response *dns.Msg, now time.Time) (changed bool, err error) {
 	s.checkID = 0
 	s.recordContact(Push, nil)
-	changed = s.markMissing(now)
-	for _, rr := range m.Answer {
+	changed = s.storeMissingAsEmpty(now)
+	for _, rr := range response.Answer {
 		soa, ok := record.Decode(rr)
 		if !ok || soa.Kind != record.SOA {
 			continue
@@ -74,9 +80,10 @@
 	return changed, nil
 }
 
-// markMissing notes as empty the sets that the server has acknowledged before the check and not pushed by its answer:
-// it would have sent their records first. It reports whether the cache has changed.
-func (s *pushSession) markMissing(now time.Time) (changed bool) {
+// storeMissingAsEmpty stores as empty those sets whose subscription was acknowledged before the check was sent and for
+// which no record has been pushed by the response to the check: the server would have sent the records before that
+// response. It reports whether the cache has changed.
+func (s *pushSession) storeMissingAsEmpty(now time.Time) (changed bool) {
 	for name := range s.ackedBeforeCheck {
 		for _, kind := range s.subscribedKinds(name) {
 			if set := s.cache.Get(name, kind); set == nil || set.ReceivedAt == 0 {
@@ -88,7 +95,8 @@
 	return changed
 }
 
-// startAuditIfDue queries the list if the zone has changed since the last audit, or that audit differed.
+// startAuditIfDue queries the list if the serial has changed since the latest audit was sent or that audit differed,
+// unless an audit is in flight or was sent within minAuditInterval.
 func (s *pushSession) startAuditIfDue(now time.Time) error {
 	if !s.serialChanged && s.mismatches == 0 || s.auditID != 0 || now.Sub(s.auditSentAt) <= minAuditInterval {
 		return nil
@@ -99,14 +107,14 @@
 	return s.sendQuery(s.auditID, s.Service.ListName(), dns.TypePTR)
 }
 
-// compareList compares the queried list with the pushed one. A difference that stays was not pushed: the session cannot
-// be relied upon, and is ended by the error.
-func (s *pushSession) compareList(m *dns.Msg) error {
-	if m.Rcode != dns.RcodeSuccess && m.Rcode != dns.RcodeNameError || m.Truncated {
+// compareList compares the queried list with the pushed one. If more than maxMismatches consecutive audits differ, the
+// server has not pushed a change, and the returned error ends the session.
+func (s *pushSession) compareList(response *dns.Msg) error {
+	if response.Rcode != dns.RcodeSuccess && response.Rcode != dns.RcodeNameError || response.Truncated {
 		return nil
 	}
 	queried := map[string]bool{}
-	for _, rr := range m.Answer {
+	for _, rr := range response.Answer {
 		if r, ok := record.Decode(rr); ok && r.Kind == record.PTR && r.Name == s.Service.ListName() {
 			queried[record.CanonicalName(r.Target)] = true
 		}
@@ -124,7 +132,7 @@
 	}
 	s.mismatches++
 	if s.mismatches > maxMismatches {
-		return errors.New("the server has changed the list without pushing it")
+		return errors.New("push server has not pushed a change of the list")
 	}
 	return nil
 }
--- a/internal/dnssd/browser/push_messages.go
+++ b/internal/dnssd/browser/push_messages.go
@@ -11,14 +11,14 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// handleMessage handles one message, and reports whether the cache has changed. After an error the session must end.
+// handleMessage handles one message and reports whether the cache has changed. After an error the session must end.
 func (s *pushSession) handleMessage(raw []byte, now time.Time) (changed bool, err error) {
 	if !push.IsDSO(raw) {
 		message := new(dns.Msg)
 		if err := message.Unpack(raw); err != nil {
-			return false, fmt.Errorf("a message that cannot be read: %w", err)
+			return false, fmt.Errorf("decode DNS message: %w", err)
 		}
-		return s.handleAnswer(message, now)
+		return s.handleQueryResponse(message, now)
 	}
 	message, err := push.Decode(raw)
 	if err != nil {
@@ -38,30 +38,32 @@
 	case push.Padding:
 		return false, nil
 	}
-	if message.ID != 0 { // an unknown request
+	if message.ID != 0 { // a request of an unknown type
 		return false, s.send(push.Response(message.ID, dns.RcodeStatefulTypeNotImplemented))
 	}
-	// RFC 8490, 5.1.2: an unknown unidirectional message is fatal.
-	return false, fmt.Errorf("an unknown unidirectional message, of type %#x", uint16(message.Type))
+	// An unknown unidirectional message is a fatal error (RFC 8490, 5.1.2).
+	return false, fmt.Errorf("unidirectional DSO message of unknown type %#x", uint16(message.Type))
 }
 
-// applyKeepalive takes over the interval that the server asks for.
+// applyKeepalive adopts the keep-alive interval of a Keepalive message: three quarters of it, up to requestedKeepalive.
 func (s *pushSession) applyKeepalive(m push.Message) {
 	if m.Type == push.Keepalive && m.Interval > 0 {
 		s.keepaliveInterval = min(requestedKeepalive, m.Interval*3/4)
 	}
 }
 
-// handlePush applies the changes of a PUSH message, and reports whether the cache has changed.
+// handlePush applies the changes of a PUSH message and reports whether the cache has changed.
 func (s *pushSession) handlePush(m push.Message, now time.Time) (changed bool) {
 	s.recordContact(Push, nil)
-	s.Metrics.changesPushed(s.Browser, len(m.Changes))
+	s.Metrics.countPushedChanges(s.Browser, len(m.Changes))
 	for _, change := range m.Changes {
 		changed = s.applyChange(change, clock.Of(now)) || changed
 	}
 	return changed
 }
 
+// applyChange applies one change to the cache and reports whether the cache has changed. Changes to names that are not
+// subscribed to are ignored.
 func (s *pushSession) applyChange(change push.Change, now int64) bool {
 	r := change.Record
 	if _, subscribed := s.subscriptions[r.Name]; !subscribed {
@@ -81,19 +83,20 @@
 	return s.cache.Add(r, now)
 }
 
-// handleResponse handles the response to a request of this client.
+// handleResponse handles the response to a request of this client and reports whether the cache has changed. It returns
+// an error if the server rejected the subscription to the list.
 func (s *pushSession) handleResponse(m push.Message) (changed bool, err error) {
 	s.applyKeepalive(m)
 	subscribed, ok := s.pending[m.ID]
 	if !ok {
-		return false, nil // to a keep-alive
+		return false, nil // the response to a keep-alive
 	}
 	delete(s.pending, m.ID)
 	if m.Rcode == dns.RcodeSuccess {
 		s.acked[subscribed.name] = true
 		return false, nil
 	}
-	reason := "the subscription was refused: " + dns.RcodeToString[m.Rcode]
+	reason := "subscription rejected: " + dns.RcodeToString[m.Rcode]
 	if subscribed.name == s.Service.ListName() {
 		return false, &pushUnavailableError{reason}
 	}
@@ -103,14 +106,15 @@
 	return true, nil
 }
 
-// handleAnswer handles the answer to a check or an audit. Any other answer is ignored.
-func (s *pushSession) handleAnswer(m *dns.Msg, now time.Time) (changed bool, err error) {
+// handleQueryResponse handles the response to a liveness check or an audit and reports whether the cache has changed.
+// All other responses to queries are ignored.
+func (s *pushSession) handleQueryResponse(response *dns.Msg, now time.Time) (changed bool, err error) {
 	switch {
-	case m.Id == s.checkID && s.checkID != 0:
-		return s.handleCheckAnswer(m, now)
-	case m.Id == s.auditID && s.auditID != 0:
+	case response.Id == s.checkID && s.checkID != 0:
+		return s.handleCheckResponse(response, now)
+	case response.Id == s.auditID && s.auditID != 0:
 		s.auditID = 0
-		return false, s.compareList(m)
+		return false, s.compareList(response)
 	}
 	return false, nil
 }
--- a/internal/dnssd/browser/push_session.go
+++ b/internal/dnssd/browser/push_session.go
@@ -15,56 +15,62 @@
 )
 
 const (
-	// initialSyncTimeout is how long the list and its records may take before a session counts as active without those
-	// that are missing.
+	// initialSyncTimeout is the time that the list and the instances' records may take to arrive. After it the session
+	// becomes active without the missing records.
 	initialSyncTimeout = 5 * time.Second
-	// requestedKeepalive is the time between two keep-alives that is asked of the server, which may say otherwise.
+	// requestedKeepalive is the inactivity timeout and keep-alive interval requested from the server, which may specify
+	// others.
 	requestedKeepalive = 15 * time.Second
-	// maxRetryDelay bounds how long a server may keep this client away.
+	// maxRetryDelay is the longest retry delay that is accepted from a server.
 	maxRetryDelay = 10 * time.Minute
-	inboxSize     = 64
+	// inboxSize is the number of received messages that may be queued.
+	inboxSize = 64
 )
 
-// pushSession is one DNS Push session. It belongs to one goroutine, beside the one that reads from conn.
+// pushSession is one DNS Push session. It must be used by one goroutine; a second goroutine reads from conn.
 type pushSession struct {
 	*Browser
 	conn      net.Conn
 	cache     *record.Cache
-	labels    map[string]string // of instances, by canonical name
+	labels    map[string]string // instance labels by canonical name
 	startedAt time.Time
-	lastSent  time.Time
-	// keepaliveInterval is the time without another message after which a keep-alive is sent.
+	lastSent  time.Time // time at which the latest message was sent
+	// keepaliveInterval is the time since the latest sent message after which a keep-alive is sent.
 	keepaliveInterval time.Duration
 
-	lastID      uint16 // of the messages sent
-	firstID     uint16 // of the first message
-	established bool   // the server has shown that it speaks DSO
+	lastID      uint16 // id of the latest message sent with an id
+	firstID     uint16 // id of the first message sent
+	established bool   // whether the server has responded with a DSO message
 
-	// subscriptions is by name, pending by the id of SUBSCRIBE requests that have no response yet. acked are the names
-	// acknowledged since the last check was sent, ackedBeforeCheck those acknowledged before it.
+	// subscriptions has the subscriptions by name; pending has those without a response yet, by id of the SUBSCRIBE
+	// request. acked has the names acknowledged since the latest check was sent, ackedBeforeCheck those acknowledged
+	// before that.
 	subscriptions    map[string]subscription
 	pending          map[uint16]subscription
 	acked            map[string]bool
 	ackedBeforeCheck map[string]bool
 
-	// The check that is under way: a query for the zone's serial. checkID is 0 if there is none.
+	// A check is a query for the zone's serial, which shows that the session is alive. checkID is the id of the query
+	// in flight, or 0 if there is none.
 	checkID     uint16
 	checkSentAt time.Time
-	silentTicks int // consecutive ticks without a message
+	silentTicks int // consecutive ticks without a received message
 
-	// The audit that is under way: a query for the list. auditID is 0 if there is none.
+	// An audit is a query for the list, to be compared with the pushed list. auditID is the id of the query in flight,
+	// or 0 if there is none.
 	auditID       uint16
 	auditSentAt   time.Time
-	serial        *uint32
-	serialChanged bool // since the last audit was sent
-	mismatches    int  // consecutive audits that differed
+	serial        *uint32 // serial of the zone in the latest check; nil before the first
+	serialChanged bool    // whether the serial has changed since the latest audit was sent
+	mismatches    int     // number of consecutive audits that differed
 
-	active       bool // the first snapshot has been published
-	publishedAt  time.Time
-	cacheChanged bool // since the last snapshot
+	active       bool      // whether the first snapshot has been published
+	publishedAt  time.Time // time of the latest snapshot
+	cacheChanged bool      // whether the cache has changed since the latest snapshot
 	throttle     throttle
 }
 
+// newPushSession returns a session over conn with an empty cache.
 func newPushSession(b *Browser, conn net.Conn) *pushSession {
 	return &pushSession{
 		Browser:           b,
@@ -80,13 +86,13 @@
 	}
 }
 
-// run has the session until it fails, the server ends it or ctx ends. start is called before the first snapshot.
+// run runs the session until it fails, the server ends it or ctx is done. start is called before the first snapshot.
 func (s *pushSession) run(ctx context.Context, start func()) error {
 	done := make(chan struct{})
 	defer close(done)
 	inbox := make(chan []byte, inboxSize)
 	ended := make(chan error, 1)
-	// The reader ends when the caller closes the connection, or by done if it waits for the inbox.
+	// The reader ends when the caller closes the connection, or, while blocked on inbox, when done is closed.
 	go func() { ended <- readMessages(s.conn, inbox, done) }()
 	if err := s.sendKeepalive(); err != nil {
 		return err
@@ -101,13 +107,13 @@
 			return ctx.Err()
 		case readErr := <-ended:
 			s.handleRemaining(inbox)
-			return fmt.Errorf("the connection ended: %w", readErr)
+			return fmt.Errorf("read from push connection: %w", readErr)
 		case raw := <-inbox:
 			s.silentTicks = 0
 			err = s.receive(raw, inbox, start)
 		case <-ticker.C:
 			if len(inbox) == 0 {
-				s.silentTicks++ // time in which this loop was busy itself does not count
+				s.silentTicks++ // a queued message shows that the loop was busy, not that the server was silent
 			}
 			err = s.maintain(time.Now(), start)
 		}
@@ -117,16 +123,16 @@
 	}
 }
 
-// handleRemaining takes in the messages that came before the connection ended.
+// handleRemaining handles the messages that were received before the connection ended.
 func (s *pushSession) handleRemaining(inbox <-chan []byte) {
 	for len(inbox) > 0 {
 		if _, err := s.handleMessage(<-inbox, time.Now()); err != nil {
-			return // the end of the connection is what is reported
+			return // run reports the end of the connection instead
 		}
 	}
 }
 
-// receive handles one message, and once no other waits in inbox goes over the session.
+// receive handles one message. If no other message is queued in inbox, it maintains the session as well.
 func (s *pushSession) receive(raw []byte, inbox <-chan []byte, start func()) error {
 	now := time.Now()
 	if !s.established {
@@ -143,14 +149,14 @@
 	return s.maintain(now, start)
 }
 
-// establish handles the first message, which shows whether the server speaks DSO, and subscribes to the list.
+// establish handles the first message, which shows whether the server supports DSO, and subscribes to the list.
 func (s *pushSession) establish(raw []byte) error {
 	m, err := push.Decode(raw)
 	switch {
 	case err == nil && m.Type == push.RetryDelay && !m.Response:
 		return &retryDelayError{min(m.Delay, maxRetryDelay)}
 	case !push.IsDSO(raw), err == nil && m.Response && m.ID == s.firstID && m.Rcode != dns.RcodeSuccess:
-		return &pushUnavailableError{"it does not speak DSO"}
+		return &pushUnavailableError{"the server does not support DSO"}
 	case err != nil:
 		return err
 	}
@@ -159,11 +165,12 @@
 	return s.updateSubscriptions()
 }
 
-// maintain checks that the session lives, follows the cache with the subscriptions, and publishes what has changed.
+// maintain checks that the session is alive, adapts the subscriptions to the cache, and publishes a snapshot if one is
+// due.
 func (s *pushSession) maintain(now time.Time, start func()) error {
 	if !s.established {
 		if now.Sub(s.startedAt) > connectTimeout {
-			return &pushUnavailableError{"no answer to the first message"}
+			return &pushUnavailableError{"no response to the first message"}
 		}
 		return nil
 	}
@@ -188,15 +195,15 @@
 	return nil
 }
 
-// publishIfDue publishes the cache once it is complete, or has had initialSyncTimeout to become so; then whenever it
-// has changed, and every republishInterval.
+// publishIfDue publishes the first snapshot once the cache is complete or initialSyncTimeout has passed. Later it
+// publishes a snapshot whenever the cache has changed, and every republishInterval.
 func (s *pushSession) publishIfDue(now time.Time, start func()) error {
 	if !s.cacheChanged && s.active && now.Sub(s.publishedAt) < republishInterval {
 		return nil
 	}
 	if list := s.cache.Get(s.Service.ListName(), record.PTR); list == nil || list.ReceivedAt == 0 {
 		if !s.active && now.Sub(s.startedAt) > initialSyncTimeout+connectTimeout {
-			return errors.New("the list was not pushed")
+			return errors.New("push server has not sent the list of instances")
 		}
 		return nil
 	}
@@ -217,7 +224,7 @@
 	return nil
 }
 
-// hasPending reports whether records of any instance are still to come.
+// hasPending reports whether records of any instance have not been received yet.
 func hasPending(snapshot Snapshot) bool {
 	for _, instance := range snapshot.Instances {
 		if instance.Pending {
@@ -233,6 +240,7 @@
 	return writeMessage(s.conn, raw, s.lastSent)
 }
 
+// sendKeepalive sends a keep-alive request.
 func (s *pushSession) sendKeepalive() error {
 	return s.send(push.KeepaliveMessage(s.nextID(), false, requestedKeepalive, requestedKeepalive))
 }
@@ -249,7 +257,8 @@
 	return s.send(raw)
 }
 
-// nextID is an id that no request under way has; it is never 0, which marks unidirectional messages.
+// nextID returns an id that no pending subscription, check or audit uses. It is never 0, which marks unidirectional
+// messages.
 func (s *pushSession) nextID() uint16 {
 	s.lastID++
 	for s.lastID == 0 || s.pending[s.lastID].id != 0 || s.lastID == s.checkID || s.lastID == s.auditID {
--- a/internal/dnssd/browser/push_session_test.go
+++ b/internal/dnssd/browser/push_session_test.go
@@ -18,7 +18,7 @@
 	"standpoint/internal/lab/responder"
 )
 
-// newCertificate makes a self-signed server certificate, and the pool that trusts it.
+// newCertificate returns a self-signed server certificate and a pool that trusts it.
 func newCertificate(t *testing.T) (*tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -40,55 +40,57 @@
 	return &tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: key}, roots
 }
 
-// Push over TLS is found by the domain's SRV record, and believed only with a certificate of the configured root.
+// Guards against push over TLS that is not located by the domain's SRV record, and against a session with a server
+// whose certificate is not signed by the configured root.
 func TestPushOverTLSRequiresTrustedRoot(t *testing.T) {
-	c, roots := newCertificate(t)
+	certificate, roots := newCertificate(t)
 	_, others := newCertificate(t)
-	s := startResponder(t, c, instances(2)...)
-	at := netip.MustParseAddrPort(s.Secure)
+	server := startResponder(t, certificate, instances(2)...)
+	secureAddress := netip.MustParseAddrPort(server.Secure)
 	head := func(name string, kind uint16) dns.RR_Header {
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: 60}
 	}
-	s.Zone.Apply(
+	server.Zone.Apply(
 		responder.Change{
 			RR: &dns.SRV{
 				Hdr:    head("_dns-push-tls._tcp.hall-a.test.", dns.TypeSRV),
-				Port:   at.Port(),
+				Port:   secureAddress.Port(),
 				Target: "push.hall-a.test.",
 			},
 		},
 		responder.Change{RR: &dns.A{Hdr: head("push.hall-a.test.", dns.TypeA), A: net.IPv4(127, 0, 0, 1)}},
 	)
-	_, snapshots := startBrowser(t, s, Auto, func(o *Options) { o.TLS = &tls.Config{RootCAs: roots} })
+	_, snapshots := startBrowser(t, server, Auto, func(o *Options) { o.TLS = &tls.Config{RootCAs: roots} })
 	waitForSnapshot(t, snapshots, readyBy(2, Push))
-	require.NoError(t, s.Zone.Withdraw(instance("box-1", 8001)))
+	require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 	waitForSnapshot(t, snapshots, readyBy(1, Push))
 
-	began := s.Sessions.Load()
-	_, snapshots = startBrowser(t, s, Auto, func(o *Options) { o.TLS = &tls.Config{RootCAs: others} })
-	waitForSnapshot(t, snapshots, readyBy(1, Poll)) // an unknown root: the look-ups go on
-	require.NoError(t, s.Zone.Withdraw(instance("box-2", 8002)))
+	sessions := server.Sessions.Load()
+	_, snapshots = startBrowser(t, server, Auto, func(o *Options) { o.TLS = &tls.Config{RootCAs: others} })
+	waitForSnapshot(t, snapshots, readyBy(1, Poll)) // the root is not trusted, so polling continues
+	require.NoError(t, server.Zone.Withdraw(instance("box-2", 8002)))
 	waitForSnapshot(t, snapshots, readyBy(0, Poll))
-	require.Equal(t, began, s.Sessions.Load())
+	require.Equal(t, sessions, server.Sessions.Load())
 }
 
-// A server without DSO is polled, and nothing else happens.
+// Guards against missed changes at a server without DSO: the browser must fall back to polling and open no session.
 func TestServerWithoutPushIsPolled(t *testing.T) {
-	s := startResponder(t, nil, instances(2)...)
-	s.Set(responder.Faults{NoPush: true})
-	_, snapshots := startBrowser(t, s, Push, nil)
+	server := startResponder(t, nil, instances(2)...)
+	server.Set(responder.Faults{NoPush: true})
+	_, snapshots := startBrowser(t, server, Push, nil)
 	waitForSnapshot(t, snapshots, readyBy(2, Poll))
-	require.NoError(t, s.Zone.Withdraw(instance("box-1", 8001)))
+	require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 	waitForSnapshot(t, snapshots, readyBy(1, Poll))
-	require.Zero(t, s.Sessions.Load())
+	require.Zero(t, server.Sessions.Load())
 }
 
-// blackholeProxy forwards a push session until shut is closed; from then on it drops the bytes silently.
+// blackholeProxy forwards connections until shut is closed, and then drops all bytes without closing them.
 type blackholeProxy struct {
 	net.Listener
 	shut chan struct{}
 }
 
+// newBlackholeProxy starts a proxy to the given address.
 func newBlackholeProxy(t *testing.T, to string) *blackholeProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,17 +99,17 @@
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			in, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			out, err := net.Dial("tcp", to)
+			server, err := net.Dial("tcp", to)
 			if err != nil {
-				in.Close()
+				client.Close()
 				return
 			}
-			t.Cleanup(func() { in.Close(); out.Close() })
-			for _, pair := range [][2]net.Conn{{in, out}, {out, in}} {
+			t.Cleanup(func() { client.Close(); server.Close() })
+			for _, pair := range [][2]net.Conn{{client, server}, {server, client}} {
 				go func() {
 					buffer := make([]byte, 64<<10)
 					for {
@@ -131,30 +133,31 @@
 	return proxy
 }
 
-// A session that dies without a word is noticed by its checks, and look-ups go on: what is withdrawn meanwhile is seen
-// within 500 ms all the same.
+// Guards against a withdrawal that is missed because the connection of the push session has stopped delivering data
+// without being closed: the liveness check must fail and polling discover the withdrawal within 500 ms.
 func TestSilentPushSessionFallsBackToPolling(t *testing.T) {
 	best := time.Hour
 	for range 3 {
-		s := startResponder(t, nil, instances(3)...)
-		proxy := newBlackholeProxy(t, s.Address)
-		_, snapshots := startBrowser(t, s, Push, func(o *Options) { o.PushAddress = proxy.Addr().String() })
+		server := startResponder(t, nil, instances(3)...)
+		proxy := newBlackholeProxy(t, server.Address)
+		_, snapshots := startBrowser(t, server, Push, func(o *Options) { o.PushAddress = proxy.Addr().String() })
 		waitForSnapshot(t, snapshots, readyBy(3, Push))
 		close(proxy.shut)
 		began := time.Now()
-		require.NoError(t, s.Zone.Withdraw(instance("box-1", 8001)))
+		require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 		waitForSnapshot(t, snapshots, readyBy(2, Poll))
 		best = min(best, time.Since(began))
 	}
 	require.Less(t, best, 500*time.Millisecond)
 }
 
-// A server that answers checks and no longer pushes is found out by comparing the list.
+// Guards against a server that responds to liveness checks but no longer pushes changes: audits of the list must end
+// the session.
 func TestPushSessionWithoutChangesIsDetectedByAudit(t *testing.T) {
-	s := startResponder(t, nil, instances(3)...)
-	_, snapshots := startBrowser(t, s, Push, nil)
+	server := startResponder(t, nil, instances(3)...)
+	_, snapshots := startBrowser(t, server, Push, nil)
 	waitForSnapshot(t, snapshots, readyBy(3, Push))
-	s.Set(responder.Faults{Mute: true})
-	require.NoError(t, s.Zone.Withdraw(instance("box-1", 8001)))
+	server.Set(responder.Faults{Mute: true})
+	require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 	waitForSnapshot(t, snapshots, readyBy(2, Poll))
 }
--- a/internal/dnssd/browser/push_subscriptions.go
+++ b/internal/dnssd/browser/push_subscriptions.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// maxSubscriptions bounds the names of one session: each may fill four sets of the cache.
+	// maxSubscriptions is the maximum number of subscribed names per session: each name may fill four sets of the
+	// cache.
 	maxSubscriptions = record.MaxSets / 4
-	// maxPendingSubscriptions bounds the requests without a response, so that free ids remain.
+	// maxPendingSubscriptions is the maximum number of SUBSCRIBE requests without a response, so that unused message
+	// ids remain.
 	maxPendingSubscriptions = 1 << 15
 )
 
-// subscription is one name's, by the id of its SUBSCRIBE request.
+// subscription is the subscription to a name's records.
 type subscription struct {
-	id   uint16
-	name string
-	kind uint16
+	id   uint16 // message id of the SUBSCRIBE request
+	name string // canonical name
+	kind uint16 // record type, or dns.TypeANY
 }
 
-// updateSubscriptions subscribes to the names that the cache needs by now, and ends the subscriptions to all others.
+// updateSubscriptions subscribes to the names that the instances in the cache need, and ends all other subscriptions.
 func (s *pushSession) updateSubscriptions() error {
 	list := s.Service.ListName()
 	if err := s.subscribe(list, dns.TypePTR); err != nil {
@@ -43,7 +45,7 @@
 	return s.unsubscribeExcept(required)
 }
 
-// subscribe subscribes to a name, unless it is subscribed to or the bounds are reached.
+// subscribe subscribes to a name, unless it is already subscribed to or a limit is reached.
 func (s *pushSession) subscribe(name string, kind uint16) error {
 	if _, ok := s.subscriptions[name]; ok {
 		return nil
@@ -61,7 +63,7 @@
 	return s.send(raw)
 }
 
-// unsubscribeExcept ends the subscriptions to names that are not required, and drops their records.
+// unsubscribeExcept ends the subscriptions to names that are not required, and deletes their records from the cache.
 func (s *pushSession) unsubscribeExcept(required map[string]bool) error {
 	dropped := false
 	for name, ended := range s.subscriptions {
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// subscribedKinds are the kinds of records that are needed of a name.
+// subscribedKinds returns the record types that are needed at a name.
 func (s *pushSession) subscribedKinds(name string) []record.Kind {
 	switch {
 	case name == s.Service.ListName():
@@ -91,7 +93,7 @@
 	return []record.Kind{record.A, record.AAAA}
 }
 
-// subscribedKeys are the keys of all names that are subscribed to.
+// subscribedKeys returns the keys of all record types at all subscribed names.
 func (s *pushSession) subscribedKeys() map[record.Key]bool {
 	keys := map[record.Key]bool{}
 	for name := range s.subscriptions {
--- a/internal/dnssd/browser/snapshot.go
+++ b/internal/dnssd/browser/snapshot.go
@@ -6,23 +6,25 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// republishInterval is how often an unchanged snapshot is published again, so that the receiver sees its age.
+// republishInterval is how often an unchanged snapshot is published again, so that the receiver can tell its age.
 const republishInterval = 5 * time.Second
 
-// minRetainedLabels is how many labels are kept before those of instances that have gone are dropped.
+// minRetainedLabels is the number of labels beyond twice the number of instances above which the labels of withdrawn
+// instances are deleted.
 const minRetainedLabels = 64
 
-// Snapshot is what is known of a service's instances at one time.
+// Snapshot is the state of a service's instances at one time.
 type Snapshot struct {
-	Instances  []record.Instance // sorted by name
-	Serial     *uint32           // the zone's; nil if the server reports none
-	Mechanism  Mechanism         // by which the snapshot was obtained; never Auto
-	ObservedAt time.Time         // the latest time at which it was known to be true
-	Omitted    int               // instances beyond record.MaxInstances, which are listed but left out
+	Instances  []record.Instance // instances sorted by name
+	Serial     *uint32           // serial of the zone; nil if the server reports none
+	Mechanism  Mechanism         // mechanism by which the snapshot was obtained; never Auto
+	ObservedAt time.Time         // latest time at which the snapshot was confirmed
+	Omitted    int               // number of listed instances beyond record.MaxInstances, which are left out
 }
 
-// newSnapshot adds the instances in cache to s. labels has the instances' labels by canonical name, in the letters that
-// the server sent; most of those that are no longer listed are dropped from it.
+// newSnapshot returns s with the instances in cache added. labels maps canonical names to instance labels, in the case
+// that the server sent. Once it has grown well beyond the listed instances, labels without SRV records are deleted from
+// it.
 func newSnapshot(cache *record.Cache, service record.Service, labels map[string]string, s Snapshot) Snapshot {
 	var names []string
 	names, s.Omitted = cache.Instances(service)
--- a/internal/dnssd/browser/transport.go
+++ b/internal/dnssd/browser/transport.go
@@ -7,22 +7,26 @@
 )
 
 const (
-	// maxMDNSMessageSize is the largest mDNS message in bytes (RFC 6762, 17).
+	// maxMDNSMessageSize is the maximum size of an mDNS message in bytes (RFC 6762, 17).
 	maxMDNSMessageSize = 9000
-	// unicastReadBuffer is the socket's receive buffer in bytes; a large service is announced in one burst.
+	// unicastReadBuffer is the size of the socket's receive buffer in bytes. It holds the burst of messages that
+	// announces a service with many instances.
 	unicastReadBuffer = 4 << 20
 )
 
-// Transport carries mDNS messages. This package has Unicast alone; nothing here sends multicast.
+// Transport sends and receives mDNS messages. Unicast is its only implementation in this package; nothing here sends
+// multicast.
 type Transport interface {
+	// Send sends one message.
 	Send(raw []byte) error
-	// Receive waits for one message; it returns net.ErrClosed after Close. The caller owns the bytes.
+	// Receive waits for one message; it returns net.ErrClosed after Close. The caller owns the returned bytes.
 	Receive() ([]byte, error)
+	// Close closes the transport and unblocks Receive.
 	Close() error
 }
 
-// Unicast is a Transport over UDP between loopback addresses: it sends to one peer, and drops what others send. Receive
-// may be called by one goroutine at a time, Send and Close concurrently with it.
+// Unicast is a Transport over UDP between loopback addresses. It sends to one peer and drops datagrams from all other
+// sources. Receive must be called by one goroutine at a time; Send and Close may be called concurrently with it.
 type Unicast struct {
 	conn   *net.UDPConn
 	peer   netip.AddrPort
@@ -31,20 +35,21 @@
 
 var _ Transport = (*Unicast)(nil)
 
-// DialUnicast opens a socket for a peer. It rejects addresses that are not loopback, multicast addresses among them.
+// DialUnicast opens a socket for the peer with the given IP address and port. It rejects addresses that are not
+// loopback addresses, such as multicast addresses.
 func DialUnicast(peer string) (*Unicast, error) {
 	address, err := netip.ParseAddrPort(peer)
 	if err != nil {
 		return nil, err
 	}
 	if !address.Addr().IsLoopback() {
-		return nil, fmt.Errorf("%v is no loopback address", address)
+		return nil, fmt.Errorf("mDNS peer %v is not a loopback address", address)
 	}
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetReadBuffer(unicastReadBuffer) // the system may allow less: then more is lost and asked for again
+	_ = conn.SetReadBuffer(unicastReadBuffer) // with a smaller buffer more datagrams are lost and queried again
 	return &Unicast{conn: conn, peer: address}, nil
 }
 
--- a/internal/dnssd/resolver/client.go
+++ b/internal/dnssd/resolver/client.go
@@ -1,4 +1,4 @@
-// Package resolver queries one DNS server over UDP, and over TCP where an answer does not fit.
+// Package resolver queries one DNS server over UDP, and over TCP if the response is truncated.
 package resolver
 
 import (
@@ -7,32 +7,36 @@
 	"time"
 )
 
-// Bounds of the first retry timeout, and what it is before any answer has been timed.
+// Time to wait for the response to a first attempt.
 const (
+	// initialRetryTimeout applies before any round-trip time has been measured.
 	initialRetryTimeout = 100 * time.Millisecond
-	minRetryTimeout     = 25 * time.Millisecond
-	maxRetryTimeout     = 250 * time.Millisecond
+	// minRetryTimeout is the lower bound of the timeout computed from round-trip times.
+	minRetryTimeout = 25 * time.Millisecond
+	// maxRetryTimeout is the upper bound of the timeout computed from round-trip times.
+	maxRetryTimeout = 250 * time.Millisecond
 )
 
 // Client queries one server. It is safe for concurrent use once its exported fields are set.
 type Client struct {
 	// Server is the server's host:port.
 	Server string
-	// Domain bounds the additional records that are taken from an answer: their names must be in it. "" takes none.
+	// Domain restricts the additional records that are accepted from a response: their names must be within it. With ""
+	// none are accepted.
 	Domain string
 
-	Queries         atomic.Int64 // sent, retries among them
-	Retries         atomic.Int64
-	Failures        atomic.Int64 // queries given up without an answer
-	RejectedAnswers atomic.Int64 // datagrams that are no answer to the query
+	Queries           atomic.Int64 // number of queries sent, including retries
+	Retries           atomic.Int64 // number of queries sent again after a failed attempt
+	Failures          atomic.Int64 // number of queries that ended without a valid response
+	RejectedResponses atomic.Int64 // number of datagrams that were not a response to the query
 
 	mu          sync.Mutex    // guards the fields below
-	smoothedRTT time.Duration // of answers (RFC 6298, 2); 0: none has been timed
-	rttVariance time.Duration
+	smoothedRTT time.Duration // smoothed round-trip time (RFC 6298, 2); 0 before the first measurement
+	rttVariance time.Duration // variation of the round-trip time
 }
 
-// observeRTT takes in how long the answer to a first attempt took. Those to retries must not be passed: which attempt
-// they answer is not known (Karn's algorithm).
+// observeRTT adds the round-trip time of a first attempt. Those of retries must not be passed, as it is not known which
+// attempt a response belongs to (Karn's algorithm).
 func (c *Client) observeRTT(rtt time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,7 +49,7 @@
 	c.smoothedRTT = (7*c.smoothedRTT + rtt) / 8
 }
 
-// retryTimeout is how long to wait for the answer to a first attempt.
+// retryTimeout returns how long to wait for the response to a first attempt.
 func (c *Client) retryTimeout() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dnssd/resolver/fuzz_test.go
+++ b/internal/dnssd/resolver/fuzz_test.go
@@ -8,20 +8,21 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// Whatever a DNS server answers, what is put together of it is an instance or says its fault, and is bounded.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse checks that any response yields additional records within the domain, and instances that have an address
+// unless they have a fault or are pending.
+func FuzzResponse(f *testing.F) {
 	add := func(records ...string) {
-		m := new(dns.Msg)
-		m.SetQuestion("_e._tcp.test.", dns.TypePTR)
-		m.Response = true
+		message := new(dns.Msg)
+		message.SetQuestion("_e._tcp.test.", dns.TypePTR)
+		message.Response = true
 		for _, text := range records {
 			rr, err := dns.NewRR(text)
 			if err != nil {
 				f.Fatal(err)
 			}
-			m.Answer = append(m.Answer, rr)
+			message.Answer = append(message.Answer, rr)
 		}
-		raw, err := m.Pack()
+		raw, err := message.Pack()
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -38,23 +39,24 @@
 	service := record.Service{Type: "_e._tcp", Domain: "test."}
 	client := &Client{Domain: "test."}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m := new(dns.Msg)
-		if m.Unpack(raw) != nil {
+		message := new(dns.Msg)
+		if message.Unpack(raw) != nil {
 			return
 		}
-		a := client.parseAnswer(m, service.ListName(), record.PTR)
-		v := record.NewCache()
-		v.Put(record.Key{Name: service.ListName(), Kind: record.PTR}, a.Records, a.NegativeTTL, 1)
-		for _, r := range a.Additional {
+		response := client.parseResponse(message, service.ListName(), record.PTR)
+		cache := record.NewCache()
+		cache.Put(record.Key{Name: service.ListName(), Kind: record.PTR}, response.Records, response.NegativeTTL, 1)
+		for _, r := range response.Additional {
 			if !record.Within(r.Name, "test.") {
-				t.Fatalf("%q is none of the domain's", r.Name)
+				t.Fatalf("additional record %q is outside the domain", r.Name)
 			}
-			v.Add(r, 1)
+			cache.Add(r, 1)
 		}
-		names, _ := v.Instances(service)
+		names, _ := cache.Instances(service)
 		for _, name := range names {
-			if in := v.Assemble(name, ""); in.Fault == nil && !in.Pending && !in.Address.IsValid() {
-				t.Fatalf("%+v", in)
+			if instance := cache.Assemble(name, ""); instance.Fault == nil && !instance.Pending &&
+				!instance.Address.IsValid() {
+				t.Fatalf("instance without a fault has no address: %+v", instance)
 			}
 		}
 	})
--- a/internal/dnssd/resolver/query.go
+++ b/internal/dnssd/resolver/query.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// queryTimeout bounds one query, all attempts together.
+	// queryTimeout bounds all attempts of one query together.
 	queryTimeout = 2 * time.Second
-	// maxRetryInterval bounds the wait between two attempts, which doubles each time.
+	// maxRetryInterval is the upper bound of the wait between two attempts, which doubles with each attempt.
 	maxRetryInterval = 500 * time.Millisecond
 )
 
-// Answer is a server's answer to a query.
-type Answer struct {
-	Records       []record.Record // of the name and kind that were queried
-	Additional    []record.Record // any others in the message, all within the client's domain
-	NegativeTTL   uint32          // seconds for which the lack of records may be believed (RFC 2308, 5)
-	Authoritative bool
-	NameError     bool // NXDOMAIN
+// Response is a server's response to a query.
+type Response struct {
+	Records       []record.Record // records of the queried name and type
+	Additional    []record.Record // other records in the message, all within the client's domain
+	NegativeTTL   uint32          // seconds for which the absence of records may be cached (RFC 2308, 5)
+	Authoritative bool            // whether the response is authoritative
+	NameError     bool            // whether the response code is NXDOMAIN
 }
 
-// ErrTruncated reports that an answer did not fit, not even over TCP.
-var ErrTruncated = errors.New("the answer does not fit over TCP either; use sub-types, or push")
+// ErrTruncated reports that a response was truncated over TCP as well.
+var ErrTruncated = errors.New("response truncated over TCP; use subtypes or push")
 
-// Query queries one set of records. Attempts without an answer are repeated with jitter, for 2 s in all. An error names
-// the kind and the name; it is context.Canceled alone if ctx was cancelled.
-func (c *Client) Query(ctx context.Context, name string, kind record.Kind) (Answer, error) {
+// Query queries one set of records. Failed attempts are repeated with jitter, for up to 2 s altogether. An error names
+// the type and the name; if ctx was cancelled, it is context.Canceled itself.
+func (c *Client) Query(ctx context.Context, name string, kind record.Kind) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	lastErr := errors.New("no answer")
+	lastErr := errors.New("no response")
 	interval := c.retryTimeout()
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		c.countAttempt(attempt)
@@ -49,27 +49,28 @@
 			if attempt == 0 {
 				c.observeRTT(time.Since(began))
 			}
-			err = rcodeError(message.Rcode)
+			err = checkRcode(message.Rcode)
 		}
 		if err == nil {
-			return c.parseAnswer(message, name, kind), nil
+			return c.parseResponse(message, name, kind), nil
 		}
 		if isFinal(err) {
 			c.Failures.Add(1)
-			return Answer{}, fmt.Errorf("%s %s: %w", kind, name, err)
+			return Response{}, fmt.Errorf("%s %s: %w", kind, name, err)
 		}
 		lastErr = err
-		// An attempt that fails at once must not be repeated at full speed.
+		// Attempts that fail immediately must not be repeated without a pause.
 		transient.Sleep(ctx, timeout-time.Since(began))
 		interval = min(2*interval, maxRetryInterval)
 	}
 	c.Failures.Add(1)
 	if errors.Is(lastErr, context.Canceled) || errors.Is(ctx.Err(), context.Canceled) {
-		return Answer{}, context.Canceled
+		return Response{}, context.Canceled
 	}
-	return Answer{}, fmt.Errorf("%s %s: %w", kind, name, lastErr)
+	return Response{}, fmt.Errorf("%s %s: %w", kind, name, lastErr)
 }
 
+// countAttempt counts the attempt with the given index, which is a retry unless it is 0.
 func (c *Client) countAttempt(attempt int) {
 	c.Queries.Add(1)
 	if attempt > 0 {
@@ -77,65 +78,68 @@
 	}
 }
 
-// responseError is a response code that is no answer.
-type responseError int
+// rcodeError is a response code other than NOERROR and NXDOMAIN.
+type rcodeError int
 
 // Error implements error.
-func (e responseError) Error() string { return dns.RcodeToString[int(e)] }
+func (e rcodeError) Error() string { return dns.RcodeToString[int(e)] }
 
-// rcodeError is nil for the response codes of answers: records, or the word that there are none.
-func rcodeError(rcode int) error {
-	if answered(rcode) {
+// checkRcode returns an error for response codes other than NOERROR and NXDOMAIN.
+func checkRcode(rcode int) error {
+	if isSuccessOrNameError(rcode) {
 		return nil
 	}
-	return responseError(rcode)
+	return rcodeError(rcode)
 }
 
-func answered(rcode int) bool { return rcode == dns.RcodeSuccess || rcode == dns.RcodeNameError }
+// isSuccessOrNameError reports whether a response code means that the response has records or that there are none.
+func isSuccessOrNameError(rcode int) bool {
+	return rcode == dns.RcodeSuccess || rcode == dns.RcodeNameError
+}
 
-// isFinal reports whether a further attempt would fail in the same way.
+// isFinal reports whether another attempt would fail in the same way.
 func isFinal(err error) bool {
-	var response responseError
-	if errors.As(err, &response) {
-		return response == dns.RcodeRefused || response == dns.RcodeNotImplemented
+	var code rcodeError
+	if errors.As(err, &code) {
+		return code == dns.RcodeRefused || code == dns.RcodeNotImplemented
 	}
 	return errors.Is(err, ErrTruncated)
 }
 
-// QueryWithSerial queries the zone's serial and one set from one socket, so that both answers come from one server
-// though several share its address. serial is nil where the server reports none with authority.
+// QueryWithSerial queries the zone's serial and one set over one socket, so that both responses come from one server
+// even if several share its address. serial is nil if the server's response is not authoritative or has no SOA record.
 func (c *Client) QueryWithSerial(
 	ctx context.Context, zone, name string, kind record.Kind,
-) (serial *uint32, answer Answer, err error) {
+) (serial *uint32, response Response, err error) {
 	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(bounded, "udp", c.Server)
 	if err != nil {
-		return nil, answer, err
+		return nil, response, err
 	}
 	defer conn.Close()
-	soa, err := c.queryConn(bounded, conn, zone, record.SOA)
+	soaMessage, err := c.queryOverConn(bounded, conn, zone, record.SOA)
 	if err != nil {
-		return nil, answer, err
+		return nil, response, err
 	}
-	set, err := c.queryConn(bounded, conn, name, kind)
+	setMessage, err := c.queryOverConn(bounded, conn, name, kind)
 	if err != nil {
-		return nil, answer, err
+		return nil, response, err
 	}
-	for _, r := range c.parseAnswer(soa, zone, record.SOA).Records {
-		if soa.Authoritative {
+	for _, r := range c.parseResponse(soaMessage, zone, record.SOA).Records {
+		if soaMessage.Authoritative {
 			serial = &r.Serial
 		}
 	}
-	if set.Truncated || !answered(set.Rcode) {
-		answer, err = c.Query(ctx, name, kind) // over TCP, or for its error
-		return serial, answer, err
+	if setMessage.Truncated || !isSuccessOrNameError(setMessage.Rcode) {
+		response, err = c.Query(ctx, name, kind) // uses TCP, or returns the response code as an error
+		return serial, response, err
 	}
-	return serial, c.parseAnswer(set, name, kind), nil
+	return serial, c.parseResponse(setMessage, name, kind), nil
 }
 
-// queryConn sends one query over a socket, and repeats it until it is answered or ctx ends.
-func (c *Client) queryConn(
+// queryOverConn sends one query over a connected UDP socket and repeats it until a response arrives or ctx is done.
+func (c *Client) queryOverConn(
 	ctx context.Context, conn net.Conn, name string, kind record.Kind,
 ) (message *dns.Msg, err error) {
 	interval := c.retryTimeout()
@@ -143,7 +147,7 @@
 		c.countAttempt(attempt)
 		began := time.Now()
 		bounded, cancel := context.WithTimeout(ctx, interval)
-		message, err = c.exchange(bounded, conn, newQuestion(name, kind))
+		message, err = c.exchange(bounded, conn, newQuery(name, kind))
 		cancel()
 		if err == nil {
 			return message, nil
@@ -155,22 +159,22 @@
 	return nil, fmt.Errorf("%s %s: %w", kind, name, errors.Join(err, ctx.Err()))
 }
 
-// parseAnswer reads the records of a message that answers a query.
-func (c *Client) parseAnswer(message *dns.Msg, name string, kind record.Kind) Answer {
-	answer := Answer{Authoritative: message.Authoritative, NameError: message.Rcode == dns.RcodeNameError}
+// parseResponse extracts the records of the response to a query.
+func (c *Client) parseResponse(message *dns.Msg, name string, kind record.Kind) Response {
+	response := Response{Authoritative: message.Authoritative, NameError: message.Rcode == dns.RcodeNameError}
 	queried := record.CanonicalName(name)
 	domain := record.CanonicalName(c.Domain)
-	// Records of the queried set count only in the answer section, others in either.
+	// Records of the queried set are accepted only from the answer section, others from the additional section as well.
 	add := func(rr dns.RR, inAnswer bool) {
 		r, ok := record.Decode(rr)
 		switch {
 		case !ok:
 		case r.Name == queried && r.Kind == kind:
 			if inAnswer {
-				answer.Records = append(answer.Records, r)
+				response.Records = append(response.Records, r)
 			}
 		case c.Domain != "" && record.Within(r.Name, domain) && r.Kind != record.SOA:
-			answer.Additional = append(answer.Additional, r)
+			response.Additional = append(response.Additional, r)
 		}
 	}
 	for _, rr := range message.Answer {
@@ -182,8 +186,8 @@
 	for _, rr := range message.Ns {
 		r, ok := record.Decode(rr)
 		if ok && r.Kind == record.SOA && record.Within(queried, r.Name) {
-			answer.NegativeTTL = r.NegativeTTL
+			response.NegativeTTL = r.NegativeTTL
 		}
 	}
-	return answer
+	return response
 }
--- a/internal/dnssd/resolver/query_test.go
+++ b/internal/dnssd/resolver/query_test.go
@@ -10,8 +10,8 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// Answers from another source, with the right id and name, and ones with another kind of record, are passed over: the
-// server's own, which comes behind them, counts.
+// Guards against the acceptance of a response from another address, though its id and name match, or of one to another
+// query type: the later response of the server itself must be used.
 func TestAnswersFromOtherSourcesAreRejected(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -26,33 +26,35 @@
 			if err != nil {
 				return
 			}
-			q := new(dns.Msg)
-			if q.Unpack(buffer[:n]) != nil {
+			query := new(dns.Msg)
+			if query.Unpack(buffer[:n]) != nil {
 				return
 			}
-			answer := func(ip string, kind uint16) []byte {
-				m := new(dns.Msg).SetReply(q)
+			reply := func(ip string, kind uint16) []byte {
+				m := new(dns.Msg).SetReply(query)
 				m.Question[0].Qtype = kind
 				m.Answer = []dns.RR{
 					&dns.A{
-						Hdr: dns.RR_Header{Name: q.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9},
-						A:   net.ParseIP(ip),
+						Hdr: dns.RR_Header{
+							Name: query.Question[0].Name, Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 9,
+						},
+						A: net.ParseIP(ip),
 					},
 				}
 				raw, _ := m.Pack()
 				return raw
 			}
-			_, _ = forger.WriteToUDPAddrPort(answer("127.66.66.66", dns.TypeA), from)
-			_, _ = server.WriteToUDPAddrPort(answer("127.77.77.77", dns.TypeTXT), from)
-			_, _ = server.WriteToUDPAddrPort(answer("127.0.0.7", dns.TypeA), from)
+			_, _ = forger.WriteToUDPAddrPort(reply("127.66.66.66", dns.TypeA), from)
+			_, _ = server.WriteToUDPAddrPort(reply("127.77.77.77", dns.TypeTXT), from)
+			_, _ = server.WriteToUDPAddrPort(reply("127.0.0.7", dns.TypeA), from)
 		}
 	}()
-	c := &Client{Server: server.LocalAddr().String(), Domain: "hall.test"}
+	client := &Client{Server: server.LocalAddr().String(), Domain: "hall.test"}
 	for range 20 {
-		a, err := c.Query(t.Context(), "box.hall.test.", record.A)
+		response, err := client.Query(t.Context(), "box.hall.test.", record.A)
 		require.NoError(t, err)
-		require.Len(t, a.Records, 1)
-		require.Equal(t, "127.0.0.7", a.Records[0].IP.String())
+		require.Len(t, response.Records, 1)
+		require.Equal(t, "127.0.0.7", response.Records[0].IP.String())
 	}
-	require.GreaterOrEqual(t, c.RejectedAnswers.Load(), int64(20))
+	require.GreaterOrEqual(t, client.RejectedResponses.Load(), int64(20))
 }
