--- a/internal/testpeer/drain/check.go
+++ b/internal/testpeer/drain/check.go
@@ -1,6 +1,6 @@
-// Package drain checks the drain rule in tests: a discovery that knows from when on each node counts as notified that a
-// backend drains, backends that record the moment of each request's first byte, and the check of one against the other.
-// Only tests use it.
+// Package drain checks in tests that nodes stop sending requests to a draining backend in time. It provides a discovery
+// service that knows from when each node counts as notified that a backend drains, backends that record when the first
+// byte of each request arrives, and the check that compares the two. Only tests use it.
 package drain
 
 import (
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// The ways in which a node comes to count as notified.
+// The values of Notification.By: why a node counts as notified.
 const (
-	byWritten = "written" // discovery wrote it to the node
-	byDue     = "due"     // the time to learn of it is over
+	notifiedByWrite    = "written" // discovery has written the change to the node
+	notifiedByDeadline = "due"     // the time within which the node must learn of the change is over
 )
 
-// Notification is the moment from which a node counts as notified that a backend drains.
+// Notification is the time from which a node counts as notified that a backend drains.
 type Notification struct {
 	Node    string
 	Backend string
 	At      time.Time
-	By      string // "written" or "due"
+	By      string // the reason: "written" or "due"
 }
 
 // Send is a request as a backend received it.
@@ -30,12 +30,12 @@
 	Node    string
 	Backend string
 	TraceID string
-	At      time.Time
-	// Lag is how late this process was around that moment: At may be too late by it.
+	At      time.Time // when its first byte arrived
+	// Lag is the lag of this process at that time: At may be too late by as much.
 	Lag time.Duration
 }
 
-// Violation is a request to a backend that its node was notified to drain.
+// Violation is a request that a node sent to a backend after it had been notified that the backend drains.
 type Violation struct {
 	Send         Send
 	Notification Notification
@@ -43,28 +43,28 @@
 
 // String implements fmt.Stringer.
 func (v Violation) String() string {
-	late := v.Send.At.Sub(v.Notification.At).Round(time.Millisecond)
-	return fmt.Sprintf("%s sent %s to %s %v after it was told (%s)", v.Send.Node, v.Send.TraceID, v.Send.Backend, late,
-		v.Notification.By)
+	delay := v.Send.At.Sub(v.Notification.At).Round(time.Millisecond)
+	return fmt.Sprintf("%s sent %s to %s %v after its notification (%s)",
+		v.Send.Node, v.Send.TraceID, v.Send.Backend, delay, v.Notification.By)
 }
 
-// ProcessStarts holds the moments at which each node's processes started, in order. What one process was notified of is
-// not held against the next.
+// ProcessStarts holds the start times of each node's processes, by node and in order. A notification of one process of
+// a node does not count for the next.
 type ProcessStarts map[string][]time.Time
 
-// process returns the number of the process that a node has at a moment, from 1 on; 0 before the first start.
-func (s ProcessStarts) process(node string, at time.Time) int {
-	n := 0
+// process returns the number, from 1, of the process that a node runs at a moment; 0 before the first start.
+func (s ProcessStarts) process(node string, moment time.Time) int {
+	count := 0
 	for _, start := range s[node] {
-		if !start.After(at) {
-			n++
+		if !start.After(moment) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Check returns the sends that came more than grace after the earliest moment at which their node's process counts as
-// notified, in the order of time.
+// Check returns the sends that arrived more than grace after the time at which their node's process first counted as
+// notified, ordered by arrival. A send's lag is subtracted from its arrival time.
 func Check(notifications []Notification, sends []Send, starts ProcessStarts, grace time.Duration) []Violation {
 	type key struct {
 		node, backend string
@@ -89,7 +89,8 @@
 	return found
 }
 
-// Record collects what the discovery and the backends of a test saw. It is safe for concurrent use.
+// Record collects the notifications of a test's discovery, the sends to its backends and the starts of its nodes. It is
+// safe for concurrent use.
 type Record struct {
 	lag lagMeter
 
@@ -99,7 +100,7 @@
 	starts        ProcessStarts
 }
 
-// NewRecord creates an empty record, which measures this process's lag until stop is closed.
+// NewRecord creates an empty record, which measures the lag of this process until stop is closed.
 func NewRecord(stop <-chan struct{}) *Record {
 	r := &Record{starts: ProcessStarts{}}
 	go r.lag.measure(stop)
@@ -113,32 +114,32 @@
 }
 
 func (r *Record) addSend(send Send) {
-	send.Lag = r.lag.present()
+	send.Lag = r.lag.recent()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sends = append(r.sends, send)
 }
 
-// Started records that a process of a node starts.
+// Started records that a process of a node started at the given time.
 func (r *Record) Started(node string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts[node] = append(r.starts[node], at)
 }
 
-// Sends returns all sends so far.
+// Sends returns all sends recorded so far.
 func (r *Record) Sends() []Send {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.sends)
 }
 
-// Violations checks what was recorded, and the notifications that are due.
+// Violations returns the result of Check for the recorded notifications, those given as due, and the recorded sends.
 func (r *Record) Violations(due []Notification, grace time.Duration) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Check(append(slices.Clone(r.notifications), due...), r.sends, r.starts, grace)
 }
 
-// MaximumLag returns the longest by which this process was late.
+// MaximumLag returns the longest lag of this process that was measured.
 func (r *Record) MaximumLag() time.Duration { return r.lag.longest() }
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -11,16 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Due is the time after which a change counts as notified to whoever could reach discovery.
+// Due is the time after which a change counts as notified to every node that could reach discovery throughout.
 const Due = 6 * time.Second
 
-// The health of a host that the checks look for; any other than ready drains.
+// The values of Host.Health that discovery distinguishes; a host with any value but healthReady drains.
 const (
-	healthReady = "ready"
-	healthGone  = "gone"
+	healthReady   = "ready"
+	healthRemoved = "gone"
 )
 
-// Host is one entry of the list, in the platform's form.
+// Host is one entry of the host list, in the platform's format.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -32,79 +32,79 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// hostList is the answer to a call.
+// hostList is the body of the answer to a call.
 type hostList struct {
 	Seq   int    `json:"seq"`
 	Full  bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// change is a change of the list.
+// change is the change of one host of the list.
 type change struct {
 	at   time.Time
 	host Host
 }
 
-// span is from when to when a node polls this discovery; a zero until stands for the end of the test.
-type span struct {
+// attachment is the period in which a node polls this discovery. A zero until stands for the end of the test.
+type attachment struct {
 	from  time.Time
 	until time.Time
 }
 
-// Queue is how calls that do not continue a watch are handled: one after the other.
+// Queue determines how calls that do not continue a watch are handled: one after the other.
 type Queue struct {
-	ServiceTime   time.Duration // that one takes; 0: all are handled at once
-	RejectionTime time.Duration // that it takes to reject one; whoever is served next waits for it
-	Maximum       int           // that wait; further ones are rejected at once
+	ServiceTime   time.Duration // the time to serve a call; 0: calls are not queued
+	RejectionTime time.Duration // the time to reject a call, by which the next call that is served is delayed
+	Maximum       int           // the number of calls that may wait; further calls are rejected immediately
 }
 
-// Discovery is a discovery service that handles calls in turn, and knows when each node counts as notified. It is safe
-// for concurrent use.
+// Discovery is a discovery service that handles calls one after the other and knows when each node counts as notified.
+// It is safe for concurrent use.
 type Discovery struct {
-	// Fault returns the fault of a node's call; the calls of each node are numbered from 0. It is set before the first
-	// call; nil: there are none.
+	// Fault returns the fault of a node's call; the calls of each node are numbered from 0. It must be set before the
+	// first call. If it is nil, there are no faults.
 	Fault func(node string, call int) Fault
 
 	t       testing.TB
 	record  *Record
-	serving chan struct{} // holds a token while a call is served in turn
+	serving chan struct{} // a semaphore: it holds a value while a queued call is served
 
-	mu           sync.Mutex // guards all below
-	queue        Queue
-	waiting      int                  // calls in queue
-	debt         time.Duration        // that rejections have taken; whoever is served next waits for it
-	answered     map[string]time.Time // the last answer to each node
-	firstVersion int
-	firstHosts   []Host
-	changes      []change      // the n-th makes version firstVersion+n+1
-	changed      chan struct{} // closed at the next change
-	down         bool
-	upTimes      []time.Time // when it came up, each time
-	downTimes    []time.Time // when it went down, each time
-	forgotten    int         // how often all open watches were forgotten
-	calls        map[string]int
-	attached     map[string][]span
-	counts       map[string]int
+	mu             sync.Mutex // guards all below
+	queue          Queue
+	waiting        int                  // the number of queued calls
+	rejectionDelay time.Duration        // the total RejectionTime of the rejections that the next served call waits for
+	lastAnswers    map[string]time.Time // when each node was last answered
+	initialVersion int
+	initialHosts   []Host
+	changes        []change      // the n-th, from 0, makes version initialVersion+n+1
+	changed        chan struct{} // closed and replaced whenever watches must wake up
+	down           bool
+	upTimes        []time.Time // each time at which it came up, the creation included
+	downTimes      []time.Time // each time at which it went down
+	silencedCount  int         // the number of Forget calls
+	calls          map[string]int
+	attachments    map[string][]attachment
+	outcomes       map[string]int
 }
 
-// NewDiscovery creates a discovery that holds a list, with a version.
+// NewDiscovery creates a discovery with an initial host list and its version.
 func NewDiscovery(t testing.TB, record *Record, version int, hosts []Host) *Discovery {
 	return &Discovery{
-		t:            t,
-		record:       record,
-		serving:      make(chan struct{}, 1),
-		answered:     map[string]time.Time{},
-		firstVersion: version,
-		firstHosts:   hosts,
-		changed:      make(chan struct{}),
-		upTimes:      []time.Time{time.Now()},
-		calls:        map[string]int{},
-		attached:     map[string][]span{},
-		counts:       map[string]int{},
+		t:              t,
+		record:         record,
+		serving:        make(chan struct{}, 1),
+		lastAnswers:    map[string]time.Time{},
+		initialVersion: version,
+		initialHosts:   hosts,
+		changed:        make(chan struct{}),
+		upTimes:        []time.Time{time.Now()},
+		calls:          map[string]int{},
+		attachments:    map[string][]attachment{},
+		outcomes:       map[string]int{},
 	}
 }
 
-// Listen has discovery answer one node, at the address that is returned.
+// Listen starts to answer calls of one node, at the address that it returns.
 func (d *Discovery) Listen(node string) string {
 	d.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,43 +116,43 @@
 			if err != nil {
 				return
 			}
-			go d.handle(node, conn) // ends with its connection
+			go d.handle(node, conn) // returns when its connection ends
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// Attach tells from when on a node is to poll this discovery.
+// Attach records from when a node is to poll this discovery.
 func (d *Discovery) Attach(node string, from time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.attached[node] = append(d.attached[node], span{from: from})
+	d.attachments[node] = append(d.attachments[node], attachment{from: from})
 }
 
-// Detach tells until when a node was to poll this discovery.
+// Detach records until when a node was to poll this discovery.
 func (d *Discovery) Detach(node string, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if spans := d.attached[node]; len(spans) > 0 {
-		spans[len(spans)-1].until = until
+	if periods := d.attachments[node]; len(periods) > 0 {
+		periods[len(periods)-1].until = until
 	}
 }
 
-// Set changes the health of a backend, and wakes the watches.
+// Set changes the health of a backend and wakes the watches.
 func (d *Discovery) Set(backend, health string) {
 	d.t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	hosts := d.hostsAfter(len(d.changes))
-	at := slices.IndexFunc(hosts, func(h Host) bool { return h.Host == backend })
-	require.GreaterOrEqual(d.t, at, 0, "%s is not listed", backend)
-	host := hosts[at]
+	index := slices.IndexFunc(hosts, func(h Host) bool { return h.Host == backend })
+	require.GreaterOrEqual(d.t, index, 0, "%s is not listed", backend)
+	host := hosts[index]
 	host.Health = health
 	d.changes = append(d.changes, change{time.Now(), host})
 	d.wake()
 }
 
-// SetDown has discovery reset all calls, or come back.
+// SetDown makes discovery go down, so that it resets all calls, or come up again.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,64 +165,66 @@
 	d.wake()
 }
 
-// Forget has all watches that are open fall silent.
+// Forget makes discovery never answer the watches that are open now.
 func (d *Discovery) Forget() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgotten++
+	d.silencedCount++
 	d.wake()
 }
 
-// SetQueue sets how calls are handled.
+// SetQueue sets how calls are handled from now on.
 func (d *Discovery) SetQueue(queue Queue) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queue = queue
-	d.debt = 0
+	d.rejectionDelay = 0
 }
 
-// Counts returns the number of calls by what became of them.
+// Counts returns the number of calls by outcome.
 func (d *Discovery) Counts() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return maps.Clone(d.counts)
+	return maps.Clone(d.outcomes)
 }
 
-// DueNotifications returns when each node counts as notified at the latest, whatever became of its calls.
+// DueNotifications returns the time at which each node counts as notified at the latest, whatever the outcome of its
+// calls.
 func (d *Discovery) DueNotifications() []Notification {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var all []Notification
+	var notifications []Notification
 	for _, change := range d.changes {
 		if change.host.Health == healthReady {
 			continue
 		}
-		for node, spans := range d.attached {
-			for _, attached := range spans {
-				due := d.reachableFrom(later(change.at, attached.from)).Add(Due)
-				if attached.until.IsZero() || due.Before(attached.until) {
-					all = append(all, Notification{Node: node, Backend: change.host.Host, At: due, By: byDue})
+		for node, periods := range d.attachments {
+			for _, period := range periods {
+				due := d.reachableFrom(later(change.at, period.from)).Add(Due)
+				if period.until.IsZero() || due.Before(period.until) {
+					notifications = append(notifications,
+						Notification{Node: node, Backend: change.host.Host, At: due, By: notifiedByDeadline})
 				}
 			}
 		}
 	}
-	return all
+	return notifications
 }
 
-// reachableFrom returns the first moment, from at on, at which discovery is up for as long as a change needs to count
-// as notified. The caller holds the lock.
-func (d *Discovery) reachableFrom(at time.Time) time.Time {
+// reachableFrom returns the first time, not before moment, from which discovery is up without interruption for Due. The
+// caller holds d.mu.
+func (d *Discovery) reachableFrom(moment time.Time) time.Time {
 	for i, down := range d.downTimes {
-		if !down.Before(at.Add(Due)) {
+		if !down.Before(moment.Add(Due)) {
 			break
 		}
 		if i+1 < len(d.upTimes) {
-			at = later(at, d.upTimes[i+1])
+			moment = later(moment, d.upTimes[i+1])
 		} else {
-			at = at.Add(time.Hour) // down to the end of the test
+			moment = moment.Add(time.Hour) // it stays down to the end of the test
 		}
 	}
-	return at
+	return moment
 }
 
 func later(a, b time.Time) time.Time {
@@ -232,23 +234,24 @@
 	return b
 }
 
-// wake wakes the watches. The caller holds the lock.
+// wake wakes the watches. The caller holds d.mu.
 func (d *Discovery) wake() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// hostsAfter returns the list after a number of changes. The caller holds the lock.
+// hostsAfter returns the full list after the given number of changes. The caller holds d.mu.
 func (d *Discovery) hostsAfter(changes int) []Host {
-	hosts := slices.Clone(d.firstHosts)
+	hosts := slices.Clone(d.initialHosts)
 	for _, change := range d.changes[:changes] {
-		at := slices.IndexFunc(hosts, func(h Host) bool { return h.Host == change.host.Host })
-		hosts[at] = change.host
+		index := slices.IndexFunc(hosts, func(h Host) bool { return h.Host == change.host.Host })
+		hosts[index] = change.host
 	}
 	return hosts
 }
 
-// changesSince returns what is newer than a version, or the full list, and the backends that it tells to drain.
+// changesSince returns the hosts that changed after a version, or the full list if the fault asks for it, and the names
+// of the backends that drain according to the returned list.
 func (d *Discovery) changesSince(version int, fault Fault) (list hostList, draining []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -258,12 +261,12 @@
 		n--
 		full = true
 	}
-	list = hostList{Seq: d.firstVersion + n, Full: full, Hosts: []Host{}}
+	list = hostList{Seq: d.initialVersion + n, Full: full, Hosts: []Host{}}
 	var hosts []Host
 	if full {
 		hosts = d.hostsAfter(n)
 	} else {
-		for _, change := range d.changes[max(0, min(n, version-d.firstVersion)):n] {
+		for _, change := range d.changes[max(0, min(n, version-d.initialVersion)):n] {
 			hosts = append(hosts, change.host)
 		}
 	}
@@ -271,16 +274,16 @@
 		if host.Health != healthReady {
 			draining = append(draining, host.Host)
 		}
-		if !full || host.Health != healthGone { // a full list leaves out what is gone
+		if !full || host.Health != healthRemoved { // a full list omits removed hosts
 			list.Hosts = append(list.Hosts, host)
 		}
 	}
 	return list, draining
 }
 
-// count counts what became of a call.
-func (d *Discovery) count(outcome string) {
+// countOutcome counts a call's outcome.
+func (d *Discovery) countOutcome(outcome string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.counts[outcome]++
+	d.outcomes[outcome]++
 }
--- a/internal/testpeer/drain/discovery_call.go
+++ b/internal/testpeer/drain/discovery_call.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// watchContinuation is how soon behind an answer a node's next call continues its watch, and waits in no queue.
+	// watchContinuation is the time after an answer within which the node's next call counts as the continuation of its
+	// watch and is not queued.
 	watchContinuation = 200 * time.Millisecond
-	// answerPieces is the number of pieces that an answer comes in.
-	answerPieces = 6
-	// closeWait is how long a connection stays open behind its answer: if the node had sent more, a close at once would
-	// reset it.
-	closeWait = time.Second
+	// answerPieceCount is the number of pieces in which an answer with a PieceInterval is written.
+	answerPieceCount = 6
+	// closeDelay is how long a connection stays open after its answer. If the node had sent more, closing immediately
+	// would reset the connection.
+	closeDelay = time.Second
 )
 
-// Fault is what becomes of one call. The zero value is none.
+// Fault describes how the handling of one call deviates from the normal one. The zero value is no fault.
 type Fault struct {
-	Silent        bool          // never answered: discovery has forgotten it
-	Truncated     bool          // half of an answer, then silence
-	ResetAfter    time.Duration // reset so long after it came; 0: not
-	Delay         time.Duration // the answer is written so much later than it is made
-	PieceInterval time.Duration // the answer comes in pieces, with this between them
-	Full          bool          // the full list in place of changes
-	Stale         bool          // the full list as it was before the last change, with that version, at once
-	Indented      bool          // the answer's JSON
+	Silent        bool          // the call is never answered
+	Truncated     bool          // the answer stops after its first part, and the connection stays open
+	ResetAfter    time.Duration // the time after which a waiting call is reset; 0: never
+	Delay         time.Duration // the time between the creation and the writing of the answer
+	PieceInterval time.Duration // the time between the pieces of an answer; 0: it is written at once
+	Full          bool          // the answer is the full list instead of the changes
+	Stale         bool          // the answer is, without waiting, the full list before the last change, with that version
+	Indented      bool          // the JSON of the answer is indented
 }
 
-// call is one call of a node.
+// call is one call of a node, on a connection of its own.
 type call struct {
-	node   string
-	conn   net.Conn
-	closed <-chan struct{} // closed once the node has closed the call
-	fault  Fault
-	after  int           // the version whose changes are asked for
-	wait   time.Duration // for a change
+	node    string
+	conn    net.Conn
+	closed  <-chan struct{} // closed once the node has closed its side of the connection
+	fault   Fault
+	version int           // the node's version: the call asks for later changes
+	wait    time.Duration // how long the call waits for a change
 }
 
-// handle serves the one call of a connection.
+// handle serves the only call of a connection.
 func (d *Discovery) handle(node string, conn net.Conn) {
 	defer conn.Close()
 	if d.isDown() {
-		reset(conn)
+		resetOnClose(conn)
 		return
 	}
 	request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -55,50 +56,50 @@
 		return
 	}
 	closed := make(chan struct{})
-	go func() { // ends with the connection
+	go func() { // returns when the connection ends
 		_, _ = io.Copy(io.Discard, conn)
 		close(closed)
 	}()
-	polled := &call{node: node, conn: conn, closed: closed, fault: d.nextFault(node)}
-	if !d.takeTurn(polled) {
-		d.count("turned away")
+	poll := &call{node: node, conn: conn, closed: closed, fault: d.nextFault(node)}
+	if !d.waitForTurn(poll) {
+		d.countOutcome("rejected")
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		return
 	}
 	switch {
-	case polled.fault.Silent:
-		d.count("silent")
+	case poll.fault.Silent:
+		d.countOutcome("silent")
 		<-closed
 		return
-	case polled.fault.Truncated:
-		d.count("half")
+	case poll.fault.Truncated:
+		d.countOutcome("truncated")
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"seq\":")
 		<-closed
 		return
 	}
-	d.answer(polled, request)
+	d.answer(poll, request)
 }
 
-// answer waits for what a call asks for, and answers it.
-func (d *Discovery) answer(polled *call, request *http.Request) {
+// answer waits until there is a change or the call's wait is over, and answers the call.
+func (d *Discovery) answer(poll *call, request *http.Request) {
 	after, err := strconv.Atoi(request.URL.Query().Get("after"))
-	wait, _ := strconv.Atoi(request.URL.Query().Get("wait_ms")) // none: 0
-	polled.after = after
-	polled.wait = time.Duration(wait) * time.Millisecond
-	polled.fault.Full = polled.fault.Full || err != nil
-	if err == nil && !polled.fault.Stale {
-		switch d.await(polled) {
-		case waitBroken:
-			d.count("reset")
-			reset(polled.conn)
+	wait, _ := strconv.Atoi(request.URL.Query().Get("wait_ms")) // 0 if it is missing
+	poll.version = after
+	poll.wait = time.Duration(wait) * time.Millisecond
+	poll.fault.Full = poll.fault.Full || err != nil
+	if err == nil && !poll.fault.Stale {
+		switch d.await(poll) {
+		case waitReset:
+			d.countOutcome("reset")
+			resetOnClose(poll.conn)
 			return
-		case waitForgotten:
-			d.count("silent")
-			<-polled.closed
+		case waitSilenced:
+			d.countOutcome("silent")
+			<-poll.closed
 			return
 		}
 	}
-	d.write(polled)
+	d.write(poll)
 }
 
 func (d *Discovery) isDown() bool {
@@ -107,7 +108,7 @@
 	return d.down
 }
 
-// nextFault numbers a node's call and returns its fault.
+// nextFault assigns the next number to a node's call and returns the fault of that number.
 func (d *Discovery) nextFault(node string) Fault {
 	d.mu.Lock()
 	number := d.calls[node]
@@ -119,21 +120,22 @@
 	return d.Fault(node, number)
 }
 
-// reset has the close of a connection reset it.
-func reset(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // fails on a closed connection alone
+// resetOnClose makes the later close of a connection reset it.
+func resetOnClose(conn net.Conn) {
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 }
 
-// takeTurn waits until the calls that came before are handled. It is false if too many wait.
-func (d *Discovery) takeTurn(polled *call) bool {
+// waitForTurn waits until the calls queued before are served. It reports whether the call was accepted: it is rejected
+// if the queue is full.
+func (d *Discovery) waitForTurn(poll *call) bool {
 	d.mu.Lock()
 	queue := d.queue
-	if queue.ServiceTime == 0 || time.Since(d.answered[polled.node]) < watchContinuation {
+	if queue.ServiceTime == 0 || time.Since(d.lastAnswers[poll.node]) < watchContinuation {
 		d.mu.Unlock()
 		return true
 	}
 	if d.waiting >= queue.Maximum {
-		d.debt += queue.RejectionTime
+		d.rejectionDelay += queue.RejectionTime
 		d.mu.Unlock()
 		return false
 	}
@@ -146,105 +148,105 @@
 	}()
 	select {
 	case d.serving <- struct{}{}:
-	case <-polled.closed:
+	case <-poll.closed:
 		return true
 	}
 	d.mu.Lock()
-	debt := d.debt
-	d.debt = 0
+	delay := d.rejectionDelay
+	d.rejectionDelay = 0
 	d.mu.Unlock()
-	time.Sleep(queue.ServiceTime + debt)
+	time.Sleep(queue.ServiceTime + delay)
 	<-d.serving
 	return true
 }
 
-// waitResult is how the wait of a watch ends.
+// waitResult is how the wait of a call ends.
 type waitResult int
 
 const (
-	waitAnswered  waitResult = iota // there is something newer, or the wait is over
-	waitBroken                      // discovery went down, or resets the call
-	waitForgotten                   // it is never answered
+	waitDone     waitResult = iota // there is a newer version, the wait is over, or the node has closed the call
+	waitReset                      // discovery went down, or the call's fault resets it
+	waitSilenced                   // the call is never to be answered
 )
 
-// await waits for something newer than a call's version, and for the wait's end at most.
-func (d *Discovery) await(polled *call) waitResult {
-	end := time.NewTimer(polled.wait)
-	defer end.Stop()
-	var resets <-chan time.Time
-	if polled.fault.ResetAfter > 0 {
-		resets = time.After(polled.fault.ResetAfter)
+// await waits for a version other than the call's, but no longer than the call's wait.
+func (d *Discovery) await(poll *call) waitResult {
+	timeout := time.NewTimer(poll.wait)
+	defer timeout.Stop()
+	var resetTimer <-chan time.Time
+	if poll.fault.ResetAfter > 0 {
+		resetTimer = time.After(poll.fault.ResetAfter)
 	}
 	d.mu.Lock()
-	forgottenBefore := d.forgotten
+	silencedBefore := d.silencedCount
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
 		down := d.down
-		forgotten := d.forgotten > forgottenBefore
-		newest := d.firstVersion + len(d.changes)
+		silenced := d.silencedCount > silencedBefore
+		newest := d.initialVersion + len(d.changes)
 		changed := d.changed
 		d.mu.Unlock()
 		switch {
 		case down:
-			return waitBroken
-		case forgotten:
-			return waitForgotten
-		case newest != polled.after: // an older one is none of this discovery's
-			return waitAnswered
+			return waitReset
+		case silenced:
+			return waitSilenced
+		case newest != poll.version: // a version newer than newest comes from another discovery
+			return waitDone
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			return waitAnswered
-		case <-resets:
-			return waitBroken
-		case <-polled.closed:
-			return waitAnswered
+		case <-timeout.C:
+			return waitDone
+		case <-resetTimer:
+			return waitReset
+		case <-poll.closed:
+			return waitDone
 		}
 	}
 }
 
-// write answers a call. A node that it tells of a draining backend counts as notified once the last byte is written,
-// unless the node had closed the call before.
-func (d *Discovery) write(polled *call) {
-	list, draining := d.changesSince(polled.after, polled.fault)
-	time.Sleep(polled.fault.Delay)
-	raw, err := polled.fault.encode(list)
+// write writes the answer to a call. If the answer lists draining backends, the node counts as notified of them when
+// the last piece is written, unless it had closed the call before.
+func (d *Discovery) write(poll *call) {
+	list, draining := d.changesSince(poll.version, poll.fault)
+	time.Sleep(poll.fault.Delay)
+	raw, err := poll.fault.encode(list)
 	if err != nil {
 		d.t.Error(err)
 		return
 	}
-	if polled.fault.PieceInterval > 0 {
-		for size := (len(raw) + answerPieces - 1) / answerPieces; len(raw) > size; raw = raw[size:] {
-			_, _ = polled.conn.Write(raw[:size]) // the last piece's write fails too
-			time.Sleep(polled.fault.PieceInterval)
+	if poll.fault.PieceInterval > 0 {
+		for size := (len(raw) + answerPieceCount - 1) / answerPieceCount; len(raw) > size; raw = raw[size:] {
+			_, _ = poll.conn.Write(raw[:size]) // if this write fails, that of the last piece fails too
+			time.Sleep(poll.fault.PieceInterval)
 		}
 	}
 	select {
-	case <-polled.closed:
-		d.count("given up")
+	case <-poll.closed:
+		d.countOutcome("closed by the node")
 		return
 	default:
 	}
 	at := time.Now()
-	if _, err := polled.conn.Write(raw); err != nil {
+	if _, err := poll.conn.Write(raw); err != nil {
 		return
 	}
-	d.count("answered")
+	d.countOutcome("answered")
 	d.mu.Lock()
-	d.answered[polled.node] = at
+	d.lastAnswers[poll.node] = at
 	d.mu.Unlock()
 	for _, backend := range draining {
-		d.record.addNotification(Notification{Node: polled.node, Backend: backend, At: at, By: byWritten})
+		d.record.addNotification(Notification{Node: poll.node, Backend: backend, At: at, By: notifiedByWrite})
 	}
 	select {
-	case <-polled.closed:
-	case <-time.After(closeWait):
+	case <-poll.closed:
+	case <-time.After(closeDelay):
 	}
 }
 
-// encode returns an answer as it stands on the wire.
+// encode returns the HTTP response with a list, as bytes on the wire.
 func (f Fault) encode(list hostList) ([]byte, error) {
 	body, err := json.Marshal(list)
 	if f.Indented {
