--- a/internal/testpeer/attempt_ledger.go
+++ b/internal/testpeer/attempt_ledger.go
@@ -5,33 +5,33 @@
 	"sync"
 )
 
-// AttemptLedger counts, at the backends, the attempts of each request that are in flight, and the answers that it got.
-// A request is known by a name of the test's choice: its id, or the content of its only message. It is safe for
+// AttemptLedger counts, at the backends, the attempts in flight of each request and the complete answers to it. The
+// test chooses the key of a request: its id, or the content of its only message. An AttemptLedger is safe for
 // concurrent use.
 type AttemptLedger struct {
-	mu       sync.Mutex     // guards all below
-	inFlight map[string]int // attempts, by request
-	maximum  int            // of inFlight, of any request at any time
-	sent     map[string]int // attempts in all
-	answers  map[string]int
+	mu              sync.Mutex     // guards all below
+	inFlight        map[string]int // current attempts, by request key
+	maximumInFlight int            // highest value that any entry of inFlight has had
+	attempts        map[string]int // all attempts that have begun, by request key
+	answers         map[string]int // complete answers, by request key
 }
 
 // NewAttemptLedger creates an empty ledger.
 func NewAttemptLedger() *AttemptLedger {
-	return &AttemptLedger{inFlight: map[string]int{}, sent: map[string]int{}, answers: map[string]int{}}
+	return &AttemptLedger{inFlight: map[string]int{}, attempts: map[string]int{}, answers: map[string]int{}}
 }
 
-// Begin counts an attempt and returns how many the request has had.
+// Begin counts the start of an attempt and returns the request's number of attempts so far, this one included.
 func (l *AttemptLedger) Begin(request string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[request]++
-	l.sent[request]++
-	l.maximum = max(l.maximum, l.inFlight[request])
-	return l.sent[request]
+	l.attempts[request]++
+	l.maximumInFlight = max(l.maximumInFlight, l.inFlight[request])
+	return l.attempts[request]
 }
 
-// End counts the end of an attempt.
+// End counts the end of an attempt; answered is whether the backend answered it completely.
 func (l *AttemptLedger) End(request string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,21 +41,21 @@
 	}
 }
 
-// Sent returns the number of attempts that each request has had.
+// Sent returns the number of attempts of each request, by request key.
 func (l *AttemptLedger) Sent() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return maps.Clone(l.sent)
+	return maps.Clone(l.attempts)
 }
 
-// Answers returns the number of answers that each request got.
+// Answers returns the number of complete answers to each request, by request key.
 func (l *AttemptLedger) Answers() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.answers)
 }
 
-// Total returns the number of answers given.
+// Total returns the number of complete answers to all requests.
 func (l *AttemptLedger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,9 +66,9 @@
 	return total
 }
 
-// MaximumInFlight returns the most attempts of one request that were in flight at once.
+// MaximumInFlight returns the highest number of attempts of one request that were in flight at the same time.
 func (l *AttemptLedger) MaximumInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.maximum
+	return l.maximumInFlight
 }
--- a/internal/testpeer/backend.go
+++ b/internal/testpeer/backend.go
@@ -15,12 +15,13 @@
 	"standpoint/internal/node"
 )
 
-// Endpoint returns an entry of the endpoint list for a backend that is ready.
+// Endpoint returns an entry of the endpoint list for a ready backend of size 1.
 func Endpoint(name, address string) node.Endpoint {
 	return node.Endpoint{Address: address, Engine: standpoint.Engine{Name: name, Size: 1}}
 }
 
-// Backend starts a scripted backend and returns its address. It stops with the test.
+// Backend starts an HTTP server that handles requests by script and returns its address. The server stops when the
+// test ends.
 func Backend(t testing.TB, script http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(script)
@@ -31,8 +32,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// RawBackend starts a backend that answers each request by a script, which writes to the connection what it will. The
-// connections stay open until the test ends.
+// RawBackend starts a backend that reads each request and then calls script, which writes arbitrary bytes to the
+// connection. It returns the backend's address. The connections stay open until the test ends.
 func RawBackend(t testing.TB, script func(conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +52,7 @@
 	return listener.Addr().String()
 }
 
-// serveRaw runs the script for each request until the connection ends.
+// serveRaw calls script for each request until no further request can be read from the connection.
 func serveRaw(conn net.Conn, script func(conn net.Conn)) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -64,7 +65,7 @@
 	}
 }
 
-// FreeAddress returns a loopback address that nothing listens at.
+// FreeAddress returns a loopback address on which nothing listens.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testpeer/batch_backend.go
+++ b/internal/testpeer/batch_backend.go
@@ -11,36 +11,37 @@
 	"time"
 )
 
-// The states of a batch.
+// The values of a batch's status in the batch API that BatchBackend uses.
 const (
 	batchInProgress = "in_progress"
 	batchCompleted  = "completed"
 	batchCancelled  = "cancelled"
 )
 
-// BatchBackend is a scripted backend that takes files of requests, in the form of the public batch API: an uploaded
-// file becomes a batch, whose lines are run one after the other; a cancellation leaves the rest unrun.
+// BatchBackend is a scripted backend with the public batch API: a batch is created from an uploaded file of requests,
+// its lines are run one after the other, and a cancellation skips the lines that have not been run.
 type BatchBackend struct {
-	Address string
-	// Ledger counts the lines as requests, by the content of their only message.
+	Address string // the listen address on loopback
+	// Ledger counts each line as a request, whose key is the content of its only message.
 	Ledger *AttemptLedger
-	// Run returns the status of one line's answer, after as long as it takes.
+	// Run processes one line and returns the HTTP status of its answer. It may block. The arguments are the line's key
+	// and the number of this attempt of it, from 1.
 	Run func(line string, attempt int) int
 
-	mu       sync.Mutex // guards all below
-	files    map[string]string
-	batches  map[string]*batch
-	executed int // lines
-	skipped  int // lines that a cancellation left unrun
-	waiting  int // lines of batches in progress that have not been run yet
+	mu       sync.Mutex        // guards all below
+	files    map[string]string // content, by file id
+	batches  map[string]*batch // by batch id
+	executed int               // lines that have been run
+	skipped  int               // lines that were not run because of a cancellation
+	waiting  int               // lines of batches in progress that have not been run yet
 }
 
-// batch is a batch as it is shown. BatchBackend.mu guards it.
+// batch is the state of a batch. BatchBackend.mu guards it.
 type batch struct {
 	status     string
-	outputFile string
-	errorFile  string
-	cancel     bool // it is to be cancelled
+	outputFile string // the id of the file of answers with status 200; empty: none yet
+	errorFile  string // the id of the file of the other answers; empty: none yet
+	cancelling bool   // a cancellation has been requested
 }
 
 // batchLine is a line of an uploaded file.
@@ -50,13 +51,13 @@
 		Messages []struct{ Content string } `json:"messages"`
 	} `json:"body"`
 
-	attempt int // of this line, from 1 on
+	attempt int // the number of this attempt of the line, from 1
 }
 
-// name returns what the ledger knows the line by.
-func (l *batchLine) name() string { return l.Body.Messages[0].Content }
+// key returns the line's request key in the ledger.
+func (l *batchLine) key() string { return l.Body.Messages[0].Content }
 
-// NewBatchBackend starts a batch backend, which stops with the test.
+// NewBatchBackend starts a batch backend, which stops when the test ends.
 func NewBatchBackend(t testing.TB, ledger *AttemptLedger, run func(line string, attempt int) int) *BatchBackend {
 	t.Helper()
 	b := &BatchBackend{Ledger: ledger, Run: run, files: map[string]string{}, batches: map[string]*batch{}}
@@ -70,14 +71,14 @@
 	return b
 }
 
-// Waiting returns how many lines of the batches in progress have not been run yet.
+// Waiting returns the number of lines of the batches in progress that have not been run yet.
 func (b *BatchBackend) Waiting() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.waiting
 }
 
-// Lines returns how many lines were run, and how many a cancellation left unrun.
+// Lines returns the number of lines that were run and the number that were skipped because of a cancellation.
 func (b *BatchBackend) Lines() (executed, skipped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,7 +91,7 @@
 		http.Error(w, "no file for a batch", http.StatusBadRequest)
 		return
 	}
-	raw, _ := io.ReadAll(file) // held in memory by the form
+	raw, _ := io.ReadAll(file) // the form keeps the file in memory: reading cannot fail
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := fmt.Sprintf("file-%d", len(b.files))
@@ -104,12 +105,12 @@
 	_, _ = io.WriteString(w, b.files[r.PathValue("id")])
 }
 
-// create starts a batch of an uploaded file.
+// create starts a batch that runs the lines of an uploaded file.
 func (b *BatchBackend) create(w http.ResponseWriter, r *http.Request) {
 	var request struct {
 		File string `json:"input_file_id"`
 	}
-	_ = json.NewDecoder(r.Body).Decode(&request) // a wrong one names no file
+	_ = json.NewDecoder(r.Body).Decode(&request) // after an error File is empty and the batch has no lines
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := fmt.Sprintf("batch_%d", len(b.batches))
@@ -118,33 +119,33 @@
 	var lines []batchLine
 	for text := range strings.Lines(b.files[request.File]) {
 		var line batchLine
-		_ = json.Unmarshal([]byte(text), &line) // the tests upload well-formed lines
-		line.attempt = b.Ledger.Begin(line.name())
+		_ = json.Unmarshal([]byte(text), &line) // tests upload only well-formed lines
+		line.attempt = b.Ledger.Begin(line.key())
 		lines = append(lines, line)
 	}
 	b.waiting += len(lines)
-	go b.run(id, created, lines) // ends with the lines
+	go b.run(id, created, lines) // returns after the last line
 	b.write(w, id, created)
 }
 
-// run runs the lines of a batch and stores its output and error files.
+// run runs the lines of a batch, stores its output and error files and sets its final status.
 func (b *BatchBackend) run(id string, running *batch, lines []batchLine) {
 	var output, errors strings.Builder
 	for i := range lines {
 		line := &lines[i]
 		if !b.startLine(running) {
-			b.Ledger.End(line.name(), false)
+			b.Ledger.End(line.key(), false)
 			continue
 		}
-		status := b.Run(line.name(), line.attempt)
-		b.Ledger.End(line.name(), status == http.StatusOK)
+		status := b.Run(line.key(), line.attempt)
+		b.Ledger.End(line.key(), status == http.StatusOK)
 		file := &output
 		if status != http.StatusOK {
 			file = &errors
 		}
 		fmt.Fprintf(file, `{"custom_id":%q,"response":{"status_code":%d,"body":{"model":"chat","choices":[{"message":`+
 			`{"content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":1}}},"error":null}`+"\n",
-			line.CustomID, status, "answer to "+line.name())
+			line.CustomID, status, "answer to "+line.key())
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,17 +158,18 @@
 		b.files[running.errorFile] = errors.String()
 	}
 	running.status = batchCompleted
-	if running.cancel {
+	if running.cancelling {
 		running.status = batchCancelled
 	}
 }
 
-// startLine counts the next line of a batch as run, or as skipped if the batch is to be cancelled; it reports which.
+// startLine counts the next line of a batch as run, or as skipped if a cancellation has been requested. It reports
+// whether the line is to be run.
 func (b *BatchBackend) startLine(running *batch) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.waiting--
-	if running.cancel {
+	if running.cancelling {
 		b.skipped++
 		return false
 	}
@@ -195,12 +197,12 @@
 		return
 	}
 	if cancelled.status == batchInProgress {
-		cancelled.cancel = true
+		cancelled.cancelling = true
 	}
 	b.write(w, r.PathValue("id"), cancelled)
 }
 
-// write writes a batch as it stands. The caller holds the lock.
+// write writes the current state of a batch as JSON. The caller holds b.mu.
 func (b *BatchBackend) write(w io.Writer, id string, shown *batch) {
 	fmt.Fprintf(w, `{"id":%q,"status":%q,"output_file_id":%q,"error_file_id":%q,"created_at":%d}`, id, shown.status,
 		shown.outputFile, shown.errorFile, time.Now().Unix())
--- a/internal/testpeer/faults.go
+++ b/internal/testpeer/faults.go
@@ -16,73 +16,74 @@
 	"standpoint/internal/node"
 )
 
-// SystemCall is a system call that can be made to fail.
+// SystemCall is a system call that Faults can make fail.
 type SystemCall int
 
-// The system calls that Faults can fail.
+// The system calls that Faults can make fail.
 const (
 	Accept SystemCall = iota
 	Connect
 	Read
 	Write
-	systemCalls // the number of them
+	systemCallCount // the number of the system calls above
 )
 
-// Shortages are the errors that tell that the machine has run out of something.
-var Shortages = []syscall.Errno{
+// ResourceErrors are the errors of system calls that lack a resource: file descriptors, memory, buffers or ports.
+var ResourceErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 }
 
-// Faults fails system calls as the kernel would: a number of the next ones, all for some time, or a fraction of them,
-// drawn by a seed. It is safe for concurrent use.
+// Faults makes system calls fail with the kernel's errors: the next n calls, all calls for a duration, or a random
+// fraction of them. It is safe for concurrent use.
 type Faults struct {
-	// SingleByteReads has each read return a single byte. It is set before use.
+	// SingleByteReads makes each read return a single byte. It must be set before Faults is used.
 	SingleByteReads bool
 
-	mu     sync.Mutex // guards all below
-	rng    *rand.Rand
-	plans  [systemCalls]failurePlan
-	failed [systemCalls]int
+	mu       sync.Mutex // guards all below
+	rng      *rand.Rand
+	plans    [systemCallCount]failurePlan
+	failures [systemCallCount]int // calls that have failed
 }
 
-// failurePlan is which of the next uses of a system call fail, and how. The zero value is none.
+// failurePlan determines which of the next uses of a system call fail, and with which error. With the zero value none
+// fails.
 type failurePlan struct {
-	errnos   []syscall.Errno // one of them is drawn
-	next     int             // so many fail
-	until    time.Time       // all fail until then
-	fraction float64         // that fraction fails
+	errnos    []syscall.Errno // the error is drawn from these
+	remaining int             // the number of next uses that fail
+	until     time.Time       // all uses before this moment fail
+	fraction  float64         // the probability that a use fails, 0 to 1
 }
 
-// NewFaults creates faults that fail nothing yet.
+// NewFaults creates a Faults that makes nothing fail yet. The seed determines its random draws.
 func NewFaults(seed uint64) *Faults { return &Faults{rng: rand.New(rand.NewPCG(seed, 1))} }
 
-// FailNext fails the next n uses of a system call.
+// FailNext makes the next n uses of a system call fail with errno.
 func (f *Faults) FailNext(call SystemCall, errno syscall.Errno, n int) {
-	f.set(call, failurePlan{errnos: []syscall.Errno{errno}, next: n})
+	f.set(call, failurePlan{errnos: []syscall.Errno{errno}, remaining: n})
 }
 
-// FailFor fails all uses of a system call for some time.
+// FailFor makes all uses of a system call fail with errno for the given duration.
 func (f *Faults) FailFor(call SystemCall, errno syscall.Errno, duration time.Duration) {
 	f.set(call, failurePlan{errnos: []syscall.Errno{errno}, until: time.Now().Add(duration)})
 }
 
-// FailFraction fails a fraction of all uses of a system call from now on, with errors drawn from those given.
+// FailFraction makes a random fraction of the uses of a system call fail from now on, with errors drawn from errnos.
 func (f *Faults) FailFraction(call SystemCall, fraction float64, errnos ...syscall.Errno) {
 	f.set(call, failurePlan{errnos: errnos, fraction: fraction})
 }
 
-// Stop has nothing fail from now on.
+// Stop ends all failures: no use of a system call fails from now on.
 func (f *Faults) Stop() {
-	for call := range systemCalls {
+	for call := range systemCallCount {
 		f.set(call, failurePlan{})
 	}
 }
 
-// Failed returns how many uses of a system call have failed.
+// Failed returns the number of uses of a system call that Faults has made fail.
 func (f *Faults) Failed(call SystemCall) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failed[call]
+	return f.failures[call]
 }
 
 func (f *Faults) set(call SystemCall, plan failurePlan) {
@@ -91,21 +92,22 @@
 	f.plans[call] = plan
 }
 
-// fail returns the error of a system call that is about to be made; nil if it is to be made.
+// fail decides on a system call that is about to be made. It returns the error to fail it with, or nil if the call is
+// to be made.
 func (f *Faults) fail(call SystemCall, name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	plan := &f.plans[call]
-	if plan.next == 0 && !time.Now().Before(plan.until) && !(plan.fraction > f.rng.Float64()) {
+	if plan.remaining == 0 && !time.Now().Before(plan.until) && !(plan.fraction > f.rng.Float64()) {
 		return nil
 	}
-	plan.next = max(0, plan.next-1)
-	f.failed[call]++
+	plan.remaining = max(0, plan.remaining-1)
+	f.failures[call]++
 	errno := plan.errnos[f.rng.IntN(len(plan.errnos))]
 	return &net.OpError{Op: name, Net: "tcp", Err: os.NewSyscallError(name, errno)}
 }
 
-// Listener wraps a listener so that its accepts fail, and its connections' reads and writes.
+// Listener wraps a listener so that its accepts and the reads and writes of its connections can fail.
 func (f *Faults) Listener(l net.Listener) net.Listener { return &faultyListener{l, f} }
 
 type faultyListener struct {
@@ -113,7 +115,7 @@
 	faults *Faults
 }
 
-// Accept implements net.Listener. Like the kernel's own it may fail with a connection in the queue, which stays there.
+// Accept implements net.Listener. Like accept4 it may fail while a connection is in the queue, which stays there.
 func (l *faultyListener) Accept() (net.Conn, error) {
 	if err := l.faults.fail(Accept, "accept4"); err != nil {
 		return nil, err
@@ -125,7 +127,7 @@
 	return l.faults.Conn(conn), nil
 }
 
-// StartFaulty is StartLogged with system calls that fail by faults.
+// StartFaulty is StartLogged for a node whose system calls fail as faults determines.
 func StartFaulty(t testing.TB, log *zap.Logger, faults *Faults, settings standpoint.Settings,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
@@ -134,7 +136,7 @@
 	})
 }
 
-// Dial is a Dial function whose connects fail, and its connections' reads and writes.
+// Dial is a function of type Dial whose connects can fail, as can the reads and writes of its connections.
 func (f *Faults) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if err := f.fail(Connect, "connect"); err != nil {
 		return nil, err
@@ -146,7 +148,7 @@
 	return f.Conn(conn), nil
 }
 
-// Conn wraps a TCP connection so that its reads and writes fail.
+// Conn wraps a TCP connection so that its reads and writes can fail.
 func (f *Faults) Conn(conn net.Conn) net.Conn { return &faultyConn{conn.(*net.TCPConn), f} }
 
 type faultyConn struct {
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what the program stores, sends and prints with files that an earlier build wrote, which lie
-// under testdata/golden of the package under test. It is for tests alone.
+// Package golden compares what the program stores, sends and prints with golden files: files written by an earlier
+// build, in testdata/golden of the package under test. Only tests use it.
 //
-// A file that is missing fails the test, unless UPDATE_GOLDEN is set in the environment: then it is written. A file
-// that exists is never written over; to change a format on purpose, remove its file first.
+// A missing file fails the test, unless UPDATE_GOLDEN is set in the environment: then the file is written. An existing
+// file is never overwritten; to change a format on purpose, remove its file first.
 package golden
 
 import (
@@ -17,30 +17,30 @@
 )
 
 const (
-	directory  = "testdata/golden"
-	updateFlag = "UPDATE_GOLDEN"
+	goldenDirectory = "testdata/golden"
+	updateVariable  = "UPDATE_GOLDEN"
 )
 
-// Path is the place of the golden file called name.
-func Path(name string) string { return filepath.Join(directory, name) }
+// Path returns the path of the golden file called name, relative to the package under test.
+func Path(name string) string { return filepath.Join(goldenDirectory, name) }
 
-// Read returns the golden file called name. Where it is missing and UPDATE_GOLDEN is set, it is first written with
-// what write returns.
+// Read returns the content of the golden file called name. If the file is missing and UPDATE_GOLDEN is set, Read first
+// writes it with the content that write returns.
 func Read(t testing.TB, name string, write func() []byte) []byte {
 	t.Helper()
 	path := Path(name)
 	content, err := os.ReadFile(path)
-	if os.IsNotExist(err) && os.Getenv(updateFlag) != "" {
+	if os.IsNotExist(err) && os.Getenv(updateVariable) != "" {
 		content = write()
 		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
 		require.NoError(t, os.WriteFile(path, content, 0o644))
 		return content
 	}
-	require.NoError(t, err, "golden file")
+	require.NoError(t, err, "reading a golden file")
 	return content
 }
 
-// Bytes fails the test unless got is, byte by byte, the content of the golden file called name.
+// Bytes fails the test unless got equals the content of the golden file called name, byte by byte.
 func Bytes(t testing.TB, name string, got []byte) {
 	t.Helper()
 	want := Read(t, name, func() []byte { return got })
@@ -48,57 +48,57 @@
 }
 
 // RoundTrip fails the test unless the golden file called name decodes to value, and value encodes to the file's
-// bytes. Every exported field within value has to be set, since a field at its zero value would not show that its
-// name has changed; unset names the paths of those that may be left, as Unset reports them.
+// bytes. Every exported field within value must be set, because a field at its zero value does not reveal that its
+// encoded name has changed; allowedUnset lists the paths, as returned by Unset, of the fields that need not be set.
 func RoundTrip[T any](
 	t testing.TB,
 	name string,
 	value T,
 	encode func(T) ([]byte, error),
 	decode func([]byte) (T, error),
-	unset ...string,
+	allowedUnset ...string,
 ) {
 	t.Helper()
 	for _, path := range Unset(value) {
-		require.Contains(t, unset, path, "a field of the sample that is not set")
+		require.Contains(t, allowedUnset, path, "field of the sample value is not set")
 	}
 	encoded, err := encode(value)
 	require.NoError(t, err)
 	want := Read(t, name, func() []byte { return encoded })
 	decoded, err := decode(want)
 	require.NoError(t, err, "decoding %s", Path(name))
-	require.Equal(t, value, decoded, "%s means something else", Path(name))
-	require.Equal(t, string(want), string(encoded), "%s is encoded otherwise", Path(name))
+	require.Equal(t, value, decoded, "%s decodes to another value", Path(name))
+	require.Equal(t, string(want), string(encoded), "value encodes to other bytes than %s", Path(name))
 }
 
-// Unset lists the paths of the exported fields within value that are at their zero value, such as "Lease.Until" or
+// Unset returns the paths of the exported fields within value that have their zero value, such as "Lease.Until" or
 // "Loans[0].Last".
 func Unset(value any) []string {
 	var paths []string
-	walk(reflect.ValueOf(value), "", &paths)
+	collectUnset(reflect.ValueOf(value), "", &paths)
 	return paths
 }
 
-func walk(value reflect.Value, path string, paths *[]string) {
+func collectUnset(value reflect.Value, path string, paths *[]string) {
 	if !value.IsValid() || value.IsZero() {
 		*paths = append(*paths, path)
 		return
 	}
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		walk(value.Elem(), path, paths)
+		collectUnset(value.Elem(), path, paths)
 	case reflect.Struct:
-		walkFields(value, path, paths)
+		collectUnsetFields(value, path, paths)
 	case reflect.Slice, reflect.Array:
-		walkElements(value, path, paths)
+		collectUnsetElements(value, path, paths)
 	case reflect.Map:
 		for _, key := range value.MapKeys() {
-			walk(value.MapIndex(key), fmt.Sprintf("%s[%v]", path, key), paths)
+			collectUnset(value.MapIndex(key), fmt.Sprintf("%s[%v]", path, key), paths)
 		}
 	}
 }
 
-func walkFields(value reflect.Value, path string, paths *[]string) {
+func collectUnsetFields(value reflect.Value, path string, paths *[]string) {
 	if value.Type() == reflect.TypeFor[time.Time]() {
 		return
 	}
@@ -111,18 +111,19 @@
 		if path != "" {
 			name = path + "." + name
 		}
-		walk(value.Field(i), name, paths)
+		collectUnset(value.Field(i), name, paths)
 	}
 }
 
-// walkElements looks into the elements of slices of structs and the like; elements of plain slices may be zero.
-func walkElements(value reflect.Value, path string, paths *[]string) {
+// collectUnsetElements checks the elements of slices and arrays of composite types. Elements of other types may be
+// zero.
+func collectUnsetElements(value reflect.Value, path string, paths *[]string) {
 	switch value.Type().Elem().Kind() {
 	case reflect.Struct, reflect.Pointer, reflect.Map, reflect.Slice:
 	default:
 		return
 	}
 	for i := range value.Len() {
-		walk(value.Index(i), fmt.Sprintf("%s[%d]", path, i), paths)
+		collectUnset(value.Index(i), fmt.Sprintf("%s[%d]", path, i), paths)
 	}
 }
--- a/internal/testpeer/held.go
+++ b/internal/testpeer/held.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// wrappedListener passes each connection that it accepts through wrap.
+// wrappedListener applies wrap to each connection that it accepts.
 type wrappedListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
@@ -21,65 +21,65 @@
 	return l.wrap(conn), nil
 }
 
-// HeldReads wraps a node's connections from its clients, and can hold a read back behind the kernel's own: the bytes
-// have left the socket then, and the node has not got them.
-type HeldReads struct {
-	Received chan struct{} // gets a value once bytes have come that are held back
-	Release  chan struct{} // a value hands them on
-	Accepted chan struct{} // gets a value for each connection; holds a hundred
-	holding  atomic.Bool
+// ReadBlocker wraps a node's client connections and can block a read after the system call has returned: the bytes have
+// left the socket by then, but the node has not received them.
+type ReadBlocker struct {
+	Received chan struct{} // receives a value when a read that returned bytes is blocked
+	Release  chan struct{} // a value sent here lets the blocked read return
+	Accepted chan struct{} // receives a value for each accepted connection; buffers 100
+	armed    atomic.Bool   // the next read that returns bytes is blocked
 }
 
-// HoldReads creates a HeldReads; nothing is held back before HoldNext.
-func HoldReads() *HeldReads {
-	return &HeldReads{
+// HoldReads creates a ReadBlocker, which blocks no read before HoldNext is called.
+func HoldReads() *ReadBlocker {
+	return &ReadBlocker{
 		Received: make(chan struct{}),
 		Release:  make(chan struct{}),
 		Accepted: make(chan struct{}, 100),
 	}
 }
 
-// HoldNext holds the next read back that brings anything, on whichever connection.
-func (h *HeldReads) HoldNext() { h.holding.Store(true) }
+// HoldNext makes the next read that returns bytes block, on whichever connection it is.
+func (h *ReadBlocker) HoldNext() { h.armed.Store(true) }
 
 // Conn wraps an accepted TCP connection.
-func (h *HeldReads) Conn(conn net.Conn) net.Conn {
+func (h *ReadBlocker) Conn(conn net.Conn) net.Conn {
 	h.Accepted <- struct{}{}
-	return &heldConn{conn.(*net.TCPConn), h}
+	return &blockedConn{conn.(*net.TCPConn), h}
 }
 
-type heldConn struct {
+type blockedConn struct {
 	*net.TCPConn
-	held *HeldReads
+	blocker *ReadBlocker
 }
 
 // Read implements net.Conn.
-func (c *heldConn) Read(b []byte) (int, error) {
+func (c *blockedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if n > 0 && c.held.holding.CompareAndSwap(true, false) {
-		c.held.Received <- struct{}{}
-		<-c.held.Release
+	if n > 0 && c.blocker.armed.CompareAndSwap(true, false) {
+		c.blocker.Received <- struct{}{}
+		<-c.blocker.Release
 	}
 	return n, err
 }
 
-// HeldDials dials backends, and holds the first connections back once they are established.
-type HeldDials struct {
-	Connected chan string   // gets the address of each connection that is held back
-	Release   chan struct{} // a value hands one on
+// DialBlocker dials backends and blocks the first dials after their connections have been established.
+type DialBlocker struct {
+	Connected chan string   // receives the address of each dial that is blocked
+	Release   chan struct{} // a value sent here lets one blocked dial return
 
-	remaining atomic.Int32 // dials that are still to be held back
+	remaining atomic.Int32 // the number of dials that are still to be blocked
 }
 
-// HoldDials creates a HeldDials that holds the first n dials back.
-func HoldDials(n int) *HeldDials {
-	h := &HeldDials{Connected: make(chan string, n), Release: make(chan struct{}, n)}
+// HoldDials creates a DialBlocker that blocks the first n dials.
+func HoldDials(n int) *DialBlocker {
+	h := &DialBlocker{Connected: make(chan string, n), Release: make(chan struct{}, n)}
 	h.remaining.Store(int32(n))
 	return h
 }
 
-// Dial is a Dial function.
-func (h *HeldDials) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+// Dial is a function of type Dial. A cancellation of ctx does not end it.
+func (h *DialBlocker) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, address)
 	if err != nil || h.remaining.Add(-1) < 0 {
 		return conn, err
--- a/internal/testpeer/node.go
+++ b/internal/testpeer/node.go
@@ -1,5 +1,5 @@
-// Package testpeer holds what tests share: scripted backends on loopback sockets, and a node wired to them in process.
-// Only tests use it.
+// Package testpeer provides helpers for tests: scripted backends on loopback sockets, and a node that runs in the
+// test's process and is connected to them. Only tests use it.
 package testpeer
 
 import (
@@ -23,9 +23,9 @@
 )
 
 const (
-	maxRequests    = 300 // open at a node at once
-	maxConnections = 300 // of a node's clients
-	maxBodyBytes   = 8 << 20
+	maxRequests    = 300     // open requests of a node at the same time
+	maxConnections = 300     // client connections of a node at the same time
+	maxBodyBytes   = 8 << 20 // request bodies of a node in total
 )
 
 // Settings returns the settings of a small deployment with one class and one tenant.
@@ -50,7 +50,7 @@
 	}
 }
 
-// Names are the names that go with Settings.
+// Names are the names of the classes, tenants, zones and kinds of Settings.
 var Names = config.Names{
 	Classes: []string{"chat"},
 	Tenants: []string{"acme"},
@@ -58,8 +58,8 @@
 	Kinds:   []string{"m"},
 }
 
-// Node is a node in process, on loopback and without discovery: its core, its backends and its HTTP front. It stops
-// with the test.
+// Node is a node that runs in the test's process, on loopback and without discovery: its core, its backends and its
+// HTTP server. It stops when the test ends.
 type Node struct {
 	Core        *node.Core
 	Backends    *backend.Fleet
@@ -68,37 +68,37 @@
 	Bodies      *node.TenantLimiter
 	Metrics     *metrics.Counters
 	Server      *http.Server
-	URL         string // of its front
-	Address     string // of its front
+	URL         string // the base URL of Server
+	Address     string // the listen address of Server
 
-	requestCount atomic.Uint64
+	requestCount atomic.Uint64 // requests made by Chat, which takes their ids from it
 	t            testing.TB
 }
 
-// Dial opens a connection to a backend.
+// Dial is a function that opens a connection to a backend.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Start starts a node with the given backends.
+// Start starts a node with the given settings and endpoint list.
 func Start(t testing.TB, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
 	t.Helper()
 	return start(t, startOptions{settings: settings, endpoints: endpoints})
 }
 
-// StartLogged is Start with a log that the test looks into.
+// StartLogged is Start with a logger whose output the test checks.
 func StartLogged(t testing.TB, log *zap.Logger, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
 	t.Helper()
 	return start(t, startOptions{log: log, settings: settings, endpoints: endpoints})
 }
 
-// StartDialing is StartLogged with a function that dials backends; nil stands for the usual one.
+// StartDialing is StartLogged with a function that dials backends; nil stands for the default one.
 func StartDialing(t testing.TB, log *zap.Logger, settings standpoint.Settings, dial Dial,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
 	return start(t, startOptions{log: log, dial: dial, settings: settings, endpoints: endpoints})
 }
 
-// StartWrapped is Start with a function that wraps each connection that the node accepts, and one that dials backends;
-// nil stands for the usual one.
+// StartWrapped is Start with a function that wraps each connection that the node accepts and a function that dials
+// backends; nil stands for the default dial function.
 func StartWrapped(t testing.TB, wrap func(net.Conn) net.Conn, dial Dial, settings standpoint.Settings,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
@@ -106,17 +106,17 @@
 	return start(t, startOptions{listen: listen, dial: dial, settings: settings, endpoints: endpoints})
 }
 
-// startOptions are how a node is started.
+// startOptions are the options of start.
 type startOptions struct {
-	log       *zap.Logger                     // nil: none
-	listen    func(net.Listener) net.Listener // wraps the listener for clients; nil: none does
-	dial      Dial                            // dials backends; nil: the usual one
+	log       *zap.Logger                     // nil: nothing is logged
+	listen    func(net.Listener) net.Listener // wraps the listener for clients; nil: it is not wrapped
+	dial      Dial                            // dials backends; nil: the default one
 	settings  standpoint.Settings
 	endpoints []node.Endpoint
 }
 
-// start wires a node and starts it. The test fails if the node has failed more than one in 200 requests without an
-// attempt.
+// start assembles a node and starts it. At its end the test fails if more than one in 200 of the node's requests failed
+// without having been sent to a backend.
 func start(t testing.TB, options startOptions) *Node {
 	t.Helper()
 	if options.log == nil {
@@ -131,7 +131,7 @@
 		Seed:        1,
 		MaxRequests: maxRequests,
 		Backends:    n.Backends,
-		Watcher:     noWatcher{},
+		Watcher:     emptyWatcher{},
 		Metrics:     n.Metrics,
 		Log:         options.log,
 	})
@@ -140,7 +140,8 @@
 	var core sync.WaitGroup
 	core.Go(func() { n.Core.Run(ctx) })
 	n.listen(options)
-	// The server is closed, but not waited for: a test may hold an accept back, and would hang where it fails.
+	// The test's end closes the server but does not wait for Serve to return: a test may block an accept, and its
+	// cleanup would hang after a failure.
 	go func() { _ = n.Server.Serve(n.Connections) }()
 	t.Cleanup(func() {
 		require.LessOrEqual(t, 200*n.Metrics.FailedUnsentCount(metrics.Abandoned), n.Metrics.RequestTotal())
@@ -152,7 +153,7 @@
 	return n
 }
 
-// newBackends creates the node's side of its backends, with short times.
+// newBackends creates the node's backend connections, with short timeouts.
 func newBackends(options startOptions) *backend.Fleet {
 	return backend.New(backend.Options{
 		DialTimeout: 100 * time.Millisecond,
@@ -169,7 +170,7 @@
 	})
 }
 
-// listen opens the listener for clients and creates the server on it.
+// listen opens the listener for clients and creates the HTTP server for it.
 func (n *Node) listen(options startOptions) {
 	n.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,13 +193,13 @@
 	n.Server = edge.NewServer(front.Handler(), n.Connections, options.log)
 }
 
-// noWatcher is an EndpointWatcher without a source.
-type noWatcher struct{}
+// emptyWatcher is a node.EndpointWatcher that delivers no endpoint lists.
+type emptyWatcher struct{}
 
 // Watch implements node.EndpointWatcher.
-func (noWatcher) Watch() {}
+func (emptyWatcher) Watch() {}
 
-// Dial opens a client connection, which is closed with the test.
+// Dial opens a client connection to the node, which is closed when the test ends.
 func (n *Node) Dial() net.Conn {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.Address)
@@ -207,12 +208,12 @@
 	return conn
 }
 
-// UpdateEndpoints gives the node a full endpoint list.
+// UpdateEndpoints passes a full endpoint list to the node's core.
 func (n *Node) UpdateEndpoints(endpoints ...node.Endpoint) {
 	n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListFull, Endpoints: endpoints})
 }
 
-// WaitForCore waits until the node's core has handled all that was sent to it before.
+// WaitForCore waits until the node's core has handled all messages sent to it before the call.
 func (n *Node) WaitForCore() {
 	n.t.Helper()
 	require.NotNil(n.t, n.Core.ExportLearned(n.t.Context()))
--- a/internal/testpeer/release/release.go
+++ b/internal/testpeer/release/release.go
@@ -1,5 +1,5 @@
-// Package release builds the program as it was before the names of the tree were made readable, for tests that run it
-// beside the present one. It is for tests alone.
+// Package release builds an earlier version of the program, from before the identifiers of the source were renamed, for
+// tests that run it together with the current version. Only tests use it.
 package release
 
 import (
@@ -10,20 +10,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Commit is what the earlier program is built from.
+// Commit is the commit from which the earlier version is built.
 const Commit = "9cb399972a5c60b9fc543e6b5aa7a4a5bb4d0b3d"
 
-// Program builds the program of Commit from the repository's history and returns its path. A clone without that
-// history skips the test.
+// Program builds the program at Commit from the repository's history and returns the path of the executable. It skips
+// the test in a clone whose history lacks Commit.
 func Program(t testing.TB) string {
 	t.Helper()
-	root := output(t, "", "git", "rev-parse", "--show-toplevel")
-	if err := command(root, "git", "cat-file", "-e", Commit).Run(); err != nil {
-		t.Skipf("the history of this clone does not reach back to %s", Commit)
+	root := runCommand(t, "", "git", "rev-parse", "--show-toplevel")
+	if err := newCommand(root, "git", "cat-file", "-e", Commit).Run(); err != nil {
+		t.Skipf("the history of this clone does not contain commit %s", Commit)
 	}
 	dir := t.TempDir()
 	archive := filepath.Join(dir, "source.tar")
-	output(
+	runCommand(
 		t,
 		root,
 		"git",
@@ -38,22 +38,22 @@
 		"cmd",
 		"internal",
 	)
-	output(t, dir, "tar", "-xf", archive)
+	runCommand(t, dir, "tar", "-xf", archive)
 	program := filepath.Join(dir, "standpoint-before")
-	output(t, dir, "go", "build", "-trimpath", "-o", program, "./cmd/standpoint")
+	runCommand(t, dir, "go", "build", "-trimpath", "-o", program, "./cmd/standpoint")
 	return program
 }
 
-func command(dir, name string, args ...string) *exec.Cmd {
+func newCommand(dir, name string, args ...string) *exec.Cmd {
 	c := exec.Command(name, args...)
 	c.Dir = dir
 	return c
 }
 
-// output runs a command that has to succeed and returns what it printed, without the line's end.
-func output(t testing.TB, dir, name string, args ...string) string {
+// runCommand runs a command, which must succeed, and returns its output without a final newline.
+func runCommand(t testing.TB, dir, name string, args ...string) string {
 	t.Helper()
-	out, err := command(dir, name, args...).CombinedOutput()
+	out, err := newCommand(dir, name, args...).CombinedOutput()
 	require.NoError(t, err, string(out))
 	if n := len(out); n > 0 && out[n-1] == '\n' {
 		out = out[:n-1]
--- a/internal/testpeer/request.go
+++ b/internal/testpeer/request.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Chat returns a well-formed request to the node; edit, if not nil, changes it.
+// Chat returns a well-formed chat request to the node, with an id of its own. If edit is not nil, it may change the
+// request.
 func (n *Node) Chat(ctx context.Context, edit func(*http.Request)) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, n.URL+"/v1/chat/completions",
 		strings.NewReader(`{"model":"chat","stream":true,"messages":[{"role":"user","content":"hello"}]}`))
@@ -33,7 +34,7 @@
 	return r
 }
 
-// Do sends a request and reads the complete answer; err is how its body ended.
+// Do sends a request and reads the answer to its end; err is the error of reading its body.
 func (n *Node) Do(r *http.Request) (status int, header http.Header, body string, err error) {
 	n.t.Helper()
 	response, err := http.DefaultClient.Do(r)
@@ -43,8 +44,8 @@
 	return response.StatusCode, response.Header, string(raw), err
 }
 
-// ChatRequest returns a request to a node in a process of its own, whose settings have a class "chat" and no tenants.
-// The content of its message is its id.
+// ChatRequest returns a request to a node that runs in a separate process and whose settings have a class "chat" and no
+// tenants. The content of the request's message is its id.
 func ChatRequest(t testing.TB, address, traceID, timeout string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions",
@@ -60,11 +61,11 @@
 	}
 }
 
-// Upload returns the body of an upload of a batch file, and its content type.
+// Upload returns the content type and the body of a request that uploads a batch file with the given content.
 func Upload(content string) (contentType string, body *bytes.Buffer) {
 	body = &bytes.Buffer{}
 	form := multipart.NewWriter(body)
-	_ = form.WriteField("purpose", "batch") // into memory: cannot fail
+	_ = form.WriteField("purpose", "batch") // writes to memory, which cannot fail
 	part, _ := form.CreateFormFile("file", "sheets.jsonl")
 	_, _ = io.WriteString(part, content)
 	_ = form.Close()
