--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -1,6 +1,6 @@
-// Package faults stands between the processes of a test and does to what they send each other what networks do: it drops, delays,
-// reorders, doubles, stalls, cuts silently and resets, each direction of each pair for itself, as it is told. All of it is on
-// loopback.
+// Package faults relays the traffic between the processes of a test over loopback and injects network faults into it.
+// Each direction between two parties has conditions of its own: packets can be dropped, delayed, reordered and
+// duplicated, streams can be delayed, stalled without notice and reset.
 package faults
 
 import (
@@ -14,87 +14,97 @@
 	"time"
 )
 
-// Way is how one direction of a pair is. The zero value is a good one.
-type Way struct {
-	Cut    bool          // nothing gets through and nothing is said; a stream goes on where it stood once this ends
-	Loss   float64       // of packets; a stream's pieces come a round trip later instead
-	Double float64       // of packets
-	Delay  time.Duration // of both
-	Spread time.Duration // drawn in addition, for each packet: they overtake each other
+// Conditions are the conditions of one direction between two parties. The zero value injects no faults.
+type Conditions struct {
+	// Blocked drops all packets and stalls streams without an error. A stream continues where it stopped once the
+	// direction is no longer blocked.
+	Blocked       bool
+	LossRate      float64       // the fraction of packets dropped; of a stream's chunks, delayed by retransmitDelay
+	DuplicateRate float64       // the fraction of packets that are duplicated
+	Delay         time.Duration // the delay of each packet and of each chunk of a stream
+	Jitter        time.Duration // the bound of a random delay that is added for each packet and so reorders packets
 }
 
 const (
-	resend    = 200 * time.Millisecond // by which a stream's piece is late that was lost
-	packetTop = 64 << 10
-	heldTop   = 4096 // packets that are under way at once
-	pieceTop  = 16 << 10
+	retransmitDelay   = 200 * time.Millisecond // the delay added to a stream's chunk in place of its loss
+	maxPacketBytes    = 64 << 10               // the size of the buffer for a UDP packet
+	maxDelayedPackets = 4096                   // the number of delayed packets above which further ones are dropped
+	maxChunkBytes     = 16 << 10               // the size of the buffer for a stream's chunk
 )
 
-// Net is the relays between so many parties.
-type Net struct {
-	mu    sync.Mutex
-	ways  map[[2]int]Way
-	moved chan struct{} // closed and made anew at each change
-	rng   *rand.Rand
-	close []io.Closer
-	done  chan struct{}
-	held  atomic.Int64
-	conns map[net.Conn][2]int
-	// Passed and Lost count packets.
-	Passed, Lost atomic.Int64
+// Network relays the traffic between parties, which are identified by numbers. It is safe for concurrent use.
+type Network struct {
+	mu             sync.Mutex            // guards conditions, changed, rng, closers and pairs
+	conditions     map[[2]int]Conditions // by sender and receiver
+	changed        chan struct{}         // closed and replaced at each change of conditions
+	rng            *rand.Rand
+	closers        []io.Closer // the relays' listeners and packet connections
+	done           chan struct{}
+	delayedPackets atomic.Int64        // packets that are delayed at present
+	pairs          map[net.Conn][2]int // the parties of each open stream's connections, the one that dialled first
+	// Forwarded and Dropped count packets. A duplicate counts as a packet of its own.
+	Forwarded, Dropped atomic.Int64
 }
 
-// New makes relays whose draws come from a seed.
-func New(seed uint64) *Net {
-	return &Net{ways: map[[2]int]Way{}, moved: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 9)), done: make(chan struct{}), conns: map[net.Conn][2]int{}}
+// New creates a network whose random draws are determined by seed.
+func New(seed uint64) *Network {
+	return &Network{
+		conditions: map[[2]int]Conditions{},
+		changed:    make(chan struct{}),
+		rng:        rand.New(rand.NewPCG(seed, 9)),
+		done:       make(chan struct{}),
+		pairs:      map[net.Conn][2]int{},
+	}
 }
 
-// Set changes one direction.
-func (n *Net) Set(from, to int, w Way) {
+// SetConditions sets the conditions of one direction.
+func (n *Network) SetConditions(from, to int, conditions Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ways[[2]int{from, to}] = w
-	close(n.moved)
-	n.moved = make(chan struct{})
+	n.conditions[[2]int{from, to}] = conditions
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// Heal makes all directions good.
-func (n *Net) Heal() {
+// ClearConditions ends the injection of faults in all directions.
+func (n *Network) ClearConditions() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.ways)
-	close(n.moved)
-	n.moved = make(chan struct{})
+	clear(n.conditions)
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// Reset ends all streams between two parties, as a machine does that has forgotten them.
-func (n *Net) Reset(a, b int) {
+// ResetStreams resets all streams between two parties, as a host does that has lost its connection state.
+func (n *Network) ResetStreams(a, b int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c, pair := range n.conns {
+	for conn, pair := range n.pairs {
 		if pair == [2]int{a, b} || pair == [2]int{b, a} {
-			if t, ok := c.(*net.TCPConn); ok {
-				_ = t.SetLinger(0)
+			if tcp, ok := conn.(*net.TCPConn); ok {
+				_ = tcp.SetLinger(0)
 			}
-			c.Close()
+			conn.Close()
 		}
 	}
 }
 
-func (n *Net) way(from, to int) (Way, <-chan struct{}) {
+// conditionsOf returns the conditions of a direction and a channel that is closed when conditions change.
+func (n *Network) conditionsOf(from, to int) (Conditions, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ways[[2]int{from, to}], n.moved
+	return n.conditions[[2]int{from, to}], n.changed
 }
 
-func (n *Net) draw() float64 {
+// random returns a random number in [0, 1).
+func (n *Network) random() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
 }
 
-// Close ends all relays.
-func (n *Net) Close() {
+// Close stops all relays and closes their connections.
+func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -103,91 +113,95 @@
 	default:
 		close(n.done)
 	}
-	for _, c := range n.close {
-		c.Close()
+	for _, closer := range n.closers {
+		closer.Close()
 	}
-	for c := range n.conns {
-		c.Close()
+	for conn := range n.pairs {
+		conn.Close()
 	}
 }
 
-// Stream relays TCP connections that one party opens to another, which listens at target. It returns where the first dials.
-func (n *Net) Stream(from, to int, target string) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// RelayTCP relays the TCP connections that party from opens to party to, which listens at target. It returns the
+// address that from must dial.
+func (n *Network) RelayTCP(from, to int, target string) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	n.streams(l, from, to, target)
-	return l.Addr().String(), nil
+	n.acceptStreams(listener, from, to, target)
+	return listener.Addr().String(), nil
 }
 
-// Both relays TCP and UDP at one address.
-func (n *Net) Both(from, to int, target string) (string, error) {
+// RelayTCPAndUDP is RelayTCP for TCP connections and UDP packets, both at the returned address.
+func (n *Network) RelayTCPAndUDP(from, to int, target string) (string, error) {
 	for range 50 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return "", err
 		}
-		_, port, _ := net.SplitHostPort(l.Addr().String()) // a listener's own address
-		number, _ := strconv.Atoi(port)
-		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: number})
+		_, portText, _ := net.SplitHostPort(listener.Addr().String()) // the address of a listener is well-formed
+		port, _ := strconv.Atoi(portText)
+		packets, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: port})
 		if err != nil {
-			l.Close() // somebody has that port for UDP
+			listener.Close() // another process uses that port for UDP
 			continue
 		}
-		n.streams(l, from, to, target)
-		if err := n.packets(u, from, to, target); err != nil {
+		n.acceptStreams(listener, from, to, target)
+		if err := n.relayUDP(packets, from, to, target); err != nil {
 			return "", err
 		}
-		return l.Addr().String(), nil
+		return listener.Addr().String(), nil
 	}
 	return "", errors.New("no port is free for both TCP and UDP")
 }
 
-func (n *Net) keep(c io.Closer) {
+// addCloser makes Close close c.
+func (n *Network) addCloser(c io.Closer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.close = append(n.close, c)
+	n.closers = append(n.closers, c)
 }
 
-func (n *Net) packets(u *net.UDPConn, from, to int, target string) error {
-	n.keep(u)
+// relayUDP starts to relay the packets that arrive at in to target.
+func (n *Network) relayUDP(in *net.UDPConn, from, to int, target string) error {
+	n.addCloser(in)
 	out, err := net.Dial("udp", target)
 	if err != nil {
 		return err
 	}
-	n.keep(out)
+	n.addCloser(out)
 	go func() {
-		b := make([]byte, packetTop)
+		buffer := make([]byte, maxPacketBytes)
 		for {
-			size, _, err := u.ReadFromUDP(b)
+			size, _, err := in.ReadFromUDP(buffer)
 			if err != nil {
 				return
 			}
-			w, _ := n.way(from, to)
-			if w.Cut || w.Loss > 0 && n.draw() < w.Loss || n.held.Load() > heldTop {
-				n.Lost.Add(1)
+			conditions, _ := n.conditionsOf(from, to)
+			if conditions.Blocked || conditions.LossRate > 0 && n.random() < conditions.LossRate ||
+				n.delayedPackets.Load() > maxDelayedPackets {
+				n.Dropped.Add(1)
 				continue
 			}
-			times := 1
-			if w.Double > 0 && n.draw() < w.Double {
-				times = 2
+			copies := 1
+			if conditions.DuplicateRate > 0 && n.random() < conditions.DuplicateRate {
+				copies = 2
 			}
-			for range times {
-				late := w.Delay
-				if w.Spread > 0 {
-					late += time.Duration(n.draw() * float64(w.Spread))
+			for range copies {
+				delay := conditions.Delay
+				if conditions.Jitter > 0 {
+					delay += time.Duration(n.random() * float64(conditions.Jitter))
 				}
-				n.Passed.Add(1)
-				if late == 0 {
-					_, _ = out.Write(b[:size]) // nobody there is a lost packet
+				n.Forwarded.Add(1)
+				if delay == 0 {
+					_, _ = out.Write(buffer[:size]) // a packet that nobody receives is lost
 					continue
 				}
-				piece := append([]byte(nil), b[:size]...)
-				n.held.Add(1)
-				time.AfterFunc(late, func() {
-					n.held.Add(-1)
-					_, _ = out.Write(piece)
+				packet := append([]byte(nil), buffer[:size]...)
+				n.delayedPackets.Add(1)
+				time.AfterFunc(delay, func() {
+					n.delayedPackets.Add(-1)
+					_, _ = out.Write(packet)
 				})
 			}
 		}
@@ -195,91 +209,96 @@
 	return nil
 }
 
-func (n *Net) streams(l net.Listener, from, to int, target string) {
-	n.keep(l)
+// acceptStreams starts to relay the connections that listener accepts to target.
+func (n *Network) acceptStreams(listener net.Listener, from, to int, target string) {
+	n.addCloser(listener)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go n.relay(c, from, to, target)
+			go n.relayConn(conn, from, to, target)
 		}
 	}()
 }
 
-func (n *Net) note(c net.Conn, pair [2]int) {
+// addConn records an open connection and the parties of its stream.
+func (n *Network) addConn(conn net.Conn, pair [2]int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conns[c] = pair
+	n.pairs[conn] = pair
 }
 
-func (n *Net) drop(c net.Conn) {
+// closeConn removes and closes a connection that addConn recorded.
+func (n *Network) closeConn(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.conns, c)
-	c.Close()
+	delete(n.pairs, conn)
+	conn.Close()
 }
 
-// passes waits until a direction is not cut. False: the relays have ended.
-func (n *Net) passes(from, to int) (Way, bool) {
+// waitUnblocked waits until a direction is not blocked and returns its conditions. It reports whether that came about
+// before the network was closed.
+func (n *Network) waitUnblocked(from, to int) (Conditions, bool) {
 	for {
-		w, moved := n.way(from, to)
-		if !w.Cut {
-			return w, true
+		conditions, changed := n.conditionsOf(from, to)
+		if !conditions.Blocked {
+			return conditions, true
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-n.done:
-			return w, false
+			return conditions, false
 		}
 	}
 }
 
-func (n *Net) relay(near net.Conn, from, to int, target string) {
-	n.note(near, [2]int{from, to})
-	defer n.drop(near)
-	if _, ok := n.passes(from, to); !ok { // the first packet of the connection does not get through either
+// relayConn relays an accepted connection to target until it ends.
+func (n *Network) relayConn(near net.Conn, from, to int, target string) {
+	n.addConn(near, [2]int{from, to})
+	defer n.closeConn(near)
+	if _, ok := n.waitUnblocked(from, to); !ok { // a blocked direction also stalls the opening of connections
 		return
 	}
 	far, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
-		if t, ok := near.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // refused
+		if tcp, ok := near.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // the close resets the connection, as if it had been refused
 		}
 		return
 	}
-	n.note(far, [2]int{from, to})
-	defer n.drop(far)
+	n.addConn(far, [2]int{from, to})
+	defer n.closeConn(far)
 	ended := make(chan struct{}, 2)
-	pipe := func(in, out net.Conn, from, to int) {
+	pipe := func(source, destination net.Conn, from, to int) {
 		defer func() { ended <- struct{}{} }()
-		b := make([]byte, pieceTop)
+		buffer := make([]byte, maxChunkBytes)
 		for {
-			size, err := in.Read(b)
+			size, err := source.Read(buffer)
 			if size > 0 {
-				w, ok := n.passes(from, to)
+				conditions, ok := n.waitUnblocked(from, to)
 				if !ok {
 					return
 				}
-				late := w.Delay
-				if w.Loss > 0 && n.draw() < w.Loss {
-					late += resend
+				delay := conditions.Delay
+				if conditions.LossRate > 0 && n.random() < conditions.LossRate {
+					delay += retransmitDelay
 				}
-				if late > 0 {
+				if delay > 0 {
 					select {
-					case <-time.After(late):
+					case <-time.After(delay):
 					case <-n.done:
 						return
 					}
 				}
-				if _, werr := out.Write(b[:size]); werr != nil {
+				if _, writeErr := destination.Write(buffer[:size]); writeErr != nil {
 					return
 				}
 			}
 			if err != nil {
-				if t, ok := out.(*net.TCPConn); ok && err == io.EOF {
-					_ = t.CloseWrite()
+				if tcp, ok := destination.(*net.TCPConn); ok && err == io.EOF {
+					_ = tcp.CloseWrite()
 				}
 				return
 			}
@@ -288,7 +307,7 @@
 	go pipe(near, far, from, to)
 	go pipe(far, near, to, from)
 	<-ended
-	select { // what is left of the other direction has a moment
+	select { // the other direction gets up to a second to finish
 	case <-ended:
 	case <-time.After(time.Second):
 	case <-n.done:
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -9,96 +9,105 @@
 	"github.com/stretchr/testify/require"
 )
 
-func echo(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startEcho starts a TCP server that echoes what it receives, with an unused UDP socket at the same address, which it
+// returns.
+func startEcho(t *testing.T) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { l.Close() })
-	u, err := net.ListenPacket("udp", l.Addr().String())
+	t.Cleanup(func() { listener.Close() })
+	packets, err := net.ListenPacket("udp", listener.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(func() { u.Close() })
+	t.Cleanup(func() { packets.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(c, c) }()
+			go func() { _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// A cut says nothing, in one direction alone if it is told so, and what stood in it goes on once it ends; a reset is one.
+// TestStreams checks that a blocked direction stalls a stream without an error, even if the other direction is open,
+// that the stalled bytes arrive once the direction is unblocked, and that a reset ends the stream.
 func TestStreams(t *testing.T) {
-	n := New(1)
-	defer n.Close()
-	address, err := n.Both(0, 1, echo(t))
+	network := New(1)
+	defer network.Close()
+	address, err := network.RelayTCPAndUDP(0, 1, startEcho(t))
 	require.NoError(t, err)
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	defer c.Close()
-	say := func(s string) { _, err := io.WriteString(c, s); require.NoError(t, err) }
-	hear := func(want string) {
-		b := make([]byte, len(want))
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
-		_, err := io.ReadFull(c, b)
+	defer conn.Close()
+	send := func(text string) { _, err := io.WriteString(conn, text); require.NoError(t, err) }
+	receive := func(want string) {
+		buffer := make([]byte, len(want))
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
+		_, err := io.ReadFull(conn, buffer)
 		require.NoError(t, err)
-		require.Equal(t, want, string(b))
+		require.Equal(t, want, string(buffer))
 	}
-	silent := func() {
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
-		_, err := c.Read(make([]byte, 1))
-		var late net.Error
-		require.ErrorAs(t, err, &late)
-		require.True(t, late.Timeout())
+	receiveNothing := func() {
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
+		_, err := conn.Read(make([]byte, 1))
+		var timeout net.Error
+		require.ErrorAs(t, err, &timeout)
+		require.True(t, timeout.Timeout())
 	}
-	say("one")
-	hear("one")
+	send("one")
+	receive("one")
 	for _, pair := range [][2]int{{0, 1}, {1, 0}} {
-		n.Set(pair[0], pair[1], Way{Cut: true})
-		say("two")
-		silent()
-		n.Heal()
-		hear("two")
+		network.SetConditions(pair[0], pair[1], Conditions{Blocked: true})
+		send("two")
+		receiveNothing()
+		network.ClearConditions()
+		receive("two")
 	}
-	n.Reset(1, 0)
-	_, err = c.Read(make([]byte, 1))
+	network.ResetStreams(1, 0)
+	_, err = conn.Read(make([]byte, 1))
 	require.Error(t, err)
 }
 
-// Packets are lost, doubled and cut off as told.
+// TestPackets checks how many of 50 packets arrive under each kind of conditions.
 func TestPackets(t *testing.T) {
 	target, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer target.Close()
-	n := New(1)
-	defer n.Close()
-	address, err := n.Both(0, 1, target.LocalAddr().String())
+	network := New(1)
+	defer network.Close()
+	address, err := network.RelayTCPAndUDP(0, 1, target.LocalAddr().String())
 	require.NoError(t, err)
-	c, err := net.Dial("udp", address)
+	conn, err := net.Dial("udp", address)
 	require.NoError(t, err)
-	defer c.Close()
-	got := func() int {
-		all := 0
+	defer conn.Close()
+	countReceived := func() int {
+		count := 0
 		for {
 			_ = target.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			if _, _, err := target.ReadFrom(make([]byte, 10)); err != nil {
-				return all
+				return count
 			}
-			all++
+			count++
 		}
 	}
-	for name, w := range map[string]struct {
-		Way
-		least, most int
-	}{"good": {Way{}, 50, 50}, "cut": {Way{Cut: true}, 0, 0}, "lossy": {Way{Loss: 0.5}, 10, 40}, "doubled": {Way{Double: 1}, 100, 100}, "late": {Way{Delay: time.Millisecond, Spread: time.Millisecond}, 50, 50}} {
-		n.Set(0, 1, w.Way)
+	for name, test := range map[string]struct {
+		Conditions
+		minimum, maximum int
+	}{
+		"good":       {Conditions{}, 50, 50},
+		"blocked":    {Conditions{Blocked: true}, 0, 0},
+		"lossy":      {Conditions{LossRate: 0.5}, 10, 40},
+		"duplicated": {Conditions{DuplicateRate: 1}, 100, 100},
+		"delayed":    {Conditions{Delay: time.Millisecond, Jitter: time.Millisecond}, 50, 50},
+	} {
+		network.SetConditions(0, 1, test.Conditions)
 		for range 50 {
-			_, err := c.Write([]byte("x"))
+			_, err := conn.Write([]byte("x"))
 			require.NoError(t, err)
 		}
-		came := got()
-		require.GreaterOrEqual(t, came, w.least, name)
-		require.LessOrEqual(t, came, w.most, name)
+		received := countReceived()
+		require.GreaterOrEqual(t, received, test.minimum, name)
+		require.LessOrEqual(t, received, test.maximum, name)
 	}
 }
--- a/internal/lab/rig/disturb.go
+++ b/internal/lab/rig/disturb.go
@@ -37,27 +37,27 @@
 			for i := range r.Nodes {
 				for k := range r.Nodes {
 					if (i < side) != (k < side) {
-						r.Net.Set(i, k, faults.Way{Cut: true})
+						r.Net.SetConditions(i, k, faults.Conditions{Blocked: true})
 					}
 				}
 			}
-			after(span, r.Net.Heal)
+			after(span, r.Net.ClearConditions)
 		case 1: // one way
 			r.Log("%s does not reach n%d for %v", n.Name, other, span)
-			r.Net.Set(r.index(n), other, faults.Way{Cut: true})
-			after(span, func() { r.Net.Set(r.index(n), other, faults.Way{}) })
+			r.Net.SetConditions(r.index(n), other, faults.Conditions{Blocked: true})
+			after(span, func() { r.Net.SetConditions(r.index(n), other, faults.Conditions{}) })
 		case 2, 3: // everything is lossy, doubled, late and out of order
 			r.Log("losses for %v", span)
 			for i := range r.Nodes {
 				for k := range r.Nodes {
-					r.Net.Set(
+					r.Net.SetConditions(
 						i,
 						k,
-						faults.Way{Loss: 0.3, Double: 0.1, Delay: time.Millisecond, Spread: 40 * time.Millisecond},
+						faults.Conditions{LossRate: 0.3, DuplicateRate: 0.1, Delay: time.Millisecond, Jitter: 40 * time.Millisecond},
 					)
 				}
 			}
-			after(span, r.Net.Heal)
+			after(span, r.Net.ClearConditions)
 		case 4:
 			r.Log("%s is killed for %v", n.Name, span)
 			n.Kill()
@@ -72,7 +72,7 @@
 			after(span, func() { n.Stall(false) })
 		default:
 			r.Log("streams between %s and n%d are reset", n.Name, other)
-			r.Net.Reset(r.index(n), other)
+			r.Net.ResetStreams(r.index(n), other)
 		}
 		select {
 		case <-ctx.Done():
@@ -92,7 +92,7 @@
 
 // Heal ends all troubles.
 func (r *Rig) Heal() error {
-	r.Net.Heal()
+	r.Net.ClearConditions()
 	for _, n := range r.Nodes {
 		n.Stall(false)
 		if err := n.Start(); err != nil {
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -41,12 +41,12 @@
 	}
 	a.Load = load(span/3, o.Seed)
 	for k := range len(r.Nodes) - 1 {
-		r.Net.Set(k, len(r.Nodes)-1, faults.Way{Cut: true})
-		r.Net.Set(len(r.Nodes)-1, k, faults.Way{Cut: true})
-		r.Net.Set(
+		r.Net.SetConditions(k, len(r.Nodes)-1, faults.Conditions{Blocked: true})
+		r.Net.SetConditions(len(r.Nodes)-1, k, faults.Conditions{Blocked: true})
+		r.Net.SetConditions(
 			k,
 			(k+1)%(len(r.Nodes)-1),
-			faults.Way{Loss: 0.3, Double: 0.2, Delay: time.Millisecond, Spread: 30 * time.Millisecond},
+			faults.Conditions{LossRate: 0.3, DuplicateRate: 0.2, Delay: time.Millisecond, Jitter: 30 * time.Millisecond},
 		)
 	}
 	before, err := site.Ledger(ctx)
@@ -69,7 +69,7 @@
 	if a.Alone == 0 {
 		return a, fmt.Errorf("the site served nothing while it was alone: %+v", cut)
 	}
-	r.Net.Heal()
+	r.Net.ClearConditions()
 	from := time.Now()
 	for {
 		last, ok, err := r.agree(ctx)
--- a/internal/lab/rig/node_file.go
+++ b/internal/lab/rig/node_file.go
@@ -112,7 +112,7 @@
 		reach := nodes[i].raft
 		if i != number {
 			var err error
-			if reach, err = r.Net.Stream(number, i, nodes[i].raft); err != nil {
+			if reach, err = r.Net.RelayTCP(number, i, nodes[i].raft); err != nil {
 				return err
 			}
 		}
@@ -140,7 +140,7 @@
 		address := nodes[i].fleet
 		if i != number {
 			var err error
-			if address, err = r.Net.Both(number, i, nodes[i].fleet); err != nil {
+			if address, err = r.Net.RelayTCPAndUDP(number, i, nodes[i].fleet); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -44,7 +44,7 @@
 // Rig is the processes and what is round them.
 type Rig struct {
 	Options
-	Net      *faults.Net
+	Net      *faults.Network
 	Ledger   *Ledger
 	Backends []*Backend
 	Nodes    []*Node
