--- a/internal/lab/mutation/mutation.go
+++ b/internal/lab/mutation/mutation.go
@@ -1,5 +1,5 @@
-// Package mutation shows that the tests find what they are for: it takes guards out of the fleet's deciding packages, one
-// by one, in a copy of the tree, and runs the tests. A guard whose loss no test finds is one that nothing proves.
+// Package mutation does mutation testing of the fleet's decision packages: in a copy of the source tree it removes
+// guards from the code, one at a time, and runs the tests. A guard whose removal fails no test is not covered by any.
 package mutation
 
 import (
@@ -18,25 +18,25 @@
 
 const (
 	fleetDirectory = "internal/fleet"
-	testTimeout    = 100 * time.Second
-	// runTimeout is for the compiler and the tests.
-	runTimeout = 2 * time.Minute
+	testTimeout    = 100 * time.Second // for the tests of one package
+	runTimeout     = 2 * time.Minute   // for compiling and running the tests of one package
 )
 
-// ErrBaseline is the error of a package whose tests fail with all guards in place: what they find would mean nothing.
+// ErrBaseline is the error of a package whose tests fail with all guards in place. Their failures without a guard would
+// prove nothing.
 var ErrBaseline = errors.New("tests fail with all guards in place")
 
-// drawnRuns finds how many runs a property test took to fail.
-var drawnRuns = regexp.MustCompile(`failed after (\d+) tests`)
+// randomRuns matches the number of random runs after which a property test failed.
+var randomRuns = regexp.MustCompile(`failed after (\d+) tests`)
 
-// Run takes each guard out in a copy of the tree at root, and writes what the tests say of it. It returns how many guards
-// no test misses.
-func Run(ctx context.Context, root string, out io.Writer) (missed int, err error) {
+// Run removes each guard in a copy of the source tree at root and writes to out, one line a guard, whether the tests of
+// its package detect that. It returns the number of guards whose removal no test detects.
+func Run(ctx context.Context, root string, out io.Writer) (undetected int, err error) {
 	directory, err := os.MkdirTemp("", "mutation-")
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // a folder of its own
+	defer func() { _ = os.RemoveAll(directory) }() // created above
 	if err := copyTree(root, directory); err != nil {
 		return 0, err
 	}
@@ -45,22 +45,22 @@
 	}
 	for _, guard := range Guards {
 		if err := ctx.Err(); err != nil {
-			return missed, err
+			return undetected, err
 		}
-		from := time.Now()
-		finding, err := takeOut(ctx, directory, guard)
+		start := time.Now()
+		finding, err := testWithout(ctx, directory, guard)
 		if err != nil {
-			return missed, err
+			return undetected, err
 		}
-		if finding == notFound {
-			missed++
+		if finding == notDetected {
+			undetected++
 		}
-		fmt.Fprintf(out, "%-64s %-30s %.1f s\n", guard.What, finding, time.Since(from).Seconds())
+		fmt.Fprintf(out, "%-64s %-30s %.1f s\n", guard.Effect, finding, time.Since(start).Seconds())
 	}
-	return missed, nil
+	return undetected, nil
 }
 
-// checkBaseline runs the tests of all packages that have guards, with the guards in place.
+// checkBaseline runs the tests of all packages that have guards, with all guards in place.
 func checkBaseline(ctx context.Context, directory string) error {
 	checked := map[string]bool{}
 	for _, guard := range Guards {
@@ -75,18 +75,19 @@
 	return nil
 }
 
-// notFound is the finding of a guard that no test misses.
-const notFound = "not found"
+// notDetected is the finding for a guard whose removal fails no test.
+const notDetected = "not detected"
 
-// takeOut takes one guard out, runs the tests of its package, and puts it back. It returns what found the loss.
-func takeOut(ctx context.Context, directory string, guard Guard) (finding string, err error) {
+// testWithout removes one guard, runs the tests of its package and restores the guard. It returns the finding: whether
+// the tests detect the removal, and after how many random runs if a property test does.
+func testWithout(ctx context.Context, directory string, guard Guard) (finding string, err error) {
 	path := filepath.Join(directory, fleetDirectory, guard.Package, guard.File)
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
 	}
 	if count := strings.Count(string(source), guard.Text); count != 1 {
-		return "", fmt.Errorf("%s: %q occurs %d times", guard.File, guard.Text, count)
+		return "", fmt.Errorf("%s: guard %q occurs %d times, want 1", guard.File, guard.Text, count)
 	}
 	mutant := strings.Replace(string(source), guard.Text, guard.Without, 1)
 	if err := os.WriteFile(path, []byte(mutant), 0o600); err != nil {
@@ -97,18 +98,18 @@
 		return "", err
 	}
 	if failure == nil {
-		return notFound, nil
+		return notDetected, nil
 	}
 	if strings.Contains(output, "[build failed]") {
 		return "", fmt.Errorf("%s does not build without its guard:\n%s", guard.File, output)
 	}
-	if runs := drawnRuns.FindStringSubmatch(output); runs != nil {
-		return "found after " + runs[1] + " drawn runs", nil
+	if runs := randomRuns.FindStringSubmatch(output); runs != nil {
+		return "detected after " + runs[1] + " random runs", nil
 	}
-	return "found", nil
+	return "detected", nil
 }
 
-// runTests runs the tests of a package below internal/fleet, and returns what they printed.
+// runTests runs the tests of a package below internal/fleet and returns their output.
 func runTests(ctx context.Context, directory, name string) (output string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
@@ -119,10 +120,10 @@
 	return string(printed), err
 }
 
-// skippedDirectories hold nothing that the tests of the fleet's packages need.
+// skippedDirectories are the names of directories without files that the tests of the fleet's packages need.
 var skippedDirectories = map[string]bool{".git": true, "journal": true, "bin": true}
 
-// copyTree copies the sources, the module's files and the files that tests read.
+// copyTree copies the Go sources, the module files and the test data of a source tree.
 func copyTree(from, to string) error {
 	return filepath.WalkDir(from, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -150,6 +151,7 @@
 	})
 }
 
+// isNeeded reports whether copyTree copies the file at a path relative to the source tree.
 func isNeeded(path string) bool {
 	name := filepath.Base(path)
 	return strings.HasSuffix(name, ".go") ||
