--- a/internal/lab/rig/backend.go
+++ b/internal/lab/rig/backend.go
@@ -12,85 +12,94 @@
 	"time"
 )
 
-// Backend is an emulated box that streams, and keeps a ledger of its own: what it was asked, what it gave, and
-// whether two attempts of a request were ever out at once, here or at another box of the same Ledger.
+// Backend is an emulated backend that streams its responses and counts requests, attempts and tokens in a record that
+// it shares with the other backends of the rig.
 type Backend struct {
-	Address string
-	Ledger  *Ledger
-	Token   time.Duration // between two tokens
-	Failing atomic.Bool   // it errs
-	server  *http.Server
+	Address       string
+	Record        *BackendRecord
+	TokenInterval time.Duration // the time between two tokens
+	Failing       atomic.Bool   // every request is answered with status 500
+	server        *http.Server
 
-	talking map[string]int // decodings of a session that are under way, at this box
+	decoding map[string]int // turns of a session that are being decoded at this backend, by session
 }
 
-// Ledger is what all boxes of a rig have seen.
-type Ledger struct {
-	mu     sync.Mutex
-	out    map[string]int
-	Twice  []string       // requests of which two attempts were out at once
-	Served map[string]int // tokens made and told to the end, by request
-	Asked  int
+// BackendRecord is what all backends of a rig have received and served. It is safe for concurrent use through its
+// methods.
+type BackendRecord struct {
+	mu                 sync.Mutex     // guards all below
+	inFlight           map[string]int // attempts in flight, by request id
+	ConcurrentAttempts []string       // ids of requests that had more than one attempt in flight at the same time
+	ServedTokens       map[string]int // output tokens of complete responses, by request id
+	Attempts           int            // attempts that were received
 
-	decoding map[string]int // of sessions, at all boxes
-	Double   []string       // sessions of which two parts were decoded at once
-	Wrong    []string       // prompts that were not what the session had come to
-	Parts    int            // of sessions, begun
-	Tokens   map[string]int // made for a session, in all parts that came to their end or their call
+	decoding          map[string]int // turns that are being decoded at any backend, by session
+	ConcurrentDecodes []string       // sessions of which more than one turn was decoded at the same time
+	WrongPrompts      []string       // descriptions of prompts that differ from the state of their session
+	Turns             int            // turns of sessions that were begun
+	SessionTokens     map[string]int // output tokens of turns that reached their end or their tool calls, by session
 }
 
-// NewLedger makes an empty one.
-func NewLedger() *Ledger {
-	return &Ledger{
-		out:      map[string]int{},
-		Served:   map[string]int{},
-		decoding: map[string]int{},
-		Tokens:   map[string]int{},
+// NewBackendRecord creates an empty record.
+func NewBackendRecord() *BackendRecord {
+	return &BackendRecord{
+		inFlight:      map[string]int{},
+		ServedTokens:  map[string]int{},
+		decoding:      map[string]int{},
+		SessionTokens: map[string]int{},
 	}
 }
 
-func (l *Ledger) begin(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.Asked++
-	if l.out[id]++; l.out[id] > 1 {
-		l.Twice = append(l.Twice, id)
+// begin records the start of an attempt.
+func (r *BackendRecord) begin(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.Attempts++
+	if r.inFlight[id]++; r.inFlight[id] > 1 {
+		r.ConcurrentAttempts = append(r.ConcurrentAttempts, id)
 	}
 }
 
-func (l *Ledger) end(id string, tokens int, whole bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.out[id]--
-	if whole {
-		l.Served[id] += tokens
+// end records the end of an attempt, and its output tokens if its response was complete.
+func (r *BackendRecord) end(id string, tokens int, complete bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.inFlight[id]--
+	if complete {
+		r.ServedTokens[id] += tokens
 	}
 }
 
-// StartBackend starts a box.
-func StartBackend(l *Ledger, token time.Duration) (*Backend, error) {
+// StartBackend starts a backend with the given time between two tokens.
+func StartBackend(record *BackendRecord, tokenInterval time.Duration) (*Backend, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Backend{Address: listener.Addr().String(), Ledger: l, Token: token, talking: map[string]int{}}
+	b := &Backend{
+		Address:       listener.Addr().String(),
+		Record:        record,
+		TokenInterval: tokenInterval,
+		decoding:      map[string]int{},
+	}
 	b.server = &http.Server{Handler: http.HandlerFunc(b.serve)}
 	go func() { _ = b.server.Serve(listener) }()
 	return b, nil
 }
 
-// Close ends it.
+// Close stops the backend and closes its connections.
 func (b *Backend) Close() { b.server.Close() }
 
+// serve serves a chat request: a turn of a conversation that calls tools, or a plain response.
 func (b *Backend) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Trace-Id")
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	b.Ledger.begin(id)
-	tokens, whole := 0, false
-	defer func() { b.Ledger.end(id, tokens, whole) }()
+	b.Record.begin(id)
+	tokens, complete := 0, false
+	defer func() { b.Record.end(id, tokens, complete) }()
 	if b.Failing.Load() {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -103,31 +112,33 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if name, calls, ok := talk(body.Messages[0].Content); ok {
-		b.talk(w, r, name, calls, body.Messages)
+	if name, callingTurns, ok := parseConversation(body.Messages[0].Content); ok {
+		b.serveTurn(w, r, name, callingTurns, body.Messages)
 		return
 	}
-	prompt := 0
-	for _, m := range body.Messages {
-		prompt += len(m.Content) / 4
+	promptTokens := 0
+	for _, message := range body.Messages {
+		promptTokens += len(message.Content) / 4
 	}
-	// An answer of a length that hangs on the request alone, so that nobody needs to be told what it was.
-	want := 1 + (len(strings.TrimSpace(id))*7+prompt)%max(1, body.MaxTokens)
+	// The number of output tokens is determined by the request alone, so that clients need not be told it.
+	outputTokens := 1 + (len(strings.TrimSpace(id))*7+promptTokens)%max(1, body.MaxTokens)
 	w.Header().Set("Content-Type", "text/event-stream")
-	for tokens < want {
-		if _, err := fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t%d \"},\"finish_reason\":null}]}\n\n", tokens); err != nil {
+	for tokens < outputTokens {
+		if _, err := fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t%d \"},"+
+			"\"finish_reason\":null}]}\n\n", tokens); err != nil {
 			return
 		}
 		tokens++
 		w.(http.Flusher).Flush()
 		select {
-		case <-time.After(b.Token):
+		case <-time.After(b.TokenInterval):
 		case <-r.Context().Done():
 			return
 		}
 	}
 	_, err = fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n"+
-		"data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n", prompt, tokens)
+		"data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,"+
+		"\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n", promptTokens, tokens)
 	w.(http.Flusher).Flush()
-	whole = err == nil
+	complete = err == nil
 }
--- a/internal/lab/rig/budgets.go
+++ b/internal/lab/rig/budgets.go
@@ -6,88 +6,96 @@
 	"time"
 )
 
-// BudgetVerdict is what a play of shared budgets came to.
-type BudgetVerdict struct {
+// BudgetResult is the result of PlayBudgets.
+type BudgetResult struct {
 	Load     Load
-	Windows  int // in which something was spent
-	MaxSpent int64
-	Agreed   time.Duration // after the end of all troubles
+	Windows  int           // the number of windows in which tokens of a budget were spent, over all tenants
+	MaxSpent int64         // the most tokens spent of a budget in one window
+	Agreed   time.Duration // from the end of the faults until all nodes were together again
 }
 
-// PlayBudgets plays shared budgets: load and troubles for a span, then all is healed, and checked. Its error says
-// what does not hold.
-func PlayBudgets(ctx context.Context, o Options, span time.Duration, each float64) (BudgetVerdict, error) {
-	var v BudgetVerdict
-	r, err := New(o)
+// PlayBudgets runs a fleet with shared budgets under load and random faults for span. Then all faults end, and the
+// budgets' windows, the nodes' invariants and the backends' records are checked. The error describes the first
+// violation.
+func PlayBudgets(
+	ctx context.Context,
+	options Options,
+	span time.Duration,
+	requestsPerSecond float64,
+) (BudgetResult, error) {
+	var result BudgetResult
+	r, err := New(options)
 	if err != nil {
-		return v, err
+		return result, err
 	}
 	defer r.Close()
 	if err := r.StartAll(ctx); err != nil {
-		return v, err
+		return result, err
 	}
-	troubles, end := context.WithTimeout(ctx, span)
-	defer end()
-	loaded, stop := context.WithCancel(ctx)
-	defer stop()
+	faulty, cancelFaults := context.WithTimeout(ctx, span)
+	defer cancelFaults()
+	loaded, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
 	loads := make(chan Load, 1)
-	go func() { loads <- r.Run(loaded, each, o.Seed) }()
-	r.Disturb(troubles)
-	if err := r.Heal(); err != nil {
-		return v, err
+	go func() { loads <- r.RunLoad(loaded, requestsPerSecond, options.Seed) }()
+	r.InjectFaults(faulty)
+	if err := r.EndFaults(); err != nil {
+		return result, err
 	}
-	from := time.Now()
-	if err := r.Together(ctx, 30*time.Second); err != nil {
-		return v, err
+	start := time.Now()
+	if err := r.WaitTogether(ctx, 30*time.Second); err != nil {
+		return result, err
 	}
-	v.Agreed = time.Since(from)
-	stop()
-	l := <-loads
-	// The fleet serves again, whatever it went through.
-	again, stopped := context.WithTimeout(ctx, 1500*time.Millisecond)
-	defer stopped()
-	if after := r.Run(again, each, o.Seed+1); after.Served == 0 {
-		return v, fmt.Errorf("nothing is served after the troubles: %+v", after)
+	result.Agreed = time.Since(start)
+	stopLoad()
+	load := <-loads
+	// After any faults the fleet must serve requests again.
+	after, stopAfter := context.WithTimeout(ctx, 1500*time.Millisecond)
+	defer stopAfter()
+	if afterLoad := r.RunLoad(after, requestsPerSecond, options.Seed+1); afterLoad.Served == 0 {
+		return result, fmt.Errorf("no request was served after the faults: %+v", afterLoad)
 	}
-	v.Load = l
-	for _, n := range r.Nodes {
-		if err := n.Died(); err != nil {
-			return v, err
+	result.Load = load
+	for _, node := range r.Nodes {
+		if err := node.UnexpectedExit(); err != nil {
+			return result, err
 		}
-		s, err := n.Status(ctx)
+		status, err := node.Status(ctx)
 		if err != nil {
-			return v, err
+			return result, err
 		}
-		if len(s.Violations) > 0 {
-			return v, fmt.Errorf("%s: invariants do not hold: %v", n.Name, s.Violations)
+		if len(status.Violations) > 0 {
+			return result, fmt.Errorf("%s: invariants are violated: %v", node.Name, status.Violations)
 		}
 	}
-	spent, err := r.Spent()
+	spent, err := r.SpentByWindow()
 	if err != nil {
-		return v, err
+		return result, err
 	}
-	for _, t := range o.Tenants {
-		if t.Amount == 0 {
+	for _, tenant := range options.Tenants {
+		if tenant.Amount == 0 {
 			continue
 		}
-		windows := spent["tokens/"+t.Name]
-		v.Windows += len(windows)
-		for w, n := range windows {
-			v.MaxSpent = max(v.MaxSpent, n)
-			if n > t.Amount {
-				return v, fmt.Errorf("%s: %d spent in window %d of a budget of %d", t.Name, n, w, t.Amount)
+		windows := spent["tokens/"+tenant.Name]
+		result.Windows += len(windows)
+		for window, amount := range windows {
+			result.MaxSpent = max(result.MaxSpent, amount)
+			if amount > tenant.Amount {
+				return result, fmt.Errorf("tenant %s: %d tokens spent in window %d, over the budget of %d",
+					tenant.Name, amount, window, tenant.Amount)
 			}
 		}
 	}
-	r.Ledger.mu.Lock()
-	defer r.Ledger.mu.Unlock()
+	r.Record.mu.Lock()
+	defer r.Record.mu.Unlock()
 	switch {
-	case len(r.Ledger.Twice) > 0:
-		return v, fmt.Errorf("two attempts of a request were out at once: %v", r.Ledger.Twice)
-	case v.Windows == 0:
-		return v, fmt.Errorf("nothing was spent: %+v", v.Load)
-	case l.Bare > 0:
-		return v, fmt.Errorf("%d were refused and not told when to come back", l.Bare)
+	case len(r.Record.ConcurrentAttempts) > 0:
+		return result, fmt.Errorf("requests with more than one attempt in flight at the same time: %v",
+			r.Record.ConcurrentAttempts)
+	case result.Windows == 0:
+		return result, fmt.Errorf("no tokens were spent: %+v", result.Load)
+	case load.WithoutRetryAfter > 0:
+		return result, fmt.Errorf("%d responses with status 503 have no Retry-After header", load.WithoutRetryAfter)
 	}
-	return v, nil
+	return result, nil
 }
--- a/internal/lab/rig/disturb.go
+++ b/internal/lab/rig/disturb.go
@@ -8,71 +8,76 @@
 	"standpoint/internal/lab/faults"
 )
 
-// Disturb does something to nodes and their messages, again and again, until ctx ends: what, to whom and for how long
-// is drawn. Kills leave a process of each store's majority alone or not, as it falls.
-func (r *Rig) Disturb(ctx context.Context) {
-	var waits sync.WaitGroup
-	defer waits.Wait()
-	after := func(d time.Duration, do func()) {
-		waits.Go(func() {
+// InjectFaults injects faults into nodes and the network between them until ctx ends. The kind of each fault, its
+// target and its duration are random. Kills do not spare the majority of the store's members.
+func (r *Rig) InjectFaults(ctx context.Context) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	after := func(delay time.Duration, end func()) {
+		pending.Go(func() {
 			select {
-			case <-time.After(d):
+			case <-time.After(delay):
 			case <-ctx.Done():
 			}
-			do()
+			end()
 		})
 	}
 	for ctx.Err() == nil {
-		n := r.Nodes[r.rng.IntN(len(r.Nodes))]
-		other := (r.index(n) + 1 + r.rng.IntN(len(r.Nodes)-1)) % len(r.Nodes)
+		node := r.Nodes[r.rng.IntN(len(r.Nodes))]
+		other := (r.nodeIndex(node) + 1 + r.rng.IntN(len(r.Nodes)-1)) % len(r.Nodes)
 		span := time.Duration(300+r.rng.IntN(1700)) * time.Millisecond
-		what := r.rng.IntN(9)
-		if r.NoKills && what >= 4 && what <= 6 {
-			what = 0
+		kind := r.rng.IntN(9)
+		if r.NoProcessFaults && kind >= 4 && kind <= 6 {
+			kind = 0
 		}
-		switch what {
-		case 0: // a side of one to half of the nodes is cut off
+		switch kind {
+		case 0: // a partition: the first one or more nodes, up to half of them, are separated from the others
 			side := 1 + r.rng.IntN(len(r.Nodes)/2)
-			r.Log("%d nodes are cut off for %v", side, span)
+			r.Log("%d nodes are partitioned from the others for %v", side, span)
 			for i := range r.Nodes {
-				for k := range r.Nodes {
-					if (i < side) != (k < side) {
-						r.Net.SetConditions(i, k, faults.Conditions{Blocked: true})
+				for j := range r.Nodes {
+					if (i < side) != (j < side) {
+						r.Network.SetConditions(i, j, faults.Conditions{Blocked: true})
 					}
 				}
 			}
-			after(span, r.Net.ClearConditions)
-		case 1: // one way
-			r.Log("%s does not reach n%d for %v", n.Name, other, span)
-			r.Net.SetConditions(r.index(n), other, faults.Conditions{Blocked: true})
-			after(span, func() { r.Net.SetConditions(r.index(n), other, faults.Conditions{}) })
-		case 2, 3: // everything is lossy, doubled, late and out of order
-			r.Log("losses for %v", span)
+			after(span, r.Network.ClearConditions)
+		case 1: // one direction between two nodes is blocked
+			r.Log("%s does not reach n%d for %v", node.Name, other, span)
+			r.Network.SetConditions(r.nodeIndex(node), other, faults.Conditions{Blocked: true})
+			after(span, func() { r.Network.SetConditions(r.nodeIndex(node), other, faults.Conditions{}) })
+		case 2, 3: // all packets may be dropped, duplicated, delayed and reordered
+			r.Log("packet loss between all nodes for %v", span)
 			for i := range r.Nodes {
-				for k := range r.Nodes {
-					r.Net.SetConditions(
+				for j := range r.Nodes {
+					r.Network.SetConditions(
 						i,
-						k,
-						faults.Conditions{LossRate: 0.3, DuplicateRate: 0.1, Delay: time.Millisecond, Jitter: 40 * time.Millisecond},
+						j,
+						faults.Conditions{
+							LossRate:      0.3,
+							DuplicateRate: 0.1,
+							Delay:         time.Millisecond,
+							Jitter:        40 * time.Millisecond,
+						},
 					)
 				}
 			}
-			after(span, r.Net.ClearConditions)
+			after(span, r.Network.ClearConditions)
 		case 4:
-			r.Log("%s is killed for %v", n.Name, span)
-			n.Kill()
+			r.Log("%s is killed for %v", node.Name, span)
+			node.Kill()
 			after(span, func() {
-				if err := n.Start(); err != nil {
-					r.Log("%s does not start: %v", n.Name, err)
+				if err := node.Start(); err != nil {
+					r.Log("%s: start failed: %v", node.Name, err)
 				}
 			})
 		case 5, 6:
-			r.Log("%s stands still for %v", n.Name, span)
-			n.Stall(true)
-			after(span, func() { n.Stall(false) })
+			r.Log("%s is suspended for %v", node.Name, span)
+			node.SetSuspended(true)
+			after(span, func() { node.SetSuspended(false) })
 		default:
-			r.Log("streams between %s and n%d are reset", n.Name, other)
-			r.Net.ResetStreams(r.index(n), other)
+			r.Log("streams between %s and n%d are reset", node.Name, other)
+			r.Network.ResetStreams(r.nodeIndex(node), other)
 		}
 		select {
 		case <-ctx.Done():
@@ -81,21 +86,22 @@
 	}
 }
 
-func (r *Rig) index(n *Node) int {
+// nodeIndex returns the index of a node in r.Nodes, or -1.
+func (r *Rig) nodeIndex(node *Node) int {
 	for i := range r.Nodes {
-		if r.Nodes[i] == n {
+		if r.Nodes[i] == node {
 			return i
 		}
 	}
 	return -1
 }
 
-// Heal ends all troubles.
-func (r *Rig) Heal() error {
-	r.Net.ClearConditions()
-	for _, n := range r.Nodes {
-		n.Stall(false)
-		if err := n.Start(); err != nil {
+// EndFaults ends all faults: it clears the conditions of the network, resumes suspended nodes and restarts killed ones.
+func (r *Rig) EndFaults() error {
+	r.Network.ClearConditions()
+	for _, node := range r.Nodes {
+		node.SetSuspended(false)
+		if err := node.Start(); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -9,149 +9,163 @@
 	"standpoint/internal/lab/faults"
 )
 
-// Agreement is what came of a play of ledgers.
-type Agreement struct {
-	Load      Load
-	Entries   int64
-	Alone     int // requests that the site served while its line was cut
-	Agreed    time.Duration
-	Overdrawn int64 // by the site, in all windows
+// LedgerResult is the result of RunLedgers.
+type LedgerResult struct {
+	Load           Load
+	Entries        int64         // the number of entries in each ledger at the end
+	ServedIsolated int           // requests that the site served while its connection was blocked
+	ConvergedAfter time.Duration // from the end of the faults until all ledgers had the same totals
+	Overdrawn      int64         // tokens spent beyond the budgets, over all windows
 }
 
-// PlayLedgers plays a fleet whose last node is a site: its line to the halls is cut for a span, while the halls have
-// other troubles; then all is healed, and the ledgers must come to the same sums, to the token those of the boxes.
-func PlayLedgers(ctx context.Context, o Options, span time.Duration, each float64) (Agreement, error) {
-	var a Agreement
-	o.Sites = 1
-	o.NoKills = true
-	o.Config += "[ledger]\ndir = \"ledger-NODE\"\nevery = \"100ms\"\n"
-	r, err := New(o)
+// RunLedgers runs a fleet whose last node is a site. The site's connection to the core nodes is blocked for span, while
+// the network between the core nodes has other faults. Then all faults end, and all ledgers must converge to the same
+// totals, which must equal those recorded by the backends to the token.
+func RunLedgers(
+	ctx context.Context,
+	options Options,
+	span time.Duration,
+	requestsPerSecond float64,
+) (LedgerResult, error) {
+	var result LedgerResult
+	options.Sites = 1
+	options.NoProcessFaults = true
+	options.ExtraConfig += "[ledger]\ndir = \"ledger-NODE\"\nevery = \"100ms\"\n"
+	r, err := New(options)
 	if err != nil {
-		return a, err
+		return result, err
 	}
 	defer r.Close()
 	if err := r.StartAll(ctx); err != nil {
-		return a, err
+		return result, err
 	}
 	site := r.Nodes[len(r.Nodes)-1]
 	load := func(span time.Duration, seed uint64) Load {
-		some, end := context.WithTimeout(ctx, span)
-		defer end()
-		return r.Run(some, each, seed)
-	}
-	a.Load = load(span/3, o.Seed)
-	for k := range len(r.Nodes) - 1 {
-		r.Net.SetConditions(k, len(r.Nodes)-1, faults.Conditions{Blocked: true})
-		r.Net.SetConditions(len(r.Nodes)-1, k, faults.Conditions{Blocked: true})
-		r.Net.SetConditions(
-			k,
-			(k+1)%(len(r.Nodes)-1),
-			faults.Conditions{LossRate: 0.3, DuplicateRate: 0.2, Delay: time.Millisecond, Jitter: 30 * time.Millisecond},
+		loaded, cancel := context.WithTimeout(ctx, span)
+		defer cancel()
+		return r.RunLoad(loaded, requestsPerSecond, seed)
+	}
+	result.Load = load(span/3, options.Seed)
+	for i := range len(r.Nodes) - 1 {
+		r.Network.SetConditions(i, len(r.Nodes)-1, faults.Conditions{Blocked: true})
+		r.Network.SetConditions(len(r.Nodes)-1, i, faults.Conditions{Blocked: true})
+		r.Network.SetConditions(
+			i,
+			(i+1)%(len(r.Nodes)-1),
+			faults.Conditions{
+				LossRate:      0.3,
+				DuplicateRate: 0.2,
+				Delay:         time.Millisecond,
+				Jitter:        30 * time.Millisecond,
+			},
 		)
 	}
-	before, err := site.Ledger(ctx)
+	before, err := site.LedgerStatus(ctx)
 	if err != nil {
-		return a, err
+		return result, err
 	}
-	cut := load(span, o.Seed+1)
-	s, err := site.Status(ctx)
+	isolatedLoad := load(span, options.Seed+1)
+	status, err := site.Status(ctx)
 	if err != nil {
-		return a, err
+		return result, err
 	}
-	if s.SiteState != "alone" {
-		return a, fmt.Errorf("the site is %q after %v without its line", s.SiteState, span)
+	if status.SiteState != "alone" {
+		return result, fmt.Errorf("site state is %q after %v without connection, want \"alone\"",
+			status.SiteState, span)
 	}
-	after, err := site.Ledger(ctx)
+	after, err := site.LedgerStatus(ctx)
 	if err != nil {
-		return a, err
+		return result, err
 	}
-	a.Alone = int(after.Charged - before.Charged)
-	if a.Alone == 0 {
-		return a, fmt.Errorf("the site served nothing while it was alone: %+v", cut)
+	result.ServedIsolated = int(after.Charged - before.Charged)
+	if result.ServedIsolated == 0 {
+		return result, fmt.Errorf("the site served no request while it was isolated: %+v", isolatedLoad)
 	}
-	r.Net.ClearConditions()
-	from := time.Now()
+	r.Network.ClearConditions()
+	start := time.Now()
 	for {
-		last, ok, err := r.agree(ctx)
+		entries, ok, err := r.ledgersConverged(ctx)
 		if err != nil {
-			return a, err
+			return result, err
 		}
 		if ok {
-			a.Entries, a.Agreed = last, time.Since(from)
+			result.Entries, result.ConvergedAfter = entries, time.Since(start)
 			break
 		}
-		if time.Since(from) > 30*time.Second {
-			return a, fmt.Errorf("the ledgers do not agree after %v", time.Since(from))
+		if time.Since(start) > 30*time.Second {
+			return result, fmt.Errorf("ledgers differ %v after the end of the faults", time.Since(start))
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if err := r.Together(ctx, 30*time.Second); err != nil {
-		return a, err
+	if err := r.WaitTogether(ctx, 30*time.Second); err != nil {
+		return result, err
 	}
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		if s, err = site.Status(ctx); err != nil || s.SiteState == "connected" {
+		if status, err = site.Status(ctx); err != nil || status.SiteState == "connected" {
 			break
 		}
 		if time.Now().After(until) {
-			return a, fmt.Errorf("the site is %q, its line has long been back", s.SiteState)
+			return result, fmt.Errorf("site state is %q 10 s after all nodes are together, want \"connected\"",
+				status.SiteState)
 		}
 	}
-	for _, n := range r.Nodes {
-		if err := n.Died(); err != nil {
-			return a, err
+	for _, node := range r.Nodes {
+		if err := node.UnexpectedExit(); err != nil {
+			return result, err
 		}
 	}
-	a.Load.Asked = a.Load.Asked + cut.Asked
-	a.Load.Served = a.Load.Served + cut.Served
-	a.Load.Refused = a.Load.Refused + cut.Refused
-	spent, err := r.Spent()
+	result.Load.Asked = result.Load.Asked + isolatedLoad.Asked
+	result.Load.Served = result.Load.Served + isolatedLoad.Served
+	result.Load.Refused = result.Load.Refused + isolatedLoad.Refused
+	spent, err := r.SpentByWindow()
 	if err != nil {
-		return a, err
-	}
-	for _, t := range o.Tenants {
-		for w, n := range spent["tokens/"+t.Name] {
-			if t.Amount > 0 && n > t.Amount+t.Overdraft {
-				return a, fmt.Errorf(
-					"%s: %d spent in window %d of a budget of %d and an overdraft of %d",
-					t.Name,
-					n,
-					w,
-					t.Amount,
-					t.Overdraft,
+		return result, err
+	}
+	for _, tenant := range options.Tenants {
+		for window, amount := range spent["tokens/"+tenant.Name] {
+			if tenant.Amount > 0 && amount > tenant.Amount+tenant.Overdraft {
+				return result, fmt.Errorf(
+					"tenant %s: %d tokens spent in window %d, over the budget of %d and the overdraft of %d",
+					tenant.Name,
+					amount,
+					window,
+					tenant.Amount,
+					tenant.Overdraft,
 				)
 			}
-			a.Overdrawn += max(0, n-t.Amount)
+			result.Overdrawn += max(0, amount-tenant.Amount)
 		}
 	}
-	return a, nil
+	return result, nil
 }
 
-// agree tells whether all ledgers have the same sums, and those are the boxes' own.
-func (r *Rig) agree(ctx context.Context) (entries int64, ok bool, err error) {
-	own := map[string][2]int64{} // by tenant: entries, and tokens made
-	r.Ledger.mu.Lock()
-	for id, tokens := range r.Ledger.Served {
+// ledgersConverged reports whether all ledgers have the totals recorded by the backends, and returns the number of
+// entries. It returns an error if a ledger is inconsistent or has lost entries.
+func (r *Rig) ledgersConverged(ctx context.Context) (entries int64, ok bool, err error) {
+	recorded := map[string][2]int64{} // the numbers of entries and of output tokens, by tenant
+	r.Record.mu.Lock()
+	for id, tokens := range r.Record.ServedTokens {
 		tenant, _, _ := strings.Cut(id, "-")
-		s := own[tenant]
-		own[tenant] = [2]int64{s[0] + 1, s[1] + int64(tokens)}
+		sums := recorded[tenant]
+		recorded[tenant] = [2]int64{sums[0] + 1, sums[1] + int64(tokens)}
 	}
-	r.Ledger.mu.Unlock()
-	for _, n := range r.Nodes {
-		s, err := n.Ledger(ctx)
+	r.Record.mu.Unlock()
+	for _, node := range r.Nodes {
+		status, err := node.LedgerStatus(ctx)
 		if err != nil {
 			return 0, false, err
 		}
-		if !s.Consistent || len(s.Corruptions) > 0 || s.Dropped > 0 {
-			return 0, false, fmt.Errorf("%s: its ledger does not hold: %+v", n.Name, s)
+		if !status.Consistent || len(status.Corruptions) > 0 || status.Dropped > 0 {
+			return 0, false, fmt.Errorf("%s: ledger is inconsistent or has lost entries: %+v", node.Name, status)
 		}
 		entries = 0
-		for tenant, is := range own {
-			if got := s.Totals[tenant]; got.Entries != is[0] || got.OutputTokens != is[1] {
+		for tenant, want := range recorded {
+			if got := status.Totals[tenant]; got.Entries != want[0] || got.OutputTokens != want[1] {
 				return entries, false, nil
 			}
-			entries += is[0]
+			entries += want[0]
 		}
-		if s.Entries != entries {
+		if status.Entries != entries {
 			return entries, false, nil
 		}
 	}
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -11,103 +11,117 @@
 	"time"
 )
 
-// Load is what clients met.
+// Load counts the requests of clients by their outcome.
 type Load struct {
-	Asked   int
-	Served  int
-	Refused int // with 503 and a Retry-After
-	Failed  int // any other answer
-	Broken  int // no answer, or not to its end: a node was killed or stood still
-	Bare    int // refused, and not told when to come back
-	Late    int // answered after the client's time by more than half a second, by a node that was up throughout
+	Asked             int // requests that were sent
+	Served            int // complete responses with status 200
+	Refused           int // responses with status 503
+	Failed            int // all other responses
+	Incomplete        int // no response or an incomplete one, because the node was killed or suspended
+	WithoutRetryAfter int // responses with status 503 but no Retry-After header
+	Late              int // complete responses whose headers came over half a second after the request's deadline
 }
 
-// Run has clients ask nodes that are up, so many a second, until ctx ends; it returns once all have their end.
-func (r *Rig) Run(ctx context.Context, each float64, seed uint64) Load {
-	l := &tally{}
+// RunLoad sends requests to nodes that are running, at random times with the given mean rate, until ctx ends. It
+// returns once all requests have ended.
+func (r *Rig) RunLoad(ctx context.Context, requestsPerSecond float64, seed uint64) Load {
+	counter := &loadCounter{}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
-	places := make(chan struct{}, 256) // clients at once
+	var clients sync.WaitGroup
+	slots := make(chan struct{}, 256) // a semaphore for the requests in flight; requests beyond are not sent
 	for i := 0; ctx.Err() == nil; i++ {
-		n := r.Nodes[rng.IntN(len(r.Nodes))]
+		node := r.Nodes[rng.IntN(len(r.Nodes))]
 		tenant := r.Tenants[rng.IntN(len(r.Tenants))].Name
-		prompt, most := 40+rng.IntN(200), 4+rng.IntN(40)
+		promptTokens, maxTokens := 40+rng.IntN(200), 4+rng.IntN(40)
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(rng.ExpFloat64() / each * 1e9)):
+		case <-time.After(time.Duration(rng.ExpFloat64() / requestsPerSecond * 1e9)):
 		}
-		if !n.Up() || ctx.Err() != nil {
+		if !node.Running() || ctx.Err() != nil {
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			continue
 		}
-		all.Go(func() {
-			defer func() { <-places }()
-			r.ask(client, n, fmt.Sprintf("%s-%x-%d", tenant, seed, i), tenant, prompt, most, l)
+		clients.Go(func() {
+			defer func() { <-slots }()
+			r.sendRequest(
+				client, node, fmt.Sprintf("%s-%x-%d", tenant, seed, i), tenant, promptTokens, maxTokens, counter)
 		})
 	}
-	all.Wait()
-	return l.Load
+	clients.Wait()
+	return counter.Load
 }
 
-// tally is a load that several clients add to.
-type tally struct {
-	mu sync.Mutex
+// loadCounter is a Load that concurrent clients count in.
+type loadCounter struct {
+	mu sync.Mutex // guards Load
 	Load
 }
 
-func (r *Rig) ask(client *http.Client, n *Node, id, tenant string, prompt, most int, l *tally) {
-	const patience = 2500 * time.Millisecond
+// sendRequest sends a request to a node, reads the response and counts its outcome.
+func (r *Rig) sendRequest(
+	client *http.Client,
+	node *Node,
+	id, tenant string,
+	promptTokens, maxTokens int,
+	counter *loadCounter,
+) {
+	const deadline = 2500 * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	body := fmt.Sprintf(
 		`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
-		most,
-		strings.Repeat("x", 4*prompt),
+		maxTokens,
+		strings.Repeat("x", 4*promptTokens),
 	)
 	request, err := http.NewRequestWithContext(
 		ctx,
 		http.MethodPost,
-		"http://"+n.Front+"/v1/chat/completions",
+		"http://"+node.Address+"/v1/chat/completions",
 		strings.NewReader(body),
 	)
 	if err != nil {
-		panic(err) // a constant form
+		panic(err) // method and URL are well-formed
 	}
-	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "chat", "X-Customer": tenant, "X-Expires-In": fmt.Sprintf("%dm", patience.Milliseconds()),
-		"X-Props": fmt.Sprintf("prompt_len=%d,max_out=%d", prompt, most)} {
-		request.Header.Set(k, v)
+	for name, value := range map[string]string{
+		"X-Trace-Id":   id,
+		"X-Qos":        "chat",
+		"X-Customer":   tenant,
+		"X-Expires-In": fmt.Sprintf("%dm", deadline.Milliseconds()),
+		"X-Props":      fmt.Sprintf("prompt_len=%d,max_out=%d", promptTokens, maxTokens),
+	} {
+		request.Header.Set(name, value)
 	}
-	from := time.Now()
+	start := time.Now()
 	response, err := client.Do(request)
-	first := time.Since(from)
+	responseTime := time.Since(start)
 	var text []byte
 	if err == nil {
 		text, err = io.ReadAll(response.Body)
 		response.Body.Close()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.Asked++
+	counter.mu.Lock()
+	defer counter.mu.Unlock()
+	counter.Asked++
 	switch {
 	case err != nil:
-		l.Broken++
+		counter.Incomplete++
 	case response.StatusCode == http.StatusOK && strings.Contains(string(text), "[DONE]"):
-		l.Served++
+		counter.Served++
 	case response.StatusCode == http.StatusServiceUnavailable:
-		l.Refused++
+		counter.Refused++
 		if response.Header.Get("Retry-After") == "" {
-			l.Bare++
+			counter.WithoutRetryAfter++
 		}
 	default:
-		l.Failed++
+		counter.Failed++
 	}
-	if err == nil && first > patience+500*time.Millisecond {
-		l.Late++
+	if err == nil && responseTime > deadline+500*time.Millisecond {
+		counter.Late++
 	}
 }
--- a/internal/lab/rig/logs.go
+++ b/internal/lab/rig/logs.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// logLine is a line of a node's log, as far as it is read here.
+// logLine is a line of a node's log, with the fields that SpentByWindow reads.
 type logLine struct {
 	Msg    string `json:"msg"`
 	Budget string `json:"budget"`
@@ -15,33 +15,33 @@
 	Amount int64  `json:"amount"`
 }
 
-// Spent adds up, from the logs of all lives of all nodes, what was spent of each budget in each window. A node writes
-// what it admits before anything is sent on.
-func (r *Rig) Spent() (map[string]map[int64]int64, error) {
-	all := map[string]map[int64]int64{}
-	for _, n := range r.Nodes {
-		raw, err := os.ReadFile(n.log)
+// SpentByWindow returns the tokens spent of each budget in each window, by budget and window. It adds up the log lines
+// of all incarnations of all nodes. A node logs what it admits before it sends anything on.
+func (r *Rig) SpentByWindow() (map[string]map[int64]int64, error) {
+	spent := map[string]map[int64]int64{}
+	for _, node := range r.Nodes {
+		raw, err := os.ReadFile(node.logPath)
 		if err != nil {
 			return nil, err
 		}
 		lines := bufio.NewScanner(bytes.NewReader(raw))
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			var l logLine
-			if json.Unmarshal(lines.Bytes(), &l) != nil || l.Msg != "spent" && l.Msg != "given back" {
+			var line logLine
+			if json.Unmarshal(lines.Bytes(), &line) != nil || line.Msg != "spent" && line.Msg != "given back" {
 				continue
 			}
-			if all[l.Budget] == nil {
-				all[l.Budget] = map[int64]int64{}
+			if spent[line.Budget] == nil {
+				spent[line.Budget] = map[int64]int64{}
 			}
-			if l.Msg == "given back" {
-				l.Amount = -l.Amount
+			if line.Msg == "given back" {
+				line.Amount = -line.Amount
 			}
-			all[l.Budget][l.Window] += l.Amount
+			spent[line.Budget][line.Window] += line.Amount
 		}
 		if err := lines.Err(); err != nil {
 			return nil, err
 		}
 	}
-	return all, nil
+	return spent, nil
 }
--- a/internal/lab/rig/node.go
+++ b/internal/lab/rig/node.go
@@ -16,49 +16,50 @@
 	"standpoint/internal/fleet/ledger/replication"
 )
 
-// Node is one node: its file, and its process while it has one.
+// Node is one node of a rig: its configuration, and its process while it runs.
 type Node struct {
-	Name, Front, Control string
-	program              string
-	file                 string
-	log                  string
+	Name, Address, ControlAddress string // Address is the listen address for clients
 
-	rig     *Rig
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan error // of the process
-	out     *os.File
-	stalled bool
-	killed  bool // the rig killed it
+	program    string // the path of the executable
+	configPath string // the operator's file
+	logPath    string // the file with the output of all its processes
+
+	rig       *Rig
+	mu        sync.Mutex // guards all below
+	process   *exec.Cmd  // nil: none runs
+	exited    chan error // receives the result of the process when it exits
+	logFile   *os.File
+	suspended bool
+	killed    bool // the rig has killed the process
 }
 
-// Start starts the node's process.
+// Start starts the node's process, unless it is running.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
 		return nil
 	}
-	out, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(n.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	c := exec.Command(n.program, "serve", "--config", n.file)
-	c.Stdout = out
-	c.Stderr = out
-	if err := c.Start(); err != nil {
-		return errors.Join(err, out.Close())
+	command := exec.Command(n.program, "serve", "--config", n.configPath)
+	command.Stdout = logFile
+	command.Stderr = logFile
+	if err := command.Start(); err != nil {
+		return errors.Join(err, logFile.Close())
 	}
-	n.process = c
-	n.ended = make(chan error, 1)
-	n.out = out
-	n.stalled = false
+	n.process = command
+	n.exited = make(chan error, 1)
+	n.logFile = logFile
+	n.suspended = false
 	n.killed = false
-	go func(ended chan error) { ended <- c.Wait() }(n.ended)
+	go func(exited chan error) { exited <- command.Wait() }(n.exited)
 	return nil
 }
 
-// Kill ends it at once.
+// Kill kills the node's process, if it is running, and waits for its end.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,49 +68,50 @@
 	}
 	n.killed = true
 	_ = n.process.Process.Kill()
-	n.rig.Log("%s ended by a kill: %v", n.Name, <-n.ended)
-	_ = n.out.Close()
+	n.rig.Log("%s was killed: %v", n.Name, <-n.exited)
+	_ = n.logFile.Close()
 	n.process = nil
 }
 
-// Stall stops it for a while, as a machine does that has other things to do; or has it go on.
-func (n *Node) Stall(on bool) {
+// SetSuspended suspends the node's process, as an overloaded machine does, or resumes it.
+func (n *Node) SetSuspended(suspended bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.process == nil || n.stalled == on {
+	if n.process == nil || n.suspended == suspended {
 		return
 	}
-	sign := syscall.SIGCONT
-	if on {
-		sign = syscall.SIGSTOP
+	signal := syscall.SIGCONT
+	if suspended {
+		signal = syscall.SIGSTOP
 	}
-	n.stalled = on
-	_ = n.process.Process.Signal(sign)
+	n.suspended = suspended
+	_ = n.process.Process.Signal(signal)
 }
 
-// Up tells whether it has a process that is not stalled.
-func (n *Node) Up() bool {
+// Running reports whether the node has a process that is not suspended.
+func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.process != nil && !n.stalled
+	return n.process != nil && !n.suspended
 }
 
-// Died is how its process ended, if it has, unasked.
-func (n *Node) Died() error {
+// UnexpectedExit returns an error if the node's process has exited without having been killed by the rig.
+func (n *Node) UnexpectedExit() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil {
 		return nil
 	}
 	select {
-	case err := <-n.ended:
-		n.ended <- err
-		return fmt.Errorf("%s ended by itself: %v\n%s", n.Name, err, logTail(n.log))
+	case err := <-n.exited:
+		n.exited <- err
+		return fmt.Errorf("%s exited unexpectedly: %v\n%s", n.Name, err, logTail(n.logPath))
 	default:
 		return nil
 	}
 }
 
+// logTail returns the last 4000 bytes of a log file, or the error of reading it.
 func logTail(path string) string {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -118,22 +120,22 @@
 	return string(raw[max(0, len(raw)-4000):])
 }
 
-// Status asks the node how it stands to its fleet.
+// Status requests the fleet status from the node's control interface.
 func (n *Node) Status(ctx context.Context) (fleet.Status, error) {
-	c := control.NewClient(n.Control, controlToken)
-	defer c.Close()
-	var s fleet.Status
+	client := control.NewClient(n.ControlAddress, controlToken)
+	defer client.Close()
+	var status fleet.Status
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return s, c.Call(ctx, http.MethodGet, "/v1/fleet", nil, &s)
+	return status, client.Call(ctx, http.MethodGet, "/v1/fleet", nil, &status)
 }
 
-// Ledger asks the node how its ledger stands.
-func (n *Node) Ledger(ctx context.Context) (replication.Status, error) {
-	c := control.NewClient(n.Control, controlToken)
-	defer c.Close()
-	var s replication.Status
+// LedgerStatus requests the status of the ledger from the node's control interface.
+func (n *Node) LedgerStatus(ctx context.Context) (replication.Status, error) {
+	client := control.NewClient(n.ControlAddress, controlToken)
+	defer client.Close()
+	var status replication.Status
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	return s, c.Call(ctx, http.MethodGet, "/v1/ledger", nil, &s)
+	return status, client.Call(ctx, http.MethodGet, "/v1/ledger", nil, &status)
 }
--- a/internal/lab/rig/node_file.go
+++ b/internal/lab/rig/node_file.go
@@ -10,58 +10,59 @@
 	"time"
 )
 
-// freeAddresses hands out loopback addresses that are free for TCP and UDP, on an address of the loopback range that
-// nothing else here uses: a process that is killed finds its ports free when it comes back, whatever connections
-// others have opened meanwhile.
-func freeAddresses(n int) ([]string, error) {
+// findFreeAddresses returns count loopback addresses that are free for TCP and UDP. Their host is a random address of
+// the loopback range that nothing else here uses, so that a killed process finds its ports free when it restarts,
+// whatever connections others have opened meanwhile.
+func findFreeAddresses(count int) ([]string, error) {
 	for range 50 {
 		host := fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(128), rand.IntN(256), 1+rand.IntN(250))
-		var all []string
-		var held []interface{ Close() error }
-		for port := 21000; len(all) < n && port < 21000+2*n; port++ {
-			at := net.JoinHostPort(host, strconv.Itoa(port))
-			l, err := net.Listen("tcp", at)
+		var found []string
+		var sockets []interface{ Close() error }
+		for port := 21000; len(found) < count && port < 21000+2*count; port++ {
+			address := net.JoinHostPort(host, strconv.Itoa(port))
+			listener, err := net.Listen("tcp", address)
 			if err != nil {
 				break
 			}
-			held = append(held, l)
-			u, err := net.ListenPacket("udp", at)
+			sockets = append(sockets, listener)
+			packets, err := net.ListenPacket("udp", address)
 			if err != nil {
 				break
 			}
-			held = append(held, u)
-			all = append(all, at)
+			sockets = append(sockets, packets)
+			found = append(found, address)
 		}
-		for _, h := range held {
-			_ = h.Close()
+		for _, socket := range sockets {
+			_ = socket.Close()
 		}
-		if len(all) == n {
-			return all, nil
+		if len(found) == count {
+			return found, nil
 		}
 	}
-	return nil, errors.New("too few free ports")
+	return nil, errors.New("too few free ports on 50 random loopback addresses")
 }
 
-// addresses are the addresses that one node listens at.
+// addresses are the addresses on which one node listens.
 type addresses struct {
-	front   string // clients
-	fleet   string // messages between nodes
-	raft    string
-	control string
+	client  string // for clients' requests
+	fleet   string // for messages between the fleet's members
+	raft    string // for messages between the store's members
+	control string // for the control interface
 }
 
+// nodeName returns the name of the node with a number, from 0.
 func nodeName(number int) string { return fmt.Sprintf("n%d", number) }
 
-// nodeAddresses finds free addresses for so many nodes.
-func nodeAddresses(count int) ([]addresses, error) {
-	free, err := freeAddresses(4 * count)
+// findNodeAddresses returns free addresses for count nodes.
+func findNodeAddresses(count int) ([]addresses, error) {
+	free, err := findFreeAddresses(4 * count)
 	if err != nil {
 		return nil, err
 	}
 	nodes := make([]addresses, count)
 	for i := range nodes {
 		nodes[i] = addresses{
-			front:   free[i],
+			client:  free[i],
 			fleet:   free[count+i],
 			raft:    free[2*count+i],
 			control: free[3*count+i],
@@ -70,8 +71,9 @@
 	return nodes, nil
 }
 
-// nodeFile is the operator's file of one node. Its messages to the others go through relays.
-func (r *Rig) nodeFile(number int, nodes []addresses, token string) (string, error) {
+// operatorFile returns the content of the operator's file of one node. In it the addresses of the other nodes' store
+// and fleet members are those of relays.
+func (r *Rig) operatorFile(number int, nodes []addresses, token string) (string, error) {
 	var b strings.Builder
 	clockOffset := time.Duration((2*r.rng.Float64() - 1) * float64(r.Clock))
 	r.writeServing(&b, number, nodes[number], token)
@@ -81,13 +83,13 @@
 	if err := r.writeFleet(&b, number, nodes, clockOffset); err != nil {
 		return "", err
 	}
-	b.WriteString(strings.ReplaceAll(r.Config, "NODE", nodeName(number)))
+	b.WriteString(strings.ReplaceAll(r.ExtraConfig, "NODE", nodeName(number)))
 	return b.String(), nil
 }
 
-// writeServing writes what the node listens at, and whom it serves by which backends.
+// writeServing writes the node's own addresses, limits and module settings, its class and tenants, and its backends.
 func (r *Rig) writeServing(b *strings.Builder, number int, own addresses, token string) {
-	fmt.Fprintf(b, "name = %q\nlisten = %q\n", nodeName(number), own.front)
+	fmt.Fprintf(b, "name = %q\nlisten = %q\n", nodeName(number), own.client)
 	b.WriteString("[limits]\nmemory_mb = 192\nsockets = 1024\n[log]\nlevel = \"debug\"\n")
 	fmt.Fprintf(b, "[module]\nnodes = %d\nwarm_up = \"1ms\"\nresume = true\n", r.Options.Nodes)
 	fmt.Fprintf(b, "[control]\nlisten = %q\ntoken_file = %q\n", own.control, token)
@@ -95,12 +97,12 @@
 	for _, tenant := range r.Tenants {
 		fmt.Fprintf(b, "[[tenant]]\nname = %q\nshare = %g\n", tenant.Name, 1/float64(len(r.Tenants)))
 	}
-	for i, box := range r.Backends {
-		fmt.Fprintf(b, "[[real_server]]\nname = \"box-%d\"\naddress = %q\n", i, box.Address)
+	for i, backend := range r.Backends {
+		fmt.Fprintf(b, "[[real_server]]\nname = \"box-%d\"\naddress = %q\n", i, backend.Address)
 	}
 }
 
-// writeStore writes the store's members: all nodes but the sites. A site has no replica of its own.
+// writeStore writes the store's members: all nodes except the sites. A site has no replica of the store.
 func (r *Rig) writeStore(b *strings.Builder, number int, nodes []addresses) error {
 	core := r.coreNodes()
 	if number >= core {
@@ -112,7 +114,7 @@
 		reach := nodes[i].raft
 		if i != number {
 			var err error
-			if reach, err = r.Net.RelayTCP(number, i, nodes[i].raft); err != nil {
+			if reach, err = r.Network.RelayTCP(number, i, nodes[i].raft); err != nil {
 				return err
 			}
 		}
@@ -122,13 +124,13 @@
 	return nil
 }
 
-// writeFleet writes the fleet's members and budgets.
+// writeFleet writes the fleet's timing, members and budgets.
 func (r *Rig) writeFleet(b *strings.Builder, number int, nodes []addresses, clockOffset time.Duration) error {
 	fmt.Fprintf(b, "[fleet]\nlisten = %q\ndir = \"fleet-%d\"\nstrict = true\n", nodes[number].fleet, number)
 	fmt.Fprintf(b, "clock_error = \"%dms\"\nclock_offset = \"%dms\"\n",
 		max(50, 2*r.Clock.Milliseconds()), clockOffset.Milliseconds())
 	b.WriteString("beat = \"100ms\"\nsilence = \"1s\"\nsettle = \"300ms\"\nheal = \"500ms\"\njoin = \"2s\"\n")
-	fmt.Fprintf(b, "lease = \"%s\"\n", r.lease())
+	fmt.Fprintf(b, "lease = \"%s\"\n", r.leaseDuration())
 	if r.Sites > 0 {
 		b.WriteString("doubt = \"500ms\"\nalone = \"500ms\"\noverdraws = [\"chat\"]\nhalls = [")
 		for i := range r.coreNodes() {
@@ -140,7 +142,7 @@
 		address := nodes[i].fleet
 		if i != number {
 			var err error
-			if address, err = r.Net.RelayTCPAndUDP(number, i, nodes[i].fleet); err != nil {
+			if address, err = r.Network.RelayTCPAndUDP(number, i, nodes[i].fleet); err != nil {
 				return err
 			}
 		}
@@ -155,5 +157,5 @@
 	return nil
 }
 
-// coreNodes is the number of nodes that are no sites.
+// coreNodes returns the number of nodes that are not sites.
 func (r *Rig) coreNodes() int { return r.Options.Nodes - r.Sites }
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -1,7 +1,7 @@
-// Package rig plays several real processes of the program against each other: emulated boxes that keep a ledger of
-// their own, clients with random load, relays that do to the nodes' messages what networks do, kills, stalls and
-// clocks that are off, all by a seed; then it heals everything, and checks. What it checks are invariants, so that
-// the verdict is the same every time.
+// Package rig tests a fleet of several real processes of the program against invariants. It runs the nodes with
+// emulated backends that record what they receive and serve, clients that generate random load, relays that inject
+// network faults between the nodes, kills, suspensions and clock offsets, all drawn from a seed. Then it ends all
+// faults and checks invariants, which hold for every order of events, so that the verdict is the same every time.
 package rig
 
 import (
@@ -15,156 +15,156 @@
 	"standpoint/internal/lab/faults"
 )
 
-// Options are what a rig is made of.
+// Options are the options of a rig.
 type Options struct {
-	Program string
-	// Previous is an earlier program that the last Older nodes run in place of Program.
-	Previous string
-	Older    int
-	Dir      string // empty, and the rig's own
-	Nodes    int    // 3 to 7; all of them members of the store, but for the sites
-	Sites    int    // of these, the last ones: building sites with a line to the halls
-	NoKills  bool   // troubles are those of messages and clocks alone
-	Backends int
-	Seed     uint64
-	Tenants  []Tenant
-	Window   time.Duration
-	Clock    time.Duration // by which nodes' clocks are off, each way, at the most
-	Token    time.Duration // of the boxes
-	Config   string        // further text of each node's file
-	Log      func(format string, args ...any)
+	Program         string // the path of the executable that the nodes run
+	PreviousProgram string // the path of an earlier version, which the last PreviousNodes nodes run instead
+	PreviousNodes   int
+	Dir             string // a directory for the rig alone, which must be empty
+	Nodes           int    // 3 to 7; all except the sites are members of the store
+	Sites           int    // how many of the nodes, the last ones, are sites with a connection to the core nodes
+	NoProcessFaults bool   // faults are limited to the network and the clocks: no kills and suspensions
+	Backends        int
+	Seed            uint64
+	Tenants         []Tenant
+	Window          time.Duration // the window of the budgets
+	Clock           time.Duration // the bound of the random offset, in either direction, of each node's clock
+	Token           time.Duration // the time between two tokens of a backend
+	ExtraConfig     string        // text appended to each node's operator file, with the node's name in place of NODE
+	Log             func(format string, args ...any)
 }
 
-// Tenant is a tenant and its budget, with an overdraft; Amount 0: none.
+// Tenant is a tenant with its budget and overdraft in tokens per window. Amount 0 stands for no budget.
 type Tenant struct {
 	Name              string
 	Amount, Overdraft int64
 }
 
-// Rig is the processes and what is round them.
+// Rig is a fleet of node processes with their backends and the network between the nodes.
 type Rig struct {
 	Options
-	Net      *faults.Network
-	Ledger   *Ledger
+	Network  *faults.Network
+	Record   *BackendRecord // shared by all backends
 	Backends []*Backend
 	Nodes    []*Node
 
 	rng *rand.Rand
 }
 
-// controlToken is the token of the nodes' control interfaces.
+// controlToken is the bearer token of the nodes' control interfaces.
 const controlToken = "a-token-that-is-long-enough"
 
-// New writes the nodes' files and starts backends and relays; StartAll starts the nodes themselves.
-func New(o Options) (*Rig, error) {
-	if o.Log == nil {
-		o.Log = func(string, ...any) {}
+// New writes the nodes' files and starts the backends and relays. StartAll starts the nodes.
+func New(options Options) (*Rig, error) {
+	if options.Log == nil {
+		options.Log = func(string, ...any) {}
 	}
 	r := &Rig{
-		Options: o,
-		Net:     faults.New(o.Seed),
-		Ledger:  NewLedger(),
-		rng:     rand.New(rand.NewPCG(o.Seed, 5)),
+		Options: options,
+		Network: faults.New(options.Seed),
+		Record:  NewBackendRecord(),
+		rng:     rand.New(rand.NewPCG(options.Seed, 5)),
 	}
-	for range o.Backends {
-		box, err := StartBackend(r.Ledger, o.Token)
+	for range options.Backends {
+		backend, err := StartBackend(r.Record, options.Token)
 		if err != nil {
 			return nil, err
 		}
-		r.Backends = append(r.Backends, box)
+		r.Backends = append(r.Backends, backend)
 	}
-	nodes, err := nodeAddresses(o.Nodes)
+	nodes, err := findNodeAddresses(options.Nodes)
 	if err != nil {
 		return nil, err
 	}
-	token := filepath.Join(o.Dir, "token")
+	token := filepath.Join(options.Dir, "token")
 	if err := os.WriteFile(token, []byte(controlToken), 0o600); err != nil {
 		return nil, err
 	}
-	for i := range o.Nodes {
-		n := &Node{
-			Name:    nodeName(i),
-			program: o.programOf(i),
-			Front:   nodes[i].front,
-			Control: nodes[i].control,
-			file:    filepath.Join(o.Dir, nodeName(i)+".toml"),
-			log:     filepath.Join(o.Dir, nodeName(i)+".log"),
-			rig:     r,
+	for i := range options.Nodes {
+		node := &Node{
+			Name:           nodeName(i),
+			program:        options.nodeProgram(i),
+			Address:        nodes[i].client,
+			ControlAddress: nodes[i].control,
+			configPath:     filepath.Join(options.Dir, nodeName(i)+".toml"),
+			logPath:        filepath.Join(options.Dir, nodeName(i)+".log"),
+			rig:            r,
 		}
-		text, err := r.nodeFile(i, nodes, token)
+		text, err := r.operatorFile(i, nodes, token)
 		if err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(n.file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(node.configPath, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
-		r.Nodes = append(r.Nodes, n)
+		r.Nodes = append(r.Nodes, node)
 	}
 	return r, nil
 }
 
-// programOf is what the node of that number runs.
-func (o Options) programOf(number int) string {
-	if number >= o.Nodes-o.Older {
-		return o.Previous
+// nodeProgram returns the path of the executable that the node with a number runs.
+func (o Options) nodeProgram(number int) string {
+	if number >= o.Nodes-o.PreviousNodes {
+		return o.PreviousProgram
 	}
 	return o.Program
 }
 
-// lease is for how long seats are given: for long where sites may be alone.
-func (o Options) lease() time.Duration {
+// leaseDuration returns the duration of the leases of member slots. It is long where sites may be isolated.
+func (o Options) leaseDuration() time.Duration {
 	if o.Sites > 0 {
 		return 10 * time.Minute
 	}
 	return 5 * time.Second
 }
 
-// Close ends all processes that the rig has started, and what is round them.
+// Close kills all of the rig's processes and stops the relays and backends.
 func (r *Rig) Close() {
-	for _, n := range r.Nodes {
-		n.Kill()
+	for _, node := range r.Nodes {
+		node.Kill()
 	}
-	r.Net.Close()
-	for _, b := range r.Backends {
-		b.Close()
+	r.Network.Close()
+	for _, backend := range r.Backends {
+		backend.Close()
 	}
 }
 
-// StartAll starts all nodes, and waits until they are together and have their seats.
+// StartAll starts all nodes and waits until WaitTogether succeeds.
 func (r *Rig) StartAll(ctx context.Context) error {
-	for _, n := range r.Nodes {
-		if err := n.Start(); err != nil {
+	for _, node := range r.Nodes {
+		if err := node.Start(); err != nil {
 			return err
 		}
 	}
-	return r.Together(ctx, 30*time.Second)
+	return r.WaitTogether(ctx, 30*time.Second)
 }
 
-// Together waits until every node hears every other, has its seat, and is together with the others by its mode.
-func (r *Rig) Together(ctx context.Context, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// WaitTogether waits until every node receives messages from every other, has a lease on its member slot and is in the
+// connectivity state "together".
+func (r *Rig) WaitTogether(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	last := "nothing was heard of them"
+	lastStatus := "no status received"
 	for {
 		all := true
-		for _, n := range r.Nodes {
-			if err := n.Died(); err != nil {
+		for _, node := range r.Nodes {
+			if err := node.UnexpectedExit(); err != nil {
 				return err
 			}
-			s, err := n.Status(ctx)
-			ok := err == nil && s.State == "together" && s.LeaseRemaining > 0
-			for _, p := range s.Peers {
-				ok = ok && p.Alive
+			status, err := node.Status(ctx)
+			ok := err == nil && status.State == "together" && status.LeaseRemaining > 0
+			for _, peer := range status.Peers {
+				ok = ok && peer.Alive
 			}
 			if !ok {
 				all = false
-				last = fmt.Sprintf(
-					"%s: %v, %s, lease of %.1f s, peers %+v",
-					n.Name,
+				lastStatus = fmt.Sprintf(
+					"%s: error %v, state %s, lease of %.1f s, peers %+v",
+					node.Name,
 					err,
-					s.State,
-					s.LeaseRemaining,
-					s.Peers,
+					status.State,
+					status.LeaseRemaining,
+					status.Peers,
 				)
 			}
 		}
@@ -173,7 +173,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not all are together after %v: %s", within, last)
+			return fmt.Errorf("not all nodes are together after %v: %s", timeout, lastStatus)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -11,19 +11,21 @@
 	"standpoint/internal/testpeer/release"
 )
 
-func program(t *testing.T) string {
+// buildProgram builds the current program and returns the path of the executable.
+func buildProgram(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "standpoint")
 	out, err := exec.Command("go", "build", "-o", path, "standpoint/cmd/standpoint").CombinedOutput()
 	require.NoError(t, err, string(out))
 	return path
 }
 
-// Three processes share two tenants' budgets while they are cut off, lossy, killed and stalled, with clocks that are
-// off: no window is overspent, no invariant breaks, and once all is healed they agree and serve.
+// TestBudgetsOnRealProcesses lets three processes share the budgets of two tenants under partitions, packet loss,
+// kills, suspensions and clock offsets. No window may be overspent and no invariant violated, and after the end of the
+// faults the nodes must be together again and serve requests.
 func TestBudgetsOnRealProcesses(t *testing.T) {
-	path := program(t)
+	path := buildProgram(t)
 	for seed := range uint64(2) {
-		v, err := PlayBudgets(
+		result, err := PlayBudgets(
 			t.Context(),
 			Options{
 				Program:  path,
@@ -45,16 +47,16 @@
 			60,
 		)
 		require.NoError(t, err)
-		t.Logf("seed %d: %+v", seed+1, v)
+		t.Logf("seed %d: %+v", seed+1, result)
 	}
 }
 
-// Conversations that call tools, held through any node while nodes are cut off, lossy, killed and stalled: no session
-// is decoded twice at once, each key gives one answer, and what each part is built on is what the session had come
-// to.
+// TestSessionsOnRealProcesses runs conversations that call tools through any node, without faults and under partitions,
+// packet loss, kills and suspensions. No session may be decoded twice at the same time, each resume key must give one
+// response, and the prompt of each turn must be the state of its session.
 func TestSessionsOnRealProcesses(t *testing.T) {
-	path := program(t)
-	o := Options{
+	path := buildProgram(t)
+	options := Options{
 		Program:  path,
 		Nodes:    3,
 		Backends: 3,
@@ -65,34 +67,36 @@
 		Tenants:  []Tenant{{Name: "acme"}},
 		Log:      t.Logf,
 	}
-	for _, trouble := range []bool{false, true} {
-		o.Dir = t.TempDir()
-		v, err := PlaySessions(t.Context(), o, 6*time.Second, 10, 3, trouble)
+	for _, withFaults := range []bool{false, true} {
+		options.Dir = t.TempDir()
+		result, err := RunSessions(t.Context(), options, 6*time.Second, 10, 3, withFaults)
 		require.NoError(t, err)
 		t.Logf(
-			"trouble %v: %d begun, %d whole, %d lost, %d open; %d resumes, %d refused, %d used, %d without a key; first token after a result %v, 99th %v",
-			trouble,
-			v.Begun,
-			v.Whole,
-			v.Lost,
-			v.Open,
-			v.Resumes,
-			v.Refused,
-			v.Used,
-			v.Unkept,
-			v.First(0.5),
-			v.First(0.99),
+			"faults %v: %d started, %d completed, %d failed, %d unfinished; %d resumes, %d rejected, %d used keys, "+
+				"%d without a key; response time of resumes: median %v, 99th percentile %v",
+			withFaults,
+			result.Started,
+			result.Completed,
+			result.Failed,
+			result.Unfinished,
+			result.Resumes,
+			result.Rejected,
+			result.UsedKeys,
+			result.WithoutKey,
+			result.ResponseTimeQuantile(0.5),
+			result.ResponseTimeQuantile(0.99),
 		)
 	}
 }
 
-// A site whose line is cut serves alone, by the rights that it holds and into its overdraft; once the line is back
-// all ledgers come to the same sums, those of the boxes to the token, whatever was lost or doubled on the way.
+// TestLedgersOnRealProcesses lets a site whose connection is blocked serve requests from its own quota and into its
+// overdraft. Once the connection is back all ledgers must converge to the totals recorded by the backends, to the
+// token, whatever messages were lost or duplicated.
 func TestLedgersOnRealProcesses(t *testing.T) {
-	a, err := PlayLedgers(
+	result, err := RunLedgers(
 		t.Context(),
 		Options{
-			Program:  program(t),
+			Program:  buildProgram(t),
 			Dir:      t.TempDir(),
 			Nodes:    4,
 			Backends: 3,
@@ -107,50 +111,50 @@
 		60,
 	)
 	require.NoError(t, err)
-	t.Logf("%+v", a)
+	t.Logf("%+v", result)
 }
 
-// Of three processes one is of the earlier program: they share budgets and sessions while they are cut off, lossy,
-// killed and stalled, and every invariant of a fleet of one version holds.
+// TestFleetOfTwoVersions runs a fleet in which the last node runs the earlier version of the program, with the faults
+// and checks of the tests above. Every invariant of a fleet of one version must hold.
 func TestFleetOfTwoVersions(t *testing.T) {
 	options := Options{
-		Program:  program(t),
-		Previous: release.Program(t),
-		Older:    1,
-		Nodes:    3,
-		Backends: 3,
-		Seed:     1,
-		Clock:    100 * time.Millisecond,
-		Token:    time.Millisecond,
-		Log:      t.Logf,
+		Program:         buildProgram(t),
+		PreviousProgram: release.Program(t),
+		PreviousNodes:   1,
+		Nodes:           3,
+		Backends:        3,
+		Seed:            1,
+		Clock:           100 * time.Millisecond,
+		Token:           time.Millisecond,
+		Log:             t.Logf,
 	}
 	t.Run("budgets", func(t *testing.T) {
-		o := options
-		o.Dir = t.TempDir()
-		o.Window = 400 * time.Millisecond
-		o.Tenants = []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}
-		verdict, err := PlayBudgets(t.Context(), o, 5*time.Second, 60)
+		scenario := options
+		scenario.Dir = t.TempDir()
+		scenario.Window = 400 * time.Millisecond
+		scenario.Tenants = []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}
+		result, err := PlayBudgets(t.Context(), scenario, 5*time.Second, 60)
 		require.NoError(t, err)
-		t.Logf("%+v", verdict)
+		t.Logf("%+v", result)
 	})
 	t.Run("sessions", func(t *testing.T) {
-		o := options
-		o.Dir = t.TempDir()
-		o.Window = time.Second
-		o.Tenants = []Tenant{{Name: "acme"}}
-		verdict, err := PlaySessions(t.Context(), o, 5*time.Second, 10, 3, true)
+		scenario := options
+		scenario.Dir = t.TempDir()
+		scenario.Window = time.Second
+		scenario.Tenants = []Tenant{{Name: "acme"}}
+		result, err := RunSessions(t.Context(), scenario, 5*time.Second, 10, 3, true)
 		require.NoError(t, err)
-		require.Positive(t, verdict.Resumes)
-		t.Logf("%+v", verdict)
+		require.Positive(t, result.Resumes)
+		t.Logf("%+v", result)
 	})
 	t.Run("ledgers", func(t *testing.T) {
-		o := options
-		o.Dir = t.TempDir()
-		o.Nodes = 4 // the last, a site, is the earlier program
-		o.Window = 400 * time.Millisecond
-		o.Tenants = []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}}
-		account, err := PlayLedgers(t.Context(), o, 3*time.Second, 60)
+		scenario := options
+		scenario.Dir = t.TempDir()
+		scenario.Nodes = 4 // the last, a site, runs the earlier version
+		scenario.Window = 400 * time.Millisecond
+		scenario.Tenants = []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}}
+		result, err := RunLedgers(t.Context(), scenario, 3*time.Second, 60)
 		require.NoError(t, err)
-		t.Logf("%+v", account)
+		t.Logf("%+v", result)
 	})
 }
--- a/internal/lab/rig/sessions.go
+++ b/internal/lab/rig/sessions.go
@@ -16,268 +16,291 @@
 	"time"
 )
 
-// Talks is what came of conversations that call tools.
-type Talks struct {
-	Begun    int
-	Whole    int // to their final answer
-	Lost     int // that ended otherwise, by what was said to the client
-	Open     int // that had no end when the client gave up asking
-	Twice    int // keys that gave a second whole answer
-	Resumes  int
-	Refused  int // resumes, for now
-	Used     int // resumes by a key that had been used
-	Unkept   int // calls that came without a key
-	Firsts   []time.Duration
-	Mistakes []string
-	Lengths  map[string]int // tokens that a client has of a talk
+// SessionResult is the result of conversations that call tools.
+type SessionResult struct {
+	Started         int             // conversations
+	Completed       int             // conversations that reached the end of their last turn
+	Failed          int             // conversations that ended early because of a node's response
+	Unfinished      int             // conversations that were still incomplete after conversationTimeout
+	DoubleResponses int             // resume keys for which both of two concurrent requests got a complete response
+	Resumes         int             // resume requests that got a complete response
+	Rejected        int             // responses with status 503 or 409 after which the client tried again
+	UsedKeys        int             // conversations that ended because their resume key had been used
+	WithoutKey      int             // conversations that ended because a turn with tool calls came without a resume key
+	ResponseTimes   []time.Duration // from sending a successful resume request to the headers of its response
+	Mismatches      []string        // descriptions of unexpected texts and responses
+	ClientTokens    map[string]int  // tokens that the client received in complete turns, by conversation
 }
 
-// Talk has clients hold conversations until ctx ends, and each to its end.
-func (r *Rig) Talk(ctx context.Context, each float64, calls int, seed uint64) Talks {
-	t := Talks{Lengths: map[string]int{}}
-	var mu sync.Mutex
+// RunConversations starts conversations at random times with the given mean rate until ctx ends, each with up to
+// maxCallingTurns turns that end in tool calls. It returns once all conversations have ended.
+func (r *Rig) RunConversations(
+	ctx context.Context,
+	conversationsPerSecond float64,
+	maxCallingTurns int,
+	seed uint64,
+) SessionResult {
+	result := SessionResult{ClientTokens: map[string]int{}}
+	var mu sync.Mutex // guards result
 	rng := rand.New(rand.NewPCG(seed, 4))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	var all sync.WaitGroup
-	places := make(chan struct{}, 128)
+	var clients sync.WaitGroup
+	slots := make(chan struct{}, 128) // a semaphore for the open conversations; those beyond are not started
 	for i := 0; ctx.Err() == nil; i++ {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(rng.ExpFloat64() / each * 1e9)):
+		case <-time.After(time.Duration(rng.ExpFloat64() / conversationsPerSecond * 1e9)):
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			continue
 		}
-		c := &talker{
-			r:      r,
-			client: client,
-			rng:    rand.New(rand.NewPCG(seed, uint64(i)+100)),
-			name:   fmt.Sprintf("s%x-%d", seed, i),
-			calls:  rng.IntN(calls + 1),
-			tenant: r.Tenants[rng.IntN(len(r.Tenants))].Name,
+		c := &conversation{
+			rig:          r,
+			client:       client,
+			rng:          rand.New(rand.NewPCG(seed, uint64(i)+100)),
+			name:         fmt.Sprintf("s%x-%d", seed, i),
+			callingTurns: rng.IntN(maxCallingTurns + 1),
+			tenant:       r.Tenants[rng.IntN(len(r.Tenants))].Name,
 		}
-		all.Go(func() {
-			defer func() { <-places }()
+		clients.Go(func() {
+			defer func() { <-slots }()
 			c.run()
 			mu.Lock()
 			defer mu.Unlock()
-			t.Begun++
-			t.Resumes = t.Resumes + c.resumes
-			t.Refused = t.Refused + c.refused
-			t.Used = t.Used + c.used
-			t.Unkept = t.Unkept + c.unkept
-			t.Twice = t.Twice + c.twice
-			t.Firsts = append(t.Firsts, c.firsts...)
-			t.Mistakes = append(t.Mistakes, c.mistakes...)
-			t.Lengths[c.name] = c.tokens
-			switch c.end {
-			case "whole":
-				t.Whole++
-			case "open":
-				t.Open++
+			result.Started++
+			result.Resumes = result.Resumes + c.resumes
+			result.Rejected = result.Rejected + c.rejected
+			result.UsedKeys = result.UsedKeys + c.usedKeys
+			result.WithoutKey = result.WithoutKey + c.withoutKey
+			result.DoubleResponses = result.DoubleResponses + c.doubleResponses
+			result.ResponseTimes = append(result.ResponseTimes, c.responseTimes...)
+			result.Mismatches = append(result.Mismatches, c.mismatches...)
+			result.ClientTokens[c.name] = c.tokens
+			switch c.outcome {
+			case "completed":
+				result.Completed++
+			case "unfinished":
+				result.Unfinished++
 			default:
-				t.Lost++
+				result.Failed++
 			}
 		})
 	}
-	all.Wait()
-	return t
+	clients.Wait()
+	return result
 }
 
-// talker is one conversation's client.
-type talker struct {
-	r      *Rig
-	client *http.Client
-	rng    *rand.Rand
-	name   string
-	tenant string
-	calls  int
-	asked  int
+// conversation is the client of one conversation.
+type conversation struct {
+	rig          *Rig
+	client       *http.Client
+	rng          *rand.Rand
+	name         string
+	tenant       string
+	callingTurns int // the number of turns that end in tool calls; one more turn follows them
+	requests     int // the number of requests sent so far
+
+	// The fields below are the conversation's share of the SessionResult.
+	resumes, rejected, usedKeys, withoutKey, doubleResponses, tokens int
 
-	resumes, refused, used, unkept, twice, tokens int
-	firsts                                        []time.Duration
-	mistakes                                      []string
-	end                                           string
+	responseTimes []time.Duration
+	mismatches    []string
+	outcome       string // "completed", "unfinished" or the reason of the failure
 }
 
 const (
-	askTime  = 8 * time.Second // of one request
-	talkTime = 25 * time.Second
+	requestTimeout      = 8 * time.Second  // for one request
+	conversationTimeout = 25 * time.Second // for all requests of a conversation
 )
 
-// reply is what one request of a talk came to.
-type reply struct {
-	status int
-	wait   time.Duration
-	whole  bool // to [DONE]
-	text   string
-	key    string
-	calls  int
-	first  time.Duration
+// turnResponse is the response to one request of a conversation. The zero value stands for no response.
+type turnResponse struct {
+	status       int
+	retryAfter   time.Duration // 0: the response has no Retry-After header
+	complete     bool          // it was read up to [DONE]
+	text         string        // the text of the turn, or the body of a response with another status than 200
+	resumeKey    string
+	toolCalls    int
+	responseTime time.Duration // from sending the request to the headers of the response
 }
 
-func (c *talker) run() {
-	first := fmt.Sprintf(
-		`{"stream":true,"max_tokens":200,"tools":[{"type":"function","function":{"name":"hours"}}],"messages":[{"role":"user","content":"talk %s calls %d"}]}`,
+// run holds the conversation to its end and sets its outcome.
+func (c *conversation) run() {
+	firstBody := fmt.Sprintf(
+		`{"stream":true,"max_tokens":200,"tools":[{"type":"function","function":{"name":"hours"}}],`+
+			`"messages":[{"role":"user","content":"talk %s calls %d"}]}`,
 		c.name,
-		c.calls,
+		c.callingTurns,
 	)
-	until := time.Now().Add(talkTime)
-	var last reply
-	for { // the first part: asked anew under the same name until it has come whole; only the last of these counts
-		last = c.ask(first, "")
-		if last.whole {
+	until := time.Now().Add(conversationTimeout)
+	var last turnResponse
+	for { // the first turn is requested under the same name until a response is complete; others do not count
+		last = c.sendToAnyNode(firstBody, "")
+		if last.complete {
 			break
 		}
 		if time.Now().After(until) {
-			c.end = "open"
+			c.outcome = "unfinished"
 			return
 		}
-		c.pause(last)
+		c.backOff(last)
 	}
-	for part := 0; ; part++ {
-		want := partText(c.name, part)
+	for turn := 0; ; turn++ {
+		want := turnText(c.name, turn)
 		if last.text != want {
-			c.mistakes = append(c.mistakes, fmt.Sprintf("%s: part %d is %q, not %q", c.name, part, last.text, want))
+			c.mismatches = append(c.mismatches,
+				fmt.Sprintf("%s: turn %d is %q, want %q", c.name, turn, last.text, want))
 		}
 		c.tokens += len(last.text) / 4
-		if part >= c.calls {
-			c.end = "whole"
+		if turn >= c.callingTurns {
+			c.outcome = "completed"
 			return
 		}
-		if last.key == "" {
-			c.unkept++
-			c.end = "no key"
+		if last.resumeKey == "" {
+			c.withoutKey++
+			c.outcome = "no resume key"
 			return
 		}
-		time.Sleep(time.Duration(20+c.rng.IntN(400)) * time.Millisecond) // the tool works
-		body := c.results(part)
-		key := last.key
-		if c.rng.IntN(4) == 0 { // two of the client's devices present it at once
-			var two [2]reply
-			var both sync.WaitGroup
-			for i := range two {
-				n, id := c.draw()
-				both.Go(func() { two[i] = c.do(n, id, body, key) })
+		time.Sleep(time.Duration(20+c.rng.IntN(400)) * time.Millisecond) // the tool runs
+		body := c.toolResultsBody(turn)
+		key := last.resumeKey
+		if c.rng.IntN(4) == 0 { // two of the client's devices send the same resume key concurrently
+			var responses [2]turnResponse
+			var devices sync.WaitGroup
+			for i := range responses {
+				node, id := c.nextRequest()
+				devices.Go(func() { responses[i] = c.send(node, id, body, key) })
 			}
-			both.Wait()
-			if two[0].whole && two[1].whole {
-				c.twice++
+			devices.Wait()
+			if responses[0].complete && responses[1].complete {
+				c.doubleResponses++
 			}
-			last = two[0]
-			if !last.whole {
-				last = two[1]
+			last = responses[0]
+			if !last.complete {
+				last = responses[1]
 			}
 		} else {
-			last = c.ask(body, key)
+			last = c.sendToAnyNode(body, key)
 		}
-		for !last.whole {
+		for !last.complete {
 			switch {
-			case last.status == http.StatusConflict && last.wait == 0:
-				c.used++
-				c.end = "used"
+			case last.status == http.StatusConflict && last.retryAfter == 0:
+				c.usedKeys++
+				c.outcome = "resume key used"
 				return
 			case last.status == http.StatusGone,
 				last.status == http.StatusNotFound,
 				last.status == http.StatusBadRequest:
-				c.end = "status " + strconv.Itoa(last.status)
+				c.outcome = "status " + strconv.Itoa(last.status)
 				if last.status == http.StatusBadRequest {
-					c.mistakes = append(c.mistakes, c.name+": "+last.text)
+					c.mismatches = append(c.mismatches, c.name+": "+last.text)
 				}
 				return
 			case time.Now().After(until):
-				c.end = "open"
+				c.outcome = "unfinished"
 				return
 			}
-			c.pause(last)
-			last = c.ask(body, key)
+			c.backOff(last)
+			last = c.sendToAnyNode(body, key)
 		}
 		c.resumes++
-		c.firsts = append(c.firsts, last.first)
+		c.responseTimes = append(c.responseTimes, last.responseTime)
 	}
 }
 
-func (c *talker) pause(last reply) {
+// backOff counts a temporary rejection and waits before the next attempt at the same turn.
+func (c *conversation) backOff(last turnResponse) {
 	if last.status == http.StatusServiceUnavailable || last.status == http.StatusConflict {
-		c.refused++
-		if last.wait == 0 {
-			c.mistakes = append(c.mistakes, c.name+": refused for now, and not told when to come back")
+		c.rejected++
+		if last.retryAfter == 0 {
+			c.mismatches = append(c.mismatches, c.name+": temporary rejection without Retry-After")
 		}
 	}
-	time.Sleep(max(last.wait, 50*time.Millisecond) + time.Duration(c.rng.IntN(100))*time.Millisecond)
+	time.Sleep(max(last.retryAfter, 50*time.Millisecond) + time.Duration(c.rng.IntN(100))*time.Millisecond)
 }
 
-func (c *talker) results(part int) string {
+// toolResultsBody returns the body of the request with the tool results that follow a turn.
+func (c *conversation) toolResultsBody(turn int) string {
 	var b strings.Builder
 	b.WriteString(`{"stream":true,"messages":[`)
-	for k := range callsOf(part) {
-		if k > 0 {
+	for i := range toolCallCount(turn) {
+		if i > 0 {
 			b.WriteString(",")
 		}
 		fmt.Fprintf(
 			&b,
 			`{"role":"tool","tool_call_id":%q,"content":%q}`,
-			callID(c.name, part, k),
-			result(c.name, part, k),
+			callID(c.name, turn, i),
+			toolResult(c.name, turn, i),
 		)
 	}
 	b.WriteString("]}")
 	return b.String()
 }
 
-// draw draws a node that is up, and names a request.
-func (c *talker) draw() (*Node, string) {
-	n := c.r.Nodes[c.rng.IntN(len(c.r.Nodes))]
+// nextRequest chooses a node at random, one that is running if 20 further draws find one, and returns it with the id of
+// the conversation's next request.
+func (c *conversation) nextRequest() (*Node, string) {
+	node := c.rig.Nodes[c.rng.IntN(len(c.rig.Nodes))]
 	for range 20 {
-		if n.Up() {
+		if node.Running() {
 			break
 		}
-		n = c.r.Nodes[c.rng.IntN(len(c.r.Nodes))]
+		node = c.rig.Nodes[c.rng.IntN(len(c.rig.Nodes))]
 	}
-	c.asked++
-	return n, fmt.Sprintf("%s-%d", c.name, c.asked)
+	c.requests++
+	return node, fmt.Sprintf("%s-%d", c.name, c.requests)
 }
 
-func (c *talker) ask(body, key string) reply {
-	n, id := c.draw()
-	return c.do(n, id, body, key)
+// sendToAnyNode sends the next request, with a resume key unless it is empty, to a random node.
+func (c *conversation) sendToAnyNode(body, key string) turnResponse {
+	node, id := c.nextRequest()
+	return c.send(node, id, body, key)
 }
 
-func (c *talker) do(n *Node, id, body, key string) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), askTime)
+// send sends a request, with a resume key unless it is empty, and reads the response.
+func (c *conversation) send(node *Node, id, body, key string) turnResponse {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(
 		ctx,
 		http.MethodPost,
-		"http://"+n.Front+"/v1/chat/completions",
+		"http://"+node.Address+"/v1/chat/completions",
 		strings.NewReader(body),
 	)
 	if err != nil {
-		panic(err) // a constant form
+		panic(err) // method and URL are well-formed
 	}
-	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": "chat", "X-Customer": c.tenant, "X-Expires-In": "2500m", "X-Object": "7f", "X-Props": "prompt_len=20,max_out=200"} {
-		request.Header.Set(k, v)
+	for name, value := range map[string]string{
+		"X-Trace-Id":   id,
+		"X-Qos":        "chat",
+		"X-Customer":   c.tenant,
+		"X-Expires-In": "2500m",
+		"X-Object":     "7f",
+		"X-Props":      "prompt_len=20,max_out=200",
+	} {
+		request.Header.Set(name, value)
 	}
 	if key != "" {
 		request.Header.Set("X-Resume", key)
 	}
-	from := time.Now()
+	start := time.Now()
 	response, err := c.client.Do(request)
 	if err != nil {
-		return reply{}
+		return turnResponse{}
 	}
 	defer response.Body.Close()
-	p := reply{status: response.StatusCode, first: time.Since(from)}
+	received := turnResponse{status: response.StatusCode, responseTime: time.Since(start)}
 	raw, err := io.ReadAll(response.Body)
-	if seconds, bad := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); bad == nil {
-		p.wait = time.Duration(seconds * 1e9)
+	if seconds, parseErr := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); parseErr == nil {
+		received.retryAfter = time.Duration(seconds * 1e9)
 	}
 	if response.StatusCode != http.StatusOK {
-		p.text = string(raw)
-		return p
+		received.text = string(raw)
+		return received
 	}
 	for line := range bytes.Lines(raw) {
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
@@ -285,14 +308,14 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			p.whole = err == nil
+			received.complete = err == nil
 			continue
 		}
 		var event struct {
 			Choices []struct {
 				Delta struct {
-					Content string            `json:"content"`
-					Calls   []json.RawMessage `json:"tool_calls"`
+					Content   string            `json:"content"`
+					ToolCalls []json.RawMessage `json:"tool_calls"`
 				} `json:"delta"`
 			} `json:"choices"`
 			Standpoint struct {
@@ -302,82 +325,86 @@
 		if json.Unmarshal(data, &event) != nil {
 			continue
 		}
-		for _, ch := range event.Choices {
-			p.text += ch.Delta.Content
-			p.calls += len(ch.Delta.Calls)
+		for _, choice := range event.Choices {
+			received.text += choice.Delta.Content
+			received.toolCalls += len(choice.Delta.ToolCalls)
 		}
 		if event.Standpoint.Resume != "" {
-			p.key = event.Standpoint.Resume
+			received.resumeKey = event.Standpoint.Resume
 		}
 	}
-	return p
+	return received
 }
 
-// PlaySessions plays conversations that call tools, with troubles for a span; then all is healed, and checked.
-func PlaySessions(
+// RunSessions runs conversations that call tools for span, with random faults meanwhile if withFaults is set. Then all
+// faults end, and the conversations' turns, prompts and responses are checked. The error describes the first violation.
+func RunSessions(
 	ctx context.Context,
-	o Options,
+	options Options,
 	span time.Duration,
-	each float64,
-	calls int,
-	trouble bool,
-) (Talks, error) {
-	o.Config += "[sessions]\ndecode = \"6s\"\nkeep = \"60s\"\nmost = 1000\n[[tool]]\nname = \"hours\"\nwait = \"20s\"\n"
-	r, err := New(o)
+	conversationsPerSecond float64,
+	maxCallingTurns int,
+	withFaults bool,
+) (SessionResult, error) {
+	options.ExtraConfig += "[sessions]\ndecode = \"6s\"\nkeep = \"60s\"\nmost = 1000\n" +
+		"[[tool]]\nname = \"hours\"\nwait = \"20s\"\n"
+	r, err := New(options)
 	if err != nil {
-		return Talks{}, err
+		return SessionResult{}, err
 	}
 	defer r.Close()
 	if err := r.StartAll(ctx); err != nil {
-		return Talks{}, err
+		return SessionResult{}, err
 	}
 	loaded, stop := context.WithTimeout(ctx, span)
 	defer stop()
-	var healed atomic.Bool
+	var faultsEnded atomic.Bool
 	done := make(chan error, 1)
 	go func() {
-		if trouble {
-			r.Disturb(loaded)
+		if withFaults {
+			r.InjectFaults(loaded)
 		} else {
 			<-loaded.Done()
 		}
-		healed.Store(true)
-		done <- r.Heal()
+		faultsEnded.Store(true)
+		done <- r.EndFaults()
 	}()
-	t := r.Talk(loaded, each, calls, o.Seed)
+	result := r.RunConversations(loaded, conversationsPerSecond, maxCallingTurns, options.Seed)
 	if err := <-done; err != nil {
-		return t, err
+		return result, err
 	}
-	for _, n := range r.Nodes {
-		if err := n.Died(); err != nil {
-			return t, err
+	for _, node := range r.Nodes {
+		if err := node.UnexpectedExit(); err != nil {
+			return result, err
 		}
 	}
-	l := r.Ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	record := r.Record
+	record.mu.Lock()
+	defer record.mu.Unlock()
 	switch {
-	case len(l.Double) > 0:
-		return t, fmt.Errorf("two parts of a session were decoded at once: %v", l.Double)
-	case len(l.Wrong) > 0:
-		return t, fmt.Errorf("prompts that are not what the session had come to: %v", l.Wrong)
-	case len(t.Mistakes) > 0:
-		return t, fmt.Errorf("answers that are not whole: %v", t.Mistakes)
-	case t.Twice > 0:
-		return t, fmt.Errorf("%d keys gave two whole answers", t.Twice)
-	case t.Whole == 0 || t.Resumes == 0:
-		return t, fmt.Errorf("nothing came of it: %+v", t)
-	case !trouble && t.Whole != t.Begun:
-		return t, fmt.Errorf("without any trouble only %d of %d talks came to their end", t.Whole, t.Begun)
+	case len(record.ConcurrentDecodes) > 0:
+		return result, fmt.Errorf("sessions of which more than one turn was decoded at the same time: %v",
+			record.ConcurrentDecodes)
+	case len(record.WrongPrompts) > 0:
+		return result, fmt.Errorf("prompts that differ from the state of their session: %v", record.WrongPrompts)
+	case len(result.Mismatches) > 0:
+		return result, fmt.Errorf("unexpected turns or responses: %v", result.Mismatches)
+	case result.DoubleResponses > 0:
+		return result, fmt.Errorf("%d resume keys got two complete responses, want 0", result.DoubleResponses)
+	case result.Completed == 0 || result.Resumes == 0:
+		return result, fmt.Errorf("no conversation was completed or none was resumed: %+v", result)
+	case !withFaults && result.Completed != result.Started:
+		return result, fmt.Errorf("only %d of %d conversations were completed without faults",
+			result.Completed, result.Started)
 	}
-	return t, nil
+	return result, nil
 }
 
-// First is a part of the first tokens after results, in order.
-func (t Talks) First(part float64) time.Duration {
-	if len(t.Firsts) == 0 {
+// ResponseTimeQuantile returns a quantile, from 0 to 1, of ResponseTimes; 0 if there are none.
+func (r SessionResult) ResponseTimeQuantile(quantile float64) time.Duration {
+	if len(r.ResponseTimes) == 0 {
 		return 0
 	}
-	all := slices.Sorted(slices.Values(t.Firsts))
-	return all[int(part*float64(len(all)-1))]
+	sorted := slices.Sorted(slices.Values(r.ResponseTimes))
+	return sorted[int(quantile*float64(len(sorted)-1))]
 }
--- a/internal/testpeer/drain/discovery_call.go
+++ b/internal/testpeer/drain/discovery_call.go
@@ -30,7 +30,7 @@
 	Delay         time.Duration // the time between the creation and the writing of the answer
 	PieceInterval time.Duration // the time between the pieces of an answer; 0: it is written at once
 	Full          bool          // the answer is the full list instead of the changes
-	Stale         bool          // the answer is, without waiting, the full list before the last change, with that version
+	Stale         bool          // the answer is, without a wait, the full list and version before the last change
 	Indented      bool          // the JSON of the answer is indented
 }
 
