--- a/internal/batch/api_test.go
+++ b/internal/batch/api_test.go
@@ -87,7 +87,7 @@
 // Guards against a store that grows without bound: once the files have MaxTotalFileBytes together, uploads must be
 // rejected until files are deleted, and the lines of a batch that is over must be deleted.
 func TestFilesThatNobodyDeletes(t *testing.T) {
-	backend := streamingBackend(t, testpeer.NewAttemptLedger(), succeed)
+	backend := streamingBackend(t, testpeer.NewAttemptCounter(), succeed)
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	kv := store.NewMemory()
 	c := start(t, core, kv, func(o *batch.Options) { o.MaxTotalFileBytes = 4 << 10 })
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -38,7 +38,7 @@
 	if err := s.writeLine(ctx, l, inFlight, nil); err != nil {
 		s.logUnrecorded(l, err)
 		sleep(ctx, failureDelay) // avoids a busy loop while the store rejects writes
-		return node.ClientGone
+		return node.ClientDisconnected
 	}
 	end := until.Add(-min(s.LineTimeout/deadlineMarginDivisor, maxDeadlineMargin))
 	if expires.Before(end) {
@@ -58,7 +58,7 @@
 		Body:        body,
 	}, content))
 	if !ended || ctx.Err() != nil {
-		return node.ClientGone // another leader may own the line; it is stored as in flight until its time has passed
+		return node.ClientDisconnected // another leader may own the line; it is stored as in flight until its time has passed
 	}
 	s.recordOutcome(ctx, l, answer, traceID, content)
 	return answer.Kind
@@ -91,7 +91,7 @@
 	case answer.Kind == node.Served:
 		s.logUnrecorded(l, s.completeLine(ctx, l, traceID, content))
 	case answer.Kind == node.Rejected: // a rejection does not count as an attempt
-		s.retryLine(ctx, l, l.record.Attempts-1, max(answer.Wait, minRejectionDelay))
+		s.retryLine(ctx, l, l.record.Attempts-1, max(answer.RetryAfter, minRejectionDelay))
 	case l.record.Attempts >= s.MaxAttempts || answer.Kind == node.Invalid:
 		s.logUnrecorded(l, s.failLine(ctx, l, CodeServerError))
 	default:
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -24,7 +24,7 @@
 // flight.
 func TestTwoThousandLines(t *testing.T) {
 	const n = 2000
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	answer := func(line string, attempt int) int {
 		time.Sleep(time.Millisecond)
 		var i int
@@ -88,7 +88,7 @@
 
 // After a cancellation or the end of the completion window, each line must have exactly one result.
 func TestCancelAndExpiry(t *testing.T) {
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	backend := streamingBackend(t, ledger, func(string, int) int {
 		time.Sleep(50 * time.Millisecond)
 		return http.StatusOK
@@ -128,7 +128,7 @@
 // A new leader must not send a line that is stored as in flight until its time has passed, and must never send a line
 // that has a result.
 func TestRestartWaitsForLinesInFlight(t *testing.T) {
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", streamingBackend(t, ledger, succeed)))
 	kv := store.NewMemory()
 	until := time.Now().Add(1500 * time.Millisecond)
@@ -151,27 +151,27 @@
 	b = second.wait(b.ID, 10*time.Second)
 	require.False(t, time.Now().Before(until))
 	require.Equal(t, batch.RequestCounts{Total: 4, Completed: 3, Failed: 1}, b.RequestCounts)
-	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Sent())
+	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Attempts())
 }
 
 // A member that loses leadership must end its attempts at once, even a stream that has begun, and write no result. The
 // next leader must wait until the stored time of the line in flight.
 func TestLostLeadershipEndsAttempts(t *testing.T) {
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	begun := make(chan struct{})
 	ended := make(chan time.Time, 1)
-	backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		attempt := ledger.Begin("line 0")
 		defer ledger.End("line 0", attempt > 1)
-		testpeer.Event(w, "half")
+		testpeer.WriteEvent(w, "half")
 		if attempt == 1 {
 			close(begun)
 			<-r.Context().Done()
 			ended <- time.Now()
 			return
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	kv := &electedStore{Memory: store.NewMemory()}
@@ -187,7 +187,7 @@
 	b = c.wait(b.ID, 10*time.Second)
 	require.Greater(t, time.Since(sent), 2*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
-	require.Equal(t, 2, ledger.Sent()["line 0"])
+	require.Equal(t, 2, ledger.Attempts()["line 0"])
 	require.Equal(t, 1, ledger.MaximumInFlight())
 }
 
@@ -198,7 +198,7 @@
 		for at := int64(4); at <= 12; at++ { // the first three writes store the input file and the batch
 			t.Run(fmt.Sprintf("%d %v", at, carriedOut), func(t *testing.T) {
 				t.Parallel()
-				ledger := testpeer.NewAttemptLedger()
+				ledger := testpeer.NewAttemptCounter()
 				backend := streamingBackend(t, ledger, succeed)
 				core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				kv := &interruptedStore{Memory: store.NewMemory(), failAt: at, carriedOut: carriedOut}
@@ -233,7 +233,7 @@
 // before that backend has ended it.
 func TestLineThatCannotBeCancelled(t *testing.T) {
 	t.Parallel()
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	settings := testpeer.Settings()
 	settings.Cancel = false
 	server := testpeer.NewBatchBackend(t, ledger, func(_ string, attempt int) int {
@@ -246,6 +246,6 @@
 	c := start(t, core, store.NewMemory(), func(o *batch.Options) { o.LineTimeout = time.Second })
 	b := c.wait(c.submit(inputLines(1), "1h").ID, 20*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
-	require.Equal(t, 2, ledger.Sent()["line 0"])
+	require.Equal(t, 2, ledger.Attempts()["line 0"])
 	require.Equal(t, 1, ledger.MaximumInFlight())
 }
--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -166,11 +166,11 @@
 	close(f.stop)
 	f.clients.Wait()
 	violations := f.record.Violations(
-		append(f.first.DueNotifications(), f.second.DueNotifications()...),
+		append(f.first.LatestNotifications(), f.second.LatestNotifications()...),
 		drainGrace+socketsSlack,
 	)
 	f.t.Logf("%d sends checked, %d violations, latest after %v; discovery calls %v and %v", len(f.record.Sends()),
-		len(violations), f.record.MaximumLag(), f.first.Counts(), f.second.Counts())
+		len(violations), f.record.MaximumLag(), f.first.Outcomes(), f.second.Outcomes())
 	return violations
 }
 
@@ -269,7 +269,7 @@
 func (f *drainFleet) runScenario() {
 	start := time.Now()
 	until := func(ms int) { time.Sleep(time.Until(start.Add(time.Duration(ms) * time.Millisecond))) }
-	setBoth := func(server, health string) { f.first.Set(server, health); f.second.Set(server, health) }
+	setBoth := func(server, health string) { f.first.SetHealth(server, health); f.second.SetHealth(server, health) }
 	until(1500)
 	setBoth("s0", "draining") // while some watches never respond
 	until(3000)
@@ -293,13 +293,13 @@
 	until(11000)
 	go func() {
 		time.Sleep(150 * time.Millisecond)
-		f.first.Set("s4", "draining") // while the nodes switch; the second discovery is updated 1.5 s later
+		f.first.SetHealth("s4", "draining") // while the nodes switch; the second discovery is updated 1.5 s later
 		time.Sleep(1500 * time.Millisecond)
-		f.second.Set("s4", "draining")
+		f.second.SetHealth("s4", "draining")
 	}()
 	f.reload(300 * time.Millisecond)
 	until(12000)
-	f.second.Set("s5", "draining")
+	f.second.SetHealth("s5", "draining")
 	until(13500)
 	for _, n := range f.nodes {
 		if f.rng.Float64() < 0.25 {
@@ -311,7 +311,7 @@
 		}
 	}
 	until(14500)
-	f.second.Set("s6", "gone")
+	f.second.SetHealth("s6", "gone")
 	until(19500)
 }
 
@@ -327,7 +327,7 @@
 			Class: "m", Health: "ready", Share: 1})
 	}
 	d := drain.NewDiscovery(t, record, 41, hosts)
-	d.Set("leaves", "draining")
+	d.SetHealth("leaves", "draining")
 	d.SetQueue(drain.Queue{ServiceTime: queueWait, Maximum: 10})
 	node := &standaloneNode{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"),
 		output: &processLog{}}
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -152,11 +152,11 @@
 	t.Parallel()
 	received, stayingReceived := make(chan string, 1000), make(chan string, 1000)
 	server := func(to chan<- string) string {
-		return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+		return testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			to <- r.Header.Get("X-Trace-Id")
-			testpeer.Event(w, "served")
-			testpeer.Finish(w)
+			testpeer.WriteEvent(w, "served")
+			testpeer.WriteStreamEnd(w)
 		})
 	}
 	p := newPlatform(t, nil)
@@ -256,16 +256,16 @@
 	t.Parallel()
 	const sockets = 128
 	received := make(chan string, 1000)
-	listedBackend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	listedBackend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		received <- r.Header.Get("X-Trace-Id")
-		testpeer.Event(w, "old")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "old")
+		testpeer.WriteStreamEnd(w)
 	})
-	newBackend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	newBackend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		testpeer.Event(w, "fresh")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "fresh")
+		testpeer.WriteStreamEnd(w)
 	})
 	for name, sendRequest := range map[string]bool{"without a request": false, "after one request": true} {
 		t.Run(name, func(t *testing.T) {
@@ -314,14 +314,14 @@
 func TestOverlappingSignals(t *testing.T) {
 	t.Parallel()
 	started, release := make(chan struct{}, 100), make(chan struct{})
-	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		testpeer.Event(w, "begun")
+		testpeer.WriteEvent(w, "begun")
 		started <- struct{}{}
 		if r.Header.Get("X-Trace-Id") == "long" {
 			<-release
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	d := startScriptedDiscovery(t, serveList(server, "ready"))
 	node := startStandalone(t, build(t), d.address, server, 512, nil)
--- a/internal/dnssd/browser/poller.go
+++ b/internal/dnssd/browser/poller.go
@@ -104,7 +104,7 @@
 // a response is ignored unless only older serials have been reported for staleSerialGrace: then the zone itself was
 // reset to an older serial.
 func (p *poller) serialLags(serial *uint32, now time.Time) bool {
-	if serial == nil || p.serial == nil || !record.Newer(*p.serial, *serial) {
+	if serial == nil || p.serial == nil || !record.SerialNewer(*p.serial, *serial) {
 		p.serialBehindSince = time.Time{}
 		return false
 	}
--- a/internal/dnssd/push/encode.go
+++ b/internal/dnssd/push/encode.go
@@ -76,14 +76,14 @@
 	return appendTLV(newHeader(0, false, 0), Unsubscribe, binary.BigEndian.AppendUint16(nil, subscription))
 }
 
-// RecordChange is a change to be sent in a PUSH message: a record that is added or, if Remove is set, removed.
-type RecordChange struct {
+// OutgoingChange is a change to be sent in a PUSH message: a record that is added or, if Remove is set, removed.
+type OutgoingChange struct {
 	RR     dns.RR
 	Remove bool
 }
 
 // ChangeMessages encodes changes as one or more PUSH messages. Names are not compressed (RFC 8765, 6.3.1).
-func ChangeMessages(changes []RecordChange) ([][]byte, error) {
+func ChangeMessages(changes []OutgoingChange) ([][]byte, error) {
 	var messages [][]byte
 	var data []byte
 	buffer := make([]byte, recordBufferSize)
--- a/internal/dnssd/push/message_test.go
+++ b/internal/dnssd/push/message_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, time.Minute, message.Delay)
 	ptr, err := dns.NewRR("_e._tcp.test. 9 IN PTR a._e._tcp.test.")
 	require.NoError(t, err)
-	messages, err := ChangeMessages([]RecordChange{{RR: ptr}, {RR: ptr, Remove: true}})
+	messages, err := ChangeMessages([]OutgoingChange{{RR: ptr}, {RR: ptr, Remove: true}})
 	require.NoError(t, err)
 	require.Len(t, messages, 1)
 	message, err = Decode(messages[0])
@@ -47,9 +47,9 @@
 	require.True(t, message.Changes[1].Remove)
 	require.Equal(t, "a._e._tcp.test.", message.Changes[1].Record.Target)
 	// Many records are split into several messages of limited size.
-	many := make([]RecordChange, 3000)
+	many := make([]OutgoingChange, 3000)
 	for i := range many {
-		many[i] = RecordChange{RR: ptr}
+		many[i] = OutgoingChange{RR: ptr}
 	}
 	messages, err = ChangeMessages(many)
 	require.NoError(t, err)
@@ -104,7 +104,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		messages, err := ChangeMessages([]RecordChange{{RR: rr}, {RR: rr, Remove: true}})
+		messages, err := ChangeMessages([]OutgoingChange{{RR: rr}, {RR: rr, Remove: true}})
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/internal/dnssd/record/damper.go
+++ b/internal/dnssd/record/damper.go
@@ -57,9 +57,9 @@
 	return len(d.penalties) < maxPenalties
 }
 
-// HeldUntil returns the time, in nanoseconds, from which a published instance may be used. It is now for an instance
-// that is not suppressed.
-func (d *Damper) HeldUntil(name string, now int64) int64 {
+// SuppressedUntil returns the time, in nanoseconds, from which a published instance may be used. It is now for an
+// instance that is not suppressed.
+func (d *Damper) SuppressedUntil(name string, now int64) int64 {
 	if d.HalfLife <= 0 {
 		return now
 	}
--- a/internal/dnssd/record/guard.go
+++ b/internal/dnssd/record/guard.go
@@ -47,8 +47,8 @@
 	return Hold
 }
 
-// HeldSince reports whether a list is held, and since which time in nanoseconds.
-func (g *Guard) HeldSince() (since int64, held bool) { return g.holdingSince, g.isHolding }
+// HoldingSince reports whether a list is held, and since which time in nanoseconds.
+func (g *Guard) HoldingSince() (since int64, held bool) { return g.holdingSince, g.isHolding }
 
-// Newer reports whether zone serial a is later than b in serial number arithmetic (RFC 1982).
-func Newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
+// SerialNewer reports whether zone serial a is later than b in serial number arithmetic (RFC 1982).
+func SerialNewer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
--- a/internal/lab/rig/budgets.go
+++ b/internal/lab/rig/budgets.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// BudgetResult is the result of PlayBudgets.
+// BudgetResult is the result of RunBudgets.
 type BudgetResult struct {
-	Load     Load
-	Windows  int           // the number of windows in which tokens of a budget were spent, over all tenants
-	MaxSpent int64         // the most tokens spent of a budget in one window
-	Agreed   time.Duration // from the end of the faults until all nodes were together again
+	Load          Load
+	Windows       int           // the number of windows in which tokens of a budget were spent, over all tenants
+	MaxSpent      int64         // the most tokens spent of a budget in one window
+	TogetherAfter time.Duration // from the end of the faults until all nodes were together again
 }
 
-// PlayBudgets runs a fleet with shared budgets under load and random faults for span. Then all faults end, and the
+// RunBudgets runs a fleet with shared budgets under load and random faults for span. Then all faults end, and the
 // budgets' windows, the nodes' invariants and the backends' records are checked. The error describes the first
 // violation.
-func PlayBudgets(
+func RunBudgets(
 	ctx context.Context,
 	options Options,
 	span time.Duration,
@@ -46,7 +46,7 @@
 	if err := r.WaitTogether(ctx, 30*time.Second); err != nil {
 		return result, err
 	}
-	result.Agreed = time.Since(start)
+	result.TogetherAfter = time.Since(start)
 	stopLoad()
 	load := <-loads
 	// After any faults the fleet must serve requests again.
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -114,9 +114,9 @@
 			return result, err
 		}
 	}
-	result.Load.Asked = result.Load.Asked + isolatedLoad.Asked
+	result.Load.Requests = result.Load.Requests + isolatedLoad.Requests
 	result.Load.Served = result.Load.Served + isolatedLoad.Served
-	result.Load.Refused = result.Load.Refused + isolatedLoad.Refused
+	result.Load.Rejected = result.Load.Rejected + isolatedLoad.Rejected
 	spent, err := r.SpentByWindow()
 	if err != nil {
 		return result, err
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -13,9 +13,9 @@
 
 // Load counts the requests of clients by their outcome.
 type Load struct {
-	Asked             int // requests that were sent
+	Requests          int // requests that were sent
 	Served            int // complete responses with status 200
-	Refused           int // responses with status 503
+	Rejected          int // responses with status 503
 	Failed            int // all other responses
 	Incomplete        int // no response or an incomplete one, because the node was killed or suspended
 	WithoutRetryAfter int // responses with status 503 but no Retry-After header
@@ -107,14 +107,14 @@
 	}
 	counter.mu.Lock()
 	defer counter.mu.Unlock()
-	counter.Asked++
+	counter.Requests++
 	switch {
 	case err != nil:
 		counter.Incomplete++
 	case response.StatusCode == http.StatusOK && strings.Contains(string(text), "[DONE]"):
 		counter.Served++
 	case response.StatusCode == http.StatusServiceUnavailable:
-		counter.Refused++
+		counter.Rejected++
 		if response.Header.Get("Retry-After") == "" {
 			counter.WithoutRetryAfter++
 		}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -27,9 +27,9 @@
 	Backends        int
 	Seed            uint64
 	Tenants         []Tenant
-	Window          time.Duration // the window of the budgets
-	Clock           time.Duration // the bound of the random offset, in either direction, of each node's clock
-	Token           time.Duration // the time between two tokens of a backend
+	BudgetWindow    time.Duration // the window of the budgets
+	MaxClockOffset  time.Duration // the bound of the random offset, in either direction, of each node's clock
+	TokenInterval   time.Duration // the time between two tokens of a backend
 	ExtraConfig     string        // text appended to each node's operator file, with the node's name in place of NODE
 	Log             func(format string, args ...any)
 }
@@ -66,7 +66,7 @@
 		rng:     rand.New(rand.NewPCG(options.Seed, 5)),
 	}
 	for range options.Backends {
-		backend, err := StartBackend(r.Record, options.Token)
+		backend, err := StartBackend(r.Record, options.TokenInterval)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -25,17 +25,17 @@
 func TestBudgetsOnRealProcesses(t *testing.T) {
 	path := buildProgram(t)
 	for seed := range uint64(2) {
-		result, err := PlayBudgets(
+		result, err := RunBudgets(
 			t.Context(),
 			Options{
-				Program:  path,
-				Dir:      t.TempDir(),
-				Nodes:    3,
-				Backends: 3,
-				Seed:     seed + 1,
-				Window:   400 * time.Millisecond,
-				Clock:    150 * time.Millisecond,
-				Token:    time.Millisecond,
+				Program:        path,
+				Dir:            t.TempDir(),
+				Nodes:          3,
+				Backends:       3,
+				Seed:           seed + 1,
+				BudgetWindow:   400 * time.Millisecond,
+				MaxClockOffset: 150 * time.Millisecond,
+				TokenInterval:  time.Millisecond,
 				Tenants: []Tenant{
 					{Name: "acme", Amount: 1500},
 					{Name: "free"},
@@ -57,15 +57,15 @@
 func TestSessionsOnRealProcesses(t *testing.T) {
 	path := buildProgram(t)
 	options := Options{
-		Program:  path,
-		Nodes:    3,
-		Backends: 3,
-		Seed:     1,
-		Window:   time.Second,
-		Clock:    100 * time.Millisecond,
-		Token:    time.Millisecond,
-		Tenants:  []Tenant{{Name: "acme"}},
-		Log:      t.Logf,
+		Program:        path,
+		Nodes:          3,
+		Backends:       3,
+		Seed:           1,
+		BudgetWindow:   time.Second,
+		MaxClockOffset: 100 * time.Millisecond,
+		TokenInterval:  time.Millisecond,
+		Tenants:        []Tenant{{Name: "acme"}},
+		Log:            t.Logf,
 	}
 	for _, withFaults := range []bool{false, true} {
 		options.Dir = t.TempDir()
@@ -96,16 +96,16 @@
 	result, err := RunLedgers(
 		t.Context(),
 		Options{
-			Program:  buildProgram(t),
-			Dir:      t.TempDir(),
-			Nodes:    4,
-			Backends: 3,
-			Seed:     1,
-			Window:   400 * time.Millisecond,
-			Clock:    100 * time.Millisecond,
-			Token:    time.Millisecond,
-			Tenants:  []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}},
-			Log:      t.Logf,
+			Program:        buildProgram(t),
+			Dir:            t.TempDir(),
+			Nodes:          4,
+			Backends:       3,
+			Seed:           1,
+			BudgetWindow:   400 * time.Millisecond,
+			MaxClockOffset: 100 * time.Millisecond,
+			TokenInterval:  time.Millisecond,
+			Tenants:        []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}},
+			Log:            t.Logf,
 		},
 		4*time.Second,
 		60,
@@ -124,23 +124,23 @@
 		Nodes:           3,
 		Backends:        3,
 		Seed:            1,
-		Clock:           100 * time.Millisecond,
-		Token:           time.Millisecond,
+		MaxClockOffset:  100 * time.Millisecond,
+		TokenInterval:   time.Millisecond,
 		Log:             t.Logf,
 	}
 	t.Run("budgets", func(t *testing.T) {
 		scenario := options
 		scenario.Dir = t.TempDir()
-		scenario.Window = 400 * time.Millisecond
+		scenario.BudgetWindow = 400 * time.Millisecond
 		scenario.Tenants = []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}
-		result, err := PlayBudgets(t.Context(), scenario, 5*time.Second, 60)
+		result, err := RunBudgets(t.Context(), scenario, 5*time.Second, 60)
 		require.NoError(t, err)
 		t.Logf("%+v", result)
 	})
 	t.Run("sessions", func(t *testing.T) {
 		scenario := options
 		scenario.Dir = t.TempDir()
-		scenario.Window = time.Second
+		scenario.BudgetWindow = time.Second
 		scenario.Tenants = []Tenant{{Name: "acme"}}
 		result, err := RunSessions(t.Context(), scenario, 5*time.Second, 10, 3, true)
 		require.NoError(t, err)
@@ -151,7 +151,7 @@
 		scenario := options
 		scenario.Dir = t.TempDir()
 		scenario.Nodes = 4 // the last, a site, runs the earlier version
-		scenario.Window = 400 * time.Millisecond
+		scenario.BudgetWindow = 400 * time.Millisecond
 		scenario.Tenants = []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}}
 		result, err := RunLedgers(t.Context(), scenario, 3*time.Second, 60)
 		require.NoError(t, err)
--- a/internal/migration/analysis.go
+++ b/internal/migration/analysis.go
@@ -64,14 +64,14 @@
 func newAnalysis(plan Plan) *analysis { return &analysis{plan: plan} }
 
 // alarmLevel returns the logarithm of the mean capital that raises the alarm.
-func (a *analysis) alarmLevel() float64 { return math.Log(a.plan.Alarm) }
+func (a *analysis) alarmLevel() float64 { return math.Log(a.plan.FalseAlarmWindows) }
 
 // windowLimit returns the maximum that one window may add to the logarithm of a capital, so that a stall of the
 // tolerated length does not raise the alarm. A single capital that grows while the others do not must reach the alarm
 // level times the number of capitals.
 func (a *analysis) windowLimit() float64 {
 	singleCapitalAlarm := a.alarmLevel() + math.Log(float64(criterionCount*betsPerCriterion))
-	return singleCapitalAlarm / float64(windowCount(a.plan.Stall)+stallAftermathWindows)
+	return singleCapitalAlarm / float64(windowCount(a.plan.MaxToleratedStall)+stallAftermathWindows)
 }
 
 // observe updates the evidence with a window.
@@ -152,7 +152,7 @@
 	if attempts == 0 {
 		return
 	}
-	expected := min(maxExpectedErrors, a.expectedFraction(&a.errors, a.longErrors, 1)+a.plan.Errors)
+	expected := min(maxExpectedErrors, a.expectedFraction(&a.errors, a.longErrors, 1)+a.plan.ErrorAllowance)
 	a.addEvidence(errorsCriterion, func(bet float64) float64 {
 		return float64(failed)*math.Log1p(bet*(1-expected)/expected) + float64(attempts-failed)*math.Log1p(-bet)
 	})
@@ -164,7 +164,7 @@
 		return
 	}
 	expected := a.expectedFraction(&a.late, a.longLate, pool.OfferedWeight/float64(max(1, pool.Requests)))
-	allowed := 1 - a.plan.Floor*(1-expected)
+	allowed := 1 - a.plan.OnTimeFloor*(1-expected)
 	late := 1 - pool.OnTimeWeight/pool.OfferedWeight
 	a.addEvidence(lateWeightCriterion, func(bet float64) float64 {
 		return math.Log1p(bet * (late - allowed) / max(allowed, minAllowedLate))
--- a/internal/migration/analysis_test.go
+++ b/internal/migration/analysis_test.go
@@ -45,7 +45,7 @@
 	for seed := range uint64(4) {
 		sim := newSimulation(seed)
 		p := Default()
-		p.Alarm = 1000
+		p.FalseAlarmWindows = 1000
 		analysis := newAnalysis(p)
 		for range 1500 {
 			analysis.observe(&Window{From: sim.poolWindow(sim.old, 0.5), To: sim.poolWindow(sim.new, 0.5)})
--- a/internal/migration/comparison.go
+++ b/internal/migration/comparison.go
@@ -185,10 +185,10 @@
 // not. The second result is false if the two are not comparable.
 func (a *analysis) comparePair(candidate, reference *observation, criterion criterion) (float64, bool) {
 	below, above := loadBelow, loadAbove
-	factor := a.plan.FirstToken
+	factor := a.plan.FirstTokenFactor
 	if criterion == tokenGapCriterion {
 		below, above = gapLoadRange, gapLoadRange
-		factor = a.plan.Pace
+		factor = a.plan.TokenGapFactor
 	}
 	excessLoad := candidate.load - reference.load
 	if excessLoad > below || excessLoad < -above ||
--- a/internal/migration/controller/controller.go
+++ b/internal/migration/controller/controller.go
@@ -32,7 +32,7 @@
 	Peers map[string]string
 	// Token returns the token that authenticates calls to other members.
 	Token func() string
-	// Window is the length of an observation window; 0 stands for migration.WindowTime.
+	// Window is the length of an observation window; 0 stands for migration.WindowLength.
 	Window time.Duration
 	// LiveTimeout is the time after its last report for which a node counts as live; 0 stands for 5 s.
 	LiveTimeout time.Duration
@@ -98,7 +98,7 @@
 // New creates a Controller. Run must be called to start it.
 func New(options Options) *Controller {
 	if options.Window == 0 {
-		options.Window = migration.WindowTime
+		options.Window = migration.WindowLength
 	}
 	if options.LiveTimeout == 0 {
 		options.LiveTimeout = defaultLiveTimeout
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -22,8 +22,9 @@
 	anyKind   = -1 // Sample.Kind of a backend whose kind is not configured
 )
 
-// Sent implements node.Pools. If a request's first attempt goes to another pool, no backend of its own was eligible.
-func (t *Tracker) Sent(request *standpoint.Request, server string, attempt int) {
+// RecordSent implements node.Pools. If a request's first attempt goes to another pool, no backend of its own was
+// eligible.
+func (t *Tracker) RecordSent(request *standpoint.Request, server string, attempt int) {
 	if attempt > 0 || request.Pool == 0 {
 		return
 	}
@@ -52,8 +53,8 @@
 	return uncounted
 }
 
-// Finished implements node.Pools.
-func (t *Tracker) Finished(o node.Observation) {
+// RecordFinished implements node.Pools.
+func (t *Tracker) RecordFinished(o node.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	backend := t.backends[o.Backend]
@@ -94,8 +95,8 @@
 	}
 }
 
-// Rejected implements node.Pools.
-func (t *Tracker) Rejected(request *standpoint.Request) {
+// RecordRejected implements node.Pools.
+func (t *Tracker) RecordRejected(request *standpoint.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if index := t.counterIndex(request.Pool); index != uncounted {
--- a/internal/migration/controller/tracker_test.go
+++ b/internal/migration/controller/tracker_test.go
@@ -16,15 +16,15 @@
 func TestOverflowedRequestsAreCounted(t *testing.T) {
 	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
 	updateEndpoints(tracker, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
-	tracker.Sent(&standpoint.Request{Pool: 2}, "backend-1", 0)
-	tracker.Sent(&standpoint.Request{Pool: 2}, "backend-1", 1) // a second attempt may go to any pool
-	tracker.Sent(&standpoint.Request{Pool: 2}, "backend-2", 0)
+	tracker.RecordSent(&standpoint.Request{Pool: 2}, "backend-1", 0)
+	tracker.RecordSent(&standpoint.Request{Pool: 2}, "backend-1", 1) // a second attempt may go to any pool
+	tracker.RecordSent(&standpoint.Request{Pool: 2}, "backend-2", 0)
 	members := tracker.Members(time.Now())
 	require.Equal(t, []int64{0, 1}, []int64{members[0].Overflowed, members[1].Overflowed})
 	// Cold backends count by their warm fraction, draining ones not at all.
 	cold := endpoint("backend-2", "v2")
 	now := time.Now()
-	cold.ReadyAt = clock.Of(now)
+	cold.StartedAt = clock.Of(now)
 	draining := endpoint("backend-3", "v2")
 	draining.State = standpoint.Draining
 	updateEndpoints(tracker, endpoint("backend-1", "v1"), cold, draining)
@@ -39,7 +39,7 @@
 func TestBackendThatIsListedTwice(t *testing.T) {
 	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
 	gone := endpoint("backend-1", "v1")
-	gone.State = standpoint.Gone
+	gone.State = standpoint.Removed
 	updateEndpoints(tracker, gone, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
 	require.Len(t, tracker.Members(time.Now())[1].Backends, 1)
 }
@@ -50,11 +50,11 @@
 	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
 	now := time.Now()
 	again := endpoint("backend-2", "v2")
-	again.ReadyAt = clock.Of(now)
+	again.StartedAt = clock.Of(now)
 	updateEndpoints(tracker, endpoint("backend-1", "v1"), again)
 	tracker.Follow(migration.Record{ID: "m", State: migration.Holding, Plan: migration.Plan{From: "old", To: "new"}})
 	for i, sent := range []time.Time{now.Add(-time.Second), now.Add(time.Second)} {
-		tracker.Finished(node.Observation{Request: &standpoint.Request{Pool: 2}, Backend: "backend-2", Sent: sent,
+		tracker.RecordFinished(node.Observation{Request: &standpoint.Request{Pool: 2}, Backend: "backend-2", Sent: sent,
 			Result: node.Result{Code: standpoint.ServerError, Report: &standpoint.Report{SlotUsage: 0.9}}})
 		_, to := tracker.TakeWindow(now)
 		require.Equal(t, i, to.Errors)
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -22,16 +22,16 @@
 
 // WarmFraction returns the fraction of a backend's capacity that is available at the given time after its start.
 func (p Plan) WarmFraction(age time.Duration) float64 {
-	if p.WarmUp <= 0 || age >= p.WarmUp {
+	if p.SlowStart <= 0 || age >= p.SlowStart {
 		return 1
 	}
-	return p.ColdShare + (1-p.ColdShare)*max(0, float64(age)/float64(p.WarmUp))
+	return p.ColdCapacityFraction + (1-p.ColdCapacityFraction)*max(0, float64(age)/float64(p.SlowStart))
 }
 
 // maximumShare returns the largest share of From's requests that To can handle now. How many requests a backend can
 // handle is not known, so the estimate is based on the old pool's load per capacity, and a cold backend is assumed to
-// handle its warm fraction of that. If a cold pool collapses under less than that (a small FallFactor), the share is
-// reduced further.
+// handle its warm fraction of that. If a cold pool collapses under less than that (a small CollapseFactor), the share
+// is reduced further.
 func (p Plan) maximumShare(from, to Health, fromCapacity float64) float64 {
 	if to.Capacity <= 0 {
 		return 0
@@ -39,7 +39,7 @@
 	if to.WarmCapacity >= warmThreshold*to.Capacity {
 		return 1
 	}
-	coldBudget := min(1, coldBudgetFraction*p.FallFactor)
+	coldBudget := min(1, coldBudgetFraction*p.CollapseFactor)
 	return min(1, coldBudget*to.WarmCapacity/max(from.Capacity, fromCapacity, minCapacity))
 }
 
--- a/internal/migration/machine_test.go
+++ b/internal/migration/machine_test.go
@@ -15,7 +15,7 @@
 		machine := startMigration(t, sim, nil)
 		n := observeUntil(t, machine, sim, 400, inState(Done, Undone, Halted))
 		require.Equal(t, Done, machine.Record().State, "seed %d: %s", seed, machine.Record().Cause)
-		require.GreaterOrEqual(t, time.Duration(n)*WindowTime, machine.Record().Plan.MinimumDuration()-7*WindowTime)
+		require.GreaterOrEqual(t, time.Duration(n)*WindowLength, machine.Record().Plan.MinimumDuration()-7*WindowLength)
 		r := machine.Record()
 		require.Equal(t, map[string]string{"old": "new"}, r.Shares.Moved)
 		require.Equal(t, 1.0, r.CurrentShare())
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -1,6 +1,6 @@
 // Package migration implements the state machine of a progressive traffic migration from one pool of backends to
 // another: it decides when the next share of the traffic is shifted and when a degradation requires a rollback. It
-// reads no clock and does no I/O: it measures time in observed windows, each WindowTime long.
+// reads no clock and does no I/O: it measures time in observed windows, each WindowLength long.
 package migration
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// WindowTime is the length of an observation window.
-const WindowTime = time.Second
+// WindowLength is the length of an observation window.
+const WindowLength = time.Second
 
 // The values of Plan.OnWorse: how a migration reacts once the new pool is found to be worse than the old one.
 const (
@@ -22,14 +22,14 @@
 const (
 	maxSteps          = 100 // entries of Steps, and ReturnSteps
 	minFloor          = 0.01
-	maxFactor         = 100 // upper limit of FirstToken, Pace and FallFactor
+	maxFactor         = 100 // upper limit of FirstTokenFactor, Pace and CollapseFactor
 	minErrorAllowance = 0.0001
 	maxErrorAllowance = 0.5
 	minAlarmWindows   = 100
 	maxAlarmWindows   = 1e9
 	maxPlanSamples    = 1e6
 	minFallFactor     = 0.1
-	minHold           = 2 * WindowTime
+	minHold           = 2 * WindowLength
 	maxDuration       = time.Hour
 )
 
@@ -38,56 +38,59 @@
 	From string `json:"from"` // the old pool, which the traffic leaves
 	To   string `json:"to"`   // the new pool
 	// Steps are the shares of From's requests that To gets, in ascending order; the last is 1 for a complete migration.
-	Steps   []float64     `json:"steps"`
-	Trickle float64       `json:"trickle"` // share of From's requests that To gets while it warms up
-	Warm    time.Duration `json:"warm"`    // minimum duration of the warm-up
-	Hold    time.Duration `json:"hold"`    // minimum duration for which each step is analysed
-	Samples int           `json:"samples"` // requests that must have ended in each pool before a step is passed
-
-	// Floor is the minimum on-time fraction of the new pool's weight, as a fraction of the old pool's on-time fraction.
-	Floor float64 `json:"floor"`
-	// FirstToken and Pace are the factors by which a response must be slower than a comparable one of the old pool to
-	// count against the new pool: FirstToken applies to the time to first token, Pace to the time per output token.
-	FirstToken float64 `json:"first_token"`
-	Pace       float64 `json:"pace"`
-	// Errors is the fraction of failed attempts that is allowed in addition to the old pool's.
-	Errors float64 `json:"errors"`
-	// Stall is the longest disturbance that never ends a migration by itself, however severe it is.
-	Stall time.Duration `json:"stall"`
-	// Alarm is the minimum mean number of windows between two false alarms while both pools perform equally.
-	Alarm float64 `json:"alarm"`
+	Steps       []float64     `json:"steps"`
+	WarmUpShare float64       `json:"trickle"` // share of From's requests that To gets while it warms up
+	MinWarmUp   time.Duration `json:"warm"`    // minimum duration of the warm-up
+	MinHold     time.Duration `json:"hold"`    // minimum duration for which each step is analysed
+	MinSamples  int           `json:"samples"` // requests that must have ended in each pool before a step is passed
+
+	// OnTimeFloor is the minimum on-time fraction of the new pool's weight, as a fraction of the old pool's on-time
+	// fraction.
+	OnTimeFloor float64 `json:"floor"`
+	// FirstTokenFactor and Pace are the factors by which a response must be slower than a comparable one of the old
+	// pool to count against the new pool: FirstTokenFactor applies to the time to first token, Pace to the time per
+	// output token.
+	FirstTokenFactor float64 `json:"first_token"`
+	TokenGapFactor   float64 `json:"pace"`
+	// ErrorAllowance is the fraction of failed attempts that is allowed in addition to the old pool's.
+	ErrorAllowance float64 `json:"errors"`
+	// MaxToleratedStall is the longest disturbance that never ends a migration by itself, however severe it is.
+	MaxToleratedStall time.Duration `json:"stall"`
+	// FalseAlarmWindows is the minimum mean number of windows between two false alarms while both pools perform
+	// equally.
+	FalseAlarmWindows float64 `json:"alarm"`
 
 	OnWorse     string        `json:"on_worse"`     // Return or Stay
 	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic is shifted back
 	ReturnEvery time.Duration `json:"return_every"` // time between two of these steps
 
-	// ColdShare is the fraction of its capacity that a backend has when it starts, WarmUp the time until it has its
-	// full capacity, and FallFactor the multiple of its cold capacity at which it collapses.
-	ColdShare  float64       `json:"cold_share"`
-	WarmUp     time.Duration `json:"warm_up"`
-	FallFactor float64       `json:"fall_factor"`
+	// ColdCapacityFraction is the fraction of its capacity that a backend has when it starts, SlowStart the time until
+	// it has its full capacity, and CollapseFactor the multiple of its cold capacity at which it collapses.
+	ColdCapacityFraction float64       `json:"cold_share"`
+	SlowStart            time.Duration `json:"warm_up"`
+	CollapseFactor       float64       `json:"fall_factor"`
 }
 
 // Default returns the plan that applies to all values that the configuration does not set.
 func Default() Plan {
 	return Plan{
-		Steps:       []float64{0.05, 0.25, 0.5, 0.75, 1},
-		Trickle:     0.02,
-		Warm:        10 * time.Second,
-		Hold:        20 * time.Second,
-		Samples:     30,
-		Floor:       0.9,
-		FirstToken:  1.25,
-		Pace:        1.15,
-		Errors:      0.01,
-		Stall:       5 * time.Second,
-		Alarm:       10000,
-		OnWorse:     Return,
-		ReturnSteps: 3,
-		ReturnEvery: 2 * time.Second,
-		ColdShare:   0.13,
-		WarmUp:      20 * time.Second,
-		FallFactor:  4,
+		Steps:                []float64{0.05, 0.25, 0.5, 0.75, 1},
+		WarmUpShare:          0.02,
+		MinWarmUp:            10 * time.Second,
+		MinHold:              20 * time.Second,
+		MinSamples:           30,
+		OnTimeFloor:          0.9,
+		FirstTokenFactor:     1.25,
+		TokenGapFactor:       1.15,
+		ErrorAllowance:       0.01,
+		MaxToleratedStall:    5 * time.Second,
+		FalseAlarmWindows:    10000,
+		OnWorse:              Return,
+		ReturnSteps:          3,
+		ReturnEvery:          2 * time.Second,
+		ColdCapacityFraction: 0.13,
+		SlowStart:            20 * time.Second,
+		CollapseFactor:       4,
 	}
 }
 
@@ -132,10 +135,10 @@
 			return planError(fmt.Sprintf("steps[%d]", i), "%g is not more than the step before", step)
 		}
 	}
-	if !inRange(p.Trickle, 0, p.Steps[0]) {
-		return planError("trickle", "%g is not from 0 to the first step", p.Trickle)
+	if !inRange(p.WarmUpShare, 0, p.Steps[0]) {
+		return planError("trickle", "%g is not from 0 to the first step", p.WarmUpShare)
 	}
-	if p.Trickle == 0 {
+	if p.WarmUpShare == 0 {
 		return planError("trickle", "0 leaves the new pool without requests to warm up with")
 	}
 	return nil
@@ -143,18 +146,18 @@
 
 func (p Plan) checkAnalysis() error {
 	switch {
-	case !inRange(p.Floor, minFloor, 1):
-		return planError("floor", "%g is not from 0.01 to 1", p.Floor)
-	case !inRange(p.FirstToken, 1, maxFactor):
-		return planError("first_token", "%g is not from 1 to 100", p.FirstToken)
-	case !inRange(p.Pace, 1, maxFactor):
-		return planError("pace", "%g is not from 1 to 100", p.Pace)
-	case !inRange(p.Errors, minErrorAllowance, maxErrorAllowance):
-		return planError("errors", "%g is not from 0.0001 to 0.5", p.Errors)
-	case !inRange(p.Alarm, minAlarmWindows, maxAlarmWindows):
-		return planError("alarm", "%g is not from 100 to 1e9 windows", p.Alarm)
-	case p.Samples < 1 || p.Samples > maxPlanSamples:
-		return planError("samples", "%d is not from 1 to 1000000", p.Samples)
+	case !inRange(p.OnTimeFloor, minFloor, 1):
+		return planError("floor", "%g is not from 0.01 to 1", p.OnTimeFloor)
+	case !inRange(p.FirstTokenFactor, 1, maxFactor):
+		return planError("first_token", "%g is not from 1 to 100", p.FirstTokenFactor)
+	case !inRange(p.TokenGapFactor, 1, maxFactor):
+		return planError("pace", "%g is not from 1 to 100", p.TokenGapFactor)
+	case !inRange(p.ErrorAllowance, minErrorAllowance, maxErrorAllowance):
+		return planError("errors", "%g is not from 0.0001 to 0.5", p.ErrorAllowance)
+	case !inRange(p.FalseAlarmWindows, minAlarmWindows, maxAlarmWindows):
+		return planError("alarm", "%g is not from 100 to 1e9 windows", p.FalseAlarmWindows)
+	case p.MinSamples < 1 || p.MinSamples > maxPlanSamples:
+		return planError("samples", "%d is not from 1 to 1000000", p.MinSamples)
 	}
 	return nil
 }
@@ -165,10 +168,10 @@
 		return planError("on_worse", "%q is neither %q nor %q", p.OnWorse, Return, Stay)
 	case p.ReturnSteps < 1 || p.ReturnSteps > maxSteps:
 		return planError("return_steps", "%d is not from 1 to 100", p.ReturnSteps)
-	case !inRange(p.ColdShare, 0, 1):
-		return planError("cold_share", "%g is not from 0 to 1", p.ColdShare)
-	case !inRange(p.FallFactor, minFallFactor, maxFactor):
-		return planError("fall_factor", "%g is not from 0.1 to 100", p.FallFactor)
+	case !inRange(p.ColdCapacityFraction, 0, 1):
+		return planError("cold_share", "%g is not from 0 to 1", p.ColdCapacityFraction)
+	case !inRange(p.CollapseFactor, minFallFactor, maxFactor):
+		return planError("fall_factor", "%g is not from 0.1 to 100", p.CollapseFactor)
 	}
 	return nil
 }
@@ -179,11 +182,11 @@
 		value   time.Duration
 		minimum time.Duration
 	}{
-		{"hold", p.Hold, minHold},
-		{"warm", p.Warm, 0},
-		{"stall", p.Stall, 0},
-		{"return_every", p.ReturnEvery, WindowTime},
-		{"warm_up", p.WarmUp, 0},
+		{"hold", p.MinHold, minHold},
+		{"warm", p.MinWarmUp, 0},
+		{"stall", p.MaxToleratedStall, 0},
+		{"return_every", p.ReturnEvery, WindowLength},
+		{"warm_up", p.SlowStart, 0},
 	} {
 		if duration.value < duration.minimum || duration.value > maxDuration {
 			return planError(duration.key, "%v is not from %v to 1h", duration.value, duration.minimum)
@@ -194,10 +197,10 @@
 
 // MinimumDuration returns how long a migration takes if nothing delays it.
 func (p Plan) MinimumDuration() time.Duration {
-	return p.Warm + time.Duration(len(p.Steps))*(p.Hold+2*WindowTime)
+	return p.MinWarmUp + time.Duration(len(p.Steps))*(p.MinHold+2*WindowLength)
 }
 
 // windowCount returns the number of windows that cover a duration, rounded up.
 func windowCount(duration time.Duration) int {
-	return int(math.Ceil(float64(duration) / float64(WindowTime)))
+	return int(math.Ceil(float64(duration) / float64(WindowLength)))
 }
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -88,7 +88,7 @@
 
 // EvidenceLevel returns the evidence that the new pool is worse, as a fraction of the evidence that raises the alarm.
 func (r *Record) EvidenceLevel() float64 {
-	return max(0, r.Evidence.level()) / math.Log(r.Plan.Alarm)
+	return max(0, r.Evidence.level()) / math.Log(r.Plan.FalseAlarmWindows)
 }
 
 // windowSummary summarises one window of both pools, for the rules that do not wait for evidence.
--- a/internal/migration/rollback.go
+++ b/internal/migration/rollback.go
@@ -65,7 +65,7 @@
 func (m *Machine) clientsAffected(window *Window, to poolSummary) bool {
 	return window.To.Health.Ready == 0 ||
 		m.farBelowFloor() ||
-		to.OnTimeWeight < m.record.Plan.Floor*m.expectedOnTime()*to.OfferedWeight
+		to.OnTimeWeight < m.record.Plan.OnTimeFloor*m.expectedOnTime()*to.OfferedWeight
 }
 
 // expectedOnTime returns the long-term fraction of the old pool's offered weight that is served on time.
@@ -87,7 +87,7 @@
 	actual := to.OnTimeWeight / to.OfferedWeight
 	deviation := math.Sqrt(expected*(1-expected)/float64(to.Requests)) + 1e-9
 	return expected >= severeFraction &&
-		actual < severeFraction*m.record.Plan.Floor*expected &&
+		actual < severeFraction*m.record.Plan.OnTimeFloor*expected &&
 		(expected-actual)/deviation > severeDeviations
 }
 
@@ -179,7 +179,7 @@
 }
 
 func (m *Machine) finishUndone(text string) {
-	m.record.Shares = m.record.Shares.Withdraw()
+	m.record.Shares = m.record.Shares.WithoutMigration()
 	m.record.Version++
 	m.transition(Undone, "%s", text)
 }
--- a/internal/testpeer/attempt_ledger.go
+++ b/internal/testpeer/attempt_ledger.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// AttemptLedger counts, at the backends, the attempts in flight of each request and the complete answers to it. The
-// test chooses the key of a request: its id, or the content of its only message. An AttemptLedger is safe for
+// AttemptCounter counts, at the backends, the attempts in flight of each request and the complete answers to it. The
+// test chooses the key of a request: its id, or the content of its only message. An AttemptCounter is safe for
 // concurrent use.
-type AttemptLedger struct {
+type AttemptCounter struct {
 	mu              sync.Mutex     // guards all below
 	inFlight        map[string]int // current attempts, by request key
 	maximumInFlight int            // highest value that any entry of inFlight has had
@@ -16,13 +16,13 @@
 	answers         map[string]int // complete answers, by request key
 }
 
-// NewAttemptLedger creates an empty ledger.
-func NewAttemptLedger() *AttemptLedger {
-	return &AttemptLedger{inFlight: map[string]int{}, attempts: map[string]int{}, answers: map[string]int{}}
+// NewAttemptCounter creates an empty ledger.
+func NewAttemptCounter() *AttemptCounter {
+	return &AttemptCounter{inFlight: map[string]int{}, attempts: map[string]int{}, answers: map[string]int{}}
 }
 
 // Begin counts the start of an attempt and returns the request's number of attempts so far, this one included.
-func (l *AttemptLedger) Begin(request string) int {
+func (l *AttemptCounter) Begin(request string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[request]++
@@ -32,7 +32,7 @@
 }
 
 // End counts the end of an attempt; answered is whether the backend answered it completely.
-func (l *AttemptLedger) End(request string, answered bool) {
+func (l *AttemptCounter) End(request string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[request]--
@@ -41,22 +41,22 @@
 	}
 }
 
-// Sent returns the number of attempts of each request, by request key.
-func (l *AttemptLedger) Sent() map[string]int {
+// Attempts returns the number of attempts of each request, by request key.
+func (l *AttemptCounter) Attempts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.attempts)
 }
 
 // Answers returns the number of complete answers to each request, by request key.
-func (l *AttemptLedger) Answers() map[string]int {
+func (l *AttemptCounter) Answers() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.answers)
 }
 
 // Total returns the number of complete answers to all requests.
-func (l *AttemptLedger) Total() int {
+func (l *AttemptCounter) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total := 0
@@ -67,7 +67,7 @@
 }
 
 // MaximumInFlight returns the highest number of attempts of one request that were in flight at the same time.
-func (l *AttemptLedger) MaximumInFlight() int {
+func (l *AttemptCounter) MaximumInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.maximumInFlight
--- a/internal/testpeer/backend.go
+++ b/internal/testpeer/backend.go
@@ -20,9 +20,9 @@
 	return node.Endpoint{Address: address, Engine: standpoint.Engine{Name: name, Size: 1}}
 }
 
-// Backend starts an HTTP server that handles requests by script and returns its address. The server stops when the
+// StartBackend starts an HTTP server that handles requests by script and returns its address. The server stops when the
 // test ends.
-func Backend(t testing.TB, script http.HandlerFunc) string {
+func StartBackend(t testing.TB, script http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(script)
 	t.Cleanup(func() {
@@ -32,9 +32,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// RawBackend starts a backend that reads each request and then calls script, which writes arbitrary bytes to the
+// StartRawBackend starts a backend that reads each request and then calls script, which writes arbitrary bytes to the
 // connection. It returns the backend's address. The connections stay open until the test ends.
-func RawBackend(t testing.TB, script func(conn net.Conn)) string {
+func StartRawBackend(t testing.TB, script func(conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/testpeer/batch_backend.go
+++ b/internal/testpeer/batch_backend.go
@@ -23,7 +23,7 @@
 type BatchBackend struct {
 	Address string // the listen address on loopback
 	// Ledger counts each line as a request, whose key is the content of its only message.
-	Ledger *AttemptLedger
+	Ledger *AttemptCounter
 	// Run processes one line and returns the HTTP status of its answer. It may block. The arguments are the line's key
 	// and the number of this attempt of it, from 1.
 	Run func(line string, attempt int) int
@@ -58,7 +58,7 @@
 func (l *batchLine) key() string { return l.Body.Messages[0].Content }
 
 // NewBatchBackend starts a batch backend, which stops when the test ends.
-func NewBatchBackend(t testing.TB, ledger *AttemptLedger, run func(line string, attempt int) int) *BatchBackend {
+func NewBatchBackend(t testing.TB, ledger *AttemptCounter, run func(line string, attempt int) int) *BatchBackend {
 	t.Helper()
 	b := &BatchBackend{Ledger: ledger, Run: run, files: map[string]string{}, batches: map[string]*batch{}}
 	mux := http.NewServeMux()
@@ -67,7 +67,7 @@
 	mux.HandleFunc("POST /v1/batches", b.create)
 	mux.HandleFunc("GET /v1/batches/{id}", b.get)
 	mux.HandleFunc("POST /v1/batches/{id}/cancel", b.cancel)
-	b.Address = Backend(t, mux.ServeHTTP)
+	b.Address = StartBackend(t, mux.ServeHTTP)
 	return b
 }
 
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Due is the time after which a change counts as notified to every node that could reach discovery throughout.
-const Due = 6 * time.Second
+// NotificationTimeout is the time after which a change counts as notified to every node that could reach discovery
+// throughout.
+const NotificationTimeout = 6 * time.Second
 
 // The values of Host.Health that discovery distinguishes; a host with any value but healthReady drains.
 const (
@@ -138,8 +139,8 @@
 	}
 }
 
-// Set changes the health of a backend and wakes the watches.
-func (d *Discovery) Set(backend, health string) {
+// SetHealth changes the health of a backend and wakes the watches.
+func (d *Discovery) SetHealth(backend, health string) {
 	d.t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,8 +166,8 @@
 	d.wake()
 }
 
-// Forget makes discovery never answer the watches that are open now.
-func (d *Discovery) Forget() {
+// SilenceWatches makes discovery never answer the watches that are open now.
+func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silencedCount++
@@ -181,16 +182,16 @@
 	d.rejectionDelay = 0
 }
 
-// Counts returns the number of calls by outcome.
-func (d *Discovery) Counts() map[string]int {
+// Outcomes returns the number of calls by outcome.
+func (d *Discovery) Outcomes() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.outcomes)
 }
 
-// DueNotifications returns the time at which each node counts as notified at the latest, whatever the outcome of its
+// LatestNotifications returns the time at which each node counts as notified at the latest, whatever the outcome of its
 // calls.
-func (d *Discovery) DueNotifications() []Notification {
+func (d *Discovery) LatestNotifications() []Notification {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var notifications []Notification
@@ -200,7 +201,7 @@
 		}
 		for node, periods := range d.attachments {
 			for _, period := range periods {
-				due := d.reachableFrom(later(change.at, period.from)).Add(Due)
+				due := d.reachableFrom(later(change.at, period.from)).Add(NotificationTimeout)
 				if period.until.IsZero() || due.Before(period.until) {
 					notifications = append(notifications,
 						Notification{Node: node, Backend: change.host.Host, At: due, By: notifiedByDeadline})
@@ -215,7 +216,7 @@
 // caller holds d.mu.
 func (d *Discovery) reachableFrom(moment time.Time) time.Time {
 	for i, down := range d.downTimes {
-		if !down.Before(moment.Add(Due)) {
+		if !down.Before(moment.Add(NotificationTimeout)) {
 			break
 		}
 		if i+1 < len(d.upTimes) {
--- a/internal/testpeer/held.go
+++ b/internal/testpeer/held.go
@@ -30,8 +30,8 @@
 	armed    atomic.Bool   // the next read that returns bytes is blocked
 }
 
-// HoldReads creates a ReadBlocker, which blocks no read before HoldNext is called.
-func HoldReads() *ReadBlocker {
+// NewReadBlocker creates a ReadBlocker, which blocks no read before BlockNext is called.
+func NewReadBlocker() *ReadBlocker {
 	return &ReadBlocker{
 		Received: make(chan struct{}),
 		Release:  make(chan struct{}),
@@ -39,8 +39,8 @@
 	}
 }
 
-// HoldNext makes the next read that returns bytes block, on whichever connection it is.
-func (h *ReadBlocker) HoldNext() { h.armed.Store(true) }
+// BlockNext makes the next read that returns bytes block, on whichever connection it is.
+func (h *ReadBlocker) BlockNext() { h.armed.Store(true) }
 
 // Conn wraps an accepted TCP connection.
 func (h *ReadBlocker) Conn(conn net.Conn) net.Conn {
@@ -71,8 +71,8 @@
 	remaining atomic.Int32 // the number of dials that are still to be blocked
 }
 
-// HoldDials creates a DialBlocker that blocks the first n dials.
-func HoldDials(n int) *DialBlocker {
+// NewDialBlocker creates a DialBlocker that blocks the first n dials.
+func NewDialBlocker(n int) *DialBlocker {
 	h := &DialBlocker{Connected: make(chan string, n), Release: make(chan struct{}, n)}
 	h.remaining.Store(int32(n))
 	return h
--- a/internal/testpeer/request.go
+++ b/internal/testpeer/request.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Upload returns the content type and the body of a request that uploads a batch file with the given content.
-func Upload(content string) (contentType string, body *bytes.Buffer) {
+// BatchUpload returns the content type and the body of a request that uploads a batch file with the given content.
+func BatchUpload(content string) (contentType string, body *bytes.Buffer) {
 	body = &bytes.Buffer{}
 	form := multipart.NewWriter(body)
 	_ = form.WriteField("purpose", "batch") // writes to memory, which cannot fail
