--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -1,6 +1,6 @@
-// Package emulator is the model of a backend that runs a language model: slots, a queue, steps that read prompts and
-// make tokens, a memory with kept prompts, cold starts, pauses, errors and drains. It has no clock and no I/O; one
-// driver gives it virtual time, another sockets. It belongs to the laboratory: the daemon never imports it.
+// Package emulator models a backend that serves a language model: request slots, a queue, steps that prefill prompts
+// and generate tokens, a memory with a prompt cache, cold starts, pauses, errors and draining. It has no clock and does
+// no I/O: one driver runs it in virtual time, another on sockets. It is test equipment; the daemon never imports it.
 package emulator
 
 import (
@@ -9,204 +9,224 @@
 	"math/rand/v2"
 )
 
-// Figures describe a box. Times are in seconds, lengths in tokens.
+// Figures are the parameters of an emulated backend. Times are in seconds, lengths in tokens.
 type Figures struct {
-	Slots       int     `toml:"slots"`        // requests that run at once
-	Queue       int     `toml:"queue"`        // that wait, at the most
-	Memory      float64 `toml:"memory"`       // tokens of running requests and kept prompts together
-	Chunk       float64 `toml:"chunk"`        // prompt tokens read in a step
-	Step        float64 `toml:"step"`         // a step's least time
-	PerSequence float64 `toml:"per_sequence"` // added for each running request
-	PerContext  float64 `toml:"per_context"`  // added for each 1,000 tokens of their contexts
-	ReadPerS    float64 `toml:"read_per_s"`   // prompt tokens
-	ColdShare   float64 `toml:"cold_share"`   // of its speed right after a start
-	WarmUp      float64 `toml:"warm_up"`
-	FallFactor  float64 `toml:"fall_factor"` // sent more than so many times what it can do ...
-	Fall        float64 `toml:"fall"`        // for so long while cold, it falls over for good; 0: never
-	Capacity    float64 `toml:"capacity"`    // requests a second that it can do warm, as the fall reckons
+	// Slots is the maximum number of requests that run concurrently.
+	Slots int `toml:"slots"`
+	// Queue is the maximum number of requests that wait for a slot.
+	Queue int `toml:"queue"`
+	// Memory is the number of tokens that running requests and cached prompts may occupy together.
+	Memory float64 `toml:"memory"`
+	// Chunk is the maximum number of prompt tokens that one step prefills.
+	Chunk float64 `toml:"chunk"`
+	// Step is the minimum duration of a step.
+	Step float64 `toml:"step"`
+	// PerSequence is the time that each running request adds to a step.
+	PerSequence float64 `toml:"per_sequence"`
+	// PerContext is the time that each 1,000 tokens of the running requests' contexts add to a step.
+	PerContext float64 `toml:"per_context"`
+	// ReadPerS is the prefill speed in prompt tokens per second.
+	ReadPerS float64 `toml:"read_per_s"`
+	// ColdShare is the fraction of its full speed that the backend has right after a start.
+	ColdShare float64 `toml:"cold_share"`
+	// WarmUp is the time from a start until the backend has its full speed.
+	WarmUp float64 `toml:"warm_up"`
+	// FallFactor is the overload, as a multiple of the current capacity, that makes a cold backend fail for good once
+	// it has lasted for Fall.
+	FallFactor float64 `toml:"fall_factor"`
+	// Fall is how long a cold backend withstands that overload; 0: it never fails from overload.
+	Fall float64 `toml:"fall"`
+	// Capacity is the number of requests per second that the warm backend can serve. Only the overload rule uses it.
+	Capacity float64 `toml:"capacity"`
+	// ReportEvery is the interval at which the load report is refreshed.
 	ReportEvery float64 `toml:"report_every"`
 }
 
-// Job is what a request asks of a box.
+// Job is a request to an emulated backend.
 type Job struct {
 	ID      int64
-	Session uint64
-	Prefix  uint64
-	Prompt  float64
-	Shared  float64 // of the prompt, its shared beginning
-	Out     int     // tokens that the answer will have
+	Session uint64  // session key; 0: none
+	Prefix  uint64  // key of the shared prefix; 0: none
+	Prompt  float64 // prompt length in tokens
+	Shared  float64 // length in tokens of the shared prefix, which is part of the prompt
+	Out     int     // length of the response in tokens
 }
 
-// Verdict is how a box takes a job.
+// Verdict is the outcome of submitting a job.
 type Verdict int
 
-// The verdicts on a job.
+// The outcomes of Submit.
 const (
-	Taken   Verdict = iota // it runs
-	Full                   // queue full, or draining: it never ran
-	Errored                // answered as failed
-	Dead                   // no connection
+	Taken   Verdict = iota // accepted: the job runs or is queued
+	Full                   // rejected without running: the queue is full or the backend is draining
+	Errored                // failed with an error response
+	Dead                   // the backend is down and accepts no connection
 )
 
-// Report is a box's load.
+// Report is a load report: the fraction of the memory that running requests occupy, the prompt tokens that are not yet
+// prefilled, in thousands, and the fraction of the slots in use.
 type Report struct{ Memory, Unread, Slots float64 }
 
-// Progress is news of a job.
+// Progress is what one step did for a job.
 type Progress struct {
 	ID     int64
-	First  bool // its first token
-	Tokens int  // made in this step, the first included
-	Done   bool
-	Kept   float64 // with Done: prompt tokens that were found kept
+	First  bool    // whether the step generated the job's first token
+	Tokens int     // tokens generated in this step, including the first
+	Done   bool    // whether the job is complete
+	Kept   float64 // with Done: prompt tokens that were found in the cache
 }
 
 type job struct {
 	Job
-	kept   float64 // prompt tokens found kept
-	unread float64
-	made   int
+	cached    float64 // prompt tokens found in the cache
+	toPrefill float64 // prompt tokens not yet prefilled
+	generated int     // tokens generated so far
 }
 
-func (j *job) context() float64 { return j.Prompt + float64(j.made) }
+func (j *job) context() float64 { return j.Prompt + float64(j.generated) }
 
-type kept struct {
+type cacheEntry struct {
 	key    uint64
 	tokens float64
 }
 
-// Box is one box. Its methods take the time in seconds, which must not fall.
+// Box is an emulated backend. Its methods take the time in seconds, which must not decrease.
 type Box struct {
 	Figures
-	rng      *rand.Rand
-	started  float64 // last start; -Inf: long ago
-	dead     bool
-	draining bool
-	errors   float64 // share of jobs that fail at once
-	slow     float64 // factor on the time of steps
-	paused   float64 // until then no step ends
-
-	running  []*job
-	queue    []*job
-	memory   *list.List // kept prompts, the latest used first
-	byKey    map[uint64]*list.Element
-	keptSum  float64
-	stepEnds float64 // 0: no step runs
-	reading  map[int64]float64
-	report   Report
-	reportAt float64
-	pressure float64 // attempts that came lately, against the fall
-	pressAt  float64
-	came     int
+	rng         *rand.Rand
+	startedAt   float64 // time of the last start; -Inf: long ago
+	dead        bool
+	draining    bool
+	errorShare  float64 // fraction of jobs that fail immediately
+	slowdown    float64 // factor by which steps take longer
+	pausedUntil float64 // no step ends before this time
+
+	running          []*job
+	queue            []*job
+	cache            *list.List // cached prompts (cacheEntry), the most recently used first
+	cacheByKey       map[uint64]*list.Element
+	cachedTokens     float64           // sum of the cached prompts' lengths
+	stepEndsAt       float64           // 0: no step runs
+	prefilling       map[int64]float64 // prompt tokens that the current step prefills, by job
+	report           Report
+	reportedAt       float64
+	recentAttempts   float64 // attempts, less what the overload rule allows for the time since; see recordAttempt
+	recentAttemptsAt float64 // time up to which that allowance is deducted
+	received         int     // jobs submitted
 }
 
-// Came is how many jobs have come, refused ones too.
-func (b *Box) Came() int { return b.came }
+// Came returns the number of jobs submitted, including rejected ones.
+func (b *Box) Came() int { return b.received }
 
-// New makes a box that started long ago, or at a time.
+// New returns a backend that started at the given time; LongAgo makes it warm.
 func New(f Figures, seed uint64, started float64) *Box {
-	return &Box{Figures: f, rng: rand.New(rand.NewPCG(seed, 0x60a7)), started: started, slow: 1, memory: list.New(),
-		byKey: map[uint64]*list.Element{}, reading: map[int64]float64{}, reportAt: math.Inf(-1)}
+	return &Box{Figures: f, rng: rand.New(rand.NewPCG(seed, 0x60a7)), startedAt: started, slowdown: 1,
+		cache: list.New(), cacheByKey: map[uint64]*list.Element{}, prefilling: map[int64]float64{},
+		reportedAt: math.Inf(-1)}
 }
 
-// LongAgo is the start of a box that is warm.
+// LongAgo is the start time of a backend that is already warm.
 var LongAgo = math.Inf(-1)
 
-// Warmth is the part of its speed that the box has.
-func (b *Box) Warmth(now float64) float64 {
-	if b.WarmUp <= 0 || now-b.started >= b.WarmUp {
+// SpeedFactor returns the fraction of its full speed that the backend has at now, during and after its warm-up.
+func (b *Box) SpeedFactor(now float64) float64 {
+	if b.WarmUp <= 0 || now-b.startedAt >= b.WarmUp {
 		return 1
 	}
-	return b.ColdShare + (1-b.ColdShare)*max(0, now-b.started)/b.WarmUp
+	return b.ColdShare + (1-b.ColdShare)*max(0, now-b.startedAt)/b.WarmUp
 }
 
-// Slow makes steps take a factor longer.
-func (b *Box) Slow(factor float64) { b.slow = max(0.01, factor) }
+// Slow sets the factor by which steps take longer; the minimum is 0.01.
+func (b *Box) Slow(factor float64) { b.slowdown = max(0.01, factor) }
 
-// Fail has a share of the jobs that come end in an error at once.
-func (b *Box) Fail(share float64) { b.errors = share }
+// Fail sets the fraction of submitted jobs that fail immediately.
+func (b *Box) Fail(share float64) { b.errorShare = share }
 
-// Pause keeps the box still from now until a time: the step that runs ends that much later.
+// Pause stops the backend from now until the given time: the running step ends later by that much.
 func (b *Box) Pause(now, until float64) {
-	from := max(now, b.paused)
-	if b.stepEnds > 0 && until > from {
-		b.stepEnds += until - from
+	from := max(now, b.pausedUntil)
+	if b.stepEndsAt > 0 && until > from {
+		b.stepEndsAt += until - from
 	}
-	b.paused = max(b.paused, until)
+	b.pausedUntil = max(b.pausedUntil, until)
 }
 
-// Drain has the box finish what it has and take nothing new.
+// Drain makes the backend finish its jobs and reject new ones.
 func (b *Box) Drain() { b.draining = true }
 
-// Kill ends the box. All its jobs are lost; their ids are returned.
+// Kill stops the backend and drops all its jobs, whose ids it returns.
 func (b *Box) Kill() []int64 {
-	var lost []int64
+	var ids []int64
 	for _, j := range append(b.running, b.queue...) {
-		lost = append(lost, j.ID)
+		ids = append(ids, j.ID)
 	}
-	b.dead, b.running, b.queue, b.stepEnds = true, nil, nil, 0
-	return lost
+	b.dead, b.running, b.queue, b.stepEndsAt = true, nil, nil, 0
+	return ids
 }
 
-// Restart brings the box up anew, cold and empty.
+// Restart kills the backend and starts it again, cold and with an empty cache. It returns the ids of the dropped jobs.
 func (b *Box) Restart(now float64) []int64 {
-	lost := b.Kill()
-	b.dead, b.draining, b.started, b.paused = false, false, now, 0
-	b.memory.Init()
-	clear(b.byKey)
-	b.keptSum, b.pressure = 0, 0
-	return lost
+	ids := b.Kill()
+	b.dead, b.draining, b.startedAt, b.pausedUntil = false, false, now, 0
+	b.cache.Init()
+	clear(b.cacheByKey)
+	b.cachedTokens, b.recentAttempts = 0, 0
+	return ids
 }
 
-// Alive tells whether the box takes connections.
+// Alive reports whether the backend accepts connections.
 func (b *Box) Alive() bool { return !b.dead }
 
-// Idle tells that no job is on the box.
+// Idle reports whether the backend has neither running nor queued jobs.
 func (b *Box) Idle() bool { return len(b.running)+len(b.queue) == 0 }
 
-// Submit brings a job. fell tells that this one pushed the cold box over; what it had is lost, see Kill.
-func (b *Box) Submit(now float64, j Job) (v Verdict, fell bool) {
-	b.came++
+// Submit submits a job. overloaded reports that this job pushed a cold backend over its limit; the caller then has to
+// call Kill, which drops the backend's jobs.
+func (b *Box) Submit(now float64, j Job) (verdict Verdict, overloaded bool) {
+	b.received++
 	if b.dead {
 		return Dead, false
 	}
-	if b.press(now) {
+	if b.recordAttempt(now) {
 		return Dead, true
 	}
-	if b.errors > 0 && b.rng.Float64() < b.errors {
+	if b.errorShare > 0 && b.rng.Float64() < b.errorShare {
 		return Errored, false
 	}
 	if b.draining || len(b.queue)+len(b.running) >= b.Queue+b.Slots {
 		return Full, false
 	}
 	b.queue = append(b.queue, &job{Job: j})
-	if b.stepEnds == 0 {
-		b.begin(now)
+	if b.stepEndsAt == 0 {
+		b.startStep(now)
 	}
 	return Taken, false
 }
 
-// press counts an attempt against what a cold box may be sent, refused ones too.
-func (b *Box) press(now float64) bool {
-	if b.Fall <= 0 || b.Capacity <= 0 || now-b.started > b.WarmUp+b.Fall {
+// recordAttempt counts an attempt, rejected or not, and reports whether a cold backend has been overloaded for too
+// long. The count is a leaky bucket: it leaks at FallFactor times the current capacity, and its limit is what leaks
+// within Fall, plus 4 attempts so that random clusters of arrivals don't trip it.
+func (b *Box) recordAttempt(now float64) bool {
+	if b.Fall <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.Fall {
 		return false
 	}
-	can := b.Capacity * b.Warmth(now)
-	b.pressure = max(0, b.pressure-(now-b.pressAt)*can*b.FallFactor)
-	b.pressAt = now
-	b.pressure++
-	return b.pressure > can*b.FallFactor*b.Fall+4 // and a little slack for chance
+	capacity := b.Capacity * b.SpeedFactor(now)
+	b.recentAttempts = max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.FallFactor)
+	b.recentAttemptsAt = now
+	b.recentAttempts++
+	return b.recentAttempts > capacity*b.FallFactor*b.Fall+4
 }
 
-// Pressure is what lately came, as a part of what would push a cold box over: 1 and above does.
+// Pressure returns the recent attempts as a fraction of those that make a cold backend fail: from 1 on it fails.
 func (b *Box) Pressure(now float64) float64 {
-	if b.Fall <= 0 || b.Capacity <= 0 || now-b.started > b.WarmUp+b.Fall {
+	if b.Fall <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.Fall {
 		return 0
 	}
-	can := b.Capacity * b.Warmth(now)
-	return max(0, b.pressure-(now-b.pressAt)*can*b.FallFactor) / (can*b.FallFactor*b.Fall + 4)
+	capacity := b.Capacity * b.SpeedFactor(now)
+	return max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.FallFactor) / (capacity*b.FallFactor*b.Fall + 4)
 }
 
-// Cancel gives a job up.
+// Cancel removes a queued or running job. What a running job has prefilled and generated stays in the cache.
 func (b *Box) Cancel(id int64) {
 	for i, j := range b.queue {
 		if j.ID == id {
@@ -217,98 +237,102 @@
 	for i, j := range b.running {
 		if j.ID == id {
 			b.running = append(b.running[:i], b.running[i+1:]...)
-			b.keep(j)
+			b.cacheJob(j)
 			return
 		}
 	}
 }
 
-// Next is when the box next has something to tell; +Inf: not before a job comes.
+// Next returns the end of the current step; +Inf: no step runs.
 func (b *Box) Next() float64 {
-	if b.stepEnds == 0 {
+	if b.stepEndsAt == 0 {
 		return math.Inf(1)
 	}
-	return b.stepEnds
+	return b.stepEndsAt
 }
 
-// Load is the box's report, which is refreshed now and then.
+// Load returns the load report, which is refreshed every ReportEvery seconds.
 func (b *Box) Load(now float64) Report {
-	if now-b.reportAt >= b.ReportEvery {
-		used, unread := 0.0, 0.0
+	if now-b.reportedAt >= b.ReportEvery {
+		used, unprocessed := 0.0, 0.0
 		for _, j := range b.running {
-			used, unread = used+j.context(), unread+j.unread
+			used, unprocessed = used+j.context(), unprocessed+j.toPrefill
 		}
 		for _, j := range b.queue {
-			unread += j.Prompt
+			unprocessed += j.Prompt
 		}
-		b.report = Report{Memory: used / max(1, b.Memory), Unread: unread / 1000, Slots: float64(len(b.running)) / float64(max(1, b.Slots))}
-		b.reportAt = now
+		b.report = Report{Memory: used / max(1, b.Memory), Unread: unprocessed / 1000,
+			Slots: float64(len(b.running)) / float64(max(1, b.Slots))}
+		b.reportedAt = now
 	}
 	return b.report
 }
 
-// Advance ends the step that ends at now, and begins the next.
+// Advance completes the step that is due at now, starts the next, and returns what the step did for each job that
+// generated a token. It returns nil when no step is due.
 func (b *Box) Advance(now float64) []Progress {
-	if b.stepEnds == 0 || now < b.stepEnds {
+	if b.stepEndsAt == 0 || now < b.stepEndsAt {
 		return nil
 	}
-	var news []Progress
-	live := b.running[:0]
+	var progress []Progress
+	running := b.running[:0]
 	for _, j := range b.running {
-		reading := b.reading[j.ID]
-		j.unread -= reading
-		if j.unread > 1e-9 {
-			live = append(live, j)
+		prefilled := b.prefilling[j.ID]
+		j.toPrefill -= prefilled
+		if j.toPrefill > 1e-9 {
+			running = append(running, j)
 			continue
 		}
-		j.made++
-		p := Progress{ID: j.ID, First: j.made == 1, Tokens: 1, Done: j.made >= j.Out, Kept: j.kept}
-		news = append(news, p)
+		j.generated++
+		p := Progress{ID: j.ID, First: j.generated == 1, Tokens: 1, Done: j.generated >= j.Out, Kept: j.cached}
+		progress = append(progress, p)
 		if p.Done {
-			b.keep(j)
+			b.cacheJob(j)
 		} else {
-			live = append(live, j)
+			running = append(running, j)
 		}
 	}
-	clear(b.running[len(live):])
-	b.running = live
-	b.shrink(0)
-	b.begin(now)
-	return news
+	clear(b.running[len(running):])
+	b.running = running
+	b.evict(0)
+	b.startStep(now)
+	return progress
 }
 
-// begin admits what there is room for, plans what the next step reads, and says when it ends.
-func (b *Box) begin(now float64) {
+// startStep moves queued jobs into free slots as far as memory allows, distributes the prefill chunk among the running
+// jobs, and sets the end of the step.
+func (b *Box) startStep(now float64) {
 	for len(b.queue) > 0 && len(b.running) < b.Slots {
 		j := b.queue[0]
-		if b.used()+j.Prompt > b.Memory && len(b.running) > 0 {
+		if b.usedMemory()+j.Prompt > b.Memory && len(b.running) > 0 {
 			break
 		}
 		b.queue = b.queue[1:]
-		j.kept = b.found(j)
-		j.unread = max(1, j.Prompt-j.kept)
+		j.cached = b.useCached(j)
+		j.toPrefill = max(1, j.Prompt-j.cached)
 		b.running = append(b.running, j)
-		b.shrink(j.Prompt)
+		b.evict(j.Prompt)
 	}
 	if len(b.running) == 0 {
-		b.stepEnds = 0
+		b.stepEndsAt = 0
 		return
 	}
-	clear(b.reading)
-	left, contexts := b.Chunk, 0.0
+	clear(b.prefilling)
+	budget, contextTokens := b.Chunk, 0.0
 	for _, j := range b.running {
-		contexts += j.context()
-		if j.unread > 0 && left > 0 {
-			n := min(left, j.unread)
-			b.reading[j.ID] = n
-			left -= n
+		contextTokens += j.context()
+		if j.toPrefill > 0 && budget > 0 {
+			n := min(budget, j.toPrefill)
+			b.prefilling[j.ID] = n
+			budget -= n
 		}
 	}
-	took := b.Step + b.PerSequence*float64(len(b.running)) + b.PerContext*contexts/1000 + (b.Chunk-left)/b.ReadPerS
-	b.stepEnds = max(now, b.paused) + took*b.slow/b.Warmth(now)
+	duration := b.Step + b.PerSequence*float64(len(b.running)) + b.PerContext*contextTokens/1000 +
+		(b.Chunk-budget)/b.ReadPerS
+	b.stepEndsAt = max(now, b.pausedUntil) + duration*b.slowdown/b.SpeedFactor(now)
 }
 
-func (b *Box) used() float64 {
+func (b *Box) usedMemory() float64 {
 	sum := 0.0
 	for _, j := range b.running {
 		sum += j.context()
@@ -316,103 +340,107 @@
 	return sum
 }
 
-// shrink makes room: kept prompts go first, the longest unused of them first; then the newest running job goes back to
-// the queue, to be read again.
-func (b *Box) shrink(more float64) {
-	used := b.used()
-	for used+b.keptSum > b.Memory && b.memory.Len() > 0 {
-		last := b.memory.Back()
-		k := b.memory.Remove(last).(kept)
-		delete(b.byKey, k.key)
-		b.keptSum -= k.tokens
+// evict frees memory when running jobs and cached prompts exceed it: it evicts the least recently used cached prompts
+// first. If that is not enough and no job is being admitted (incoming is 0), it puts the newest running jobs back at
+// the head of the queue; their prompts have to be prefilled again.
+func (b *Box) evict(incoming float64) {
+	used := b.usedMemory()
+	for used+b.cachedTokens > b.Memory && b.cache.Len() > 0 {
+		last := b.cache.Back()
+		k := b.cache.Remove(last).(cacheEntry)
+		delete(b.cacheByKey, k.key)
+		b.cachedTokens -= k.tokens
 	}
-	for used > b.Memory && len(b.running) > 1 && more == 0 {
+	for used > b.Memory && len(b.running) > 1 && incoming == 0 {
 		j := b.running[len(b.running)-1]
 		b.running = b.running[:len(b.running)-1]
 		used -= j.context()
-		j.unread = 0
+		j.toPrefill = 0
 		b.queue = append([]*job{j}, b.queue...)
 	}
 }
 
-const prefixKey = 0x9d5a_77c1_0d1e_b0b5
+// prefixKeyMask keeps the cache keys of shared prefixes apart from those of sessions.
+const prefixKeyMask = 0x9d5a_77c1_0d1e_b0b5
 
-// found is how much of a job's prompt is kept.
-func (b *Box) found(j *job) float64 { return b.look(j, true) }
+// useCached returns how many tokens of a job's prompt are cached, and marks the entries as used.
+func (b *Box) useCached(j *job) float64 { return b.cachedPrompt(j, true) }
 
-// look is found; with touch what is found counts as used.
-func (b *Box) look(j *job, touch bool) float64 {
+// cachedPrompt returns how many tokens of a job's prompt are cached: the longer of its session's prompt and its shared
+// prefix. With touch, the entries found become the most recently used.
+func (b *Box) cachedPrompt(j *job, touch bool) float64 {
 	tokens := 0.0
 	for _, k := range []struct {
-		key  uint64
-		most float64
-	}{{j.Session, j.Prompt}, {j.Prefix ^ prefixKey, j.Shared}} {
-		if e := b.byKey[k.key]; e != nil && k.key != 0 && k.key != prefixKey {
+		key   uint64
+		limit float64
+	}{{j.Session, j.Prompt}, {j.Prefix ^ prefixKeyMask, j.Shared}} {
+		if e := b.cacheByKey[k.key]; e != nil && k.key != 0 && k.key != prefixKeyMask {
 			if touch {
-				b.memory.MoveToFront(e)
+				b.cache.MoveToFront(e)
 			}
-			tokens = max(tokens, min(k.most, e.Value.(kept).tokens))
+			tokens = max(tokens, min(k.limit, e.Value.(cacheEntry).tokens))
 		}
 	}
 	return tokens
 }
 
-// keep remembers what a job has read and made.
-func (b *Box) keep(j *job) {
-	read := j.Prompt - j.unread
+// cacheJob caches what a job has prefilled and generated.
+func (b *Box) cacheJob(j *job) {
+	prefilled := j.Prompt - j.toPrefill
 	if j.Session != 0 {
-		b.put(j.Session, read+float64(j.made))
+		b.store(j.Session, prefilled+float64(j.generated))
 	}
-	if j.Prefix != 0 && read >= j.Shared {
-		b.put(j.Prefix^prefixKey, j.Shared)
+	if j.Prefix != 0 && prefilled >= j.Shared {
+		b.store(j.Prefix^prefixKeyMask, j.Shared)
 	}
 }
 
-func (b *Box) put(key uint64, tokens float64) {
-	if e := b.byKey[key]; e != nil {
-		b.keptSum -= e.Value.(kept).tokens
-		b.memory.Remove(e)
+func (b *Box) store(key uint64, tokens float64) {
+	if e := b.cacheByKey[key]; e != nil {
+		b.cachedTokens -= e.Value.(cacheEntry).tokens
+		b.cache.Remove(e)
 	}
-	b.byKey[key] = b.memory.PushFront(kept{key, tokens})
-	b.keptSum += tokens
+	b.cacheByKey[key] = b.cache.PushFront(cacheEntry{key, tokens})
+	b.cachedTokens += tokens
 }
 
-// Able estimates the requests a second that a warm box does within a token gap, for mean lengths of the prompt that is
-// to be read, of the context and of the answer: the most requests at once with which a step stays within the gap.
-func (f Figures) Able(unread, context, out, gap float64) float64 {
+// Able estimates the requests per second that a warm backend serves with token gaps of at most maxGap seconds, given
+// the mean lengths in tokens of the prompt to prefill, of the context and of the response. It takes the greatest number
+// of concurrent requests with which a step stays within the gap.
+func (f Figures) Able(prefill, context, out, maxGap float64) float64 {
 	best := 0.0
 	for n := 1.0; n <= float64(f.Slots); n++ {
-		begun := n / out // requests that begin in a step, where each running one makes a token
-		step := f.Step + f.PerSequence*n + f.PerContext*n*context/1000 + begun*unread/f.ReadPerS
-		if step > gap {
+		started := n / out // requests that start in a step, in which each running one generates a token
+		step := f.Step + f.PerSequence*n + f.PerContext*n*context/1000 + started*prefill/f.ReadPerS
+		if step > maxGap {
 			break
 		}
-		best = begun / step
+		best = started / step
 	}
 	return best
 }
 
-// Scale makes steps take a factor longer than they do now.
-func (b *Box) Scale(factor float64) { b.Slow(b.slow * factor) }
+// Scale multiplies the present slowdown of steps by factor.
+func (b *Box) Scale(factor float64) { b.Slow(b.slowdown * factor) }
 
-// Wait is what a job that came now would wait for its first token, in seconds, as the box's true state has it: what is
-// unread before it and its own prompt, at the present speed, and, with all slots taken, the wait for one of them. It is
-// for a policy that sees the truth.
+// Wait estimates the seconds until the first token of a job submitted now, from the backend's actual state: the time to
+// prefill the prompts ahead of it and its own at the present speed and, with all slots in use, the wait for a slot. It
+// is for a reference policy that sees the actual state. It returns +Inf if the job would not be accepted.
 func (b *Box) Wait(now float64, j Job) float64 {
-	unread := j.Prompt - b.look(&job{Job: j}, false)
-	left := math.Inf(1)
+	toPrefill := j.Prompt - b.cachedPrompt(&job{Job: j}, false)
+	shortestLeft := math.Inf(1)
 	for _, r := range b.running {
-		unread += r.unread
-		left = min(left, float64(r.Out-r.made))
+		toPrefill += r.toPrefill
+		shortestLeft = min(shortestLeft, float64(r.Out-r.generated))
 	}
 	for _, q := range b.queue {
-		unread += q.Prompt
+		toPrefill += q.Prompt
 	}
-	speed := b.Warmth(now) / b.slow
+	speed := b.SpeedFactor(now) / b.slowdown
 	step := b.Step + b.PerSequence*float64(len(b.running)+1)
-	wait := unread/(b.ReadPerS*speed) + step/speed + max(0, b.paused-now)
-	if over := len(b.running) + len(b.queue) + 1 - b.Slots; over > 0 {
-		wait += float64(over) * max(1, left) * step / speed / float64(max(1, b.Slots)) * 4
+	wait := toPrefill/(b.ReadPerS*speed) + step/speed + max(0, b.pausedUntil-now)
+	if excess := len(b.running) + len(b.queue) + 1 - b.Slots; excess > 0 {
+		wait += float64(excess) * max(1, shortestLeft) * step / speed / float64(max(1, b.Slots)) * 4
 	}
 	if b.dead || b.draining || len(b.queue) >= b.Queue {
 		return math.Inf(1)
--- a/internal/lab/emulator/box_test.go
+++ b/internal/lab/emulator/box_test.go
@@ -7,23 +7,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-var figures = Figures{Slots: 4, Queue: 2, Memory: 10_000, Chunk: 1000, Step: 0.01, PerSequence: 0.001, ReadPerS: 10_000, ColdShare: 0.1,
-	WarmUp: 20, FallFactor: 4, Fall: 3, Capacity: 2, ReportEvery: 0}
+var parameters = Figures{Slots: 4, Queue: 2, Memory: 10_000, Chunk: 1000, Step: 0.01, PerSequence: 0.001,
+	ReadPerS: 10_000, ColdShare: 0.1, WarmUp: 20, FallFactor: 4, Fall: 3, Capacity: 2, ReportEvery: 0}
 
-// play lets a box work until it has nothing to do, and returns when each job had its first token and its end.
-func play(b *Box, most float64) (first, done map[int64]float64, kept map[int64]float64) {
-	first, done, kept = map[int64]float64{}, map[int64]float64{}, map[int64]float64{}
-	for at := b.Next(); at < most; at = b.Next() {
+// runUntilIdle advances a backend until it is idle or the next step ends at until or later. It returns, by job, the
+// times of the first token and of completion, and the prompt tokens found in the cache.
+func runUntilIdle(b *Box, until float64) (first, done map[int64]float64, cached map[int64]float64) {
+	first, done, cached = map[int64]float64{}, map[int64]float64{}, map[int64]float64{}
+	for at := b.Next(); at < until; at = b.Next() {
 		for _, p := range b.Advance(at) {
 			if p.First {
 				first[p.ID] = at
 			}
 			if p.Done {
-				done[p.ID], kept[p.ID] = at, p.Kept
+				done[p.ID], cached[p.ID] = at, p.Kept
 			}
 		}
 	}
-	return first, done, kept
+	return first, done, cached
 }
 
 func submit(t *testing.T, b *Box, now float64, j Job, want Verdict) {
@@ -31,78 +32,79 @@
 	require.Equal(t, want, v)
 }
 
-func TestStepsReadPromptsAndMakeTokens(t *testing.T) {
-	b := New(figures, 1, LongAgo)
+func TestStepsPrefillPromptsAndGenerateTokens(t *testing.T) {
+	b := New(parameters, 1, LongAgo)
 	submit(t, b, 0, Job{ID: 1, Prompt: 2000, Out: 5}, Taken)
-	first, done, _ := play(b, 10)
+	first, done, _ := runUntilIdle(b, 10)
 	step := 0.01 + 0.001
-	require.InDelta(t, 2*(step+0.1), first[1], 1e-9, "two chunks are read")
+	require.InDelta(t, 2*(step+0.1), first[1], 1e-9, "the prompt takes two chunks")
 	require.InDelta(t, first[1]+4*step, done[1], 1e-9)
 }
 
-func TestKeptPromptsAreNotReadAgain(t *testing.T) {
-	b := New(figures, 1, LongAgo)
+func TestCachedPromptsAreNotPrefilledAgain(t *testing.T) {
+	b := New(parameters, 1, LongAgo)
 	submit(t, b, 0, Job{ID: 1, Session: 7, Prefix: 3, Shared: 400, Prompt: 2000, Out: 5}, Taken)
-	play(b, 10)
+	runUntilIdle(b, 10)
 	submit(t, b, 10, Job{ID: 2, Session: 7, Prompt: 2100, Out: 5}, Taken)
 	submit(t, b, 10, Job{ID: 3, Session: 8, Prefix: 3, Shared: 400, Prompt: 900, Out: 5}, Taken)
-	_, _, kept := play(b, 20)
-	require.InDelta(t, 2005, kept[2], 1e-9, "prompt and answer of the turn before")
-	require.InDelta(t, 400, kept[3], 1e-9, "the shared beginning")
-	submit(t, b, 20, Job{ID: 4, Session: 9, Prompt: 9900, Out: 5}, Taken) // takes all the room
-	play(b, 30)
+	_, _, cached := runUntilIdle(b, 20)
+	require.InDelta(t, 2005, cached[2], 1e-9, "prompt and response of the previous turn")
+	require.InDelta(t, 400, cached[3], 1e-9, "the shared prefix")
+	submit(t, b, 20, Job{ID: 4, Session: 9, Prompt: 9900, Out: 5}, Taken) // evicts all other cached prompts
+	runUntilIdle(b, 30)
 	submit(t, b, 30, Job{ID: 5, Session: 7, Prompt: 2200, Out: 5}, Taken)
-	_, _, kept = play(b, 40)
-	require.Zero(t, kept[5], "what was unused for longest went first")
+	_, _, cached = runUntilIdle(b, 40)
+	require.Zero(t, cached[5], "the least recently used prompt is evicted first")
 }
 
-func TestAFullBoxTurnsAway(t *testing.T) {
-	b := New(figures, 1, LongAgo)
+func TestFullBackendRejects(t *testing.T) {
+	b := New(parameters, 1, LongAgo)
 	for id := range int64(6) {
 		submit(t, b, 0, Job{ID: id, Prompt: 100, Out: 3}, Taken)
 	}
 	submit(t, b, 0, Job{ID: 9, Prompt: 100, Out: 3}, Full)
-	_, done, _ := play(b, 10)
+	_, done, _ := runUntilIdle(b, 10)
 	require.Len(t, done, 6)
 	b.Drain()
 	submit(t, b, 10, Job{ID: 10, Prompt: 100, Out: 3}, Full)
 }
 
-func TestPausesSlownessAndCold(t *testing.T) {
-	took := func(started float64, bring func(b *Box)) float64 {
-		b := New(figures, 1, started)
+func TestPauseSlowdownAndWarmUp(t *testing.T) {
+	duration := func(started float64, prepare func(b *Box)) float64 {
+		b := New(parameters, 1, started)
 		submit(t, b, 0, Job{ID: 1, Prompt: 100, Out: 10}, Taken)
-		bring(b)
-		_, done, _ := play(b, 100)
+		prepare(b)
+		_, done, _ := runUntilIdle(b, 100)
 		return done[1]
 	}
-	plain := took(LongAgo, func(*Box) {})
-	require.InDelta(t, plain+2, took(LongAgo, func(b *Box) { b.Pause(0.005, 2.005) }), 1e-9, "a pause in the middle of a step")
-	require.InDelta(t, plain+2, took(LongAgo, func(b *Box) { b.Pause(0.005, 1); b.Pause(0.5, 2.005) }), 1e-9, "pauses that overlap")
-	require.Greater(t, took(0, func(*Box) {}), 5*plain, "cold")
-	b := New(figures, 1, LongAgo)
+	normal := duration(LongAgo, func(*Box) {})
+	require.InDelta(t, normal+2, duration(LongAgo, func(b *Box) { b.Pause(0.005, 2.005) }), 1e-9, "pause within a step")
+	require.InDelta(t, normal+2, duration(LongAgo, func(b *Box) { b.Pause(0.005, 1); b.Pause(0.5, 2.005) }), 1e-9,
+		"overlapping pauses")
+	require.Greater(t, duration(0, func(*Box) {}), 5*normal, "cold")
+	b := New(parameters, 1, LongAgo)
 	b.Slow(2)
 	submit(t, b, 0, Job{ID: 1, Prompt: 100, Out: 10}, Taken)
-	_, done, _ := play(b, 100)
-	require.InDelta(t, 2*plain, done[1], 1e-9)
+	_, done, _ := runUntilIdle(b, 100)
+	require.InDelta(t, 2*normal, done[1], 1e-9)
 }
 
-// Sent four times what it can do for three seconds, a cold box falls over; a warm one does not.
-func TestAColdBoxFallsOver(t *testing.T) {
+// A cold backend that receives four times its capacity for three seconds fails; a warm one does not.
+func TestColdBackendFailsUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		started, rate float64
-		falls         bool
+		fails         bool
 	}{{0, 0.7, false}, {0, 6, true}, {LongAgo, 30, false}} {
-		b := New(figures, 1, c.started)
-		fallen := false
-		for at := 0.0; at < 6 && !fallen; at += 1 / c.rate {
+		b := New(parameters, 1, c.started)
+		failed := false
+		for at := 0.0; at < 6 && !failed; at += 1 / c.rate {
 			for b.Next() <= at {
 				b.Advance(b.Next())
 			}
-			_, fallen = b.Submit(at, Job{ID: int64(at * 1000), Prompt: 10, Out: 2})
+			_, failed = b.Submit(at, Job{ID: int64(at * 1000), Prompt: 10, Out: 2})
 		}
-		require.Equal(t, c.falls, fallen, "%+v", c)
-		if fallen {
+		require.Equal(t, c.fails, failed, "%+v", c)
+		if failed {
 			b.Kill()
 			submit(t, b, 10, Job{ID: 1, Prompt: 10, Out: 2}, Dead)
 			b.Restart(20)
@@ -111,29 +113,30 @@
 	}
 }
 
-func TestErrorsAndCancels(t *testing.T) {
-	b := New(figures, 1, LongAgo)
+func TestErrorsAndCancellation(t *testing.T) {
+	b := New(parameters, 1, LongAgo)
 	b.Fail(0.5)
 	errors := 0
 	for id := range int64(400) {
 		if v, _ := b.Submit(float64(id), Job{ID: id, Prompt: 10, Out: 2}); v == Errored {
 			errors++
 		}
-		play(b, float64(id+1))
+		runUntilIdle(b, float64(id+1))
 	}
 	require.InDelta(t, 200, errors, 50)
 	b.Fail(0)
 	submit(t, b, 1000, Job{ID: 1000, Prompt: 10, Out: 1000}, Taken)
 	b.Cancel(1000)
-	_, done, _ := play(b, 2000)
+	_, done, _ := runUntilIdle(b, 2000)
 	require.Empty(t, done)
 	require.True(t, b.Idle())
 	require.True(t, math.IsInf(b.Next(), 1))
 }
 
-// What Able says a box can do it does, about, when it is sent that.
-func TestAbleIsAboutRight(t *testing.T) {
-	f := Figures{Slots: 24, Queue: 1000, Memory: 300_000, Chunk: 2048, Step: 0.015, PerSequence: 0.00035, PerContext: 0.00005, ReadPerS: 10_000}
+// A backend that is sent requests at the rate that Able estimates completes them at that rate, within 10 %.
+func TestEstimatedRateIsAchieved(t *testing.T) {
+	f := Figures{Slots: 24, Queue: 1000, Memory: 300_000, Chunk: 2048, Step: 0.015, PerSequence: 0.00035,
+		PerContext: 0.00005, ReadPerS: 10_000}
 	rate := f.Able(700, 700, 100, 0.05)
 	b := New(f, 1, LongAgo)
 	done := 0
