--- a/internal/lab/emulator/server/fleet.go
+++ b/internal/lab/emulator/server/fleet.go
@@ -12,33 +12,33 @@
 	"standpoint/internal/lab/emulator"
 )
 
-// Fleet is a file of emulated boxes and of what happens to them.
+// Fleet is a file that describes emulated backends and the faults to apply to them.
 type Fleet struct {
-	Seed   uint64  `toml:"seed"`
-	Out    float64 `toml:"out_tokens"`
-	Spread float64 `toml:"out_spread"`
-	Boxes  []Box   `toml:"box"`
-	Groups []Group `toml:"group"`
-	Events []Event `toml:"event"`
+	Seed     uint64    `toml:"seed"`
+	Out      float64   `toml:"out_tokens"` // mean length of a response in tokens; 0: 100
+	Spread   float64   `toml:"out_spread"` // standard deviation of the logarithm of that length
+	Backends []Backend `toml:"box"`
+	Groups   []Group   `toml:"group"`
+	Events   []Event   `toml:"event"`
 }
 
-// Box is one box of a fleet's file.
-type Box struct {
+// Backend is one emulated backend of a fleet file.
+type Backend struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 	Cold    bool   `toml:"cold"`
 	emulator.Figures
 }
 
-// Event is something that happens to some boxes at a time.
+// Event is a fault command that is applied to backends at a set time.
 type Event struct {
-	At    Span     `toml:"at"`
-	Boxes []string `toml:"boxes"` // none: all
-	Do    string   `toml:"do"`
-	Value float64  `toml:"value"`
+	At       Span     `toml:"at"`    // time since the start
+	Backends []string `toml:"boxes"` // names of the backends; none: all
+	Do       string   `toml:"do"`    // a key of Deeds
+	Value    float64  `toml:"value"`
 }
 
-// Span is a time in a fleet's file, such as "30s".
+// Span is a duration in a fleet file, such as "30s".
 type Span time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -48,13 +48,16 @@
 	return err
 }
 
-// Deeds are what can be done to a box, and what its value is.
-var Deeds = map[string]string{"slow": "a factor on its steps' time", "errors": "the share of requests that fail", "pause": "seconds",
-	"kill": "", "restart": "", "drain": "",
-	"reset": "the share of requests whose connection is reset", "silence": "the share of requests that are never answered",
-	"garbage": "the share of requests answered with bytes that mean nothing", "half": "the share of answers that break off half-way"}
+// Deeds maps the fault commands for emulated backends to descriptions of their values; "": the command has no value.
+var Deeds = map[string]string{
+	"slow": "the factor by which steps take longer", "errors": "the share of requests that fail",
+	"pause": "a number of seconds", "kill": "", "restart": "", "drain": "",
+	"reset":   "the share of requests whose connection is reset",
+	"silence": "the share of requests that are never answered",
+	"garbage": "the share of requests answered with malformed events",
+	"half":    "the share of responses that break off half-way"}
 
-// ReadFleet reads and checks a fleet's file; errors name the key.
+// ReadFleet reads and validates a fleet file. Errors name the key.
 func ReadFleet(path string) (*Fleet, error) {
 	var f Fleet
 	meta, err := toml.DecodeFile(path, &f)
@@ -64,94 +67,99 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("%s: unknown key", unknown[0])
 	}
-	if err := f.expand(); err != nil {
+	if err := f.expandGroups(); err != nil {
 		return nil, err
 	}
 	return &f, f.check()
 }
 
+// check validates the backends and events. Errors name the key.
 func (f *Fleet) check() error {
-	if len(f.Boxes) == 0 {
+	if len(f.Backends) == 0 {
 		return errors.New("box: at least one is needed")
 	}
 	names := map[string]bool{}
-	for i, b := range f.Boxes {
+	for i, b := range f.Backends {
 		key := func(name string) string { return fmt.Sprintf("box[%d].%s", i, name) }
 		if b.Name == "" || names[b.Name] {
-			return fmt.Errorf("%s: %q is missing, or another box's", key("name"), b.Name)
+			return fmt.Errorf("%s: %q is missing or the name of another box", key("name"), b.Name)
 		}
 		names[b.Name] = true
 		for _, v := range []struct {
-			name        string
-			value       float64
-			least, most float64
-		}{{"slots", float64(b.Slots), 1, 4096}, {"queue", float64(b.Queue), 0, 65536}, {"memory", b.Memory, 1000, 1e9}, {"chunk", b.Chunk, 1, 1e6},
-			{"step", b.Step, 1e-4, 10}, {"per_sequence", b.PerSequence, 0, 1}, {"per_context", b.PerContext, 0, 1}, {"read_per_s", b.ReadPerS, 1, 1e9},
-			{"cold_share", b.ColdShare, 0, 1}, {"warm_up", b.WarmUp, 0, 3600}, {"fall_factor", b.FallFactor, 0, 1000}, {"fall", b.Fall, 0, 3600},
+			name             string
+			value            float64
+			minimum, maximum float64
+		}{{"slots", float64(b.Slots), 1, 4096}, {"queue", float64(b.Queue), 0, 65536}, {"memory", b.Memory, 1000, 1e9},
+			{"chunk", b.Chunk, 1, 1e6}, {"step", b.Step, 1e-4, 10}, {"per_sequence", b.PerSequence, 0, 1},
+			{"per_context", b.PerContext, 0, 1}, {"read_per_s", b.ReadPerS, 1, 1e9}, {"cold_share", b.ColdShare, 0, 1},
+			{"warm_up", b.WarmUp, 0, 3600}, {"fall_factor", b.FallFactor, 0, 1000}, {"fall", b.Fall, 0, 3600},
 			{"report_every", b.ReportEvery, 0, 60}} {
-			if !(v.value >= v.least && v.value <= v.most) {
-				return fmt.Errorf("%s: %g is not from %g to %g", key(v.name), v.value, v.least, v.most)
+			if !(v.value >= v.minimum && v.value <= v.maximum) {
+				return fmt.Errorf("%s: %g is not from %g to %g", key(v.name), v.value, v.minimum, v.maximum)
 			}
 		}
 	}
 	for i, e := range f.Events {
 		if _, ok := Deeds[e.Do]; !ok {
-			return fmt.Errorf("event[%d].do: %q is nothing that can be done to a box", i, e.Do)
+			return fmt.Errorf("event[%d].do: unknown fault command %q", i, e.Do)
 		}
-		for _, name := range e.Boxes {
+		for _, name := range e.Backends {
 			if !names[name] {
-				return fmt.Errorf("event[%d].boxes: there is no box %q", i, name)
+				return fmt.Errorf("event[%d].boxes: no box is named %q", i, name)
 			}
 		}
 	}
 	return nil
 }
 
-// Running is a fleet that serves.
+// Running is a fleet whose servers run.
 type Running struct {
 	Servers []*Server
 	timers  []*time.Timer
 }
 
-// Start starts all boxes and their timetable. On an error those that were started are ended.
+// Start starts all backends and schedules the events. On an error it stops the backends that it has started.
 func (f *Fleet) Start() (*Running, error) {
 	r := &Running{}
-	for i, b := range f.Boxes {
-		s, err := Start(Options{Name: b.Name, Listen: b.Address, Figures: b.Figures, Seed: f.Seed + uint64(i), Cold: b.Cold, Out: f.Out, Spread: f.Spread})
+	for i, b := range f.Backends {
+		s, err := Start(Options{Name: b.Name, Listen: b.Address, Figures: b.Figures, Seed: f.Seed + uint64(i),
+			Cold: b.Cold, Out: f.Out, Spread: f.Spread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
 		r.Servers = append(r.Servers, s)
 	}
 	for _, e := range f.Events {
-		r.timers = append(r.timers, time.AfterFunc(time.Duration(e.At), func() { _ = r.Do(e.Do, strconv.FormatFloat(e.Value, 'g', -1, 64), e.Boxes...) }))
+		r.timers = append(r.timers, time.AfterFunc(time.Duration(e.At), func() {
+			_ = r.Do(e.Do, strconv.FormatFloat(e.Value, 'g', -1, 64), e.Backends...)
+		}))
 	}
 	return r, nil
 }
 
-// Close ends all boxes.
+// Close cancels the scheduled events and stops all backends.
 func (r *Running) Close() error {
 	for _, t := range r.timers {
 		t.Stop()
 	}
-	var all []error
+	var errs []error
 	for _, s := range r.Servers {
-		all = append(all, s.Close())
+		errs = append(errs, s.Close())
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
-// Do does something to the boxes of these names, or to all.
-func (r *Running) Do(deed, value string, names ...string) error {
-	unit, ok := Deeds[deed]
+// Do applies a fault command to the backends with the given names; without names, to all.
+func (r *Running) Do(command, value string, names ...string) error {
+	unit, ok := Deeds[command]
 	if !ok {
-		return fmt.Errorf("%q is nothing that can be done to a box", deed)
+		return fmt.Errorf("unknown fault command %q", command)
 	}
-	v := 0.0
+	number := 0.0
 	if unit != "" {
 		var err error
-		if v, err = strconv.ParseFloat(value, 64); err != nil || v < 0 || v > 1000 {
-			return fmt.Errorf("%s: %q is not %s", deed, value, unit)
+		if number, err = strconv.ParseFloat(value, 64); err != nil || number < 0 || number > 1000 {
+			return fmt.Errorf("%s: %q is not %s, from 0 to 1000", command, value, unit)
 		}
 	}
 	found := 0
@@ -160,17 +168,17 @@
 			continue
 		}
 		found++
-		switch deed {
+		switch command {
 		case "slow":
-			s.Do(func(b *emulator.Box, _ float64) { b.Slow(v) })
+			s.Do(func(b *emulator.Box, _ float64) { b.Slow(number) })
 		case "errors":
-			s.Do(func(b *emulator.Box, _ float64) { b.Fail(v) })
+			s.Do(func(b *emulator.Box, _ float64) { b.Fail(number) })
 		case "pause":
-			s.Do(func(b *emulator.Box, now float64) { b.Pause(now, now+v) })
+			s.Do(func(b *emulator.Box, now float64) { b.Pause(now, now+number) })
 		case "drain":
 			s.Do(func(b *emulator.Box, _ float64) { b.Drain() })
 		case "reset", "silence", "garbage", "half":
-			s.Spoil(deed, v)
+			s.SetWireFault(command, number)
 		case "kill":
 			s.Kill()
 		case "restart":
@@ -178,7 +186,7 @@
 		}
 	}
 	if found == 0 {
-		return fmt.Errorf("no box of these names: %v", names)
+		return fmt.Errorf("no box has one of the names %v", names)
 	}
 	return nil
 }
--- a/internal/lab/emulator/server/server.go
+++ b/internal/lab/emulator/server/server.go
@@ -1,5 +1,5 @@
-// Package server drives the model of package emulator by sockets: each emulated box is a real server on loopback that speaks
-// the platform's protocol for engines. It belongs to the laboratory: the daemon never imports it.
+// Package server runs the model of package emulator on sockets: each emulated backend is a real HTTP server on a
+// loopback address that speaks the platform's protocol for engines. It is test equipment; the daemon never imports it.
 package server
 
 import (
@@ -22,129 +22,133 @@
 )
 
 const (
-	bodyMost   = 256 << 10
-	eventEvery = 4 // tokens in an event
-	jobsMost   = 4096
-	tokenChars = 4
-	outMost    = 4096
+	maxBodyBytes      = 256 << 10
+	tokensPerEvent    = 4 // a stream event is written once so many tokens are unsent
+	maxJobs           = 4096
+	bytesPerToken     = 4 // by which prompt lengths are computed from the text
+	maxResponseTokens = 4096
 )
 
-// Server is one emulated box on a socket.
+// Server is one emulated backend on a socket.
 type Server struct {
 	Name    string
-	Address string
-
-	mu      sync.Mutex
-	box     *emulator.Box
-	zero    time.Time
-	timer   *time.Timer
-	jobs    map[int64]chan emulator.Progress
-	nextID  int64
-	rng     *rand.Rand
-	out     float64
-	spread  float64
-	http    *http.Server
-	served  chan error
-	open    map[net.Conn]struct{}
-	seen    map[string]int // attempts of each trace id that are out
-	doubles int
-	taken   int
-	firsts  []float64 // seconds to the first token, since they were last asked for
-	spoiled map[string]float64
+	Address string // host:port
+
+	mu                 sync.Mutex
+	backend            *emulator.Box
+	startedAt          time.Time
+	stepTimer          *time.Timer
+	jobs               map[int64]chan emulator.Progress
+	nextID             int64
+	rng                *rand.Rand
+	meanTokens         float64 // mean length of a response
+	tokenSpread        float64 // standard deviation of the logarithm of that length
+	http               *http.Server
+	serveResult        chan error
+	openConns          map[net.Conn]struct{}
+	openAttempts       map[string]int     // attempts in flight, by trace id
+	concurrentAttempts int                // attempts that came while another of the same request was in flight
+	received           int                // attempts received
+	firstTokenTimes    []float64          // seconds to the first token of each response since the last call of Firsts
+	wireFaults         map[string]float64 // share of requests affected, by fault
 }
 
-// Spoil has a share of the requests end in a failure of the wire: reset, silence, garbage or half.
-func (s *Server) Spoil(how string, share float64) {
+// SetWireFault sets the share of requests that end in a wire fault: reset, silence, garbage or half.
+func (s *Server) SetWireFault(fault string, share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.spoiled == nil {
-		s.spoiled = map[string]float64{}
+	if s.wireFaults == nil {
+		s.wireFaults = map[string]float64{}
 	}
-	s.spoiled[how] = share
+	s.wireFaults[fault] = share
 }
 
-// fault draws what befalls a request; "" for nothing.
-func (s *Server) fault() string {
+// drawWireFault draws the wire fault of a request; "": none.
+func (s *Server) drawWireFault() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, how := range []string{"reset", "silence", "garbage", "half"} {
-		if share := s.spoiled[how]; share > 0 && s.rng.Float64() < share {
-			return how
+	for _, fault := range []string{"reset", "silence", "garbage", "half"} {
+		if share := s.wireFaults[fault]; share > 0 && s.rng.Float64() < share {
+			return fault
 		}
 	}
 	return ""
 }
 
-const firstsMost = 4096
+// maxFirstTokenTimes bounds the first-token times stored between two calls of Firsts.
+const maxFirstTokenTimes = 4096
 
-// Firsts are the times to the first token of the answers that began since the last call, in seconds.
+// Firsts returns the times to the first token, in seconds, of the responses that began since the last call.
 func (s *Server) Firsts() []float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.firsts
-	s.firsts = nil
-	return all
+	times := s.firstTokenTimes
+	s.firstTokenTimes = nil
+	return times
 }
 
-// seedOfKeys makes the same text the same key in all boxes of a program.
-var seedOfKeys = maphash.MakeSeed()
+// cacheKeySeed makes equal texts have equal cache keys in all backends of a process.
+var cacheKeySeed = maphash.MakeSeed()
 
-// Options of a server.
+// Options are the parameters of a server.
 type Options struct {
 	Name    string
-	Listen  string // loopback
+	Listen  string // host:port on a loopback address
 	Figures emulator.Figures
 	Seed    uint64
-	Cold    bool    // starts now; else long ago
-	Out     float64 // tokens of an answer, on average; 0: 100
-	Spread  float64 // sigma of their logarithm
+	Cold    bool    // true: the backend starts now and has to warm up
+	Out     float64 // mean length of a response in tokens; 0: 100
+	Spread  float64 // standard deviation of the logarithm of that length
 }
 
-// Start listens and serves.
+// Start starts a server; it serves until Close.
 func Start(o Options) (*Server, error) {
 	host, _, err := net.SplitHostPort(o.Listen)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return nil, fmt.Errorf("box %s: %q is no loopback address", o.Name, o.Listen)
+		return nil, fmt.Errorf("box %s: listen address %q is no loopback address", o.Name, o.Listen)
 	}
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("box %s: %w", o.Name, err)
 	}
-	s := &Server{Name: o.Name, Address: l.Addr().String(), zero: time.Now(), jobs: map[int64]chan emulator.Progress{},
-		rng: rand.New(rand.NewPCG(o.Seed, 7)), out: o.Out, spread: o.Spread, served: make(chan error, 1),
-		open: map[net.Conn]struct{}{}, seen: map[string]int{}}
-	if s.out <= 0 {
-		s.out = 100
+	s := &Server{Name: o.Name, Address: l.Addr().String(), startedAt: time.Now(),
+		jobs: map[int64]chan emulator.Progress{}, rng: rand.New(rand.NewPCG(o.Seed, 7)), meanTokens: o.Out,
+		tokenSpread: o.Spread, serveResult: make(chan error, 1), openConns: map[net.Conn]struct{}{},
+		openAttempts: map[string]int{}}
+	if s.meanTokens <= 0 {
+		s.meanTokens = 100
 	}
 	started := emulator.LongAgo
 	if o.Cold {
 		started = 0
 	}
-	s.box = emulator.New(o.Figures, o.Seed, started)
-	s.timer = time.AfterFunc(time.Hour, s.advance)
+	s.backend = emulator.New(o.Figures, o.Seed, started)
+	s.stepTimer = time.AfterFunc(time.Hour, s.onStepEnd)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", s.chat)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 15 * time.Second, ConnState: s.note}
-	go func() { s.served <- s.http.Serve(l) }()
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 15 * time.Second,
+		ConnState: s.trackConn}
+	go func() { s.serveResult <- s.http.Serve(l) }()
 	return s, nil
 }
 
-// note follows the open connections, for a kill resets them.
-func (s *Server) note(c net.Conn, state http.ConnState) {
+// trackConn records which connections are open, so that a kill can reset them.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if !s.box.Alive() {
+		if !s.backend.Alive() {
 			reset(c)
 			return
 		}
-		s.open[c] = struct{}{}
+		s.openConns[c] = struct{}{}
 	case http.StateClosed, http.StateHijacked:
-		delete(s.open, c)
+		delete(s.openConns, c)
 	}
 }
 
+// reset closes a connection with a TCP RST.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -152,84 +156,88 @@
 	_ = c.Close()
 }
 
-// Close ends the box and its listener.
+// Close stops the backend and its listener.
 func (s *Server) Close() error {
-	s.timer.Stop()
+	s.stepTimer.Stop()
 	err := s.http.Close()
-	if served := <-s.served; !errors.Is(served, http.ErrServerClosed) {
+	if served := <-s.serveResult; !errors.Is(served, http.ErrServerClosed) {
 		err = errors.Join(err, served)
 	}
 	return err
 }
 
-func (s *Server) now() float64 { return time.Since(s.zero).Seconds() }
+// now returns the model's time: the seconds since the server was started.
+func (s *Server) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-// Do has something done to the model, such as a failure.
+// Do applies a change, such as a failure, to the model at the current time.
 func (s *Server) Do(change func(b *emulator.Box, now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catchUp()
-	change(s.box, s.now())
-	s.arm()
+	s.completeDueSteps()
+	change(s.backend, s.now())
+	s.scheduleStep()
 }
 
-// Kill ends the process that the box stands for: its connections are reset, and new ones too.
+// Kill emulates the end of the backend's process: it resets open connections, and from then on new ones.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(s.box.Kill())
+	s.dropJobs(s.backend.Kill())
 }
 
-// Restart brings it up anew, cold.
+// Restart kills the backend and starts it again, cold.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(s.box.Restart(s.now()))
+	s.dropJobs(s.backend.Restart(s.now()))
 }
 
-func (s *Server) drop(ids []int64) {
+// dropJobs ends the streams of the given jobs and resets all connections.
+func (s *Server) dropJobs(ids []int64) {
 	for _, id := range ids {
 		if c := s.jobs[id]; c != nil {
 			delete(s.jobs, id)
 			close(c)
 		}
 	}
-	for c := range s.open {
+	for c := range s.openConns {
 		reset(c)
 	}
-	clear(s.open)
+	clear(s.openConns)
 }
 
-// Doubles is how often two attempts of a request were out at once here, and taken how many came.
-func (s *Server) Doubles() (doubles, taken int) {
+// Doubles returns how many attempts arrived while another of the same request was in flight here, and how many attempts
+// arrived in all.
+func (s *Server) Doubles() (concurrent, received int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.doubles, s.taken
+	return s.concurrentAttempts, s.received
 }
 
-// Load is the box's present report.
+// Load returns the backend's load report.
 func (s *Server) Load() emulator.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.box.Load(s.now())
+	return s.backend.Load(s.now())
 }
 
-// advance is called when a step ends.
-func (s *Server) advance() {
+// onStepEnd is the step timer's function: it completes the steps that are due and sets the timer for the next.
+func (s *Server) onStepEnd() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catchUp()
-	s.arm()
+	s.completeDueSteps()
+	s.scheduleStep()
 }
 
-// catchUp lets all steps end that are due, each at its own time: a late timer slows no box down.
-func (s *Server) catchUp() {
-	for now := s.now(); s.box.Next() <= now; {
-		for _, p := range s.box.Advance(s.box.Next()) {
+// completeDueSteps completes all steps that are due, each at its own time, so that a late timer doesn't slow the
+// backend down.
+func (s *Server) completeDueSteps() {
+	for now := s.now(); s.backend.Next() <= now; {
+		for _, p := range s.backend.Advance(s.backend.Next()) {
 			if c := s.jobs[p.ID]; c != nil {
 				select {
 				case c <- p:
-				default: // a reader that far behind has gone
+				default: // drop the progress of a reader that is a whole response behind
 				}
 				if p.Done {
 					delete(s.jobs, p.ID)
@@ -240,13 +248,14 @@
 	}
 }
 
-func (s *Server) arm() {
-	next := s.box.Next()
+// scheduleStep sets the timer to the end of the current step.
+func (s *Server) scheduleStep() {
+	next := s.backend.Next()
 	if math.IsInf(next, 1) {
-		s.timer.Reset(time.Hour)
+		s.stepTimer.Reset(time.Hour)
 		return
 	}
-	s.timer.Reset(time.Duration((next - s.now()) * 1e9))
+	s.stepTimer.Reset(time.Duration((next - s.now()) * 1e9))
 }
 
 type chatBody struct {
@@ -256,9 +265,10 @@
 	} `json:"messages"`
 }
 
-func key(parts ...string) uint64 {
+// cacheKey returns the hash of a text. Its lowest bit is set, as 0 stands for no key.
+func cacheKey(parts ...string) uint64 {
 	var h maphash.Hash
-	h.SetSeed(seedOfKeys)
+	h.SetSeed(cacheKeySeed)
 	for _, p := range parts {
 		h.WriteString(p)
 		h.WriteByte(0)
@@ -272,17 +282,17 @@
 		http.Error(w, "no id", http.StatusNotFound)
 		return
 	}
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var body chatBody
 	if err != nil || json.Unmarshal(raw, &body) != nil || len(body.Messages) == 0 {
 		http.Error(w, "the body cannot be used", http.StatusBadRequest)
 		return
 	}
-	how := s.fault()
-	switch how {
+	fault := s.drawWireFault()
+	switch fault {
 	case "reset":
-		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-			reset(c)
+		if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
+			reset(conn)
 		}
 		return
 	case "silence":
@@ -295,19 +305,19 @@
 	}
 	j := emulator.Job{}
 	for i, m := range body.Messages {
-		j.Prompt += math.Ceil(float64(len(m.Content)) / tokenChars)
+		j.Prompt += math.Ceil(float64(len(m.Content)) / bytesPerToken)
 		if i == 0 && len(body.Messages) > 1 {
-			j.Prefix, j.Shared = key(m.Content), j.Prompt
+			j.Prefix, j.Shared = cacheKey(m.Content), j.Prompt
 		}
 		if i == 1 {
-			j.Session = key(body.Messages[0].Content, m.Content)
+			j.Session = cacheKey(body.Messages[0].Content, m.Content)
 		}
 	}
-	news, verdict := s.submit(id, &j, body.MaxTokens)
+	progress, verdict := s.submit(id, &j, body.MaxTokens)
 	switch verdict {
 	case emulator.Full:
 		w.Header().Set("X-Never-Ran", "1")
-		s.load(w.Header())
+		s.setLoadReport(w.Header())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case emulator.Errored:
@@ -316,105 +326,110 @@
 	case emulator.Dead:
 		panic(http.ErrAbortHandler)
 	}
-	defer s.leave(id, j.ID)
-	s.stream(r.Context(), w, &j, news, how == "half")
+	defer s.finishJob(id, j.ID)
+	s.stream(r.Context(), w, &j, progress, fault == "half")
 }
 
-func (s *Server) submit(trace string, j *emulator.Job, most float64) (<-chan emulator.Progress, emulator.Verdict) {
+// submit draws the length of the response and submits the job. The job's progress comes over the channel, which is
+// closed when the job is complete or dropped.
+func (s *Server) submit(trace string, j *emulator.Job, maxTokens float64) (<-chan emulator.Progress, emulator.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken++
-	s.catchUp()
+	s.received++
+	s.completeDueSteps()
 	s.nextID++
 	j.ID = s.nextID
-	out := s.out * math.Exp(s.spread*s.rng.NormFloat64()-s.spread*s.spread/2)
-	if most > 0 {
-		out = min(out, most)
+	tokens := s.meanTokens * math.Exp(s.tokenSpread*s.rng.NormFloat64()-s.tokenSpread*s.tokenSpread/2)
+	if maxTokens > 0 {
+		tokens = min(tokens, maxTokens)
 	}
-	j.Out = int(max(2, min(out, outMost)))
-	if len(s.jobs) >= jobsMost {
+	j.Out = int(max(2, min(tokens, maxResponseTokens)))
+	if len(s.jobs) >= maxJobs {
 		return nil, emulator.Full
 	}
-	v, fell := s.box.Submit(s.now(), *j)
-	if fell {
-		s.drop(s.box.Kill())
+	verdict, overloaded := s.backend.Submit(s.now(), *j)
+	if overloaded {
+		s.dropJobs(s.backend.Kill())
 	}
-	if v != emulator.Taken {
-		return nil, v
+	if verdict != emulator.Taken {
+		return nil, verdict
 	}
-	if s.seen[trace]++; s.seen[trace] > 1 {
-		s.doubles++
+	if s.openAttempts[trace]++; s.openAttempts[trace] > 1 {
+		s.concurrentAttempts++
 	}
-	c := make(chan emulator.Progress, j.Out)
-	s.jobs[j.ID] = c
-	s.arm()
-	return c, v
+	progress := make(chan emulator.Progress, j.Out)
+	s.jobs[j.ID] = progress
+	s.scheduleStep()
+	return progress, verdict
 }
 
-// leave lets a job go whose connection ended, or that is over.
-func (s *Server) leave(trace string, id int64) {
+// finishJob cleans up after a request: it cancels the job if its connection ended before the job did.
+func (s *Server) finishJob(trace string, id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen[trace]--; s.seen[trace] <= 0 {
-		delete(s.seen, trace)
+	if s.openAttempts[trace]--; s.openAttempts[trace] <= 0 {
+		delete(s.openAttempts, trace)
 	}
 	if s.jobs[id] != nil {
 		delete(s.jobs, id)
-		s.catchUp()
-		s.box.Cancel(id)
-		s.arm()
+		s.completeDueSteps()
+		s.backend.Cancel(id)
+		s.scheduleStep()
 	}
 }
 
-func (s *Server) began(after float64) {
+// recordFirstToken stores the seconds that a response took until its first token.
+func (s *Server) recordFirstToken(elapsed float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.firsts) < firstsMost {
-		s.firsts = append(s.firsts, after)
+	if len(s.firstTokenTimes) < maxFirstTokenTimes {
+		s.firstTokenTimes = append(s.firstTokenTimes, elapsed)
 	}
 }
 
-func (s *Server) load(h http.Header) {
-	h.Set("Endpoint-Load-Metrics", s.report())
+func (s *Server) setLoadReport(h http.Header) {
+	h.Set("Endpoint-Load-Metrics", s.loadReport())
 }
 
-func (s *Server) report() string {
+func (s *Server) loadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.box.Load(s.now())
+	l := s.backend.Load(s.now())
 	return fmt.Sprintf("TEXT x0=%.3f, x1=%.3f, util=%.3f", l.Memory, l.Unread, l.Slots)
 }
 
-// stream passes the job's tokens on as they are made.
-func (s *Server) stream(ctx context.Context, w http.ResponseWriter, j *emulator.Job, news <-chan emulator.Progress, half bool) {
-	waiting, made, kept, came := 0, 0, 0.0, time.Now()
+// stream sends the job's tokens as they are generated. With breakHalfway it aborts the connection after half of them.
+func (s *Server) stream(ctx context.Context, w http.ResponseWriter, j *emulator.Job, progress <-chan emulator.Progress,
+	breakHalfway bool) {
+	unsent, generated, cached, received := 0, 0, 0.0, time.Now()
 	flush := w.(http.Flusher).Flush
 	var event bytes.Buffer
-	write := func(finish string) {
+	write := func(finishReason string) {
 		event.Reset()
-		fmt.Fprintf(&event, `data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":%s}]}`+"\n\n", strings.Repeat("word", waiting), finish)
-		waiting = 0
+		fmt.Fprintf(&event, `data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":%s}]}`+"\n\n",
+			strings.Repeat("word", unsent), finishReason)
+		unsent = 0
 		_, _ = w.Write(event.Bytes())
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p, ok := <-news:
-			if !ok && made < j.Out {
-				panic(http.ErrAbortHandler) // the box died
+		case p, ok := <-progress:
+			if !ok && generated < j.Out {
+				panic(http.ErrAbortHandler) // the backend was killed
 			}
 			if ok {
-				made, waiting, kept = made+p.Tokens, waiting+p.Tokens, p.Kept
+				generated, unsent, cached = generated+p.Tokens, unsent+p.Tokens, p.Kept
 				if p.First {
-					s.began(time.Since(came).Seconds())
+					s.recordFirstToken(time.Since(received).Seconds())
 					w.Header().Set("Content-Type", "text/event-stream")
 				}
-				if half && 2*made >= j.Out {
+				if breakHalfway && 2*generated >= j.Out {
 					panic(http.ErrAbortHandler)
 				}
 				if !p.Done {
-					if p.First || waiting >= eventEvery {
+					if p.First || unsent >= tokensPerEvent {
 						write("null")
 						flush()
 					}
@@ -422,8 +437,9 @@
 				}
 			}
 			write(`"stop"`)
-			fmt.Fprintf(w, `data: {"choices":[],"usage":{"prompt_tokens":%.0f,"completion_tokens":%d,"prompt_tokens_details":{"cached_tokens":%.0f}}}`+
-				"\n\ndata: [DONE]\n\n: Endpoint-Load-Metrics: %s\n\n", j.Prompt, made, kept, s.report())
+			fmt.Fprintf(w, `data: {"choices":[],"usage":{"prompt_tokens":%.0f,"completion_tokens":%d,`+
+				`"prompt_tokens_details":{"cached_tokens":%.0f}}}`+
+				"\n\ndata: [DONE]\n\n: Endpoint-Load-Metrics: %s\n\n", j.Prompt, generated, cached, s.loadReport())
 			flush()
 			return
 		}
--- a/internal/lab/emulator/server/story_test.go
+++ b/internal/lab/emulator/server/story_test.go
@@ -16,7 +16,8 @@
 	"standpoint/internal/lab/emulator"
 )
 
-var figures = emulator.Figures{Slots: 4, Queue: 1, Memory: 20_000, Chunk: 1000, Step: 0.002, ReadPerS: 100_000, ColdShare: 0.2, WarmUp: 5}
+var parameters = emulator.Figures{Slots: 4, Queue: 1, Memory: 20_000, Chunk: 1000, Step: 0.002, ReadPerS: 100_000,
+	ColdShare: 0.2, WarmUp: 5}
 
 func start(t *testing.T, f emulator.Figures) *Server {
 	s, err := Start(Options{Name: "box-1", Listen: "127.0.0.1:0", Figures: f, Seed: 1, Out: 12})
@@ -25,7 +26,8 @@
 	return s
 }
 
-func ask(s *Server, id, body string) (status int, header http.Header, text string, err error) {
+// send sends a chat request with the given trace id and body to the server, and reads the whole response.
+func send(s *Server, id, body string) (status int, header http.Header, text string, err error) {
 	r, err := http.NewRequest("POST", "http://"+s.Address+"/v1/chat/completions", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0, nil, "", err
@@ -40,63 +42,68 @@
 	return response.StatusCode, response.Header, string(raw), err
 }
 
-const talk = `{"max_tokens":12,"messages":[{"role":"system","content":"%s"},{"role":"user","content":"how many hours"}]}`
+// requestBody is the body of a chat request; the argument is the text of the system message.
+const requestBody = `{"max_tokens":12,"messages":[{"role":"system","content":"%s"},` +
+	`{"role":"user","content":"how many hours"}]}`
 
-func TestAnswersAreStreamsWithUsageAndLoad(t *testing.T) {
-	s := start(t, figures)
-	body := fmt.Sprintf(talk, strings.Repeat("word", 500))
-	status, header, text, err := ask(s, "a-1", body)
+func TestResponsesAreStreamsWithUsageAndLoadReport(t *testing.T) {
+	s := start(t, parameters)
+	body := fmt.Sprintf(requestBody, strings.Repeat("word", 500))
+	status, header, text, err := send(s, "a-1", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "text/event-stream", header.Get("Content-Type"))
 	require.Contains(t, text, `"finish_reason":"stop"`)
 	require.Contains(t, text, `"cached_tokens":0`)
 	require.Contains(t, text, "data: [DONE]\n\n: Endpoint-Load-Metrics: TEXT x0=")
-	_, _, text, err = ask(s, "a-2", body)
+	_, _, text, err = send(s, "a-2", body)
 	require.NoError(t, err)
 	require.Contains(t, text, `"prompt_tokens":504`)
-	require.NotContains(t, text, `"cached_tokens":0`, "the prompt was kept")
+	require.NotContains(t, text, `"cached_tokens":0`, "the prompt is cached")
 	for wrong, want := range map[string]int{"": http.StatusNotFound, "b-1": http.StatusBadRequest} {
-		status, _, _, err = ask(s, wrong, `{"messages":[]}`)
+		status, _, _, err = send(s, wrong, `{"messages":[]}`)
 		require.NoError(t, err)
 		require.Equal(t, want, status)
 	}
 }
 
-func TestFailuresOnSockets(t *testing.T) {
-	s := start(t, figures)
-	body := fmt.Sprintf(talk, "short")
+func TestBackendFailuresOverHTTP(t *testing.T) {
+	s := start(t, parameters)
+	body := fmt.Sprintf(requestBody, "short")
 	s.Do(func(b *emulator.Box, _ float64) { b.Fail(1) })
-	status, _, _, err := ask(s, "a", body)
+	status, _, _, err := send(s, "a", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusInternalServerError, status)
 	s.Do(func(b *emulator.Box, _ float64) { b.Fail(0); b.Drain() })
-	status, header, _, err := ask(s, "b", body)
+	status, header, _, err := send(s, "b", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Equal(t, "1", header.Get("X-Never-Ran"))
 	s.Kill()
-	_, _, _, err = ask(s, "c", body)
+	_, _, _, err = send(s, "c", body)
 	require.Error(t, err)
 	s.Restart()
-	require.Eventually(t, func() bool { status, _, _, err := ask(s, "d", body); return err == nil && status == http.StatusOK }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool {
+		status, _, _, err := send(s, "d", body)
+		return err == nil && status == http.StatusOK
+	}, 10*time.Second, 10*time.Millisecond)
 	doubles, _ := s.Doubles()
 	require.Zero(t, doubles)
 
-	// A box that dies with a stream half out breaks it off.
+	// A backend that is killed in the middle of a stream aborts the connection.
 	s.Do(func(b *emulator.Box, _ float64) { b.Slow(100) })
-	broke := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		_, _, _, err := ask(s, "e", body)
-		broke <- err
+		_, _, _, err := send(s, "e", body)
+		result <- err
 	}()
 	require.Eventually(t, func() bool { return s.Load().Slots > 0 }, 10*time.Second, time.Millisecond)
 	s.Kill()
-	require.Error(t, <-broke)
+	require.Error(t, <-result)
 }
 
-func TestFleetFilesAreChecked(t *testing.T) {
-	good, err := os.ReadFile("../../../../deploy/lab/two-pools.toml")
+func TestFleetFileErrorsNameTheKey(t *testing.T) {
+	example, err := os.ReadFile("../../../../deploy/lab/two-pools.toml")
 	require.NoError(t, err)
 	read := func(text string) error {
 		path := filepath.Join(t.TempDir(), "fleet.toml")
@@ -104,7 +111,7 @@
 		_, err := ReadFleet(path)
 		return err
 	}
-	require.NoError(t, read(string(good)))
+	require.NoError(t, read(string(example)))
 	for _, c := range []struct{ from, to, key string }{
 		{"slots = 24", "slots = 0", "box[0].slots:"},
 		{`name = "old-2"`, `name = "old-1"`, "box[1].name:"},
@@ -114,12 +121,12 @@
 		{`boxes = ["new-1", "new-2"]`, `boxes = ["new-9"]`, "event[0].boxes:"},
 		{"slots = 24", "slotz = 24", "box.slotz: unknown key"},
 	} {
-		require.Contains(t, string(good), c.from)
-		require.ErrorContains(t, read(strings.Replace(string(good), c.from, c.to, 1)), c.key)
+		require.Contains(t, string(example), c.from)
+		require.ErrorContains(t, read(strings.Replace(string(example), c.from, c.to, 1)), c.key)
 	}
 }
 
-// Groups are drawn from their ranges, the same for the same seed.
+// A group's parameters are drawn from its ranges; the same seed gives the same parameters.
 func TestGroupsAreDrawnFromRanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	text := `seed = 3
@@ -141,29 +148,30 @@
 	}
 	f, err := read(text)
 	require.NoError(t, err)
-	require.Len(t, f.Boxes, 9)
-	require.Equal(t, "fast-9", f.Boxes[8].Name)
-	require.Equal(t, "127.0.0.1:9108", f.Boxes[8].Address)
+	require.Len(t, f.Backends, 9)
+	require.Equal(t, "fast-9", f.Backends[8].Name)
+	require.Equal(t, "127.0.0.1:9108", f.Backends[8].Address)
 	drawn := map[float64]bool{}
-	for _, b := range f.Boxes {
+	for _, b := range f.Backends {
 		require.True(t, b.Slots >= 17 && b.Slots <= 32 && b.Step >= 0.010 && b.Step <= 0.018, "%+v", b)
 		drawn[b.Step] = true
 	}
 	require.Len(t, drawn, 9)
 	again, err := read(text)
 	require.NoError(t, err)
-	require.Equal(t, f.Boxes, again.Boxes)
-	for from, key := range map[string]string{"count = 9": "group[0].count:", "[17, 32]": "group.slots", ":9100": "group[0].address:"} {
+	require.Equal(t, f.Backends, again.Backends)
+	for from, key := range map[string]string{"count = 9": "group[0].count:", "[17, 32]": "group.slots",
+		":9100": "group[0].address:"} {
 		to := map[string]string{"count = 9": "count = 0", "[17, 32]": "[32, 17]", ":9100": ":65530"}[from]
 		_, err := read(strings.Replace(text, from, to, 1))
 		require.ErrorContains(t, err, key)
 	}
 }
 
-// Failures of the wire: each is what its name says, and ends when its share is 0 again.
-func TestSpoiledAnswers(t *testing.T) {
-	s := start(t, figures)
-	body := fmt.Sprintf(talk, "word")
+// Each wire fault shows the client what its name says, and ends when its share is set to 0.
+func TestWireFaults(t *testing.T) {
+	s := start(t, parameters)
+	body := fmt.Sprintf(requestBody, "word")
 	client := &http.Client{Timeout: 300 * time.Millisecond}
 	once := func() (string, error) {
 		r, err := http.NewRequest("POST", "http://"+s.Address+"/v1/chat/completions", strings.NewReader(body))
@@ -177,15 +185,15 @@
 		raw, err := io.ReadAll(response.Body)
 		return string(raw), err
 	}
-	for how, check := range map[string]func(text string, err error){
+	for fault, check := range map[string]func(text string, err error){
 		"reset":   func(_ string, err error) { require.ErrorContains(t, err, "reset") },
 		"silence": func(_ string, err error) { require.ErrorContains(t, err, "deadline") },
 		"garbage": func(text string, err error) { require.NoError(t, err); require.NotContains(t, text, "[DONE]") },
 		"half":    func(text string, err error) { require.Error(t, err); require.Contains(t, text, "word") },
 	} {
-		require.NoError(t, (&Running{Servers: []*Server{s}}).Do(how, "1"))
+		require.NoError(t, (&Running{Servers: []*Server{s}}).Do(fault, "1"))
 		check(once())
-		s.Spoil(how, 0)
+		s.SetWireFault(fault, 0)
 	}
 	s.Do(func(_ *emulator.Box, _ float64) {})
 	text, err := once()
