--- a/internal/lab/load/figures.go
+++ b/internal/lab/load/figures.go
@@ -14,73 +14,84 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms count in microseconds up to an hour, to three figures.
+// The histograms' range, from 1 µs to one hour in microseconds, and precision.
 const (
-	least   = 1
-	longest = int64(time.Hour / time.Microsecond)
-	figures = 3
+	minRecorded        = 1
+	maxRecorded        = int64(time.Hour / time.Microsecond)
+	significantFigures = 3
 )
 
-// Figures are what came of a run, of one class or of all. Those of several processes can be put together.
+// Figures are the results of a run, for one class or for all. Those of several processes can be merged.
 type Figures struct {
-	First *hdrhistogram.Histogram // from the intended moment to the first event
-	Whole *hdrhistogram.Histogram // and to the end
-	Pace  *hdrhistogram.Histogram // between events
-	Lag   *hdrhistogram.Histogram // from the intended moment to the sending
-	Own   *hdrhistogram.Histogram // from the sending to the first event, as a closed loop would count
+	// The histograms are of served requests, in microseconds.
+	First     *hdrhistogram.Histogram // from the intended time to the first event
+	Total     *hdrhistogram.Histogram // from the intended time to the end of the response
+	TokenGap  *hdrhistogram.Histogram // mean time between the tokens of a response
+	Lag       *hdrhistogram.Histogram // from the time at which the served attempt was due to its sending
+	SinceSend *hdrhistogram.Histogram // from the sending to the first event, as a closed loop would measure it
 
+	// Asked counts the intended requests, less those that the end of the run interrupted. Each that has ended is
+	// counted once more, in Served, TurnedDown (the last response was 429 or 503), Failed, GaveUp (time-out) or NotSent
+	// (MaxInFlight was reached). InTime counts the served requests that met their latency objectives.
 	Asked, Served, InTime      int
 	TurnedDown, Failed, GaveUp int
-	NotSent                    int // the generator's own bound was reached
+	NotSent                    int
 	Retries, BatchLines        int
 	BatchServed, BatchFailed   int
 }
 
 func newFigures() *Figures {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(least, longest, figures) }
-	return &Figures{First: h(), Whole: h(), Pace: h(), Lag: h(), Own: h()}
+	newHistogram := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(minRecorded, maxRecorded, significantFigures)
+	}
+	return &Figures{First: newHistogram(), Total: newHistogram(), TokenGap: newHistogram(), Lag: newHistogram(),
+		SinceSend: newHistogram()}
 }
 
-func note(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(longest, max(least, d.Microseconds()))) // within its bounds
+// recordDuration adds a duration to a histogram, limited to the histogram's range.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(maxRecorded, max(minRecorded, d.Microseconds()))) // cannot fail within the range
 }
 
-// Merge adds others' figures.
+// Merge adds the figures o to f.
 func (f *Figures) Merge(o *Figures) {
 	f.First.Merge(o.First)
-	f.Whole.Merge(o.Whole)
-	f.Pace.Merge(o.Pace)
+	f.Total.Merge(o.Total)
+	f.TokenGap.Merge(o.TokenGap)
 	f.Lag.Merge(o.Lag)
-	f.Own.Merge(o.Own)
-	for _, p := range [][2]*int{{&f.Asked, &o.Asked}, {&f.Served, &o.Served}, {&f.InTime, &o.InTime}, {&f.TurnedDown, &o.TurnedDown},
-		{&f.Failed, &o.Failed}, {&f.GaveUp, &o.GaveUp}, {&f.NotSent, &o.NotSent}, {&f.Retries, &o.Retries}, {&f.BatchLines, &o.BatchLines},
-		{&f.BatchServed, &o.BatchServed}, {&f.BatchFailed, &o.BatchFailed}} {
+	f.SinceSend.Merge(o.SinceSend)
+	for _, p := range [][2]*int{{&f.Asked, &o.Asked}, {&f.Served, &o.Served}, {&f.InTime, &o.InTime},
+		{&f.TurnedDown, &o.TurnedDown}, {&f.Failed, &o.Failed}, {&f.GaveUp, &o.GaveUp}, {&f.NotSent, &o.NotSent},
+		{&f.Retries, &o.Retries}, {&f.BatchLines, &o.BatchLines}, {&f.BatchServed, &o.BatchServed},
+		{&f.BatchFailed, &o.BatchFailed}} {
 		*p[0] += *p[1]
 	}
 }
 
-// wire is the form in files: the histograms in HdrHistogram's own compressed form.
-type wire struct {
+// figuresJSON is the form of Figures in files. The histograms are in HdrHistogram's compressed encoding; the field
+// names are the keys in the file.
+type figuresJSON struct {
 	First, Whole, Pace, Lag, Own string
 	Counts                       map[string]int
 }
 
+// counts returns the counters by their keys in files.
 func (f *Figures) counts() map[string]*int {
-	return map[string]*int{"asked": &f.Asked, "served": &f.Served, "in_time": &f.InTime, "turned_down": &f.TurnedDown, "failed": &f.Failed,
-		"gave_up": &f.GaveUp, "not_sent": &f.NotSent, "retries": &f.Retries, "batch_lines": &f.BatchLines, "batch_served": &f.BatchServed,
-		"batch_failed": &f.BatchFailed}
+	return map[string]*int{"asked": &f.Asked, "served": &f.Served, "in_time": &f.InTime, "turned_down": &f.TurnedDown,
+		"failed": &f.Failed, "gave_up": &f.GaveUp, "not_sent": &f.NotSent, "retries": &f.Retries,
+		"batch_lines": &f.BatchLines, "batch_served": &f.BatchServed, "batch_failed": &f.BatchFailed}
 }
 
 // MarshalJSON implements json.Marshaler.
 func (f *Figures) MarshalJSON() ([]byte, error) {
-	w := wire{Counts: map[string]int{}}
+	w := figuresJSON{Counts: map[string]int{}}
 	for name, n := range f.counts() {
 		w.Counts[name] = *n
 	}
 	for _, p := range []struct {
 		to   *string
 		from *hdrhistogram.Histogram
-	}{{&w.First, f.First}, {&w.Whole, f.Whole}, {&w.Pace, f.Pace}, {&w.Lag, f.Lag}, {&w.Own, f.Own}} {
+	}{{&w.First, f.First}, {&w.Whole, f.Total}, {&w.Pace, f.TokenGap}, {&w.Lag, f.Lag}, {&w.Own, f.SinceSend}} {
 		raw, err := p.from.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		if err != nil {
 			return nil, err
@@ -92,7 +103,7 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (f *Figures) UnmarshalJSON(raw []byte) error {
-	var w wire
+	var w figuresJSON
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return err
 	}
@@ -100,7 +111,7 @@
 	for _, p := range []struct {
 		from string
 		to   **hdrhistogram.Histogram
-	}{{w.First, &f.First}, {w.Whole, &f.Whole}, {w.Pace, &f.Pace}, {w.Lag, &f.Lag}, {w.Own, &f.Own}} {
+	}{{w.First, &f.First}, {w.Whole, &f.Total}, {w.Pace, &f.TokenGap}, {w.Lag, &f.Lag}, {w.Own, &f.SinceSend}} {
 		h, err := hdrhistogram.Decode([]byte(p.from))
 		if err != nil {
 			return err
@@ -116,28 +127,28 @@
 	return nil
 }
 
-// Second is what came of the requests that were meant to come in one second.
+// Second is the results of the requests whose intended time is in one second of the run.
 type Second struct {
 	Asked, Served, InTime, TurnedDown, Failed int
-	FirstMS                                   float64 // the slowest first event
-	Out                                       int     // requests out at its end
+	FirstMS                                   float64 // the longest time to the first event, in milliseconds
+	Out                                       int     // requests in flight at the end of the second
 }
 
-// Report is a run's.
+// Report is the result of a run.
 type Report struct {
 	Target  string              `json:"target"`
 	Pattern string              `json:"pattern"`
 	Seed    uint64              `json:"seed"`
 	Began   time.Time           `json:"began"`
-	For     float64             `json:"for_s"`
-	Cut     bool                `json:"cut,omitempty"` // ended before its time
-	Marks   []string            `json:"marks,omitempty"`
-	Trace   *TraceFaults        `json:"trace,omitempty"`
+	For     float64             `json:"for_s"`           // duration of the run in seconds
+	Cut     bool                `json:"cut,omitempty"`   // whether the run was interrupted
+	Marks   []string            `json:"marks,omitempty"` // reasons why the results are not valid for this pattern
+	Trace   *TraceFaults        `json:"trace,omitempty"` // with a trace: its faults
 	Classes map[string]*Figures `json:"classes"`
 	Seconds []Second            `json:"seconds"`
 }
 
-// All are the figures of all classes together.
+// All returns the merged figures of all classes.
 func (r *Report) All() *Figures {
 	all := newFigures()
 	for _, f := range r.Classes {
@@ -146,7 +157,7 @@
 	return all
 }
 
-// Names are the classes in order.
+// Names returns the names of the classes in alphabetical order.
 func (r *Report) Names() (names []string) {
 	for n := range r.Classes {
 		names = append(names, n)
@@ -155,37 +166,39 @@
 	return names
 }
 
-// MergeReports puts several processes' reports together, second by second of their own starts.
-func MergeReports(all ...*Report) (*Report, error) {
-	if len(all) == 0 {
-		return nil, errors.New("no report")
+// MergeReports merges the reports of several processes. Seconds are matched by their distance from each run's start.
+func MergeReports(reports ...*Report) (*Report, error) {
+	if len(reports) == 0 {
+		return nil, errors.New("no report to merge")
 	}
-	out := &Report{Target: all[0].Target, Pattern: all[0].Pattern, Began: all[0].Began, Classes: map[string]*Figures{}}
-	for _, r := range all {
-		out.For, out.Cut = max(out.For, r.For), out.Cut || r.Cut
-		out.Marks = append(out.Marks, r.Marks...)
-		if r.Began.Before(out.Began) {
-			out.Began = r.Began
+	merged := &Report{Target: reports[0].Target, Pattern: reports[0].Pattern, Began: reports[0].Began,
+		Classes: map[string]*Figures{}}
+	for _, r := range reports {
+		merged.For, merged.Cut = max(merged.For, r.For), merged.Cut || r.Cut
+		merged.Marks = append(merged.Marks, r.Marks...)
+		if r.Began.Before(merged.Began) {
+			merged.Began = r.Began
 		}
 		for name, f := range r.Classes {
-			if out.Classes[name] == nil {
-				out.Classes[name] = newFigures()
+			if merged.Classes[name] == nil {
+				merged.Classes[name] = newFigures()
 			}
-			out.Classes[name].Merge(f)
+			merged.Classes[name].Merge(f)
 		}
 		for i, s := range r.Seconds {
-			if i == len(out.Seconds) {
-				out.Seconds = append(out.Seconds, Second{})
+			if i == len(merged.Seconds) {
+				merged.Seconds = append(merged.Seconds, Second{})
 			}
-			o := &out.Seconds[i]
-			o.Asked, o.Served, o.InTime, o.TurnedDown, o.Failed = o.Asked+s.Asked, o.Served+s.Served, o.InTime+s.InTime, o.TurnedDown+s.TurnedDown, o.Failed+s.Failed
+			o := &merged.Seconds[i]
+			o.Asked, o.Served, o.InTime, o.TurnedDown, o.Failed =
+				o.Asked+s.Asked, o.Served+s.Served, o.InTime+s.InTime, o.TurnedDown+s.TurnedDown, o.Failed+s.Failed
 			o.FirstMS, o.Out = max(o.FirstMS, s.FirstMS), o.Out+s.Out
 		}
 	}
-	return out, nil
+	return merged, nil
 }
 
-// ReadFile reads a report's file, of this kind or another; its error names the file.
+// ReadFile reads a JSON file, such as a report. Errors name the file.
 func ReadFile[T any](path string) (*T, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -198,7 +211,7 @@
 	return v, nil
 }
 
-// Write writes a table for people.
+// Write writes the report as a table.
 func (r *Report) Write(out io.Writer) {
 	for _, m := range r.Marks {
 		fmt.Fprintf(out, "MARKED: %s\n", m)
@@ -207,22 +220,25 @@
 		fmt.Fprintln(out, "cut off before its time")
 	}
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "class\tasked\tserved\tin time\tturned down\tfailed\tgave up\tnot sent\tfirst ms 50th\t99th\t99.9th\tmost\tpace ms 50th\t99th\tlag ms 99th\t")
+	fmt.Fprintln(w, "class\tasked\tserved\tin time\tturned down\tfailed\tgave up\tnot sent\t"+
+		"first ms 50th\t99th\t99.9th\tmost\tpace ms 50th\t99th\tlag ms 99th\t")
 	ms := func(h *hdrhistogram.Histogram, q float64) string {
 		if h.TotalCount() == 0 {
 			return "-"
 		}
 		return fmt.Sprintf("%.1f", float64(h.ValueAtQuantile(q))/1000)
 	}
-	line := func(name string, f *Figures) {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", name, f.Asked, f.Served, f.InTime, f.TurnedDown, f.Failed, f.GaveUp, f.NotSent,
-			ms(f.First, 50), ms(f.First, 99), ms(f.First, 99.9), ms(f.First, 100), ms(f.Pace, 50), ms(f.Pace, 99), ms(f.Lag, 99))
+	writeRow := func(name string, f *Figures) {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
+			name, f.Asked, f.Served, f.InTime, f.TurnedDown, f.Failed, f.GaveUp, f.NotSent,
+			ms(f.First, 50), ms(f.First, 99), ms(f.First, 99.9), ms(f.First, 100),
+			ms(f.TokenGap, 50), ms(f.TokenGap, 99), ms(f.Lag, 99))
 	}
 	for _, name := range r.Names() {
-		line(name, r.Classes[name])
+		writeRow(name, r.Classes[name])
 	}
 	if len(r.Classes) > 1 {
-		line("all", r.All())
+		writeRow("all", r.All())
 	}
 	w.Flush()
 	if all := r.All(); all.BatchLines > 0 {
@@ -230,15 +246,16 @@
 	}
 }
 
-// tally collects while a run goes on.
-type tally struct {
-	mu      sync.Mutex
-	classes map[string]*Figures
-	seconds []Second
-	out     int
+// collector gathers the results during a run.
+type collector struct {
+	mu       sync.Mutex
+	classes  map[string]*Figures
+	seconds  []Second
+	inFlight int
 }
 
-func (t *tally) do(class string, at time.Duration, change func(f *Figures, s *Second)) {
+// update applies a change to the figures of a class and to those of the second that at, an intended time, falls in.
+func (t *collector) update(class string, at time.Duration, change func(f *Figures, s *Second)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.classes[class]
@@ -248,7 +265,7 @@
 	}
 	i := max(0, int(at/time.Second))
 	for len(t.seconds) <= i {
-		t.seconds = append(t.seconds, Second{Out: t.out})
+		t.seconds = append(t.seconds, Second{Out: t.inFlight})
 	}
 	change(f, &t.seconds[i])
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -20,7 +20,8 @@
 )
 
 func TestPattern(t *testing.T) {
-	p, err := ParsePattern("steady(20) + 0.5*ramp(0, 60, 2m) + burst(100, at=1m, for=10s) + shift_end(40, at=5m, width=30s) + pay_run(peak=9, at=10m, rise=1m)")
+	p, err := ParsePattern("steady(20) + 0.5*ramp(0, 60, 2m) + burst(100, at=1m, for=10s) + " +
+		"shift_end(40, at=5m, width=30s) + pay_run(peak=9, at=10m, rise=1m)")
 	require.NoError(t, err)
 	require.Equal(t, 20.0, round(p.Rate(0)))
 	require.Equal(t, 20.0+15+100, round(p.Rate(60)))
@@ -32,8 +33,8 @@
 		"steady(20) +":                  "column 13:",
 		"steady(20) + gallop(3)":        `column 14: "gallop" is none of`,
 		"steady()":                      "steady needs rate",
-		"steady(1, 2)":                  "column 11: steady has 1 arguments",
-		"burst(5, at=10, for=1s)":       `at: "10" is no span`,
+		"steady(1, 2)":                  "column 11: steady takes 1 arguments",
+		"burst(5, at=10, for=1s)":       `at: "10" is no duration`,
 		"burst(5, at=1s, at=2s)":        "at is given twice",
 		"burst(5, at=1s, for=0s)":       "for of burst must be above 0",
 		"ramp(1, 2, 3m, height=2)":      `no argument "height"`,
@@ -49,11 +50,13 @@
 
 func round(v float64) float64 { return float64(int(v*1000+0.5)) / 1000 }
 
-// Arrivals come as often as the pattern says, in order, whatever the pattern; and the same seed gives the same ones.
+// For any pattern, arrivals are in order, their number follows the rate, and the same seed gives the same number of
+// them.
 func TestArrivals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := rapid.SampledFrom([]string{"steady(50)", "ramp(0, 100, 10s)", "2*burst(40, at=3s, for=4s)", "wave(40, 40, 5s)", "shift_end(80, at=5s, width=2s)",
-			"pay_run(90, at=8s, rise=5s)"}).Draw(t, "term") + " + " + rapid.SampledFrom([]string{"steady(20)", "steady(5)"}).Draw(t, "rest")
+		text := rapid.SampledFrom([]string{"steady(50)", "ramp(0, 100, 10s)", "2*burst(40, at=3s, for=4s)",
+			"wave(40, 40, 5s)", "shift_end(80, at=5s, width=2s)", "pay_run(90, at=8s, rise=5s)"}).Draw(t, "term") +
+			" + " + rapid.SampledFrom([]string{"steady(20)", "steady(5)"}).Draw(t, "rest")
 		p, err := ParsePattern(text)
 		if err != nil {
 			t.Fatal(err)
@@ -61,36 +64,36 @@
 		want := 0.0
 		for at := 0.0; at < 10; at += 0.01 {
 			if rate := p.Rate(at); rate < 0 || rate > p.Most()+1e-9 {
-				t.Fatalf("%g a second at %g, of %g at the most", rate, at, p.Most())
+				t.Fatalf("rate %g at %g s, with a maximum of %g", rate, at, p.Most())
 			}
 			want += p.Rate(at) * 0.01
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
 		times := func(even bool) (all []float64) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			a := &Arrivals{Pattern: p, Even: even, Draw: rng.Float64}
+			a := &Arrivals{Pattern: p, EvenlySpaced: even, Random: rng.Float64}
 			for {
 				at, ok := a.Next(10)
 				if !ok {
 					return all
 				}
 				if n := len(all); n > 0 && at < all[n-1] {
-					t.Fatal("not in order")
+					t.Fatal("arrivals are not in order")
 				}
 				all = append(all, at)
 			}
 		}
 		if n := float64(len(times(true))); n < want-3 || n > want+3 {
-			t.Fatalf("%g even arrivals, %g wanted", n, want)
+			t.Fatalf("%g evenly spaced arrivals, want %g", n, want)
 		}
-		one, two := times(false), times(false)
-		if n := float64(len(one)); len(one) != len(two) || n < want-6*(want/10+5) || n > want+6*(want/10+5) {
-			t.Fatalf("%g arrivals, %g wanted", n, want)
+		first, second := times(false), times(false)
+		if n := float64(len(first)); len(first) != len(second) || n < want-6*(want/10+5) || n > want+6*(want/10+5) {
+			t.Fatalf("%g arrivals, want %g", n, want)
 		}
 	})
 }
 
-// peer answers at once, but for the time that it stalls.
+// peer is a server that responds at once, except while its mutex is held.
 type peer struct {
 	mu    sync.Mutex
 	count atomic.Int64
@@ -98,7 +101,7 @@
 
 func (p *peer) start(t *testing.T) string {
 	return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		p.mu.Lock() // held while it stalls
+		p.mu.Lock() // blocks during a stall
 		p.count.Add(1)
 		p.mu.Unlock()
 		testpeer.Event(w, "a")
@@ -106,15 +109,16 @@
 	})
 }
 
-func plan(t *testing.T, target, pattern string, span time.Duration) *Plan {
-	p := &Plan{Target: target, Pattern: pattern, For: Span(span), Classes: []Class{{Name: "chat", Prompt: 10, Habit: NoRetry}}, Lag: Span(time.Minute)}
+func plan(t *testing.T, target, pattern string, duration time.Duration) *Plan {
+	p := &Plan{Target: target, Pattern: pattern, For: Span(duration),
+		Classes: []Class{{Name: "chat", Prompt: 10, Habit: NoRetry}}, Lag: Span(time.Minute)}
 	require.NoError(t, p.Complete())
 	return p
 }
 
-// A server that stands still for 2 s: what was meant to come meanwhile waited, and the report says so. A closed loop at
-// its side asks nothing in that time, and sees one slow answer a client.
-func TestAStallIsSeenWhole(t *testing.T) {
+// When a server stalls for 2 s, the requests intended for that time show in the latencies of the report. A closed loop
+// sends nothing meanwhile, and measures one slow response per client.
+func TestStallCountsAgainstAllIntendedRequests(t *testing.T) {
 	t.Parallel()
 	run := func(closed int) *Figures {
 		p := &peer{}
@@ -123,29 +127,30 @@
 			p.mu.Lock()
 			time.AfterFunc(2*time.Second, p.mu.Unlock)
 		})
-		r, err := Run(t.Context(), Options{Plan: pl, Closed: closed})
+		r, err := Run(t.Context(), Options{Plan: pl, ClosedClients: closed})
 		require.NoError(t, err)
 		return r.All()
 	}
 	open, closed := run(0), run(1)
 	require.Greater(t, open.First.ValueAtQuantile(99.9), int64(1_900_000))
-	require.Greater(t, open.First.ValueAtQuantile(75), int64(200_000), "two fifths of all came while it stood still")
-	require.Less(t, closed.Own.ValueAtQuantile(99), int64(200_000), "the closed loop hides it")
+	require.Greater(t, open.First.ValueAtQuantile(75), int64(200_000), "the stall affects two fifths of the requests")
+	require.Less(t, closed.SinceSend.ValueAtQuantile(99), int64(200_000), "the closed loop hides the stall")
 	require.Equal(t, open.Asked, open.Served)
 }
 
-// stepped is what the system would tell at a moment if its wall clock had been set by so many seconds before: of a time's
-// two readings only the wall's differs.
+// stepped returns the time at as the system would report it after its wall clock had been set forward by the given
+// number of seconds: the wall-clock reading differs, the monotonic one does not.
 func stepped(at time.Time, seconds int64) time.Time {
-	was := at
-	*(*uint64)(unsafe.Pointer(&at)) += uint64(seconds << 30) // the wall's seconds begin at its 30th bit
-	if at.Sub(was) != 0 || at.Unix()-was.Unix() != seconds {
-		panic("a time is laid out in another way than this test knows")
+	original := at
+	*(*uint64)(unsafe.Pointer(&at)) += uint64(seconds << 30) // the wall-clock seconds start at bit 30
+	if at.Sub(original) != 0 || at.Unix()-original.Unix() != seconds {
+		panic("time.Time does not have the memory layout that this test relies on")
 	}
 	return at
 }
 
-// Steps of the wall clock, an hour forth and two back, change neither when requests go out nor how long they took.
+// Steps of the wall clock, one hour forward and two hours back, change neither when requests are sent nor their
+// latency.
 func TestStepsOfTheWallClock(t *testing.T) {
 	t.Parallel()
 	p := &peer{}
@@ -153,10 +158,10 @@
 	began := time.Now()
 	r, err := Run(t.Context(), Options{Plan: pl, clock: func() time.Time {
 		now := time.Now()
-		switch gone := now.Sub(began); {
-		case gone > time.Second:
+		switch elapsed := now.Sub(began); {
+		case elapsed > time.Second:
 			return stepped(now, -3600)
-		case gone > 500*time.Millisecond:
+		case elapsed > 500*time.Millisecond:
 			return stepped(now, 3600)
 		}
 		return now
@@ -172,11 +177,11 @@
 	}
 }
 
-// A generator that cannot keep up says so.
-func TestLagIsMarked(t *testing.T) {
+// The report is marked when the generator cannot keep up with the pattern.
+func TestReportMarksSendLag(t *testing.T) {
 	p := &peer{}
 	pl := plan(t, p.start(t), "steady(100000)", 200*time.Millisecond)
-	pl.Lag, pl.MostOut = Span(time.Millisecond), 50
+	pl.Lag, pl.MaxInFlight = Span(time.Millisecond), 50
 	r, err := Run(t.Context(), Options{Plan: pl})
 	require.NoError(t, err)
 	require.NotEmpty(t, r.Marks)
@@ -186,8 +191,8 @@
 	require.Contains(t, b.String(), "MARKED: ")
 }
 
-// A run that is cut off gives a whole report, which is the same when it is read again.
-func TestCutOff(t *testing.T) {
+// An interrupted run gives a complete report, which survives encoding and decoding and can be merged.
+func TestInterruptedRunGivesACompleteReport(t *testing.T) {
 	t.Parallel()
 	p := &peer{}
 	pl := plan(t, p.start(t), "steady(200)", time.Hour)
@@ -198,25 +203,25 @@
 	require.True(t, r.Cut)
 	all := r.All()
 	require.Positive(t, all.Served)
-	require.Equal(t, all.Asked, all.Served, "what was cut off counts as not asked")
+	require.Equal(t, all.Asked, all.Served, "interrupted requests count as not asked")
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
-	var again Report
-	require.NoError(t, json.Unmarshal(raw, &again))
-	require.Equal(t, all.First.ValueAtQuantile(50), again.All().First.ValueAtQuantile(50))
-	both, err := MergeReports(r, &again)
+	var decoded Report
+	require.NoError(t, json.Unmarshal(raw, &decoded))
+	require.Equal(t, all.First.ValueAtQuantile(50), decoded.All().First.ValueAtQuantile(50))
+	merged, err := MergeReports(r, &decoded)
 	require.NoError(t, err)
-	require.Equal(t, 2*all.Served, both.All().Served)
-	require.Equal(t, 2*all.First.TotalCount(), both.All().First.TotalCount())
+	require.Equal(t, 2*all.Served, merged.All().Served)
+	require.Equal(t, 2*all.First.TotalCount(), merged.All().First.TotalCount())
 }
 
-// Habits: who does not ask again, who does at once, and who waits as long as told.
-func TestHabits(t *testing.T) {
+// Clients retry as their habit says: not at all, at once, or after the time in Retry-After.
+func TestRetryHabits(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		habit string
-		tries int64
-		least time.Duration
+		habit    string
+		attempts int64
+		minimum  time.Duration
 	}{{NoRetry, 1, 0}, {AtOnce, 3, 0}, {RetryAfter, 3, 1600 * time.Millisecond}} {
 		var n atomic.Int64
 		target := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -225,22 +230,24 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 		})
 		pl := plan(t, target, "burst(1, at=0s, for=1s)", 5*time.Second)
-		pl.Even = true
+		pl.EvenlySpaced = true
 		pl.Classes[0].Habit, pl.Classes[0].Retries = c.habit, 2
 		began := time.Now()
-		r, err := Run(t.Context(), Options{Plan: pl, Calls: []Call{{Class: "chat", Prompt: 5, Out: 5}, {At: 4, Class: "chat", Prompt: 5, Out: 5}}})
+		r, err := Run(t.Context(), Options{Plan: pl,
+			Calls: []Call{{Class: "chat", Prompt: 5, Out: 5}, {At: 4, Class: "chat", Prompt: 5, Out: 5}}})
 		require.NoError(t, err)
 		require.Positive(t, r.All().TurnedDown)
-		require.GreaterOrEqual(t, n.Load(), c.tries)
-		require.Greater(t, time.Since(began), c.least)
+		require.GreaterOrEqual(t, n.Load(), c.attempts)
+		require.Greater(t, time.Since(began), c.minimum)
 		if c.habit == RetryAfter {
 			require.GreaterOrEqual(t, r.All().Retries, 2)
 		}
 	}
 }
 
-// A trace with torn lines, impossible figures and calls out of order is put right, and what was wrong is counted.
-func TestTrace(t *testing.T) {
+// A trace with malformed lines, values out of range and calls out of order is read as far as it is valid and sorted,
+// and its faults are counted.
+func TestTraceIsSortedAndItsFaultsCounted(t *testing.T) {
 	t.Parallel()
 	var b bytes.Buffer
 	rec := NewRecorder(&b)
@@ -248,27 +255,28 @@
 		rec.Write(Call{At: at, Class: "chat", Prompt: 5, Out: 7, Session: 9})
 	}
 	require.NoError(t, rec.Flush())
-	text := b.String() + `{"at_s":13,"class":"chat","prompt_tokens":-1,"max_tokens":5}` + "\n" + `{"at_s":13,"cla` + "\n\n" + strings.Repeat("x", 100_000) + "\n" +
-		`{"at_s":10.5,"class":"chat","prompt_tokens":5,"max_tokens":5}`
+	text := b.String() + `{"at_s":13,"class":"chat","prompt_tokens":-1,"max_tokens":5}` + "\n" + `{"at_s":13,"cla` +
+		"\n\n" + strings.Repeat("x", 100_000) + "\n" + `{"at_s":10.5,"class":"chat","prompt_tokens":5,"max_tokens":5}`
 	calls, faults, err := ReadTrace(strings.NewReader(text))
 	require.NoError(t, err)
-	require.Equal(t, TraceFaults{Torn: 2, Wrong: 1, Unordered: 2}, faults)
+	require.Equal(t, TraceFaults{Malformed: 2, OutOfRange: 1, OutOfOrder: 2}, faults)
 	var at []float64
 	for _, c := range calls {
 		at = append(at, c.At)
 	}
 	require.Equal(t, []float64{0, 0.5, 1, 2}, at)
 	_, _, err = ReadTrace(strings.NewReader("{}\n"))
-	require.ErrorContains(t, err, "no call that can be used")
+	require.ErrorContains(t, err, "trace has no valid call")
 	p := &peer{}
-	r, err := Run(t.Context(), Options{Plan: plan(t, p.start(t), "steady(1)", time.Second), Calls: calls, Scale: 0.1, Faults: &faults})
+	r, err := Run(t.Context(), Options{Plan: plan(t, p.start(t), "steady(1)", time.Second), Calls: calls, Scale: 0.1,
+		Faults: &faults})
 	require.NoError(t, err)
 	require.EqualValues(t, 4, p.count.Load())
 	require.Equal(t, 4, r.All().Served)
-	require.Equal(t, 2, r.Trace.Torn)
+	require.Equal(t, 2, r.Trace.Malformed)
 }
 
-func TestPlanNamesTheKey(t *testing.T) {
+func TestPlanErrorsNameTheKey(t *testing.T) {
 	for key, change := range map[string]func(*Plan){
 		"target:":          func(p *Plan) { p.Target = "10.0.0.1:1" },
 		"pattern: column":  func(p *Plan) { p.Pattern = "steady(" },
@@ -278,7 +286,7 @@
 		"class[0].turns:":  func(p *Plan) { p.Classes[0].Turns = 0.5 },
 		"class[0].spread:": func(p *Plan) { p.Classes[0].Spread = 9 },
 		"batch.class:":     func(p *Plan) { p.Batch = Batch{Every: Span(time.Second), Class: "gold"} },
-		"most_out:":        func(p *Plan) { p.MostOut = -1 },
+		"most_out:":        func(p *Plan) { p.MaxInFlight = -1 },
 	} {
 		p := plan(t, "127.0.0.1:1", "steady(1)", time.Second)
 		change(p)
--- a/internal/lab/load/pattern.go
+++ b/internal/lab/load/pattern.go
@@ -1,6 +1,6 @@
-// Package load is a load generator: clients that come when a pattern says, whether or not answers do, and whose latency
-// is counted from the moment at which they were meant to come. It belongs to the laboratory; the daemon does not
-// import it.
+// Package load is an open-loop load generator: requests are sent at the times that a pattern gives, whether or not
+// earlier ones have been answered, and their latency counts from the intended time. It is test equipment; the daemon
+// does not import it.
 package load
 
 import (
@@ -13,30 +13,31 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Pattern is a rate over time, in requests a second: a sum of terms, each with a factor.
+// Pattern is a request rate over time, in requests per second: a sum of terms, each with a factor.
 //
 //	steady(20) + 0.5 * ramp(0, 60, 2m) + burst(100, at=1m, for=10s) + shift_end(40, at=5m, width=30s)
 //
-// steady(R); ramp(FROM, TO, SPAN [, at=]); burst(R, at=, for=); shift_end(PEAK, at=, width=): a bell; wave(MEAN, SWING,
-// PERIOD); and pay_run(PEAK, at=, rise=): rises evenly to a peak and ends there.
+// The terms are steady(R); ramp(FROM, TO, SPAN [, at=]); burst(R, at=, for=); shift_end(PEAK, at=, width=), a bell
+// curve with its peak at "at" and the standard deviation "width"; wave(MEAN, SWING, PERIOD), a sine; and
+// pay_run(PEAK, at=, rise=), which rises linearly for "rise" to its peak at "at" and drops to 0 after it.
 type Pattern struct {
 	text  string
 	terms []term
 }
 
 type term struct {
-	factor float64
-	rate   func(at float64) float64
-	most   float64 // bound of rate
+	factor  float64
+	rate    func(at float64) float64
+	maxRate float64 // upper bound of rate
 }
 
 const (
-	patternMost = 4096
-	termsMost   = 64
-	rateMost    = 1e6
+	maxPatternBytes = 4096
+	maxTerms        = 64
+	maxPatternRate  = 1e6 // requests per second
 )
 
-// The grammar.
+// The grammar of patterns.
 type (
 	sum struct {
 		First product   `parser:"@@"`
@@ -64,16 +65,16 @@
 		{Name: "space", Pattern: `\s+`},
 	})))
 
-// shape is a function's arguments: their names in order, "?" behind those that may be left out, "~" behind spans.
-var shapes = map[string][]string{
+// signatures are the functions' parameters, in order. A name that ends in "?" is optional, one with "~" is a duration.
+var signatures = map[string][]string{
 	"steady": {"rate"}, "ramp": {"from", "to", "span~", "at~?"}, "burst": {"rate", "at~", "for~"},
 	"shift_end": {"peak", "at~", "width~"}, "wave": {"mean", "swing", "period~"}, "pay_run": {"peak", "at~", "rise~"},
 }
 
-// ParsePattern reads a pattern; errors name the column.
+// ParsePattern parses a pattern. Errors name the column.
 func ParsePattern(text string) (*Pattern, error) {
-	if len(text) > patternMost {
-		return nil, fmt.Errorf("the pattern has %d bytes, %d at most", len(text), patternMost)
+	if len(text) > maxPatternBytes {
+		return nil, fmt.Errorf("pattern has %d bytes, %d at most", len(text), maxPatternBytes)
 	}
 	tree, err := patternParser.ParseString("", text)
 	if err != nil {
@@ -85,62 +86,65 @@
 	}
 	p := &Pattern{text: text}
 	for _, t := range append([]product{tree.First}, tree.Rest...) {
-		one, err := t.compile()
+		compiled, err := t.compile()
 		if err != nil {
 			return nil, err
 		}
-		p.terms = append(p.terms, one)
+		p.terms = append(p.terms, compiled)
 	}
-	if len(p.terms) > termsMost {
-		return nil, fmt.Errorf("%d terms, %d at most", len(p.terms), termsMost)
+	if len(p.terms) > maxTerms {
+		return nil, fmt.Errorf("pattern has %d terms, %d at most", len(p.terms), maxTerms)
 	}
-	if p.Most() > rateMost {
-		return nil, fmt.Errorf("up to %g requests a second, %g at most", p.Most(), rateMost)
+	if p.Most() > maxPatternRate {
+		return nil, fmt.Errorf("pattern reaches %g requests a second, %g at most", p.Most(), maxPatternRate)
 	}
 	return p, nil
 }
 
+// compile checks the arguments of a term and makes its rate function.
 func (t product) compile() (term, error) {
-	shape, ok := shapes[t.Name]
+	signature, ok := signatures[t.Name]
 	if !ok {
-		return term{}, fmt.Errorf("column %d: %q is none of steady, ramp, burst, shift_end, wave and pay_run", t.Pos.Column, t.Name)
+		return term{}, fmt.Errorf("column %d: %q is none of steady, ramp, burst, shift_end, wave and pay_run",
+			t.Pos.Column, t.Name)
 	}
 	values, given := map[string]float64{}, map[string]bool{}
 	for i, a := range t.Args {
 		name := a.Name
 		if name == "" {
-			if i >= len(shape) {
-				return term{}, fmt.Errorf("column %d: %s has %d arguments at most", a.Pos.Column, t.Name, len(shape))
+			if i >= len(signature) {
+				return term{}, fmt.Errorf("column %d: %s takes %d arguments at most",
+					a.Pos.Column, t.Name, len(signature))
 			}
-			name = bare(shape[i])
+			name = argumentName(signature[i])
 		}
-		kind := ""
-		for _, s := range shape {
-			if bare(s) == name {
-				kind = s
+		parameter := ""
+		for _, s := range signature {
+			if argumentName(s) == name {
+				parameter = s
 			}
 		}
 		switch {
-		case kind == "":
+		case parameter == "":
 			return term{}, fmt.Errorf("column %d: %s has no argument %q", a.Pos.Column, t.Name, name)
 		case given[name]:
 			return term{}, fmt.Errorf("column %d: %s is given twice", a.Pos.Column, name)
 		}
 		given[name] = true
-		v, err := a.value(isSpan(kind))
+		v, err := a.value(isDuration(parameter))
 		if err != nil {
 			return term{}, fmt.Errorf("column %d: %s: %w", a.Pos.Column, name, err)
 		}
 		values[name] = v
 	}
-	for _, s := range shape {
-		if !given[bare(s)] && s[len(s)-1] != '?' {
-			return term{}, fmt.Errorf("column %d: %s needs %s", t.Pos.Column, t.Name, bare(s))
+	for _, s := range signature {
+		if !given[argumentName(s)] && s[len(s)-1] != '?' {
+			return term{}, fmt.Errorf("column %d: %s needs %s", t.Pos.Column, t.Name, argumentName(s))
 		}
 	}
-	out := term{factor: 1}
+	compiled := term{factor: 1}
 	if t.Factor != nil {
-		out.factor = *t.Factor
+		compiled.factor = *t.Factor
 	}
 	v := func(name string) float64 { return values[name] }
 	for _, name := range []string{"span", "for", "width", "period", "rise"} {
@@ -150,61 +154,64 @@
 	}
 	switch t.Name {
 	case "steady":
-		out.rate, out.most = func(float64) float64 { return v("rate") }, v("rate")
+		compiled.rate, compiled.maxRate = func(float64) float64 { return v("rate") }, v("rate")
 	case "ramp":
-		out.most = max(v("from"), v("to"))
-		out.rate = func(at float64) float64 {
-			part := min(1, max(0, (at-v("at"))/v("span")))
-			return v("from") + (v("to")-v("from"))*part
+		compiled.maxRate = max(v("from"), v("to"))
+		compiled.rate = func(at float64) float64 {
+			progress := min(1, max(0, (at-v("at"))/v("span")))
+			return v("from") + (v("to")-v("from"))*progress
 		}
 	case "burst":
-		out.most = v("rate")
-		out.rate = func(at float64) float64 {
+		compiled.maxRate = v("rate")
+		compiled.rate = func(at float64) float64 {
 			if at >= v("at") && at < v("at")+v("for") {
 				return v("rate")
 			}
 			return 0
 		}
 	case "shift_end":
-		out.most = v("peak")
-		out.rate = func(at float64) float64 {
-			off := (at - v("at")) / v("width")
-			return v("peak") * math.Exp(-off*off/2)
+		compiled.maxRate = v("peak")
+		compiled.rate = func(at float64) float64 {
+			deviation := (at - v("at")) / v("width")
+			return v("peak") * math.Exp(-deviation*deviation/2)
 		}
 	case "wave":
 		if v("swing") > v("mean") {
 			return term{}, fmt.Errorf("column %d: the swing of a wave is above its mean", t.Pos.Column)
 		}
-		out.most = v("mean") + v("swing")
-		out.rate = func(at float64) float64 { return v("mean") + v("swing")*math.Sin(2*math.Pi*at/v("period")) }
+		compiled.maxRate = v("mean") + v("swing")
+		compiled.rate = func(at float64) float64 { return v("mean") + v("swing")*math.Sin(2*math.Pi*at/v("period")) }
 	case "pay_run":
-		out.most = v("peak")
-		out.rate = func(at float64) float64 {
+		compiled.maxRate = v("peak")
+		compiled.rate = func(at float64) float64 {
 			if at > v("at") {
 				return 0
 			}
 			return v("peak") * max(0, 1-(v("at")-at)/v("rise"))
 		}
 	}
-	return out, nil
+	return compiled, nil
 }
 
-func bare(s string) string {
+// argumentName returns a parameter's name without its markers.
+func argumentName(s string) string {
 	for len(s) > 0 && (s[len(s)-1] == '?' || s[len(s)-1] == '~') {
 		s = s[:len(s)-1]
 	}
 	return s
 }
 
-func isSpan(s string) bool {
+// isDuration reports whether a parameter takes a duration.
+func isDuration(s string) bool {
 	return s[len(s)-1] == '~' || len(s) > 1 && s[len(s)-2] == '~'
 }
 
-func (a arg) value(span bool) (float64, error) {
-	if span {
+// value returns the argument as a number, durations in seconds.
+func (a arg) value(duration bool) (float64, error) {
+	if duration {
 		d, err := time.ParseDuration(a.Value)
 		if err != nil {
-			return 0, fmt.Errorf("%q is no span such as 30s", a.Value)
+			return 0, fmt.Errorf("%q is no duration such as 30s", a.Value)
 		}
 		return d.Seconds(), nil
 	}
@@ -219,7 +226,7 @@
 // String implements fmt.Stringer.
 func (p *Pattern) String() string { return p.text }
 
-// Rate is the rate at a time in seconds from the start.
+// Rate returns the rate in requests per second at a time in seconds since the start.
 func (p *Pattern) Rate(at float64) (rate float64) {
 	for _, t := range p.terms {
 		rate += t.factor * t.rate(at)
@@ -227,58 +234,59 @@
 	return max(0, rate)
 }
 
-// Most is a bound of the rate.
-func (p *Pattern) Most() (most float64) {
+// Most returns an upper bound of the rate.
+func (p *Pattern) Most() (maximum float64) {
 	for _, t := range p.terms {
-		most += t.factor * t.most
+		maximum += t.factor * t.maxRate
 	}
-	return most
+	return maximum
 }
 
-// Arrivals gives the times of a pattern, one after the other.
+// Arrivals generates the arrival times of a pattern, in order.
 type Arrivals struct {
-	Pattern *Pattern
-	Even    bool           // at the rate's own pace, in place of chance (a Poisson process)
-	Draw    func() float64 // from 0 up to 1
-	at, sum float64
+	Pattern         *Pattern
+	EvenlySpaced    bool           // evenly spaced at the present rate instead of a Poisson process
+	Random          func() float64 // uniform random numbers from 0 up to, but excluding, 1
+	at, accumulated float64
 }
 
-const evenStep = 0.001
+// evenTimeStep is the time step in seconds with which the rate is integrated for evenly spaced arrivals.
+const evenTimeStep = 0.001
 
-// Next is the next time in seconds; beyond until there is none.
+// Next returns the next arrival time in seconds, and false when it would be after until.
 func (a *Arrivals) Next(until float64) (at float64, ok bool) {
-	if a.Even {
+	if a.EvenlySpaced {
 		for a.at <= until {
-			a.sum += a.Pattern.Rate(a.at) * evenStep
-			a.at += evenStep
-			if a.sum >= 1 {
-				a.sum--
+			a.accumulated += a.Pattern.Rate(a.at) * evenTimeStep
+			a.at += evenTimeStep
+			if a.accumulated >= 1 {
+				a.accumulated--
 				return a.at, a.at <= until
 			}
 		}
 		return 0, false
 	}
-	most := a.Pattern.Most()
-	if most <= 0 {
+	maximum := a.Pattern.Most()
+	if maximum <= 0 {
 		return 0, false
 	}
 	for { // thinning (Lewis and Shedler, 1979)
-		a.at -= math.Log(1-a.Draw()) / most
+		a.at -= math.Log(1-a.Random()) / maximum
 		if a.at > until {
 			return 0, false
 		}
-		if a.Draw()*most < a.Pattern.Rate(a.at) {
+		if a.Random()*maximum < a.Pattern.Rate(a.at) {
 			return a.at, true
 		}
 	}
 }
 
-// Times is the pattern with all rates times a factor.
+// Times returns the pattern with all rates multiplied by a factor.
 func (p *Pattern) Times(factor float64) *Pattern {
-	out := &Pattern{text: fmt.Sprintf("%g * (%s)", factor, p.text)}
+	scaled := &Pattern{text: fmt.Sprintf("%g * (%s)", factor, p.text)}
 	for _, t := range p.terms {
 		t.factor *= factor
-		out.terms = append(out.terms, t)
+		scaled.terms = append(scaled.terms, t)
 	}
-	return out
+	return scaled
 }
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Span is a time in a file, such as "30s".
+// Span is a duration in a file, such as "30s".
 type Span time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -23,65 +23,86 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Class is a class of requests and what its clients send and do.
+// Class describes a class of requests: their share, objectives and sizes, and how its clients retry.
 type Class struct {
-	Name    string  `toml:"name"`
-	Part    float64 `toml:"part"` // of the requests
-	Tenant  string  `toml:"tenant"`
-	Aim     Span    `toml:"first_token"`
-	PerK    Span    `toml:"per_1000_prompt_tokens"`
-	Gap     Span    `toml:"token_gap"`
-	GiveUp  Span    `toml:"give_up"`
-	Prompt  float64 `toml:"prompt_tokens"` // that a turn adds, on average
-	Spread  float64 `toml:"spread"`        // sigma of its logarithm
-	Out     float64 `toml:"max_tokens"`
-	Turns   float64 `toml:"turns"` // of a session, on average
-	Think   Span    `toml:"think"`
-	Shared  float64 `toml:"shared_tokens"` // of its beginning, which others share
-	Starts  int     `toml:"beginnings"`    // different ones
-	Habit   string  `toml:"habit"`         // none, at_once, wait or retry_after
-	Wait    Span    `toml:"wait"`
-	Retries int     `toml:"retries"`
+	Name string `toml:"name"`
+	// Part is the class's weight among all classes' requests.
+	Part   float64 `toml:"part"`
+	Tenant string  `toml:"tenant"`
+	// Aim is the objective for the time to the first token; PerK is added to it for each 1,000 prompt tokens. With both
+	// 0 there is none.
+	Aim  Span `toml:"first_token"`
+	PerK Span `toml:"per_1000_prompt_tokens"`
+	// Gap is the objective for the mean time between tokens; 0: none.
+	Gap Span `toml:"token_gap"`
+	// GiveUp is the time-out of an attempt.
+	GiveUp Span `toml:"give_up"`
+	// Prompt is the mean number of prompt tokens that a turn adds, and Spread the standard deviation of its logarithm.
+	Prompt float64 `toml:"prompt_tokens"`
+	Spread float64 `toml:"spread"`
+	// Out is the maximum length of a response in tokens.
+	Out float64 `toml:"max_tokens"`
+	// Turns is the mean number of turns in a session.
+	Turns float64 `toml:"turns"`
+	// Think is the mean time between a response and the session's next turn.
+	Think Span `toml:"think"`
+	// Shared is the length in tokens of the prompt prefix that sessions share; 0: none.
+	Shared float64 `toml:"shared_tokens"`
+	// Starts is the number of different shared prefixes.
+	Starts int `toml:"beginnings"`
+	// Habit is how clients retry: none, at_once, wait or retry_after.
+	Habit string `toml:"habit"`
+	// Wait is the mean delay before a retry where the habit is wait, or the response has no Retry-After.
+	Wait Span `toml:"wait"`
+	// Retries is the maximum number of retries of a request.
+	Retries int `toml:"retries"`
 }
 
-// Plan is a file of the load generator.
+// Plan is a file that describes a run of the load generator.
 type Plan struct {
-	Target   string  `toml:"target"` // host:port
-	Pattern  string  `toml:"pattern"`
-	Even     bool    `toml:"even"`
-	For      Span    `toml:"for"`
-	Seed     uint64  `toml:"seed"`
-	MostOut  int     `toml:"most_out"` // requests at once; what comes above is counted as not sent
-	Dialect  string  `toml:"dialect"`  // platform
-	Classes  []Class `toml:"class"`
-	Lag      Span    `toml:"lag"` // 99th of the send lag above which a run is marked
-	Batch    Batch   `toml:"batch"`
+	Target string `toml:"target"` // host:port
+	// Pattern is the request rate over time, in the form that ParsePattern reads.
+	Pattern string `toml:"pattern"`
+	// EvenlySpaced makes requests follow the pattern evenly instead of as a Poisson process.
+	EvenlySpaced bool `toml:"even"`
+	// For is the duration of the run.
+	For  Span   `toml:"for"`
+	Seed uint64 `toml:"seed"`
+	// MaxInFlight is the maximum number of requests in flight; those beyond it are not sent and counted as such.
+	MaxInFlight int     `toml:"most_out"`
+	Dialect     string  `toml:"dialect"` // platform
+	Classes     []Class `toml:"class"`
+	// Lag is the 99th percentile of the send lag above which a run is marked.
+	Lag   Span  `toml:"lag"`
+	Batch Batch `toml:"batch"`
+	// Compiled is the parsed Pattern, which Complete sets.
 	Compiled *Pattern
 }
 
-// Batch is files that are sent beside.
+// Batch describes the batch files that are uploaded during a run.
 type Batch struct {
-	Every Span   `toml:"every"` // 0: none
-	Lines int    `toml:"lines"`
+	Every Span   `toml:"every"` // interval between uploads; 0: no batches
+	Lines int    `toml:"lines"` // requests in a file
 	Class string `toml:"class"`
 }
 
-// Habits of clients whose request was turned down or failed.
+// The retry habits of clients whose request was rejected or failed.
 const (
-	NoRetry    = "none"
-	AtOnce     = "at_once"
-	AfterWait  = "wait"
-	RetryAfter = "retry_after"
+	NoRetry    = "none"        // no retry
+	AtOnce     = "at_once"     // retry immediately
+	AfterWait  = "wait"        // retry after Class.Wait
+	RetryAfter = "retry_after" // retry after the time in Retry-After, or Class.Wait without it
 )
 
+// The upper bounds of a plan's values.
 const (
-	longestRun  = 24 * time.Hour
-	outMost     = 50_000
-	classesMost = 32
-	linesMost   = 10_000
+	maxRunTime       = 24 * time.Hour
+	maxInFlightLimit = 50_000
+	maxClasses       = 32
+	maxBatchLines    = 10_000
 )
 
-// ReadPlan reads and checks a plan's file; errors name the key.
+// ReadPlan reads, validates and completes a plan file. Errors name the key.
 func ReadPlan(path string) (*Plan, error) {
 	var p Plan
 	meta, err := toml.DecodeFile(path, &p)
@@ -94,18 +115,19 @@
 	return &p, p.Complete()
 }
 
-func or[T comparable](v *T, standard T) {
+// setDefault sets *v to value if it is the zero value.
+func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
-		*v = standard
+		*v = value
 	}
 }
 
-// Complete checks a plan and fills in what is left out.
+// Complete sets the defaults of a plan and validates it. Errors name the key.
 func (p *Plan) Complete() (err error) {
-	or(&p.Seed, 1)
-	or(&p.MostOut, 2000)
-	or(&p.Lag, Span(time.Millisecond))
+	setDefault(&p.Seed, 1)
+	setDefault(&p.MaxInFlight, 2000)
+	setDefault(&p.Lag, Span(time.Millisecond))
 	host, _, err := net.SplitHostPort(p.Target)
 	if err != nil {
 		return fmt.Errorf("target: %q is no host:port address", p.Target)
@@ -116,39 +138,40 @@
 	if p.Compiled, err = ParsePattern(p.Pattern); err != nil {
 		return fmt.Errorf("pattern: %w", err)
 	}
-	if p.For <= 0 || p.For > Span(longestRun) {
-		return fmt.Errorf("for: %v is not above 0 and up to %v", time.Duration(p.For), longestRun)
+	if p.For <= 0 || p.For > Span(maxRunTime) {
+		return fmt.Errorf("for: %v is not above 0 and up to %v", time.Duration(p.For), maxRunTime)
 	}
-	if p.MostOut < 1 || p.MostOut > outMost {
-		return fmt.Errorf("most_out: %d is not from 1 to %d", p.MostOut, outMost)
+	if p.MaxInFlight < 1 || p.MaxInFlight > maxInFlightLimit {
+		return fmt.Errorf("most_out: %d is not from 1 to %d", p.MaxInFlight, maxInFlightLimit)
 	}
-	if len(p.Classes) == 0 || len(p.Classes) > classesMost {
-		return fmt.Errorf("class: from 1 to %d are needed", classesMost)
+	if len(p.Classes) == 0 || len(p.Classes) > maxClasses {
+		return fmt.Errorf("class: from 1 to %d are needed", maxClasses)
 	}
-	parts := 0.0
+	totalPart := 0.0
 	for i := range p.Classes {
 		if err := p.Classes[i].complete(); err != nil {
 			return fmt.Errorf("class[%d].%w", i, err)
 		}
-		parts += p.Classes[i].Part
+		totalPart += p.Classes[i].Part
 	}
-	if parts <= 0 {
+	if totalPart <= 0 {
 		return errors.New("class[0].part: all parts are 0")
 	}
 	if b := &p.Batch; b.Every > 0 {
-		or(&b.Lines, 20)
-		or(&b.Class, p.Classes[0].Name)
-		if b.Lines < 1 || b.Lines > linesMost {
-			return fmt.Errorf("batch.lines: %d is not from 1 to %d", b.Lines, linesMost)
+		setDefault(&b.Lines, 20)
+		setDefault(&b.Class, p.Classes[0].Name)
+		if b.Lines < 1 || b.Lines > maxBatchLines {
+			return fmt.Errorf("batch.lines: %d is not from 1 to %d", b.Lines, maxBatchLines)
 		}
-		if p.class(b.Class) < 0 {
+		if p.classIndex(b.Class) < 0 {
 			return fmt.Errorf("batch.class: %q is no class of this file", b.Class)
 		}
 	}
 	return nil
 }
 
-func (p *Plan) class(name string) int {
+// classIndex returns the index of the class with the given name, or -1.
+func (p *Plan) classIndex(name string) int {
 	for i := range p.Classes {
 		if p.Classes[i].Name == name {
 			return i
@@ -157,17 +180,18 @@
 	return -1
 }
 
+// complete sets the defaults of a class and validates it.
 func (c *Class) complete() error {
-	or(&c.Part, 1)
-	or(&c.GiveUp, Span(10*time.Second))
-	or(&c.Prompt, 500)
-	or(&c.Out, 200)
-	or(&c.Turns, 1)
-	or(&c.Starts, 1)
-	or(&c.Habit, RetryAfter)
-	or(&c.Wait, Span(500*time.Millisecond))
+	setDefault(&c.Part, 1)
+	setDefault(&c.GiveUp, Span(10*time.Second))
+	setDefault(&c.Prompt, 500)
+	setDefault(&c.Out, 200)
+	setDefault(&c.Turns, 1)
+	setDefault(&c.Starts, 1)
+	setDefault(&c.Habit, RetryAfter)
+	setDefault(&c.Wait, Span(500*time.Millisecond))
 	if c.Habit != NoRetry {
-		or(&c.Retries, 2)
+		setDefault(&c.Retries, 2)
 	}
 	switch {
 	case c.Name == "":
@@ -187,11 +211,12 @@
 	case c.Starts < 1 || c.Starts > 10_000:
 		return fmt.Errorf("beginnings: %d is not from 1 to 10000", c.Starts)
 	case !strings.Contains(" none at_once wait retry_after ", " "+c.Habit+" "):
-		return fmt.Errorf("habit: %q is none of none, at_once, wait and retry_after", c.Habit)
+		return fmt.Errorf("habit: %q is none of \"none\", \"at_once\", \"wait\" and \"retry_after\"", c.Habit)
 	case c.Retries < 0 || c.Retries > 20:
 		return fmt.Errorf("retries: %d is not from 0 to 20", c.Retries)
 	case c.GiveUp <= 0 || c.Wait < 0 || c.Think < 0 || c.Aim < 0 || c.PerK < 0 || c.Gap < 0:
-		return errors.New("give_up, wait, think, first_token, per_1000_prompt_tokens, token_gap: no span may be negative")
+		return errors.New("give_up, wait, think, first_token, per_1000_prompt_tokens, token_gap: " +
+			"no duration may be negative")
 	}
 	return nil
 }
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -20,120 +20,127 @@
 	"time"
 )
 
-// Options of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Plan     *Plan
-	Calls    []Call       // a trace to replay, in place of the plan's pattern
-	Scale    float64      // of the trace's time: 0.5 plays it twice as fast; 0: 1
-	Faults   *TraceFaults // of the trace
-	Record   *Recorder    // nil: nothing is recorded
-	Progress func(Progress)
-	// Closed, if above 0, is a closed loop of so many clients in place of the pattern: each asks when it has its answer.
-	// It is what this generator is not, kept to show the difference.
-	Closed int
-	clock  func() time.Time // nil: the system's; only its monotonic part counts
+	Calls    []Call         // a trace to replay instead of the plan's pattern
+	Scale    float64        // factor on the trace's times: 0.5 replays it twice as fast; 0: 1
+	Faults   *TraceFaults   // the trace's faults, for the report
+	Record   *Recorder      // records the requests; nil: none
+	Progress func(Progress) // called every second; nil: none
+	// ClosedClients, if above 0, replaces the pattern by a closed loop of so many clients: each sends its next request
+	// when it has its response. It serves to show what a closed loop fails to measure.
+	ClosedClients int
+	clock         func() time.Time // nil: the system's; only its monotonic part is used
 }
 
-// Progress is a run's state, told each second.
+// Progress is the state of a run, as reported every second.
 type Progress struct {
-	At, For    time.Duration
-	Rate       float64 // wanted now
-	Out        int
-	Second     Second // the latest that is over
-	All        *Figures
-	Lagging    bool
+	At, For    time.Duration // time since the start, and the run's duration
+	Rate       float64       // the pattern's present rate in requests per second
+	Out        int           // requests in flight
+	Second     Second        // results of the last complete second
+	All        *Figures      // results so far
+	Lagging    bool          // whether the send lag exceeds Plan.Lag
 	Unfinished int
 }
 
+// runner is the state of a run. Times in the run are durations since startedAt.
 type runner struct {
 	Options
-	base   time.Time
-	client *http.Client
-	tally  tally
-	out    chan struct{}
-	all    sync.WaitGroup
-	ids    uint64
-	front  string
-	run    string
+	startedAt  time.Time
+	client     *http.Client
+	collector  collector
+	inFlight   chan struct{}  // one element for each request in flight
+	background sync.WaitGroup // sessions, calls and batches that run
+	lastID     uint64         // number of the last attempt; guarded by collector.mu
+	baseURL    string
+	runID      string // random prefix of the trace ids
 }
 
 const (
-	bodyMost   = 256 << 10
-	answerMost = 8 << 20
-	tailTime   = 30 * time.Second // for what is out at the end
-	tokenText  = 4                // bytes
+	maxBodyBytes     = 256 << 10
+	maxResponseBytes = 8 << 20
+	drainTimeout     = 30 * time.Second // for the requests in flight at the end of a run
+	bytesPerToken    = 4
 )
 
-// Run plays a plan, or a trace, until its time is over or the context ends; then what is out may end. The report is
-// whole in either case.
+// Run executes a plan, or replays a trace, until its time is over or the context ends. Requests in flight at the end of
+// its time may complete within 30 s. The report is complete in either case.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	p := o.Plan
 	if o.Scale == 0 {
 		o.Scale = 1
 	}
 	if !(o.Scale > 0 && o.Scale <= 1000) {
-		return nil, fmt.Errorf("the time's scale, %g, is not above 0 and up to 1000", o.Scale)
+		return nil, fmt.Errorf("trace time scale: %g is not above 0 and up to 1000", o.Scale)
 	}
 	if o.clock == nil {
 		o.clock = time.Now
 	}
-	r := &runner{Options: o, base: o.clock(), out: make(chan struct{}, p.MostOut), front: "http://" + p.Target,
-		run: strconv.FormatUint(rand.Uint64(), 36), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.MostOut, IdleConnTimeout: 4 * time.Second,
-			DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext, DisableCompression: true}}}
-	r.tally.classes = map[string]*Figures{}
-	span := time.Duration(p.For)
+	r := &runner{Options: o, startedAt: o.clock(), inFlight: make(chan struct{}, p.MaxInFlight),
+		baseURL: "http://" + p.Target, runID: strconv.FormatUint(rand.Uint64(), 36),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.MaxInFlight,
+			IdleConnTimeout: 4 * time.Second, DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
+			DisableCompression: true}}}
+	r.collector.classes = map[string]*Figures{}
+	duration := time.Duration(p.For)
 	if o.Calls != nil {
-		span = time.Duration(o.Calls[len(o.Calls)-1].At*o.Scale*1e9) + time.Second
+		duration = time.Duration(o.Calls[len(o.Calls)-1].At*o.Scale*1e9) + time.Second
 	}
-	playing, stop := context.WithTimeout(ctx, span)
+	runCtx, stop := context.WithTimeout(ctx, duration)
 	defer stop()
-	watched := make(chan struct{})
-	go func() { defer close(watched); r.watch(playing, span) }()
+	progressDone := make(chan struct{})
+	go func() { defer close(progressDone); r.reportProgress(runCtx, duration) }()
 	if p.Batch.Every > 0 {
-		r.all.Go(func() { r.batches(playing) })
+		r.background.Go(func() { r.startBatches(runCtx) })
 	}
 	switch {
-	case o.Closed > 0:
-		r.closed(playing)
+	case o.ClosedClients > 0:
+		r.runClosedLoop(runCtx)
 	case o.Calls != nil:
-		r.replay(playing)
+		r.replay(runCtx)
 	default:
-		r.sessions(playing, span)
+		r.startSessions(runCtx, duration)
 	}
-	<-playing.Done()
-	<-watched
-	ended := make(chan struct{})
-	go func() { r.all.Wait(); close(ended) }()
+	<-runCtx.Done()
+	<-progressDone
+	drained := make(chan struct{})
+	go func() { r.background.Wait(); close(drained) }()
 	select {
-	case <-ended:
+	case <-drained:
 	case <-ctx.Done():
 		r.client.CloseIdleConnections()
-		<-ended // requests end with their context
-	case <-time.After(tailTime):
+		<-drained // requests end with their context
+	case <-time.After(drainTimeout):
 	}
-	return r.report(ctx.Err() != nil, span), nil
+	return r.report(ctx.Err() != nil, duration), nil
 }
 
-// since is the time that has gone by, whatever was done to the wall clock meanwhile.
-func (r *runner) since(then time.Time) time.Duration { return r.clock().Sub(then) }
+// elapsed returns the time since earlier by the monotonic clock, so that steps of the wall clock have no effect.
+func (r *runner) elapsed(earlier time.Time) time.Duration { return r.clock().Sub(earlier) }
 
-func (r *runner) report(cut bool, span time.Duration) *Report {
-	r.tally.mu.Lock()
-	defer r.tally.mu.Unlock()
-	report := &Report{Target: r.Plan.Target, Pattern: r.Plan.Pattern, Seed: r.Plan.Seed, Began: r.base, For: min(span, r.since(r.base)).Seconds(),
-		Cut: cut, Trace: r.Faults, Classes: r.tally.classes, Seconds: r.tally.seconds}
+// report makes the report of the results so far, with marks if the generator fell behind the pattern.
+func (r *runner) report(cut bool, duration time.Duration) *Report {
+	r.collector.mu.Lock()
+	defer r.collector.mu.Unlock()
+	report := &Report{Target: r.Plan.Target, Pattern: r.Plan.Pattern, Seed: r.Plan.Seed, Began: r.startedAt,
+		For: min(duration, r.elapsed(r.startedAt)).Seconds(), Cut: cut, Trace: r.Faults,
+		Classes: r.collector.classes, Seconds: r.collector.seconds}
 	all := report.All()
 	if lag := time.Duration(all.Lag.ValueAtQuantile(99)) * time.Microsecond; lag > time.Duration(r.Plan.Lag) {
-		report.Marks = append(report.Marks, fmt.Sprintf("the generator lagged: 99th %v behind what was meant, above %v; it was not fast enough for this pattern", lag, time.Duration(r.Plan.Lag)))
+		report.Marks = append(report.Marks, fmt.Sprintf("the generator lagged: 99th %v behind what was meant, "+
+			"above %v; it was not fast enough for this pattern", lag, time.Duration(r.Plan.Lag)))
 	}
 	if all.NotSent > 0 {
-		report.Marks = append(report.Marks, fmt.Sprintf("%d requests were not sent, as %d were out already", all.NotSent, r.Plan.MostOut))
+		report.Marks = append(report.Marks,
+			fmt.Sprintf("%d requests were not sent, as %d were out already", all.NotSent, r.Plan.MaxInFlight))
 	}
 	return report
 }
 
-// watch tells how far the run is, each second.
-func (r *runner) watch(ctx context.Context, span time.Duration) {
+// reportProgress calls Options.Progress every second until the context ends.
+func (r *runner) reportProgress(ctx context.Context, duration time.Duration) {
 	if r.Progress == nil {
 		return
 	}
@@ -145,28 +152,28 @@
 			return
 		case <-tick.C:
 		}
-		at := r.since(r.base)
-		p := Progress{At: at, For: span, Out: len(r.out), All: newFigures()}
+		at := r.elapsed(r.startedAt)
+		p := Progress{At: at, For: duration, Out: len(r.inFlight), All: newFigures()}
 		if r.Plan.Compiled != nil && r.Calls == nil {
 			p.Rate = r.Plan.Compiled.Rate(at.Seconds())
 		}
-		r.tally.mu.Lock()
-		r.tally.out = len(r.out)
-		for _, f := range r.tally.classes {
+		r.collector.mu.Lock()
+		r.collector.inFlight = len(r.inFlight)
+		for _, f := range r.collector.classes {
 			p.All.Merge(f)
 		}
-		if i := int(at/time.Second) - 1; i >= 0 && i < len(r.tally.seconds) {
-			p.Second = r.tally.seconds[i]
+		if i := int(at/time.Second) - 1; i >= 0 && i < len(r.collector.seconds) {
+			p.Second = r.collector.seconds[i]
 		}
-		r.tally.mu.Unlock()
+		r.collector.mu.Unlock()
 		p.Lagging = time.Duration(p.All.Lag.ValueAtQuantile(99))*time.Microsecond > time.Duration(r.Plan.Lag)
 		r.Progress(p)
 	}
 }
 
-// until waits for a moment of the run; the monotonic clock counts, whatever the wall clock does.
-func (r *runner) until(ctx context.Context, at time.Duration) bool {
-	if wait := at - r.since(r.base) - timerSlack; wait > 0 {
+// waitUntil waits for a time of the run by the monotonic clock. It reports false if the context ends before it.
+func (r *runner) waitUntil(ctx context.Context, at time.Duration) bool {
+	if wait := at - r.elapsed(r.startedAt) - timerSlack; wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -175,53 +182,57 @@
 		case <-timer.C:
 		}
 	}
-	for r.since(r.base) < at && ctx.Err() == nil { // timers come up to a millisecond late on an idle machine
+	for r.elapsed(r.startedAt) < at && ctx.Err() == nil { // timers fire up to 1 ms late on an idle machine
 		runtime.Gosched()
 	}
 	return ctx.Err() == nil
 }
 
+// timerSlack is how long before its time waitUntil stops relying on a timer, and polls the clock instead.
 const timerSlack = 1500 * time.Microsecond
 
-// sessions starts sessions when the pattern says. The pattern counts requests, each turn one.
-func (r *runner) sessions(ctx context.Context, span time.Duration) {
+// startSessions starts sessions at the pattern's times. The pattern is a rate of requests, of which each turn of a
+// session is one, so that only a fraction of its times starts a session.
+func (r *runner) startSessions(ctx context.Context, duration time.Duration) {
 	p := r.Plan
 	rng := rand.New(rand.NewPCG(p.Seed, 0x10ad))
-	parts, turns := 0.0, 0.0
+	totalPart, sessionWeight := 0.0, 0.0
 	for _, c := range p.Classes {
-		parts += c.Part
-		turns += c.Part / c.Turns
+		totalPart += c.Part
+		sessionWeight += c.Part / c.Turns
 	}
-	share := turns / parts // sessions a request
-	arrivals := &Arrivals{Pattern: p.Compiled, Even: p.Even, Draw: rng.Float64}
+	sessionsPerRequest := sessionWeight / totalPart
+	arrivals := &Arrivals{Pattern: p.Compiled, EvenlySpaced: p.EvenlySpaced, Random: rng.Float64}
 	for n := uint64(1); ; n++ {
 		var at float64
 		ok := true
-		for { // of the requests' moments the part that begins a session
-			if at, ok = arrivals.Next(span.Seconds()); !ok || share >= 1 || rng.Float64() < share {
+		for { // skip the times that later turns of sessions stand for
+			if at, ok = arrivals.Next(duration.Seconds()); !ok || sessionsPerRequest >= 1 ||
+				rng.Float64() < sessionsPerRequest {
 				break
 			}
 		}
 		if !ok {
 			return
 		}
-		pick, class := rng.Float64()*turns, 0
+		pick, class := rng.Float64()*sessionWeight, 0
 		for class < len(p.Classes)-1 && pick >= p.Classes[class].Part/p.Classes[class].Turns {
 			pick -= p.Classes[class].Part / p.Classes[class].Turns
 			class++
 		}
 		seed := rng.Uint64()
-		meant := time.Duration(at * 1e9)
-		if !r.until(ctx, meant) {
+		intended := time.Duration(at * 1e9)
+		if !r.waitUntil(ctx, intended) {
 			return
 		}
-		r.all.Go(func() { r.session(ctx, n, &p.Classes[class], meant, rand.New(rand.NewPCG(seed, n))) })
+		r.background.Go(func() { r.runSession(ctx, n, &p.Classes[class], intended, rand.New(rand.NewPCG(seed, n))) })
 	}
 }
 
-func words(rng *rand.Rand, tokens float64) string {
+// randomText returns a text of the given number of tokens, each of three random letters and a space.
+func randomText(rng *rand.Rand, tokens float64) string {
 	const letters = "abcdefghijklmnop"
-	b := make([]byte, 0, int(tokens)*tokenText)
+	b := make([]byte, 0, int(tokens)*bytesPerToken)
 	for range int(max(1, tokens)) {
 		x := rng.Uint32()
 		b = append(b, letters[x&15], letters[x>>4&15], letters[x>>8&15], ' ')
@@ -234,40 +245,45 @@
 	Content string `json:"content"`
 }
 
-func (r *runner) session(ctx context.Context, n uint64, c *Class, meant time.Duration, rng *rand.Rand) {
-	start := rng.IntN(c.Starts)
-	talk := []message{}
-	length := 0.0
+// runSession sends the turns of session number n, the first at the intended time. It ends with the first request that
+// fails, after a random number of turns, or when the prompt would become too long.
+func (r *runner) runSession(ctx context.Context, n uint64, c *Class, intended time.Duration, rng *rand.Rand) {
+	prefixNumber := rng.IntN(c.Starts)
+	messages := []message{}
+	promptTokens := 0.0
 	if c.Shared > 0 {
-		talk = append(talk, message{"system", words(rand.New(rand.NewPCG(uint64(start), uint64(len(c.Name)))), c.Shared)})
-		length = c.Shared
+		messages = append(messages, message{"system",
+			randomText(rand.New(rand.NewPCG(uint64(prefixNumber), uint64(len(c.Name)))), c.Shared)})
+		promptTokens = c.Shared
 	}
-	prefix := splitmix(uint64(start)<<16 + uint64(len(c.Name)) + uint64(c.Shared))
+	prefix := splitmix(uint64(prefixNumber)<<16 + uint64(len(c.Name)) + uint64(c.Shared))
 	key := splitmix(n + r.Plan.Seed<<32)
 	for turn := 0; ; turn++ {
-		added := max(1, c.Prompt*math.Exp(c.Spread*rng.NormFloat64()-c.Spread*c.Spread/2))
-		if length+added > bodyMost/tokenText/2 {
+		newTokens := max(1, c.Prompt*math.Exp(c.Spread*rng.NormFloat64()-c.Spread*c.Spread/2))
+		if promptTokens+newTokens > maxBodyBytes/bytesPerToken/2 {
 			return
 		}
-		length += added
-		talk = append(talk, message{"user", words(rng, added)})
-		call := Call{At: meant.Seconds(), Class: c.Name, Tenant: c.Tenant, Session: key, Prompt: math.Round(length), Out: c.Out}
+		promptTokens += newTokens
+		messages = append(messages, message{"user", randomText(rng, newTokens)})
+		call := Call{At: intended.Seconds(), Class: c.Name, Tenant: c.Tenant, Session: key,
+			Prompt: math.Round(promptTokens), Out: c.Out}
 		if c.Shared > 0 {
 			call.Prefix, call.Shared = prefix, c.Shared
 		}
-		answer, ok := r.ask(ctx, call, c, talk, meant, rng)
+		response, ok := r.send(ctx, call, c, messages, intended, rng)
 		if !ok || rng.Float64() < 1/c.Turns {
 			return
 		}
-		talk = append(talk, message{"assistant", answer})
-		length += float64(len(answer)) / tokenText
-		meant = r.since(r.base) + time.Duration(float64(c.Think)*rng.ExpFloat64())
-		if !r.until(ctx, meant) {
+		messages = append(messages, message{"assistant", response})
+		promptTokens += float64(len(response)) / bytesPerToken
+		intended = r.elapsed(r.startedAt) + time.Duration(float64(c.Think)*rng.ExpFloat64())
+		if !r.waitUntil(ctx, intended) {
 			return
 		}
 	}
 }
 
+// splitmix is the mixing function of the SplitMix64 generator. It spreads small numbers over all 64 bits.
 func splitmix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -275,87 +291,90 @@
 	return x ^ x>>31
 }
 
-// replay sends a trace's calls at their moments. What a call says of its size is kept; its text is made up.
+// replay sends a trace's calls at their times, with their sizes and random text.
 func (r *runner) replay(ctx context.Context) {
 	for i, call := range r.Calls {
-		meant := time.Duration(call.At * r.Scale * 1e9)
-		if !r.until(ctx, meant) {
+		intended := time.Duration(call.At * r.Scale * 1e9)
+		if !r.waitUntil(ctx, intended) {
 			return
 		}
 		c := &Class{Name: call.Class, Habit: NoRetry, GiveUp: Span(10 * time.Second)}
-		if k := r.Plan.class(call.Class); k >= 0 {
+		if k := r.Plan.classIndex(call.Class); k >= 0 {
 			c = &r.Plan.Classes[k]
 		}
-		r.all.Go(func() {
+		r.background.Go(func() {
 			rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(i)))
-			talk := []message{}
+			messages := []message{}
 			if call.Shared > 0 {
-				talk = append(talk, message{"system", words(rand.New(rand.NewPCG(call.Prefix, 1)), call.Shared)})
+				messages = append(messages,
+					message{"system", randomText(rand.New(rand.NewPCG(call.Prefix, 1)), call.Shared)})
 			}
-			talk = append(talk, message{"user", words(rng, call.Prompt-call.Shared)})
-			r.ask(ctx, call, c, talk, meant, rng)
+			messages = append(messages, message{"user", randomText(rng, call.Prompt-call.Shared)})
+			r.send(ctx, call, c, messages, intended, rng)
 		})
 	}
 }
 
-// closed is a loop of clients that each wait for their answer before they ask again.
-func (r *runner) closed(ctx context.Context) {
-	for k := range r.Closed {
-		r.all.Go(func() {
+// runClosedLoop runs clients that each wait for their response before they send the next request.
+func (r *runner) runClosedLoop(ctx context.Context) {
+	for k := range r.ClosedClients {
+		r.background.Go(func() {
 			rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(k)))
 			c := &r.Plan.Classes[0]
 			for ctx.Err() == nil {
-				now := r.since(r.base)
-				r.ask(ctx, Call{At: now.Seconds(), Class: c.Name, Prompt: c.Prompt, Out: c.Out}, c, []message{{"user", words(rng, c.Prompt)}}, now, rng)
+				now := r.elapsed(r.startedAt)
+				r.send(ctx, Call{At: now.Seconds(), Class: c.Name, Prompt: c.Prompt, Out: c.Out}, c,
+					[]message{{"user", randomText(rng, c.Prompt)}}, now, rng)
 			}
 		})
 	}
 }
 
-// ask sends one request, and again as the class's clients do. Its latency counts from the moment at which the first
-// try was meant to go out.
-func (r *runner) ask(ctx context.Context, call Call, c *Class, talk []message, meant time.Duration, rng *rand.Rand) (string, bool) {
+// send sends a request, with retries as the class's habit has them, and returns the text of the response. Latency
+// counts from the intended time of the first attempt.
+func (r *runner) send(ctx context.Context, call Call, c *Class, messages []message, intended time.Duration,
+	rng *rand.Rand) (string, bool) {
 	if r.Record != nil {
 		r.Record.Write(call)
 	}
-	r.tally.do(c.Name, meant, func(f *Figures, s *Second) { f.Asked++; s.Asked++ })
+	r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Asked++; s.Asked++ })
 	body, err := json.Marshal(struct {
 		Model     string    `json:"model"`
 		Stream    bool      `json:"stream"`
 		MaxTokens float64   `json:"max_tokens"`
 		Messages  []message `json:"messages"`
-	}{"chat", true, call.Out, talk})
-	if err != nil || len(body) > bodyMost {
-		r.tally.do(c.Name, meant, func(f *Figures, s *Second) { f.Failed++; s.Failed++ })
+	}{"chat", true, call.Out, messages})
+	if err != nil || len(body) > maxBodyBytes {
+		r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Failed++; s.Failed++ })
 		return "", false
 	}
-	asked := meant
-	for try := 0; ; try++ {
+	due := intended
+	for retry := 0; ; retry++ {
 		select {
-		case r.out <- struct{}{}:
+		case r.inFlight <- struct{}{}:
 		default:
-			r.tally.do(c.Name, meant, func(f *Figures, s *Second) { f.NotSent++; s.Failed++ })
+			r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.NotSent++; s.Failed++ })
 			return "", false
 		}
-		sent := r.since(r.base)
-		a := r.once(ctx, call, c, body, try)
-		<-r.out
-		if a.err == nil && a.status == http.StatusOK && a.tokens > 0 {
-			r.served(c, call, meant, asked, sent, a)
-			return a.text, true
+		sent := r.elapsed(r.startedAt)
+		result := r.attempt(ctx, call, c, body, retry)
+		<-r.inFlight
+		if result.err == nil && result.status == http.StatusOK && result.tokens > 0 {
+			r.recordServed(c, call, intended, due, sent, result)
+			return result.text, true
 		}
-		if ctx.Err() != nil { // cut off by the run's own end
-			r.tally.do(c.Name, meant, func(f *Figures, s *Second) { f.Asked--; s.Asked-- })
+		if ctx.Err() != nil { // interrupted by the end of the run
+			r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Asked--; s.Asked-- })
 			return "", false
 		}
-		wait, again := r.habit(c, a, try, rng)
-		if !again {
-			r.tally.do(c.Name, meant, func(f *Figures, s *Second) {
+		wait, retries := r.retryDelay(c, result, retry, rng)
+		if !retries {
+			r.collector.update(c.Name, intended, func(f *Figures, s *Second) {
 				switch {
-				case a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable:
+				case result.status == http.StatusTooManyRequests || result.status == http.StatusServiceUnavailable:
 					f.TurnedDown++
 					s.TurnedDown++
-				case errors.Is(a.err, context.DeadlineExceeded):
+				case errors.Is(result.err, context.DeadlineExceeded):
 					f.GaveUp++
 					s.Failed++
 				default:
@@ -365,18 +384,18 @@
 			})
 			return "", false
 		}
-		r.tally.do(c.Name, meant, func(f *Figures, _ *Second) { f.Retries++ })
-		asked = r.since(r.base) + wait
-		if !r.until(ctx, asked) {
-			r.tally.do(c.Name, meant, func(f *Figures, s *Second) { f.Asked--; s.Asked-- })
+		r.collector.update(c.Name, intended, func(f *Figures, _ *Second) { f.Retries++ })
+		due = r.elapsed(r.startedAt) + wait
+		if !r.waitUntil(ctx, due) {
+			r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Asked--; s.Asked-- })
 			return "", false
 		}
 	}
 }
 
-// habit is what a class's clients do about a request that was not served.
-func (r *runner) habit(c *Class, a answer, try int, rng *rand.Rand) (time.Duration, bool) {
-	if try >= c.Retries || c.Habit == NoRetry {
+// retryDelay returns the delay before a class's clients retry a request that was not served, and whether they do.
+func (r *runner) retryDelay(c *Class, result attemptResult, retry int, rng *rand.Rand) (time.Duration, bool) {
+	if retry >= c.Retries || c.Habit == NoRetry {
 		return 0, false
 	}
 	jitter := 0.8 + 0.4*rng.Float64()
@@ -384,106 +403,111 @@
 	case AtOnce:
 		return 0, true
 	case RetryAfter:
-		if a.wait > 0 {
-			return time.Duration(float64(a.wait) * jitter), true
+		if result.retryAfter > 0 {
+			return time.Duration(float64(result.retryAfter) * jitter), true
 		}
 	}
 	return time.Duration(float64(c.Wait) * jitter), true
 }
 
-func (r *runner) served(c *Class, call Call, meant, asked, sent time.Duration, a answer) {
-	first := sent + a.first - meant
-	pace := time.Duration(0)
-	if a.tokens > 1 {
-		pace = (a.whole - a.first) / time.Duration(a.tokens-1)
-	}
-	aim := time.Duration(c.Aim) + time.Duration(float64(c.PerK)*call.Prompt/1000)
-	good := (aim == 0 || first <= aim) && (c.Gap == 0 || pace <= time.Duration(c.Gap))
-	r.tally.do(c.Name, meant, func(f *Figures, s *Second) {
+// recordServed records the latencies of a served request. Its last attempt was due at due and sent at sent.
+func (r *runner) recordServed(c *Class, call Call, intended, due, sent time.Duration, result attemptResult) {
+	first := sent + result.first - intended
+	tokenGap := time.Duration(0)
+	if result.tokens > 1 {
+		tokenGap = (result.total - result.first) / time.Duration(result.tokens-1)
+	}
+	objective := time.Duration(c.Aim) + time.Duration(float64(c.PerK)*call.Prompt/1000)
+	inTime := (objective == 0 || first <= objective) && (c.Gap == 0 || tokenGap <= time.Duration(c.Gap))
+	r.collector.update(c.Name, intended, func(f *Figures, s *Second) {
 		f.Served++
 		s.Served++
-		if good {
+		if inTime {
 			f.InTime++
 			s.InTime++
 		}
-		note(f.First, first)
-		note(f.Own, a.first)
-		note(f.Whole, sent+a.whole-meant)
-		note(f.Lag, sent-asked)
-		if pace > 0 {
-			note(f.Pace, pace)
+		recordDuration(f.First, first)
+		recordDuration(f.SinceSend, result.first)
+		recordDuration(f.Total, sent+result.total-intended)
+		recordDuration(f.Lag, sent-due)
+		if tokenGap > 0 {
+			recordDuration(f.TokenGap, tokenGap)
 		}
 		s.FirstMS = max(s.FirstMS, float64(first.Microseconds())/1000)
 	})
 }
 
-type answer struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	status       int
 	text         string
-	first, whole time.Duration // from the sending
-	tokens       int
-	wait         time.Duration // of Retry-After
+	first, total time.Duration // time from the sending to the first event and to the end
+	tokens       int           // length of a complete response, at least 1; 0: none
+	retryAfter   time.Duration // from the Retry-After header; 0: none
 	err          error
 }
 
-// once sends a try and reads its answer as it comes.
-func (r *runner) once(ctx context.Context, call Call, c *Class, body []byte, try int) (a answer) {
-	patience := time.Duration(c.GiveUp)
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// attempt sends a request once and reads the stream of the response. retry is 0 for the first attempt.
+func (r *runner) attempt(ctx context.Context, call Call, c *Class, body []byte, retry int) (result attemptResult) {
+	timeout := time.Duration(c.GiveUp)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, r.front+"/v1/chat/completions", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.baseURL+"/v1/chat/completions",
+		bytes.NewReader(body))
 	if err != nil {
-		return answer{err: err}
-	}
-	r.tally.mu.Lock()
-	r.ids++
-	id := r.ids
-	r.tally.mu.Unlock()
-	head := q.Header
-	head.Set("Content-Type", "application/json")
-	head.Set("X-Trace-Id", fmt.Sprintf("%s-%d", r.run, id))
-	head.Set("X-Qos", c.Name)
-	head.Set("X-Expires-In", fmt.Sprintf("%dm", patience.Milliseconds()))
+		return attemptResult{err: err}
+	}
+	r.collector.mu.Lock()
+	r.lastID++
+	id := r.lastID
+	r.collector.mu.Unlock()
+	header := request.Header
+	header.Set("Content-Type", "application/json")
+	header.Set("X-Trace-Id", fmt.Sprintf("%s-%d", r.runID, id))
+	header.Set("X-Qos", c.Name)
+	header.Set("X-Expires-In", fmt.Sprintf("%dm", timeout.Milliseconds()))
 	if call.Tenant != "" {
-		head.Set("X-Customer", call.Tenant)
+		header.Set("X-Customer", call.Tenant)
 	}
 	if call.Session != 0 {
-		head.Set("X-Object", fmt.Sprintf("%016x", call.Session))
+		header.Set("X-Object", fmt.Sprintf("%016x", call.Session))
 	}
-	head.Set("X-Props", fmt.Sprintf("prefix=%016x,prompt_len=%.0f,prefix_len=%.0f,max_out=%.0f", call.Prefix, call.Prompt, call.Shared, call.Out))
-	if try > 0 {
-		head.Set("X-Second-Try", "1")
+	header.Set("X-Props", fmt.Sprintf("prefix=%016x,prompt_len=%.0f,prefix_len=%.0f,max_out=%.0f",
+		call.Prefix, call.Prompt, call.Shared, call.Out))
+	if retry > 0 {
+		header.Set("X-Second-Try", "1")
 	}
-	began := r.clock()
-	response, err := r.client.Do(q)
+	sent := r.clock()
+	response, err := r.client.Do(request)
 	if err != nil {
-		return answer{err: err}
+		return attemptResult{err: err}
 	}
 	defer response.Body.Close()
-	a.status = response.StatusCode
-	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds > 0 && seconds < 3600 {
-		a.wait = time.Duration(seconds * 1e9)
+	result.status = response.StatusCode
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil &&
+		seconds > 0 && seconds < 3600 {
+		result.retryAfter = time.Duration(seconds * 1e9)
 	}
-	if a.status != http.StatusOK {
-		_, a.err = io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
-		return a
+	if result.status != http.StatusOK {
+		_, result.err = io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
+		return result
 	}
-	lines := bufio.NewScanner(io.LimitReader(response.Body, answerMost))
+	lines := bufio.NewScanner(io.LimitReader(response.Body, maxResponseBytes))
 	lines.Buffer(make([]byte, 4096), 1<<20)
-	var b strings.Builder
+	var text strings.Builder
 	for lines.Scan() {
-		data, is := strings.CutPrefix(lines.Text(), "data: ")
-		if !is {
+		data, isData := strings.CutPrefix(lines.Text(), "data: ")
+		if !isData {
 			continue
 		}
-		if a.first == 0 {
-			a.first = r.since(began)
+		if result.first == 0 {
+			result.first = r.elapsed(sent)
 		}
 		if data == "[DONE]" {
-			a.whole, a.text = r.since(began), b.String()
-			a.tokens = max(1, a.tokens)
-			_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 4096)) // so that the connection can be used again
-			return a
+			result.total, result.text = r.elapsed(sent), text.String()
+			result.tokens = max(1, result.tokens)
+			_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 4096)) // lets the connection be reused
+			return result
 		}
 		var event struct {
 			Choices []struct {
@@ -497,35 +521,35 @@
 		}
 		if json.Unmarshal([]byte(data), &event) == nil {
 			for _, choice := range event.Choices {
-				b.WriteString(choice.Delta.Content)
+				text.WriteString(choice.Delta.Content)
 			}
-			a.tokens += event.Usage.Tokens
+			result.tokens += event.Usage.Tokens
 		}
 	}
-	a.tokens = 0
-	if a.err = lines.Err(); a.err == nil {
-		a.err = errors.New("the answer ended early")
+	result.tokens = 0
+	if result.err = lines.Err(); result.err == nil {
+		result.err = errors.New("response ended before its end marker")
 	}
-	return a
+	return result
 }
 
 const (
-	batchPoll = 300 * time.Millisecond
-	batchTime = 2 * time.Minute
+	batchPollInterval = 300 * time.Millisecond
+	batchTimeout      = 2 * time.Minute
 )
 
-// batches uploads a file each so often and waits for its results.
-func (r *runner) batches(ctx context.Context) {
-	c := &r.Plan.Classes[r.Plan.class(r.Plan.Batch.Class)]
-	for n := 1; r.until(ctx, time.Duration(n)*time.Duration(r.Plan.Batch.Every)); n++ {
-		r.all.Go(func() {
+// startBatches uploads a batch file at each interval and counts its results.
+func (r *runner) startBatches(ctx context.Context) {
+	c := &r.Plan.Classes[r.Plan.classIndex(r.Plan.Batch.Class)]
+	for n := 1; r.waitUntil(ctx, time.Duration(n)*time.Duration(r.Plan.Batch.Every)); n++ {
+		r.background.Go(func() {
 			rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(n)<<32))
-			served, err := r.batch(ctx, c, n, rng)
+			served, err := r.runBatch(ctx, c, n, rng)
 			if ctx.Err() != nil {
 				return
 			}
-			_ = err // what was not answered is counted as failed
-			r.tally.do(c.Name, r.since(r.base), func(f *Figures, _ *Second) {
+			_ = err // lines without a result are counted as failed
+			r.collector.update(c.Name, r.elapsed(r.startedAt), func(f *Figures, _ *Second) {
 				f.BatchLines += r.Plan.Batch.Lines
 				f.BatchServed += served
 				f.BatchFailed += r.Plan.Batch.Lines - served
@@ -534,8 +558,10 @@
 	}
 }
 
-func (r *runner) batch(ctx context.Context, c *Class, n int, rng *rand.Rand) (served int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, batchTime)
+// runBatch uploads batch file number n, creates a batch of it, waits until the batch has ended, and returns the number
+// of lines in its output file.
+func (r *runner) runBatch(ctx context.Context, c *Class, n int, rng *rand.Rand) (served int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
 	var b bytes.Buffer
 	form := multipart.NewWriter(&b)
@@ -545,8 +571,11 @@
 		return 0, err
 	}
 	for i := range r.Plan.Batch.Lines {
-		raw, err := json.Marshal(map[string]any{"custom_id": fmt.Sprintf("%s-%d-%d", r.run, n, i), "method": "POST", "url": "/v1/chat/completions",
-			"body": map[string]any{"model": "chat", "max_tokens": c.Out, "messages": []message{{"user", words(rng, c.Prompt)}}, "metadata": map[string]string{"class": c.Name}}})
+		raw, err := json.Marshal(map[string]any{"custom_id": fmt.Sprintf("%s-%d-%d", r.runID, n, i),
+			"method": "POST", "url": "/v1/chat/completions",
+			"body": map[string]any{"model": "chat", "max_tokens": c.Out,
+				"messages": []message{{"user", randomText(rng, c.Prompt)}},
+				"metadata": map[string]string{"class": c.Name}}})
 		if err != nil {
 			return 0, err
 		}
@@ -555,15 +584,15 @@
 	if err := form.Close(); err != nil {
 		return 0, err
 	}
-	call := func(method, path, kind string, body io.Reader, out any) error {
-		q, err := http.NewRequestWithContext(ctx, method, r.front+path, body)
+	call := func(method, path, contentType string, body io.Reader, out any) error {
+		request, err := http.NewRequestWithContext(ctx, method, r.baseURL+path, body)
 		if err != nil {
 			return err
 		}
-		if kind != "" {
-			q.Header.Set("Content-Type", kind)
+		if contentType != "" {
+			request.Header.Set("Content-Type", contentType)
 		}
-		response, err := r.client.Do(q)
+		response, err := r.client.Do(request)
 		if err != nil {
 			return err
 		}
@@ -571,13 +600,13 @@
 		if response.StatusCode != http.StatusOK {
 			return fmt.Errorf("%s %s: %s", method, path, response.Status)
 		}
-		if to, ok := out.(*[]byte); ok {
-			*to, err = io.ReadAll(io.LimitReader(response.Body, 64<<20))
+		if raw, ok := out.(*[]byte); ok {
+			*raw, err = io.ReadAll(io.LimitReader(response.Body, 64<<20))
 			return err
 		}
 		return json.NewDecoder(io.LimitReader(response.Body, 1<<20)).Decode(out)
 	}
-	var file, made struct {
+	var file, batch struct {
 		ID     string `json:"id"`
 		Status string `json:"status"`
 		Output string `json:"output_file_id"`
@@ -585,26 +614,27 @@
 	if err := call(http.MethodPost, "/v1/files", form.FormDataContentType(), &b, &file); err != nil {
 		return 0, err
 	}
-	raw, _ := json.Marshal(map[string]string{"input_file_id": file.ID, "endpoint": "/v1/chat/completions", "completion_window": "24h"})
-	if err := call(http.MethodPost, "/v1/batches", "application/json", bytes.NewReader(raw), &made); err != nil {
+	raw, _ := json.Marshal(map[string]string{"input_file_id": file.ID, "endpoint": "/v1/chat/completions",
+		"completion_window": "24h"})
+	if err := call(http.MethodPost, "/v1/batches", "application/json", bytes.NewReader(raw), &batch); err != nil {
 		return 0, err
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(batchPoll):
+		case <-time.After(batchPollInterval):
 		}
-		if err := call(http.MethodGet, "/v1/batches/"+made.ID, "", nil, &made); err != nil {
+		if err := call(http.MethodGet, "/v1/batches/"+batch.ID, "", nil, &batch); err != nil {
 			continue
 		}
-		switch made.Status {
+		switch batch.Status {
 		case "completed", "expired", "cancelled", "failed":
-			if made.Output == "" {
+			if batch.Output == "" {
 				return 0, nil
 			}
 			var output []byte
-			if err := call(http.MethodGet, "/v1/files/"+made.Output+"/content", "", nil, &output); err != nil {
+			if err := call(http.MethodGet, "/v1/files/"+batch.Output+"/content", "", nil, &output); err != nil {
 				return 0, err
 			}
 			return bytes.Count(output, []byte("\n")), nil
--- a/internal/lab/load/trace.go
+++ b/internal/lab/load/trace.go
@@ -10,34 +10,34 @@
 	"sync"
 )
 
-// Call is one request of a trace: what is asked, and when it was meant to come.
+// Call is one request of a trace: its intended time, class and sizes.
 type Call struct {
-	At      float64 `json:"at_s"` // from the trace's start
+	At      float64 `json:"at_s"` // seconds since the start of the trace
 	Class   string  `json:"class"`
 	Tenant  string  `json:"tenant,omitempty"`
-	Session uint64  `json:"session,omitempty"`
-	Prefix  uint64  `json:"prefix,omitempty"`
-	Prompt  float64 `json:"prompt_tokens"`
-	Shared  float64 `json:"shared_tokens,omitempty"`
-	Out     float64 `json:"max_tokens"`
+	Session uint64  `json:"session,omitempty"`       // session key; 0: none
+	Prefix  uint64  `json:"prefix,omitempty"`        // key of the shared prefix; 0: none
+	Prompt  float64 `json:"prompt_tokens"`           // length of the whole prompt
+	Shared  float64 `json:"shared_tokens,omitempty"` // length of its shared prefix
+	Out     float64 `json:"max_tokens"`              // maximum length of the response
 }
 
 const (
-	callsMost = 2_000_000
-	lineMost  = 64 << 10
+	maxCalls     = 2_000_000
+	maxLineBytes = 64 << 10
 )
 
-// TraceFaults say what of a trace could not be used.
+// TraceFaults counts the lines of a trace that could not be used as they are.
 type TraceFaults struct {
-	Torn      int `json:"torn"`      // lines that are no whole object
-	Wrong     int `json:"wrong"`     // with a time or a size that cannot be
-	Unordered int `json:"unordered"` // that came before their time; they were put in their place
+	Malformed  int `json:"torn"`      // lines that are too long or no valid JSON object; skipped
+	OutOfRange int `json:"wrong"`     // lines without a class, or with a time or a size out of range; skipped
+	OutOfOrder int `json:"unordered"` // lines with an earlier time than the line before; sorted into place
 }
 
-// ReadTrace reads a trace, a JSON object a line, and puts it in order. Times count from the earliest call. Lines that
-// cannot be used are passed over and counted.
+// ReadTrace reads a trace, which has one JSON object per line, and sorts it by time. Times are made relative to the
+// earliest call. Invalid lines are skipped and counted.
 func ReadTrace(r io.Reader) (calls []Call, faults TraceFaults, err error) {
-	b := bufio.NewReaderSize(r, lineMost)
+	b := bufio.NewReaderSize(r, maxLineBytes)
 	for {
 		line, long, err := b.ReadLine()
 		if errors.Is(err, io.EOF) {
@@ -47,7 +47,7 @@
 			return calls, faults, err
 		}
 		if long {
-			faults.Torn++
+			faults.Malformed++
 			for long && err == nil {
 				_, long, err = b.ReadLine()
 			}
@@ -58,18 +58,19 @@
 		}
 		var c Call
 		if json.Unmarshal(line, &c) != nil {
-			faults.Torn++
+			faults.Malformed++
 			continue
 		}
-		if c.Class == "" || !(c.At >= 0 && c.At < 1e9) || !(c.Prompt >= 1 && c.Prompt <= 1e6) || !(c.Out >= 1 && c.Out <= 1e6) || !(c.Shared >= 0 && c.Shared <= c.Prompt) {
-			faults.Wrong++
+		if c.Class == "" || !(c.At >= 0 && c.At < 1e9) || !(c.Prompt >= 1 && c.Prompt <= 1e6) ||
+			!(c.Out >= 1 && c.Out <= 1e6) || !(c.Shared >= 0 && c.Shared <= c.Prompt) {
+			faults.OutOfRange++
 			continue
 		}
-		if len(calls) == callsMost {
-			return calls, faults, fmt.Errorf("more than %d calls", callsMost)
+		if len(calls) == maxCalls {
+			return calls, faults, fmt.Errorf("trace has more than %d calls", maxCalls)
 		}
 		if n := len(calls); n > 0 && c.At < calls[n-1].At {
-			faults.Unordered++
+			faults.OutOfOrder++
 		}
 		calls = append(calls, c)
 	}
@@ -83,7 +84,7 @@
 		return 0
 	})
 	if len(calls) == 0 {
-		return nil, faults, errors.New("the trace has no call that can be used")
+		return nil, faults, errors.New("trace has no valid call")
 	}
 	first := calls[0].At
 	for i := range calls {
@@ -99,10 +100,10 @@
 	err error
 }
 
-// NewRecorder writes to w.
+// NewRecorder returns a recorder that writes to w. Its output is buffered until Flush.
 func NewRecorder(w io.Writer) *Recorder { return &Recorder{out: bufio.NewWriter(w)} }
 
-// Write adds a call.
+// Write adds a call to the trace. Errors are returned by Flush.
 func (r *Recorder) Write(c Call) {
 	raw, err := json.Marshal(c)
 	r.mu.Lock()
@@ -113,7 +114,7 @@
 	r.err = errors.Join(r.err, err)
 }
 
-// Flush writes what is left and gives the first error.
+// Flush writes the buffered calls and returns all errors so far.
 func (r *Recorder) Flush() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
