--- a/internal/lab/fleetsim/simulation.go
+++ b/internal/lab/fleetsim/simulation.go
@@ -1,5 +1,6 @@
-// Package fleetsim plays the members of a fleet, three or three hundred of them, in virtual time: the real deciders, messages that
-// are lost, late or cut off, nodes that are killed and come back, clocks that are off. The same seed gives the same play.
+// Package fleetsim simulates the members of a fleet, three or three hundred of them, in virtual time. It runs the
+// real decision code of the nodes, with messages that are lost, delayed or blocked, nodes that are killed and restart,
+// and clocks that are wrong. The same seed gives the same run.
 package fleetsim
 
 import (
@@ -17,77 +18,91 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// Trouble is what befalls the fleet in the middle of a play.
+// Trouble is the fault that is injected in the middle third of a run.
 type Trouble string
 
-// The troubles. Each begins after a third of the play and ends after two.
+// The faults. Each begins after one third of the run and ends after two thirds.
 const (
 	None   Trouble = "none"
-	Third  Trouble = "third"   // a third of the nodes is cut off from the others
-	OneWay Trouble = "one-way" // the first third hears nobody, and is heard
-	Flap   Trouble = "flap"    // that third is cut off in every other second
-	Killed Trouble = "killed"  // half of the nodes are killed at once, and come back by and by
+	Third  Trouble = "third"   // the first third of the nodes is partitioned from the others
+	OneWay Trouble = "one-way" // the first third receives nothing from the others, which still receive from it
+	Flap   Trouble = "flap"    // the first third is partitioned in every other second
+	Killed Trouble = "killed"  // half of the nodes are killed at once, and restart at random times until the fault ends
 )
 
-// Troubles are all of them.
+// Troubles lists all faults.
 var Troubles = []Trouble{None, Third, OneWay, Flap, Killed}
 
-// Plan is one play.
+// Plan is the parameters of one run.
 type Plan struct {
 	Seed    uint64
 	Nodes   int
-	Span    time.Duration
+	Span    time.Duration // duration of the run, in virtual time
 	Trouble Trouble
-	Loss    float64
-	Clock   time.Duration // by which clocks may be off, each way
-	Window  time.Duration
-	Wanted  float64 // of the budget, by all nodes together; more than 1: there is not enough
-	Few     float64 // part of the nodes that want all of it
-	Servers int
-	Sharing bool // false: each node judges servers alone, and lends nothing
+	Loss    float64       // probability that a message is lost
+	Clock   time.Duration // maximum clock error, in either direction
+	Window  time.Duration // the budget's window
+	Wanted  float64       // demand of all nodes together as a fraction of the budget; above 1 the budget is not enough
+	Few     float64       // fraction of the nodes that the demand comes from
+	Servers int           // backends that the nodes send requests to
+	Sharing bool          // whether nodes exchange evidence and quota; without, each detects outliers alone
 }
 
-// Result is what came of a play.
+// Result is the result of a run.
 type Result struct {
-	Overspent  int64   // the most beyond the budget in any window
-	Used       float64 // of what was wanted and there, while all were together
-	UsedInCut  float64 // during the trouble, of what was wanted and there for the sides; the lowest side
-	Agreed     float64 // seconds after the trouble until every node had heard every other that lives
-	Healed     float64 // and until all were together by their modes
-	Bytes      float64 // a second and node
-	Packets    float64 // likewise
-	RightAfter float64 // seconds from a server's failing until the median node left it out
-	False      int     // judgements, by all nodes, on servers that were well and reached
-	Broken     map[string]uint64
+	// Overspent is the maximum spending in any window less the budget. Above 0 the budget was exceeded.
+	Overspent int64
+	// Used is the spending as a fraction of the demand or the budget, whichever is less, without the time of the fault
+	// and the 12 windows after it.
+	Used float64
+	// UsedInCut is the same from 5 windows after the start of the fault to its end. Each side has its nodes' share of
+	// the budget; the lower result of both sides counts.
+	UsedInCut float64
+	// Agreed is the time in seconds from the end of the fault until every live node regards all others as live.
+	Agreed float64
+	// Healed is the time in seconds from the end of the fault until all nodes are in the connectivity mode Majority.
+	Healed float64
+	// Bytes and Packets are sent per second and node.
+	Bytes   float64
+	Packets float64
+	// RightAfter is the time in seconds from the failure of a backend until the median node excludes it.
+	RightAfter float64
+	// False counts the exclusions, by all nodes, of healthy and reachable backends on others' evidence.
+	False int
+	// Broken counts the violations of invariants, by name.
+	Broken map[string]uint64
 }
 
 const (
-	amount        = 10_000
-	shortestDelay = 2 * time.Millisecond
-	longestDelay  = 36 * time.Millisecond
-	rate          = 2.0 // requests a second and node, by which nodes see servers
-	settle        = 2   // windows at the beginning that do not count
+	budgetAmount  = 10_000                // per window
+	minDelay      = 2 * time.Millisecond  // of a message
+	maxDelay      = 36 * time.Millisecond // of a message
+	requestRate   = 2.0                   // requests to backends, per second and node
+	settleWindows = 2                     // windows at the start that are left out of the results
 )
 
+// node is a simulated node. Slices are indexed by backend; times are in nanoseconds of virtual time.
 type node struct {
 	*member.Member
-	up      bool
-	off     int64
-	inc     uint64
-	alone   []int // own failures in a row, by server
-	since   []int64
-	want    float64 // a window
-	owed    float64
-	left    []bool // by server: has it left it out
-	leftAll int64  // when it first left out the one that fails
+	alive               bool
+	clockOffset         int64 // in nanoseconds
+	incarnation         uint64
+	consecutiveFailures []int   // of the node's own requests
+	lastObserved        []int64 // time of the node's last request
+	demand              float64 // quota wanted per window
+	backlog             float64 // quota wanted and not yet spent
+	excluded            []bool
+	excludedFailingAt   int64 // when the node first excluded the failing backend; 0: not yet
 }
 
+// event is a function that runs at a point of virtual time. Events of the same time run in the order of scheduling.
 type event struct {
 	at    int64
 	order uint64
 	do    func()
 }
 
+// queue is a heap of events, the earliest first.
 type queue []event
 
 func (q queue) Len() int { return len(q) }
@@ -103,328 +118,355 @@
 	return e
 }
 
-type world struct {
+// simulation is the state of a run. Times are in Unix nanoseconds of virtual time.
+type simulation struct {
 	Plan
-	rng     *rand.Rand
-	now     int64
-	queue   queue
-	order   uint64
-	nodes   []*node
-	budget  *quota.Budget
-	guard   *invariant.Monitor
-	begin   int64
-	from    int64 // of the trouble
-	to      int64
-	spent   map[int64]int64
-	sides   [2]map[int64]int64
-	bytes   int64
-	packets int64
-	sampled int64
-	result  Result
-	failing int // the server that fails for everybody
-	failsAt int64
+	rng            *rand.Rand
+	now            int64
+	queue          queue
+	order          uint64 // number of the last event scheduled
+	nodes          []*node
+	budget         *quota.Budget
+	monitor        *invariant.Monitor
+	startedAt      int64
+	faultStart     int64
+	faultEnd       int64
+	spentByWindow  map[int64]int64
+	spentBySide    [2]map[int64]int64 // by window
+	bytes          int64              // of the sampled packets
+	packets        int64              // packets sent
+	sampledPackets int64              // packets that were encoded to measure their size
+	result         Result
+	failingServer  int // the backend that fails for all nodes
+	failsAt        int64
 }
 
-// Play plays a plan.
+// Play runs a simulation. It panics if the plan gives an invalid budget.
 func Play(p Plan) Result {
-	w := &world{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 77)), guard: &invariant.Monitor{}, spent: map[int64]int64{}, begin: 1_700_000_000 * int64(time.Second)}
-	w.sides = [2]map[int64]int64{{}, {}}
-	w.now = w.begin
-	w.from, w.to = w.begin+int64(p.Span)/3, w.begin+2*int64(p.Span)/3
-	w.failing, w.failsAt = 0, w.from
-	w.budget = &quota.Budget{Name: "tokens", Amount: amount, Window: p.Window, TransferWindows: 4}
+	sim := &simulation{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 77)), monitor: &invariant.Monitor{},
+		spentByWindow: map[int64]int64{}, startedAt: 1_700_000_000 * int64(time.Second)}
+	sim.spentBySide = [2]map[int64]int64{{}, {}}
+	sim.now = sim.startedAt
+	sim.faultStart, sim.faultEnd = sim.startedAt+int64(p.Span)/3, sim.startedAt+2*int64(p.Span)/3
+	sim.failingServer, sim.failsAt = 0, sim.faultStart
+	sim.budget = &quota.Budget{Name: "tokens", Amount: budgetAmount, Window: p.Window, TransferWindows: 4}
 	for range p.Nodes {
-		w.budget.Weights = append(w.budget.Weights, 1)
+		sim.budget.Weights = append(sim.budget.Weights, 1)
 	}
-	if err := w.budget.Complete(); err != nil {
-		panic(err) // a plan that cannot be is its caller's fault
+	if err := sim.budget.Complete(); err != nil {
+		panic(err) // an invalid plan is an error of the caller
 	}
-	wanting := max(1, int(float64(p.Nodes)*p.Few))
+	demanding := max(1, int(float64(p.Nodes)*p.Few))
 	for i := range p.Nodes {
-		n := &node{inc: 1, off: int64((w.rng.Float64()*2 - 1) * float64(p.Clock))}
-		if i%max(1, p.Nodes/wanting) == 0 && i/max(1, p.Nodes/wanting) < wanting {
-			n.want = p.Wanted * amount / float64(wanting)
+		n := &node{incarnation: 1, clockOffset: int64((sim.rng.Float64()*2 - 1) * float64(p.Clock))}
+		if i%max(1, p.Nodes/demanding) == 0 && i/max(1, p.Nodes/demanding) < demanding {
+			n.demand = p.Wanted * budgetAmount / float64(demanding)
 		}
-		w.nodes = append(w.nodes, n)
-		w.start(i, false)
-		w.after(time.Duration(w.rng.Int64N(int64(tick))), func() { w.tick(i) })
-		w.after(time.Duration(w.rng.ExpFloat64()/rate*1e9), func() { w.request(i) })
-		w.after(0, func() { w.spend(i) })
+		sim.nodes = append(sim.nodes, n)
+		sim.startNode(i, false)
+		sim.schedule(time.Duration(sim.rng.Int64N(int64(tickInterval))), func() { sim.tick(i) })
+		sim.schedule(time.Duration(sim.rng.ExpFloat64()/requestRate*1e9), func() { sim.sendRequest(i) })
+		sim.schedule(0, func() { sim.spendQuota(i) })
 	}
 	if p.Trouble == Killed {
-		w.after(time.Duration(w.from-w.now), func() {
-			for i := range w.nodes {
+		sim.schedule(time.Duration(sim.faultStart-sim.now), func() {
+			for i := range sim.nodes {
 				if i%2 == 0 {
-					w.nodes[i].up = false
-					w.after(time.Duration(w.rng.Int64N(w.to-w.from)), func() { w.start(i, true) })
+					sim.nodes[i].alive = false
+					sim.schedule(time.Duration(sim.rng.Int64N(sim.faultEnd-sim.faultStart)),
+						func() { sim.startNode(i, true) })
 				}
 			}
 		})
 	}
-	agreed := false
-	var watch func()
-	watch = func() {
-		if !agreed && w.agreed() {
-			agreed, w.result.Agreed = true, float64(w.now-w.to)/1e9
+	allLive := false
+	var checkRecovery func()
+	checkRecovery = func() {
+		if !allLive && sim.allPeersLive() {
+			allLive, sim.result.Agreed = true, float64(sim.now-sim.faultEnd)/1e9
 		}
-		if w.result.Healed == 0 && !slices.ContainsFunc(w.nodes, func(n *node) bool { m, _ := n.Connectivity.Current(); return m != connectivity.Majority }) {
-			w.result.Healed = float64(w.now-w.to) / 1e9
+		if sim.result.Healed == 0 && !slices.ContainsFunc(sim.nodes, func(n *node) bool {
+			m, _ := n.Connectivity.Current()
+			return m != connectivity.Majority
+		}) {
+			sim.result.Healed = float64(sim.now-sim.faultEnd) / 1e9
 		}
-		if !agreed || w.result.Healed == 0 {
-			w.after(20*time.Millisecond, watch)
+		if !allLive || sim.result.Healed == 0 {
+			sim.schedule(20*time.Millisecond, checkRecovery)
 		}
 	}
-	w.after(time.Duration(w.to-w.now), watch)
-	for end := w.begin + int64(p.Span); len(w.queue) > 0 && w.queue[0].at <= end; {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+	sim.schedule(time.Duration(sim.faultEnd-sim.now), checkRecovery)
+	for end := sim.startedAt + int64(p.Span); len(sim.queue) > 0 && sim.queue[0].at <= end; {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.do()
 	}
-	if !agreed {
-		w.result.Agreed = float64(w.now-w.to) / 1e9 // not by the end
+	if !allLive {
+		sim.result.Agreed = float64(sim.now-sim.faultEnd) / 1e9 // not reached by the end of the run
 	}
-	if w.result.Healed == 0 {
-		w.result.Healed = float64(w.now-w.to) / 1e9
+	if sim.result.Healed == 0 {
+		sim.result.Healed = float64(sim.now-sim.faultEnd) / 1e9
 	}
-	w.sum()
-	return w.result
+	sim.computeResult()
+	return sim.result
 }
 
-const tick = 250 * time.Millisecond
+// tickInterval is the interval at which nodes gossip.
+const tickInterval = 250 * time.Millisecond
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + int64(d), w.order, do})
+// schedule runs a function after a delay.
+func (sim *simulation) schedule(d time.Duration, do func()) {
+	sim.order++
+	heap.Push(&sim.queue, event{sim.now + int64(d), sim.order, do})
 }
 
-// start begins a life of a node; heir: one was killed on the same folder.
-func (w *world) start(i int, heir bool) {
-	n := w.nodes[i]
-	if heir {
-		n.inc++
-	}
-	seats := make([]member.Slot, w.Nodes)
-	for k := range seats {
-		seats[k].Zone = w.third(k)
-	}
-	c := member.Config{Owner: quota.Owner{Slot: i, Incarnation: n.inc}, Slots: seats, Budgets: []*quota.Budget{w.budget}, MaxRates: []int64{amount}, GossipInterval: tick, GossipFanout: 2,
-		HeartbeatTimeout: 3 * time.Second, ConnectivityTiming: connectivity.Timing{JoinTimeout: 5 * time.Second, SettleTime: time.Second, RecoveryRamp: time.Second}, ClockError: max(2*w.Clock, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: w.Seed,
-		OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second), OwnEvidenceLifetime: int64(2 * time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.34, ClockError: int64(max(2*w.Clock, 50*time.Millisecond))}}
-	at := w.now + n.off
-	n.Member, n.up = member.New(c, at, w.guard), true
-	n.SetLease(quota.Lease{FencingToken: n.inc, ValidFrom: at, ExpiresAt: at + int64(time.Hour), Successor: heir})
-	n.alone, n.since, n.left = make([]int, w.Servers), make([]int64, w.Servers), make([]bool, w.Servers)
-	var all []outlier.Backend
-	for s := range w.Servers {
-		all = append(all, outlier.Backend{Hash: uint64(s + 1), Zone: s % 2})
-	}
-	n.Detector.SetBackends(all)
+// startNode starts a node. With successor it is a new incarnation, which replaces one that was killed in the same
+// directory.
+func (sim *simulation) startNode(i int, successor bool) {
+	n := sim.nodes[i]
+	if successor {
+		n.incarnation++
+	}
+	slots := make([]member.Slot, sim.Nodes)
+	for k := range slots {
+		slots[k].Zone = sim.side(k)
+	}
+	c := member.Config{Owner: quota.Owner{Slot: i, Incarnation: n.incarnation}, Slots: slots,
+		Budgets: []*quota.Budget{sim.budget}, MaxRates: []int64{budgetAmount},
+		GossipInterval: tickInterval, GossipFanout: 2, HeartbeatTimeout: 3 * time.Second,
+		ConnectivityTiming: connectivity.Timing{JoinTimeout: 5 * time.Second, SettleTime: time.Second,
+			RecoveryRamp: time.Second},
+		ClockError: max(2*sim.Clock, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: sim.Seed,
+		OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second),
+			OwnEvidenceLifetime: int64(2 * time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.34,
+			ClockError: int64(max(2*sim.Clock, 50*time.Millisecond))}}
+	at := sim.now + n.clockOffset
+	n.Member, n.alive = member.New(c, at, sim.monitor), true
+	n.SetLease(quota.Lease{FencingToken: n.incarnation, ValidFrom: at, ExpiresAt: at + int64(time.Hour),
+		Successor: successor})
+	n.consecutiveFailures, n.lastObserved, n.excluded =
+		make([]int, sim.Servers), make([]int64, sim.Servers), make([]bool, sim.Servers)
+	var backends []outlier.Backend
+	for s := range sim.Servers {
+		backends = append(backends, outlier.Backend{Hash: uint64(s + 1), Zone: s % 2})
+	}
+	n.Detector.SetBackends(backends)
 }
 
-func (w *world) third(i int) int {
-	if 3*i < w.Nodes {
+// side returns the side of a partition that node i is on: 0 for the first third of the nodes, 1 for the others.
+func (sim *simulation) side(i int) int {
+	if 3*i < sim.Nodes {
 		return 0
 	}
 	return 1
 }
 
-// reaches tells whether what a node sends now gets to another.
-func (w *world) reaches(from, to int) bool {
-	if w.now < w.from || w.now >= w.to || w.third(from) == w.third(to) {
+// reachable reports whether the fault lets messages pass from one node to another at present.
+func (sim *simulation) reachable(from, to int) bool {
+	if sim.now < sim.faultStart || sim.now >= sim.faultEnd || sim.side(from) == sim.side(to) {
 		return true
 	}
-	switch w.Trouble {
+	switch sim.Trouble {
 	case Third:
 		return false
 	case OneWay:
-		return w.third(to) != 0
+		return sim.side(to) != 0
 	case Flap:
-		return (w.now-w.from)/int64(time.Second)%2 == 1
+		return (sim.now-sim.faultStart)/int64(time.Second)%2 == 1
 	}
 	return true
 }
 
-func (w *world) send(from int, all []member.Outgoing) {
-	for _, s := range all {
-		w.packets++
-		if w.packets%16 == 0 {
+// sendPackets delivers packets after a random delay, unless they are blocked or lost. It duplicates one in a hundred.
+// The size of one packet in 16 is measured, with 28 bytes of IPv4 and UDP headers added.
+func (sim *simulation) sendPackets(from int, packets []member.Outgoing) {
+	for _, s := range packets {
+		sim.packets++
+		if sim.packets%16 == 0 {
 			raw, err := cbor.Marshal(s.Packet)
 			if err != nil {
-				panic(err) // of this program's own type
+				panic(err) // packets can always be encoded
 			}
-			w.bytes, w.sampled = w.bytes+int64(len(raw))+28, w.sampled+1
+			sim.bytes, sim.sampledPackets = sim.bytes+int64(len(raw))+28, sim.sampledPackets+1
 		}
-		if !w.reaches(from, s.To) || w.rng.Float64() < w.Loss {
+		if !sim.reachable(from, s.To) || sim.rng.Float64() < sim.Loss {
 			continue
 		}
-		times := 1
-		if w.rng.Float64() < 0.01 {
-			times = 2 // doubled on its way
+		copies := 1
+		if sim.rng.Float64() < 0.01 {
+			copies = 2 // duplicated in the network
 		}
-		for range times {
-			w.after(shortestDelay+time.Duration(w.rng.Int64N(int64(longestDelay-shortestDelay))), func() {
-				if n := w.nodes[s.To]; n.up {
-					w.send(s.To, n.Receive(w.now+n.off, s.Packet))
+		for range copies {
+			sim.schedule(minDelay+time.Duration(sim.rng.Int64N(int64(maxDelay-minDelay))), func() {
+				if n := sim.nodes[s.To]; n.alive {
+					sim.sendPackets(s.To, n.Receive(sim.now+n.clockOffset, s.Packet))
 				}
 			})
 		}
 	}
 }
 
-func (w *world) tick(i int) {
-	n := w.nodes[i]
-	if n.up {
-		var out []member.Outgoing
-		if w.Sharing {
-			out = n.Tick(w.now+n.off, nil)
+// tick lets a node gossip, and updates its exclusions.
+func (sim *simulation) tick(i int) {
+	n := sim.nodes[i]
+	if n.alive {
+		var packets []member.Outgoing
+		if sim.Sharing {
+			packets = n.Tick(sim.now+n.clockOffset, nil)
 		} else {
-			n.Advance(w.now + n.off)
+			n.Advance(sim.now + n.clockOffset)
 		}
-		w.send(i, out)
-		w.judge(n)
+		sim.sendPackets(i, packets)
+		sim.updateExclusions(n)
 	}
-	w.after(tick, func() { w.tick(i) })
+	sim.schedule(tickInterval, func() { sim.tick(i) })
 }
 
-// spend wants a tenth of what the node wants in a window, every tenth of it.
-func (w *world) spend(i int) {
-	n := w.nodes[i]
-	if n.up && n.want > 0 {
-		n.Advance(w.now + n.off)
-		n.owed = min(n.owed+n.want/10, n.want) // what could not be had is asked for again, within a window's worth
+// spendQuota has a node spend a tenth of its demand per window, in every tenth of a window.
+func (sim *simulation) spendQuota(i int) {
+	n := sim.nodes[i]
+	if n.alive && n.demand > 0 {
+		n.Advance(sim.now + n.clockOffset)
+		n.backlog = min(n.backlog+n.demand/10, n.demand) // includes what was denied before, up to one window's demand
 		p := n.Allocations[0]
-		for piece := int64(max(1, n.want/200)); n.owed >= float64(piece); n.owed -= float64(piece) {
+		for piece := int64(max(1, n.demand/200)); n.backlog >= float64(piece); n.backlog -= float64(piece) {
 			if !p.Spend(piece, 0) {
 				break
 			}
-			w.spent[p.CurrentWindow()] += piece
-			w.sides[w.third(i)][p.CurrentWindow()] += piece
+			sim.spentByWindow[p.CurrentWindow()] += piece
+			sim.spentBySide[sim.side(i)][p.CurrentWindow()] += piece
 		}
-		n.owed = min(n.owed, n.want/10)
+		n.backlog = min(n.backlog, n.demand/10)
 	}
-	w.after(w.Window/10, func() { w.spend(i) })
+	sim.schedule(sim.Window/10, func() { sim.spendQuota(i) })
 }
 
-// request shows a node how one server does. The failing one errs, for everybody; in a trouble that cuts the third off, the
-// servers of the other zone are not reached from there either.
-func (w *world) request(i int) {
-	n := w.nodes[i]
-	w.after(time.Duration(w.rng.ExpFloat64()/rate*1e9), func() { w.request(i) })
-	if !n.up || w.Servers == 0 {
+// sendRequest has a node send a request to a random backend and observe the outcome. The failing backend fails for all
+// nodes. In a partition, the backends of the other zone are unreachable from the first third.
+func (sim *simulation) sendRequest(i int) {
+	n := sim.nodes[i]
+	sim.schedule(time.Duration(sim.rng.ExpFloat64()/requestRate*1e9), func() { sim.sendRequest(i) })
+	if !n.alive || sim.Servers == 0 {
 		return
 	}
-	s := w.rng.IntN(w.Servers)
-	if n.left[s] && w.rng.IntN(20) > 0 { // left out but for trials
+	s := sim.rng.IntN(sim.Servers)
+	if n.excluded[s] && sim.rng.IntN(20) > 0 { // an excluded backend gets one trial request in 20
 		return
 	}
-	e := outlier.Evidence{BackendHash: uint64(s + 1), ObservedAt: w.now + n.off}
+	e := outlier.Evidence{BackendHash: uint64(s + 1), ObservedAt: sim.now + n.clockOffset}
 	switch {
-	case !w.serves(i, s):
+	case !sim.serverReachable(i, s):
 		e.Kind = outlier.Unreachable
-	case s == w.failing && w.now >= w.failsAt:
+	case s == sim.failingServer && sim.now >= sim.failsAt:
 		e.Kind = outlier.BackendFault
 	}
 	if e.Kind == outlier.Healthy {
-		n.alone[s] = 0
+		n.consecutiveFailures[s] = 0
 	} else {
-		n.alone[s]++
+		n.consecutiveFailures[s]++
 	}
-	if e.Kind != outlier.BackendFault || n.alone[s] >= 2 {
+	if e.Kind != outlier.BackendFault || n.consecutiveFailures[s] >= 2 {
 		n.Detector.Observe(e)
 	}
-	n.since[s] = w.now
-	w.judge(n)
+	n.lastObserved[s] = sim.now
+	sim.updateExclusions(n)
 }
 
-// serves tells whether a node reaches a server.
-func (w *world) serves(i, s int) bool {
-	return !(w.Trouble == Third && w.now >= w.from && w.now < w.to && w.third(i) == 0 && s%2 == 1)
+// serverReachable reports whether a node reaches a backend.
+func (sim *simulation) serverReachable(i, s int) bool {
+	return !(sim.Trouble == Third && sim.now >= sim.faultStart && sim.now < sim.faultEnd &&
+		sim.side(i) == 0 && s%2 == 1)
 }
 
-// judge has a node leave servers out: those that failed it twice in a row, and those that the others' evidence speaks against.
-func (w *world) judge(n *node) {
-	for s := range n.left {
-		n.left[s] = n.alone[s] >= 2
-	}
-	if w.Sharing {
-		for _, j := range n.Detector.Ejections(w.now + n.off) {
+// updateExclusions has a node exclude the backends that failed its own last two requests. With sharing it also excludes
+// those that the evidence of other nodes speaks against, unless its own last request, made after that evidence,
+// succeeded.
+func (sim *simulation) updateExclusions(n *node) {
+	for s := range n.excluded {
+		n.excluded[s] = n.consecutiveFailures[s] >= 2
+	}
+	if sim.Sharing {
+		for _, j := range n.Detector.Ejections(sim.now + n.clockOffset) {
 			s := int(j.Backend.Hash) - 1
-			if n.since[s]+n.off < j.LatestEvidence || n.alone[s] > 0 {
-				if !n.left[s] && s != w.failing && !(w.Trouble == Third && s%2 == 1) {
-					w.result.False++
+			if n.lastObserved[s]+n.clockOffset < j.LatestEvidence || n.consecutiveFailures[s] > 0 {
+				if !n.excluded[s] && s != sim.failingServer && !(sim.Trouble == Third && s%2 == 1) {
+					sim.result.False++
 				}
-				n.left[s] = true
+				n.excluded[s] = true
 			}
 		}
 	}
-	if w.Servers > 0 && n.left[w.failing] && n.leftAll == 0 && w.now >= w.failsAt {
-		n.leftAll = w.now
+	if sim.Servers > 0 && n.excluded[sim.failingServer] && n.excludedFailingAt == 0 && sim.now >= sim.failsAt {
+		n.excludedFailingAt = sim.now
 	}
 }
 
-// agreed tells that every node has heard every other that lives, within the time of silence less what is lost.
-func (w *world) agreed() bool {
-	for _, n := range w.nodes {
-		if n.up && n.LivePeers() < w.Nodes-1 {
+// allPeersLive reports whether every live node has received heartbeats of all other nodes within the heartbeat timeout.
+func (sim *simulation) allPeersLive() bool {
+	for _, n := range sim.nodes {
+		if n.alive && n.LivePeers() < sim.Nodes-1 {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) sum() {
-	first := w.budget.WindowAt(w.begin) + settle
-	inTrouble := func(at int64) bool {
-		return w.Trouble != None && w.budget.WindowStart(at+1) > w.from && w.budget.WindowStart(at) < w.to+int64(12*w.Window)
-	}
-	var used, there, sideUsed, sideThere [2]float64
-	sideThere[0], sideThere[1] = 0, 0
-	want := [2]float64{}
-	weight := [2]float64{}
-	for i, n := range w.nodes {
-		want[w.third(i)] += n.want
-		weight[w.third(i)]++
-	}
-	last := w.budget.WindowAt(w.begin+int64(w.Span)) - 1
-	for at := w.budget.WindowAt(w.begin); at <= last+8; at++ {
-		w.result.Overspent = max(w.result.Overspent, w.spent[at]-amount)
+// computeResult computes the result at the end of a run.
+func (sim *simulation) computeResult() {
+	first := sim.budget.WindowAt(sim.startedAt) + settleWindows
+	duringFault := func(at int64) bool {
+		return sim.Trouble != None && sim.budget.WindowStart(at+1) > sim.faultStart &&
+			sim.budget.WindowStart(at) < sim.faultEnd+int64(12*sim.Window)
+	}
+	var used, available, sideUsed, sideAvailable [2]float64
+	sideAvailable[0], sideAvailable[1] = 0, 0
+	demand := [2]float64{}
+	nodeCount := [2]float64{}
+	for i, n := range sim.nodes {
+		demand[sim.side(i)] += n.demand
+		nodeCount[sim.side(i)]++
+	}
+	last := sim.budget.WindowAt(sim.startedAt+int64(sim.Span)) - 1
+	for at := sim.budget.WindowAt(sim.startedAt); at <= last+8; at++ {
+		sim.result.Overspent = max(sim.result.Overspent, sim.spentByWindow[at]-budgetAmount)
 	}
 	for at := first; at <= last; at++ {
-		if !inTrouble(at) {
-			used[0] += float64(w.spent[at])
-			there[0] += min(want[0]+want[1], amount)
+		if !duringFault(at) {
+			used[0] += float64(sim.spentByWindow[at])
+			available[0] += min(demand[0]+demand[1], budgetAmount)
 			continue
 		}
-		if w.budget.WindowStart(at) < w.from+int64(5*w.Window) || w.budget.WindowStart(at+1) > w.to {
-			continue // loans from before the cut end first
+		if sim.budget.WindowStart(at) < sim.faultStart+int64(5*sim.Window) ||
+			sim.budget.WindowStart(at+1) > sim.faultEnd {
+			continue // quota transfers from before the fault have to expire first
 		}
 		for side := range 2 {
-			sideUsed[side] += float64(w.sides[side][at])
-			sideThere[side] += min(want[side], amount*weight[side]/float64(w.Nodes))
+			sideUsed[side] += float64(sim.spentBySide[side][at])
+			sideAvailable[side] += min(demand[side], budgetAmount*nodeCount[side]/float64(sim.Nodes))
 		}
 	}
-	if there[0] > 0 {
-		w.result.Used = used[0] / there[0]
+	if available[0] > 0 {
+		sim.result.Used = used[0] / available[0]
 	}
-	w.result.UsedInCut = 1
+	sim.result.UsedInCut = 1
 	for side := range 2 {
-		if sideThere[side] > 0 {
-			w.result.UsedInCut = min(w.result.UsedInCut, sideUsed[side]/sideThere[side])
+		if sideAvailable[side] > 0 {
+			sim.result.UsedInCut = min(sim.result.UsedInCut, sideUsed[side]/sideAvailable[side])
 		}
 	}
-	if w.sampled > 0 {
-		each := float64(w.packets) / float64(w.Nodes) / w.Span.Seconds()
-		w.result.Packets, w.result.Bytes = each, each*float64(w.bytes)/float64(w.sampled)
+	if sim.sampledPackets > 0 {
+		packetRate := float64(sim.packets) / float64(sim.Nodes) / sim.Span.Seconds()
+		sim.result.Packets, sim.result.Bytes = packetRate, packetRate*float64(sim.bytes)/float64(sim.sampledPackets)
 	}
-	var took []float64
-	for _, n := range w.nodes {
-		if n.leftAll > 0 {
-			took = append(took, float64(n.leftAll-w.failsAt)/1e9)
+	var exclusionTimes []float64
+	for _, n := range sim.nodes {
+		if n.excludedFailingAt > 0 {
+			exclusionTimes = append(exclusionTimes, float64(n.excludedFailingAt-sim.failsAt)/1e9)
 		} else {
-			took = append(took, w.Span.Seconds())
+			exclusionTimes = append(exclusionTimes, sim.Span.Seconds())
 		}
 	}
-	slices.Sort(took)
-	w.result.RightAfter = took[len(took)/2]
-	w.result.Broken = w.guard.Violations()
+	slices.Sort(exclusionTimes)
+	sim.result.RightAfter = exclusionTimes[len(exclusionTimes)/2]
+	sim.result.Broken = sim.monitor.Violations()
 }
