--- a/internal/lab/responder/file.go
+++ b/internal/lab/responder/file.go
@@ -12,22 +12,22 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is a zone's file.
+// File is a file that describes a zone and the faults to apply to its server.
 type File struct {
 	Domain      string `toml:"domain"`
 	Listen      string `toml:"listen"`
 	Serial      uint32 `toml:"serial"`
 	NoSerial    bool   `toml:"no_serial"`
-	Certificate string `toml:"certificate"` // PEM files; with both push is had over TLS
+	Certificate string `toml:"certificate"` // PEM files, relative to this file; with both, push over TLS is served
 	Key         string `toml:"key"`
-	Boxes       []struct {
+	Instances   []struct {
 		Label    string   `toml:"label"`
 		Service  string   `toml:"service"`
 		Address  string   `toml:"address"`
 		Text     []string `toml:"text"`
 		Subtypes []string `toml:"subtypes"`
-		TTL      uint32   `toml:"ttl"`
-		Later    bool     `toml:"later"` // published by an event, not at the start
+		TTL      uint32   `toml:"ttl"`   // in seconds; 0: 120
+		Later    bool     `toml:"later"` // not published at the start, but by an event
 	} `toml:"box"`
 	Events []struct {
 		At    string   `toml:"at"`
@@ -36,20 +36,21 @@
 		Boxes []string `toml:"boxes"`
 	} `toml:"event"`
 
-	base  string
-	boxes map[string]Box
+	directory string
+	instances map[string]Box
 }
 
-// Deeds are what can be done to a responder, and what each one's value is.
-var Deeds = map[string]string{"withdraw": "", "publish": "", "lose": "", "restore": "", "silent": "", "speak": "", "drop": "",
-	"loss": "the part of the packets that is lost", "delay": "a time such as 50ms", "jitter": "a time such as 50ms",
-	"garbage": "a part of the answers", "wrong-id": "a part of the answers", "poison": "a part of the answers",
-	"truncate": "true or false", "zero-ttl": "true or false", "broken": "true or false", "no-push": "true or false", "mute": "true or false",
-	"split": "true or false: a second server, which lags from now on, answers what comes from odd ports"}
+// Deeds maps the fault commands for a responder to descriptions of their values; "": the command has no value.
+var Deeds = map[string]string{"withdraw": "", "publish": "", "lose": "", "restore": "", "silent": "", "speak": "",
+	"drop": "", "loss": "the share of packets that are lost", "delay": "a duration such as 50ms",
+	"jitter": "a duration such as 50ms", "garbage": "a share of the responses", "wrong-id": "a share of the responses",
+	"poison": "a share of the responses", "truncate": "true or false", "zero-ttl": "true or false",
+	"broken": "true or false", "no-push": "true or false", "mute": "true or false",
+	"split": "true or false: a second server, whose zone no longer changes, responds to queries from odd ports"}
 
-// ReadFile reads and checks a zone's file; errors name the key.
+// ReadFile reads and validates a zone file. Errors name the key.
 func ReadFile(path string) (*File, error) {
-	f := File{base: filepath.Dir(path), boxes: map[string]Box{}, Serial: 1}
+	f := File{directory: filepath.Dir(path), instances: map[string]Box{}, Serial: 1}
 	meta, err := toml.DecodeFile(path, &f)
 	if err != nil {
 		return nil, err
@@ -63,56 +64,56 @@
 	if (f.Certificate == "") != (f.Key == "") {
 		return nil, errors.New("certificate, key: one is missing")
 	}
-	for i, b := range f.Boxes {
+	for i, b := range f.Instances {
 		at, err := netip.ParseAddrPort(b.Address)
 		if err != nil {
 			return nil, fmt.Errorf("box[%d].address: %w", i, err)
 		}
-		one := Box{Label: b.Label, Service: b.Service, Address: at, Text: b.Text, Subtypes: b.Subtypes, TTL: b.TTL}
-		if one.TTL == 0 {
-			one.TTL = 120
+		instance := Box{Label: b.Label, Service: b.Service, Address: at, Text: b.Text, Subtypes: b.Subtypes, TTL: b.TTL}
+		if instance.TTL == 0 {
+			instance.TTL = 120
 		}
-		if _, err := NewZone(f.Domain, 1).Records(one); err != nil {
+		if _, err := NewZone(f.Domain, 1).Records(instance); err != nil {
 			return nil, fmt.Errorf("box[%d]: %w", i, err)
 		}
-		if _, twice := f.boxes[b.Label]; twice {
-			return nil, fmt.Errorf("box[%d].label: %q is another box's", i, b.Label)
+		if _, twice := f.instances[b.Label]; twice {
+			return nil, fmt.Errorf("box[%d].label: %q is the label of another box", i, b.Label)
 		}
-		f.boxes[b.Label] = one
+		f.instances[b.Label] = instance
 	}
 	for i, e := range f.Events {
 		if _, err := time.ParseDuration(e.At); err != nil {
 			return nil, fmt.Errorf("event[%d].at: %w", i, err)
 		}
 		if _, ok := Deeds[e.Do]; !ok {
-			return nil, fmt.Errorf("event[%d].do: %q is no deed", i, e.Do)
+			return nil, fmt.Errorf("event[%d].do: unknown fault command %q", i, e.Do)
 		}
 	}
 	return &f, nil
 }
 
-// Running is a responder of a file.
+// Running is a responder that was started from a file.
 type Running struct {
 	*Server
 	file *File
 }
 
-// Start starts the responder and its events.
+// Start starts the responder and schedules the events.
 func (f *File) Start() (*Running, error) {
 	z := NewZone(f.Domain, f.Serial)
 	if f.NoSerial {
 		z.NoSerial()
 	}
-	for _, b := range f.Boxes {
+	for _, b := range f.Instances {
 		if !b.Later {
-			if err := z.Publish(f.boxes[b.Label]); err != nil {
+			if err := z.Publish(f.instances[b.Label]); err != nil {
 				return nil, err
 			}
 		}
 	}
 	var certificate *tls.Certificate
 	if f.Certificate != "" {
-		c, err := tls.LoadX509KeyPair(filepath.Join(f.base, f.Certificate), filepath.Join(f.base, f.Key))
+		c, err := tls.LoadX509KeyPair(filepath.Join(f.directory, f.Certificate), filepath.Join(f.directory, f.Key))
 		if err != nil {
 			return nil, fmt.Errorf("certificate, key: %w", err)
 		}
@@ -124,96 +125,96 @@
 	}
 	r := &Running{s, f}
 	for _, e := range f.Events {
-		at, _ := time.ParseDuration(e.At) // checked before
-		s.after(at, func() { _ = r.Do(e.Do, e.Value, e.Boxes...) })
+		at, _ := time.ParseDuration(e.At) // validated by ReadFile
+		s.schedule(at, func() { _ = r.Do(e.Do, e.Value, e.Boxes...) })
 	}
 	return r, nil
 }
 
-// Do does a deed.
-func (r *Running) Do(deed, value string, labels ...string) error {
-	var boxes []Box
+// Do applies a fault command, publish and withdraw to the instances with the given labels; without labels, to all.
+func (r *Running) Do(command, value string, labels ...string) error {
+	var instances []Box
 	for _, l := range labels {
-		b, ok := r.file.boxes[l]
+		b, ok := r.file.instances[l]
 		if !ok {
-			return fmt.Errorf("no box %q in the file", l)
+			return fmt.Errorf("no box is named %q", l)
 		}
-		boxes = append(boxes, b)
+		instances = append(instances, b)
 	}
-	if len(labels) == 0 && (deed == "withdraw" || deed == "publish") {
-		for _, b := range r.file.Boxes {
-			boxes = append(boxes, r.file.boxes[b.Label])
+	if len(labels) == 0 && (command == "withdraw" || command == "publish") {
+		for _, b := range r.file.Instances {
+			instances = append(instances, r.file.instances[b.Label])
 		}
 	}
 	f := *r.faults.Load()
-	part := func(to *float64) error {
+	parseFraction := func(to *float64) error {
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || v < 0 || v > 1 {
-			return fmt.Errorf("%s: %q is not from 0 to 1", deed, value)
+			return fmt.Errorf("%s: %q is not from 0 to 1", command, value)
 		}
 		*to = v
 		return nil
 	}
-	span := func(to *time.Duration) error {
+	parseDuration := func(to *time.Duration) error {
 		v, err := time.ParseDuration(value)
 		if err != nil || v < 0 || v > time.Minute {
-			return fmt.Errorf("%s: %q is no time up to 1m", deed, value)
+			return fmt.Errorf("%s: %q is no duration up to 1m", command, value)
 		}
 		*to = v
 		return nil
 	}
-	flag := func(to *bool) error {
+	parseBool := func(to *bool) error {
 		v, err := strconv.ParseBool(value)
 		if err != nil {
-			return fmt.Errorf("%s: %q is neither true nor false", deed, value)
+			return fmt.Errorf("%s: %q is neither true nor false", command, value)
 		}
 		*to = v
 		return nil
 	}
 	var err error
-	switch deed {
+	switch command {
 	case "withdraw":
-		return r.Zone.Withdraw(boxes...)
+		return r.Zone.Withdraw(instances...)
 	case "publish":
-		return r.Zone.Publish(boxes...)
+		return r.Zone.Publish(instances...)
 	case "lose", "restore":
-		r.Zone.Lose(deed == "lose")
+		r.Zone.SetEmpty(command == "lose")
 	case "drop":
-		r.Drop()
+		r.CloseConnections()
 	case "silent", "speak":
-		f.Silent = deed == "silent"
+		f.Silent = command == "silent"
 	case "loss":
-		err = part(&f.Loss)
+		err = parseFraction(&f.Loss)
 	case "garbage":
-		err = part(&f.Garbage)
+		err = parseFraction(&f.Garbage)
 	case "wrong-id":
-		err = part(&f.WrongID)
+		err = parseFraction(&f.WrongID)
 	case "poison":
-		err = part(&f.Poison)
+		err = parseFraction(&f.Poison)
 	case "delay":
-		err = span(&f.Delay)
+		err = parseDuration(&f.Delay)
 	case "jitter":
-		err = span(&f.Jitter)
+		err = parseDuration(&f.Jitter)
 	case "truncate":
-		err = flag(&f.Truncate)
+		err = parseBool(&f.Truncate)
 	case "zero-ttl":
-		err = flag(&f.ZeroTTL)
+		err = parseBool(&f.ZeroTTL)
 	case "broken":
-		err = flag(&f.Broken)
+		err = parseBool(&f.Broken)
 	case "no-push":
-		err = flag(&f.NoPush)
+		err = parseBool(&f.NoPush)
 	case "mute":
-		err = flag(&f.Mute)
+		err = parseBool(&f.Mute)
 	case "split":
-		var on bool
-		if err = flag(&on); err == nil {
+		var split bool
+		if err = parseBool(&split); err == nil {
 			f.Other = nil
-			if on {
+			if split {
 				f.Other = r.Zone.Copy()
 			}
 		}
 	default:
-		return fmt.Errorf("no deed %q", deed)
+		return fmt.Errorf("unknown fault command %q", command)
 	}
 	if err == nil {
 		r.Set(f)
--- a/internal/lab/responder/file_test.go
+++ b/internal/lab/responder/file_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The example file starts, and its deeds do what they say; what is wrong with a file is named.
-func TestFile(t *testing.T) {
+// The example file starts, fault commands have their effects and reject invalid values, and errors in a file name the
+// key.
+func TestFileAndFaultCommands(t *testing.T) {
 	const example = "../../../deploy/lab/hall-a.toml"
 	raw, err := os.ReadFile(example)
 	require.NoError(t, err)
@@ -36,7 +37,8 @@
 	require.Nil(t, r.faults.Load().Other)
 	require.NoError(t, r.Do("loss", "0.1"))
 	require.Equal(t, 0.1, r.faults.Load().Loss)
-	for _, c := range [][]string{{"loss", "2"}, {"delay", "soon"}, {"mute", "maybe"}, {"dance", ""}, {"withdraw", "", "box-9"}} {
+	for _, c := range [][]string{{"loss", "2"}, {"delay", "soon"}, {"mute", "maybe"}, {"dance", ""},
+		{"withdraw", "", "box-9"}} {
 		require.Error(t, r.Do(c[0], c[1], c[2:]...), c)
 	}
 	for _, c := range []struct{ from, to, key string }{
--- a/internal/lab/responder/mdns.go
+++ b/internal/lab/responder/mdns.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	askersMost = 256
-	askerStays = 5 * time.Minute
-	burstMost  = 8 // messages
-	burstRest  = 3 * time.Millisecond
+	maxQueriers     = 256
+	querierLifetime = 5 * time.Minute // after its last query a client gets announcements for so long
+	maxBurst        = 8               // messages sent without a pause
+	burstPause      = 3 * time.Millisecond
 )
 
-// goodbyes are sent so often, for each may be lost (RFC 6762, 8.3 has announcements up to eight times).
-var goodbyes = []time.Duration{0, 80 * time.Millisecond, 160 * time.Millisecond, 240 * time.Millisecond}
+// goodbyeDelays are the times at which a goodbye is sent. It is repeated as each may be lost (RFC 6762, 8.3, allows up
+// to eight announcements).
+var goodbyeDelays = []time.Duration{0, 80 * time.Millisecond, 160 * time.Millisecond, 240 * time.Millisecond}
 
-// multicast answers mDNS questions, each to the one who asked: whoever has asked would hear a multicast, and is sent
-// what is announced.
-func (s *Server) multicast() {
+// serveMDNS responds to mDNS queries by unicast. It records the clients, as they stand for the members of the multicast
+// group, to which changes are announced.
+func (s *Server) serveMDNS() {
 	buffer := make([]byte, 9000)
 	for {
 		n, from, err := s.mdns.ReadFromUDPAddrPort(buffer)
@@ -31,47 +32,48 @@
 		}
 		f := s.faults.Load()
 		q := new(dns.Msg)
-		if s.lost(f) || f.Silent || q.Unpack(buffer[:n]) != nil || q.Response {
+		if s.dropsPacket(f) || f.Silent || q.Unpack(buffer[:n]) != nil || q.Response {
 			continue
 		}
 		s.Questions.Add(1)
 		s.mu.Lock()
-		if _, ok := s.askers[from]; ok || len(s.askers) < askersMost {
-			s.askers[from] = time.Now()
+		if _, ok := s.queriers[from]; ok || len(s.queriers) < maxQueriers {
+			s.queriers[from] = time.Now()
 		}
 		s.mu.Unlock()
-		var all []dns.RR
+		var records []dns.RR
 		for _, question := range q.Question {
-			found := s.Zone.get(record.CanonicalName(question.Name), record.Kind(question.Qtype))
+			found := s.Zone.lookup(record.CanonicalName(question.Name), record.Kind(question.Qtype))
 			for _, rr := range found {
 				if slices.ContainsFunc(q.Answer, func(known dns.RR) bool { // RFC 6762, 7.1
 					return dns.IsDuplicate(known, rr) && known.Header().Ttl >= rr.Header().Ttl/2
 				}) {
 					continue
 				}
-				all = append(all, rr)
+				records = append(records, rr)
 				if p, ok := rr.(*dns.PTR); ok {
-					all = append(all, s.Zone.get(record.CanonicalName(p.Ptr), record.SRV)...)
-					all = append(all, s.Zone.get(record.CanonicalName(p.Ptr), record.TXT)...)
-					for _, rr := range s.Zone.get(record.CanonicalName(p.Ptr), record.SRV) { // RFC 6763, 12.2
+					records = append(records, s.Zone.lookup(record.CanonicalName(p.Ptr), record.SRV)...)
+					records = append(records, s.Zone.lookup(record.CanonicalName(p.Ptr), record.TXT)...)
+					for _, rr := range s.Zone.lookup(record.CanonicalName(p.Ptr), record.SRV) { // RFC 6763, 12.2
 						host := record.CanonicalName(rr.(*dns.SRV).Target)
-						all = append(append(all, s.Zone.get(host, record.A)...), s.Zone.get(host, record.AAAA)...)
+						records = append(append(records, s.Zone.lookup(host, record.A)...),
+							s.Zone.lookup(host, record.AAAA)...)
 					}
 				}
 			}
 		}
-		if len(all) > 0 {
-			s.after(f.wait(), func() { s.tell(all, from, f) })
+		if len(records) > 0 {
+			s.schedule(f.responseDelay(), func() { s.sendMDNS(records, from, f) })
 		}
 	}
 }
 
-// tell sends records in as many messages as they need. Those of unique sets have the cache-flush bit.
-func (s *Server) tell(all []dns.RR, to netip.AddrPort, f *Faults) {
-	const most = 1400
+// sendMDNS sends records in as many messages as they need. Records of unique sets have the cache-flush bit.
+func (s *Server) sendMDNS(all []dns.RR, to netip.AddrPort, f *Faults) {
+	const maxSize = 1400
 	m := &dns.Msg{MsgHdr: dns.MsgHdr{Response: true, Authoritative: true}, Compress: true}
 	flush := func() {
-		if raw, err := m.Pack(); err == nil && len(m.Answer) > 0 && !s.lost(f) {
+		if raw, err := m.Pack(); err == nil && len(m.Answer) > 0 && !s.dropsPacket(f) {
 			_, _ = s.mdns.WriteToUDPAddrPort(raw, to)
 		}
 		m.Answer = nil
@@ -82,11 +84,11 @@
 		if rr.Header().Rrtype != dns.TypePTR {
 			rr.Header().Class |= 0x8000
 		}
-		if size += dns.Len(rr); size > most {
+		if size += dns.Len(rr); size > maxSize {
 			flush()
 			size = dns.Len(rr)
-			if sent++; sent%burstMost == 0 {
-				time.Sleep(burstRest) // so that a whole service does not overrun the asker's buffer
+			if sent++; sent%maxBurst == 0 {
+				time.Sleep(burstPause) // so that a large service does not overflow the client's buffer
 			}
 		}
 		m.Answer = append(m.Answer, rr)
@@ -94,9 +96,9 @@
 	flush()
 }
 
-// announce sends every change to those who have asked of late: what comes twice, a second apart, and what goes with
-// goodbyes.
-func (s *Server) announce() {
+// announceChanges announces every change to the recent queriers: added records twice, one second apart, and removed
+// ones with goodbyes.
+func (s *Server) announceChanges() {
 	for {
 		changes := s.Zone.watch()
 		for changes != nil {
@@ -104,55 +106,58 @@
 			case <-s.closing:
 				s.Zone.unwatch(changes)
 				return
-			case all, ok := <-changes:
+			case batch, ok := <-changes:
 				if !ok {
 					changes = nil
 					continue
 				}
-				var here, gone []dns.RR
-				for _, c := range all {
+				var added, removed []dns.RR
+				for _, c := range batch {
 					if c.Remove {
 						rr := dns.Copy(c.RR)
 						rr.Header().Ttl = 0
-						gone = append(gone, rr)
+						removed = append(removed, rr)
 					} else {
-						here = append(here, c.RR)
+						added = append(added, c.RR)
 					}
 				}
-				for i, wait := range goodbyes {
-					s.after(wait, func() { s.toAll(gone, i > 0) })
+				for i, wait := range goodbyeDelays {
+					s.schedule(wait, func() { s.sendToQueriers(removed, i > 0) })
 				}
 				for i, wait := range []time.Duration{0, time.Second} {
-					s.after(wait, func() { s.toAll(here, i > 0) })
+					s.schedule(wait, func() { s.sendToQueriers(added, i > 0) })
 				}
 			}
 		}
 	}
 }
 
-// toAll sends records to all who have asked of late; again leaves out what has been taken back since.
-func (s *Server) toAll(all []dns.RR, again bool) {
+// sendToQueriers sends records to all clients that have sent a query within querierLifetime. A repeat leaves out the
+// records whose change has been undone meanwhile.
+func (s *Server) sendToQueriers(records []dns.RR, repeat bool) {
 	f := s.faults.Load()
 	if f.Silent || f.Mute {
 		return
 	}
-	if again {
-		all = slices.DeleteFunc(slices.Clone(all), func(rr dns.RR) bool { return s.Zone.has(rr) == (rr.Header().Ttl == 0) })
+	if repeat {
+		records = slices.DeleteFunc(slices.Clone(records), func(rr dns.RR) bool {
+			return s.Zone.contains(rr) == (rr.Header().Ttl == 0)
+		})
 	}
-	if len(all) == 0 {
+	if len(records) == 0 {
 		return
 	}
 	s.mu.Lock()
-	var to []netip.AddrPort
-	for a, at := range s.askers {
-		if time.Since(at) < askerStays {
-			to = append(to, a)
+	var targets []netip.AddrPort
+	for a, at := range s.queriers {
+		if time.Since(at) < querierLifetime {
+			targets = append(targets, a)
 		} else {
-			delete(s.askers, a)
+			delete(s.queriers, a)
 		}
 	}
 	s.mu.Unlock()
-	for _, a := range to {
-		s.tell(all, a, f)
+	for _, a := range targets {
+		s.sendMDNS(records, a, f)
 	}
 }
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -18,50 +18,69 @@
 	"standpoint/internal/dnssd/record"
 )
 
-// Faults are what goes wrong. Parts are from 0 to 1.
+// Faults are the faults that a server injects. Fractions are from 0 to 1.
 type Faults struct {
-	Every    int           // each so manieth packet is lost, in and out counted together; 0: none
-	Loss     float64       // of packets, each way; over TCP a lost one is sent again after 200 ms, 400 ms, ...
-	Delay    time.Duration // of each answer
-	Jitter   time.Duration // up to so much more, each answer for itself: they overtake each other
-	WrongID  float64       // answers before which one with another id comes
-	Poison   float64       // answers that also tell of a name outside the zone, and before which a forged one comes
-	Garbage  float64       // answers before which bytes come that are no message
-	Truncate bool          // no answer over UDP is whole
-	ZeroTTL  bool
-	Silent   bool  // nothing is answered, and sessions stay open without a word
-	Broken   bool  // SERVFAIL to everything
-	NoPush   bool  // DSO is not spoken
-	Other    *Zone // another server's at the same address: it answers questions from ports that are odd
-	Mute     bool  // push sessions answer checks, and push nothing
+	// Every makes each packet lost whose number is a multiple of it, counting both directions together; 0: none.
+	Every int
+	// Loss is the probability that a packet is lost, in each direction. Over TCP a lost packet is retransmitted after
+	// 200 ms, 400 ms and so on.
+	Loss float64
+	// Delay is the delay of each response.
+	Delay time.Duration
+	// Jitter is the maximum random delay beyond Delay, drawn for each response, so that responses overtake each other.
+	Jitter time.Duration
+	// WrongID is the fraction of responses over UDP that forged ones precede: one with a wrong message id and one with
+	// the name in another case.
+	WrongID float64
+	// Poison is the fraction of responses with an additional record of a name outside the zone. Drawn separately, it is
+	// also the fraction of responses over UDP that forged ones precede, as with WrongID.
+	Poison float64
+	// Garbage is the fraction of responses over UDP that random bytes precede.
+	Garbage float64
+	// Truncate makes all responses over UDP truncated.
+	Truncate bool
+	// ZeroTTL makes the TTL of all records in responses 0.
+	ZeroTTL bool
+	// Silent makes the server respond to nothing. Sessions stay open.
+	Silent bool
+	// Broken makes the server respond to everything with SERVFAIL.
+	Broken bool
+	// NoPush makes the server not support DNS Stateful Operations (DSO).
+	NoPush bool
+	// Other is the zone of a second server at the same address, which responds to queries over UDP from odd ports.
+	Other *Zone
+	// Mute makes push sessions respond to keepalives, but push no changes.
+	Mute bool
 }
 
-// Server answers for a zone at loopback addresses.
+// Server serves a zone at loopback addresses.
 type Server struct {
 	Zone    *Zone
-	Address string // UDP and TCP; push in the clear too
-	Secure  string // push over TLS; "" without a certificate
-	MDNS    string // mDNS messages, unicast
+	Address string // host:port for UDP and TCP, including push without TLS
+	Secure  string // host:port for push over TLS; "" without a certificate
+	MDNS    string // host:port for mDNS messages, which are sent by unicast
 
-	Questions atomic.Int64
-	Sessions  atomic.Int64 // push sessions that have begun
+	Questions atomic.Int64 // queries, updates and push subscriptions received
+	Sessions  atomic.Int64 // push sessions started
 
-	faults  atomic.Pointer[Faults]
-	count   atomic.Int64 // packets
-	closing chan struct{}
-	close   sync.Once
-	all     sync.WaitGroup
-	open    []io.Closer
-	udp     *net.UDPConn
-	mdns    *net.UDPConn
-	mu      sync.Mutex
-	conns   map[net.Conn]bool
-	askers  map[netip.AddrPort]time.Time // of mDNS, who would hear a multicast
+	faults      atomic.Pointer[Faults]
+	packetCount atomic.Int64 // packets in both directions, for Faults.Every
+	closing     chan struct{}
+	closeOnce   sync.Once
+	background  sync.WaitGroup
+	listeners   []io.Closer
+	udp         *net.UDPConn
+	mdns        *net.UDPConn
+	mu          sync.Mutex
+	conns       map[net.Conn]bool
+	queriers    map[netip.AddrPort]time.Time // time of the last query, by mDNS client
 }
 
-// Start listens at a loopback address, "127.0.0.1:0" for any port. With a certificate push over TLS is had at another.
+// Start starts a server at a loopback address, such as "127.0.0.1:0" for any port. With a certificate it also serves
+// push over TLS, at a port of its own.
 func Start(z *Zone, address string, certificate *tls.Certificate) (*Server, error) {
-	s := &Server{Zone: z, closing: make(chan struct{}), conns: map[net.Conn]bool{}, askers: map[netip.AddrPort]time.Time{}}
+	s := &Server{Zone: z, closing: make(chan struct{}), conns: map[net.Conn]bool{},
+		queriers: map[netip.AddrPort]time.Time{}}
 	s.faults.Store(&Faults{})
 	host, _, err := net.SplitHostPort(address)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
@@ -82,50 +101,51 @@
 		_ = s.udp.Close()
 	}
 	if tcp == nil {
-		return nil, errors.New("no port is free for UDP and TCP alike")
+		return nil, errors.New("no port is free for both UDP and TCP")
 	}
 	_ = s.udp.SetReadBuffer(4 << 20)
 	s.Address = s.udp.LocalAddr().String()
-	s.open = append(s.open, s.udp, tcp)
+	s.listeners = append(s.listeners, s.udp, tcp)
 	if s.mdns, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)}); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
 	s.MDNS = s.mdns.LocalAddr().String()
-	s.open = append(s.open, s.mdns)
-	s.all.Go(func() { s.packets() })
-	s.all.Go(func() { s.accept(tcp) })
-	s.all.Go(func() { s.multicast() })
-	s.all.Go(func() { s.announce() })
+	s.listeners = append(s.listeners, s.mdns)
+	s.background.Go(func() { s.serveUDP() })
+	s.background.Go(func() { s.accept(tcp) })
+	s.background.Go(func() { s.serveMDNS() })
+	s.background.Go(func() { s.announceChanges() })
 	if certificate != nil {
-		l, err := tls.Listen("tcp", net.JoinHostPort(host, "0"), &tls.Config{Certificates: []tls.Certificate{*certificate}})
+		l, err := tls.Listen("tcp", net.JoinHostPort(host, "0"),
+			&tls.Config{Certificates: []tls.Certificate{*certificate}})
 		if err != nil {
 			return nil, errors.Join(err, s.Close())
 		}
 		s.Secure = l.Addr().String()
-		s.open = append(s.open, l)
-		s.all.Go(func() { s.accept(l) })
+		s.listeners = append(s.listeners, l)
+		s.background.Go(func() { s.accept(l) })
 	}
 	return s, nil
 }
 
-// Set scripts the faults from now on.
+// Set replaces the faults from now on.
 func (s *Server) Set(f Faults) { s.faults.Store(&f) }
 
-// Close ends the server and everything that is open.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error {
-	s.close.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closing)
-		for _, c := range s.open {
+		for _, c := range s.listeners {
 			c.Close()
 		}
-		s.Drop()
+		s.CloseConnections()
 	})
-	s.all.Wait()
+	s.background.Wait()
 	return nil
 }
 
-// Drop ends all connections.
-func (s *Server) Drop() {
+// CloseConnections closes all TCP connections.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -133,20 +153,21 @@
 	}
 }
 
-func chance(p float64) bool { return p > 0 && rand.Float64() < p }
+// chance returns true with the given probability.
+func chance(probability float64) bool { return probability > 0 && rand.Float64() < probability }
 
-// lost tells whether a packet is.
-func (s *Server) lost(f *Faults) bool {
-	return chance(f.Loss) || f.Every > 0 && s.count.Add(1)%int64(f.Every) == 0
+// dropsPacket reports whether the next packet is lost.
+func (s *Server) dropsPacket(f *Faults) bool {
+	return chance(f.Loss) || f.Every > 0 && s.packetCount.Add(1)%int64(f.Every) == 0
 }
 
-// after does something later, unless the server ends before.
-func (s *Server) after(wait time.Duration, do func()) {
+// schedule runs a function after a delay, unless the server is closed before.
+func (s *Server) schedule(wait time.Duration, do func()) {
 	if wait <= 0 {
 		do()
 		return
 	}
-	s.all.Go(func() {
+	s.background.Go(func() {
 		select {
 		case <-s.closing:
 		case <-time.After(wait):
@@ -155,14 +176,16 @@
 	})
 }
 
-func (f *Faults) wait() time.Duration {
+// responseDelay draws the delay of a response.
+func (f *Faults) responseDelay() time.Duration {
 	if f.Jitter > 0 {
 		return f.Delay + rand.N(f.Jitter)
 	}
 	return f.Delay
 }
 
-func (s *Server) packets() {
+// serveUDP responds to queries and updates over UDP until the socket is closed.
+func (s *Server) serveUDP() {
 	buffer := make([]byte, 4096)
 	for {
 		n, from, err := s.udp.ReadFromUDPAddrPort(buffer)
@@ -171,7 +194,7 @@
 		}
 		f := s.faults.Load()
 		q := new(dns.Msg)
-		if s.lost(f) || q.Unpack(buffer[:n]) != nil || q.Response {
+		if s.dropsPacket(f) || q.Unpack(buffer[:n]) != nil || q.Response {
 			continue
 		}
 		s.Questions.Add(1)
@@ -187,51 +210,53 @@
 			m.Answer, m.Extra, m.Truncated = nil, nil, true
 		}
 		m.Compress = true
-		m.Extra = fit(m, size)
+		m.Extra = fittingExtra(m, size)
 		m.Truncate(size)
 		raw, err := m.Pack()
 		if err != nil {
 			continue
 		}
-		s.after(f.wait(), func() { s.forge(raw, q, from, f) })
+		s.schedule(f.responseDelay(), func() { s.sendWithForgeries(raw, q, from, f) })
 	}
 }
 
-// fit leaves the extra records out where the answer would not fit with them: they are not worth a second question.
-func fit(m *dns.Msg, size int) []dns.RR {
+// fittingExtra returns the additional records of a message, or none if it would exceed size with them: they are not
+// worth a truncated response and a second query.
+func fittingExtra(m *dns.Msg, size int) []dns.RR {
 	if m.Len() > size {
 		return nil
 	}
 	return m.Extra
 }
 
-// forge sends an answer, and before it what somebody else might send in its name.
-func (s *Server) forge(raw []byte, q *dns.Msg, to netip.AddrPort, f *Faults) {
+// sendWithForgeries sends a response, preceded by what the faults have an attacker send in the server's name.
+func (s *Server) sendWithForgeries(raw []byte, q *dns.Msg, to netip.AddrPort, f *Faults) {
 	send := func(raw []byte) { _, _ = s.udp.WriteToUDPAddrPort(raw, to) }
 	if chance(f.Garbage) {
-		bytes := make([]byte, rand.IntN(80))
-		for i := range bytes {
-			bytes[i] = byte(rand.Uint32())
+		garbage := make([]byte, rand.IntN(80))
+		for i := range garbage {
+			garbage[i] = byte(rand.Uint32())
 		}
-		send(bytes)
+		send(garbage)
 	}
 	if chance(f.WrongID) || chance(f.Poison) {
-		lie := new(dns.Msg).SetReply(q) // "there is nothing", with an id that was guessed wrong
-		lie.Authoritative, lie.Rcode, lie.Id = true, dns.RcodeNameError, q.Id+1
-		if raw, err := lie.Pack(); err == nil {
+		forged := new(dns.Msg).SetReply(q) // NXDOMAIN with a wrong message id
+		forged.Authoritative, forged.Rcode, forged.Id = true, dns.RcodeNameError, q.Id+1
+		if raw, err := forged.Pack(); err == nil {
 			send(raw)
 		}
-		lie.Id = q.Id // the id was guessed, the case of the letters was not
-		lie.Question[0].Name = swapCase(q.Question[0].Name)
-		if raw, err := lie.Pack(); err == nil && lie.Question[0].Name != q.Question[0].Name {
+		forged.Id = q.Id // NXDOMAIN with the right id, but the name in another case
+		forged.Question[0].Name = swapCase(q.Question[0].Name)
+		if raw, err := forged.Pack(); err == nil && forged.Question[0].Name != q.Question[0].Name {
 			send(raw)
 		}
 	}
-	if !s.lost(f) {
+	if !s.dropsPacket(f) {
 		send(raw)
 	}
 }
 
+// swapCase swaps the case of ASCII letters.
 func swapCase(name string) string {
 	b := []byte(name)
 	for i, c := range b {
@@ -242,6 +267,7 @@
 	return string(b)
 }
 
+// respond makes the response to a query or update from the given port.
 func (s *Server) respond(q *dns.Msg, f *Faults, port uint16) *dns.Msg {
 	var m *dns.Msg
 	switch {
@@ -252,16 +278,17 @@
 	case q.Opcode != dns.OpcodeQuery:
 		return new(dns.Msg).SetRcode(q, dns.RcodeNotImplemented)
 	case f.Other != nil && port%2 == 1:
-		m = f.Other.answer(q)
+		m = f.Other.respond(q)
 	default:
-		m = s.Zone.answer(q)
+		m = s.Zone.respond(q)
 	}
 	if chance(f.Poison) && len(q.Question) > 0 {
-		m.Extra = append(m.Extra, &dns.A{Hdr: dns.RR_Header{Name: "elsewhere.example.", Rrtype: dns.TypeA, Class: dns.ClassINET, Ttl: 3600}, A: net.IPv4(127, 66, 66, 66)})
+		m.Extra = append(m.Extra, &dns.A{Hdr: dns.RR_Header{Name: "elsewhere.example.", Rrtype: dns.TypeA,
+			Class: dns.ClassINET, Ttl: 3600}, A: net.IPv4(127, 66, 66, 66)})
 	}
 	if f.ZeroTTL {
-		m.Answer = zero(m.Answer)
-		m.Extra = zero(m.Extra)
+		m.Answer = withZeroTTL(m.Answer)
+		m.Extra = withZeroTTL(m.Extra)
 	}
 	if o := q.IsEdns0(); o != nil {
 		m.SetEdns0(1232, false)
@@ -269,7 +296,8 @@
 	return m
 }
 
-func zero(all []dns.RR) (out []dns.RR) {
+// withZeroTTL returns copies of records with a TTL of 0. OPT records, whose TTL field holds flags, stay as they are.
+func withZeroTTL(all []dns.RR) (out []dns.RR) {
 	for _, rr := range all {
 		c := dns.Copy(rr)
 		if c.Header().Rrtype != dns.TypeOPT {
@@ -280,6 +308,7 @@
 	return out
 }
 
+// accept serves the connections of a listener until it is closed.
 func (s *Server) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -289,34 +318,35 @@
 		s.mu.Lock()
 		s.conns[conn] = true
 		s.mu.Unlock()
-		s.all.Go(func() {
+		s.background.Go(func() {
 			defer func() {
 				conn.Close()
 				s.mu.Lock()
 				delete(s.conns, conn)
 				s.mu.Unlock()
 			}()
-			(&connection{Server: s, conn: conn, subs: map[uint16]record.Key{}}).serve()
+			(&connection{Server: s, conn: conn, subscriptions: map[uint16]record.Key{}}).serve()
 		})
 	}
 }
 
-// connection is one over TCP: questions one after the other, or a DSO session.
+// connection is a TCP connection. It carries queries, answered one after the other, or a DSO session.
 type connection struct {
 	*Server
-	conn    net.Conn
-	writing sync.Mutex
-	mu      sync.Mutex
-	subs    map[uint16]record.Key // by id; kind 0 for all kinds
-	session bool
+	conn          net.Conn
+	writeMu       sync.Mutex
+	mu            sync.Mutex
+	subscriptions map[uint16]record.Key // by message id; kind 0 stands for all kinds
+	isSession     bool                  // whether a DSO message has been received
 }
 
+// serve handles a connection's messages until it is closed, and pushes the zone's changes to it.
 func (c *connection) serve() {
 	changes := c.Zone.watch()
 	defer c.Zone.unwatch(changes)
 	done := make(chan struct{})
 	defer close(done)
-	c.all.Go(func() {
+	c.background.Go(func() {
 		for {
 			select {
 			case <-done:
@@ -329,7 +359,7 @@
 					c.conn.Close()
 					return
 				}
-				c.push(all)
+				c.pushChanges(all)
 			}
 		}
 	})
@@ -347,7 +377,7 @@
 			continue
 		}
 		if push.IsDSO(raw) && !f.NoPush {
-			if c.dso(raw) != nil {
+			if c.handleDSO(raw) != nil {
 				return
 			}
 			continue
@@ -372,14 +402,14 @@
 	}
 }
 
-// send writes one message. What is lost on the way is sent again by TCP, and holds up what comes behind.
+// send writes one message. A lost packet delays it, and all that follow, until TCP has retransmitted the packet.
 func (c *connection) send(raw []byte) error {
 	f := c.faults.Load()
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	wait := f.wait()
-	for again := 200 * time.Millisecond; c.lost(f) && again < 4*time.Second; again *= 2 {
-		wait += again
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	wait := f.responseDelay()
+	for timeout := 200 * time.Millisecond; c.dropsPacket(f) && timeout < 4*time.Second; timeout *= 2 {
+		wait += timeout
 	}
 	if wait > 0 {
 		select {
@@ -392,13 +422,14 @@
 	return err
 }
 
-func (c *connection) dso(raw []byte) error {
+// handleDSO handles a message of a DSO session: a keepalive, a subscription or its end.
+func (c *connection) handleDSO(raw []byte) error {
 	m, err := push.Decode(raw)
 	if err != nil {
 		return err
 	}
-	if !c.session {
-		c.session = true
+	if !c.isSession {
+		c.isSession = true
 		c.Sessions.Add(1)
 	}
 	switch m.Type {
@@ -406,7 +437,7 @@
 		return c.send(push.KeepaliveMessage(m.ID, true, time.Minute, m.Interval))
 	case push.Unsubscribe:
 		c.mu.Lock()
-		delete(c.subs, m.Subscription)
+		delete(c.subscriptions, m.Subscription)
 		c.mu.Unlock()
 	case push.Subscribe:
 		c.Questions.Add(1)
@@ -418,20 +449,20 @@
 			k.Kind = 0
 		}
 		c.mu.Lock()
-		c.subs[m.ID] = k
+		c.subscriptions[m.ID] = k
 		c.mu.Unlock()
 		if err := c.send(push.Response(m.ID, dns.RcodeSuccess)); err != nil {
 			return err
 		}
-		var now []push.RecordChange
+		var current []push.RecordChange
 		for _, kind := range []record.Kind{record.PTR, record.SRV, record.TXT, record.A, record.AAAA} {
 			if k.Kind == 0 || k.Kind == kind {
-				for _, rr := range c.Zone.get(k.Name, kind) {
-					now = append(now, push.RecordChange{RR: rr})
+				for _, rr := range c.Zone.lookup(k.Name, kind) {
+					current = append(current, push.RecordChange{RR: rr})
 				}
 			}
 		}
-		return c.write(now)
+		return c.sendChanges(current)
 	default:
 		if m.ID != 0 {
 			return c.send(push.Response(m.ID, dns.RcodeStatefulTypeNotImplemented))
@@ -440,7 +471,8 @@
 	return nil
 }
 
-func (c *connection) write(all []push.RecordChange) error {
+// sendChanges sends changes in as many push messages as they need.
+func (c *connection) sendChanges(all []push.RecordChange) error {
 	messages, err := push.ChangeMessages(all)
 	for _, m := range messages {
 		if err == nil {
@@ -450,26 +482,26 @@
 	return err
 }
 
-// push tells a session of the changes that it has subscribed to.
-func (c *connection) push(all []Change) {
+// pushChanges sends a session the changes that it has subscribed to. It closes the connection if that fails.
+func (c *connection) pushChanges(all []Change) {
 	f := c.faults.Load()
 	if f.Silent || f.Mute {
 		return
 	}
 	var out []push.RecordChange
 	c.mu.Lock()
-	wanted := map[record.Key]bool{}
-	for _, k := range c.subs {
-		wanted[k] = true
+	subscribed := map[record.Key]bool{}
+	for _, k := range c.subscriptions {
+		subscribed[k] = true
 	}
 	c.mu.Unlock()
 	for _, change := range all {
 		k := keyOf(change.RR)
-		if wanted[k] || wanted[record.Key{Name: k.Name}] {
+		if subscribed[k] || subscribed[record.Key{Name: k.Name}] {
 			out = append(out, push.RecordChange{RR: change.RR, Remove: change.Remove})
 		}
 	}
-	if c.write(out) != nil {
+	if c.sendChanges(out) != nil {
 		c.conn.Close()
 	}
 }
--- a/internal/lab/responder/zone.go
+++ b/internal/lab/responder/zone.go
@@ -1,5 +1,5 @@
-// Package responder is a stand-in for a server of DNS-SD records, written from RFC 1035, 2136, 2308, 6762, 6763, 8490
-// and 8765, with faults that can be scripted. It is for the laboratory and for tests; the daemon does not import it.
+// Package responder is a DNS-SD server for tests, written from RFC 1035, 2136, 2308, 6762, 6763, 8490 and 8765, with
+// scripted faults. It is test equipment; the daemon does not import it.
 package responder
 
 import (
@@ -16,64 +16,65 @@
 )
 
 const (
-	recordsMost = 60_000
-	watchersMax = 256
+	maxNames     = 60_000 // names in a zone; records of further names are not added
+	changeBuffer = 256    // changes that a watcher may be behind
 )
 
-// Change is a record that came or went.
+// Change adds a record to a zone, or removes it.
 type Change struct {
 	RR     dns.RR
 	Remove bool
 }
 
-// Zone is a zone's records. It is safe for concurrent use.
+// Zone is the records of a DNS zone. It is safe for concurrent use.
 type Zone struct {
 	Domain string
 
-	mu       sync.Mutex
-	serial   uint32
-	quiet    bool // the serial stays, whatever changes
-	noSerial bool
-	records  map[record.Key][]dns.RR
-	names    map[string]int
-	leases   map[string]*time.Timer
-	watchers map[chan []Change]bool
-	lost     bool
+	mu           sync.Mutex
+	serial       uint32
+	fixedSerial  bool                    // whether changes leave the serial as it is
+	noSerial     bool                    // whether the zone has no SOA record
+	records      map[record.Key][]dns.RR // the lists are replaced, never changed in place
+	recordCounts map[string]int          // number of records, by name
+	leases       map[string]*time.Timer  // removes a record when its lease ends
+	watchers     map[chan []Change]bool
+	empty        bool // see SetEmpty
 }
 
-// NewZone makes an empty zone with a serial.
+// NewZone returns a zone without records.
 func NewZone(domain string, serial uint32) *Zone {
-	return &Zone{Domain: dns.Fqdn(domain), serial: serial, records: map[record.Key][]dns.RR{}, names: map[string]int{},
-		leases: map[string]*time.Timer{}, watchers: map[chan []Change]bool{}}
+	return &Zone{Domain: dns.Fqdn(domain), serial: serial, records: map[record.Key][]dns.RR{},
+		recordCounts: map[string]int{}, leases: map[string]*time.Timer{}, watchers: map[chan []Change]bool{}}
 }
 
-// NoSerial has the zone tell no SOA.
+// NoSerial makes the zone have no SOA record.
 func (z *Zone) NoSerial() { z.mu.Lock(); z.noSerial = true; z.mu.Unlock() }
 
-// Lose has the server forget its zone, as after a restart, until it is called with false.
-func (z *Zone) Lose(lost bool) { z.mu.Lock(); z.lost = lost; z.mu.Unlock() }
+// SetEmpty makes DNS queries see the zone as empty, as after a restart with data loss, until it is called with false.
+// mDNS and push are not affected.
+func (z *Zone) SetEmpty(lost bool) { z.mu.Lock(); z.empty = lost; z.mu.Unlock() }
 
 func keyOf(rr dns.RR) record.Key {
 	return record.Key{Name: record.CanonicalName(rr.Header().Name), Kind: record.Kind(rr.Header().Rrtype)}
 }
 
-// Apply adds and removes records in one step: one new serial.
-func (z *Zone) Apply(all ...Change) {
+// Apply adds and removes records in one step, with one increment of the serial. Changes without effect are ignored.
+func (z *Zone) Apply(changes ...Change) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var effective []Change
-	for _, c := range all {
+	for _, c := range changes {
 		k := keyOf(c.RR)
 		i := slices.IndexFunc(z.records[k], func(rr dns.RR) bool { return dns.IsDuplicate(rr, c.RR) })
 		switch {
 		case c.Remove && i >= 0:
 			z.records[k] = slices.Delete(slices.Clone(z.records[k]), i, i+1)
-			if z.names[k.Name]--; z.names[k.Name] == 0 {
-				delete(z.names, k.Name)
+			if z.recordCounts[k.Name]--; z.recordCounts[k.Name] == 0 {
+				delete(z.recordCounts, k.Name)
 			}
-		case !c.Remove && i < 0 && len(z.names) < recordsMost:
+		case !c.Remove && i < 0 && len(z.recordCounts) < maxNames:
 			z.records[k] = append(slices.Clone(z.records[k]), c.RR)
-			z.names[k.Name]++
+			z.recordCounts[k.Name]++
 		default:
 			continue
 		}
@@ -82,24 +83,24 @@
 	if len(effective) == 0 {
 		return
 	}
-	if !z.quiet {
+	if !z.fixedSerial {
 		z.serial++
 	}
 	for w := range z.watchers {
 		select {
 		case w <- effective:
-		default: // one that does not keep up has to begin anew
+		default: // a watcher that is too far behind has to subscribe again
 			delete(z.watchers, w)
 			close(w)
 		}
 	}
 }
 
-// watch hands on all changes from now on; the channel is closed when one would be lost.
+// watch subscribes to all changes from now on. The channel is closed when the reader is too far behind.
 func (z *Zone) watch() chan []Change {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	w := make(chan []Change, watchersMax)
+	w := make(chan []Change, changeBuffer)
 	z.watchers[w] = true
 	return w
 }
@@ -110,27 +111,30 @@
 	delete(z.watchers, w)
 }
 
-func (z *Zone) get(name string, kind record.Kind) []dns.RR {
+// lookup returns the records of a canonical name and a kind.
+func (z *Zone) lookup(name string, kind record.Kind) []dns.RR {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.records[record.Key{Name: name, Kind: kind}]
 }
 
 func (z *Zone) soa() *dns.SOA {
-	return &dns.SOA{Hdr: dns.RR_Header{Name: z.Domain, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: 5}, Ns: "ns." + z.Domain,
-		Mbox: "admin." + z.Domain, Serial: z.serial, Refresh: 60, Retry: 10, Expire: 600, Minttl: 2}
+	return &dns.SOA{Hdr: dns.RR_Header{Name: z.Domain, Rrtype: dns.TypeSOA, Class: dns.ClassINET, Ttl: 5},
+		Ns: "ns." + z.Domain, Mbox: "admin." + z.Domain, Serial: z.serial, Refresh: 60, Retry: 10, Expire: 600,
+		Minttl: 2}
 }
 
-// Box is one instance of a service.
+// Box is an instance of a service.
 type Box struct {
-	Label, Service string
+	Label, Service string // instance label, and service type such as _engine._tcp
 	Address        netip.AddrPort
-	Text           []string
+	Text           []string // strings of the TXT record
 	Subtypes       []string
-	TTL            uint32
+	TTL            uint32 // of all its records, in seconds
 }
 
-// Records are a box's: PTR, SRV, TXT and its host's address. The host is named after the instance.
+// Records returns the records of an instance: PTR, SRV, TXT and the address of its host, which is named after the
+// instance.
 func (z *Zone) Records(b Box) ([]dns.RR, error) {
 	base := dns.Fqdn(b.Service + "." + z.Domain)
 	name, err := record.JoinInstance(b.Label, base)
@@ -142,35 +146,36 @@
 		return nil, err
 	}
 	ttl := b.TTL
-	head := func(name string, kind uint16) dns.RR_Header {
+	header := func(name string, kind uint16) dns.RR_Header {
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: ttl}
 	}
-	all := []dns.RR{&dns.PTR{Hdr: head(base, dns.TypePTR), Ptr: name},
-		&dns.SRV{Hdr: head(name, dns.TypeSRV), Port: b.Address.Port(), Target: host}}
+	records := []dns.RR{&dns.PTR{Hdr: header(base, dns.TypePTR), Ptr: name},
+		&dns.SRV{Hdr: header(name, dns.TypeSRV), Port: b.Address.Port(), Target: host}}
 	for _, s := range b.Subtypes {
-		all = append(all, &dns.PTR{Hdr: head(dns.Fqdn(s+"._sub."+b.Service+"."+z.Domain), dns.TypePTR), Ptr: name})
+		records = append(records,
+			&dns.PTR{Hdr: header(dns.Fqdn(s+"._sub."+b.Service+"."+z.Domain), dns.TypePTR), Ptr: name})
 	}
 	text := b.Text
 	if len(text) == 0 {
 		text = []string{""}
 	}
-	all = append(all, &dns.TXT{Hdr: head(name, dns.TypeTXT), Txt: text})
+	records = append(records, &dns.TXT{Hdr: header(name, dns.TypeTXT), Txt: text})
 	if b.Address.Addr().Is4() {
-		return append(all, &dns.A{Hdr: head(host, dns.TypeA), A: b.Address.Addr().AsSlice()}), nil
+		return append(records, &dns.A{Hdr: header(host, dns.TypeA), A: b.Address.Addr().AsSlice()}), nil
 	}
-	return append(all, &dns.AAAA{Hdr: head(host, dns.TypeAAAA), AAAA: b.Address.Addr().AsSlice()}), nil
+	return append(records, &dns.AAAA{Hdr: header(host, dns.TypeAAAA), AAAA: b.Address.Addr().AsSlice()}), nil
 }
 
-// Publish adds boxes in one step.
-func (z *Zone) Publish(boxes ...Box) error { return z.change(false, boxes) }
+// Publish adds the records of instances in one step.
+func (z *Zone) Publish(instances ...Box) error { return z.applyInstances(false, instances) }
 
-// Withdraw takes them out in one step.
-func (z *Zone) Withdraw(boxes ...Box) error { return z.change(true, boxes) }
+// Withdraw removes the records of instances in one step.
+func (z *Zone) Withdraw(instances ...Box) error { return z.applyInstances(true, instances) }
 
-func (z *Zone) change(remove bool, boxes []Box) error {
+func (z *Zone) applyInstances(remove bool, instances []Box) error {
 	var all []Change
 	services := map[string]bool{}
-	for _, b := range boxes {
+	for _, b := range instances {
 		records, err := z.Records(b)
 		if err != nil {
 			return err
@@ -180,16 +185,16 @@
 		}
 		if !remove && !services[b.Service] { // RFC 6763, 9
 			services[b.Service] = true
-			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: record.EnumerationName(z.Domain), Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60},
-				Ptr: dns.Fqdn(b.Service + "." + z.Domain)}, false})
+			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: record.EnumerationName(z.Domain),
+				Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60}, Ptr: dns.Fqdn(b.Service + "." + z.Domain)}, false})
 		}
 	}
 	z.Apply(all...)
 	return nil
 }
 
-// answer answers one question as an authoritative server does.
-func (z *Zone) answer(q *dns.Msg) *dns.Msg {
+// respond makes the response of an authoritative server to a query with one question.
+func (z *Zone) respond(q *dns.Msg) *dns.Msg {
 	m := new(dns.Msg).SetReply(q)
 	m.Authoritative = true
 	if len(q.Question) != 1 {
@@ -199,9 +204,9 @@
 	name, kind := record.CanonicalName(q.Question[0].Name), record.Kind(q.Question[0].Qtype)
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if !record.Within(name, strings.ToLower(z.Domain)) || z.lost {
+	if !record.Within(name, strings.ToLower(z.Domain)) || z.empty {
 		m.Authoritative, m.Rcode = false, dns.RcodeRefused
-		if z.lost { // it knows the zone's name, and nothing of what was in it
+		if z.empty { // the server has the zone, but no names in it
 			m.Rcode = dns.RcodeNameError
 		}
 		return m
@@ -212,7 +217,7 @@
 	}
 	m.Answer = z.records[record.Key{Name: name, Kind: kind}]
 	if len(m.Answer) == 0 {
-		if z.names[name] == 0 && name != strings.ToLower(z.Domain) {
+		if z.recordCounts[name] == 0 && name != strings.ToLower(z.Domain) {
 			m.Rcode = dns.RcodeNameError
 		}
 		if !z.noSerial {
@@ -220,7 +225,8 @@
 		}
 		return m
 	}
-	// What will be asked for next (RFC 6763, 12), as far as a packet has room.
+	// Add the records that the client will query next (RFC 6763, 12). Where they come to more than 40, for which a
+	// packet has no room, leave all out.
 	for _, rr := range m.Answer {
 		if len(m.Extra) > 40 {
 			m.Extra = nil
@@ -229,16 +235,19 @@
 		switch rr := rr.(type) {
 		case *dns.PTR:
 			target := record.CanonicalName(rr.Ptr)
-			m.Extra = append(append(m.Extra, z.records[record.Key{Name: target, Kind: record.SRV}]...), z.records[record.Key{Name: target, Kind: record.TXT}]...)
+			m.Extra = append(append(m.Extra, z.records[record.Key{Name: target, Kind: record.SRV}]...),
+				z.records[record.Key{Name: target, Kind: record.TXT}]...)
 		case *dns.SRV:
 			host := record.CanonicalName(rr.Target)
-			m.Extra = append(append(m.Extra, z.records[record.Key{Name: host, Kind: record.A}]...), z.records[record.Key{Name: host, Kind: record.AAAA}]...)
+			m.Extra = append(append(m.Extra, z.records[record.Key{Name: host, Kind: record.A}]...),
+				z.records[record.Key{Name: host, Kind: record.AAAA}]...)
 		}
 	}
 	return m
 }
 
-// update carries out a DNS UPDATE (RFC 2136) without prerequisites; records with a lease go when it ends (RFC 9664).
+// update executes a DNS UPDATE (RFC 2136) without prerequisites. Records with a lease are removed when it ends
+// (RFC 9664).
 func (z *Zone) update(q *dns.Msg) *dns.Msg {
 	m := new(dns.Msg).SetReply(q)
 	if len(q.Question) != 1 || !strings.EqualFold(q.Question[0].Name, z.Domain) || len(q.Answer) > 0 {
@@ -263,7 +272,7 @@
 		}
 		switch h.Class {
 		case dns.ClassANY:
-			for _, old := range z.get(k.Name, k.Kind) {
+			for _, old := range z.lookup(k.Name, k.Kind) {
 				all = append(all, Change{old, true})
 			}
 		case dns.ClassNONE:
@@ -271,23 +280,27 @@
 			all = append(all, Change{rr, true})
 		default:
 			all = append(all, Change{rr, false})
-			z.lease(rr, lease)
+			z.setLease(rr, lease)
 		}
 	}
-	// What is taken out and put back the same has not changed.
-	kept := slices.DeleteFunc(slices.Clone(all), func(c Change) bool {
-		return slices.ContainsFunc(all, func(o Change) bool { return o.Remove != c.Remove && dns.IsDuplicate(o.RR, c.RR) && z.has(c.RR) })
+	// A record that is removed and added again has not changed.
+	effective := slices.DeleteFunc(slices.Clone(all), func(c Change) bool {
+		return slices.ContainsFunc(all, func(o Change) bool {
+			return o.Remove != c.Remove && dns.IsDuplicate(o.RR, c.RR) && z.contains(c.RR)
+		})
 	})
-	z.Apply(kept...)
+	z.Apply(effective...)
 	return m
 }
 
-func (z *Zone) has(rr dns.RR) bool {
+// contains reports whether the zone has a record with the same data.
+func (z *Zone) contains(rr dns.RR) bool {
 	k := keyOf(rr)
-	return slices.ContainsFunc(z.get(k.Name, k.Kind), func(o dns.RR) bool { return dns.IsDuplicate(o, rr) })
+	return slices.ContainsFunc(z.lookup(k.Name, k.Kind), func(o dns.RR) bool { return dns.IsDuplicate(o, rr) })
 }
 
-func (z *Zone) lease(rr dns.RR, lease time.Duration) {
+// setLease removes a record after a lease, in place of an earlier one. A lease of 0 changes nothing.
+func (z *Zone) setLease(rr dns.RR, lease time.Duration) {
 	if lease <= 0 {
 		return
 	}
@@ -300,24 +313,24 @@
 	z.leases[key] = time.AfterFunc(lease, func() { z.Apply(Change{rr, true}) })
 }
 
-// Copy is the zone as it is now, as a server has it that lags from here on.
+// Copy returns a copy of the zone as it is now, as a secondary server has it whose transfers have stopped.
 func (z *Zone) Copy() *Zone {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	out := NewZone(z.Domain, z.serial)
-	out.noSerial = z.noSerial
+	copied := NewZone(z.Domain, z.serial)
+	copied.noSerial = z.noSerial
 	for k, all := range z.records {
-		out.records[k] = all // lists are never changed in place
+		copied.records[k] = all // shared, as the lists are never changed in place
 	}
-	for name, n := range z.names {
-		out.names[name] = n
+	for name, n := range z.recordCounts {
+		copied.recordCounts[name] = n
 	}
-	return out
+	return copied
 }
 
-// Labels are the instances of a service that are listed now.
+// Labels returns the labels of the present instances of a service, sorted.
 func (z *Zone) Labels(service string) (labels []string) {
-	for _, rr := range z.get(record.CanonicalName(service+"."+z.Domain), record.PTR) {
+	for _, rr := range z.lookup(record.CanonicalName(service+"."+z.Domain), record.PTR) {
 		if p, ok := rr.(*dns.PTR); ok {
 			if label, _, err := record.SplitInstance(p.Ptr); err == nil {
 				labels = append(labels, label)
