--- a/internal/lab/responder/file.go
+++ b/internal/lab/responder/file.go
@@ -15,25 +15,25 @@
 // File is a file that describes a zone and the faults to apply to its server.
 type File struct {
 	Domain      string `toml:"domain"`
-	Listen      string `toml:"listen"`
-	Serial      uint32 `toml:"serial"`
-	NoSerial    bool   `toml:"no_serial"`
+	Listen      string `toml:"listen"`      // host:port on a loopback address
+	Serial      uint32 `toml:"serial"`      // of the SOA record at the start
+	NoSerial    bool   `toml:"no_serial"`   // whether the zone has no SOA record
 	Certificate string `toml:"certificate"` // PEM files, relative to this file; with both, push over TLS is served
 	Key         string `toml:"key"`
 	Instances   []struct {
 		Label    string   `toml:"label"`
-		Service  string   `toml:"service"`
-		Address  string   `toml:"address"`
-		Text     []string `toml:"text"`
+		Service  string   `toml:"service"` // such as _engine._tcp
+		Address  string   `toml:"address"` // host:port
+		Text     []string `toml:"text"`    // strings of the TXT record
 		Subtypes []string `toml:"subtypes"`
 		TTL      uint32   `toml:"ttl"`   // in seconds; 0: 120
 		Later    bool     `toml:"later"` // not published at the start, but by an event
 	} `toml:"box"`
 	Events []struct {
-		At    string   `toml:"at"`
-		Do    string   `toml:"do"`
+		At    string   `toml:"at"` // duration since the start
+		Do    string   `toml:"do"` // a key of Deeds
 		Value string   `toml:"value"`
-		Boxes []string `toml:"boxes"`
+		Boxes []string `toml:"boxes"` // labels of the instances; for publish and withdraw, none: all
 	} `toml:"event"`
 
 	directory string
