--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -70,8 +70,8 @@
 	require.NoError(t, err)
 	require.Equal(t, 2, o.PoolSet.Len())
 	require.Equal(t, []float64{0.01, 1}, o.MigrationPlan.Steps)
-	require.Equal(t, 0.01, o.MigrationPlan.Trickle, "no more than the first step")
-	require.Equal(t, 0.9, o.MigrationPlan.Floor)
+	require.Equal(t, 0.01, o.MigrationPlan.WarmUpShare, "no more than the first step")
+	require.Equal(t, 0.9, o.MigrationPlan.OnTimeFloor)
 	for _, c := range []struct{ text, key string }{
 		{alone + "[[pool]]\nname = \"old\"\nselect = 'version = \"v1\"'\n", "pool[0].select: column 9:"},
 		{alone + "[[pool]]\nselect = 'true'\n", "pool[0].name:"},
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -57,7 +57,7 @@
 	if next != nil {
 		a.coreDeployment = *next
 	}
-	a.core.Adjust(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
+	a.core.UpdateSettings(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
 }
 
 // coreSettings is a deployment's settings with the number of nodes that was found.
--- a/internal/daemon/operatorendpoints_test.go
+++ b/internal/daemon/operatorendpoints_test.go
@@ -26,13 +26,13 @@
 	require.NoError(t, err)
 	a.endpointSource.Run(t.Context())
 	entry := func() node.Endpoint { return a.endpointCache.Current()[0] }
-	require.Zero(t, entry().ReadyAt)
+	require.Zero(t, entry().StartedAt)
 	p.reload(a.deployment)
-	require.Zero(t, entry().ReadyAt)
+	require.Zero(t, entry().StartedAt)
 	cfg.Backends[0].Address = "127.0.0.1:3"
 	p.reload(fromOperator(cfg))
-	began := entry().ReadyAt
+	began := entry().StartedAt
 	require.WithinDuration(t, time.Now(), time.Unix(0, began), time.Minute)
 	p.reload(fromOperator(cfg))
-	require.Equal(t, began, entry().ReadyAt)
+	require.Equal(t, began, entry().StartedAt)
 }
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -48,10 +48,10 @@
 // the new file must be kept until the end.
 func TestReloadInEveryPhase(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		testpeer.Event(w, "begun")
+	server := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		testpeer.WriteEvent(w, "begun")
 		<-release
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	listen, controls := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	path := operatorFile(t, listen, server)
--- a/internal/daemon/streams.go
+++ b/internal/daemon/streams.go
@@ -59,7 +59,7 @@
 	}
 	a.adoptedStreams.Go(func() {
 		defer server.Close() // where the core does not admit the request, nothing else closes it
-		carry := func(attempt *node.Attempt) { a.backends.Continue(stream, server, attempt) }
+		carry := func(attempt *node.Attempt) { a.backends.ContinueStream(stream, server, attempt) }
 		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.ClientStall, carry)
 	})
 	return true
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -63,7 +63,7 @@
 	case *standpoint.Request:
 		f := &flight{Request: *ev}
 		b.open[ev.ID] = f
-		b.acts = append(b.acts, standpoint.Action{Kind: standpoint.Timer, Wait: max(0, ev.Deadline-now-2*b.set.Tick), Token: ev.ID*4 + expireToken})
+		b.acts = append(b.acts, standpoint.Action{Kind: standpoint.Timer, Wait: max(0, ev.Deadline-now-2*b.set.EventInterval), Token: ev.ID*4 + expireToken})
 		b.place(f)
 	case *standpoint.FirstToken:
 		if f := b.open[ev.Request]; f != nil {
@@ -133,7 +133,7 @@
 }
 
 func (b *baseline) place(f *flight) {
-	if len(f.tried) < max(1, b.set.MaxAttempts) && b.now < f.Deadline-2*b.set.Tick {
+	if len(f.tried) < max(1, b.set.MaxAttempts) && b.now < f.Deadline-2*b.set.EventInterval {
 		if name := b.choose(f); name != "" {
 			f.tried, f.live = append(f.tried, name), name
 			b.out[name]++
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -67,7 +67,7 @@
 		for _, g := range w.nodes {
 			w.At(w.now+s.Late*rng.Float64(), func() {
 				g.news(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{{Address: fresh.name,
-					Engine: standpoint.Engine{Name: fresh.name, Kind: kind, Size: 1, ReadyAt: fresh.readyAt}}}})
+					Engine: standpoint.Engine{Name: fresh.name, Kind: kind, Size: 1, StartedAt: fresh.readyAt}}}})
 			})
 		}
 	})
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			panic(err) // both are written above
 		}
-		all = append(all, pool.Definition{Name: name, Select: s})
+		all = append(all, pool.Definition{Name: name, Selector: s})
 	}
 	if all[0].Name != "old" {
 		all[0], all[1] = all[1], all[0]
@@ -44,7 +44,7 @@
 		list.Engines = append(list.Engines, l.Endpoints[i].Engine)
 	}
 	if g.tracker != nil {
-		g.tracker.Listed(l)
+		g.tracker.UpdateEndpoints(l)
 	}
 	g.handle(list)
 }
@@ -96,7 +96,7 @@
 		}
 		a.done = true
 		if g.tracker != nil {
-			g.tracker.Rejected(&a.request)
+			g.tracker.RecordRejected(&a.request)
 		}
 		w.Seconds[a.second].Shed++
 		g.forget(a)
@@ -128,7 +128,7 @@
 	}
 	a.tries = append(a.tries, t)
 	if g.tracker != nil {
-		g.tracker.Sent(&a.request, act.Engine, t.leg)
+		g.tracker.RecordSent(&a.request, act.Engine, t.leg)
 	}
 	until := float64(act.Deadline-epoch) / 1e9
 	w.attempts++
@@ -267,7 +267,7 @@
 		}
 	}
 	if g.tracker != nil {
-		g.tracker.Finished(o)
+		g.tracker.RecordFinished(o)
 	}
 	g.handle(&standpoint.Outcome{Request: a.request.ID, Attempt: t.leg, Last: over, Code: code, CachedTokens: kept, OutputTokens: o.Result.OutputTokens,
 		Engine: t.box.name, Elapsed: int64((w.now - t.sent) * 1e9), Report: o.Result.Report})
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -127,14 +127,14 @@
 				if err != nil {
 					return err
 				}
-				v, err := rig.PlayBudgets(c.Context(), rig.Options{Program: path, Dir: dir, Nodes: nodes, Backends: nodes, Seed: seed, Window: 400 * time.Millisecond,
-					Clock: 150 * time.Millisecond, Token: time.Millisecond, Tenants: []rig.Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}}, span, 60)
+				v, err := rig.RunBudgets(c.Context(), rig.Options{Program: path, Dir: dir, Nodes: nodes, Backends: nodes, Seed: seed, BudgetWindow: 400 * time.Millisecond,
+					MaxClockOffset: 150 * time.Millisecond, TokenInterval: time.Millisecond, Tenants: []rig.Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}}, span, 60)
 				if err != nil {
 					failed++
 					fmt.Fprintf(out, "seed %d: %v\n  what it left is in %s\n", seed, err, dir)
 					continue
 				}
-				fmt.Fprintf(out, "seed %d: %d asked, %d served, %d refused; %d windows, the most %d; together %v after the end\n", seed, v.Load.Asked, v.Load.Served, v.Load.Refused, v.Windows, v.MaxSpent, v.Agreed.Round(time.Millisecond))
+				fmt.Fprintf(out, "seed %d: %d asked, %d served, %d refused; %d windows, the most %d; together %v after the end\n", seed, v.Load.Requests, v.Load.Served, v.Load.Rejected, v.Windows, v.MaxSpent, v.Agreed.Round(time.Millisecond))
 				_ = os.RemoveAll(dir) // its own
 			}
 			if failed > 0 {
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -44,7 +44,7 @@
 			s.Plan = s.Setup.Plan()
 			if large { // samples come fast there, so steps are held for less
 				s.Setup = lab.Large()
-				s.Plan.Hold, s.Plan.Warm, s.Settle, s.Most, s.For = 6*time.Second, 5*time.Second, 5, 100, 25
+				s.Plan.MinHold, s.Plan.MinWarmUp, s.Settle, s.Most, s.For = 6*time.Second, 5*time.Second, 5, 100, 25
 			}
 			if only != nil {
 				var kept []lab.Trouble
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -72,7 +72,7 @@
 	r := &t.record
 	if r.State == "" {
 		*r = migration.Record{ID: "threshold", Plan: t.Plan, State: migration.Holding, Step: -1,
-			Shares: pool.Shares{From: t.Plan.From, To: t.Plan.To, Share: t.Plan.Trickle}}
+			Shares: pool.Shares{From: t.Plan.From, To: t.Plan.To, Share: t.Plan.WarmUpShare}}
 	}
 	if r.State.Terminal() {
 		return *r
@@ -93,9 +93,9 @@
 			return *r
 		}
 	}
-	least := int(t.Plan.Hold / migration.WindowTime)
+	least := int(t.Plan.MinHold / migration.WindowLength)
 	if r.Step < 0 {
-		least = int(t.Plan.Warm / migration.WindowTime)
+		least = int(t.Plan.MinWarmUp / migration.WindowLength)
 	}
 	if r.StateWindows++; r.StateWindows >= least {
 		r.StateWindows = 0
@@ -296,7 +296,7 @@
 	l := node.EndpointList{Kind: standpoint.ListFull}
 	for _, m := range w.boxes {
 		l.Endpoints = append(l.Endpoints, node.Endpoint{Address: m.name, Labels: map[string]string{"version": []string{"", "v1", "v2"}[m.pool]},
-			Engine: standpoint.Engine{Name: m.name, Kind: m.kind, Size: 1, ReadyAt: m.readyAt, State: m.state}})
+			Engine: standpoint.Engine{Name: m.name, Kind: m.kind, Size: 1, StartedAt: m.readyAt, State: m.state}})
 	}
 	for _, g := range w.nodes {
 		if w.ListLate > 0 {
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -454,11 +454,11 @@
 		if err := c.send(push.Response(m.ID, dns.RcodeSuccess)); err != nil {
 			return err
 		}
-		var current []push.RecordChange
+		var current []push.OutgoingChange
 		for _, kind := range []record.Kind{record.PTR, record.SRV, record.TXT, record.A, record.AAAA} {
 			if k.Kind == 0 || k.Kind == kind {
 				for _, rr := range c.Zone.lookup(k.Name, kind) {
-					current = append(current, push.RecordChange{RR: rr})
+					current = append(current, push.OutgoingChange{RR: rr})
 				}
 			}
 		}
@@ -472,7 +472,7 @@
 }
 
 // sendChanges sends changes in as many push messages as they need.
-func (c *connection) sendChanges(all []push.RecordChange) error {
+func (c *connection) sendChanges(all []push.OutgoingChange) error {
 	messages, err := push.ChangeMessages(all)
 	for _, m := range messages {
 		if err == nil {
@@ -488,7 +488,7 @@
 	if f.Silent || f.Mute {
 		return
 	}
-	var out []push.RecordChange
+	var out []push.OutgoingChange
 	c.mu.Lock()
 	subscribed := map[record.Key]bool{}
 	for _, k := range c.subscriptions {
@@ -498,7 +498,7 @@
 	for _, change := range all {
 		k := keyOf(change.RR)
 		if subscribed[k] || subscribed[record.Key{Name: k.Name}] {
-			out = append(out, push.RecordChange{RR: change.RR, Remove: change.Remove})
+			out = append(out, push.OutgoingChange{RR: change.RR, Remove: change.Remove})
 		}
 	}
 	if c.sendChanges(out) != nil {
--- a/internal/lab/study.go
+++ b/internal/lab/study.go
@@ -106,7 +106,7 @@
 	setup := s.Setup
 	setup.Seed = s.First + uint64(i)
 	after := float64(4 + i/4%12)
-	if hold := s.Plan.Hold.Seconds(); after > hold-1 { // a short hold is over by then
+	if hold := s.Plan.MinHold.Seconds(); after > hold-1 { // a short hold is over by then
 		after = 0.5 + float64(i/4%12)/12*(hold-1.5)
 	}
 	return Case{Setup: setup, Plan: s.Plan, Trouble: t, Step: i % (len(s.Plan.Steps) - 1), After: after, For: s.For,
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -247,8 +247,8 @@
 	}
 	w := &World{Setup: s, rng: rand.New(rand.NewPCG(s.Seed, 0x1ab)), byName: map[string]*machine{}, breaches: map[string]int{},
 		lost: rand.New(rand.NewPCG(s.Seed, 0x105))}
-	settings := standpoint.Settings{Gateways: s.Nodes, Zones: 1, Kinds: len(s.Kinds), Reports: standpoint.ReportReplies,
-		RetryAfter: true, MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 3, Tick: int64(2 * time.Millisecond),
+	settings := standpoint.Settings{Gateways: s.Nodes, Zones: 1, Kinds: len(s.Kinds), Reports: standpoint.ReportResponses,
+		RetryAfter: true, MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 3, EventInterval: int64(2 * time.Millisecond),
 		DiscoveryTimeout: int64(10 * time.Second), DrainGrace: int64(500 * time.Millisecond), WarmUp: int64(20 * time.Second),
 		OverloadWindow: int64(3 * time.Second), ColdCapacityFraction: 0.13, OverloadFactor: 4, Cancel: true, Resume: true}
 	for _, c := range s.Classes {
@@ -279,7 +279,7 @@
 		w.boxes = append(w.boxes, m)
 		w.byName[m.name] = m
 		list.Endpoints = append(list.Endpoints, node.Endpoint{Address: m.name, Labels: map[string]string{"version": label},
-			Engine: standpoint.Engine{Name: m.name, Kind: kind, Size: 1, ReadyAt: m.readyAt}})
+			Engine: standpoint.Engine{Name: m.name, Kind: kind, Size: 1, StartedAt: m.readyAt}})
 	}
 	for i := range s.Nodes {
 		own := settings
