--- a/internal/lab/stats.go
+++ b/internal/lab/stats.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// quantile of some values, which it sorts; the nearest rank.
+// quantile returns a quantile of the values by nearest rank. It sorts the values.
 func quantile(values []float64, q float64) float64 {
 	slices.Sort(values)
 	return values[min(len(values)-1, int(q*float64(len(values))))]
