--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -43,8 +43,8 @@
 	return Read(path)
 }
 
-// The same file gives the same bytes, however many cores there are and in whatever order they work; all that is
-// promised is written.
+// Guards against reports that depend on the number of cores or the order in which they finish: two runs of a file must
+// give the same bytes. All promised files are written.
 func TestReportIsReproducible(t *testing.T) {
 	f, err := readExperiment(t, smallExperiment)
 	require.NoError(t, err)
@@ -62,8 +62,10 @@
 			page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 			require.NoError(t, err)
 			require.Contains(t, string(page), "<svg")
-			require.NotContains(t, strings.ReplaceAll(string(page), "http://www.w3.org/", ""), "http://", "the page needs nothing else")
-			for _, name := range []string{"service.png", "first.png", "refused.png", "waste.png", "share-1.png", "share-3.png"} {
+			require.NotContains(t, strings.ReplaceAll(string(page), "http://www.w3.org/", ""), "http://",
+				"the page refers to nothing outside")
+			for _, name := range []string{"service.png", "first.png", "refused.png", "waste.png", "share-1.png",
+				"share-3.png"} {
 				require.FileExists(t, filepath.Join(dir, name))
 			}
 			again, err := load.ReadFile[Report](filepath.Join(dir, "report.json"))
@@ -77,7 +79,7 @@
 	}
 }
 
-// A run that is cut off has the seeds that are whole.
+// An interrupted run reports the seeds that all variants completed.
 func TestInterruptedRunKeepsCompleteSeeds(t *testing.T) {
 	f, err := readExperiment(t, strings.Replace(smallExperiment, "seeds = 4", "seeds = 200", 1))
 	require.NoError(t, err)
@@ -94,12 +96,12 @@
 	require.NoError(t, r.Save(t.TempDir(), raw))
 }
 
-// cancelOnWrite cuts a run off at its first word of progress.
+// cancelOnWrite is a progress writer that interrupts the run at its first write.
 type cancelOnWrite func()
 
 func (w cancelOnWrite) Write(p []byte) (int, error) { w(); return len(p), nil }
 
-// An interval of 95% has the true mean about 95 times in 100.
+// A 95% interval contains the true mean in about 95 of 100 cases.
 func TestBootstrap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	within := 0
@@ -118,7 +120,7 @@
 	require.Less(t, within, 200)
 }
 
-// A regression counts when the interval supports it, and a rule that is newly broken always does.
+// A regression counts if its interval supports it. A newly broken rule always counts.
 func TestRegressions(t *testing.T) {
 	report := func(shift, noise float64) *Report {
 		rng := rand.New(rand.NewPCG(uint64(noise*100), 3))
@@ -135,7 +137,7 @@
 	require.Contains(t, found[0], "module: service is worse by -0.0")
 	found, err = Regressions(was, report(-0.005, 0.1), 0.005)
 	require.NoError(t, err)
-	require.Empty(t, found, "within what chance gives")
+	require.Empty(t, found, "the change is within the interval")
 	found, err = Regressions(was, report(0.05, 0.01), 0)
 	require.NoError(t, err)
 	require.Empty(t, found)
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -1,5 +1,5 @@
-// Package experiment runs variants side by side on the same seeds, compares them pair by pair, and writes reports. It
-// belongs to the laboratory; the daemon does not import it.
+// Package experiment runs the variants of an experiment on the same seeds, compares them seed by seed and writes
+// reports. It belongs to the lab tools; the daemon does not import it.
 package experiment
 
 import (
@@ -14,34 +14,36 @@
 	"standpoint/internal/lab/load"
 )
 
-// Parameters is what is tried: the keys that a variant may set otherwise.
+// Parameters are the keys of an experiment that each variant may override.
 type Parameters struct {
-	Policy          string    `toml:"policy" json:"policy,omitempty"`
-	Nodes           int       `toml:"nodes" json:"nodes,omitempty"`
-	Backends        int       `toml:"boxes" json:"boxes,omitempty"`
-	Pattern         string    `toml:"pattern" json:"pattern,omitempty"` // requests a second
-	SpeedSpread     *float64  `toml:"spread" json:"spread,omitempty"`   // of the boxes' true speeds, as a factor's logarithm
-	ListDelay       load.Span `toml:"list_late" json:"list_late,omitempty"`
-	ReportDelay     load.Span `toml:"report_late" json:"report_late,omitempty"` // how old reports are, at the least, when they come
-	ReportLossRate  float64   `toml:"report_lost" json:"report_lost,omitempty"`
-	AttemptLossRate float64   `toml:"message_lost" json:"message_lost,omitempty"`
-	// ReportInterval is how often a box makes a new report; what it tells in between is as old.
+	Policy   string `toml:"policy" json:"policy,omitempty"` // one of lab.Policies; empty means the module
+	Nodes    int    `toml:"nodes" json:"nodes,omitempty"`
+	Backends int    `toml:"boxes" json:"boxes,omitempty"`
+	Pattern  string `toml:"pattern" json:"pattern,omitempty"` // requests per second over time
+	// SpeedSpread is the natural logarithm of the largest factor on a backend's speed
+	SpeedSpread *float64  `toml:"spread" json:"spread,omitempty"`
+	ListDelay   load.Span `toml:"list_late" json:"list_late,omitempty"` // longest delay of an endpoint list
+	// ReportDelay is the least age of a load report on arrival.
+	ReportDelay     load.Span `toml:"report_late" json:"report_late,omitempty"`
+	ReportLossRate  float64   `toml:"report_lost" json:"report_lost,omitempty"`   // share of load reports that are lost
+	AttemptLossRate float64   `toml:"message_lost" json:"message_lost,omitempty"` // share of attempts that never arrive
+	// ReportInterval is the time between two load reports of a backend. Responses in between carry the last one.
 	ReportInterval load.Span `toml:"report_every" json:"report_every,omitempty"`
 }
 
-// Variant is one of the worlds that are compared; the first is what the others are held against.
+// Variant is one of the parameter sets that are compared. The first variant is the reference for the others.
 type Variant struct {
 	Name string `toml:"name" json:"name"`
 	Parameters
 }
 
-// File is an experiment's.
+// File is an experiment's file.
 type File struct {
 	Name      string    `toml:"name" json:"name"`
 	Seeds     int       `toml:"seeds" json:"seeds"`
 	FirstSeed uint64    `toml:"first_seed" json:"first_seed"`
-	Settle    load.Span `toml:"settle" json:"settle"` // at the start, not counted
-	Duration  load.Span `toml:"for" json:"for"`
+	Settle    load.Span `toml:"settle" json:"settle"` // time at the start that is not measured
+	Duration  load.Span `toml:"for" json:"for"`       // time that is measured after it
 	Parameters
 	Events []struct {
 		At       load.Span `toml:"at" json:"at"`
@@ -58,10 +60,10 @@
 	maxVariants = 32
 	maxBackends = 10_000
 	maxNodes    = 200
-	maxDuration = 4 * time.Hour
+	maxDuration = 4 * time.Hour // of the measured time, in virtual time
 )
 
-// Read reads and checks an experiment's file; errors name the key.
+// Read reads and checks an experiment's file. Errors name the key.
 func Read(path string) (*File, error) {
 	f := File{Seeds: 20, FirstSeed: 1, Settle: load.Span(15 * time.Second)}
 	meta, err := toml.DecodeFile(path, &f)
@@ -74,6 +76,7 @@
 	return &f, f.validate()
 }
 
+// validate checks the file's values.
 func (f *File) validate() error {
 	switch {
 	case f.Name == "":
@@ -85,86 +88,90 @@
 	case f.Settle < 0 || f.Settle > load.Span(time.Hour):
 		return fmt.Errorf("settle: %v is not from 0s to 1h", time.Duration(f.Settle))
 	case len(f.Variants) == 0 || len(f.Variants) > maxVariants:
-		return fmt.Errorf("variant: from 1 to %d are needed", maxVariants)
+		return fmt.Errorf("variant: %d variants are not from 1 to %d", len(f.Variants), maxVariants)
 	}
 	seen := map[string]bool{}
 	for i := range f.Variants {
 		v := &f.Variants[i]
 		if v.Name == "" || seen[v.Name] {
-			return fmt.Errorf("variant[%d].name: %q is missing, or another variant's", i, v.Name)
+			return fmt.Errorf("variant[%d].name: %q is empty or used by another variant", i, v.Name)
 		}
 		seen[v.Name] = true
-		w := f.Parameters.override(v.Parameters)
-		if _, err := w.setup(1); err != nil {
+		merged := f.Parameters.override(v.Parameters)
+		if _, err := merged.setup(1); err != nil {
 			return fmt.Errorf("variant[%d]: %w", i, err)
 		}
-		if err := lab.CheckEvents(f.faultEvents(), w.Backends); err != nil {
+		if err := lab.CheckEvents(f.faultEvents(), merged.Backends); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// faultEvents returns the file's events for the simulation.
 func (f *File) faultEvents() (all []lab.FaultEvent) {
 	for _, e := range f.Events {
-		all = append(all, lab.FaultEvent{At: time.Duration(e.At).Seconds(), Command: e.Command, Value: e.Value, Backends: e.Backends})
+		all = append(all, lab.FaultEvent{At: time.Duration(e.At).Seconds(), Command: e.Command, Value: e.Value,
+			Backends: e.Backends})
 	}
 	return all
 }
 
-// override is the world where a variant's keys, as far as given, stand in for it.
-func (w Parameters) override(v Parameters) Parameters {
+// override returns the parameters with the values that a variant sets in place of the experiment's own.
+func (p Parameters) override(variant Parameters) Parameters {
 	set := func(to *string, from string) {
 		if from != "" {
 			*to = from
 		}
 	}
-	set(&w.Policy, v.Policy)
-	set(&w.Pattern, v.Pattern)
-	if v.Nodes != 0 {
-		w.Nodes = v.Nodes
+	set(&p.Policy, variant.Policy)
+	set(&p.Pattern, variant.Pattern)
+	if variant.Nodes != 0 {
+		p.Nodes = variant.Nodes
 	}
-	if v.Backends != 0 {
-		w.Backends = v.Backends
+	if variant.Backends != 0 {
+		p.Backends = variant.Backends
 	}
-	if v.SpeedSpread != nil {
-		w.SpeedSpread = v.SpeedSpread
+	if variant.SpeedSpread != nil {
+		p.SpeedSpread = variant.SpeedSpread
 	}
-	if v.ListDelay != 0 {
-		w.ListDelay = v.ListDelay
+	if variant.ListDelay != 0 {
+		p.ListDelay = variant.ListDelay
 	}
-	if v.ReportDelay != 0 {
-		w.ReportDelay = v.ReportDelay
+	if variant.ReportDelay != 0 {
+		p.ReportDelay = variant.ReportDelay
 	}
-	if v.ReportLossRate != 0 {
-		w.ReportLossRate = v.ReportLossRate
+	if variant.ReportLossRate != 0 {
+		p.ReportLossRate = variant.ReportLossRate
 	}
-	if v.AttemptLossRate != 0 {
-		w.AttemptLossRate = v.AttemptLossRate
+	if variant.AttemptLossRate != 0 {
+		p.AttemptLossRate = variant.AttemptLossRate
 	}
-	if v.ReportInterval != 0 {
-		w.ReportInterval = v.ReportInterval
+	if variant.ReportInterval != 0 {
+		p.ReportInterval = variant.ReportInterval
 	}
-	return w
+	return p
 }
 
-// setup is the world for the laboratory.
-func (w Parameters) setup(seed uint64) (lab.Setup, error) {
-	s := lab.Setup{Seed: seed, Nodes: w.Nodes, OldBackends: w.Backends, SpeedSpread: 0.1, Policy: w.Policy, ListDelay: time.Duration(w.ListDelay).Seconds(),
-		ReportDelay: time.Duration(w.ReportDelay).Seconds(), ReportLossRate: w.ReportLossRate, AttemptLossRate: w.AttemptLossRate}
+// setup returns the simulation's setup, after checking the parameters.
+func (p Parameters) setup(seed uint64) (lab.Setup, error) {
+	s := lab.Setup{Seed: seed, Nodes: p.Nodes, OldBackends: p.Backends, SpeedSpread: 0.1, Policy: p.Policy,
+		ListDelay:   time.Duration(p.ListDelay).Seconds(),
+		ReportDelay: time.Duration(p.ReportDelay).Seconds(), ReportLossRate: p.ReportLossRate,
+		AttemptLossRate: p.AttemptLossRate}
 	if s.Policy == "" {
 		s.Policy = "module"
 	}
 	if s.Nodes == 0 {
 		s.Nodes = 3
 	}
-	if w.SpeedSpread != nil {
-		s.SpeedSpread = *w.SpeedSpread
+	if p.SpeedSpread != nil {
+		s.SpeedSpread = *p.SpeedSpread
 	}
 	validRate := func(v float64) bool { return v >= 0 && v < 1 }
 	switch {
 	case !slices.Contains(lab.Policies, s.Policy):
-		return s, fmt.Errorf("policy: %q is none of %v", s.Policy, lab.Policies)
+		return s, fmt.Errorf("policy: %q is not one of %v", s.Policy, lab.Policies)
 	case s.Nodes < 1 || s.Nodes > maxNodes:
 		return s, fmt.Errorf("nodes: %d is not from 1 to %d", s.Nodes, maxNodes)
 	case s.OldBackends < 1 || s.OldBackends > maxBackends:
@@ -173,8 +180,8 @@
 		return s, fmt.Errorf("spread: %g is not from 0 to 3", s.SpeedSpread)
 	case s.ListDelay < 0 || s.ListDelay > 60:
 		return s, fmt.Errorf("list_late: %g s is not from 0 to 60", s.ListDelay)
-	case w.ReportInterval < 0 || w.ReportInterval > load.Span(time.Minute):
-		return s, fmt.Errorf("report_every: %v is not from 0s to 1m", time.Duration(w.ReportInterval))
+	case p.ReportInterval < 0 || p.ReportInterval > load.Span(time.Minute):
+		return s, fmt.Errorf("report_every: %v is not from 0s to 1m", time.Duration(p.ReportInterval))
 	case s.ReportDelay < 0 || s.ReportDelay > 60:
 		return s, fmt.Errorf("report_late: %g s is not from 0 to 60", s.ReportDelay)
 	case !validRate(s.ReportLossRate):
@@ -182,15 +189,15 @@
 	case !validRate(s.AttemptLossRate):
 		return s, fmt.Errorf("message_lost: %g is not from 0 to below 1", s.AttemptLossRate)
 	}
-	p, err := load.ParsePattern(w.Pattern)
+	pattern, err := load.ParsePattern(p.Pattern)
 	if err != nil {
 		return s, fmt.Errorf("pattern: %w", err)
 	}
-	s.Pattern, s.Rate = p, p.Most()
-	if w.ReportInterval > 0 {
+	s.Pattern, s.Rate = pattern, pattern.Most()
+	if p.ReportInterval > 0 {
 		s.Kinds = lab.BackendKinds()
 		for i := range s.Kinds {
-			s.Kinds[i].ReportEvery = time.Duration(w.ReportInterval).Seconds()
+			s.Kinds[i].ReportEvery = time.Duration(p.ReportInterval).Seconds()
 		}
 	}
 	return s, nil
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -21,15 +21,16 @@
 const (
 	plotWidth       = 18 * vg.Centimeter
 	plotHeight      = 7 * vg.Centimeter
-	averagingWindow = 5 // seconds
+	averagingWindow = 5 // time over which plots are averaged, in seconds
 )
 
-// reportPlot is a plot with the name of its file.
+// reportPlot is a plot with its title and the name of its file, without the extension.
 type reportPlot struct {
 	fileName, title string
 	plot            *plot.Plot
 }
 
+// plots returns all plots of the report.
 func (r *Report) plots() ([]reportPlot, error) {
 	var all []reportPlot
 	addPlot := func(name, title, unit string, value func(v *VariantResult, from, to int) float64) error {
@@ -40,7 +41,8 @@
 			v := &r.Variants[i]
 			var points plotter.XYs
 			for at := 0; at+averagingWindow <= len(v.PerSecond); at += averagingWindow {
-				points = append(points, plotter.XY{X: float64(at) + averagingWindow/2, Y: value(v, at, at+averagingWindow)})
+				points = append(points, plotter.XY{X: float64(at) + averagingWindow/2,
+					Y: value(v, at, at+averagingWindow)})
 			}
 			if len(points) == 0 {
 				continue
@@ -59,29 +61,32 @@
 		return nil
 	}
 	runs := func(v *VariantResult) float64 { return float64(max(1, len(v.Runs))) }
-	if err := addPlot("service", "Worth answered in time, of the worth asked for", "", func(v *VariantResult, from, to int) float64 {
-		offered, onTime := 0.0, 0.0
-		for _, s := range v.PerSecond[from:to] {
-			offered, onTime = offered+s.OfferedWeight, onTime+s.OnTimeWeight
-		}
-		return onTime / max(1e-9, offered)
-	}); err != nil {
+	if err := addPlot("service", "Worth answered in time, of the worth asked for", "",
+		func(v *VariantResult, from, to int) float64 {
+			offered, onTime := 0.0, 0.0
+			for _, s := range v.PerSecond[from:to] {
+				offered, onTime = offered+s.OfferedWeight, onTime+s.OnTimeWeight
+			}
+			return onTime / max(1e-9, offered)
+		}); err != nil {
 		return nil, err
 	}
-	if err := addPlot("first", "First token, worst run's 99th", "seconds", func(v *VariantResult, from, to int) (worst float64) {
-		for _, s := range v.PerSecond[from:to] {
-			worst = max(worst, s.TTFT99)
-		}
-		return worst
-	}); err != nil {
+	if err := addPlot("first", "First token, worst run's 99th", "seconds",
+		func(v *VariantResult, from, to int) (worst float64) {
+			for _, s := range v.PerSecond[from:to] {
+				worst = max(worst, s.TTFT99)
+			}
+			return worst
+		}); err != nil {
 		return nil, err
 	}
-	if err := addPlot("refused", "Refusals", "a second, mean of the runs", func(v *VariantResult, from, to int) (n float64) {
-		for _, s := range v.PerSecond[from:to] {
-			n += float64(s.Rejections) / float64(to-from) / runs(v)
-		}
-		return n
-	}); err != nil {
+	if err := addPlot("refused", "Refusals", "a second, mean of the runs",
+		func(v *VariantResult, from, to int) (n float64) {
+			for _, s := range v.PerSecond[from:to] {
+				n += float64(s.Rejections) / float64(to-from) / runs(v)
+			}
+			return n
+		}); err != nil {
 		return nil, err
 	}
 	shares, err := r.sharePlots()
@@ -92,7 +97,7 @@
 	return append(append(all, shares...), bars...), err
 }
 
-// sharePlots are one picture a variant: which part of the attempts each box got over time, one on the other up to 1.
+// sharePlots returns one plot per variant: the share of the attempts that each backend got over time, stacked up to 1.
 func (r *Report) sharePlots() ([]reportPlot, error) {
 	var all []reportPlot
 	for i := range r.Variants {
@@ -116,7 +121,8 @@
 						}
 					}
 				}
-				lower = append(plotter.XYs{{X: x, Y: base[k]}}, lower...) // back again, under the box's own part
+				// the lower edge of the area, from right to left
+				lower = append(plotter.XYs{{X: x, Y: base[k]}}, lower...)
 				base[k] += float64(own) / max(1, float64(total))
 				upper = append(upper, plotter.XY{X: x, Y: base[k]})
 			}
@@ -132,7 +138,7 @@
 	return all, nil
 }
 
-// barPlots hold the variants against each other, figure by figure, with the interval of their difference to the first.
+// barPlots returns one plot per metric: its mean for each variant, with the interval of the difference to the first.
 func (r *Report) barPlots() ([]reportPlot, error) {
 	var all []reportPlot
 	for _, f := range Metrics {
@@ -149,7 +155,8 @@
 			for _, d := range v.AgainstFirst {
 				if d.Metric == f.Name {
 					bounds.XYs = append(bounds.XYs, plotter.XY{X: float64(i), Y: first + d.Mean})
-					bounds.YErrors = append(bounds.YErrors, struct{ Low, High float64 }{d.Mean - d.Low, d.High - d.Mean})
+					bounds.YErrors = append(bounds.YErrors, struct{ Low, High float64 }{d.Mean - d.Low,
+						d.High - d.Mean})
 				}
 			}
 		}
@@ -173,11 +180,13 @@
 	return all, nil
 }
 
+// errorBars are points with vertical error bars.
 type errorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
+// svg renders the plot as an SVG element.
 func (p reportPlot) svg() (template.HTML, error) {
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.plot.Draw(draw.New(c))
@@ -186,12 +195,13 @@
 		return "", err
 	}
 	text := b.String()
-	if i := strings.Index(text, "<svg"); i >= 0 { // without the XML head, which a page may not have in its middle
+	if i := strings.Index(text, "<svg"); i >= 0 { // an HTML page may not contain the XML declaration
 		text = text[i:]
 	}
-	return template.HTML(text), nil // our own plot, its labels escaped by the library
+	return template.HTML(text), nil // the plot is made here, and the library escapes its labels
 }
 
+// png writes the plot to a PNG file.
 func (p reportPlot) png(path string) error {
 	c := vgimg.PngCanvas{Canvas: vgimg.NewWith(vgimg.UseWH(plotWidth, plotHeight), vgimg.UseDPI(110))}
 	p.plot.Draw(draw.New(c))
@@ -206,6 +216,7 @@
 	return f.Close()
 }
 
+// page is the template of report.html.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Report.File.Name}}</title>
 <style>body{font:15px/1.5 sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}table{border-collapse:collapse}
@@ -223,7 +234,8 @@
 </body></html>
 `))
 
-// Save writes report.json, report.html, which needs nothing else, and a PNG a plot into a folder.
+// Save writes report.json with the given bytes, report.html, which needs no other file, and one PNG per plot into a
+// directory.
 func (r *Report) Save(dir string, raw []byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -16,25 +16,26 @@
 	"standpoint/internal/lab"
 )
 
-// Report is what an experiment gave. The same file gives the same bytes, whatever the machine.
+// Report has the results of an experiment. In virtual time the same file gives the same bytes on every machine.
 type Report struct {
 	File       *File           `json:"file"`
-	Incomplete bool            `json:"cut,omitempty"` // Ctrl-C: only the seeds that all variants have are in it
+	Incomplete bool            `json:"cut,omitempty"` // interrupted; it has only the seeds that all variants completed
 	Variants   []VariantResult `json:"variants"`
 }
 
-// VariantResult is a variant's.
+// VariantResult has the results of a variant.
 type VariantResult struct {
 	Name string        `json:"name"`
 	Runs []lab.Outcome `json:"runs"`
-	// PerSecond are the means over the runs of each second; the runs' own are left out.
+	// PerSecond has, for each second, the sums over the runs, and the maximum of the 99th percentiles of the time to
+	// first token. The runs' own seconds are left out.
 	PerSecond    []lab.OutcomeSecond `json:"over_time"`
 	Breaches     map[string]int      `json:"breaches,omitempty"`
 	AgainstFirst []Difference        `json:"against_first,omitempty"`
 }
 
-// Difference is a figure's mean difference to the first variant, seed by seed, with its 95% interval (bootstrap over
-// seeds).
+// Difference is the mean difference of a metric to the first variant, paired by seed, with its 95% interval (bootstrap
+// over seeds).
 type Difference struct {
 	Metric          string          `json:"figure"`
 	Mean, Low, High float64         `json:"-"`
@@ -42,20 +43,20 @@
 	HigherIsBetter  bool            `json:"higher_is_better"`
 }
 
-// RoundedFloat is a figure in reports: six digits, so that its bytes are the same on all machines.
+// RoundedFloat is a number in reports. It has six significant digits, so that its bytes are the same on all machines.
 type RoundedFloat float64
 
 // MarshalJSON implements json.Marshaler.
 func (f RoundedFloat) MarshalJSON() ([]byte, error) { return fmt.Appendf(nil, "%.6g", float64(f)), nil }
 
-// Metric is one that is compared.
+// Metric is a figure of an outcome by which variants are compared.
 type Metric struct {
 	Name           string
-	HigherIsBetter bool // higher is better
+	HigherIsBetter bool
 	Value          func(o *lab.Outcome) float64
 }
 
-// Metrics are those that are compared.
+// Metrics are the metrics that are compared.
 var Metrics = []Metric{
 	{"service", true, func(o *lab.Outcome) float64 { return o.Service }},
 	{"least_10_s", true, func(o *lab.Outcome) float64 { return o.LeastService }},
@@ -66,10 +67,11 @@
 	{"skew", false, func(o *lab.Outcome) float64 { return o.Skew }},
 }
 
-// Run runs all variants on all seeds, on all cores. When ctx ends the report has the seeds that are whole.
+// Run runs all variants on all seeds in virtual time, on all cores. If ctx ends early, the report has the seeds that
+// all variants completed.
 func Run(ctx context.Context, f *File, progress io.Writer) (*Report, error) {
 	r := &Report{File: f}
-	all := make([][]*lab.Outcome, f.Seeds) // by seed, then variant
+	all := make([][]*lab.Outcome, f.Seeds) // by seed, then by variant
 	var mu sync.Mutex
 	done, began := 0, time.Now()
 	next := make(chan int)
@@ -83,7 +85,8 @@
 					if err != nil || ctx.Err() != nil {
 						return
 					}
-					o := lab.Trial{Setup: setup, Events: f.faultEvents(), Settle: time.Duration(f.Settle).Seconds(), Duration: time.Duration(f.Duration).Seconds()}.Run()
+					o := lab.Trial{Setup: setup, Events: f.faultEvents(), Settle: time.Duration(f.Settle).Seconds(),
+						Duration: time.Duration(f.Duration).Seconds()}.Run()
 					row[k] = &o
 				}
 				mu.Lock()
@@ -122,7 +125,7 @@
 	return r, nil
 }
 
-// addRun takes in a run, and keeps of its seconds the sums alone.
+// addRun adds a run. Of its seconds only the sums are stored.
 func (v *VariantResult) addRun(o lab.Outcome) {
 	for name, n := range o.Breaches {
 		v.Breaches[name] += n
@@ -132,7 +135,8 @@
 			v.PerSecond = append(v.PerSecond, lab.OutcomeSecond{})
 		}
 		to := &v.PerSecond[i]
-		to.OfferedWeight, to.OnTimeWeight, to.Rejections = to.OfferedWeight+s.OfferedWeight, to.OnTimeWeight+s.OnTimeWeight, to.Rejections+s.Rejections
+		to.OfferedWeight, to.OnTimeWeight, to.Rejections = to.OfferedWeight+s.OfferedWeight,
+			to.OnTimeWeight+s.OnTimeWeight, to.Rejections+s.Rejections
 		to.TTFT99 = max(to.TTFT99, s.TTFT99)
 		for backend, n := range s.AttemptsByBackend {
 			if backend == len(to.AttemptsByBackend) {
@@ -145,7 +149,7 @@
 	v.Runs = append(v.Runs, o)
 }
 
-// pairedDifferences gives the paired differences of b to a over the seeds that both have.
+// pairedDifferences returns the differences of b to a, paired by seed, over the seeds that both have.
 func pairedDifferences(a, b []lab.Outcome) (all []Difference) {
 	bySeed := map[uint64]*lab.Outcome{}
 	for i := range a {
@@ -162,14 +166,15 @@
 			continue
 		}
 		mean, low, high := bootstrap(diffs)
-		all = append(all, Difference{f.Name, mean, low, high, [3]RoundedFloat{RoundedFloat(mean), RoundedFloat(low), RoundedFloat(high)}, f.HigherIsBetter})
+		all = append(all, Difference{f.Name, mean, low, high,
+			[3]RoundedFloat{RoundedFloat(mean), RoundedFloat(low), RoundedFloat(high)}, f.HigherIsBetter})
 	}
 	return all
 }
 
-const resamples = 4000
+const resamples = 4000 // bootstrap resamples
 
-// bootstrap is a mean with its 95% percentile interval, the same for the same numbers.
+// bootstrap returns the mean of the values with its 95% percentile interval. The same values give the same interval.
 func bootstrap(values []float64) (mean, low, high float64) {
 	rng := rand.New(rand.NewPCG(uint64(len(values)), 0xb007))
 	means := make([]float64, resamples)
@@ -186,8 +191,9 @@
 	return mean, means[resamples*25/1000], means[resamples*975/1000]
 }
 
-// Regressions are the figures that got worse beyond their interval from one report to another, variant by variant of
-// the same name; only what is worse by more than least, as a part of the first's mean, counts.
+// Regressions describes the metrics that became worse from one report to the other, for each variant that both have. A
+// change counts if its whole interval is worse by more than minChange, as a share of the mean in the report before. A
+// rule that is broken more often than before always counts.
 func Regressions(before, after *Report, minChange float64) (found []string, err error) {
 	same := 0
 	for _, a := range before.Variants {
@@ -207,8 +213,9 @@
 				}
 				threshold := minChange * max(0, base)
 				worse := d.HigherIsBetter && d.High < -threshold || !d.HigherIsBetter && d.Low > threshold
-				if worse && d.Metric != "skew" { // an uneven spread is no fault by itself
-					found = append(found, fmt.Sprintf("%s: %s is worse by %.4g [%.4g, %.4g]", a.Name, d.Metric, d.Mean, d.Low, d.High))
+				if worse && d.Metric != "skew" { // uneven load is not a fault in itself
+					found = append(found, fmt.Sprintf("%s: %s is worse by %.4g [%.4g, %.4g]", a.Name, d.Metric, d.Mean,
+						d.Low, d.High))
 				}
 			}
 			for name, n := range b.Breaches {
@@ -225,7 +232,8 @@
 	return found, nil
 }
 
-// ModuleBrokeRules tells whether the module broke a rule. The policies that it is held against know some of them not.
+// ModuleBrokeRules reports whether a variant with the decision module broke a rule. The policies that it is compared
+// with do not implement all of the rules, so theirs do not count.
 func (r *Report) ModuleBrokeRules() bool {
 	for i, v := range r.Variants {
 		policy := r.File.Parameters.override(r.File.Variants[i].Parameters).Policy
@@ -236,7 +244,7 @@
 	return false
 }
 
-// Write writes a table for people.
+// Write writes the report as a text table.
 func (r *Report) Write(out io.Writer) {
 	if r.Incomplete {
 		fmt.Fprintf(out, "cut off: %d of %d seeds\n", len(r.Variants[0].Runs), r.File.Seeds)
@@ -271,6 +279,7 @@
 	}
 }
 
+// mean returns the mean of a metric over the runs.
 func (v *VariantResult) mean(f Metric) (mean float64) {
 	for i := range v.Runs {
 		mean += f.Value(&v.Runs[i]) / float64(len(v.Runs))
@@ -286,12 +295,13 @@
 	return keys
 }
 
-// JSON are the report's bytes.
+// JSON returns the report as JSON.
 func (r *Report) JSON() ([]byte, error) {
 	raw, err := json.MarshalIndent(r, "", " ")
 	return append(raw, '\n'), err
 }
 
+// fileText returns the experiment's file as JSON.
 func (r *Report) fileText() (string, error) {
 	raw, err := json.MarshalIndent(r.File, "", "  ")
 	return string(raw), err
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -28,18 +28,19 @@
 const (
 	maxSocketBackends = 60
 	maxSocketNodes    = 8
-	maxSocketRate     = 500.0
+	maxSocketRate     = 500.0 // requests per second
 	maxSocketSeeds    = 50
-	nodeMemoryLimit   = 192 << 20 // bytes of a node
-	// baseGoroutines is how many goroutines a node may have once all its flows are over, beside four for each box.
+	nodeMemoryLimit   = 192 << 20 // largest resident memory of a node at the end, in bytes
+	// baseGoroutines is the number of goroutines that a node may have after all requests have ended, in addition to
+	// four per backend.
 	baseGoroutines = 150
 )
 
-// RunOnSockets plays an experiment's file with the daemon as processes, boxes on sockets and the load generator: one variant
-// and seed after the other. Its figures depend on the machine; the rules are the same.
+// RunOnSockets runs an experiment in real time, with the daemon as processes, emulated backends on sockets and the load
+// generator, one variant and seed after the other. Its figures depend on the machine; the rules are the same.
 func RunOnSockets(ctx context.Context, f *File, program, dir string, progress io.Writer) (*Report, error) {
 	if f.Seeds > maxSocketSeeds {
-		return nil, fmt.Errorf("seeds: %d, on sockets %d at most", f.Seeds, maxSocketSeeds)
+		return nil, fmt.Errorf("seeds: %d is not from 1 to %d on sockets", f.Seeds, maxSocketSeeds)
 	}
 	r := &Report{File: f}
 	for _, v := range f.Variants {
@@ -48,20 +49,24 @@
 	for i := range f.Seeds {
 		outcomes := make([]lab.Outcome, len(f.Variants))
 		for k, v := range f.Variants {
-			w := f.Parameters.override(v.Parameters)
-			setup, err := w.setup(f.FirstSeed + uint64(i))
+			merged := f.Parameters.override(v.Parameters)
+			setup, err := merged.setup(f.FirstSeed + uint64(i))
 			if err != nil {
 				return nil, err
 			}
 			switch {
 			case setup.Policy != "module":
-				return nil, fmt.Errorf("variant[%d].policy: on sockets there is the daemon alone, no %s", k, setup.Policy)
+				return nil, fmt.Errorf("variant[%d].policy: on sockets only the daemon runs, not %q", k, setup.Policy)
 			case setup.OldBackends > maxSocketBackends || setup.Nodes > maxSocketNodes || setup.Rate > maxSocketRate:
-				return nil, fmt.Errorf("variant[%d]: on sockets up to %d boxes, %d nodes and %g requests a second", k, maxSocketBackends, maxSocketNodes, maxSocketRate)
+				return nil, fmt.Errorf("variant[%d]: %d boxes, %d nodes and %g requests per second exceed the bounds on "+
+					"sockets of %d, %d and %g", k, setup.OldBackends, setup.Nodes, setup.Rate,
+					maxSocketBackends, maxSocketNodes, maxSocketRate)
 			case setup.ListDelay > 0 || setup.ReportLossRate > 0 || setup.AttemptLossRate > 0:
-				return nil, fmt.Errorf("variant[%d]: list_late, report_lost and message_lost are for virtual time", k)
+				return nil, fmt.Errorf("variant[%d]: list_late, report_lost and message_lost are only possible in "+
+					"virtual time", k)
 			}
-			s := &socketRun{File: f, setup: setup, pattern: w.Pattern, program: program, dir: filepath.Join(dir, fmt.Sprintf("%s-%d", v.Name, setup.Seed))}
+			s := &socketRun{File: f, setup: setup, pattern: merged.Pattern, program: program,
+				dir: filepath.Join(dir, fmt.Sprintf("%s-%d", v.Name, setup.Seed))}
 			if outcomes[k], err = s.run(ctx); err != nil {
 				return nil, fmt.Errorf("variant %q, seed %d: %w", v.Name, setup.Seed, err)
 			}
@@ -89,7 +94,7 @@
 	return r, nil
 }
 
-// socketRun is one run on sockets.
+// socketRun is one run of an experiment on sockets.
 type socketRun struct {
 	*File
 	setup   lab.Setup
@@ -104,16 +109,19 @@
 	closers       []func() error
 }
 
+// backendState is what the nodes' endpoint list says of a backend; the zero start time means long ago.
 type backendState struct {
 	draining bool
 	started  time.Time
 }
 
+// socketNode is a daemon process.
 type socketNode struct {
 	clientAddress, metricsAddress, configFile string
 	process                                   *stage.Program
 }
 
+// run runs the experiment once and stops everything that it started.
 func (s *socketRun) run(ctx context.Context) (o lab.Outcome, err error) {
 	defer func() {
 		for i := len(s.closers) - 1; i >= 0; i-- {
@@ -152,11 +160,16 @@
 	return s.outcome(ctx, merged), nil
 }
 
+// loadPlan returns the load generator's plan for a node, which gets an equal share of the load.
 func (s *socketRun) loadPlan(n *socketNode, i int, errs []error) *load.Plan {
-	p := &load.Plan{Target: n.clientAddress, Pattern: s.pattern, For: s.Settle + s.Duration, Seed: s.setup.Seed*64 + uint64(i) + 1, Lag: load.Span(20 * time.Millisecond)}
+	p := &load.Plan{Target: n.clientAddress, Pattern: s.pattern, For: s.Settle + s.Duration, Seed: s.setup.Seed*64 +
+		uint64(i) + 1, Lag: load.Span(20 * time.Millisecond)}
 	for k, c := range lab.OperatorWorkload() {
-		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Part: c.RequestShare, Aim: load.Span(c.TTFTObjective), PerK: load.Span(c.TTFTObjectivePer1000Tokens), Gap: load.Span(c.TPOTObjective),
-			GiveUp: load.Span(c.Deadline), Prompt: c.NewTokens, Spread: c.PromptSigma, Out: c.MaxOutputTokens, Turns: c.MeanTurns, Think: load.Span(c.ThinkTime * 1e9), Shared: c.PrefixTokens,
+		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Part: c.RequestShare,
+			Aim: load.Span(c.TTFTObjective), PerK: load.Span(c.TTFTObjectivePer1000Tokens),
+			Gap:    load.Span(c.TPOTObjective),
+			GiveUp: load.Span(c.Deadline), Prompt: c.NewTokens, Spread: c.PromptSigma, Out: c.MaxOutputTokens,
+			Turns: c.MeanTurns, Think: load.Span(c.ThinkTime * 1e9), Shared: c.PrefixTokens,
 			Starts: c.Prefixes, Habit: load.RetryAfter, Retries: 2, Wait: load.Span(300 * time.Millisecond)})
 	}
 	if errs[i] = p.Complete(); errs[i] == nil {
@@ -167,6 +180,7 @@
 
 var classNames = []string{"sheet-import", "foreman-chat"}
 
+// startBackends starts the emulated backends.
 func (s *socketRun) startBackends() error {
 	kinds := lab.BackendKinds()
 	rng := rand.New(rand.NewPCG(s.setup.Seed, 0x1ab))
@@ -176,7 +190,8 @@
 		figures := kinds[i%len(kinds)]
 		figures.Capacity = lab.Capacity(figures)
 		figures.Step *= math.Exp((rng.Float64()*2 - 1) * s.setup.SpeedSpread)
-		backend, err := server.Start(server.Options{Name: fmt.Sprintf("box-%d", i), Listen: "127.0.0.1:0", Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), Out: 105, Spread: 0.5})
+		backend, err := server.Start(server.Options{Name: fmt.Sprintf("box-%d", i), Listen: "127.0.0.1:0",
+			Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), Out: 105, Spread: 0.5})
 		if err != nil {
 			return err
 		}
@@ -186,19 +201,23 @@
 	return nil
 }
 
-// operatorFile is a node's file with the boxes as they are.
+// operatorFile returns a node's operator file with the backends in their present state.
 func (s *socketRun) operatorFile(n *socketNode, i int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# Written by \"lab run --sockets\".\nname = \"node-%d\"\nlisten = %q\n[limits]\ncores = 1.0\nmemory_mb = 192\nsockets = 1024\n", i, n.clientAddress)
+	fmt.Fprintf(&b, "# Written by \"lab run --sockets\".\nname = \"node-%d\"\nlisten = %q\n"+
+		"[limits]\ncores = 1.0\nmemory_mb = 192\nsockets = 1024\n", i, n.clientAddress)
 	fmt.Fprintf(&b, "[log]\nform = \"console\"\nlevel = \"warn\"\n[metrics]\nlisten = %q\n", n.metricsAddress)
-	fmt.Fprintf(&b, "[module]\nnodes = %d\nordinal = %d\nzones = [\"hall\"]\nzone = \"hall\"\nkinds = [\"fast\", \"standard\", \"slow\"]\nresume = true\n", s.setup.Nodes, i)
+	fmt.Fprintf(&b, "[module]\nnodes = %d\nordinal = %d\nzones = [\"hall\"]\nzone = \"hall\"\n"+
+		"kinds = [\"fast\", \"standard\", \"slow\"]\nresume = true\n", s.setup.Nodes, i)
 	for k, c := range lab.OperatorWorkload() {
 		ms := func(v int64) time.Duration { return time.Duration(v) }
-		fmt.Fprintf(&b, "[[class]]\nname = %q\nfirst_token = %q\nper_1000_prompt_tokens = %q\ntoken_gap = %q\ngive_up = %q\nworth = %.1f\n", classNames[k], ms(c.TTFTObjective),
+		fmt.Fprintf(&b, "[[class]]\nname = %q\nfirst_token = %q\nper_1000_prompt_tokens = %q\n"+
+			"token_gap = %q\ngive_up = %q\nworth = %.1f\n", classNames[k], ms(c.TTFTObjective),
 			ms(c.TTFTObjectivePer1000Tokens), ms(c.TPOTObjective), ms(c.Deadline), c.Weight)
 	}
 	for k, backend := range s.backends.Servers {
-		fmt.Fprintf(&b, "[[real_server]]\nname = %q\naddress = %q\nzone = \"hall\"\nkind = %q\n", backend.Name, backend.Address, []string{"fast", "standard", "slow"}[k%3])
+		fmt.Fprintf(&b, "[[real_server]]\nname = %q\naddress = %q\nzone = \"hall\"\nkind = %q\n", backend.Name,
+			backend.Address, []string{"fast", "standard", "slow"}[k%3])
 		if s.backendStates[k].draining {
 			b.WriteString("draining = true\n")
 		}
@@ -209,6 +228,7 @@
 	return b.String()
 }
 
+// freeAddress returns a loopback address with a port that was free a moment ago.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -217,6 +237,7 @@
 	return l.Addr().String(), l.Close()
 }
 
+// startNode starts a daemon process and waits until it serves its metrics.
 func (s *socketRun) startNode(ctx context.Context, i int) (err error) {
 	n := &socketNode{configFile: filepath.Join(s.dir, fmt.Sprintf("node-%d.toml", i))}
 	if n.clientAddress, err = freeAddress(); err != nil {
@@ -228,7 +249,8 @@
 	if err := os.WriteFile(n.configFile, []byte(s.operatorFile(n, i)), 0o600); err != nil {
 		return err
 	}
-	if n.process, err = stage.StartProgram(s.program, n.configFile, filepath.Join(s.dir, fmt.Sprintf("node-%d.log", i))); err != nil {
+	if n.process, err = stage.StartProgram(s.program, n.configFile,
+		filepath.Join(s.dir, fmt.Sprintf("node-%d.log", i))); err != nil {
 		return err
 	}
 	s.nodes = append(s.nodes, n)
@@ -239,7 +261,7 @@
 	})
 }
 
-// gauges are a node's metrics without labels.
+// gauges reads a node's metrics that have no labels.
 func (n *socketNode) gauges(ctx context.Context) (map[string]float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -263,7 +285,7 @@
 	return all, lines.Err()
 }
 
-// applyEvent brings a happening about; what the list tells of goes to the nodes by their files and SIGHUP.
+// applyEvent executes a fault event. Changes of the endpoint list reach the nodes by their operator files and SIGHUP.
 func (s *socketRun) applyEvent(e lab.FaultEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -289,7 +311,8 @@
 	if command == "replace" {
 		command = "restart"
 	}
-	_ = s.backends.Do(command, strconv.FormatFloat(e.Value, 'g', -1, 64), names...) // the file was checked
+	// cannot fail: the event was checked with the file
+	_ = s.backends.Do(command, strconv.FormatFloat(e.Value, 'g', -1, 64), names...)
 	if !listChanged {
 		return
 	}
@@ -300,7 +323,7 @@
 	}
 }
 
-// outcome is the run's, from the clients' report and from what the boxes saw.
+// outcome returns the run's outcome, from the load generator's report, the backends' counts and the nodes' metrics.
 func (s *socketRun) outcome(ctx context.Context, r *load.Report) lab.Outcome {
 	o := lab.Outcome{Seed: s.setup.Seed, Breaches: map[string]int{}}
 	offered, onTime := 0.0, 0.0
@@ -317,7 +340,8 @@
 	o.LeastService = 1
 	for i := settle; i < len(r.Seconds); i++ {
 		second := r.Seconds[i]
-		o.Seconds = append(o.Seconds, lab.OutcomeSecond{OfferedWeight: float64(second.Asked), OnTimeWeight: float64(second.InTime), TTFT99: second.FirstMS / 1000, Rejections: second.TurnedDown})
+		o.Seconds = append(o.Seconds, lab.OutcomeSecond{OfferedWeight: float64(second.Asked),
+			OnTimeWeight: float64(second.InTime), TTFT99: second.FirstMS / 1000, Rejections: second.TurnedDown})
 		if n := len(o.Seconds); n >= 10 {
 			offeredIn10, onTimeIn10 := 0.0, 0.0
 			for _, in := range o.Seconds[n-10:] {
--- a/internal/lab/experiment/sockets_test.go
+++ b/internal/lab/experiment/sockets_test.go
@@ -9,13 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The same file on sockets: the daemon as two processes, boxes of which one is replaced, clients; no rule is broken.
+// The small experiment on sockets, with two daemon processes, emulated backends of which one is replaced, and clients,
+// breaks no rule.
 func TestRunOnSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "standpoint")
 	out, err := exec.Command("go", "build", "-o", program, "standpoint/cmd/standpoint").CombinedOutput()
 	require.NoError(t, err, string(out))
-	text := strings.NewReplacer(`seeds = 4`, `seeds = 1`, `settle = "5s"`, `settle = "2s"`, `for = "15s"`, `for = "6s"`, `at = "10s"`, `at = "3s"`,
-		`do = "pause"`, `do = "replace"`, `value = 1.0`, "").Replace(smallExperiment[:strings.Index(smallExperiment, "[[variant]]")]) + "[[variant]]\nname = \"module\"\n"
+	text := strings.NewReplacer(`seeds = 4`, `seeds = 1`, `settle = "5s"`, `settle = "2s"`, `for = "15s"`, `for = "6s"`,
+		`at = "10s"`, `at = "3s"`,
+		`do = "pause"`, `do = "replace"`, `value = 1.0`,
+		"").Replace(smallExperiment[:strings.Index(smallExperiment, "[[variant]]")]) +
+		"[[variant]]\nname = \"module\"\n"
 	f, err := readExperiment(t, text)
 	require.NoError(t, err)
 	r, err := RunOnSockets(t.Context(), f, program, t.TempDir(), nil)
@@ -25,5 +29,5 @@
 	require.Greater(t, r.Variants[0].Runs[0].Service, 0.5)
 	f.Variants[0].Policy = "random"
 	_, err = RunOnSockets(t.Context(), f, program, t.TempDir(), nil)
-	require.ErrorContains(t, err, "variant[0].policy: on sockets there is the daemon alone")
+	require.ErrorContains(t, err, "variant[0].policy: on sockets only the daemon runs, not \"random\"")
 }
