--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -22,30 +21,32 @@
 	"standpoint/internal/lab/responder"
 )
 
-// DiscoveryOptions of a measurement of discovery with the daemon as a program.
+// DiscoveryOptions describes a measurement of discovery with the daemon as a process.
 type DiscoveryOptions struct {
-	Dir, Program string
-	Withdrawals  int
-	Mechanisms   []string // poll, plain (a poll without a serial), push, mdns, all (everything each time)
-	LossRates    []float64
-	Rate         float64
-	MeasureCost  bool
-	ZoneSizes    []int
-	Duration     time.Duration
-	Out          io.Writer
+	Dir, Program string // directory of the operator file and the log, and path of the daemon's program
+	Withdrawals  int    // number of withdrawals for each mechanism and loss rate
+	// Mechanisms are the mechanisms to be measured: poll, plain (polls a zone without a serial), push, mdns, and all
+	// (polls all records every time).
+	Mechanisms  []string
+	LossRates   []float64     // shares of the packets that are lost, in each direction
+	Rate        float64       // requests per second
+	MeasureCost bool          // measure the cost of discovery in place of withdrawals
+	ZoneSizes   []int         // for the cost: number of backends in the zone
+	Duration    time.Duration // for the cost: duration of each measurement
+	Out         io.Writer
 }
 
 const (
-	withdrawalBackends = 40
-	withdrawInterval   = 50 * time.Millisecond
-	quietPeriod        = 600 * time.Millisecond
+	withdrawalBackends = 40                     // number of backends in the zone while withdrawals are measured
+	withdrawInterval   = 50 * time.Millisecond  // time between two withdrawals
+	quietPeriod        = 600 * time.Millisecond // time without a request after which a withdrawal is taken as seen
 	maxWithdrawals     = 20_000
 	zoneDomain         = "hall-a.test"
 	zoneService        = "_engine._tcp"
-	maxZoneSize        = 4000
+	maxZoneSize        = 4000 // number of backends in a zone
 )
 
-// requestTimes are a box's latest requests.
+// requestTimes has the time of a backend's latest request.
 type requestTimes struct {
 	mu   sync.Mutex
 	last time.Time
@@ -63,28 +64,30 @@
 	return a.last
 }
 
-// serveStub answers at once, with a short stream.
+// serveStub serves a backend that responds at once, with a short stream, and records the time of each request.
 func serveStub(l net.Listener, times *requestTimes) *http.Server {
-	s := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		times.record()
-		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
-		w.Header().Set("Content-Type", "text/event-stream")
-		for _, text := range []string{`{"choices":[{"delta":{"content":"a"}}]}`, `{"choices":[],"usage":{"completion_tokens":1}}`, "[DONE]"} {
-			fmt.Fprintf(w, "data: %s\n\n", text)
-			_ = http.NewResponseController(w).Flush()
-		}
-	})}
+	s := &http.Server{ReadHeaderTimeout: 5 * time.Second,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			times.record()
+			_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
+			w.Header().Set("Content-Type", "text/event-stream")
+			for _, text := range []string{`{"choices":[{"delta":{"content":"a"}}]}`,
+				`{"choices":[],"usage":{"completion_tokens":1}}`, "[DONE]"} {
+				fmt.Fprintf(w, "data: %s\n\n", text)
+				_ = http.NewResponseController(w).Flush()
+			}
+		})}
 	go func() { _ = s.Serve(l) }()
 	return s
 }
 
-// discoveryRun is a responder, boxes and the daemon.
+// discoveryRun is a running measurement: a DNS-SD responder, backends and the daemon.
 type discoveryRun struct {
 	DiscoveryOptions
 	server        *responder.Server
 	backends      []responder.Box
-	requestTimes  []*requestTimes
-	clientAddress string
+	requestTimes  []*requestTimes // by backend; empty unless the backends serve
+	clientAddress string          // address at which the daemon serves clients
 	control       *control.Client
 	process       *Program
 	closers       []func()
@@ -96,7 +99,8 @@
 	}
 }
 
-// start starts a hall of n boxes; real ones only where they serve.
+// start starts a measurement with n backends in the zone. Only if serve is set do they exist; else they are records
+// alone.
 func (o DiscoveryOptions) start(ctx context.Context, mechanism string, n int, serve bool) (h *discoveryRun, err error) {
 	h = &discoveryRun{DiscoveryOptions: o}
 	defer func() {
@@ -121,7 +125,8 @@
 			h.requestTimes = append(h.requestTimes, times)
 			address = netip.MustParseAddrPort(l.Addr().String())
 		}
-		h.backends = append(h.backends, responder.Box{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService, Address: address, TTL: 120,
+		h.backends = append(h.backends, responder.Box{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService,
+			Address: address, TTL: 120,
 			Text: []string{"site=hall-a", "class=fast", "born_ms=1"}})
 	}
 	if err := z.Publish(h.backends...); err != nil {
@@ -134,6 +139,7 @@
 	return h, h.startDaemon(ctx, mechanism, n)
 }
 
+// startDaemon starts the daemon and waits until it has found all n backends.
 func (h *discoveryRun) startDaemon(ctx context.Context, mechanism string, n int) error {
 	if err := os.MkdirAll(h.Dir, 0o700); err != nil {
 		return err
@@ -190,7 +196,9 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if h.process, err = StartProgram(h.Program, file, filepath.Join(h.Dir, "standpoint.log"), "GOMAXPROCS=1"); err != nil { // one core, as the installations have
+	// one core, as in the operators' installations
+	if h.process, err = StartProgram(h.Program, file, filepath.Join(h.Dir, "standpoint.log"),
+		"GOMAXPROCS=1"); err != nil {
 		return err
 	}
 	h.closers = append(h.closers, func() { _ = h.process.Stop() })
@@ -202,7 +210,8 @@
 		}
 		ready := 0
 		for _, e := range all {
-			if e.Fault == "" && e.Mechanism != endpoints.MechanismStore && (mechanism != "push" || e.Mechanism == "push") {
+			if e.Fault == "" && e.Mechanism != endpoints.MechanismStore &&
+				(mechanism != "push" || e.Mechanism == "push") {
 				ready++
 			}
 		}
@@ -210,12 +219,14 @@
 	})
 }
 
-// sendLoad asks at a steady rate until the context ends, and counts what is not answered well.
+// sendLoad sends requests at a steady rate until the context ends, and counts them and those that fail. The counts may
+// be read after wait.
 func (h *discoveryRun) sendLoad(ctx context.Context) (requests, failed *int, wait func()) {
 	requests, failed = new(int), new(int)
 	var mu sync.Mutex
 	var pending sync.WaitGroup
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: 4 * time.Second}, Timeout: 6 * time.Second}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight,
+		IdleConnTimeout: 4 * time.Second}, Timeout: 6 * time.Second}
 	inFlight := make(chan struct{}, maxInFlight)
 	pending.Go(func() {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / h.Rate))
@@ -233,7 +244,8 @@
 			}
 			pending.Go(func() {
 				defer func() { <-inFlight }()
-				r, err := http.NewRequest(http.MethodPost, "http://"+h.clientAddress+"/v1/chat/completions", bytes.NewReader([]byte(`{"stream":true,"messages":[{"role":"user","content":"a"}]}`)))
+				r, err := http.NewRequest(http.MethodPost, "http://"+h.clientAddress+"/v1/chat/completions",
+					bytes.NewReader([]byte(`{"stream":true,"messages":[{"role":"user","content":"a"}]}`)))
 				if err != nil {
 					return
 				}
@@ -258,17 +270,20 @@
 	return requests, failed, pending.Wait
 }
 
-// Withdrawals measures the time from a record's end at the server to the last new request that its box gets.
+// Withdrawals measures the time from the withdrawal of a backend's record at the server to the last request that the
+// backend gets.
 func Withdrawals(ctx context.Context, o DiscoveryOptions, out io.Writer) error {
 	if o.Withdrawals < 1 || o.Withdrawals > maxWithdrawals || o.Rate <= 0 || o.Rate > 1000 {
-		return fmt.Errorf("up to %d withdrawals at up to 1000 requests a second", maxWithdrawals)
+		return fmt.Errorf("%d withdrawals at %g requests per second are not from 1 to %d, at above 0 to 1000",
+			o.Withdrawals, o.Rate, maxWithdrawals)
 	}
-	fmt.Fprintln(out, "way    loss  withdrawals  median ms  99th ms  worst ms  over 500 ms  requests  not answered well")
+	fmt.Fprintln(out,
+		"way    loss  withdrawals  median ms  99th ms  worst ms  over 500 ms  requests  not answered well")
 	for _, mechanism := range o.Mechanisms {
 		for _, loss := range o.LossRates {
 			delays, requests, failed, err := o.withdrawals(ctx, mechanism, loss)
 			if err != nil {
-				return fmt.Errorf("%s at %g: %w", mechanism, loss, err)
+				return fmt.Errorf("%s at a loss rate of %g: %w", mechanism, loss, err)
 			}
 			slices.Sort(delays)
 			over500 := 0
@@ -280,13 +295,17 @@
 			quantile := func(q float64) float64 {
 				return float64(delays[min(len(delays)-1, int(q*float64(len(delays))))].Microseconds()) / 1000
 			}
-			fmt.Fprintf(out, "%-6s %4.2f  %11d  %9.0f  %7.0f  %8.0f  %11d  %8d  %d\n", mechanism, loss, len(delays), quantile(0.5), quantile(0.99), quantile(1), over500, requests, failed)
+			fmt.Fprintf(out, "%-6s %4.2f  %11d  %9.0f  %7.0f  %8.0f  %11d  %8d  %d\n", mechanism, loss, len(delays),
+				quantile(0.5), quantile(0.99), quantile(1), over500, requests, failed)
 		}
 	}
 	return nil
 }
 
-func (o DiscoveryOptions) withdrawals(ctx context.Context, mechanism string, loss float64) (delays []time.Duration, requests, failed int, err error) {
+// withdrawals measures the withdrawals of one mechanism at one loss rate. It returns their delays, and the counts of
+// the requests sent meanwhile and of those that failed.
+func (o DiscoveryOptions) withdrawals(ctx context.Context, mechanism string, loss float64) (
+	delays []time.Duration, requests, failed int, err error) {
 	h, err := o.start(ctx, mechanism, withdrawalBackends, true)
 	if err != nil {
 		return nil, 0, 0, err
@@ -315,7 +334,7 @@
 		}
 		withdrawnAt := time.Now()
 		all.Go(func() {
-			// A box that is still sent to when its time is over stays away until that ends, and counts as it is.
+			// A backend that still gets requests after the quiet period stays withdrawn until they end, for up to 10 s.
 			for limit := withdrawnAt.Add(10 * time.Second); time.Now().Before(limit); {
 				time.Sleep(quietPeriod)
 				if last := h.requestTimes[k].latest(); time.Since(last) > quietPeriod {
@@ -335,10 +354,11 @@
 	return delays, *requestCount, *failureCount, nil
 }
 
-// Cost measures questions a second at the server and the daemon's CPU time and memory in a quiet zone.
+// Cost measures, in a zone without changes, the DNS questions per second at the server and the daemon's CPU time and
+// memory.
 func Cost(ctx context.Context, o DiscoveryOptions, out io.Writer) error {
 	if o.Duration < time.Second || o.Duration > 10*time.Minute {
-		return errors.New("--for: from 1s to 10m")
+		return fmt.Errorf("--for: %v is not from 1s to 10m", o.Duration)
 	}
 	fmt.Fprintln(out, "way    boxes  questions/s  CPU of a core  memory MB")
 	for _, n := range o.ZoneSizes {
@@ -347,13 +367,14 @@
 		}
 		for _, mechanism := range o.Mechanisms {
 			if err := o.cost(ctx, mechanism, n, out); err != nil {
-				return fmt.Errorf("%s with %d boxes: %w", mechanism, n, err)
+				return fmt.Errorf("%s with %d backends: %w", mechanism, n, err)
 			}
 		}
 	}
 	return nil
 }
 
+// cost measures one mechanism with n backends in the zone.
 func (o DiscoveryOptions) cost(ctx context.Context, mechanism string, n int, out io.Writer) error {
 	h, err := o.start(ctx, mechanism, n, false)
 	if err != nil {
@@ -377,11 +398,12 @@
 		return err
 	}
 	elapsed := time.Since(began).Seconds()
-	fmt.Fprintf(out, "%-6s %5d  %11.1f  %12.1f%%  %9.0f\n", mechanism, n, float64(h.server.Questions.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
+	fmt.Fprintf(out, "%-6s %5d  %11.1f  %12.1f%%  %9.0f\n", mechanism, n,
+		float64(h.server.Questions.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
 	return nil
 }
 
-// usage is a process's CPU time in seconds and its memory in MB (proc(5)).
+// usage returns a process's CPU time in seconds and its resident memory in MB, from /proc/PID/stat (proc(5)).
 func usage(pid int) (cpu, memory float64, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -389,7 +411,7 @@
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	if len(fields) < 22 {
-		return 0, 0, errors.New("stat: too few fields")
+		return 0, 0, fmt.Errorf("/proc/%d/stat: %d fields after the name, expected at least 22", pid, len(fields))
 	}
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
--- a/internal/lab/stage/plot.go
+++ b/internal/lab/stage/plot.go
@@ -19,13 +19,16 @@
 	grey  = color.RGBA{120, 120, 120, 255}
 )
 
-const averagingWindow = 5 // seconds over which the curves are taken
+const averagingWindow = 5 // time over which curves are averaged, in seconds
 
-// writeChart makes the picture of a report: the share, the service, and the first tokens and load by pool, over time.
+// writeChart writes the report's chart as a PNG file: the new pool's share of the traffic, the service, and the time to
+// first token and slot usage of each pool, over time.
 func writeChart(r *Report, path string) error {
 	share := panel("share of the new pool; evidence against it, of an alarm")
 	addLine(share, "share", blue, r.Points, func(p []Point) (float64, bool) { return p[len(p)-1].Share, true })
-	addLine(share, "evidence", red, r.Points, func(p []Point) (float64, bool) { return min(1, p[len(p)-1].Evidence), true })
+	addLine(share, "evidence", red, r.Points, func(p []Point) (float64, bool) {
+		return min(1, p[len(p)-1].Evidence), true
+	})
 	share.Y.Max = 1.05
 	service := panel("service: worth answered in time")
 	addLine(service, "", green, r.Points, func(p []Point) (float64, bool) {
@@ -63,7 +66,8 @@
 		}
 	}
 	img := vgimg.New(24*vg.Centimeter, 26*vg.Centimeter)
-	canvases := plot.Align(rows, draw.Tiles{Rows: len(rows), Cols: 1, PadY: 4 * vg.Millimeter, PadTop: 3 * vg.Millimeter, PadBottom: 3 * vg.Millimeter,
+	canvases := plot.Align(rows, draw.Tiles{Rows: len(rows), Cols: 1, PadY: 4 * vg.Millimeter,
+		PadTop: 3 * vg.Millimeter, PadBottom: 3 * vg.Millimeter,
 		PadRight: 6 * vg.Millimeter, PadLeft: 3 * vg.Millimeter}, draw.New(img))
 	for i, row := range rows {
 		row[0].Draw(canvases[i][0])
@@ -79,6 +83,7 @@
 	return f.Close()
 }
 
+// panel returns an empty plot with a title.
 func panel(title string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
@@ -89,6 +94,7 @@
 	return p
 }
 
+// addLine adds a curve of a value over time; value takes the points of the last seconds.
 func addLine(p *plot.Plot, name string, c color.Color, points []Point, value func([]Point) (float64, bool)) {
 	var xy plotter.XYs
 	for i := range points {
@@ -101,7 +107,7 @@
 	}
 	line, err := plotter.NewLine(xy)
 	if err != nil {
-		return // no points that could be drawn
+		return // there is no point to draw
 	}
 	line.Color, line.Width = c, vg.Points(1.4)
 	p.Add(line)
@@ -110,7 +116,7 @@
 	}
 }
 
-// addMarker draws an upright line at a time.
+// addMarker draws a vertical line at the given time, in seconds.
 func addMarker(p *plot.Plot, at float64, c color.Color) {
 	top := max(p.Y.Max, 1e-3)
 	line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
--- a/internal/lab/stage/program.go
+++ b/internal/lab/stage/program.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Program is the daemon as a process of its own.
+// Program is the daemon as a child process.
 type Program struct {
 	Process *os.Process
 	log     string
 	exited  chan error
 }
 
-const stopTimeout = 20 * time.Second // after SIGTERM
+const stopTimeout = 20 * time.Second // time to exit after SIGTERM
 
-// StartProgram starts the daemon with an operator's file; what it says goes into a log. Ctrl-C at a terminal is for the
-// laboratory, which then ends the daemon.
+// StartProgram starts the daemon with an operator file, and writes its output to a log file. The daemon has its own
+// process group, so that Ctrl-C at a terminal reaches the lab tool alone, which then stops the daemon.
 func StartProgram(program, file, log string, environment ...string) (*Program, error) {
 	out, err := os.Create(log)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return p, nil
 }
 
-// WaitReady waits until ready says so, 50 ms between two questions, for a time at the most.
+// WaitReady calls ready every 50 ms until it returns true, the daemon exits or the timeout expires.
 func (p *Program) WaitReady(timeout time.Duration, ready func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		if ready() {
@@ -45,20 +45,20 @@
 		select {
 		case err := <-p.exited:
 			p.exited <- err
-			return fmt.Errorf("the daemon ended at its start, see %s: %w", p.log, err)
+			return fmt.Errorf("the daemon exited while it started, see %s: %w", p.log, err)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("the daemon did not come up within %v, see %s", timeout, p.log)
+	return fmt.Errorf("the daemon was not ready within %v, see %s", timeout, p.log)
 }
 
-// Stop ends it by SIGTERM, and kills it where that is not enough.
+// Stop stops the daemon with SIGTERM, and kills it if it has not exited after stopTimeout.
 func (p *Program) Stop() error {
 	_ = p.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-p.exited:
 		return err
 	case <-time.After(stopTimeout):
-		return errors.Join(fmt.Errorf("the daemon did not end within %v of SIGTERM", stopTimeout), p.Process.Kill())
+		return errors.Join(fmt.Errorf("the daemon did not exit within %v after SIGTERM", stopTimeout), p.Process.Kill())
 	}
 }
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -1,5 +1,6 @@
-// Package stage plays a move on one machine: two pools of emulated boxes on loopback sockets, the daemon itself as a
-// program before them, and clients. It belongs to the laboratory.
+// Package stage runs a demo environment on one machine, in real time: two pools of emulated backends on loopback
+// sockets, the daemon as a process, and clients. It also measures discovery with the daemon as a process. It belongs to
+// the lab tools; the daemon does not import it.
 package stage
 
 import (
@@ -27,64 +28,68 @@
 	"standpoint/internal/migration/controller"
 )
 
-// Bounds of a stage.
+// Bounds of a demo environment.
 const (
 	maxDuration     = 30 * time.Minute
-	maxRate         = 200.0 // requests a second
+	maxRate         = 200.0 // requests per second
 	maxBackends     = 40
-	maxInFlight     = 400 // requests at once
-	maxTurns        = 12
-	maxPromptTokens = 30_000 // tokens
+	maxInFlight     = 400    // requests in flight at once
+	maxTurns        = 12     // turns of a session
+	maxPromptTokens = 30_000 // length of a prompt, in tokens
 )
 
-// Options of a stage.
+// Options describes a demo environment.
 type Options struct {
-	Dir     string
-	Program string // the daemon
-	Rate    float64
+	Dir     string  // directory of the operator file, the log and the report
+	Program string  // path of the daemon's program
+	Rate    float64 // requests per second
 	OldBackends,
-	NewBackends int
-	NewBackendsCold bool          // the new boxes start now
-	Duration        time.Duration // 0: until the context ends
+	NewBackends int // number of backends of each pool
+	NewBackendsCold bool          // the backends of the new pool start, cold, with the environment
+	Duration        time.Duration // 0 means until the context ends
 	Seed            uint64
-	Hold            string // of the file's [move]; "": its default
-	StartMove       bool   // start the move itself, after Settle
-	// Settle is how long the old pool serves alone before.
+	Hold            string // key hold of the operator file's section [move]; empty means its default
+	StartMove       bool   // start the migration after Settle
+	// Settle is how long the old pool serves alone before the migration.
 	Settle time.Duration
-	// SlowFactor, if above 1, makes the new boxes so many times slower SlowAfter into the hold of step SlowStep.
+	// SlowFactor, if above 1, makes the new backends slower by this factor, SlowAfter into the hold of step SlowStep.
 	SlowFactor float64
 	SlowStep   int
 	SlowAfter  time.Duration
-	Out        io.Writer
+	Out        io.Writer // progress messages
 }
 
-// Point is one second of a stage.
+// Point has the figures of one second of a run.
 type Point struct {
 	At            float64         `json:"at_s"`
-	OfferedWeight float64         `json:"asked"`   // worth
-	OnTimeWeight  float64         `json:"in_time"` // of it
+	OfferedWeight float64         `json:"asked"`   // weight of the requests that arrived in this second
+	OnTimeWeight  float64         `json:"in_time"` // weight of those of them that met their objectives
 	Requests      int             `json:"requests"`
-	Failed        int             `json:"failed"`
-	Share         float64         `json:"share"`
+	Failed        int             `json:"failed"` // requests that failed after all retries
+	Share         float64         `json:"share"`  // share of the traffic that the new pool gets
 	State         migration.State `json:"state"`
 	Evidence      float64         `json:"evidence"`
-	OldTTFT       float64         `json:"old_first_token_s"` // median, as the boxes saw it; 0: none
-	NewTTFT       float64         `json:"new_first_token_s"`
-	OldSlotUsage  float64         `json:"old_slots"` // share in use, mean
-	NewSlotUsage  float64         `json:"new_slots"`
+	// OldTTFT is the median time to first token at the backends of the old pool, in seconds; 0 means no samples.
+	OldTTFT      float64 `json:"old_first_token_s"`
+	NewTTFT      float64 `json:"new_first_token_s"`
+	OldSlotUsage float64 `json:"old_slots"` // mean share of the backends' slots that are in use
+	NewSlotUsage float64 `json:"new_slots"`
 }
 
-// Report is what a stage gives.
+// Report has the results of a run.
 type Report struct {
-	Points             []Point           `json:"points"`
-	Move               *migration.Record `json:"move,omitempty"`
-	ConcurrentAttempts int               `json:"two_attempts_at_once"`
-	Attempts           int               `json:"attempts"`
-	Requests           int               `json:"requests"`
-	SlowAt             float64           `json:"slow_at_s"` // 0: never
-	ReturnedAt         float64           `json:"back_at_s"`
+	Points []Point           `json:"points"`
+	Move   *migration.Record `json:"move,omitempty"`
+	// ConcurrentAttempts is the number of attempts that began while another one of the same request ran.
+	ConcurrentAttempts int `json:"two_attempts_at_once"`
+	Attempts           int `json:"attempts"`
+	Requests           int `json:"requests"`
+	// SlowAt is when the new backends became slow, in seconds after the start; 0 means never.
+	SlowAt     float64 `json:"slow_at_s"`
+	ReturnedAt float64 `json:"back_at_s"` // when all traffic was back, in seconds; 0 means never
 }
 
+// demo is a running demo environment.
 type demo struct {
 	Options
 	startedAt     time.Time
@@ -103,10 +108,13 @@
 	pending  sync.WaitGroup
 }
 
-// Run plays the stage until its time or the context ends, and writes report.json and report.png into its folder.
+// Run runs a demo environment until its duration or the context ends, and writes report.json and report.png into Dir.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	if o.Rate <= 0 || o.Rate > maxRate || o.OldBackends < 1 || o.NewBackends < 1 || o.OldBackends+o.NewBackends > maxBackends {
-		return nil, fmt.Errorf("a stage has up to %g requests a second and %d boxes, at least one in each pool", maxRate, maxBackends)
+	if o.Rate <= 0 || o.Rate > maxRate || o.OldBackends < 1 || o.NewBackends < 1 ||
+		o.OldBackends+o.NewBackends > maxBackends {
+		return nil, fmt.Errorf("%g requests per second to %d old and %d new backends: the rate must be above 0 and at "+
+			"most %g, each pool needs a backend, and %d backends is the maximum", o.Rate, o.OldBackends,
+			o.NewBackends, maxRate, maxBackends)
 	}
 	limit := maxDuration
 	if o.Duration > 0 {
@@ -114,8 +122,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	s := &demo{Options: o, startedAt: time.Now(), classes: lab.OperatorWorkload(), rng: rand.New(rand.NewPCG(o.Seed, 0x57a6e)),
-		inFlight: make(chan struct{}, maxInFlight), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: 4 * time.Second}}}
+	s := &demo{Options: o, startedAt: time.Now(), classes: lab.OperatorWorkload(),
+		rng:      rand.New(rand.NewPCG(o.Seed, 0x57a6e)),
+		inFlight: make(chan struct{}, maxInFlight),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight,
+			IdleConnTimeout: 4 * time.Second}}}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -142,6 +153,7 @@
 	return s.writeReport()
 }
 
+// startPool starts the emulated backends of a pool.
 func (s *demo) startPool(name string, n int, cold bool) (*server.Running, error) {
 	f := &server.Fleet{Seed: s.Seed, Out: 105, Spread: 0.5}
 	kinds := lab.BackendKinds()
@@ -149,8 +161,9 @@
 	for i := range n {
 		figures := kinds[i%len(kinds)]
 		figures.Capacity = figures.Able(700, 1500, 105, 0.05)
-		backend, err := server.Start(server.Options{Name: fmt.Sprintf("%s-%d", name, i+1), Listen: "127.0.0.1:0", Figures: figures,
-			Seed: s.Seed + uint64(i), Cold: cold, Out: f.Out, Spread: f.Spread})
+		backend, err := server.Start(server.Options{Name: fmt.Sprintf("%s-%d", name, i+1), Listen: "127.0.0.1:0",
+			Figures: figures,
+			Seed:    s.Seed + uint64(i), Cold: cold, Out: f.Out, Spread: f.Spread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
@@ -159,7 +172,7 @@
 	return r, nil
 }
 
-// startDaemon writes the operator's file and starts the program.
+// startDaemon writes the operator file and starts the daemon.
 func (s *demo) startDaemon(ctx context.Context) (stop func() error, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -215,7 +228,9 @@
 		cold    bool
 	}{{"v1", s.oldPool, false}, {"v2", s.newPool, s.NewBackendsCold}} {
 		for i, backend := range p.pool.Servers {
-			fmt.Fprintf(&b, "[[real_server]]\nname = %q\naddress = %q\nzone = \"hall-a\"\nkind = %q\nlabels = { version = %q }\n", backend.Name, backend.Address,
+			fmt.Fprintf(&b,
+				"[[real_server]]\nname = %q\naddress = %q\nzone = \"hall-a\"\nkind = %q\nlabels = { version = %q }\n",
+				backend.Name, backend.Address,
 				[]string{"fast", "standard", "slow"}[i%3], p.version)
 			if p.cold {
 				fmt.Fprintf(&b, "started = %s\n", s.startedAt.UTC().Format(time.RFC3339Nano))
@@ -231,18 +246,22 @@
 		return nil, err
 	}
 	s.control = control.NewClient("unix:"+filepath.Join(s.Dir, "control.sock"), "")
-	if err := program.WaitReady(10*time.Second, func() bool { return s.control.Call(ctx, http.MethodGet, "/v1/status", nil, nil) == nil }); err != nil {
+	if err := program.WaitReady(10*time.Second, func() bool {
+		return s.control.Call(ctx, http.MethodGet, "/v1/status", nil, nil) == nil
+	}); err != nil {
 		return nil, errors.Join(err, program.Stop())
 	}
 	return program.Stop, nil
 }
 
-// watch follows the move and the boxes, a point each second, until the context ends or the move that the stage itself
-// started is over.
+// watch records the migration and the backends every second, until the context ends or 10 s after the end of a
+// migration that it started itself.
 func (s *demo) watch(ctx context.Context) {
-	fmt.Fprintf(s.Out, "The daemon serves at http://%s; %d old and %d new boxes, %g requests a second.\n", s.clientAddress, s.OldBackends, s.NewBackends, s.Rate)
+	fmt.Fprintf(s.Out, "The daemon serves at http://%s; %d old and %d new boxes, %g requests a second.\n",
+		s.clientAddress, s.OldBackends, s.NewBackends, s.Rate)
 	if !s.StartMove {
-		fmt.Fprintf(s.Out, "Now, from another terminal:\n  %s move start --config %s --to new --watch\n", s.Program, filepath.Join(s.Dir, "operator.toml"))
+		fmt.Fprintf(s.Out, "Now, from another terminal:\n  %s move start --config %s --to new --watch\n", s.Program,
+			filepath.Join(s.Dir, "operator.toml"))
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -256,14 +275,15 @@
 		at := time.Since(s.startedAt)
 		if s.StartMove && !started && at >= s.Settle {
 			started = true
-			if err := s.control.Call(ctx, http.MethodPost, "/v1/move/start", controller.StartRequest{To: "new", By: "stage"}, nil); err != nil {
+			if err := s.control.Call(ctx, http.MethodPost, "/v1/move/start",
+				controller.StartRequest{To: "new", By: "stage"}, nil); err != nil {
 				fmt.Fprintln(s.Out, "the move was not started:", err)
 				return
 			}
 		}
 		var status controller.Status
 		if err := s.control.Call(ctx, http.MethodGet, "/v1/move", nil, &status); err != nil && ctx.Err() == nil {
-			fmt.Fprintln(s.Out, "the daemon does not tell:", err)
+			fmt.Fprintln(s.Out, "cannot read the state of the migration:", err)
 		}
 		s.record(at, &status)
 		if r := status.Migration; s.StartMove && r != nil && r.State.Terminal() {
@@ -274,7 +294,7 @@
 	}
 }
 
-// record makes the point of a second, and brings the slowness about when it is due.
+// record fills in the point of a second, and slows the new backends down when that is due.
 func (s *demo) record(at time.Duration, status *controller.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -302,7 +322,7 @@
 	}
 }
 
-// pointAt is the one of a second.
+// pointAt returns the point of a second after the start.
 func (s *demo) pointAt(at float64) *Point {
 	for len(s.points) <= int(at) {
 		s.points = append(s.points, Point{At: float64(len(s.points))})
@@ -310,7 +330,7 @@
 	return &s.points[int(at)]
 }
 
-// poolStats is the median first token since the last look, and the mean load.
+// poolStats returns a pool's median time to first token since the last call, in seconds, and its mean slot usage.
 func poolStats(r *server.Running) (ttft, slotUsage float64) {
 	var ttfts []float64
 	for _, backend := range r.Servers {
@@ -324,7 +344,7 @@
 	return ttft, slotUsage
 }
 
-// startSessions are sessions that come as a Poisson process, whether or not answers do.
+// startSessions starts client sessions as a Poisson process, whether or not responses arrive.
 func (s *demo) startSessions(ctx context.Context) {
 	turns := 0.0
 	for _, c := range s.classes {
@@ -351,11 +371,13 @@
 	}
 }
 
+// message is a message of a chat request.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// randomWords returns a text of about that many tokens.
 func randomWords(rng *rand.Rand, count float64) string {
 	var b strings.Builder
 	for range int(max(1, count)) {
@@ -364,6 +386,7 @@
 	return b.String()
 }
 
+// runSession sends the requests of a session, one after the other.
 func (s *demo) runSession(ctx context.Context, n uint64, class int, rng *rand.Rand) {
 	c := &s.classes[class]
 	prefix := rng.IntN(c.Prefixes)
@@ -390,8 +413,9 @@
 	}
 }
 
-// sendWithRetries sends one request, and again twice at the most where it is refused.
-func (s *demo) sendWithRetries(ctx context.Context, n uint64, turn, class int, messages []message, promptTokens, prefixTokens int, rng *rand.Rand) (string, bool) {
+// sendWithRetries sends a request, with up to two retries if it fails, and returns the text of the response.
+func (s *demo) sendWithRetries(ctx context.Context, n uint64, turn, class int, messages []message,
+	promptTokens, prefixTokens int, rng *rand.Rand) (string, bool) {
 	c := &s.classes[class]
 	arrived := time.Now()
 	at := arrived.Sub(s.startedAt).Seconds()
@@ -411,9 +435,11 @@
 		return "", false
 	}
 	for attempt := range 3 {
-		text, ttft, tpot, retryAfter, ok := s.sendOnce(ctx, fmt.Sprintf("s%d-%d-%d", n, turn, attempt), class, uint64(n), body, promptTokens, prefixTokens, arrived)
+		text, ttft, tpot, retryAfter, ok := s.sendOnce(ctx, fmt.Sprintf("s%d-%d-%d", n, turn, attempt), class,
+			uint64(n), body, promptTokens, prefixTokens, arrived)
 		if ok {
-			ttftObjective := float64(c.TTFTObjective)/1e9 + float64(c.TTFTObjectivePer1000Tokens)/1e9*float64(promptTokens)/1000
+			ttftObjective := float64(c.TTFTObjective)/1e9 +
+				float64(c.TTFTObjectivePer1000Tokens)/1e9*float64(promptTokens)/1000
 			if ttft <= ttftObjective && tpot <= float64(c.TPOTObjective)/1e9 {
 				s.mu.Lock()
 				s.pointAt(at).OnTimeWeight += c.Weight
@@ -422,7 +448,7 @@
 			return text, true
 		}
 		if ctx.Err() != nil {
-			// Cut off by the stage's end: not asked, as far as service goes.
+			// The end of the run interrupted the request: it does not count as offered.
 			s.mu.Lock()
 			s.pointAt(at).OfferedWeight -= c.Weight
 			s.mu.Unlock()
@@ -440,7 +466,10 @@
 	return "", false
 }
 
-func (s *demo) sendOnce(ctx context.Context, id string, class int, session uint64, body []byte, promptTokens, prefixTokens int, arrived time.Time) (text string, ttft, tpot, retryAfter float64, ok bool) {
+// sendOnce sends a request once. It returns the text, the time to first token since the request's arrival, the time per
+// output token, and after a rejection the time to wait before a retry, all in seconds.
+func (s *demo) sendOnce(ctx context.Context, id string, class int, session uint64, body []byte,
+	promptTokens, prefixTokens int, arrived time.Time) (text string, ttft, tpot, retryAfter float64, ok bool) {
 	c := &s.classes[class]
 	select {
 	case s.inFlight <- struct{}{}:
@@ -449,13 +478,15 @@
 		return "", 0, 0, 1, false
 	}
 	timeout := time.Duration(c.Deadline)
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.clientAddress+"/v1/chat/completions", bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.clientAddress+"/v1/chat/completions",
+		bytes.NewReader(body))
 	if err != nil {
 		return
 	}
 	for k, v := range map[string]string{"X-Trace-Id": id, "X-Qos": []string{"sheet-import", "foreman-chat"}[class],
 		"X-Object": fmt.Sprintf("%016x", session), "X-Expires-In": fmt.Sprintf("%dm", timeout.Milliseconds()),
-		"X-Props":      fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=%.0f", uint64(class+1)<<32+uint64(prefixTokens), promptTokens, prefixTokens, c.MaxOutputTokens),
+		"X-Props": fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=%.0f",
+			uint64(class+1)<<32+uint64(prefixTokens), promptTokens, prefixTokens, c.MaxOutputTokens),
 		"Content-Type": "application/json"} {
 		r.Header.Set(k, v)
 	}
@@ -494,9 +525,11 @@
 			tokens += event.Usage.Tokens
 		}
 	}
-	return b.String(), firstByteAt.Sub(arrived).Seconds(), time.Since(firstByteAt).Seconds() / max(1, float64(tokens-1)), 0, tokens > 0
+	return b.String(), firstByteAt.Sub(arrived).Seconds(),
+		time.Since(firstByteAt).Seconds() / max(1, float64(tokens-1)), 0, tokens > 0
 }
 
+// writeReport writes report.json and report.png and returns the report.
 func (s *demo) writeReport() (*Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -518,8 +551,8 @@
 	return &s.report, writeChart(&s.report, filepath.Join(s.Dir, "report.png"))
 }
 
-// Service is the worth answered in time over the worth asked for: the least of any 10 s, and the whole. The last 12 s
-// are left out.
+// Service returns the weight of the requests that met their objectives over the offered weight: the lowest of any 10 s,
+// and that of the whole run. The last 12 s are left out, because their responses may be outstanding.
 func (r *Report) Service() (least, mean float64) {
 	least = 1
 	offered, onTime := 0.0, 0.0
