--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,4 +1,4 @@
-// Command lab is the laboratory: measurements in virtual time, and emulated boxes on sockets.
+// Command lab has the lab tools: simulations in virtual time, emulated backends on sockets and measurements.
 package main
 
 import (
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -19,23 +19,28 @@
 	"standpoint/internal/lab/rig"
 )
 
-// fleetCommand plays the members of a fleet in virtual time.
+// fleetCommand simulates the members of a fleet in virtual time.
 func fleetCommand(out io.Writer) *cobra.Command {
 	var nodes []int
 	var seeds int
 	var first uint64
 	var duration time.Duration
-	c := &cobra.Command{Use: "fleet", Short: "Play what nodes share, in virtual time: losses, cuts, kills, over many seeds",
+	c := &cobra.Command{Use: "fleet",
+		Short:   "Simulate the state that nodes share, in virtual time, under losses, partitions and kills",
 		Example: "  lab fleet --nodes 3,30,300 --seeds 200",
 		RunE: func(c *cobra.Command, _ []string) error {
 			w := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
-			fmt.Fprintln(w, "NODES\tTROUBLE\tLOSS\tSEEDS\tOVERSPENT\tUSED (LEAST)\tIN THE CUT\tAGREED 50, 99\tTOGETHER 99\tBYTES/S\tRIGHT AFTER\tALONE\tFALSE\tALONE\tBROKEN")
+			fmt.Fprintln(w,
+				"NODES\tTROUBLE\tLOSS\tSEEDS\tOVERSPENT\tUSED (LEAST)\tIN THE CUT\tAGREED 50, 99\tTOGETHER 99\t"+
+					"BYTES/S\tRIGHT AFTER\tALONE\tFALSE\tALONE\tBROKEN")
 			for _, n := range nodes {
 				for _, set := range []struct {
 					fault fleetsim.Trouble
 					loss  float64
-				}{{fleetsim.None, 0}, {fleetsim.None, 0.1}, {fleetsim.None, 0.3}, {fleetsim.Third, 0.1}, {fleetsim.OneWay, 0.1}, {fleetsim.Flap, 0.1}, {fleetsim.Killed, 0.1}} {
-					p := fleetsim.Plan{Nodes: n, Span: duration, Trouble: set.fault, Loss: set.loss, Clock: 200 * time.Millisecond, Window: time.Second, Wanted: 0.95, Few: 0.34, Servers: 12}
+				}{{fleetsim.None, 0}, {fleetsim.None, 0.1}, {fleetsim.None, 0.3}, {fleetsim.Third, 0.1},
+					{fleetsim.OneWay, 0.1}, {fleetsim.Flap, 0.1}, {fleetsim.Killed, 0.1}} {
+					p := fleetsim.Plan{Nodes: n, Span: duration, Trouble: set.fault, Loss: set.loss,
+						Clock: 200 * time.Millisecond, Window: time.Second, Wanted: 0.95, Few: 0.34, Servers: 12}
 					shared, isolated := runPlays(c.Context(), p, first, seeds)
 					if err := c.Context().Err(); err != nil {
 						return err
@@ -46,14 +51,16 @@
 			return w.Flush()
 		}}
 	f := c.Flags()
-	f.IntSliceVar(&nodes, "nodes", []int{3, 30}, "sizes of the fleet")
-	f.IntVar(&seeds, "seeds", 20, "plays of each kind")
-	f.Uint64Var(&first, "seed", 1, "the first seed")
-	f.DurationVar(&duration, "span", 45*time.Second, "of a play; its troubles are in the middle third")
+	f.IntSliceVar(&nodes, "nodes", []int{3, 30}, "numbers of nodes in the fleet")
+	f.IntVar(&seeds, "seeds", 20, "number of seeded runs for each fault and loss")
+	f.Uint64Var(&first, "seed", 1, "first seed")
+	f.DurationVar(&duration, "span", 45*time.Second,
+		"duration of a run in virtual time; its faults occur in the middle third")
 	return c
 }
 
-// runPlays plays a plan over seeds, with sharing and without; the second for what it says of servers.
+// runPlays runs a plan over seeds, with sharing and without. The results without it are used for what they say of
+// servers.
 func runPlays(ctx context.Context, p fleetsim.Plan, first uint64, seeds int) (shared, isolated []fleetsim.Result) {
 	shared, isolated = make([]fleetsim.Result, seeds), make([]fleetsim.Result, seeds)
 	var workers sync.WaitGroup
@@ -76,6 +83,7 @@
 	return shared, isolated
 }
 
+// writeRow writes the table's row of a plan.
 func writeRow(w io.Writer, p fleetsim.Plan, shared, isolated []fleetsim.Result) {
 	sortedValues := func(all []fleetsim.Result, value func(fleetsim.Result) float64) []float64 {
 		var values []float64
@@ -103,18 +111,23 @@
 	healed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.Healed })
 	rightAfter := func(r fleetsim.Result) float64 { return r.RightAfter }
 	falseCount := func(r fleetsim.Result) float64 { return float64(r.False) }
-	fmt.Fprintf(w, "%d\t%s\t%.0f%%\t%d\t%d\t%.3f (%.3f)\t%.3f\t%.2f, %.2f s\t%.2f s\t%.0f\t%.1f s\t%.1f s\t%.2f\t%.2f\t%d\n", p.Nodes, p.Trouble, 100*p.Loss, len(shared), max(0, maxOverspent),
-		mean(used), used[0], mean(cut), quantile(agreed, 0.5), quantile(agreed, 0.99), quantile(healed, 0.99), mean(sortedValues(shared, func(r fleetsim.Result) float64 { return r.Bytes })),
-		quantile(sortedValues(shared, rightAfter), 0.5), quantile(sortedValues(isolated, rightAfter), 0.5), mean(sortedValues(shared, falseCount)), mean(sortedValues(isolated, falseCount)), broken)
+	fmt.Fprintf(w,
+		"%d\t%s\t%.0f%%\t%d\t%d\t%.3f (%.3f)\t%.3f\t%.2f, %.2f s\t%.2f s\t%.0f\t%.1f s\t%.1f s\t%.2f\t%.2f\t%d\n",
+		p.Nodes, p.Trouble, 100*p.Loss, len(shared), max(0, maxOverspent),
+		mean(used), used[0], mean(cut), quantile(agreed, 0.5), quantile(agreed, 0.99), quantile(healed, 0.99),
+		mean(sortedValues(shared, func(r fleetsim.Result) float64 { return r.Bytes })),
+		quantile(sortedValues(shared, rightAfter), 0.5), quantile(sortedValues(isolated, rightAfter), 0.5),
+		mean(sortedValues(shared, falseCount)), mean(sortedValues(isolated, falseCount)), broken)
 }
 
-// rigCommand plays real processes with faults between them.
+// rigCommand runs several daemon processes with faults between them.
 func rigCommand(out io.Writer) *cobra.Command {
 	var nodes, seeds int
 	var first uint64
 	var duration time.Duration
 	var program, parentDir string
-	c := &cobra.Command{Use: "rig", Short: "Play several processes of the program with faults between them, over many seeds",
+	c := &cobra.Command{Use: "rig",
+		Short:   "Run several daemon processes with network faults between them, over many seeds",
 		Example: "  lab rig --program bin/standpoint --nodes 5 --seeds 100",
 		RunE: func(c *cobra.Command, _ []string) error {
 			failed := 0
@@ -127,15 +140,21 @@
 				if err != nil {
 					return err
 				}
-				v, err := rig.PlayBudgets(c.Context(), rig.Options{Program: path, Dir: dir, Nodes: nodes, Backends: nodes, Seed: seed, Window: 400 * time.Millisecond,
-					Clock: 150 * time.Millisecond, Token: time.Millisecond, Tenants: []rig.Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}}, duration, 60)
+				v, err := rig.PlayBudgets(c.Context(), rig.Options{Program: path, Dir: dir, Nodes: nodes,
+					Backends: nodes, Seed: seed, Window: 400 * time.Millisecond,
+					Clock: 150 * time.Millisecond, Token: time.Millisecond,
+					Tenants: []rig.Tenant{{Name: "acme", Amount: 1500}, {Name: "free"},
+						{Name: "bolt", Amount: 600}}}, duration, 60)
 				if err != nil {
 					failed++
 					fmt.Fprintf(out, "seed %d: %v\n  what it left is in %s\n", seed, err, dir)
 					continue
 				}
-				fmt.Fprintf(out, "seed %d: %d asked, %d served, %d refused; %d windows, the most %d; together %v after the end\n", seed, v.Load.Asked, v.Load.Served, v.Load.Refused, v.Windows, v.MaxSpent, v.Agreed.Round(time.Millisecond))
-				_ = os.RemoveAll(dir) // its own
+				fmt.Fprintf(out,
+					"seed %d: %d asked, %d served, %d refused; %d windows, the most %d; together %v after the end\n",
+					seed, v.Load.Asked, v.Load.Served, v.Load.Refused, v.Windows, v.MaxSpent,
+					v.Agreed.Round(time.Millisecond))
+				_ = os.RemoveAll(dir) // created by this command
 			}
 			if failed > 0 {
 				return fmt.Errorf("%d of %d seeds failed", failed, seeds)
@@ -143,26 +162,28 @@
 			return c.Context().Err()
 		}}
 	f := c.Flags()
-	f.StringVar(&program, "program", "bin/standpoint", "the program")
-	f.StringVar(&parentDir, "dir", "", "where failed plays are kept; else the system's folder for such files")
-	f.IntVar(&nodes, "nodes", 3, "processes, 3 to 7")
-	f.IntVar(&seeds, "seeds", 10, "plays")
-	f.Uint64Var(&first, "seed", 1, "the first seed")
-	f.DurationVar(&duration, "span", 10*time.Second, "of the troubles of each play")
+	f.StringVar(&program, "program", "bin/standpoint", "path of the daemon's program")
+	f.StringVar(&parentDir, "dir", "",
+		"parent directory of the runs' files, which stay after a failure; empty: the system's temporary directory")
+	f.IntVar(&nodes, "nodes", 3, "number of processes, 3 to 7")
+	f.IntVar(&seeds, "seeds", 10, "number of seeded runs")
+	f.Uint64Var(&first, "seed", 1, "first seed")
+	f.DurationVar(&duration, "span", 10*time.Second, "duration of the faults of each run")
 	return c
 }
 
-// proofCommand takes guards out and shows that the tests find it.
+// proofCommand removes safety checks and shows whether the tests notice.
 func proofCommand(out io.Writer) *cobra.Command {
 	var root string
-	c := &cobra.Command{Use: "proof", Short: "Take the guards of the fleet's deciders out, one by one, in a copy, and show what finds it",
+	c := &cobra.Command{Use: "proof",
+		Short: "Remove the safety checks of the fleet's decision code one by one, in a copy, and show which tests fail",
 		RunE: func(c *cobra.Command, _ []string) error {
 			missed, err := mutation.Run(c.Context(), root, out)
 			if err == nil && missed > 0 {
-				err = fmt.Errorf("%d guards can go without a test that finds it", missed)
+				err = fmt.Errorf("%d safety checks can be removed without a failing test", missed)
 			}
 			return err
 		}}
-	c.Flags().StringVar(&root, "root", ".", "the tree")
+	c.Flags().StringVar(&root, "root", ".", "directory of the source tree")
 	return c
 }
--- a/internal/lab/labcli/load.go
+++ b/internal/lab/labcli/load.go
@@ -18,15 +18,19 @@
 	"standpoint/internal/lab/load"
 )
 
+// loadCommand sends load and reports on it.
 func loadCommand(out, errs io.Writer) *cobra.Command {
 	var target, replay, record, file, pattern string
 	var scale float64
 	var duration time.Duration
 	var plain bool
-	c := &cobra.Command{Use: "load PLAN", Short: "Send load as a plan says, or a recorded trace, and report what came of it", Args: cobra.ExactArgs(1),
-		Long: `Clients come when the plan's pattern says, whether or not answers do. Latency counts from the moment at which a request
-was meant to go out; when this generator itself is late the run is marked. Ctrl-C ends the run; the report is written.`,
-		Example: "  lab load deploy/lab/evening.toml --out evening.json\n  lab load deploy/lab/evening.toml --replay day.jsonl --scale 0.5",
+	c := &cobra.Command{Use: "load PLAN",
+		Short: "Send the load of a plan or a recorded trace, and report the results", Args: cobra.ExactArgs(1),
+		Long: `Clients arrive by the plan's pattern, whether or not responses do. Latency counts from the time at
+which a request was due to be sent; a run in which the generator itself was late is marked. Ctrl-C
+ends the run; the report is still written.`,
+		Example: "  lab load deploy/lab/evening.toml --out evening.json\n" +
+			"  lab load deploy/lab/evening.toml --replay day.jsonl --scale 0.5",
 		RunE: func(c *cobra.Command, args []string) error {
 			p, err := readPlan(args[0], target, pattern, duration)
 			if err != nil {
@@ -56,15 +60,18 @@
 			return errors.Join(err, writeJSON(file, r))
 		}}
 	f := c.Flags()
-	f.StringVar(&target, "target", "", "host:port, in place of the plan's")
-	f.StringVar(&pattern, "pattern", "", "in place of the plan's, such as 'steady(20) + burst(100, at=10s, for=5s)'")
-	f.DurationVar(&duration, "for", 0, "in place of the plan's")
-	f.StringVar(&replay, "replay", "", "a trace, a JSON object a line, in place of the pattern")
-	f.Float64Var(&scale, "scale", 1, "of the trace's time: 0.5 plays it twice as fast")
-	f.StringVar(&record, "record", "", "a file for the trace of this run")
-	f.StringVar(&file, "out", "", "a file for the report, with its histograms")
-	f.BoolVar(&plain, "plain", false, "a line a second, even on a terminal")
-	c.AddCommand(&cobra.Command{Use: "merge REPORT...", Short: "Put the reports of several processes together", Args: cobra.MinimumNArgs(1),
+	f.StringVar(&target, "target", "", "address (host:port) to send to, in place of the plan's")
+	f.StringVar(&pattern, "pattern", "",
+		"requests per second over time, in place of the plan's, such as 'steady(20) + burst(100, at=10s, for=5s)'")
+	f.DurationVar(&duration, "for", 0, "duration, in place of the plan's")
+	f.StringVar(&replay, "replay", "",
+		"file with a recorded trace, one JSON object per line, to replay in place of the pattern")
+	f.Float64Var(&scale, "scale", 1, "factor on the trace's time: 0.5 replays it twice as fast")
+	f.StringVar(&record, "record", "", "file for a trace of this run")
+	f.StringVar(&file, "out", "", "file for the report as JSON, with its histograms")
+	f.BoolVar(&plain, "plain", false, "print one line per second, even on a terminal")
+	c.AddCommand(&cobra.Command{Use: "merge REPORT...", Short: "Merge the reports of several processes",
+		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var all []*load.Report
 			for _, path := range args {
@@ -81,7 +88,9 @@
 			r.Write(out)
 			return writeJSON(file, r)
 		}})
-	c.AddCommand(&cobra.Command{Use: "ceiling", Short: "Find the highest rate that this generator keeps, its lag under 1 ms at the 99th", Args: cobra.NoArgs,
+	c.AddCommand(&cobra.Command{Use: "ceiling",
+		Short: "Find the highest rate at which the 99th percentile of the generator's send lag is under 1 ms",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			rate, err := load.Ceiling(c.Context(), errs)
 			fmt.Fprintf(out, "%.0f requests a second\n", rate)
@@ -89,12 +98,13 @@
 		}})
 	merge, _, err := c.Find([]string{"merge"})
 	if err != nil {
-		panic(err) // added above
+		panic(err) // cannot happen: the command was added above
 	}
-	merge.Flags().StringVar(&file, "out", "", "a file for the report")
+	merge.Flags().StringVar(&file, "out", "", "file for the merged report as JSON")
 	return c
 }
 
+// readPlan reads a plan and sets the values that flags override.
 func readPlan(path, target, pattern string, duration time.Duration) (*load.Plan, error) {
 	p, err := load.ReadPlan(path)
 	if p == nil {
@@ -112,6 +122,7 @@
 	return p, p.Complete()
 }
 
+// readTrace reads the trace to be replayed.
 func readTrace(o *load.Options, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -126,6 +137,7 @@
 	return nil
 }
 
+// writeJSON writes a value to a JSON file, if there is a path.
 func writeJSON(path string, v any) error {
 	if path == "" {
 		return nil
@@ -137,7 +149,7 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// runLoad runs with a live view where there is a terminal, else with a line a second.
+// runLoad sends the load, with a live view if errs is a terminal, else with one line per second.
 func runLoad(ctx context.Context, o load.Options, errs io.Writer, plain bool) (*load.Report, error) {
 	f, isFile := errs.(*os.File)
 	if plain || !isFile || !term.IsTerminal(int(f.Fd())) {
@@ -161,8 +173,10 @@
 	return r, err
 }
 
+// progressLine returns the line of a second.
 func progressLine(p load.Progress) string {
-	line := fmt.Sprintf("%5.0f s of %.0f  %6.1f/s wanted  %5d out  second: %4d asked %4d in time %4d turned down %4d failed, slowest %.0f ms", p.At.Seconds(), p.For.Seconds(),
+	line := fmt.Sprintf("%5.0f s of %.0f  %6.1f/s wanted  %5d out  "+
+		"second: %4d asked %4d in time %4d turned down %4d failed, slowest %.0f ms", p.At.Seconds(), p.For.Seconds(),
 		p.Rate, p.Out, p.Second.Asked, p.Second.InTime, p.Second.TurnedDown, p.Second.Failed, p.Second.FirstMS)
 	if p.Lagging {
 		line += "  THE GENERATOR LAGS"
@@ -170,9 +184,10 @@
 	return line
 }
 
+// loadDone is the message that the run has ended.
 type loadDone struct{}
 
-// loadView is the live view of a run.
+// loadView is the live view of a run on a terminal.
 type loadView struct {
 	stop   context.CancelFunc
 	last   load.Progress
@@ -180,7 +195,7 @@
 	done   bool
 }
 
-const maxRecentSeconds = 60
+const maxRecentSeconds = 60 // number of seconds that the live view's bars show
 
 // Init implements tea.Model.
 func (v loadView) Init() tea.Cmd { return nil }
@@ -198,7 +213,7 @@
 		return v, tea.Quit
 	case tea.KeyPressMsg:
 		if s := m.String(); s == "ctrl+c" || s == "q" {
-			v.stop() // the run ends, and its report is still made
+			v.stop() // ends the run; its report is still written
 		}
 	}
 	return v, nil
@@ -217,13 +232,16 @@
 		progress = min(1, p.At.Seconds()/p.For.Seconds())
 	}
 	const width = 40
-	fmt.Fprintf(&b, "%s %s%s %.0f s of %.0f\n", bold.Render("load"), strings.Repeat("█", int(progress*width)), strings.Repeat("░", width-int(progress*width)), p.At.Seconds(), p.For.Seconds())
+	fmt.Fprintf(&b, "%s %s%s %.0f s of %.0f\n", bold.Render("load"), strings.Repeat("█", int(progress*width)),
+		strings.Repeat("░", width-int(progress*width)), p.At.Seconds(), p.For.Seconds())
 	fmt.Fprintf(&b, "%.1f requests a second wanted, %d out\n", p.Rate, p.Out)
 	if p.All != nil && p.All.Asked > 0 {
 		q := func(at float64) float64 { return float64(p.All.First.ValueAtQuantile(at)) / 1000 }
-		fmt.Fprintf(&b, "asked %d, served %d, in time %d (%.1f%%), turned down %d, failed %d\n", p.All.Asked, p.All.Served, p.All.InTime,
+		fmt.Fprintf(&b, "asked %d, served %d, in time %d (%.1f%%), turned down %d, failed %d\n", p.All.Asked,
+			p.All.Served, p.All.InTime,
 			100*float64(p.All.InTime)/float64(p.All.Asked), p.All.TurnedDown, p.All.Failed+p.All.GaveUp)
-		fmt.Fprintf(&b, "first event: median %.0f ms, 99th %.0f, 99.9th %.0f; send lag 99th %.2f ms\n", q(50), q(99), q(99.9), float64(p.All.Lag.ValueAtQuantile(99))/1000)
+		fmt.Fprintf(&b, "first event: median %.0f ms, 99th %.0f, 99.9th %.0f; send lag 99th %.2f ms\n", q(50), q(99),
+			q(99.9), float64(p.All.Lag.ValueAtQuantile(99))/1000)
 	}
 	bars := []rune("▁▂▃▄▅▆▇█")
 	b.WriteString("in time a second ")
