--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -41,7 +41,7 @@
 // baselineRequest is an open request of a baseline policy.
 type baselineRequest struct {
 	standpoint.Request
-	tried          []string
+	attempted      []string
 	current        string
 	firstTokenSeen bool
 	finished       bool
@@ -86,7 +86,7 @@
 			f.finished = true
 			if f.current != "" {
 				b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Cancel, Request: f.ID,
-					Attempt: len(f.tried) - 1})
+					Attempt: len(f.attempted) - 1})
 			}
 			b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Fail, Request: f.ID})
 			b.removeIfFinished(f)
@@ -123,7 +123,7 @@
 	if f == nil {
 		return
 	}
-	if f.current != "" && ev.Attempt == len(f.tried)-1 {
+	if f.current != "" && ev.Attempt == len(f.attempted)-1 {
 		b.inFlight[f.current]--
 		f.current = ""
 	}
@@ -144,9 +144,9 @@
 
 // dispatch sends a request's next attempt, or fails the request if no attempt, time or backend is left.
 func (b *baseline) dispatch(f *baselineRequest) {
-	if len(f.tried) < max(1, b.settings.MaxAttempts) && b.now < f.Deadline-2*b.settings.Tick {
+	if len(f.attempted) < max(1, b.settings.MaxAttempts) && b.now < f.Deadline-2*b.settings.Tick {
 		if name := b.choose(f); name != "" {
-			f.tried, f.current = append(f.tried, name), name
+			f.attempted, f.current = append(f.attempted, name), name
 			b.inFlight[name]++
 			b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Send, Request: f.ID, Engine: name,
 				Deadline: f.Deadline})
@@ -162,7 +162,7 @@
 func (b *baseline) choose(f *baselineRequest) string {
 	candidates := make([]string, 0, len(b.ready))
 	for _, n := range b.ready {
-		if (f.Pool == 0 || b.pools[n] == f.Pool) && !slices.Contains(f.tried, n) {
+		if (f.Pool == 0 || b.pools[n] == f.Pool) && !slices.Contains(f.attempted, n) {
 			candidates = append(candidates, n)
 		}
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -59,7 +59,7 @@
 // Metrics are the metrics that are compared.
 var Metrics = []Metric{
 	{"service", true, func(o *lab.Outcome) float64 { return o.Service }},
-	{"least_10_s", true, func(o *lab.Outcome) float64 { return o.LeastService }},
+	{"least_10_s", true, func(o *lab.Outcome) float64 { return o.MinService }},
 	{"first_50", false, func(o *lab.Outcome) float64 { return o.TTFT50 }},
 	{"first_99", false, func(o *lab.Outcome) float64 { return o.TTFT99 }},
 	{"turned_down", false, func(o *lab.Outcome) float64 { return o.RejectionRatio }},
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -58,8 +58,8 @@
 			case setup.Policy != "module":
 				return nil, fmt.Errorf("variant[%d].policy: on sockets only the daemon runs, not %q", k, setup.Policy)
 			case setup.OldBackends > maxSocketBackends || setup.Nodes > maxSocketNodes || setup.Rate > maxSocketRate:
-				return nil, fmt.Errorf("variant[%d]: %d boxes, %d nodes and %g requests per second exceed the bounds on "+
-					"sockets of %d, %d and %g", k, setup.OldBackends, setup.Nodes, setup.Rate,
+				return nil, fmt.Errorf("variant[%d]: %d boxes, %d nodes and %g requests per second exceed the bounds "+
+					"on sockets of %d, %d and %g", k, setup.OldBackends, setup.Nodes, setup.Rate,
 					maxSocketBackends, maxSocketNodes, maxSocketRate)
 			case setup.ListDelay > 0 || setup.ReportLossRate > 0 || setup.AttemptLossRate > 0:
 				return nil, fmt.Errorf("variant[%d]: list_late, report_lost and message_lost are only possible in "+
@@ -337,7 +337,7 @@
 	o.TTFT50, o.TTFT99 = float64(all.First.ValueAtQuantile(50))/1e6, float64(all.First.ValueAtQuantile(99))/1e6
 	o.RejectionRatio = float64(all.TurnedDown) / max(1, float64(all.Asked))
 	settle := int(time.Duration(s.Settle).Seconds())
-	o.LeastService = 1
+	o.MinService = 1
 	for i := settle; i < len(r.Seconds); i++ {
 		second := r.Seconds[i]
 		o.Seconds = append(o.Seconds, lab.OutcomeSecond{OfferedWeight: float64(second.Asked),
@@ -348,7 +348,7 @@
 				offeredIn10, onTimeIn10 = offeredIn10+in.OfferedWeight, onTimeIn10+in.OnTimeWeight
 			}
 			if offeredIn10 > 0 {
-				o.LeastService = min(o.LeastService, onTimeIn10/offeredIn10)
+				o.MinService = min(o.MinService, onTimeIn10/offeredIn10)
 			}
 		}
 	}
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -29,7 +29,8 @@
 type NewBackendResult struct {
 	PeakPressure float64 // highest load of the new backend, as a share of the load that makes it collapse
 	Collapsed    bool
-	// FullShareAfter is the time in seconds from its start until it got a fair share of the attempts of 5 s; 0 if not within 60 s
+	// FullShareAfter is the time in seconds from its start until it got a fair share of the attempts of 5 s. It is 0 if
+	// that took longer than 60 s.
 	FullShareAfter float64
 	ServiceBefore  float64 // service in the 10 s before it was added
 	ServiceAfter   float64 // service in the 30 s after it was added
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -244,7 +244,7 @@
 }
 
 // finish reports the outcome of an attempt to the tracker and the policy; a client whose stream broke off retries.
-func (n *simNode) finish(att *attempt, code standpoint.OutcomeCode, kept float64) {
+func (n *simNode) finish(att *attempt, code standpoint.OutcomeCode, cachedTokens float64) {
 	if !att.inFlight {
 		return
 	}
@@ -258,7 +258,7 @@
 	}
 	o := node.Observation{Request: &req.request, Backend: att.backend.name,
 		Sent: time.Unix(0, epoch+int64(att.sentAt*1e9)), Inconclusive: code == standpoint.Cancelled,
-		Result: node.Result{Code: code, CachedTokens: kept}}
+		Result: node.Result{Code: code, CachedTokens: cachedTokens}}
 	if att.firstTokenAt > 0 {
 		o.FirstToken, o.AttemptFirstToken, o.Decode = span(att.firstTokenAt-req.submittedAt()),
 			span(att.firstTokenAt-att.sentAt), span(sim.now-att.firstTokenAt)
@@ -282,7 +282,7 @@
 		n.tracker.Finished(o)
 	}
 	n.handle(&standpoint.Outcome{Request: req.request.ID, Attempt: att.index, Last: last, Code: code,
-		CachedTokens: kept, OutputTokens: o.Result.OutputTokens,
+		CachedTokens: cachedTokens, OutputTokens: o.Result.OutputTokens,
 		Engine: att.backend.name, Elapsed: int64((sim.now - att.sentAt) * 1e9), Report: o.Result.Report})
 	n.removeIfFinished(req)
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,12 +9,13 @@
 	"standpoint/internal/migration"
 )
 
-func smallCase(seed uint64, fault Fault) MoveCase {
+func smallCase(seed uint64, fault Fault) MigrationCase {
 	s := SmallSetup()
 	s.Seed = seed
 	p := s.Plan()
-	return MoveCase{Setup: s, Plan: p, Fault: fault, FaultStep: 2, FaultAfter: 6, RunAfterFault: 90, MaxDuration: 240,
-		Settle: 20}
+	return MigrationCase{Setup: s, Plan: p, Fault: fault, FaultStep: 2, FaultAfter: 6, RunAfterFault: 90,
+		MaxDuration: 240,
+		Settle:      20}
 }
 
 // Guards against nondeterminism: two runs of a seed must agree in every figure.
--- a/internal/lab/labcli/boxes.go
+++ b/internal/lab/labcli/boxes.go
@@ -161,9 +161,9 @@
 			if err != nil {
 				return err
 			}
-			least, mean := r.Service()
+			lowest, mean := r.Service()
 			fmt.Fprintf(out, "%d requests, %d attempts, two at once %d; service %.3f, least of any 10 s %.3f\n",
-				r.Requests, r.Attempts, r.ConcurrentAttempts, mean, least)
+				r.Requests, r.Attempts, r.ConcurrentAttempts, mean, lowest)
 			if r.SlowAt > 0 && r.ReturnedAt > 0 {
 				fmt.Fprintf(out, "all traffic was back %.0f s after the new boxes became slow\n", r.ReturnedAt-r.SlowAt)
 			}
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -39,7 +39,7 @@
 // Driver decides about a migration from windows of counts.
 type Driver interface {
 	// Observe processes a window and returns the record that nodes follow from now on.
-	Observe(w *Simulation, window migration.Window) migration.Record
+	Observe(sim *Simulation, window migration.Window) migration.Record
 }
 
 // MigrationDriver is the migration state machine as a driver.
@@ -97,11 +97,11 @@
 			return *r
 		}
 	}
-	least := int(t.Plan.Hold / migration.WindowTime)
+	minWindows := int(t.Plan.Hold / migration.WindowTime)
 	if r.Step < 0 {
-		least = int(t.Plan.Warm / migration.WindowTime)
+		minWindows = int(t.Plan.Warm / migration.WindowTime)
 	}
-	if r.StateWindows++; r.StateWindows >= least {
+	if r.StateWindows++; r.StateWindows >= minWindows {
 		r.StateWindows = 0
 		if r.Step++; r.Step == len(t.Plan.Steps) {
 			r.State, r.Shares = migration.Done, pool.Shares{Moved: map[string]string{"old": "new"}}
@@ -112,22 +112,22 @@
 	return *r
 }
 
-// MoveResult has the results of one migration. Times are virtual times in seconds.
-type MoveResult struct {
-	State        migration.State
-	Cause        string
-	HaltDelay    float64 // time from the fault to the halt; NaN if there was none
-	ReturnDelay  float64 // time from the fault until all traffic was back; NaN if it was not
-	LeastService float64 // lowest service of any 10 s from the start of the migration on
-	MeanService  float64 // service over the run
-	// BaselineLeastService is the lowest service of any 10 s with the old pool alone on this seed. The caller sets it.
-	BaselineLeastService float64
-	Collapsed            int // backends that went down under overload
-	Seconds              []SecondTotals
-	Trace                []TracePoint
-	FaultAt              float64
-	SendsAfterDrain      int // attempts that reached a backend more than 500 ms after its drain was published
-	Violations           []string
+// MigrationResult has the results of one migration. Times are virtual times in seconds.
+type MigrationResult struct {
+	State       migration.State
+	Cause       string
+	HaltDelay   float64 // time from the fault to the halt; NaN if there was none
+	ReturnDelay float64 // time from the fault until all traffic was back; NaN if it was not
+	MinService  float64 // lowest service of any 10 s from the start of the migration on
+	MeanService float64 // service over the run
+	// BaselineMinService is the lowest service of any 10 s with the old pool alone on this seed. The caller sets it.
+	BaselineMinService float64
+	Collapsed          int // backends that went down under overload
+	Seconds            []SecondTotals
+	Trace              []TracePoint
+	FaultAt            float64
+	SendsAfterDrain    int // attempts that reached a backend more than 500 ms after its drain was published
+	Violations         []string
 }
 
 // TracePoint is the state of a migration at one second.
@@ -137,8 +137,8 @@
 	OldTTFT, NewTTFT    float64 // median time to first token of the window's samples, in seconds; NaN without samples
 }
 
-// MoveCase describes one migration to be simulated. Times are in seconds.
-type MoveCase struct {
+// MigrationCase describes one migration to be simulated. Times are in seconds.
+type MigrationCase struct {
 	Setup
 	Plan  migration.Plan
 	Fault Fault
@@ -157,10 +157,10 @@
 }
 
 // Run simulates the case.
-func (c MoveCase) Run() MoveResult {
+func (c MigrationCase) Run() MigrationResult {
 	c.UsePools = true
 	sim := New(c.Setup)
-	r := MoveResult{HaltDelay: math.NaN(), ReturnDelay: math.NaN(), FaultAt: math.NaN()}
+	r := MigrationResult{HaltDelay: math.NaN(), ReturnDelay: math.NaN(), FaultAt: math.NaN()}
 	var driver Driver
 	var record migration.Record
 	apply := func(next migration.Record) {
@@ -175,14 +175,14 @@
 	end := c.MaxDuration
 	var tick func()
 	tick = func() {
-		var win migration.Window
+		var window migration.Window
 		for _, n := range sim.nodes {
 			from, to := n.tracker.TakeWindow(sim.Time())
-			win.From, win.To = win.From.Add(from), win.To.Add(to)
-			win.Nodes++
+			window.From, window.To = window.From.Add(from), window.To.Add(to)
+			window.Nodes++
 		}
 		sim.At(sim.now+countsDelay, func() {
-			next := driver.Observe(sim, win)
+			next := driver.Observe(sim, window)
 			if math.IsNaN(r.HaltDelay) && (next.State == migration.Halted || next.State == migration.Returning ||
 				next.State == migration.Undone) {
 				r.HaltDelay, r.Cause = sim.now-r.FaultAt, next.Cause
@@ -198,7 +198,7 @@
 			}
 			if c.Trace {
 				r.Trace = append(r.Trace, TracePoint{sim.now, next.Shares.Share, next.EvidenceLevel(), next.State,
-					median(win.From.Samples), median(win.To.Samples)})
+					median(window.From.Samples), median(window.To.Samples)})
 			}
 			apply(next)
 		})
@@ -231,7 +231,7 @@
 	}
 	r.State = record.State
 	r.Seconds, r.SendsAfterDrain = sim.Seconds, sim.sendsAfterDrain
-	r.LeastService, r.MeanService = service(sim.Seconds, c.Settle, end)
+	r.MinService, r.MeanService = service(sim.Seconds, c.Settle, end)
 	for _, b := range sim.backends {
 		if !b.Alive() && !(c.Fault.NewDead && b.pool == 2) && !(c.Fault.OldDead && b.pool == 1) {
 			r.Collapsed++
@@ -243,8 +243,8 @@
 // service returns the lowest service of any 10 s, and that of the whole time, of the requests that arrived between from
 // and end, in seconds. Service is the weight of the requests that met their objectives over the offered weight. The
 // last 12 s are left out, because their responses may be outstanding.
-func service(all []SecondTotals, from, end float64) (least, mean float64) {
-	least = 1
+func service(all []SecondTotals, from, end float64) (lowest, mean float64) {
+	lowest = 1
 	var sumOffered, sumOnTime float64
 	last := min(len(all), int(end)-12)
 	for i := int(from); i < last; i++ {
@@ -257,10 +257,10 @@
 			offered, onTime = offered+s.OfferedWeight, onTime+s.OnTimeWeight
 		}
 		if offered > 0 {
-			least = min(least, onTime/offered)
+			lowest = min(lowest, onTime/offered)
 		}
 	}
-	return least, sumOnTime / max(1, sumOffered)
+	return lowest, sumOnTime / max(1, sumOffered)
 }
 
 // median returns the samples' median time to first token in seconds, or NaN without samples.
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -78,8 +78,8 @@
 
 // Report has the results of a run.
 type Report struct {
-	Points []Point           `json:"points"`
-	Move   *migration.Record `json:"move,omitempty"`
+	Points    []Point           `json:"points"`
+	Migration *migration.Record `json:"move,omitempty"`
 	// ConcurrentAttempts is the number of attempts that began while another one of the same request ran.
 	ConcurrentAttempts int `json:"two_attempts_at_once"`
 	Attempts           int `json:"attempts"`
@@ -305,8 +305,8 @@
 	if r == nil {
 		return
 	}
-	previous := s.report.Move
-	s.report.Move = r
+	previous := s.report.Migration
+	s.report.Migration = r
 	p.Share, p.State, p.Evidence = r.CurrentShare(), r.State, status.Evidence
 	if previous == nil || previous.State != r.State || previous.Step != r.Step {
 		fmt.Fprintf(s.Out, "%5.0f s  %-9s %5.1f%%  %s\n", at.Seconds(), r.State, 100*p.Share, r.Reason)
@@ -553,8 +553,8 @@
 
 // Service returns the weight of the requests that met their objectives over the offered weight: the lowest of any 10 s,
 // and that of the whole run. The last 12 s are left out, because their responses may be outstanding.
-func (r *Report) Service() (least, mean float64) {
-	least = 1
+func (r *Report) Service() (lowest, mean float64) {
+	lowest = 1
 	offered, onTime := 0.0, 0.0
 	n := max(0, len(r.Points)-12)
 	for i := range n {
@@ -567,8 +567,8 @@
 			offeredIn10, onTimeIn10 = offeredIn10+p.OfferedWeight, onTimeIn10+p.OnTimeWeight
 		}
 		if offeredIn10 > 0 {
-			least = min(least, onTimeIn10/offeredIn10)
+			lowest = min(lowest, onTimeIn10/offeredIn10)
 		}
 	}
-	return least, onTime / max(offered, 1e-9)
+	return lowest, onTime / max(offered, 1e-9)
 }
--- a/internal/lab/study.go
+++ b/internal/lab/study.go
@@ -41,15 +41,15 @@
 	HaltDelay99      float64 `json:"halt_99th_s"`
 	ReturnDelay50    float64 `json:"back_median_s"` // time from the fault until all traffic was back, median
 	ReturnDelay99    float64 `json:"back_99th_s"`
-	// LeastRatioMin is the minimum over the runs of the lowest service of any 10 s, divided by the lowest that the old
-	// pool alone gives on the same seed.
-	LeastRatioMin   float64 `json:"least_ratio_min"`
-	LeastRatio01    float64 `json:"least_ratio_1st"` // its 1st percentile over the runs
-	BelowFloor      int     `json:"under_floor"`     // runs in which this ratio was below 0.9
-	MeanService     float64 `json:"mean_service"`
-	BaselineService float64 `json:"base_service"`      // mean service of the old pool alone
-	Collapsed       int     `json:"boxes_pushed_over"` // cold backends that were overloaded and went down
-	Done            int     `json:"done"`
+	// MinServiceRatio is the minimum over the runs of the lowest service of any 10 s, divided by the lowest that the
+	// old pool alone gives on the same seed.
+	MinServiceRatio   float64 `json:"least_ratio_min"`
+	MinServiceRatio01 float64 `json:"least_ratio_1st"` // 1st percentile of this ratio over the runs
+	BelowFloor        int     `json:"under_floor"`     // runs in which this ratio was below 0.9
+	MeanService       float64 `json:"mean_service"`
+	BaselineService   float64 `json:"base_service"`      // mean service of the old pool alone
+	Collapsed         int     `json:"boxes_pushed_over"` // cold backends that were overloaded and went down
+	Done              int     `json:"done"`
 }
 
 // thresholdDrivers returns drivers with common fixed thresholds: a check every 10 s, of which one fails or three in a
@@ -74,21 +74,21 @@
 		}
 	}
 	names := []string{"mover", "threshold, 1 check", "threshold, 3 checks"}[:len(drivers)]
-	baselines := make([]MoveResult, s.Runs)
+	baselines := make([]MigrationResult, s.Runs)
 	parallel(ctx, s.Runs, func(i int) {
-		c := s.moveCase(i, Fault{})
+		c := s.migrationCase(i, Fault{})
 		c.NoMove = true
 		baselines[i] = c.Run()
 	})
 	var all []Summary
 	for _, fault := range s.Faults {
 		for _, name := range names {
-			results := make([]MoveResult, s.Runs)
+			results := make([]MigrationResult, s.Runs)
 			parallel(ctx, s.Runs, func(i int) {
-				c := s.moveCase(i, fault)
+				c := s.migrationCase(i, fault)
 				c.NewDriver = drivers[name]
 				results[i] = c.Run()
-				results[i].BaselineLeastService = baselines[i].LeastService
+				results[i].BaselineMinService = baselines[i].MinService
 				results[i].Seconds = nil
 			})
 			if ctx.Err() != nil {
@@ -100,8 +100,8 @@
 				fmt.Fprintf(progress,
 					"%-18s %-20s back %3d/%3d early %d halt %.0f s (99th %.0f) back %.0f s (99th %.0f) "+
 						"least %.3f (1st %.3f, under floor %d) service %.3f of %.3f\n",
-					fault.Name, name, sum.WentBack, sum.FaultOccurred, sum.WentBackEarly, sum.HaltDelay50, sum.HaltDelay99,
-					sum.ReturnDelay50, sum.ReturnDelay99, sum.LeastRatioMin, sum.LeastRatio01,
+					fault.Name, name, sum.WentBack, sum.FaultOccurred, sum.WentBackEarly, sum.HaltDelay50,
+					sum.HaltDelay99, sum.ReturnDelay50, sum.ReturnDelay99, sum.MinServiceRatio, sum.MinServiceRatio01,
 					sum.BelowFloor, sum.MeanService, sum.BaselineService)
 			}
 		}
@@ -109,15 +109,15 @@
 	return all, nil
 }
 
-// moveCase returns the run of one seed. The step of the fault, and its time within the step, vary with the seed.
-func (s Study) moveCase(i int, fault Fault) MoveCase {
+// migrationCase returns the run of one seed. The step of the fault, and its time within the step, vary with the seed.
+func (s Study) migrationCase(i int, fault Fault) MigrationCase {
 	setup := s.Setup
 	setup.Seed = s.FirstSeed + uint64(i)
 	faultAfter := float64(4 + i/4%12)
 	if holdSeconds := s.Plan.Hold.Seconds(); faultAfter > holdSeconds-1 { // a shorter hold would end before the fault
 		faultAfter = 0.5 + float64(i/4%12)/12*(holdSeconds-1.5)
 	}
-	return MoveCase{Setup: setup, Plan: s.Plan, Fault: fault, FaultStep: i % (len(s.Plan.Steps) - 1),
+	return MigrationCase{Setup: setup, Plan: s.Plan, Fault: fault, FaultStep: i % (len(s.Plan.Steps) - 1),
 		FaultAfter: faultAfter, RunAfterFault: s.RunAfterFault,
 		MaxDuration: s.MaxDuration, Settle: s.Settle}
 }
@@ -144,14 +144,14 @@
 }
 
 // summarize computes the summary of a fault's runs; baselines are the runs of the same seeds with the old pool alone.
-func summarize(fault Fault, driver string, results, base []MoveResult) Summary {
-	s := Summary{Fault: fault.Name, Driver: driver, Runs: len(results), LeastRatioMin: math.Inf(1)}
+func summarize(fault Fault, driver string, results, base []MigrationResult) Summary {
+	s := Summary{Fault: fault.Name, Driver: driver, Runs: len(results), MinServiceRatio: math.Inf(1)}
 	var halts, backs, ratios []float64
 	for i, r := range results {
 		s.Collapsed += r.Collapsed
 		s.MeanService += r.MeanService / float64(len(results))
 		s.BaselineService += base[i].MeanService / float64(len(results))
-		ratio := r.LeastService / max(r.BaselineLeastService, 1e-9)
+		ratio := r.MinService / max(r.BaselineMinService, 1e-9)
 		ratios = append(ratios, ratio)
 		if ratio < 0.9 {
 			s.BelowFloor++
@@ -184,7 +184,7 @@
 		s.ReturnDelay50, s.ReturnDelay99 = quantile(backs, 0.5), quantile(backs, 0.99)
 	}
 	slices.Sort(ratios)
-	s.LeastRatioMin, s.LeastRatio01 = ratios[0], quantile(ratios, 0.01)
+	s.MinServiceRatio, s.MinServiceRatio01 = ratios[0], quantile(ratios, 0.01)
 	return s
 }
 
@@ -198,8 +198,8 @@
 	for _, s := range all {
 		fmt.Fprintf(t, "| %s\t %s\t %d of %d\t %d\t %.0f s, %.0f s\t %.0f s, %.0f s\t %.3f, %.3f\t %.3f (%.3f)\t\n",
 			s.Fault, s.Driver, s.WentBack, s.FaultOccurred,
-			s.ReturnedWithin60, s.HaltDelay50, s.HaltDelay99, s.ReturnDelay50, s.ReturnDelay99, s.LeastRatioMin,
-			s.LeastRatio01, s.MeanService, s.BaselineService)
+			s.ReturnedWithin60, s.HaltDelay50, s.HaltDelay99, s.ReturnDelay50, s.ReturnDelay99, s.MinServiceRatio,
+			s.MinServiceRatio01, s.MeanService, s.BaselineService)
 	}
 	t.Flush()
 }
--- a/internal/lab/trial.go
+++ b/internal/lab/trial.go
@@ -13,7 +13,7 @@
 type FaultEvent struct {
 	At       float64 // virtual time in seconds
 	Command  string  // slow, errors, pause, kill, restart, drain or replace (by a cold backend of the same name)
-	Value    float64 // as FaultCommands says
+	Value    float64 // argument of the command; FaultCommands gives its meaning
 	Backends []int   // indices of the backends; empty means all
 }
 
@@ -35,10 +35,10 @@
 	Seed     uint64 `json:"seed"`
 	Requests int    `json:"asked"`
 	// Service is the weight of the requests that met their objectives over the offered weight.
-	Service      float64 `json:"service"`
-	LeastService float64 `json:"least_10_s"` // lowest service of any 10 s
-	TTFT50       float64 `json:"first_50"`   // median time to first token
-	TTFT99       float64 `json:"first_99"`   // 99th percentile of the time to first token
+	Service    float64 `json:"service"`
+	MinService float64 `json:"least_10_s"` // lowest service of any 10 s
+	TTFT50     float64 `json:"first_50"`   // median time to first token
+	TTFT99     float64 `json:"first_99"`   // 99th percentile of the time to first token
 	// RejectionRatio is the number of rejections over that of requests; rejections of retries count as well.
 	RejectionRatio float64 `json:"turned_down"`
 	ExtraAttempts  float64 `json:"waste"` // attempts beyond one per request, over requests
@@ -121,7 +121,7 @@
 		o.Seconds = append(o.Seconds, second)
 	}
 	o.Service = onTime / max(1, offered)
-	o.LeastService, _ = service(sim.Seconds, from, end+12)
+	o.MinService, _ = service(sim.Seconds, from, end+12)
 	if len(ttfts) > 0 {
 		o.TTFT50, o.TTFT99 = quantile(ttfts, 0.5), quantile(ttfts, 0.99)
 	}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -67,12 +67,12 @@
 type Setup struct {
 	Seed                     uint64
 	Nodes                    int
-	Rate                     float64 // requests per second, without the clients' retries
-	OldBackends, NewBackends int     // number of backends in the pools "old" and "new"
-	NewBackendsCold          bool    // the backends of the new pool start, cold, at time 0
-	Classes                  []WorkClass
-	Kinds                    []emulator.Figures
-	// SpeedSpread is the natural logarithm of the largest factor by which a backend is faster or slower
+	Rate                     float64            // requests per second, without the clients' retries
+	OldBackends, NewBackends int                // number of backends in the pools "old" and "new"
+	NewBackendsCold          bool               // the backends of the new pool start, cold, at time 0
+	Classes                  []WorkClass        // nil means OperatorWorkload
+	Kinds                    []emulator.Figures // nil means BackendKinds
+	// SpeedSpread is the natural logarithm of the largest factor by which a backend is faster or slower.
 	SpeedSpread float64
 	UsePools    bool        // nodes assign requests to pools; otherwise each request may go to any backend
 	Policy      string      // name of the policy that decides at each node; empty means the module
@@ -112,7 +112,7 @@
 type SecondTotals struct {
 	OfferedWeight, OnTimeWeight float64 // weight of the requests, and of those of them that met their objectives
 	Requests, Shed              int     // requests, and rejections of them, retries' rejections included
-	// AttemptsByBackend counts the attempts sent in this second; it is nil if there are over maxTrackedBackends backends
+	// AttemptsByBackend counts the attempts sent in this second; it is nil with more than maxTrackedBackends backends.
 	AttemptsByBackend []int
 	ToNewPool         int // requests whose first submission was assigned to the new pool
 }
@@ -123,7 +123,7 @@
 	name       string
 	pool       int // 1 is the old pool, 2 the new one
 	kind       int
-	readyAt    int64 // as the endpoint list has it, in nanoseconds; 0 means long ago
+	readyAt    int64 // start time in the endpoint list, in Unix nanoseconds; 0 means long ago
 	state      standpoint.State
 	stepSerial uint64             // number of the step that is due; events of earlier steps are ignored
 	attempts   map[int64]*attempt // accepted attempts, by job ID
@@ -147,13 +147,13 @@
 	class         *WorkClass
 	session       *session
 	arrivedAt     float64 // when the client first sent it
-	deadline      float64 // of the present submission
+	deadline      float64 // deadline of the present submission
 	node          *simNode
 	attempts      []*attempt
-	done          bool // no further result counts for this submission
-	retries       int  // number of the client's retries so far
-	firstTokenAt  float64
-	arrivalSecond int // index of arrivedAt's second in Simulation.Seconds
+	done          bool    // no further result counts for this submission
+	retries       int     // number of the client's retries so far
+	firstTokenAt  float64 // when the first token reached the node; 0 means not yet
+	arrivalSecond int     // index of arrivedAt's second in Simulation.Seconds
 }
 
 // session is a client's conversation.
@@ -183,7 +183,7 @@
 	sim           *Simulation
 	policy        Policy
 	settings      standpoint.Settings
-	tracker       *controller.Tracker // of the pools; nil without pools
+	tracker       *controller.Tracker // tracker of the pools; nil without pools
 	openRequests  map[int64]*clientRequest
 	lastID        int64 // ID of the node's last request
 	actions       []standpoint.Action
