--- a/affinity.go
+++ b/affinity.go
@@ -116,7 +116,7 @@
 // RecordCachedPrompt records that another gateway reported a process of an engine, identified by its start,
 // to have this many tokens of a request's prompt cached.
 func (r *Router) RecordCachedPrompt(q *Request, engine string, readyAt int64, tokens float64, now int64) {
-	if e := r.engines[engine]; e != nil && e.ReadyAt == readyAt {
+	if e := r.engines[engine]; e != nil && e.StartedAt == readyAt {
 		r.now = max(r.now, now)
 		r.recordCachedPrompt(&request{Request: *q}, e, clamp(tokens, 1e9))
 	}
--- a/api.go
+++ b/api.go
@@ -30,19 +30,19 @@
 
 // The ways in which load reports arrive.
 const (
-	ReportNone    ReportMode = iota // there are no load reports
-	ReportReplies                   // with the outcomes of attempts and with probe results
-	ReportProbes                    // with probe results only
+	ReportNone      ReportMode = iota // there are no load reports
+	ReportResponses                   // with the outcomes of attempts and with probe results
+	ReportProbes                      // with probe results only
 )
 
 // Class describes one class of requests. Times are in nanoseconds.
 type Class struct {
 	// Effect says whether requests of the class may be repeated.
 	Effect Effect `json:"Effect"`
-	// Group is the scope within which engines drop repeats of a keyed request.
-	Group Group `json:"Group"`
-	// Window is how long after an attempt was sent engines still drop a repeat of a keyed request.
-	Window int64 `json:"Window"`
+	// DedupScope is the scope within which engines drop repeats of a keyed request.
+	DedupScope Group `json:"Group"`
+	// DedupWindow is how long after an attempt was sent engines still drop a repeat of a keyed request.
+	DedupWindow int64 `json:"Window"`
 	// Streamed is set if responses arrive token by token.
 	Streamed bool `json:"Streamed"`
 	// TTFTObjective is the latency objective from arrival to the first token, or to the end of a response
@@ -60,8 +60,8 @@
 	Weight float64 `json:"Worth"`
 	// LateWeight is the value of a request that misses its TTFT objective. At 0 such a request is given up.
 	LateWeight float64 `json:"LateWorth"`
-	// Description is the name of the class in the settings; the Router does not use it.
-	Description string `json:"Description"`
+	// Name is the name of the class in the settings; the Router does not use it.
+	Name string `json:"Description"`
 }
 
 // Tenant is one customer's agreed part of the service.
@@ -91,8 +91,8 @@
 	// Resume is set if a client can have the rest of a broken stream from another gateway. The Router does
 	// not use it.
 	Resume bool
-	// SecondCopies allows a second attempt of a request while another one is in flight (hedging).
-	SecondCopies bool
+	// HedgedRequests allows a second attempt of a request while another one is in flight (hedging).
+	HedgedRequests bool
 	// Cancel allows attempts to be cancelled.
 	Cancel bool
 	// Probes allows engines to be probed.
@@ -105,8 +105,8 @@
 	MaxRetryAfter int64
 	// MaxAttempts is the number of attempts that a request may have in all; less than 1 counts as 1.
 	MaxAttempts int
-	// Tick is the shortest time between two batches of events.
-	Tick int64
+	// EventInterval is the shortest time between two batches of events.
+	EventInterval int64
 	// DiscoveryTimeout is the time within which discovery has to be queried again. It also bounds how long a
 	// recovered engine is taken to have restarted without discovery reporting a start.
 	DiscoveryTimeout int64
@@ -141,7 +141,7 @@
 const (
 	Ready    State = iota // accepts requests
 	Draining              // finishes the requests it has, accepts no new ones
-	Gone                  // no longer listed
+	Removed               // no longer listed
 )
 
 // Engine is an LLM server as discovery lists it.
@@ -157,12 +157,12 @@
 	State State
 	// Size is the registered capacity relative to other engines; it has no unit.
 	Size float64
-	// ReadyAt is when the engine's process started, in nanoseconds of the time passed to Handle; 0 if that is
+	// StartedAt is when the engine's process started, in nanoseconds of the time passed to Handle; 0 if that is
 	// long ago. A new value stands for a new process.
-	ReadyAt int64
+	StartedAt int64
 	// Pool is the number of the engine's pool; 0 for none.
 	Pool int
-	// Reinstated is set if an operator put the engine back into service. ReadyAt is then at or after that
+	// Reinstated is set if an operator put the engine back into service. StartedAt is then at or after that
 	// time, and the engine is preferred until it has been sent an attempt.
 	Reinstated bool
 	// Stale is set if the entry expired without being confirmed. Such an engine is used only if there is no
@@ -322,9 +322,9 @@
 
 // Suspicion is evidence of other gateways against one process of an engine.
 type Suspicion struct {
-	// Engine is the name of the engine, and ReadyAt the start of the process.
-	Engine  string
-	ReadyAt int64
+	// Engine is the name of the engine, and StartedAt the start of the process.
+	Engine    string
+	StartedAt int64
 	// At is the time of the latest evidence, in nanoseconds. A later sign of life that this gateway saw
 	// outweighs it.
 	At int64
--- a/bench_test.go
+++ b/bench_test.go
@@ -12,13 +12,13 @@
 		for _, pools := range []int{0, 2} {
 			b.Run(fmt.Sprintf("engines=%d/pools=%d", n, pools), func(b *testing.B) {
 				s := Settings{
-					Gateways:    3,
-					Zones:       1,
-					Kinds:       3,
-					MaxAttempts: 3,
-					Tick:        2 * ms,
-					Reports:     ReportReplies,
-					Cancel:      true,
+					Gateways:      3,
+					Zones:         1,
+					Kinds:         3,
+					MaxAttempts:   3,
+					EventInterval: 2 * ms,
+					Reports:       ReportResponses,
+					Cancel:        true,
 					Classes: []Class{
 						{
 							Streamed: true, TTFTObjective: 2500 * ms, TPOTObjective: 50 * ms,
--- a/directory_test.go
+++ b/directory_test.go
@@ -10,7 +10,7 @@
 // longPromptRequest takes a considerable part of its latency objective, so that the load directory is in use.
 func longPromptSettings(gateways int) Settings {
 	s := testSettings()
-	s.Gateways, s.Peers, s.SecondCopies = gateways, true, false
+	s.Gateways, s.Peers, s.HedgedRequests = gateways, true, false
 	return s
 }
 
@@ -227,10 +227,10 @@
 // for a fault of the gateway's own machine does not count as an error of the engine.
 func TestUnsentAttemptLeavesNoTrace(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies = false
+	s.HedgedRequests = false
 	r := New(s, 1)
 	l := engineList("a")
-	l.Engines[0].ReadyAt = second
+	l.Engines[0].StartedAt = second
 	feed(r, second, l)
 	e := r.engines["a"]
 	e.slowStartBudgetAt, e.slowStartBudget = second+ms, 1
--- a/discovery.go
+++ b/discovery.go
@@ -26,7 +26,7 @@
 	}
 	for _, e := range r.engines {
 		if l.Kind == ListFull && !listed[e.Name] {
-			e.State = Gone
+			e.State = Removed
 			e.notReady = true
 		}
 	}
@@ -40,7 +40,7 @@
 // process is dropped, including its cached prompts.
 func (r *Router) updateEngine(entry Engine) {
 	e := r.engines[entry.Name]
-	if e == nil || entry.ReadyAt != e.ReadyAt && entry.State == Ready {
+	if e == nil || entry.StartedAt != e.StartedAt && entry.State == Ready {
 		// Attempts in flight keep pointing to the previous process, so their outcomes do not affect this one.
 		e = &engine{
 			hash:             hashName(entry.Name),
@@ -50,10 +50,10 @@
 		}
 		r.engines[entry.Name] = e
 	}
-	if entry.ReadyAt != e.ReadyAt {
+	if entry.StartedAt != e.StartedAt {
 		e.slowStartBudget = r.rng.Float64()
 		e.slowStartBudgetAt = r.now
-		if r.startIsImplausible(entry.ReadyAt) {
+		if r.startIsImplausible(entry.StartedAt) {
 			e.substituteStartAt = r.now
 		}
 		if e.reinstated {
@@ -100,7 +100,7 @@
 	r.fleetWarmUpEnd = 0
 	clear(r.enginesByShortHash)
 	for name, e := range r.engines {
-		if e.State == Gone && e.attemptsInFlight == 0 {
+		if e.State == Removed && e.attemptsInFlight == 0 {
 			delete(r.engines, name)
 		} else if r.enginesByShortHash[shortEngineHash(e)] = e; !e.notReady {
 			r.ready = append(r.ready, e)
--- a/eligibility.go
+++ b/eligibility.go
@@ -12,15 +12,15 @@
 	c := r.class(q)
 	for _, a := range q.attempts {
 		switch {
-		case a.inFlight && !r.settings.SecondCopies:
+		case a.inFlight && !r.settings.HedgedRequests:
 			return false
 		case a.engine == e && (a.inFlight || a.mayHaveRun):
 			return false
 		case a.mayHaveRun && c.Effect == Unsafe:
 			return false
-		case a.mayHaveRun && c.Effect == Keyed && r.now-a.sentAt >= c.Window:
+		case a.mayHaveRun && c.Effect == Keyed && r.now-a.sentAt >= c.DedupWindow:
 			return false
-		case a.mayHaveRun && c.Effect == Keyed && !sameGroup(c.Group, a.engine, e):
+		case a.mayHaveRun && c.Effect == Keyed && !sameGroup(c.DedupScope, a.engine, e):
 			return false
 		}
 	}
@@ -31,7 +31,7 @@
 // answer.
 func (r *Router) mayShed(q *request) bool {
 	c := r.class(q)
-	if c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if c.Effect == Safe || c.Effect == Keyed && c.DedupScope == GroupAll {
 		return true
 	}
 	return !slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveRun })
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -24,7 +24,7 @@
 // connection the next attempt goes to another zone.
 func TestLostZoneCostsRequestOneAttempt(t *testing.T) {
 	s := testSettings()
-	s.Zones, s.CrossZonePrice, s.SecondCopies, s.Gateways = 2, 0.03, false, 80
+	s.Zones, s.CrossZonePrice, s.HedgedRequests, s.Gateways = 2, 0.03, false, 80
 	for seed := range int64(20) {
 		r := New(s, seed)
 		feed(r, 0, twoZoneList(12))
@@ -46,7 +46,7 @@
 // A request whose pool lies in one zone stays in its pool after a failed connection to one of the pool's engines.
 func TestSingleZonePoolSurvivesOneUnreachableServer(t *testing.T) {
 	s := testSettings()
-	s.Zones, s.CrossZonePrice, s.SecondCopies = 2, 0.03, false
+	s.Zones, s.CrossZonePrice, s.HedgedRequests = 2, 0.03, false
 	list := twoZoneList(12)
 	for i := range list.Engines {
 		list.Engines[i].Pool = 1 + list.Engines[i].Zone
@@ -129,7 +129,7 @@
 	g := newGatewayGroup(s, list)
 	g.run(10*second, 88, served)
 	for i, size := range []float64{3, 9} {
-		list.Engines = append(list.Engines, Engine{Name: engineName(38 + i), Size: size, ReadyAt: g.now})
+		list.Engines = append(list.Engines, Engine{Name: engineName(38 + i), Size: size, StartedAt: g.now})
 	}
 	g.updateEngines(list)
 	g.run(8*second, 88, served)
@@ -149,7 +149,7 @@
 // with up to 90 requests a second to engines that have an eighth of their capacity.
 func TestLostZoneIsProbedOnceAndReturnsCold(t *testing.T) {
 	s := testSettings()
-	s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.MaxAttempts, s.ColdCapacityFraction, s.OverloadFactor =
+	s.Gateways, s.Zones, s.CrossZonePrice, s.HedgedRequests, s.MaxAttempts, s.ColdCapacityFraction, s.OverloadFactor =
 		80, 2, 0.03, false, 3, 0.13, 4
 	s.WarmUp = 24 * second
 	g := newGatewayGroup(s, twoZoneList(40))
@@ -200,9 +200,9 @@
 func TestLowTrafficGatewaysDoNotOverloadTheirZone(t *testing.T) {
 	ownZoneShare := func(gateways int, readyAt int64) float64 {
 		s := testSettings()
-		s.Gateways, s.Zones, s.CrossZonePrice, s.SecondCopies, s.WarmUp = gateways, 2, 0.03, false, 24*second
+		s.Gateways, s.Zones, s.CrossZonePrice, s.HedgedRequests, s.WarmUp = gateways, 2, 0.03, false, 24*second
 		list := twoZoneList(40)
-		list.Engines[39].ReadyAt = readyAt
+		list.Engines[39].StartedAt = readyAt
 		g := newGatewayGroup(s, list)
 		var skewed []*Router // three of four requests come to zone 0
 		for i, r := range g.gateways {
@@ -244,14 +244,14 @@
 	s.Zones, s.ColdCapacityFraction = 2, 0
 	r := New(s, 1)
 	list := twoZoneList(8)
-	list.Engines[0].ReadyAt = 100 * second
+	list.Engines[0].StartedAt = 100 * second
 	feed(r, 100*second, list)
 	if fraction := r.minCapacityFraction(r.engines[engineName(0)]); fraction != 0 {
 		t.Errorf("capacity fraction %g of an engine that has just started, want 0", fraction)
 	}
-	list.Engines[0].ReadyAt = 1e6 * second
+	list.Engines[0].StartedAt = 1e6 * second
 	feed(r, 101*second, list)
-	list.Engines[0].ReadyAt = 0
+	list.Engines[0].StartedAt = 0
 	feed(r, 102*second, list)
 	if r.fleetWarmUpEnd > 102*second {
 		t.Error("the fleet's warm-up still ends with a start that is no longer listed")
@@ -362,7 +362,7 @@
 			g.run(20*second, rate, served)
 			start := g.now
 			for i := range starting {
-				list.Engines[i].ReadyAt = start
+				list.Engines[i].StartedAt = start
 			}
 			g.updateEngines(list)
 			var snapshots []map[string]int
@@ -403,7 +403,7 @@
 	for _, classes := range []int{1, 3} {
 		for _, shedFraction := range []float64{0.05, 0.15, 0.3, 0.6, 0.8} {
 			s := testSettings()
-			s.Gateways, s.SecondCopies = 1, false
+			s.Gateways, s.HedgedRequests = 1, false
 			s.Classes = slices.Repeat(s.Classes[:1], classes)
 			for i := range s.Classes {
 				s.Classes[i].Weight = float64(1 + 3*i)
--- a/golden_test.go
+++ b/golden_test.go
@@ -41,7 +41,7 @@
 		RecentValueDensities: []float64{0.16},
 		Engines: []LearnedEngine{{
 			Name:              "a",
-			ReadyAt:           17,
+			StartedAt:         17,
 			FirstSeenAt:       18,
 			Slowness:          0.19,
 			TPOTSlowness:      LearnedMean{Mean: 9.5, Count: 10.5},
@@ -55,7 +55,7 @@
 			SlowStartBudgetAt: 24,
 			Reinstated:        true,
 		}},
-		Prompts: []LearnedPrompt{{Key: 25, Tokens: 26.5, StoredAt: 27}},
+		CachedPrompts: []LearnedPrompt{{Key: 25, Tokens: 26.5, StoredAt: 27}},
 	}
 	golden.RoundTrip(t, "learned.json", learned,
 		func(l Learned) ([]byte, error) { return json.MarshalIndent(l, "", "  ") },
--- a/health.go
+++ b/health.go
@@ -84,7 +84,7 @@
 // gateway no sign of life since the evidence was gathered.
 func (r *Router) onAdvice(a *Advice) {
 	for _, d := range a.Suspicions {
-		if e := r.engines[d.Engine]; e != nil && e.ReadyAt == d.ReadyAt && e.lastSignOfLifeAt < d.At {
+		if e := r.engines[d.Engine]; e != nil && e.StartedAt == d.StartedAt && e.lastSignOfLifeAt < d.At {
 			r.markSuspect(e, false)
 		}
 	}
@@ -171,12 +171,12 @@
 	if q.settled || q.claimed != nil || a.cancelling || !a.overdue(r.now) || r.retryBudget < 1 {
 		return
 	}
-	mayHedge := r.settings.SecondCopies && q.attemptsInFlight() == 1
+	mayHedge := r.settings.HedgedRequests && q.attemptsInFlight() == 1
 	switch {
 	case mayHedge && !r.hasNoValueLeft(q) && r.shedFraction <= maxShedForHedging:
 		r.retryBudget--
 		r.dispatch(q)
-	case !r.settings.SecondCopies && r.settings.Cancel && r.class(q).Effect == Safe &&
+	case !r.settings.HedgedRequests && r.settings.Cancel && r.class(q).Effect == Safe &&
 		!r.cancellingWastesWork():
 		r.retryBudget--
 		a.cancelling = true
@@ -202,7 +202,7 @@
 func (r *Router) CountEngines() (listed, avoided int) {
 	ignoreSuspicions := r.hasSharedFault()
 	for _, e := range r.engines {
-		if e.State == Gone {
+		if e.State == Removed {
 			continue
 		}
 		listed++
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -8,10 +8,10 @@
 
 // testSettings returns the settings of a small deployment, which tests change as they need.
 func testSettings() Settings {
-	return Settings{Gateways: 2, Zones: 1, Kinds: 2, MaxAttempts: 4, Tick: 4 * ms, DrainGrace: 500 * ms,
+	return Settings{Gateways: 2, Zones: 1, Kinds: 2, MaxAttempts: 4, EventInterval: 4 * ms, DrainGrace: 500 * ms,
 		WarmUp: 8 * second, OverloadWindow: 3 * second, ColdCapacityFraction: 0.4, OverloadFactor: 3,
 		DiscoveryTimeout: 10 * second,
-		Reports:          ReportReplies, SecondCopies: true, Cancel: true,
+		Reports:          ReportResponses, HedgedRequests: true, Cancel: true,
 		Classes: []Class{{Streamed: true, TTFTObjective: 1000 * ms, TPOTObjective: 50 * ms, Deadline: 4 * second,
 			Weight: 1}}}
 }
--- a/internal/backend/batch_address_test.go
+++ b/internal/backend/batch_address_test.go
@@ -14,10 +14,10 @@
 // it was created for, and the address is not read while it is written, which the race detector would report.
 func TestAddressChangesDuringAnUpload(t *testing.T) {
 	respond503 := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	endpoint := testpeer.Endpoint("files", testpeer.Backend(t, respond503))
+	endpoint := testpeer.Endpoint("files", testpeer.StartBackend(t, respond503))
 	endpoint.Batch = true
 	moved := endpoint
-	moved.Address = testpeer.Backend(t, respond503)
+	moved.Address = testpeer.StartBackend(t, respond503)
 	n := testpeer.Start(t, testpeer.Settings(), endpoint)
 	result := make(chan int, 1)
 	go func() {
--- a/internal/backend/batch_backend.go
+++ b/internal/backend/batch_backend.go
@@ -24,14 +24,14 @@
 
 // BatchOptions are the settings for batch backends.
 type BatchOptions struct {
-	// Gather is the time for which attempts are gathered into one file.
-	Gather time.Duration
-	// Lines is the maximum number of attempts in a file.
-	Lines int
-	// Poll is the interval between two polls of a batch.
-	Poll time.Duration
-	// Lost is the time without a response to a poll after which the backend counts as lost.
-	Lost time.Duration
+	// GatherTime is the time for which attempts are gathered into one file.
+	GatherTime time.Duration
+	// MaxLines is the maximum number of attempts in a file.
+	MaxLines int
+	// PollInterval is the interval between two polls of a batch.
+	PollInterval time.Duration
+	// LostTimeout is the time without a response to a poll after which the backend counts as lost.
+	LostTimeout time.Duration
 }
 
 // batchBackend is a backend that processes files of requests. Attempts are gathered into a file, which is uploaded and
@@ -80,9 +80,9 @@
 func (b *batchBackend) gather(attempt *node.Attempt, timer *time.Timer) {
 	b.gathered = append(b.gathered, attempt)
 	if len(b.gathered) == 1 {
-		timer.Reset(b.Batch.Gather)
+		timer.Reset(b.Batch.GatherTime)
 	}
-	if len(b.gathered) >= b.Batch.Lines {
+	if len(b.gathered) >= b.Batch.MaxLines {
 		b.flush()
 	}
 }
@@ -173,7 +173,7 @@
 func (b *batchBackend) startBatch(base string, file *batchFile) (created batchObject, status int, err error) {
 	for {
 		for id, attempt := range file.attempts {
-			if attempt.MayBegin() != nil {
+			if attempt.CheckStart() != nil {
 				b.finish(file, id, notBegunResult(attempt.Context()))
 			}
 		}
@@ -239,7 +239,7 @@
 			return object, nil
 		case err == nil:
 			lastResponse = time.Now()
-		case time.Since(lastResponse) > b.Batch.Lost:
+		case time.Since(lastResponse) > b.Batch.LostTimeout:
 			return object, fmt.Errorf("backend lost, no response to a poll in time: %w", err)
 		}
 		wake := file.ctx.Done()
@@ -247,7 +247,7 @@
 			wake = nil
 		}
 		select {
-		case <-time.After(b.Batch.Poll):
+		case <-time.After(b.Batch.PollInterval):
 		case <-wake:
 		}
 	}
--- a/internal/backend/batch_drain_test.go
+++ b/internal/backend/batch_drain_test.go
@@ -35,7 +35,7 @@
 
 func startUploadHolder(t *testing.T) (*uploadHolder, node.Endpoint) {
 	h := &uploadHolder{uploads: make(chan struct{}, 10), release: make(chan struct{}, 10)}
-	endpoint := testpeer.Endpoint("files", testpeer.Backend(t, h.ServeHTTP))
+	endpoint := testpeer.Endpoint("files", testpeer.StartBackend(t, h.ServeHTTP))
 	endpoint.Batch = true
 	return h, endpoint
 }
@@ -93,7 +93,7 @@
 func TestNoFileIsUploadedAfterADrain(t *testing.T) {
 	t.Parallel()
 	h, endpoint := startUploadHolder(t)
-	dials := testpeer.HoldDials(1)
+	dials := testpeer.NewDialBlocker(1)
 	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, endpoint)
 	status := sendRequest(t, n)
 	<-dials.Connected
--- a/internal/backend/batch_file.go
+++ b/internal/backend/batch_file.go
@@ -40,7 +40,7 @@
 	attempts := slices.Collect(maps.Values(f.attempts))
 	return func() error {
 		for _, attempt := range attempts {
-			if err := attempt.MayBegin(); err != nil {
+			if err := attempt.CheckStart(); err != nil {
 				return fmt.Errorf("%w: %w", errMayNotBegin, err)
 			}
 		}
--- a/internal/backend/connection_test.go
+++ b/internal/backend/connection_test.go
@@ -31,7 +31,7 @@
 		endpoints = append(
 			endpoints,
 			testpeer.Endpoint(fmt.Sprint("s", i),
-				newAttemptRecorder().startBackend(t, testpeer.StreamAnswer("complete"))),
+				newAttemptRecorder().startBackend(t, testpeer.StreamResponse("complete"))),
 		)
 	}
 	n := testpeer.Start(t, testpeer.Settings(), endpoints...)
@@ -52,8 +52,8 @@
 			})
 		}
 		requests.Wait()
-		peak = max(peak, n.Backends.Connections())
-		require.LessOrEqual(t, n.Backends.Connections(), maxConnections+2*concurrency)
+		peak = max(peak, n.Backends.ConnectionCount())
+		require.LessOrEqual(t, n.Backends.ConnectionCount(), maxConnections+2*concurrency)
 	}
 	require.Greater(t, peak, maxConnections/2, "idle connections are kept below the maximum")
 }
@@ -75,11 +75,11 @@
 			t.Parallel()
 			var completeRequests atomic.Int32
 			firstConn := make(chan net.Conn, 1)
-			address := testpeer.RawBackend(t, func(conn net.Conn) {
+			address := testpeer.StartRawBackend(t, func(conn net.Conn) {
 				if completeRequests.Add(1) == 1 {
 					firstConn <- conn
 				}
-				_, _ = io.WriteString(conn, testpeer.StreamAnswer("good"))
+				_, _ = io.WriteString(conn, testpeer.StreamResponse("good"))
 			})
 			settings := testpeer.Settings()
 			settings.Classes[0].Effect = test.effect
@@ -153,16 +153,16 @@
 			_, _ = io.WriteString(w, strings.Replace(response, "0\r\n\r\n", report+"0\r\n\r\n", 1))
 		},
 		"second response": func(w io.Writer, response string) {
-			_, _ = io.WriteString(w, response+testpeer.StreamAnswer("stray"))
+			_, _ = io.WriteString(w, response+testpeer.StreamResponse("stray"))
 		},
 		"second response, written separately": func(w io.Writer, response string) {
 			_, _ = io.WriteString(w, response)
-			_, _ = io.WriteString(w, testpeer.StreamAnswer("stray"))
+			_, _ = io.WriteString(w, testpeer.StreamResponse("stray"))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
-				respond(c, testpeer.StreamAnswer("own"))
+			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(c net.Conn) {
+				respond(c, testpeer.StreamResponse("own"))
 			})))
 			for range 20 {
 				status, _, body, err := n.Do(n.Chat(t.Context(), nil))
@@ -180,7 +180,7 @@
 func TestDroppedIdleConnectionsShortenTheIdleLimit(t *testing.T) {
 	var mu sync.Mutex
 	used := map[net.Conn]bool{}
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(c net.Conn) {
 		mu.Lock()
 		defer mu.Unlock()
 		if used[c] {
@@ -189,7 +189,7 @@
 			return
 		}
 		used[c] = true
-		_, _ = io.WriteString(c, testpeer.StreamAnswer("own"))
+		_, _ = io.WriteString(c, testpeer.StreamResponse("own"))
 	})))
 	var failed []int
 	for i := range 12 {
@@ -235,9 +235,9 @@
 // previous process.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
 	var connections sync.Map
-	address := testpeer.RawBackend(t, func(c net.Conn) {
+	address := testpeer.StartRawBackend(t, func(c net.Conn) {
 		connections.Store(c, true)
-		_, _ = io.WriteString(c, testpeer.StreamAnswer("own"))
+		_, _ = io.WriteString(c, testpeer.StreamResponse("own"))
 	})
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", address))
 	connectionsAfterRequest := func() (count int) {
@@ -250,7 +250,7 @@
 	require.Equal(t, 1, connectionsAfterRequest())
 	require.Equal(t, 1, connectionsAfterRequest(), "the idle connection is reused")
 	restarted := testpeer.Endpoint("s", address)
-	restarted.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
+	restarted.StartedAt = time.Now().Add(-time.Hour).UnixNano()
 	n.UpdateEndpoints(restarted)
 	require.Equal(t, 2, connectionsAfterRequest())
 }
@@ -262,13 +262,13 @@
 	const rounds, delay, maxDelay = 5, 11 * time.Millisecond, 13 * time.Millisecond
 	var roundsDone atomic.Int64
 	var requests atomic.Int64
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(c net.Conn) {
 		number := requests.Add(1)
 		started := time.Now()
-		_, _ = io.WriteString(c, testpeer.StreamAnswer(fmt.Sprintf("own %d.", number)))
+		_, _ = io.WriteString(c, testpeer.StreamResponse(fmt.Sprintf("own %d.", number)))
 		time.Sleep(delay)
 		if time.Since(started) < maxDelay {
-			_, _ = io.WriteString(c, testpeer.StreamAnswer("surplus"))
+			_, _ = io.WriteString(c, testpeer.StreamResponse("surplus"))
 			roundsDone.Add(1)
 		}
 	})))
--- a/internal/backend/deadline_test.go
+++ b/internal/backend/deadline_test.go
@@ -38,14 +38,14 @@
 					return
 				}
 				arrivals <- arrival{r.Header.Get("X-Expires-In"), at}
-				testpeer.Event(w, "complete")
-				testpeer.Finish(w)
+				testpeer.WriteEvent(w, "complete")
+				testpeer.WriteStreamEnd(w)
 			}
 			dial := func(_ context.Context, network, address string) (net.Conn, error) {
 				time.Sleep(dialTime)
 				return net.Dial(network, address)
 			}
-			address := testpeer.Backend(t, serve)
+			address := testpeer.StartBackend(t, serve)
 			n := testpeer.StartDialing(
 				t,
 				zap.NewNop(),
--- a/internal/backend/disconnect_test.go
+++ b/internal/backend/disconnect_test.go
@@ -18,7 +18,7 @@
 	for name, failures := range map[string]int{"first attempt": 0, "second attempt": 1} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			recorder, dials := newAttemptRecorder(), testpeer.HoldDials(2)
+			recorder, dials := newAttemptRecorder(), testpeer.NewDialBlocker(2)
 			a, b := testpeer.Endpoint("a", recorder.startBackend(t, failed500)),
 				testpeer.Endpoint("b", recorder.startBackend(t, failed500))
 			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a, b)
@@ -64,7 +64,7 @@
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 1 }, time.Second, time.Millisecond)
 	disconnect()
 	<-disconnected
-	a := testpeer.Endpoint("a", recorder.startBackend(t, testpeer.StreamAnswer("complete")))
+	a := testpeer.Endpoint("a", recorder.startBackend(t, testpeer.StreamResponse("complete")))
 	n.UpdateEndpoints(a) // while the disconnect is being handled
 	n.WaitForCore()
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
--- a/internal/backend/drain_test.go
+++ b/internal/backend/drain_test.go
@@ -28,12 +28,12 @@
 		},
 		"is removed": func(n *testpeer.Node, _, other node.Endpoint) { n.UpdateEndpoints(other) },
 		"is removed, by a delta": func(n *testpeer.Node, chosen, _ node.Endpoint) {
-			chosen.State = standpoint.Gone
+			chosen.State = standpoint.Removed
 			chosen.Address = ""
 			n.Core.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListDelta, Endpoints: []node.Endpoint{chosen}})
 		},
 		"is another process": func(n *testpeer.Node, chosen, other node.Endpoint) {
-			chosen.ReadyAt = time.Now().Add(-time.Hour).UnixNano()
+			chosen.StartedAt = time.Now().Add(-time.Hour).UnixNano()
 			n.UpdateEndpoints(chosen, other)
 		},
 		"drains and is ready again": func(n *testpeer.Node, chosen, other node.Endpoint) {
@@ -45,13 +45,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			recorder, dials := newAttemptRecorder(), testpeer.HoldDials(1)
+			recorder, dials := newAttemptRecorder(), testpeer.NewDialBlocker(1)
 			a, b := testpeer.Endpoint(
 				"a",
-				recorder.startBackend(t, testpeer.StreamAnswer("complete")),
+				recorder.startBackend(t, testpeer.StreamResponse("complete")),
 			), testpeer.Endpoint(
 				"b",
-				recorder.startBackend(t, testpeer.StreamAnswer("complete")),
+				recorder.startBackend(t, testpeer.StreamResponse("complete")),
 			)
 			n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a, b)
 			response := make(chan int, 1)
@@ -82,8 +82,8 @@
 // response by its deadline.
 func TestDrainOfTheOnlyBackendWhileAConnectionOpens(t *testing.T) {
 	t.Parallel()
-	recorder, dials := newAttemptRecorder(), testpeer.HoldDials(1)
-	a := testpeer.Endpoint("a", recorder.startBackend(t, testpeer.StreamAnswer("complete")))
+	recorder, dials := newAttemptRecorder(), testpeer.NewDialBlocker(1)
+	a := testpeer.Endpoint("a", recorder.startBackend(t, testpeer.StreamResponse("complete")))
 	n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a)
 	response := make(chan int, 1)
 	go func() {
@@ -105,11 +105,11 @@
 	t.Parallel()
 	t.Run("a retry", func(t *testing.T) {
 		t.Parallel()
-		recorder, dials := newAttemptRecorder(), testpeer.HoldDials(2)
+		recorder, dials := newAttemptRecorder(), testpeer.NewDialBlocker(2)
 		var endpoints []node.Endpoint
 		for _, name := range []string{"a", "b", "c"} {
 			endpoints = append(endpoints,
-				testpeer.Endpoint(name, recorder.startBackend(t, failed500, testpeer.StreamAnswer("complete"))))
+				testpeer.Endpoint(name, recorder.startBackend(t, failed500, testpeer.StreamResponse("complete"))))
 		}
 		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, endpoints...)
 		response := make(chan int, 1)
@@ -135,13 +135,13 @@
 	})
 	t.Run("a held request", func(t *testing.T) {
 		t.Parallel()
-		recorder, dials := newAttemptRecorder(), testpeer.HoldDials(1)
+		recorder, dials := newAttemptRecorder(), testpeer.NewDialBlocker(1)
 		a, b := testpeer.Endpoint(
 			"a",
-			recorder.startBackend(t, testpeer.StreamAnswer("complete")),
+			recorder.startBackend(t, testpeer.StreamResponse("complete")),
 		), testpeer.Endpoint(
 			"b",
-			recorder.startBackend(t, testpeer.StreamAnswer("complete")),
+			recorder.startBackend(t, testpeer.StreamResponse("complete")),
 		)
 		a.State = standpoint.Draining
 		n := testpeer.StartDialing(t, zap.NewNop(), testpeer.Settings(), dials.Dial, a)
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -21,10 +21,10 @@
 type Options struct {
 	// DialTimeout is the maximum time to open a connection.
 	DialTimeout time.Duration
-	// ConnIdle is the idle time after which a backend closes a connection.
-	ConnIdle time.Duration
-	// MaxIdle is the maximum number of idle connections to one backend.
-	MaxIdle int
+	// BackendIdleTimeout is the idle time after which a backend closes a connection.
+	BackendIdleTimeout time.Duration
+	// MaxIdlePerBackend is the maximum number of idle connections to one backend.
+	MaxIdlePerBackend int
 	// MaxConnections is the number of connections to all backends above which idle connections are closed; 0 means no
 	// limit.
 	MaxConnections int
@@ -75,8 +75,8 @@
 	return sync.OnceFunc(func() { f.openConnections.Add(-1) })
 }
 
-// Connections returns the number of connections to backends that are open or being opened.
-func (f *Fleet) Connections() int { return int(f.openConnections.Load()) }
+// ConnectionCount returns the number of connections to backends that are open or being opened.
+func (f *Fleet) ConnectionCount() int { return int(f.openConnections.Load()) }
 
 // Update applies an endpoint list. Attempts that are in flight to a removed backend continue.
 func (f *Fleet) Update(list node.EndpointList) {
@@ -87,12 +87,12 @@
 	defer f.mu.Unlock()
 	listed := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
-		listed[endpoint.Name] = endpoint.State != standpoint.Gone
+		listed[endpoint.Name] = endpoint.State != standpoint.Removed
 		backend, known := f.backends[endpoint.Name]
 		switch {
 		case known:
 			f.backends[endpoint.Name] = f.update(backend, endpoint)
-		case endpoint.State != standpoint.Gone:
+		case endpoint.State != standpoint.Removed:
 			f.backends[endpoint.Name] = f.start(endpoint)
 		}
 	}
@@ -108,11 +108,11 @@
 // update applies an entry of the endpoint list to a known backend.
 func (f *Fleet) update(backend backendHandle, endpoint node.Endpoint) backendHandle {
 	// The name now belongs to a backend of the other kind.
-	if endpoint.State != standpoint.Gone && endpoint.Batch != backend.batch {
+	if endpoint.State != standpoint.Removed && endpoint.Batch != backend.batch {
 		remove(backend)
 		return f.start(endpoint)
 	}
-	listed := process{address: endpoint.Address, startedAt: endpoint.ReadyAt}
+	listed := process{address: endpoint.Address, startedAt: endpoint.StartedAt}
 	if endpoint.Address != "" && listed != backend.process {
 		backend.postReliably(processChanged{listed})
 		backend.draining.Store(true) // attempts already dispatched were meant for the previous process
@@ -144,7 +144,7 @@
 		batch:    endpoint.Batch,
 		mailbox:  make(chan message, mailboxSize),
 		log:      f.Log,
-		process:  process{address: endpoint.Address, startedAt: endpoint.ReadyAt},
+		process:  process{address: endpoint.Address, startedAt: endpoint.StartedAt},
 		draining: new(atomic.Bool),
 	}
 	started.draining.Store(endpoint.State != standpoint.Ready)
@@ -169,8 +169,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.DialTimeout = dialTimeout
-	f.ConnIdle = connIdle
-	f.MaxIdle = maxIdle
+	f.BackendIdleTimeout = connIdle
+	f.MaxIdlePerBackend = maxIdle
 	f.MaxConnections = maxConnections
 	for _, backend := range f.backends {
 		backend.postReliably(limitsChanged{dialTimeout: dialTimeout, connIdle: connIdle, maxIdle: maxIdle})
@@ -186,6 +186,6 @@
 	if !known {
 		return false
 	}
-	attempt.BackendDraining = backend.draining.Load
+	attempt.IsBackendDraining = backend.draining.Load
 	return backend.post(sendAttempt{attempt})
 }
--- a/internal/backend/fleet_test.go
+++ b/internal/backend/fleet_test.go
@@ -14,10 +14,10 @@
 
 // A name in the endpoint list changes between a streaming and a batch backend. Each must get requests in its own form.
 func TestBackendChangesItsKind(t *testing.T) {
-	batch := testpeer.NewBatchBackend(t, testpeer.NewAttemptLedger(), func(string, int) int { return http.StatusOK })
+	batch := testpeer.NewBatchBackend(t, testpeer.NewAttemptCounter(), func(string, int) int { return http.StatusOK })
 	streaming := testpeer.Endpoint(
 		"s",
-		testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.StreamAnswer("own")) }),
+		testpeer.StartRawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, testpeer.StreamResponse("own")) }),
 	)
 	settings := testpeer.Settings()
 	settings.Cancel = false
--- a/internal/backend/recorder_test.go
+++ b/internal/backend/recorder_test.go
@@ -18,7 +18,7 @@
 // startBackend starts a backend that sends the responses in order, one for each request, and repeats the last one.
 func (r *attemptRecorder) startBackend(t *testing.T, responses ...string) (address string) {
 	var mu sync.Mutex
-	address = testpeer.RawBackend(t, func(c net.Conn) {
+	address = testpeer.StartRawBackend(t, func(c net.Conn) {
 		mu.Lock()
 		defer mu.Unlock()
 		r.record(c.LocalAddr().String())
--- a/internal/backend/relay.go
+++ b/internal/backend/relay.go
@@ -138,7 +138,7 @@
 	}
 	err := r.writeEvents(complete)
 	switch {
-	case errors.Is(err, node.ErrStopped):
+	case errors.Is(err, node.ErrHookStop):
 		return r.stopDecoding(err)
 	case err != nil:
 		return &streamEnd{node.Result{Code: standpoint.Cancelled}, err}
--- a/internal/backend/relay_test.go
+++ b/internal/backend/relay_test.go
@@ -35,11 +35,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
-			address := testpeer.RawBackend(t, func(c net.Conn) {
+			address := testpeer.StartRawBackend(t, func(c net.Conn) {
 				if requests.Add(1) == 1 {
 					_, _ = io.WriteString(c, text)
 				} else {
-					_, _ = io.WriteString(c, testpeer.StreamAnswer("complete"))
+					_, _ = io.WriteString(c, testpeer.StreamResponse("complete"))
 				}
 			})
 			n := testpeer.Start(t, testpeer.Settings(),
@@ -64,7 +64,7 @@
 		"no last event":       "0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+			n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(c net.Conn) {
 				_, _ = io.WriteString(c, firstEvent+text)
 			})))
 			started := time.Now()
@@ -102,7 +102,7 @@
 			t.Parallel()
 			settings := testpeer.Settings()
 			settings.Resume = test.resume
-			n := testpeer.Start(t, settings, testpeer.Endpoint("s", testpeer.RawBackend(t, func(conn net.Conn) {
+			n := testpeer.Start(t, settings, testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(conn net.Conn) {
 				_, _ = io.WriteString(conn, testpeer.StreamHead+event)
 				for range 2 {
 					time.Sleep(test.pause)
@@ -133,7 +133,7 @@
 	n := testpeer.Start(
 		t,
 		testpeer.Settings(),
-		testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, response) })),
+		testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(c net.Conn) { _, _ = io.WriteString(c, response) })),
 	)
 	for range 2 { // the second request is on a reused connection
 		status, _, body, err := n.Do(n.Chat(t.Context(), nil))
@@ -159,7 +159,7 @@
 				n := testpeer.Start(
 					t,
 					testpeer.Settings(),
-					testpeer.Endpoint("s", testpeer.RawBackend(t, func(c net.Conn) {
+					testpeer.Endpoint("s", testpeer.StartRawBackend(t, func(c net.Conn) {
 						_, _ = io.WriteString(c, testpeer.StreamHead)
 						for i := range events {
 							text := event(i)
@@ -235,9 +235,9 @@
 			t.Parallel()
 			var requests atomic.Int32
 			startBackend := func() string {
-				return testpeer.RawBackend(t, func(conn net.Conn) {
+				return testpeer.StartRawBackend(t, func(conn net.Conn) {
 					if requests.Add(1) > 1 {
-						_, _ = io.WriteString(conn, testpeer.StreamAnswer("good"))
+						_, _ = io.WriteString(conn, testpeer.StreamResponse("good"))
 						return
 					}
 					_, _ = io.WriteString(conn, test.prefix)
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -29,5 +29,5 @@
 
 // setExpiry sets the X-Expires-In header: the time until the attempt's deadline, in milliseconds and at least 1.
 func setExpiry(request *http.Request, attempt *node.Attempt) {
-	request.Header.Set("X-Expires-In", fmt.Sprintf("%dm", max(1, time.Until(attempt.Until).Milliseconds())))
+	request.Header.Set("X-Expires-In", fmt.Sprintf("%dm", max(1, time.Until(attempt.Deadline).Milliseconds())))
 }
--- a/internal/backend/result.go
+++ b/internal/backend/result.go
@@ -38,9 +38,9 @@
 // connection, shows that the backend is reachable: it counts as an error of this one request. conn may be nil.
 func failureCode(ctx context.Context, written bool, conn *connection) standpoint.OutcomeCode {
 	switch cause := context.Cause(ctx); {
-	case errors.Is(cause, node.ErrNoAnswer):
+	case errors.Is(cause, node.ErrNoFirstEvent):
 		return standpoint.NoAnswer
-	case errors.Is(cause, node.ErrCancelled), errors.Is(cause, node.ErrClientGone),
+	case errors.Is(cause, node.ErrCancelled), errors.Is(cause, node.ErrClientDisconnected),
 		errors.Is(cause, node.ErrHandedBack):
 		return standpoint.Cancelled
 	case !written:
--- a/internal/backend/retry_test.go
+++ b/internal/backend/retry_test.go
@@ -17,15 +17,15 @@
 // duplicates, has closed. The retry must not be sent, and the client must get a response at once.
 func TestIdempotencyWindowClosesWhileARetryConnects(t *testing.T) {
 	t.Parallel()
-	recorder, dials := newAttemptRecorder(), testpeer.HoldDials(2)
+	recorder, dials := newAttemptRecorder(), testpeer.NewDialBlocker(2)
 	a, b := testpeer.Endpoint("a", recorder.startBackend(t, failed500)),
 		testpeer.Endpoint("b", recorder.startBackend(t, failed500))
 	settings := testpeer.Settings()
 	window := 300 * time.Millisecond
 	class := &settings.Classes[0]
 	class.Effect = standpoint.Keyed
-	class.Group = standpoint.GroupZone
-	class.Window = int64(window)
+	class.DedupScope = standpoint.GroupZone
+	class.DedupWindow = int64(window)
 	n := testpeer.StartDialing(t, zap.NewNop(), settings, dials.Dial, a, b)
 	response := make(chan int, 1)
 	started := time.Now()
@@ -67,12 +67,12 @@
 			received := make(chan struct{})
 			settings := testpeer.Settings()
 			settings.Classes[0].Effect = test.effect
-			settings.Classes[0].Group = test.group
-			settings.Classes[0].Window = int64(time.Second)
+			settings.Classes[0].DedupScope = test.group
+			settings.Classes[0].DedupWindow = int64(time.Second)
 			n := testpeer.Start(
 				t,
 				settings,
-				testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter, r *http.Request) {
+				testpeer.Endpoint("s", testpeer.StartBackend(t, func(_ http.ResponseWriter, r *http.Request) {
 					_, _ = io.Copy(io.Discard, r.Body)
 					close(received)
 					<-r.Context().Done()
--- a/internal/backend/stream_backend.go
+++ b/internal/backend/stream_backend.go
@@ -67,8 +67,8 @@
 			}
 		case limitsChanged:
 			b.DialTimeout = msg.dialTimeout
-			b.ConnIdle = msg.connIdle
-			b.MaxIdle = msg.maxIdle
+			b.BackendIdleTimeout = msg.connIdle
+			b.MaxIdlePerBackend = msg.maxIdle
 			connections.CloseIdleConnections()
 			connections = transport(b.Options, b.idleLimit)
 		case closeIdle:
@@ -128,14 +128,14 @@
 			// Opening the connection may have taken long; the head is written after this call.
 			setExpiry(request, attempt)
 			if conn, ok := info.Conn.(*connection); ok {
-				conn.begin(len(attempt.Request.Work.Body), attempt.MayBegin)
+				conn.begin(len(attempt.Request.Work.Body), attempt.CheckStart)
 				used.Store(conn)
 			}
 		},
 	})
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if err := attempt.MayBegin(); err != nil {
+	if err := attempt.CheckStart(); err != nil {
 		return notBegunResult(ctx), false, err
 	}
 	request, err = newRequest(ctx, address, attempt)
--- a/internal/backend/stream_handover.go
+++ b/internal/backend/stream_handover.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Continue relays a stream that another process has handed over, from the next byte of its backend's connection to its
+// ContinueStream relays a stream that another process has handed over, from the next byte of its backend's connection to its
 // end.
-func (f *Fleet) Continue(s Stream, backendConn net.Conn, attempt *node.Attempt) {
+func (f *Fleet) ContinueStream(s Stream, backendConn net.Conn, attempt *node.Attempt) {
 	defer backendConn.Close()
 	ctx, cancel := context.WithCancelCause(attempt.Context())
 	defer cancel(nil)
--- a/internal/backend/transport.go
+++ b/internal/backend/transport.go
@@ -26,7 +26,7 @@
 			return &connection{
 				Conn:      conn,
 				idleLimit: limit,
-				maxIdle:   options.ConnIdle / 2,
+				maxIdle:   options.BackendIdleTimeout / 2,
 				onWritten: options.OnWritten,
 				onClosed:  closed,
 			}, nil
@@ -34,9 +34,9 @@
 		MaxResponseHeaderBytes: maxHeadBytes,
 		// Half of the backend's own idle timeout: a request written to a connection that the backend is closing would
 		// fail with a reset.
-		IdleConnTimeout:     options.ConnIdle / 2,
-		MaxIdleConns:        options.MaxIdle,
-		MaxIdleConnsPerHost: options.MaxIdle,
+		IdleConnTimeout:     options.BackendIdleTimeout / 2,
+		MaxIdleConns:        options.MaxIdlePerBackend,
+		MaxIdleConnsPerHost: options.MaxIdlePerBackend,
 		DisableCompression:  true, // events are forwarded unchanged as they arrive
 		WriteBufferSize:     4 << 10,
 		ReadBufferSize:      4 << 10,
--- a/internal/batch/api_test.go
+++ b/internal/batch/api_test.go
@@ -87,7 +87,7 @@
 // Files that nobody deletes do not fill the store: beyond a bound no further one is accepted until some are deleted.
 // The lines of a batch that is over are not kept besides its files.
 func TestFilesThatNobodyDeletes(t *testing.T) {
-	backend := streamingBackend(t, testpeer.NewAttemptLedger(), succeed)
+	backend := streamingBackend(t, testpeer.NewAttemptCounter(), succeed)
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	keys := store.NewMemory()
 	c := start(t, core, keys, func(o *batch.Options) { o.MaxTotalFileBytes = 4 << 10 })
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -33,7 +33,7 @@
 	if err := s.writeLine(ctx, l, out, nil); err != nil {
 		s.logUnrecorded(l, err)
 		sleep(ctx, failedDelay) // a store that takes nothing is not tried at full speed
-		return node.ClientGone
+		return node.ClientDisconnected
 	}
 	end := until.Add(-min(s.LineTimeout/guardDivisor, maxGuard))
 	if expires.Before(end) {
@@ -53,7 +53,7 @@
 		Body:        body,
 	}, content))
 	if !ended || ctx.Err() != nil {
-		return node.ClientGone // the line is not ours any more: the store has it out until then
+		return node.ClientDisconnected // the line is not ours any more: the store has it out until then
 	}
 	s.recordAnswer(ctx, l, answer, traceID, content)
 	return answer.Kind
@@ -80,7 +80,7 @@
 	case answer.Kind == node.Served:
 		s.logUnrecorded(l, s.completeLine(ctx, l, traceID, content))
 	case answer.Kind == node.Rejected: // a rejection costs none of the line's attempts
-		s.retryLine(ctx, l, l.record.Attempts-1, max(answer.Wait, rejectedDelay))
+		s.retryLine(ctx, l, l.record.Attempts-1, max(answer.RetryAfter, rejectedDelay))
 	case l.record.Attempts >= s.MaxAttempts || answer.Kind == node.Invalid:
 		s.logUnrecorded(l, s.failLine(ctx, l, CodeServerError))
 	default:
--- a/internal/batch/fixture_test.go
+++ b/internal/batch/fixture_test.go
@@ -102,7 +102,7 @@
 // upload uploads an input file.
 func (c *client) upload(content string, result any) int {
 	c.t.Helper()
-	contentType, body := testpeer.Upload(content)
+	contentType, body := testpeer.BatchUpload(content)
 	request, err := http.NewRequest(http.MethodPost, c.url+"/v1/files", body)
 	require.NoError(c.t, err)
 	request.Header.Set("Content-Type", contentType)
@@ -162,9 +162,9 @@
 func succeed(string, int) int { return http.StatusOK }
 
 // streamingBackend is a backend that streams, and answers each line with the status that answer returns.
-func streamingBackend(t *testing.T, ledger *testpeer.AttemptLedger, answer func(line string, attempt int) int) string {
+func streamingBackend(t *testing.T, ledger *testpeer.AttemptCounter, answer func(line string, attempt int) int) string {
 	t.Helper()
-	return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		var body struct {
 			Messages []struct{ Content string }
 		}
@@ -176,9 +176,9 @@
 			w.WriteHeader(status)
 			return
 		}
-		testpeer.Event(w, "answer to ")
-		testpeer.Event(w, line)
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "answer to ")
+		testpeer.WriteEvent(w, line)
+		testpeer.WriteStreamEnd(w)
 	})
 }
 
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -23,7 +23,7 @@
 // seventh line fails at its first attempt. Each line has its answer once, and never two attempts in flight.
 func TestTwoThousandLines(t *testing.T) {
 	const n = 2000
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	answer := func(line string, attempt int) int {
 		time.Sleep(time.Millisecond)
 		var i int
@@ -87,7 +87,7 @@
 
 // A cancel, and the end of the window, leave every line with its one result all the same.
 func TestCancelAndExpiry(t *testing.T) {
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	backend := streamingBackend(t, ledger, func(string, int) int {
 		time.Sleep(50 * time.Millisecond)
 		return http.StatusOK
@@ -127,7 +127,7 @@
 // A line that the store has as out is not sent by the next leader until its time has passed, and a line that has its
 // result, an answer or an error, is not sent at all.
 func TestRestartWaitsForLinesThatWereOut(t *testing.T) {
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", streamingBackend(t, ledger, succeed)))
 	keys := store.NewMemory()
 	until := time.Now().Add(1500 * time.Millisecond)
@@ -150,27 +150,27 @@
 	b = second.wait(b.ID, 10*time.Second)
 	require.False(t, time.Now().Before(until))
 	require.Equal(t, batch.RequestCounts{Total: 4, Completed: 3, Failed: 1}, b.RequestCounts)
-	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Sent())
+	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Attempts())
 }
 
 // A leader that loses leadership ends its attempts at once, even a stream that has begun, and writes no result; the
 // next leader waits until the time that the store names.
 func TestLostLeadershipEndsAttempts(t *testing.T) {
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	begun := make(chan struct{})
 	ended := make(chan time.Time, 1)
-	backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		attempt := ledger.Begin("line 0")
 		defer ledger.End("line 0", attempt > 1)
-		testpeer.Event(w, "half")
+		testpeer.WriteEvent(w, "half")
 		if attempt == 1 {
 			close(begun)
 			<-r.Context().Done()
 			ended <- time.Now()
 			return
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	keys := &electedStore{Memory: store.NewMemory()}
@@ -186,7 +186,7 @@
 	b = c.wait(b.ID, 10*time.Second)
 	require.Greater(t, time.Since(sent), 2*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
-	require.Equal(t, 2, ledger.Sent()["line 0"])
+	require.Equal(t, 2, ledger.Attempts()["line 0"])
 	require.Equal(t, 1, ledger.MaximumInFlight())
 }
 
@@ -197,7 +197,7 @@
 		for at := int64(4); at <= 12; at++ { // the first three are the client's: its file, and the batch
 			t.Run(fmt.Sprintf("%d %v", at, carriedOut), func(t *testing.T) {
 				t.Parallel()
-				ledger := testpeer.NewAttemptLedger()
+				ledger := testpeer.NewAttemptCounter()
 				backend := streamingBackend(t, ledger, succeed)
 				core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				keys := &interruptedStore{Memory: store.NewMemory(), at: at, carriedOut: carriedOut}
@@ -232,7 +232,7 @@
 // over.
 func TestALineThatCannotBeCalledBack(t *testing.T) {
 	t.Parallel()
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	settings := testpeer.Settings()
 	settings.Cancel = false
 	server := testpeer.NewBatchBackend(t, ledger, func(_ string, attempt int) int {
@@ -245,6 +245,6 @@
 	c := start(t, core, store.NewMemory(), func(o *batch.Options) { o.LineTimeout = time.Second })
 	b := c.wait(c.submit(inputLines(1), "1h").ID, 20*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
-	require.Equal(t, 2, ledger.Sent()["line 0"])
+	require.Equal(t, 2, ledger.Attempts()["line 0"])
 	require.Equal(t, 1, ledger.MaximumInFlight())
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -50,9 +50,9 @@
 func startConfigurationCluster(t *testing.T) *configurationCluster {
 	t.Helper()
 	c := &configurationCluster{t: t, dir: t.TempDir(), program: build(t), running: map[string]*exec.Cmd{}}
-	backend := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		testpeer.Event(w, "a")
-		testpeer.Finish(w)
+	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		testpeer.WriteEvent(w, "a")
+		testpeer.WriteStreamEnd(w)
 	})
 	ids := []string{"a", "b", "c"}
 	members := ""
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -37,7 +37,7 @@
 
 func (b *notingBackends) start(t *testing.T, name string) netip.AddrPort {
 	t.Helper()
-	return netip.MustParseAddrPort(testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	return netip.MustParseAddrPort(testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		b.mu.Lock()
 		b.last[name] = time.Now()
@@ -45,14 +45,14 @@
 		b.mu.Unlock()
 		id := r.Header.Get("X-Trace-Id")
 		if strings.HasPrefix(id, "hold") {
-			testpeer.Event(w, name)
+			testpeer.WriteEvent(w, name)
 		}
 		if strings.HasPrefix(id, "hold") || strings.HasPrefix(id, "queue") {
 			b.begun <- name
 			<-b.release
 		}
-		testpeer.Event(w, name)
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, name)
+		testpeer.WriteStreamEnd(w)
 	}))
 }
 
--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -163,12 +163,12 @@
 	close(f.stop)
 	f.clients.Wait()
 	found := f.record.Violations(
-		append(f.first.DueNotifications(), f.second.DueNotifications()...),
+		append(f.first.LatestNotifications(), f.second.LatestNotifications()...),
 		drainGrace+socketsSlack,
 	)
 	f.t.Logf("%d sends judged, %d violations, %v late at most; calls %v and %v", len(f.record.Sends()), len(found),
 		f.record.MaximumLag(),
-		f.first.Counts(), f.second.Counts())
+		f.first.Outcomes(), f.second.Outcomes())
 	return found
 }
 
@@ -267,7 +267,7 @@
 func (f *drainFleet) play() {
 	began := time.Now()
 	until := func(ms int) { time.Sleep(time.Until(began.Add(time.Duration(ms) * time.Millisecond))) }
-	both := func(server, health string) { f.first.Set(server, health); f.second.Set(server, health) }
+	both := func(server, health string) { f.first.SetHealth(server, health); f.second.SetHealth(server, health) }
 	until(1500)
 	both("s0", "draining") // behind watches that have fallen silent
 	until(3000)
@@ -291,13 +291,13 @@
 	until(11000)
 	go func() {
 		time.Sleep(150 * time.Millisecond)
-		f.first.Set("s4", "draining") // as the nodes move; the second discovery hears of it later
+		f.first.SetHealth("s4", "draining") // as the nodes move; the second discovery hears of it later
 		time.Sleep(1500 * time.Millisecond)
-		f.second.Set("s4", "draining")
+		f.second.SetHealth("s4", "draining")
 	}()
 	f.reload(300 * time.Millisecond)
 	until(12000)
-	f.second.Set("s5", "draining")
+	f.second.SetHealth("s5", "draining")
 	until(13500)
 	for _, n := range f.nodes {
 		if f.rng.Float64() < 0.25 {
@@ -308,7 +308,7 @@
 		}
 	}
 	until(14500)
-	f.second.Set("s6", "gone")
+	f.second.SetHealth("s6", "gone")
 	until(19500)
 }
 
@@ -324,7 +324,7 @@
 			Class: "m", Health: "ready", Share: 1})
 	}
 	d := drain.NewDiscovery(t, record, 41, hosts)
-	d.Set("leaves", "draining")
+	d.SetHealth("leaves", "draining")
 	d.SetQueue(drain.Queue{ServiceTime: inLine, Maximum: 10})
 	l := &lone{listen: testpeer.FreeAddress(t), file: filepath.Join(t.TempDir(), "config.json"), said: &log{}}
 	known, err := json.Marshal(map[string]any{"seq": 41, "whole": true, "hosts": hosts})
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -90,11 +90,11 @@
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	r := migration.Record{ID: "m-7", By: "kim", Note: "build 118", State: migration.Holding, Paused: true,
 		Reason: "hold: 4 s more", Step: 1, Version: 9,
-		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, Trickle: 0.03,
-			Warm: 11 * time.Second, Hold: 21 * time.Second, Samples: 31,
-			Floor: 0.8, FirstToken: 1.3, Pace: 1.2, Errors: 0.02, Stall: 6 * time.Second, Alarm: 20000,
+		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, WarmUpShare: 0.03,
+			MinWarmUp: 11 * time.Second, MinHold: 21 * time.Second, MinSamples: 31,
+			OnTimeFloor: 0.8, FirstTokenFactor: 1.3, TokenGapFactor: 1.2, ErrorAllowance: 0.02, MaxToleratedStall: 6 * time.Second, FalseAlarmWindows: 20000,
 			OnWorse: migration.Return, ReturnSteps: 4,
-			ReturnEvery: 3 * time.Second, ColdShare: 0.17, WarmUp: 25 * time.Second, FallFactor: 4},
+			ReturnEvery: 3 * time.Second, ColdCapacityFraction: 0.17, SlowStart: 25 * time.Second, CollapseFactor: 4},
 		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
 		Started: at, Changed: at.Add(90 * time.Second),
 		Events: []migration.Event{{At: at, State: migration.Warming, Share: 0.03, Text: "begun"},
@@ -172,12 +172,12 @@
 	third, back := goldenVersion(3), goldenVersion(2)
 	back.RollbackTo, back.Text = 1, ""
 	s, err := control.Listen("127.0.0.1:0", d.token, []control.Route{
-		{Pattern: "GET /v1/pools", Handle: fixed([]controller.Members{
+		{Pattern: "GET /v1/pools", Handle: fixed([]controller.PoolMembers{
 			{Pool: "old", Select: `version == "v1"`, Share: 1,
-				Backends: []controller.Member{{Name: "box-1", State: "ready", Warmth: 0.5,
-					AlsoFit: []string{"new", "spare"}}}, Overflowed: 7},
+				Backends: []controller.Member{{Name: "box-1", State: "ready", WarmFraction: 0.5,
+					OtherPools: []string{"new", "spare"}}}, Overflowed: 7},
 			{Pool: "new", Backends: []controller.Member{}},
-			{Backends: []controller.Member{{Name: "box-9", State: "draining", Warmth: 1}}},
+			{Backends: []controller.Member{{Name: "box-9", State: "draining", WarmFraction: 1}}},
 		})},
 		{Pattern: "GET /v1/move", Handle: func(*http.Request, []byte) (any, error) { return d.move, nil }},
 		{Pattern: "GET /v1/move/history", Handle: fixed([]migration.Record{goldenRecord()})},
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -104,7 +104,7 @@
 }
 
 func (v *victim) upload(content string) (id string, ok bool) {
-	kind, body := testpeer.Upload(content)
+	kind, body := testpeer.BatchUpload(content)
 	status, said := v.call("POST", "/v1/files", kind, body)
 	var file struct{ ID string }
 	ok = status == http.StatusOK && json.Unmarshal([]byte(said), &file) == nil
@@ -122,12 +122,12 @@
 func TestKilledInTheMiddle(t *testing.T) {
 	t.Parallel()
 	const lineTime = 3 * time.Second
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	var healthy atomic.Bool
 	var mu sync.Mutex
 	sent := map[string][]time.Time{}
 	came, ended := make(chan string, 100), make(chan string, 100)
-	box := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	box := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		var body struct{ Messages []struct{ Content string } }
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -137,13 +137,13 @@
 		sent[name] = append(sent[name], time.Now())
 		mu.Unlock()
 		if healthy.Load() {
-			testpeer.Event(w, "answer to "+name)
-			testpeer.Finish(w)
+			testpeer.WriteEvent(w, "answer to "+name)
+			testpeer.WriteStreamEnd(w)
 			ledger.End(name, true)
 			return
 		}
 		if name == "stream" {
-			testpeer.Event(w, "begun")
+			testpeer.WriteEvent(w, "begun")
 		}
 		came <- name
 		<-r.Context().Done()
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -87,7 +87,7 @@
 
 // backend starts a backend that notes its requests, and returns its address.
 func (m *migrationTest) backend(name string) string {
-	return testpeer.Backend(m.t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.StartBackend(m.t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		m.mu.Lock()
 		m.last[name] = time.Now()
@@ -97,8 +97,8 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		testpeer.Event(w, name)
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, name)
+		testpeer.WriteStreamEnd(w)
 	})
 }
 
--- a/internal/cli/migrationtext.go
+++ b/internal/cli/migrationtext.go
@@ -23,14 +23,14 @@
 
 func writePlan(w io.Writer, p migration.Plan) {
 	fmt.Fprintf(w, "from %s to %s, in %v at the least\n", p.From, p.To, p.MinimumDuration())
-	fmt.Fprintf(w, "  warm up   %.1f%% for %v or more\n", 100*p.Trickle, p.Warm)
+	fmt.Fprintf(w, "  warm up   %.1f%% for %v or more\n", 100*p.WarmUpShare, p.MinWarmUp)
 	for i, step := range p.Steps {
-		fmt.Fprintf(w, "  step %d    %.1f%%, watched for %v and %d flows or more\n", i+1, 100*step, p.Hold, p.Samples)
+		fmt.Fprintf(w, "  step %d    %.1f%%, watched for %v and %d flows or more\n", i+1, 100*step, p.MinHold, p.MinSamples)
 	}
-	fmt.Fprintf(w, "  worse is  under %.0f%% of the old pool's worth in time, ", 100*p.Floor)
-	fmt.Fprintf(w, "first tokens later by %.2f, tokens slower by %.2f,\n", p.FirstToken, p.Pace)
+	fmt.Fprintf(w, "  worse is  under %.0f%% of the old pool's worth in time, ", 100*p.OnTimeFloor)
+	fmt.Fprintf(w, "first tokens later by %.2f, tokens slower by %.2f,\n", p.FirstTokenFactor, p.TokenGapFactor)
 	fmt.Fprintf(w, "            or more than %.1f%% further errors; nothing shorter than %v ends the move\n",
-		100*p.Errors, p.Stall)
+		100*p.ErrorAllowance, p.MaxToleratedStall)
 	if p.OnWorse == migration.Return {
 		fmt.Fprintf(w, "  then      traffic goes back in %d steps, one each %v\n", p.ReturnSteps, p.ReturnEvery)
 		return
--- a/internal/cli/platform_test.go
+++ b/internal/cli/platform_test.go
@@ -67,7 +67,7 @@
 		hosts = append(hosts, fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m","health":"ready","share":1}`,
 			name, address))
 	}
-	p.discovery = testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	p.discovery = testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") == "1" {
 			<-r.Context().Done()
 			return
--- a/internal/cli/pools.go
+++ b/internal/cli/pools.go
@@ -22,12 +22,12 @@
 	return c
 }
 
-func (o *options) writePools(pools []controller.Members) {
+func (o *options) writePools(pools []controller.PoolMembers) {
 	o.writeTable("POOL\tBOX\tSTATE\tWARMTH\tALSO FITS", func(w io.Writer) {
 		for _, p := range pools {
 			for _, b := range p.Backends {
-				alsoFits := strings.Join(b.AlsoFit, ", ")
-				fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%s\n", orNone(p.Pool), b.Name, b.State, 100*b.Warmth, alsoFits)
+				alsoFits := strings.Join(b.OtherPools, ", ")
+				fmt.Fprintf(w, "%s\t%s\t%s\t%.0f%%\t%s\n", orNone(p.Pool), b.Name, b.State, 100*b.WarmFraction, alsoFits)
 			}
 			if len(p.Backends) == 0 {
 				fmt.Fprintf(w, "%s\t(empty)\t\t\t\n", p.Pool)
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -142,11 +142,11 @@
 	t.Parallel()
 	asked, stays := make(chan string, 1000), make(chan string, 1000)
 	server := func(to chan<- string) string {
-		return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+		return testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			to <- r.Header.Get("X-Trace-Id")
-			testpeer.Event(w, "served")
-			testpeer.Finish(w)
+			testpeer.WriteEvent(w, "served")
+			testpeer.WriteStreamEnd(w)
 		})
 	}
 	p := newPlatform(t, nil)
@@ -243,16 +243,16 @@
 	t.Parallel()
 	const sockets = 128
 	asked := make(chan string, 1000)
-	old := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	old := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		asked <- r.Header.Get("X-Trace-Id")
-		testpeer.Event(w, "old")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "old")
+		testpeer.WriteStreamEnd(w)
 	})
-	fresh := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	fresh := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		testpeer.Event(w, "fresh")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "fresh")
+		testpeer.WriteStreamEnd(w)
 	})
 	for name, ask := range map[string]bool{"that say nothing": false, "that asked once": true} {
 		t.Run(name, func(t *testing.T) {
@@ -299,14 +299,14 @@
 func TestSignalsAcrossEachOther(t *testing.T) {
 	t.Parallel()
 	came, release := make(chan struct{}, 100), make(chan struct{})
-	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		testpeer.Event(w, "begun")
+		testpeer.WriteEvent(w, "begun")
 		came <- struct{}{}
 		if r.Header.Get("X-Trace-Id") == "long" {
 			<-release
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	d := startMoody(t, lists(server, "ready"))
 	l := startLone(t, build(t), d.address, server, 512, nil)
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -21,9 +21,9 @@
 	t        *testing.T
 	platform *platform
 	address  string
-	ledger   *testpeer.AttemptLedger // of the requests that reach backends
-	begin    chan struct{}           // closed: the request "late" gets its first event
-	release  chan struct{}           // closed: the requests "long" and "late" get the rest
+	ledger   *testpeer.AttemptCounter // of the requests that reach backends
+	begin    chan struct{}            // closed: the request "late" gets its first event
+	release  chan struct{}            // closed: the requests "long" and "late" get the rest
 
 	mu   sync.Mutex           // guards used
 	used map[string]time.Time // when a backend got its last request
@@ -33,14 +33,14 @@
 	t.Helper()
 	u := &upgradeTest{
 		t:       t,
-		ledger:  testpeer.NewAttemptLedger(),
+		ledger:  testpeer.NewAttemptCounter(),
 		begin:   make(chan struct{}),
 		release: make(chan struct{}),
 		used:    map[string]time.Time{},
 	}
 	backends := map[string]string{}
 	for _, name := range []string{"box-1", "box-2", "box-3"} {
-		backends[name] = testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) { u.answer(name, w, r) })
+		backends[name] = testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) { u.answer(name, w, r) })
 	}
 	u.platform = newPlatform(t, backends)
 	u.address = u.platform.listen.Addr().String()
@@ -57,7 +57,7 @@
 	if id == "late" {
 		<-u.begin
 	}
-	testpeer.Event(w, id)
+	testpeer.WriteEvent(w, id)
 	if id == "late" {
 		<-u.release
 	}
@@ -68,7 +68,7 @@
 		fmt.Fprint(w, `lta":{"content":"the rest"}}]}`+"\n\n")
 	}
 	time.Sleep(20 * time.Millisecond) // the pace of a server, so that streams are under way at any time
-	testpeer.Finish(w)
+	testpeer.WriteStreamEnd(w)
 	u.ledger.End(id, true)
 }
 
@@ -108,7 +108,7 @@
 		body, err := io.ReadAll(response.Body)
 		answer <- fmt.Sprint(string(body), err)
 	}()
-	require.Eventually(u.t, func() bool { return u.ledger.Sent()["late"] > 0 }, 2*time.Second, time.Millisecond)
+	require.Eventually(u.t, func() bool { return u.ledger.Attempts()["late"] > 0 }, 2*time.Second, time.Millisecond)
 	return answer
 }
 
@@ -140,9 +140,9 @@
 	require.Contains(u.t, string(rest), "long")
 	require.Contains(u.t, string(rest), `data: {"choices":[{"index":0,"delta":{"content":"the rest"}}]}`+"\n\n")
 	require.Contains(u.t, string(rest), "[DONE]")
-	require.Equal(u.t, 1, u.ledger.Sent()["long"])
+	require.Equal(u.t, 1, u.ledger.Attempts()["long"])
 	require.Contains(u.t, <-late, "[DONE]")
-	require.Equal(u.t, 1, u.ledger.Sent()["late"])
+	require.Equal(u.t, 1, u.ledger.Attempts()["late"])
 }
 
 // A process that cannot come up, because its descriptor is no listening socket, says so and leaves the other serving.
@@ -207,6 +207,6 @@
 	require.Empty(t, clients.failures)
 	require.Equal(t, 1, u.ledger.MaximumInFlight())
 	for _, id := range served {
-		require.Equal(t, 1, u.ledger.Sent()[id], "%v", id)
+		require.Equal(t, 1, u.ledger.Attempts()[id], "%v", id)
 	}
 }
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -32,11 +32,11 @@
 
 func upgradeBetween(t *testing.T, from, to string) {
 	t.Helper()
-	ledger := testpeer.NewAttemptLedger()
+	ledger := testpeer.NewAttemptCounter()
 	release := make(chan struct{})
 	backends := map[string]string{}
 	for _, name := range []string{"box-1", "box-2", "box-3"} {
-		backends[name] = testpeer.Backend(t, answerOnceReleased(ledger, release))
+		backends[name] = testpeer.StartBackend(t, answerOnceReleased(ledger, release))
 	}
 	p := newPlatform(t, backends)
 	address := p.listen.Addr().String()
@@ -58,12 +58,12 @@
 	rest, err := io.ReadAll(long.Body)
 	require.NoError(t, err)
 	require.Contains(t, string(rest), "[DONE]")
-	require.Equal(t, 1, ledger.Sent()["long"])
+	require.Equal(t, 1, ledger.Attempts()["long"])
 	served := clients.stop()
 	require.NotEmpty(t, served)
 	require.Empty(t, clients.failures)
 	for _, id := range served {
-		require.Equal(t, 1, ledger.Sent()[id], id)
+		require.Equal(t, 1, ledger.Attempts()[id], id)
 	}
 	require.Equal(t, 1, ledger.MaximumInFlight())
 	require.True(t, next.shows("app.hosts_down=1")())
@@ -72,16 +72,16 @@
 
 // answerOnceReleased is a backend that holds the second half of the answer to the request "long" back until release
 // is closed.
-func answerOnceReleased(ledger *testpeer.AttemptLedger, release <-chan struct{}) http.HandlerFunc {
+func answerOnceReleased(ledger *testpeer.AttemptCounter, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Trace-Id")
 		ledger.Begin(id)
-		testpeer.Event(w, id)
+		testpeer.WriteEvent(w, id)
 		if id == "long" {
 			<-release
 		}
 		time.Sleep(20 * time.Millisecond) // the pace of a server, so that streams are under way at any time
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 		ledger.End(id, true)
 	}
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -22,7 +22,7 @@
 		if len(s.Classes) == 0 || p.Names.IdleTimeout <= 0 || p.Names.DialTimeout <= 0 ||
 			p.Limits.MaxRequests() < 1 || p.KillDelay() < 0 ||
 			s.Gateways < 0 || s.WarmUp < 0 || s.OverloadWindow < 0 ||
-			s.Tick < 0 || s.MaxAttempts < 0 || s.MaxRetryAfter < 0 ||
+			s.EventInterval < 0 || s.MaxAttempts < 0 || s.MaxRetryAfter < 0 ||
 			!(s.ColdCapacityFraction >= 0 && s.ColdCapacityFraction <= 1) || s.OverloadFactor < 0 {
 			t.Fatalf("%+v", p)
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -70,8 +70,8 @@
 	require.NoError(t, err)
 	require.Equal(t, standpoint.Settings{
 		Gateways: 4, Ordinal: 2, Zone: 1, Zones: 2, Kinds: 2, Resume: true, RetryAfter: true,
-		Reports:       standpoint.ReportReplies,
-		MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 2, Tick: int64(2 * time.Millisecond),
+		Reports:       standpoint.ReportResponses,
+		MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 2, EventInterval: int64(2 * time.Millisecond),
 		DiscoveryTimeout: int64(10 * time.Second),
 		DrainGrace:       int64(500 * time.Millisecond), WarmUp: int64(25 * time.Second),
 		OverloadWindow:       int64(3 * time.Second),
@@ -79,10 +79,10 @@
 		Classes: []standpoint.Class{
 			{Streamed: true, TTFTObjective: int64(2500 * time.Millisecond),
 				TTFTObjectivePer1000Tokens: int64(60 * time.Millisecond), TPOTObjective: int64(50 * time.Millisecond),
-				Deadline: int64(10 * time.Second), Weight: 2, LateWeight: 0.25, Description: "sheet-import"},
+				Deadline: int64(10 * time.Second), Weight: 2, LateWeight: 0.25, Name: "sheet-import"},
 			{Streamed: true, TTFTObjective: int64(1200 * time.Millisecond),
 				TTFTObjectivePer1000Tokens: int64(30 * time.Millisecond), TPOTObjective: int64(100 * time.Millisecond),
-				Deadline: int64(5 * time.Second), Weight: 5, LateWeight: 0.5, Description: "foreman-chat"},
+				Deadline: int64(5 * time.Second), Weight: 5, LateWeight: 0.5, Name: "foreman-chat"},
 		},
 		Tenants: []standpoint.Tenant{{Share: 0.75, QuotaRPS: 12.5}, {Share: 0.25, QuotaRPS: 6.5}},
 	}, o.Settings)
@@ -113,19 +113,19 @@
 	require.Equal(t, standpoint.Settings{
 		Gateways: 4, Ordinal: 3, Zone: 1, Zones: 2, Kinds: 3, OverQuotaWeight: 0.31,
 		Reports: standpoint.ReportProbes, SubscribeDiscovery: true, Resume: true,
-		SecondCopies: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001,
-		MaxAttempts: 3, Tick: 2000002,
+		HedgedRequests: true, Cancel: true, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: 2000000001,
+		MaxAttempts: 3, EventInterval: 2000002,
 		DiscoveryTimeout: 10000003, DrainGrace: 500004, WarmUp: 20000005, OverloadWindow: 3000006,
 		ColdCapacityFraction: 0.13, OverloadFactor: 4.5,
 		CrossZonePrice: 0.01, LateFailPrice: 0.02, PeerPrice: 0.03, ProbePrice: 0.04, WastePrice: 0.05,
 		Classes: []standpoint.Class{
-			{Effect: standpoint.Safe, Group: standpoint.GroupZone, Window: 31, Streamed: true, TTFTObjective: 32,
+			{Effect: standpoint.Safe, DedupScope: standpoint.GroupZone, DedupWindow: 31, Streamed: true, TTFTObjective: 32,
 				TTFTObjectivePer1000Tokens: 1500, TPOTObjective: 33, ObjectiveStretch: 1.2,
-				Deadline: 34, Weight: 2.5, LateWeight: 0.5, Description: "chat"},
-			{Effect: standpoint.Keyed, Group: standpoint.GroupCell, TTFTObjective: 42,
+				Deadline: 34, Weight: 2.5, LateWeight: 0.5, Name: "chat"},
+			{Effect: standpoint.Keyed, DedupScope: standpoint.GroupCell, TTFTObjective: 42,
 				TTFTObjectivePer1000Tokens: 2500, TPOTObjective: 43,
-				Deadline: 44, Weight: 3.5, Description: "import"},
-			{Effect: standpoint.Unsafe, TTFTObjective: 52, Deadline: 54, Weight: 4.5, Description: "night"},
+				Deadline: 44, Weight: 3.5, Name: "import"},
+			{Effect: standpoint.Unsafe, TTFTObjective: 52, Deadline: 54, Weight: 4.5, Name: "night"},
 		},
 		Tenants: []standpoint.Tenant{{Share: 0.6, QuotaRPS: 11}, {Share: 0.4, QuotaRPS: 12}},
 	}, p.Settings)
@@ -135,7 +135,7 @@
 	require.Empty(t, golden.Unset(p))
 	piggyback, err := parsePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), noVariables)
 	require.NoError(t, err)
-	require.Equal(t, standpoint.ReportReplies, piggyback.Settings.Reports)
+	require.Equal(t, standpoint.ReportResponses, piggyback.Settings.Reports)
 	environment := map[string]string{"PROXY_NAME": "n4", "PROXY_LISTEN": "127.0.0.8:1",
 		"PROXY_DISCOVERY": "127.0.0.8:2", "PROXY_CONSOLE": "127.0.0.8:3",
 		"PROXY_SOCKET_FD": "5"}
--- a/internal/config/migration.go
+++ b/internal/config/migration.go
@@ -40,20 +40,20 @@
 	if m.Steps == nil {
 		m.Steps = standard.Steps
 	}
-	trickle := standard.Trickle
+	trickle := standard.WarmUpShare
 	if len(m.Steps) > 0 {
 		trickle = min(trickle, m.Steps[0])
 	}
 	setDefault(&m.Trickle, trickle)
-	setDefault(&m.Warm, Duration(standard.Warm))
-	setDefault(&m.Hold, Duration(standard.Hold))
-	setDefault(&m.Samples, standard.Samples)
-	setDefault(&m.Floor, standard.Floor)
-	setDefault(&m.FirstToken, standard.FirstToken)
-	setDefault(&m.Pace, standard.Pace)
-	setDefault(&m.Errors, standard.Errors)
-	setDefault(&m.Stall, Duration(standard.Stall))
-	setDefault(&m.Alarm, standard.Alarm)
+	setDefault(&m.Warm, Duration(standard.MinWarmUp))
+	setDefault(&m.Hold, Duration(standard.MinHold))
+	setDefault(&m.Samples, standard.MinSamples)
+	setDefault(&m.Floor, standard.OnTimeFloor)
+	setDefault(&m.FirstToken, standard.FirstTokenFactor)
+	setDefault(&m.Pace, standard.TokenGapFactor)
+	setDefault(&m.Errors, standard.ErrorAllowance)
+	setDefault(&m.Stall, Duration(standard.MaxToleratedStall))
+	setDefault(&m.Alarm, standard.FalseAlarmWindows)
 	setDefault(&m.OnWorse, standard.OnWorse)
 	setDefault(&m.ReturnSteps, standard.ReturnSteps)
 	setDefault(&m.ReturnEvery, Duration(standard.ReturnEvery))
@@ -67,7 +67,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", indexed("pool", i, "select"), err)
 		}
-		definitions = append(definitions, pool.Definition{Name: p.Name, Select: selector, Share: p.Share})
+		definitions = append(definitions, pool.Definition{Name: p.Name, Selector: selector, Share: p.Share})
 	}
 	var err error
 	o.PoolSet, err = pool.NewSet(definitions)
@@ -78,23 +78,23 @@
 func (o *OperatorFile) derivePlan() error {
 	section := &o.Migration
 	o.MigrationPlan = migration.Plan{
-		Steps:       section.Steps,
-		Trickle:     section.Trickle,
-		Warm:        time.Duration(section.Warm),
-		Hold:        time.Duration(section.Hold),
-		Samples:     section.Samples,
-		Floor:       section.Floor,
-		FirstToken:  section.FirstToken,
-		Pace:        section.Pace,
-		Errors:      section.Errors,
-		Stall:       time.Duration(section.Stall),
-		Alarm:       section.Alarm,
-		OnWorse:     section.OnWorse,
-		ReturnSteps: section.ReturnSteps,
-		ReturnEvery: time.Duration(section.ReturnEvery),
-		ColdShare:   o.Module.ColdShare,
-		WarmUp:      time.Duration(o.Module.WarmUp),
-		FallFactor:  migration.Default().FallFactor,
+		Steps:                section.Steps,
+		WarmUpShare:          section.Trickle,
+		MinWarmUp:            time.Duration(section.Warm),
+		MinHold:              time.Duration(section.Hold),
+		MinSamples:           section.Samples,
+		OnTimeFloor:          section.Floor,
+		FirstTokenFactor:     section.FirstToken,
+		TokenGapFactor:       section.Pace,
+		ErrorAllowance:       section.Errors,
+		MaxToleratedStall:    time.Duration(section.Stall),
+		FalseAlarmWindows:    section.Alarm,
+		OnWorse:              section.OnWorse,
+		ReturnSteps:          section.ReturnSteps,
+		ReturnEvery:          time.Duration(section.ReturnEvery),
+		ColdCapacityFraction: o.Module.ColdShare,
+		SlowStart:            time.Duration(o.Module.WarmUp),
+		CollapseFactor:       migration.Default().CollapseFactor,
 	}
 	var invalid *migration.PlanError
 	if !errors.As(o.MigrationPlan.Check(), &invalid) {
--- a/internal/config/module.go
+++ b/internal/config/module.go
@@ -135,13 +135,13 @@
 		Zone:                 max(0, slices.Index(module.Zones, module.Zone)),
 		Zones:                max(1, len(module.Zones)),
 		Kinds:                len(module.Kinds),
-		Reports:              standpoint.ReportReplies,
+		Reports:              standpoint.ReportResponses,
 		Resume:               module.Resume,
 		Cancel:               !o.hasBatchBackend(),
 		RetryAfter:           true,
 		MaxRetryAfter:        int64(maxRetryAfter),
 		MaxAttempts:          module.MaxAttempts,
-		Tick:                 int64(moduleTick),
+		EventInterval:        int64(moduleTick),
 		DiscoveryTimeout:     int64(discoveryTimeout),
 		DrainGrace:           int64(drainGrace),
 		WarmUp:               int64(module.WarmUp),
@@ -158,7 +158,7 @@
 			Deadline:                   int64(class.Deadline),
 			Weight:                     class.Weight,
 			LateWeight:                 class.LateWeight,
-			Description:                class.Name,
+			Name:                       class.Name,
 		})
 	}
 	for _, tenant := range o.Tenants {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -75,8 +75,8 @@
 	require.NoError(t, err)
 	require.Equal(t, 2, o.PoolSet.Len())
 	require.Equal(t, []float64{0.01, 1}, o.MigrationPlan.Steps)
-	require.Equal(t, 0.01, o.MigrationPlan.Trickle, "at most the first step")
-	require.Equal(t, 0.9, o.MigrationPlan.Floor)
+	require.Equal(t, 0.01, o.MigrationPlan.WarmUpShare, "at most the first step")
+	require.Equal(t, 0.9, o.MigrationPlan.OnTimeFloor)
 	for _, c := range []struct{ text, key string }{
 		{singleNode + "[[pool]]\nname = \"old\"\nselect = 'version = \"v1\"'\n", "pool[0].select: column 9:"},
 		{singleNode + "[[pool]]\nselect = 'true'\n", "pool[0].name:"},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -134,14 +134,14 @@
 		OverQuotaWeight:      w.OverShareWeight,
 		SubscribeDiscovery:   w.Discovery == discoveryOnRequest,
 		Resume:               w.FamilyInfo.Resume,
-		SecondCopies:         w.Limits.HedgedRequests,
+		HedgedRequests:       w.Limits.HedgedRequests,
 		Cancel:               w.Limits.Cancel,
 		Probes:               w.Limits.Probes,
 		Peers:                w.Limits.Peers,
 		RetryAfter:           w.Limits.RetryAfter,
 		MaxRetryAfter:        w.Limits.MaxRetryAfter,
 		MaxAttempts:          w.Limits.MaxAttempts,
-		Tick:                 w.Tick,
+		EventInterval:        w.Tick,
 		DiscoveryTimeout:     w.Rules.DiscoveryTimeout,
 		DrainGrace:           w.Rules.DrainGrace,
 		WarmUp:               w.Rules.WarmUp,
@@ -156,7 +156,7 @@
 	}
 	switch w.Report.How {
 	case reportsPiggyback:
-		decoded.Reports = standpoint.ReportReplies
+		decoded.Reports = standpoint.ReportResponses
 	case reportsPull:
 		decoded.Reports = standpoint.ReportProbes
 	}
@@ -185,14 +185,14 @@
 func (w *settings) moduleClass(i int) standpoint.Class {
 	wire := &w.Classes[i]
 	class := standpoint.Class{
-		Window:           wire.Window,
+		DedupWindow:      wire.Window,
 		Streamed:         wire.Streamed,
 		TTFTObjective:    wire.Objective,
 		ObjectiveStretch: wire.ObjectiveStretch,
 		Deadline:         wire.Deadline,
 		Weight:           wire.Weight,
 		LateWeight:       wire.LateWeight,
-		Description:      wire.Name,
+		Name:             wire.Name,
 	}
 	switch wire.Semantics {
 	case semanticsSafe:
@@ -203,9 +203,9 @@
 	}
 	switch wire.Group {
 	case groupZone:
-		class.Group = standpoint.GroupZone
+		class.DedupScope = standpoint.GroupZone
 	case groupCell:
-		class.Group = standpoint.GroupCell
+		class.DedupScope = standpoint.GroupCell
 	}
 	if i < len(w.FamilyInfo.ObjectivePer1000Tokens) {
 		class.TTFTObjectivePer1000Tokens = int64(w.FamilyInfo.ObjectivePer1000Tokens[i] * float64(time.Microsecond))
@@ -224,7 +224,7 @@
 	}{
 		{"onTime", float64(class.TTFTObjective)},
 		{"hardLimit", float64(class.Deadline)},
-		{"window", float64(class.Window)},
+		{"window", float64(class.DedupWindow)},
 		{"worth", class.Weight},
 		{"lateWorth", class.LateWeight},
 		{"tokenAim", float64(class.TPOTObjective)},
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -31,9 +31,9 @@
 	n := Operations{
 		Ready:   func() bool { return ready },
 		Metrics: func() []byte { return []byte("app.inflight=14\n") },
-		Down:    backend("down"),
-		Up:      backend("up"),
-		Drain: func(_ context.Context, on bool) error {
+		Disable: backend("down"),
+		Enable:  backend("up"),
+		SetDrained: func(_ context.Context, on bool) error {
 			calls = append(calls, fmt.Sprint("drain ", on))
 			if on {
 				return errors.New("nobody comes")
--- a/internal/console/handler.go
+++ b/internal/console/handler.go
@@ -24,10 +24,10 @@
 		writeText(w, http.StatusOK, string(o.Metrics()))
 	})
 	for path, run := range map[string]command{
-		"/ops/engines/down": withBackendID(o.Down),
-		"/ops/engines/up":   withBackendID(o.Up),
-		"/ops/drain/start":  func(ctx context.Context, _ *http.Request) error { return o.Drain(ctx, true) },
-		"/ops/drain/stop":   func(ctx context.Context, _ *http.Request) error { return o.Drain(ctx, false) },
+		"/ops/engines/down": withBackendID(o.Disable),
+		"/ops/engines/up":   withBackendID(o.Enable),
+		"/ops/drain/start":  func(ctx context.Context, _ *http.Request) error { return o.SetDrained(ctx, true) },
+		"/ops/drain/stop":   func(ctx context.Context, _ *http.Request) error { return o.SetDrained(ctx, false) },
 	} {
 		mux.HandleFunc("POST "+path, serveCommand(run, log))
 	}
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -35,12 +35,12 @@
 	Ready func() bool
 	// Metrics returns the node's counters as text.
 	Metrics func() []byte
-	// Down disables a backend, and Up enables it again. They return ErrUnknownBackend for an id that was never listed.
-	Down func(ctx context.Context, id string) error
-	Up   func(ctx context.Context, id string) error
-	// Drain starts a manual drain of the node, or ends it if on is false. It returns ErrStopping once the node is
+	// Disable disables a backend, and Up enables it again. They return ErrUnknownBackend for an id that was never listed.
+	Disable func(ctx context.Context, id string) error
+	Enable  func(ctx context.Context, id string) error
+	// SetDrained starts a manual drain of the node, or ends it if on is false. It returns ErrStopping once the node is
 	// shutting down.
-	Drain func(ctx context.Context, on bool) error
+	SetDrained func(ctx context.Context, on bool) error
 }
 
 // Server is the console's listener. Its methods may be called concurrently.
--- a/internal/console/server_test.go
+++ b/internal/console/server_test.go
@@ -30,7 +30,7 @@
 		return nil
 	}
 	n.Metrics = func() []byte { return []byte("app.inflight=14\n") }
-	n.Down, n.Up = known, known
+	n.Disable, n.Enable = known, known
 	s, err := Listen("127.0.0.1:0", n, zap.NewNop())
 	require.NoError(t, err)
 	go func() { _ = s.Serve() }()
@@ -54,7 +54,7 @@
 
 // Each request gets the status of its path and outcome, and an invalid request a 4xx status or a closed connection.
 func TestResponseStatuses(t *testing.T) {
-	address := start(t, Operations{Drain: func(_ context.Context, on bool) error {
+	address := start(t, Operations{SetDrained: func(_ context.Context, on bool) error {
 		if !on {
 			return ErrStopping
 		}
@@ -124,7 +124,7 @@
 // A command that is not carried out in time gets a response within the 1 s that clients wait. Other requests are served
 // meanwhile.
 func TestCommandTimesOut(t *testing.T) {
-	address := start(t, Operations{Drain: func(ctx context.Context, _ bool) error {
+	address := start(t, Operations{SetDrained: func(ctx context.Context, _ bool) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}})
--- a/internal/daemon/backends.go
+++ b/internal/daemon/backends.go
@@ -10,20 +10,20 @@
 func backendsComponent(a *assembly) (component, error) {
 	_, names, _ := a.requestSettings()
 	options := backend.Options{
-		DialTimeout:    names.DialTimeout,
-		ConnIdle:       names.IdleTimeout,
-		MaxIdle:        a.limits.MaxIdleConnections(),
-		MaxConnections: a.limits.MaxRequests(),
-		OnWritten:      a.counters.CountAttempt,
-		Log:            a.log,
+		DialTimeout:        names.DialTimeout,
+		BackendIdleTimeout: names.IdleTimeout,
+		MaxIdlePerBackend:  a.limits.MaxIdleConnections(),
+		MaxConnections:     a.limits.MaxRequests(),
+		OnWritten:          a.counters.CountAttempt,
+		Log:                a.log,
 	}
 	if a.operator != nil {
 		cfg := &a.operator.BatchBackend
 		options.Batch = backend.BatchOptions{
-			Gather: time.Duration(cfg.GatherDelay),
-			Lines:  cfg.MaxLines,
-			Poll:   time.Duration(cfg.PollInterval),
-			Lost:   time.Duration(cfg.LostTimeout),
+			GatherTime:   time.Duration(cfg.GatherDelay),
+			MaxLines:     cfg.MaxLines,
+			PollInterval: time.Duration(cfg.PollInterval),
+			LostTimeout:  time.Duration(cfg.LostTimeout),
 		}
 	}
 	a.backends = backend.New(options)
--- a/internal/daemon/console.go
+++ b/internal/daemon/console.go
@@ -19,11 +19,11 @@
 		return component{}, nil
 	}
 	operations := console.Operations{
-		Ready:   func() bool { return a.lifecycle.Phase() == node.Serving },
-		Metrics: a.counters.Text,
-		Down:    a.overrideOperation(func(id string) error { return a.overrides.Disable(id) }),
-		Up:      a.overrideOperation(func(id string) error { return a.overrides.Enable(id) }),
-		Drain:   a.requestDrain,
+		Ready:      func() bool { return a.lifecycle.Phase() == node.Serving },
+		Metrics:    a.counters.Text,
+		Disable:    a.overrideOperation(func(id string) error { return a.overrides.Disable(id) }),
+		Enable:     a.overrideOperation(func(id string) error { return a.overrides.Enable(id) }),
+		SetDrained: a.requestDrain,
 	}
 	server, err := console.Listen(a.console, operations, a.log)
 	if err != nil {
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -59,13 +59,13 @@
 func startConsoleNode(t *testing.T) *consoleNode {
 	t.Helper()
 	n := &consoleNode{t: t, listen: testpeer.FreeAddress(t), exit: make(chan error, 1), release: make(chan struct{})}
-	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		n.sent.Add(1)
-		testpeer.Event(w, "x")
+		testpeer.WriteEvent(w, "x")
 		if r.Header.Get("X-Trace-Id") == "held" {
 			<-n.release
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	var path string
 	path, n.console = withConsole(t, n.listen, server)
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -58,7 +58,7 @@
 	if next != nil {
 		a.coreDeployment = *next
 	}
-	a.core.Adjust(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
+	a.core.UpdateSettings(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
 }
 
 // coreSettings returns the settings of a deployment, with the number of nodes found by discovery where that is greater.
--- a/internal/daemon/edge.go
+++ b/internal/daemon/edge.go
@@ -13,18 +13,18 @@
 func edgeComponent(a *assembly) (component, error) {
 	_, names, _ := a.requestSettings()
 	a.front = &edge.Front{
-		Core:      a.core,
-		Names:     names,
-		Lifecycle: a.lifecycle,
-		Bodies:    node.NewTenantLimiter(a.limits.MaxBodyBytes(), len(names.Tenants)),
-		Metrics:   a.counters,
-		Sessions:  a.sessions,
-		Log:       a.log,
+		Core:        a.core,
+		Names:       names,
+		Lifecycle:   a.lifecycle,
+		BodyLimiter: node.NewTenantLimiter(a.limits.MaxBodyBytes(), len(names.Tenants)),
+		Metrics:     a.counters,
+		Sessions:    a.sessions,
+		Log:         a.log,
 	}
 	reload := func(next deployment) {
 		_, names, _ := next.requestSettings()
 		a.front.SetNames(names)
-		a.front.Bodies.SetCapacity(next.limits.MaxBodyBytes(), len(names.Tenants))
+		a.front.BodyLimiter.SetCapacity(next.limits.MaxBodyBytes(), len(names.Tenants))
 	}
 	return component{name: "edge", reload: reload}, nil
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -60,7 +60,7 @@
 		Dir:           a.operator.ResolvePath(a.baseDirectory, cfg.Dir),
 		LeaseDuration: time.Duration(cfg.LeaseDuration),
 		Store:         a.store,
-		Advise:        func(advice *standpoint.Advice) { a.core.Advise(advice) },
+		Advise:        func(advice *standpoint.Advice) { a.core.UpdateAdvice(advice) },
 		ClockOffset:   time.Duration(cfg.ClockOffset),
 		CoreSlots:     cfg.CoreSlots,
 		SiteTiming: site.Timing{
@@ -83,8 +83,8 @@
 	if a.operator.Ledger.Dir != "" {
 		// The ledger is constructed after the fleet, so these closures read a.ledger at each call.
 		options.RecordUsage = func(e ledger.Entry) bool { return a.ledger.Charge(e) }
-		options.LedgerFull = func() bool { return a.ledger.Full() }
-		options.LedgerBehind = func() bool { return a.ledger.Behind() }
+		options.LedgerFull = func() bool { return a.ledger.Overloaded() }
+		options.LedgerBehind = func() bool { return a.ledger.OutOfSync() }
 	}
 	return options
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -54,9 +54,9 @@
 func TestGoldenAgreement(t *testing.T) {
 	cfg, err := config.ReadOperatorFile("../config/testdata/operator/full.toml")
 	require.NoError(t, err)
-	cfg.Settings.Classes = []standpoint.Class{{Effect: standpoint.Keyed, Group: standpoint.GroupCell, Window: 1,
+	cfg.Settings.Classes = []standpoint.Class{{Effect: standpoint.Keyed, DedupScope: standpoint.GroupCell, DedupWindow: 1,
 		Streamed: true, TTFTObjective: 2, TTFTObjectivePer1000Tokens: 3,
-		TPOTObjective: 4, ObjectiveStretch: 5.5, Deadline: 6, Weight: 7.5, LateWeight: 8.5, Description: "chat"}}
+		TPOTObjective: 4, ObjectiveStretch: 5.5, Deadline: 6, Weight: 7.5, LateWeight: 8.5, Name: "chat"}}
 	require.Empty(t, golden.Unset(cfg.Settings.Classes))
 	require.Empty(t, golden.Unset(cfg.Settings.Tenants))
 	require.Empty(t, golden.Unset(cfg.Batch))
--- a/internal/daemon/nodes.go
+++ b/internal/daemon/nodes.go
@@ -74,7 +74,7 @@
 		Lease:    time.Duration(cfg.Lease),
 		HoldTime: time.Duration(cfg.ShrinkDelay),
 		MinNodes: a.operator.Module.Nodes,
-		Browse: browser.Options{
+		BrowserOptions: browser.Options{
 			Service:         record.Service{Type: cfg.Service, Domain: cfg.Domain},
 			Server:          cfg.Server,
 			Mechanism:       browser.Poll,
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -72,12 +72,12 @@
 			Batch:   b.Mode == config.BackendBatch,
 			Labels:  b.Labels,
 			Engine: standpoint.Engine{
-				Name:    b.Name,
-				Size:    b.Capacity,
-				Zone:    max(0, slices.Index(cfg.Names.Zones, b.Zone)),
-				Kind:    max(0, slices.Index(cfg.Names.Kinds, b.Kind)),
-				State:   b.State(),
-				ReadyAt: b.ReadyAt(),
+				Name:      b.Name,
+				Size:      b.Capacity,
+				Zone:      max(0, slices.Index(cfg.Names.Zones, b.Zone)),
+				Kind:      max(0, slices.Index(cfg.Names.Kinds, b.Kind)),
+				State:     b.State(),
+				StartedAt: b.ReadyAt(),
 			},
 		})
 	}
@@ -101,8 +101,8 @@
 		if address, known := addresses[e.Name]; known && address != e.Address {
 			r[e.Name] = clock.Now()
 		}
-		if e.ReadyAt == 0 {
-			e.ReadyAt = r[e.Name]
+		if e.StartedAt == 0 {
+			e.StartedAt = r[e.Name]
 		}
 	}
 	maps.DeleteFunc(r, func(name string, _ int64) bool {
--- a/internal/daemon/operatorendpoints_test.go
+++ b/internal/daemon/operatorendpoints_test.go
@@ -26,13 +26,13 @@
 	require.NoError(t, err)
 	a.endpointSource.Run(t.Context())
 	endpoint := func() node.Endpoint { return a.endpointCache.Current()[0] }
-	require.Zero(t, endpoint().ReadyAt)
+	require.Zero(t, endpoint().StartedAt)
 	endpoints.reload(a.deployment)
-	require.Zero(t, endpoint().ReadyAt)
+	require.Zero(t, endpoint().StartedAt)
 	cfg.Backends[0].Address = "127.0.0.1:3"
 	endpoints.reload(fromOperator(cfg))
-	startedAt := endpoint().ReadyAt
+	startedAt := endpoint().StartedAt
 	require.WithinDuration(t, time.Now(), time.Unix(0, startedAt), time.Minute)
 	endpoints.reload(fromOperator(cfg))
-	require.Equal(t, startedAt, endpoint().ReadyAt)
+	require.Equal(t, startedAt, endpoint().StartedAt)
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -21,9 +21,9 @@
 // valid file replaces the backends.
 func TestReloadOnHangup(t *testing.T) {
 	server := func(name string) string {
-		return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-			testpeer.Event(w, name)
-			testpeer.Finish(w)
+		return testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+			testpeer.WriteEvent(w, name)
+			testpeer.WriteStreamEnd(w)
 		})
 	}
 	listen := testpeer.FreeAddress(t)
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -51,10 +51,10 @@
 // respected until the exit.
 func TestReloadInEveryPhase(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		testpeer.Event(w, "begun")
+	server := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		testpeer.WriteEvent(w, "begun")
 		<-release
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	listen, controlAddress := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
 	path := operatorFile(t, listen, server)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -20,12 +20,12 @@
 // connect, completes every accepted request, including a stream in progress, and then exits.
 func TestDrainAcceptsLateClients(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
-		testpeer.Event(w, "begun")
+	server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		testpeer.WriteEvent(w, "begun")
 		if r.Header.Get("X-Trace-Id") == "slow-1" {
 			<-release
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	listen := testpeer.FreeAddress(t)
 	exit := make(chan error, 1)
@@ -66,7 +66,7 @@
 // of the drain get a response with Retry-After, rather than a connection that closes without one.
 func TestRequestsLeftAtTheEndAreAnswered(t *testing.T) {
 	arrived := make(chan struct{})
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.Backend(t, func(_ http.ResponseWriter,
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.StartBackend(t, func(_ http.ResponseWriter,
 		r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(arrived)
--- a/internal/daemon/siblings.go
+++ b/internal/daemon/siblings.go
@@ -138,6 +138,6 @@
 		a.log.Warn("learned state rejected", zap.Error(err))
 		return
 	}
-	a.log.Info("learned state restored", zap.Int("prompts", len(learned.Prompts)),
+	a.log.Info("learned state restored", zap.Int("prompts", len(learned.CachedPrompts)),
 		zap.Int("servers", len(learned.Engines)))
 }
--- a/internal/daemon/streams.go
+++ b/internal/daemon/streams.go
@@ -61,7 +61,7 @@
 	}
 	a.adoptedStreams.Go(func() {
 		defer server.Close() // if the core does not admit the request, nothing else closes the connection
-		resume := func(attempt *node.Attempt) { a.backends.Continue(stream, server, attempt) }
+		resume := func(attempt *node.Attempt) { a.backends.ContinueStream(stream, server, attempt) }
 		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.ClientStall, resume)
 	})
 	return true
--- a/internal/dnssd/browser/poller.go
+++ b/internal/dnssd/browser/poller.go
@@ -100,7 +100,7 @@
 // serialLags reports whether an answer came from a server that is behind what was known before. Such an answer is
 // passed over, unless nothing newer has been reported for staleSerialGrace: then the zone itself was put back.
 func (p *poller) serialLags(serial *uint32, now time.Time) bool {
-	if serial == nil || p.serial == nil || !record.Newer(*p.serial, *serial) {
+	if serial == nil || p.serial == nil || !record.SerialNewer(*p.serial, *serial) {
 		p.behindSince = time.Time{}
 		return false
 	}
--- a/internal/dnssd/browser/poller_queries.go
+++ b/internal/dnssd/browser/poller_queries.go
@@ -45,7 +45,7 @@
 	}
 	for range maxListAttempts {
 		listSerial, answer, err := p.client.QueryWithSerial(ctx, p.domain, key.Name, key.Kind)
-		if err != nil || listSerial == nil || !record.Newer(*serial, *listSerial) {
+		if err != nil || listSerial == nil || !record.SerialNewer(*serial, *listSerial) {
 			return answer, err
 		}
 	}
--- a/internal/dnssd/push/encode.go
+++ b/internal/dnssd/push/encode.go
@@ -74,14 +74,14 @@
 	return appendTLV(newHeader(0, false, 0), Unsubscribe, binary.BigEndian.AppendUint16(nil, subscription))
 }
 
-// RecordChange is a record of a PUSH message: added or, with Remove, removed.
-type RecordChange struct {
+// OutgoingChange is a record of a PUSH message: added or, with Remove, removed.
+type OutgoingChange struct {
 	RR     dns.RR
 	Remove bool
 }
 
 // ChangeMessages encodes changes in as many messages as are needed. Names are not compressed (RFC 8765, 6.3.1).
-func ChangeMessages(changes []RecordChange) ([][]byte, error) {
+func ChangeMessages(changes []OutgoingChange) ([][]byte, error) {
 	var messages [][]byte
 	var data []byte
 	buffer := make([]byte, recordBufferSize)
--- a/internal/dnssd/push/message_test.go
+++ b/internal/dnssd/push/message_test.go
@@ -36,7 +36,7 @@
 	require.Equal(t, time.Minute, m.Delay)
 	ptr, err := dns.NewRR("_e._tcp.test. 9 IN PTR a._e._tcp.test.")
 	require.NoError(t, err)
-	all, err := ChangeMessages([]RecordChange{{RR: ptr}, {RR: ptr, Remove: true}})
+	all, err := ChangeMessages([]OutgoingChange{{RR: ptr}, {RR: ptr, Remove: true}})
 	require.NoError(t, err)
 	require.Len(t, all, 1)
 	m, err = Decode(all[0])
@@ -47,9 +47,9 @@
 	require.True(t, m.Changes[1].Remove)
 	require.Equal(t, "a._e._tcp.test.", m.Changes[1].Record.Target)
 	// Many records go out in as many messages as are needed, none of them too large.
-	many := make([]RecordChange, 3000)
+	many := make([]OutgoingChange, 3000)
 	for i := range many {
-		many[i] = RecordChange{RR: ptr}
+		many[i] = OutgoingChange{RR: ptr}
 	}
 	all, err = ChangeMessages(many)
 	require.NoError(t, err)
@@ -103,7 +103,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		all, err := ChangeMessages([]RecordChange{{RR: rr}, {RR: rr, Remove: true}})
+		all, err := ChangeMessages([]OutgoingChange{{RR: rr}, {RR: rr, Remove: true}})
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/internal/dnssd/record/damper.go
+++ b/internal/dnssd/record/damper.go
@@ -55,8 +55,8 @@
 	return len(d.penalties) < maxPenalties
 }
 
-// HeldUntil is when a published instance may be used, in nanoseconds; now if at once.
-func (d *Damper) HeldUntil(name string, now int64) int64 {
+// SuppressedUntil is when a published instance may be used, in nanoseconds; now if at once.
+func (d *Damper) SuppressedUntil(name string, now int64) int64 {
 	if d.HalfLife <= 0 {
 		return now
 	}
--- a/internal/dnssd/record/guard.go
+++ b/internal/dnssd/record/guard.go
@@ -45,8 +45,8 @@
 	return Hold
 }
 
-// HeldSince reports whether an answer is being held, and since when.
-func (g *Guard) HeldSince() (since int64, held bool) { return g.heldSince, g.holding }
+// HoldingSince reports whether an answer is being held, and since when.
+func (g *Guard) HoldingSince() (since int64, held bool) { return g.heldSince, g.holding }
 
-// Newer reports whether serial a of a zone is later than b (RFC 1982).
-func Newer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
+// SerialNewer reports whether serial a of a zone is later than b (RFC 1982).
+func SerialNewer(a, b uint32) bool { return a != b && int32(a-b) > 0 }
--- a/internal/dnssd/record/record_test.go
+++ b/internal/dnssd/record/record_test.go
@@ -103,7 +103,7 @@
 		a, b  uint32
 		newer bool
 	}{{2, 1, true}, {1, 2, false}, {1, 1, false}, {0, 1<<32 - 1, true}, {1<<32 - 1, 0, false}} {
-		require.Equal(t, s.newer, Newer(s.a, s.b), "%d %d", s.a, s.b)
+		require.Equal(t, s.newer, SerialNewer(s.a, s.b), "%d %d", s.a, s.b)
 	}
 }
 
@@ -204,10 +204,10 @@
 	for range 1000 {
 		d.RecordWithdrawal("a", 0)
 	}
-	require.LessOrEqual(t, d.HeldUntil("a", 0), minute+2)
-	require.Equal(t, int64(5), d.HeldUntil("b", 5))
-	require.Equal(t, 2*minute, d.HeldUntil("a", 2*minute))
+	require.LessOrEqual(t, d.SuppressedUntil("a", 0), minute+2)
+	require.Equal(t, int64(5), d.SuppressedUntil("b", 5))
+	require.Equal(t, 2*minute, d.SuppressedUntil("a", 2*minute))
 	off := Damper{}
 	off.RecordWithdrawal("a", 0)
-	require.Equal(t, int64(7), off.HeldUntil("a", 7))
+	require.Equal(t, int64(7), off.SuppressedUntil("a", 7))
 }
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -32,7 +32,7 @@
 		f.rejectUnreadable(w, r, control, err)
 		return
 	}
-	metered := &meteredBody{ReadCloser: r.Body, limiter: f.Bodies, tenant: request.Tenant}
+	metered := &meteredBody{ReadCloser: r.Body, limiter: f.BodyLimiter, tenant: request.Tenant}
 	defer metered.release()
 	r.Body = metered
 	raw, body, err := readBody(w, r)
@@ -43,7 +43,7 @@
 	body.boundLengths(&request)
 	// The request is complete. Without a read deadline, the server can notice that the client disconnects.
 	_ = control.SetReadDeadline(time.Time{})
-	phase, since := f.Lifecycle.Since()
+	phase, since := f.Lifecycle.PhaseSince()
 	f.setConnectionHeader(w, r, phase)
 	if phase == node.ManuallyDrained && time.Since(since) > drainRejectAfter {
 		f.countUnsent(r, metrics.Rejected)
@@ -104,18 +104,18 @@
 	}
 	answer, err := f.Core.Serve(r.Context(), request)
 	if err != nil {
-		answer = node.Answer{Kind: node.Rejected, Wait: busyRetryAfter}
+		answer = node.Answer{Kind: node.Rejected, RetryAfter: busyRetryAfter}
 	}
 	switch answer.Kind {
 	case node.Served:
 		// The last chunk gets the full write timeout, however long the client stalled before.
 		_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	case node.Moved:
-	case node.Broken, node.ClientGone:
+	case node.Interrupted, node.ClientDisconnected:
 		// The connection closes without the last chunk, or without any response: an empty response would look complete.
 		panic(http.ErrAbortHandler)
 	case node.Rejected:
-		writeRejection(w, answer.Wait)
+		writeRejection(w, answer.RetryAfter)
 	case node.Invalid:
 		writeError(w, answer.Status, "a backend found the request itself wrong")
 	default:
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -66,8 +66,8 @@
 			t.Run(trailingName+", "+manner, func(t *testing.T) {
 				t.Parallel()
 				forwarded := make(chan string, 10)
-				dialer := testpeer.HoldDials(1)
-				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+				dialer := testpeer.NewDialBlocker(1)
+				backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 					forwarded <- r.Header.Get("X-Trace-Id")
 					respondAlways(w, r)
 				})
@@ -125,7 +125,7 @@
 					<-accepts
 					return conn
 				}
-				backend := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+				backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 					sent.Add(1)
 					respondAlways(w, r)
 				})
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -43,13 +43,13 @@
 	for name, closeIdle := range idleClosers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			reads := testpeer.HoldReads()
+			reads := testpeer.NewReadBlocker()
 			n := testpeer.StartWrapped(
 				t,
 				reads.Conn,
 				nil,
 				testpeer.Settings(),
-				testpeer.Endpoint("s", testpeer.Backend(t, respondAlways)),
+				testpeer.Endpoint("s", testpeer.StartBackend(t, respondAlways)),
 			)
 			conn := n.Dial()
 			reader := bufio.NewReader(conn)
@@ -83,13 +83,13 @@
 		for part, cut := range map[string]int{"within its head": 30, "within its body": 5000} {
 			t.Run(name+", "+part, func(t *testing.T) {
 				t.Parallel()
-				reads := testpeer.HoldReads()
+				reads := testpeer.NewReadBlocker()
 				n := testpeer.StartWrapped(
 					t,
 					reads.Conn,
 					nil,
 					testpeer.Settings(),
-					testpeer.Endpoint("s", testpeer.Backend(t, respondAlways)),
+					testpeer.Endpoint("s", testpeer.StartBackend(t, respondAlways)),
 				)
 				conn := n.Dial()
 				request := rawRequest(t, n, 20<<10, nil)
@@ -112,13 +112,13 @@
 // before the node stopped listening: the request gets a response, and Drain ends.
 func TestFirstRequestAfterListenerClosed(t *testing.T) {
 	t.Parallel()
-	reads := testpeer.HoldReads()
+	reads := testpeer.NewReadBlocker()
 	n := testpeer.StartWrapped(
 		t,
 		reads.Conn,
 		nil,
 		testpeer.Settings(),
-		testpeer.Endpoint("s", testpeer.Backend(t, respondAlways)),
+		testpeer.Endpoint("s", testpeer.StartBackend(t, respondAlways)),
 	)
 	conn := n.Dial()
 	<-reads.Accepted
@@ -148,10 +148,10 @@
 	begun, release := make(chan struct{}), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		testpeer.Event(w, "begun")
+		testpeer.WriteEvent(w, "begun")
 		begun <- struct{}{}
 		<-release
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	conn := n.Dial()
 	_, err := conn.Write(rawRequest(t, n, 10, nil))
@@ -200,11 +200,11 @@
 func TestManualDrain(t *testing.T) {
 	release := make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		testpeer.Event(w, "x")
+		testpeer.WriteEvent(w, "x")
 		if r.Header.Get("X-Trace-Id") == "stream" {
 			<-release
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	health := func() int { return healthStatus(t, n) }
 	require.Equal(t, http.StatusOK, health())
--- a/internal/edge/front.go
+++ b/internal/edge/front.go
@@ -24,9 +24,9 @@
 	Lifecycle *node.Lifecycle
 	// Names are the initial names of the classes and tenants in requests; SetNames replaces them.
 	Names config.Names
-	// Bodies limits the total bytes of request bodies in memory.
-	Bodies  *node.TenantLimiter
-	Metrics *metrics.Counters
+	// BodyLimiter limits the total bytes of request bodies in memory.
+	BodyLimiter *node.TenantLimiter
+	Metrics     *metrics.Counters
 	// Sessions pauses sessions at tool calls and resumes them with the results; nil disables sessions.
 	Sessions *service.Service
 	Log      *zap.Logger
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -34,10 +34,10 @@
 	}
 	core := node.New(node.Options{Settings: standpoint.Settings{}, MaxRequests: 1, Log: zap.NewNop()})
 	front := &Front{
-		Core:   core,
-		Names:  config.Names{Classes: []string{"chat"}, Tenants: []string{"acme"}},
-		Bodies: node.NewTenantLimiter(1<<30, 1),
-		Log:    zap.NewNop(),
+		Core:        core,
+		Names:       config.Names{Classes: []string{"chat"}, Tenants: []string{"acme"}},
+		BodyLimiter: node.NewTenantLimiter(1<<30, 1),
+		Log:         zap.NewNop(),
 	}
 	front.SetNames(front.Names)
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/edge/helpers_test.go
+++ b/internal/edge/helpers_test.go
@@ -75,14 +75,14 @@
 // respondAlways is a backend that serves every request.
 func respondAlways(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	testpeer.Event(w, "whole")
-	testpeer.Finish(w)
+	testpeer.WriteEvent(w, "whole")
+	testpeer.WriteStreamEnd(w)
 }
 
 // startWithBackend starts a node with one backend.
 func startWithBackend(t *testing.T, backend http.HandlerFunc) *testpeer.Node {
 	t.Helper()
-	return testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.Backend(t, backend)))
+	return testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", testpeer.StartBackend(t, backend)))
 }
 
 // withHeader returns an edit that sets a header of a request.
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -75,25 +75,25 @@
 			close(received)
 			<-release
 		case "cut":
-			testpeer.Event(w, "half")
+			testpeer.WriteEvent(w, "half")
 			panic(http.ErrAbortHandler)
 		case "wrong":
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		testpeer.Event(w, "x")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "x")
+		testpeer.WriteStreamEnd(w)
 	}
 }
 
 // TestAvoidedBackendsAreCounted guards against a wrong count of avoided backends: of four listed, the decision module
 // avoids one that drains, one that fails all requests and one that does not listen.
 func TestAvoidedBackendsAreCounted(t *testing.T) {
-	good := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		testpeer.Event(w, "x")
-		testpeer.Finish(w)
+	good := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		testpeer.WriteEvent(w, "x")
+		testpeer.WriteStreamEnd(w)
 	})
-	bad := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
+	bad := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	drained := testpeer.Endpoint("c", good)
--- a/internal/edge/pipelining_test.go
+++ b/internal/edge/pipelining_test.go
@@ -88,9 +88,9 @@
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		for range events {
-			testpeer.Event(w, strings.Repeat("y", 10<<10))
+			testpeer.WriteEvent(w, strings.Repeat("y", 10<<10))
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	conn := n.Dial().(*net.TCPConn)
 	_, err := conn.Write(rawRequest(t, n, 10, func(r *http.Request) { r.Close = true }))
--- a/internal/edge/request_test.go
+++ b/internal/edge/request_test.go
@@ -65,9 +65,9 @@
 	var sent atomic.Int32
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		sent.Add(1)
-		testpeer.Event(w, "begun")
+		testpeer.WriteEvent(w, "begun")
 		<-release
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	same := withTraceID("same")
 	first, err := http.DefaultClient.Do(n.Chat(t.Context(), same))
@@ -166,8 +166,8 @@
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		bodies <- string(body)
-		testpeer.Event(w, "x")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "x")
+		testpeer.WriteStreamEnd(w)
 	})
 	head := func(id, more string) string { return rawHead(id) + more + "\r\n" }
 	const (
@@ -216,9 +216,9 @@
 	received, release := make(chan struct{}, 9), make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		received <- struct{}{}
-		testpeer.Event(w, "x")
+		testpeer.WriteEvent(w, "x")
 		<-release
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	const body = `{"messages":[{"content":"hello"}]}`
 	chunks := fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
--- a/internal/edge/retry_test.go
+++ b/internal/edge/retry_test.go
@@ -25,13 +25,13 @@
 	good.Store(true)
 	var sent [4]atomic.Int32
 	server := func(i int) string {
-		return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
+		return testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 			sent[i].Add(1)
 			if !good.Load() {
 				panic(http.ErrAbortHandler)
 			}
-			testpeer.Event(w, "x")
-			testpeer.Finish(w)
+			testpeer.WriteEvent(w, "x")
+			testpeer.WriteStreamEnd(w)
 		})
 	}
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", server(0)), testpeer.Endpoint("b", server(1)),
@@ -63,8 +63,8 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		testpeer.Event(w, "here")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "here")
+		testpeer.WriteStreamEnd(w)
 	})
 	status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 	require.NoError(t, err)
@@ -91,10 +91,10 @@
 // TestDrainingBackendGetsNoRequests guards against requests to a backend that is listed as draining.
 func TestDrainingBackendGetsNoRequests(t *testing.T) {
 	var drained atomic.Int32
-	a := testpeer.Endpoint("a", testpeer.Backend(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
-	b := testpeer.Endpoint("b", testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-		testpeer.Event(w, "b")
-		testpeer.Finish(w)
+	a := testpeer.Endpoint("a", testpeer.StartBackend(t, func(_ http.ResponseWriter, _ *http.Request) { drained.Add(1) }))
+	b := testpeer.Endpoint("b", testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		testpeer.WriteEvent(w, "b")
+		testpeer.WriteStreamEnd(w)
 	}))
 	n := testpeer.Start(t, testpeer.Settings(), a, b)
 	a.State = standpoint.Draining
@@ -114,9 +114,9 @@
 	dead := listener.Addr().String()
 	listener.Close()
 	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", dead), testpeer.Endpoint("b", dead),
-		testpeer.Endpoint("c", testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
-			testpeer.Event(w, "c")
-			testpeer.Finish(w)
+		testpeer.Endpoint("c", testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+			testpeer.WriteEvent(w, "c")
+			testpeer.WriteStreamEnd(w)
 		})))
 	status, _, _, _ := n.Do(n.Chat(t.Context(), nil))
 	require.Equal(t, http.StatusOK, status)
@@ -134,12 +134,12 @@
 			return
 		}
 		served.Add(1)
-		testpeer.Event(w, "x")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "x")
+		testpeer.WriteStreamEnd(w)
 	}
 	logCore, logs := observer.New(zap.InfoLevel)
 	n := testpeer.StartLogged(t, zap.New(logCore), testpeer.Settings(),
-		testpeer.Endpoint("a", testpeer.Backend(t, server)), testpeer.Endpoint("b", testpeer.Backend(t, server)))
+		testpeer.Endpoint("a", testpeer.StartBackend(t, server)), testpeer.Endpoint("b", testpeer.StartBackend(t, server)))
 	const poison = `{"messages":["poison"]}`
 	for range 10 {
 		status, _, body, _ := n.Do(n.Chat(t.Context(), withBody(poison)))
--- a/internal/edge/shutdown_test.go
+++ b/internal/edge/shutdown_test.go
@@ -20,8 +20,8 @@
 	sent := make(chan string, 10)
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		sent <- r.Header.Get("X-Trace-Id")
-		testpeer.Event(w, "hello")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "hello")
+		testpeer.WriteStreamEnd(w)
 	})
 	conn := n.Dial()
 	reader := bufio.NewReader(conn)
@@ -52,8 +52,8 @@
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(received)
 		<-release
-		testpeer.Event(w, "hello")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "hello")
+		testpeer.WriteStreamEnd(w)
 	})
 	silent, busy := n.Dial(), n.Dial()
 	r := n.Chat(t.Context(), nil)
@@ -81,17 +81,17 @@
 		n := testpeer.Start(
 			t,
 			settings,
-			testpeer.Endpoint("s", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+			testpeer.Endpoint("s", testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				received <- struct{}{}
 				if r.Header.Get("X-Trace-Id") == "waits" {
 					<-r.Context().Done()
 					return
 				}
-				testpeer.Event(w, "begun")
+				testpeer.WriteEvent(w, "begun")
 				select {
 				case <-release:
-					testpeer.Finish(w)
+					testpeer.WriteStreamEnd(w)
 				case <-r.Context().Done():
 				}
 			})),
--- a/internal/edge/streaming_test.go
+++ b/internal/edge/streaming_test.go
@@ -24,9 +24,9 @@
 	var header atomic.Value
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		header.Store(r.Header.Clone())
-		testpeer.Event(w, "first")
+		testpeer.WriteEvent(w, "first")
 		<-firstRead
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 	})
 	response, err := http.DefaultClient.Do(n.Chat(t.Context(), nil))
 	require.NoError(t, err)
@@ -50,11 +50,11 @@
 	var sent atomic.Int32
 	breaks := func(w http.ResponseWriter, _ *http.Request) {
 		sent.Add(1)
-		testpeer.Event(w, "half")
+		testpeer.WriteEvent(w, "half")
 		panic(http.ErrAbortHandler)
 	}
-	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", testpeer.Backend(t, breaks)),
-		testpeer.Endpoint("b", testpeer.Backend(t, breaks)))
+	n := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("a", testpeer.StartBackend(t, breaks)),
+		testpeer.Endpoint("b", testpeer.StartBackend(t, breaks)))
 	status, _, body, err := n.Do(n.Chat(t.Context(), nil))
 	require.Equal(t, http.StatusOK, status)
 	require.Contains(t, body, "half")
@@ -72,8 +72,8 @@
 			<-r.Context().Done()
 			return
 		}
-		testpeer.Event(w, "x")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "x")
+		testpeer.WriteStreamEnd(w)
 	})
 	conn := n.Dial()
 	reader := bufio.NewReader(conn)
@@ -102,15 +102,15 @@
 func largeStreamBackend(t *testing.T, ended chan<- error) string {
 	t.Helper()
 	event := strings.Repeat("x", 48<<10)
-	return testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+	return testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		for range 300 {
-			testpeer.Event(w, event)
+			testpeer.WriteEvent(w, event)
 			if r.Context().Err() != nil {
 				break
 			}
 		}
-		testpeer.Finish(w)
+		testpeer.WriteStreamEnd(w)
 		ended <- r.Context().Err()
 	})
 }
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -52,7 +52,7 @@
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				place(faults)
-				backend := testpeer.Backend(t, respondAlways)
+				backend := testpeer.StartBackend(t, respondAlways)
 				n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), testpeer.Endpoint("a", backend))
 				start := time.Now()
 				conn := n.Dial()
@@ -80,7 +80,7 @@
 				t.Parallel()
 				faults := testpeer.NewFaults(1)
 				turns := make(chan struct{})
-				server := testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+				server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 					turns <- struct{}{}
 					<-turns
 					respondAlways(w, r)
@@ -116,7 +116,7 @@
 			t.Parallel()
 			const clients, each, deadline, grace = 20, 10, 2 * time.Second, 500 * time.Millisecond
 			faults := testpeer.NewFaults(seed)
-			ledger := testpeer.NewAttemptLedger()
+			ledger := testpeer.NewAttemptCounter()
 			faults.SingleByteReads = seed%2 == 1
 			var last atomic.Pointer[time.Time] // when the draining backend last got a request
 			last.Store(&time.Time{})
@@ -127,13 +127,13 @@
 				time.Sleep(5 * time.Millisecond) // service time
 				respondAlways(w, r)
 			}
-			a := testpeer.Endpoint("a", testpeer.Backend(t, func(w http.ResponseWriter, r *http.Request) {
+			a := testpeer.Endpoint("a", testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				now := time.Now()
 				last.Store(&now)
 				serve(w, r)
 			}))
-			b := testpeer.Endpoint("b", testpeer.Backend(t, serve))
-			c := testpeer.Endpoint("c", testpeer.Backend(t, serve))
+			b := testpeer.Endpoint("b", testpeer.StartBackend(t, serve))
+			c := testpeer.Endpoint("c", testpeer.StartBackend(t, serve))
 			n := testpeer.StartFaulty(t, zap.NewNop(), faults, testpeer.Settings(), a, b, c)
 			faults.FailFraction(testpeer.Accept, 0.3, acceptErrors...)
 			faults.FailFraction(testpeer.Connect, 0.3, connectErrors...)
@@ -166,7 +166,7 @@
 			}
 			require.GreaterOrEqual(t, served, clients*each*9/10)
 			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request in flight at once")
-			for id, sent := range ledger.Sent() {
+			for id, sent := range ledger.Attempts() {
 				require.LessOrEqual(t, sent, 3, id)
 			}
 			require.Less(t, last.Load().Sub(drained), grace, "attempt at a draining backend")
--- a/internal/endpoints/attributes.go
+++ b/internal/endpoints/attributes.go
@@ -52,8 +52,8 @@
 			return endpoint, &AttributeError{Key: key, Err: err}
 		}
 	}
-	if endpoint.ReadyAt == 0 {
-		endpoint.ReadyAt = s.observeStart(instance.Name, endpoint.Address, now)
+	if endpoint.StartedAt == 0 {
+		endpoint.StartedAt = s.observeStart(instance.Name, endpoint.Address, now)
 	}
 	return endpoint, nil
 }
@@ -70,7 +70,7 @@
 	case attributeShare:
 		endpoint.Size, err = parseSize(value)
 	case attributeBornMS:
-		endpoint.ReadyAt, err = parseStart(value)
+		endpoint.StartedAt, err = parseStart(value)
 	case attributeMode:
 		endpoint.Batch = value == modeBatch
 	case attributeHealth:
--- a/internal/endpoints/cache.go
+++ b/internal/endpoints/cache.go
@@ -149,7 +149,7 @@
 		clear(c.endpoints)
 	}
 	for _, endpoint := range list.Endpoints {
-		if endpoint.State == standpoint.Gone {
+		if endpoint.State == standpoint.Removed {
 			delete(c.endpoints, endpoint.Name)
 		} else {
 			c.endpoints[endpoint.Name] = endpoint
--- a/internal/endpoints/cache_test.go
+++ b/internal/endpoints/cache_test.go
@@ -114,7 +114,7 @@
 		Batch:   true,
 		Labels:  map[string]string{"v": "1"},
 		Source:  "hall",
-		Engine:  standpoint.Engine{Name: "s", Zone: 1, Kind: 0, Cell: 3, State: draining, Size: 2, ReadyAt: 5e6},
+		Engine:  standpoint.Engine{Name: "s", Zone: 1, Kind: 0, Cell: 3, State: draining, Size: 2, StartedAt: 5e6},
 	}
 	cache.Store(fullList(stored))
 	awaitPersisted(t, keyValues)
--- a/internal/endpoints/catalog.go
+++ b/internal/endpoints/catalog.go
@@ -93,12 +93,12 @@
 	endpoint := node.Endpoint{
 		Address: entry.Dial,
 		Engine: standpoint.Engine{
-			Name:    entry.Host,
-			Cell:    entry.Block,
-			Zone:    slices.Index(names.Zones, entry.Site),
-			Kind:    slices.Index(names.Kinds, entry.Class),
-			Size:    entry.Share,
-			ReadyAt: entry.BornMS * int64(time.Millisecond),
+			Name:      entry.Host,
+			Cell:      entry.Block,
+			Zone:      slices.Index(names.Zones, entry.Site),
+			Kind:      slices.Index(names.Kinds, entry.Class),
+			Size:      entry.Share,
+			StartedAt: entry.BornMS * int64(time.Millisecond),
 		},
 	}
 	state, err := parseHealth(entry.Health)
@@ -106,12 +106,12 @@
 	switch {
 	case decodeErr != nil:
 		err = decodeErr
-	case err == nil && state != standpoint.Gone: // the other fields of a removed endpoint are not used
+	case err == nil && state != standpoint.Removed: // the other fields of a removed endpoint are not used
 		err = entry.validate()
 	}
 	if err != nil {
 		endpoint.State = standpoint.Draining
-		endpoint.ReadyAt = 0
+		endpoint.StartedAt = 0
 		endpoint.Size = 0
 		return endpoint, &EntryError{Endpoint: entry.Host, Err: err}
 	}
--- a/internal/endpoints/fuzz_test.go
+++ b/internal/endpoints/fuzz_test.go
@@ -23,7 +23,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, list, _, err := Decode(raw, names)
 		for _, decoded := range list.Endpoints {
-			possible := decoded.Size >= 0 && decoded.Size <= maxSize && decoded.ReadyAt >= 0
+			possible := decoded.Size >= 0 && decoded.Size <= maxSize && decoded.StartedAt >= 0
 			if err != nil || decoded.Name == "" ||
 				decoded.State == ready && decoded.Address == "" ||
 				decoded.State != gone && !possible {
@@ -46,7 +46,7 @@
 		}
 		list, ok := NewCache(keyValues, zap.NewNop()).Load(time.Now())
 		for _, loaded := range list.Endpoints {
-			if !ok || loaded.Name == "" || loaded.ReadyAt < 0 || loaded.State > gone {
+			if !ok || loaded.Name == "" || loaded.StartedAt < 0 || loaded.State > gone {
 				t.Fatalf("loaded %+v from an invalid list", loaded)
 			}
 		}
--- a/internal/endpoints/helpers_test.go
+++ b/internal/endpoints/helpers_test.go
@@ -20,7 +20,7 @@
 const (
 	ready    = standpoint.Ready
 	draining = standpoint.Draining
-	gone     = standpoint.Gone
+	gone     = standpoint.Removed
 )
 
 // firstVersion is the version of the list that a test's watcher starts with.
@@ -40,7 +40,7 @@
 }
 
 func endpoint(name string, state standpoint.State, start int64) node.Endpoint {
-	return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state, ReadyAt: start}}
+	return node.Endpoint{Engine: standpoint.Engine{Name: name, State: state, StartedAt: start}}
 }
 
 func fullList(all ...node.Endpoint) node.EndpointList {
--- a/internal/endpoints/merge.go
+++ b/internal/endpoints/merge.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		last, known := m.known[endpoint.Name]
-		if known && endpoint.ReadyAt < last.startedAt && endpoint.ReadyAt != 0 {
+		if known && endpoint.StartedAt < last.startedAt && endpoint.StartedAt != 0 {
 			continue // the departing process has already been replaced
 		}
 		departing.Endpoints = append(departing.Endpoints, endpoint)
@@ -130,7 +130,7 @@
 		endpoint := &list.Endpoints[i]
 		last, known := m.known[endpoint.Name]
 		held := known && last.departing && last.epoch < m.epoch
-		if held && endpoint.State == standpoint.Ready && endpoint.ReadyAt <= last.startedAt {
+		if held && endpoint.State == standpoint.Ready && endpoint.StartedAt <= last.startedAt {
 			endpoint.State = standpoint.Draining
 		}
 	}
@@ -181,9 +181,9 @@
 // rememberEndpoint records the report of one endpoint.
 func (m *merger) rememberEndpoint(endpoint node.Endpoint, epoch int, now time.Time) {
 	next := knownEndpoint{
-		startedAt: endpoint.ReadyAt,
+		startedAt: endpoint.StartedAt,
 		departing: endpoint.State != standpoint.Ready,
-		removed:   endpoint.State == standpoint.Gone,
+		removed:   endpoint.State == standpoint.Removed,
 		epoch:     epoch,
 		updatedAt: now,
 	}
--- a/internal/endpoints/names.go
+++ b/internal/endpoints/names.go
@@ -25,14 +25,14 @@
 type Names struct{ Zones, Kinds []string }
 
 // healthNames are the names of the decision module's states in endpoint lists and TXT records, indexed by state.
-var healthNames = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Gone: "gone"}
+var healthNames = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Removed: "gone"}
 
 // parseHealth returns the state with a name in healthNames. For an unknown name it returns Gone and an error.
 func parseHealth(health string) (standpoint.State, error) {
 	if i := slices.Index(healthNames, health); i >= 0 {
 		return standpoint.State(i), nil
 	}
-	return standpoint.Gone, fmt.Errorf("unknown health %q", health)
+	return standpoint.Removed, fmt.Errorf("unknown health %q", health)
 }
 
 // nameAt returns the name at an index, or an empty string if the index is out of range.
--- a/internal/endpoints/origin.go
+++ b/internal/endpoints/origin.go
@@ -34,8 +34,8 @@
 		Stale:   endpoint.Stale,
 		State:   nameAt(healthNames, int(endpoint.State)),
 	}
-	if endpoint.ReadyAt > 0 {
-		origin.StartedAt = time.Unix(0, endpoint.ReadyAt)
+	if endpoint.StartedAt > 0 {
+		origin.StartedAt = time.Unix(0, endpoint.StartedAt)
 	}
 	return origin
 }
--- a/internal/endpoints/overrides.go
+++ b/internal/endpoints/overrides.go
@@ -78,13 +78,13 @@
 	for i := range applied.Endpoints {
 		endpoint := &applied.Endpoints[i]
 		o.rememberName(endpoint.Name)
-		if endpoint.State == standpoint.Gone {
+		if endpoint.State == standpoint.Removed {
 			continue
 		}
 		if o.record.DownSince[endpoint.Name] != 0 {
 			endpoint.State = standpoint.Draining
 		} else if restoredAt := o.record.RestoredAt[endpoint.Name]; restoredAt != 0 {
-			endpoint.ReadyAt = max(endpoint.ReadyAt, restoredAt)
+			endpoint.StartedAt = max(endpoint.StartedAt, restoredAt)
 			endpoint.Reinstated = true
 		}
 	}
--- a/internal/endpoints/overrides_test.go
+++ b/internal/endpoints/overrides_test.go
@@ -54,7 +54,7 @@
 	require.ErrorIs(t, overrides.Disable("c"), ErrNeverListed)
 	require.ErrorIs(t, overrides.Enable("c"), ErrNeverListed)
 	require.NoError(t, overrides.Enable("a"), "a backend that is not disabled may be enabled")
-	require.EqualValues(t, 5, core["a"].ReadyAt)
+	require.EqualValues(t, 5, core["a"].StartedAt)
 	for range 3 {
 		require.NoError(t, overrides.Disable("a"))
 		require.Equal(t, draining, core["a"].State)
@@ -88,13 +88,13 @@
 	delta(endpoint("a", ready, 5))
 	require.Equal(t, ready, core["a"].State)
 	require.True(t, core["a"].Reinstated)
-	startedAt := core["a"].ReadyAt
+	startedAt := core["a"].StartedAt
 	require.GreaterOrEqual(t, startedAt, before)
 	delta(moved)
-	require.Equal(t, startedAt, core["a"].ReadyAt, "the start that the source reports is before Enable")
+	require.Equal(t, startedAt, core["a"].StartedAt, "the start that the source reports is before Enable")
 	later := endpoint("a", ready, startedAt+int64(time.Second))
 	delta(later)
-	require.Equal(t, later.ReadyAt, core["a"].ReadyAt)
+	require.Equal(t, later.StartedAt, core["a"].StartedAt)
 	require.False(t, core["b"].Reinstated)
 }
 
@@ -119,7 +119,7 @@
 	next.Sync()
 	require.Equal(t, ready, core["a"].State)
 	require.True(t, core["a"].Reinstated)
-	require.Equal(t, oldCore["a"].ReadyAt, core["a"].ReadyAt)
+	require.Equal(t, oldCore["a"].StartedAt, core["a"].StartedAt)
 	old.Update(deltaList(endpoint("once", ready, 0)))
 	old.Persist()
 	next.Sync()
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -151,7 +151,7 @@
 			remaining++
 		}
 	}
-	newer := snapshot.Serial != nil && s.serial != nil && record.Newer(*snapshot.Serial, *s.serial)
+	newer := snapshot.Serial != nil && s.serial != nil && record.SerialNewer(*snapshot.Serial, *s.serial)
 	return s.Guard.Check(len(s.listed), remaining, newer, clock.Of(now)) == record.Hold
 }
 
@@ -172,7 +172,7 @@
 		}
 		endpoint, err := s.endpoint(instance, now)
 		if err == nil && !used && !s.unpublished {
-			if until := s.Damper.HeldUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
+			if until := s.Damper.SuppressedUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
 				next.dampedBefore = min(next.dampedBefore, until)
 				err = &dampedError{until: until}
 			}
--- a/internal/endpoints/service_test.go
+++ b/internal/endpoints/service_test.go
@@ -82,7 +82,7 @@
 	require.Equal(t, []node.Endpoint{
 		{
 			Address: address, Source: "hall",
-			Engine: standpoint.Engine{Name: "box-1", Zone: 1, Kind: 1, Size: 2.5, ReadyAt: 7e6},
+			Engine: standpoint.Engine{Name: "box-1", Zone: 1, Kind: 1, Size: 2.5, StartedAt: 7e6},
 		},
 		{
 			Address: address, Source: "hall", Batch: true, Labels: map[string]string{"new": "1"},
@@ -197,20 +197,20 @@
 func TestServiceSourceObservesStarts(t *testing.T) {
 	source := newSourceHarness()
 	source.observe(0, instance("old"))
-	require.Zero(t, source.published[0].ReadyAt)
+	require.Zero(t, source.published[0].StartedAt)
 	source.now = source.now.Add(time.Minute)
 	source.observe(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(source.now), source.published[0].ReadyAt)
-	require.Zero(t, source.published[1].ReadyAt)
-	startedAt := source.published[0].ReadyAt
+	require.Equal(t, clock.Of(source.now), source.published[0].StartedAt)
+	require.Zero(t, source.published[1].StartedAt)
+	startedAt := source.published[0].StartedAt
 	source.observe(0, instance("old"))
 	source.now = source.now.Add(100 * time.Millisecond)
 	source.observe(0, instance("old"), instance("new"))
-	require.Equal(t, startedAt, source.published[0].ReadyAt)
+	require.Equal(t, startedAt, source.published[0].StartedAt)
 	source.observe(0, instance("new"))
 	source.now = source.now.Add(5 * time.Second)
 	source.observe(0, instance("old"), instance("new"))
-	require.Equal(t, clock.Of(source.now), source.published[1].ReadyAt)
+	require.Equal(t, clock.Of(source.now), source.published[1].StartedAt)
 }
 
 // For any sequence of snapshots, no instance that is missing from the latest one is in use unless the guard holds the
@@ -252,14 +252,14 @@
 func TestServiceSourceTreatsNewAddressAsStart(t *testing.T) {
 	source := newSourceHarness()
 	source.observe(0, instance("box"))
-	require.Zero(t, source.published[0].ReadyAt)
+	require.Zero(t, source.published[0].StartedAt)
 	source.now = source.now.Add(time.Minute)
 	other := instance("box")
 	other.Address = netip.MustParseAddrPort("127.0.0.1:8002")
 	source.observe(0, other)
-	require.Equal(t, clock.Of(source.now), source.published[0].ReadyAt)
+	require.Equal(t, clock.Of(source.now), source.published[0].StartedAt)
 	startedAt := clock.Of(source.now)
 	source.now = source.now.Add(time.Minute)
 	source.observe(0, other)
-	require.Equal(t, startedAt, source.published[0].ReadyAt)
+	require.Equal(t, startedAt, source.published[0].StartedAt)
 }
--- a/internal/endpoints/watcher_load_test.go
+++ b/internal/endpoints/watcher_load_test.go
@@ -42,17 +42,17 @@
 	discovery.SetQueue(
 		drain.Queue{ServiceTime: 120 * time.Millisecond, RejectionTime: 10 * time.Millisecond, Maximum: 20},
 	)
-	discovery.Forget()
-	discovery.Set("s", "draining")
-	due := time.After(drain.Due)
+	discovery.SilenceWatches()
+	discovery.SetHealth("s", "draining")
+	due := time.After(drain.NotificationTimeout)
 	for i := range nodes {
 		select {
 		case <-informed[i]:
 		case <-due:
-			t.Fatalf("node %d was not notified within %v; polls %v", i, drain.Due, discovery.Counts())
+			t.Fatalf("node %d was not notified within %v; polls %v", i, drain.NotificationTimeout, discovery.Outcomes())
 		}
 	}
-	t.Logf("polls %v", discovery.Counts())
+	t.Logf("polls %v", discovery.Outcomes())
 }
 
 // busyDiscovery handles polls one at a time, and rejects those that have been queued for too long. It is unreachable
--- a/internal/endpoints/watcher_test.go
+++ b/internal/endpoints/watcher_test.go
@@ -35,7 +35,7 @@
 	w, updates := watchServer(t, discovery)
 	require.Equal(t, deltaList(node.Endpoint{
 		Address: "127.0.0.1:1",
-		Engine:  standpoint.Engine{Name: "s", Zone: 1, Kind: 1, Cell: 3, State: draining, Size: 2, ReadyAt: 5e6},
+		Engine:  standpoint.Engine{Name: "s", Zone: 1, Kind: 1, Cell: 3, State: draining, Size: 2, StartedAt: 5e6},
 	}), receive(t, updates))
 	require.Less(t, (<-polls).Sub(<-polls).Abs(), 200*time.Millisecond)
 	failed := time.Now()
--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -66,7 +66,7 @@
 		promptTokens = charge.UncachedTokens
 	}
 	cost := tokenCost(promptTokens, request, answer)
-	if f.RecordUsage != nil && (answer.Kind == node.Served || answer.Kind == node.Broken) {
+	if f.RecordUsage != nil && (answer.Kind == node.Served || answer.Kind == node.Interrupted) {
 		if !f.RecordUsage(f.ledgerEntry(promptTokens, request, answer)) {
 			f.Log.Error("usage not recorded", zap.String("reason", "too many entries wait to be written"))
 		}
@@ -86,9 +86,9 @@
 		if answer.Usage.Known {
 			return int64(promptTokens + answer.Usage.OutputTokens)
 		}
-	case node.Broken, node.Moved:
-	case node.ClientGone:
-		if !answer.Usage.Begun {
+	case node.Interrupted, node.Moved:
+	case node.ClientDisconnected:
+		if !answer.Usage.Started {
 			return 0
 		}
 	default:
@@ -112,7 +112,7 @@
 		entry.Class = f.ClassNames[request.Class]
 	}
 	switch {
-	case answer.Kind == node.Broken:
+	case answer.Kind == node.Interrupted:
 		entry.Outcome = ledger.Interrupted
 	case answer.Usage.Paused:
 		entry.Outcome = ledger.Paused
--- a/internal/fleet/admission_test.go
+++ b/internal/fleet/admission_test.go
@@ -27,7 +27,7 @@
 	served := func(outputTokens float64) node.Answer {
 		return node.Answer{
 			Kind:  node.Served,
-			Usage: node.Usage{Known: true, Begun: true, CachedTokens: 3, OutputTokens: outputTokens},
+			Usage: node.Usage{Known: true, Started: true, CachedTokens: 3, OutputTokens: outputTokens},
 		}
 	}
 	charge, _, ok := f.Admit(request(20, 60))
@@ -48,7 +48,7 @@
 	require.EqualValues(t, 42, spent())
 	charge, _, ok = f.Admit(request(20, 38))
 	require.True(t, ok)
-	f.Settle(request(20, 38), charge, node.Answer{Kind: node.Broken, Usage: node.Usage{Begun: true}})
+	f.Settle(request(20, 38), charge, node.Answer{Kind: node.Interrupted, Usage: node.Usage{Started: true}})
 	require.EqualValues(t, 100, spent(), "an interrupted request costs its maximum")
 	require.Equal(t, []ledger.Entry{
 		{Tenant: "acme", Class: "chat", InputTokens: 20, CachedTokens: 3, OutputTokens: 10},
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -12,8 +12,8 @@
 // be the fault of the request.
 const minConsecutiveErrors = 2
 
-// Listed applies a change of the endpoint list. Evidence is collected on the backends that are ready.
-func (f *Fleet) Listed(list node.EndpointList) {
+// UpdateEndpoints applies a change of the endpoint list. Evidence is collected on the backends that are ready.
+func (f *Fleet) UpdateEndpoints(list node.EndpointList) {
 	if list.Kind == standpoint.ListFailed {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 func (f *Fleet) addBackend(endpoint node.Endpoint) {
-	f.backendStarts[endpoint.Name] = endpoint.ReadyAt
+	f.backendStarts[endpoint.Name] = endpoint.StartedAt
 	f.backendNames[xxhash.Sum64String(endpoint.Name)] = endpoint.Name
 	f.backendZones[endpoint.Name] = endpoint.Zone
 }
@@ -72,8 +72,8 @@
 	return f.backendStarts[backend]
 }
 
-// Finished records the result of an attempt as evidence on its backend.
-func (f *Fleet) Finished(observation node.Observation) {
+// RecordFinished records the result of an attempt as evidence on its backend.
+func (f *Fleet) RecordFinished(observation node.Observation) {
 	name := observation.Backend
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,9 +116,9 @@
 	for _, ejection := range f.member.Detector.Ejections(f.Now()) {
 		if name, ok := f.backendNames[ejection.Backend.Hash]; ok {
 			advice.Suspicions = append(advice.Suspicions, standpoint.Suspicion{
-				Engine:  name,
-				ReadyAt: ejection.Backend.StartedAt,
-				At:      ejection.LatestEvidence - int64(f.ClockOffset),
+				Engine:    name,
+				StartedAt: ejection.Backend.StartedAt,
+				At:        ejection.LatestEvidence - int64(f.ClockOffset),
 			})
 		}
 	}
--- a/internal/fleet/backends_test.go
+++ b/internal/fleet/backends_test.go
@@ -18,9 +18,9 @@
 	f := newTestFleet(t, 1, 0, true)
 	list := node.EndpointList{Kind: standpoint.ListFull}
 	for _, name := range []string{"p", "q", "r", "s"} {
-		list.Endpoints = append(list.Endpoints, node.Endpoint{Engine: standpoint.Engine{Name: name, ReadyAt: 7}})
+		list.Endpoints = append(list.Endpoints, node.Endpoint{Engine: standpoint.Engine{Name: name, StartedAt: 7}})
 	}
-	f.Listed(list)
+	f.UpdateEndpoints(list)
 	for slot := 1; slot < 3; slot++ {
 		f.member.Detector.Receive(quota.Owner{Slot: slot, Incarnation: 1}, 0, outlier.Evidence{
 			BackendHash: xxhash.Sum64String("p"),
@@ -32,11 +32,11 @@
 	suspicions := f.outlierAdvice().Suspicions
 	require.Len(t, suspicions, 1)
 	require.Equal(t, "p", suspicions[0].Engine)
-	f.Finished(node.Observation{Backend: "p", Result: node.Result{Code: standpoint.Served}})
+	f.RecordFinished(node.Observation{Backend: "p", Result: node.Result{Code: standpoint.Served}})
 	require.Empty(t, f.outlierAdvice().Suspicions)
-	f.Finished(node.Observation{Backend: "q", Result: node.Result{Code: standpoint.ServerError}})
+	f.RecordFinished(node.Observation{Backend: "q", Result: node.Result{Code: standpoint.ServerError}})
 	require.Empty(t, f.member.Detector.EvidenceToPublish(f.Now())[1:], "a single error may be the fault of the request")
-	list.Endpoints[0].ReadyAt = 8
-	f.Listed(list)
+	list.Endpoints[0].StartedAt = 8
+	f.UpdateEndpoints(list)
 	require.Empty(t, f.outlierAdvice().Suspicions)
 }
--- a/internal/fleet/counter/reading.go
+++ b/internal/fleet/counter/reading.go
@@ -38,7 +38,7 @@
 	}
 	if reading.Lower > reading.Upper || reading.Lower < 0 {
 		detail := fmt.Sprintf("counter %d: lower bound %d, upper bound %d", key, reading.Lower, reading.Upper)
-		t.Invariants.Violated(invariant.CounterBounds, detail)
+		t.Invariants.RecordViolation(invariant.CounterBounds, detail)
 	}
 	return reading
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -131,7 +131,7 @@
 	f.MemberConfig.Owner = quota.Owner{Slot: f.slotIndex(f.SlotName), Incarnation: f.incarnation}
 	f.MemberConfig.Seed = f.incarnation
 	f.member = member.New(f.MemberConfig, f.Now(), f.Invariants)
-	if f.IsSite() {
+	if f.IsRemoteSite() {
 		f.siteConnectivity = site.New(f.SiteTiming, f.Now(), f.Invariants)
 	}
 	f.HandleOnLeader(claimMethod, f.handleLeaseClaim)
@@ -208,9 +208,9 @@
 	return f.SlotName, f.incarnation, f.predecessors
 }
 
-// IsSite reports whether this node is at a remote site, that is, in no core slot. The store of such a node decides
+// IsRemoteSite reports whether this node is at a remote site, that is, in no core slot. The store of such a node decides
 // nothing for the fleet.
-func (f *Fleet) IsSite() bool {
+func (f *Fleet) IsRemoteSite() bool {
 	return len(f.CoreSlots) > 0 && !slices.Contains(f.CoreSlots, f.SlotName)
 }
 
--- a/internal/fleet/invariant/golden_test.go
+++ b/internal/fleet/invariant/golden_test.go
@@ -14,7 +14,7 @@
 	text := fmt.Appendf(nil, "exit %d\n", ExitCode)
 	var monitor Monitor
 	for rule := range ruleCount {
-		monitor.Violated(rule, "in this test")
+		monitor.RecordViolation(rule, "in this test")
 		text = fmt.Appendf(text, "%d %s\n", rule, rule)
 		require.EqualValues(t, 1, monitor.Violations()[rule.String()])
 	}
--- a/internal/fleet/invariant/invariant.go
+++ b/internal/fleet/invariant/invariant.go
@@ -56,8 +56,8 @@
 	counts [ruleCount]atomic.Uint64
 }
 
-// Violated records a violation of a rule. The detail describes it. A nil monitor ignores violations.
-func (m *Monitor) Violated(rule Rule, detail string) {
+// RecordViolation records a violation of a rule. The detail describes it. A nil monitor ignores violations.
+func (m *Monitor) RecordViolation(rule Rule, detail string) {
 	if m == nil {
 		return
 	}
--- a/internal/fleet/invariant/invariant_test.go
+++ b/internal/fleet/invariant/invariant_test.go
@@ -12,7 +12,7 @@
 
 func TestNilMonitorIgnoresViolations(t *testing.T) {
 	var monitor *Monitor
-	require.NotPanics(t, func() { monitor.Violated(LedgerSums, "in this test") })
+	require.NotPanics(t, func() { monitor.RecordViolation(LedgerSums, "in this test") })
 }
 
 // A strict monitor ends its process with ExitCode, and writes the rule and the detail to standard error.
@@ -20,7 +20,7 @@
 	const inChild = "STRICT_MONITOR"
 	if os.Getenv(inChild) != "" {
 		monitor := &Monitor{Strict: true}
-		monitor.Violated(StateTransition, "in this test")
+		monitor.RecordViolation(StateTransition, "in this test")
 		return
 	}
 	command := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^"+t.Name()+"$")
--- a/internal/fleet/ledger/index.go
+++ b/internal/fleet/ledger/index.go
@@ -67,7 +67,7 @@
 	}
 	if known != uint64(summed) || summed != x.count {
 		detail := fmt.Sprintf("%d numbers, %d entries summed, %d counted", known, summed, x.count)
-		x.invariants.Violated(invariant.LedgerSums, detail)
+		x.invariants.RecordViolation(invariant.LedgerSums, detail)
 		return false
 	}
 	return true
--- a/internal/fleet/ledger/replication/replicator.go
+++ b/internal/fleet/ledger/replication/replicator.go
@@ -99,12 +99,12 @@
 	}
 }
 
-// Behind reports whether this ledger missed entries at the last comparison, or has not completed a sync yet.
-func (r *Replicator) Behind() bool { return r.missing.Load() > 0 || r.syncedAt.Load() == 0 }
+// OutOfSync reports whether this ledger missed entries at the last comparison, or has not completed a sync yet.
+func (r *Replicator) OutOfSync() bool { return r.missing.Load() > 0 || r.syncedAt.Load() == 0 }
 
-// Full reports whether entries are charged faster than they are written, or cannot be written. While it does, no
+// Overloaded reports whether entries are charged faster than they are written, or cannot be written. While it does, no
 // request that has to be charged may be admitted.
-func (r *Replicator) Full() bool {
+func (r *Replicator) Overloaded() bool {
 	return len(r.queue) > maxQueued/2 || r.writeFailures.Load() > 0
 }
 
--- a/internal/fleet/ledger/replication/replicator_test.go
+++ b/internal/fleet/ledger/replication/replicator_test.go
@@ -168,12 +168,12 @@
 	r.segments.MaxBytes = r.segments.Bytes() + 10
 	defer run(r)()
 	require.True(t, r.Charge(ledger.Entry{Tenant: "t"}))
-	require.Eventually(t, r.Full, 5*time.Second, time.Millisecond)
+	require.Eventually(t, r.Overloaded, 5*time.Second, time.Millisecond)
 	require.Zero(t, r.Status().Charged)
 	r.mu.Lock()
 	r.segments.MaxBytes = 1 << 30
 	r.mu.Unlock()
-	require.Eventually(t, func() bool { return r.Status().Charged == 1 && !r.Full() }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.Status().Charged == 1 && !r.Overloaded() }, 5*time.Second, time.Millisecond)
 }
 
 // Entries that are dropped because the queue is full leave no gaps in the sequence numbers of an incarnation. Gaps
@@ -191,7 +191,7 @@
 		}
 	}
 	require.Positive(t, r.dropped.Load())
-	require.True(t, r.Full())
+	require.True(t, r.Overloaded())
 	defer run(r)()
 	require.Eventually(t, func() bool { return int(r.Status().Charged) == queued }, 10*time.Second, time.Millisecond)
 	digest, err := r.Digest(DigestRequest{})
--- a/internal/fleet/outlier/ejection.go
+++ b/internal/fleet/outlier/ejection.go
@@ -128,7 +128,7 @@
 	for zone, count := range ejected {
 		if count > d.maxEjected(backends[zone]) {
 			detail := fmt.Sprintf("zone %d: %d of %d backends ejected", zone, count, backends[zone])
-			d.Invariants.Violated(invariant.EjectionLimit, detail)
+			d.Invariants.RecordViolation(invariant.EjectionLimit, detail)
 		}
 	}
 }
--- a/internal/fleet/quota/allocation.go
+++ b/internal/fleet/quota/allocation.go
@@ -184,7 +184,7 @@
 		limit := a.spendLimit(window, true)
 		if a.spent[i] > limit {
 			detail := fmt.Sprintf("budget %s, window %d: %d spent, limit %d", a.Name, window, a.spent[i], limit)
-			a.Invariants.Violated(invariant.SpentOverQuota, detail)
+			a.Invariants.RecordViolation(invariant.SpentOverQuota, detail)
 		}
 	}
 }
--- a/internal/fleet/quota/transfer.go
+++ b/internal/fleet/quota/transfer.go
@@ -126,7 +126,7 @@
 		own := a.leasedQuota(window)
 		if lent > own {
 			detail := fmt.Sprintf("budget %s, window %d: %d lent, base quota %d", a.Name, window, lent, own)
-			a.Invariants.Violated(invariant.LentOverBaseQuota, detail)
+			a.Invariants.RecordViolation(invariant.LentOverBaseQuota, detail)
 		}
 	}
 }
--- a/internal/fleet/rpc.go
+++ b/internal/fleet/rpc.go
@@ -119,7 +119,7 @@
 		return err
 	}
 	var result []byte
-	if _, leads := f.Store.Leadership(); leads && !f.IsSite() {
+	if _, leads := f.Store.Leadership(); leads && !f.IsRemoteSite() {
 		result, err = f.handlerOf(method).handle(ctx, body)
 	} else {
 		result, err = f.callRemoteLeader(ctx, method, body)
@@ -148,7 +148,7 @@
 			return response.Body, err
 		}
 		f.recordLeader(leader, false)
-		if !f.IsSite() || response.Leader == "" {
+		if !f.IsRemoteSite() || response.Leader == "" {
 			break
 		}
 		leader = response.Leader
@@ -159,7 +159,7 @@
 // presumedLeader returns the node to call first: the leader if it is known, else, at a remote site, a random core
 // node.
 func (f *Fleet) presumedLeader() string {
-	if !f.IsSite() {
+	if !f.IsRemoteSite() {
 		return f.Store.Leader()
 	}
 	f.callsMu.Lock()
@@ -267,7 +267,7 @@
 		response.Error = fmt.Sprintf("nobody here does %q", request.Method)
 		return response
 	}
-	if !h.onAnyMember && (!leads || f.IsSite()) {
+	if !h.onAnyMember && (!leads || f.IsRemoteSite()) {
 		response.NotLeader = true
 		response.Leader = f.Store.Leader()
 		return response
--- a/internal/fleet/session/apply.go
+++ b/internal/fleet/session/apply.go
@@ -29,14 +29,14 @@
 		return next, nil
 	}
 	if next.State != r.State && !CanTransition(r.State, next.State) {
-		invariants.Violated(invariant.SessionTransition, fmt.Sprintf("%s: %s after %s", r.ID, next.State, r.State))
+		invariants.RecordViolation(invariant.SessionTransition, fmt.Sprintf("%s: %s after %s", r.ID, next.State, r.State))
 		return nil, fmt.Errorf("%w: %s after %s", ErrInvalidTransition, next.State, r.State)
 	}
 	claimChanged := next.ClaimID != r.ClaimID && next.ClaimID != ""
 	if next.FencingToken < r.FencingToken || next.FencingToken == r.FencingToken && claimChanged {
 		detail := fmt.Sprintf("%s: fencing token %d of claim %q after %d of claim %q",
 			r.ID, next.FencingToken, next.ClaimID, r.FencingToken, r.ClaimID)
-		invariants.Violated(invariant.SingleClaim, detail)
+		invariants.RecordViolation(invariant.SingleClaim, detail)
 		return nil, ErrStaleFencingToken
 	}
 	return next, nil
--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -221,7 +221,7 @@
 // the call without a resume key, and has to send the whole conversation again with the call's result.
 func (h *hook) Stopped() ([]byte, node.Usage) {
 	produced := h.producedTokens()
-	usage := node.Usage{Known: true, Begun: true, OutputTokens: produced}
+	usage := node.Usage{Known: true, Started: true, OutputTokens: produced}
 	last := fmt.Appendf(nil, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%.0f,\"completion_tokens\":%.0f}}\n\n"+
 		"data: [DONE]\n\n", h.request.PromptTokens, produced)
 	if h.rejectedTool != "" {
--- a/internal/fleet/session/service/hook_test.go
+++ b/internal/fleet/session/service/hook_test.go
@@ -55,7 +55,7 @@
 		if i == 1 {
 			_, _ = h.Event([]byte(contentEvent("half")))
 		}
-		h.Finished(node.Answer{Kind: node.Broken})
+		h.Finished(node.Answer{Kind: node.Interrupted})
 		require.Eventually(t, func() bool {
 			id, _, _ := session.ParseResumeKey(key)
 			record, _, err := readRecord(c.store, id)
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	if !slices.Contains(predecessors[next], m.state) {
-		m.Invariants.Violated(invariant.StateTransition, fmt.Sprintf("site: %q entered from %q", next, m.state))
+		m.Invariants.RecordViolation(invariant.StateTransition, fmt.Sprintf("site: %q entered from %q", next, m.state))
 		return false
 	}
 	m.state = next
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -69,7 +69,7 @@
 		f := &baselineRequest{Request: *ev}
 		b.openRequests[ev.ID] = f
 		b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Timer,
-			Wait: max(0, ev.Deadline-now-2*b.settings.Tick), Token: ev.ID*4 + expireToken})
+			Wait: max(0, ev.Deadline-now-2*b.settings.EventInterval), Token: ev.ID*4 + expireToken})
 		b.dispatch(f)
 	case *standpoint.FirstToken:
 		if f := b.openRequests[ev.Request]; f != nil {
@@ -144,7 +144,7 @@
 
 // dispatch sends a request's next attempt, or fails the request if no attempt, time or backend is left.
 func (b *baseline) dispatch(f *baselineRequest) {
-	if len(f.attempted) < max(1, b.settings.MaxAttempts) && b.now < f.Deadline-2*b.settings.Tick {
+	if len(f.attempted) < max(1, b.settings.MaxAttempts) && b.now < f.Deadline-2*b.settings.EventInterval {
 		if name := b.choose(f); name != "" {
 			f.attempted, f.current = append(f.attempted, name), name
 			b.inFlight[name]++
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -72,7 +72,7 @@
 			sim.At(sim.now+s.MaxListDelay*rng.Float64(), func() {
 				n.updateEndpoints(node.EndpointList{Kind: standpoint.ListDelta,
 					Endpoints: []node.Endpoint{{Address: added.name,
-						Engine: standpoint.Engine{Name: added.name, Kind: kind, Size: 1, ReadyAt: added.readyAt}}}})
+						Engine: standpoint.Engine{Name: added.name, Kind: kind, Size: 1, StartedAt: added.readyAt}}}})
 			})
 		}
 	})
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			panic(err) // cannot happen: both expressions are constants above
 		}
-		all = append(all, pool.Definition{Name: name, Select: s})
+		all = append(all, pool.Definition{Name: name, Selector: s})
 	}
 	if all[0].Name != "old" {
 		all[0], all[1] = all[1], all[0]
@@ -46,7 +46,7 @@
 		list.Engines = append(list.Engines, l.Endpoints[i].Engine)
 	}
 	if n.tracker != nil {
-		n.tracker.Listed(l)
+		n.tracker.UpdateEndpoints(l)
 	}
 	n.handle(list)
 }
@@ -99,7 +99,7 @@
 		}
 		req.done = true
 		if n.tracker != nil {
-			n.tracker.Rejected(&req.request)
+			n.tracker.RecordRejected(&req.request)
 		}
 		sim.Seconds[req.arrivalSecond].Shed++
 		n.removeIfFinished(req)
@@ -133,7 +133,7 @@
 	}
 	req.attempts = append(req.attempts, att)
 	if n.tracker != nil {
-		n.tracker.Sent(&req.request, act.Engine, att.index)
+		n.tracker.RecordSent(&req.request, act.Engine, att.index)
 	}
 	deadline := float64(act.Deadline-epoch) / 1e9
 	sim.attempts++
@@ -279,7 +279,7 @@
 		}
 	}
 	if n.tracker != nil {
-		n.tracker.Finished(o)
+		n.tracker.RecordFinished(o)
 	}
 	n.handle(&standpoint.Outcome{Request: req.request.ID, Attempt: att.index, Last: last, Code: code,
 		CachedTokens: cachedTokens, OutputTokens: o.Result.OutputTokens,
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -140,9 +140,9 @@
 				if err != nil {
 					return err
 				}
-				v, err := rig.PlayBudgets(c.Context(), rig.Options{Program: path, Dir: dir, Nodes: nodes,
-					Backends: nodes, Seed: seed, Window: 400 * time.Millisecond,
-					Clock: 150 * time.Millisecond, Token: time.Millisecond,
+				v, err := rig.RunBudgets(c.Context(), rig.Options{Program: path, Dir: dir, Nodes: nodes,
+					Backends: nodes, Seed: seed, BudgetWindow: 400 * time.Millisecond,
+					MaxClockOffset: 150 * time.Millisecond, TokenInterval: time.Millisecond,
 					Tenants: []rig.Tenant{{Name: "acme", Amount: 1500}, {Name: "free"},
 						{Name: "bolt", Amount: 600}}}, duration, 60)
 				if err != nil {
@@ -152,7 +152,7 @@
 				}
 				fmt.Fprintf(out,
 					"seed %d: %d asked, %d served, %d refused; %d windows, the most %d; together %v after the end\n",
-					seed, v.Load.Asked, v.Load.Served, v.Load.Refused, v.Windows, v.MaxSpent,
+					seed, v.Load.Requests, v.Load.Served, v.Load.Rejected, v.Windows, v.MaxSpent,
 					v.Agreed.Round(time.Millisecond))
 				_ = os.RemoveAll(dir) // created by this command
 			}
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -52,7 +52,7 @@
 			s.Plan = s.Setup.Plan()
 			if large { // the higher rate gives samples faster, so steps are shorter
 				s.Setup = lab.LargeSetup()
-				s.Plan.Hold, s.Plan.Warm, s.Settle, s.MaxDuration, s.RunAfterFault = 6*time.Second, 5*time.Second, 5,
+				s.Plan.MinHold, s.Plan.MinWarmUp, s.Settle, s.MaxDuration, s.RunAfterFault = 6*time.Second, 5*time.Second, 5,
 					100, 25
 			}
 			if faultNames != nil {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -97,12 +97,12 @@
 }
 
 func (p *peer) start(t *testing.T) string {
-	return testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
+	return testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock() // held while it stalls
 		p.count.Add(1)
 		p.mu.Unlock()
-		testpeer.Event(w, "a")
-		testpeer.Finish(w)
+		testpeer.WriteEvent(w, "a")
+		testpeer.WriteStreamEnd(w)
 	})
 }
 
@@ -219,7 +219,7 @@
 		least time.Duration
 	}{{NoRetry, 1, 0}, {AtOnce, 3, 0}, {RetryAfter, 3, 1600 * time.Millisecond}} {
 		var n atomic.Int64
-		target := testpeer.Backend(t, func(w http.ResponseWriter, _ *http.Request) {
+		target := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 			n.Add(1)
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusTooManyRequests)
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -73,7 +73,7 @@
 	r := &t.record
 	if r.State == "" {
 		*r = migration.Record{ID: "threshold", Plan: t.Plan, State: migration.Holding, Step: -1,
-			Shares: pool.Shares{From: t.Plan.From, To: t.Plan.To, Share: t.Plan.Trickle}}
+			Shares: pool.Shares{From: t.Plan.From, To: t.Plan.To, Share: t.Plan.WarmUpShare}}
 	}
 	if r.State.Terminal() {
 		return *r
@@ -97,9 +97,9 @@
 			return *r
 		}
 	}
-	minWindows := int(t.Plan.Hold / migration.WindowTime)
+	minWindows := int(t.Plan.MinHold / migration.WindowLength)
 	if r.Step < 0 {
-		minWindows = int(t.Plan.Warm / migration.WindowTime)
+		minWindows = int(t.Plan.MinWarmUp / migration.WindowLength)
 	}
 	if r.StateWindows++; r.StateWindows >= minWindows {
 		r.StateWindows = 0
@@ -310,7 +310,7 @@
 	for _, b := range sim.backends {
 		l.Endpoints = append(l.Endpoints, node.Endpoint{Address: b.name,
 			Labels: map[string]string{"version": []string{"", "v1", "v2"}[b.pool]},
-			Engine: standpoint.Engine{Name: b.name, Kind: b.kind, Size: 1, ReadyAt: b.readyAt, State: b.state}})
+			Engine: standpoint.Engine{Name: b.name, Kind: b.kind, Size: 1, StartedAt: b.readyAt, State: b.state}})
 	}
 	for _, n := range sim.nodes {
 		if sim.ListDelay > 0 {
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -423,11 +423,11 @@
 		if err := c.send(push.Response(m.ID, dns.RcodeSuccess)); err != nil {
 			return err
 		}
-		var now []push.RecordChange
+		var now []push.OutgoingChange
 		for _, kind := range []record.Kind{record.PTR, record.SRV, record.TXT, record.A, record.AAAA} {
 			if k.Kind == 0 || k.Kind == kind {
 				for _, rr := range c.Zone.get(k.Name, kind) {
-					now = append(now, push.RecordChange{RR: rr})
+					now = append(now, push.OutgoingChange{RR: rr})
 				}
 			}
 		}
@@ -440,7 +440,7 @@
 	return nil
 }
 
-func (c *connection) write(all []push.RecordChange) error {
+func (c *connection) write(all []push.OutgoingChange) error {
 	messages, err := push.ChangeMessages(all)
 	for _, m := range messages {
 		if err == nil {
@@ -456,7 +456,7 @@
 	if f.Silent || f.Mute {
 		return
 	}
-	var out []push.RecordChange
+	var out []push.OutgoingChange
 	c.mu.Lock()
 	wanted := map[record.Key]bool{}
 	for _, k := range c.subs {
@@ -466,7 +466,7 @@
 	for _, change := range all {
 		k := keyOf(change.RR)
 		if wanted[k] || wanted[record.Key{Name: k.Name}] {
-			out = append(out, push.RecordChange{RR: change.RR, Remove: change.Remove})
+			out = append(out, push.OutgoingChange{RR: change.RR, Remove: change.Remove})
 		}
 	}
 	if c.write(out) != nil {
--- a/internal/lab/rig/budgets.go
+++ b/internal/lab/rig/budgets.go
@@ -14,9 +14,9 @@
 	Agreed   time.Duration // after the end of all troubles
 }
 
-// PlayBudgets plays shared budgets: load and troubles for a span, then all is healed, and checked. Its error says
+// RunBudgets plays shared budgets: load and troubles for a span, then all is healed, and checked. Its error says
 // what does not hold.
-func PlayBudgets(ctx context.Context, o Options, span time.Duration, each float64) (BudgetVerdict, error) {
+func RunBudgets(ctx context.Context, o Options, span time.Duration, each float64) (BudgetVerdict, error) {
 	var v BudgetVerdict
 	r, err := New(o)
 	if err != nil {
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -101,9 +101,9 @@
 			return a, err
 		}
 	}
-	a.Load.Asked = a.Load.Asked + cut.Asked
+	a.Load.Requests = a.Load.Requests + cut.Requests
 	a.Load.Served = a.Load.Served + cut.Served
-	a.Load.Refused = a.Load.Refused + cut.Refused
+	a.Load.Rejected = a.Load.Rejected + cut.Rejected
 	spent, err := r.Spent()
 	if err != nil {
 		return a, err
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -13,13 +13,13 @@
 
 // Load is what clients met.
 type Load struct {
-	Asked   int
-	Served  int
-	Refused int // with 503 and a Retry-After
-	Failed  int // any other answer
-	Broken  int // no answer, or not to its end: a node was killed or stood still
-	Bare    int // refused, and not told when to come back
-	Late    int // answered after the client's time by more than half a second, by a node that was up throughout
+	Requests int
+	Served   int
+	Rejected int // with 503 and a Retry-After
+	Failed   int // any other answer
+	Broken   int // no answer, or not to its end: a node was killed or stood still
+	Bare     int // refused, and not told when to come back
+	Late     int // answered after the client's time by more than half a second, by a node that was up throughout
 }
 
 // Run has clients ask nodes that are up, so many a second, until ctx ends; it returns once all have their end.
@@ -93,14 +93,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Asked++
+	l.Requests++
 	switch {
 	case err != nil:
 		l.Broken++
 	case response.StatusCode == http.StatusOK && strings.Contains(string(text), "[DONE]"):
 		l.Served++
 	case response.StatusCode == http.StatusServiceUnavailable:
-		l.Refused++
+		l.Rejected++
 		if response.Header.Get("Retry-After") == "" {
 			l.Bare++
 		}
--- a/internal/lab/rig/node_file.go
+++ b/internal/lab/rig/node_file.go
@@ -73,7 +73,7 @@
 // nodeFile is the operator's file of one node. Its messages to the others go through relays.
 func (r *Rig) nodeFile(number int, nodes []addresses, token string) (string, error) {
 	var b strings.Builder
-	clockOffset := time.Duration((2*r.rng.Float64() - 1) * float64(r.Clock))
+	clockOffset := time.Duration((2*r.rng.Float64() - 1) * float64(r.MaxClockOffset))
 	r.writeServing(&b, number, nodes[number], token)
 	if err := r.writeStore(&b, number, nodes); err != nil {
 		return "", err
@@ -126,7 +126,7 @@
 func (r *Rig) writeFleet(b *strings.Builder, number int, nodes []addresses, clockOffset time.Duration) error {
 	fmt.Fprintf(b, "[fleet]\nlisten = %q\ndir = \"fleet-%d\"\nstrict = true\n", nodes[number].fleet, number)
 	fmt.Fprintf(b, "clock_error = \"%dms\"\nclock_offset = \"%dms\"\n",
-		max(50, 2*r.Clock.Milliseconds()), clockOffset.Milliseconds())
+		max(50, 2*r.MaxClockOffset.Milliseconds()), clockOffset.Milliseconds())
 	b.WriteString("beat = \"100ms\"\nsilence = \"1s\"\nsettle = \"300ms\"\nheal = \"500ms\"\njoin = \"2s\"\n")
 	fmt.Fprintf(b, "lease = \"%s\"\n", r.lease())
 	if r.Sites > 0 {
@@ -149,7 +149,7 @@
 	for _, tenant := range r.Tenants {
 		if tenant.Amount > 0 {
 			fmt.Fprintf(b, "[[fleet.budget]]\ntenant = %q\namount = %d\noverdraft = %d\nwindow = %q\nloan = 2\n",
-				tenant.Name, tenant.Amount, tenant.Overdraft, r.Window)
+				tenant.Name, tenant.Amount, tenant.Overdraft, r.BudgetWindow)
 		}
 	}
 	return nil
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -19,20 +19,20 @@
 type Options struct {
 	Program string
 	// Previous is an earlier program that the last Older nodes run in place of Program.
-	Previous string
-	Older    int
-	Dir      string // empty, and the rig's own
-	Nodes    int    // 3 to 7; all of them members of the store, but for the sites
-	Sites    int    // of these, the last ones: building sites with a line to the halls
-	NoKills  bool   // troubles are those of messages and clocks alone
-	Backends int
-	Seed     uint64
-	Tenants  []Tenant
-	Window   time.Duration
-	Clock    time.Duration // by which nodes' clocks are off, each way, at the most
-	Token    time.Duration // of the boxes
-	Config   string        // further text of each node's file
-	Log      func(format string, args ...any)
+	Previous       string
+	Older          int
+	Dir            string // empty, and the rig's own
+	Nodes          int    // 3 to 7; all of them members of the store, but for the sites
+	Sites          int    // of these, the last ones: building sites with a line to the halls
+	NoKills        bool   // troubles are those of messages and clocks alone
+	Backends       int
+	Seed           uint64
+	Tenants        []Tenant
+	BudgetWindow   time.Duration
+	MaxClockOffset time.Duration // by which nodes' clocks are off, each way, at the most
+	TokenInterval  time.Duration // of the boxes
+	Config         string        // further text of each node's file
+	Log            func(format string, args ...any)
 }
 
 // Tenant is a tenant and its budget, with an overdraft; Amount 0: none.
@@ -67,7 +67,7 @@
 		rng:     rand.New(rand.NewPCG(o.Seed, 5)),
 	}
 	for range o.Backends {
-		box, err := StartBackend(r.Ledger, o.Token)
+		box, err := StartBackend(r.Ledger, o.TokenInterval)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -23,17 +23,17 @@
 func TestBudgetsOnRealProcesses(t *testing.T) {
 	path := program(t)
 	for seed := range uint64(2) {
-		v, err := PlayBudgets(
+		v, err := RunBudgets(
 			t.Context(),
 			Options{
-				Program:  path,
-				Dir:      t.TempDir(),
-				Nodes:    3,
-				Backends: 3,
-				Seed:     seed + 1,
-				Window:   400 * time.Millisecond,
-				Clock:    150 * time.Millisecond,
-				Token:    time.Millisecond,
+				Program:        path,
+				Dir:            t.TempDir(),
+				Nodes:          3,
+				Backends:       3,
+				Seed:           seed + 1,
+				BudgetWindow:   400 * time.Millisecond,
+				MaxClockOffset: 150 * time.Millisecond,
+				TokenInterval:  time.Millisecond,
 				Tenants: []Tenant{
 					{Name: "acme", Amount: 1500},
 					{Name: "free"},
@@ -55,15 +55,15 @@
 func TestSessionsOnRealProcesses(t *testing.T) {
 	path := program(t)
 	o := Options{
-		Program:  path,
-		Nodes:    3,
-		Backends: 3,
-		Seed:     1,
-		Window:   time.Second,
-		Clock:    100 * time.Millisecond,
-		Token:    time.Millisecond,
-		Tenants:  []Tenant{{Name: "acme"}},
-		Log:      t.Logf,
+		Program:        path,
+		Nodes:          3,
+		Backends:       3,
+		Seed:           1,
+		BudgetWindow:   time.Second,
+		MaxClockOffset: 100 * time.Millisecond,
+		TokenInterval:  time.Millisecond,
+		Tenants:        []Tenant{{Name: "acme"}},
+		Log:            t.Logf,
 	}
 	for _, trouble := range []bool{false, true} {
 		o.Dir = t.TempDir()
@@ -92,16 +92,16 @@
 	a, err := PlayLedgers(
 		t.Context(),
 		Options{
-			Program:  program(t),
-			Dir:      t.TempDir(),
-			Nodes:    4,
-			Backends: 3,
-			Seed:     1,
-			Window:   400 * time.Millisecond,
-			Clock:    100 * time.Millisecond,
-			Token:    time.Millisecond,
-			Tenants:  []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}},
-			Log:      t.Logf,
+			Program:        program(t),
+			Dir:            t.TempDir(),
+			Nodes:          4,
+			Backends:       3,
+			Seed:           1,
+			BudgetWindow:   400 * time.Millisecond,
+			MaxClockOffset: 100 * time.Millisecond,
+			TokenInterval:  time.Millisecond,
+			Tenants:        []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}},
+			Log:            t.Logf,
 		},
 		4*time.Second,
 		60,
@@ -114,29 +114,29 @@
 // killed and stalled, and every invariant of a fleet of one version holds.
 func TestFleetOfTwoVersions(t *testing.T) {
 	options := Options{
-		Program:  program(t),
-		Previous: release.Program(t),
-		Older:    1,
-		Nodes:    3,
-		Backends: 3,
-		Seed:     1,
-		Clock:    100 * time.Millisecond,
-		Token:    time.Millisecond,
-		Log:      t.Logf,
+		Program:        program(t),
+		Previous:       release.Program(t),
+		Older:          1,
+		Nodes:          3,
+		Backends:       3,
+		Seed:           1,
+		MaxClockOffset: 100 * time.Millisecond,
+		TokenInterval:  time.Millisecond,
+		Log:            t.Logf,
 	}
 	t.Run("budgets", func(t *testing.T) {
 		o := options
 		o.Dir = t.TempDir()
-		o.Window = 400 * time.Millisecond
+		o.BudgetWindow = 400 * time.Millisecond
 		o.Tenants = []Tenant{{Name: "acme", Amount: 1500}, {Name: "free"}, {Name: "bolt", Amount: 600}}
-		verdict, err := PlayBudgets(t.Context(), o, 5*time.Second, 60)
+		verdict, err := RunBudgets(t.Context(), o, 5*time.Second, 60)
 		require.NoError(t, err)
 		t.Logf("%+v", verdict)
 	})
 	t.Run("sessions", func(t *testing.T) {
 		o := options
 		o.Dir = t.TempDir()
-		o.Window = time.Second
+		o.BudgetWindow = time.Second
 		o.Tenants = []Tenant{{Name: "acme"}}
 		verdict, err := PlaySessions(t.Context(), o, 5*time.Second, 10, 3, true)
 		require.NoError(t, err)
@@ -147,7 +147,7 @@
 		o := options
 		o.Dir = t.TempDir()
 		o.Nodes = 4 // the last, a site, is the earlier program
-		o.Window = 400 * time.Millisecond
+		o.BudgetWindow = 400 * time.Millisecond
 		o.Tenants = []Tenant{{Name: "acme", Amount: 1600, Overdraft: 400}, {Name: "free"}}
 		account, err := PlayLedgers(t.Context(), o, 3*time.Second, 60)
 		require.NoError(t, err)
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -312,7 +312,7 @@
 		fmt.Fprintf(s.Out, "%5.0f s  %-9s %5.1f%%  %s\n", at.Seconds(), r.State, 100*p.Share, r.Reason)
 	}
 	if s.SlowFactor > 1 && s.report.SlowAt == 0 && r.State == migration.Holding && r.Step >= s.SlowStep &&
-		time.Duration(r.StateWindows)*migration.WindowTime >= s.SlowAfter {
+		time.Duration(r.StateWindows)*migration.WindowLength >= s.SlowAfter {
 		s.report.SlowAt = at.Seconds()
 		fmt.Fprintf(s.Out, "%5.0f s  the new boxes are now %g times slower\n", at.Seconds(), s.SlowFactor)
 		_ = s.newPool.Do("slow", fmt.Sprint(s.SlowFactor))
--- a/internal/lab/study.go
+++ b/internal/lab/study.go
@@ -114,7 +114,7 @@
 	setup := s.Setup
 	setup.Seed = s.FirstSeed + uint64(i)
 	faultAfter := float64(4 + i/4%12)
-	if holdSeconds := s.Plan.Hold.Seconds(); faultAfter > holdSeconds-1 { // a shorter hold would end before the fault
+	if holdSeconds := s.Plan.MinHold.Seconds(); faultAfter > holdSeconds-1 { // a shorter hold would end before the fault
 		faultAfter = 0.5 + float64(i/4%12)/12*(holdSeconds-1.5)
 	}
 	return MigrationCase{Setup: setup, Plan: s.Plan, Fault: fault, FaultStep: i % (len(s.Plan.Steps) - 1),
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -261,8 +261,8 @@
 	sim := &Simulation{Setup: s, rng: rand.New(rand.NewPCG(s.Seed, 0x1ab)), backendsByName: map[string]*backend{},
 		breaches: map[string]int{},
 		lossRNG:  rand.New(rand.NewPCG(s.Seed, 0x105))}
-	settings := standpoint.Settings{Gateways: s.Nodes, Zones: 1, Kinds: len(s.Kinds), Reports: standpoint.ReportReplies,
-		RetryAfter: true, MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 3, Tick: int64(2 * time.Millisecond),
+	settings := standpoint.Settings{Gateways: s.Nodes, Zones: 1, Kinds: len(s.Kinds), Reports: standpoint.ReportResponses,
+		RetryAfter: true, MaxRetryAfter: int64(2 * time.Second), MaxAttempts: 3, EventInterval: int64(2 * time.Millisecond),
 		DiscoveryTimeout: int64(10 * time.Second), DrainGrace: int64(500 * time.Millisecond),
 		WarmUp:         int64(20 * time.Second),
 		OverloadWindow: int64(3 * time.Second), ColdCapacityFraction: 0.13, OverloadFactor: 4, Cancel: true,
@@ -297,7 +297,7 @@
 		sim.backendsByName[b.name] = b
 		list.Endpoints = append(list.Endpoints, node.Endpoint{Address: b.name,
 			Labels: map[string]string{"version": label},
-			Engine: standpoint.Engine{Name: b.name, Kind: kind, Size: 1, ReadyAt: b.readyAt}})
+			Engine: standpoint.Engine{Name: b.name, Kind: kind, Size: 1, StartedAt: b.readyAt}})
 	}
 	for i := range s.Nodes {
 		own := settings
--- a/internal/migration/advance.go
+++ b/internal/migration/advance.go
@@ -21,7 +21,7 @@
 	default:
 		m.resetStepCounts()
 		m.transition(Warming, "a trickle goes to the new pool")
-		m.setShare(min(m.record.Plan.Trickle, m.attainableShare(window)))
+		m.setShare(min(m.record.Plan.WarmUpShare, m.attainableShare(window)))
 	}
 }
 
@@ -33,7 +33,7 @@
 // targetShare is the share that the present step aims at.
 func (m *Machine) targetShare() float64 {
 	if m.record.Step == warmUpStep {
-		return m.record.Plan.Trickle
+		return m.record.Plan.WarmUpShare
 	}
 	return m.record.Plan.Steps[m.record.Step]
 }
@@ -66,14 +66,14 @@
 // observeWarming starts the first step once the new pool is warm enough and has answered some requests on time.
 func (m *Machine) observeWarming(attainable float64) {
 	plan := &m.record.Plan
-	trickle := min(plan.Trickle, attainable)
+	trickle := min(plan.WarmUpShare, attainable)
 	if trickle > m.record.Shares.Share+minTrickleChange {
 		m.setShare(trickle)
 	}
 	answers := m.onTimeAnswers()
 	switch {
-	case m.record.StateWindows < windowCount(plan.Warm):
-		m.setReason("warming up: at least %v", plan.Warm)
+	case m.record.StateWindows < windowCount(plan.MinWarmUp):
+		m.setReason("warming up: at least %v", plan.MinWarmUp)
 	case attainable < plan.Steps[0]:
 		m.setReason("warming up: the new pool's boxes can take %.1f%% by now", 100*attainable)
 	case answers < warmMinAnswers:
@@ -124,19 +124,19 @@
 	from, _ := m.recent()
 	oldUnfit := unfitReason(window.From.Health, from)
 	switch {
-	case m.record.StateWindows < windowCount(plan.Hold):
-		m.setReason("watched for at least %v", plan.Hold)
+	case m.record.StateWindows < windowCount(plan.MinHold):
+		m.setReason("watched for at least %v", plan.MinHold)
 	case len(window.Lagging) > 0:
 		m.setReason("waiting for %v", window.Lagging)
-	case m.record.StepRequests[1] < plan.Samples:
-		m.setReason("too few samples: %d of %d from the new pool", m.record.StepRequests[1], plan.Samples)
+	case m.record.StepRequests[1] < plan.MinSamples:
+		m.setReason("too few samples: %d of %d from the new pool", m.record.StepRequests[1], plan.MinSamples)
 	case oldUnfit != "" && window.From.Health.Ready > 0:
 		m.setReason("the old pool %s: nothing to compare with", oldUnfit)
-	case m.record.StepRequests[0] < plan.Samples && m.record.Shares.Share < 1 && oldUnfit == "":
-		m.setReason("too few samples: %d of %d from the old pool", m.record.StepRequests[0], plan.Samples)
+	case m.record.StepRequests[0] < plan.MinSamples && m.record.Shares.Share < 1 && oldUnfit == "":
+		m.setReason("too few samples: %d of %d from the old pool", m.record.StepRequests[0], plan.MinSamples)
 	case m.analysis.evidence.level() > quietFraction*m.analysis.alarmLevel():
 		m.setReason("the new pool looks worse by its %s; not sure yet", processNames[m.analysis.evidence.strongest()])
-	case m.record.StepWeight[1] < plan.Floor*m.usualOnTime()*m.record.StepWeight[0]:
+	case m.record.StepWeight[1] < plan.OnTimeFloor*m.usualOnTime()*m.record.StepWeight[0]:
 		onTime := 100 * m.record.StepWeight[1] / m.record.StepWeight[0]
 		m.setReason("the new pool answered %.0f%% of its worth in time, under the floor", onTime)
 	default:
--- a/internal/migration/analysis.go
+++ b/internal/migration/analysis.go
@@ -50,13 +50,13 @@
 func newAnalysis(plan Plan) *analysis { return &analysis{plan: plan} }
 
 // alarmLevel is the logarithm of the mean capital that raises an alarm.
-func (a *analysis) alarmLevel() float64 { return math.Log(a.plan.Alarm) }
+func (a *analysis) alarmLevel() float64 { return math.Log(a.plan.FalseAlarmWindows) }
 
 // windowLimit is the most that one window may add to one capital, so that no stall of the tolerated length is enough.
 // A capital that is alone in growing has to make up for the others' part of the mean too.
 func (a *analysis) windowLimit() float64 {
 	alone := a.alarmLevel() + math.Log(float64(criteria*betsPerCriterion))
-	return alone / float64(windowCount(a.plan.Stall)+stallAftermath)
+	return alone / float64(windowCount(a.plan.MaxToleratedStall)+stallAftermath)
 }
 
 // observe takes a window in and updates the evidence.
@@ -137,7 +137,7 @@
 	if attempts == 0 {
 		return
 	}
-	usual := min(maxUsualErrors, a.reference(&a.errors, a.longErrors, 1)+a.plan.Errors)
+	usual := min(maxUsualErrors, a.reference(&a.errors, a.longErrors, 1)+a.plan.ErrorAllowance)
 	a.addEvidence(byErrors, func(bet float64) float64 {
 		return float64(failed)*math.Log1p(bet*(1-usual)/usual) + float64(attempts-failed)*math.Log1p(-bet)
 	})
@@ -148,7 +148,7 @@
 		return
 	}
 	usual := a.reference(&a.late, a.longLate, pool.OfferedWeight/float64(max(1, pool.Requests)))
-	allowed := 1 - a.plan.Floor*(1-usual)
+	allowed := 1 - a.plan.OnTimeFloor*(1-usual)
 	late := 1 - pool.OnTimeWeight/pool.OfferedWeight
 	a.addEvidence(byService, func(bet float64) float64 {
 		return math.Log1p(bet * (late - allowed) / max(allowed, minAllowedLate))
--- a/internal/migration/analysis_test.go
+++ b/internal/migration/analysis_test.go
@@ -42,7 +42,7 @@
 	for seed := range uint64(4) {
 		s := newScenario(seed)
 		p := Default()
-		p.Alarm = 1000
+		p.FalseAlarmWindows = 1000
 		j := newAnalysis(p)
 		for range 1500 {
 			j.observe(&Window{From: s.poolWindow(s.old, 0.5), To: s.poolWindow(s.new, 0.5)})
--- a/internal/migration/comparison.go
+++ b/internal/migration/comparison.go
@@ -162,10 +162,10 @@
 // is false if the two are not comparable.
 func (a *analysis) comparePair(o, old *observation, criterion criterion) (float64, bool) {
 	below, above := loadBelow, loadAbove
-	factor := a.plan.FirstToken
+	factor := a.plan.FirstTokenFactor
 	if criterion == byTokenGap {
 		below, above = gapLoadRange, gapLoadRange
-		factor = a.plan.Pace
+		factor = a.plan.TokenGapFactor
 	}
 	excessLoad := o.load - old.load
 	if excessLoad > below || excessLoad < -above || math.Abs(o.similarity-old.similarity) > similarityRange {
--- a/internal/migration/controller/command.go
+++ b/internal/migration/controller/command.go
@@ -197,7 +197,7 @@
 	if s.Steps != nil {
 		plan.Steps = s.Steps
 		if len(s.Steps) > 0 {
-			plan.Trickle = min(plan.Trickle, s.Steps[0])
+			plan.WarmUpShare = min(plan.WarmUpShare, s.Steps[0])
 		}
 	}
 	for _, duration := range []struct {
@@ -205,8 +205,8 @@
 		text   string
 		target *time.Duration
 	}{
-		{"hold", s.Hold, &plan.Hold},
-		{"warm", s.Warm, &plan.Warm},
+		{"hold", s.Hold, &plan.MinHold},
+		{"warm", s.Warm, &plan.MinWarmUp},
 		{"return_every", s.ReturnEvery, &plan.ReturnEvery},
 	} {
 		if duration.text == "" {
@@ -219,13 +219,13 @@
 		*duration.target = value
 	}
 	if s.Trickle != 0 {
-		plan.Trickle = s.Trickle
+		plan.WarmUpShare = s.Trickle
 	}
 	if s.Samples != 0 {
-		plan.Samples = s.Samples
+		plan.MinSamples = s.Samples
 	}
 	if s.Floor != 0 {
-		plan.Floor = s.Floor
+		plan.OnTimeFloor = s.Floor
 	}
 	if s.OnWorse != "" {
 		plan.OnWorse = s.OnWorse
--- a/internal/migration/controller/command_test.go
+++ b/internal/migration/controller/command_test.go
@@ -90,7 +90,7 @@
 	without := file(t, func(cfg *config.OperatorFile) {
 		s, err := pool.Parse(`true`)
 		require.NoError(t, err)
-		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Select: s}})
+		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Selector: s}})
 		require.NoError(t, err)
 	})
 	require.ErrorContains(t, n.options.Tracker.Check(without), `pool: "new" cannot be taken away while move m-`)
@@ -99,7 +99,7 @@
 		require.NoError(t, err)
 		b, err := pool.Parse(`version in ["v2", "v3"]`)
 		require.NoError(t, err)
-		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Select: a}, {Name: "new", Select: b}})
+		cfg.PoolSet, err = pool.NewSet([]pool.Definition{{Name: "old", Selector: a}, {Name: "new", Selector: b}})
 		require.NoError(t, err)
 	})
 	require.NoError(t, n.options.Tracker.Check(wider))
--- a/internal/migration/controller/controller.go
+++ b/internal/migration/controller/controller.go
@@ -32,7 +32,7 @@
 	Peers map[string]string
 	// Token returns the token that calls to other members carry.
 	Token func() string
-	// Window is the length of a window; 0 stands for migration.WindowTime.
+	// Window is the length of a window; 0 stands for migration.WindowLength.
 	Window time.Duration
 	// Live is how long after its last report a node counts as live; 0 stands for 5 s.
 	Live time.Duration
@@ -96,7 +96,7 @@
 // New creates a Controller; Run starts it.
 func New(options Options) *Controller {
 	if options.Window == 0 {
-		options.Window = migration.WindowTime
+		options.Window = migration.WindowLength
 	}
 	if options.Live == 0 {
 		options.Live = liveTimeout
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -22,8 +22,8 @@
 	anyKind   = -1
 )
 
-// Sent implements node.Pools. A request whose first attempt goes to another pool found no eligible backend in its own.
-func (t *Tracker) Sent(request *standpoint.Request, server string, attempt int) {
+// RecordSent implements node.Pools. A request whose first attempt goes to another pool found no eligible backend in its own.
+func (t *Tracker) RecordSent(request *standpoint.Request, server string, attempt int) {
 	if attempt > 0 || request.Pool == 0 {
 		return
 	}
@@ -52,8 +52,8 @@
 	return uncounted
 }
 
-// Finished implements node.Pools.
-func (t *Tracker) Finished(o node.Observation) {
+// RecordFinished implements node.Pools.
+func (t *Tracker) RecordFinished(o node.Observation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	backend := t.backends[o.Backend]
@@ -94,8 +94,8 @@
 	}
 }
 
-// Rejected implements node.Pools.
-func (t *Tracker) Rejected(request *standpoint.Request) {
+// RecordRejected implements node.Pools.
+func (t *Tracker) RecordRejected(request *standpoint.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if index := t.counterOf(request.Pool); index != uncounted {
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -42,7 +42,7 @@
 		t.backends[endpoint.Name] = backend
 	}
 	backend.description = t.describe(endpoint)
-	if endpoint.State == standpoint.Gone && endpoint.Address == "" && backend.pool != 0 {
+	if endpoint.State == standpoint.Removed && endpoint.Address == "" && backend.pool != 0 {
 		return backend.pool // a withdrawal may come without the labels
 	}
 	backend.pool, backend.alsoFits = t.set.PoolOf(backend.description)
@@ -74,8 +74,8 @@
 	return names[i]
 }
 
-// Listed implements node.Pools.
-func (t *Tracker) Listed(list node.EndpointList) {
+// UpdateEndpoints implements node.Pools.
+func (t *Tracker) UpdateEndpoints(list node.EndpointList) {
 	if list.Kind == standpoint.ListFailed {
 		return
 	}
@@ -84,14 +84,14 @@
 	listed := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
 		listed[endpoint.Name] = true
-		if endpoint.State == standpoint.Gone {
+		if endpoint.State == standpoint.Removed {
 			delete(t.backends, endpoint.Name)
 			continue
 		}
 		// It is unknown if the same list also has it as gone.
 		if backend := t.backends[endpoint.Name]; backend != nil {
 			backend.state = endpoint.State
-			backend.readyAt = endpoint.ReadyAt
+			backend.readyAt = endpoint.StartedAt
 		}
 	}
 	if list.Kind == standpoint.ListFull {
@@ -162,8 +162,8 @@
 	return t.plan.WarmFraction(now.Sub(clock.Time(backend.readyAt)))
 }
 
-// Members is a pool and its backends.
-type Members struct {
+// PoolMembers is a pool and its backends.
+type PoolMembers struct {
 	Pool       string   `json:"pool"` // empty for the backends that are in no pool
 	Select     string   `json:"select,omitempty"`
 	Share      float64  `json:"share"` // as configured
@@ -173,22 +173,22 @@
 
 // Member is a backend in a pool.
 type Member struct {
-	Name    string   `json:"name"`
-	State   string   `json:"state"`
-	Warmth  float64  `json:"warmth"`              // the fraction of its capacity that has warmed up
-	AlsoFit []string `json:"also_fits,omitempty"` // further pools whose selectors match
+	Name         string   `json:"name"`
+	State        string   `json:"state"`
+	WarmFraction float64  `json:"warmth"`              // the fraction of its capacity that has warmed up
+	OtherPools   []string `json:"also_fits,omitempty"` // further pools whose selectors match
 }
 
 // Members lists all pools, and last the backends that are in none, if there are any.
-func (t *Tracker) Members(now time.Time) []Members {
+func (t *Tracker) Members(now time.Time) []PoolMembers {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := make([]Members, t.set.Len()+1)
+	all := make([]PoolMembers, t.set.Len()+1)
 	unplaced := len(all) - 1
 	for i, definition := range t.set.Definitions() {
-		all[i] = Members{
+		all[i] = PoolMembers{
 			Pool:       definition.Name,
-			Select:     definition.Select.String(),
+			Select:     definition.Selector.String(),
 			Share:      definition.Share,
 			Overflowed: t.overflowed[i+1],
 		}
@@ -200,10 +200,10 @@
 			index = backend.pool - 1
 		}
 		all[index].Backends = append(all[index].Backends, Member{
-			Name:    name,
-			State:   [...]string{"ready", "draining", "gone"}[backend.state],
-			Warmth:  t.warmFraction(backend, now),
-			AlsoFit: backend.alsoFits,
+			Name:         name,
+			State:        [...]string{"ready", "draining", "gone"}[backend.state],
+			WarmFraction: t.warmFraction(backend, now),
+			OtherPools:   backend.alsoFits,
 		})
 	}
 	if len(all[unplaced].Backends) == 0 {
--- a/internal/migration/controller/node_test.go
+++ b/internal/migration/controller/node_test.go
@@ -28,7 +28,7 @@
 // file is an operator's with two pools.
 func file(t testing.TB, edit func(*config.OperatorFile)) *config.OperatorFile {
 	plan := migration.Default()
-	plan.Steps, plan.Trickle, plan.Warm, plan.Hold, plan.Samples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
+	plan.Steps, plan.WarmUpShare, plan.MinWarmUp, plan.MinHold, plan.MinSamples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
 	cfg := &config.OperatorFile{MigrationPlan: plan}
 	cfg.Settings.Classes = []standpoint.Class{
 		{Streamed: true, TTFTObjective: int64(time.Second), TPOTObjective: int64(50 * time.Millisecond), Weight: 2},
@@ -38,7 +38,7 @@
 	for i, text := range []string{`version == "v1"`, `version == "v2"`} {
 		s, err := pool.Parse(text)
 		require.NoError(t, err)
-		all = append(all, pool.Definition{Name: []string{"old", "new"}[i], Select: s})
+		all = append(all, pool.Definition{Name: []string{"old", "new"}[i], Selector: s})
 	}
 	var err error
 	cfg.PoolSet, err = pool.NewSet(all)
@@ -62,7 +62,7 @@
 	for i := range entries {
 		entries[i].Pool = tr.Place(&entries[i])
 	}
-	tr.Listed(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
+	tr.UpdateEndpoints(node.EndpointList{Kind: standpoint.ListFull, Endpoints: entries})
 }
 
 // testNode is a node of a story: an actor with its tracker, control interface, and traffic of its own.
@@ -112,7 +112,7 @@
 		r := &standpoint.Request{ID: id, Session: uint64(id)*2654435761 + 1, PromptTokens: 500}
 		r.Pool = n.options.Tracker.Assign(r)
 		server := fmt.Sprintf("box-%d", r.Pool)
-		n.options.Tracker.Sent(r, server, 0)
+		n.options.Tracker.RecordSent(r, server, 0)
 		o := node.Observation{
 			Request:           r,
 			Backend:           server,
@@ -127,11 +127,11 @@
 		}
 		if r.Pool == 2 && n.errors.Load() {
 			o.FirstToken, o.AttemptFirstToken, o.Decode, o.Result = 0, 0, 0, node.Result{Code: standpoint.ServerError}
-			n.options.Tracker.Finished(o)
-			n.options.Tracker.Rejected(r)
+			n.options.Tracker.RecordFinished(o)
+			n.options.Tracker.RecordRejected(r)
 			continue
 		}
-		n.options.Tracker.Finished(o)
+		n.options.Tracker.RecordFinished(o)
 	}
 }
 
--- a/internal/migration/controller/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -121,7 +121,7 @@
 func (t *Tracker) Digest() uint64 {
 	digest := xxhash.New()
 	for i, definition := range t.pools().Definitions() {
-		fmt.Fprintf(digest, "%d %q %q %g\n", i, definition.Name, definition.Select, definition.Share)
+		fmt.Fprintf(digest, "%d %q %q %g\n", i, definition.Name, definition.Selector, definition.Share)
 	}
 	return digest.Sum64()
 }
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -22,10 +22,10 @@
 
 // WarmFraction is the fraction of a backend's capacity that is available at an age since its start.
 func (p Plan) WarmFraction(age time.Duration) float64 {
-	if p.WarmUp <= 0 || age >= p.WarmUp {
+	if p.SlowStart <= 0 || age >= p.SlowStart {
 		return 1
 	}
-	return p.ColdShare + (1-p.ColdShare)*max(0, float64(age)/float64(p.WarmUp))
+	return p.ColdCapacityFraction + (1-p.ColdCapacityFraction)*max(0, float64(age)/float64(p.SlowStart))
 }
 
 // maximumShare is the largest share of From's requests that To can take now. The capacity of a backend in requests is
@@ -38,7 +38,7 @@
 	if to.WarmCapacity >= warmThreshold*to.Capacity {
 		return 1
 	}
-	coldBudget := min(1, coldBudgetFraction*p.FallFactor)
+	coldBudget := min(1, coldBudgetFraction*p.CollapseFactor)
 	return min(1, coldBudget*to.WarmCapacity/max(from.Capacity, fromCapacity, minCapacity))
 }
 
--- a/internal/migration/machine_test.go
+++ b/internal/migration/machine_test.go
@@ -15,7 +15,7 @@
 		m := startMigration(t, s, nil)
 		n := observeUntil(t, m, s, 400, inState(Done, Undone, Halted))
 		require.Equal(t, Done, m.Record().State, "seed %d: %s", seed, m.Record().Cause)
-		require.GreaterOrEqual(t, time.Duration(n)*WindowTime, m.Record().Plan.MinimumDuration()-7*WindowTime)
+		require.GreaterOrEqual(t, time.Duration(n)*WindowLength, m.Record().Plan.MinimumDuration()-7*WindowLength)
 		r := m.Record()
 		require.Equal(t, map[string]string{"old": "new"}, r.Shares.Moved)
 		require.Equal(t, 1.0, r.CurrentShare())
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -1,6 +1,6 @@
 // Package migration decides how traffic migrates from one pool of backends to another, a step at a time, and when it
 // has to return. It has no clock and does no I/O: its time is the number of windows that it has been shown, each
-// WindowTime long.
+// WindowLength long.
 package migration
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// WindowTime is the length of a window.
-const WindowTime = time.Second
+// WindowLength is the length of a window.
+const WindowLength = time.Second
 
 // The values of Plan.OnWorse: what is done once the new pool is found worse.
 const (
@@ -22,71 +22,71 @@
 const (
 	maxSteps       = 100
 	minFloor       = 0.01
-	maxFactor      = 100 // of FirstToken, Pace and FallFactor
+	maxFactor      = 100 // of FirstTokenFactor, Pace and CollapseFactor
 	minErrors      = 0.0001
 	maxErrors      = 0.5
 	minAlarm       = 100
 	maxAlarm       = 1e9
 	maxPlanSamples = 1e6
 	minFallFactor  = 0.1
-	minHold        = 2 * WindowTime
+	minHold        = 2 * WindowLength
 	maxSpan        = time.Hour
 )
 
 // Plan is how a migration is carried out. Durations count in whole windows.
 type Plan struct {
-	From    string        `json:"from"`
-	To      string        `json:"to"`
-	Steps   []float64     `json:"steps"`   // shares of From's requests, ascending; the last is 1 for a complete migration
-	Trickle float64       `json:"trickle"` // the share while the new pool warms up
-	Warm    time.Duration `json:"warm"`    // minimum duration of the warm-up
-	Hold    time.Duration `json:"hold"`    // minimum duration of the analysis of each step
-	Samples int           `json:"samples"` // requests that must have ended in each pool before a step is passed
-
-	// Floor is the fraction of the old pool's on-time weight that the new one must reach.
-	Floor float64 `json:"floor"`
-	// FirstToken and Pace are the factors by which an answer must be slower than a comparable one of the old pool to
+	From        string        `json:"from"`
+	To          string        `json:"to"`
+	Steps       []float64     `json:"steps"`   // shares of From's requests, ascending; the last is 1 for a complete migration
+	WarmUpShare float64       `json:"trickle"` // the share while the new pool warms up
+	MinWarmUp   time.Duration `json:"warm"`    // minimum duration of the warm-up
+	MinHold     time.Duration `json:"hold"`    // minimum duration of the analysis of each step
+	MinSamples  int           `json:"samples"` // requests that must have ended in each pool before a step is passed
+
+	// OnTimeFloor is the fraction of the old pool's on-time weight that the new one must reach.
+	OnTimeFloor float64 `json:"floor"`
+	// FirstTokenFactor and Pace are the factors by which an answer must be slower than a comparable one of the old pool to
 	// count against the new one: in its time to first token, and in its time for each token.
-	FirstToken float64 `json:"first_token"`
-	Pace       float64 `json:"pace"`
-	// Errors is the fraction of failed attempts that is allowed beyond the old pool's.
-	Errors float64 `json:"errors"`
-	// Stall is the longest disturbance that never ends a migration by itself, however bad it is.
-	Stall time.Duration `json:"stall"`
-	// Alarm is the minimum mean number of windows between two false alarms while the pools are alike.
-	Alarm float64 `json:"alarm"`
+	FirstTokenFactor float64 `json:"first_token"`
+	TokenGapFactor   float64 `json:"pace"`
+	// ErrorAllowance is the fraction of failed attempts that is allowed beyond the old pool's.
+	ErrorAllowance float64 `json:"errors"`
+	// MaxToleratedStall is the longest disturbance that never ends a migration by itself, however bad it is.
+	MaxToleratedStall time.Duration `json:"stall"`
+	// FalseAlarmWindows is the minimum mean number of windows between two false alarms while the pools are alike.
+	FalseAlarmWindows float64 `json:"alarm"`
 
 	OnWorse     string        `json:"on_worse"`     // Return or Stay
 	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic moves back
 	ReturnEvery time.Duration `json:"return_every"` // between two of them
 
-	// ColdShare is the fraction of its capacity that a backend has at its start, WarmUp the time until it has all of
-	// it, and FallFactor the multiple of its cold capacity at which it collapses.
-	ColdShare  float64       `json:"cold_share"`
-	WarmUp     time.Duration `json:"warm_up"`
-	FallFactor float64       `json:"fall_factor"`
+	// ColdCapacityFraction is the fraction of its capacity that a backend has at its start, SlowStart the time until it has all of
+	// it, and CollapseFactor the multiple of its cold capacity at which it collapses.
+	ColdCapacityFraction float64       `json:"cold_share"`
+	SlowStart            time.Duration `json:"warm_up"`
+	CollapseFactor       float64       `json:"fall_factor"`
 }
 
 // Default returns the plan that applies where the configuration says nothing else.
 func Default() Plan {
 	return Plan{
-		Steps:       []float64{0.05, 0.25, 0.5, 0.75, 1},
-		Trickle:     0.02,
-		Warm:        10 * time.Second,
-		Hold:        20 * time.Second,
-		Samples:     30,
-		Floor:       0.9,
-		FirstToken:  1.25,
-		Pace:        1.15,
-		Errors:      0.01,
-		Stall:       5 * time.Second,
-		Alarm:       10000,
-		OnWorse:     Return,
-		ReturnSteps: 3,
-		ReturnEvery: 2 * time.Second,
-		ColdShare:   0.13,
-		WarmUp:      20 * time.Second,
-		FallFactor:  4,
+		Steps:                []float64{0.05, 0.25, 0.5, 0.75, 1},
+		WarmUpShare:          0.02,
+		MinWarmUp:            10 * time.Second,
+		MinHold:              20 * time.Second,
+		MinSamples:           30,
+		OnTimeFloor:          0.9,
+		FirstTokenFactor:     1.25,
+		TokenGapFactor:       1.15,
+		ErrorAllowance:       0.01,
+		MaxToleratedStall:    5 * time.Second,
+		FalseAlarmWindows:    10000,
+		OnWorse:              Return,
+		ReturnSteps:          3,
+		ReturnEvery:          2 * time.Second,
+		ColdCapacityFraction: 0.13,
+		SlowStart:            20 * time.Second,
+		CollapseFactor:       4,
 	}
 }
 
@@ -131,10 +131,10 @@
 			return planError(fmt.Sprintf("steps[%d]", i), "%g is not more than the step before", step)
 		}
 	}
-	if !between(p.Trickle, 0, p.Steps[0]) {
-		return planError("trickle", "%g is not from 0 to the first step", p.Trickle)
+	if !between(p.WarmUpShare, 0, p.Steps[0]) {
+		return planError("trickle", "%g is not from 0 to the first step", p.WarmUpShare)
 	}
-	if p.Trickle == 0 {
+	if p.WarmUpShare == 0 {
 		return planError("trickle", "0 leaves the new pool without requests to warm up with")
 	}
 	return nil
@@ -142,18 +142,18 @@
 
 func (p Plan) checkAnalysis() error {
 	switch {
-	case !between(p.Floor, minFloor, 1):
-		return planError("floor", "%g is not from 0.01 to 1", p.Floor)
-	case !between(p.FirstToken, 1, maxFactor):
-		return planError("first_token", "%g is not from 1 to 100", p.FirstToken)
-	case !between(p.Pace, 1, maxFactor):
-		return planError("pace", "%g is not from 1 to 100", p.Pace)
-	case !between(p.Errors, minErrors, maxErrors):
-		return planError("errors", "%g is not from 0.0001 to 0.5", p.Errors)
-	case !between(p.Alarm, minAlarm, maxAlarm):
-		return planError("alarm", "%g is not from 100 to 1e9 windows", p.Alarm)
-	case p.Samples < 1 || p.Samples > maxPlanSamples:
-		return planError("samples", "%d is not from 1 to 1000000", p.Samples)
+	case !between(p.OnTimeFloor, minFloor, 1):
+		return planError("floor", "%g is not from 0.01 to 1", p.OnTimeFloor)
+	case !between(p.FirstTokenFactor, 1, maxFactor):
+		return planError("first_token", "%g is not from 1 to 100", p.FirstTokenFactor)
+	case !between(p.TokenGapFactor, 1, maxFactor):
+		return planError("pace", "%g is not from 1 to 100", p.TokenGapFactor)
+	case !between(p.ErrorAllowance, minErrors, maxErrors):
+		return planError("errors", "%g is not from 0.0001 to 0.5", p.ErrorAllowance)
+	case !between(p.FalseAlarmWindows, minAlarm, maxAlarm):
+		return planError("alarm", "%g is not from 100 to 1e9 windows", p.FalseAlarmWindows)
+	case p.MinSamples < 1 || p.MinSamples > maxPlanSamples:
+		return planError("samples", "%d is not from 1 to 1000000", p.MinSamples)
 	}
 	return nil
 }
@@ -164,10 +164,10 @@
 		return planError("on_worse", "%q is neither %q nor %q", p.OnWorse, Return, Stay)
 	case p.ReturnSteps < 1 || p.ReturnSteps > maxSteps:
 		return planError("return_steps", "%d is not from 1 to 100", p.ReturnSteps)
-	case !between(p.ColdShare, 0, 1):
-		return planError("cold_share", "%g is not from 0 to 1", p.ColdShare)
-	case !between(p.FallFactor, minFallFactor, maxFactor):
-		return planError("fall_factor", "%g is not from 0.1 to 100", p.FallFactor)
+	case !between(p.ColdCapacityFraction, 0, 1):
+		return planError("cold_share", "%g is not from 0 to 1", p.ColdCapacityFraction)
+	case !between(p.CollapseFactor, minFallFactor, maxFactor):
+		return planError("fall_factor", "%g is not from 0.1 to 100", p.CollapseFactor)
 	}
 	return nil
 }
@@ -178,11 +178,11 @@
 		value   time.Duration
 		minimum time.Duration
 	}{
-		{"hold", p.Hold, minHold},
-		{"warm", p.Warm, 0},
-		{"stall", p.Stall, 0},
-		{"return_every", p.ReturnEvery, WindowTime},
-		{"warm_up", p.WarmUp, 0},
+		{"hold", p.MinHold, minHold},
+		{"warm", p.MinWarmUp, 0},
+		{"stall", p.MaxToleratedStall, 0},
+		{"return_every", p.ReturnEvery, WindowLength},
+		{"warm_up", p.SlowStart, 0},
 	} {
 		if duration.value < duration.minimum || duration.value > maxSpan {
 			return planError(duration.key, "%v is not from %v to 1h", duration.value, duration.minimum)
@@ -193,10 +193,10 @@
 
 // MinimumDuration is how long a migration takes if nothing delays it.
 func (p Plan) MinimumDuration() time.Duration {
-	return p.Warm + time.Duration(len(p.Steps))*(p.Hold+2*WindowTime)
+	return p.MinWarmUp + time.Duration(len(p.Steps))*(p.MinHold+2*WindowLength)
 }
 
 // windowCount is the number of windows that cover a span.
 func windowCount(span time.Duration) int {
-	return int(math.Ceil(float64(span) / float64(WindowTime)))
+	return int(math.Ceil(float64(span) / float64(WindowLength)))
 }
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -87,7 +87,7 @@
 
 // EvidenceLevel is the evidence against the new pool as a fraction of what raises the alarm.
 func (r *Record) EvidenceLevel() float64 {
-	return max(0, r.Evidence.level()) / math.Log(r.Plan.Alarm)
+	return max(0, r.Evidence.level()) / math.Log(r.Plan.FalseAlarmWindows)
 }
 
 // windowSummary is what one window showed of both pools, for the rules that do not wait for evidence.
--- a/internal/migration/rollback.go
+++ b/internal/migration/rollback.go
@@ -58,7 +58,7 @@
 func (m *Machine) clientsAffected(window *Window, to poolSummary) bool {
 	return window.To.Health.Ready == 0 ||
 		m.farBelowFloor() ||
-		to.OnTimeWeight < m.record.Plan.Floor*m.usualOnTime()*to.OfferedWeight
+		to.OnTimeWeight < m.record.Plan.OnTimeFloor*m.usualOnTime()*to.OfferedWeight
 }
 
 // usualOnTime is the fraction of the old pool's offered weight that is usually answered on time.
@@ -80,7 +80,7 @@
 	present := to.OnTimeWeight / to.OfferedWeight
 	deviation := math.Sqrt(usual*(1-usual)/float64(to.Requests)) + 1e-9
 	return usual >= severeFraction &&
-		present < severeFraction*m.record.Plan.Floor*usual &&
+		present < severeFraction*m.record.Plan.OnTimeFloor*usual &&
 		(usual-present)/deviation > severeDeviations
 }
 
@@ -172,7 +172,7 @@
 }
 
 func (m *Machine) finishUndone(text string) {
-	m.record.Shares = m.record.Shares.Withdraw()
+	m.record.Shares = m.record.Shares.WithoutMigration()
 	m.record.Version++
 	m.transition(Undone, "%s", text)
 }
