--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -44,7 +44,7 @@
 			request.attempts[action.Attempt].cancelUnclaimed(ErrCancelled)
 		}
 	case standpoint.Shed:
-		c.end(action.Request, Answer{Kind: Rejected, Wait: time.Duration(action.Wait)})
+		c.end(action.Request, Answer{Kind: Rejected, RetryAfter: time.Duration(action.Wait)})
 	case standpoint.Fail:
 		c.end(action.Request, Answer{Kind: Failed})
 	default:
@@ -60,7 +60,7 @@
 	}
 	answer.NoAttempt = len(request.attempts) == 0
 	if request.settle(answer) && c.Pools != nil {
-		c.Pools.Rejected(&request.Spec)
+		c.Pools.RecordRejected(&request.Spec)
 	}
 	c.release(request)
 }
@@ -74,7 +74,7 @@
 		Number:        len(request.attempts),
 		Backend:       action.Engine,
 		Sent:          now,
-		Until:         now.Add(time.Duration(action.Deadline - c.now())),
+		Deadline:      now.Add(time.Duration(action.Deadline - c.now())),
 		ClientResumes: c.Settings.Resume,
 		post:          c.post,
 	}
@@ -84,11 +84,11 @@
 	allowed := c.authorizeAttempt(request, attempt)
 	request.attempts = append(request.attempts, attempt)
 	attempt.ctx, attempt.cancelContext = context.WithCancelCause(context.Background())
-	attempt.deadlineTimer = time.AfterFunc(time.Until(attempt.Until), func() { attempt.cancelUnclaimed(ErrNoAnswer) })
+	attempt.deadlineTimer = time.AfterFunc(time.Until(attempt.Deadline), func() { attempt.cancelUnclaimed(ErrNoFirstEvent) })
 	attempt.inFlight = true
 	if allowed && c.Backends.Send(attempt) {
 		if c.Pools != nil {
-			c.Pools.Sent(&request.Spec, action.Engine, attempt.Number)
+			c.Pools.RecordSent(&request.Spec, action.Engine, attempt.Number)
 		}
 		return
 	}
@@ -107,10 +107,10 @@
 // authorizeAttempt reports whether a request may start the attempt. A retry is charged to the retry budget of the
 // fleet, so it must be called once an attempt; the charge is the last check, so that a forbidden attempt costs nothing.
 func (c *Core) authorizeAttempt(request *Request, attempt *Attempt) bool {
-	if request.isSettled() || !attempt.Until.After(attempt.Sent) || c.attemptLimitReached(request) {
+	if request.isSettled() || !attempt.Deadline.After(attempt.Sent) || c.attemptLimitReached(request) {
 		return false
 	}
-	if !c.Settings.SecondCopies && request.hasAttemptInFlight() {
+	if !c.Settings.HedgedRequests && request.hasAttemptInFlight() {
 		return false
 	}
 	return attempt.Number == 0 || c.Fleet == nil || c.Fleet.AllowRetry()
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -12,19 +12,19 @@
 // of this machine.
 const MinClientStall = 100 * time.Millisecond
 
-// Attempt is one attempt of a request at a backend. The backend calls Context, MayBegin, Claim, Forward and Finish,
+// Attempt is one attempt of a request at a backend. The backend calls Context, CheckStart, Claim, Forward and Finish,
 // each from one goroutine at a time.
 type Attempt struct {
-	Request *Request
-	Number  int // 0 for the first
-	Backend string
-	Sent    time.Time
-	Until   time.Time // deadline for the first event
+	Request  *Request
+	Number   int // 0 for the first
+	Backend  string
+	Sent     time.Time
+	Deadline time.Time // deadline for the first event
 	// StartBefore is the time before which the first byte must be written; zero if there is no limit.
 	StartBefore time.Time
-	// BackendDraining reports whether the backend drains and may get no new attempts. The Backends set it before the
+	// IsBackendDraining reports whether the backend drains and may get no new attempts. The Backends set it before the
 	// attempt starts; it may be nil.
-	BackendDraining func() bool
+	IsBackendDraining func() bool
 	// ClientResumes is true if clients request the rest of an interrupted stream.
 	ClientResumes bool
 
@@ -62,23 +62,23 @@
 	Complete bool
 }
 
-// Context returns the attempt's context. It ends when the attempt is cancelled, with the reason, such as ErrNoAnswer,
+// Context returns the attempt's context. It ends when the attempt is cancelled, with the reason, such as ErrNoFirstEvent,
 // as its cause.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// MayBegin returns nil if the attempt may still start, or the reason why not. It must be called immediately before the
+// CheckStart returns nil if the attempt may still start, or the reason why not. It must be called immediately before the
 // first byte is written: while the connection is being established, the backend may start to drain, the client may
 // disconnect, and the idempotency window may close.
-func (a *Attempt) MayBegin() error {
+func (a *Attempt) CheckStart() error {
 	switch {
 	case a.ctx.Err() != nil:
 		return context.Cause(a.ctx)
 	case a.Request.isSettled():
 		return ErrRequestSettled
-	case a.BackendDraining != nil && a.BackendDraining():
+	case a.IsBackendDraining != nil && a.IsBackendDraining():
 		return ErrBackendDraining
 	case a.Request.clientGone():
-		return ErrClientGone
+		return ErrClientDisconnected
 	case !a.StartBefore.IsZero() && !time.Now().Before(a.StartBefore):
 		return ErrIdempotencyWindowClosed
 	}
@@ -104,7 +104,7 @@
 	return request.connection.Begin() == nil
 }
 
-// Forward forwards complete events to the client, through the request's hook if there is one. It returns ErrStopped or
+// Forward forwards complete events to the client, through the request's hook if there is one. It returns ErrHookStop or
 // ErrHookBreak if the hook ends the answer.
 func (a *Attempt) Forward(events []byte) error {
 	request := a.Request
@@ -121,7 +121,7 @@
 		}
 	}
 	if action == HookStop {
-		return ErrStopped
+		return ErrHookStop
 	}
 	return nil
 }
@@ -184,10 +184,10 @@
 // answerOfClaim returns the answer of a request whose claiming attempt ended with the result.
 func answerOfClaim(result Result) Answer {
 	answer := Answer{
-		Kind: Broken,
+		Kind: Interrupted,
 		Usage: Usage{
 			Known:        result.OutputTokens > 0 || result.Complete,
-			Begun:        true,
+			Started:      true,
 			Paused:       result.Complete,
 			CachedTokens: result.CachedTokens,
 			OutputTokens: result.OutputTokens,
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -152,10 +152,10 @@
 		for i := range list.Endpoints {
 			list.Endpoints[i].Pool = c.Pools.Place(&list.Endpoints[i])
 		}
-		c.Pools.Listed(list)
+		c.Pools.UpdateEndpoints(list)
 	}
 	if c.Fleet != nil {
-		c.Fleet.Listed(list)
+		c.Fleet.UpdateEndpoints(list)
 	}
 	update := &standpoint.EngineList{Kind: list.Kind}
 	for _, endpoint := range list.Endpoints {
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -32,13 +32,13 @@
 // startCore runs a Core with one endpoint until ctx is done.
 func startCore(ctx context.Context, tenants, maxRequests int) (*Core, blockingBackends) {
 	settings := standpoint.Settings{
-		Gateways:    1,
-		MaxAttempts: 3,
-		Tick:        1e6,
-		Cancel:      true,
-		Kinds:       1,
-		Tenants:     make([]standpoint.Tenant, tenants),
-		Classes:     []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
+		Gateways:      1,
+		MaxAttempts:   3,
+		EventInterval: 1e6,
+		Cancel:        true,
+		Kinds:         1,
+		Tenants:       make([]standpoint.Tenant, tenants),
+		Classes:       []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
 	}
 	backends := blockingBackends{make(chan *Attempt, 20_000)}
 	core := New(Options{
@@ -153,7 +153,7 @@
 			t.Fatalf("attempt still runs 10 s after the hand-back; claimed: %v", claimed)
 		}
 		if answer := <-answered; claimed {
-			require.Equal(t, Broken, answer.Kind)
+			require.Equal(t, Interrupted, answer.Kind)
 			require.ErrorIs(t, context.Cause(attempt.Context()), ErrHandedBack)
 		} else {
 			require.Equal(t, Rejected, answer.Kind)
@@ -173,7 +173,7 @@
 		a.Finish(Result{Code: standpoint.Cancelled})
 	})
 	require.NoError(t, err)
-	require.Equal(t, Broken, answer.Kind)
+	require.Equal(t, Interrupted, answer.Kind)
 }
 
 // acceptingClient is a client that accepts all events.
@@ -193,14 +193,14 @@
 // discardingPools is a Pools that ignores all calls.
 type discardingPools struct{}
 
-func (discardingPools) Place(*Endpoint) int                   { return 0 }
-func (discardingPools) Listed(EndpointList)                   {}
-func (discardingPools) Sent(*standpoint.Request, string, int) {}
-func (discardingPools) Finished(Observation)                  {}
-func (discardingPools) Rejected(*standpoint.Request)          {}
-func (n recordingParts) Assign(*standpoint.Request) int       { <-n.allow; n.events <- "request"; return 0 }
-func (n recordingParts) Update(EndpointList)                  { n.events <- "list" }
-func (recordingParts) Send(_ *Attempt) bool                   { return false }
+func (discardingPools) Place(*Endpoint) int                         { return 0 }
+func (discardingPools) UpdateEndpoints(EndpointList)                {}
+func (discardingPools) RecordSent(*standpoint.Request, string, int) {}
+func (discardingPools) RecordFinished(Observation)                  {}
+func (discardingPools) RecordRejected(*standpoint.Request)          {}
+func (n recordingParts) Assign(*standpoint.Request) int             { <-n.allow; n.events <- "request"; return 0 }
+func (n recordingParts) Update(EndpointList)                        { n.events <- "list" }
+func (recordingParts) Send(_ *Attempt) bool                         { return false }
 
 // TestEndpointListsGoBeforeTheMailbox guards against an endpoint list that waits behind the messages in the mailbox:
 // the Backends get it as soon as the current message has been handled.
@@ -208,12 +208,12 @@
 	t.Parallel()
 	recorder := recordingParts{allow: make(chan struct{}), events: make(chan string, 1000)}
 	settings := standpoint.Settings{
-		Gateways:    1,
-		MaxAttempts: 3,
-		Tick:        1e6,
-		Kinds:       1,
-		Tenants:     make([]standpoint.Tenant, 1),
-		Classes:     []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
+		Gateways:      1,
+		MaxAttempts:   3,
+		EventInterval: 1e6,
+		Kinds:         1,
+		Tenants:       make([]standpoint.Tenant, 1),
+		Classes:       []standpoint.Class{{Streamed: true, TTFTObjective: 1e9, Deadline: 10e9, Weight: 1}},
 	}
 	core := New(Options{
 		Settings:    settings,
--- a/internal/node/hook.go
+++ b/internal/node/hook.go
@@ -25,6 +25,6 @@
 
 // Errors of an attempt whose answer was ended by its hook.
 var (
-	ErrStopped   = errors.New("hook stopped the decoding")
+	ErrHookStop  = errors.New("hook stopped the decoding")
 	ErrHookBreak = errors.New("hook interrupted the answer")
 )
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -40,16 +40,16 @@
 type Pools interface {
 	// Place returns the number of the pool that the endpoint's labels select; 0 if there is none.
 	Place(endpoint *Endpoint) int
-	// Listed is called with every endpoint list, just before it is passed to the decision module.
-	Listed(list EndpointList)
+	// UpdateEndpoints is called with every endpoint list, just before it is passed to the decision module.
+	UpdateEndpoints(list EndpointList)
 	// Assign returns the number of the pool that a request belongs to; 0 if any pool will do.
 	Assign(request *standpoint.Request) int
-	// Sent is called when an attempt has been started.
-	Sent(request *standpoint.Request, backend string, attempt int)
-	// Finished is called when an attempt has ended.
-	Finished(o Observation)
-	// Rejected is called when the decision module has rejected or failed a request.
-	Rejected(request *standpoint.Request)
+	// RecordSent is called when an attempt has been started.
+	RecordSent(request *standpoint.Request, backend string, attempt int)
+	// RecordFinished is called when an attempt has ended.
+	RecordFinished(o Observation)
+	// RecordRejected is called when the decision module has rejected or failed a request.
+	RecordRejected(request *standpoint.Request)
 }
 
 // Fleet is the state that the nodes of an installation share. Serve calls Admit and Settle; the goroutine of Run calls
@@ -62,10 +62,10 @@
 	Settle(request *standpoint.Request, charge Charge, answer Answer)
 	// AllowRetry reports whether the retry budget allows a retry, and charges it.
 	AllowRetry() bool
-	// Finished is called when an attempt has ended.
-	Finished(o Observation)
-	// Listed is called with every endpoint list, just before it is passed to the decision module.
-	Listed(list EndpointList)
+	// RecordFinished is called when an attempt has ended.
+	RecordFinished(o Observation)
+	// UpdateEndpoints is called with every endpoint list, just before it is passed to the decision module.
+	UpdateEndpoints(list EndpointList)
 }
 
 // Peers carries the decision module's messages to the other nodes.
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -44,12 +44,12 @@
 
 // Phase returns the current phase.
 func (l *Lifecycle) Phase() Phase {
-	p, _ := l.Since()
+	p, _ := l.PhaseSince()
 	return p
 }
 
-// Since returns the current phase and the time at which it was entered.
-func (l *Lifecycle) Since() (Phase, time.Time) {
+// PhaseSince returns the current phase and the time at which it was entered.
+func (l *Lifecycle) PhaseSince() (Phase, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.phase, l.enteredAt
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -82,14 +82,14 @@
 	}
 }
 
-// Adjust applies new settings and a new maximum of open requests. Open requests keep their deadlines.
-func (c *Core) Adjust(settings standpoint.Settings, maxRequests int) {
+// UpdateSettings applies new settings and a new maximum of open requests. Open requests keep their deadlines.
+func (c *Core) UpdateSettings(settings standpoint.Settings, maxRequests int) {
 	c.limiter.SetCapacity(maxRequests, len(settings.Tenants))
 	c.post(updateSettings{settings})
 }
 
-// Advise passes other nodes' observations of the backends to the decision module.
-func (c *Core) Advise(advice *standpoint.Advice) { c.post(updateAdvice{advice}) }
+// UpdateAdvice passes other nodes' observations of the backends to the decision module.
+func (c *Core) UpdateAdvice(advice *standpoint.Advice) { c.post(updateAdvice{advice}) }
 
 // ReceivePeerMessage passes a message from another node's decision module to that of this node. It does not block: the
 // message is dropped if the mailbox is full.
@@ -169,7 +169,7 @@
 
 func (c *Core) applySubmit(request *Request) {
 	// Clients keep sending on open connections until the process is killed, which follows shortly.
-	if c.handedBack && request.settle(Answer{Kind: Rejected, Wait: handBackRetryAfter}) {
+	if c.handedBack && request.settle(Answer{Kind: Rejected, RetryAfter: handBackRetryAfter}) {
 		close(request.idle)
 		return
 	}
@@ -207,7 +207,7 @@
 	var answer *Answer
 	switch {
 	case all && c.router.MayShed(request.Spec.ID):
-		answer = &Answer{Kind: Rejected, Wait: handBackRetryAfter, NoAttempt: len(request.attempts) == 0}
+		answer = &Answer{Kind: Rejected, RetryAfter: handBackRetryAfter, NoAttempt: len(request.attempts) == 0}
 	case all:
 		answer = &Answer{Kind: Failed}
 	}
@@ -229,10 +229,10 @@
 func (c *Core) applyFinished(m attemptFinished) {
 	m.attempt.inFlight = false
 	if c.Pools != nil {
-		c.Pools.Finished(m.observation())
+		c.Pools.RecordFinished(m.observation())
 	}
 	if c.Fleet != nil {
-		c.Fleet.Finished(m.observation())
+		c.Fleet.RecordFinished(m.observation())
 	}
 	request := m.attempt.Request
 	c.decide(&standpoint.Outcome{
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -40,12 +40,12 @@
 	Detach() (descriptor int, err error)
 }
 
-// Reasons for which an attempt is cancelled. ErrClientGone and ErrHandedBack may also end it after its first event.
+// Reasons for which an attempt is cancelled. ErrClientDisconnected and ErrHandedBack may also end it after its first event.
 var (
-	ErrNoAnswer   = errors.New("no first event before the attempt deadline")
-	ErrCancelled  = errors.New("attempt cancelled")
-	ErrClientGone = errors.New("client disconnected")
-	ErrHandedBack = errors.New("request handed back to the client for another node")
+	ErrNoFirstEvent       = errors.New("no first event before the attempt deadline")
+	ErrCancelled          = errors.New("attempt cancelled")
+	ErrClientDisconnected = errors.New("client disconnected")
+	ErrHandedBack         = errors.New("request handed back to the client for another node")
 )
 
 // Reasons for which an attempt does not start although it was decided on: the state may have changed before the first
@@ -144,10 +144,10 @@
 // disconnect settles the request because its client has disconnected, and reports whether it did so. The attempt of a
 // claimed request is interrupted instead, and settles the request as it ends.
 func (r *Request) disconnect() bool {
-	if r.settle(Answer{Kind: ClientGone}) {
+	if r.settle(Answer{Kind: ClientDisconnected}) {
 		return true
 	}
-	r.interruptClaimed(ErrClientGone)
+	r.interruptClaimed(ErrClientDisconnected)
 	return false
 }
 
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -45,7 +45,7 @@
 	select {
 	case answer = <-request.done:
 	case <-ctx.Done():
-		request.interruptClaimed(ErrClientGone)
+		request.interruptClaimed(ErrClientDisconnected)
 		answer = <-request.done
 	}
 	c.countRequest(request, answer, nil)
@@ -63,7 +63,7 @@
 	}
 	charge, retryAfter, admitted := c.Fleet.Admit(&request.Spec)
 	if !admitted {
-		return Answer{Kind: Rejected, Wait: retryAfter, NoAttempt: true}, nil
+		return Answer{Kind: Rejected, RetryAfter: retryAfter, NoAttempt: true}, nil
 	}
 	charge.UncachedTokens = request.UncachedTokens
 	answer := c.submit(ctx, request)
@@ -92,7 +92,7 @@
 		c.Metrics.CountRequest(class, metrics.Rejected)
 	case answer.Kind == Served:
 		c.Metrics.CountRequest(class, metrics.Succeeded)
-	case answer.Kind != ClientGone && answer.Kind != Moved: // a moved request is counted by the other process
+	case answer.Kind != ClientDisconnected && answer.Kind != Moved: // a moved request is counted by the other process
 		if answer.NoAttempt {
 			c.Metrics.CountFailedUnsent(metrics.Abandoned)
 		}
--- a/internal/peers/membership.go
+++ b/internal/peers/membership.go
@@ -20,9 +20,9 @@
 	Name string
 	// Address is the host:port address at which this node accepts clients.
 	Address string
-	// Browse specifies the service and the DNS server with which nodes are discovered and registered. Run sets its
+	// BrowserOptions specifies the service and the DNS server with which nodes are discovered and registered. Run sets its
 	// Publish.
-	Browse browser.Options
+	BrowserOptions browser.Options
 	// Publish enables the registration of this node at the DNS server.
 	Publish bool
 	// Lease is the time after which the server may drop a registration that is not renewed (RFC 9664).
@@ -68,7 +68,7 @@
 // Run discovers nodes until ctx ends, and then removes this node's registration. It may be called once.
 func (m *Membership) Run(ctx context.Context) {
 	snapshots := make(chan browser.Snapshot, 1)
-	m.Browse.Publish = func(s browser.Snapshot) {
+	m.BrowserOptions.Publish = func(s browser.Snapshot) {
 		// A newer snapshot replaces one that is not handled yet. There is one sender, so the send below does not block.
 		select {
 		case <-snapshots:
@@ -79,7 +79,7 @@
 	browsed := make(chan struct{})
 	go func() {
 		defer close(browsed)
-		browser.New(m.Browse).Run(ctx)
+		browser.New(m.BrowserOptions).Run(ctx)
 	}()
 	deregistered := make(chan struct{})
 	go func() {
--- a/internal/peers/membership_test.go
+++ b/internal/peers/membership_test.go
@@ -85,7 +85,7 @@
 				HoldTime:       100 * time.Millisecond,
 				OnCountChanged: func(int) {},
 				Log:            zap.NewNop(),
-				Browse: browser.Options{
+				BrowserOptions: browser.Options{
 					Service:         record.Service{Type: "_standpoint._tcp", Domain: "hall.test"},
 					Server:          s.Address,
 					Mechanism:       browser.Poll,
--- a/internal/peers/registration.go
+++ b/internal/peers/registration.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	client := &dns.Client{Net: "tcp", Timeout: updateTimeout}
-	response, _, err := client.ExchangeContext(ctx, update, m.Browse.Server)
+	response, _, err := client.ExchangeContext(ctx, update, m.BrowserOptions.Server)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	update := new(dns.Msg).SetUpdate(dns.Fqdn(m.Browse.Service.Domain))
+	update := new(dns.Msg).SetUpdate(dns.Fqdn(m.BrowserOptions.Service.Domain))
 	// All records of the instance are replaced, since those of an earlier process may differ.
 	update.RemoveRRset(own)
 	if remove {
@@ -108,12 +108,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	base := dns.Fqdn(m.Browse.Service.Type + "." + m.Browse.Service.Domain)
+	base := dns.Fqdn(m.BrowserOptions.Service.Type + "." + m.BrowserOptions.Service.Domain)
 	instance, err := record.JoinInstance(m.Name, base)
 	if err != nil {
 		return nil, nil, fmt.Errorf("node name: %w", err)
 	}
-	target, err := record.JoinInstance(m.Name, "_nodes."+dns.Fqdn(m.Browse.Service.Domain))
+	target, err := record.JoinInstance(m.Name, "_nodes."+dns.Fqdn(m.BrowserOptions.Service.Domain))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -11,9 +11,9 @@
 
 // Definition is the configuration of a pool.
 type Definition struct {
-	Name   string
-	Select Selector
-	Share  float64 // fraction of the requests, from 0 to 1, unless a migration has changed it
+	Name     string
+	Selector Selector
+	Share    float64 // fraction of the requests, from 0 to 1, unless a migration has changed it
 }
 
 // Set contains all pools in the order of the configuration. Pools are numbered from 1; 0 stands for none. A Set is
@@ -79,7 +79,7 @@
 func (s *Set) PoolOf(b Backend) (number int, others []string) {
 	for i, p := range s.pools {
 		switch {
-		case !p.Select.Match(b):
+		case !p.Selector.Match(b):
 		case number == 0:
 			number = i + 1
 		default:
--- a/internal/pool/shares.go
+++ b/internal/pool/shares.go
@@ -39,8 +39,8 @@
 	return Shares{Moved: moved}
 }
 
-// Withdraw returns the shares without the migration in progress.
-func (s Shares) Withdraw() Shares { return Shares{Moved: s.Moved} }
+// WithoutMigration returns the shares without the migration in progress.
+func (s Shares) WithoutMigration() Shares { return Shares{Moved: s.Moved} }
 
 // Table assigns requests to pools. It is immutable, and so safe for concurrent use.
 type Table struct {
--- a/internal/testpeer/attempt_ledger.go
+++ b/internal/testpeer/attempt_ledger.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// AttemptLedger counts, at the backends, the attempts of each request that are in flight, and the answers that it got.
+// AttemptCounter counts, at the backends, the attempts of each request that are in flight, and the answers that it got.
 // A request is known by a name of the test's choice: its id, or the content of its only message. It is safe for
 // concurrent use.
-type AttemptLedger struct {
+type AttemptCounter struct {
 	mu       sync.Mutex     // guards all below
 	inFlight map[string]int // attempts, by request
 	maximum  int            // of inFlight, of any request at any time
@@ -16,13 +16,13 @@
 	answers  map[string]int
 }
 
-// NewAttemptLedger creates an empty ledger.
-func NewAttemptLedger() *AttemptLedger {
-	return &AttemptLedger{inFlight: map[string]int{}, sent: map[string]int{}, answers: map[string]int{}}
+// NewAttemptCounter creates an empty ledger.
+func NewAttemptCounter() *AttemptCounter {
+	return &AttemptCounter{inFlight: map[string]int{}, sent: map[string]int{}, answers: map[string]int{}}
 }
 
 // Begin counts an attempt and returns how many the request has had.
-func (l *AttemptLedger) Begin(request string) int {
+func (l *AttemptCounter) Begin(request string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[request]++
@@ -32,7 +32,7 @@
 }
 
 // End counts the end of an attempt.
-func (l *AttemptLedger) End(request string, answered bool) {
+func (l *AttemptCounter) End(request string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[request]--
@@ -41,22 +41,22 @@
 	}
 }
 
-// Sent returns the number of attempts that each request has had.
-func (l *AttemptLedger) Sent() map[string]int {
+// Attempts returns the number of attempts that each request has had.
+func (l *AttemptCounter) Attempts() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.sent)
 }
 
 // Answers returns the number of answers that each request got.
-func (l *AttemptLedger) Answers() map[string]int {
+func (l *AttemptCounter) Answers() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.answers)
 }
 
 // Total returns the number of answers given.
-func (l *AttemptLedger) Total() int {
+func (l *AttemptCounter) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total := 0
@@ -67,7 +67,7 @@
 }
 
 // MaximumInFlight returns the most attempts of one request that were in flight at once.
-func (l *AttemptLedger) MaximumInFlight() int {
+func (l *AttemptCounter) MaximumInFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.maximum
--- a/internal/testpeer/backend.go
+++ b/internal/testpeer/backend.go
@@ -20,8 +20,8 @@
 	return node.Endpoint{Address: address, Engine: standpoint.Engine{Name: name, Size: 1}}
 }
 
-// Backend starts a scripted backend and returns its address. It stops with the test.
-func Backend(t testing.TB, script http.HandlerFunc) string {
+// StartBackend starts a scripted backend and returns its address. It stops with the test.
+func StartBackend(t testing.TB, script http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(script)
 	t.Cleanup(func() {
@@ -31,9 +31,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// RawBackend starts a backend that answers each request by a script, which writes to the connection what it will. The
+// StartRawBackend starts a backend that answers each request by a script, which writes to the connection what it will. The
 // connections stay open until the test ends.
-func RawBackend(t testing.TB, script func(conn net.Conn)) string {
+func StartRawBackend(t testing.TB, script func(conn net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/testpeer/batch_backend.go
+++ b/internal/testpeer/batch_backend.go
@@ -23,7 +23,7 @@
 type BatchBackend struct {
 	Address string
 	// Ledger counts the lines as requests, by the content of their only message.
-	Ledger *AttemptLedger
+	Ledger *AttemptCounter
 	// Run returns the status of one line's answer, after as long as it takes.
 	Run func(line string, attempt int) int
 
@@ -57,7 +57,7 @@
 func (l *batchLine) name() string { return l.Body.Messages[0].Content }
 
 // NewBatchBackend starts a batch backend, which stops with the test.
-func NewBatchBackend(t testing.TB, ledger *AttemptLedger, run func(line string, attempt int) int) *BatchBackend {
+func NewBatchBackend(t testing.TB, ledger *AttemptCounter, run func(line string, attempt int) int) *BatchBackend {
 	t.Helper()
 	b := &BatchBackend{Ledger: ledger, Run: run, files: map[string]string{}, batches: map[string]*batch{}}
 	mux := http.NewServeMux()
@@ -66,7 +66,7 @@
 	mux.HandleFunc("POST /v1/batches", b.create)
 	mux.HandleFunc("GET /v1/batches/{id}", b.get)
 	mux.HandleFunc("POST /v1/batches/{id}/cancel", b.cancel)
-	b.Address = Backend(t, mux.ServeHTTP)
+	b.Address = StartBackend(t, mux.ServeHTTP)
 	return b
 }
 
--- a/internal/testpeer/drain/check_test.go
+++ b/internal/testpeer/drain/check_test.go
@@ -69,9 +69,9 @@
 			discovery.Detach("n", at(test.until))
 		}
 		if test.never {
-			require.Empty(t, discovery.DueNotifications(), test.name)
+			require.Empty(t, discovery.LatestNotifications(), test.name)
 			continue
 		}
-		require.Equal(t, []Notification{{"n", "s", at(test.due), "due"}}, discovery.DueNotifications(), test.name)
+		require.Equal(t, []Notification{{"n", "s", at(test.due), "due"}}, discovery.LatestNotifications(), test.name)
 	}
 }
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Due is the time after which a change counts as notified to whoever could reach discovery.
-const Due = 6 * time.Second
+// NotificationTimeout is the time after which a change counts as notified to whoever could reach discovery.
+const NotificationTimeout = 6 * time.Second
 
 // The health of a host that the checks look for; any other than ready drains.
 const (
@@ -138,8 +138,8 @@
 	}
 }
 
-// Set changes the health of a backend, and wakes the watches.
-func (d *Discovery) Set(backend, health string) {
+// SetHealth changes the health of a backend, and wakes the watches.
+func (d *Discovery) SetHealth(backend, health string) {
 	d.t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,8 +165,8 @@
 	d.wake()
 }
 
-// Forget has all watches that are open fall silent.
-func (d *Discovery) Forget() {
+// SilenceWatches has all watches that are open fall silent.
+func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.forgotten++
@@ -181,15 +181,15 @@
 	d.debt = 0
 }
 
-// Counts returns the number of calls by what became of them.
-func (d *Discovery) Counts() map[string]int {
+// Outcomes returns the number of calls by what became of them.
+func (d *Discovery) Outcomes() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.counts)
 }
 
-// DueNotifications returns when each node counts as notified at the latest, whatever became of its calls.
-func (d *Discovery) DueNotifications() []Notification {
+// LatestNotifications returns when each node counts as notified at the latest, whatever became of its calls.
+func (d *Discovery) LatestNotifications() []Notification {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var all []Notification
@@ -199,7 +199,7 @@
 		}
 		for node, spans := range d.attached {
 			for _, attached := range spans {
-				due := d.reachableFrom(later(change.at, attached.from)).Add(Due)
+				due := d.reachableFrom(later(change.at, attached.from)).Add(NotificationTimeout)
 				if attached.until.IsZero() || due.Before(attached.until) {
 					all = append(all, Notification{Node: node, Backend: change.host.Host, At: due, By: byDue})
 				}
@@ -213,7 +213,7 @@
 // as notified. The caller holds the lock.
 func (d *Discovery) reachableFrom(at time.Time) time.Time {
 	for i, down := range d.downTimes {
-		if !down.Before(at.Add(Due)) {
+		if !down.Before(at.Add(NotificationTimeout)) {
 			break
 		}
 		if i+1 < len(d.upTimes) {
--- a/internal/testpeer/held.go
+++ b/internal/testpeer/held.go
@@ -30,8 +30,8 @@
 	holding  atomic.Bool
 }
 
-// HoldReads creates a HeldReads; nothing is held back before HoldNext.
-func HoldReads() *HeldReads {
+// NewReadBlocker creates a HeldReads; nothing is held back before HoldNext.
+func NewReadBlocker() *HeldReads {
 	return &HeldReads{
 		Received: make(chan struct{}),
 		Release:  make(chan struct{}),
@@ -71,8 +71,8 @@
 	remaining atomic.Int32 // dials that are still to be held back
 }
 
-// HoldDials creates a HeldDials that holds the first n dials back.
-func HoldDials(n int) *HeldDials {
+// NewDialBlocker creates a HeldDials that holds the first n dials back.
+func NewDialBlocker(n int) *HeldDials {
 	h := &HeldDials{Connected: make(chan string, n), Release: make(chan struct{}, n)}
 	h.remaining.Store(int32(n))
 	return h
--- a/internal/testpeer/node.go
+++ b/internal/testpeer/node.go
@@ -35,8 +35,8 @@
 		Zones:         1,
 		Kinds:         1,
 		MaxAttempts:   3,
-		Tick:          int64(2 * time.Millisecond),
-		Reports:       standpoint.ReportReplies,
+		EventInterval: int64(2 * time.Millisecond),
+		Reports:       standpoint.ReportResponses,
 		Cancel:        true,
 		RetryAfter:    true,
 		MaxRetryAfter: int64(2 * time.Second),
@@ -75,8 +75,8 @@
 	t            testing.TB
 }
 
-// Dial opens a connection to a backend.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection to a backend.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Start starts a node with the given backends.
 func Start(t testing.TB, settings standpoint.Settings, endpoints ...node.Endpoint) *Node {
@@ -91,7 +91,7 @@
 }
 
 // StartDialing is StartLogged with a function that dials backends; nil stands for the usual one.
-func StartDialing(t testing.TB, log *zap.Logger, settings standpoint.Settings, dial Dial,
+func StartDialing(t testing.TB, log *zap.Logger, settings standpoint.Settings, dial DialFunc,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
 	return start(t, startOptions{log: log, dial: dial, settings: settings, endpoints: endpoints})
@@ -99,7 +99,7 @@
 
 // StartWrapped is Start with a function that wraps each connection that the node accepts, and one that dials backends;
 // nil stands for the usual one.
-func StartWrapped(t testing.TB, wrap func(net.Conn) net.Conn, dial Dial, settings standpoint.Settings,
+func StartWrapped(t testing.TB, wrap func(net.Conn) net.Conn, dial DialFunc, settings standpoint.Settings,
 	endpoints ...node.Endpoint) *Node {
 	t.Helper()
 	listen := func(l net.Listener) net.Listener { return wrappedListener{l, wrap} }
@@ -110,7 +110,7 @@
 type startOptions struct {
 	log       *zap.Logger                     // nil: none
 	listen    func(net.Listener) net.Listener // wraps the listener for clients; nil: none does
-	dial      Dial                            // dials backends; nil: the usual one
+	dial      DialFunc                        // dials backends; nil: the usual one
 	settings  standpoint.Settings
 	endpoints []node.Endpoint
 }
@@ -155,16 +155,16 @@
 // newBackends creates the node's side of its backends, with short times.
 func newBackends(options startOptions) *backend.Fleet {
 	return backend.New(backend.Options{
-		DialTimeout: 100 * time.Millisecond,
-		ConnIdle:    15 * time.Second,
-		MaxIdle:     10,
-		Dial:        options.dial,
-		Log:         options.log,
+		DialTimeout:        100 * time.Millisecond,
+		BackendIdleTimeout: 15 * time.Second,
+		MaxIdlePerBackend:  10,
+		Dial:               options.dial,
+		Log:                options.log,
 		Batch: backend.BatchOptions{
-			Gather: 30 * time.Millisecond,
-			Lines:  50,
-			Poll:   20 * time.Millisecond,
-			Lost:   500 * time.Millisecond,
+			GatherTime:   30 * time.Millisecond,
+			MaxLines:     50,
+			PollInterval: 20 * time.Millisecond,
+			LostTimeout:  500 * time.Millisecond,
 		},
 	})
 }
@@ -182,12 +182,12 @@
 	n.Connections = edge.NewConnectionTracker(listener, maxConnections, options.log)
 	n.Connections.Metrics = n.Metrics
 	front := &edge.Front{
-		Core:      n.Core,
-		Lifecycle: n.Lifecycle,
-		Names:     Names,
-		Bodies:    n.Bodies,
-		Metrics:   n.Metrics,
-		Log:       options.log,
+		Core:        n.Core,
+		Lifecycle:   n.Lifecycle,
+		Names:       Names,
+		BodyLimiter: n.Bodies,
+		Metrics:     n.Metrics,
+		Log:         options.log,
 	}
 	n.Server = edge.NewServer(front.Handler(), n.Connections, options.log)
 }
--- a/internal/testpeer/request.go
+++ b/internal/testpeer/request.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Upload returns the body of an upload of a batch file, and its content type.
-func Upload(content string) (contentType string, body *bytes.Buffer) {
+// BatchUpload returns the body of an upload of a batch file, and its content type.
+func BatchUpload(content string) (contentType string, body *bytes.Buffer) {
 	body = &bytes.Buffer{}
 	form := multipart.NewWriter(body)
 	_ = form.WriteField("purpose", "batch") // into memory: cannot fail
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -31,7 +31,7 @@
 var engineStates = map[string]standpoint.State{
 	"ready":    standpoint.Ready,
 	"draining": standpoint.Draining,
-	"gone":     standpoint.Gone,
+	"gone":     standpoint.Removed,
 }
 
 // Decode decodes one line. Its errors name the verb, and the key that is missing or invalid.
@@ -175,13 +175,13 @@
 		return standpoint.Engine{}, fmt.Errorf("engine %s in unknown state %q", m.Name, m.State)
 	}
 	return standpoint.Engine{
-		Name:    m.Name,
-		Zone:    m.Zone,
-		Kind:    m.Kind,
-		Cell:    m.Cell,
-		State:   state,
-		Size:    m.Size,
-		ReadyAt: m.ReadyAt,
+		Name:      m.Name,
+		Zone:      m.Zone,
+		Kind:      m.Kind,
+		Cell:      m.Cell,
+		State:     state,
+		Size:      m.Size,
+		StartedAt: m.ReadyAt,
 	}, nil
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -44,7 +44,7 @@
 		{"list", `{"verb":"members","node":3,"kind":"incr","revision":4,"members":[{"engine":"e","failureDomain":1,
 			"type":2,"bay":3,"state":"draining","nominal":1.5,"readyAt":9}]}`,
 			&standpoint.EngineList{Kind: standpoint.ListDelta, Engines: []standpoint.Engine{{Name: "e", Zone: 1,
-				Kind: 2, Cell: 3, State: standpoint.Draining, Size: 1.5, ReadyAt: 9}}}},
+				Kind: 2, Cell: 3, State: standpoint.Draining, Size: 1.5, StartedAt: 9}}}},
 		{"lost", `{"verb":"members","node":3,"kind":"lost"}`, &standpoint.EngineList{Kind: standpoint.ListFailed}},
 	}
 	for _, c := range cases {
@@ -62,9 +62,9 @@
 		t.Fatal(err)
 	}
 	s := m.Settings
-	want := standpoint.Class{Effect: standpoint.Keyed, Group: standpoint.GroupCell, Window: 5e9, Streamed: true,
+	want := standpoint.Class{Effect: standpoint.Keyed, DedupScope: standpoint.GroupCell, DedupWindow: 5e9, Streamed: true,
 		TTFTObjective: 3e8, TTFTObjectivePer1000Tokens: 6e7, TPOTObjective: 1e8, Deadline: 15e8, Weight: 5,
-		LateWeight: 0.25, Description: "c"}
+		LateWeight: 0.25, Name: "c"}
 	if m.Seed != -1 || len(s.Classes) != 1 || s.Classes[0] != want {
 		t.Fatalf("seed %d, classes %+v", m.Seed, s.Classes)
 	}
--- a/learned_state.go
+++ b/learned_state.go
@@ -63,7 +63,7 @@
 	// RecentValueDensities are the value densities of the latest requests.
 	RecentValueDensities []float64       `json:"lately"`
 	Engines              []LearnedEngine `json:"engines"`
-	Prompts              []LearnedPrompt `json:"prompts"`
+	CachedPrompts        []LearnedPrompt `json:"prompts"`
 }
 
 // LearnedMean is a running mean.
@@ -84,7 +84,7 @@
 // LearnedEngine is the learned state of an engine's process, which is identified by name and start time.
 type LearnedEngine struct {
 	Name        string `json:"name"`
-	ReadyAt     int64  `json:"ready_at"`
+	StartedAt   int64  `json:"ready_at"`
 	FirstSeenAt int64  `json:"since"`
 	// Slowness is the mean logarithm of the ratio of observed to predicted TTFT.
 	Slowness float64 `json:"speed"`
@@ -141,20 +141,20 @@
 		learned.ClassTPOTRatios = append(learned.ClassTPOTRatios, learnedMean(m))
 	}
 	for _, e := range r.engines {
-		if len(learned.Engines) < maxLearnedEngines && e.State != Gone {
+		if len(learned.Engines) < maxLearnedEngines && e.State != Removed {
 			learned.Engines = append(learned.Engines, e.learned())
 		}
 	}
 	for _, table := range r.matchTable {
 		for key, entry := range table {
-			learned.Prompts = append(learned.Prompts,
+			learned.CachedPrompts = append(learned.CachedPrompts,
 				LearnedPrompt{key, float32(entry.tokens), entry.storedAt})
 		}
 	}
-	slices.SortFunc(learned.Prompts, func(a, b LearnedPrompt) int {
+	slices.SortFunc(learned.CachedPrompts, func(a, b LearnedPrompt) int {
 		return int(min(1, max(-1, b.StoredAt-a.StoredAt)))
 	})
-	learned.Prompts = learned.Prompts[:min(len(learned.Prompts), maxLearnedPrompts)]
+	learned.CachedPrompts = learned.CachedPrompts[:min(len(learned.CachedPrompts), maxLearnedPrompts)]
 	return learned
 }
 
@@ -162,7 +162,7 @@
 func (e *engine) learned() LearnedEngine {
 	return LearnedEngine{
 		Name:              e.Name,
-		ReadyAt:           e.ReadyAt,
+		StartedAt:         e.StartedAt,
 		FirstSeenAt:       e.firstSeenAt,
 		Slowness:          e.ttftSlowness,
 		TPOTSlowness:      learnedMean(e.tpotSlowness),
@@ -210,7 +210,7 @@
 		len(l.ClassTPOTRatios) != len(settings.Classes)+1 ||
 			len(l.HomeCachedFraction) != len(settings.Classes)+1,
 		len(l.RecentValueDensities) > maxRankedRequests, len(l.Engines) > maxLearnedEngines,
-		len(l.Prompts) > maxLearnedPrompts:
+		len(l.CachedPrompts) > maxLearnedPrompts:
 		return errors.New("learned state has a list with missing or too many entries")
 	}
 	for _, m := range append(slices.Clone(l.TTFTModels), l.TPOTModels...) {
@@ -287,7 +287,7 @@
 	r.nextValueDensity = 0
 	for _, saved := range learned.Engines {
 		e := r.engines[saved.Name]
-		if e == nil || e.ReadyAt != saved.ReadyAt {
+		if e == nil || e.StartedAt != saved.StartedAt {
 			continue
 		}
 		e.firstSeenAt = saved.FirstSeenAt
@@ -303,7 +303,7 @@
 		e.slowStartBudget = saved.SlowStartBudget
 		e.slowStartBudgetAt = saved.SlowStartBudgetAt
 	}
-	for _, prompt := range learned.Prompts {
+	for _, prompt := range learned.CachedPrompts {
 		r.matchTable[0][prompt.Key] = matchEntry{float64(prompt.Tokens), prompt.StoredAt}
 	}
 	return nil
--- a/learned_state_test.go
+++ b/learned_state_test.go
@@ -81,7 +81,7 @@
 		t.Error("state restored for an engine that the first router did not know")
 	}
 	restarted := New(s, 3)
-	feed(restarted, now, &EngineList{Kind: ListFull, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now - second}}})
+	feed(restarted, now, &EngineList{Kind: ListFull, Engines: []Engine{{Name: "b", Size: 1, StartedAt: now - second}}})
 	if err := restarted.RestoreLearned(&learned, now); err != nil || restarted.engines["b"].ttftSlowness != 0 {
 		t.Errorf("state restored for a restarted engine, error %v", err)
 	}
--- a/request.go
+++ b/request.go
@@ -39,7 +39,7 @@
 	r.countRequest()
 	r.emit(Action{
 		Kind:  Timer,
-		Wait:  max(0, q.Deadline-r.now-2*r.settings.Tick),
+		Wait:  max(0, q.Deadline-r.now-2*r.settings.EventInterval),
 		Token: q.ID*tokenStep + tokenExpire,
 	})
 	if !r.consultDirectory(q) {
@@ -171,7 +171,7 @@
 	if a == nil || !a.inFlight {
 		return
 	}
-	if ev.Report != nil && r.settings.Reports == ReportReplies {
+	if ev.Report != nil && r.settings.Reports == ReportResponses {
 		r.recordReport(a.engine, ev.Report)
 	}
 	a.inFlight = false
@@ -226,7 +226,7 @@
 	// An attempt that was not sent cost nothing; one that was cancelled was charged at that time.
 	freeRetry := code == NotSent || code == Cancelled
 	budgetExhausted := r.retryBudget < 1 && code != NoConnection && !freeRetry
-	if budgetExhausted || r.now >= q.Deadline-2*r.settings.Tick || r.hasNoValueLeft(q) {
+	if budgetExhausted || r.now >= q.Deadline-2*r.settings.EventInterval || r.hasNoValueLeft(q) {
 		r.finishUnserved(q)
 		return
 	}
@@ -424,7 +424,7 @@
 func (r *Router) mayNotRepeat(q *request) bool {
 	c := r.class(q)
 	return q.attemptsInFlight() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
-		return a.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && r.now-a.sentAt >= c.Window)
+		return a.mayHaveRun && (c.Effect == Unsafe || c.Effect == Keyed && r.now-a.sentAt >= c.DedupWindow)
 	})
 }
 
@@ -434,7 +434,7 @@
 func (r *Router) startBefore(q *request) int64 {
 	earliest, c := int64(0), r.class(q)
 	for _, a := range q.attempts {
-		windowEnd := a.sentAt + c.Window - 2*r.settings.Tick
+		windowEnd := a.sentAt + c.DedupWindow - 2*r.settings.EventInterval
 		if a.mayHaveRun && !a.inFlight && c.Effect == Keyed && (earliest == 0 || windowEnd < earliest) {
 			earliest = windowEnd
 		}
--- a/router_test.go
+++ b/router_test.go
@@ -71,7 +71,7 @@
 }
 
 // Before any sample, the priors make a loaded engine look slower than an idle one.
-func TestYoungRouterPredictionGrowsWithLoad(t *testing.T) {
+func TestUntrainedRouterPredictionGrowsWithLoad(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a"))
 	q := &request{Request: *newRequest(1, second)}
@@ -285,9 +285,9 @@
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a"), delta(Draining))
 	expect(t, feed(r, ms, newRequest(1, second)), "") // queued, not sent
-	expect(t, feed(r, 2*ms, delta(Gone)), "")
+	expect(t, feed(r, 2*ms, delta(Removed)), "")
 	restarted := delta(Ready)
-	restarted.Engines[0].ReadyAt = ms // removed, then listed again with a new start
+	restarted.Engines[0].StartedAt = ms // removed, then listed again with a new start
 	feed(r, 3*ms, restarted)
 	if r.engines["a"] == nil || r.engines["a"].notReady {
 		t.Fatal("an engine that is listed as ready again is not used")
@@ -336,7 +336,7 @@
 	for _, c := range cases {
 		s := testSettings()
 		s.Zones = 2
-		s.Classes[0].Effect, s.Classes[0].Group, s.Classes[0].Window = c.effect, c.group, c.window
+		s.Classes[0].Effect, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = c.effect, c.group, c.window
 		r := New(s, 1)
 		c.other.Size = 1
 		feed(r, 0, engineList("a"))
@@ -360,7 +360,7 @@
 // No second copy is sent of an overdue attempt where the settings forbid two copies at once.
 func TestNoHedgingWhereForbidden(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies = false
+	s.HedgedRequests = false
 	r := New(s, 1)
 	feed(r, 0, engineList("a", "b", "c"))
 	expect(t, feed(r, 0, newRequest(1, 3*second)), "send ")
@@ -420,7 +420,7 @@
 	s := testSettings()
 	r := New(s, 1)
 	list := engineList("a", "b", "c", "d")
-	list.Engines[0].ReadyAt = 100 * second
+	list.Engines[0].StartedAt = 100 * second
 	now := 100 * second
 	feed(r, now, list)
 	sent, all := 0, 0
@@ -657,7 +657,7 @@
 		first := feed(r, 100*second, newRequest(1, 104*second))
 		feed(r, 100*second, &Outcome{Request: 1, Code: Served, CachedTokens: 0, Elapsed: 10 * ms, Last: true})
 		list := engineList(append(names, "cold")...)
-		list.Engines[40].ReadyAt = 101 * second
+		list.Engines[40].StartedAt = 101 * second
 		feed(r, 101*second, list)
 		for i := range r.ready {
 			r.ready[i].slowStartBudget = 1
@@ -690,7 +690,7 @@
 			feed(r, now, newRequest(i, now+4*second), &Outcome{Request: i, Code: Served, Elapsed: 10 * ms, Last: true})
 		}
 		list := engineList(append(names, "cold")...)
-		list.Engines[7].ReadyAt = now
+		list.Engines[7].StartedAt = now
 		feed(r, now, list)
 		r.engines["cold"].slowStartBudget = 1
 		if got := feed(r, now, newRequest(1000, now+4*second)); got[0].Engine == "cold" {
@@ -713,7 +713,7 @@
 		feed(r, now, newRequest(i, now+second), &Outcome{Request: i, Code: Rejected})
 	}
 	remaining := engineList("a")
-	remaining.Engines[0].ReadyAt = now
+	remaining.Engines[0].StartedAt = now
 	feed(r, now, remaining)
 	sent := 0
 	for i := int64(1000); i < 1150; i++ {
@@ -894,7 +894,7 @@
 	}
 	// All engines of the sample are starting, and their slow-start budget is used up.
 	for name := range first {
-		b.Handle(ms, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, ReadyAt: ms}}}, nil)
+		b.Handle(ms, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, StartedAt: ms}}}, nil)
 	}
 	b.settings.WarmUp, b.settings.OverloadFactor = 20*second, 4
 	sent := false
@@ -912,7 +912,7 @@
 // process do not change what is known of the new one: late reports, cached prompts, silence and errors.
 func TestRestartedEngineInheritsNothing(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies, s.Gateways = false, 1
+	s.HedgedRequests, s.Gateways = false, 1
 	r := New(s, 1)
 	now := 100 * second
 	feed(r, now, engineList("a", "b"))
@@ -928,7 +928,7 @@
 	}
 	oldProcess := r.engines["a"]
 	now += second
-	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", Size: 1, ReadyAt: now - 100*ms}}})
+	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "a", Size: 1, StartedAt: now - 100*ms}}})
 	newProcess := r.engines["a"]
 	if newProcess.tokensInFlight != 0 || newProcess.attemptsInFlight != 0 || newProcess.slowStartBudgetAt == 0 {
 		t.Fatalf(
@@ -996,7 +996,7 @@
 // A stream that its client read slowly must not change the predicted time per token of the engine.
 func TestStreamsSlowedByClientsTeachNoPace(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies, s.Gateways = false, 1
+	s.HedgedRequests, s.Gateways = false, 1
 	predictedTPOT := func(stallClient bool) float64 {
 		r := New(s, 1)
 		feed(r, second, engineList("a"))
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -89,7 +89,7 @@
 	list := &EngineList{Kind: kind}
 	for i := range 6 {
 		e := sim.engines[engineName(i)]
-		if len(names) > 0 && names[0] != e.Name || kind == ListFull && e.State == Gone {
+		if len(names) > 0 && names[0] != e.Name || kind == ListFull && e.State == Removed {
 			continue
 		}
 		list.Engines = append(list.Engines, *e)
@@ -131,22 +131,22 @@
 	}
 	c := sim.class(record)
 	for _, previous := range record.attempts {
-		if previous.inFlight && !sim.settings.SecondCopies {
+		if previous.inFlight && !sim.settings.HedgedRequests {
 			sim.violation("rule 2: two copies of a request in flight")
 		}
 		if (previous.ran || previous.inFlight) && c.Effect == Unsafe {
 			sim.violation("rule 2: unsafe request repeated")
 		}
-		if (previous.ran || previous.inFlight) && c.Effect == Keyed && (!sameZoneOrCell(c.Group, previous.engine, *e) ||
-			sim.now-previous.sent >= c.Window) {
+		if (previous.ran || previous.inFlight) && c.Effect == Keyed && (!sameZoneOrCell(c.DedupScope, previous.engine, *e) ||
+			sim.now-previous.sent >= c.DedupWindow) {
 			sim.violation("rule 2: keyed request repeated outside its group or window")
 		}
 	}
 	if len(record.attempts) >= sim.settings.MaxAttempts {
 		sim.violation("a request has more attempts than allowed")
 	}
-	if e.ReadyAt > 0 && sim.now-e.ReadyAt < sim.settings.WarmUp {
-		sim.coldSends[a.Engine] = append(sim.coldSends[a.Engine], coldSend{sim.now, e.ReadyAt})
+	if e.StartedAt > 0 && sim.now-e.StartedAt < sim.settings.WarmUp {
+		sim.coldSends[a.Engine] = append(sim.coldSends[a.Engine], coldSend{sim.now, e.StartedAt})
 	}
 	sim.sends++
 	record.attempts = append(record.attempts, attemptRecord{engine: *e, sent: sim.now, inFlight: true})
@@ -167,7 +167,7 @@
 	if a.Kind == Shed && sim.class(record).Effect != Safe {
 		for _, previous := range record.attempts {
 			if (previous.ran || previous.inFlight) &&
-				!(sim.class(record).Effect == Keyed && sim.class(record).Group == GroupAll) {
+				!(sim.class(record).Effect == Keyed && sim.class(record).DedupScope == GroupAll) {
 				sim.violation("rule 2: request shed though it may have run")
 			}
 		}
@@ -212,7 +212,7 @@
 		e := sim.engines[engineName(sim.rng.IntN(6))]
 		e.State = State(sim.rng.IntN(3))
 		if e.State == Ready {
-			e.ReadyAt = sim.now
+			e.StartedAt = sim.now
 		} else {
 			sim.withdrawnAt[e.Name] = sim.now
 		}
@@ -276,7 +276,7 @@
 	s.Classes = nil
 	for _, e := range []Effect{Safe, Keyed, Unsafe} {
 		for _, g := range []Group{GroupAll, GroupZone, GroupCell} {
-			c.Effect, c.Group, c.Window = e, g, 300*ms
+			c.Effect, c.DedupScope, c.DedupWindow = e, g, 300*ms
 			s.Classes = append(s.Classes, c)
 		}
 	}
@@ -288,7 +288,7 @@
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		s := allEffects()
-		s.SecondCopies = seed%2 == 0
+		s.HedgedRequests = seed%2 == 0
 		s.Cancel = seed%3 != 0
 		s.SubscribeDiscovery = seed%4 == 0
 		s.Probes = seed%5 == 0
@@ -408,7 +408,7 @@
 // whether these are long or short.
 func TestReportedTokenCountsTeachPace(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies, s.Gateways = false, 1
+	s.HedgedRequests, s.Gateways = false, 1
 	r := New(s, 1)
 	feed(r, second, engineList("fast", "slow"))
 	now, id := second, int64(0)
@@ -437,7 +437,7 @@
 // One lost connection does not exclude an engine. A second error in a row does, until a trial is due.
 func TestConsecutiveErrorsEjectEngine(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies, s.Gateways = false, 1
+	s.HedgedRequests, s.Gateways = false, 1
 	r := New(s, 1)
 	feed(r, second, engineList("a", "b", "c"))
 	a := r.engines["a"]
--- a/slow_start.go
+++ b/slow_start.go
@@ -35,7 +35,7 @@
 // reported, or the time at which an unreachable engine responded again. Discovery reports a real restart
 // within its timeout, so a recovery that is not followed by such a report was no restart.
 func (r *Router) startedAt(e *engine) int64 {
-	start := e.ReadyAt
+	start := e.StartedAt
 	if e.substituteStartAt > 0 {
 		start = e.substituteStartAt
 	}
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -15,7 +15,7 @@
 		feed(r, now-20*second, engineList("a", "b")) // the first list, which may be of any age
 		feed(r, now-15*second, engineList("a", "b"))
 		l := engineList("a", "b")
-		l.Engines[0].ReadyAt = readyAt
+		l.Engines[0].StartedAt = readyAt
 		feed(r, now, l)
 		a, b := r.engines["a"], r.engines["b"]
 		if got := r.minCapacityFraction(a); got > r.settings.ColdCapacityFraction+0.01 {
@@ -40,7 +40,7 @@
 	r := New(testSettings(), 1)
 	feed(r, now-second, engineList("a"))
 	l := engineList("a", "b")
-	l.Engines[1].ReadyAt = now - 60*second
+	l.Engines[1].StartedAt = now - 60*second
 	feed(r, now, l)
 	if got := r.minCapacityFraction(r.engines["b"]); got != 1 {
 		t.Errorf("capacity fraction %.2f a minute after the start, want 1", got)
@@ -52,7 +52,7 @@
 	const now = 1_000_000 * second
 	r := New(testSettings(), 1)
 	l := engineList("old", "young", "future")
-	l.Engines[0].ReadyAt, l.Engines[1].ReadyAt, l.Engines[2].ReadyAt = now-3600*second, now-second, now+3600*second
+	l.Engines[0].StartedAt, l.Engines[1].StartedAt, l.Engines[2].StartedAt = now-3600*second, now-second, now+3600*second
 	feed(r, now, l)
 	if r.minCapacityFraction(r.engines["old"]) != 1 || r.minCapacityFraction(r.engines["young"]) > 0.6 ||
 		r.minCapacityFraction(r.engines["future"]) > r.settings.ColdCapacityFraction {
--- a/state.go
+++ b/state.go
@@ -47,8 +47,8 @@
 	tpotSlowness mean
 	// errorRate is the fraction of errors and rejections among the latest responses.
 	errorRate float64
-	// substituteStartAt replaces ReadyAt where that is implausible because clocks disagree: it is when the
-	// start was first reported. 0 if ReadyAt holds.
+	// substituteStartAt replaces StartedAt where that is implausible because clocks disagree: it is when the
+	// start was first reported. 0 if StartedAt holds.
 	substituteStartAt int64
 	// lastTrialAt is when the latest attempt was sent, or when the engine became suspect if that was later.
 	lastTrialAt int64
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -6,7 +6,7 @@
 // predicted time to the first token of a quiet tenant's request at engine "a", in seconds.
 func newTwoTenantRouter(quota float64) (r *Router, predictTTFT func(now int64) float64) {
 	s := testSettings()
-	s.SecondCopies, s.Gateways, s.MaxAttempts = false, 1, 3
+	s.HedgedRequests, s.Gateways, s.MaxAttempts = false, 1, 3
 	s.Tenants = []Tenant{{Share: 0.5, QuotaRPS: quota}, {Share: 0.5, QuotaRPS: quota}}
 	r = New(s, 1)
 	feed(r, second, engineList("a", "b"))
@@ -178,7 +178,7 @@
 			r,
 			now,
 			engineList("a", "b"),
-			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
+			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, StartedAt: now}}},
 		)
 		if r.hasSlowStartBudget(r.engines["b"]) {
 			t.Fatalf("seed %d: slow-start budget for a request at once", seed)
@@ -197,7 +197,7 @@
 		r,
 		now,
 		engineList("a", "b"),
-		&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, ReadyAt: now}}},
+		&EngineList{Kind: ListDelta, Engines: []Engine{{Name: "b", Size: 1, StartedAt: now}}},
 	)
 	e := r.engines["b"]
 	for windowStart := now; windowStart < now+24*second; windowStart += s.OverloadWindow {
@@ -250,7 +250,7 @@
 		}
 	}
 	run(now + 10*second)
-	reinstated := Engine{Name: "d", Size: 1, ReadyAt: now, Reinstated: true}
+	reinstated := Engine{Name: "d", Size: 1, StartedAt: now, Reinstated: true}
 	feed(r, now, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: "d", Size: 1, State: Draining}}},
 		&EngineList{Kind: ListDelta, Engines: []Engine{reinstated}})
 	clear(firstUse)
--- a/unreported_load_test.go
+++ b/unreported_load_test.go
@@ -7,7 +7,7 @@
 // noReportSettings describes a deployment of ten gateways and five zones without load reports.
 func noReportSettings() Settings {
 	s := testSettings()
-	s.Reports, s.SecondCopies, s.Zones, s.CrossZonePrice, s.Gateways = ReportNone, false, 5, 0.015, 10
+	s.Reports, s.HedgedRequests, s.Zones, s.CrossZonePrice, s.Gateways = ReportNone, false, 5, 0.015, 10
 	return s
 }
 
@@ -28,7 +28,7 @@
 		reports        ReportMode
 		price          float64
 		prefersOwnZone bool
-	}{{ReportNone, 0.015, false}, {ReportNone, 0.3, true}, {ReportReplies, 0.015, true}} {
+	}{{ReportNone, 0.015, false}, {ReportNone, 0.3, true}, {ReportResponses, 0.015, true}} {
 		s := noReportSettings()
 		s.Reports, s.CrossZonePrice, s.WarmUp = c.reports, c.price, 0
 		r := New(s, 1)
@@ -111,7 +111,7 @@
 // objectives end the shedding. With load reports such attempts cause no shedding.
 func TestWithoutReportsHopelessRequestsAreShed(t *testing.T) {
 	t.Parallel()
-	for _, reports := range []ReportMode{ReportNone, ReportReplies} {
+	for _, reports := range []ReportMode{ReportNone, ReportResponses} {
 		s := noReportSettings()
 		s.Reports = reports
 		r := New(s, 1)
@@ -160,7 +160,7 @@
 // next requests find the engines in the same state.
 func TestWithoutReportsSheddingDoesNotDecayWithTime(t *testing.T) {
 	t.Parallel()
-	for reports, minFraction := range map[ReportMode]float64{ReportNone: 0.35, ReportReplies: 0} {
+	for reports, minFraction := range map[ReportMode]float64{ReportNone: 0.35, ReportResponses: 0} {
 		s := noReportSettings()
 		s.Reports = reports
 		r := New(s, 1)
@@ -181,7 +181,7 @@
 		reports      ReportMode
 		shedFraction float64
 		want         string
-	}{{ReportNone, 0, "cancel "}, {ReportNone, 0.5, ""}, {ReportReplies, 0.5, "cancel "}} {
+	}{{ReportNone, 0, "cancel "}, {ReportNone, 0.5, ""}, {ReportResponses, 0.5, "cancel "}} {
 		s := noReportSettings()
 		s.Reports, s.Classes[0].LateWeight = c.reports, 0.5
 		r := New(s, 1)
@@ -198,7 +198,7 @@
 func TestCancelConsumesRetryBudget(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
-	s.SecondCopies, s.Gateways, s.Classes[0].LateWeight = false, 1, 0.5
+	s.HedgedRequests, s.Gateways, s.Classes[0].LateWeight = false, 1, 0.5
 	r := New(s, 1)
 	feed(r, second, engineList("a"))
 	for id := range int64(6) {
