--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -104,7 +104,7 @@
 	backends *recordingBackends
 	hallA    *responder.Server
 	hallB    *responder.Server
-	records  map[string]responder.Box
+	records  map[string]responder.Instance
 }
 
 func startDiscoveryTest(t *testing.T) *discoveryTest {
@@ -123,7 +123,7 @@
 		},
 		hallA:   startResponder(t, "hall-a.test"),
 		hallB:   startResponder(t, "hall-b.test"),
-		records: map[string]responder.Box{},
+		records: map[string]responder.Instance{},
 	}
 	for _, label := range []string{"a-1", "a-2", "a-3"} {
 		d.publish(d.hallA, label, "_engine._tcp", d.backends.start(t, label))
@@ -146,7 +146,7 @@
 
 func (d *discoveryTest) publish(to *responder.Server, label, service string, at netip.AddrPort) {
 	d.t.Helper()
-	d.records[label] = responder.Box{Label: label, Service: service, Address: at, TTL: 60}
+	d.records[label] = responder.Instance{Label: label, Service: service, Address: at, TTL: 60}
 	require.NoError(d.t, to.Zone.Publish(d.records[label]))
 }
 
--- a/internal/dnssd/browser/browser_test.go
+++ b/internal/dnssd/browser/browser_test.go
@@ -21,13 +21,13 @@
 var testService = record.Service{Type: service, Domain: "hall-a.test"}
 
 // instance returns an instance of the test service at a port of 127.0.0.1.
-func instance(label string, port int) responder.Box {
-	return responder.Box{Label: label, Service: service, TTL: 120, Text: []string{"site=a"},
+func instance(label string, port int) responder.Instance {
+	return responder.Instance{Label: label, Service: service, TTL: 120, Text: []string{"site=a"},
 		Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))}
 }
 
 // instances returns n instances, box-1 to box-n, at the ports from 8001.
-func instances(n int) (all []responder.Box) {
+func instances(n int) (all []responder.Instance) {
 	for i := range n {
 		all = append(all, instance(fmt.Sprintf("box-%d", i+1), 8001+i))
 	}
@@ -35,7 +35,7 @@
 }
 
 // startResponder starts a DNS server with the given instances; it offers push over TLS if c is not nil.
-func startResponder(t *testing.T, certificate *tls.Certificate, all ...responder.Box) *responder.Server {
+func startResponder(t *testing.T, certificate *tls.Certificate, all ...responder.Instance) *responder.Server {
 	t.Helper()
 	zone := responder.NewZone("hall-a.test", 7)
 	require.NoError(t, zone.Publish(all...))
@@ -67,7 +67,7 @@
 	case Push:
 		options.PushAddress = server.Address
 	case MDNS:
-		options.DialMDNS = func() (Transport, error) { return DialUnicast(server.MDNS) }
+		options.DialMDNS = func() (Transport, error) { return DialUnicast(server.MDNSAddress) }
 	}
 	if change != nil {
 		change(&options)
@@ -174,7 +174,7 @@
 				server := startResponder(t, nil, instances(6)...)
 				_, snapshots := startBrowser(t, server, mechanism, nil)
 				waitForSnapshot(t, snapshots, readyBy(6, mechanism))
-				server.Set(responder.Faults{Every: every, Jitter: 5 * time.Millisecond})
+				server.SetFaults(responder.Faults{LossInterval: every, Jitter: 5 * time.Millisecond})
 				require.Less(t, bestWithdrawalDelay(t, server, snapshots, 6), 500*time.Millisecond)
 			})
 		}
@@ -208,7 +208,7 @@
 // records outside the domain, or random bytes.
 func TestForgedAnswersAreRejected(t *testing.T) {
 	server := startResponder(t, nil, instances(4)...)
-	server.Set(responder.Faults{WrongID: 1, Poison: 1, Garbage: 1})
+	server.SetFaults(responder.Faults{WrongID: 1, Poison: 1, Garbage: 1})
 	browser, snapshots := startBrowser(t, server, Poll, nil)
 	waitForSnapshot(t, snapshots, readyBy(4, Poll))
 	for range 20 {
@@ -229,14 +229,14 @@
 // of 0.
 func TestTruncatedAnswersAndZeroTTL(t *testing.T) {
 	server := startResponder(t, nil, instances(5)...)
-	server.Set(responder.Faults{Truncate: true, ZeroTTL: true})
+	server.SetFaults(responder.Faults{Truncate: true, ZeroTTL: true})
 	_, snapshots := startBrowser(t, server, Poll, nil)
 	waitForSnapshot(t, snapshots, readyBy(5, Poll))
-	before := server.Questions.Load()
+	before := server.QueryCount.Load()
 	time.Sleep(time.Second)
 	require.Less(
 		t,
-		server.Questions.Load()-before,
+		server.QueryCount.Load()-before,
 		int64(150),
 	) // in one second: 40 queries for the serial, and 16 sets queried at most once, with one retry each
 }
@@ -266,7 +266,7 @@
 // half of the responses still list the instance.
 func TestLaggingServerDoesNotReviveWithdrawnInstances(t *testing.T) {
 	server := startResponder(t, nil, instances(4)...)
-	server.Set(responder.Faults{Other: server.Zone.Copy()})
+	server.SetFaults(responder.Faults{SecondZone: server.Zone.Copy()})
 	_, snapshots := startBrowser(t, server, Poll, nil)
 	waitForSnapshot(t, snapshots, readyBy(4, Poll))
 	for i := range 3 {
--- a/internal/dnssd/browser/push_session_test.go
+++ b/internal/dnssd/browser/push_session_test.go
@@ -46,7 +46,7 @@
 	certificate, roots := newCertificate(t)
 	_, others := newCertificate(t)
 	server := startResponder(t, certificate, instances(2)...)
-	secureAddress := netip.MustParseAddrPort(server.Secure)
+	secureAddress := netip.MustParseAddrPort(server.TLSAddress)
 	head := func(name string, kind uint16) dns.RR_Header {
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: 60}
 	}
@@ -65,23 +65,23 @@
 	require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 	waitForSnapshot(t, snapshots, readyBy(1, Push))
 
-	sessions := server.Sessions.Load()
+	sessions := server.SessionCount.Load()
 	_, snapshots = startBrowser(t, server, Auto, func(o *Options) { o.TLS = &tls.Config{RootCAs: others} })
 	waitForSnapshot(t, snapshots, readyBy(1, Poll)) // the root is not trusted, so polling continues
 	require.NoError(t, server.Zone.Withdraw(instance("box-2", 8002)))
 	waitForSnapshot(t, snapshots, readyBy(0, Poll))
-	require.Equal(t, sessions, server.Sessions.Load())
+	require.Equal(t, sessions, server.SessionCount.Load())
 }
 
 // Guards against missed changes at a server without DSO: the browser must fall back to polling and open no session.
 func TestServerWithoutPushIsPolled(t *testing.T) {
 	server := startResponder(t, nil, instances(2)...)
-	server.Set(responder.Faults{NoPush: true})
+	server.SetFaults(responder.Faults{NoPush: true})
 	_, snapshots := startBrowser(t, server, Push, nil)
 	waitForSnapshot(t, snapshots, readyBy(2, Poll))
 	require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 	waitForSnapshot(t, snapshots, readyBy(1, Poll))
-	require.Zero(t, server.Sessions.Load())
+	require.Zero(t, server.SessionCount.Load())
 }
 
 // blackholeProxy forwards connections until shut is closed, and then drops all bytes without closing them.
@@ -157,7 +157,7 @@
 	server := startResponder(t, nil, instances(3)...)
 	_, snapshots := startBrowser(t, server, Push, nil)
 	waitForSnapshot(t, snapshots, readyBy(3, Push))
-	server.Set(responder.Faults{Mute: true})
+	server.SetFaults(responder.Faults{NoPushChanges: true})
 	require.NoError(t, server.Zone.Withdraw(instance("box-1", 8001)))
 	waitForSnapshot(t, snapshots, readyBy(2, Poll))
 }
--- a/internal/endpoints/services_test.go
+++ b/internal/endpoints/services_test.go
@@ -28,8 +28,8 @@
 	return server
 }
 
-func publishedBackend(label string, port int) responder.Box {
-	return responder.Box{
+func publishedBackend(label string, port int) responder.Instance {
+	return responder.Instance{
 		Label:   label,
 		Service: "_engine._tcp",
 		TTL:     60,
@@ -71,7 +71,7 @@
 	serverA := serveDomain(t, "a.test", "box-1", "box-2")
 	serverB := serveDomain(t, "b.test", "box-1")
 	serverC := serveDomain(t, "c.test", "box-1")
-	serverC.Set(responder.Faults{Silent: true})
+	serverC.SetFaults(responder.Faults{Unresponsive: true})
 	notify, updates := receiver(t)
 	sources := NewServiceSources(notify,
 		newTestSource(serverA, "a.test", "a"),
@@ -87,7 +87,7 @@
 		endpointNames(receive(t, updates)))
 	require.NoError(t, serverA.Zone.Withdraw(publishedBackend("box-1", 8001)))
 	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-9@c.test"}, endpointNames(receive(t, updates)))
-	serverC.Set(responder.Faults{})
+	serverC.SetFaults(responder.Faults{})
 	last := receive(t, updates)
 	require.Equal(t, []string{"box-2@a.test", "box-1@b.test", "box-1@c.test"}, endpointNames(last))
 	require.False(t, last.Endpoints[2].Stale)
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -234,8 +234,8 @@
 	if b == nil {
 		return math.Inf(1)
 	}
-	return b.Wait(sim.now, emulator.Job{Session: q.Session, Prefix: q.Prefix, Prompt: q.PromptTokens,
-		Shared: q.PrefixTokens, Out: 100}) + float64(b.inTransit)*0.02
+	return b.ExpectedWait(sim.now, emulator.Job{Session: q.Session, Prefix: q.Prefix, Prompt: q.PromptTokens,
+		Shared: q.PrefixTokens, OutputTokens: 100}) + float64(b.inTransit)*0.02
 }
 
 // newPolicy returns the policy of a node.
@@ -249,7 +249,7 @@
 // ratePattern is a rate of requests over time, with its maximum.
 type ratePattern interface {
 	Rate(at float64) float64
-	Most() float64
+	MaxRate() float64
 }
 
 // nextSessionDelay returns the time until the next session, in seconds; turns is the number of sessions per request.
@@ -257,7 +257,7 @@
 	if sim.Pattern == nil {
 		return sim.rng.ExpFloat64() / (sim.Rate * turns)
 	}
-	at, maxRate := sim.now, sim.Pattern.Most()
+	at, maxRate := sim.now, sim.Pattern.MaxRate()
 	for at < sim.now+float64(time.Hour/time.Second) {
 		at += sim.rng.ExpFloat64() / (maxRate * turns)
 		if sim.rng.Float64()*maxRate < sim.Pattern.Rate(at) {
--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -9,8 +9,8 @@
 	"math/rand/v2"
 )
 
-// Figures are the parameters of an emulated backend. Times are in seconds, lengths in tokens.
-type Figures struct {
+// Parameters are the parameters of an emulated backend. Times are in seconds, lengths in tokens.
+type Parameters struct {
 	// Slots is the maximum number of requests that run concurrently.
 	Slots int `toml:"slots"`
 	// Queue is the maximum number of requests that wait for a slot.
@@ -25,31 +25,31 @@
 	PerSequence float64 `toml:"per_sequence"`
 	// PerContext is the time that each 1,000 tokens of the running requests' contexts add to a step.
 	PerContext float64 `toml:"per_context"`
-	// ReadPerS is the prefill speed in prompt tokens per second.
-	ReadPerS float64 `toml:"read_per_s"`
-	// ColdShare is the fraction of its full speed that the backend has right after a start.
-	ColdShare float64 `toml:"cold_share"`
+	// PrefillRate is the prefill speed in prompt tokens per second.
+	PrefillRate float64 `toml:"read_per_s"`
+	// ColdSpeedFactor is the fraction of its full speed that the backend has right after a start.
+	ColdSpeedFactor float64 `toml:"cold_share"`
 	// WarmUp is the time from a start until the backend has its full speed.
 	WarmUp float64 `toml:"warm_up"`
-	// FallFactor is the overload, as a multiple of the current capacity, that makes a cold backend fail for good once
-	// it has lasted for Fall.
-	FallFactor float64 `toml:"fall_factor"`
-	// Fall is how long a cold backend withstands that overload; 0: it never fails from overload.
-	Fall float64 `toml:"fall"`
+	// OverloadFactor is the overload, as a multiple of the current capacity, that makes a cold backend fail for good
+	// once it has lasted for Fall.
+	OverloadFactor float64 `toml:"fall_factor"`
+	// OverloadTolerance is how long a cold backend withstands that overload; 0: it never fails from overload.
+	OverloadTolerance float64 `toml:"fall"`
 	// Capacity is the number of requests per second that the warm backend can serve. Only the overload rule uses it.
 	Capacity float64 `toml:"capacity"`
-	// ReportEvery is the interval at which the load report is refreshed.
-	ReportEvery float64 `toml:"report_every"`
+	// ReportInterval is the interval at which the load report is refreshed.
+	ReportInterval float64 `toml:"report_every"`
 }
 
 // Job is a request to an emulated backend.
 type Job struct {
-	ID      int64
-	Session uint64  // session key; 0: none
-	Prefix  uint64  // key of the shared prefix; 0: none
-	Prompt  float64 // prompt length in tokens
-	Shared  float64 // length in tokens of the shared prefix, which is part of the prompt
-	Out     int     // length of the response in tokens
+	ID           int64
+	Session      uint64  // session key; 0: none
+	Prefix       uint64  // key of the shared prefix; 0: none
+	Prompt       float64 // prompt length in tokens
+	Shared       float64 // length in tokens of the shared prefix, which is part of the prompt
+	OutputTokens int     // length of the response in tokens
 }
 
 // Verdict is the outcome of submitting a job.
@@ -57,23 +57,23 @@
 
 // The outcomes of Submit.
 const (
-	Taken   Verdict = iota // accepted: the job runs or is queued
-	Full                   // rejected without running: the queue is full or the backend is draining
-	Errored                // failed with an error response
-	Dead                   // the backend is down and accepts no connection
+	Accepted    Verdict = iota // accepted: the job runs or is queued
+	Rejected                   // rejected without running: the queue is full or the backend is draining
+	Errored                    // failed with an error response
+	Unreachable                // the backend is down and accepts no connection
 )
 
 // Report is a load report: the fraction of the memory that running requests occupy, the prompt tokens that are not yet
 // prefilled, in thousands, and the fraction of the slots in use.
-type Report struct{ Memory, Unread, Slots float64 }
+type Report struct{ Memory, PendingPrompt, Slots float64 }
 
 // Progress is what one step did for a job.
 type Progress struct {
-	ID     int64
-	First  bool    // whether the step generated the job's first token
-	Tokens int     // tokens generated in this step, including the first
-	Done   bool    // whether the job is complete
-	Kept   float64 // with Done: prompt tokens that were found in the cache
+	ID           int64
+	First        bool    // whether the step generated the job's first token
+	Tokens       int     // tokens generated in this step, including the first
+	Done         bool    // whether the job is complete
+	CachedTokens float64 // with Done: prompt tokens that were found in the cache
 }
 
 type job struct {
@@ -90,9 +90,9 @@
 	tokens float64
 }
 
-// Box is an emulated backend. Its methods take the time in seconds, which must not decrease.
-type Box struct {
-	Figures
+// Backend is an emulated backend. Its methods take the time in seconds, which must not decrease.
+type Backend struct {
+	Parameters
 	rng         *rand.Rand
 	startedAt   float64 // time of the last start; -Inf: long ago
 	dead        bool
@@ -115,12 +115,12 @@
 	received         int     // jobs submitted
 }
 
-// Came returns the number of jobs submitted, including rejected ones.
-func (b *Box) Came() int { return b.received }
+// Received returns the number of jobs submitted, including rejected ones.
+func (b *Backend) Received() int { return b.received }
 
 // New returns a backend that started at the given time; LongAgo makes it warm.
-func New(f Figures, seed uint64, started float64) *Box {
-	return &Box{Figures: f, rng: rand.New(rand.NewPCG(seed, 0x60a7)), startedAt: started, slowdown: 1,
+func New(f Parameters, seed uint64, started float64) *Backend {
+	return &Backend{Parameters: f, rng: rand.New(rand.NewPCG(seed, 0x60a7)), startedAt: started, slowdown: 1,
 		cache: list.New(), cacheByKey: map[uint64]*list.Element{}, prefilling: map[int64]float64{},
 		reportedAt: math.Inf(-1)}
 }
@@ -129,21 +129,21 @@
 var LongAgo = math.Inf(-1)
 
 // SpeedFactor returns the fraction of its full speed that the backend has at now, during and after its warm-up.
-func (b *Box) SpeedFactor(now float64) float64 {
+func (b *Backend) SpeedFactor(now float64) float64 {
 	if b.WarmUp <= 0 || now-b.startedAt >= b.WarmUp {
 		return 1
 	}
-	return b.ColdShare + (1-b.ColdShare)*max(0, now-b.startedAt)/b.WarmUp
+	return b.ColdSpeedFactor + (1-b.ColdSpeedFactor)*max(0, now-b.startedAt)/b.WarmUp
 }
 
-// Slow sets the factor by which steps take longer; the minimum is 0.01.
-func (b *Box) Slow(factor float64) { b.slowdown = max(0.01, factor) }
+// SetSlowdown sets the factor by which steps take longer; the minimum is 0.01.
+func (b *Backend) SetSlowdown(factor float64) { b.slowdown = max(0.01, factor) }
 
-// Fail sets the fraction of submitted jobs that fail immediately.
-func (b *Box) Fail(share float64) { b.errorShare = share }
+// SetErrorShare sets the fraction of submitted jobs that fail immediately.
+func (b *Backend) SetErrorShare(share float64) { b.errorShare = share }
 
 // Pause stops the backend from now until the given time: the running step ends later by that much.
-func (b *Box) Pause(now, until float64) {
+func (b *Backend) Pause(now, until float64) {
 	from := max(now, b.pausedUntil)
 	if b.stepEndsAt > 0 && until > from {
 		b.stepEndsAt += until - from
@@ -152,10 +152,10 @@
 }
 
 // Drain makes the backend finish its jobs and reject new ones.
-func (b *Box) Drain() { b.draining = true }
+func (b *Backend) Drain() { b.draining = true }
 
 // Kill stops the backend and drops all its jobs, whose ids it returns.
-func (b *Box) Kill() []int64 {
+func (b *Backend) Kill() []int64 {
 	var ids []int64
 	for _, j := range append(b.running, b.queue...) {
 		ids = append(ids, j.ID)
@@ -165,7 +165,7 @@
 }
 
 // Restart kills the backend and starts it again, cold and with an empty cache. It returns the ids of the dropped jobs.
-func (b *Box) Restart(now float64) []int64 {
+func (b *Backend) Restart(now float64) []int64 {
 	ids := b.Kill()
 	b.dead, b.draining, b.startedAt, b.pausedUntil = false, false, now, 0
 	b.cache.Init()
@@ -175,59 +175,59 @@
 }
 
 // Alive reports whether the backend accepts connections.
-func (b *Box) Alive() bool { return !b.dead }
+func (b *Backend) Alive() bool { return !b.dead }
 
 // Idle reports whether the backend has neither running nor queued jobs.
-func (b *Box) Idle() bool { return len(b.running)+len(b.queue) == 0 }
+func (b *Backend) Idle() bool { return len(b.running)+len(b.queue) == 0 }
 
 // Submit submits a job. overloaded reports that this job pushed a cold backend over its limit; the caller then has to
 // call Kill, which drops the backend's jobs.
-func (b *Box) Submit(now float64, j Job) (verdict Verdict, overloaded bool) {
+func (b *Backend) Submit(now float64, j Job) (verdict Verdict, overloaded bool) {
 	b.received++
 	if b.dead {
-		return Dead, false
+		return Unreachable, false
 	}
 	if b.recordAttempt(now) {
-		return Dead, true
+		return Unreachable, true
 	}
 	if b.errorShare > 0 && b.rng.Float64() < b.errorShare {
 		return Errored, false
 	}
 	if b.draining || len(b.queue)+len(b.running) >= b.Queue+b.Slots {
-		return Full, false
+		return Rejected, false
 	}
 	b.queue = append(b.queue, &job{Job: j})
 	if b.stepEndsAt == 0 {
 		b.startStep(now)
 	}
-	return Taken, false
+	return Accepted, false
 }
 
 // recordAttempt counts an attempt, rejected or not, and reports whether a cold backend has been overloaded for too
-// long. The count is a leaky bucket: it leaks at FallFactor times the current capacity, and its limit is what leaks
+// long. The count is a leaky bucket: it leaks at OverloadFactor times the current capacity, and its limit is what leaks
 // within Fall, plus 4 attempts so that random clusters of arrivals don't trip it.
-func (b *Box) recordAttempt(now float64) bool {
-	if b.Fall <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.Fall {
+func (b *Backend) recordAttempt(now float64) bool {
+	if b.OverloadTolerance <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.OverloadTolerance {
 		return false
 	}
 	capacity := b.Capacity * b.SpeedFactor(now)
-	b.recentAttempts = max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.FallFactor)
+	b.recentAttempts = max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.OverloadFactor)
 	b.recentAttemptsAt = now
 	b.recentAttempts++
-	return b.recentAttempts > capacity*b.FallFactor*b.Fall+4
+	return b.recentAttempts > capacity*b.OverloadFactor*b.OverloadTolerance+4
 }
 
-// Pressure returns the recent attempts as a fraction of those that make a cold backend fail: from 1 on it fails.
-func (b *Box) Pressure(now float64) float64 {
-	if b.Fall <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.Fall {
+// Overload returns the recent attempts as a fraction of those that make a cold backend fail: from 1 on it fails.
+func (b *Backend) Overload(now float64) float64 {
+	if b.OverloadTolerance <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.OverloadTolerance {
 		return 0
 	}
 	capacity := b.Capacity * b.SpeedFactor(now)
-	return max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.FallFactor) / (capacity*b.FallFactor*b.Fall + 4)
+	return max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.OverloadFactor) / (capacity*b.OverloadFactor*b.OverloadTolerance + 4)
 }
 
 // Cancel removes a queued or running job. What a running job has prefilled and generated stays in the cache.
-func (b *Box) Cancel(id int64) {
+func (b *Backend) Cancel(id int64) {
 	for i, j := range b.queue {
 		if j.ID == id {
 			b.queue = append(b.queue[:i], b.queue[i+1:]...)
@@ -243,17 +243,17 @@
 	}
 }
 
-// Next returns the end of the current step; +Inf: no step runs.
-func (b *Box) Next() float64 {
+// NextStepEnd returns the end of the current step; +Inf: no step runs.
+func (b *Backend) NextStepEnd() float64 {
 	if b.stepEndsAt == 0 {
 		return math.Inf(1)
 	}
 	return b.stepEndsAt
 }
 
-// Load returns the load report, which is refreshed every ReportEvery seconds.
-func (b *Box) Load(now float64) Report {
-	if now-b.reportedAt >= b.ReportEvery {
+// Load returns the load report, which is refreshed every ReportInterval seconds.
+func (b *Backend) Load(now float64) Report {
+	if now-b.reportedAt >= b.ReportInterval {
 		used, unprocessed := 0.0, 0.0
 		for _, j := range b.running {
 			used, unprocessed = used+j.context(), unprocessed+j.toPrefill
@@ -261,7 +261,7 @@
 		for _, j := range b.queue {
 			unprocessed += j.Prompt
 		}
-		b.report = Report{Memory: used / max(1, b.Memory), Unread: unprocessed / 1000,
+		b.report = Report{Memory: used / max(1, b.Memory), PendingPrompt: unprocessed / 1000,
 			Slots: float64(len(b.running)) / float64(max(1, b.Slots))}
 		b.reportedAt = now
 	}
@@ -270,7 +270,7 @@
 
 // Advance completes the step that is due at now, starts the next, and returns what the step did for each job that
 // generated a token. It returns nil when no step is due.
-func (b *Box) Advance(now float64) []Progress {
+func (b *Backend) Advance(now float64) []Progress {
 	if b.stepEndsAt == 0 || now < b.stepEndsAt {
 		return nil
 	}
@@ -284,7 +284,7 @@
 			continue
 		}
 		j.generated++
-		p := Progress{ID: j.ID, First: j.generated == 1, Tokens: 1, Done: j.generated >= j.Out, Kept: j.cached}
+		p := Progress{ID: j.ID, First: j.generated == 1, Tokens: 1, Done: j.generated >= j.OutputTokens, CachedTokens: j.cached}
 		progress = append(progress, p)
 		if p.Done {
 			b.cacheJob(j)
@@ -301,7 +301,7 @@
 
 // startStep moves queued jobs into free slots as far as memory allows, distributes the prefill chunk among the running
 // jobs, and sets the end of the step.
-func (b *Box) startStep(now float64) {
+func (b *Backend) startStep(now float64) {
 	for len(b.queue) > 0 && len(b.running) < b.Slots {
 		j := b.queue[0]
 		if b.usedMemory()+j.Prompt > b.Memory && len(b.running) > 0 {
@@ -328,11 +328,11 @@
 		}
 	}
 	duration := b.Step + b.PerSequence*float64(len(b.running)) + b.PerContext*contextTokens/1000 +
-		(b.Chunk-budget)/b.ReadPerS
+		(b.Chunk-budget)/b.PrefillRate
 	b.stepEndsAt = max(now, b.pausedUntil) + duration*b.slowdown/b.SpeedFactor(now)
 }
 
-func (b *Box) usedMemory() float64 {
+func (b *Backend) usedMemory() float64 {
 	sum := 0.0
 	for _, j := range b.running {
 		sum += j.context()
@@ -343,7 +343,7 @@
 // evict frees memory when running jobs and cached prompts exceed it: it evicts the least recently used cached prompts
 // first. If that is not enough and no job is being admitted (incoming is 0), it puts the newest running jobs back at
 // the head of the queue; their prompts have to be prefilled again.
-func (b *Box) evict(incoming float64) {
+func (b *Backend) evict(incoming float64) {
 	used := b.usedMemory()
 	for used+b.cachedTokens > b.Memory && b.cache.Len() > 0 {
 		last := b.cache.Back()
@@ -364,11 +364,11 @@
 const prefixKeyMask = 0x9d5a_77c1_0d1e_b0b5
 
 // useCached returns how many tokens of a job's prompt are cached, and marks the entries as used.
-func (b *Box) useCached(j *job) float64 { return b.cachedPrompt(j, true) }
+func (b *Backend) useCached(j *job) float64 { return b.cachedPrompt(j, true) }
 
 // cachedPrompt returns how many tokens of a job's prompt are cached: the longer of its session's prompt and its shared
 // prefix. With touch, the entries found become the most recently used.
-func (b *Box) cachedPrompt(j *job, touch bool) float64 {
+func (b *Backend) cachedPrompt(j *job, touch bool) float64 {
 	tokens := 0.0
 	for _, k := range []struct {
 		key   uint64
@@ -385,7 +385,7 @@
 }
 
 // cacheJob caches what a job has prefilled and generated.
-func (b *Box) cacheJob(j *job) {
+func (b *Backend) cacheJob(j *job) {
 	prefilled := j.Prompt - j.toPrefill
 	if j.Session != 0 {
 		b.store(j.Session, prefilled+float64(j.generated))
@@ -395,7 +395,7 @@
 	}
 }
 
-func (b *Box) store(key uint64, tokens float64) {
+func (b *Backend) store(key uint64, tokens float64) {
 	if e := b.cacheByKey[key]; e != nil {
 		b.cachedTokens -= e.Value.(cacheEntry).tokens
 		b.cache.Remove(e)
@@ -404,14 +404,14 @@
 	b.cachedTokens += tokens
 }
 
-// Able estimates the requests per second that a warm backend serves with token gaps of at most maxGap seconds, given
+// MaxRate estimates the requests per second that a warm backend serves with token gaps of at most maxGap seconds, given
 // the mean lengths in tokens of the prompt to prefill, of the context and of the response. It takes the greatest number
 // of concurrent requests with which a step stays within the gap.
-func (f Figures) Able(prefill, context, out, maxGap float64) float64 {
+func (f Parameters) MaxRate(prefill, context, out, maxGap float64) float64 {
 	best := 0.0
 	for n := 1.0; n <= float64(f.Slots); n++ {
 		started := n / out // requests that start in a step, in which each running one generates a token
-		step := f.Step + f.PerSequence*n + f.PerContext*n*context/1000 + started*prefill/f.ReadPerS
+		step := f.Step + f.PerSequence*n + f.PerContext*n*context/1000 + started*prefill/f.PrefillRate
 		if step > maxGap {
 			break
 		}
@@ -420,25 +420,25 @@
 	return best
 }
 
-// Scale multiplies the present slowdown of steps by factor.
-func (b *Box) Scale(factor float64) { b.Slow(b.slowdown * factor) }
+// MultiplySlowdown multiplies the present slowdown of steps by factor.
+func (b *Backend) MultiplySlowdown(factor float64) { b.SetSlowdown(b.slowdown * factor) }
 
-// Wait estimates the seconds until the first token of a job submitted now, from the backend's actual state: the time to
-// prefill the prompts ahead of it and its own at the present speed and, with all slots in use, the wait for a slot. It
-// is for a reference policy that sees the actual state. It returns +Inf if the job would not be accepted.
-func (b *Box) Wait(now float64, j Job) float64 {
+// ExpectedWait estimates the seconds until the first token of a job submitted now, from the backend's actual state: the
+// time to prefill the prompts ahead of it and its own at the present speed and, with all slots in use, the wait for a
+// slot. It is for a reference policy that sees the actual state. It returns +Inf if the job would not be accepted.
+func (b *Backend) ExpectedWait(now float64, j Job) float64 {
 	toPrefill := j.Prompt - b.cachedPrompt(&job{Job: j}, false)
 	shortestLeft := math.Inf(1)
 	for _, r := range b.running {
 		toPrefill += r.toPrefill
-		shortestLeft = min(shortestLeft, float64(r.Out-r.generated))
+		shortestLeft = min(shortestLeft, float64(r.OutputTokens-r.generated))
 	}
 	for _, q := range b.queue {
 		toPrefill += q.Prompt
 	}
 	speed := b.SpeedFactor(now) / b.slowdown
 	step := b.Step + b.PerSequence*float64(len(b.running)+1)
-	wait := toPrefill/(b.ReadPerS*speed) + step/speed + max(0, b.pausedUntil-now)
+	wait := toPrefill/(b.PrefillRate*speed) + step/speed + max(0, b.pausedUntil-now)
 	if excess := len(b.running) + len(b.queue) + 1 - b.Slots; excess > 0 {
 		wait += float64(excess) * max(1, shortestLeft) * step / speed / float64(max(1, b.Slots)) * 4
 	}
--- a/internal/lab/emulator/server/fleet.go
+++ b/internal/lab/emulator/server/fleet.go
@@ -14,12 +14,12 @@
 
 // Fleet is a file that describes emulated backends and the faults to apply to them.
 type Fleet struct {
-	Seed     uint64    `toml:"seed"`
-	Out      float64   `toml:"out_tokens"` // mean length of a response in tokens; 0: 100
-	Spread   float64   `toml:"out_spread"` // standard deviation of the logarithm of that length
-	Backends []Backend `toml:"box"`
-	Groups   []Group   `toml:"group"`
-	Events   []Event   `toml:"event"`
+	Seed        uint64    `toml:"seed"`
+	MeanTokens  float64   `toml:"out_tokens"` // mean length of a response in tokens; 0: 100
+	TokenSpread float64   `toml:"out_spread"` // standard deviation of the logarithm of that length
+	Backends    []Backend `toml:"box"`
+	Groups      []Group   `toml:"group"`
+	Events      []Event   `toml:"event"`
 }
 
 // Backend is one emulated backend of a fleet file.
@@ -27,7 +27,7 @@
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 	Cold    bool   `toml:"cold"`
-	emulator.Figures
+	emulator.Parameters
 }
 
 // Event is a fault command that is applied to backends at a set time.
@@ -48,8 +48,9 @@
 	return err
 }
 
-// Deeds maps the fault commands for emulated backends to descriptions of their values; "": the command has no value.
-var Deeds = map[string]string{
+// FaultCommands maps the fault commands for emulated backends to descriptions of their values; "": the command has no
+// value.
+var FaultCommands = map[string]string{
 	"slow": "the factor by which steps take longer", "errors": "the share of requests that fail",
 	"pause": "a number of seconds", "kill": "", "restart": "", "drain": "",
 	"reset":   "the share of requests whose connection is reset",
@@ -91,16 +92,16 @@
 			minimum, maximum float64
 		}{{"slots", float64(b.Slots), 1, 4096}, {"queue", float64(b.Queue), 0, 65536}, {"memory", b.Memory, 1000, 1e9},
 			{"chunk", b.Chunk, 1, 1e6}, {"step", b.Step, 1e-4, 10}, {"per_sequence", b.PerSequence, 0, 1},
-			{"per_context", b.PerContext, 0, 1}, {"read_per_s", b.ReadPerS, 1, 1e9}, {"cold_share", b.ColdShare, 0, 1},
-			{"warm_up", b.WarmUp, 0, 3600}, {"fall_factor", b.FallFactor, 0, 1000}, {"fall", b.Fall, 0, 3600},
-			{"report_every", b.ReportEvery, 0, 60}} {
+			{"per_context", b.PerContext, 0, 1}, {"read_per_s", b.PrefillRate, 1, 1e9}, {"cold_share", b.ColdSpeedFactor, 0, 1},
+			{"warm_up", b.WarmUp, 0, 3600}, {"fall_factor", b.OverloadFactor, 0, 1000}, {"fall", b.OverloadTolerance, 0, 3600},
+			{"report_every", b.ReportInterval, 0, 60}} {
 			if !(v.value >= v.minimum && v.value <= v.maximum) {
 				return fmt.Errorf("%s: %g is not from %g to %g", key(v.name), v.value, v.minimum, v.maximum)
 			}
 		}
 	}
 	for i, e := range f.Events {
-		if _, ok := Deeds[e.Do]; !ok {
+		if _, ok := FaultCommands[e.Do]; !ok {
 			return fmt.Errorf("event[%d].do: unknown fault command %q", i, e.Do)
 		}
 		for _, name := range e.Backends {
@@ -112,18 +113,18 @@
 	return nil
 }
 
-// Running is a fleet whose servers run.
-type Running struct {
+// RunningFleet is a fleet whose servers run.
+type RunningFleet struct {
 	Servers []*Server
 	timers  []*time.Timer
 }
 
 // Start starts all backends and schedules the events. On an error it stops the backends that it has started.
-func (f *Fleet) Start() (*Running, error) {
-	r := &Running{}
+func (f *Fleet) Start() (*RunningFleet, error) {
+	r := &RunningFleet{}
 	for i, b := range f.Backends {
-		s, err := Start(Options{Name: b.Name, Listen: b.Address, Figures: b.Figures, Seed: f.Seed + uint64(i),
-			Cold: b.Cold, Out: f.Out, Spread: f.Spread})
+		s, err := Start(Options{Name: b.Name, Listen: b.Address, Figures: b.Parameters, Seed: f.Seed + uint64(i),
+			Cold: b.Cold, MeanTokens: f.MeanTokens, TokenSpread: f.TokenSpread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
@@ -131,14 +132,14 @@
 	}
 	for _, e := range f.Events {
 		r.timers = append(r.timers, time.AfterFunc(time.Duration(e.At), func() {
-			_ = r.Do(e.Do, strconv.FormatFloat(e.Value, 'g', -1, 64), e.Backends...)
+			_ = r.Apply(e.Do, strconv.FormatFloat(e.Value, 'g', -1, 64), e.Backends...)
 		}))
 	}
 	return r, nil
 }
 
 // Close cancels the scheduled events and stops all backends.
-func (r *Running) Close() error {
+func (r *RunningFleet) Close() error {
 	for _, t := range r.timers {
 		t.Stop()
 	}
@@ -149,9 +150,9 @@
 	return errors.Join(errs...)
 }
 
-// Do applies a fault command to the backends with the given names; without names, to all.
-func (r *Running) Do(command, value string, names ...string) error {
-	unit, ok := Deeds[command]
+// Apply applies a fault command to the backends with the given names; without names, to all.
+func (r *RunningFleet) Apply(command, value string, names ...string) error {
+	unit, ok := FaultCommands[command]
 	if !ok {
 		return fmt.Errorf("unknown fault command %q", command)
 	}
@@ -170,13 +171,13 @@
 		found++
 		switch command {
 		case "slow":
-			s.Do(func(b *emulator.Box, _ float64) { b.Slow(number) })
+			s.Update(func(b *emulator.Backend, _ float64) { b.SetSlowdown(number) })
 		case "errors":
-			s.Do(func(b *emulator.Box, _ float64) { b.Fail(number) })
+			s.Update(func(b *emulator.Backend, _ float64) { b.SetErrorShare(number) })
 		case "pause":
-			s.Do(func(b *emulator.Box, now float64) { b.Pause(now, now+number) })
+			s.Update(func(b *emulator.Backend, now float64) { b.Pause(now, now+number) })
 		case "drain":
-			s.Do(func(b *emulator.Box, _ float64) { b.Drain() })
+			s.Update(func(b *emulator.Backend, _ float64) { b.Drain() })
 		case "reset", "silence", "garbage", "half":
 			s.SetWireFault(command, number)
 		case "kill":
--- a/internal/lab/emulator/server/groups.go
+++ b/internal/lab/emulator/server/groups.go
@@ -90,12 +90,12 @@
 			drawInt := func(r Range) int { return int(math.Round(r.draw(rng))) }
 			f.Backends = append(f.Backends, Backend{Name: fmt.Sprintf("%s-%d", g.Name, n+1),
 				Address: net.JoinHostPort(host, strconv.Itoa(port+n)), Cold: g.Cold,
-				Figures: emulator.Figures{Slots: drawInt(g.Slots), Queue: drawInt(g.Queue), Memory: g.Memory.draw(rng),
+				Parameters: emulator.Parameters{Slots: drawInt(g.Slots), Queue: drawInt(g.Queue), Memory: g.Memory.draw(rng),
 					Chunk: g.Chunk.draw(rng), Step: g.Step.draw(rng), PerSequence: g.PerSequence.draw(rng),
-					PerContext: g.PerContext.draw(rng), ReadPerS: g.ReadPerS.draw(rng),
-					ColdShare: g.ColdShare.draw(rng), WarmUp: g.WarmUp.draw(rng), Fall: g.Fall.draw(rng),
-					FallFactor: g.FallFactor.draw(rng),
-					Capacity:   g.Capacity.draw(rng), ReportEvery: g.ReportEvery.draw(rng)}})
+					PerContext: g.PerContext.draw(rng), PrefillRate: g.ReadPerS.draw(rng),
+					ColdSpeedFactor: g.ColdShare.draw(rng), WarmUp: g.WarmUp.draw(rng), OverloadTolerance: g.Fall.draw(rng),
+					OverloadFactor: g.FallFactor.draw(rng),
+					Capacity:       g.Capacity.draw(rng), ReportInterval: g.ReportEvery.draw(rng)}})
 		}
 	}
 	return nil
--- a/internal/lab/emulator/server/server.go
+++ b/internal/lab/emulator/server/server.go
@@ -35,7 +35,7 @@
 	Address string // host:port
 
 	mu                 sync.Mutex
-	backend            *emulator.Box
+	backend            *emulator.Backend
 	startedAt          time.Time
 	stepTimer          *time.Timer
 	jobs               map[int64]chan emulator.Progress
@@ -78,8 +78,8 @@
 // maxFirstTokenTimes bounds the first-token times stored between two calls of Firsts.
 const maxFirstTokenTimes = 4096
 
-// Firsts returns the times to the first token, in seconds, of the responses that began since the last call.
-func (s *Server) Firsts() []float64 {
+// FirstTokenTimes returns the times to the first token, in seconds, of the responses that began since the last call.
+func (s *Server) FirstTokenTimes() []float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	times := s.firstTokenTimes
@@ -92,13 +92,13 @@
 
 // Options are the parameters of a server.
 type Options struct {
-	Name    string
-	Listen  string // host:port on a loopback address
-	Figures emulator.Figures
-	Seed    uint64
-	Cold    bool    // true: the backend starts now and has to warm up
-	Out     float64 // mean length of a response in tokens; 0: 100
-	Spread  float64 // standard deviation of the logarithm of that length
+	Name        string
+	Listen      string // host:port on a loopback address
+	Figures     emulator.Parameters
+	Seed        uint64
+	Cold        bool    // true: the backend starts now and has to warm up
+	MeanTokens  float64 // mean length of a response in tokens; 0: 100
+	TokenSpread float64 // standard deviation of the logarithm of that length
 }
 
 // Start starts a server; it serves until Close.
@@ -112,8 +112,8 @@
 		return nil, fmt.Errorf("box %s: %w", o.Name, err)
 	}
 	s := &Server{Name: o.Name, Address: l.Addr().String(), startedAt: time.Now(),
-		jobs: map[int64]chan emulator.Progress{}, rng: rand.New(rand.NewPCG(o.Seed, 7)), meanTokens: o.Out,
-		tokenSpread: o.Spread, serveResult: make(chan error, 1), openConns: map[net.Conn]struct{}{},
+		jobs: map[int64]chan emulator.Progress{}, rng: rand.New(rand.NewPCG(o.Seed, 7)), meanTokens: o.MeanTokens,
+		tokenSpread: o.TokenSpread, serveResult: make(chan error, 1), openConns: map[net.Conn]struct{}{},
 		openAttempts: map[string]int{}}
 	if s.meanTokens <= 0 {
 		s.meanTokens = 100
@@ -169,8 +169,8 @@
 // now returns the model's time: the seconds since the server was started.
 func (s *Server) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-// Do applies a change, such as a failure, to the model at the current time.
-func (s *Server) Do(change func(b *emulator.Box, now float64)) {
+// Update applies a change, such as a failure, to the model at the current time.
+func (s *Server) Update(change func(b *emulator.Backend, now float64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.completeDueSteps()
@@ -206,9 +206,9 @@
 	clear(s.openConns)
 }
 
-// Doubles returns how many attempts arrived while another of the same request was in flight here, and how many attempts
-// arrived in all.
-func (s *Server) Doubles() (concurrent, received int) {
+// AttemptCounts returns how many attempts arrived while another of the same request was in flight here, and how many
+// attempts arrived in all.
+func (s *Server) AttemptCounts() (concurrent, received int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.concurrentAttempts, s.received
@@ -232,8 +232,8 @@
 // completeDueSteps completes all steps that are due, each at its own time, so that a late timer doesn't slow the
 // backend down.
 func (s *Server) completeDueSteps() {
-	for now := s.now(); s.backend.Next() <= now; {
-		for _, p := range s.backend.Advance(s.backend.Next()) {
+	for now := s.now(); s.backend.NextStepEnd() <= now; {
+		for _, p := range s.backend.Advance(s.backend.NextStepEnd()) {
 			if c := s.jobs[p.ID]; c != nil {
 				select {
 				case c <- p:
@@ -250,7 +250,7 @@
 
 // scheduleStep sets the timer to the end of the current step.
 func (s *Server) scheduleStep() {
-	next := s.backend.Next()
+	next := s.backend.NextStepEnd()
 	if math.IsInf(next, 1) {
 		s.stepTimer.Reset(time.Hour)
 		return
@@ -315,7 +315,7 @@
 	}
 	progress, verdict := s.submit(id, &j, body.MaxTokens)
 	switch verdict {
-	case emulator.Full:
+	case emulator.Rejected:
 		w.Header().Set("X-Never-Ran", "1")
 		s.setLoadReport(w.Header())
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -323,7 +323,7 @@
 	case emulator.Errored:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case emulator.Dead:
+	case emulator.Unreachable:
 		panic(http.ErrAbortHandler)
 	}
 	defer s.finishJob(id, j.ID)
@@ -343,21 +343,21 @@
 	if maxTokens > 0 {
 		tokens = min(tokens, maxTokens)
 	}
-	j.Out = int(max(2, min(tokens, maxResponseTokens)))
+	j.OutputTokens = int(max(2, min(tokens, maxResponseTokens)))
 	if len(s.jobs) >= maxJobs {
-		return nil, emulator.Full
+		return nil, emulator.Rejected
 	}
 	verdict, overloaded := s.backend.Submit(s.now(), *j)
 	if overloaded {
 		s.dropJobs(s.backend.Kill())
 	}
-	if verdict != emulator.Taken {
+	if verdict != emulator.Accepted {
 		return nil, verdict
 	}
 	if s.openAttempts[trace]++; s.openAttempts[trace] > 1 {
 		s.concurrentAttempts++
 	}
-	progress := make(chan emulator.Progress, j.Out)
+	progress := make(chan emulator.Progress, j.OutputTokens)
 	s.jobs[j.ID] = progress
 	s.scheduleStep()
 	return progress, verdict
@@ -395,7 +395,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.backend.Load(s.now())
-	return fmt.Sprintf("TEXT x0=%.3f, x1=%.3f, util=%.3f", l.Memory, l.Unread, l.Slots)
+	return fmt.Sprintf("TEXT x0=%.3f, x1=%.3f, util=%.3f", l.Memory, l.PendingPrompt, l.Slots)
 }
 
 // stream sends the job's tokens as they are generated. With breakHalfway it aborts the connection after half of them.
@@ -416,16 +416,16 @@
 		case <-ctx.Done():
 			return
 		case p, ok := <-progress:
-			if !ok && generated < j.Out {
+			if !ok && generated < j.OutputTokens {
 				panic(http.ErrAbortHandler) // the backend was killed
 			}
 			if ok {
-				generated, unsent, cached = generated+p.Tokens, unsent+p.Tokens, p.Kept
+				generated, unsent, cached = generated+p.Tokens, unsent+p.Tokens, p.CachedTokens
 				if p.First {
 					s.recordFirstToken(time.Since(received).Seconds())
 					w.Header().Set("Content-Type", "text/event-stream")
 				}
-				if breakHalfway && 2*generated >= j.Out {
+				if breakHalfway && 2*generated >= j.OutputTokens {
 					panic(http.ErrAbortHandler)
 				}
 				if !p.Done {
--- a/internal/lab/emulator/server/story_test.go
+++ b/internal/lab/emulator/server/story_test.go
@@ -16,11 +16,11 @@
 	"standpoint/internal/lab/emulator"
 )
 
-var parameters = emulator.Figures{Slots: 4, Queue: 1, Memory: 20_000, Chunk: 1000, Step: 0.002, ReadPerS: 100_000,
-	ColdShare: 0.2, WarmUp: 5}
+var parameters = emulator.Parameters{Slots: 4, Queue: 1, Memory: 20_000, Chunk: 1000, Step: 0.002, PrefillRate: 100_000,
+	ColdSpeedFactor: 0.2, WarmUp: 5}
 
-func start(t *testing.T, f emulator.Figures) *Server {
-	s, err := Start(Options{Name: "box-1", Listen: "127.0.0.1:0", Figures: f, Seed: 1, Out: 12})
+func start(t *testing.T, f emulator.Parameters) *Server {
+	s, err := Start(Options{Name: "box-1", Listen: "127.0.0.1:0", Figures: f, Seed: 1, MeanTokens: 12})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
 	return s
@@ -70,11 +70,11 @@
 func TestBackendFailuresOverHTTP(t *testing.T) {
 	s := start(t, parameters)
 	body := fmt.Sprintf(requestBody, "short")
-	s.Do(func(b *emulator.Box, _ float64) { b.Fail(1) })
+	s.Update(func(b *emulator.Backend, _ float64) { b.SetErrorShare(1) })
 	status, _, _, err := send(s, "a", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusInternalServerError, status)
-	s.Do(func(b *emulator.Box, _ float64) { b.Fail(0); b.Drain() })
+	s.Update(func(b *emulator.Backend, _ float64) { b.SetErrorShare(0); b.Drain() })
 	status, header, _, err := send(s, "b", body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
@@ -87,11 +87,11 @@
 		status, _, _, err := send(s, "d", body)
 		return err == nil && status == http.StatusOK
 	}, 10*time.Second, 10*time.Millisecond)
-	doubles, _ := s.Doubles()
+	doubles, _ := s.AttemptCounts()
 	require.Zero(t, doubles)
 
 	// A backend that is killed in the middle of a stream aborts the connection.
-	s.Do(func(b *emulator.Box, _ float64) { b.Slow(100) })
+	s.Update(func(b *emulator.Backend, _ float64) { b.SetSlowdown(100) })
 	result := make(chan error, 1)
 	go func() {
 		_, _, _, err := send(s, "e", body)
@@ -191,11 +191,11 @@
 		"garbage": func(text string, err error) { require.NoError(t, err); require.NotContains(t, text, "[DONE]") },
 		"half":    func(text string, err error) { require.Error(t, err); require.Contains(t, text, "word") },
 	} {
-		require.NoError(t, (&Running{Servers: []*Server{s}}).Do(fault, "1"))
+		require.NoError(t, (&RunningFleet{Servers: []*Server{s}}).Apply(fault, "1"))
 		check(once())
 		s.SetWireFault(fault, 0)
 	}
-	s.Do(func(_ *emulator.Box, _ float64) {})
+	s.Update(func(_ *emulator.Backend, _ float64) {})
 	text, err := once()
 	require.NoError(t, err)
 	require.Contains(t, text, "[DONE]")
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -21,14 +21,14 @@
 	Backends int    `toml:"boxes" json:"boxes,omitempty"`
 	Pattern  string `toml:"pattern" json:"pattern,omitempty"` // requests per second over time
 	// SpeedSpread is the natural logarithm of the largest factor on a backend's speed
-	SpeedSpread *float64  `toml:"spread" json:"spread,omitempty"`
-	ListDelay   load.Span `toml:"list_late" json:"list_late,omitempty"` // longest delay of an endpoint list
+	SpeedSpread *float64      `toml:"spread" json:"spread,omitempty"`
+	ListDelay   load.Duration `toml:"list_late" json:"list_late,omitempty"` // longest delay of an endpoint list
 	// ReportDelay is the least age of a load report on arrival.
-	ReportDelay     load.Span `toml:"report_late" json:"report_late,omitempty"`
-	ReportLossRate  float64   `toml:"report_lost" json:"report_lost,omitempty"`   // share of load reports that are lost
-	AttemptLossRate float64   `toml:"message_lost" json:"message_lost,omitempty"` // share of attempts that never arrive
+	ReportDelay     load.Duration `toml:"report_late" json:"report_late,omitempty"`
+	ReportLossRate  float64       `toml:"report_lost" json:"report_lost,omitempty"`   // share of load reports that are lost
+	AttemptLossRate float64       `toml:"message_lost" json:"message_lost,omitempty"` // share of attempts that never arrive
 	// ReportInterval is the time between two load reports of a backend. Responses in between carry the last one.
-	ReportInterval load.Span `toml:"report_every" json:"report_every,omitempty"`
+	ReportInterval load.Duration `toml:"report_every" json:"report_every,omitempty"`
 }
 
 // Variant is one of the parameter sets that are compared. The first variant is the reference for the others.
@@ -39,17 +39,17 @@
 
 // File is an experiment's file.
 type File struct {
-	Name      string    `toml:"name" json:"name"`
-	Seeds     int       `toml:"seeds" json:"seeds"`
-	FirstSeed uint64    `toml:"first_seed" json:"first_seed"`
-	Settle    load.Span `toml:"settle" json:"settle"` // time at the start that is not measured
-	Duration  load.Span `toml:"for" json:"for"`       // time that is measured after it
+	Name      string        `toml:"name" json:"name"`
+	Seeds     int           `toml:"seeds" json:"seeds"`
+	FirstSeed uint64        `toml:"first_seed" json:"first_seed"`
+	Settle    load.Duration `toml:"settle" json:"settle"` // time at the start that is not measured
+	Duration  load.Duration `toml:"for" json:"for"`       // time that is measured after it
 	Parameters
 	Events []struct {
-		At       load.Span `toml:"at" json:"at"`
-		Command  string    `toml:"do" json:"do"`
-		Value    float64   `toml:"value" json:"value,omitempty"`
-		Backends []int     `toml:"boxes" json:"boxes,omitempty"`
+		At       load.Duration `toml:"at" json:"at"`
+		Command  string        `toml:"do" json:"do"`
+		Value    float64       `toml:"value" json:"value,omitempty"`
+		Backends []int         `toml:"boxes" json:"boxes,omitempty"`
 	} `toml:"event" json:"events,omitempty"`
 	Variants []Variant `toml:"variant" json:"variants"`
 }
@@ -65,7 +65,7 @@
 
 // Read reads and checks an experiment's file. Errors name the key.
 func Read(path string) (*File, error) {
-	f := File{Seeds: 20, FirstSeed: 1, Settle: load.Span(15 * time.Second)}
+	f := File{Seeds: 20, FirstSeed: 1, Settle: load.Duration(15 * time.Second)}
 	meta, err := toml.DecodeFile(path, &f)
 	if err != nil {
 		return nil, err
@@ -83,9 +83,9 @@
 		return errors.New("name: missing")
 	case f.Seeds < 1 || f.Seeds > maxSeeds:
 		return fmt.Errorf("seeds: %d is not from 1 to %d", f.Seeds, maxSeeds)
-	case f.Duration < load.Span(time.Second) || f.Duration > load.Span(maxDuration):
+	case f.Duration < load.Duration(time.Second) || f.Duration > load.Duration(maxDuration):
 		return fmt.Errorf("for: %v is not from 1s to %v", time.Duration(f.Duration), maxDuration)
-	case f.Settle < 0 || f.Settle > load.Span(time.Hour):
+	case f.Settle < 0 || f.Settle > load.Duration(time.Hour):
 		return fmt.Errorf("settle: %v is not from 0s to 1h", time.Duration(f.Settle))
 	case len(f.Variants) == 0 || len(f.Variants) > maxVariants:
 		return fmt.Errorf("variant: %d variants are not from 1 to %d", len(f.Variants), maxVariants)
@@ -180,7 +180,7 @@
 		return s, fmt.Errorf("spread: %g is not from 0 to 3", s.SpeedSpread)
 	case s.ListDelay < 0 || s.ListDelay > 60:
 		return s, fmt.Errorf("list_late: %g s is not from 0 to 60", s.ListDelay)
-	case p.ReportInterval < 0 || p.ReportInterval > load.Span(time.Minute):
+	case p.ReportInterval < 0 || p.ReportInterval > load.Duration(time.Minute):
 		return s, fmt.Errorf("report_every: %v is not from 0s to 1m", time.Duration(p.ReportInterval))
 	case s.ReportDelay < 0 || s.ReportDelay > 60:
 		return s, fmt.Errorf("report_late: %g s is not from 0 to 60", s.ReportDelay)
@@ -193,11 +193,11 @@
 	if err != nil {
 		return s, fmt.Errorf("pattern: %w", err)
 	}
-	s.Pattern, s.Rate = pattern, pattern.Most()
+	s.Pattern, s.Rate = pattern, pattern.MaxRate()
 	if p.ReportInterval > 0 {
 		s.Kinds = lab.BackendKinds()
 		for i := range s.Kinds {
-			s.Kinds[i].ReportEvery = time.Duration(p.ReportInterval).Seconds()
+			s.Kinds[i].ReportInterval = time.Duration(p.ReportInterval).Seconds()
 		}
 	}
 	return s, nil
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -103,7 +103,7 @@
 	dir     string
 
 	mu            sync.Mutex
-	backends      *server.Running
+	backends      *server.RunningFleet
 	backendStates []backendState
 	nodes         []*socketNode
 	closers       []func() error
@@ -162,18 +162,18 @@
 
 // loadPlan returns the load generator's plan for a node, which gets an equal share of the load.
 func (s *socketRun) loadPlan(n *socketNode, i int, errs []error) *load.Plan {
-	p := &load.Plan{Target: n.clientAddress, Pattern: s.pattern, For: s.Settle + s.Duration, Seed: s.setup.Seed*64 +
-		uint64(i) + 1, Lag: load.Span(20 * time.Millisecond)}
+	p := &load.Plan{Target: n.clientAddress, Pattern: s.pattern, Duration: s.Settle + s.Duration, Seed: s.setup.Seed*64 +
+		uint64(i) + 1, MaxSendLag: load.Duration(20 * time.Millisecond)}
 	for k, c := range lab.OperatorWorkload() {
-		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Part: c.RequestShare,
-			Aim: load.Span(c.TTFTObjective), PerK: load.Span(c.TTFTObjectivePer1000Tokens),
-			Gap:    load.Span(c.TPOTObjective),
-			GiveUp: load.Span(c.Deadline), Prompt: c.NewTokens, Spread: c.PromptSigma, Out: c.MaxOutputTokens,
-			Turns: c.MeanTurns, Think: load.Span(c.ThinkTime * 1e9), Shared: c.PrefixTokens,
-			Starts: c.Prefixes, Habit: load.RetryAfter, Retries: 2, Wait: load.Span(300 * time.Millisecond)})
+		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Weight: c.RequestShare,
+			TTFTObjective: load.Duration(c.TTFTObjective), TTFTObjectivePer1000Tokens: load.Duration(c.TTFTObjectivePer1000Tokens),
+			TPOTObjective: load.Duration(c.TPOTObjective),
+			Timeout:       load.Duration(c.Deadline), Prompt: c.NewTokens, Spread: c.PromptSigma, MaxTokens: c.MaxOutputTokens,
+			Turns: c.MeanTurns, Think: load.Duration(c.ThinkTime * 1e9), Shared: c.PrefixTokens,
+			Prefixes: c.Prefixes, RetryHabit: load.RetryAfter, Retries: 2, RetryWait: load.Duration(300 * time.Millisecond)})
 	}
 	if errs[i] = p.Complete(); errs[i] == nil {
-		p.Compiled = p.Compiled.Times(1 / float64(s.setup.Nodes))
+		p.Compiled = p.Compiled.Scaled(1 / float64(s.setup.Nodes))
 	}
 	return p
 }
@@ -184,14 +184,14 @@
 func (s *socketRun) startBackends() error {
 	kinds := lab.BackendKinds()
 	rng := rand.New(rand.NewPCG(s.setup.Seed, 0x1ab))
-	s.backends = &server.Running{}
+	s.backends = &server.RunningFleet{}
 	s.closers = append(s.closers, func() error { return s.backends.Close() })
 	for i := range s.setup.OldBackends {
 		figures := kinds[i%len(kinds)]
 		figures.Capacity = lab.Capacity(figures)
 		figures.Step *= math.Exp((rng.Float64()*2 - 1) * s.setup.SpeedSpread)
 		backend, err := server.Start(server.Options{Name: fmt.Sprintf("box-%d", i), Listen: "127.0.0.1:0",
-			Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), Out: 105, Spread: 0.5})
+			Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), MeanTokens: 105, TokenSpread: 0.5})
 		if err != nil {
 			return err
 		}
@@ -312,7 +312,7 @@
 		command = "restart"
 	}
 	// cannot fail: the event was checked with the file
-	_ = s.backends.Do(command, strconv.FormatFloat(e.Value, 'g', -1, 64), names...)
+	_ = s.backends.Apply(command, strconv.FormatFloat(e.Value, 'g', -1, 64), names...)
 	if !listChanged {
 		return
 	}
@@ -329,13 +329,13 @@
 	offered, onTime := 0.0, 0.0
 	for k, c := range lab.OperatorWorkload() {
 		if f := r.Classes[classNames[k]]; f != nil {
-			offered, onTime = offered+c.Weight*float64(f.Asked), onTime+c.Weight*float64(f.InTime)
+			offered, onTime = offered+c.Weight*float64(f.Intended), onTime+c.Weight*float64(f.InTime)
 		}
 	}
 	all := r.All()
-	o.Requests, o.Service = all.Asked, onTime/max(1, offered)
-	o.TTFT50, o.TTFT99 = float64(all.First.ValueAtQuantile(50))/1e6, float64(all.First.ValueAtQuantile(99))/1e6
-	o.RejectionRatio = float64(all.TurnedDown) / max(1, float64(all.Asked))
+	o.Requests, o.Service = all.Intended, onTime/max(1, offered)
+	o.TTFT50, o.TTFT99 = float64(all.FirstToken.ValueAtQuantile(50))/1e6, float64(all.FirstToken.ValueAtQuantile(99))/1e6
+	o.RejectionRatio = float64(all.Rejected) / max(1, float64(all.Intended))
 	settle := int(time.Duration(s.Settle).Seconds())
 	o.MinService = 1
 	for i := settle; i < len(r.Seconds); i++ {
@@ -355,7 +355,7 @@
 	attempts, concurrent := make([]float64, len(s.backends.Servers)), 0
 	sum, square := 0.0, 0.0
 	for k, backend := range s.backends.Servers {
-		d, n := backend.Doubles()
+		d, n := backend.AttemptCounts()
 		concurrent += d
 		attempts[k] = float64(n)
 		sum += float64(n)
@@ -365,7 +365,7 @@
 		square += (n - mean) * (n - mean) / float64(len(attempts))
 	}
 	o.Skew = math.Sqrt(square) / max(1e-9, mean)
-	o.ExtraAttempts = max(0, sum/max(1, float64(all.Asked+all.Retries))-1)
+	o.ExtraAttempts = max(0, sum/max(1, float64(all.Intended+all.Retries))-1)
 	if concurrent > 0 {
 		o.Breaches["two attempts at once"] = concurrent
 	}
--- a/internal/lab/fleetsim/simulation.go
+++ b/internal/lab/fleetsim/simulation.go
@@ -18,34 +18,34 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// Trouble is the fault that is injected in the middle third of a run.
-type Trouble string
+// Fault is the fault that is injected in the middle third of a run.
+type Fault string
 
 // The faults. Each begins after one third of the run and ends after two thirds.
 const (
-	None   Trouble = "none"
-	Third  Trouble = "third"   // the first third of the nodes is partitioned from the others
-	OneWay Trouble = "one-way" // the first third receives nothing from the others, which still receive from it
-	Flap   Trouble = "flap"    // the first third is partitioned in every other second
-	Killed Trouble = "killed"  // half of the nodes are killed at once, and restart at random times until the fault ends
+	None      Fault = "none"
+	Partition Fault = "third"   // the first third of the nodes is partitioned from the others
+	OneWay    Fault = "one-way" // the first third receives nothing from the others, which still receive from it
+	Flap      Fault = "flap"    // the first third is partitioned in every other second
+	Killed    Fault = "killed"  // half of the nodes are killed at once, and restart at random times until the fault ends
 )
 
-// Troubles lists all faults.
-var Troubles = []Trouble{None, Third, OneWay, Flap, Killed}
+// Faults lists all faults.
+var Faults = []Fault{None, Partition, OneWay, Flap, Killed}
 
 // Plan is the parameters of one run.
 type Plan struct {
-	Seed    uint64
-	Nodes   int
-	Span    time.Duration // duration of the run, in virtual time
-	Trouble Trouble
-	Loss    float64       // probability that a message is lost
-	Clock   time.Duration // maximum clock error, in either direction
-	Window  time.Duration // the budget's window
-	Wanted  float64       // demand of all nodes together as a fraction of the budget; above 1 the budget is not enough
-	Few     float64       // fraction of the nodes that the demand comes from
-	Servers int           // backends that the nodes send requests to
-	Sharing bool          // whether nodes exchange evidence and quota; without, each detects outliers alone
+	Seed           uint64
+	Nodes          int
+	Duration       time.Duration // duration of the run, in virtual time
+	Fault          Fault
+	Loss           float64       // probability that a message is lost
+	MaxClockError  time.Duration // maximum clock error, in either direction
+	Window         time.Duration // the budget's window
+	Demand         float64       // demand of all nodes together as a fraction of the budget; above 1 the budget is not enough
+	DemandingShare float64       // fraction of the nodes that the demand comes from
+	Backends       int           // backends that the nodes send requests to
+	Sharing        bool          // whether nodes exchange evidence and quota; without, each detects outliers alone
 }
 
 // Result is the result of a run.
@@ -55,22 +55,23 @@
 	// Used is the spending as a fraction of the demand or the budget, whichever is less, without the time of the fault
 	// and the 12 windows after it.
 	Used float64
-	// UsedInCut is the same from 5 windows after the start of the fault to its end. Each side has its nodes' share of
-	// the budget; the lower result of both sides counts.
-	UsedInCut float64
-	// Agreed is the time in seconds from the end of the fault until every live node regards all others as live.
-	Agreed float64
-	// Healed is the time in seconds from the end of the fault until all nodes are in the connectivity mode Majority.
-	Healed float64
+	// UsedDuringFault is the same from 5 windows after the start of the fault to its end. Each side has its nodes'
+	// share of the budget; the lower result of both sides counts.
+	UsedDuringFault float64
+	// ConvergedAfter is the time in seconds from the end of the fault until every live node regards all others as live.
+	ConvergedAfter float64
+	// HealedAfter is the time in seconds from the end of the fault until all nodes are in the connectivity mode
+	// Majority.
+	HealedAfter float64
 	// Bytes and Packets are sent per second and node.
 	Bytes   float64
 	Packets float64
-	// RightAfter is the time in seconds from the failure of a backend until the median node excludes it.
-	RightAfter float64
-	// False counts the exclusions, by all nodes, of healthy and reachable backends on others' evidence.
-	False int
-	// Broken counts the violations of invariants, by name.
-	Broken map[string]uint64
+	// ExcludedAfter is the time in seconds from the failure of a backend until the median node excludes it.
+	ExcludedAfter float64
+	// FalseExclusions counts the exclusions, by all nodes, of healthy and reachable backends on others' evidence.
+	FalseExclusions int
+	// Violations counts the violations of invariants, by name.
+	Violations map[string]uint64
 }
 
 const (
@@ -141,13 +142,13 @@
 	failsAt        int64
 }
 
-// Play runs a simulation. It panics if the plan gives an invalid budget.
-func Play(p Plan) Result {
+// Run runs a simulation. It panics if the plan gives an invalid budget.
+func Run(p Plan) Result {
 	sim := &simulation{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, 77)), monitor: &invariant.Monitor{},
 		spentByWindow: map[int64]int64{}, startedAt: 1_700_000_000 * int64(time.Second)}
 	sim.spentBySide = [2]map[int64]int64{{}, {}}
 	sim.now = sim.startedAt
-	sim.faultStart, sim.faultEnd = sim.startedAt+int64(p.Span)/3, sim.startedAt+2*int64(p.Span)/3
+	sim.faultStart, sim.faultEnd = sim.startedAt+int64(p.Duration)/3, sim.startedAt+2*int64(p.Duration)/3
 	sim.failingServer, sim.failsAt = 0, sim.faultStart
 	sim.budget = &quota.Budget{Name: "tokens", Amount: budgetAmount, Window: p.Window, TransferWindows: 4}
 	for range p.Nodes {
@@ -156,11 +157,11 @@
 	if err := sim.budget.Complete(); err != nil {
 		panic(err) // an invalid plan is an error of the caller
 	}
-	demanding := max(1, int(float64(p.Nodes)*p.Few))
+	demanding := max(1, int(float64(p.Nodes)*p.DemandingShare))
 	for i := range p.Nodes {
-		n := &node{incarnation: 1, clockOffset: int64((sim.rng.Float64()*2 - 1) * float64(p.Clock))}
+		n := &node{incarnation: 1, clockOffset: int64((sim.rng.Float64()*2 - 1) * float64(p.MaxClockError))}
 		if i%max(1, p.Nodes/demanding) == 0 && i/max(1, p.Nodes/demanding) < demanding {
-			n.demand = p.Wanted * budgetAmount / float64(demanding)
+			n.demand = p.Demand * budgetAmount / float64(demanding)
 		}
 		sim.nodes = append(sim.nodes, n)
 		sim.startNode(i, false)
@@ -168,7 +169,7 @@
 		sim.schedule(time.Duration(sim.rng.ExpFloat64()/requestRate*1e9), func() { sim.sendRequest(i) })
 		sim.schedule(0, func() { sim.spendQuota(i) })
 	}
-	if p.Trouble == Killed {
+	if p.Fault == Killed {
 		sim.schedule(time.Duration(sim.faultStart-sim.now), func() {
 			for i := range sim.nodes {
 				if i%2 == 0 {
@@ -183,29 +184,29 @@
 	var checkRecovery func()
 	checkRecovery = func() {
 		if !allLive && sim.allPeersLive() {
-			allLive, sim.result.Agreed = true, float64(sim.now-sim.faultEnd)/1e9
+			allLive, sim.result.ConvergedAfter = true, float64(sim.now-sim.faultEnd)/1e9
 		}
-		if sim.result.Healed == 0 && !slices.ContainsFunc(sim.nodes, func(n *node) bool {
+		if sim.result.HealedAfter == 0 && !slices.ContainsFunc(sim.nodes, func(n *node) bool {
 			m, _ := n.Connectivity.Current()
 			return m != connectivity.Majority
 		}) {
-			sim.result.Healed = float64(sim.now-sim.faultEnd) / 1e9
+			sim.result.HealedAfter = float64(sim.now-sim.faultEnd) / 1e9
 		}
-		if !allLive || sim.result.Healed == 0 {
+		if !allLive || sim.result.HealedAfter == 0 {
 			sim.schedule(20*time.Millisecond, checkRecovery)
 		}
 	}
 	sim.schedule(time.Duration(sim.faultEnd-sim.now), checkRecovery)
-	for end := sim.startedAt + int64(p.Span); len(sim.queue) > 0 && sim.queue[0].at <= end; {
+	for end := sim.startedAt + int64(p.Duration); len(sim.queue) > 0 && sim.queue[0].at <= end; {
 		e := heap.Pop(&sim.queue).(event)
 		sim.now = e.at
 		e.do()
 	}
 	if !allLive {
-		sim.result.Agreed = float64(sim.now-sim.faultEnd) / 1e9 // not reached by the end of the run
+		sim.result.ConvergedAfter = float64(sim.now-sim.faultEnd) / 1e9 // not reached by the end of the run
 	}
-	if sim.result.Healed == 0 {
-		sim.result.Healed = float64(sim.now-sim.faultEnd) / 1e9
+	if sim.result.HealedAfter == 0 {
+		sim.result.HealedAfter = float64(sim.now-sim.faultEnd) / 1e9
 	}
 	sim.computeResult()
 	return sim.result
@@ -236,18 +237,18 @@
 		GossipInterval: tickInterval, GossipFanout: 2, HeartbeatTimeout: 3 * time.Second,
 		ConnectivityTiming: connectivity.Timing{JoinTimeout: 5 * time.Second, SettleTime: time.Second,
 			RecoveryRamp: time.Second},
-		ClockError: max(2*sim.Clock, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: sim.Seed,
+		ClockError: max(2*sim.MaxClockError, 50*time.Millisecond), RequestInterval: 100 * time.Millisecond, Seed: sim.Seed,
 		OutlierLimits: outlier.Limits{MinSources: 2, EvidenceLifetime: int64(5 * time.Second),
 			OwnEvidenceLifetime: int64(2 * time.Second), MaxEjectedShare: 0.5, IsolationShare: 0.34,
-			ClockError: int64(max(2*sim.Clock, 50*time.Millisecond))}}
+			ClockError: int64(max(2*sim.MaxClockError, 50*time.Millisecond))}}
 	at := sim.now + n.clockOffset
 	n.Member, n.alive = member.New(c, at, sim.monitor), true
 	n.SetLease(quota.Lease{FencingToken: n.incarnation, ValidFrom: at, ExpiresAt: at + int64(time.Hour),
 		Successor: successor})
 	n.consecutiveFailures, n.lastObserved, n.excluded =
-		make([]int, sim.Servers), make([]int64, sim.Servers), make([]bool, sim.Servers)
+		make([]int, sim.Backends), make([]int64, sim.Backends), make([]bool, sim.Backends)
 	var backends []outlier.Backend
-	for s := range sim.Servers {
+	for s := range sim.Backends {
 		backends = append(backends, outlier.Backend{Hash: uint64(s + 1), Zone: s % 2})
 	}
 	n.Detector.SetBackends(backends)
@@ -266,8 +267,8 @@
 	if sim.now < sim.faultStart || sim.now >= sim.faultEnd || sim.side(from) == sim.side(to) {
 		return true
 	}
-	switch sim.Trouble {
-	case Third:
+	switch sim.Fault {
+	case Partition:
 		return false
 	case OneWay:
 		return sim.side(to) != 0
@@ -346,10 +347,10 @@
 func (sim *simulation) sendRequest(i int) {
 	n := sim.nodes[i]
 	sim.schedule(time.Duration(sim.rng.ExpFloat64()/requestRate*1e9), func() { sim.sendRequest(i) })
-	if !n.alive || sim.Servers == 0 {
+	if !n.alive || sim.Backends == 0 {
 		return
 	}
-	s := sim.rng.IntN(sim.Servers)
+	s := sim.rng.IntN(sim.Backends)
 	if n.excluded[s] && sim.rng.IntN(20) > 0 { // an excluded backend gets one trial request in 20
 		return
 	}
@@ -374,7 +375,7 @@
 
 // serverReachable reports whether a node reaches a backend.
 func (sim *simulation) serverReachable(i, s int) bool {
-	return !(sim.Trouble == Third && sim.now >= sim.faultStart && sim.now < sim.faultEnd &&
+	return !(sim.Fault == Partition && sim.now >= sim.faultStart && sim.now < sim.faultEnd &&
 		sim.side(i) == 0 && s%2 == 1)
 }
 
@@ -389,14 +390,14 @@
 		for _, j := range n.Detector.Ejections(sim.now + n.clockOffset) {
 			s := int(j.Backend.Hash) - 1
 			if n.lastObserved[s]+n.clockOffset < j.LatestEvidence || n.consecutiveFailures[s] > 0 {
-				if !n.excluded[s] && s != sim.failingServer && !(sim.Trouble == Third && s%2 == 1) {
-					sim.result.False++
+				if !n.excluded[s] && s != sim.failingServer && !(sim.Fault == Partition && s%2 == 1) {
+					sim.result.FalseExclusions++
 				}
 				n.excluded[s] = true
 			}
 		}
 	}
-	if sim.Servers > 0 && n.excluded[sim.failingServer] && n.excludedFailingAt == 0 && sim.now >= sim.failsAt {
+	if sim.Backends > 0 && n.excluded[sim.failingServer] && n.excludedFailingAt == 0 && sim.now >= sim.failsAt {
 		n.excludedFailingAt = sim.now
 	}
 }
@@ -415,7 +416,7 @@
 func (sim *simulation) computeResult() {
 	first := sim.budget.WindowAt(sim.startedAt) + settleWindows
 	duringFault := func(at int64) bool {
-		return sim.Trouble != None && sim.budget.WindowStart(at+1) > sim.faultStart &&
+		return sim.Fault != None && sim.budget.WindowStart(at+1) > sim.faultStart &&
 			sim.budget.WindowStart(at) < sim.faultEnd+int64(12*sim.Window)
 	}
 	var used, available, sideUsed, sideAvailable [2]float64
@@ -426,7 +427,7 @@
 		demand[sim.side(i)] += n.demand
 		nodeCount[sim.side(i)]++
 	}
-	last := sim.budget.WindowAt(sim.startedAt+int64(sim.Span)) - 1
+	last := sim.budget.WindowAt(sim.startedAt+int64(sim.Duration)) - 1
 	for at := sim.budget.WindowAt(sim.startedAt); at <= last+8; at++ {
 		sim.result.Overspent = max(sim.result.Overspent, sim.spentByWindow[at]-budgetAmount)
 	}
@@ -448,14 +449,14 @@
 	if available[0] > 0 {
 		sim.result.Used = used[0] / available[0]
 	}
-	sim.result.UsedInCut = 1
+	sim.result.UsedDuringFault = 1
 	for side := range 2 {
 		if sideAvailable[side] > 0 {
-			sim.result.UsedInCut = min(sim.result.UsedInCut, sideUsed[side]/sideAvailable[side])
+			sim.result.UsedDuringFault = min(sim.result.UsedDuringFault, sideUsed[side]/sideAvailable[side])
 		}
 	}
 	if sim.sampledPackets > 0 {
-		packetRate := float64(sim.packets) / float64(sim.Nodes) / sim.Span.Seconds()
+		packetRate := float64(sim.packets) / float64(sim.Nodes) / sim.Duration.Seconds()
 		sim.result.Packets, sim.result.Bytes = packetRate, packetRate*float64(sim.bytes)/float64(sim.sampledPackets)
 	}
 	var exclusionTimes []float64
@@ -463,10 +464,10 @@
 		if n.excludedFailingAt > 0 {
 			exclusionTimes = append(exclusionTimes, float64(n.excludedFailingAt-sim.failsAt)/1e9)
 		} else {
-			exclusionTimes = append(exclusionTimes, sim.Span.Seconds())
+			exclusionTimes = append(exclusionTimes, sim.Duration.Seconds())
 		}
 	}
 	slices.Sort(exclusionTimes)
-	sim.result.RightAfter = exclusionTimes[len(exclusionTimes)/2]
-	sim.result.Broken = sim.monitor.Violations()
+	sim.result.ExcludedAfter = exclusionTimes[len(exclusionTimes)/2]
+	sim.result.Violations = sim.monitor.Violations()
 }
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -64,8 +64,8 @@
 	sim.At(appearsAt, func() {
 		kind := int(seed) % len(sim.Kinds)
 		f := sim.Kinds[kind]
-		f.Capacity = f.Able(700, 1500, 105, 0.05)
-		added = &backend{Box: emulator.New(f, seed*1000+999, sim.now), name: "fresh", kind: kind,
+		f.Capacity = f.MaxRate(700, 1500, 105, 0.05)
+		added = &backend{Backend: emulator.New(f, seed*1000+999, sim.now), name: "fresh", kind: kind,
 			attempts: map[int64]*attempt{}, readyAt: sim.clock()}
 		sim.backends, sim.backendsByName[added.name] = append(sim.backends, added), added
 		for _, n := range sim.nodes {
@@ -79,9 +79,9 @@
 	counts := func() (ofAdded, meanOfOthers float64) {
 		for _, b := range sim.backends {
 			if b == added {
-				ofAdded = float64(b.Came())
+				ofAdded = float64(b.Received())
 			} else {
-				meanOfOthers += float64(b.Came()) / float64(s.Backends)
+				meanOfOthers += float64(b.Received()) / float64(s.Backends)
 			}
 		}
 		return ofAdded, meanOfOthers
@@ -93,7 +93,7 @@
 		if added == nil {
 			continue
 		}
-		r.PeakPressure = max(r.PeakPressure, added.Pressure(sim.now))
+		r.PeakPressure = max(r.PeakPressure, added.Overload(sim.now))
 		r.Collapsed = r.Collapsed || !added.Alive()
 		ofAdded, meanOfOthers := counts()
 		history = append(history, count{ofAdded, meanOfOthers})
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -166,7 +166,7 @@
 	out := max(2, int(sim.logNormal(req.class.OutputTokens, req.class.OutputSigma)))
 	verdict, collapsed := b.Submit(sim.now, emulator.Job{ID: att.jobID, Session: req.request.Session,
 		Prefix: req.request.Prefix, Prompt: req.request.PromptTokens,
-		Shared: req.request.PrefixTokens, Out: min(out, int(req.class.MaxOutputTokens))})
+		Shared: req.request.PrefixTokens, OutputTokens: min(out, int(req.class.MaxOutputTokens))})
 	if collapsed {
 		b.collapsed = true
 		sim.failAttempts(b, b.Kill())
@@ -175,14 +175,14 @@
 		sim.At(sim.now+networkDelay, func() { req.node.finish(att, code, 0) })
 	}
 	switch verdict {
-	case emulator.Taken:
+	case emulator.Accepted:
 		b.attempts[att.jobID] = att
 		sim.scheduleStep(b)
-	case emulator.Full:
+	case emulator.Rejected:
 		reply(standpoint.Rejected)
 	case emulator.Errored:
 		reply(standpoint.ServerError)
-	case emulator.Dead:
+	case emulator.Unreachable:
 		reply(standpoint.NoConnection)
 	}
 }
@@ -202,7 +202,7 @@
 // number, and the event of the earlier one is ignored.
 func (sim *Simulation) scheduleStep(b *backend) {
 	b.stepSerial++
-	serial, at := b.stepSerial, b.Next()
+	serial, at := b.stepSerial, b.NextStepEnd()
 	if at > 1e15 {
 		return
 	}
@@ -239,7 +239,7 @@
 		})
 	}
 	if p.Done {
-		sim.At(sim.now+networkDelay, func() { att.req.node.finish(att, standpoint.Served, p.Kept) })
+		sim.At(sim.now+networkDelay, func() { att.req.node.finish(att, standpoint.Served, p.CachedTokens) })
 	}
 }
 
--- a/internal/lab/labcli/boxes.go
+++ b/internal/lab/labcli/boxes.go
@@ -57,7 +57,7 @@
 
 // commandTarget executes the fault commands of lab poke: emulated backends, or a responder.
 type commandTarget interface {
-	Do(command, value string, names ...string) error
+	Apply(command, value string, names ...string) error
 }
 
 // serveCommands serves lab poke at the address, if there is one.
@@ -88,7 +88,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /{deed}", func(w http.ResponseWriter, req *http.Request) {
 		_ = req.ParseForm()
-		if err := target.Do(req.PathValue("deed"), req.Form.Get("value"), req.Form["box"]...); err != nil {
+		if err := target.Apply(req.PathValue("deed"), req.Form.Get("value"), req.Form["box"]...); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
 	})
@@ -111,7 +111,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			form := map[string][]string{}
 			names := args[1:]
-			if value := server.Deeds[args[0]] + responder.Deeds[args[0]]; value != "" {
+			if value := server.FaultCommands[args[0]] + responder.FaultCommands[args[0]]; value != "" {
 				if len(names) == 0 {
 					return fmt.Errorf("%s: value missing: %s", args[0], value)
 				}
--- a/internal/lab/labcli/dns.go
+++ b/internal/lab/labcli/dns.go
@@ -41,9 +41,9 @@
 				return err
 			}
 			defer closeCommands()
-			fmt.Fprintf(errs, "%s: look-ups and push at %s, mDNS messages at %s", z.Domain, r.Address, r.MDNS)
-			if r.Secure != "" {
-				fmt.Fprintf(errs, ", push over TLS at %s", r.Secure)
+			fmt.Fprintf(errs, "%s: look-ups and push at %s, mDNS messages at %s", z.Domain, r.Address, r.MDNSAddress)
+			if r.TLSAddress != "" {
+				fmt.Fprintf(errs, ", push over TLS at %s", r.TLSAddress)
 			}
 			fmt.Fprintln(errs)
 			select {
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -35,12 +35,12 @@
 					"BYTES/S\tRIGHT AFTER\tALONE\tFALSE\tALONE\tBROKEN")
 			for _, n := range nodes {
 				for _, set := range []struct {
-					fault fleetsim.Trouble
+					fault fleetsim.Fault
 					loss  float64
-				}{{fleetsim.None, 0}, {fleetsim.None, 0.1}, {fleetsim.None, 0.3}, {fleetsim.Third, 0.1},
+				}{{fleetsim.None, 0}, {fleetsim.None, 0.1}, {fleetsim.None, 0.3}, {fleetsim.Partition, 0.1},
 					{fleetsim.OneWay, 0.1}, {fleetsim.Flap, 0.1}, {fleetsim.Killed, 0.1}} {
-					p := fleetsim.Plan{Nodes: n, Span: duration, Trouble: set.fault, Loss: set.loss,
-						Clock: 200 * time.Millisecond, Window: time.Second, Wanted: 0.95, Few: 0.34, Servers: 12}
+					p := fleetsim.Plan{Nodes: n, Duration: duration, Fault: set.fault, Loss: set.loss,
+						MaxClockError: 200 * time.Millisecond, Window: time.Second, Demand: 0.95, DemandingShare: 0.34, Backends: 12}
 					shared, isolated := runPlays(c.Context(), p, first, seeds)
 					if err := c.Context().Err(); err != nil {
 						return err
@@ -74,9 +74,9 @@
 			}
 			q := p
 			q.Seed, q.Sharing = first+uint64(i), true
-			shared[i] = fleetsim.Play(q)
+			shared[i] = fleetsim.Run(q)
 			q.Sharing = false
-			isolated[i] = fleetsim.Play(q)
+			isolated[i] = fleetsim.Run(q)
 		})
 	}
 	workers.Wait()
@@ -103,17 +103,17 @@
 	}
 	maxOverspent, broken := int64(0), 0
 	for _, r := range shared {
-		maxOverspent, broken = max(maxOverspent, r.Overspent), broken+len(r.Broken)
+		maxOverspent, broken = max(maxOverspent, r.Overspent), broken+len(r.Violations)
 	}
 	used := sortedValues(shared, func(r fleetsim.Result) float64 { return r.Used })
-	cut := sortedValues(shared, func(r fleetsim.Result) float64 { return r.UsedInCut })
-	agreed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.Agreed })
-	healed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.Healed })
-	rightAfter := func(r fleetsim.Result) float64 { return r.RightAfter }
-	falseCount := func(r fleetsim.Result) float64 { return float64(r.False) }
+	cut := sortedValues(shared, func(r fleetsim.Result) float64 { return r.UsedDuringFault })
+	agreed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.ConvergedAfter })
+	healed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.HealedAfter })
+	rightAfter := func(r fleetsim.Result) float64 { return r.ExcludedAfter }
+	falseCount := func(r fleetsim.Result) float64 { return float64(r.FalseExclusions) }
 	fmt.Fprintf(w,
 		"%d\t%s\t%.0f%%\t%d\t%d\t%.3f (%.3f)\t%.3f\t%.2f, %.2f s\t%.2f s\t%.0f\t%.1f s\t%.1f s\t%.2f\t%.2f\t%d\n",
-		p.Nodes, p.Trouble, 100*p.Loss, len(shared), max(0, maxOverspent),
+		p.Nodes, p.Fault, 100*p.Loss, len(shared), max(0, maxOverspent),
 		mean(used), used[0], mean(cut), quantile(agreed, 0.5), quantile(agreed, 0.99), quantile(healed, 0.99),
 		mean(sortedValues(shared, func(r fleetsim.Result) float64 { return r.Bytes })),
 		quantile(sortedValues(shared, rightAfter), 0.5), quantile(sortedValues(isolated, rightAfter), 0.5),
--- a/internal/lab/labcli/load.go
+++ b/internal/lab/labcli/load.go
@@ -117,7 +117,7 @@
 		p.Pattern = pattern
 	}
 	if duration > 0 {
-		p.For = load.Span(duration)
+		p.Duration = load.Duration(duration)
 	}
 	return p, p.Complete()
 }
@@ -176,8 +176,8 @@
 // progressLine returns the line of a second.
 func progressLine(p load.Progress) string {
 	line := fmt.Sprintf("%5.0f s of %.0f  %6.1f/s wanted  %5d out  "+
-		"second: %4d asked %4d in time %4d turned down %4d failed, slowest %.0f ms", p.At.Seconds(), p.For.Seconds(),
-		p.Rate, p.Out, p.Second.Asked, p.Second.InTime, p.Second.TurnedDown, p.Second.Failed, p.Second.FirstMS)
+		"second: %4d asked %4d in time %4d turned down %4d failed, slowest %.0f ms", p.Elapsed.Seconds(), p.Duration.Seconds(),
+		p.Rate, p.InFlight, p.Second.Asked, p.Second.InTime, p.Second.TurnedDown, p.Second.Failed, p.Second.FirstMS)
 	if p.Lagging {
 		line += "  THE GENERATOR LAGS"
 	}
@@ -228,20 +228,20 @@
 	bold := lipgloss.NewStyle().Bold(true)
 	var b strings.Builder
 	progress := 0.0
-	if p.For > 0 {
-		progress = min(1, p.At.Seconds()/p.For.Seconds())
+	if p.Duration > 0 {
+		progress = min(1, p.Elapsed.Seconds()/p.Duration.Seconds())
 	}
 	const width = 40
 	fmt.Fprintf(&b, "%s %s%s %.0f s of %.0f\n", bold.Render("load"), strings.Repeat("█", int(progress*width)),
-		strings.Repeat("░", width-int(progress*width)), p.At.Seconds(), p.For.Seconds())
-	fmt.Fprintf(&b, "%.1f requests a second wanted, %d out\n", p.Rate, p.Out)
-	if p.All != nil && p.All.Asked > 0 {
-		q := func(at float64) float64 { return float64(p.All.First.ValueAtQuantile(at)) / 1000 }
-		fmt.Fprintf(&b, "asked %d, served %d, in time %d (%.1f%%), turned down %d, failed %d\n", p.All.Asked,
+		strings.Repeat("░", width-int(progress*width)), p.Elapsed.Seconds(), p.Duration.Seconds())
+	fmt.Fprintf(&b, "%.1f requests a second wanted, %d out\n", p.Rate, p.InFlight)
+	if p.All != nil && p.All.Intended > 0 {
+		q := func(at float64) float64 { return float64(p.All.FirstToken.ValueAtQuantile(at)) / 1000 }
+		fmt.Fprintf(&b, "asked %d, served %d, in time %d (%.1f%%), turned down %d, failed %d\n", p.All.Intended,
 			p.All.Served, p.All.InTime,
-			100*float64(p.All.InTime)/float64(p.All.Asked), p.All.TurnedDown, p.All.Failed+p.All.GaveUp)
+			100*float64(p.All.InTime)/float64(p.All.Intended), p.All.Rejected, p.All.Failed+p.All.TimedOut)
 		fmt.Fprintf(&b, "first event: median %.0f ms, 99th %.0f, 99.9th %.0f; send lag 99th %.2f ms\n", q(50), q(99),
-			q(99.9), float64(p.All.Lag.ValueAtQuantile(99))/1000)
+			q(99.9), float64(p.All.SendLag.ValueAtQuantile(99))/1000)
 	}
 	bars := []rune("▁▂▃▄▅▆▇█")
 	b.WriteString("in time a second ")
--- a/internal/lab/labcli/scale.go
+++ b/internal/lab/labcli/scale.go
@@ -33,8 +33,8 @@
 				return fmt.Errorf("--nodes: %w", err)
 			}
 			for i, n := range backendCounts {
-				f := &experiment.File{Name: "scale", Seeds: seeds, FirstSeed: 1, Settle: load.Span(10 * time.Second),
-					Duration: load.Span(duration)}
+				f := &experiment.File{Name: "scale", Seeds: seeds, FirstSeed: 1, Settle: load.Duration(10 * time.Second),
+					Duration: load.Duration(duration)}
 				f.Parameters = experiment.Parameters{Backends: int(n),
 					Nodes: int(nodeCounts[min(i, len(nodeCounts)-1)]), Pattern: fmt.Sprintf("steady(%g)", n*perBackend)}
 				for _, p := range policies {
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -28,8 +28,8 @@
 	go func() { _ = peer.Serve(l) }()
 	defer peer.Close()
 	sustains := func(rate float64) (bool, error) {
-		p := &Plan{Target: l.Addr().String(), Pattern: fmt.Sprintf("steady(%g)", rate), For: Span(4 * time.Second),
-			Classes: []Class{{Name: "c", Prompt: 20, Habit: NoRetry}}}
+		p := &Plan{Target: l.Addr().String(), Pattern: fmt.Sprintf("steady(%g)", rate), Duration: Duration(4 * time.Second),
+			Classes: []Class{{Name: "c", Prompt: 20, RetryHabit: NoRetry}}}
 		if err := p.Complete(); err != nil {
 			return false, err
 		}
@@ -41,9 +41,9 @@
 		all := r.All()
 		fmt.Fprintf(out,
 			"%6.0f a second: lag 99th %.2f ms, %d of %d served, CPU %.0f us a request, its peer's among it\n",
-			rate, float64(all.Lag.ValueAtQuantile(99))/1000, all.Served, all.Asked,
+			rate, float64(all.SendLag.ValueAtQuantile(99))/1000, all.Served, all.Intended,
 			float64((cpuTime()-cpuBefore).Microseconds())/max(1, float64(all.Served)))
-		return len(r.Marks) == 0 && all.Served == all.Asked, nil
+		return len(r.Marks) == 0 && all.Served == all.Intended, nil
 	}
 	low, high := 0.0, 500.0
 	for high <= 64_000 && ctx.Err() == nil {
--- a/internal/lab/load/figures.go
+++ b/internal/lab/load/figures.go
@@ -21,30 +21,30 @@
 	significantFigures = 3
 )
 
-// Figures are the results of a run, for one class or for all. Those of several processes can be merged.
-type Figures struct {
+// Results are the results of a run, for one class or for all. Those of several processes can be merged.
+type Results struct {
 	// The histograms are of served requests, in microseconds.
-	First     *hdrhistogram.Histogram // from the intended time to the first event
-	Total     *hdrhistogram.Histogram // from the intended time to the end of the response
-	TokenGap  *hdrhistogram.Histogram // mean time between the tokens of a response
-	Lag       *hdrhistogram.Histogram // from the time at which the served attempt was due to its sending
-	SinceSend *hdrhistogram.Histogram // from the sending to the first event, as a closed loop would measure it
+	FirstToken *hdrhistogram.Histogram // from the intended time to the first event
+	Total      *hdrhistogram.Histogram // from the intended time to the end of the response
+	TokenGap   *hdrhistogram.Histogram // mean time between the tokens of a response
+	SendLag    *hdrhistogram.Histogram // from the time at which the served attempt was due to its sending
+	SinceSend  *hdrhistogram.Histogram // from the sending to the first event, as a closed loop would measure it
 
-	// Asked counts the intended requests, less those that the end of the run interrupted. Each that has ended is
-	// counted once more, in Served, TurnedDown (the last response was 429 or 503), Failed, GaveUp (time-out) or NotSent
-	// (MaxInFlight was reached). InTime counts the served requests that met their latency objectives.
-	Asked, Served, InTime      int
-	TurnedDown, Failed, GaveUp int
+	// Intended counts the intended requests, less those that the end of the run interrupted. Each that has ended is
+	// counted once more, in Served, TurnedDown (the last response was 429 or 503), Failed, TimedOut (time-out) or
+	// NotSent (MaxInFlight was reached). InTime counts the served requests that met their latency objectives.
+	Intended, Served, InTime   int
+	Rejected, Failed, TimedOut int
 	NotSent                    int
 	Retries, BatchLines        int
 	BatchServed, BatchFailed   int
 }
 
-func newFigures() *Figures {
+func newFigures() *Results {
 	newHistogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minRecorded, maxRecorded, significantFigures)
 	}
-	return &Figures{First: newHistogram(), Total: newHistogram(), TokenGap: newHistogram(), Lag: newHistogram(),
+	return &Results{FirstToken: newHistogram(), Total: newHistogram(), TokenGap: newHistogram(), SendLag: newHistogram(),
 		SinceSend: newHistogram()}
 }
 
@@ -54,14 +54,14 @@
 }
 
 // Merge adds the figures o to f.
-func (f *Figures) Merge(o *Figures) {
-	f.First.Merge(o.First)
+func (f *Results) Merge(o *Results) {
+	f.FirstToken.Merge(o.FirstToken)
 	f.Total.Merge(o.Total)
 	f.TokenGap.Merge(o.TokenGap)
-	f.Lag.Merge(o.Lag)
+	f.SendLag.Merge(o.SendLag)
 	f.SinceSend.Merge(o.SinceSend)
-	for _, p := range [][2]*int{{&f.Asked, &o.Asked}, {&f.Served, &o.Served}, {&f.InTime, &o.InTime},
-		{&f.TurnedDown, &o.TurnedDown}, {&f.Failed, &o.Failed}, {&f.GaveUp, &o.GaveUp}, {&f.NotSent, &o.NotSent},
+	for _, p := range [][2]*int{{&f.Intended, &o.Intended}, {&f.Served, &o.Served}, {&f.InTime, &o.InTime},
+		{&f.Rejected, &o.Rejected}, {&f.Failed, &o.Failed}, {&f.TimedOut, &o.TimedOut}, {&f.NotSent, &o.NotSent},
 		{&f.Retries, &o.Retries}, {&f.BatchLines, &o.BatchLines}, {&f.BatchServed, &o.BatchServed},
 		{&f.BatchFailed, &o.BatchFailed}} {
 		*p[0] += *p[1]
@@ -76,14 +76,14 @@
 }
 
 // counts returns the counters by their keys in files.
-func (f *Figures) counts() map[string]*int {
-	return map[string]*int{"asked": &f.Asked, "served": &f.Served, "in_time": &f.InTime, "turned_down": &f.TurnedDown,
-		"failed": &f.Failed, "gave_up": &f.GaveUp, "not_sent": &f.NotSent, "retries": &f.Retries,
+func (f *Results) counts() map[string]*int {
+	return map[string]*int{"asked": &f.Intended, "served": &f.Served, "in_time": &f.InTime, "turned_down": &f.Rejected,
+		"failed": &f.Failed, "gave_up": &f.TimedOut, "not_sent": &f.NotSent, "retries": &f.Retries,
 		"batch_lines": &f.BatchLines, "batch_served": &f.BatchServed, "batch_failed": &f.BatchFailed}
 }
 
 // MarshalJSON implements json.Marshaler.
-func (f *Figures) MarshalJSON() ([]byte, error) {
+func (f *Results) MarshalJSON() ([]byte, error) {
 	w := figuresJSON{Counts: map[string]int{}}
 	for name, n := range f.counts() {
 		w.Counts[name] = *n
@@ -91,7 +91,7 @@
 	for _, p := range []struct {
 		to   *string
 		from *hdrhistogram.Histogram
-	}{{&w.First, f.First}, {&w.Whole, f.Total}, {&w.Pace, f.TokenGap}, {&w.Lag, f.Lag}, {&w.Own, f.SinceSend}} {
+	}{{&w.First, f.FirstToken}, {&w.Whole, f.Total}, {&w.Pace, f.TokenGap}, {&w.Lag, f.SendLag}, {&w.Own, f.SinceSend}} {
 		raw, err := p.from.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		if err != nil {
 			return nil, err
@@ -102,7 +102,7 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (f *Figures) UnmarshalJSON(raw []byte) error {
+func (f *Results) UnmarshalJSON(raw []byte) error {
 	var w figuresJSON
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return err
@@ -111,7 +111,7 @@
 	for _, p := range []struct {
 		from string
 		to   **hdrhistogram.Histogram
-	}{{w.First, &f.First}, {w.Whole, &f.Total}, {w.Pace, &f.TokenGap}, {w.Lag, &f.Lag}, {w.Own, &f.SinceSend}} {
+	}{{w.First, &f.FirstToken}, {w.Whole, &f.Total}, {w.Pace, &f.TokenGap}, {w.Lag, &f.SendLag}, {w.Own, &f.SinceSend}} {
 		h, err := hdrhistogram.Decode([]byte(p.from))
 		if err != nil {
 			return err
@@ -136,20 +136,20 @@
 
 // Report is the result of a run.
 type Report struct {
-	Target  string              `json:"target"`
-	Pattern string              `json:"pattern"`
-	Seed    uint64              `json:"seed"`
-	Began   time.Time           `json:"began"`
-	For     float64             `json:"for_s"`           // duration of the run in seconds
-	Cut     bool                `json:"cut,omitempty"`   // whether the run was interrupted
-	Marks   []string            `json:"marks,omitempty"` // reasons why the results are not valid for this pattern
-	Trace   *TraceFaults        `json:"trace,omitempty"` // with a trace: its faults
-	Classes map[string]*Figures `json:"classes"`
-	Seconds []Second            `json:"seconds"`
+	Target      string              `json:"target"`
+	Pattern     string              `json:"pattern"`
+	Seed        uint64              `json:"seed"`
+	Began       time.Time           `json:"began"`
+	For         float64             `json:"for_s"`           // duration of the run in seconds
+	Interrupted bool                `json:"cut,omitempty"`   // whether the run was interrupted
+	Marks       []string            `json:"marks,omitempty"` // reasons why the results are not valid for this pattern
+	Trace       *TraceFaults        `json:"trace,omitempty"` // with a trace: its faults
+	Classes     map[string]*Results `json:"classes"`
+	Seconds     []Second            `json:"seconds"`
 }
 
 // All returns the merged figures of all classes.
-func (r *Report) All() *Figures {
+func (r *Report) All() *Results {
 	all := newFigures()
 	for _, f := range r.Classes {
 		all.Merge(f)
@@ -172,9 +172,9 @@
 		return nil, errors.New("no report to merge")
 	}
 	merged := &Report{Target: reports[0].Target, Pattern: reports[0].Pattern, Began: reports[0].Began,
-		Classes: map[string]*Figures{}}
+		Classes: map[string]*Results{}}
 	for _, r := range reports {
-		merged.For, merged.Cut = max(merged.For, r.For), merged.Cut || r.Cut
+		merged.For, merged.Interrupted = max(merged.For, r.For), merged.Interrupted || r.Interrupted
 		merged.Marks = append(merged.Marks, r.Marks...)
 		if r.Began.Before(merged.Began) {
 			merged.Began = r.Began
@@ -216,7 +216,7 @@
 	for _, m := range r.Marks {
 		fmt.Fprintf(out, "MARKED: %s\n", m)
 	}
-	if r.Cut {
+	if r.Interrupted {
 		fmt.Fprintln(out, "cut off before its time")
 	}
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', tabwriter.AlignRight)
@@ -228,11 +228,11 @@
 		}
 		return fmt.Sprintf("%.1f", float64(h.ValueAtQuantile(q))/1000)
 	}
-	writeRow := func(name string, f *Figures) {
+	writeRow := func(name string, f *Results) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
-			name, f.Asked, f.Served, f.InTime, f.TurnedDown, f.Failed, f.GaveUp, f.NotSent,
-			ms(f.First, 50), ms(f.First, 99), ms(f.First, 99.9), ms(f.First, 100),
-			ms(f.TokenGap, 50), ms(f.TokenGap, 99), ms(f.Lag, 99))
+			name, f.Intended, f.Served, f.InTime, f.Rejected, f.Failed, f.TimedOut, f.NotSent,
+			ms(f.FirstToken, 50), ms(f.FirstToken, 99), ms(f.FirstToken, 99.9), ms(f.FirstToken, 100),
+			ms(f.TokenGap, 50), ms(f.TokenGap, 99), ms(f.SendLag, 99))
 	}
 	for _, name := range r.Names() {
 		writeRow(name, r.Classes[name])
@@ -249,13 +249,13 @@
 // collector gathers the results during a run.
 type collector struct {
 	mu       sync.Mutex
-	classes  map[string]*Figures
+	classes  map[string]*Results
 	seconds  []Second
 	inFlight int
 }
 
 // update applies a change to the figures of a class and to those of the second that at, an intended time, falls in.
-func (t *collector) update(class string, at time.Duration, change func(f *Figures, s *Second)) {
+func (t *collector) update(class string, at time.Duration, change func(f *Results, s *Second)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.classes[class]
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -63,8 +63,8 @@
 		}
 		want := 0.0
 		for at := 0.0; at < 10; at += 0.01 {
-			if rate := p.Rate(at); rate < 0 || rate > p.Most()+1e-9 {
-				t.Fatalf("rate %g at %g s, with a maximum of %g", rate, at, p.Most())
+			if rate := p.Rate(at); rate < 0 || rate > p.MaxRate()+1e-9 {
+				t.Fatalf("rate %g at %g s, with a maximum of %g", rate, at, p.MaxRate())
 			}
 			want += p.Rate(at) * 0.01
 		}
@@ -110,8 +110,8 @@
 }
 
 func plan(t *testing.T, target, pattern string, duration time.Duration) *Plan {
-	p := &Plan{Target: target, Pattern: pattern, For: Span(duration),
-		Classes: []Class{{Name: "chat", Prompt: 10, Habit: NoRetry}}, Lag: Span(time.Minute)}
+	p := &Plan{Target: target, Pattern: pattern, Duration: Duration(duration),
+		Classes: []Class{{Name: "chat", Prompt: 10, RetryHabit: NoRetry}}, MaxSendLag: Duration(time.Minute)}
 	require.NoError(t, p.Complete())
 	return p
 }
@@ -120,7 +120,7 @@
 // sends nothing meanwhile, and measures one slow response per client.
 func TestStallCountsAgainstAllIntendedRequests(t *testing.T) {
 	t.Parallel()
-	run := func(closed int) *Figures {
+	run := func(closed int) *Results {
 		p := &peer{}
 		pl := plan(t, p.start(t), "steady(100)", 5*time.Second)
 		time.AfterFunc(time.Second, func() {
@@ -132,10 +132,10 @@
 		return r.All()
 	}
 	open, closed := run(0), run(1)
-	require.Greater(t, open.First.ValueAtQuantile(99.9), int64(1_900_000))
-	require.Greater(t, open.First.ValueAtQuantile(75), int64(200_000), "the stall affects two fifths of the requests")
+	require.Greater(t, open.FirstToken.ValueAtQuantile(99.9), int64(1_900_000))
+	require.Greater(t, open.FirstToken.ValueAtQuantile(75), int64(200_000), "the stall affects two fifths of the requests")
 	require.Less(t, closed.SinceSend.ValueAtQuantile(99), int64(200_000), "the closed loop hides the stall")
-	require.Equal(t, open.Asked, open.Served)
+	require.Equal(t, open.Intended, open.Served)
 }
 
 // stepped returns the time at as the system would report it after its wall clock had been set forward by the given
@@ -168,9 +168,9 @@
 	}})
 	require.NoError(t, err)
 	all := r.All()
-	require.InDelta(t, 150, all.Asked, 75)
-	require.Equal(t, all.Asked, all.Served)
-	require.Less(t, all.First.Max(), int64(2_000_000))
+	require.InDelta(t, 150, all.Intended, 75)
+	require.Equal(t, all.Intended, all.Served)
+	require.Less(t, all.FirstToken.Max(), int64(2_000_000))
 	require.InDelta(t, 1.5, r.For, 0.2)
 	for _, second := range r.Seconds {
 		require.LessOrEqual(t, second.Asked, 150)
@@ -181,7 +181,7 @@
 func TestReportMarksSendLag(t *testing.T) {
 	p := &peer{}
 	pl := plan(t, p.start(t), "steady(100000)", 200*time.Millisecond)
-	pl.Lag, pl.MaxInFlight = Span(time.Millisecond), 50
+	pl.MaxSendLag, pl.MaxInFlight = Duration(time.Millisecond), 50
 	r, err := Run(t.Context(), Options{Plan: pl})
 	require.NoError(t, err)
 	require.NotEmpty(t, r.Marks)
@@ -200,19 +200,19 @@
 	defer cancel()
 	r, err := Run(ctx, Options{Plan: pl})
 	require.NoError(t, err)
-	require.True(t, r.Cut)
+	require.True(t, r.Interrupted)
 	all := r.All()
 	require.Positive(t, all.Served)
-	require.Equal(t, all.Asked, all.Served, "interrupted requests count as not asked")
+	require.Equal(t, all.Intended, all.Served, "interrupted requests count as not asked")
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
 	var decoded Report
 	require.NoError(t, json.Unmarshal(raw, &decoded))
-	require.Equal(t, all.First.ValueAtQuantile(50), decoded.All().First.ValueAtQuantile(50))
+	require.Equal(t, all.FirstToken.ValueAtQuantile(50), decoded.All().FirstToken.ValueAtQuantile(50))
 	merged, err := MergeReports(r, &decoded)
 	require.NoError(t, err)
 	require.Equal(t, 2*all.Served, merged.All().Served)
-	require.Equal(t, 2*all.First.TotalCount(), merged.All().First.TotalCount())
+	require.Equal(t, 2*all.FirstToken.TotalCount(), merged.All().FirstToken.TotalCount())
 }
 
 // Clients retry as their habit says: not at all, at once, or after the time in Retry-After.
@@ -231,12 +231,12 @@
 		})
 		pl := plan(t, target, "burst(1, at=0s, for=1s)", 5*time.Second)
 		pl.EvenlySpaced = true
-		pl.Classes[0].Habit, pl.Classes[0].Retries = c.habit, 2
+		pl.Classes[0].RetryHabit, pl.Classes[0].Retries = c.habit, 2
 		began := time.Now()
 		r, err := Run(t.Context(), Options{Plan: pl,
 			Calls: []Call{{Class: "chat", Prompt: 5, Out: 5}, {At: 4, Class: "chat", Prompt: 5, Out: 5}}})
 		require.NoError(t, err)
-		require.Positive(t, r.All().TurnedDown)
+		require.Positive(t, r.All().Rejected)
 		require.GreaterOrEqual(t, n.Load(), c.attempts)
 		require.Greater(t, time.Since(began), c.minimum)
 		if c.habit == RetryAfter {
@@ -280,12 +280,12 @@
 	for key, change := range map[string]func(*Plan){
 		"target:":          func(p *Plan) { p.Target = "10.0.0.1:1" },
 		"pattern: column":  func(p *Plan) { p.Pattern = "steady(" },
-		"for:":             func(p *Plan) { p.For = 0 },
+		"for:":             func(p *Plan) { p.Duration = 0 },
 		"class:":           func(p *Plan) { p.Classes = nil },
-		"class[0].habit:":  func(p *Plan) { p.Classes[0].Habit = "sulk" },
+		"class[0].habit:":  func(p *Plan) { p.Classes[0].RetryHabit = "sulk" },
 		"class[0].turns:":  func(p *Plan) { p.Classes[0].Turns = 0.5 },
 		"class[0].spread:": func(p *Plan) { p.Classes[0].Spread = 9 },
-		"batch.class:":     func(p *Plan) { p.Batch = Batch{Every: Span(time.Second), Class: "gold"} },
+		"batch.class:":     func(p *Plan) { p.Batch = Batch{Every: Duration(time.Second), Class: "gold"} },
 		"most_out:":        func(p *Plan) { p.MaxInFlight = -1 },
 	} {
 		p := plan(t, "127.0.0.1:1", "steady(1)", time.Second)
--- a/internal/lab/load/pattern.go
+++ b/internal/lab/load/pattern.go
@@ -95,8 +95,8 @@
 	if len(p.terms) > maxTerms {
 		return nil, fmt.Errorf("pattern has %d terms, %d at most", len(p.terms), maxTerms)
 	}
-	if p.Most() > maxPatternRate {
-		return nil, fmt.Errorf("pattern reaches %g requests a second, %g at most", p.Most(), maxPatternRate)
+	if p.MaxRate() > maxPatternRate {
+		return nil, fmt.Errorf("pattern reaches %g requests a second, %g at most", p.MaxRate(), maxPatternRate)
 	}
 	return p, nil
 }
@@ -234,8 +234,8 @@
 	return max(0, rate)
 }
 
-// Most returns an upper bound of the rate.
-func (p *Pattern) Most() (maximum float64) {
+// MaxRate returns an upper bound of the rate.
+func (p *Pattern) MaxRate() (maximum float64) {
 	for _, t := range p.terms {
 		maximum += t.factor * t.maxRate
 	}
@@ -266,7 +266,7 @@
 		}
 		return 0, false
 	}
-	maximum := a.Pattern.Most()
+	maximum := a.Pattern.MaxRate()
 	if maximum <= 0 {
 		return 0, false
 	}
@@ -281,8 +281,8 @@
 	}
 }
 
-// Times returns the pattern with all rates multiplied by a factor.
-func (p *Pattern) Times(factor float64) *Pattern {
+// Scaled returns the pattern with all rates multiplied by a factor.
+func (p *Pattern) Scaled(factor float64) *Pattern {
 	scaled := &Pattern{text: fmt.Sprintf("%g * (%s)", factor, p.text)}
 	for _, t := range p.terms {
 		t.factor *= factor
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -10,50 +10,50 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Span is a duration in a file, such as "30s".
-type Span time.Duration
+// Duration is a duration in a file, such as "30s".
+type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	*s = Span(d)
+	*s = Duration(d)
 	return err
 }
 
 // MarshalText implements encoding.TextMarshaler.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
 // Class describes a class of requests: their share, objectives and sizes, and how its clients retry.
 type Class struct {
 	Name string `toml:"name"`
-	// Part is the class's weight among all classes' requests.
-	Part   float64 `toml:"part"`
+	// Weight is the class's weight among all classes' requests.
+	Weight float64 `toml:"part"`
 	Tenant string  `toml:"tenant"`
-	// Aim is the objective for the time to the first token; PerK is added to it for each 1,000 prompt tokens. With both
-	// 0 there is none.
-	Aim  Span `toml:"first_token"`
-	PerK Span `toml:"per_1000_prompt_tokens"`
-	// Gap is the objective for the mean time between tokens; 0: none.
-	Gap Span `toml:"token_gap"`
-	// GiveUp is the time-out of an attempt.
-	GiveUp Span `toml:"give_up"`
+	// TTFTObjective is the objective for the time to the first token; TTFTObjectivePer1000Tokens is added to it for
+	// each 1,000 prompt tokens. With both 0 there is none.
+	TTFTObjective              Duration `toml:"first_token"`
+	TTFTObjectivePer1000Tokens Duration `toml:"per_1000_prompt_tokens"`
+	// TPOTObjective is the objective for the mean time between tokens; 0: none.
+	TPOTObjective Duration `toml:"token_gap"`
+	// Timeout is the time-out of an attempt.
+	Timeout Duration `toml:"give_up"`
 	// Prompt is the mean number of prompt tokens that a turn adds, and Spread the standard deviation of its logarithm.
 	Prompt float64 `toml:"prompt_tokens"`
 	Spread float64 `toml:"spread"`
-	// Out is the maximum length of a response in tokens.
-	Out float64 `toml:"max_tokens"`
+	// MaxTokens is the maximum length of a response in tokens.
+	MaxTokens float64 `toml:"max_tokens"`
 	// Turns is the mean number of turns in a session.
 	Turns float64 `toml:"turns"`
 	// Think is the mean time between a response and the session's next turn.
-	Think Span `toml:"think"`
+	Think Duration `toml:"think"`
 	// Shared is the length in tokens of the prompt prefix that sessions share; 0: none.
 	Shared float64 `toml:"shared_tokens"`
-	// Starts is the number of different shared prefixes.
-	Starts int `toml:"beginnings"`
-	// Habit is how clients retry: none, at_once, wait or retry_after.
-	Habit string `toml:"habit"`
-	// Wait is the mean delay before a retry where the habit is wait, or the response has no Retry-After.
-	Wait Span `toml:"wait"`
+	// Prefixes is the number of different shared prefixes.
+	Prefixes int `toml:"beginnings"`
+	// RetryHabit is how clients retry: none, at_once, wait or retry_after.
+	RetryHabit string `toml:"habit"`
+	// RetryWait is the mean delay before a retry where the habit is wait, or the response has no Retry-After.
+	RetryWait Duration `toml:"wait"`
 	// Retries is the maximum number of retries of a request.
 	Retries int `toml:"retries"`
 }
@@ -65,25 +65,25 @@
 	Pattern string `toml:"pattern"`
 	// EvenlySpaced makes requests follow the pattern evenly instead of as a Poisson process.
 	EvenlySpaced bool `toml:"even"`
-	// For is the duration of the run.
-	For  Span   `toml:"for"`
-	Seed uint64 `toml:"seed"`
+	// Duration is the duration of the run.
+	Duration Duration `toml:"for"`
+	Seed     uint64   `toml:"seed"`
 	// MaxInFlight is the maximum number of requests in flight; those beyond it are not sent and counted as such.
 	MaxInFlight int     `toml:"most_out"`
 	Dialect     string  `toml:"dialect"` // platform
 	Classes     []Class `toml:"class"`
-	// Lag is the 99th percentile of the send lag above which a run is marked.
-	Lag   Span  `toml:"lag"`
-	Batch Batch `toml:"batch"`
+	// MaxSendLag is the 99th percentile of the send lag above which a run is marked.
+	MaxSendLag Duration `toml:"lag"`
+	Batch      Batch    `toml:"batch"`
 	// Compiled is the parsed Pattern, which Complete sets.
 	Compiled *Pattern
 }
 
 // Batch describes the batch files that are uploaded during a run.
 type Batch struct {
-	Every Span   `toml:"every"` // interval between uploads; 0: no batches
-	Lines int    `toml:"lines"` // requests in a file
-	Class string `toml:"class"`
+	Every Duration `toml:"every"` // interval between uploads; 0: no batches
+	Lines int      `toml:"lines"` // requests in a file
+	Class string   `toml:"class"`
 }
 
 // The retry habits of clients whose request was rejected or failed.
@@ -127,7 +127,7 @@
 func (p *Plan) Complete() (err error) {
 	setDefault(&p.Seed, 1)
 	setDefault(&p.MaxInFlight, 2000)
-	setDefault(&p.Lag, Span(time.Millisecond))
+	setDefault(&p.MaxSendLag, Duration(time.Millisecond))
 	host, _, err := net.SplitHostPort(p.Target)
 	if err != nil {
 		return fmt.Errorf("target: %q is no host:port address", p.Target)
@@ -138,8 +138,8 @@
 	if p.Compiled, err = ParsePattern(p.Pattern); err != nil {
 		return fmt.Errorf("pattern: %w", err)
 	}
-	if p.For <= 0 || p.For > Span(maxRunTime) {
-		return fmt.Errorf("for: %v is not above 0 and up to %v", time.Duration(p.For), maxRunTime)
+	if p.Duration <= 0 || p.Duration > Duration(maxRunTime) {
+		return fmt.Errorf("for: %v is not above 0 and up to %v", time.Duration(p.Duration), maxRunTime)
 	}
 	if p.MaxInFlight < 1 || p.MaxInFlight > maxInFlightLimit {
 		return fmt.Errorf("most_out: %d is not from 1 to %d", p.MaxInFlight, maxInFlightLimit)
@@ -152,7 +152,7 @@
 		if err := p.Classes[i].complete(); err != nil {
 			return fmt.Errorf("class[%d].%w", i, err)
 		}
-		totalPart += p.Classes[i].Part
+		totalPart += p.Classes[i].Weight
 	}
 	if totalPart <= 0 {
 		return errors.New("class[0].part: all parts are 0")
@@ -182,22 +182,22 @@
 
 // complete sets the defaults of a class and validates it.
 func (c *Class) complete() error {
-	setDefault(&c.Part, 1)
-	setDefault(&c.GiveUp, Span(10*time.Second))
+	setDefault(&c.Weight, 1)
+	setDefault(&c.Timeout, Duration(10*time.Second))
 	setDefault(&c.Prompt, 500)
-	setDefault(&c.Out, 200)
+	setDefault(&c.MaxTokens, 200)
 	setDefault(&c.Turns, 1)
-	setDefault(&c.Starts, 1)
-	setDefault(&c.Habit, RetryAfter)
-	setDefault(&c.Wait, Span(500*time.Millisecond))
-	if c.Habit != NoRetry {
+	setDefault(&c.Prefixes, 1)
+	setDefault(&c.RetryHabit, RetryAfter)
+	setDefault(&c.RetryWait, Duration(500*time.Millisecond))
+	if c.RetryHabit != NoRetry {
 		setDefault(&c.Retries, 2)
 	}
 	switch {
 	case c.Name == "":
 		return errors.New("name: missing")
-	case c.Part < 0:
-		return fmt.Errorf("part: %g is negative", c.Part)
+	case c.Weight < 0:
+		return fmt.Errorf("part: %g is negative", c.Weight)
 	case c.Turns < 1 || c.Turns > 50:
 		return fmt.Errorf("turns: %g is not from 1 to 50", c.Turns)
 	case c.Prompt < 1 || c.Prompt > 60_000:
@@ -206,15 +206,15 @@
 		return fmt.Errorf("shared_tokens: %g is not from 0 to 30000", c.Shared)
 	case c.Spread < 0 || c.Spread > 3:
 		return fmt.Errorf("spread: %g is not from 0 to 3", c.Spread)
-	case c.Out < 1 || c.Out > 1e5:
-		return fmt.Errorf("max_tokens: %g is not from 1 to 100000", c.Out)
-	case c.Starts < 1 || c.Starts > 10_000:
-		return fmt.Errorf("beginnings: %d is not from 1 to 10000", c.Starts)
-	case !strings.Contains(" none at_once wait retry_after ", " "+c.Habit+" "):
-		return fmt.Errorf("habit: %q is none of \"none\", \"at_once\", \"wait\" and \"retry_after\"", c.Habit)
+	case c.MaxTokens < 1 || c.MaxTokens > 1e5:
+		return fmt.Errorf("max_tokens: %g is not from 1 to 100000", c.MaxTokens)
+	case c.Prefixes < 1 || c.Prefixes > 10_000:
+		return fmt.Errorf("beginnings: %d is not from 1 to 10000", c.Prefixes)
+	case !strings.Contains(" none at_once wait retry_after ", " "+c.RetryHabit+" "):
+		return fmt.Errorf("habit: %q is none of \"none\", \"at_once\", \"wait\" and \"retry_after\"", c.RetryHabit)
 	case c.Retries < 0 || c.Retries > 20:
 		return fmt.Errorf("retries: %d is not from 0 to 20", c.Retries)
-	case c.GiveUp <= 0 || c.Wait < 0 || c.Think < 0 || c.Aim < 0 || c.PerK < 0 || c.Gap < 0:
+	case c.Timeout <= 0 || c.RetryWait < 0 || c.Think < 0 || c.TTFTObjective < 0 || c.TTFTObjectivePer1000Tokens < 0 || c.TPOTObjective < 0:
 		return errors.New("give_up, wait, think, first_token, per_1000_prompt_tokens, token_gap: " +
 			"no duration may be negative")
 	}
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -36,13 +36,13 @@
 
 // Progress is the state of a run, as reported every second.
 type Progress struct {
-	At, For    time.Duration // time since the start, and the run's duration
-	Rate       float64       // the pattern's present rate in requests per second
-	Out        int           // requests in flight
-	Second     Second        // results of the last complete second
-	All        *Figures      // results so far
-	Lagging    bool          // whether the send lag exceeds Plan.Lag
-	Unfinished int
+	Elapsed, Duration time.Duration // time since the start, and the run's duration
+	Rate              float64       // the pattern's present rate in requests per second
+	InFlight          int           // requests in flight
+	Second            Second        // results of the last complete second
+	All               *Results      // results so far
+	Lagging           bool          // whether the send lag exceeds Plan.Lag
+	Unfinished        int
 }
 
 // runner is the state of a run. Times in the run are durations since startedAt.
@@ -83,8 +83,8 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.MaxInFlight,
 			IdleConnTimeout: 4 * time.Second, DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 			DisableCompression: true}}}
-	r.collector.classes = map[string]*Figures{}
-	duration := time.Duration(p.For)
+	r.collector.classes = map[string]*Results{}
+	duration := time.Duration(p.Duration)
 	if o.Calls != nil {
 		duration = time.Duration(o.Calls[len(o.Calls)-1].At*o.Scale*1e9) + time.Second
 	}
@@ -125,12 +125,12 @@
 	r.collector.mu.Lock()
 	defer r.collector.mu.Unlock()
 	report := &Report{Target: r.Plan.Target, Pattern: r.Plan.Pattern, Seed: r.Plan.Seed, Began: r.startedAt,
-		For: min(duration, r.elapsed(r.startedAt)).Seconds(), Cut: cut, Trace: r.Faults,
+		For: min(duration, r.elapsed(r.startedAt)).Seconds(), Interrupted: cut, Trace: r.Faults,
 		Classes: r.collector.classes, Seconds: r.collector.seconds}
 	all := report.All()
-	if lag := time.Duration(all.Lag.ValueAtQuantile(99)) * time.Microsecond; lag > time.Duration(r.Plan.Lag) {
+	if lag := time.Duration(all.SendLag.ValueAtQuantile(99)) * time.Microsecond; lag > time.Duration(r.Plan.MaxSendLag) {
 		report.Marks = append(report.Marks, fmt.Sprintf("the generator lagged: 99th %v behind what was meant, "+
-			"above %v; it was not fast enough for this pattern", lag, time.Duration(r.Plan.Lag)))
+			"above %v; it was not fast enough for this pattern", lag, time.Duration(r.Plan.MaxSendLag)))
 	}
 	if all.NotSent > 0 {
 		report.Marks = append(report.Marks,
@@ -153,7 +153,7 @@
 		case <-tick.C:
 		}
 		at := r.elapsed(r.startedAt)
-		p := Progress{At: at, For: duration, Out: len(r.inFlight), All: newFigures()}
+		p := Progress{Elapsed: at, Duration: duration, InFlight: len(r.inFlight), All: newFigures()}
 		if r.Plan.Compiled != nil && r.Calls == nil {
 			p.Rate = r.Plan.Compiled.Rate(at.Seconds())
 		}
@@ -166,7 +166,7 @@
 			p.Second = r.collector.seconds[i]
 		}
 		r.collector.mu.Unlock()
-		p.Lagging = time.Duration(p.All.Lag.ValueAtQuantile(99))*time.Microsecond > time.Duration(r.Plan.Lag)
+		p.Lagging = time.Duration(p.All.SendLag.ValueAtQuantile(99))*time.Microsecond > time.Duration(r.Plan.MaxSendLag)
 		r.Progress(p)
 	}
 }
@@ -198,8 +198,8 @@
 	rng := rand.New(rand.NewPCG(p.Seed, 0x10ad))
 	totalPart, sessionWeight := 0.0, 0.0
 	for _, c := range p.Classes {
-		totalPart += c.Part
-		sessionWeight += c.Part / c.Turns
+		totalPart += c.Weight
+		sessionWeight += c.Weight / c.Turns
 	}
 	sessionsPerRequest := sessionWeight / totalPart
 	arrivals := &Arrivals{Pattern: p.Compiled, EvenlySpaced: p.EvenlySpaced, Random: rng.Float64}
@@ -216,8 +216,8 @@
 			return
 		}
 		pick, class := rng.Float64()*sessionWeight, 0
-		for class < len(p.Classes)-1 && pick >= p.Classes[class].Part/p.Classes[class].Turns {
-			pick -= p.Classes[class].Part / p.Classes[class].Turns
+		for class < len(p.Classes)-1 && pick >= p.Classes[class].Weight/p.Classes[class].Turns {
+			pick -= p.Classes[class].Weight / p.Classes[class].Turns
 			class++
 		}
 		seed := rng.Uint64()
@@ -248,7 +248,7 @@
 // runSession sends the turns of session number n, the first at the intended time. It ends with the first request that
 // fails, after a random number of turns, or when the prompt would become too long.
 func (r *runner) runSession(ctx context.Context, n uint64, c *Class, intended time.Duration, rng *rand.Rand) {
-	prefixNumber := rng.IntN(c.Starts)
+	prefixNumber := rng.IntN(c.Prefixes)
 	messages := []message{}
 	promptTokens := 0.0
 	if c.Shared > 0 {
@@ -266,7 +266,7 @@
 		promptTokens += newTokens
 		messages = append(messages, message{"user", randomText(rng, newTokens)})
 		call := Call{At: intended.Seconds(), Class: c.Name, Tenant: c.Tenant, Session: key,
-			Prompt: math.Round(promptTokens), Out: c.Out}
+			Prompt: math.Round(promptTokens), Out: c.MaxTokens}
 		if c.Shared > 0 {
 			call.Prefix, call.Shared = prefix, c.Shared
 		}
@@ -298,7 +298,7 @@
 		if !r.waitUntil(ctx, intended) {
 			return
 		}
-		c := &Class{Name: call.Class, Habit: NoRetry, GiveUp: Span(10 * time.Second)}
+		c := &Class{Name: call.Class, RetryHabit: NoRetry, Timeout: Duration(10 * time.Second)}
 		if k := r.Plan.classIndex(call.Class); k >= 0 {
 			c = &r.Plan.Classes[k]
 		}
@@ -323,7 +323,7 @@
 			c := &r.Plan.Classes[0]
 			for ctx.Err() == nil {
 				now := r.elapsed(r.startedAt)
-				r.send(ctx, Call{At: now.Seconds(), Class: c.Name, Prompt: c.Prompt, Out: c.Out}, c,
+				r.send(ctx, Call{At: now.Seconds(), Class: c.Name, Prompt: c.Prompt, Out: c.MaxTokens}, c,
 					[]message{{"user", randomText(rng, c.Prompt)}}, now, rng)
 			}
 		})
@@ -337,7 +337,7 @@
 	if r.Record != nil {
 		r.Record.Write(call)
 	}
-	r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Asked++; s.Asked++ })
+	r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Intended++; s.Asked++ })
 	body, err := json.Marshal(struct {
 		Model     string    `json:"model"`
 		Stream    bool      `json:"stream"`
@@ -345,7 +345,7 @@
 		Messages  []message `json:"messages"`
 	}{"chat", true, call.Out, messages})
 	if err != nil || len(body) > maxBodyBytes {
-		r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Failed++; s.Failed++ })
+		r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Failed++; s.Failed++ })
 		return "", false
 	}
 	due := intended
@@ -353,7 +353,7 @@
 		select {
 		case r.inFlight <- struct{}{}:
 		default:
-			r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.NotSent++; s.Failed++ })
+			r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.NotSent++; s.Failed++ })
 			return "", false
 		}
 		sent := r.elapsed(r.startedAt)
@@ -364,18 +364,18 @@
 			return result.text, true
 		}
 		if ctx.Err() != nil { // interrupted by the end of the run
-			r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Asked--; s.Asked-- })
+			r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Intended--; s.Asked-- })
 			return "", false
 		}
 		wait, retries := r.retryDelay(c, result, retry, rng)
 		if !retries {
-			r.collector.update(c.Name, intended, func(f *Figures, s *Second) {
+			r.collector.update(c.Name, intended, func(f *Results, s *Second) {
 				switch {
 				case result.status == http.StatusTooManyRequests || result.status == http.StatusServiceUnavailable:
-					f.TurnedDown++
+					f.Rejected++
 					s.TurnedDown++
 				case errors.Is(result.err, context.DeadlineExceeded):
-					f.GaveUp++
+					f.TimedOut++
 					s.Failed++
 				default:
 					f.Failed++
@@ -384,10 +384,10 @@
 			})
 			return "", false
 		}
-		r.collector.update(c.Name, intended, func(f *Figures, _ *Second) { f.Retries++ })
+		r.collector.update(c.Name, intended, func(f *Results, _ *Second) { f.Retries++ })
 		due = r.elapsed(r.startedAt) + wait
 		if !r.waitUntil(ctx, due) {
-			r.collector.update(c.Name, intended, func(f *Figures, s *Second) { f.Asked--; s.Asked-- })
+			r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Intended--; s.Asked-- })
 			return "", false
 		}
 	}
@@ -395,11 +395,11 @@
 
 // retryDelay returns the delay before a class's clients retry a request that was not served, and whether they do.
 func (r *runner) retryDelay(c *Class, result attemptResult, retry int, rng *rand.Rand) (time.Duration, bool) {
-	if retry >= c.Retries || c.Habit == NoRetry {
+	if retry >= c.Retries || c.RetryHabit == NoRetry {
 		return 0, false
 	}
 	jitter := 0.8 + 0.4*rng.Float64()
-	switch c.Habit {
+	switch c.RetryHabit {
 	case AtOnce:
 		return 0, true
 	case RetryAfter:
@@ -407,7 +407,7 @@
 			return time.Duration(float64(result.retryAfter) * jitter), true
 		}
 	}
-	return time.Duration(float64(c.Wait) * jitter), true
+	return time.Duration(float64(c.RetryWait) * jitter), true
 }
 
 // recordServed records the latencies of a served request. Its last attempt was due at due and sent at sent.
@@ -417,19 +417,19 @@
 	if result.tokens > 1 {
 		tokenGap = (result.total - result.first) / time.Duration(result.tokens-1)
 	}
-	objective := time.Duration(c.Aim) + time.Duration(float64(c.PerK)*call.Prompt/1000)
-	inTime := (objective == 0 || first <= objective) && (c.Gap == 0 || tokenGap <= time.Duration(c.Gap))
-	r.collector.update(c.Name, intended, func(f *Figures, s *Second) {
+	objective := time.Duration(c.TTFTObjective) + time.Duration(float64(c.TTFTObjectivePer1000Tokens)*call.Prompt/1000)
+	inTime := (objective == 0 || first <= objective) && (c.TPOTObjective == 0 || tokenGap <= time.Duration(c.TPOTObjective))
+	r.collector.update(c.Name, intended, func(f *Results, s *Second) {
 		f.Served++
 		s.Served++
 		if inTime {
 			f.InTime++
 			s.InTime++
 		}
-		recordDuration(f.First, first)
+		recordDuration(f.FirstToken, first)
 		recordDuration(f.SinceSend, result.first)
 		recordDuration(f.Total, sent+result.total-intended)
-		recordDuration(f.Lag, sent-due)
+		recordDuration(f.SendLag, sent-due)
 		if tokenGap > 0 {
 			recordDuration(f.TokenGap, tokenGap)
 		}
@@ -449,7 +449,7 @@
 
 // attempt sends a request once and reads the stream of the response. retry is 0 for the first attempt.
 func (r *runner) attempt(ctx context.Context, call Call, c *Class, body []byte, retry int) (result attemptResult) {
-	timeout := time.Duration(c.GiveUp)
+	timeout := time.Duration(c.Timeout)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.baseURL+"/v1/chat/completions",
@@ -549,7 +549,7 @@
 				return
 			}
 			_ = err // lines without a result are counted as failed
-			r.collector.update(c.Name, r.elapsed(r.startedAt), func(f *Figures, _ *Second) {
+			r.collector.update(c.Name, r.elapsed(r.startedAt), func(f *Results, _ *Second) {
 				f.BatchLines += r.Plan.Batch.Lines
 				f.BatchServed += served
 				f.BatchFailed += r.Plan.Batch.Lines - served
@@ -573,7 +573,7 @@
 	for i := range r.Plan.Batch.Lines {
 		raw, err := json.Marshal(map[string]any{"custom_id": fmt.Sprintf("%s-%d-%d", r.runID, n, i),
 			"method": "POST", "url": "/v1/chat/completions",
-			"body": map[string]any{"model": "chat", "max_tokens": c.Out,
+			"body": map[string]any{"model": "chat", "max_tokens": c.MaxTokens,
 				"messages": []message{{"user", randomText(rng, c.Prompt)}},
 				"metadata": map[string]string{"class": c.Name}}})
 		if err != nil {
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -285,10 +285,10 @@
 			sim.scheduleStep(b)
 		}
 		if isNew && fault.Slow > 0 {
-			b.Scale(fault.Slow)
+			b.MultiplySlowdown(fault.Slow)
 		}
 		if isNew && fault.Errors > 0 {
-			b.Fail(fault.Errors)
+			b.SetErrorShare(fault.Errors)
 		}
 		if isNew && fault.NewDead || !isNew && fault.OldDead {
 			sim.failAttempts(b, b.Kill())
--- a/internal/lab/responder/file.go
+++ b/internal/lab/responder/file.go
@@ -37,11 +37,11 @@
 	} `toml:"event"`
 
 	directory string
-	instances map[string]Box
+	instances map[string]Instance
 }
 
-// Deeds maps the fault commands for a responder to descriptions of their values; "": the command has no value.
-var Deeds = map[string]string{"withdraw": "", "publish": "", "lose": "", "restore": "", "silent": "", "speak": "",
+// FaultCommands maps the fault commands for a responder to descriptions of their values; "": the command has no value.
+var FaultCommands = map[string]string{"withdraw": "", "publish": "", "lose": "", "restore": "", "silent": "", "speak": "",
 	"drop": "", "loss": "the share of packets that are lost", "delay": "a duration such as 50ms",
 	"jitter": "a duration such as 50ms", "garbage": "a share of the responses", "wrong-id": "a share of the responses",
 	"poison": "a share of the responses", "truncate": "true or false", "zero-ttl": "true or false",
@@ -50,7 +50,7 @@
 
 // ReadFile reads and validates a zone file. Errors name the key.
 func ReadFile(path string) (*File, error) {
-	f := File{directory: filepath.Dir(path), instances: map[string]Box{}, Serial: 1}
+	f := File{directory: filepath.Dir(path), instances: map[string]Instance{}, Serial: 1}
 	meta, err := toml.DecodeFile(path, &f)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("box[%d].address: %w", i, err)
 		}
-		instance := Box{Label: b.Label, Service: b.Service, Address: at, Text: b.Text, Subtypes: b.Subtypes, TTL: b.TTL}
+		instance := Instance{Label: b.Label, Service: b.Service, Address: at, Text: b.Text, Subtypes: b.Subtypes, TTL: b.TTL}
 		if instance.TTL == 0 {
 			instance.TTL = 120
 		}
@@ -85,7 +85,7 @@
 		if _, err := time.ParseDuration(e.At); err != nil {
 			return nil, fmt.Errorf("event[%d].at: %w", i, err)
 		}
-		if _, ok := Deeds[e.Do]; !ok {
+		if _, ok := FaultCommands[e.Do]; !ok {
 			return nil, fmt.Errorf("event[%d].do: unknown fault command %q", i, e.Do)
 		}
 	}
@@ -102,7 +102,7 @@
 func (f *File) Start() (*Running, error) {
 	z := NewZone(f.Domain, f.Serial)
 	if f.NoSerial {
-		z.NoSerial()
+		z.OmitSOA()
 	}
 	for _, b := range f.Instances {
 		if !b.Later {
@@ -126,14 +126,14 @@
 	r := &Running{s, f}
 	for _, e := range f.Events {
 		at, _ := time.ParseDuration(e.At) // validated by ReadFile
-		s.schedule(at, func() { _ = r.Do(e.Do, e.Value, e.Boxes...) })
+		s.schedule(at, func() { _ = r.Apply(e.Do, e.Value, e.Boxes...) })
 	}
 	return r, nil
 }
 
-// Do applies a fault command, publish and withdraw to the instances with the given labels; without labels, to all.
-func (r *Running) Do(command, value string, labels ...string) error {
-	var instances []Box
+// Apply applies a fault command, publish and withdraw to the instances with the given labels; without labels, to all.
+func (r *Running) Apply(command, value string, labels ...string) error {
+	var instances []Instance
 	for _, l := range labels {
 		b, ok := r.file.instances[l]
 		if !ok {
@@ -182,7 +182,7 @@
 	case "drop":
 		r.CloseConnections()
 	case "silent", "speak":
-		f.Silent = command == "silent"
+		f.Unresponsive = command == "silent"
 	case "loss":
 		err = parseFraction(&f.Loss)
 	case "garbage":
@@ -200,24 +200,24 @@
 	case "zero-ttl":
 		err = parseBool(&f.ZeroTTL)
 	case "broken":
-		err = parseBool(&f.Broken)
+		err = parseBool(&f.ServerFailure)
 	case "no-push":
 		err = parseBool(&f.NoPush)
 	case "mute":
-		err = parseBool(&f.Mute)
+		err = parseBool(&f.NoPushChanges)
 	case "split":
 		var split bool
 		if err = parseBool(&split); err == nil {
-			f.Other = nil
+			f.SecondZone = nil
 			if split {
-				f.Other = r.Zone.Copy()
+				f.SecondZone = r.Zone.Copy()
 			}
 		}
 	default:
 		return fmt.Errorf("unknown fault command %q", command)
 	}
 	if err == nil {
-		r.Set(f)
+		r.SetFaults(f)
 	}
 	return err
 }
--- a/internal/lab/responder/file_test.go
+++ b/internal/lab/responder/file_test.go
@@ -26,20 +26,20 @@
 	require.NoError(t, err)
 	defer func() { _ = r.Close() }()
 	require.Equal(t, []string{"old-1", "old-2"}, r.Zone.Labels("_engine._tcp"))
-	require.NoError(t, r.Do("withdraw", "", "old-1"))
-	require.NoError(t, r.Do("publish", "", "Зал Қ. 3"))
+	require.NoError(t, r.Apply("withdraw", "", "old-1"))
+	require.NoError(t, r.Apply("publish", "", "Зал Қ. 3"))
 	require.Equal(t, []string{"old-2", "Зал Қ. 3"}, r.Zone.Labels("_engine._tcp"))
-	require.NoError(t, r.Do("split", "true"))
-	require.NoError(t, r.Do("withdraw", "", "old-2"))
-	require.Equal(t, []string{"old-2", "Зал Қ. 3"}, r.faults.Load().Other.Labels("_engine._tcp"))
+	require.NoError(t, r.Apply("split", "true"))
+	require.NoError(t, r.Apply("withdraw", "", "old-2"))
+	require.Equal(t, []string{"old-2", "Зал Қ. 3"}, r.faults.Load().SecondZone.Labels("_engine._tcp"))
 	require.Equal(t, []string{"Зал Қ. 3"}, r.Zone.Labels("_engine._tcp"))
-	require.NoError(t, r.Do("split", "false"))
-	require.Nil(t, r.faults.Load().Other)
-	require.NoError(t, r.Do("loss", "0.1"))
+	require.NoError(t, r.Apply("split", "false"))
+	require.Nil(t, r.faults.Load().SecondZone)
+	require.NoError(t, r.Apply("loss", "0.1"))
 	require.Equal(t, 0.1, r.faults.Load().Loss)
 	for _, c := range [][]string{{"loss", "2"}, {"delay", "soon"}, {"mute", "maybe"}, {"dance", ""},
 		{"withdraw", "", "box-9"}} {
-		require.Error(t, r.Do(c[0], c[1], c[2:]...), c)
+		require.Error(t, r.Apply(c[0], c[1], c[2:]...), c)
 	}
 	for _, c := range []struct{ from, to, key string }{
 		{`domain = "hall-a.example.org"`, "", "domain:"},
--- a/internal/lab/responder/mdns.go
+++ b/internal/lab/responder/mdns.go
@@ -32,10 +32,10 @@
 		}
 		f := s.faults.Load()
 		q := new(dns.Msg)
-		if s.dropsPacket(f) || f.Silent || q.Unpack(buffer[:n]) != nil || q.Response {
+		if s.dropsPacket(f) || f.Unresponsive || q.Unpack(buffer[:n]) != nil || q.Response {
 			continue
 		}
-		s.Questions.Add(1)
+		s.QueryCount.Add(1)
 		s.mu.Lock()
 		if _, ok := s.queriers[from]; ok || len(s.queriers) < maxQueriers {
 			s.queriers[from] = time.Now()
@@ -136,7 +136,7 @@
 // records whose change has been undone meanwhile.
 func (s *Server) sendToQueriers(records []dns.RR, repeat bool) {
 	f := s.faults.Load()
-	if f.Silent || f.Mute {
+	if f.Unresponsive || f.NoPushChanges {
 		return
 	}
 	if repeat {
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -20,8 +20,8 @@
 
 // Faults are the faults that a server injects. Fractions are from 0 to 1.
 type Faults struct {
-	// Every makes each packet lost whose number is a multiple of it, counting both directions together; 0: none.
-	Every int
+	// LossInterval makes each packet lost whose number is a multiple of it, counting both directions together; 0: none.
+	LossInterval int
 	// Loss is the probability that a packet is lost, in each direction. Over TCP a lost packet is retransmitted after
 	// 200 ms, 400 ms and so on.
 	Loss float64
@@ -41,27 +41,27 @@
 	Truncate bool
 	// ZeroTTL makes the TTL of all records in responses 0.
 	ZeroTTL bool
-	// Silent makes the server respond to nothing. Sessions stay open.
-	Silent bool
-	// Broken makes the server respond to everything with SERVFAIL.
-	Broken bool
+	// Unresponsive makes the server respond to nothing. Sessions stay open.
+	Unresponsive bool
+	// ServerFailure makes the server respond to everything with SERVFAIL.
+	ServerFailure bool
 	// NoPush makes the server not support DNS Stateful Operations (DSO).
 	NoPush bool
-	// Other is the zone of a second server at the same address, which responds to queries over UDP from odd ports.
-	Other *Zone
-	// Mute makes push sessions respond to keepalives, but push no changes.
-	Mute bool
+	// SecondZone is the zone of a second server at the same address, which responds to queries over UDP from odd ports.
+	SecondZone *Zone
+	// NoPushChanges makes push sessions respond to keepalives, but push no changes.
+	NoPushChanges bool
 }
 
 // Server serves a zone at loopback addresses.
 type Server struct {
-	Zone    *Zone
-	Address string // host:port for UDP and TCP, including push without TLS
-	Secure  string // host:port for push over TLS; "" without a certificate
-	MDNS    string // host:port for mDNS messages, which are sent by unicast
+	Zone        *Zone
+	Address     string // host:port for UDP and TCP, including push without TLS
+	TLSAddress  string // host:port for push over TLS; "" without a certificate
+	MDNSAddress string // host:port for mDNS messages, which are sent by unicast
 
-	Questions atomic.Int64 // queries, updates and push subscriptions received
-	Sessions  atomic.Int64 // push sessions started
+	QueryCount   atomic.Int64 // queries, updates and push subscriptions received
+	SessionCount atomic.Int64 // push sessions started
 
 	faults      atomic.Pointer[Faults]
 	packetCount atomic.Int64 // packets in both directions, for Faults.Every
@@ -109,7 +109,7 @@
 	if s.mdns, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(host)}); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
-	s.MDNS = s.mdns.LocalAddr().String()
+	s.MDNSAddress = s.mdns.LocalAddr().String()
 	s.listeners = append(s.listeners, s.mdns)
 	s.background.Go(func() { s.serveUDP() })
 	s.background.Go(func() { s.accept(tcp) })
@@ -121,15 +121,15 @@
 		if err != nil {
 			return nil, errors.Join(err, s.Close())
 		}
-		s.Secure = l.Addr().String()
+		s.TLSAddress = l.Addr().String()
 		s.listeners = append(s.listeners, l)
 		s.background.Go(func() { s.accept(l) })
 	}
 	return s, nil
 }
 
-// Set replaces the faults from now on.
-func (s *Server) Set(f Faults) { s.faults.Store(&f) }
+// SetFaults replaces the faults from now on.
+func (s *Server) SetFaults(f Faults) { s.faults.Store(&f) }
 
 // Close stops the server and closes its connections.
 func (s *Server) Close() error {
@@ -158,7 +158,7 @@
 
 // dropsPacket reports whether the next packet is lost.
 func (s *Server) dropsPacket(f *Faults) bool {
-	return chance(f.Loss) || f.Every > 0 && s.packetCount.Add(1)%int64(f.Every) == 0
+	return chance(f.Loss) || f.LossInterval > 0 && s.packetCount.Add(1)%int64(f.LossInterval) == 0
 }
 
 // schedule runs a function after a delay, unless the server is closed before.
@@ -197,8 +197,8 @@
 		if s.dropsPacket(f) || q.Unpack(buffer[:n]) != nil || q.Response {
 			continue
 		}
-		s.Questions.Add(1)
-		if f.Silent {
+		s.QueryCount.Add(1)
+		if f.Unresponsive {
 			continue
 		}
 		m := s.respond(q, f, from.Port())
@@ -271,14 +271,14 @@
 func (s *Server) respond(q *dns.Msg, f *Faults, port uint16) *dns.Msg {
 	var m *dns.Msg
 	switch {
-	case f.Broken:
+	case f.ServerFailure:
 		return new(dns.Msg).SetRcode(q, dns.RcodeServerFailure)
 	case q.Opcode == dns.OpcodeUpdate:
 		return s.Zone.update(q)
 	case q.Opcode != dns.OpcodeQuery:
 		return new(dns.Msg).SetRcode(q, dns.RcodeNotImplemented)
-	case f.Other != nil && port%2 == 1:
-		m = f.Other.respond(q)
+	case f.SecondZone != nil && port%2 == 1:
+		m = f.SecondZone.respond(q)
 	default:
 		m = s.Zone.respond(q)
 	}
@@ -373,7 +373,7 @@
 			return
 		}
 		f := c.faults.Load()
-		if f.Silent {
+		if f.Unresponsive {
 			continue
 		}
 		if push.IsDSO(raw) && !f.NoPush {
@@ -386,7 +386,7 @@
 		if q.Unpack(raw) != nil || q.Response {
 			return
 		}
-		c.Questions.Add(1)
+		c.QueryCount.Add(1)
 		m := c.respond(q, f, 0)
 		m.Compress = true
 		if m.Len() > dns.MaxMsgSize {
@@ -430,7 +430,7 @@
 	}
 	if !c.isSession {
 		c.isSession = true
-		c.Sessions.Add(1)
+		c.SessionCount.Add(1)
 	}
 	switch m.Type {
 	case push.Keepalive:
@@ -440,7 +440,7 @@
 		delete(c.subscriptions, m.Subscription)
 		c.mu.Unlock()
 	case push.Subscribe:
-		c.Questions.Add(1)
+		c.QueryCount.Add(1)
 		if !record.Within(m.Name, record.CanonicalName(c.Zone.Domain)) {
 			return c.send(push.Response(m.ID, dns.RcodeNotAuth))
 		}
@@ -485,7 +485,7 @@
 // pushChanges sends a session the changes that it has subscribed to. It closes the connection if that fails.
 func (c *connection) pushChanges(all []Change) {
 	f := c.faults.Load()
-	if f.Silent || f.Mute {
+	if f.Unresponsive || f.NoPushChanges {
 		return
 	}
 	var out []push.OutgoingChange
--- a/internal/lab/responder/zone.go
+++ b/internal/lab/responder/zone.go
@@ -47,8 +47,8 @@
 		recordCounts: map[string]int{}, leases: map[string]*time.Timer{}, watchers: map[chan []Change]bool{}}
 }
 
-// NoSerial makes the zone have no SOA record.
-func (z *Zone) NoSerial() { z.mu.Lock(); z.noSerial = true; z.mu.Unlock() }
+// OmitSOA makes the zone have no SOA record.
+func (z *Zone) OmitSOA() { z.mu.Lock(); z.noSerial = true; z.mu.Unlock() }
 
 // SetEmpty makes DNS queries see the zone as empty, as after a restart with data loss, until it is called with false.
 // mDNS and push are not affected.
@@ -124,8 +124,8 @@
 		Minttl: 2}
 }
 
-// Box is an instance of a service.
-type Box struct {
+// Instance is an instance of a service.
+type Instance struct {
 	Label, Service string // instance label, and service type such as _engine._tcp
 	Address        netip.AddrPort
 	Text           []string // strings of the TXT record
@@ -135,7 +135,7 @@
 
 // Records returns the records of an instance: PTR, SRV, TXT and the address of its host, which is named after the
 // instance.
-func (z *Zone) Records(b Box) ([]dns.RR, error) {
+func (z *Zone) Records(b Instance) ([]dns.RR, error) {
 	base := dns.Fqdn(b.Service + "." + z.Domain)
 	name, err := record.JoinInstance(b.Label, base)
 	if err != nil {
@@ -167,12 +167,12 @@
 }
 
 // Publish adds the records of instances in one step.
-func (z *Zone) Publish(instances ...Box) error { return z.applyInstances(false, instances) }
+func (z *Zone) Publish(instances ...Instance) error { return z.applyInstances(false, instances) }
 
 // Withdraw removes the records of instances in one step.
-func (z *Zone) Withdraw(instances ...Box) error { return z.applyInstances(true, instances) }
+func (z *Zone) Withdraw(instances ...Instance) error { return z.applyInstances(true, instances) }
 
-func (z *Zone) applyInstances(remove bool, instances []Box) error {
+func (z *Zone) applyInstances(remove bool, instances []Instance) error {
 	var all []Change
 	services := map[string]bool{}
 	for _, b := range instances {
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -85,7 +85,7 @@
 type discoveryRun struct {
 	DiscoveryOptions
 	server        *responder.Server
-	backends      []responder.Box
+	backends      []responder.Instance
 	requestTimes  []*requestTimes // by backend; empty unless the backends serve
 	clientAddress string          // address at which the daemon serves clients
 	control       *control.Client
@@ -110,7 +110,7 @@
 	}()
 	z := responder.NewZone(zoneDomain, 1)
 	if mechanism == "plain" || mechanism == "all" {
-		z.NoSerial()
+		z.OmitSOA()
 	}
 	for i := range n {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(20_000+i))
@@ -125,7 +125,7 @@
 			h.requestTimes = append(h.requestTimes, times)
 			address = netip.MustParseAddrPort(l.Addr().String())
 		}
-		h.backends = append(h.backends, responder.Box{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService,
+		h.backends = append(h.backends, responder.Instance{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService,
 			Address: address, TTL: 120,
 			Text: []string{"site=hall-a", "class=fast", "born_ms=1"}})
 	}
@@ -155,7 +155,7 @@
 	case "push":
 		browseMode, push = "push", fmt.Sprintf("push = %q\n", h.server.Address)
 	case "mdns":
-		browseMode, server = "mdns", h.server.MDNS
+		browseMode, server = "mdns", h.server.MDNSAddress
 	case "all":
 		refresh = "150ms"
 	}
@@ -315,7 +315,7 @@
 	defer stop()
 	requestCount, failureCount, wait := h.sendLoad(loading)
 	time.Sleep(time.Second)
-	h.server.Set(responder.Faults{Loss: loss})
+	h.server.SetFaults(responder.Faults{Loss: loss})
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	tick := time.NewTicker(withdrawInterval)
@@ -382,7 +382,7 @@
 	}
 	defer h.close()
 	time.Sleep(2 * time.Second)
-	queriesBefore := h.server.Questions.Load()
+	queriesBefore := h.server.QueryCount.Load()
 	cpu, _, err := usage(h.process.Process.Pid)
 	if err != nil {
 		return err
@@ -399,7 +399,7 @@
 	}
 	elapsed := time.Since(began).Seconds()
 	fmt.Fprintf(out, "%-6s %5d  %11.1f  %12.1f%%  %9.0f\n", mechanism, n,
-		float64(h.server.Questions.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
+		float64(h.server.QueryCount.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
 	return nil
 }
 
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -96,8 +96,8 @@
 	classes       []lab.WorkClass
 	clientAddress string
 	control       *control.Client
-	oldPool       *server.Running
-	newPool       *server.Running
+	oldPool       *server.RunningFleet
+	newPool       *server.RunningFleet
 	client        *http.Client
 
 	mu       sync.Mutex
@@ -154,16 +154,16 @@
 }
 
 // startPool starts the emulated backends of a pool.
-func (s *demo) startPool(name string, n int, cold bool) (*server.Running, error) {
-	f := &server.Fleet{Seed: s.Seed, Out: 105, Spread: 0.5}
+func (s *demo) startPool(name string, n int, cold bool) (*server.RunningFleet, error) {
+	f := &server.Fleet{Seed: s.Seed, MeanTokens: 105, TokenSpread: 0.5}
 	kinds := lab.BackendKinds()
-	r := &server.Running{}
+	r := &server.RunningFleet{}
 	for i := range n {
 		figures := kinds[i%len(kinds)]
-		figures.Capacity = figures.Able(700, 1500, 105, 0.05)
+		figures.Capacity = figures.MaxRate(700, 1500, 105, 0.05)
 		backend, err := server.Start(server.Options{Name: fmt.Sprintf("%s-%d", name, i+1), Listen: "127.0.0.1:0",
 			Figures: figures,
-			Seed:    s.Seed + uint64(i), Cold: cold, Out: f.Out, Spread: f.Spread})
+			Seed:    s.Seed + uint64(i), Cold: cold, MeanTokens: f.MeanTokens, TokenSpread: f.TokenSpread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
@@ -224,7 +224,7 @@
 	}
 	for _, p := range []struct {
 		version string
-		pool    *server.Running
+		pool    *server.RunningFleet
 		cold    bool
 	}{{"v1", s.oldPool, false}, {"v2", s.newPool, s.NewBackendsCold}} {
 		for i, backend := range p.pool.Servers {
@@ -315,7 +315,7 @@
 		time.Duration(r.StateWindows)*migration.WindowLength >= s.SlowAfter {
 		s.report.SlowAt = at.Seconds()
 		fmt.Fprintf(s.Out, "%5.0f s  the new boxes are now %g times slower\n", at.Seconds(), s.SlowFactor)
-		_ = s.newPool.Do("slow", fmt.Sprint(s.SlowFactor))
+		_ = s.newPool.Apply("slow", fmt.Sprint(s.SlowFactor))
 	}
 	if s.report.ReturnedAt == 0 && r.State == migration.Undone {
 		s.report.ReturnedAt = at.Seconds()
@@ -331,10 +331,10 @@
 }
 
 // poolStats returns a pool's median time to first token since the last call, in seconds, and its mean slot usage.
-func poolStats(r *server.Running) (ttft, slotUsage float64) {
+func poolStats(r *server.RunningFleet) (ttft, slotUsage float64) {
 	var ttfts []float64
 	for _, backend := range r.Servers {
-		ttfts = append(ttfts, backend.Firsts()...)
+		ttfts = append(ttfts, backend.FirstTokenTimes()...)
 		slotUsage += backend.Load().Slots / float64(len(r.Servers))
 	}
 	if len(ttfts) > 0 {
@@ -533,9 +533,9 @@
 func (s *demo) writeReport() (*Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, pool := range []*server.Running{s.oldPool, s.newPool} {
+	for _, pool := range []*server.RunningFleet{s.oldPool, s.newPool} {
 		for _, backend := range pool.Servers {
-			concurrent, attempts := backend.Doubles()
+			concurrent, attempts := backend.AttemptCounts()
 			s.report.ConcurrentAttempts += concurrent
 			s.report.Attempts += attempts
 		}
--- a/internal/lab/trial.go
+++ b/internal/lab/trial.go
@@ -133,10 +133,10 @@
 	o.ExtraAttempts = max(0, float64(sim.attempts)/max(1, float64(total))-1)
 	mean, square := 0.0, 0.0
 	for _, b := range sim.backends {
-		mean += float64(b.Came()) / float64(len(sim.backends))
+		mean += float64(b.Received()) / float64(len(sim.backends))
 	}
 	for _, b := range sim.backends {
-		square += (float64(b.Came()) - mean) * (float64(b.Came()) - mean) / float64(len(sim.backends))
+		square += (float64(b.Received()) - mean) * (float64(b.Received()) - mean) / float64(len(sim.backends))
 	}
 	o.Skew = math.Sqrt(square) / max(1e-9, mean)
 }
@@ -150,9 +150,9 @@
 		}
 		switch e.Command {
 		case "slow":
-			b.Slow(e.Value)
+			b.SetSlowdown(e.Value)
 		case "errors":
-			b.Fail(e.Value)
+			b.SetErrorShare(e.Value)
 		case "pause":
 			b.Pause(sim.now, sim.now+e.Value)
 			sim.scheduleStep(b)
@@ -197,4 +197,4 @@
 
 // Capacity returns what a warm backend of the given kind can serve under the operators' workload, in requests per
 // second.
-func Capacity(f emulator.Figures) float64 { return f.Able(700, 1500, 105, 0.05) }
+func Capacity(f emulator.Parameters) float64 { return f.MaxRate(700, 1500, 105, 0.05) }
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -52,26 +52,26 @@
 }
 
 // BackendKinds returns the parameters of the operators' three backend kinds, each at the middle of its given range.
-func BackendKinds() []emulator.Figures {
-	common := emulator.Figures{Queue: 40, Chunk: 2048, PerContext: 0.00005, ColdShare: 0.13, WarmUp: 20, FallFactor: 4,
-		Fall: 3, ReportEvery: 0.8}
+func BackendKinds() []emulator.Parameters {
+	common := emulator.Parameters{Queue: 40, Chunk: 2048, PerContext: 0.00005, ColdSpeedFactor: 0.13, WarmUp: 20, OverloadFactor: 4,
+		OverloadTolerance: 3, ReportInterval: 0.8}
 	fast, standard, slow := common, common, common
-	fast.Slots, fast.Memory, fast.Step, fast.PerSequence, fast.ReadPerS = 26, 300_000, 0.013, 0.0003, 12_000
-	standard.Slots, standard.Memory, standard.Step, standard.PerSequence, standard.ReadPerS = 24, 300_000, 0.015,
+	fast.Slots, fast.Memory, fast.Step, fast.PerSequence, fast.PrefillRate = 26, 300_000, 0.013, 0.0003, 12_000
+	standard.Slots, standard.Memory, standard.Step, standard.PerSequence, standard.PrefillRate = 24, 300_000, 0.015,
 		0.00035, 10_000
-	slow.Slots, slow.Memory, slow.Step, slow.PerSequence, slow.ReadPerS = 18, 250_000, 0.018, 0.0004, 9_000
-	return []emulator.Figures{fast, standard, slow}
+	slow.Slots, slow.Memory, slow.Step, slow.PerSequence, slow.PrefillRate = 18, 250_000, 0.018, 0.0004, 9_000
+	return []emulator.Parameters{fast, standard, slow}
 }
 
 // Setup describes a simulation.
 type Setup struct {
 	Seed                     uint64
 	Nodes                    int
-	Rate                     float64            // requests per second, without the clients' retries
-	OldBackends, NewBackends int                // number of backends in the pools "old" and "new"
-	NewBackendsCold          bool               // the backends of the new pool start, cold, at time 0
-	Classes                  []WorkClass        // nil means OperatorWorkload
-	Kinds                    []emulator.Figures // nil means BackendKinds
+	Rate                     float64               // requests per second, without the clients' retries
+	OldBackends, NewBackends int                   // number of backends in the pools "old" and "new"
+	NewBackendsCold          bool                  // the backends of the new pool start, cold, at time 0
+	Classes                  []WorkClass           // nil means OperatorWorkload
+	Kinds                    []emulator.Parameters // nil means BackendKinds
 	// SpeedSpread is the natural logarithm of the largest factor by which a backend is faster or slower.
 	SpeedSpread float64
 	UsePools    bool        // nodes assign requests to pools; otherwise each request may go to any backend
@@ -119,7 +119,7 @@
 
 // backend is an emulated backend and its state in the simulation.
 type backend struct {
-	*emulator.Box
+	*emulator.Backend
 	name       string
 	pool       int // 1 is the old pool, 2 the new one
 	kind       int
@@ -286,10 +286,10 @@
 		}
 		kind := i % len(s.Kinds)
 		f := s.Kinds[kind]
-		f.Capacity = f.Able(700, 1500, 105, 0.05)
-		b := &backend{Box: emulator.New(f, s.Seed*1000+uint64(i), started), name: backendName(i), pool: number,
+		f.Capacity = f.MaxRate(700, 1500, 105, 0.05)
+		b := &backend{Backend: emulator.New(f, s.Seed*1000+uint64(i), started), name: backendName(i), pool: number,
 			kind: kind, index: i, attempts: map[int64]*attempt{}}
-		b.Slow(math.Exp((sim.rng.Float64()*2 - 1) * s.SpeedSpread))
+		b.SetSlowdown(math.Exp((sim.rng.Float64()*2 - 1) * s.SpeedSpread))
 		if started == 0 {
 			b.readyAt = epoch
 		}
@@ -375,7 +375,7 @@
 	}
 	b.recentReports = b.recentReports[newest:]
 	l = b.recentReports[0].report
-	return &standpoint.Report{MemoryUsage: l.Memory, PrefillBacklog: l.Unread, SlotUsage: l.Slots}
+	return &standpoint.Report{MemoryUsage: l.Memory, PrefillBacklog: l.PendingPrompt, SlotUsage: l.Slots}
 }
 
 // zipf draws a rank below n; the probability of a rank falls about as its reciprocal.
