--- a/admission.go
+++ b/admission.go
@@ -7,22 +7,26 @@
 )
 
 const (
-	tenantRateSpan   = 3.0  // seconds over which a tenant's request rate is averaged
-	overQuotaRatio   = 1.5  // multiple of its quota from which a tenant counts as over it
-	requestCost      = 100  // work of a request besides its tokens, in prompt tokens
-	outputTokenCost  = 2.0  // work of generating one token, in prompt tokens
-	shedFractionStep = 0.8  // rise of the shed fraction in a second of missed objectives
-	minObjectiveRate = 12.0 // requests per second that one missed objective is weighed against, at least
-	maxShedFraction  = 0.8  // upper bound of the shed fraction
-	maxGroupShedRate = 0.5  // fraction of a class's or a tenant's requests from which none is shed for others
-	// minBandAnsweredFraction is the smallest answered fraction of a band of prompt lengths, relative to that
-	// of its class.
-	minBandAnsweredFraction = 0.8
-	maxSharedSlowness       = 0.7 // log slowness above which an engine's misses are no evidence of fleet load
+	tenantRateSpan   = 3.0 // seconds over which a tenant's request rate is averaged
+	overQuotaRatio   = 1.5 // multiple of its quota from which a tenant counts as over it
+	requestCost      = 100 // work of a request besides its tokens, in prompt tokens
+	outputTokenCost  = 2.0 // work of generating one output token, in prompt tokens
+	shedFractionStep = 0.8 // rise of the shed fraction in a second in which all objectives are missed
+	// minObjectiveRate is the minimum, in requests per second, of the request rate that a step of the shed
+	// fraction is divided by: a gateway with few requests must not change it much with a single one.
+	minObjectiveRate = 12.0
+	maxShedFraction  = 0.8 // upper bound of the shed fraction
+	maxGroupShedRate = 0.5 // shed rate of a class or a tenant from which no more of its requests are shed
+	// minBandAcceptedFraction is the minimum fraction of a band of prompt lengths that is accepted, relative
+	// to the accepted fraction of its class.
+	minBandAcceptedFraction = 0.8
+	// maxSharedSlowness is the ttftSlowness (a natural logarithm) of an engine above which its missed
+	// objectives are no evidence of the fleet's load.
+	maxSharedSlowness = 0.7
 )
 
-// valueDensity returns the request's weight per unit of the work that it is expected to cause, in prompt
-// tokens.
+// valueDensity returns the request's value density: its weight divided by the work that it is expected to
+// cause, in prompt tokens.
 func (r *Router) valueDensity(q *request) float64 {
 	match := 0.0
 	for _, e := range r.sampleEngines(q) {
@@ -31,15 +35,18 @@
 	if q.Session != 0 {
 		match = max(match, r.expectedHomeMatch(q))
 	}
+	// The part of MaxTokens that responses of the class reach is estimated as their decode time per token of
+	// that limit over the base TPOT.
 	outputTokens := q.MaxTokens * min(1, 1.3*math.Exp(r.classTPOTRatios[r.classIndex(q)].value)/r.baseTPOT)
-	tieBreaker := 1 + 0.1*r.rng.Float64() // requests that are alike must not all be shed at once
+	tieBreaker := 1 + 0.1*r.rng.Float64() // of equal requests only a part is to be shed
 	work := requestCost + q.PromptTokens*(1-match) + outputTokenCost*outputTokens
 	return tieBreaker * r.class(q).Weight * r.tenantWeight(q) / work
 }
 
-// tenantWeight returns the factor by which a request's weight is reduced while its tenant sends more than its
-// quota, else 1. The tenant's total rate is extrapolated from this gateway's own; overQuotaRatio allows for
-// chance, since one gateway sees few requests.
+// tenantWeight counts the request in its tenant's rate and returns the factor by which its weight is reduced
+// while the tenant sends at least overQuotaRatio times its quota, else 1. The factor is the mean of 1 for the
+// part of the rate within the quota and OverQuotaWeight for the rest. The tenant's total rate is extrapolated
+// from this gateway's; overQuotaRatio allows for chance, since one gateway sees few requests.
 func (r *Router) tenantWeight(q *request) float64 {
 	if q.Tenant >= 0 && q.Tenant < len(r.tenants) {
 		r.tenants[q.Tenant].countRequest(r.now)
@@ -51,8 +58,8 @@
 	return (1 + (ratio-1)*r.settings.OverQuotaWeight) / ratio
 }
 
-// shedsForDensity reports whether the request is shed because the fleet cannot serve all in time and the
-// request is in the fraction of the lowest value density.
+// shedsForDensity reports whether the request is shed because the fleet cannot serve all requests in time and
+// this one is in the fraction of the lowest value density.
 func (r *Router) shedsForDensity(q *request) bool {
 	density := r.valueDensity(q)
 	lower, total := r.rankValueDensity(density)
@@ -63,7 +70,8 @@
 	return r.shed(q, lowDensity)
 }
 
-// adjustShedding adjusts the shed fraction: up with each objective missed, down with each one met.
+// adjustShedding raises the shed fraction for an objective that was missed, and lowers it for one that was
+// met.
 func (r *Router) adjustShedding(e *engine, missed bool) {
 	if e.ttftSlowness > maxSharedSlowness {
 		return // the cause is this engine, not the fleet's load
@@ -79,8 +87,8 @@
 type tenantRate struct {
 	rate      float64 // requests per second, a moving average, as computed at updatedAt
 	updatedAt int64   // in nanoseconds
-	errorRate float64 // fraction of server errors among the latest responses of all engines
-	shedRate  float64 // fraction of the latest requests that were shed
+	errorRate float64 // moving average of server errors among the responses of all engines
+	shedRate  float64 // moving average of the fraction of requests that were shed
 }
 
 // countRequest counts a request of the tenant.
@@ -90,7 +98,7 @@
 }
 
 // tenant returns what is known of the request's tenant. With fewer than two tenants, or for an unknown one,
-// no tenant can be distinguished from the others, and the result is blank.
+// no tenant can be distinguished from the others, and the result is empty.
 func (r *Router) tenant(q *request) *tenantRate {
 	if len(r.tenants) < 2 || q.Tenant < 0 || q.Tenant >= len(r.tenants) {
 		r.unknownTenant = tenantRate{}
@@ -99,8 +107,8 @@
 	return &r.tenants[q.Tenant]
 }
 
-// rankValueDensity adds a request's value density to the latest ones. It returns how many there were before,
-// and how many of those were lower.
+// rankValueDensity adds a request's value density to the latest ones. It returns how many of those were
+// lower, and how many there were in total.
 func (r *Router) rankValueDensity(density float64) (lower, total int) {
 	for _, other := range r.recentValueDensities {
 		if other < density {
@@ -134,12 +142,12 @@
 // fraction of the requests.
 var promptBandBounds = [...]float64{0.1, 0.3, 0.6, 1}
 
-// classShedRates are the fractions of a class's latest requests that were shed.
+// classShedRates are moving averages of the fractions of a class's requests that were shed.
 type classShedRates struct {
 	overall float64
 	bands   [len(promptBandBounds)]float64
-	// promptLengths are the prompt lengths of the latest requests, which determine the bands: a ring whose
-	// oldest entry, once it is full, is at nextPromptLength.
+	// promptLengths are the prompt lengths of the latest requests, which determine the bands: a ring buffer
+	// whose oldest entry, once it is full, is at nextPromptLength.
 	promptLengths    []float64
 	nextPromptLength int
 }
@@ -167,18 +175,19 @@
 	return len(promptBandBounds) - 1
 }
 
-// shed reports whether a request is shed, given whether its value density is among the lowest, and updates
-// the rates of shedding. Requests beyond their tenant's quota may all be shed, and are left out of the rates.
-// Of the others, neither a class nor a tenant loses more than maxGroupShedRate; and the longest prompts of a
-// class, which have the lowest value for their work, are not shed much more often than the class as a whole.
-func (r *Router) shed(q *request, lowDensity bool) bool {
+// shed reports whether a request is shed, and updates the shed rates. wanted says whether it should be shed,
+// for its value density or its lateness. Requests of a tenant that is over its quota may all be shed, and are
+// left out of the rates. Of the others, no more than about maxGroupShedRate of a class or a tenant is shed;
+// and the longest prompts of a class, which have the lowest value for their work, are not shed much more
+// often than the class as a whole.
+func (r *Router) shed(q *request, wanted bool) bool {
 	if r.quotaRatio(q) >= overQuotaRatio {
-		return lowDensity
+		return wanted
 	}
 	class, tenant := &r.shedRates[r.classIndex(q)], &r.tenant(q).shedRate
 	band := &class.bands[class.band(q.PromptTokens)]
-	isShed := lowDensity && max(class.overall, *tenant) < maxGroupShedRate &&
-		1-*band > minBandAnsweredFraction*(1-class.overall)
+	isShed := wanted && max(class.overall, *tenant) < maxGroupShedRate &&
+		1-*band > minBandAcceptedFraction*(1-class.overall)
 	sample := 0.0
 	if isShed {
 		sample = 1
@@ -189,12 +198,12 @@
 	return isShed
 }
 
-// shedDecayRate returns how much the shed fraction falls per second.
+// shedDecayRate returns by how much the shed fraction falls per second.
 func (r *Router) shedDecayRate() float64 {
 	if r.lacksReports() {
 		return unreportedShedFractionDecay
 	}
-	// A gateway that sees few requests must not forget an overload during the time in which it sees none.
+	// A gateway that sees few requests must not forget an overload while it sees none.
 	if r.hasRecentDirectoryAnswer() && r.requestRate < minObjectiveRate {
 		return shedFractionDecay * min(1, r.requestRate/minObjectiveRate)
 	}
@@ -209,7 +218,7 @@
 	return metObjectivesPerMiss
 }
 
-// minRankedRequests returns how many requests must have been ranked before any is shed for its value density.
+// minRankedRequests returns how many requests must have been ranked before one is shed for its value density.
 // Without load reports it is smaller, so that a gateway that has just started does not add to an overload for
 // long.
 func (r *Router) minRankedRequests() int {
@@ -219,9 +228,9 @@
 	return defaultMinRankedRequests
 }
 
-// isFutile reports whether the request is shed because it would be too late even at the best engine, by what
-// directory owners reported of its backlog: its work would only delay others. The bounds on what a class, a
-// tenant or a prompt length may lose hold here too.
+// isFutile reports whether the request is shed because, by the prefill backlog that the directory owner
+// reported, it would miss its latency objective even at the best engine: its work would only delay others. It
+// counts as a missed objective. The bounds on what is shed of a class, a tenant or a band hold here too.
 func (r *Router) isFutile(q *request, best *option) bool {
 	objective := r.latencyObjective(q)
 	if objective <= 0 || r.class(q).LateWeight > 0 ||
--- a/affinity.go
+++ b/affinity.go
@@ -3,7 +3,7 @@
 // Estimates of how much of a prompt each engine has cached.
 
 const (
-	// matchTableSize is the maximum number of entries in one of the two generations of the match table.
+	// matchTableSize is the maximum number of entries in each of the two generations of the match table.
 	matchTableSize = 1 << 15
 )
 
@@ -20,20 +20,20 @@
 	return min(1, max(cachedTokens, q.cachedByEngine[e])/q.PromptTokens)
 }
 
-// expectedHomeMatch returns the fraction of the prompt that the session's home engine is expected to have
-// cached: the shared prefix, and of the rest the mean that was observed for the request's class.
+// expectedHomeMatch returns the fraction of the prompt that the request's home engine is expected to have
+// cached: the shared prefix, and of the rest the mean fraction that was observed for the request's class.
 func (r *Router) expectedHomeMatch(q *request) float64 {
 	prefixFraction := q.PrefixTokens / q.PromptTokens
 	return prefixFraction + (1-prefixFraction)*r.homeCachedFraction[r.classIndex(q)]
 }
 
-// observeMatch learns from the number of cached prompt tokens that a response reported.
+// observeMatch learns from the cached tokens that a response reported.
 func (r *Router) observeMatch(a *attempt, cachedTokens float64) {
 	cachedFraction := clamp(cachedTokens/a.request.PromptTokens, 1)
 	prefixFraction := a.request.PrefixTokens / a.request.PromptTokens
 	if a.home && prefixFraction < 1 {
-		gain := &r.homeCachedFraction[r.classIndex(a.request)]
-		*gain += 0.05 * (max(0, cachedFraction-prefixFraction)/(1-prefixFraction) - *gain)
+		homeFraction := &r.homeCachedFraction[r.classIndex(a.request)]
+		*homeFraction += 0.05 * (max(0, cachedFraction-prefixFraction)/(1-prefixFraction) - *homeFraction)
 	}
 	if a.match >= 0.3 && !a.home {
 		if cachedFraction < a.match/2 {
@@ -50,11 +50,10 @@
 	}
 }
 
-// matchEntry is an entry of the match table: the prompt tokens that an engine had cached for a session or a
-// shared prefix.
+// matchEntry is an entry of the match table.
 type matchEntry struct {
-	tokens   float64
-	storedAt int64
+	tokens   float64 // prompt tokens that an engine has cached for a session or a shared prefix
+	storedAt int64   // in nanoseconds
 }
 
 // storeMatch stores an entry in the younger generation of the match table. A full generation replaces the
@@ -67,8 +66,8 @@
 }
 
 // lookupMatch returns the cached tokens of an entry, or 0 if there is none that was stored at notBefore or
-// later: notBefore is the time at which the engine's process was first seen. Entries from before the
-// latest flush are scaled by matchTrust.
+// later. Callers pass the engine's firstSeenAt as notBefore. Entries from before the time at which caches
+// were last found to be lost are scaled by matchTrust.
 func (r *Router) lookupMatch(key uint64, notBefore int64) float64 {
 	entry, ok := r.matchTable[0][key]
 	if !ok {
@@ -77,14 +76,15 @@
 	if !ok || entry.storedAt < notBefore {
 		return 0
 	}
-	if entry.storedAt < r.cacheFlushAt { // caches may have been flushed since
+	if entry.storedAt < r.cacheFlushAt { // the engine's cache may have been lost
 		return entry.tokens * r.matchTrust
 	}
 	return entry.tokens
 }
 
-// recordCachedPrompt records that an engine has the request's prompt cached. Nothing is recorded for a
-// process that has been replaced in the meantime, because its cache is lost.
+// recordCachedPrompt records that an engine has cached, or is about to cache, this many tokens of the
+// request's prompt. Nothing is recorded for a process that has been replaced in the meantime, because its
+// cache is lost.
 func (r *Router) recordCachedPrompt(q *request, e *engine, tokens float64) {
 	if r.engines[e.Name] != e {
 		return
@@ -94,13 +94,13 @@
 	}
 	if q.Prefix != 0 {
 		key := mix(q.Prefix, e.hash+prefixSalt)
-		// A shorter prefix does not reduce the tokens that are recorded already.
+		// A request that states a shorter prefix does not reduce the tokens that are already recorded.
 		r.storeMatch(key, max(q.PrefixTokens, r.lookupMatch(key, e.firstSeenAt)))
 	}
 }
 
-// forgetCachedPrompt removes the records of the prompt of an attempt that never reached its engine, unless
-// they have been stored again since the attempt was sent.
+// forgetCachedPrompt removes the entries that recordCachedPrompt stored for an attempt that never reached its
+// engine, unless they have been stored again later.
 func (r *Router) forgetCachedPrompt(a *attempt) {
 	keys := []uint64{
 		mix(a.request.Session, a.engine.hash+sessionSalt),
@@ -113,10 +113,10 @@
 	}
 }
 
-// RecordCachedPrompt records that another gateway reported a process of an engine, identified by its start,
-// to have this many tokens of a request's prompt cached.
-func (r *Router) RecordCachedPrompt(q *Request, engine string, readyAt int64, tokens float64, now int64) {
-	if e := r.engines[engine]; e != nil && e.StartedAt == readyAt {
+// RecordCachedPrompt records the report of another gateway that a process of an engine, identified by its
+// start time, has this many tokens of a request's prompt cached.
+func (r *Router) RecordCachedPrompt(q *Request, engine string, startedAt int64, tokens float64, now int64) {
+	if e := r.engines[engine]; e != nil && e.StartedAt == startedAt {
 		r.now = max(r.now, now)
 		r.recordCachedPrompt(&request{Request: *q}, e, clamp(tokens, 1e9))
 	}
--- a/api.go
+++ b/api.go
@@ -11,7 +11,7 @@
 // The effects of a request.
 const (
 	Safe   Effect = iota // may be executed any number of times
-	Keyed                // engines of the same Group drop a repeat that begins within Window
+	Keyed                // engines within DedupScope drop a repeat that begins within DedupWindow
 	Unsafe               // may be executed at most once
 )
 
@@ -25,7 +25,7 @@
 	GroupCell              // the engines of one cell
 )
 
-// ReportMode says how engines' load reports reach the gateway.
+// ReportMode is the way in which engines' load reports reach the gateway.
 type ReportMode uint8
 
 // The ways in which load reports arrive.
@@ -45,12 +45,12 @@
 	DedupWindow int64 `json:"Window"`
 	// Streamed is set if responses arrive token by token.
 	Streamed bool `json:"Streamed"`
-	// TTFTObjective is the latency objective from arrival to the first token, or to the end of a response
-	// that is not streamed; 0 for none.
+	// TTFTObjective is the latency objective: the time from arrival to the first token, or to the end of a
+	// response that is not streamed; 0 for none.
 	TTFTObjective int64 `json:"TTFTAim"`
 	// TTFTObjectivePer1000Tokens is added to TTFTObjective for each 1,000 prompt tokens.
 	TTFTObjectivePer1000Tokens int64 `json:"AimPer1000"`
-	// TPOTObjective is the objective for the time between two output tokens; 0 for none.
+	// TPOTObjective is the objective for the time per output token (TPOT); 0 for none.
 	TPOTObjective int64 `json:"TPOTAim"`
 	// ObjectiveStretch comes from the settings; the Router does not use it.
 	ObjectiveStretch float64 `json:"AimStretch"`
@@ -58,7 +58,8 @@
 	Deadline int64 `json:"Deadline"`
 	// Weight is the value of a request that meets its objectives, relative to requests of other classes.
 	Weight float64 `json:"Worth"`
-	// LateWeight is the value of a request that misses its TTFT objective. At 0 such a request is given up.
+	// LateWeight is the value of a request that misses its latency objective. At 0 or less such a request is
+	// given up.
 	LateWeight float64 `json:"LateWorth"`
 	// Name is the name of the class in the settings; the Router does not use it.
 	Name string `json:"Description"`
@@ -91,7 +92,7 @@
 	// Resume is set if a client can have the rest of a broken stream from another gateway. The Router does
 	// not use it.
 	Resume bool
-	// HedgedRequests allows a second attempt of a request while another one is in flight (hedging).
+	// HedgedRequests allows hedged attempts: a second attempt of a request while another one is in flight.
 	HedgedRequests bool
 	// Cancel allows attempts to be cancelled.
 	Cancel bool
@@ -99,28 +100,28 @@
 	Probes bool
 	// Peers allows messages between the gateways.
 	Peers bool
-	// RetryAfter allows a rejection to name the time after which the client should retry.
+	// RetryAfter allows a rejection to state the time after which the client should retry.
 	RetryAfter bool
-	// MaxRetryAfter is the longest such time.
+	// MaxRetryAfter is the maximum of that time.
 	MaxRetryAfter int64
 	// MaxAttempts is the number of attempts that a request may have in all; less than 1 counts as 1.
 	MaxAttempts int
 	// EventInterval is the shortest time between two batches of events.
 	EventInterval int64
-	// DiscoveryTimeout is the time within which discovery has to be queried again. It also bounds how long a
-	// recovered engine is taken to have restarted without discovery reporting a start.
+	// DiscoveryTimeout is the time within which discovery has to be queried again. It also bounds how long an
+	// engine that was unreachable is taken to have restarted without discovery reporting a start.
 	DiscoveryTimeout int64
-	// DrainGrace is how long after an engine was reported as draining or gone attempts may still reach it.
+	// DrainGrace is how long attempts may still reach an engine that was reported as draining or removed.
 	// The Router does not use it: it sends nothing from the report on.
 	DrainGrace int64
-	// WarmUp is how long after its start an engine has less than its full capacity.
+	// WarmUp is how long after its start an engine has less than its full capacity; 0 turns slow start off.
 	WarmUp int64
 	// OverloadWindow is the span over which the load of a starting engine is measured against its capacity.
 	OverloadWindow int64
 	// ColdCapacityFraction is the fraction of its full capacity that an engine has at its start. It grows
 	// linearly to 1 over WarmUp.
 	ColdCapacityFraction float64
-	// OverloadFactor is the multiple of its present capacity from which a starting engine is overloaded.
+	// OverloadFactor is the multiple of its capacity at the time from which a starting engine is overloaded.
 	OverloadFactor float64
 	// CrossZonePrice is the price of sending a request to another zone; 0 if that is free.
 	CrossZonePrice float64
@@ -146,7 +147,7 @@
 
 // Engine is an LLM server as discovery lists it.
 type Engine struct {
-	// Name identifies the engine, such as its address.
+	// Name identifies the engine; it may be its address.
 	Name string
 	// Zone is the number of the engine's zone, Kind that of its machine kind.
 	Zone int
@@ -155,10 +156,10 @@
 	Cell int
 	// State says whether the engine accepts requests.
 	State State
-	// Size is the registered capacity relative to other engines; it has no unit.
+	// Size is the registered capacity relative to other engines, without a unit; 0 if it is not known.
 	Size float64
-	// StartedAt is when the engine's process started, in nanoseconds of the time passed to Handle; 0 if that
-	// is long ago. A new value stands for a new process.
+	// StartedAt is when the engine's process started, in nanoseconds on the clock that Handle is called with;
+	// 0 if that is long ago. A new value stands for a new process.
 	StartedAt int64
 	// Pool is the number of the engine's pool; 0 for none.
 	Pool int
@@ -174,7 +175,7 @@
 type Report struct {
 	// MemoryUsage is the fraction of memory that running requests hold.
 	MemoryUsage float64 `json:"Memory"`
-	// PrefillBacklog is the number of prompt tokens still to be prefilled, in thousands.
+	// PrefillBacklog is the number of prompt tokens that have yet to be prefilled, in thousands.
 	PrefillBacklog float64 `json:"Unread"`
 	// SlotUsage is the fraction of slots in use.
 	SlotUsage float64 `json:"Slots"`
@@ -189,7 +190,7 @@
 // The kinds of engine lists.
 const (
 	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // all entries: an engine absent from the list is gone
+	ListFull                   // all entries: an engine absent from the list counts as Removed
 	ListFailed                 // a discovery call failed: there are no entries
 )
 
@@ -201,11 +202,12 @@
 	Engines []Engine
 }
 
-// Request is a client's request that has arrived. It is owed exactly one final answer.
+// Request is a client's request that has arrived. It gets exactly one final response, unless its client
+// disconnects before.
 type Request struct {
 	// ID identifies the request at this gateway; it is below 2^52.
 	ID int64
-	// Deadline is when the request is given up, in nanoseconds of the time passed to Handle.
+	// Deadline is when the request is given up, in nanoseconds on the clock that Handle is called with.
 	Deadline int64
 	// Class is an index into Settings.Classes. A request of an unknown class counts as Unsafe.
 	Class int
@@ -223,10 +225,10 @@
 	MaxTokens float64
 	// Retry is set if the client said that it repeats an earlier request. The Router does not use it.
 	Retry bool
-	// Resumed is set if the client asks for the rest of a response that broke off.
+	// Resumed is set if the client requests the rest of a response that broke off.
 	Resumed bool
-	// Pool is the pool that the request is assigned to; 0 for any. If no engine of it can be used, another
-	// pool's is.
+	// Pool is the pool that the request is assigned to; 0 for any. If none of its engines can be used, one of
+	// another pool is.
 	Pool int
 }
 
@@ -245,7 +247,7 @@
 	NotSent                           // nothing was sent: it never ran
 )
 
-var codeNames = [...]string{
+var outcomeCodeNames = [...]string{
 	"served",
 	"server_error",
 	"turned_away",
@@ -258,10 +260,10 @@
 
 // String returns the code's name on the wire and in logs.
 func (c OutcomeCode) String() string {
-	if int(c) >= len(codeNames) {
+	if int(c) >= len(outcomeCodeNames) {
 		return "unknown"
 	}
-	return codeNames[c]
+	return outcomeCodeNames[c]
 }
 
 // NeverRan reports whether the code proves that the attempt had no effect.
@@ -304,8 +306,8 @@
 	Elapsed int64
 }
 
-// ClientDisconnected reports that the client of a request, named by its ID, has disconnected. The request is
-// owed no answer any more.
+// ClientDisconnected reports that the client of a request, named by its ID, has disconnected. The request
+// needs no final response any more.
 type ClientDisconnected struct{ Request int64 }
 
 // ProbeResult is the result of a probe.
@@ -325,12 +327,12 @@
 	// Engine is the name of the engine, and StartedAt the start of the process.
 	Engine    string
 	StartedAt int64
-	// At is the time of the latest evidence, in nanoseconds. A later sign of life that this gateway saw
-	// outweighs it.
+	// At is the time of the latest evidence, in nanoseconds. A sign of life that this gateway saw at that
+	// time or later outweighs it.
 	At int64
 }
 
-// Advice is the shared evidence of all gateways about the engines, which the Router weighs against its own.
+// Advice carries the suspicions of other gateways, which the Router weighs against what it saw itself.
 type Advice struct{ Suspicions []Suspicion }
 
 // PeerMessage is a message from another gateway of the tier.
@@ -354,15 +356,15 @@
 func (*Advice) event()             {}
 func (*TimerFired) event()         {}
 
-// ActionKind says what an Action asks for.
+// ActionKind says what an Action requests.
 type ActionKind uint8
 
-// The actions that a Router asks for, and the fields of Action that each uses.
+// The actions that a Router requests, and the fields of Action that each uses.
 const (
 	Send      ActionKind = iota // start an attempt: Request, Engine, Deadline, StartBefore
 	Cancel                      // cancel an attempt: Request, Attempt
-	Shed                        // final answer, a rejection that is safe to retry: Request, Wait
-	Fail                        // final answer, a failure that may not be safe to retry: Request
+	Shed                        // final response, a rejection that is safe to retry: Request, Wait
+	Fail                        // final response, a failure that may not be safe to retry: Request
 	Timer                       // report TimerFired with Token after Wait
 	Probe                       // probe Engine for its load report
 	Subscribe                   // subscribe to discovery's changes
@@ -379,9 +381,10 @@
 	Attempt int
 	// Engine is the name of the engine.
 	Engine string
-	// Deadline is when an attempt is given up, in nanoseconds of the time passed to Handle.
+	// Deadline is when an attempt is given up, in nanoseconds on the clock that Handle is called with.
 	Deadline int64
-	// StartBefore is the time from which an attempt may no longer begin; 0 if only Deadline bounds it.
+	// StartBefore is the time from which an attempt may no longer begin, on the same clock; 0 if only
+	// Deadline bounds it.
 	StartBefore int64
 	// Wait is the delay of a timer, or the time after which a client should retry (0: not stated), in
 	// nanoseconds.
--- a/directory.go
+++ b/directory.go
@@ -1,13 +1,13 @@
 package standpoint
 
 // The load directory: messages between the gateways of a tier about the prompts that engines have yet to
-// prefill, and those that they have cached. A gateway that is one of many observes little of an engine's load
-// by itself, and load reports arrive late. Each engine has a directory owner, which is one of the gateways by
-// a hash that all agree on. A gateway that sends a prompt to an engine notifies its directory owner, and
-// again once the prompt has been prefilled; a gateway that is about to choose an engine queries the directory
-// owners of the engines that rank highest. Their answers are one more input of the prediction: the only
-// decision made here is whom to query. Messages may be lost, and a directory owner may be down: the gateway
-// then uses what it knows itself.
+// prefill, and those that they have cached. It exists because a gateway that is one of many observes little
+// of an engine's load by itself, and load reports arrive late. Each engine has a directory owner: one of the
+// gateways, by a hash that all agree on. A gateway that sends a prompt to an engine notifies the engine's
+// directory owner, and does so again once the prompt has been prefilled. A gateway that is about to choose an
+// engine queries the directory owners of the engines that rank highest. Their answers are one more input of
+// the prediction: the only decision made here is whom to query. Messages may be lost, and a directory owner
+// may be down: the gateway then uses what it knows itself.
 
 import "math"
 
@@ -15,26 +15,27 @@
 	// maxConsultedEngines is the maximum number of engines whose directory owners are queried for one
 	// request.
 	maxConsultedEngines = 3
-	// consultTimeout is how long a request waits for the answers of directory owners.
+	// consultTimeout is the maximum time that a request waits for the answers of directory owners.
 	consultTimeout = 80 * ms
-	// directoryLoadLifetime is how long a load that a directory owner sent is used in predictions.
+	// directoryLoadLifetime is how long an engine's load from its directory owner is used in predictions.
 	directoryLoadLifetime = 30 * ms
 	// silentOwnerPause is how long a directory owner that did not answer is not queried.
 	silentOwnerPause = 2 * second
-	// minMeanPrefillBurden is the mean prefill burden of all requests from which the directory is used. The
-	// prefill burden of a request is the fraction of its latency objective that prefilling its prompt takes.
+	// minMeanPrefillBurden is the mean prefill burden of all requests from which the directory is used; see
+	// prefillBurdenOf.
 	minMeanPrefillBurden = 0.2
-	// minPrefillBurden is the prefill burden of a single request from which the directory is used for it.
+	// minPrefillBurden is the prefill burden of a request from which the directory is used for it.
 	minPrefillBurden = 0.15
 	// prefillBurdenWeight is the minimum weight of one request in the mean prefill burden.
 	prefillBurdenWeight = 0.05
-	// directoryAffinityPenalty is how many seconds the predicted TTFT of the best engine with a cached prompt
-	// may exceed that of the best engine overall, where directory owners have answered for the request.
+	// directoryAffinityPenalty, in seconds, takes the place of defaultAffinityPenalty for requests for which
+	// directory owners have answered.
 	directoryAffinityPenalty = 0.1
-	// sparseMetObjectivesPerMiss is how many objectives that are met make up for one that is missed, at a
-	// gateway with few requests that has recent answers of directory owners.
+	// sparseMetObjectivesPerMiss is the number of met objectives that offset one missed objective at a
+	// gateway with few requests that has a recent answer of a directory owner; otherwise it is
+	// metObjectivesPerMiss.
 	sparseMetObjectivesPerMiss = 10.0
-	// directorySalt makes the hashes of the directory independent of the others.
+	// directorySalt makes the hashes of the directory independent of others.
 	directorySalt = 0xd6e8feb86659fd93
 )
 
@@ -43,8 +44,8 @@
 	return r.settings.Peers && r.settings.Gateways > 1 && !r.lacksReports()
 }
 
-// prefillBurdenOf returns the fraction of a request's latency objective that prefilling its whole prompt
-// takes at the assumed prefill speed, or 0 if it has no objective.
+// prefillBurdenOf returns a request's prefill burden: the fraction of its latency objective that prefilling
+// the whole prompt takes at the assumed prefill speed. It is 0 without a latency objective.
 func (r *Router) prefillBurdenOf(q *request) float64 {
 	if objective := r.latencyObjective(q); objective > 0 {
 		return q.PromptTokens / assumedPrefillSpeed / objective
@@ -52,9 +53,8 @@
 	return 0
 }
 
-// usesDirectory reports whether the directory is used for a request: where prefilling its prompt takes a
-// large part of its latency objective, as it also does on average over all requests. The load that short
-// prompts add to an engine does not justify the messages.
+// usesDirectory reports whether the directory is used for a request: its prefill burden is high, and so is
+// the mean of all requests. The load that short prompts add to an engine does not justify the messages.
 func (r *Router) usesDirectory(q *request) bool {
 	return r.directoryEnabled() &&
 		r.meanPrefillBurden.value >= minMeanPrefillBurden &&
@@ -67,7 +67,7 @@
 	return r.lastDirectoryAnswerAt != 0 && r.now-r.lastDirectoryAnswerAt < pendingPromptTimeout
 }
 
-// directoryOwner returns the ordinal of the gateway that keeps the directory's entry of an engine.
+// directoryOwner returns the ordinal of the gateway that is an engine's directory owner.
 func (r *Router) directoryOwner(e *engine) int {
 	return int(mix(e.hash, directorySalt) % uint64(r.settings.Gateways))
 }
@@ -83,7 +83,7 @@
 // shortEngineHash returns the hash that stands for an engine in messages.
 func shortEngineHash(e *engine) uint32 { return uint32(e.hash) }
 
-// engineByShortHash returns the engine that a message is about, or nil if it is unknown.
+// engineByShortHash returns the engine with this hash in messages, or nil if there is none.
 func (r *Router) engineByShortHash(hash uint32) *engine { return r.enginesByShortHash[hash] }
 
 // notifyOwner sends a notification to an engine's directory owner, or applies it if that is this gateway.
@@ -125,8 +125,8 @@
 // directoryKey returns the match table's key for a short hash at an engine.
 func directoryKey(e *engine, hash uint32) uint64 { return mix(uint64(hash), e.hash+directorySalt) }
 
-// cachedTokens returns how many tokens of a prompt an engine has cached, by the notifications to its
-// directory owner.
+// cachedTokens returns how many tokens of a prompt an engine has cached, by the notifications that this
+// gateway got as its directory owner.
 func (r *Router) cachedTokens(e *engine, sessionHash, prefixHash uint32) float64 {
 	tokens := 0.0
 	if sessionHash != 0 {
@@ -198,8 +198,8 @@
 	return true
 }
 
-// consultOwner queries an engine's directory owner for a request. This gateway's own entries are used at
-// once.
+// consultOwner queries an engine's directory owner for a request. If that is this gateway, its own records
+// are used at once.
 func (r *Router) consultOwner(q *request, e *engine) {
 	owner := r.directoryOwner(e)
 	if owner == r.settings.Ordinal {
@@ -217,8 +217,8 @@
 	r.emit(Action{Kind: SendPeer, Peer: owner, Data: m.encode()})
 }
 
-// recordDirectoryLoad stores a directory owner's answer: the engine's load, and the tokens of the request's
-// prompt that it has cached.
+// recordDirectoryLoad stores what a directory owner reported: the engine's load, and the tokens of the
+// request's prompt that the engine has cached.
 func (r *Router) recordDirectoryLoad(q *request, e *engine, load engineLoad, cachedTokens float64) {
 	e.directoryLoad = load
 	e.directoryLoadAt = r.now
@@ -229,7 +229,7 @@
 	q.cachedByEngine[e] = min(cachedTokens, q.PromptTokens)
 }
 
-// onAnswer handles a directory owner's answer. The request is placed once the last answer has arrived.
+// onAnswer handles a directory owner's answer. The request is dispatched once the last answer has arrived.
 func (r *Router) onAnswer(e *engine, m *directoryMessage) {
 	q := r.awaitingDirectory[m.requestID]
 	if q == nil || q.settled {
@@ -247,8 +247,8 @@
 	}
 }
 
-// finishConsultation places a request that waited for the answers of directory owners. Those that did not
-// answer are not queried for silentOwnerPause.
+// finishConsultation dispatches a request that waited for the answers of directory owners. Those that did not
+// answer are not queried again for silentOwnerPause.
 func (r *Router) finishConsultation(q *request) {
 	if r.awaitingDirectory[uint32(q.ID)] != q {
 		return
@@ -263,7 +263,7 @@
 	}
 }
 
-// notifyPromptSent notifies an engine's directory owner of a prompt that is sent to the engine.
+// notifyPromptSent notifies the directory owner that the attempt's prompt is sent to its engine.
 func (r *Router) notifyPromptSent(a *attempt) {
 	q := a.request
 	if !r.usesDirectory(q) {
--- a/directory_message.go
+++ b/directory_message.go
@@ -12,9 +12,9 @@
 type directoryMessageKind byte
 
 const (
-	// directoryQuery asks for an engine's load, and for the cached tokens of a session and a shared prefix.
+	// directoryQuery queries an engine's load, and the cached tokens of a session and a shared prefix.
 	directoryQuery directoryMessageKind = 'q'
-	// directoryAnswer is the response to a directoryQuery.
+	// directoryAnswer answers a directoryQuery.
 	directoryAnswer directoryMessageKind = 'a'
 	// directoryPromptSent says that a prompt is sent to an engine.
 	directoryPromptSent directoryMessageKind = 's'
@@ -24,7 +24,7 @@
 	directoryPrefillAborted directoryMessageKind = 'o'
 )
 
-// directoryMessage is a message between gateways. Which of its fields are used depends on its kind.
+// directoryMessage is a message between gateways. Its kind determines which of its fields are used.
 type directoryMessage struct {
 	kind         directoryMessageKind
 	requestID    uint32     // low 32 bits of the request's ID at the gateway that sends the prompt
@@ -48,13 +48,13 @@
 
 // The units of the 16-bit quantities of a message.
 const (
-	tokensUnit   = 16   // numbers of tokens: in tokens
-	delayUnit    = 1e-3 // delays: in seconds
-	speedUnit    = 10   // speeds: in tokens per second
-	fractionUnit = 1e-3 // fractions of the time: without a unit
+	tokensUnit   = 16   // tokens
+	delayUnit    = 1e-3 // seconds
+	speedUnit    = 10   // tokens per second
+	fractionUnit = 1e-3 // of the whole
 )
 
-// quantize returns v in the given unit, rounded and bounded to 16 bits.
+// quantize returns v as a multiple of the unit, rounded and bounded to 16 bits.
 func quantize(v, unit float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Round(v/unit)))) }
 
 // encode returns the message as text.
--- a/discovery.go
+++ b/discovery.go
@@ -1,31 +1,31 @@
 package standpoint
 
-// Handling of endpoint lists, and of the subscription to discovery.
+// Engine lists, and the subscription to discovery.
 
 import (
 	"math"
 	"sort"
 )
 
-// onEngineList applies an endpoint list, and then dispatches the requests that wait for an engine.
-func (r *Router) onEngineList(l *EngineList) {
-	if l.Kind == ListFailed {
+// onEngineList applies an engine list, and then dispatches the queued requests.
+func (r *Router) onEngineList(list *EngineList) {
+	if list.Kind == ListFailed {
 		r.failedSubscribes++
 		r.subscribed = false
 		return
 	}
-	// A subscriber that is far behind gets a full list instead of changes.
-	if l.Kind == ListDelta || r.lastSubscribeAt != 0 {
+	// A subscriber may get a full list instead of changes if it has missed many.
+	if list.Kind == ListDelta || r.lastSubscribeAt != 0 {
 		r.failedSubscribes = 0
 		r.subscribed = true
 	}
 	listed := map[string]bool{}
-	for _, entry := range l.Engines {
+	for _, entry := range list.Engines {
 		listed[entry.Name] = true
 		r.updateEngine(entry)
 	}
 	for _, e := range r.engines {
-		if l.Kind == ListFull && !listed[e.Name] {
+		if list.Kind == ListFull && !listed[e.Name] {
 			e.State = Removed
 			e.notReady = true
 		}
@@ -36,8 +36,8 @@
 	r.dispatchQueued()
 }
 
-// updateEngine applies one entry of an endpoint list. After a restart, everything known of the previous
-// process is dropped, including its cached prompts.
+// updateEngine applies one entry of an engine list. After a restart, everything known of the previous process
+// is dropped, including its cached prompts.
 func (r *Router) updateEngine(entry Engine) {
 	e := r.engines[entry.Name]
 	if e == nil || entry.StartedAt != e.StartedAt && entry.State == Ready {
@@ -64,24 +64,24 @@
 	e.notReady = entry.State != Ready
 }
 
-// maxNoticeDelay is the maximum time that discovery may take to report a change that it knows of.
+// maxNoticeDelay is the maximum time in which discovery reports a change that it knows of.
 const maxNoticeDelay = 6 * second
 
 // startIsImplausible reports whether a newly listed start time cannot be right: it is in the future, or so
 // long ago that the previous list would have contained it. This happens when clocks are stepped; the engine
-// then counts as started now. The first list that a gateway gets may be of any age, so its absence from that
-// one proves nothing.
-func (r *Router) startIsImplausible(readyAt int64) bool {
-	if readyAt <= 0 {
+// then counts as started now. The first list that a gateway gets may be of any age, so that a start which is
+// missing from it may still be an old one.
+func (r *Router) startIsImplausible(startedAt int64) bool {
+	if startedAt <= 0 {
 		return false
 	}
 	maxAge := max(r.settings.WarmUp+r.settings.OverloadWindow, r.now-r.lastListAt+maxNoticeDelay)
-	shouldBeKnown := r.listsReceived >= 2 && r.now-readyAt > maxAge
-	return readyAt > r.now || shouldBeKnown
+	shouldBeKnown := r.listsReceived >= 2 && r.now-startedAt > maxAge
+	return startedAt > r.now || shouldBeKnown
 }
 
-// subscribe requests changes where discovery sends them only on request. After failures it backs off
-// exponentially, with jitter.
+// subscribe subscribes to discovery's changes where only subscribers get them, unless the subscription is in
+// effect. After failures it backs off exponentially, with jitter.
 func (r *Router) subscribe() {
 	wait := min(r.settings.DiscoveryTimeout*2, 500*ms<<min(r.failedSubscribes, 4))
 	if !r.settings.SubscribeDiscovery ||
--- a/eligibility.go
+++ b/eligibility.go
@@ -1,13 +1,14 @@
 package standpoint
 
-// The rules for repeating a request: which attempts are allowed, and which final answer is true.
+// The rules for repeating a request: which attempts are allowed, and whether the final response may be a
+// rejection.
 
 import (
 	"slices"
 )
 
-// mayUse reports whether an attempt of q may be sent to e: e is ready, and neither the effect of q's class
-// nor the rule on concurrent attempts forbids it.
+// mayUse reports whether an attempt of q may be sent to e: e is ready and no earlier attempt forbids it, by
+// the effect of q's class, because hedged attempts are not allowed, or because it may have run at e itself.
 func (r *Router) mayUse(q *request, e *engine) bool {
 	c := r.class(q)
 	for _, a := range q.attempts {
@@ -27,8 +28,8 @@
 	return !e.notReady
 }
 
-// mayShed reports whether it is safe for the client to retry the request, so that a rejection is a true
-// answer.
+// mayShed reports whether it is safe for the client to retry the request, so that the final response may be a
+// rejection.
 func (r *Router) mayShed(q *request) bool {
 	c := r.class(q)
 	if c.Effect == Safe || c.Effect == Keyed && c.DedupScope == GroupAll {
@@ -48,8 +49,8 @@
 	return true
 }
 
-// MayShed reports whether it is safe for the client to retry the open request with this ID. It is true of an
-// unknown one.
+// MayShed reports whether it is safe for the client to retry the open request with this ID. It is true for an
+// unknown ID.
 func (r *Router) MayShed(id int64) bool {
 	q := r.requests[id]
 	return q == nil || r.mayShed(q)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -22,7 +22,7 @@
 // Guards against requests that use up their attempts in an unreachable zone: half of the engines are in that zone, and
 // each gateway ranks its own zone first, so all three attempts of a request went there at 100 ms each. After one failed
 // connection the next attempt goes to another zone.
-func TestLostZoneCostsRequestOneAttempt(t *testing.T) {
+func TestUnreachableZoneCostsRequestOneAttempt(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.CrossZonePrice, s.HedgedRequests, s.Gateways = 2, 0.03, false, 80
 	for seed := range int64(20) {
@@ -44,7 +44,7 @@
 }
 
 // A request whose pool lies in one zone stays in its pool after a failed connection to one of the pool's engines.
-func TestSingleZonePoolSurvivesOneUnreachableServer(t *testing.T) {
+func TestSingleZonePoolSurvivesOneUnreachableEngine(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.CrossZonePrice, s.HedgedRequests = 2, 0.03, false
 	list := twoZoneList(12)
@@ -84,7 +84,7 @@
 	return g
 }
 
-// updateEngines passes an endpoint list to all gateways.
+// updateEngines passes an engine list to all gateways.
 func (g *gatewayGroup) updateEngines(list *EngineList) {
 	for _, r := range g.gateways {
 		feed(r, g.now, list)
@@ -92,7 +92,7 @@
 }
 
 // run sends requests to the gateways in turn, evenly at rate requests a second in total, for the duration. It counts
-// the attempts per engine in sentTo; each attempt ends at once with the result of outcome.
+// the attempts per engine in sentTo; each attempt ends at once with the outcome that the function returns.
 func (g *gatewayGroup) run(duration int64, rate float64, outcome func(engine string) Outcome) {
 	for end := g.now + duration; g.now < end; g.now += int64(float64(second) / rate) {
 		g.nextID++
@@ -104,10 +104,10 @@
 			a := got[0]
 			if got = nil; a.Kind == Send {
 				g.sentTo[a.Engine]++
-				reply := outcome(a.Engine)
-				reply.Request, reply.Attempt = a.Request, len(r.requests[a.Request].attempts)-1
-				reply.Last = reply.Code == Served
-				got = feed(r, g.now, &reply)
+				ended := outcome(a.Engine)
+				ended.Request, ended.Attempt = a.Request, len(r.requests[a.Request].attempts)-1
+				ended.Last = ended.Code == Served
+				got = feed(r, g.now, &ended)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 // Guards against a slow-start budget that ignores the engine's size: starting engines of size 3 and of size 10 both got
 // 2.1 to 2.6 requests a second. The small ones took 5 to 13 s for a response, and the large ones had four of five slots
 // free.
-func TestColdBudgetScalesWithServerSize(t *testing.T) {
+func TestColdBudgetScalesWithEngineSize(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 80
 	list := &EngineList{Kind: ListFull}
@@ -147,7 +147,7 @@
 // Guards against two faults around an unreachable zone. While it is unreachable, each of 80 gateways tried each of its
 // engines. When it responds again, 3 s before the list contains the new starts, all gateways returned to it at once,
 // with up to 90 requests a second to engines that have an eighth of their capacity.
-func TestLostZoneIsProbedOnceAndReturnsCold(t *testing.T) {
+func TestUnreachableZoneIsTriedOnceAndReturnsInSlowStart(t *testing.T) {
 	s := testSettings()
 	s.Gateways, s.Zones, s.CrossZonePrice, s.HedgedRequests, s.MaxAttempts, s.ColdCapacityFraction, s.OverloadFactor =
 		80, 2, 0.03, false, 3, 0.13, 4
@@ -173,7 +173,7 @@
 	g.run(4*second, 88, zone1Unreachable) // meanwhile every gateway of that zone has detected it
 	before := countZone1()
 	g.run(4*second, 88, zone1Unreachable)
-	// Without a shared trial each of 40 gateways could try each of 20 engines every 1.5 s, and would with every request
+	// Without a common trial each of 40 gateways could try each of 20 engines every 1.5 s, and would with every request
 	// that it gets: 176 in 4 s.
 	if trials := countZone1() - before; trials > 40*4*2/3+20 {
 		t.Fatalf("%d attempts in 4 s at an unreachable zone, by 40 gateways that may each try it every 1.5 s", trials)
@@ -198,11 +198,11 @@
 // from a given engine less than once a minute, so it cannot see the load. Gateways with more traffic prefer their own
 // zone, and so do all once every engine is warm.
 func TestLowTrafficGatewaysDoNotOverloadTheirZone(t *testing.T) {
-	ownZoneShare := func(gateways int, readyAt int64) float64 {
+	ownZoneShare := func(gateways int, startedAt int64) float64 {
 		s := testSettings()
 		s.Gateways, s.Zones, s.CrossZonePrice, s.HedgedRequests, s.WarmUp = gateways, 2, 0.03, false, 24*second
 		list := twoZoneList(40)
-		list.Engines[39].StartedAt = readyAt
+		list.Engines[39].StartedAt = startedAt
 		g := newGatewayGroup(s, list)
 		var skewed []*Router // three of four requests come to zone 0
 		for i, r := range g.gateways {
@@ -239,7 +239,7 @@
 
 // Edge cases of starting engines and unreachable zones: a capacity of 0 at the start, a start that the next list no
 // longer contains, and zones that may have other numbers after a change of settings.
-func TestColdAndLostZoneEdgeCases(t *testing.T) {
+func TestSlowStartAndUnreachableZoneEdgeCases(t *testing.T) {
 	s := testSettings()
 	s.Zones, s.ColdCapacityFraction = 2, 0
 	r := New(s, 1)
@@ -256,7 +256,7 @@
 	if r.fleetWarmUpEnd > 102*second {
 		t.Error("the fleet's warm-up still ends with a start that is no longer listed")
 	}
-	r.unreachableByZone[0] = lostZoneThreshold
+	r.unreachableByZone[0] = unreachableZoneThreshold
 	r.UpdateSettings(s)
 	if len(r.failureDomain(r.engines[engineName(0)])) != 1 {
 		t.Error("a zone is still taken to be unreachable after its number may have changed")
@@ -322,17 +322,17 @@
 			// Three requests a second per engine, taken as what a warm one can serve; and one, of which a starting
 			// engine may first get two per window.
 			for _, rate := range []float64{300, 100} {
-				testColdAllowance(t, gateways, assumed, rate, 1, assumed != gateways)
-				testColdAllowance(t, gateways, assumed, rate, 50, true)
+				testSlowStartLimit(t, gateways, assumed, rate, 1, assumed != gateways)
+				testSlowStartLimit(t, gateways, assumed, rate, 50, true)
 			}
 		}
 	}
 }
 
-// testColdAllowance lets some of a hundred engines start while the gateways get rate requests a second in total.
+// testSlowStartLimit lets some of a hundred engines start while the gateways get rate requests a second in total.
 // assumed is the number of gateways in their settings; uneven gives a fifth of them six times the traffic of the
 // others.
-func testColdAllowance(t *testing.T, gateways, assumed int, rate float64, starting int, uneven bool) {
+func testSlowStartLimit(t *testing.T, gateways, assumed int, rate float64, starting int, uneven bool) {
 	const stepsPerWindow = 4 // the sliding window advances by a quarter of its length
 	t.Run(
 		fmt.Sprintf(
--- a/hash.go
+++ b/hash.go
@@ -40,10 +40,10 @@
 // mean is a running mean: the arithmetic mean of the first values, later an exponentially weighted one.
 type mean struct {
 	value float64
-	count float64 // values added
+	count float64 // number of values added
 }
 
-// add adds a value, with a weight of one over the number of values, but at least minWeight.
+// add adds a value. Its weight is one over the number of values, but at least minWeight.
 func (m *mean) add(v, minWeight float64) {
 	m.count++
 	m.value += max(1/m.count, minWeight) * (v - m.value)
--- a/health.go
+++ b/health.go
@@ -8,20 +8,22 @@
 
 const (
 	trialInterval         = 1500 * ms // minimum time between two trials of a suspect engine
-	errorRateWeight       = 0.3       // weight of one response in an engine's moving error rate
+	errorRateWeight       = 0.3       // weight of one response in an engine's error rate
 	tenantErrorRateWeight = 0.05      // weight of one response in a tenant's error rate over all engines
-	maxErrorRate          = 0.5       // an engine above this error rate becomes suspect
-	maxSuspectFraction    = 0.5       // above this fraction of the fleet the cause is taken to be shared
-	// Consecutive unreachable engines of a zone from which the whole zone is taken to be unreachable. If
-	// one engine in eight is bad, three in a row are bad by chance once in 512 cases.
-	lostZoneThreshold = 3
-	// Seconds. An engine that was unreachable for a shorter time is taken to have paused, not restarted.
+	maxErrorRate          = 0.5       // error rate above which an engine becomes suspect
+	maxSuspectFraction    = 0.5       // fraction of suspect engines above which they have a shared cause
+	// unreachableZoneThreshold is the number of consecutive unreachable engines of a zone from which the
+	// whole zone is taken to be unreachable. If one engine in eight is unreachable, three in a row are so by
+	// chance once in 512 cases.
+	unreachableZoneThreshold = 3
+	// minOutage is the time in seconds for which an engine must have been unreachable to be taken to have
+	// restarted. After a shorter time it is taken to have paused.
 	minOutage = 1.0
 )
 
 // recordSignOfLife records that the attempt's engine has responded, and clears its suspicion.
 func (r *Router) recordSignOfLife(a *attempt) {
-	r.removeUnanswered(a)
+	r.removeAwaitingFirstToken(a)
 	r.recordRecovery(a.engine)
 	a.engine.lastSignOfLifeAt = r.now
 	a.engine.suspect = false
@@ -30,77 +32,79 @@
 	r.tenant(a.request).errorRate *= 1 - tenantErrorRateWeight
 }
 
-// recordRecovery treats an unreachable engine that responds again as restarted: discovery reports the
-// restart only seconds later, when all gateways would already have returned to the engine at full rate. If
-// its whole zone was unreachable, this applies to every engine of the zone.
+// recordRecovery treats an engine that responds again after it was unreachable as restarted, unless it was
+// unreachable for less than minOutage: discovery reports a restart only seconds later, when all gateways
+// would already have returned to the engine at full rate. If its whole zone was unreachable, this applies to
+// every engine of the zone.
 func (r *Router) recordRecovery(e *engine) {
 	if e.unreachable {
-		for _, o := range r.failureDomain(e) {
-			if o.unreachable && seconds(r.now-o.unreachableSince) >= minOutage {
-				o.recoveredAt = r.now
-				o.firstSeenAt = r.now
-				o.slowStartBudget = r.rng.Float64()
-				o.slowStartBudgetAt = r.now
+		for _, other := range r.failureDomain(e) {
+			if other.unreachable && seconds(r.now-other.unreachableSince) >= minOutage {
+				other.recoveredAt = r.now
+				other.firstSeenAt = r.now
+				other.slowStartBudget = r.rng.Float64()
+				other.slowStartBudgetAt = r.now
 			}
-			o.suspect = o.suspect && !o.unreachable
-			o.unreachable = false
+			other.suspect = other.suspect && !other.unreachable
+			other.unreachable = false
 		}
 	}
 	r.unreachableByZone[e.Zone] = 0
 }
 
-// recordUnreachable records a failed connection to an engine. Several such engines of one zone, with no
-// sign of life from the zone in between, show that the whole zone is unreachable. One trial then counts
-// for all of its engines; otherwise requests would have to fail at each of them first.
+// recordUnreachable records a failed connection to an engine. unreachableZoneThreshold such engines of one
+// zone, with no response from the zone in between, show that the whole zone is unreachable. One trial then
+// counts for all of its engines; otherwise requests would have to fail at each of them first.
 func (r *Router) recordUnreachable(e *engine) {
 	if !e.unreachable {
 		e.unreachable = true
 		e.unreachableSince = r.now
 		r.unreachableByZone[e.Zone]++
 	}
-	for _, o := range r.failureDomain(e) {
-		if !o.unreachable {
-			o.unreachableSince = r.now
+	for _, other := range r.failureDomain(e) {
+		if !other.unreachable {
+			other.unreachableSince = r.now
 		}
-		o.suspect = true
-		o.unreachable = true
-		o.lastTrialAt = r.now
+		other.suspect = true
+		other.unreachable = true
+		other.lastTrialAt = r.now
 	}
 }
 
-// markSuspect marks the engine as suspect, so that it gets only trials. down means that no connection to it
-// could be established.
-func (r *Router) markSuspect(e *engine, down bool) {
-	if !e.suspect || down {
+// markSuspect marks the engine as suspect, so that it gets only trials. unreachable says that no connection
+// to it could be opened.
+func (r *Router) markSuspect(e *engine, unreachable bool) {
+	if !e.suspect || unreachable {
 		e.suspect = true
 		e.lastTrialAt = r.now
 	}
-	if down {
+	if unreachable {
 		r.recordUnreachable(e)
 	}
 }
 
-// onAdvice applies the suspicions of other gateways. A suspicion counts only if the engine has given this
-// gateway no sign of life since the evidence was gathered.
+// onAdvice applies the suspicions of other gateways. A suspicion counts only if this gateway has seen no sign
+// of life of the engine since the evidence was gathered.
 func (r *Router) onAdvice(a *Advice) {
-	for _, d := range a.Suspicions {
-		if e := r.engines[d.Engine]; e != nil && e.StartedAt == d.StartedAt && e.lastSignOfLifeAt < d.At {
+	for _, suspicion := range a.Suspicions {
+		if e := r.engines[suspicion.Engine]; e != nil && e.StartedAt == suspicion.StartedAt &&
+			e.lastSignOfLifeAt < suspicion.At {
 			r.markSuspect(e, false)
 		}
 	}
 }
 
-// recordRejection records an error, a rejection or a lost connection. An engine that fails fast has little
-// load, looks idle and attracts ever more requests, so it becomes suspect once most of its responses are
-// failures. Attempts already in flight there may still succeed. If most of a tenant's requests fail at
-// whichever engine they reach, the cause is the tenant's requests, and the engines are not blamed.
-func (r *Router) recordRejection(a *attempt, code OutcomeCode) {
-	e, t := a.engine, r.tenant(a.request)
+// recordFailure records a server error, a rejection or a lost connection. An engine that fails fast has
+// little load, looks idle and attracts ever more requests, so it becomes suspect once its error rate exceeds
+// maxErrorRate. Attempts in flight there may still succeed. If most of a tenant's requests end in server
+// errors, whichever engine they reach, the cause is the tenant's requests, and the engines are not blamed.
+func (r *Router) recordFailure(a *attempt, code OutcomeCode) {
+	e, tenant := a.engine, r.tenant(a.request)
 	e.lastSignOfLifeAt = r.now
 	if code == ServerError {
-		t.errorRate += tenantErrorRateWeight * (1 - t.errorRate)
+		tenant.errorRate += tenantErrorRateWeight * (1 - tenant.errorRate)
 	}
-	if t.errorRate > maxErrorRate {
+	if tenant.errorRate > maxErrorRate {
 		return
 	}
 	if e.errorRate += errorRateWeight * (1 - e.errorRate); e.errorRate > maxErrorRate {
@@ -108,21 +112,22 @@
 	}
 }
 
-// avoids reports whether an engine gets no requests, or only trials. ignoreSuspicions is set while a fault
-// is shared by most of the fleet; an engine that could not be connected to is avoided even then.
+// avoids reports whether an engine gets no requests, or only trials. ignoreSuspicions is set while most of
+// the fleet is suspect; an unreachable engine is avoided even then.
 func (r *Router) avoids(e *engine, ignoreSuspicions bool) bool {
 	return e.notReady || e.suspect && (e.unreachable || !ignoreSuspicions)
 }
 
-// isExcluded reports whether an engine is avoided and not due for a trial. An engine that is suspect for
-// its silence, not for its errors, gets one trial at a time.
+// isExcluded reports whether an engine is avoided and not due for a trial. An engine that is not suspect for
+// its error rate gets no further trial while an attempt there waits for its first token.
 func (r *Router) isExcluded(e *engine, ignoreSuspicions bool) bool {
 	return r.avoids(e, ignoreSuspicions) &&
 		(r.now-e.lastTrialAt < trialInterval || len(e.awaitingFirstToken) > 0 && e.errorRate <= maxErrorRate)
 }
 
-// hasSharedFault reports whether so many engines are suspect that the cause must be shared. Then no engine
-// is avoided for a suspicion. In a large fleet the result is reused for a fifth of a tick.
+// hasSharedFault reports whether so many engines are suspect, not counting unreachable ones, that the cause
+// must be shared. Then no engine is avoided for a suspicion. In a large fleet the result is reused for a
+// fifth of tickInterval.
 func (r *Router) hasSharedFault() bool {
 	if len(r.ready) > maxFullScan && r.now-r.sharedFaultAt < tickInterval/5 {
 		return r.sharedFault
@@ -138,8 +143,7 @@
 	return r.sharedFault
 }
 
-// checkHealth marks silent engines as suspect, and hedges or cancels the attempts that wait at suspect
-// engines.
+// checkHealth marks silent engines as suspect, and hedges or cancels the overdue attempts at suspect engines.
 func (r *Router) checkHealth() {
 	shared := r.hasSharedFault()
 	for _, e := range r.ready {
@@ -154,8 +158,8 @@
 	}
 }
 
-// isSilent reports whether the engine's oldest unanswered attempt is overdue and the engine has given no
-// sign of life since that attempt was sent.
+// isSilent reports whether the engine's oldest attempt without a first token is overdue and the engine has
+// given no sign of life since that attempt was sent.
 func (e *engine) isSilent(now int64) bool {
 	if len(e.awaitingFirstToken) == 0 {
 		return false
@@ -164,8 +168,9 @@
 	return oldest.overdue(now) && e.lastSignOfLifeAt <= oldest.sentAt
 }
 
-// hedgeOrCancel moves an overdue attempt at a suspect engine elsewhere: it sends a second copy where the
-// settings permit that, else it cancels the attempt, so that the request is retried.
+// hedgeOrCancel acts on an overdue attempt at a suspect engine, as far as the retry budget and the load
+// permit: where the settings allow hedged attempts it sends one, else it cancels the attempt if the request's
+// class is safe, so that the request is retried.
 func (r *Router) hedgeOrCancel(a *attempt) {
 	q := a.request
 	if q.settled || q.claimed != nil || a.cancelling || !a.overdue(r.now) || r.retryBudget < 1 {
@@ -184,8 +189,8 @@
 	}
 }
 
-// removeUnanswered removes an attempt from its engine's list of unanswered attempts.
-func (r *Router) removeUnanswered(a *attempt) {
+// removeAwaitingFirstToken removes an attempt from those that wait for their first token at its engine.
+func (r *Router) removeAwaitingFirstToken(a *attempt) {
 	for i, other := range a.engine.awaitingFirstToken {
 		if other == a {
 			a.engine.awaitingFirstToken = append(
@@ -198,7 +203,7 @@
 }
 
 // CountEngines returns the number of listed engines and how many of these are avoided, either because
-// discovery lists them as not ready or because this gateway suspects them.
+// discovery lists them as draining or because this gateway suspects them.
 func (r *Router) CountEngines() (listed, avoided int) {
 	ignoreSuspicions := r.hasSharedFault()
 	for _, e := range r.engines {
@@ -213,10 +218,10 @@
 	return listed, avoided
 }
 
-// failureDomain returns the engines that are taken to fail together with e: e alone, or every ready engine
-// of its zone if the whole zone is unreachable.
+// failureDomain returns the engines that are taken to fail together with e: e alone or, if the whole zone is
+// taken to be unreachable, every ready engine of the zone.
 func (r *Router) failureDomain(e *engine) []*engine {
-	if r.unreachableByZone[e.Zone] < lostZoneThreshold || r.settings.Zones < 2 {
+	if r.unreachableByZone[e.Zone] < unreachableZoneThreshold || r.settings.Zones < 2 {
 		return []*engine{e}
 	}
 	elsewhere := func(o *engine) bool { return o.Zone != e.Zone && o != e }
--- a/learned_state.go
+++ b/learned_state.go
@@ -17,12 +17,12 @@
 	maxLearnedPrompts = 8192
 	// maxLearnedEngines is the maximum number of engines in Learned.
 	maxLearnedEngines = 4096
-	// maxLearnedAge is the age beyond which learned state is rejected.
+	// maxLearnedAge is the age above which learned state is rejected.
 	maxLearnedAge = 60 * second
 )
 
-// Learned is the learned state of a router. It is valid for the settings that it was learned under. Points in
-// time are in nanoseconds, and logarithms are natural.
+// Learned is the learned state of a router. It is valid for the classes and kinds that it was learned with,
+// of which Check compares the numbers. Points in time are in nanoseconds, and logarithms are natural.
 type Learned struct {
 	Version    int   `json:"version"`
 	ExportedAt int64 `json:"at"`
@@ -32,9 +32,9 @@
 	// TTFTModels and TPOTModels hold a model for each kind of engine, and the fleet's as the last.
 	TTFTModels []LearnedModel `json:"ttft"`
 	TPOTModels []LearnedModel `json:"pace"`
-	// BaseTPOT is the estimated TPOT at a relative TPOT of 1, in seconds.
+	// BaseTPOT is the TPOT, in seconds, that the TPOTModels express as 1.
 	BaseTPOT float64 `json:"gap"`
-	// OutputLengthsKnown says whether engines report the number of output tokens.
+	// OutputLengthsKnown says whether a response stated its number of output tokens.
 	OutputLengthsKnown bool `json:"told"`
 	// ClassTPOTRatios are the means, by class, of the logarithm of a response's decode time in seconds over
 	// its token limit. The last class stands for requests of an unknown class.
@@ -45,20 +45,20 @@
 	RecentTPOTError LearnedMean `json:"gap_now"`
 	// DecodeTime is the mean time from a response's first token to its last, in seconds.
 	DecodeTime LearnedMean `json:"decode"`
-	// HomeCachedFraction is, by class, the fraction of the prompt beyond the shared prefix that a session's
-	// home engine has cached. The last class stands for requests of an unknown class.
+	// HomeCachedFraction is, by class, the mean fraction of the prompt beyond the shared prefix that a
+	// session's home engine had cached. The last class stands for requests of an unknown class.
 	HomeCachedFraction []float64 `json:"gain"`
-	// MeanReport is the mean of the fleet's load reports.
+	// MeanReport is a moving average of the fleet's load reports.
 	MeanReport Report `json:"fleet"`
-	// MatchTrust is the mean ratio of cached to expected prompt tokens.
+	// MatchTrust is a moving average of the ratio of cached to expected tokens.
 	MatchTrust float64 `json:"trust"`
-	// CacheFlushAt is the time at which engines were last found to have lost their caches.
+	// CacheFlushAt is when engines were last found to have lost their caches.
 	CacheFlushAt int64 `json:"flush_at"`
-	// UsualReadyCount is the usual number of ready engines, which decays slowly when there are fewer.
+	// UsualReadyCount is the largest number of ready engines in the recent past, which decays with time.
 	UsualReadyCount float64 `json:"usual"`
-	// RequestRate is the rate of this gateway's requests, per second.
+	// RequestRate is the rate of the requests that this gateway accepts, per second.
 	RequestRate float64 `json:"rate"`
-	// ShedFraction is the fraction of requests that is rejected to shed load.
+	// ShedFraction is the fraction of the requests, those of the lowest value density, that is shed.
 	ShedFraction float64 `json:"cut"`
 	// RecentValueDensities are the value densities of the latest requests.
 	RecentValueDensities []float64       `json:"lately"`
@@ -69,7 +69,7 @@
 // LearnedMean is a running mean.
 type LearnedMean struct {
 	Mean  float64 `json:"mean"`
-	Count float64 `json:"n"` // values added
+	Count float64 `json:"n"` // number of values added
 }
 
 // LearnedModel is a model's fit and its samples. A sample consists of its features, followed by the observed
@@ -86,11 +86,11 @@
 	Name        string `json:"name"`
 	StartedAt   int64  `json:"ready_at"`
 	FirstSeenAt int64  `json:"since"`
-	// Slowness is the mean logarithm of the ratio of observed to predicted TTFT.
+	// Slowness is a moving average of the logarithm of the ratio of observed to predicted TTFT.
 	Slowness float64 `json:"speed"`
 	// TPOTSlowness is the mean logarithm of the ratio of observed to predicted TPOT.
 	TPOTSlowness LearnedMean `json:"drag"`
-	// ErrorRate is the fraction of errors and rejections among the latest responses.
+	// ErrorRate is a moving average of errors, rejections and lost connections among the responses.
 	ErrorRate   float64 `json:"sour"`
 	Suspect     bool    `json:"suspect"`
 	Unreachable bool    `json:"down"`
@@ -101,7 +101,7 @@
 	// SlowStartBudgetAt.
 	SlowStartBudget   float64 `json:"cold_tokens"`
 	SlowStartBudgetAt int64   `json:"cold_at"`
-	// Reinstated says whether the engine was put back by hand and has not been used since.
+	// Reinstated says whether an operator put the engine back into service and no attempt was sent since.
 	Reinstated bool `json:"due"`
 }
 
--- a/placement.go
+++ b/placement.go
@@ -2,9 +2,10 @@
 
 // Placement: which engine a request is sent to.
 //
-// The affinity gate prefers engines that have most of the prompt cached; of those it lets through, or of all
-// engines if there is none, the one with the least positive headroom is chosen. DESIGN explains minGateMatch,
-// explorationRate, maxAffinityTTFT and ttftWeight.
+// The headroom of an engine is the fraction of the request's objectives that its predicted latency leaves.
+// The affinity gate lets the engines through that have most of the prompt cached. Of these, or of all engines
+// if there is none, the one with the least positive headroom is chosen, which leaves the faster ones to
+// requests that need them.
 
 import (
 	"cmp"
@@ -14,22 +15,28 @@
 
 const (
 	minGateMatch    = 0.80 // cached fraction of the prompt from which an engine passes the affinity gate
-	explorationRate = 0.01 // probability of a decision without the gate
-	maxAffinityTTFT = 5.0  // seconds by which the best gated engine may be slower than the best overall
-	ttftWeight      = 0.8  // weight of the first token in the headroom; the rest is the output rate's
-	sampleSize      = 3    // highest-ranked engines that are evaluated, besides those that pass the gate
-	// sparseWarmUpFraction is the fraction of the warm-up in which a gateway must evaluate each engine once
-	// not to be sparse.
+	explorationRate = 0.01 // probability of a decision without the gate, among all candidates
+	// defaultAffinityPenalty is the maximum, in seconds, by which the predicted TTFT of the best engine that
+	// passes the gate may exceed that of the best overall; see maxAffinityPenalty.
+	defaultAffinityPenalty = 5.0
+	ttftWeight             = 0.8 // weight of the TTFT in the headroom; the rest is the weight of the TPOT
+	// sampleSize is the minimum number of the highest-ranked engines that are evaluated, besides those that
+	// pass the gate.
+	sampleSize = 3
+	// sparseWarmUpFraction is a part of the warm-up: a gateway is sparse if it cannot evaluate each engine
+	// once in that time.
 	sparseWarmUpFraction = 0.1
-	minSparseSpill       = 0.5 // smallest spill of a sparse gateway; see prefersOwnZone
-	headroomReserve      = 0.5 // fraction of an objective that must be left for headroom to count as positive
+	minSparseSpill       = 0.5 // minimum spill of a sparse gateway; see prefersOwnZone
+	headroomReserve      = 0.5 // fraction of each objective that must be left for positive headroom
 	// headroomReserveEngines is the number of options above which more than headroomReserve must be left: the
 	// more options are compared, the less reliable is the prediction of the one with the least headroom.
 	headroomReserveEngines = 8.0
-	minHomeAdvantage       = 300.0 // prompt tokens expected to be cached at the assumed home, to prefer it
+	// minHomeAdvantage is the number of prompt tokens above which the assumed home is preferred: those that
+	// it, but no other engine, is expected to have cached.
+	minHomeAdvantage = 300.0
 )
 
-// pick chooses an engine for the request; nil if none may be used.
+// pick chooses an engine for the request. It returns nil if none may be used.
 func (r *Router) pick(q *request) *option {
 	explore := r.rng.Float64() < explorationRate
 	options := r.buildOptions(q, explore)
@@ -61,8 +68,8 @@
 }
 
 // bestOption returns the best of the options that the gate lets through: the one with the least positive
-// headroom or, if none has positive headroom, with the largest. A nil gate lets all through. It returns nil
-// if there is none.
+// headroom or, if none has positive headroom, the one with the largest headroom. A nil gate lets all through.
+// The result is nil if there is no such option.
 func bestOption(options []option, gate func(*option) bool) *option {
 	var best *option
 	for i := range options {
@@ -77,8 +84,9 @@
 	return best
 }
 
-// isBetterThan reports whether o is preferred to other: an option with headroom is preferred to one without;
-// of two with headroom the smaller one is preferred, of two without the larger.
+// isBetterThan reports whether o is preferred to other. An option with positive headroom is preferred to one
+// without; of two options with it the one with less headroom is preferred, of two without it the one with
+// more.
 func (o *option) isBetterThan(other *option) bool {
 	if o.hasHeadroom != other.hasHeadroom {
 		return o.hasHeadroom
@@ -90,7 +98,8 @@
 }
 
 // buildOptions predicts the latency at the engines that are evaluated for the request: those of the highest
-// rank, those that pass the affinity gate, and, to explore, all candidates.
+// rank and those that pass the affinity gate, or all candidates if explore is set. The result is valid until
+// the next call.
 func (r *Router) buildOptions(q *request, explore bool) []option {
 	candidates := r.preferredCandidates(q)
 	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.rank, a.rank) })
@@ -116,13 +125,13 @@
 	return options
 }
 
-// preferredCandidates returns the engines that the request may be sent to, reduced by one preference after
-// another where an engine meets it.
+// preferredCandidates returns the engines that the request may be sent to. One preference after another
+// reduces them to those that meet it, unless none does.
 func (r *Router) preferredCandidates(q *request) []candidate {
-	ignoreSuspicion := r.hasSharedFault()
-	candidates := r.eligibleCandidates(q, r.sampleEngines(q), ignoreSuspicion)
+	ignoreSuspicions := r.hasSharedFault()
+	candidates := r.eligibleCandidates(q, r.sampleEngines(q), ignoreSuspicions)
 	if len(candidates) == 0 {
-		candidates = r.eligibleCandidates(q, r.ready, ignoreSuspicion)
+		candidates = r.eligibleCandidates(q, r.ready, ignoreSuspicions)
 	}
 	if len(q.attempts) > 0 { // a retry avoids engines that were tried, and zones that were not reached
 		candidates = prefer(candidates, func(e *engine) bool { return !q.hasAttemptAt(e) })
@@ -130,7 +139,8 @@
 	}
 	candidates = prefer(candidates, func(e *engine) bool { return !e.Stale })
 	candidates = prefer(candidates, func(e *engine) bool { return e.reinstated })
-	// A sparse gateway spends its slow start budget for an engine on the first request that may go there.
+	// A sparse gateway uses its slow-start budget for an engine on the first request that may go there,
+	// unless the prompt is cached elsewhere.
 	if r.isSparse() &&
 		!slices.ContainsFunc(candidates, func(c candidate) bool { return c.match >= minGateMatch }) {
 		candidates = prefer(candidates, func(e *engine) bool { return e.slowStartBudgetAt != 0 })
@@ -142,7 +152,8 @@
 }
 
 // setHeadroom computes the headroom of one of optionCount options: the weighted fraction of the objectives
-// that is left after the predicted latency. Without an objective it is the negative of the predicted latency.
+// that is left after the predicted latency. Without a latency objective it is the negative of the predicted
+// latency, and never counts as positive.
 func (r *Router) setHeadroom(q *request, o *option, objective float64, class *Class, optionCount int) {
 	if objective <= 0 {
 		o.headroom = -ttftWeight*o.ttftUpper - (1-ttftWeight)*o.tpotUpper*q.MaxTokens
@@ -162,10 +173,10 @@
 
 // eligibleCandidates returns those of the engines that the request may be sent to by the rules of its class,
 // slow start and health, with their ranks. The result is valid until the next call.
-func (r *Router) eligibleCandidates(q *request, engines []*engine, ignoreSuspicion bool) []candidate {
+func (r *Router) eligibleCandidates(q *request, engines []*engine, ignoreSuspicions bool) []candidate {
 	eligible, ownZoneFirst := r.candidates[:0], r.prefersOwnZone(q)
 	for _, e := range engines {
-		if r.mayUse(q, e) && r.hasSlowStartBudget(e) && !r.isExcluded(e, ignoreSuspicion) {
+		if r.mayUse(q, e) && r.hasSlowStartBudget(e) && !r.isExcluded(e, ignoreSuspicions) {
 			c := candidate{e, r.match(q, e), rendezvousScore(q.affinityKey(), e)}
 			if ownZoneFirst && !r.isInOwnZone(e) { // ranked after all of the own zone, in the same order
 				c.rank = -1 / c.rank
@@ -177,8 +188,7 @@
 	return eligible
 }
 
-// prefer returns the candidates that are accepted, or all if none is. It may modify the slice that it is
-// given.
+// prefer returns the candidates that are accepted, or all if none is. It may modify the slice.
 func prefer(candidates []candidate, accept func(*engine) bool) []candidate {
 	if !slices.ContainsFunc(candidates, func(c candidate) bool { return accept(c.engine) }) {
 		return candidates
@@ -186,17 +196,18 @@
 	return slices.DeleteFunc(candidates, func(c candidate) bool { return !accept(c.engine) })
 }
 
-// isSparse reports whether this gateway has so few requests for the size of the fleet that it evaluates a
-// given engine rarely, and so knows little of its load.
+// isSparse reports whether this gateway has so few requests for the size of the fleet that it rarely
+// evaluates any given engine, and so knows little of its load.
 func (r *Router) isSparse() bool {
 	return r.requestRate*sampleSize*sparseWarmUpFraction*seconds(r.settings.WarmUp) < float64(len(r.ready))
 }
 
-// prefersOwnZone reports whether the request ranks engines of the own zone before all others. None does if
-// CrossZonePrice is not above minCrossZonePrice. Otherwise all sessions do except a fraction, the spill, by
-// which the own zone's size falls short of an even share of the fleet's. While engines are warming up the
-// spill of a sparse gateway is at least minSparseSpill: it cannot see whether its zone can take its traffic,
-// and the gateways of one zone would together overload what is left of it.
+// prefersOwnZone reports whether engines of the gateway's own zone are ranked before all others for the
+// request. No request prefers it if CrossZonePrice is not above minCrossZonePrice. Otherwise all sessions do
+// except a fraction, the spill, by which the size of the own zone falls short of an even share of the
+// fleet's. While engines are warming up the spill of a sparse gateway is at least minSparseSpill: it cannot
+// see whether its zone can carry its traffic, and the gateways of one zone would together overload the
+// engines of that zone.
 func (r *Router) prefersOwnZone(q *request) bool {
 	spill := 1 - r.ownZoneFraction*float64(r.settings.Zones)
 	if r.isSparse() && r.now < r.fleetWarmUpEnd {
@@ -228,19 +239,18 @@
 	match float64
 	// home is set for the assumed home of the session or prefix, the candidate of the highest rank.
 	home bool
-	// unloadedTTFT is the predicted time to the first token, in seconds, from the backlog that the directory
-	// owner reported, before the time that the engine spends on reading prompts is allowed for; 0 if nothing
-	// was reported.
+	// unloadedTTFT is the predicted TTFT, in seconds, from the directory owner's recent load, before it is
+	// scaled by the fraction of time that the engine spends on prefill; 0 if there is no recent load.
 	unloadedTTFT float64
-	// ttft is the predicted time to the first token, in seconds; ttftUpper adds the mean prediction error.
+	// ttft is the predicted TTFT, in seconds; ttftUpper adds the mean prediction error.
 	ttft, ttftUpper float64
-	// tpot is the predicted time between two tokens, in seconds; tpotUpper adds the mean prediction error
-	// if the responses' lengths are known, or hardly any has ended.
+	// tpot is the predicted TPOT, in seconds; tpotUpper adds the mean prediction error if output lengths are
+	// known, or if hardly any stream has ended.
 	tpot      float64
 	tpotUpper float64
-	// headroom is the fraction of the objectives that is left, weighted by ttftWeight; see setHeadroom.
+	// headroom is the weighted fraction of the objectives that is left; see setHeadroom.
 	headroom float64
-	// hasHeadroom is set if the headroom counts as positive.
+	// hasHeadroom is set if the headroom counts as positive: enough is left of each objective.
 	hasHeadroom bool
 }
 
@@ -255,15 +265,15 @@
 
 func (r *Router) isInOwnZone(e *engine) bool { return e.Zone == r.settings.Zone }
 
-// maxAffinityPenalty returns by how many seconds the best gated option may be slower than the best overall.
-// Without load reports that is at most the latency objective, because the prediction then rests on waits that
-// are over.
+// maxAffinityPenalty returns by how many seconds the predicted TTFT of the best option that passes the
+// affinity gate may exceed that of the best overall. Without load reports that is at most the latency
+// objective: the prediction then follows from waits of earlier attempts, and so lags behind the load.
 func (r *Router) maxAffinityPenalty(q *request) float64 {
 	if len(q.cachedByEngine) > 0 {
 		return directoryAffinityPenalty
 	}
 	if objective := r.latencyObjective(q); r.lacksReports() && objective > 0 {
-		return min(maxAffinityTTFT, objective)
+		return min(defaultAffinityPenalty, objective)
 	}
-	return maxAffinityTTFT
+	return defaultAffinityPenalty
 }
--- a/prediction.go
+++ b/prediction.go
@@ -1,7 +1,7 @@
 package standpoint
 
-// Prediction of the time to first token (TTFT) and the time per output token (TPOT): the features that they
-// are predicted from, and how the models learn from attempts that ended.
+// Prediction of the time to the first token (TTFT) and the time per output token (TPOT): the features that
+// they are predicted from, and how the models learn from attempts. Logarithms are natural.
 
 import (
 	"math"
@@ -10,52 +10,52 @@
 const (
 	// samplesPerRefit is the number of new samples after which a model is fitted again.
 	samplesPerRefit = 12
-	// reportHalfLife is the age in seconds at which a load report and the fleet's mean report count the same.
+	// reportHalfLife is the age in seconds at which an engine's load report and the fleet's mean report count
+	// the same in its estimated load, except for the prefill backlog.
 	reportHalfLife = 1.0
 	// prefillBacklogHalfLife is the time in seconds in which an engine is assumed to prefill half of its
 	// backlog.
 	prefillBacklogHalfLife = 0.4
 	// maxTokensReachedFraction is the fraction of responses assumed to run to their token limit.
 	maxTokensReachedFraction = 0.01
-	// baseTPOTStep is the step, in natural logarithm, by which the estimate of baseTPOT moves.
+	// baseTPOTStep scales the steps, up or down, by which each response moves the logarithm of baseTPOT.
 	baseTPOTStep = 0.05
-	// slownessWeight is the weight of one sample in an engine's slowness, the logarithm of the ratio of its
-	// observed to its predicted TTFT.
+	// slownessWeight is the weight of one sample in an engine's ttftSlowness.
 	slownessWeight = 0.1
-	// unloadedTPOTFraction is the TPOT of an engine that does no prefill, as a fraction of the TPOT
+	// unloadedTPOTFraction is the assumed TPOT of an engine that does no prefill, as a fraction of the TPOT
 	// objective.
 	unloadedTPOTFraction = 0.4
 	// longTermWeight is the minimum weight of one sample in the long-term means.
 	longTermWeight = 0.01
 	// recentTPOTWeight is the minimum weight of one sample in the recent mean of the TPOT error.
 	recentTPOTWeight = 0.08
-	// engineTPOTWeight is the minimum weight of one sample in a single engine's mean TPOT error, which is
-	// measured where output lengths are known.
+	// engineTPOTWeight is the minimum weight of one sample in an engine's tpotSlowness.
 	engineTPOTWeight = 0.15
-	// engineTPOTPriorCount is the number of TPOT samples of an engine at which its own mean error and the
-	// drift that all engines show count the same.
+	// engineTPOTPriorCount is the number of samples at which an engine's tpotSlowness and the drift of the
+	// whole fleet count the same.
 	engineTPOTPriorCount = 3.0
-	// minTPOTTokens is the output length in tokens above which a response is a sample of the TPOT.
+	// minTPOTTokens is the output length in tokens above which a response is a direct sample of the TPOT.
 	minTPOTTokens = 5.0
-	// minEndedStreams is the number of streams that must have ended before their mean decode time is trusted.
+	// minEndedStreams is the number of streams that must have ended before their mean decode time is used.
 	minEndedStreams = 20.0
-	// streamExcessNoise is the stream excess above its usual value, in natural logarithm, that is attributed
-	// to chance.
+	// streamExcessNoise is the excess of streamExcess over its long-term mean that is attributed to chance.
 	streamExcessNoise = 0.1
-	// streamPriorCount is added to the number of running streams and to the expected number before they are
+	// streamPriorCount is added to the number of open streams and to the expected number before they are
 	// compared, so that chance matters less when there are few.
 	streamPriorCount = 6.0
 )
 
-// ttftPrior and tpotPrior are the coefficients that the models start from. They grow with load. Predictions
-// rely on them until there are samples, and in regimes that no sample covers.
+// ttftPrior and tpotPrior are the coefficients that the models start from, per unit of each feature. None is
+// negative, so that predictions grow with load. Predictions rest on them until there are samples, and in
+// regimes that no sample covers.
 var (
 	ttftPrior = featureVector{0.06, 0.05, 0.08, 0.1, 0.005, 0.08, 0.01} // in seconds
-	tpotPrior = featureVector{0.6, 0.3, 0.02, 1, 0.005, 0, 0.01}        // relative to the class's mean
+	tpotPrior = featureVector{0.6, 0.3, 0.02, 1, 0.005, 0, 0.01}        // in multiples of baseTPOT
 )
 
-// bucketIndex returns the bucket of a sample: by memory usage in tenths, by the cached fraction of the prompt
-// in quarters, and by whether the prefill backlog is below 2,000 tokens, below 4,000 or above.
+// bucketIndex returns the index of a sample's bucket: by memory usage in tenths, by the cached fraction of
+// the prompt in quarters, and by whether the prefill backlog is below 2,000 tokens, from there to below
+// 4,000, or at least 4,000.
 func bucketIndex(x *featureVector) int {
 	memory := min(9, max(0, int(x[1]*10)))
 	match := 0
@@ -66,10 +66,10 @@
 	return (memory*4+match)*3 + backlog
 }
 
-// predict sets an option's features and its predicted TTFT and TPOT, with upper bounds that are widened by
-// the models' measured errors. Where the engine's directory owner has sent its load recently, the TTFT grows
-// with the fraction of its time that the engine spends on prefill, and the TPOT follows from that fraction
-// and the engine's prefill speed.
+// predict sets an option's features, its predicted TTFT and TPOT, and their upper bounds, which add the
+// models' mean errors. Where there is a recent load from the engine's directory owner, the TTFT grows with
+// the fraction of its time that the engine spends on prefill, and the TPOT follows from that fraction and the
+// engine's prefill speed instead of from the model.
 func (r *Router) predict(q *request, o *option) {
 	o.features = r.features(q, o.engine, o.match)
 	kind := r.kindIndex(o.engine)
@@ -92,19 +92,20 @@
 	o.ttftUpper = o.ttft * (1 + r.ttftModels[kind].relativeError)
 	o.tpotUpper = o.tpot
 	if r.outputLengthsKnown || r.decodeTime.count < minEndedStreams {
-		// Otherwise the measured error is that of the unknown output lengths.
+		// In all other cases the model's measured error is due to the unknown output lengths.
 		o.tpotUpper *= 1 + r.tpotModels[kind].relativeError
 	}
 }
 
-// hasRecentDirectoryLoad reports whether an engine's directory owner has sent its load within
+// hasRecentDirectoryLoad reports whether the engine's directory owner has reported its load within the last
 // directoryLoadLifetime.
 func (r *Router) hasRecentDirectoryLoad(e *engine) bool {
 	return e.directoryLoadAt != 0 && r.now-e.directoryLoadAt < directoryLoadLifetime
 }
 
 // features returns the inputs of a prediction for a request at an engine that has the fraction match of its
-// prompt cached. The uncached tokens are scaled to an engine of the assumed prefill speed.
+// prompt cached. Where the engine's prefill speed is known from its directory owner, the uncached tokens are
+// scaled to those that take as long at the assumed prefill speed.
 func (r *Router) features(q *request, e *engine, match float64) featureVector {
 	load := r.estimatedLoad(e)
 	prompt := q.PromptTokens / 1000
@@ -116,8 +117,8 @@
 	return featureVector{1, load.MemoryUsage, load.PrefillBacklog, load.SlotUsage, prompt, uncached, inFlight}
 }
 
-// observeTTFT learns from the seconds that an attempt's first token took, or its whole response where that is
-// not streamed.
+// observeTTFT learns from how long an attempt's first token took, in seconds, or its whole response where
+// that is not streamed.
 func (r *Router) observeTTFT(a *attempt, elapsed float64) {
 	r.train(r.ttftModels, a, elapsed)
 	kind := r.kindIndex(a.engine)
@@ -126,11 +127,12 @@
 		a.engine.ttftSlowness+slownessWeight*(logRatio-a.engine.ttftSlowness)))
 }
 
-// observeTPOT learns the TPOT from a response: decode time over output tokens where the number of tokens is
-// known. Otherwise only the request's token limit is known, and decode time over that limit is less than the
-// TPOT by an unknown factor, which differs by class. The model then learns how load stretches the class's
-// mean of that ratio. Responses that run to their limit show the TPOT itself; they are assumed to be the one
-// in a hundred with the highest ratio, so baseTPOT is a running estimate of that quantile.
+// observeTPOT learns from a response, given its decode time in seconds and its output tokens, or 0 if their
+// number is not known. Where it is known, the TPOT is decode time over output tokens. Otherwise only the
+// request's token limit is known, and decode time over that limit is less than the TPOT by an unknown factor,
+// which differs by class. The model then learns by how much load raises that ratio above the class's mean.
+// Responses that run to their limit show the TPOT itself; they are assumed to be the one in a hundred with
+// the highest ratio, so baseTPOT is a running estimate of that quantile.
 func (r *Router) observeTPOT(a *attempt, decodeTime, tokens float64) {
 	timePerMaxToken := decodeTime / a.request.MaxTokens
 	if !(timePerMaxToken > 0) || timePerMaxToken > 100 {
@@ -160,8 +162,8 @@
 	r.train(r.tpotModels, a, math.Exp(logTimePerMaxToken-classRatio.value))
 }
 
-// tpotDrift returns the natural logarithm of the factor by which the TPOT has recently been longer than the
-// model predicts.
+// tpotDrift returns the logarithm of the factor by which the ratio of observed to predicted TPOT is above its
+// long-term mean at present.
 func (r *Router) tpotDrift() float64 {
 	drift := r.recentTPOTError.value - r.longTermTPOTError.value
 	if r.decodeTime.count >= minEndedStreams {
@@ -171,8 +173,8 @@
 	return min(2, max(-0.5, drift))
 }
 
-// train adds a sample of an attempt to the fleet's model and to that of its engine's kind, and fits each
-// again after samplesPerRefit samples. The fleet's coefficients are the prior of a kind's model.
+// train adds an attempt's observed value y to the fleet's model and to that of its engine's kind, and fits
+// each again after samplesPerRefit samples. The fleet's coefficients are the prior of a kind's model.
 func (r *Router) train(models []model, a *attempt, y float64) {
 	if !(y >= 0) || y > 1e4 {
 		return
@@ -205,9 +207,9 @@
 	r.recordCachedPrompt(a.request, a.engine, a.request.PromptTokens)
 }
 
-// estimatedLoad returns the estimated load of an engine: its latest report, which decays with age towards the
-// fleet's mean report, plus what this gateway has sent since then. The prefill backlog is replaced by that of
-// the engine's directory owner where it is recent.
+// estimatedLoad returns the estimated load of an engine: its latest report, which with age gives way to the
+// fleet's mean report, plus the prompts that this gateway has sent since then. Where there is a recent load
+// from the engine's directory owner, the prefill backlog follows from that alone.
 func (r *Router) estimatedLoad(e *engine) Report {
 	load := r.meanReport
 	if e.reportAt != 0 {
@@ -240,40 +242,41 @@
 // fleet's models, which are the last.
 func (r *Router) kindIndex(e *engine) int { return min(max(0, e.Kind), len(r.ttftModels)-1) }
 
-// moveTowards moves each figure of a report by the fraction weight of its distance to the target.
-func (r *Report) moveTowards(target *Report, weight float64) {
-	r.MemoryUsage += weight * (target.MemoryUsage - r.MemoryUsage)
-	r.PrefillBacklog += weight * (target.PrefillBacklog - r.PrefillBacklog)
-	r.SlotUsage += weight * (target.SlotUsage - r.SlotUsage)
+// moveTowards moves each number of a report towards that of the target, by the fraction weight of their
+// difference.
+func (report *Report) moveTowards(target *Report, weight float64) {
+	report.MemoryUsage += weight * (target.MemoryUsage - report.MemoryUsage)
+	report.PrefillBacklog += weight * (target.PrefillBacklog - report.PrefillBacklog)
+	report.SlotUsage += weight * (target.SlotUsage - report.SlotUsage)
 }
 
-// unreportedPrefill returns the estimated prompt tokens that this gateway has sent to an engine since its
-// latest report and that the engine has not prefilled yet.
+// unreportedPrefill returns the estimated number of prompt tokens that this gateway has sent to an engine
+// since its latest report and that the engine has yet to prefill.
 func (r *Router) unreportedPrefill(e *engine) float64 {
 	return e.unreportedPrefill * math.Exp2(-seconds(r.now-e.unreportedPrefillAt)/prefillBacklogHalfLife)
 }
 
-// streamExcess returns the natural logarithm of the ratio of this gateway's running streams to those that
-// would be running if each took the mean decode time.
+// streamExcess returns the logarithm of the ratio of this gateway's open streams to those that would be open
+// if each took the mean decode time.
 func (r *Router) streamExcess() float64 {
 	return math.Log((float64(r.openStreams) + streamPriorCount) /
-		(r.expectedRunningStreams() + streamPriorCount))
+		(r.expectedOpenStreams() + streamPriorCount))
 }
 
-// expectedRunningStreams returns how many of this gateway's streams would be running if each took the mean
-// decode time: the expected number decays exponentially by that time.
-func (r *Router) expectedRunningStreams() float64 {
+// expectedOpenStreams returns how many of this gateway's streams would be open if each took the mean decode
+// time: without new streams, the expected number decays exponentially with that time constant.
+func (r *Router) expectedOpenStreams() float64 {
 	return r.expectedStreams * math.Exp(-seconds(r.now-r.expectedStreamsAt)/max(0.1, r.decodeTime.value))
 }
 
-// observeTPOTError records the natural logarithm of the ratio of an observed to a predicted TPOT.
+// observeTPOTError records the logarithm of the ratio of an observed to a predicted TPOT.
 func (r *Router) observeTPOTError(logError float64) {
 	r.longTermTPOTError.add(logError, longTermWeight)
 	r.recentTPOTError.add(logError, recentTPOTWeight)
 }
 
-// recordReport stores an engine's load report, within bounds, and restarts the count of unreported prefill
-// work.
+// recordReport stores an engine's load report, bounded to plausible values, and resets the unreported prefill
+// tokens.
 func (r *Router) recordReport(e *engine, report *Report) {
 	e.report = Report{
 		clamp(report.MemoryUsage, 2),
--- a/prefill_backlog.go
+++ b/prefill_backlog.go
@@ -1,7 +1,7 @@
 package standpoint
 
-// The prefill backlog of an engine: the prompts that it has not prefilled yet, as estimated by the gateway
-// that is its directory owner.
+// The prefill backlog of an engine: the prompts that it has yet to prefill, as estimated by the gateway that
+// is its directory owner.
 
 import "math"
 
@@ -15,16 +15,15 @@
 	prefillFractionSpan = 3.0
 	// prefillSpeedWeight is the weight of one sample in an engine's prefill speed.
 	prefillSpeedWeight = 0.2
-	// minPrefillSpeedFactor bounds a sample of the prefill speed, in multiples of assumedPrefillSpeed: it is
-	// the lower bound, and its inverse the upper bound.
+	// minPrefillSpeedFactor is the lower bound of a sample of the prefill speed, as a multiple of
+	// assumedPrefillSpeed; its inverse is the upper bound.
 	minPrefillSpeedFactor = 0.2
-	// minSpeedSampleTokens is the minimum number of tokens prefilled together that make a sample of the
-	// speed.
+	// minSpeedSampleTokens is the minimum number of tokens from which the prefill speed is measured.
 	minSpeedSampleTokens = 500
 )
 
-// assumedPrefillSpeed is the prefill speed, in tokens per second, that is assumed of an engine until it is
-// known. It follows from the prior of the TTFT.
+// assumedPrefillSpeed is the prefill speed, in tokens per second, that is assumed of an engine until its own
+// is known. It follows from ttftPrior.
 var assumedPrefillSpeed = 1000 / ttftPrior[prefillBacklogFeature]
 
 // prefillBacklogFeature is the index of the prefill backlog in a featureVector.
@@ -35,24 +34,24 @@
 	gateway        int     // ordinal of the gateway that sent it
 	requestID      uint32  // low 32 bits of the request's ID at that gateway
 	uncachedTokens float64 // prompt tokens that the engine does not have cached
-	sentAt         int64   // time at which it was recorded, in nanoseconds
+	sentAt         int64   // when the directory owner recorded it, in nanoseconds
 }
 
 // engineLoad is an engine's load as estimated by its directory owner.
 type engineLoad struct {
 	prefillDelay    float64 // seconds until the prefill of a prompt that arrives now begins
-	prefillFraction float64 // fraction of its time spent on prefill, during which it decodes no tokens
+	prefillFraction float64 // fraction of the time spent on prefill, during which no tokens are decoded
 	prefillSpeed    float64 // prompt tokens per second
 }
 
 // backlog is the prefill backlog of an engine at its directory owner. Engines prefill prompts in the order of
-// their arrival.
+// their arrival. Times are in nanoseconds.
 type backlog struct {
 	prompts        []pendingPrompt // oldest first
 	headStartedAt  int64           // earliest time at which the prefill of the first prompt can have begun
-	prefillSpeed   float64         // tokens per second; 0: unknown
-	busyFraction   float64         // prefill fraction at busyFractionAt
-	busyFractionAt int64
+	prefillSpeed   float64         // tokens per second; 0 if unknown
+	busyFraction   float64         // prefill fraction at busyFractionAt; see prefillFraction
+	busyFractionAt int64           // in nanoseconds
 }
 
 // prefillSpeedOrDefault returns the prefill speed in tokens per second, or the assumed one if it is unknown.
@@ -97,13 +96,13 @@
 	}
 }
 
-// prefillFraction returns the fraction of its time that the engine has spent on prefill over the last
-// prefillFractionSpan seconds. It decodes no tokens during prefill.
+// prefillFraction returns the estimated fraction of its time that the engine spends on prefill, a moving
+// average in which each prompt counts from its arrival.
 func (b *backlog) prefillFraction(now int64) float64 {
 	return b.busyFraction * math.Exp(-seconds(now-b.busyFractionAt)/prefillFractionSpan)
 }
 
-// add appends a prompt. A full backlog counts its prefill time, but does not store it.
+// add appends a prompt. If the backlog is full, the prompt counts in the prefill fraction, but is not stored.
 func (b *backlog) add(p pendingPrompt) {
 	b.busyFraction = b.prefillFraction(p.sentAt) +
 		p.uncachedTokens/b.prefillSpeedOrDefault()/prefillFractionSpan
@@ -116,8 +115,8 @@
 	}
 }
 
-// remove removes a prompt. If its prefill ended, so did that of all prompts before it: they are removed too,
-// and their tokens are a sample of the prefill speed.
+// remove removes a prompt. If it was prefilled, so were all prompts before it: they are removed too, and
+// their tokens together are a sample of the prefill speed.
 func (b *backlog) remove(gateway int, requestID uint32, prefilled bool, now int64) {
 	for i, p := range b.prompts {
 		if p.gateway != gateway || p.requestID != requestID {
--- a/probes.go
+++ b/probes.go
@@ -1,10 +1,10 @@
 package standpoint
 
-// Probes, where the deployment allows them.
+// Probes of engines for their load reports, where the settings allow them.
 
-// probe probes the engine whose last probe is the oldest. It sends about as many probes as the gateway gets
-// requests, and at most one per tick. Engines of other zones are probed only where cross-zone requests are
-// free.
+// probe probes the engine whose last probe is the longest ago, among those without a probe in flight. On
+// average it sends as many probes as the gateway accepts requests, but at most one per tick. Engines of other
+// zones are probed only where cross-zone requests are free.
 func (r *Router) probe() {
 	if !r.settings.Probes || r.settings.Reports == ReportNone || len(r.ready) == 0 ||
 		r.rng.Float64() > min(1, r.requestRate*seconds(tickInterval)) {
--- a/regression.go
+++ b/regression.go
@@ -1,14 +1,13 @@
 package standpoint
 
-// Ridge regression over sliding windows of samples. The features, the priors and the buckets are defined in
-// prediction.go, featureCount, bucketDepth and priorWeight in router.go.
+// Ridge regression over sliding windows of samples. The priors and the choice of a bucket are in
+// prediction.go, the constants in router.go.
 
 import "math"
 
-// featureVector holds the inputs of a prediction: the constant 1, the memory usage, the prefill backlog in
-// thousands of tokens, the slot usage, the prompt's length in thousands of tokens, its uncached part in
-// thousands of tokens (which combines prompt length and match), and the input tokens in thousands that this
-// gateway has in flight at the engine.
+// featureVector holds the inputs of a prediction: the constant 1; the engine's memory usage, prefill backlog
+// and slot usage, as in Report; and in thousands of tokens the prompt's length, the uncached part of the
+// prompt, and the prompts that this gateway has in flight at the engine.
 type featureVector [featureCount]float64
 
 // sample is one observation: the features x and the observed value y.
@@ -20,7 +19,7 @@
 // bucket is a ring buffer of the latest samples of one regime.
 type bucket struct {
 	samples []sample
-	next    int
+	next    int // index of the oldest sample, once the bucket is full
 }
 
 // model is a ridge regression over coarse buckets of samples. Each bucket is a small sliding window, so that
@@ -31,7 +30,7 @@
 	prior           featureVector      // coefficients that the ridge pulls towards
 	coefficients    featureVector
 	samplesSinceFit int
-	relativeError   float64 // running mean of the relative error of predictions
+	relativeError   float64 // moving average of the absolute error relative to the prediction
 }
 
 // init sets a model's coefficients to the prior.
@@ -41,7 +40,7 @@
 	m.relativeError = 0.5
 }
 
-// predict returns the predicted value, which is at least a tenth of what the prior predicts.
+// predict returns the predicted value, which is at least a tenth of what the prior predicts, and above 0.
 func (m *model) predict(x *featureVector) float64 {
 	var prediction, priorPrediction float64
 	for i := range x {
@@ -73,8 +72,8 @@
 	m.prior = prior
 	m.samplesSinceFit = 0
 	var system [featureCount][featureCount + 1]float64
-	for bi := range m.buckets {
-		for _, s := range m.buckets[bi].samples {
+	for index := range m.buckets {
+		for _, s := range m.buckets[index].samples {
 			var priorPrediction float64
 			for i := range s.x {
 				priorPrediction += prior[i] * s.x[i]
@@ -90,7 +89,8 @@
 		}
 	}
 	for i := range system {
-		// The ridge penalizes a change of a coefficient relative to the coefficient's own size.
+		// The ridge penalizes a coefficient's difference from the prior relative to the size of the prior, or
+		// to a twentieth of the constant's if that is larger.
 		unit := max(prior[i], prior[0]/20)
 		system[i][i] += priorWeight / (unit * unit)
 	}
@@ -103,8 +103,9 @@
 	}
 }
 
-// solve solves a system of linear equations by Gauss-Jordan elimination, and reports whether it has a finite
-// solution. The last column is the right-hand side. The ridge keeps the matrix positive definite.
+// solve solves a system of linear equations by Gauss-Jordan elimination, and reports whether it found a
+// finite solution. The last column is the right-hand side. No pivoting is needed, because the ridge keeps the
+// matrix positive definite.
 func solve(system *[featureCount][featureCount + 1]float64) (featureVector, bool) {
 	var x featureVector
 	for i := range system {
--- a/request.go
+++ b/request.go
@@ -1,24 +1,23 @@
 package standpoint
 
-// The course of a request: its attempts, what follows each outcome, and its final answer.
+// The course of a request: its attempts, what follows each outcome, and its final response.
 
 import (
 	"slices"
 )
 
 const (
-	minRetryAfter = 0.3 // shortest time, in seconds, after which a rejected client is asked to retry
+	minRetryAfter = 0.3 // minimum time, in seconds, after which a rejected client should retry
 	// prefixHomeFraction is the fraction of a prompt from which its shared prefix, not the session,
 	// determines the home engine.
 	prefixHomeFraction = 0.5
-	// A first token is overdue after this many times its predicted time, and after minOverdue at the
-	// earliest.
+	// A first token is overdue after overdueFactor times its predicted time, but not before minOverdue.
 	overdueFactor         = 4.0
 	minOverdue            = 800 * ms
-	retryBudgetPerRequest = 0.15 // retries allowed per request, on average
+	retryBudgetPerRequest = 0.15 // retries and hedged attempts allowed per request, on average
 )
 
-// onRequest decides on a request that has arrived: it is sent, queued or shed, or waits for the directory.
+// onRequest decides on a request that has arrived: it is sent, queued or shed, or waits for directory owners.
 func (r *Router) onRequest(ev *Request) {
 	q := &request{Request: *ev, arrivedAt: r.now}
 	q.PromptTokens = max(1, clamp(q.PromptTokens, 1e9))
@@ -47,8 +46,8 @@
 	}
 }
 
-// dispatch sends the request to the engine that pick returns, queues it while no engine may be used, or gives
-// the final answer if no attempt may follow.
+// dispatch sends the request to the engine that pick returns, queues it if there is none and no attempt is in
+// flight, or gives the final response if no attempt may follow. It ignores a request that is over or claimed.
 func (r *Router) dispatch(q *request) {
 	if q.settled || q.claimed != nil {
 		return
@@ -116,7 +115,7 @@
 	})
 }
 
-// undoSend reverts what send recorded for an attempt of which nothing reached the engine.
+// undoSend reverts what send recorded about the engine, for an attempt of which nothing reached it.
 func (r *Router) undoSend(a *attempt) {
 	e := a.engine
 	if e.slowStartBudgetAt != 0 {
@@ -128,7 +127,7 @@
 	r.forgetCachedPrompt(a)
 }
 
-// onFirstToken records that a response has begun. Its attempt claims the request if that is still open.
+// onFirstToken records that a response has begun. Its attempt claims the request unless that is over.
 func (r *Router) onFirstToken(ev *FirstToken) {
 	q, a := r.findAttempt(ev.Request, ev.Attempt)
 	if a == nil {
@@ -138,7 +137,7 @@
 	r.notifyPrefillEnd(a, true)
 	r.recordSignOfLife(a)
 	r.observeTTFT(a, seconds(ev.Elapsed))
-	// A miss after a failed attempt is no evidence of the fleet's load, so first attempts alone count.
+	// Only first attempts count: after a failed one, a missed objective is no evidence of the fleet's load.
 	if objective := r.latencyObjective(q); objective > 0 && a.number == 0 {
 		r.adjustShedding(a.engine, seconds(r.now-q.arrivedAt) > objective)
 	}
@@ -147,7 +146,7 @@
 	}
 	q.claimed = a
 	r.openStreams++
-	r.expectedStreams = r.expectedRunningStreams() + 1
+	r.expectedStreams = r.expectedOpenStreams() + 1
 	r.expectedStreamsAt = r.now
 	r.cancelOthers(q, a)
 }
@@ -183,7 +182,7 @@
 		r.openStreams--
 	}
 	r.notifyPrefillEnd(a, false)
-	r.removeUnanswered(a)
+	r.removeAwaitingFirstToken(a)
 	r.recordWastedWait(a, ev.Code)
 	r.observeOutcome(a, ev)
 	if ev.Last || !q.settled && (ev.Code == Served || q.claimed == a) {
@@ -203,10 +202,10 @@
 		r.recordSignOfLife(a)
 		r.observeServed(a, ev)
 	case ServerError, Rejected, ConnectionLost:
-		// One lost connection is little evidence against the engine: whether it is down will show when the
-		// next connection is opened.
+		// One lost connection is little evidence against the engine: whether it is unreachable will show when
+		// the next connection is opened.
 		if !ev.LocalFault {
-			r.recordRejection(a, ev.Code)
+			r.recordFailure(a, ev.Code)
 		}
 	case NotSent:
 		r.undoSend(a)
@@ -217,13 +216,14 @@
 	}
 }
 
-// handleFailedAttempt retries the request after a failed attempt, or gives its final answer. It does nothing
-// while another attempt is in flight.
+// handleFailedAttempt retries the request after a failed attempt, or gives its final response. It does
+// nothing while another attempt is in flight.
 func (r *Router) handleFailedAttempt(q *request, code OutcomeCode) {
 	if q.attemptsInFlight() > 0 {
 		return
 	}
-	// An attempt that was not sent cost nothing; one that was cancelled was charged at that time.
+	// An attempt that was not sent costs no retry budget; for a cancelled one it was charged by
+	// hedgeOrCancel.
 	freeRetry := code == NotSent || code == Cancelled
 	budgetExhausted := r.retryBudget < 1 && code != NoConnection && !freeRetry
 	if budgetExhausted || r.now >= q.Deadline-2*r.settings.EventInterval || r.hasNoValueLeft(q) {
@@ -236,13 +236,14 @@
 	r.dispatch(q)
 }
 
-// hasNoValueLeft reports whether the request has missed its latency objective and is worth nothing when late.
+// hasNoValueLeft reports whether the request has missed its latency objective and its class gives late
+// requests no weight.
 func (r *Router) hasNoValueLeft(q *request) bool {
 	objective := r.latencyObjective(q)
 	return r.class(q).LateWeight <= 0 && objective > 0 && seconds(r.now-q.arrivedAt) > objective
 }
 
-// finishUnserved gives the final answer: a rejection if the request is safe to retry, else a failure.
+// finishUnserved gives the final response: a rejection if the request is safe to retry, else a failure.
 func (r *Router) finishUnserved(q *request) {
 	if q.settled || q.claimed != nil {
 		return
@@ -255,8 +256,9 @@
 	r.finish(q, nil)
 }
 
-// retryAfter returns the time, in nanoseconds, after which a rejected client should retry: that in which the
-// shed fraction decays to 0, within minRetryAfter and MaxRetryAfter. It is 0 if no time is to be stated.
+// retryAfter returns the time, in nanoseconds, after which a rejected client should retry: the time in which
+// the shed fraction decays to 0 at its usual rate, at least minRetryAfter and at most MaxRetryAfter. It is 0
+// if no time is to be stated.
 func (r *Router) retryAfter(kind ActionKind) int64 {
 	if kind != Shed || !r.settings.RetryAfter {
 		return 0
@@ -295,12 +297,12 @@
 	number        int // counted from 0
 	engine        *engine
 	sentAt        int64         // when the attempt was decided on
-	features      featureVector // the inputs that ttft was predicted from
-	predictedTTFT float64       // predicted time to the first token, in seconds
+	features      featureVector // the inputs that predictedTTFT was predicted from
+	predictedTTFT float64       // in seconds
 	match         float64       // fraction of the prompt that the engine was expected to have cached
 	home          bool          // whether the engine was chosen as the assumed home of the session or prefix
-	reinstated    bool          // whether the engine had been put back into service and not been used since
-	inDirectory   bool          // whether the engine's directory owner counts the prompt as unread
+	reinstated    bool          // whether this was the first attempt since the engine was reinstated
+	inDirectory   bool          // whether the directory owner was notified of the prompt, but not of its end
 	inFlight      bool          // whether the outcome is outstanding
 	code          OutcomeCode
 	mayHaveRun    bool  // false once the outcome proves that the attempt never ran
@@ -311,24 +313,24 @@
 // request is the state of a request.
 type request struct {
 	Request
-	// arrivedAt is the time of the event, in nanoseconds.
+	// arrivedAt is when the request arrived, in nanoseconds.
 	arrivedAt int64
 	// attempts are all attempts, by number.
 	attempts []*attempt
 	// claimed is the attempt whose response the client gets; nil until one has begun.
 	claimed *attempt
-	// settled is set once the request is over: the final answer was given or is no longer owed.
+	// settled is set once the request is over: it got its final response, or its client disconnected.
 	settled bool
 	// queued is set while the request waits for an engine that may be used.
 	queued bool
 	// homeByPrefix is set if the shared prefix, which is then the larger part of the prompt, determines the
 	// home engine.
 	homeByPrefix bool
-	// consulted is set once directory owners were asked.
+	// consulted is set once directory owners were queried.
 	consulted bool
-	// awaitedEngines are those whose directory owners have not answered yet.
+	// awaitedEngines are the engines whose directory owners were queried and have not answered yet.
 	awaitedEngines []*engine
-	// cachedByEngine holds the cached prompt tokens that directory owners reported.
+	// cachedByEngine are the cached tokens of the prompt that directory owners reported.
 	cachedByEngine map[*engine]float64
 }
 
@@ -353,7 +355,7 @@
 }
 
 // mayReach reports whether a retry at e is promising: no attempt of the request failed to connect to an
-// engine of its zone, and e is of the request's pool if that has one.
+// engine of the same zone, and e belongs to the request's pool if the request has one.
 func (q *request) mayReach(e *engine) bool {
 	for _, a := range q.attempts {
 		if !a.inFlight && a.code == NoConnection && a.engine.Zone == e.Zone {
@@ -363,7 +365,8 @@
 	return q.Pool == 0 || e.Pool == q.Pool
 }
 
-// affinityKey returns the affinity key that determines the request's ranking of the engines.
+// affinityKey returns the key by which engines are ranked for the request: the shared prefix, the session or,
+// without either, the request's own ID.
 func (q *request) affinityKey() uint64 {
 	if q.homeByPrefix {
 		return q.Prefix
@@ -410,7 +413,7 @@
 	return now-a.sentAt > max(minOverdue, int64(overdueFactor*a.predictedTTFT*1e9))
 }
 
-// findAttempt returns a request and its attempt with this number; nil if there is none.
+// findAttempt returns a request and its attempt with this number; both are nil if there is none.
 func (r *Router) findAttempt(id int64, number int) (*request, *attempt) {
 	q := r.requests[id]
 	if q == nil || number < 0 || number >= len(q.attempts) {
@@ -419,8 +422,8 @@
 	return q, q.attempts[number]
 }
 
-// mayNotRepeat reports whether no further attempt is allowed at any engine: one that may have run is unsafe
-// to repeat, or its deduplication window has closed. It is false while an attempt is in flight.
+// mayNotRepeat reports whether no further attempt is allowed at any engine: an earlier one may have run, and
+// it is unsafe to repeat or its deduplication window has closed. It is false while an attempt is in flight.
 func (r *Router) mayNotRepeat(q *request) bool {
 	c := r.class(q)
 	return q.attemptsInFlight() == 0 && slices.ContainsFunc(q.attempts, func(a *attempt) bool {
@@ -429,8 +432,8 @@
 }
 
 // startBefore returns the time, in nanoseconds, from which a further attempt of the request may no longer
-// begin, because the deduplication window of an earlier one closes; 0 for none. A repeat that is decided on
-// in time may still wait for a connection when the window closes.
+// begin, shortly before the deduplication window of an earlier one closes; 0 for none. It matters because a
+// repeat that is sent within the window may have to wait for a connection.
 func (r *Router) startBefore(q *request) int64 {
 	earliest, c := int64(0), r.class(q)
 	for _, a := range q.attempts {
--- a/router.go
+++ b/router.go
@@ -1,11 +1,15 @@
 package standpoint
 
-// The Router passes each event to the code that decides on it. The files, in reading order: discovery.go (the
-// engine list), request.go (the attempts of a request), admission.go (load shedding), eligibility.go (what
-// may be sent), slow_start.go, placement.go with sampling.go (choosing an engine), affinity.go (cached
-// prompts), directory.go and prefill_backlog.go (the load directory), prediction.go with regression.go,
-// health.go, probes.go and unreported_load.go. Events, actions and settings are in api.go, the state is in
-// state.go.
+// The Router passes each event to the code that decides on it. The files, in reading order: api.go (events,
+// actions and settings), state.go, discovery.go (the engine list), request.go (the attempts of a request),
+// admission.go (load shedding), eligibility.go (which attempts are allowed), slow_start.go, placement.go with
+// sampling.go (choosing an engine), affinity.go (cached prompts), directory.go with directory_message.go and
+// prefill_backlog.go (the load directory), prediction.go with regression.go, health.go, probes.go,
+// unreported_load.go, learned_state.go and hash.go.
+//
+// Throughout the package r is a Router, e an engine, q a request, a an attempt and o an option, which is an
+// engine that is evaluated for a request. TTFT is the time to the first token, TPOT the time per output
+// token.
 
 import (
 	"math/rand/v2"
@@ -17,36 +21,39 @@
 	second = int64(1e9)
 
 	maxFullScan          = 64      // largest fleet of which every engine is considered for each request
-	maxRankedRequests    = 64      // latest requests among which a new one is ranked by value density
+	maxRankedRequests    = 64      // latest requests among which a new one is ranked
 	metObjectivesPerMiss = 4.0     // met objectives that offset one missed objective
 	shedFractionDecay    = 0.15    // fall of the shed fraction per second
-	tickInterval         = 50 * ms // interval of the periodic checks of health, queue and probes
-	bucketDepth          = 10      // samples in one bucket of a model
-	maxRetryBudget       = 2.0     // retries that may be made at once, over all requests
-	maxShedForHedging    = 0.1     // shed fraction above which no second copies are sent
+	tickInterval         = 50 * ms // interval of the periodic checks; see tick
+	bucketDepth          = 10      // maximum number of samples in one bucket of a model
+	maxRetryBudget       = 2.0     // retries and hedged attempts that may be made at once, over all requests
+	maxShedForHedging    = 0.1     // shed fraction above which no hedged attempts are sent
 
-	initialTPOT = 0.03 // seconds; initial time between two tokens if no class has an objective for it
-	// initialTPOTFraction is the fraction of the tightest objective, one that a healthy fleet meets, that is
-	// the initial time between two tokens otherwise.
+	// initialTPOT is the initial base TPOT in seconds if no class has a TPOT objective.
+	initialTPOT = 0.03
+	// initialTPOTFraction is the initial base TPOT as a fraction of the tightest TPOT objective, if there is
+	// one: a healthy fleet is taken to meet it.
 	initialTPOTFraction = 0.6
-	featureCount        = 7   // length of a featureVector
-	priorWeight         = 2.0 // strength of the ridge regression's prior, in samples of ordinary size
+	featureCount        = 7 // length of a featureVector
+	// priorWeight is the weight of the ridge regression's prior, in samples of which a single feature makes
+	// up the whole prediction.
+	priorWeight = 2.0
 
-	// Salts keep hashes of the same number for different purposes apart.
+	// Salts make hashes of the same number differ from one purpose to another.
 	sessionSalt = 0x9e3779b97f4a7c15
 	prefixSalt  = 0xc2b2ae3d27d4eb4f
 )
 
-// Kinds of timers. The token of a request's timer is the request's ID times tokenStep plus one of these, that
-// of the periodic timer tokenTick alone. IDs are below 2^52.
+// Kinds of timers. The token of the periodic timer is tokenTick. That of a request's timer is the request's
+// ID, which is below 2^52, times tokenStep plus one of the other kinds.
 const (
 	tokenTick    = iota // the periodic checks
-	tokenExpire         // a request's deadline
-	tokenConsult        // the end of a request's wait for the directory
+	tokenExpire         // shortly before a request's deadline
+	tokenConsult        // the end of a request's wait for directory owners
 	tokenStep    = 4
 )
 
-// New returns the router of one gateway. The seed determines its random choices.
+// New returns the router of one gateway. Its random choices follow from the seed.
 func New(settings Settings, seed int64) *Router {
 	classes := len(settings.Classes) + 1 // the last one is for requests of an unknown class
 	kinds := settings.Kinds + 1          // the last one is for the whole fleet
@@ -80,8 +87,8 @@
 	return r
 }
 
-// Handle processes one event, which happened at now in nanoseconds, and appends the resulting actions to
-// actions.
+// Handle processes an event that happened at the time now, in nanoseconds, and returns actions with the
+// resulting ones appended.
 func (r *Router) Handle(now int64, event Event, actions []Action) []Action {
 	r.now = now
 	r.actions = actions
@@ -118,7 +125,8 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// onTimer handles a timer: the periodic one, the end of a request's wait for the directory, or its deadline.
+// onTimer handles a timer: the periodic one, or the end of a request's wait for directory owners, or the one
+// shortly before a request's deadline.
 func (r *Router) onTimer(token int64) {
 	if q := r.requests[token/tokenStep]; token == tokenTick {
 		r.tick()
--- a/router_test.go
+++ b/router_test.go
@@ -140,13 +140,14 @@
 	}
 }
 
-// An engine that has the prompt cached but is slower than the best one by more than maxAffinityTTFT is not chosen.
+// An engine that has the prompt cached but is slower than the best one by more than defaultAffinityPenalty is not
+// chosen.
 func TestAffinityBreaksAtItsPenalty(t *testing.T) {
 	got := countAtHolder(t, 200, func(r *Router, _ *Request, holder *engine) {
 		holder.report, holder.reportAt = Report{MemoryUsage: 1, PrefillBacklog: 200, SlotUsage: 1}, r.now
 	})
 	if got != 0 {
-		t.Fatalf("%d of 200 requests went to a holder that is slower by over %v s", got, maxAffinityTTFT)
+		t.Fatalf("%d of 200 requests went to a holder that is slower by over %v s", got, defaultAffinityPenalty)
 	}
 }
 
@@ -194,9 +195,9 @@
 	}
 }
 
-// A request that arrives before the first endpoint list is queued until an engine is listed, or shed shortly before
+// A request that arrives before the first engine list is queued until an engine is listed, or shed shortly before
 // its deadline.
-func TestRequestWithoutEngineIsHeldThenShed(t *testing.T) {
+func TestRequestWithoutEngineIsQueuedThenShed(t *testing.T) {
 	r := New(testSettings(), 1)
 	expect(t, feed(r, 0, newRequest(1, second), newRequest(2, second)), "")
 	acts := feed(r, 100*ms, engineList("a"))
@@ -209,7 +210,7 @@
 
 // A request for which no engine may be used is queued only as long as a response still has value, then shed at once
 // with a retry time. Queueing it until its deadline would only keep its client waiting.
-func TestHeldRequestIsShedOnceItHasNoValue(t *testing.T) {
+func TestQueuedRequestIsShedOnceItHasNoValue(t *testing.T) {
 	s := testSettings()
 	s.RetryAfter, s.MaxRetryAfter = true, 2*second
 	for lateWeight, want := range map[float64]string{0: "shed ", 0.5: ""} {
@@ -357,7 +358,7 @@
 	}
 }
 
-// No second copy is sent of an overdue attempt where the settings forbid two copies at once.
+// No hedged attempt is sent for an overdue one where the settings do not allow hedged attempts.
 func TestNoHedgingWhereForbidden(t *testing.T) {
 	s := testSettings()
 	s.HedgedRequests = false
@@ -367,7 +368,7 @@
 	for now := 50 * ms; now < 3*second; now += 50 * ms {
 		for _, a := range tick(r, now) {
 			if a.Kind == Send {
-				t.Fatal("a second copy was sent")
+				t.Fatal("a hedged attempt was sent")
 			}
 		}
 	}
@@ -375,7 +376,7 @@
 
 // An engine that stops responding becomes suspect: its overdue attempt is hedged, and it gets no new requests until it
 // responds again.
-func TestHungEngineIsEjectedAndProbed(t *testing.T) {
+func TestHungEngineIsSuspectUntilItResponds(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c", "d"))
 	acts := feed(r, 0, newRequest(1, 4*second))
@@ -406,7 +407,7 @@
 }
 
 // If most engines are suspect the cause is shared, and none is avoided.
-func TestCommonFaultEjectsNoEngine(t *testing.T) {
+func TestSharedFaultExcludesNoEngine(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b"))
 	for _, e := range r.engines {
@@ -559,7 +560,7 @@
 
 // Guards against sending to an unreachable zone: with a zone unreachable most engines are suspect, and the rule for
 // shared faults, which then avoids none, must not apply to engines that no connection can be made to.
-func TestDownEnginesAreEjectedEvenIfMostAre(t *testing.T) {
+func TestUnreachableEnginesAreExcludedEvenIfMostAre(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c"))
 	for i, e := range r.ready[:2] {
@@ -578,9 +579,9 @@
 	}
 }
 
-// Guards against a predicted token rate that lags behind a slowdown: decode times are known only when streams end,
-// seconds after the slowdown began. Streams that run longer than usual must raise the predicted time per token before.
-func TestRunningStreamsSlowThePredictedPace(t *testing.T) {
+// Guards against a predicted TPOT that lags behind a slowdown: decode times are known only when streams end, seconds
+// after the slowdown began. Streams that run longer than usual must raise the predicted TPOT before that.
+func TestRunningStreamsRaisePredictedTPOT(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b"))
 	now, id := int64(0), int64(0)
@@ -610,7 +611,7 @@
 	}
 }
 
-// Guards against second copies that take capacity from an overloaded fleet: none is sent while requests are shed.
+// Guards against hedged attempts that take capacity from an overloaded fleet: none is sent while requests are shed.
 func TestNoHedgingWhileShedding(t *testing.T) {
 	for _, shedFraction := range []float64{0, 0.5} {
 		r := New(testSettings(), 1)
@@ -625,7 +626,7 @@
 }
 
 // Of requests with equal value only the shed fraction is shed, not all of them.
-func TestAlikeRequestsAreShedInPart(t *testing.T) {
+func TestEqualRequestsAreShedInPart(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c"))
 	shed := 0
@@ -731,7 +732,7 @@
 }
 
 // Guards against shedding that hits all tenants alike while one of them sends several times its quota.
-func TestOverQuotaIsRefusedFirst(t *testing.T) {
+func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	s := testSettings()
 	s.Gateways, s.OverQuotaWeight = 1, 0.1
 	s.Tenants = []Tenant{{QuotaRPS: 20}, {QuotaRPS: 20}}
@@ -770,7 +771,7 @@
 
 // Of many engines the one with the least headroom is likely the one whose prediction errs most. The more engines are
 // considered, the more of the objective must therefore be left for headroom to count.
-func TestSafetyMarginGrowsWithCandidates(t *testing.T) {
+func TestHeadroomReserveGrowsWithOptions(t *testing.T) {
 	for n, want := range map[int]bool{8: true, 40: false} {
 		s := testSettings()
 		s.Gateways, s.Classes[0].TPOTObjective = 1, 0
@@ -894,7 +895,11 @@
 	}
 	// All engines of the sample are starting, and their slow-start budget is used up.
 	for name := range first {
-		b.Handle(ms, &EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, StartedAt: ms}}}, nil)
+		b.Handle(
+			ms,
+			&EngineList{Kind: ListDelta, Engines: []Engine{{Name: name, Size: 1, Pool: 2, StartedAt: ms}}},
+			nil,
+		)
 	}
 	b.settings.WarmUp, b.settings.OverloadFactor = 20*second, 4
 	sent := false
@@ -993,7 +998,7 @@
 	}
 }
 
-// A stream that its client read slowly must not change the predicted time per token of the engine.
+// A stream that its client read slowly must not change the predicted TPOT of the engine.
 func TestStreamsSlowedByClientsTeachNoPace(t *testing.T) {
 	s := testSettings()
 	s.HedgedRequests, s.Gateways = false, 1
@@ -1004,16 +1009,16 @@
 		for id := int64(1); id <= 60; id++ {
 			now += 5 * second
 			send := feed(r, now, newRequest(id, now+9*second))
-			gap := 20 * ms
+			tpot := 20 * ms
 			if stalls := id%2 == 0; stalls && stallClient {
-				gap = 200 * ms
+				tpot = 200 * ms
 			}
 			feed(r, now+100*ms, &FirstToken{Request: id, Elapsed: 100 * ms})
 			feed(
 				r,
 				now+4*second,
-				&Outcome{Request: id, Last: true, Engine: send[0].Engine, OutputTokens: 50, Elapsed: 100*ms + 50*gap,
-					ClientStalled: gap > 20*ms},
+				&Outcome{Request: id, Last: true, Engine: send[0].Engine, OutputTokens: 50, Elapsed: 100*ms + 50*tpot,
+					ClientStalled: tpot > 20*ms},
 			)
 		}
 		o := option{engine: r.engines["a"]}
--- a/sampling.go
+++ b/sampling.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// keySampleSize is the number of engines taken from the ring that the request prefers, by the request's
-	// key.
+	// keySampleSize is the maximum number of engines taken by the request's affinity key from the ring of its
+	// preferred zone, or of all zones if it prefers none.
 	keySampleSize = 32
-	// prefixSampleSize is the number of engines taken from the ring of all zones, by the request's key, and
-	// once more by its shared prefix.
+	// prefixSampleSize is the maximum number of engines taken from the ring of all zones by the affinity key,
+	// and as many again by the shared prefix.
 	prefixSampleSize = 8
 )
 
 // sampleEngines returns the engines that are considered for a request. In a fleet of more than maxFullScan
-// engines these are the ones that follow the request's keys on the rings of its pool, the same at every
-// gateway. If the session prefers the gateway's own zone, most are taken from that.
+// engines these are the ones that follow the request's keys on the rings of its pool. They are the same at
+// every gateway, except that most are of the gateway's own zone if the request prefers that.
 func (r *Router) sampleEngines(q *request) []*engine {
 	if len(r.ready) <= maxFullScan {
 		return r.ready
@@ -76,7 +76,8 @@
 	}
 }
 
-// addFromRing adds to the sample the n engines of a ring that follow a key, except those that it has already.
+// addFromRing adds to the sample the n engines of a ring that follow a key, except those that are in it
+// already.
 func (r *Router) addFromRing(ring ringKey, key uint64, n int) {
 	engines := r.rings[ring]
 	if len(engines) == 0 {
