--- a/directory_test.go
+++ b/directory_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// longPromptSettings describes a deployment with messages between gateways and no second copies. Reading a prompt of
-// longPromptRequest takes a considerable part of its latency objective, so that the load directory is in use.
+// longPromptSettings describes a deployment with messages between gateways and without hedged attempts. Prefilling a
+// prompt of longPromptRequest takes a large part of its latency objective, so that the load directory is in use.
 func longPromptSettings(gateways int) Settings {
 	s := testSettings()
 	s.Gateways, s.Peers, s.HedgedRequests = gateways, true, false
@@ -109,7 +109,8 @@
 	}
 }
 
-// Engines read prompts first in, first out: a prompt that was read shows that all before it were, and how fast.
+// Engines prefill prompts first in, first out: a prompt that was prefilled shows that all before it were, and at which
+// speed.
 func TestPrefillBacklogIsFirstInFirstOut(t *testing.T) {
 	var b backlog
 	b.prefillSpeed = 10000
@@ -143,7 +144,7 @@
 }
 
 // Each of many gateways sends prompts with the same long prefix to the engine to which another gateway sent them
-// before, unless that engine's backlog takes longer than reading the prefix again. Then the request goes to another
+// before, unless that engine's backlog takes longer than prefilling the prefix again. Then the request goes to another
 // engine, which from then on has the prefix cached too.
 func TestGatewaysSharePrefixLocations(t *testing.T) {
 	tier := newTier(20, "a", "b", "c", "d", "e", "f")
@@ -171,22 +172,22 @@
 	}
 }
 
-// If directory owners do not respond, a request is dispatched after the timeout, and these owners are not asked again
-// for a while.
+// If directory owners do not answer, a request is dispatched after consultTimeout, and these owners are not queried
+// again for silentOwnerPause.
 func TestUnresponsiveDirectoryOwnersAreSkipped(t *testing.T) {
 	tier := newTier(20, "a", "b", "c")
 	tier.dropMessages = true
 	expect(t, tier.deliver(0, second, longPromptRequest(1, second, 77)), "")
-	asked := tier.messages
-	if asked == 0 {
-		t.Fatal("no directory owner was asked")
+	queries := tier.messages
+	if queries == 0 {
+		t.Fatal("no directory owner was queried")
 	}
 	expect(t, tier.deliver(0, second+consultTimeout, &TimerFired{Token: tokenStep + tokenConsult}), "send ")
 	expect(t, tier.deliver(0, second+consultTimeout+ms, longPromptRequest(2, second, 77)), "send ")
 	if actions := tier.deliver(
 		0, second+consultTimeout+silentOwnerPause+ms, longPromptRequest(3, second, 77),
 	); len(actions) > 0 {
-		t.Fatalf("actions %v after the pause, want the directory owners to be asked first", actions)
+		t.Fatalf("actions %v after the pause, want the directory owners to be queried first", actions)
 	}
 	// A client that disconnects while its request waits leaves no state behind.
 	tier.deliver(0, second+consultTimeout+silentOwnerPause+2*ms, &ClientDisconnected{Request: 3})
@@ -263,7 +264,7 @@
 		r.settings.RetryAfter, r.settings.MaxRetryAfter = true, 2*second
 	}
 	sent, shed := 0, 0
-	for i := range int64(60) { // all at the same time, so no prompt is read meanwhile
+	for i := range int64(60) { // all at the same time, so no prompt is prefilled meanwhile
 		for _, a := range tier.deliver(int(i%20), second, longPromptRequest(i+1, second, uint64(100+i))) {
 			switch a.Kind {
 			case Send:
@@ -276,10 +277,10 @@
 			}
 		}
 	}
-	if sent+shed != 60 || sent < 3 || shed < 20 { // each engine can read one prompt within the objective
+	if sent+shed != 60 || sent < 3 || shed < 20 { // each engine can prefill one prompt within the objective
 		t.Errorf("%d sent and %d shed of 60 requests, want at least 3 and 20", sent, shed)
 	}
-	for _, r := range tier.gateways { // once the engines have read their prompts, requests are sent again
+	for _, r := range tier.gateways { // once the engines have prefilled their prompts, requests are sent again
 		for _, e := range r.engines {
 			e.backlog.prompts = nil
 		}
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -19,24 +19,24 @@
 //	rule 3: nothing is sent to an engine that was withdrawn more than the drain grace ago
 //	rule 4: a starting engine is not sent more than the overload factor times its capacity
 type simulation struct {
-	rng         *rand.Rand
-	settings    Settings
-	router      *Router
-	now         int64
-	nextID      int64
-	engines     map[string]*Engine
-	withdrawnAt map[string]int64 // when an engine was last listed as draining or gone
-	requests    map[int64]*requestRecord
-	requestIDs  []int64
-	timers      []Action
-	dueAt       []int64 // due times of timers, by the same index
-	coldSends   map[string][]coldSend
-	sends       int
-	violations  []string
+	rng            *rand.Rand
+	settings       Settings
+	router         *Router
+	now            int64
+	nextID         int64
+	engines        map[string]*Engine
+	withdrawnAt    map[string]int64 // when an engine was last listed as draining or removed
+	requests       map[int64]*requestRecord
+	requestIDs     []int64
+	timers         []Action
+	dueAt          []int64 // due times of timers, by the same index
+	slowStartSends map[string][]slowStartSend
+	sends          int
+	violations     []string
 }
 
-// coldSend is a request that was sent, during its warm-up, to an engine which started at startedAt.
-type coldSend struct{ at, startedAt int64 }
+// slowStartSend is a request that was sent, during its warm-up, to an engine which started at startedAt.
+type slowStartSend struct{ at, startedAt int64 }
 
 // requestRecord is what the simulation knows of a request.
 type requestRecord struct {
@@ -58,13 +58,13 @@
 // newSimulation returns a simulation whose router has received a list of six ready engines.
 func newSimulation(seed uint64, settings Settings) *simulation {
 	sim := &simulation{
-		rng:         rand.New(rand.NewPCG(seed, 3)),
-		settings:    settings,
-		now:         1000 * second,
-		engines:     map[string]*Engine{},
-		withdrawnAt: map[string]int64{},
-		requests:    map[int64]*requestRecord{},
-		coldSends:   map[string][]coldSend{},
+		rng:            rand.New(rand.NewPCG(seed, 3)),
+		settings:       settings,
+		now:            1000 * second,
+		engines:        map[string]*Engine{},
+		withdrawnAt:    map[string]int64{},
+		requests:       map[int64]*requestRecord{},
+		slowStartSends: map[string][]slowStartSend{},
 	}
 	sim.router = New(settings, int64(seed))
 	for i := range 6 {
@@ -84,7 +84,7 @@
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-// updateEngines passes an endpoint list to the router: of all engines, or of the first name alone if there is one.
+// updateEngines passes an engine list to the router: of all engines, or of the first name alone if there is one.
 func (sim *simulation) updateEngines(kind ListKind, names ...string) []Action {
 	list := &EngineList{Kind: kind}
 	for i := range 6 {
@@ -132,13 +132,13 @@
 	c := sim.class(record)
 	for _, previous := range record.attempts {
 		if previous.inFlight && !sim.settings.HedgedRequests {
-			sim.violation("rule 2: two copies of a request in flight")
+			sim.violation("rule 2: two attempts of a request in flight")
 		}
 		if (previous.ran || previous.inFlight) && c.Effect == Unsafe {
 			sim.violation("rule 2: unsafe request repeated")
 		}
-		if (previous.ran || previous.inFlight) && c.Effect == Keyed && (!sameZoneOrCell(c.DedupScope, previous.engine, *e) ||
-			sim.now-previous.sent >= c.DedupWindow) {
+		if (previous.ran || previous.inFlight) && c.Effect == Keyed &&
+			(!sameZoneOrCell(c.DedupScope, previous.engine, *e) || sim.now-previous.sent >= c.DedupWindow) {
 			sim.violation("rule 2: keyed request repeated outside its group or window")
 		}
 	}
@@ -146,7 +146,7 @@
 		sim.violation("a request has more attempts than allowed")
 	}
 	if e.StartedAt > 0 && sim.now-e.StartedAt < sim.settings.WarmUp {
-		sim.coldSends[a.Engine] = append(sim.coldSends[a.Engine], coldSend{sim.now, e.StartedAt})
+		sim.slowStartSends[a.Engine] = append(sim.slowStartSends[a.Engine], slowStartSend{sim.now, e.StartedAt})
 	}
 	sim.sends++
 	record.attempts = append(record.attempts, attemptRecord{engine: *e, sent: sim.now, inFlight: true})
@@ -283,8 +283,8 @@
 	return s
 }
 
-// The router keeps the rules under random events, with and without second copies, cancels, subscriptions, probes and
-// load reports.
+// The router keeps the rules under random events, with and without hedged attempts, cancellation, subscriptions, probes
+// and load reports.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		s := allEffects()
@@ -305,7 +305,7 @@
 		}
 		// Requests a second that a warm engine can serve: twice its share of the traffic, as the fleet is at half load.
 		warmRate := 2 * float64(len(sim.requests)) / 6 / seconds(sim.now-1000*second)
-		for engine, sends := range sim.coldSends {
+		for engine, sends := range sim.slowStartSends {
 			for i := range sends {
 				n := 0
 				for _, send := range sends[i:] {
@@ -348,7 +348,7 @@
 	}
 	for _, e := range sim.router.engines {
 		if e.attemptsInFlight != 0 || len(e.awaitingFirstToken) != 0 {
-			t.Fatalf("%s: %d attempts in flight, %d unanswered remain",
+			t.Fatalf("%s: %d attempts in flight, %d waiting for a first token remain",
 				e.Name, e.attemptsInFlight, len(e.awaitingFirstToken))
 		}
 	}
@@ -404,16 +404,16 @@
 	}
 }
 
-// Where engines report the number of output tokens, the time per token of each is learned from its own responses,
-// whether these are long or short.
-func TestReportedTokenCountsTeachPace(t *testing.T) {
+// Where engines report the number of output tokens, the TPOT of each is learned from its own responses, whether these
+// are long or short.
+func TestReportedOutputLengthsTeachTPOT(t *testing.T) {
 	s := testSettings()
 	s.HedgedRequests, s.Gateways = false, 1
 	r := New(s, 1)
 	feed(r, second, engineList("fast", "slow"))
 	now, id := second, int64(0)
 	for range 12 {
-		for name, gap := range map[string]int64{"fast": 10 * ms, "slow": 45 * ms} {
+		for name, tpot := range map[string]int64{"fast": 10 * ms, "slow": 45 * ms} {
 			id++
 			now += 5 * second
 			q := &request{Request: *newRequest(id, now+9*second)}
@@ -422,14 +422,14 @@
 			feed(r, now+100*ms, &FirstToken{Request: id, Elapsed: 100 * ms})
 			tokens := 20 + id%3*40
 			feed(r, now+4*second, &Outcome{Request: id, Last: true, Engine: name, OutputTokens: float64(tokens),
-				Elapsed: 100*ms + tokens*gap})
+				Elapsed: 100*ms + tokens*tpot})
 		}
 	}
 	q := &request{Request: *newRequest(999, now+9*second)}
-	for name, gap := range map[string]float64{"fast": 0.010, "slow": 0.045} {
+	for name, tpot := range map[string]float64{"fast": 0.010, "slow": 0.045} {
 		o := option{engine: r.engines[name]}
-		if r.predict(q, &o); o.tpot < gap*0.6 || o.tpot > gap*1.7 {
-			t.Errorf("%s: TPOT %.3f s predicted, measured %.3f s", name, o.tpot, gap)
+		if r.predict(q, &o); o.tpot < tpot*0.6 || o.tpot > tpot*1.7 {
+			t.Errorf("%s: TPOT %.3f s predicted, measured %.3f s", name, o.tpot, tpot)
 		}
 	}
 }
@@ -480,7 +480,7 @@
 	feed(r, 2*second, &FirstToken{Request: 1, Elapsed: second},
 		&Outcome{Request: 1, Last: true, Engine: actions[0].Engine})
 	if len(r.requests) != 1 || len(r.ttftModels) != 2 || len(r.homeCachedFraction) != 2 {
-		t.Fatalf("%d open requests, %d models, %d gains, want 1, 2 and 2",
+		t.Fatalf("%d open requests, %d models, %d cached fractions, want 1, 2 and 2",
 			len(r.requests), len(r.ttftModels), len(r.homeCachedFraction))
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -8,14 +8,14 @@
 func TestStartTimesSurviveClockSteps(t *testing.T) {
 	const now = 1_000_000 * second
 	const hour = 3600 * second
-	for name, readyAt := range map[string]int64{
+	for name, startedAt := range map[string]int64{
 		"clock right": now, "clock forward": now - hour, "clock back": now + hour,
 	} {
 		r := New(testSettings(), 1)
 		feed(r, now-20*second, engineList("a", "b")) // the first list, which may be of any age
 		feed(r, now-15*second, engineList("a", "b"))
 		l := engineList("a", "b")
-		l.Engines[0].StartedAt = readyAt
+		l.Engines[0].StartedAt = startedAt
 		feed(r, now, l)
 		a, b := r.engines["a"], r.engines["b"]
 		if got := r.minCapacityFraction(a); got > r.settings.ColdCapacityFraction+0.01 {
@@ -52,7 +52,8 @@
 	const now = 1_000_000 * second
 	r := New(testSettings(), 1)
 	l := engineList("old", "young", "future")
-	l.Engines[0].StartedAt, l.Engines[1].StartedAt, l.Engines[2].StartedAt = now-3600*second, now-second, now+3600*second
+	l.Engines[0].StartedAt, l.Engines[1].StartedAt, l.Engines[2].StartedAt =
+		now-3600*second, now-second, now+3600*second
 	feed(r, now, l)
 	if r.minCapacityFraction(r.engines["old"]) != 1 || r.minCapacityFraction(r.engines["young"]) > 0.6 ||
 		r.minCapacityFraction(r.engines["future"]) > r.settings.ColdCapacityFraction {
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -46,7 +46,7 @@
 }
 
 // Clients that disconnect at once have no lasting effect on what is predicted of their engine: the prompt tokens that
-// count as unread there halve every 0.4 s, so five seconds after 300 such clients the prediction is as before.
+// count as not prefilled there halve every 0.4 s, so five seconds after 300 such clients the prediction is as before.
 func TestEarlyDisconnectsAreForgotten(t *testing.T) {
 	r, predictTTFT := newTwoTenantRouter(0)
 	now, before := 2*second, predictTTFT(2*second)
@@ -145,8 +145,8 @@
 	}
 }
 
-// Second line of defence for the limits on attempts: whatever calls for another attempt, none is chosen while one is in
-// flight where copies are forbidden, nor beyond the maximum number of attempts.
+// Second line of defence for the limits on attempts: whatever calls for another attempt, none is sent while one is in
+// flight where hedged attempts are not allowed, nor beyond the maximum number of attempts.
 func TestNoAttemptBeyondLimits(t *testing.T) {
 	r, _ := newTwoTenantRouter(0)
 	q := &request{Request: *newRequest(1, 9*second), arrivedAt: second}
@@ -203,9 +203,8 @@
 	for windowStart := now; windowStart < now+24*second; windowStart += s.OverloadWindow {
 		sent := 0.0
 		for r.now = windowStart; r.now < windowStart+s.OverloadWindow; r.now += 10 * ms {
-			if r.requestRate = 20; r.hasSlowStartBudget(
-				e,
-			) { // 10 requests a second for each of two engines, which they can serve when warm
+			// 10 requests a second for each of two engines, which they can serve when warm.
+			if r.requestRate = 20; r.hasSlowStartBudget(e) {
 				e.slowStartBudget--
 				sent++
 			}
--- a/unreported_load_test.go
+++ b/unreported_load_test.go
@@ -52,9 +52,9 @@
 				}
 			}
 		}
-		share := float64(inOwnZone) / float64(all)
-		if c.prefersOwnZone != (share > 0.6) || !c.prefersOwnZone && share > 0.35 {
-			t.Errorf("%+v: fraction %.2f of %d requests in the own zone", c, share, all)
+		fraction := float64(inOwnZone) / float64(all)
+		if c.prefersOwnZone != (fraction > 0.6) || !c.prefersOwnZone && fraction > 0.35 {
+			t.Errorf("%+v: fraction %.2f of %d requests in the own zone", c, fraction, all)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 }
 
 // Without load reports attempts that end without a first token show an overload. Requests are then shed, even soon
-// after the start of the gateway, and no attempt is cancelled only to have its prompt read again elsewhere. Met
+// after the start of the gateway, and no attempt is cancelled only to have its prompt prefilled again elsewhere. Met
 // objectives end the shedding. With load reports such attempts cause no shedding.
 func TestWithoutReportsHopelessRequestsAreShed(t *testing.T) {
 	t.Parallel()
@@ -117,14 +117,14 @@
 		r := New(s, 1)
 		feed(r, second, engineListInZones(10, s.Zones))
 		id, now := int64(0), second
-		run := func(n int, answered bool) (shed int) {
+		run := func(n int, served bool) (shed int) {
 			for range n {
 				id, now = id+1, now+300*ms
 				for _, a := range feed(r, now, newRequest(id, now+4*second)) {
 					switch {
 					case a.Kind == Shed:
 						shed++
-					case a.Kind == Send && answered:
+					case a.Kind == Send && served:
 						feed(
 							r,
 							now+50*ms,
@@ -174,7 +174,7 @@
 }
 
 // Attempts at a silent engine are cancelled and retried elsewhere, but not while a fleet without load reports is
-// overloaded, since its engines would read the same prompt twice.
+// overloaded, since its engines would prefill the same prompt twice.
 func TestWithoutReportsNoCancelInOverload(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/walltime_test.go
+++ b/walltime_test.go
@@ -12,7 +12,7 @@
 )
 
 // wallTimeAllowed lists the files that may convert times to Unix numbers, each with the reason. Those marked as open
-// are not fixed yet; ROADMAP lists them.
+// are to be fixed.
 var wallTimeAllowed = map[string]string{
 	"internal/clock/clock.go":             "the only package that makes instants",
 	"internal/batch/model.go":             "created_at and expires_at are shown as Unix seconds",
