--- a/admission.go
+++ b/admission.go
@@ -20,8 +20,8 @@
 	// minBandAcceptedFraction is the minimum fraction of a band of prompt lengths that is accepted, relative
 	// to the accepted fraction of its class.
 	minBandAcceptedFraction = 0.8
-	// maxSharedSlowness is the ttftSlowness (a natural logarithm) of an engine above which its missed
-	// objectives are no evidence of the fleet's load.
+	// maxSharedSlowness is the ttftSlowness of an engine, a natural logarithm, above which its missed
+	// objectives are no evidence of the fleet's load. It stands for about twice the predicted TTFT.
 	maxSharedSlowness = 0.7
 )
 
--- a/affinity.go
+++ b/affinity.go
@@ -27,7 +27,8 @@
 	return prefixFraction + (1-prefixFraction)*r.homeCachedFraction[r.classIndex(q)]
 }
 
-// observeMatch learns from the cached tokens that a response reported.
+// observeMatch learns from the cached tokens that a response reported: at the assumed home the usual cached
+// fraction, and at other engines with an expected match how far the match table can be trusted.
 func (r *Router) observeMatch(a *attempt, cachedTokens float64) {
 	cachedFraction := clamp(cachedTokens/a.request.PromptTokens, 1)
 	prefixFraction := a.request.PrefixTokens / a.request.PromptTokens
--- a/directory.go
+++ b/directory.go
@@ -62,7 +62,7 @@
 }
 
 // hasRecentDirectoryAnswer reports whether this gateway has obtained an engine's load from the directory
-// within pendingPromptTimeout.
+// within the last pendingPromptTimeout.
 func (r *Router) hasRecentDirectoryAnswer() bool {
 	return r.lastDirectoryAnswerAt != 0 && r.now-r.lastDirectoryAnswerAt < pendingPromptTimeout
 }
--- a/discovery.go
+++ b/discovery.go
@@ -80,8 +80,8 @@
 	return startedAt > r.now || shouldBeKnown
 }
 
-// subscribe subscribes to discovery's changes where only subscribers get them, unless the subscription is in
-// effect. After failures it backs off exponentially, with jitter.
+// subscribe subscribes to discovery's changes where only subscribers get them, unless a subscription that it
+// requested is in effect. After failures it backs off exponentially, with jitter.
 func (r *Router) subscribe() {
 	wait := min(r.settings.DiscoveryTimeout*2, 500*ms<<min(r.failedSubscribes, 4))
 	if !r.settings.SubscribeDiscovery ||
@@ -92,9 +92,9 @@
 	r.emit(Action{Kind: Subscribe})
 }
 
-// rebuildReady removes engines that are no longer listed and have no attempts in flight, and rebuilds what
-// is derived from the list: the ready engines sorted by name, the end of the fleet's warm-up, the usual
-// number of ready engines, and the rings.
+// rebuildReady removes engines that are no longer listed and have no attempts in flight, and rebuilds what is
+// derived from the list: the ready engines sorted by name, the engines by short hash, the end of the fleet's
+// warm-up, the usual number of ready engines, and the rings.
 func (r *Router) rebuildReady() {
 	r.ready = r.ready[:0]
 	r.fleetWarmUpEnd = 0
--- a/learned_state.go
+++ b/learned_state.go
@@ -29,7 +29,7 @@
 	ClassCount int   `json:"classes"`
 	KindCount  int   `json:"kinds"`
 
-	// TTFTModels and TPOTModels hold a model for each kind of engine, and the fleet's as the last.
+	// TTFTModels and TPOTModels hold a model for each machine kind, and the fleet's as the last.
 	TTFTModels []LearnedModel `json:"ttft"`
 	TPOTModels []LearnedModel `json:"pace"`
 	// BaseTPOT is the TPOT, in seconds, that the TPOTModels express as 1.
--- a/regression.go
+++ b/regression.go
@@ -89,8 +89,8 @@
 		}
 	}
 	for i := range system {
-		// The ridge penalizes a coefficient's difference from the prior relative to the size of the prior, or
-		// to a twentieth of the constant's if that is larger.
+		// The ridge penalizes a coefficient's difference from its prior relative to the size of that prior,
+		// or to a twentieth of the constant's prior if that is larger.
 		unit := max(prior[i], prior[0]/20)
 		system[i][i] += priorWeight / (unit * unit)
 	}
--- a/state.go
+++ b/state.go
@@ -211,7 +211,7 @@
 	shedFractionAt int64
 }
 
-// NeedsTimer reports whether the timer with this token still has an effect. Other timers may be dropped.
+// NeedsTimer reports whether the timer with this token may still have an effect. Other timers may be dropped.
 func (r *Router) NeedsTimer(token int64) bool {
 	return token == tokenTick || r.requests[token/tokenStep] != nil
 }
