--- a/fleet_test.go
+++ b/fleet_test.go
@@ -119,7 +119,7 @@
 // Guards against a slow-start budget that ignores the engine's size: starting engines of size 3 and of size 10 both got
 // 2.1 to 2.6 requests a second. The small ones took 5 to 13 s for a response, and the large ones had four of five slots
 // free.
-func TestColdBudgetScalesWithEngineSize(t *testing.T) {
+func TestSlowStartBudgetScalesWithEngineSize(t *testing.T) {
 	s := testSettings()
 	s.Gateways = 80
 	list := &EngineList{Kind: ListFull}
@@ -316,7 +316,7 @@
 // requests, where N is the overload factor times its capacity. This holds for all gateways together, for any number of
 // gateways and any number that the settings state, from the first moment of a start that all learn of at once, with
 // traffic spread evenly over the gateways or not, and with one engine starting or half of them.
-func TestColdBudgetHoldsOverAllNodes(t *testing.T) {
+func TestSlowStartLimitHoldsOverAllGateways(t *testing.T) {
 	for _, gateways := range []int{2, 3, 5, 10, 20, 30, 40, 300} {
 		for _, assumed := range []int{1, gateways, 10 * gateways} {
 			// Three requests a second per engine, taken as what a warm one can serve; and one, of which a starting
--- a/router_test.go
+++ b/router_test.go
@@ -417,7 +417,7 @@
 }
 
 // A starting engine gets requests, but fewer than would overload it.
-func TestColdBudget(t *testing.T) {
+func TestStartingEngineGetsFewRequests(t *testing.T) {
 	s := testSettings()
 	r := New(s, 1)
 	list := engineList("a", "b", "c", "d")
@@ -442,7 +442,7 @@
 }
 
 // A subscription that fails is retried with back-off, and one that is live is not requested again.
-func TestDiscoveryIsAskedForAndBacksOff(t *testing.T) {
+func TestDiscoverySubscriptionBacksOff(t *testing.T) {
 	s := testSettings()
 	s.SubscribeDiscovery = true
 	r := New(s, 1)
@@ -645,7 +645,7 @@
 
 // A gateway that is one of many only rarely has slow-start budget for a starting engine. The next request uses it,
 // whatever engine ranks first for that request, unless another engine has its prompt cached.
-func TestColdBudgetIsUsedByLowTrafficGateways(t *testing.T) {
+func TestSlowStartBudgetIsUsedByLowTrafficGateways(t *testing.T) {
 	for seed := range int64(20) {
 		s := testSettings()
 		s.Gateways = 300
@@ -679,7 +679,7 @@
 
 // A gateway with much traffic treats starting engines like others. Were it to prefer them, it would use all of its
 // budget, which is as much as they can bear.
-func TestColdBudgetIsNotForcedByBusyGateways(t *testing.T) {
+func TestSlowStartBudgetIsNotForcedByBusyGateways(t *testing.T) {
 	forced := 0
 	for seed := range int64(20) {
 		r := New(testSettings(), seed)
@@ -705,7 +705,7 @@
 
 // Guards against overloading the last engine of a fleet that failed as a whole. It is starting, and must not get the
 // traffic of all.
-func TestColdBudgetInJointFailure(t *testing.T) {
+func TestSlowStartBudgetInJointFailure(t *testing.T) {
 	r := New(testSettings(), 1)
 	feed(r, 0, engineList("a", "b", "c", "d", "e", "f"))
 	now := 10 * second
@@ -999,7 +999,7 @@
 }
 
 // A stream that its client read slowly must not change the predicted TPOT of the engine.
-func TestStreamsSlowedByClientsTeachNoPace(t *testing.T) {
+func TestStreamsSlowedByClientsTeachNoTPOT(t *testing.T) {
 	s := testSettings()
 	s.HedgedRequests, s.Gateways = false, 1
 	predictedTPOT := func(stallClient bool) float64 {
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -435,7 +435,7 @@
 }
 
 // One lost connection does not exclude an engine. A second error in a row does, until a trial is due.
-func TestConsecutiveErrorsEjectEngine(t *testing.T) {
+func TestConsecutiveErrorsExcludeEngine(t *testing.T) {
 	s := testSettings()
 	s.HedgedRequests, s.Gateways = false, 1
 	r := New(s, 1)
--- a/tenants_test.go
+++ b/tenants_test.go
@@ -111,7 +111,7 @@
 
 // Requests of one tenant that fail with a server error at every engine do not make the engines suspect, once it shows
 // that they fail everywhere. An engine that fails for other tenants as well still becomes suspect.
-func TestRequestsThatFailEverywhereEjectNoEngine(t *testing.T) {
+func TestRequestsThatFailEverywhereMakeNoEngineSuspect(t *testing.T) {
 	r, _ := newTwoTenantRouter(0)
 	now, id := 2*second, int64(0)
 	send := func(tenant int, e *engine, code OutcomeCode) {
@@ -188,7 +188,7 @@
 
 // A starting engine gets requests in proportion to its capacity at the time, which is about a seventh of the full one
 // at its start, times the overload factor, and no more in any overload window.
-func TestColdEngineGetsRequestsByItsWarmth(t *testing.T) {
+func TestStartingEngineGetsRequestsByItsCapacity(t *testing.T) {
 	s := testSettings()
 	s.Gateways, s.WarmUp, s.ColdCapacityFraction, s.OverloadFactor = 1, 24*second, 0.13, 4
 	r := New(s, 1)
