--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"standpoint/internal/lab/load"
 )
 
-const small = `name = "small"
+const smallExperiment = `name = "small"
 seeds = 4
 settle = "5s"
 for = "15s"
@@ -37,22 +37,22 @@
 policy = "ceiling"
 `
 
-func read(t *testing.T, text string) (*File, error) {
+func readExperiment(t *testing.T, text string) (*File, error) {
 	path := filepath.Join(t.TempDir(), "experiment.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return Read(path)
 }
 
-// The same file gives the same bytes, however many cores there are and in whatever order they work; all that is
-// promised is written.
-func TestTheSameBytes(t *testing.T) {
-	f, err := read(t, small)
+// Guards against reports that depend on the number of cores or the order in which they finish: two runs of a file must
+// give the same bytes. All promised files are written.
+func TestReportIsReproducible(t *testing.T) {
+	f, err := readExperiment(t, smallExperiment)
 	require.NoError(t, err)
 	var first []byte
 	for i := range 2 {
 		r, err := Run(t.Context(), f, nil)
 		require.NoError(t, err)
-		require.False(t, r.Broken(), "%+v", r.Variants[0].Breaches)
+		require.False(t, r.ModuleBrokeRules(), "%+v", r.Variants[0].Breaches)
 		raw, err := r.JSON()
 		require.NoError(t, err)
 		if i == 0 {
@@ -62,8 +62,10 @@
 			page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 			require.NoError(t, err)
 			require.Contains(t, string(page), "<svg")
-			require.NotContains(t, strings.ReplaceAll(string(page), "http://www.w3.org/", ""), "http://", "the page needs nothing else")
-			for _, name := range []string{"service.png", "first.png", "refused.png", "waste.png", "share-1.png", "share-3.png"} {
+			require.NotContains(t, strings.ReplaceAll(string(page), "http://www.w3.org/", ""), "http://",
+				"the page refers to nothing outside")
+			for _, name := range []string{"service.png", "first.png", "refused.png", "waste.png", "share-1.png",
+				"share-3.png"} {
 				require.FileExists(t, filepath.Join(dir, name))
 			}
 			again, err := load.ReadFile[Report](filepath.Join(dir, "report.json"))
@@ -77,15 +79,15 @@
 	}
 }
 
-// A run that is cut off has the seeds that are whole.
-func TestCutOff(t *testing.T) {
-	f, err := read(t, strings.Replace(small, "seeds = 4", "seeds = 200", 1))
+// An interrupted run reports the seeds that all variants completed.
+func TestInterruptedRunKeepsCompleteSeeds(t *testing.T) {
+	f, err := readExperiment(t, strings.Replace(smallExperiment, "seeds = 4", "seeds = 200", 1))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	r, err := Run(ctx, f, writer(cancel))
+	r, err := Run(ctx, f, cancelOnWrite(cancel))
 	require.NoError(t, err)
-	require.True(t, r.Cut)
+	require.True(t, r.Incomplete)
 	for _, v := range r.Variants {
 		require.Len(t, v.Runs, len(r.Variants[0].Runs))
 	}
@@ -94,12 +96,12 @@
 	require.NoError(t, r.Save(t.TempDir(), raw))
 }
 
-// writer cuts a run off at its first word of progress.
-type writer func()
+// cancelOnWrite is a progress writer that interrupts the run at its first write.
+type cancelOnWrite func()
 
-func (w writer) Write(p []byte) (int, error) { w(); return len(p), nil }
+func (w cancelOnWrite) Write(p []byte) (int, error) { w(); return len(p), nil }
 
-// An interval of 95% has the true mean about 95 times in 100.
+// A 95% interval contains the true mean in about 95 of 100 cases.
 func TestBootstrap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	within := 0
@@ -118,15 +120,15 @@
 	require.Less(t, within, 200)
 }
 
-// A regression counts when the interval supports it, and a rule that is newly broken always does.
+// A regression counts if its interval supports it. A newly broken rule always counts.
 func TestRegressions(t *testing.T) {
 	report := func(shift, noise float64) *Report {
 		rng := rand.New(rand.NewPCG(uint64(noise*100), 3))
-		v := Result{Name: "module", Breaches: map[string]int{}}
+		v := VariantResult{Name: "module", Breaches: map[string]int{}}
 		for seed := range uint64(20) {
 			v.Runs = append(v.Runs, lab.Outcome{Seed: seed, Service: 0.9 + shift + noise*rng.NormFloat64()})
 		}
-		return &Report{File: &File{}, Variants: []Result{v}}
+		return &Report{File: &File{}, Variants: []VariantResult{v}}
 	}
 	was := report(0, 0.001)
 	found, err := Regressions(was, report(-0.05, 0.02), 0.005)
@@ -135,7 +137,7 @@
 	require.Contains(t, found[0], "module: service is worse by -0.0")
 	found, err = Regressions(was, report(-0.005, 0.1), 0.005)
 	require.NoError(t, err)
-	require.Empty(t, found, "within what chance gives")
+	require.Empty(t, found, "the change is within the interval")
 	found, err = Regressions(was, report(0.05, 0.01), 0)
 	require.NoError(t, err)
 	require.Empty(t, found)
@@ -149,7 +151,7 @@
 	require.ErrorContains(t, err, "no variant in common")
 }
 
-func TestFileNamesTheKey(t *testing.T) {
+func TestFileErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
 		{`name = "small"`, "", "name:"},
 		{`seeds = 4`, `seeds = 0`, "seeds:"},
@@ -160,12 +162,12 @@
 		{`policy = "random"`, `policy = "luck"`, "variant[1]: policy:"},
 		{`do = "pause"`, `do = "dance"`, "event[0].do:"},
 		{`value = 1.0`, `value = -1.0`, "event[0].value:"},
-		{`boxes = [0]`, `boxes = [4]`, "event[0].boxes: there is no box 4"},
+		{`boxes = [0]`, `boxes = [4]`, "event[0].boxes: 4 is not from 0 to 3"},
 		{`name = "ceiling"`, `name = "random"`, "variant[2].name:"},
 		{`policy = "ceiling"`, `colour = "red"`, "variant.colour: unknown key"},
 	} {
-		require.Contains(t, small, c.from)
-		_, err := read(t, strings.Replace(small, c.from, c.to, 1))
+		require.Contains(t, smallExperiment, c.from)
+		_, err := readExperiment(t, strings.Replace(smallExperiment, c.from, c.to, 1))
 		require.ErrorContains(t, err, c.key)
 	}
 	_, err := Read("../../../deploy/lab/policies.toml")
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -22,91 +21,96 @@
 	"standpoint/internal/lab/responder"
 )
 
-// DiscoveryOptions of a measurement of discovery with the daemon as a program.
+// DiscoveryOptions describes a measurement of discovery with the daemon as a process.
 type DiscoveryOptions struct {
-	Dir, Program string
-	Withdrawals  int
-	Ways         []string // poll, plain (a poll without a serial), push, mdns, all (everything each time)
-	Loss         []float64
-	Rate         float64
-	Cost         bool
-	Sizes        []int
-	For          time.Duration
-	Out          io.Writer
+	Dir, Program string // directory of the operator file and the log, and path of the daemon's program
+	Withdrawals  int    // number of withdrawals for each mechanism and loss rate
+	// Mechanisms are the mechanisms to be measured: poll, plain (polls a zone without a serial), push, mdns, and all
+	// (polls all records every time).
+	Mechanisms  []string
+	LossRates   []float64     // shares of the packets that are lost, in each direction
+	Rate        float64       // requests per second
+	MeasureCost bool          // measure the cost of discovery in place of withdrawals
+	ZoneSizes   []int         // for the cost: number of backends in the zone
+	Duration    time.Duration // for the cost: duration of each measurement
+	Out         io.Writer
 }
 
 const (
-	hallBoxes     = 40
-	withdrawEvery = 50 * time.Millisecond
-	awayFor       = 600 * time.Millisecond
-	withdrawMost  = 20_000
-	zoneDomain    = "hall-a.test"
-	zoneService   = "_engine._tcp"
-	sizeMost      = 4000
+	withdrawalBackends = 40                     // number of backends in the zone while withdrawals are measured
+	withdrawInterval   = 50 * time.Millisecond  // time between two withdrawals
+	quietPeriod        = 600 * time.Millisecond // time without a request after which a withdrawal is taken as seen
+	maxWithdrawals     = 20_000
+	zoneDomain         = "hall-a.test"
+	zoneService        = "_engine._tcp"
+	maxZoneSize        = 4000 // number of backends in a zone
 )
 
-// arrivals are a box's latest requests.
-type arrivals struct {
+// requestTimes has the time of a backend's latest request.
+type requestTimes struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
-func (a *arrivals) note() {
+func (a *requestTimes) record() {
 	a.mu.Lock()
 	a.last = time.Now()
 	a.mu.Unlock()
 }
 
-func (a *arrivals) latest() time.Time {
+func (a *requestTimes) latest() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.last
 }
 
-// simpleBox answers at once, with a short stream.
-func simpleBox(l net.Listener, a *arrivals) *http.Server {
-	s := &http.Server{ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.note()
-		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
-		w.Header().Set("Content-Type", "text/event-stream")
-		for _, text := range []string{`{"choices":[{"delta":{"content":"a"}}]}`, `{"choices":[],"usage":{"completion_tokens":1}}`, "[DONE]"} {
-			fmt.Fprintf(w, "data: %s\n\n", text)
-			_ = http.NewResponseController(w).Flush()
-		}
-	})}
+// serveStub serves a backend that responds at once, with a short stream, and records the time of each request.
+func serveStub(l net.Listener, times *requestTimes) *http.Server {
+	s := &http.Server{ReadHeaderTimeout: 5 * time.Second,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			times.record()
+			_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
+			w.Header().Set("Content-Type", "text/event-stream")
+			for _, text := range []string{`{"choices":[{"delta":{"content":"a"}}]}`,
+				`{"choices":[],"usage":{"completion_tokens":1}}`, "[DONE]"} {
+				fmt.Fprintf(w, "data: %s\n\n", text)
+				_ = http.NewResponseController(w).Flush()
+			}
+		})}
 	go func() { _ = s.Serve(l) }()
 	return s
 }
 
-// hall is a responder, boxes and the daemon.
-type hall struct {
+// discoveryRun is a running measurement: a DNS-SD responder, backends and the daemon.
+type discoveryRun struct {
 	DiscoveryOptions
-	server  *responder.Server
-	boxes   []responder.Box
-	came    []*arrivals
-	front   string
-	control *control.Client
-	process *Program
-	stops   []func()
+	server        *responder.Server
+	backends      []responder.Instance
+	requestTimes  []*requestTimes // by backend; empty unless the backends serve
+	clientAddress string          // address at which the daemon serves clients
+	control       *control.Client
+	process       *Program
+	closers       []func()
 }
 
-func (h *hall) close() {
-	for i := len(h.stops) - 1; i >= 0; i-- {
-		h.stops[i]()
+func (h *discoveryRun) close() {
+	for i := len(h.closers) - 1; i >= 0; i-- {
+		h.closers[i]()
 	}
 }
 
-// open starts a hall of n boxes; real ones only where they serve.
-func (o DiscoveryOptions) open(ctx context.Context, way string, n int, serve bool) (h *hall, err error) {
-	h = &hall{DiscoveryOptions: o}
+// start starts a measurement with n backends in the zone. Only if serve is set do they exist; else they are records
+// alone.
+func (o DiscoveryOptions) start(ctx context.Context, mechanism string, n int, serve bool) (h *discoveryRun, err error) {
+	h = &discoveryRun{DiscoveryOptions: o}
 	defer func() {
 		if err != nil {
 			h.close()
 		}
 	}()
 	z := responder.NewZone(zoneDomain, 1)
-	if way == "plain" || way == "all" {
-		z.NoSerial()
+	if mechanism == "plain" || mechanism == "all" {
+		z.OmitSOA()
 	}
 	for i := range n {
 		address := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(20_000+i))
@@ -115,26 +119,28 @@
 			if err != nil {
 				return nil, err
 			}
-			a := &arrivals{}
-			s := simpleBox(l, a)
-			h.stops = append(h.stops, func() { s.Close() })
-			h.came = append(h.came, a)
+			times := &requestTimes{}
+			s := serveStub(l, times)
+			h.closers = append(h.closers, func() { s.Close() })
+			h.requestTimes = append(h.requestTimes, times)
 			address = netip.MustParseAddrPort(l.Addr().String())
 		}
-		h.boxes = append(h.boxes, responder.Box{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService, Address: address, TTL: 120,
+		h.backends = append(h.backends, responder.Instance{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService,
+			Address: address, TTL: 120,
 			Text: []string{"site=hall-a", "class=fast", "born_ms=1"}})
 	}
-	if err := z.Publish(h.boxes...); err != nil {
+	if err := z.Publish(h.backends...); err != nil {
 		return nil, err
 	}
 	if h.server, err = responder.Start(z, "127.0.0.1:0", nil); err != nil {
 		return nil, err
 	}
-	h.stops = append(h.stops, func() { _ = h.server.Close() })
-	return h, h.daemon(ctx, way, n)
+	h.closers = append(h.closers, func() { _ = h.server.Close() })
+	return h, h.startDaemon(ctx, mechanism, n)
 }
 
-func (h *hall) daemon(ctx context.Context, way string, n int) error {
+// startDaemon starts the daemon and waits until it has found all n backends.
+func (h *discoveryRun) startDaemon(ctx context.Context, mechanism string, n int) error {
 	if err := os.MkdirAll(h.Dir, 0o700); err != nil {
 		return err
 	}
@@ -142,14 +148,14 @@
 	if err != nil {
 		return err
 	}
-	h.front = l.Addr().String()
+	h.clientAddress = l.Addr().String()
 	l.Close()
-	news, server, push, poll, refresh := "poll", h.server.Address, "", "150ms", "2s"
-	switch way {
+	browseMode, server, push, poll, refresh := "poll", h.server.Address, "", "150ms", "2s"
+	switch mechanism {
 	case "push":
-		news, push = "push", fmt.Sprintf("push = %q\n", h.server.Address)
+		browseMode, push = "push", fmt.Sprintf("push = %q\n", h.server.Address)
 	case "mdns":
-		news, server = "mdns", h.server.MDNS
+		browseMode, server = "mdns", h.server.MDNSAddress
 	case "all":
 		refresh = "150ms"
 	}
@@ -186,23 +192,26 @@
 service = %q
 domain = %q
 news = %q
-%s`, h.front, poll, refresh, server, zoneService, zoneDomain, news, push)
+%s`, h.clientAddress, poll, refresh, server, zoneService, zoneDomain, browseMode, push)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if h.process, err = StartProgram(h.Program, file, filepath.Join(h.Dir, "standpoint.log"), "GOMAXPROCS=1"); err != nil { // one core, as the installations have
+	// one core, as in the operators' installations
+	if h.process, err = StartProgram(h.Program, file, filepath.Join(h.Dir, "standpoint.log"),
+		"GOMAXPROCS=1"); err != nil {
 		return err
 	}
-	h.stops = append(h.stops, func() { _ = h.process.Stop() })
+	h.closers = append(h.closers, func() { _ = h.process.Stop() })
 	h.control = control.NewClient("unix:"+filepath.Join(h.Dir, "control.sock"), "")
-	return h.process.Up(time.Minute, func() bool {
+	return h.process.WaitReady(time.Minute, func() bool {
 		var all []endpoints.Origin
 		if h.control.Call(ctx, http.MethodGet, "/v1/entries", nil, &all) != nil {
 			return ctx.Err() != nil
 		}
 		ready := 0
 		for _, e := range all {
-			if e.Fault == "" && e.Mechanism != endpoints.MechanismStore && (way != "push" || e.Mechanism == "push") {
+			if e.Fault == "" && e.Mechanism != endpoints.MechanismStore &&
+				(mechanism != "push" || e.Mechanism == "push") {
 				ready++
 			}
 		}
@@ -210,14 +219,16 @@
 	})
 }
 
-// load asks at a steady rate until the context ends, and counts what is not answered well.
-func (h *hall) load(ctx context.Context) (asked, bad *int, wait func()) {
-	asked, bad = new(int), new(int)
+// sendLoad sends requests at a steady rate until the context ends, and counts them and those that fail. The counts may
+// be read after wait.
+func (h *discoveryRun) sendLoad(ctx context.Context) (requests, failed *int, wait func()) {
+	requests, failed = new(int), new(int)
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: mostOut, IdleConnTimeout: 4 * time.Second}, Timeout: 6 * time.Second}
-	out := make(chan struct{}, mostOut)
-	all.Go(func() {
+	var pending sync.WaitGroup
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight,
+		IdleConnTimeout: 4 * time.Second}, Timeout: 6 * time.Second}
+	inFlight := make(chan struct{}, maxInFlight)
+	pending.Go(func() {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / h.Rate))
 		defer tick.Stop()
 		for n := 0; ; n++ {
@@ -227,79 +238,87 @@
 			case <-tick.C:
 			}
 			select {
-			case out <- struct{}{}:
+			case inFlight <- struct{}{}:
 			default:
 				continue
 			}
-			all.Go(func() {
-				defer func() { <-out }()
-				r, err := http.NewRequest(http.MethodPost, "http://"+h.front+"/v1/chat/completions", bytes.NewReader([]byte(`{"stream":true,"messages":[{"role":"user","content":"a"}]}`)))
+			pending.Go(func() {
+				defer func() { <-inFlight }()
+				r, err := http.NewRequest(http.MethodPost, "http://"+h.clientAddress+"/v1/chat/completions",
+					bytes.NewReader([]byte(`{"stream":true,"messages":[{"role":"user","content":"a"}]}`)))
 				if err != nil {
 					return
 				}
 				r.Header.Set("X-Trace-Id", fmt.Sprint("d", n))
 				r.Header.Set("X-Qos", "chat")
 				r.Header.Set("X-Expires-In", "5000m")
-				good := false
+				ok := false
 				if response, err := client.Do(r); err == nil {
 					_, err = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<20))
-					good = err == nil && response.StatusCode == http.StatusOK
+					ok = err == nil && response.StatusCode == http.StatusOK
 					response.Body.Close()
 				}
 				mu.Lock()
-				*asked++
-				if !good {
-					*bad++
+				*requests++
+				if !ok {
+					*failed++
 				}
 				mu.Unlock()
 			})
 		}
 	})
-	return asked, bad, all.Wait
+	return requests, failed, pending.Wait
 }
 
-// Withdrawals measures the time from a record's end at the server to the last new request that its box gets.
+// Withdrawals measures the time from the withdrawal of a backend's record at the server to the last request that the
+// backend gets.
 func Withdrawals(ctx context.Context, o DiscoveryOptions, out io.Writer) error {
-	if o.Withdrawals < 1 || o.Withdrawals > withdrawMost || o.Rate <= 0 || o.Rate > 1000 {
-		return fmt.Errorf("up to %d withdrawals at up to 1000 requests a second", withdrawMost)
+	if o.Withdrawals < 1 || o.Withdrawals > maxWithdrawals || o.Rate <= 0 || o.Rate > 1000 {
+		return fmt.Errorf("%d withdrawals at %g requests per second are not from 1 to %d, at above 0 to 1000",
+			o.Withdrawals, o.Rate, maxWithdrawals)
 	}
-	fmt.Fprintln(out, "way    loss  withdrawals  median ms  99th ms  worst ms  over 500 ms  requests  not answered well")
-	for _, way := range o.Ways {
-		for _, loss := range o.Loss {
-			delays, asked, bad, err := o.withdrawals(ctx, way, loss)
+	fmt.Fprintln(out,
+		"way    loss  withdrawals  median ms  99th ms  worst ms  over 500 ms  requests  not answered well")
+	for _, mechanism := range o.Mechanisms {
+		for _, loss := range o.LossRates {
+			delays, requests, failed, err := o.withdrawals(ctx, mechanism, loss)
 			if err != nil {
-				return fmt.Errorf("%s at %g: %w", way, loss, err)
+				return fmt.Errorf("%s at a loss rate of %g: %w", mechanism, loss, err)
 			}
 			slices.Sort(delays)
-			over := 0
+			over500 := 0
 			for _, d := range delays {
 				if d > 500*time.Millisecond {
-					over++
+					over500++
 				}
 			}
-			at := func(part float64) float64 {
-				return float64(delays[min(len(delays)-1, int(part*float64(len(delays))))].Microseconds()) / 1000
+			quantile := func(q float64) float64 {
+				return float64(delays[min(len(delays)-1, int(q*float64(len(delays))))].Microseconds()) / 1000
 			}
-			fmt.Fprintf(out, "%-6s %4.2f  %11d  %9.0f  %7.0f  %8.0f  %11d  %8d  %d\n", way, loss, len(delays), at(0.5), at(0.99), at(1), over, asked, bad)
+			fmt.Fprintf(out, "%-6s %4.2f  %11d  %9.0f  %7.0f  %8.0f  %11d  %8d  %d\n", mechanism, loss, len(delays),
+				quantile(0.5), quantile(0.99), quantile(1), over500, requests, failed)
 		}
 	}
 	return nil
 }
 
-func (o DiscoveryOptions) withdrawals(ctx context.Context, way string, loss float64) (delays []time.Duration, asked, bad int, err error) {
-	h, err := o.open(ctx, way, hallBoxes, true)
+// withdrawals measures the withdrawals of one mechanism at one loss rate. It returns their delays, and the counts of
+// the requests sent meanwhile and of those that failed.
+func (o DiscoveryOptions) withdrawals(ctx context.Context, mechanism string, loss float64) (
+	delays []time.Duration, requests, failed int, err error) {
+	h, err := o.start(ctx, mechanism, withdrawalBackends, true)
 	if err != nil {
 		return nil, 0, 0, err
 	}
 	defer h.close()
 	loading, stop := context.WithCancel(ctx)
 	defer stop()
-	n, failed, wait := h.load(loading)
+	requestCount, failureCount, wait := h.sendLoad(loading)
 	time.Sleep(time.Second)
-	h.server.Set(responder.Faults{Loss: loss})
+	h.server.SetFaults(responder.Faults{Loss: loss})
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	tick := time.NewTicker(withdrawEvery)
+	tick := time.NewTicker(withdrawInterval)
 	defer tick.Stop()
 	for i := range o.Withdrawals {
 		select {
@@ -309,59 +328,61 @@
 			return nil, 0, 0, ctx.Err()
 		case <-tick.C:
 		}
-		k := i % hallBoxes
-		if err := h.server.Zone.Withdraw(h.boxes[k]); err != nil {
+		k := i % withdrawalBackends
+		if err := h.server.Zone.Withdraw(h.backends[k]); err != nil {
 			return nil, 0, 0, err
 		}
-		ended := time.Now()
+		withdrawnAt := time.Now()
 		all.Go(func() {
-			// A box that is still sent to when its time is over stays away until that ends, and counts as it is.
-			for limit := ended.Add(10 * time.Second); time.Now().Before(limit); {
-				time.Sleep(awayFor)
-				if last := h.came[k].latest(); time.Since(last) > awayFor {
+			// A backend that still gets requests after the quiet period stays withdrawn until they end, for up to 10 s.
+			for limit := withdrawnAt.Add(10 * time.Second); time.Now().Before(limit); {
+				time.Sleep(quietPeriod)
+				if last := h.requestTimes[k].latest(); time.Since(last) > quietPeriod {
 					break
 				}
 			}
-			last := h.came[k].latest()
+			last := h.requestTimes[k].latest()
 			mu.Lock()
-			delays = append(delays, max(0, last.Sub(ended)))
+			delays = append(delays, max(0, last.Sub(withdrawnAt)))
 			mu.Unlock()
-			_ = h.server.Zone.Publish(h.boxes[k])
+			_ = h.server.Zone.Publish(h.backends[k])
 		})
 	}
 	all.Wait()
 	stop()
 	wait()
-	return delays, *n, *failed, nil
+	return delays, *requestCount, *failureCount, nil
 }
 
-// Cost measures questions a second at the server and the daemon's CPU time and memory in a quiet zone.
+// Cost measures, in a zone without changes, the DNS questions per second at the server and the daemon's CPU time and
+// memory.
 func Cost(ctx context.Context, o DiscoveryOptions, out io.Writer) error {
-	if o.For < time.Second || o.For > 10*time.Minute {
-		return errors.New("--for: from 1s to 10m")
+	if o.Duration < time.Second || o.Duration > 10*time.Minute {
+		return fmt.Errorf("--for: %v is not from 1s to 10m", o.Duration)
 	}
 	fmt.Fprintln(out, "way    boxes  questions/s  CPU of a core  memory MB")
-	for _, n := range o.Sizes {
-		if n < 1 || n > sizeMost {
-			return fmt.Errorf("--sizes: %d is not from 1 to %d", n, sizeMost)
+	for _, n := range o.ZoneSizes {
+		if n < 1 || n > maxZoneSize {
+			return fmt.Errorf("--sizes: %d is not from 1 to %d", n, maxZoneSize)
 		}
-		for _, way := range o.Ways {
-			if err := o.cost(ctx, way, n, out); err != nil {
-				return fmt.Errorf("%s with %d boxes: %w", way, n, err)
+		for _, mechanism := range o.Mechanisms {
+			if err := o.cost(ctx, mechanism, n, out); err != nil {
+				return fmt.Errorf("%s with %d backends: %w", mechanism, n, err)
 			}
 		}
 	}
 	return nil
 }
 
-func (o DiscoveryOptions) cost(ctx context.Context, way string, n int, out io.Writer) error {
-	h, err := o.open(ctx, way, n, false)
+// cost measures one mechanism with n backends in the zone.
+func (o DiscoveryOptions) cost(ctx context.Context, mechanism string, n int, out io.Writer) error {
+	h, err := o.start(ctx, mechanism, n, false)
 	if err != nil {
 		return err
 	}
 	defer h.close()
 	time.Sleep(2 * time.Second)
-	questions := h.server.Questions.Load()
+	queriesBefore := h.server.QueryCount.Load()
 	cpu, _, err := usage(h.process.Process.Pid)
 	if err != nil {
 		return err
@@ -370,18 +391,19 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(o.For):
+	case <-time.After(o.Duration):
 	}
 	used, memory, err := usage(h.process.Process.Pid)
 	if err != nil {
 		return err
 	}
-	took := time.Since(began).Seconds()
-	fmt.Fprintf(out, "%-6s %5d  %11.1f  %12.1f%%  %9.0f\n", way, n, float64(h.server.Questions.Load()-questions)/took, 100*(used-cpu)/took, memory)
+	elapsed := time.Since(began).Seconds()
+	fmt.Fprintf(out, "%-6s %5d  %11.1f  %12.1f%%  %9.0f\n", mechanism, n,
+		float64(h.server.QueryCount.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
 	return nil
 }
 
-// usage is a process's CPU time in seconds and its memory in MB (proc(5)).
+// usage returns a process's CPU time in seconds and its resident memory in MB, from /proc/PID/stat (proc(5)).
 func usage(pid int) (cpu, memory float64, err error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -389,7 +411,7 @@
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	if len(fields) < 22 {
-		return 0, 0, errors.New("stat: too few fields")
+		return 0, 0, fmt.Errorf("/proc/%d/stat: %d fields after the name, expected at least 22", pid, len(fields))
 	}
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
