--- a/internal/batch/fixture_test.go
+++ b/internal/batch/fixture_test.go
@@ -165,7 +165,8 @@
 
 // streamingBackend starts a backend that streams its responses, with the status that answer returns for each line and
 // attempt. It returns its address.
-func streamingBackend(t *testing.T, ledger *testpeer.AttemptCounter, answer func(line string, attempt int) int) string {
+func streamingBackend(t *testing.T, counter *testpeer.AttemptCounter,
+	answer func(line string, attempt int) int) string {
 	t.Helper()
 	return testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		var body struct {
@@ -173,8 +174,8 @@
 		}
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		line := body.Messages[0].Content
-		status := answer(line, ledger.Begin(line))
-		defer ledger.End(line, status == http.StatusOK)
+		status := answer(line, counter.Begin(line))
+		defer counter.End(line, status == http.StatusOK)
 		if status != http.StatusOK {
 			w.WriteHeader(status)
 			return
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -24,7 +24,7 @@
 // flight.
 func TestTwoThousandLines(t *testing.T) {
 	const n = 2000
-	ledger := testpeer.NewAttemptCounter()
+	counter := testpeer.NewAttemptCounter()
 	answer := func(line string, attempt int) int {
 		time.Sleep(time.Millisecond)
 		var i int
@@ -41,16 +41,16 @@
 	var once sync.Once
 	var drained *testpeer.BatchBackend
 	var drain func()
-	drained = testpeer.NewBatchBackend(t, ledger, func(line string, attempt int) int {
+	drained = testpeer.NewBatchBackend(t, counter, func(line string, attempt int) int {
 		if drained.Waiting() > 1 { // while lines of a file are queued, independent of the machine's speed
 			once.Do(drain)
 		}
 		return answer(line, attempt)
 	})
-	other := testpeer.NewBatchBackend(t, ledger, answer)
+	other := testpeer.NewBatchBackend(t, counter, answer)
 	endpoints := []node.Endpoint{
-		testpeer.Endpoint("s1", streamingBackend(t, ledger, answer)),
-		testpeer.Endpoint("s2", streamingBackend(t, ledger, answer)),
+		testpeer.Endpoint("s1", streamingBackend(t, counter, answer)),
+		testpeer.Endpoint("s2", streamingBackend(t, counter, answer)),
 		batchEndpoint("b1", drained),
 		batchEndpoint("b2", other),
 	}
@@ -75,7 +75,7 @@
 		result := results[fmt.Sprintf("sheet-%d", i)]
 		require.NotNil(t, result.Response, name)
 		require.Contains(t, string(result.Response.Body), "answer to "+name)
-		require.Equal(t, 1, ledger.Answers()[name], name)
+		require.Equal(t, 1, counter.Answers()[name], name)
 	}
 	ranDrained, unrun := drained.Lines()
 	ranOther, _ := other.Lines()
@@ -83,13 +83,13 @@
 		ranDrained, unrun, ranOther, n-ranDrained-ranOther)
 	require.Positive(t, unrun, "the drain must find lines that have not run")
 	require.Positive(t, min(ranDrained, ranOther), "both batch backends must run lines")
-	require.Equal(t, 1, ledger.MaximumInFlight(), "no line may have two attempts in flight")
+	require.Equal(t, 1, counter.MaximumInFlight(), "no line may have two attempts in flight")
 }
 
 // After a cancellation or the end of the completion window, each line must have exactly one result.
 func TestCancelAndExpiry(t *testing.T) {
-	ledger := testpeer.NewAttemptCounter()
-	backend := streamingBackend(t, ledger, func(string, int) int {
+	counter := testpeer.NewAttemptCounter()
+	backend := streamingBackend(t, counter, func(string, int) int {
 		time.Sleep(50 * time.Millisecond)
 		return http.StatusOK
 	})
@@ -106,8 +106,8 @@
 	} {
 		b := c.submit(inputLines(100), test.window)
 		if test.cancel {
-			before := ledger.Total()
-			require.Eventually(t, func() bool { return ledger.Total() > before }, 5*time.Second, time.Millisecond)
+			before := counter.Total()
+			require.Eventually(t, func() bool { return counter.Total() > before }, 5*time.Second, time.Millisecond)
 			require.Equal(t, http.StatusOK, c.call(http.MethodPost, "/v1/batches/"+b.ID+"/cancel", "", nil))
 		}
 		b = c.wait(b.ID, 10*time.Second)
@@ -128,8 +128,8 @@
 // A new leader must not send a line that is stored as in flight until its time has passed, and must never send a line
 // that has a result.
 func TestRestartWaitsForLinesInFlight(t *testing.T) {
-	ledger := testpeer.NewAttemptCounter()
-	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", streamingBackend(t, ledger, succeed)))
+	counter := testpeer.NewAttemptCounter()
+	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", streamingBackend(t, counter, succeed)))
 	kv := store.NewMemory()
 	until := time.Now().Add(1500 * time.Millisecond)
 	_, first := serve(t, core, kv, nil) // stores the file and the batch, and runs no line
@@ -147,23 +147,23 @@
 	write("result/%s/%06d", 2, `{"id":"y","custom_id":"sheet-2","response":null,`+
 		`"error":{"code":"server_error","message":"m"}}`)
 	second := start(t, core, kv, nil)
-	require.Eventually(t, func() bool { return ledger.Total() == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return counter.Total() == 1 }, time.Second, time.Millisecond)
 	b = second.wait(b.ID, 10*time.Second)
 	require.False(t, time.Now().Before(until))
 	require.Equal(t, batch.RequestCounts{Total: 4, Completed: 3, Failed: 1}, b.RequestCounts)
-	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, ledger.Attempts())
+	require.Equal(t, map[string]int{"line 0": 1, "line 3": 1}, counter.Attempts())
 }
 
 // A member that loses leadership must end its attempts at once, even a stream that has begun, and write no result. The
 // next leader must wait until the stored time of the line in flight.
 func TestLostLeadershipEndsAttempts(t *testing.T) {
-	ledger := testpeer.NewAttemptCounter()
+	counter := testpeer.NewAttemptCounter()
 	begun := make(chan struct{})
 	ended := make(chan time.Time, 1)
 	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		attempt := ledger.Begin("line 0")
-		defer ledger.End("line 0", attempt > 1)
+		attempt := counter.Begin("line 0")
+		defer counter.End("line 0", attempt > 1)
 		testpeer.WriteEvent(w, "half")
 		if attempt == 1 {
 			close(begun)
@@ -187,8 +187,8 @@
 	b = c.wait(b.ID, 10*time.Second)
 	require.Greater(t, time.Since(sent), 2*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
-	require.Equal(t, 2, ledger.Attempts()["line 0"])
-	require.Equal(t, 1, ledger.MaximumInFlight())
+	require.Equal(t, 2, counter.Attempts()["line 0"])
+	require.Equal(t, 1, counter.MaximumInFlight())
 }
 
 // If any one write of a batch reports an error, whether it was carried out or not, each line must still get exactly one
@@ -198,8 +198,8 @@
 		for at := int64(4); at <= 12; at++ { // the first three writes store the input file and the batch
 			t.Run(fmt.Sprintf("%d %v", at, carriedOut), func(t *testing.T) {
 				t.Parallel()
-				ledger := testpeer.NewAttemptCounter()
-				backend := streamingBackend(t, ledger, succeed)
+				counter := testpeer.NewAttemptCounter()
+				backend := streamingBackend(t, counter, succeed)
 				core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 				kv := &interruptedStore{Memory: store.NewMemory(), failAt: at, carriedOut: carriedOut}
 				c := start(t, core, kv, func(o *batch.Options) { o.LineTimeout = time.Second })
@@ -208,14 +208,14 @@
 				require.Equal(t, batch.RequestCounts{Total: 2, Completed: 2}, b.RequestCounts)
 				_, written := c.results(b.OutputFileID)
 				require.Equal(t, 2, written)
-				require.Equal(t, 1, ledger.MaximumInFlight())
-				require.LessOrEqual(t, ledger.Total(), 3, "at most one line may be sent again")
+				require.Equal(t, 1, counter.MaximumInFlight())
+				require.LessOrEqual(t, counter.Total(), 3, "at most one line may be sent again")
 			})
 		}
 	}
 }
 
-// A batch whose input file is incomplete must fail with a message instead of waiting for ever.
+// A batch whose input file is incomplete must fail with a message instead of waiting forever.
 func TestInputThatIsNotWhole(t *testing.T) {
 	core := testpeer.Start(t, testpeer.Settings())
 	kv := store.NewMemory()
@@ -233,10 +233,10 @@
 // before that backend has ended it.
 func TestLineThatCannotBeCancelled(t *testing.T) {
 	t.Parallel()
-	ledger := testpeer.NewAttemptCounter()
+	counter := testpeer.NewAttemptCounter()
 	settings := testpeer.Settings()
 	settings.Cancel = false
-	server := testpeer.NewBatchBackend(t, ledger, func(_ string, attempt int) int {
+	server := testpeer.NewBatchBackend(t, counter, func(_ string, attempt int) int {
 		if attempt == 1 {
 			time.Sleep(2500 * time.Millisecond) // longer than the line's timeout
 		}
@@ -246,6 +246,6 @@
 	c := start(t, core, store.NewMemory(), func(o *batch.Options) { o.LineTimeout = time.Second })
 	b := c.wait(c.submit(inputLines(1), "1h").ID, 20*time.Second)
 	require.Equal(t, batch.RequestCounts{Total: 1, Completed: 1}, b.RequestCounts)
-	require.Equal(t, 2, ledger.Attempts()["line 0"])
-	require.Equal(t, 1, ledger.MaximumInFlight())
+	require.Equal(t, 2, counter.Attempts()["line 0"])
+	require.Equal(t, 1, counter.MaximumInFlight())
 }
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -124,7 +124,7 @@
 	c.eventually(strings.Join(args, " "), func() bool { _, code := c.command(id, args...); return code == OK })
 }
 
-// allApplied reports whether all nodes serve by this version.
+// allApplied reports whether all nodes have applied this version.
 func (c *configurationCluster) allApplied(version int) bool {
 	text, code := c.command("a", "status")
 	return code == OK && strings.Count(text, fmt.Sprintf("  %d  ", version)) >= 3
@@ -158,7 +158,7 @@
 	require.Equal(t, "- class[0].give_up = \"5s\"\n+ class[0].give_up = \"6s\"\n", text)
 }
 
-// changeWithoutMember changes a setting while c is down. After its restart c serves by the latest version.
+// changeWithoutMember changes a setting while c is down. After its restart c applies the latest version.
 func (c *configurationCluster) changeWithoutMember() {
 	c.t.Helper()
 	c.kill("c")
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -117,12 +117,13 @@
 }
 
 // A node is killed while a backend holds a request, a stream is relayed and lines of a batch are in flight. Clients get
-// an error, and the attempts end at the backend; the node does not repeat clients' requests. What the store had
-// acknowledged survives the restart: the file, the batch, and the time before which no line in flight is sent again.
+// an error, and the attempts end at the backend; the node does not repeat clients' requests. The writes that the
+// store had acknowledged survive the restart: the file, the batch, and the time before which no line in flight is sent
+// again.
 func TestKillWithWorkInFlight(t *testing.T) {
 	t.Parallel()
 	const lineTime = 3 * time.Second
-	ledger := testpeer.NewAttemptCounter()
+	counter := testpeer.NewAttemptCounter()
 	var healthy atomic.Bool
 	var mu sync.Mutex
 	sent := map[string][]time.Time{}
@@ -132,14 +133,14 @@
 		_ = json.NewDecoder(r.Body).Decode(&body)
 		_, _ = io.Copy(io.Discard, r.Body)
 		name := body.Messages[0].Content
-		ledger.Begin(name)
+		counter.Begin(name)
 		mu.Lock()
 		sent[name] = append(sent[name], time.Now())
 		mu.Unlock()
 		if healthy.Load() {
 			testpeer.WriteEvent(w, "answer to "+name)
 			testpeer.WriteStreamEnd(w)
-			ledger.End(name, true)
+			counter.End(name, true)
 			return
 		}
 		if name == "stream" {
@@ -147,7 +148,7 @@
 		}
 		started <- name
 		<-r.Context().Done()
-		ledger.End(name, false)
+		counter.End(name, false)
 		ended <- name
 	})
 	node := newBatchNode(t, backend, lineTime.String())
@@ -208,7 +209,7 @@
 		require.Greater(t, at[1].Sub(at[0]), lineTime*9/10, "a line is not sent again before its time is over")
 	}
 	require.Len(t, sent["waits"], 1, "a restarted node does not repeat a client's request")
-	require.Equal(t, 1, ledger.MaximumInFlight())
+	require.Equal(t, 1, counter.MaximumInFlight())
 }
 
 // A node is killed at random moments during uploads. After each restart, every upload that it had acknowledged is
--- a/internal/cli/liveview.go
+++ b/internal/cli/liveview.go
@@ -32,7 +32,7 @@
 
 func isTerminal(f *os.File) bool { return term.IsTerminal(int(f.Fd())) }
 
-// liveView shows a migration on a terminal and updates as it goes on. It implements tea.Model.
+// liveView shows a migration on a terminal, and is updated until the migration ends. It implements tea.Model.
 type liveView struct {
 	call         func(method, path string, in, out any) error
 	status       controller.Status
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -21,7 +21,7 @@
 	t        *testing.T
 	platform *platform
 	address  string
-	ledger   *testpeer.AttemptCounter // the attempts that reach the backends
+	counter  *testpeer.AttemptCounter // the attempts that reach the backends
 	begin    chan struct{}            // closed to send the first event of the request "late"
 	release  chan struct{}            // closed to send the rest of the responses to "long" and "late"
 
@@ -33,7 +33,7 @@
 	t.Helper()
 	u := &upgradeTest{
 		t:       t,
-		ledger:  testpeer.NewAttemptCounter(),
+		counter: testpeer.NewAttemptCounter(),
 		begin:   make(chan struct{}),
 		release: make(chan struct{}),
 		used:    map[string]time.Time{},
@@ -53,7 +53,7 @@
 	u.used[name] = time.Now()
 	u.mu.Unlock()
 	id := r.Header.Get("X-Trace-Id")
-	u.ledger.Begin(id)
+	u.counter.Begin(id)
 	if id == "late" {
 		<-u.begin
 	}
@@ -69,7 +69,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // so that streams are in progress at any time
 	testpeer.WriteStreamEnd(w)
-	u.ledger.End(id, true)
+	u.counter.End(id, true)
 }
 
 // unusedSince reports whether a backend has got no request since a time.
@@ -109,7 +109,7 @@
 		body, err := io.ReadAll(response.Body)
 		answer <- fmt.Sprint(string(body), err)
 	}()
-	require.Eventually(u.t, func() bool { return u.ledger.Attempts()["late"] > 0 }, 2*time.Second, time.Millisecond)
+	require.Eventually(u.t, func() bool { return u.counter.Attempts()["late"] > 0 }, 2*time.Second, time.Millisecond)
 	return answer
 }
 
@@ -143,9 +143,9 @@
 	require.Contains(u.t, string(rest), "long")
 	require.Contains(u.t, string(rest), `data: {"choices":[{"index":0,"delta":{"content":"the rest"}}]}`+"\n\n")
 	require.Contains(u.t, string(rest), "[DONE]")
-	require.Equal(u.t, 1, u.ledger.Attempts()["long"])
+	require.Equal(u.t, 1, u.counter.Attempts()["long"])
 	require.Contains(u.t, <-late, "[DONE]")
-	require.Equal(u.t, 1, u.ledger.Attempts()["late"])
+	require.Equal(u.t, 1, u.counter.Attempts()["late"])
 }
 
 // failToStart starts processes whose file descriptor is not a listening socket. They exit with an error that names it,
@@ -209,8 +209,8 @@
 	u.killOld(third)
 	require.NotEmpty(t, served)
 	require.Empty(t, clients.failures)
-	require.Equal(t, 1, u.ledger.MaximumInFlight())
+	require.Equal(t, 1, u.counter.MaximumInFlight())
 	for _, id := range served {
-		require.Equal(t, 1, u.ledger.Attempts()[id], "%v", id)
+		require.Equal(t, 1, u.counter.Attempts()[id], "%v", id)
 	}
 }
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -32,11 +32,11 @@
 
 func upgradeBetween(t *testing.T, from, to string) {
 	t.Helper()
-	ledger := testpeer.NewAttemptCounter()
+	counter := testpeer.NewAttemptCounter()
 	release := make(chan struct{})
 	backends := map[string]string{}
 	for _, name := range []string{"box-1", "box-2", "box-3"} {
-		backends[name] = testpeer.StartBackend(t, answerOnceReleased(ledger, release))
+		backends[name] = testpeer.StartBackend(t, answerOnceReleased(counter, release))
 	}
 	p := newPlatform(t, backends)
 	address := p.listen.Addr().String()
@@ -58,31 +58,31 @@
 	rest, err := io.ReadAll(long.Body)
 	require.NoError(t, err)
 	require.Contains(t, string(rest), "[DONE]")
-	require.Equal(t, 1, ledger.Attempts()["long"])
+	require.Equal(t, 1, counter.Attempts()["long"])
 	served := clients.stop()
 	require.NotEmpty(t, served)
 	require.Empty(t, clients.failures)
 	for _, id := range served {
-		require.Equal(t, 1, ledger.Attempts()[id], id)
+		require.Equal(t, 1, counter.Attempts()[id], id)
 	}
-	require.Equal(t, 1, ledger.MaximumInFlight())
+	require.Equal(t, 1, counter.MaximumInFlight())
 	require.True(t, next.showsStat("app.hosts_down=1")())
 	require.Contains(t, next.output.String(), `"servers":3`, "learned state restored")
 }
 
 // answerOnceReleased returns the handler of a backend that withholds the second half of the response to the request
 // "long" until release is closed.
-func answerOnceReleased(ledger *testpeer.AttemptCounter, release <-chan struct{}) http.HandlerFunc {
+func answerOnceReleased(counter *testpeer.AttemptCounter, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Trace-Id")
-		ledger.Begin(id)
+		counter.Begin(id)
 		testpeer.WriteEvent(w, id)
 		if id == "long" {
 			<-release
 		}
 		time.Sleep(20 * time.Millisecond) // so that streams are in progress at any time
 		testpeer.WriteStreamEnd(w)
-		ledger.End(id, true)
+		counter.End(id, true)
 	}
 }
 
--- a/internal/config/batch.go
+++ b/internal/config/batch.go
@@ -6,8 +6,8 @@
 type BatchBackend struct {
 	GatherDelay  Duration `toml:"gather"` // time for which lines are collected before a file is sent
 	MaxLines     int      `toml:"lines"`  // maximum number of lines in a file
-	PollInterval Duration `toml:"poll"`   // interval between queries for a job's state
-	LostTimeout  Duration `toml:"lost"`   // time without a state after which a job counts as lost
+	PollInterval Duration `toml:"poll"`   // interval between polls of a batch
+	LostTimeout  Duration `toml:"lost"`   // time without a response to a poll after which the backend counts as lost
 }
 
 func (b *BatchBackend) setDefaults() {
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -35,7 +35,7 @@
 	Ready func() bool
 	// Metrics returns the node's counters as text.
 	Metrics func() []byte
-	// Disable disables a backend, and Up enables it again. They return ErrUnknownBackend for an id that was never
+	// Disable disables a backend, and Enable enables it again. They return ErrUnknownBackend for an id that was never
 	// listed.
 	Disable func(ctx context.Context, id string) error
 	Enable  func(ctx context.Context, id string) error
--- a/internal/endpoints/catalog.go
+++ b/internal/endpoints/catalog.go
@@ -74,7 +74,7 @@
 		}
 		if i, listed := positions[endpoint.Name]; listed {
 			faults = append(faults, &EntryError{Endpoint: endpoint.Name, Err: errors.New("listed twice")})
-			list.Endpoints[i].State = max(list.Endpoints[i].State, endpoint.State) // draining or gone overrides ready
+			list.Endpoints[i].State = max(list.Endpoints[i].State, endpoint.State) // draining or removed overrides ready
 			continue
 		}
 		positions[endpoint.Name] = len(list.Endpoints)
--- a/internal/fleet/counter/counter.go
+++ b/internal/fleet/counter/counter.go
@@ -29,8 +29,9 @@
 // Table has the counts of all nodes, as far as one node knows them. A key is the index of a counter. It is not safe
 // for concurrent use.
 type Table struct {
-	// MaxRates has, for each key, the maximum that an incarnation adds to the count in a second, as configured. What an
-	// incarnation has added since its latest snapshot is between 0 and that rate times the age of the snapshot.
+	// MaxRates has, for each key, the maximum that an incarnation adds to the count in a second, as configured. The
+	// amount that an incarnation has added since its latest snapshot is between 0 and that rate times the age of the
+	// snapshot.
 	MaxRates   []int64
 	ClockError int64 // maximum difference between the clocks of two nodes, in nanoseconds
 	Invariants *invariant.Monitor
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet runs one member of a fleet as an actor (internal/fleet/member has its protocol): it sends and
 // receives messages, maintains the lease of the node's slot, and serves the request core. The memberlist library
-// detects which nodes are up and carries the messages between them. What nodes share, and within which bounds, is
-// decided by the packages below this one.
+// detects which nodes are up and carries the messages between them. The packages below this one decide what
+// nodes share, and within which bounds.
 package fleet
 
 import (
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -175,7 +175,7 @@
 		func(b []byte) (v Status, err error) { return v, json.Unmarshal(b, &v) })
 }
 
-// jsonKeys returns the paths of all keys of a JSON value, sorted. Of a list, it takes the first element.
+// jsonKeys returns the paths of all keys of a JSON value, sorted. A list is represented by its first element.
 func jsonKeys(value any, path string) []string {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/fleet/quota/owner.go
+++ b/internal/fleet/quota/owner.go
@@ -12,7 +12,7 @@
 	FencingToken uint64 // number of the holder; 0 without a lease
 	ValidFrom    int64  // time from which the owner holds the slot
 	ExpiresAt    int64  // time at which the lease expires unless it is renewed
-	// Successor is whether an earlier incarnation of the same node may have held the slot until ValidFrom. What that
-	// incarnation spent and lent is not known.
+	// Successor is whether an earlier incarnation of the same node may have held the slot until ValidFrom. The
+	// amounts that it spent and lent are not known.
 	Successor bool
 }
--- a/internal/fleet/quota/transfer.go
+++ b/internal/fleet/quota/transfer.go
@@ -76,8 +76,8 @@
 	return max(0, minimum)
 }
 
-// minSurplusDivisor is the divisor of the base quota that gives the minimum surplus of a lender. A smaller transfer is
-// not worth a message.
+// minSurplusDivisor is the divisor of the base quota that gives the minimum surplus of a lender. A smaller transfer
+// does not justify a message.
 const minSurplusDivisor = 64
 
 // Lend lends up to an amount to another owner, in a number of windows from first on, at most TransferWindows. It
--- a/internal/fleet/session/service/hook_test.go
+++ b/internal/fleet/session/service/hook_test.go
@@ -12,8 +12,8 @@
 	"standpoint/internal/node"
 )
 
-// A call is forwarded, ends the response or pauses the session. Of several calls in one response, a rejected one takes
-// precedence over one that pauses the session.
+// A call is forwarded, ends the response or pauses the session. If a response has several calls, a rejected one
+// takes precedence over one that pauses the session.
 func TestToolCallActions(t *testing.T) {
 	c := newCluster(t, 1, nil)
 	for tools, want := range map[string]node.HookAction{
--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -21,11 +21,11 @@
 	socketSuffix = ".take"
 	// tempSuffix follows the name of the live file, in the name of a file that is being written.
 	tempSuffix = ".next"
-	// lockSuffix is of the file that is locked while the record is changed.
+	// lockSuffix is the suffix of the file that is locked while the record is changed.
 	lockSuffix = ".lock"
-	// recordSuffix is of the file with the record.
+	// recordSuffix is the suffix of the file with the record.
 	recordSuffix = ".by-hand.json"
-	// learnedSuffix is of the file with the learned state.
+	// learnedSuffix is the suffix of the file with the learned state.
 	learnedSuffix = ".learned.json"
 	// prefixHashSize is the number of bytes of the hash of the node's name in the prefix.
 	prefixHashSize = 8
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -101,8 +101,8 @@
 	return c.replaceFile(c.learnedPath(), raw)
 }
 
-// ReadLearned returns the learned state that a process has written. It returns false if there is none that was written
-// at after or later.
+// ReadLearned returns the learned state that a process has written. It returns false if there is none, or
+// if it was written earlier than the time after.
 func (c *Channel) ReadLearned(after time.Time) ([]byte, bool) {
 	info, err := os.Stat(c.learnedPath())
 	if err != nil || info.ModTime().Before(after) || info.Size() > maxFileBytes {
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -27,9 +27,9 @@
 	Version int `json:"version"`
 	// Boot is the ID of the boot whose monotonic clock the times are readings of. It is set in the file only.
 	Boot string `json:"boot,omitempty"`
-	// DownSince is when each backend that is marked down was marked, by name.
+	// DownSince has the times at which the backends that are marked down were marked down, by name.
 	DownSince map[string]int64 `json:"down"`
-	// RestoredAt is when each backend that was marked up again was marked, by name.
+	// RestoredAt has the times at which backends were marked up again, by name.
 	RestoredAt map[string]int64 `json:"back"`
 	// Listed holds the names of all backends that were ever listed, the latest last.
 	Listed []string `json:"seen"`
--- a/internal/migration/analysis_test.go
+++ b/internal/migration/analysis_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a rollback because of a stall shorter than Plan.Stall, a stall of both pools, or a slowdown of both
-// pools.
+// Guards against a rollback because of a stall shorter than Plan.MaxToleratedStall, a stall of both pools, or a
+// slowdown of both pools.
 func TestShortStallsRaiseNoAlarm(t *testing.T) {
 	for name, c := range map[string]struct {
 		windows  int
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -88,7 +88,7 @@
 			delete(t.backends, endpoint.Name)
 			continue
 		}
-		// The backend is unknown if the same list contains it as gone, too.
+		// The backend is unknown if the same list contains it as removed, too.
 		if backend := t.backends[endpoint.Name]; backend != nil {
 			backend.state = endpoint.State
 			backend.readyAt = endpoint.StartedAt
--- a/internal/migration/controller/tracker_test.go
+++ b/internal/migration/controller/tracker_test.go
@@ -35,7 +35,7 @@
 	)
 }
 
-// Guards against a crash on a list that contains the same backend as gone and as ready.
+// Guards against a crash on a list that contains the same backend as removed and as ready.
 func TestBackendThatIsListedTwice(t *testing.T) {
 	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
 	gone := endpoint("backend-1", "v1")
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -6,7 +6,7 @@
 	// warmThreshold is the fraction of its capacity from which a pool counts as warm, so that its share is not limited.
 	warmThreshold = 0.9
 	// coldBudgetFraction is the fraction of the slow-start allowance that a migration sends to a cold pool, over all
-	// nodes together. The decision module limits starting backends by a fraction of its own, coldMargin.
+	// nodes together. The decision module limits starting backends by a fraction of its own, slowStartMargin.
 	coldBudgetFraction = 0.4
 	// minCapacity avoids a division by zero if the capacity is unknown.
 	minCapacity = 1e-9
@@ -44,7 +44,7 @@
 }
 
 // merge combines the health that two nodes see. A node that sees no ready backend of the pool does not override one
-// that does. Of two warm fractions the smaller applies.
+// that does. The smaller of two warm fractions applies.
 func (h Health) merge(other Health) Health {
 	backends := max(h.Backends, other.Backends)
 	if h.Capacity == 0 {
--- a/internal/migration/window_test.go
+++ b/internal/migration/window_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a node without endpoints that resets the pool's health for all nodes. Of two views of the warm-up the
-// colder one applies.
+// Guards against a node without endpoints that resets the pool's health for all nodes. The colder of
+// two views of the warm-up applies.
 func TestWindowsOfSeveralNodesAreMerged(t *testing.T) {
 	warmView, coldView, emptyView := Health{
 		Backends:     4,
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -23,7 +23,7 @@
 	connectionPoolSize = 3 // idle connections per other member
 	// snapshotThreshold is the number of new log entries after which a snapshot is taken, and trailingLogs the number
 	// of entries that remain in the log after a snapshot. A migration's record is about 10 KB and is written every few
-	// seconds: the library's default of 10,240 trailing entries would come to 100 MB.
+	// seconds: the library's default of 10,240 trailing entries would take 100 MB.
 	snapshotThreshold = 2048
 	trailingLogs      = 1024
 )
--- a/internal/testpeer/attempt_ledger.go
+++ b/internal/testpeer/attempt_ledger.go
@@ -16,7 +16,7 @@
 	answers         map[string]int // complete answers, by request key
 }
 
-// NewAttemptCounter creates an empty ledger.
+// NewAttemptCounter creates a counter without attempts.
 func NewAttemptCounter() *AttemptCounter {
 	return &AttemptCounter{inFlight: map[string]int{}, attempts: map[string]int{}, answers: map[string]int{}}
 }
--- a/internal/testpeer/batch_backend.go
+++ b/internal/testpeer/batch_backend.go
@@ -22,8 +22,8 @@
 // its lines are run one after the other, and a cancellation skips the lines that have not been run.
 type BatchBackend struct {
 	Address string // the listen address on loopback
-	// Ledger counts each line as a request, whose key is the content of its only message.
-	Ledger *AttemptCounter
+	// Counter counts each line as a request, whose key is the content of its only message.
+	Counter *AttemptCounter
 	// Run processes one line and returns the HTTP status of its answer. It may block. The arguments are the line's key
 	// and the number of this attempt of it, from 1.
 	Run func(line string, attempt int) int
@@ -54,13 +54,13 @@
 	attempt int // the number of this attempt of the line, from 1
 }
 
-// key returns the line's request key in the ledger.
+// key returns the line's request key in the counter.
 func (l *batchLine) key() string { return l.Body.Messages[0].Content }
 
 // NewBatchBackend starts a batch backend, which stops when the test ends.
-func NewBatchBackend(t testing.TB, ledger *AttemptCounter, run func(line string, attempt int) int) *BatchBackend {
+func NewBatchBackend(t testing.TB, counter *AttemptCounter, run func(line string, attempt int) int) *BatchBackend {
 	t.Helper()
-	b := &BatchBackend{Ledger: ledger, Run: run, files: map[string]string{}, batches: map[string]*batch{}}
+	b := &BatchBackend{Counter: counter, Run: run, files: map[string]string{}, batches: map[string]*batch{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/files", b.upload)
 	mux.HandleFunc("GET /v1/files/{id}/content", b.content)
@@ -120,7 +120,7 @@
 	for text := range strings.Lines(b.files[request.File]) {
 		var line batchLine
 		_ = json.Unmarshal([]byte(text), &line) // tests upload only well-formed lines
-		line.attempt = b.Ledger.Begin(line.key())
+		line.attempt = b.Counter.Begin(line.key())
 		lines = append(lines, line)
 	}
 	b.waiting += len(lines)
@@ -134,11 +134,11 @@
 	for i := range lines {
 		line := &lines[i]
 		if !b.startLine(running) {
-			b.Ledger.End(line.key(), false)
+			b.Counter.End(line.key(), false)
 			continue
 		}
 		status := b.Run(line.key(), line.attempt)
-		b.Ledger.End(line.key(), status == http.StatusOK)
+		b.Counter.End(line.key(), status == http.StatusOK)
 		file := &output
 		if status != http.StatusOK {
 			file = &errors
--- a/internal/testpeer/drain/check_test.go
+++ b/internal/testpeer/drain/check_test.go
@@ -57,7 +57,7 @@
 		never   bool
 	}{
 		{name: "up all the time", changed: 1, due: 7},
-		{name: "down within Due of the change", changed: 4, due: 16},
+		{name: "down within NotificationTimeout of the change", changed: 4, due: 16},
 		{name: "changed while discovery is down", changed: 9, due: 16},
 		{name: "changed after discovery is up again", changed: 11, due: 17},
 		{name: "polled later", changed: 1, from: 12, due: 18},
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -82,7 +82,7 @@
 	down           bool
 	upTimes        []time.Time // each time at which it came up, the creation included
 	downTimes      []time.Time // each time at which it went down
-	silencedCount  int         // the number of Forget calls
+	silencedCount  int         // the number of SilenceWatches calls
 	calls          map[string]int
 	attachments    map[string][]attachment
 	outcomes       map[string]int
@@ -212,8 +212,8 @@
 	return notifications
 }
 
-// reachableFrom returns the first time, not before moment, from which discovery is up without interruption for Due. The
-// caller holds d.mu.
+// reachableFrom returns the first time, not before moment, from which discovery is up without interruption for
+// NotificationTimeout. The caller holds d.mu.
 func (d *Discovery) reachableFrom(moment time.Time) time.Time {
 	for i, down := range d.downTimes {
 		if !down.Before(moment.Add(NotificationTimeout)) {
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -71,8 +71,8 @@
 	require.Equal(t, string(want), string(encoded), "value encodes to other bytes than %s", Path(name))
 }
 
-// Unset returns the paths of the exported fields within value that have their zero value, such as "Lease.Until" or
-// "Loans[0].Last".
+// Unset returns the paths of the exported fields within value that have their zero value, such as "Lease.ExpiresAt"
+// or "Transfers[0].LastWindow".
 func Unset(value any) []string {
 	var paths []string
 	collectUnset(reflect.ValueOf(value), "", &paths)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -69,7 +69,7 @@
 	return m, err
 }
 
-// event decodes a line whose verb stands for an event.
+// event decodes a line with the verb of an event.
 func (l *line) event() (standpoint.Event, error) {
 	switch l.Verb {
 	case verbEngineList:
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -30,7 +30,7 @@
 
 // Message is one decoded line.
 type Message struct {
-	// Verb says what the line stands for.
+	// Verb is the kind of the line.
 	Verb string
 	// Node is the number of the node; it is not used by the verbs that frame a batch.
 	Node int
