--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -75,7 +75,7 @@
 	case wire.VerbBatchEnd:
 		a.inBatch = false
 		if _, err := a.out.Write(wire.AppendOK(a.reply)); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 		return nil
 	case wire.VerbOpenInstance:
--- a/internal/cli/configstatus.go
+++ b/internal/cli/configstatus.go
@@ -26,7 +26,7 @@
 func (o *options) configStatusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show the version that each node serves by, and why a node has not applied the latest",
+		Short: "Show the version that each node has applied, and why a node has not applied the latest",
 		Args:  usageArgs(cobra.NoArgs),
 		RunE:  func(c *cobra.Command, _ []string) error { return o.configStatus(c.Context()) },
 	}
@@ -53,7 +53,7 @@
 		return err
 	}
 	if !allCurrent {
-		return exitError{Failed, errors.New("not all nodes serve by the latest version")}
+		return exitError{Failed, errors.New("not all nodes have applied the latest version")}
 	}
 	return nil
 }
--- a/internal/cli/configwrite.go
+++ b/internal/cli/configwrite.go
@@ -81,7 +81,7 @@
 	return o.print(written, func() {
 		o.writeLines(lines)
 		if flags.dryRun {
-			fmt.Fprintln(o.Out, "it can be taken on; nothing was written")
+			fmt.Fprintln(o.Out, "the change is valid; nothing was written")
 			return
 		}
 		fmt.Fprintf(o.Out, "version %d\n", written.Number)
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -84,10 +84,10 @@
 	}
 	fmt.Fprintf(w, "  %s at %s, unchanged since %s\n", e.State, e.Address, formatAge(e.ChangedAt))
 	if e.TTL > 0 {
-		fmt.Fprintf(w, "  its records live %s, until %s\n", formatTTL(e), e.ExpiresAt.Format(time.TimeOnly))
+		fmt.Fprintf(w, "  its records have a TTL of %s, until %s\n", formatTTL(e), e.ExpiresAt.Format(time.TimeOnly))
 	}
 	if e.Stale {
-		fmt.Fprintf(w, "  stale: its records' time is over, so it is tried last\n")
+		fmt.Fprintf(w, "  stale: its records have expired, so other entries are preferred to it\n")
 	}
 	if !e.StartedAt.IsZero() {
 		fmt.Fprintf(w, "  last started %s\n", formatAge(e.StartedAt))
@@ -97,13 +97,13 @@
 func explainSource(w io.Writer, e endpoints.Origin) {
 	switch {
 	case e.Mechanism == endpoints.MechanismStore:
-		fmt.Fprintf(w, "%s is as the store last had it; %s has not told since this node started\n", e.Name, e.Server)
+		fmt.Fprintf(w, "%s is from the persisted list; %s has not confirmed it since this node started\n", e.Name, e.Server)
 	case e.Instance == "":
 		fmt.Fprintf(w, "%s is listed by the operator's file, or by the list that it names\n", e.Name)
 	default:
 		fmt.Fprintf(w, "%s is the DNS-SD instance %s\n", e.Name, e.Instance)
-		fmt.Fprintf(w, "  told by %s, which last answered %s; news comes by %s\n", e.Server, formatAge(e.CheckedAt),
-			e.Mechanism)
+		fmt.Fprintf(w, "  listed by %s, last confirmed %s; changes are discovered by %s\n", e.Server,
+			formatAge(e.CheckedAt), e.Mechanism)
 	}
 }
 
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -39,7 +39,7 @@
 	}
 	path := filepath.Join(filepath.Dir(own), "lab")
 	if _, err := os.Stat(path); err != nil {
-		err := fmt.Errorf("the laboratory's program is not beside this one: go build -o %s ./cmd/lab", path)
+		err := fmt.Errorf("laboratory program not found; build it with go build -o %s ./cmd/lab", path)
 		return exitError{Failed, err}
 	}
 	return exitError{Failed, syscall.Exec(path, append([]string{path}, args...), os.Environ())}
--- a/internal/cli/migrationtext.go
+++ b/internal/cli/migrationtext.go
@@ -23,7 +23,7 @@
 }
 
 func writePlan(w io.Writer, p migration.Plan) {
-	fmt.Fprintf(w, "from %s to %s, in %v at the least\n", p.From, p.To, p.MinimumDuration())
+	fmt.Fprintf(w, "from %s to %s, in at least %v\n", p.From, p.To, p.MinimumDuration())
 	fmt.Fprintf(w, "  warm up   %.1f%% for %v or more\n", 100*p.WarmUpShare, p.MinWarmUp)
 	for i, step := range p.Steps {
 		fmt.Fprintf(w, "  step %d    %.1f%%, watched for %v and %d flows or more\n", i+1, 100*step, p.MinHold, p.MinSamples)
@@ -50,10 +50,10 @@
 		if n.Lagging {
 			lagging = "  behind"
 		}
-		fmt.Fprintf(w, "  node %-12s version %d, heard %.1fs ago%s\n", n.Name, n.Version, n.Age, lagging)
+		fmt.Fprintf(w, "  node %-12s version %d, last report %.1fs ago%s\n", n.Name, n.Version, n.Age, lagging)
 	}
 	if len(s.Nodes) == 0 && !s.Leads {
-		fmt.Fprintf(w, "  node %s follows version %d; %s carries moves on\n", s.Node, s.Version, orNone(s.Leader))
+		fmt.Fprintf(w, "  node %s follows version %d; moves are run by %s\n", s.Node, s.Version, orNone(s.Leader))
 	}
 }
 
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -67,7 +67,7 @@
 	}
 	response, err := c.http.Do(r)
 	if err != nil {
-		return fmt.Errorf("the daemon's control interface does not answer: %w", err)
+		return fmt.Errorf("the daemon's control interface does not respond: %w", err)
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
@@ -108,7 +108,7 @@
 func decodeError(response *http.Response, raw []byte) error {
 	var body errorBody
 	if json.Unmarshal(raw, &body) != nil || body.Error == nil {
-		return fmt.Errorf("the daemon answered %s", response.Status)
+		return fmt.Errorf("the daemon responded with status %s", response.Status)
 	}
 	body.Error.Status = response.StatusCode
 	return body.Error
--- a/internal/control/token.go
+++ b/internal/control/token.go
@@ -38,7 +38,7 @@
 	}
 	token := strings.TrimSpace(string(raw))
 	if len(token) < minTokenLength || len(token) > maxTokenLength {
-		return "", fmt.Errorf("%s: a token has %d to %d characters, this one %d",
+		return "", fmt.Errorf("%s: a token must have %d to %d characters, not %d",
 			path, minTokenLength, maxTokenLength, len(token))
 	}
 	return token, nil
--- a/internal/fleet/quota/budget.go
+++ b/internal/fleet/quota/budget.go
@@ -101,7 +101,7 @@
 	case b.TransferWindows < 1 || b.TransferWindows > MaxWindows:
 		return budgetError("loan", "%d is not from 1 to %d windows", b.TransferWindows, MaxWindows)
 	case len(b.Weights) == 0 || len(b.Weights) > maxSlots:
-		return budgetError("", "%d seats; it takes 1 to 65,536", len(b.Weights))
+		return budgetError("", "%d seats are not from 1 to 65,536", len(b.Weights))
 	}
 	return nil
 }
--- a/internal/pool/selector.go
+++ b/internal/pool/selector.go
@@ -118,7 +118,7 @@
 	case t.Compare != nil && t.Compare.Matches != nil:
 		m := t.Compare.Matches
 		if m.pattern, err = regexp.Compile("^(?:" + m.Text + ")$"); err != nil {
-			return &SyntaxError{m.Pos.Line, m.Pos.Column, fmt.Sprintf("%q is no regular expression: %v", m.Text, err)}
+			return &SyntaxError{m.Pos.Line, m.Pos.Column, fmt.Sprintf("%q is not a regular expression: %v", m.Text, err)}
 		}
 	}
 	return nil
