--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -26,10 +26,10 @@
 var errHandedBack = errors.New("stream handed back to its client")
 
 const (
-	// handBackReadTimeout is how long a response that is handed back is read on for: its end may already be on the
-	// way.
+	// handBackReadTimeout is the read timeout of a response that is handed back, whose end may already be on the way.
+	// It is renewed while the socket has bytes to read.
 	handBackReadTimeout = 30 * time.Millisecond
-	// maxHandBackTime is the maximum total time for that, if bytes keep arriving without a pause.
+	// maxHandBackTime is the maximum total time for reading such a response, if bytes keep arriving without a pause.
 	maxHandBackTime = 300 * time.Millisecond
 )
 
--- a/internal/backend/mailbox.go
+++ b/internal/backend/mailbox.go
@@ -72,7 +72,7 @@
 }
 
 // postReliably posts a message that, unlike an attempt, must not be dropped: if the mailbox is full, a goroutine waits
-// until it has room.
+// until it has space.
 func (h backendHandle) postReliably(msg message) {
 	if !h.post(msg) {
 		go func() { h.mailbox <- msg }()
--- a/internal/batch/api_test.go
+++ b/internal/batch/api_test.go
@@ -63,7 +63,7 @@
 
 // An upload that is interrupted by a failed write, or because the receiving member stops, must leave no visible file.
 // Its chunks must be deleted at once or by the next leader.
-func TestUploadsThatBreakOff(t *testing.T) {
+func TestInterruptedUploadsLeaveNoFile(t *testing.T) {
 	kv := &interruptedStore{Memory: store.NewMemory(), failAt: 2}
 	core := testpeer.Start(t, testpeer.Settings())
 	service, c := serve(t, core, kv, func(o *batch.Options) { o.MaxFileBytes = 8 << 20 })
@@ -86,7 +86,7 @@
 
 // Guards against a store that grows without bound: once the files have MaxTotalFileBytes together, uploads must be
 // rejected until files are deleted, and the lines of a batch that is over must be deleted.
-func TestFilesThatNobodyDeletes(t *testing.T) {
+func TestStoredFilesAreBounded(t *testing.T) {
 	backend := streamingBackend(t, testpeer.NewAttemptCounter(), succeed)
 	core := testpeer.Start(t, testpeer.Settings(), testpeer.Endpoint("s", backend))
 	kv := store.NewMemory()
--- a/internal/batch/run_test.go
+++ b/internal/batch/run_test.go
@@ -180,9 +180,9 @@
 	sent := time.Now()
 	b := c.submit(inputLines(1), "1h")
 	<-begun
-	lost := time.Now()
+	lostAt := time.Now()
 	kv.term.Store(0)
-	require.Less(t, (<-ended).Sub(lost), 500*time.Millisecond)
+	require.Less(t, (<-ended).Sub(lostAt), 500*time.Millisecond)
 	kv.term.Store(2)
 	b = c.wait(b.ID, 10*time.Second)
 	require.Greater(t, time.Since(sent), 2*time.Second)
@@ -193,7 +193,7 @@
 
 // If any one write of a batch reports an error, whether it was carried out or not, each line must still get exactly one
 // result, and no line may have two attempts in flight.
-func TestEveryWriteOfABatchMayBreakOff(t *testing.T) {
+func TestEveryWriteOfABatchMayFail(t *testing.T) {
 	for _, carriedOut := range []bool{false, true} {
 		for at := int64(4); at <= 12; at++ { // the first three writes store the input file and the batch
 			t.Run(fmt.Sprintf("%d %v", at, carriedOut), func(t *testing.T) {
@@ -216,7 +216,7 @@
 }
 
 // A batch whose input file is incomplete must fail with a message instead of waiting forever.
-func TestInputThatIsNotWhole(t *testing.T) {
+func TestIncompleteInputFailsTheBatch(t *testing.T) {
 	core := testpeer.Start(t, testpeer.Settings())
 	kv := store.NewMemory()
 	_, c := serve(t, core, kv, nil)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -20,7 +20,7 @@
 }
 
 // The output of check is itself an operator's file with the same settings, and an error names the faulty key.
-func TestCheckPrintsWhatHolds(t *testing.T) {
+func TestCheckPrintsEffectiveSettings(t *testing.T) {
 	out, _, code := run("check", "../../deploy/operator.toml")
 	require.Zero(t, code)
 	require.Contains(t, out, `max_attempts = 3`)
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -194,9 +194,9 @@
 // startMigration starts a migration and waits for its first step. Before that it checks the commands that need no
 // migration; a second start is rejected.
 func (m *migrationTest) startMigration() {
-	fresh, _ := m.requests("new-1")
-	other, _ := m.requests("new-2")
-	require.Zero(m.t, fresh+other, "the new pool has no requests before the migration")
+	first, _ := m.requests("new-1")
+	second, _ := m.requests("new-2")
+	require.Zero(m.t, first+second, "the new pool has no requests before the migration")
 	m.requireCommand(OK, []string{"entries", "list"}, "old-1")
 	m.requireCommand(OK, []string{"entries", "explain", "new-2"}, "the operator's file")
 	m.requireCommand(Failed, []string{"entries", "explain", "new-9"})
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -29,7 +29,7 @@
 }
 
 // The responses of the control interface: statuses, headers, error codes and messages.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
 	all := []Route{
--- a/internal/dnssd/browser/browser_test.go
+++ b/internal/dnssd/browser/browser_test.go
@@ -227,7 +227,7 @@
 
 // Guards against a failure to retry truncated responses over TCP, and against a flood of queries for records with a TTL
 // of 0.
-func TestTruncatedAnswersAndZeroTTL(t *testing.T) {
+func TestTruncatedResponsesAndZeroTTL(t *testing.T) {
 	server := startResponder(t, nil, instances(5)...)
 	server.Set(responder.Faults{Truncate: true, ZeroTTL: true})
 	_, snapshots := startBrowser(t, server, Poll, nil)
--- a/internal/dnssd/resolver/query_test.go
+++ b/internal/dnssd/resolver/query_test.go
@@ -12,7 +12,7 @@
 
 // Guards against the acceptance of a response from another address, though its id and name match, or of one to another
 // query type: the later response of the server itself must be used.
-func TestAnswersFromOtherSourcesAreRejected(t *testing.T) {
+func TestResponsesFromOtherSourcesAreRejected(t *testing.T) {
 	server, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	defer func() { _ = server.Close() }()
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// lingerTime is how long a half closed connection stays open so that its client can read the response.
+	// lingerTime is how long a half-closed connection stays open so that its client can read the response.
 	lingerTime = 500 * time.Millisecond
 	// maxLingering is the maximum number of connections that linger at once.
 	maxLingering = 32
--- a/internal/edge/connection_tracker.go
+++ b/internal/edge/connection_tracker.go
@@ -40,7 +40,7 @@
 	closeOnce sync.Once
 	slotFreed chan struct{} // holds a token after a connection has ended
 
-	lingering     atomic.Int32 // half closed connections
+	lingering     atomic.Int32 // half-closed connections
 	bufferedBytes atomic.Int64 // bytes read behind open requests
 
 	mu                 sync.Mutex // guards the fields below
@@ -233,7 +233,7 @@
 	}
 }
 
-// acquireLinger acquires one of maxLingering slots for half closed connections, and reports whether it did so. Only a
+// acquireLinger acquires one of maxLingering slots for half-closed connections, and reports whether it did so. Only a
 // connection with an open request may have one. releaseLinger releases the slot.
 func (t *ConnectionTracker) acquireLinger(conn *clientConn) bool {
 	t.mu.Lock()
--- a/internal/fleet/ledger/disk_faults_test.go
+++ b/internal/fleet/ledger/disk_faults_test.go
@@ -64,7 +64,7 @@
 
 // While file operations fail at random, an append either fails or is durable, and succeeds once the disk works again,
 // even if a new segment was due during the faults. After a restart all acknowledged entries are there and count once.
-func TestADiskThatFails(t *testing.T) {
+func TestAppendsOnAFailingDisk(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/fleet/ledger/replication/replicator_test.go
+++ b/internal/fleet/ledger/replication/replicator_test.go
@@ -200,7 +200,7 @@
 }
 
 // Entries from a peer that were not requested or are invalid are rejected.
-func TestMalformedEntriesAreNotTaken(t *testing.T) {
+func TestMalformedEntriesAreRejected(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1, "b")
 	t.Cleanup(func() { require.NoError(t, r.Close()) })
 	source := ledger.Source{Slot: "b", Incarnation: 1}
--- a/internal/fleet/member/messages.go
+++ b/internal/fleet/member/messages.go
@@ -50,7 +50,7 @@
 // The kinds of quota messages. Their values are sent to other nodes.
 const (
 	RequestQuota   QuotaMessageKind = iota // requests Amount in windows FirstWindow to LastWindow at most
-	GrantTransfer                          // lends quota in answer to a request
+	GrantTransfer                          // lends quota in response to a request
 	ReturnTransfer                         // ends a transfer early, after LastWindow
 )
 
--- a/internal/fleet/member/quota.go
+++ b/internal/fleet/member/quota.go
@@ -145,7 +145,7 @@
 	return QuotaMessage{}, false
 }
 
-// grant lends quota in answer to a request, if there is a surplus and this tick's limit of grants is not reached.
+// grant lends quota in response to a request, if there is a surplus and this tick's limit of grants is not reached.
 func (m *Member) grant(allocation *quota.Allocation, borrower quota.Owner, request QuotaMessage) (QuotaMessage, bool) {
 	furtherWindows := request.LastWindow - request.FirstWindow
 	if m.grantsLeft <= 0 || request.LastWindow < request.FirstWindow || furtherWindows >= quota.MaxWindows {
--- a/internal/fleet/quota/allocation_test.go
+++ b/internal/fleet/quota/allocation_test.go
@@ -8,7 +8,7 @@
 )
 
 // A clock that is set back does not reopen a window, so that its quota is not spent twice.
-func TestClockThatGoesBackReopensNoWindow(t *testing.T) {
+func TestClockSetBackReopensNoWindow(t *testing.T) {
 	s := newSimulation(t, 1, Budget{Name: "b", Amount: 20, Window: time.Second, TransferWindows: 2})
 	s.advance(2 * second)
 	node := s.nodes[0]
--- a/internal/migration/controller/tracker_test.go
+++ b/internal/migration/controller/tracker_test.go
@@ -38,9 +38,9 @@
 // Guards against a crash on a list that contains the same backend as removed and as ready.
 func TestBackendThatIsListedTwice(t *testing.T) {
 	tracker := NewTracker(newOperatorFile(t, nil), zap.NewNop())
-	gone := endpoint("backend-1", "v1")
-	gone.State = standpoint.Removed
-	updateEndpoints(tracker, gone, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
+	removed := endpoint("backend-1", "v1")
+	removed.State = standpoint.Removed
+	updateEndpoints(tracker, removed, endpoint("backend-1", "v1"), endpoint("backend-2", "v2"))
 	require.Len(t, tracker.Members(time.Now())[1].Backends, 1)
 }
 
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -77,7 +77,7 @@
 		return ErrRequestSettled
 	case a.IsBackendDraining != nil && a.IsBackendDraining():
 		return ErrBackendDraining
-	case a.Request.clientGone():
+	case a.Request.settleIfDisconnected():
 		return ErrClientDisconnected
 	case !a.StartBefore.IsZero() && !time.Now().Before(a.StartBefore):
 		return ErrIdempotencyWindowClosed
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -152,8 +152,8 @@
 	return false
 }
 
-// clientGone reports whether the client has disconnected, and settles the request if so.
-func (r *Request) clientGone() bool {
+// settleIfDisconnected reports whether the client has disconnected, and settles the request if so.
+func (r *Request) settleIfDisconnected() bool {
 	client, ok := r.connection.(DisconnectDetector)
 	if !ok || !client.Disconnected() {
 		return false
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -106,7 +106,7 @@
 
 // A larger share moves requests only from the old pool to the new one, and no more than the difference of the shares.
 // Requests of other pools never move.
-func TestLargerShareOnlyMovesFlowsToTheNewPool(t *testing.T) {
+func TestLargerShareOnlyMovesRequestsToTheNewPool(t *testing.T) {
 	s := newTestSet(t, 0.7, 0, 0.3)
 	rapid.Check(t, func(r *rapid.T) {
 		a := rapid.Float64Range(0, 1).Draw(r, "share")
