--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -36,7 +36,7 @@
 			return nil, fmt.Errorf("pool[%d].name: missing", i)
 		}
 		if s.Number(p.Name) != i+1 {
-			return nil, fmt.Errorf("pool[%d].name: %q is the name of another pool", i, p.Name)
+			return nil, fmt.Errorf("pool[%d].name: %q is a duplicate", i, p.Name)
 		}
 		if !(p.Share >= 0 && p.Share <= 1) {
 			return nil, fmt.Errorf("pool[%d].share: %g is not from 0 to 1", i, p.Share)
