--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -20,7 +20,7 @@
 }
 
 // The output of check is itself an operator's file with the same settings, and an error names the faulty key.
-func TestCheckPrintsWhatHolds(t *testing.T) {
+func TestCheckPrintsEffectiveSettings(t *testing.T) {
 	out, _, code := run("check", "../../deploy/operator.toml")
 	require.Zero(t, code)
 	require.Contains(t, out, `max_attempts = 3`)
@@ -57,8 +57,8 @@
 		"serve --config /nowhere":             {InvalidUsage, "/nowhere"},
 		"move start":                          {InvalidUsage, "--to"},
 		"move status":                         {InvalidUsage, "--control"},
-		"move status --control 127.0.0.1:1":   {Unreachable, "does not answer"},
-		"move status --control unix:/nowhere": {Unreachable, "does not answer"},
+		"move status --control 127.0.0.1:1":   {Unreachable, "does not respond"},
+		"move status --control unix:/nowhere": {Unreachable, "does not respond"},
 		"version --output xml":                {InvalidUsage, "--output"},
 		"version extra":                       {InvalidUsage, "extra"},
 		"check":                               {InvalidUsage, "1 arg"},
