--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // the heap is small, and the time of the garbage collector is billed
+	debug.SetGCPercent(400) // the heap is small, and the time of its collection is counted as the adapter's
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
@@ -57,7 +57,8 @@
 	}
 }
 
-// handle processes one line of the input.
+// handle processes one line of the input. The line that begins a batch must be outside a batch, and every other line
+// inside one.
 func (a *adapter) handle(line []byte, lineNumber int) error {
 	message, err := wire.Decode(line)
 	if err != nil {
@@ -84,7 +85,7 @@
 	}
 	router := a.routers[message.Node]
 	if router == nil {
-		return fmt.Errorf("line %d: node %d was never opened", lineNumber, message.Node)
+		return fmt.Errorf("line %d: node %d is not open", lineNumber, message.Node)
 	}
 	if message.Verb == wire.VerbTeardown {
 		delete(a.routers, message.Node)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -41,11 +41,11 @@
 	for input, want := range map[string]string{
 		"nonsense\n":     "line 1: not a valid message",
 		batch("{\n"):     "line 2:",
-		batch(request):   "line 2: node 1 was never opened",
+		batch(request):   "line 2: node 1 is not open",
 		request:          "line 1: \"incoming\" out of place",
 		batch("")[:25]:   "line 2: input ends inside a batch",
 		batch(batch("")): "line 2: \"batch\" out of place",
-		batch(`{"verb":"teardown","node":9}` + "\n"): "line 2: node 9 was never opened",
+		batch(`{"verb":"teardown","node":9}` + "\n"): "line 2: node 9 is not open",
 	} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(input), &out)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -329,9 +329,10 @@
 	}
 }
 
-// testColdAllowance lets some of a hundred engines start while the gateways get rate requests a second in total.
-// assumed is the number of gateways in their settings; uneven gives a fifth of them six times the traffic of the
-// others.
+// testColdAllowance restarts the first engines of a hundred, as many as starting says, all at once, while the gateways
+// receive rate requests a second in total. It checks that none of the starting engines gets more requests in an
+// overload window than the rule permits, and that the first one gets some. assumed is the number of gateways according
+// to the gateways' settings. If uneven is set, a fifth of the gateways get six times the traffic of the others.
 func testColdAllowance(t *testing.T, gateways, assumed int, rate float64, starting int, uneven bool) {
 	const stepsPerWindow = 4 // the sliding window advances by a quarter of its length
 	t.Run(
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -25,8 +25,9 @@
 // lineRecord is the stored state of a line. The line's result is stored under a separate key in the same write.
 type lineRecord struct {
 	State lineState `json:"state"`
-	// Until is the time after which a line in flight has no attempt in flight any more, or the time from which a
-	// waiting line may be sent, in Unix milliseconds.
+	// Until depends on the state. For a line in flight, it is the time by which its attempt has ended, even if the
+	// outcome was never recorded. For a waiting line, it is the time from which the line may be sent. In Unix
+	// milliseconds.
 	Until    int64 `json:"until,omitempty"`
 	Attempts int   `json:"tries,omitempty"`
 }
@@ -37,7 +38,7 @@
 // untilTime returns Until as a time.
 func (r lineRecord) untilTime() time.Time { return time.UnixMilli(r.Until) }
 
-// withUntil returns the record with another Until.
+// withUntil returns a copy of the record with Until set to t.
 func (r lineRecord) withUntil(t time.Time) lineRecord {
 	r.Until = t.UnixMilli()
 	return r
@@ -123,7 +124,8 @@
 }
 
 // logUnrecorded logs an error of writing a line's record. Nothing else is needed: if another leader has changed the
-// record, the line belongs to that leader; otherwise the line stays in flight in the store until its time has passed.
+// record, the line belongs to that leader; otherwise the stored record says that the line is in flight, until the time
+// in its Until has passed.
 func (s *Service) logUnrecorded(l *line, err error) {
 	if err != nil {
 		s.Log.Warn("line not recorded", zap.String("line", l.key), zap.Error(err))
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -57,11 +57,11 @@
 	})
 	ids := []string{"a", "b", "c"}
 	members := ""
-	controls := map[string]string{}
+	controlAddresses := map[string]string{}
 	for _, id := range ids {
-		controls[id] = testpeer.FreeAddress(t)
+		controlAddresses[id] = testpeer.FreeAddress(t)
 		members += fmt.Sprintf("[[store.member]]\nid = %q\naddress = %q\ncontrol = %q\n",
-			id, testpeer.FreeAddress(t), controls[id])
+			id, testpeer.FreeAddress(t), controlAddresses[id])
 	}
 	t.Cleanup(func() {
 		for _, process := range c.running {
@@ -74,8 +74,8 @@
 		token := filepath.Join(c.dir, id, "token")
 		require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
 		batch := map[string]string{"c": "[batch]\nenabled = true\n"}[id]
-		text := fmt.Sprintf(sharedConfigurationTestFile, id, testpeer.FreeAddress(t), controls[id], backend, batch,
-			id, members)
+		text := fmt.Sprintf(sharedConfigurationTestFile,
+			id, testpeer.FreeAddress(t), controlAddresses[id], backend, batch, id, members)
 		require.NoError(t, os.WriteFile(c.file(id), []byte(text), 0o600))
 		c.start(id)
 	}
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -158,7 +158,7 @@
 	for client := range count {
 		clients.running.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				clients.request(m.listen, client, i)
+				clients.sendRequest(m.listen, client, i)
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
@@ -166,7 +166,9 @@
 	return clients
 }
 
-func (c *migrationClients) request(listen string, client, number int) {
+// sendRequest sends one request and waits for the end of the response. It counts the request as served if the response
+// is complete.
+func (c *migrationClients) sendRequest(listen string, client, number int) {
 	r, err := http.NewRequest("POST", "http://"+listen+"/v1/chat/completions", strings.NewReader(`{"messages":[]}`))
 	if err != nil {
 		return
--- a/internal/config/batch.go
+++ b/internal/config/batch.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// BatchBackend is the section [batch_server]: how requests are sent to backends that take files.
+// BatchBackend is the section [batch_server]: how requests are sent to backends that process files of requests.
 type BatchBackend struct {
-	GatherDelay  Duration `toml:"gather"` // time for which lines are collected before a file is sent
-	MaxLines     int      `toml:"lines"`  // maximum number of lines in a file
-	PollInterval Duration `toml:"poll"`   // interval between queries for a job's state
-	LostTimeout  Duration `toml:"lost"`   // time without a state after which a job counts as lost
+	GatherDelay  Duration `toml:"gather"` // time for which requests are collected before a file is sent
+	MaxLines     int      `toml:"lines"`  // maximum number of requests in a file, one a line
+	PollInterval Duration `toml:"poll"`   // interval between two polls of a batch that a backend runs
+	LostTimeout  Duration `toml:"lost"`   // time without a response to a poll after which the backend counts as lost
 }
 
 func (b *BatchBackend) setDefaults() {
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -18,10 +18,11 @@
 	"standpoint/internal/testpeer"
 )
 
-// withConsole writes an operator's file with a console, and returns its path and the console's address.
-func withConsole(t *testing.T, listen, server string) (path, console string) {
+// operatorFileWithConsole writes an operator's file that enables the console, and returns the file's path and the
+// console's address.
+func operatorFileWithConsole(t *testing.T, listen, backend string) (path, console string) {
 	t.Helper()
-	path = operatorFile(t, listen, server)
+	path = operatorFile(t, listen, backend)
 	console = testpeer.FreeAddress(t)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -45,22 +46,22 @@
 }
 
 // consoleNode is a daemon with a console and one backend. The backend delays the end of its response to the request
-// with the trace id "held" until release is closed.
+// with the trace ID "held" until release is closed.
 type consoleNode struct {
-	t       *testing.T
-	listen  string
-	console string
-	logs    *observer.ObservedLogs
-	exit    chan error
-	release chan struct{}
-	sent    atomic.Int32 // requests that the backend has received
+	t        *testing.T
+	listen   string
+	console  string
+	logs     *observer.ObservedLogs
+	exit     chan error
+	release  chan struct{}
+	received atomic.Int32 // requests that the backend has received
 }
 
 func startConsoleNode(t *testing.T) *consoleNode {
 	t.Helper()
 	n := &consoleNode{t: t, listen: testpeer.FreeAddress(t), exit: make(chan error, 1), release: make(chan struct{})}
-	server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		n.sent.Add(1)
+	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		n.received.Add(1)
 		testpeer.WriteEvent(w, "x")
 		if r.Header.Get("X-Trace-Id") == "held" {
 			<-n.release
@@ -68,11 +69,11 @@
 		testpeer.WriteStreamEnd(w)
 	})
 	var path string
-	path, n.console = withConsole(t, n.listen, server)
+	path, n.console = operatorFileWithConsole(t, n.listen, backend)
 	occupied, err := net.Listen("tcp", n.console)
 	require.NoError(t, err)
 	require.ErrorContains(t, Run(Options{ConfigFile: path, Log: zap.NewNop()}), "console: ",
-		"the error names the key of an address in use")
+		"the error for an address in use names its key in the operator's file")
 	require.NoError(t, occupied.Close())
 	core, logs := observer.New(zap.InfoLevel)
 	n.logs = logs
@@ -145,10 +146,10 @@
 	}, 2*time.Second, 5*time.Millisecond)
 	n.signal(syscall.SIGHUP)
 	n.eventually(func() bool { return n.logs.FilterMessage("configuration reloaded").Len() == 1 })
-	require.EqualValues(n.t, 1, n.sent.Load(), "the attempt in progress continues, and no new one is sent")
+	require.EqualValues(n.t, 1, n.received.Load(), "the attempt in progress continues, and no new one is sent")
 	require.Equal(n.t, 200, n.status("POST", "/ops/engines/up?id=box-1"))
 	require.Contains(n.t, <-answer, "[DONE]")
-	require.EqualValues(n.t, 2, n.sent.Load())
+	require.EqualValues(n.t, 2, n.received.Load())
 }
 
 // stopWhileDrained checks that a node that received SIGTERM stays drained, and serves the console until it exits.
--- a/internal/dnssd/mdns/querier.go
+++ b/internal/dnssd/mdns/querier.go
@@ -29,11 +29,11 @@
 	record       record.Record
 	receivedAt   time.Duration // time at which the record was last received
 	expiresAt    time.Duration // time at which the record expires
-	refreshCount int           // number of queries sent to refresh the record
-	refreshAt    time.Duration // time at which the next one is sent; 0 if none is due any more
+	refreshCount int           // number of queries sent to refresh the record since it was last received
+	refreshAt    time.Duration // time at which the next of these queries is sent; 0 if no more are sent
 }
 
-// update updates the entry with a record received now.
+// update updates the entry with a record received now. The caller must then set refreshAt by scheduleRefresh.
 func (e *entry) update(r record.Record, now time.Duration) {
 	e.record = r
 	e.receivedAt = now
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -8,8 +8,8 @@
 	"standpoint/internal/node"
 )
 
-// minConsecutiveErrors is the number of consecutive errors that count as evidence against a backend. A single one may
-// be the fault of the request.
+// minConsecutiveErrors is the number of consecutive errors from which on each error counts as evidence against a
+// backend. A single one may be the fault of the request.
 const minConsecutiveErrors = 2
 
 // UpdateEndpoints applies a change of the endpoint list. Evidence is collected on the backends that are ready.
@@ -64,8 +64,8 @@
 	return backends
 }
 
-// BackendStart returns the start time of a backend's process in the endpoint list, in Unix nanoseconds, or 0 if the
-// backend is not listed as ready.
+// BackendStart returns the start time of a backend's process according to the endpoint list, in Unix nanoseconds, or 0
+// if the backend is not listed as ready.
 func (f *Fleet) BackendStart(backend string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -104,10 +104,10 @@
 	member            *member.Member
 	lease             quota.Lease
 	siteConnectivity  *site.Machine     // nil if this slot is a core slot
-	consecutiveErrors map[string]int    // errors in a row, by backend name
-	backendNames      map[uint64]string // backend names by the hash of the name
-	backendStarts     map[string]int64  // start times of the listed processes, Unix nanoseconds, by backend name
-	backendZones      map[string]int    // zones by backend name
+	consecutiveErrors map[string]int    // number of errors without a success in between, by backend name
+	backendNames      map[uint64]string // names of the ready backends, by the hash of the name
+	backendStarts     map[string]int64  // start times of the ready backends, Unix nanoseconds, by name
+	backendZones      map[string]int    // zones of the ready backends, by name
 	rejectedRequests  uint64            // requests rejected for lack of quota
 
 	// callsMu guards the fields from here to callSemaphore.
--- a/internal/fleet/session/command.go
+++ b/internal/fleet/session/command.go
@@ -36,7 +36,7 @@
 type Command struct {
 	Kind         CommandKind `json:"kind"`
 	ID           string      `json:"id"`    // session ID
-	Turn         int         `json:"turn"`  // number of the pause that the command refers to
+	Turn         int         `json:"turn"`  // Pause: number of the previous pause, 0 if none; Claim: of the claimed pause
 	FencingToken uint64      `json:"fence"` // fencing token of the sender's claim; 0 for a first pause
 	ClaimID      string      `json:"claim"` // Claim: ID of the request that makes the claim
 	Owner        Owner       `json:"by"`    // sender of the command
--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -44,19 +44,20 @@
 
 	content      strings.Builder   // text that was produced
 	calls        map[int]*toolCall // tool calls that were produced, by their index in the response
-	tooLarge     bool              // the response exceeds a limit and cannot be paused
+	tooLarge     bool              // the response exceeds a limit, so the session cannot be paused
 	rejectedTool string            // name of the called tool that may not be called; "" if there is none
 	ended        bool              // the end of the session is recorded
 	paused       bool              // the session is recorded as paused
 
-	// The fields below are set if the response is that of a resumed session, and zero otherwise. A first pause sets id.
-	id           string
-	turn         int
-	fencingToken uint64
-	previous     continuation
-	beginOnce    sync.Once
-	timer        *time.Timer // aborts the response at the deadline
-	finish       func()      // removes the request from those in flight
+	// The fields below are set if the response is that of a resumed session, and zero otherwise. The first pause of a
+	// session sets id, too.
+	id           string       // session ID
+	turn         int          // number of the pause that was resumed
+	fencingToken uint64       // fencing token of the claim
+	previous     continuation // continuation that the session was resumed from
+	beginOnce    sync.Once    // records once that output is forwarded
+	timer        *time.Timer  // aborts the response at the deadline
+	finish       func()       // removes the request from those in flight
 }
 
 // toolCall is a tool call made by the model. A stream contains it in several parts.
--- a/internal/fleet/session/service/pause.go
+++ b/internal/fleet/session/service/pause.go
@@ -53,7 +53,8 @@
 	return session.ResumeKey(command.ID, record.Turn), time.Now().Add(timeout), nil
 }
 
-// pauseCommand returns the command that records the pause. Its ID is empty at the first pause of a session.
+// pauseCommand returns the command that records the pause. At the first pause of a session the command has no session
+// ID: the caller sets it.
 func (h *hook) pauseCommand(produced float64) (session.Command, error) {
 	command := session.Command{
 		Kind:         session.Pause,
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -27,11 +27,11 @@
 	Version int `json:"version"`
 	// Boot is the ID of the boot whose monotonic clock the times are readings of. It is set in the file only.
 	Boot string `json:"boot,omitempty"`
-	// DownSince is when each backend that is marked down was marked, by name.
+	// DownSince holds the time at which each disabled backend was disabled, by the backend's name.
 	DownSince map[string]int64 `json:"down"`
-	// RestoredAt is when each backend that was marked up again was marked, by name.
+	// RestoredAt holds the time at which each backend that was enabled again was enabled, by the backend's name.
 	RestoredAt map[string]int64 `json:"back"`
-	// Listed holds the names of all backends that were ever listed, the latest last.
+	// Listed holds the names of all backends that were ever in the endpoint list, the most recently added last.
 	Listed []string `json:"seen"`
 }
 
@@ -115,7 +115,7 @@
 }
 
 // toLocal converts the times of a record to instants of this process. Times that were written before the machine's last
-// boot, or by a build that wrote wall times, become now, so that a backend that was marked up warms up once more.
+// boot, or by a build that wrote wall times, become now, so that a backend that was enabled again warms up once more.
 func (r Record) toLocal(now int64) Record {
 	instant := func(monotonic int64) int64 {
 		if local, ok := (clock.Stamp{Boot: r.Boot, Monotonic: monotonic}).Instant(); ok {
--- a/internal/handover/stream.go
+++ b/internal/handover/stream.go
@@ -18,15 +18,15 @@
 // A stream is passed over a Unix socket. The sender writes the length of the text in 4 bytes, big endian, with the two
 // descriptors as ancillary data, and then the text. The receiver writes one byte once it has accepted the stream.
 const (
-	// passTimeout is the maximum time for all of this.
+	// passTimeout is the maximum time for passing one stream, including the confirmation.
 	passTimeout = 300 * time.Millisecond
-	// maxTextBytes is the maximum length of the text.
+	// maxTextBytes is the maximum length of the text, in bytes.
 	maxTextBytes = 1 << 20
-	// lengthBytes is the size of the length.
+	// lengthBytes is the size of the encoded length of the text.
 	lengthBytes = 4
-	// descriptorsPerPass is the number of descriptors.
+	// descriptorsPerPass is the number of descriptors that are sent with a stream: those of its two connections.
 	descriptorsPerPass = 2
-	// descriptorBytes is the size of a descriptor in the ancillary data.
+	// descriptorBytes is the size of a descriptor in the ancillary data, in bytes.
 	descriptorBytes = 4
 	// acceptedByte is the byte by which the receiver confirms that it has accepted the stream.
 	acceptedByte = 'y'
@@ -94,8 +94,8 @@
 	return listener, nil
 }
 
-// shortSocketPath returns a path to the same file, through a descriptor of its directory, that is short enough for a
-// socket's address. The path is valid until release is called.
+// shortSocketPath returns another path to the file at path that is short enough for a socket's address. It leads
+// through an open descriptor of the file's directory, and is valid until release closes that descriptor.
 func shortSocketPath(path string) (short string, release func(), err error) {
 	directory, err := os.Open(filepath.Dir(path))
 	if err != nil {
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -14,12 +14,14 @@
 // minWeight is the minimum priority weight of a request, for classes without a weight.
 const minWeight = 1e-3
 
-// The indices of a migration's pools in Tracker.counters.
 const (
-	fromPool  = 0
-	toPool    = 1
-	uncounted = -1 // the pool takes no part in the migration
-	anyKind   = -1 // Sample.Kind of a backend whose kind is not configured
+	// fromPool and toPool are the indices of the migration's pools in Tracker.counters and Tracker.samplesOffered.
+	fromPool = 0
+	toPool   = 1
+	// uncounted stands for the index of a pool that takes no part in the migration.
+	uncounted = -1
+	// anyKind is the Sample.Kind of a backend whose kind is not configured.
+	anyKind = -1
 )
 
 // RecordSent implements node.Pools. If a request's first attempt goes to another pool, no backend of its own was
@@ -173,7 +175,8 @@
 	}
 }
 
-// TakeWindow returns the counts since the last call with the current health of the pools, and resets the counts.
+// TakeWindow ends the current window and begins the next. It returns the counts of the ended window with the current
+// health of the pools.
 func (t *Tracker) TakeWindow(now time.Time) (from, to migration.PoolWindow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,6 +188,7 @@
 	return from, to
 }
 
+// resetCounters begins a window: it resets the counts and samples of both pools. The caller must hold mu.
 func (t *Tracker) resetCounters() {
 	t.counters = [2]migration.PoolWindow{}
 	t.samplesOffered = [2]int{}
--- a/internal/migration/controller/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -30,8 +30,8 @@
 	// from and to are the numbers of the migration's pools; 0 if no migration is in progress.
 	from           int
 	to             int
-	counters       [2]migration.PoolWindow // counts of from and to since the last TakeWindow
-	samplesOffered [2]int                  // responses of from and to since then, for uniform sampling
+	counters       [2]migration.PoolWindow // counts of from and to in the current window
+	samplesOffered [2]int                  // responses of from and to in the current window, sampled or not
 	overflowed     map[int]int64           // overflowed requests by pool since the process started
 	lastWarning    string                  // last logged warning about endpoints in no pool or in several
 }
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -72,7 +72,8 @@
 }
 
 // Unset returns the paths of the exported fields within value that have their zero value, such as "Lease.Until" or
-// "Loans[0].Last".
+// "Loans[0].Last". It also searches within map values and within elements of slices and arrays, and returns the paths
+// of those that are zero themselves; but elements of types such as int or string may be zero.
 func Unset(value any) []string {
 	var paths []string
 	collectUnset(reflect.ValueOf(value), "", &paths)
