--- a/internal/backend/batch_backend.go
+++ b/internal/backend/batch_backend.go
@@ -34,8 +34,8 @@
 	LostTimeout time.Duration
 }
 
-// batchBackend is a backend that processes files of requests. Attempts are gathered into a file, which is uploaded and
-// of which a batch is created. The batch is polled, and its results are joined to the attempts by custom_id.
+// batchBackend is a backend that processes files of requests. Attempts are gathered into a file. The file is uploaded,
+// and a batch is created from it. The batch is polled, and its results are joined to the attempts by custom_id.
 type batchBackend struct {
 	Options
 	backendHandle
@@ -169,7 +169,8 @@
 
 // startBatch uploads the file and creates a batch of it. Just before the first byte of either call is written, it
 // checks whether all attempts may begin. If one may not, because its client has disconnected or the backend is
-// draining, it is dropped, and a new file is made of the others.
+// draining, it is dropped, and a new file is made of the others. status is that of the response to the creation of the
+// batch, or 0 if there was none. If all attempts have been finished, there is no batch and no error.
 func (b *batchBackend) startBatch(base string, file *batchFile) (created batchObject, status int, err error) {
 	for {
 		for id, attempt := range file.attempts {
--- a/internal/backend/batch_file.go
+++ b/internal/backend/batch_file.go
@@ -175,8 +175,8 @@
 	delete(file.attempts, id)
 }
 
-// finishAll finishes the attempts that have no result. An attempt that was given up, and may have run, gets the code
-// for the reason instead of the given one.
+// finishAll finishes the attempts that have no result, with the given code. An attempt that was cancelled and may have
+// run gets the code that corresponds to the reason for the cancellation instead.
 func (b *batchBackend) finishAll(file *batchFile, code standpoint.OutcomeCode, err error) {
 	if len(file.attempts) > 0 {
 		b.Log.Info("attempts of a batch file failed",
--- a/internal/backend/chunk_parser.go
+++ b/internal/backend/chunk_parser.go
@@ -11,7 +11,7 @@
 	Size int64 `json:"size"`
 	// LineBytes is the number of bytes of the current line, of a chunk's size or a trailer.
 	LineBytes int `json:"line"`
-	// SizeEnded reports whether the line with the chunk's size has continued past the size.
+	// SizeEnded reports whether a byte has followed the size in the line with the chunk's size.
 	SizeEnded bool `json:"other"`
 	// HeadEndMatched is the number of bytes in a row that match headEnd.
 	HeadEndMatched int `json:"matched"`
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -26,10 +26,10 @@
 var errHandedBack = errors.New("stream handed back to its client")
 
 const (
-	// handBackReadTimeout is how long a response that is handed back is read on for: its end may already be on the
-	// way.
+	// handBackReadTimeout is how long a response that is handed back is still read without a pause in the bytes: its
+	// end may already be on the way.
 	handBackReadTimeout = 30 * time.Millisecond
-	// maxHandBackTime is the maximum total time for that, if bytes keep arriving without a pause.
+	// maxHandBackTime is the maximum total time for which such a response is still read, if bytes keep arriving.
 	maxHandBackTime = 300 * time.Millisecond
 )
 
@@ -70,7 +70,7 @@
 	responseEnded    bool        // the last chunk was read, and no request was begun since
 	chunks           chunkParser // position in the response
 	positionUnknown  bool        // the response could not be parsed, so that chunks is invalid
-	handBackUntil    time.Time   // until when a response that is handed back is read on; zero if it is not handed back
+	handBackUntil    time.Time   // when to stop reading a response that is handed back; zero if it is not handed back
 
 	unusable      bool // no further request may use the connection
 	failedOrEnded bool // a read failed or reached the end of the stream
@@ -135,8 +135,8 @@
 	return n, err
 }
 
-// freeze makes the reader of the response get errHandedOver after all bytes that were read. It returns false if the
-// response has ended, or the connection is no longer usable.
+// freeze makes the reader of the response get errHandedOver after the bytes that have been read so far. It returns
+// false if the response has ended, or the connection is no longer usable.
 func (c *connection) freeze() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -165,15 +165,19 @@
 }
 
 // Adjust changes the connection limits; they apply to connections that are opened from then on.
-func (f *Fleet) Adjust(dialTimeout, connIdle time.Duration, maxIdle, maxConnections int) {
+func (f *Fleet) Adjust(dialTimeout, backendIdleTimeout time.Duration, maxIdlePerBackend, maxConnections int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.DialTimeout = dialTimeout
-	f.BackendIdleTimeout = connIdle
-	f.MaxIdlePerBackend = maxIdle
+	f.BackendIdleTimeout = backendIdleTimeout
+	f.MaxIdlePerBackend = maxIdlePerBackend
 	f.MaxConnections = maxConnections
 	for _, backend := range f.backends {
-		backend.postReliably(limitsChanged{dialTimeout: dialTimeout, connIdle: connIdle, maxIdle: maxIdle})
+		backend.postReliably(limitsChanged{
+			dialTimeout:        dialTimeout,
+			backendIdleTimeout: backendIdleTimeout,
+			maxIdlePerBackend:  maxIdlePerBackend,
+		})
 	}
 }
 
--- a/internal/backend/idle_limit.go
+++ b/internal/backend/idle_limit.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// minIdle is the minimum of the limit.
+	// minIdle is the lower bound of an idleLimit.
 	minIdle = 20 * time.Millisecond
 	// idleRecovery is the time without a lost connection after which the limit doubles.
 	idleRecovery = 20 * time.Second
--- a/internal/backend/mailbox.go
+++ b/internal/backend/mailbox.go
@@ -18,7 +18,7 @@
 // process identifies the process behind a backend's name.
 type process struct {
 	address   string
-	startedAt int64 // the ReadyAt of its endpoint, in nanoseconds of the decision module's clock
+	startedAt int64 // the StartedAt of its endpoint, in nanoseconds of the decision module's clock
 }
 
 type (
@@ -34,9 +34,9 @@
 	closeIdle struct{}
 	// limitsChanged sets the limits for connections that are opened from then on.
 	limitsChanged struct {
-		dialTimeout time.Duration
-		connIdle    time.Duration
-		maxIdle     int
+		dialTimeout        time.Duration
+		backendIdleTimeout time.Duration
+		maxIdlePerBackend  int
 	}
 )
 
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -7,7 +7,8 @@
 	"standpoint"
 )
 
-// LoadHeader is the name of the load report: of the response header, and in the comment line at the end of a stream.
+// LoadHeader is the name of the response header with a backend's load report. The comment line with the report at the
+// end of a stream has the same name.
 const LoadHeader = "Endpoint-Load-Metrics"
 
 // parseReport parses a load report in its text form: TEXT x0=0.4, x1=1.2, util=0.61. It returns nil if there is no
--- a/internal/backend/stream_backend.go
+++ b/internal/backend/stream_backend.go
@@ -26,7 +26,7 @@
 	// maxDrainBytes is the maximum number of bytes read of a response other than 200, so that its connection can be
 	// reused.
 	maxDrainBytes = 16 << 10
-	// drainTimeout is the maximum time for that.
+	// drainTimeout is the maximum time for reading the rest of a response other than 200.
 	drainTimeout = 100 * time.Millisecond
 	// maxExtraConnections is the maximum number of further connections tried for a request that could not be written to
 	// the one before.
@@ -67,8 +67,8 @@
 			}
 		case limitsChanged:
 			b.DialTimeout = msg.dialTimeout
-			b.BackendIdleTimeout = msg.connIdle
-			b.MaxIdlePerBackend = msg.maxIdle
+			b.BackendIdleTimeout = msg.backendIdleTimeout
+			b.MaxIdlePerBackend = msg.maxIdlePerBackend
 			connections.CloseIdleConnections()
 			connections = transport(b.Options, b.idleLimit)
 		case closeIdle:
--- a/internal/backend/stream_state.go
+++ b/internal/backend/stream_state.go
@@ -8,21 +8,21 @@
 	firstEventTimeout = time.Second
 	// maxSilence is the time without an event after which a stream is broken off.
 	maxSilence = 3 * time.Second
-	// minResumableSilence is the minimum of that time for a stream whose client can request the rest. It is above the
-	// pauses of backends, which last up to 600 ms.
+	// minResumableSilence is the lower bound of the time without an event after which a stream is broken off whose
+	// client can request the rest. It is above the pauses of backends, which last up to 600 ms.
 	minResumableSilence = time.Second
-	// silenceFactor is that time for such a stream, as a multiple of its longest pause so far.
+	// silenceFactor is the ratio of the time after which such a stream is broken off to its longest pause so far.
 	silenceFactor = 4
 
 	// readSize is the initial size of a stream's buffer, in bytes.
 	readSize = 16 << 10
-	// maxEventBytes is the maximum size of one event.
+	// maxEventBytes is the maximum size of one event, in bytes.
 	maxEventBytes = 64 << 10
-	// maxStreamBytes is the maximum size of a response.
+	// maxStreamBytes is the maximum size of a response, in bytes.
 	maxStreamBytes = 16 << 20
-	// eventsPerToken is the maximum number of events for each token that the request allows.
+	// eventsPerToken is the maximum number of events for each output token that the request allows.
 	eventsPerToken = 2
-	// extraEvents is the number of events that a response may have in addition.
+	// extraEvents is the number of events that a response may have beyond those for its tokens.
 	extraEvents = 64
 )
 
--- a/internal/edge/adopt.go
+++ b/internal/edge/adopt.go
@@ -14,9 +14,9 @@
 	"standpoint/internal/node"
 )
 
-// Adopt continues a response that another process of this node has begun, until its end. stalled is how long the client
-// has stalled the response so far. Adopt closes the connection at the end, since the HTTP server does not serve it; the
-// client opens another one for its next request.
+// Adopt continues a response that another process of this node has begun, until its end. run carries the attempt, as
+// for node.Core.Adopt. stalled is the total time for which the client has stalled the response so far. Adopt closes the
+// connection at the end, since the HTTP server does not serve it; the client opens another one for its next request.
 func (f *Front) Adopt(ctx context.Context, client net.Conn, traceID, class string, stalled time.Duration,
 	run func(*node.Attempt)) {
 	defer client.Close()
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -60,7 +60,8 @@
 	f.serve(w, r, control, request, node.Work{Body: raw, MaxTokens: body.maxTokens()})
 }
 
-// rejectUnreadable responds to a request that could not be read or decoded, and is not forwarded.
+// rejectUnreadable responds to a request that is not forwarded because it could not be read or decoded, or because its
+// trace ID is that of another request.
 func (f *Front) rejectUnreadable(w http.ResponseWriter, r *http.Request, control *http.ResponseController, err error) {
 	if errors.Is(err, errBodyCapacity) {
 		f.countUnsent(r, metrics.Rejected)
--- a/internal/edge/clientconn.go
+++ b/internal/edge/clientconn.go
@@ -38,7 +38,7 @@
 	active         bool      // a request is open
 	stateChangedAt time.Time // when the connection was accepted, or became active or idle
 	headReceived   bool      // a complete request head has been read
-	closing        bool      // the tracker has requested its close, and no longer counts it for evictions
+	closing        bool      // the tracker has requested its close, and evicts no further connection in its place
 	stopped        bool      // closed because the node stops
 
 	mu             sync.Mutex         // guards the fields below
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -20,8 +20,8 @@
 	closeIdleGrace = 30 * time.Millisecond
 )
 
-// SetDraining starts or stops a manual drain, during which idle connections are closed. It also ends once the tracker
-// is closed and has no connections left. A call that changes nothing has no effect.
+// SetDraining starts or stops a manual drain, during which idle connections are closed. A drain also ends once the
+// tracker is closed and has no connections left. A call that changes nothing has no effect.
 func (t *ConnectionTracker) SetDraining(draining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +57,8 @@
 }
 
 // closeIdleSince requests the close of the connections that have been idle for minimumIdle, and returns the number of
-// all connections. It closes none once stop is closed; a nil stop never is.
+// all connections. Connections on which no request head has been received are closed only during a manual drain. It
+// closes none once stop is closed; a nil stop never is.
 func (t *ConnectionTracker) closeIdleSince(now time.Time, minimumIdle time.Duration, stop <-chan struct{}) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/edge/headers.go
+++ b/internal/edge/headers.go
@@ -142,7 +142,7 @@
 // decision module.
 func parseTokens(s string, maximum float64) (float64, error) {
 	n, err := strconv.ParseFloat(s, 64)
-	if err == nil && !(n >= 0 && n <= maximum) { // a form that NaN fails too
+	if err == nil && !(n >= 0 && n <= maximum) { // written so that NaN is an error too
 		err = strconv.ErrRange
 	}
 	return n, err
--- a/internal/edge/read_ahead.go
+++ b/internal/edge/read_ahead.go
@@ -12,10 +12,10 @@
 const (
 	// readAheadSize is the buffer size of one read, in bytes.
 	readAheadSize = 4 << 10
-	// maxConnReadAhead is the maximum number of bytes to read behind an open request. A client that sends more does not
-	// wait for its response, and is treated as disconnected.
+	// maxConnReadAhead is the maximum number of bytes to read behind an open request of one client. A client that sends
+	// more does not wait for its response, and is treated as disconnected.
 	maxConnReadAhead = 1 << 20
-	// maxTotalReadAhead is the number of buffered bytes of all clients from which no more is read ahead.
+	// maxTotalReadAhead is the number of buffered bytes of all clients together at which reading ahead stops.
 	maxTotalReadAhead = 8 << 20
 )
 
--- a/internal/edge/request_head.go
+++ b/internal/edge/request_head.go
@@ -96,9 +96,9 @@
 }
 
 // plainChunks reports whether a request's body is chunked and its head has no Content-Length. It returns false unless
-// the parser has observed the head from its first byte: a head whose start was read together with the body of the
-// request before it is not known completely. The parser's first line is then not the request line, and no header line
-// of a valid head is a prefix of the request line.
+// the parser has observed the head from its first byte. If the start of the head was read together with the body of the
+// request before it, the parser has taken a later line of the head for the request line. The comparison with the actual
+// request line detects that, since no header line of a valid head is a prefix of it.
 func plainChunks(r *http.Request) bool {
 	conn, ok := clientConnOf(r)
 	if !ok {
--- a/internal/edge/response.go
+++ b/internal/edge/response.go
@@ -17,7 +17,7 @@
 
 func (e *requestError) Error() string { return e.message }
 
-// cause returns the cause under which the request is counted.
+// cause returns the cause under which the metrics count the request.
 func (e *requestError) cause() metrics.UnsentCause {
 	switch e.status {
 	case http.StatusConflict:
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// trackRequests cancels the context of a request when its client disconnects, and closes its connection after the
-// response when many connections are open.
+// trackRequests returns a handler that cancels the context of a request when its client disconnects, and closes the
+// connection after the response if half of the connection limit is in use.
 func trackRequests(handler http.Handler, tracker *ConnectionTracker) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body == http.NoBody {
--- a/internal/edge/session.go
+++ b/internal/edge/session.go
@@ -8,8 +8,9 @@
 	"standpoint/internal/node"
 )
 
-// handleSession prepares the session handling of a request. A request that names a session becomes its resumption, and
-// the response to one that offers tools is inspected. It reports whether it has responded to the request itself.
+// handleSession prepares the session handling of a request. A request with a resume key is turned into one that resumes
+// the session, or cancels the session at once. The response to a request that offers tools will be inspected.
+// handleSession reports whether it has responded to the request itself.
 func (f *Front) handleSession(w http.ResponseWriter, r *http.Request, request *node.Request) (responded bool) {
 	key := r.Header.Get(resumeHeader)
 	switch {
@@ -66,7 +67,8 @@
 	return false
 }
 
-// writeSessionError responds to a request for a session that cannot be resumed or cancelled, for now or for good.
+// writeSessionError responds to a request for a session that cannot be resumed or cancelled. An error that a retry may
+// overcome is counted as a rejection, and any other as a failure.
 func (f *Front) writeSessionError(w http.ResponseWriter, r *http.Request, err *service.RequestError) {
 	if err.Status >= 500 || err.RetryAfter > 0 {
 		f.countUnsent(r, metrics.Rejected)
--- a/internal/endpoints/catalog.go
+++ b/internal/endpoints/catalog.go
@@ -20,14 +20,14 @@
 
 // catalogEntry is the JSON form of an endpoint in a catalog.
 type catalogEntry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+	Host   string  `json:"host"`    // name of the endpoint
+	Dial   string  `json:"dial"`    // host:port
+	Site   string  `json:"site"`    // name of the zone
+	Class  string  `json:"class"`   // name of the kind
+	Block  int     `json:"block"`   // cell
+	Health string  `json:"health"`  // one of healthNames
+	Share  float64 `json:"share"`   // size, in the list's unit of capacity
+	BornMS int64   `json:"born_ms"` // start of the backend's process, as a Unix time in milliseconds
 }
 
 // EntryError reports an invalid entry of an endpoint list.
--- a/internal/endpoints/names.go
+++ b/internal/endpoints/names.go
@@ -27,7 +27,8 @@
 // healthNames are the names of the decision module's states in endpoint lists and TXT records, indexed by state.
 var healthNames = []string{standpoint.Ready: "ready", standpoint.Draining: "draining", standpoint.Removed: "gone"}
 
-// parseHealth returns the state with a name in healthNames. For an unknown name it returns Gone and an error.
+// parseHealth returns the state with a name in healthNames. For an unknown name it returns standpoint.Removed and an
+// error.
 func parseHealth(health string) (standpoint.State, error) {
 	if i := slices.Index(healthNames, health); i >= 0 {
 		return standpoint.State(i), nil
--- a/internal/endpoints/service.go
+++ b/internal/endpoints/service.go
@@ -31,7 +31,7 @@
 type ServiceSource struct {
 	BrowserOptions browser.Options // Publish is set by Run
 	Key            string          // identifies the source among others, also in the persisted list
-	Config         string          // a text of the source's configuration; differs if the configuration differs
+	Config         string          // the source's configuration as text; equal texts mean an equal configuration
 	Site           string          // the site of instances that publish none; if empty, they are in the first zone
 	Suffix         string          // appended to the instances' names, to distinguish those of several services
 	Guard          record.Guard    // holds back a list that has lost many instances at once
@@ -112,10 +112,10 @@
 
 // evaluation is the result of interpreting a snapshot. The keys of the maps are the instances' full names.
 type evaluation struct {
-	endpoints    map[string]node.Endpoint
-	faults       map[string]string
-	listed       map[string]bool
-	dampedBefore int64 // the earliest instant at which a damped instance may be used; math.MaxInt64 if there is none
+	endpoints map[string]node.Endpoint
+	faults    map[string]string
+	listed    map[string]bool
+	releaseAt int64 // the earliest instant at which a damped instance may be used again; math.MaxInt64 if none is damped
 }
 
 // evaluate handles a snapshot, and calls Notify if the list has changed. It returns the time after which the same
@@ -137,8 +137,8 @@
 	s.serial = snapshot.Serial
 	s.confirmedAt = snapshot.ObservedAt
 	s.publish()
-	if next.dampedBefore < math.MaxInt64 {
-		return time.Duration(next.dampedBefore-clock.Of(now)) + time.Millisecond
+	if next.releaseAt < math.MaxInt64 {
+		return time.Duration(next.releaseAt-clock.Of(now)) + time.Millisecond
 	}
 	return 0
 }
@@ -158,10 +158,10 @@
 // interpret determines each instance's endpoint, or why it is not used.
 func (s *ServiceSource) interpret(snapshot browser.Snapshot, now time.Time) evaluation {
 	next := evaluation{
-		endpoints:    map[string]node.Endpoint{},
-		faults:       map[string]string{},
-		listed:       make(map[string]bool, len(snapshot.Instances)),
-		dampedBefore: math.MaxInt64,
+		endpoints: map[string]node.Endpoint{},
+		faults:    map[string]string{},
+		listed:    make(map[string]bool, len(snapshot.Instances)),
+		releaseAt: math.MaxInt64,
 	}
 	for _, instance := range snapshot.Instances {
 		next.listed[instance.Name] = true
@@ -173,7 +173,7 @@
 		endpoint, err := s.endpoint(instance, now)
 		if err == nil && !used && !s.unpublished {
 			if until := s.Damper.SuppressedUntil(instance.Name, clock.Of(now)); until > clock.Of(now) {
-				next.dampedBefore = min(next.dampedBefore, until)
+				next.releaseAt = min(next.releaseAt, until)
 				err = &dampedError{until: until}
 			}
 		}
--- a/internal/endpoints/stored.go
+++ b/internal/endpoints/stored.go
@@ -12,8 +12,8 @@
 // errInvalidEntry reports an entry of the persisted list whose name, size or start is invalid.
 var errInvalidEntry = errors.New("host missing, or share or born_ms out of range")
 
-// storedEndpoint is the persisted form of an endpoint. Zone and kind are stored by name, since their indexes may differ
-// in the configuration of the next process.
+// storedEndpoint is the persisted form of an endpoint. Its fields up to BornMS are those of a catalogEntry. Zone and
+// kind are stored by name, since their indexes may differ in the configuration of the next process.
 type storedEndpoint struct {
 	Host   string            `json:"host"`
 	Dial   string            `json:"dial"`
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -53,7 +53,7 @@
 	fullRequested bool // the full list is to be fetched, even if the node has a list of this discovery
 	timeouts      int  // consecutive timeouts of polls that open a watch or request the full list
 	failures      int  // consecutive polls that failed or timed out
-	rejections    int  // of the failures, the most recent consecutive rejections
+	rejections    int  // consecutive rejected polls up to the last failure; 0 if that was not a rejection
 
 	inFlight []*poll // from the oldest to the latest
 	results  chan pollResult
--- a/internal/endpoints/watchtiming.go
+++ b/internal/endpoints/watchtiming.go
@@ -22,7 +22,7 @@
 	// is established.
 	openWait = 100 * time.Millisecond
 
-	// watchSlack is how long after the wait a response may arrive before the watch counts as silent.
+	// watchSlack is the time after the end of the poll's wait from which the watch counts as silent without a response.
 	watchSlack = 500 * time.Millisecond
 	// openSlack is the same for a poll that opens a watch; it is longer, since discovery may queue such a poll for 3 s.
 	openSlack = 3 * time.Second
@@ -39,7 +39,8 @@
 	lateTolerance = 5 * time.Second
 
 	// maxPolls is the maximum number of polls in flight.
-	maxPolls    = 4
+	maxPolls = 4
+	// dialTimeout is the maximum time to open a connection to discovery.
 	dialTimeout = 500 * time.Millisecond
 )
 
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -65,8 +65,8 @@
 	c.release(request)
 }
 
-// send starts an attempt. Whatever the decision module asks for, a request never has two attempts in flight (unless the
-// settings allow second copies), never more than MaxAttempts in total, and none after it is settled.
+// send starts an attempt. Whatever the decision module requests, a request never has two attempts in flight (unless the
+// settings allow hedged requests), never more than MaxAttempts in total, and none after it is settled.
 func (c *Core) send(request *Request, action standpoint.Action) {
 	now := time.Now()
 	attempt := &Attempt{
@@ -84,7 +84,9 @@
 	allowed := c.authorizeAttempt(request, attempt)
 	request.attempts = append(request.attempts, attempt)
 	attempt.ctx, attempt.cancelContext = context.WithCancelCause(context.Background())
-	attempt.deadlineTimer = time.AfterFunc(time.Until(attempt.Deadline), func() { attempt.cancelUnclaimed(ErrNoFirstEvent) })
+	attempt.deadlineTimer = time.AfterFunc(
+		time.Until(attempt.Deadline), func() { attempt.cancelUnclaimed(ErrNoFirstEvent) },
+	)
 	attempt.inFlight = true
 	if allowed && c.Backends.Send(attempt) {
 		if c.Pools != nil {
@@ -104,8 +106,9 @@
 	})
 }
 
-// authorizeAttempt reports whether a request may start the attempt. A retry is charged to the retry budget of the
-// fleet, so it must be called once an attempt; the charge is the last check, so that a forbidden attempt costs nothing.
+// authorizeAttempt reports whether a request may start the attempt. It must be called exactly once for each attempt,
+// since it charges a retry to the fleet's retry budget. The charge is the last check, so that an attempt that another
+// check forbids is not charged for.
 func (c *Core) authorizeAttempt(request *Request, attempt *Attempt) bool {
 	if request.isSettled() || !attempt.Deadline.After(attempt.Sent) || c.attemptLimitReached(request) {
 		return false
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -77,7 +77,7 @@
 		return ErrRequestSettled
 	case a.IsBackendDraining != nil && a.IsBackendDraining():
 		return ErrBackendDraining
-	case a.Request.clientGone():
+	case a.Request.settleIfDisconnected():
 		return ErrClientDisconnected
 	case !a.StartBefore.IsZero() && !time.Now().Before(a.StartBefore):
 		return ErrIdempotencyWindowClosed
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// Claim claims the request for this attempt at its first event, and reports whether it succeeded. If it did not, the
-// request is settled, claimed by another attempt, or the attempt was cancelled, or the answer could not be begun;
-// nothing of this attempt may reach the client.
+// Claim claims the request for this attempt at its first event, and reports whether it succeeded. It fails if the
+// request is settled or claimed by another attempt, if this attempt was cancelled, or if the answer could not be begun.
+// Nothing of this attempt may reach the client then.
 func (a *Attempt) Claim() bool {
 	request := a.Request
 	request.mu.Lock()
@@ -145,9 +145,9 @@
 	return 0, errors.New("client connection cannot be moved to another process")
 }
 
-// OnHandBack sets the function that ends the attempt's stream when the request is handed back, after everything that
-// the backend has sent by then. endStream must not block. If it returns false, it could not end the stream, and the
-// attempt's context is cancelled instead.
+// OnHandBack sets the function that is called when the request is handed back. It makes the attempt's stream end once
+// everything that the backend has sent by then was forwarded. endStream must not block. If it returns false, it could
+// not end the stream, and the attempt's context is cancelled instead.
 func (a *Attempt) OnHandBack(endStream func() bool) {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
@@ -214,8 +214,8 @@
 	}
 }
 
-// interrupt ends an attempt that has claimed its request. When it is handed back, the attempt first forwards what its
-// backend has sent already, since that may include the end of the stream.
+// interrupt ends an attempt that has claimed its request. If the request is handed back, the attempt first forwards
+// what its backend has sent already, since that may include the end of the stream.
 func (a *Attempt) interrupt(reason error) {
 	a.Request.mu.Lock()
 	endStream := a.endStream
--- a/internal/node/interfaces.go
+++ b/internal/node/interfaces.go
@@ -76,9 +76,9 @@
 
 // Charge is the amount charged for an admitted request to a budget in one of its windows.
 type Charge struct {
-	Budget int // -1 if the request counts against no budget
-	Window int64
-	Amount int64
+	Budget int   // index of the budget; -1 if the request counts against none
+	Window int64 // the budget's window at the time of the charge
+	Amount int64 // tokens charged
 	// UncachedTokens is the number of prompt tokens that have not been charged for before; 0 stands for the whole
 	// prompt.
 	UncachedTokens float64
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// handBackRequest ends a request as HandBack describes. A waiting request is rejected, which tells its client that a
-// retry is harmless, only if that is so; if an attempt may have run, the request fails instead.
+// handBackRequest ends a request as HandBack describes. A rejection means to the client that a retry is harmless. A
+// waiting request is therefore rejected only if none of its attempts may have run; otherwise it fails.
 func (c *Core) handBackRequest(request *Request, all bool) {
 	var answer *Answer
 	switch {
@@ -251,7 +251,7 @@
 	c.release(request)
 }
 
-// observation returns the end of the attempt as reported to the pools and the fleet.
+// observation returns what the pools and the fleet are notified of at the end of the attempt.
 func (m attemptFinished) observation() Observation {
 	attempt := m.attempt
 	o := Observation{
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -49,8 +49,8 @@
 	ErrHandedBack         = errors.New("request handed back to the client for another node")
 )
 
-// Reasons for which an attempt does not start although it was decided on: the state may have changed before the first
-// byte is written.
+// Reasons for which an attempt does not start after the decision module has decided on it: the state may change between
+// the decision and the first byte.
 var (
 	ErrBackendDraining         = errors.New("backend is draining")
 	ErrIdempotencyWindowClosed = errors.New("idempotency window has closed")
@@ -152,8 +152,9 @@
 	return false
 }
 
-// clientGone reports whether the client has disconnected, and settles the request if so.
-func (r *Request) clientGone() bool {
+// settleIfDisconnected reports whether the client has disconnected. If it has, the request is settled, or the attempt
+// that has claimed it is interrupted.
+func (r *Request) settleIfDisconnected() bool {
 	client, ok := r.connection.(DisconnectDetector)
 	if !ok || !client.Disconnected() {
 		return false
