--- a/internal/backend/disconnect_test.go
+++ b/internal/backend/disconnect_test.go
@@ -41,7 +41,7 @@
 			require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, 2*time.Second, time.Millisecond)
 			dials.Release <- struct{}{}
 			n.WaitForCore()
-			time.Sleep(20 * time.Millisecond) // for a request that must not arrive
+			time.Sleep(20 * time.Millisecond) // time for a request to arrive, which must not happen
 			require.Equal(t, failures, recorder.count(a.Address)+recorder.count(b.Address))
 		})
 	}
@@ -68,6 +68,6 @@
 	n.UpdateEndpoints(a) // while the disconnect is being handled
 	n.WaitForCore()
 	require.Eventually(t, func() bool { return n.Core.OpenRequests() == 0 }, time.Second, time.Millisecond)
-	time.Sleep(20 * time.Millisecond) // for a request that must not arrive
+	time.Sleep(20 * time.Millisecond) // time for a request to arrive, which must not happen
 	require.Zero(t, recorder.count(a.Address))
 }
--- a/internal/backend/stream_handover_test.go
+++ b/internal/backend/stream_handover_test.go
@@ -78,9 +78,8 @@
 
 // A stream with any state that DecodeStream accepts can be continued without a panic or surplus payload.
 func FuzzDecodeStream(f *testing.F) {
-	valid, _ := json.Marshal(
-		Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}},
-	) // cannot fail for a constant value
+	// Marshal cannot fail for a constant value.
+	valid, _ := json.Marshal(Stream{Trace: "t", Class: 1, Chunks: chunkParser{Phase: inChunkData, Size: 7}})
 	f.Add(valid)
 	f.Add([]byte(`{"trace":"t","chunks":{"phase":1,"size":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -93,12 +92,10 @@
 			_, _ = io.WriteString(far, completeResponse)
 			far.Close()
 		}()
-		got, _ := io.ReadAll(
-			&remainder{
-				connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks},
-				chunks:     s.Chunks,
-			},
-		) // with or without an error
+		got, _ := io.ReadAll(&remainder{ // with or without an error
+			connection: &connection{Conn: near, idleLimit: &idleLimit{}, chunks: s.Chunks},
+			chunks:     s.Chunks,
+		})
 		require.LessOrEqual(t, len(got), len(completeResponse))
 		near.Close()
 	})
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -124,7 +124,7 @@
 	c.eventually(strings.Join(args, " "), func() bool { _, code := c.command(id, args...); return code == OK })
 }
 
-// allApplied reports whether all nodes serve by this version.
+// allApplied reports whether all nodes have applied this version of the shared configuration.
 func (c *configurationCluster) allApplied(version int) bool {
 	text, code := c.command("a", "status")
 	return code == OK && strings.Count(text, fmt.Sprintf("  %d  ", version)) >= 3
--- a/internal/edge/disconnect_test.go
+++ b/internal/edge/disconnect_test.go
@@ -78,9 +78,8 @@
 				require.NoError(t, err)
 				<-dialer.Connected
 				if size > 0 {
-					_, _ = conn.Write(
-						rawRequest(t, n, size, nil)[:size],
-					) // fails if the node has closed the connection because of too many bytes
+					// Fails if the node has closed the connection because of too many bytes.
+					_, _ = conn.Write(rawRequest(t, n, size, nil)[:size])
 				}
 				disconnect(conn)
 				disconnectedAt := time.Now()
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -57,9 +57,7 @@
 			require.NoError(t, err)
 			status, _ := readResponse(t, conn, reader)
 			require.Equal(t, http.StatusOK, status)
-			time.Sleep(
-				2100 * time.Millisecond,
-			) // until the connection may be evicted; the tracker has no test clock
+			time.Sleep(2100 * time.Millisecond) // until the connection may be evicted; the tracker has no test clock
 			reads.BlockNext()
 			_, err = conn.Write(rawRequest(t, n, 20<<10, nil))
 			require.NoError(t, err)
@@ -196,7 +194,8 @@
 
 // TestManualDrain drains a node manually and undoes it. During the drain the health check fails at once, an open stream
 // continues to its end, an idle connection serves one more request and closes with the response, idle and silent
-// connections close, and requests that arrive much later are rejected with a Retry-After. Afterwards all is as before.
+// connections close, and requests that arrive much later are rejected with a Retry-After. After the drain all of this is
+// undone.
 func TestManualDrain(t *testing.T) {
 	release := make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/edge/helpers_test.go
+++ b/internal/edge/helpers_test.go
@@ -59,7 +59,7 @@
 	return response
 }
 
-// withTraceID returns an edit that sets a request's ID.
+// withTraceID returns an edit that sets a request's trace ID.
 func withTraceID(id string) func(*http.Request) {
 	return withHeader("X-Trace-Id", id)
 }
--- a/internal/edge/metrics_test.go
+++ b/internal/edge/metrics_test.go
@@ -65,7 +65,7 @@
 	requireMetrics(counts(5, 1, 3, 8, 0))
 }
 
-// scriptedBackend responds according to the request's ID: "held" closes received and waits for release, "cut" is
+// scriptedBackend responds according to the trace ID: "held" closes received and waits for release, "cut" is
 // interrupted, "wrong" is rejected as invalid, and any other is served.
 func scriptedBackend(received chan<- struct{}, release <-chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/edge/retry_test.go
+++ b/internal/edge/retry_test.go
@@ -53,8 +53,8 @@
 	require.LessOrEqual(t, after, int32(3))
 }
 
-// TestRejectedAttemptIsRetried guards against giving up on a request that a backend has rejected with the proof that
-// nothing ran: it is retried.
+// TestRejectedAttemptIsRetried guards against giving up on a request that a backend has rejected with the header
+// X-Never-Ran, which states that nothing ran: it is retried.
 func TestRejectedAttemptIsRetried(t *testing.T) {
 	var sent atomic.Int32
 	n := startWithBackend(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/edge/syscall_faults_test.go
+++ b/internal/edge/syscall_faults_test.go
@@ -116,20 +116,20 @@
 			t.Parallel()
 			const clients, each, deadline, grace = 20, 10, 2 * time.Second, 500 * time.Millisecond
 			faults := testpeer.NewFaults(seed)
-			ledger := testpeer.NewAttemptCounter()
+			attempts := testpeer.NewAttemptCounter()
 			faults.SingleByteReads = seed%2 == 1
-			var last atomic.Pointer[time.Time] // when the draining backend last got a request
-			last.Store(&time.Time{})
+			var lastAttemptAt atomic.Pointer[time.Time] // when the draining backend last got a request
+			lastAttemptAt.Store(&time.Time{})
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				id := r.Header.Get("X-Trace-Id")
-				ledger.Begin(id)
-				defer ledger.End(id, true)
+				attempts.Begin(id)
+				defer attempts.End(id, true)
 				time.Sleep(5 * time.Millisecond) // service time
 				respondAlways(w, r)
 			}
 			a := testpeer.Endpoint("a", testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				now := time.Now()
-				last.Store(&now)
+				lastAttemptAt.Store(&now)
 				serve(w, r)
 			}))
 			b := testpeer.Endpoint("b", testpeer.StartBackend(t, serve))
@@ -141,7 +141,7 @@
 			faults.FailFraction(testpeer.Write, 0.05, transferErrors...)
 			var all sync.WaitGroup
 			statuses := make(chan int, clients*each)
-			var drained time.Time // written by the first client, and read once all have ended
+			var drainedAt time.Time // written by the first client, and read once all have ended
 			for i := range clients {
 				all.Go(func() {
 					for j := range each {
@@ -149,7 +149,7 @@
 							draining := a
 							draining.State = standpoint.Draining
 							n.UpdateEndpoints(draining, b, c)
-							drained = time.Now()
+							drainedAt = time.Now()
 						}
 						statuses <- requestOnce(t, n, deadline)
 					}
@@ -165,11 +165,11 @@
 				}
 			}
 			require.GreaterOrEqual(t, served, clients*each*9/10)
-			require.LessOrEqual(t, ledger.MaximumInFlight(), 1, "attempts of one request in flight at once")
-			for id, sent := range ledger.Attempts() {
+			require.LessOrEqual(t, attempts.MaximumInFlight(), 1, "attempts of one request in flight at once")
+			for id, sent := range attempts.Attempts() {
 				require.LessOrEqual(t, sent, 3, id)
 			}
-			require.Less(t, last.Load().Sub(drained), grace, "attempt at a draining backend")
+			require.Less(t, lastAttemptAt.Load().Sub(drainedAt), grace, "attempt at a draining backend")
 		})
 	}
 }
--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -79,7 +79,7 @@
 	f.refund(charge, cost)
 }
 
-// tokenCost returns the cost of a request in tokens, or the maximum that it may be if the actual cost is not known.
+// tokenCost returns the cost of a request in tokens, or its maximum cost if the actual cost is not known.
 func tokenCost(promptTokens float64, request *standpoint.Request, answer node.Answer) int64 {
 	switch answer.Kind {
 	case node.Served:
--- a/internal/node/bounds_test.go
+++ b/internal/node/bounds_test.go
@@ -10,8 +10,9 @@
 	"standpoint"
 )
 
-// TestCoreBoundsAttempts guards against a decision module that asks for too many attempts: the Core allows a request
-// one attempt in flight, three in total (Settings.MaxAttempts), and none after its answer.
+// TestCoreBoundsAttempts guards against a decision module that requests too many attempts: the Core allows a request
+// one attempt in flight, three in total (Settings.MaxAttempts), and none after its answer. An attempt that the Core
+// does not allow counts towards the total.
 func TestCoreBoundsAttempts(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -166,7 +166,7 @@
 	d.wake()
 }
 
-// SilenceWatches makes discovery never answer the watches that are open now.
+// SilenceWatches makes discovery never respond to the watches that are open now.
 func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
