--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -58,7 +58,8 @@
 		Body:        body,
 	}, content))
 	if !ended || ctx.Err() != nil {
-		return node.ClientDisconnected // another leader may own the line; it is stored as in flight until its time has passed
+		// Another leader may own the line. It is stored as in flight until the time in its record's Until has passed.
+		return node.ClientDisconnected
 	}
 	s.recordOutcome(ctx, l, answer, traceID, content)
 	return answer.Kind
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -65,8 +65,8 @@
 	return strings.TrimSpace(string(raw))
 })
 
-// monotonicOffset returns the offset from an instant of this process to the reading of the machine's monotonic clock, in
-// nanoseconds. Linux always has that clock, so the 0 for an error is never returned.
+// monotonicOffset returns the offset from an instant of this process to the reading of the machine's monotonic clock,
+// in nanoseconds. Linux always has that clock, so the 0 for an error is never returned.
 var monotonicOffset = sync.OnceValue(func() int64 {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -17,7 +17,8 @@
 	readTimeout = 1500 * time.Millisecond
 	// commandTimeout bounds the time to carry out a command.
 	commandTimeout = 800 * time.Millisecond
-	writeTimeout   = 2 * time.Second
+	// writeTimeout bounds the time to write a response, from the end of the request's header.
+	writeTimeout = 2 * time.Second
 	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 4 << 10
 )
@@ -35,7 +36,7 @@
 	Ready func() bool
 	// Metrics returns the node's counters as text.
 	Metrics func() []byte
-	// Disable disables a backend, and Up enables it again. They return ErrUnknownBackend for an id that was never
+	// Disable disables a backend, and Enable enables it again. They return ErrUnknownBackend for an id that was never
 	// listed.
 	Disable func(ctx context.Context, id string) error
 	Enable  func(ctx context.Context, id string) error
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -132,8 +132,8 @@
 	if waited >= maxEndpointsWait {
 		return true
 	}
-	hasKnownList := len(a.platform.KnownEndpoints) > 0 && a.platform.Settings.SubscribeDiscovery
-	if waited < pushedListWait && !hasKnownList {
+	mayUseKnownList := len(a.platform.KnownEndpoints) > 0 && a.platform.Settings.SubscribeDiscovery
+	if waited < pushedListWait && !mayUseKnownList {
 		return false
 	}
 	alone := a.siblings == nil || a.siblings.SiblingCount() == 0
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -20,16 +20,16 @@
 	currentKey       = "settings/current"  // holds the number of the latest version
 	versionKeyPrefix = "settings/version/" // followed by the version's number; holds the version
 
-	settingsPollInterval = 150 * time.Millisecond
-	catchUpPollInterval  = 20 * time.Millisecond
-	settingsTimeout      = 10 * time.Second // bounds the wait until this node has checked or applied a version
+	settingsPollInterval = 150 * time.Millisecond // interval at which the store is polled for a new version
+	catchUpPollInterval  = 20 * time.Millisecond  // interval of the checks whether the store has caught up
+	settingsTimeout      = 10 * time.Second       // bounds the wait until this node has checked or applied a version
 )
 
 // SettingsStatus is the state of the shared configuration at a node.
 type SettingsStatus struct {
 	Node     string           `json:"node"`
 	Latest   uint64           `json:"latest"`            // latest version known to this node; 0 for none
-	Applied  uint64           `json:"applied"`           // version in force; 0 if only the node's own file is
+	Applied  uint64           `json:"applied"`           // version in force; 0 if the node uses its own file only
 	Rejected string           `json:"refused,omitempty"` // reason why the latest version is not applied
 	Version  settings.Version `json:"version"`           // the latest version
 }
--- a/internal/daemon/siblings.go
+++ b/internal/daemon/siblings.go
@@ -13,8 +13,11 @@
 )
 
 const (
+	// siblingPollInterval is the interval at which the number of siblings and their recorded overrides are polled.
 	siblingPollInterval = 100 * time.Millisecond
-	learnedTimeout      = 500 * time.Millisecond // bounds both publishing and awaiting learned state
+	// learnedTimeout bounds the time to publish learned state, and the wait for that of a sibling.
+	learnedTimeout = 500 * time.Millisecond
+	// learnedPollInterval is the interval at which a process that takes over polls for that state.
 	learnedPollInterval = 10 * time.Millisecond
 )
 
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -194,8 +194,8 @@
 
 // TestManualDrain drains a node manually and undoes it. During the drain the health check fails at once, an open stream
 // continues to its end, an idle connection serves one more request and closes with the response, idle and silent
-// connections close, and requests that arrive much later are rejected with a Retry-After. After the drain all of this is
-// undone.
+// connections close, and requests that arrive much later are rejected with a Retry-After. After the drain all of this
+// is undone.
 func TestManualDrain(t *testing.T) {
 	release := make(chan struct{})
 	n := startWithBackend(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/endpoints/service_test.go
+++ b/internal/endpoints/service_test.go
@@ -25,8 +25,8 @@
 	notified []node.EndpointList
 }
 
-// newSourceHarness returns a harness whose guard holds a list for 10 s if more than 0.5 of the instances are missing, and
-// whose damper allows 3 flaps.
+// newSourceHarness returns a harness whose guard holds a list for 10 s if more than 0.5 of the instances are missing,
+// and whose damper allows 3 flaps.
 func newSourceHarness() *sourceHarness {
 	h := &sourceHarness{now: time.Unix(1_800_000_000, 0)}
 	h.ServiceSource = &ServiceSource{
--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -13,19 +13,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Parts of file names, which begin with a prefix that the processes of a node share.
+// Parts of file names, which all begin with a prefix that the processes of a node share.
 const (
-	// liveSuffix follows the process's ID in the name of its live file, which the process locks while it runs.
+	// liveSuffix ends the name of a process's live file, after the process ID. The process locks that file while it
+	// runs.
 	liveSuffix = ".live"
-	// socketSuffix follows the name of the live file, in the name of the socket that receives streams.
+	// socketSuffix is appended to the name of the live file in the name of the socket that receives streams.
 	socketSuffix = ".take"
-	// tempSuffix follows the name of the live file, in the name of a file that is being written.
+	// tempSuffix is appended to the name of the live file in the name of a file that is being written.
 	tempSuffix = ".next"
-	// lockSuffix is of the file that is locked while the record is changed.
+	// lockSuffix ends the name of the file that is locked while the record is changed.
 	lockSuffix = ".lock"
-	// recordSuffix is of the file with the record.
+	// recordSuffix ends the name of the file with the record.
 	recordSuffix = ".by-hand.json"
-	// learnedSuffix is of the file with the learned state.
+	// learnedSuffix ends the name of the file with the learned state.
 	learnedSuffix = ".learned.json"
 	// prefixHashSize is the number of bytes of the hash of the node's name in the prefix.
 	prefixHashSize = 8
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -14,9 +14,9 @@
 	recordVersion = 1
 	// maxNames is the maximum number of names in each part of a record.
 	maxNames = 8192
-	// maxNameBytes is the maximum length of a name.
+	// maxNameBytes is the maximum length of a name, in bytes.
 	maxNameBytes = 256
-	// maxFileBytes is the maximum size of the file with the record, and of that with the learned state.
+	// maxFileBytes is the maximum size of the file with the record, and of that with the learned state, in bytes.
 	maxFileBytes = 8 << 20
 )
 
--- a/internal/handover/stream.go
+++ b/internal/handover/stream.go
@@ -194,7 +194,7 @@
 }
 
 // PassStream passes a stream, which is a text and two sockets, to a sibling that accepts it. The descriptors stay open.
-// If no sibling accepts streams, the error is ErrNoSibling.
+// If no sibling listens for streams, the error is ErrNoSibling; otherwise it is that of the last sibling tried.
 func (c *Channel) PassStream(text []byte, first, second int) error {
 	if len(text) > maxTextBytes {
 		return fmt.Errorf("pass stream: text of %d bytes exceeds the maximum of %d", len(text), maxTextBytes)
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -5,8 +5,8 @@
 const (
 	// warmThreshold is the fraction of its capacity from which a pool counts as warm, so that its share is not limited.
 	warmThreshold = 0.9
-	// coldBudgetFraction is the fraction of the slow-start allowance that a migration sends to a cold pool, over all
-	// nodes together. The decision module limits starting backends by a fraction of its own, coldMargin.
+	// coldBudgetFraction is the fraction of the slow-start budget that a migration sends to a cold pool, over all nodes
+	// together. The decision module limits starting backends by a fraction of its own, slowStartMargin.
 	coldBudgetFraction = 0.4
 	// minCapacity avoids a division by zero if the capacity is unknown.
 	minCapacity = 1e-9
