--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -84,8 +84,8 @@
 	return list
 }
 
-// replacedBackends records, by name, when the address of a listed backend changed, in nanoseconds of Unix time. A new
-// address means another backend, which starts cold: nothing that was learned about the old one applies to it. The
+// replacedBackends records, by name, when the address of a listed backend changed, as an instant of internal/clock. A
+// new address means another backend, which starts cold: nothing that was learned about the old one applies to it. The
 // recorded time serves as its start unless the file states one.
 type replacedBackends map[string]int64
 
@@ -112,51 +112,51 @@
 
 // browsedEndpointsComponent provides the endpoint list from DNS-SD.
 func browsedEndpointsComponent(a *assembly) (component, error) {
-	all, err := a.newBrowsers(a.operator)
+	all, err := a.newServiceSources(a.operator)
 	if err != nil {
 		return component{}, err
 	}
-	browsers := endpoints.NewServiceSources(a.updateEndpoints, all...)
-	a.endpointSource = browsers
-	a.endpointCache.ExpiryTimes = browsers.ExpiryTimes
-	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, browsers.Origins()...) })
+	sources := endpoints.NewServiceSources(a.updateEndpoints, all...)
+	a.endpointSource = sources
+	a.endpointCache.ExpiryTimes = sources.ExpiryTimes
+	a.addEntriesRoute(func() []endpoints.Origin { return append([]endpoints.Origin{}, sources.Origins()...) })
 	var next []*endpoints.ServiceSource // created by check for the reload that follows it
 	return component{
 		name: "endpoints",
-		run:  runTogether(a.endpointCache.Run, browsers.Run),
+		run:  runTogether(a.endpointCache.Run, sources.Run),
 		start: func(context.Context) {
 			if known, ok := a.endpointCache.Load(time.Now()); ok {
-				browsers.Restore(known)
+				sources.Restore(known)
 				a.updateEndpoints(known)
 			}
 		},
 		check: func(to deployment) (err error) {
-			next, err = a.newBrowsers(to.operator)
+			next, err = a.newServiceSources(to.operator)
 			return err
 		},
-		reload: func(deployment) { browsers.Replace(next) },
+		reload: func(deployment) { sources.Replace(next) },
 	}, nil
 }
 
-// newBrowsers returns a source for each DNS-SD service that the operator's file browses.
-func (a *assembly) newBrowsers(cfg *config.OperatorFile) ([]*endpoints.ServiceSource, error) {
+// newServiceSources returns a source for each DNS-SD service that the operator's file browses.
+func (a *assembly) newServiceSources(cfg *config.OperatorFile) ([]*endpoints.ServiceSource, error) {
 	var all []*endpoints.ServiceSource
 	for i := range cfg.Endpoints.Browses {
 		roots, err := cfg.RootCertificates(a.baseDirectory, i)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, a.newBrowser(cfg, i, roots))
+		all = append(all, a.newServiceSource(cfg, i, roots))
 	}
 	return all, nil
 }
 
-// newBrowser returns the source for the i-th browsed service.
-func (a *assembly) newBrowser(cfg *config.OperatorFile, i int, roots *x509.CertPool) *endpoints.ServiceSource {
+// newServiceSource returns the source for the i-th browsed service.
+func (a *assembly) newServiceSource(cfg *config.OperatorFile, i int, roots *x509.CertPool) *endpoints.ServiceSource {
 	section := &cfg.Endpoints
 	browse := section.Browses[i]
 	log := a.log.With(zap.String("domain", browse.Domain))
-	find := browser.Options{
+	options := browser.Options{
 		Service:         record.Service{Type: browse.Service, Subtype: browse.Subtype, Domain: browse.Domain},
 		Server:          browse.Server,
 		Mechanism:       browser.Mechanism(browse.Updates),
@@ -167,13 +167,13 @@
 		Metrics:         a.discoveryMetrics,
 		Log:             log,
 	}
-	if find.Mechanism == browser.MDNS {
-		find.DialMDNS = func() (browser.Transport, error) { return browser.DialUnicast(browse.Server) }
+	if options.Mechanism == browser.MDNS {
+		options.DialMDNS = func() (browser.Transport, error) { return browser.DialUnicast(browse.Server) }
 	}
-	browser := &endpoints.ServiceSource{
-		BrowserOptions: find,
+	source := &endpoints.ServiceSource{
+		BrowserOptions: options,
 		Key:            browse.Key(),
-		Config:         browserConfig(section, browse),
+		Config:         serviceSourceConfig(section, browse),
 		Site:           browse.Site,
 		Guard:          record.Guard{MaxLossFraction: section.GuardFraction, HoldTime: int64(section.GuardHold)},
 		Damper:         record.Damper{HalfLife: int64(*section.FlapHalfLife), MaxFlaps: section.MaxFlaps},
@@ -181,14 +181,14 @@
 		Log:            log,
 	}
 	if len(section.Browses) > 1 { // instances with the same name in two domains are two backends
-		browser.Suffix = "@" + strings.TrimSuffix(browse.Domain, ".")
+		source.Suffix = "@" + strings.TrimSuffix(browse.Domain, ".")
 	}
-	return browser
+	return source
 }
 
-// browserConfig returns a text of all settings of a browser. Two browsers with the same text are configured alike, so
+// serviceSourceConfig returns all settings of a source as text. Two sources with the same text are configured alike, so
 // that a reload need not replace the old one.
-func browserConfig(section *config.Endpoints, browse config.Browse) string {
+func serviceSourceConfig(section *config.Endpoints, browse config.Browse) string {
 	several := len(section.Browses) > 1
 	return fmt.Sprint(browse, section.PollInterval, section.RefreshInterval, section.GuardHold, section.GuardFraction,
 		*section.FlapHalfLife, section.MaxFlaps, several)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -17,12 +17,13 @@
 	acceptAfterStop = 600 * time.Millisecond
 	// shutdownTimeout bounds the wait for accepted requests if the platform does not kill the process.
 	shutdownTimeout = time.Minute
-	// handBackDelay is the time from SIGTERM until requests that the kill would interrupt are handed back to the
-	// platform.
+	// handBackDelay is the time from SIGTERM until streams that the kill would interrupt are handed back to their
+	// clients, which resume them at another node.
 	handBackDelay = 2200 * time.Millisecond
-	// killMargin is the time before the kill at which no request may remain.
+	// killMargin is the time before the kill at which all remaining requests are handed back.
 	killMargin = 400 * time.Millisecond
-	// exitMargin is the time before the kill at which the process exits even if something still blocks.
+	// exitMargin is the time before the kill at which a process that drains closes its idle connections, and at which a
+	// process that hands over exits even if something still blocks.
 	exitMargin = 100 * time.Millisecond
 
 	// closeIdleDelay is the time from the beginning of a hand-over until idle connections are closed.
@@ -44,7 +45,7 @@
 
 // drain accepts clients for acceptAfterStop, then closes the listener and waits for the accepted requests. Requests
 // that a kill by the platform would interrupt are handed back before it. If the platform does not kill the process
-// (killDelay is 0), requests that remain shortly before timeout are answered by this node instead.
+// (killDelay is 0), requests that remain shortly before timeout are handed back.
 func (a *assembly) drain(killDelay, timeout time.Duration) error {
 	if err := a.lifecycle.Enter(node.Draining); err != nil {
 		return err
--- a/internal/daemon/streams.go
+++ b/internal/daemon/streams.go
@@ -45,7 +45,9 @@
 
 // acceptStreams adopts streams that siblings pass to this process, until the context ends.
 func (a *assembly) acceptStreams(ctx context.Context) {
-	adopt := func(text []byte, client, server net.Conn) bool { return a.adoptStream(ctx, text, client, server) }
+	adopt := func(text []byte, client, backendConn net.Conn) bool {
+		return a.adoptStream(ctx, text, client, backendConn)
+	}
 	if err := a.siblings.AcceptStreams(ctx, adopt); err != nil {
 		a.log.Warn("stream adoption unavailable", zap.Error(err))
 	}
@@ -53,15 +55,15 @@
 
 // adoptStream continues a stream of a sibling in a goroutine. It returns false if it does not take ownership of the
 // connections.
-func (a *assembly) adoptStream(ctx context.Context, text []byte, client, server net.Conn) bool {
+func (a *assembly) adoptStream(ctx context.Context, text []byte, client, backendConn net.Conn) bool {
 	transfer, stream, err := decodeTransfer(text)
 	if phase := a.lifecycle.Phase(); err != nil || phase > node.ManuallyDrained {
 		a.log.Warn("stream not adopted", zap.Stringer("phase", phase), zap.Error(err))
 		return false
 	}
 	a.adoptedStreams.Go(func() {
-		defer server.Close() // if the core does not admit the request, nothing else closes the connection
-		resume := func(attempt *node.Attempt) { a.backends.ContinueStream(stream, server, attempt) }
+		defer backendConn.Close() // if the core does not admit the request, nothing else closes the connection
+		resume := func(attempt *node.Attempt) { a.backends.ContinueStream(stream, backendConn, attempt) }
 		a.front.Adopt(ctx, client, stream.Trace, transfer.Class, stream.ClientStall, resume)
 	})
 	return true
