--- a/internal/config/batch.go
+++ b/internal/config/batch.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// BatchBackend is the section [batch_server]: how requests are sent to backends that take files.
+// BatchBackend is the section [batch_server]: how requests are sent to backends that process files of requests.
 type BatchBackend struct {
-	GatherDelay  Duration `toml:"gather"` // time for which lines are collected before a file is sent
-	MaxLines     int      `toml:"lines"`  // maximum number of lines in a file
-	PollInterval Duration `toml:"poll"`   // interval between polls of a batch
+	GatherDelay  Duration `toml:"gather"` // time for which requests are collected before a file is sent
+	MaxLines     int      `toml:"lines"`  // maximum number of requests in a file, one a line
+	PollInterval Duration `toml:"poll"`   // interval between two polls of a batch that a backend runs
 	LostTimeout  Duration `toml:"lost"`   // time without a response to a poll after which the backend counts as lost
 }
 
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -17,7 +17,8 @@
 	readTimeout = 1500 * time.Millisecond
 	// commandTimeout bounds the time to carry out a command.
 	commandTimeout = 800 * time.Millisecond
-	writeTimeout   = 2 * time.Second
+	// writeTimeout bounds the time to write a response, from the end of the request's header.
+	writeTimeout = 2 * time.Second
 	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 4 << 10
 )
