--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -54,7 +54,7 @@
 	o, err := ParseOperatorFile(operatorText(t, fullFile))
 	require.NoError(t, err)
 	o.Pools, o.Endpoints.Browses, o.Fleet.Budgets = o.Pools[:1], o.Endpoints.Browses[:1], o.Fleet.Budgets[:1]
-	for _, path := range golden.Unset(o) {
+	for _, path := range golden.UnsetFields(o) {
 		name, _, _ := strings.Cut(path, ".")
 		field, ok := reflect.TypeFor[OperatorFile]().FieldByName(name)
 		require.True(t, ok)
@@ -132,7 +132,7 @@
 	p.ListenerFD, p.KnownEndpoints = 5, json.RawMessage("{}") // set by an environment variable, and compared above
 	p.Settings.Classes = p.Settings.Classes[:1]
 	p.Settings.Classes[0].Effect = standpoint.Keyed // since Safe is the zero value, which Unset would report
-	require.Empty(t, golden.Unset(p))
+	require.Empty(t, golden.UnsetFields(p))
 	piggyback, err := parsePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), noVariables)
 	require.NoError(t, err)
 	require.Equal(t, standpoint.ReportResponses, piggyback.Settings.Reports)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -57,9 +57,9 @@
 	cfg.Settings.Classes = []standpoint.Class{{Effect: standpoint.Keyed, DedupScope: standpoint.GroupCell, DedupWindow: 1,
 		Streamed: true, TTFTObjective: 2, TTFTObjectivePer1000Tokens: 3,
 		TPOTObjective: 4, ObjectiveStretch: 5.5, Deadline: 6, Weight: 7.5, LateWeight: 8.5, Name: "chat"}}
-	require.Empty(t, golden.Unset(cfg.Settings.Classes))
-	require.Empty(t, golden.Unset(cfg.Settings.Tenants))
-	require.Empty(t, golden.Unset(cfg.Batch))
+	require.Empty(t, golden.UnsetFields(cfg.Settings.Classes))
+	require.Empty(t, golden.UnsetFields(cfg.Settings.Tenants))
+	require.Empty(t, golden.UnsetFields(cfg.Batch))
 	keys := store.NewMemory()
 	go maintainMemberSettings(keys, cfg, zap.NewNop())(t.Context())
 	require.Eventually(t, func() bool { return len(keys.List("")) == 1 }, 5*time.Second, time.Millisecond)
--- a/internal/endpoints/overrides.go
+++ b/internal/endpoints/overrides.go
@@ -60,7 +60,7 @@
 		siblings: siblings,
 		log:      log,
 		listed:   map[string]bool{},
-		record:   handover.Record{DownSince: map[string]int64{}, RestoredAt: map[string]int64{}},
+		record:   handover.Record{DisabledAt: map[string]int64{}, EnabledAt: map[string]int64{}},
 	}
 	cache.overlay = o.apply
 	o.Sync()
@@ -81,9 +81,9 @@
 		if endpoint.State == standpoint.Removed {
 			continue
 		}
-		if o.record.DownSince[endpoint.Name] != 0 {
+		if o.record.DisabledAt[endpoint.Name] != 0 {
 			endpoint.State = standpoint.Draining
-		} else if restoredAt := o.record.RestoredAt[endpoint.Name]; restoredAt != 0 {
+		} else if restoredAt := o.record.EnabledAt[endpoint.Name]; restoredAt != 0 {
 			endpoint.StartedAt = max(endpoint.StartedAt, restoredAt)
 			endpoint.Reinstated = true
 		}
@@ -108,19 +108,19 @@
 // ErrNotPersisted.
 func (o *Overrides) Disable(name string) error {
 	return o.command(name, func(record *handover.Record, now int64) {
-		if record.DownSince[name] == 0 {
-			record.DownSince[name] = now
+		if record.DisabledAt[name] == 0 {
+			record.DisabledAt[name] = now
 		}
-		delete(record.RestoredAt, name)
+		delete(record.EnabledAt, name)
 	})
 }
 
 // Enable reverses Disable, and has no effect on a backend that is not disabled. Its errors are those of Disable.
 func (o *Overrides) Enable(name string) error {
 	return o.command(name, func(record *handover.Record, now int64) {
-		if record.DownSince[name] != 0 {
-			delete(record.DownSince, name)
-			record.RestoredAt[name] = now
+		if record.DisabledAt[name] != 0 {
+			delete(record.DisabledAt, name)
+			record.EnabledAt[name] = now
 		}
 	})
 }
@@ -130,10 +130,10 @@
 	o.commandMu.Lock()
 	defer o.commandMu.Unlock()
 	o.mu.Lock()
-	known := o.listed[name] || o.record.DownSince[name] != 0
+	known := o.listed[name] || o.record.DisabledAt[name] != 0
 	next := handover.Record{
-		DownSince:  maps.Clone(o.record.DownSince),
-		RestoredAt: maps.Clone(o.record.RestoredAt),
+		DisabledAt: maps.Clone(o.record.DisabledAt),
+		EnabledAt:  maps.Clone(o.record.EnabledAt),
 		Listed:     o.record.Listed,
 	}
 	o.mu.Unlock()
@@ -177,17 +177,17 @@
 	o.cache.updateOverlay(func() func(name string) bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		forgetOldestRestored(next.RestoredAt)
+		forgetOldestRestored(next.EnabledAt)
 		before := o.record
-		o.record.DownSince = next.DownSince
-		o.record.RestoredAt = next.RestoredAt
+		o.record.DisabledAt = next.DisabledAt
+		o.record.EnabledAt = next.EnabledAt
 		for _, name := range next.Listed {
 			o.rememberName(name)
 		}
 		return func(name string) bool {
-			restoredAt := next.RestoredAt[name]
-			return before.DownSince[name] != next.DownSince[name] ||
-				restoredAt != 0 && before.RestoredAt[name] != restoredAt
+			restoredAt := next.EnabledAt[name]
+			return before.DisabledAt[name] != next.DisabledAt[name] ||
+				restoredAt != 0 && before.EnabledAt[name] != restoredAt
 		}
 	}, o.notify)
 }
--- a/internal/handover/files_test.go
+++ b/internal/handover/files_test.go
@@ -22,13 +22,13 @@
 	record, changed, err := channels[2].ReadRecord()
 	require.NoError(t, err)
 	require.False(t, changed)
-	require.Empty(t, record.DownSince)
+	require.Empty(t, record.DisabledAt)
 	const updates = 100
 	var writing sync.WaitGroup
 	for writer := range 2 {
 		writing.Go(func() {
 			for i := range updates {
-				_, err := channels[writer].UpdateRecord(func(r *Record) { r.DownSince[fmt.Sprint(writer, "-", i)] = 1 })
+				_, err := channels[writer].UpdateRecord(func(r *Record) { r.DisabledAt[fmt.Sprint(writer, "-", i)] = 1 })
 				require.NoError(t, err)
 			}
 		})
@@ -38,8 +38,8 @@
 		record, changed, err := channels[2].ReadRecord()
 		require.NoError(t, err)
 		if changed {
-			require.GreaterOrEqual(t, len(record.DownSince), seen)
-			seen = len(record.DownSince)
+			require.GreaterOrEqual(t, len(record.DisabledAt), seen)
+			seen = len(record.DisabledAt)
 		}
 	}
 	writing.Wait()
@@ -58,10 +58,10 @@
 		require.Error(t, err, bad)
 		require.False(t, changed)
 	}
-	_, err = channel.UpdateRecord(func(r *Record) { r.DownSince["s"] = 1 })
+	_, err = channel.UpdateRecord(func(r *Record) { r.DisabledAt["s"] = 1 })
 	require.NoError(t, err)
 	record, changed, err := channel.ReadRecord()
 	require.NoError(t, err)
 	require.True(t, changed)
-	require.Equal(t, map[string]int64{"s": 1}, record.DownSince)
+	require.Equal(t, map[string]int64{"s": 1}, record.DisabledAt)
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,8 +21,8 @@
 
 // The JSON form of the record, as processes of other builds read and write it.
 func TestGoldenRecord(t *testing.T) {
-	value := Record{Version: 1, Boot: "boot-1", DownSince: map[string]int64{"s-1": 11},
-		RestoredAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
+	value := Record{Version: 1, Boot: "boot-1", DisabledAt: map[string]int64{"s-1": 11},
+		EnabledAt: map[string]int64{"s-2": 12}, Listed: []string{"s-1", "s-2"}}
 	golden.RoundTrip(t, "record.json", value, func(r Record) ([]byte, error) { return json.Marshal(r) }, DecodeRecord)
 }
 
@@ -49,7 +49,7 @@
 	dir := t.TempDir()
 	channel, err := open(dir, "node-a", 4711)
 	require.NoError(t, err)
-	_, err = channel.UpdateRecord(func(r *Record) { r.DownSince["s-1"] = 1 })
+	_, err = channel.UpdateRecord(func(r *Record) { r.DisabledAt["s-1"] = 1 })
 	require.NoError(t, err)
 	require.NoError(t, channel.WriteLearned([]byte("learned")))
 	listener, err := channel.listenForStreams()
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -27,10 +27,10 @@
 	Version int `json:"version"`
 	// Boot is the ID of the boot whose monotonic clock the times are readings of. It is set in the file only.
 	Boot string `json:"boot,omitempty"`
-	// DownSince holds the time at which each disabled backend was disabled, by the backend's name.
-	DownSince map[string]int64 `json:"down"`
-	// RestoredAt holds the time at which each backend that was enabled again was enabled, by the backend's name.
-	RestoredAt map[string]int64 `json:"back"`
+	// DisabledAt holds the time at which each disabled backend was disabled, by the backend's name.
+	DisabledAt map[string]int64 `json:"down"`
+	// EnabledAt holds the time at which each backend that was enabled again was enabled, by the backend's name.
+	EnabledAt map[string]int64 `json:"back"`
 	// Listed holds the names of all backends that were ever in the endpoint list, the most recently added last.
 	Listed []string `json:"seen"`
 }
@@ -79,8 +79,8 @@
 	if r.Version != recordVersion {
 		return recordError("unsupported version %d, supported is %d", r.Version, recordVersion)
 	}
-	down := slices.Collect(maps.Keys(r.DownSince))
-	restored := slices.Collect(maps.Keys(r.RestoredAt))
+	down := slices.Collect(maps.Keys(r.DisabledAt))
+	restored := slices.Collect(maps.Keys(r.EnabledAt))
 	for _, names := range [][]string{down, restored, r.Listed} {
 		if len(names) > maxNames {
 			return recordError("%d names in one part exceed the maximum of %d", len(names), maxNames)
@@ -94,11 +94,11 @@
 
 // withDefaults returns the record with non-nil maps and the current version.
 func (r Record) withDefaults() Record {
-	if r.DownSince == nil {
-		r.DownSince = map[string]int64{}
+	if r.DisabledAt == nil {
+		r.DisabledAt = map[string]int64{}
 	}
-	if r.RestoredAt == nil {
-		r.RestoredAt = map[string]int64{}
+	if r.EnabledAt == nil {
+		r.EnabledAt = map[string]int64{}
 	}
 	r.Version = recordVersion
 	return r
@@ -109,8 +109,8 @@
 func (r Record) toShared() Record {
 	monotonic := func(instant int64) int64 { return clock.StampOf(instant).Monotonic }
 	r.Boot = clock.BootID()
-	r.DownSince = convertTimes(r.DownSince, monotonic)
-	r.RestoredAt = convertTimes(r.RestoredAt, monotonic)
+	r.DisabledAt = convertTimes(r.DisabledAt, monotonic)
+	r.EnabledAt = convertTimes(r.EnabledAt, monotonic)
 	return r
 }
 
@@ -123,8 +123,8 @@
 		}
 		return now
 	}
-	r.DownSince = convertTimes(r.DownSince, instant)
-	r.RestoredAt = convertTimes(r.RestoredAt, instant)
+	r.DisabledAt = convertTimes(r.DisabledAt, instant)
+	r.EnabledAt = convertTimes(r.EnabledAt, instant)
 	r.Boot = ""
 	return r
 }
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -18,19 +18,19 @@
 	require.NoError(t, err)
 	defer func() { _ = channel.Close() }()
 	at := clock.Now() - int64(2*time.Second)
-	_, err = channel.UpdateRecord(func(r *Record) { r.RestoredAt["a"], r.DownSince["b"] = at, at })
+	_, err = channel.UpdateRecord(func(r *Record) { r.EnabledAt["a"], r.DisabledAt["b"] = at, at })
 	require.NoError(t, err)
 	raw, err := os.ReadFile(channel.recordPath())
 	require.NoError(t, err)
 	var written Record
 	require.NoError(t, json.Unmarshal(raw, &written))
-	require.Equal(t, clock.StampOf(at), clock.Stamp{Boot: written.Boot, Monotonic: written.RestoredAt["a"]},
+	require.Equal(t, clock.StampOf(at), clock.Stamp{Boot: written.Boot, Monotonic: written.EnabledAt["a"]},
 		"times must be readings of the machine's clock, not instants of this process")
 	defer clock.StepWall(time.Hour)()
 	record, changed, err := channel.ReadRecord()
 	require.NoError(t, err)
 	require.True(t, changed)
-	require.Equal(t, map[string]int64{"a": at}, record.RestoredAt)
+	require.Equal(t, map[string]int64{"a": at}, record.EnabledAt)
 	for _, boot := range []string{"another", ""} {
 		written.Boot = boot
 		raw, err := json.Marshal(written)
@@ -39,7 +39,7 @@
 		before := clock.Now()
 		loaded, err := channel.loadRecord()
 		require.NoError(t, err)
-		require.GreaterOrEqual(t, loaded.RestoredAt["a"], before)
+		require.GreaterOrEqual(t, loaded.EnabledAt["a"], before)
 	}
 }
 
@@ -64,7 +64,7 @@
 		decoded, err := DecodeRecord(encoded)
 		require.NoError(t, err)
 		require.Equal(t, len(record.Listed), len(decoded.Listed))
-		require.Equal(t, record.DownSince, decoded.DownSince)
+		require.Equal(t, record.DisabledAt, decoded.DisabledAt)
 	})
 }
 
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -59,7 +59,7 @@
 	allowedUnset ...string,
 ) {
 	t.Helper()
-	for _, path := range Unset(value) {
+	for _, path := range UnsetFields(value) {
 		require.Contains(t, allowedUnset, path, "field of the sample value is not set")
 	}
 	encoded, err := encode(value)
@@ -71,10 +71,10 @@
 	require.Equal(t, string(want), string(encoded), "value encodes to other bytes than %s", Path(name))
 }
 
-// Unset returns the paths of the exported fields within value that have their zero value, such as "Lease.ExpiresAt"
+// UnsetFields returns the paths of the exported fields within value that have their zero value, such as "Lease.ExpiresAt"
 // or "Transfers[0].LastWindow". It also searches within map values and within elements of slices and arrays, and returns the paths
 // of those that are zero themselves; but elements of types such as int or string may be zero.
-func Unset(value any) []string {
+func UnsetFields(value any) []string {
 	var paths []string
 	collectUnset(reflect.ValueOf(value), "", &paths)
 	return paths
