--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -158,7 +158,7 @@
 	for client := range count {
 		clients.running.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				clients.request(m.listen, client, i)
+				clients.sendRequest(m.listen, client, i)
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
@@ -166,7 +166,9 @@
 	return clients
 }
 
-func (c *migrationClients) request(listen string, client, number int) {
+// sendRequest sends one request and waits for the end of the response. It counts the request as served if the response
+// is complete.
+func (c *migrationClients) sendRequest(listen string, client, number int) {
 	r, err := http.NewRequest("POST", "http://"+listen+"/v1/chat/completions", strings.NewReader(`{"messages":[]}`))
 	if err != nil {
 		return
@@ -194,9 +196,9 @@
 // startMigration starts a migration and waits for its first step. Before that it checks the commands that need no
 // migration; a second start is rejected.
 func (m *migrationTest) startMigration() {
-	fresh, _ := m.requests("new-1")
-	other, _ := m.requests("new-2")
-	require.Zero(m.t, fresh+other, "the new pool has no requests before the migration")
+	first, _ := m.requests("new-1")
+	second, _ := m.requests("new-2")
+	require.Zero(m.t, first+second, "the new pool has no requests before the migration")
 	m.requireCommand(OK, []string{"entries", "list"}, "old-1")
 	m.requireCommand(OK, []string{"entries", "explain", "new-2"}, "the operator's file")
 	m.requireCommand(Failed, []string{"entries", "explain", "new-9"})
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -14,9 +14,9 @@
 	recordVersion = 1
 	// maxNames is the maximum number of names in each part of a record.
 	maxNames = 8192
-	// maxNameBytes is the maximum length of a name.
+	// maxNameBytes is the maximum length of a name, in bytes.
 	maxNameBytes = 256
-	// maxFileBytes is the maximum size of the file with the record, and of that with the learned state.
+	// maxFileBytes is the maximum size of the file with the record, and of that with the learned state, in bytes.
 	maxFileBytes = 8 << 20
 )
 
@@ -27,11 +27,11 @@
 	Version int `json:"version"`
 	// Boot is the ID of the boot whose monotonic clock the times are readings of. It is set in the file only.
 	Boot string `json:"boot,omitempty"`
-	// DownSince is when each backend that is marked down was marked, by name.
-	DownSince map[string]int64 `json:"down"`
-	// RestoredAt is when each backend that was marked up again was marked, by name.
-	RestoredAt map[string]int64 `json:"back"`
-	// Listed holds the names of all backends that were ever listed, the latest last.
+	// DisabledAt holds the time at which each disabled backend was disabled, by the backend's name.
+	DisabledAt map[string]int64 `json:"down"`
+	// EnabledAt holds the time at which each backend that was enabled again was enabled, by the backend's name.
+	EnabledAt map[string]int64 `json:"back"`
+	// Listed holds the names of all backends that were ever in the endpoint list, the most recently added last.
 	Listed []string `json:"seen"`
 }
 
@@ -79,8 +79,8 @@
 	if r.Version != recordVersion {
 		return recordError("unsupported version %d, supported is %d", r.Version, recordVersion)
 	}
-	down := slices.Collect(maps.Keys(r.DownSince))
-	restored := slices.Collect(maps.Keys(r.RestoredAt))
+	down := slices.Collect(maps.Keys(r.DisabledAt))
+	restored := slices.Collect(maps.Keys(r.EnabledAt))
 	for _, names := range [][]string{down, restored, r.Listed} {
 		if len(names) > maxNames {
 			return recordError("%d names in one part exceed the maximum of %d", len(names), maxNames)
@@ -94,11 +94,11 @@
 
 // withDefaults returns the record with non-nil maps and the current version.
 func (r Record) withDefaults() Record {
-	if r.DownSince == nil {
-		r.DownSince = map[string]int64{}
+	if r.DisabledAt == nil {
+		r.DisabledAt = map[string]int64{}
 	}
-	if r.RestoredAt == nil {
-		r.RestoredAt = map[string]int64{}
+	if r.EnabledAt == nil {
+		r.EnabledAt = map[string]int64{}
 	}
 	r.Version = recordVersion
 	return r
@@ -109,13 +109,13 @@
 func (r Record) toShared() Record {
 	monotonic := func(instant int64) int64 { return clock.StampOf(instant).Monotonic }
 	r.Boot = clock.BootID()
-	r.DownSince = convertTimes(r.DownSince, monotonic)
-	r.RestoredAt = convertTimes(r.RestoredAt, monotonic)
+	r.DisabledAt = convertTimes(r.DisabledAt, monotonic)
+	r.EnabledAt = convertTimes(r.EnabledAt, monotonic)
 	return r
 }
 
 // toLocal converts the times of a record to instants of this process. Times that were written before the machine's last
-// boot, or by a build that wrote wall times, become now, so that a backend that was marked up warms up once more.
+// boot, or by a build that wrote wall times, become now, so that a backend that was enabled again warms up once more.
 func (r Record) toLocal(now int64) Record {
 	instant := func(monotonic int64) int64 {
 		if local, ok := (clock.Stamp{Boot: r.Boot, Monotonic: monotonic}).Instant(); ok {
@@ -123,8 +123,8 @@
 		}
 		return now
 	}
-	r.DownSince = convertTimes(r.DownSince, instant)
-	r.RestoredAt = convertTimes(r.RestoredAt, instant)
+	r.DisabledAt = convertTimes(r.DisabledAt, instant)
+	r.EnabledAt = convertTimes(r.EnabledAt, instant)
 	r.Boot = ""
 	return r
 }
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -5,8 +5,8 @@
 const (
 	// warmThreshold is the fraction of its capacity from which a pool counts as warm, so that its share is not limited.
 	warmThreshold = 0.9
-	// coldBudgetFraction is the fraction of the slow-start allowance that a migration sends to a cold pool, over all
-	// nodes together. The decision module limits starting backends by a fraction of its own, coldMargin.
+	// coldBudgetFraction is the fraction of the slow-start budget that a migration sends to a cold pool, over all nodes
+	// together. The decision module limits starting backends by a fraction of its own, slowStartMargin.
 	coldBudgetFraction = 0.4
 	// minCapacity avoids a division by zero if the capacity is unknown.
 	minCapacity = 1e-9
@@ -30,8 +30,8 @@
 
 // maximumShare returns the largest share of From's requests that To can handle now. How many requests a backend can
 // handle is not known, so the estimate is based on the old pool's load per capacity, and a cold backend is assumed to
-// handle its warm fraction of that. If a cold pool collapses under less than that (a small CollapseFactor), the share
-// is reduced further.
+// handle its warm fraction of that. If the CollapseFactor is so small that a cold pool collapses under a smaller load,
+// the share is reduced further.
 func (p Plan) maximumShare(from, to Health, fromCapacity float64) float64 {
 	if to.Capacity <= 0 {
 		return 0
@@ -44,7 +44,7 @@
 }
 
 // merge combines the health that two nodes see. A node that sees no ready backend of the pool does not override one
-// that does. Of two warm fractions the smaller applies.
+// that does. The smaller of two warm fractions applies.
 func (h Health) merge(other Health) Health {
 	backends := max(h.Backends, other.Backends)
 	if h.Capacity == 0 {
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -82,7 +82,7 @@
 	down           bool
 	upTimes        []time.Time // each time at which it came up, the creation included
 	downTimes      []time.Time // each time at which it went down
-	silencedCount  int         // the number of Forget calls
+	silencedCount  int         // the number of SilenceWatches calls
 	calls          map[string]int
 	attachments    map[string][]attachment
 	outcomes       map[string]int
@@ -166,7 +166,7 @@
 	d.wake()
 }
 
-// SilenceWatches makes discovery never answer the watches that are open now.
+// SilenceWatches makes discovery never respond to the watches that are open now.
 func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,8 +212,8 @@
 	return notifications
 }
 
-// reachableFrom returns the first time, not before moment, from which discovery is up without interruption for Due. The
-// caller holds d.mu.
+// reachableFrom returns the first time, not before moment, from which discovery is up without interruption for
+// NotificationTimeout. The caller holds d.mu.
 func (d *Discovery) reachableFrom(moment time.Time) time.Time {
 	for i, down := range d.downTimes {
 		if !down.Before(moment.Add(NotificationTimeout)) {
