--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -21,8 +21,8 @@
 // noBudget is the budget index of a charge that counts against no budget.
 const noBudget = -1
 
-// Admit charges the maximum cost of a request to its tenant's budget. It returns false if the quota is not
-// sufficient or the ledger is full; the client should then retry after the wait.
+// Admit charges the maximum cost of a request to its tenant's budget, if the tenant has one. It returns false if the
+// quota is not sufficient or the ledger is full; the client should then retry after the wait.
 func (f *Fleet) Admit(request *standpoint.Request) (charge node.Charge, wait time.Duration, ok bool) {
 	if f.LedgerFull != nil && f.LedgerFull() {
 		return node.Charge{}, ledgerFullRetryAfter, false
@@ -58,8 +58,8 @@
 	return nextWindow + rand.N(jitterRange)
 }
 
-// Settle settles the charge of an admitted request by its outcome: it refunds the difference to the actual cost, and
-// counts and records that cost.
+// Settle settles the charge of an admitted request by its outcome: it refunds the difference to the actual cost and
+// counts that cost. If the request was served at least in part, it also writes a ledger entry.
 func (f *Fleet) Settle(request *standpoint.Request, charge node.Charge, answer node.Answer) {
 	promptTokens := request.PromptTokens
 	if charge.UncachedTokens > 0 {
@@ -79,7 +79,8 @@
 	f.refund(charge, cost)
 }
 
-// tokenCost returns the cost of a request in tokens, or its maximum cost if the actual cost is not known.
+// tokenCost returns the cost of a request in tokens. It is the maximum cost if the usage of a served request is not
+// known, if the response was interrupted or moved, or if the client disconnected after its start.
 func tokenCost(promptTokens float64, request *standpoint.Request, answer node.Answer) int64 {
 	switch answer.Kind {
 	case node.Served:
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -12,7 +12,8 @@
 // backend. A single one may be the fault of the request.
 const minConsecutiveErrors = 2
 
-// UpdateEndpoints applies a change of the endpoint list. Evidence is collected on the backends that are ready.
+// UpdateEndpoints applies a change of the endpoint list, and ignores one of kind ListFailed. Evidence is collected on
+// the backends that are ready.
 func (f *Fleet) UpdateEndpoints(list node.EndpointList) {
 	if list.Kind == standpoint.ListFailed {
 		return
@@ -72,7 +73,8 @@
 	return f.backendStarts[backend]
 }
 
-// RecordFinished records the result of an attempt as evidence on its backend.
+// RecordFinished records the result of an attempt as evidence on its backend. It ignores attempts at backends that are
+// not ready, inconclusive ones and those whose response had an invalid status.
 func (f *Fleet) RecordFinished(observation node.Observation) {
 	name := observation.Backend
 	f.mu.Lock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -91,7 +91,7 @@
 	Options
 	directory    *lease.Directory
 	incarnation  uint64
-	predecessors []uint64          // earlier incarnations of the same directory
+	predecessors []uint64          // earlier incarnations of the same directory that may hold the slot's lease
 	addresses    map[string]string // addresses by slot name
 	memberlist   *memberlist.Memberlist
 	mailbox      chan []byte // received messages that wait to be handled
@@ -104,7 +104,7 @@
 	member            *member.Member
 	lease             quota.Lease
 	siteConnectivity  *site.Machine     // nil if this slot is a core slot
-	consecutiveErrors map[string]int    // number of errors without a success in between, by backend name
+	consecutiveErrors map[string]int    // errors of the backend since its latest success, by backend name
 	backendNames      map[uint64]string // names of the ready backends, by the hash of the name
 	backendStarts     map[string]int64  // start times of the ready backends, Unix nanoseconds, by name
 	backendZones      map[string]int    // zones of the ready backends, by name
@@ -113,7 +113,7 @@
 	// callsMu guards the fields from here to callSemaphore.
 	callsMu      sync.Mutex
 	pendingCalls map[uint64]chan rpcResponse // channels that receive the responses, by call ID
-	nextCallID   uint64                      // ID of the latest call
+	latestCallID uint64                      // ID of the latest call
 	handlers     map[string]handler          // handlers by method
 	coreLeader   string                      // the core's leader as a site last found it; "" if not known
 
@@ -202,8 +202,8 @@
 // Owner returns this incarnation of the node and its slot.
 func (f *Fleet) Owner() quota.Owner { return f.MemberConfig.Owner }
 
-// Identity returns the slot, this incarnation of the node, and the earlier incarnations of its directory, which have
-// ended.
+// Identity returns the slot, this incarnation of the node, and the earlier incarnations of its directory that may hold
+// the slot's lease. All of these have ended.
 func (f *Fleet) Identity() (slot string, incarnation uint64, predecessors []uint64) {
 	return f.SlotName, f.incarnation, f.predecessors
 }
@@ -214,7 +214,8 @@
 	return len(f.CoreSlots) > 0 && !slices.Contains(f.CoreSlots, f.SlotName)
 }
 
-// RateFactor returns the fraction of the usual rate, from 0 to 1, at which this node takes over the work of others.
+// RateFactor returns the fraction of the usual rate, from 0 to 1, at which this node takes over the work of others. It
+// is 1 if the fleet has a single slot.
 func (f *Fleet) RateFactor() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,8 +225,8 @@
 	return f.member.Connectivity.RateFactor(f.Now())
 }
 
-// isolated reports whether this node is cut off from a majority of the fleet or, at a remote site, from the core.
-// The caller holds f.mu.
+// isolated reports whether this node is cut off from a majority of the fleet. At a remote site it reports whether the
+// site is cut off from the core, or has not completed reconciliation with it. The caller holds f.mu.
 func (f *Fleet) isolated() bool {
 	if f.siteConnectivity != nil {
 		state, _ := f.siteConnectivity.Current()
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -42,7 +42,8 @@
 	return mode
 }
 
-// tick sends this node's packets, and passes the suspicions that follow from those of others to the decision module.
+// tick sends this node's packets, updates the connectivity of a remote site, and passes the suspicions that follow from
+// the evidence of other nodes to the decision module.
 func (f *Fleet) tick() {
 	listed := f.listedMembers()
 	f.mu.Lock()
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -21,9 +21,11 @@
 )
 
 const (
-	claimRetryInterval = 2 * time.Second        // maximum interval between claims while they fail
-	firstClaimRetry    = claimRetryInterval / 8 // doubled with each failed claim, up to claimRetryInterval
-	renewalsPerLease   = 3                      // renewals within the duration of a lease
+	maxClaimInterval = 2 * time.Second // maximum interval between claims while they fail
+	// initialClaimInterval is the initial value of that interval. Each failed claim, the first one included, doubles the
+	// interval, up to maxClaimInterval.
+	initialClaimInterval = maxClaimInterval / 8
+	renewalsPerLease     = 3 // minimum number of renewals within the duration of a lease
 )
 
 // handleLeaseClaim grants a slot, or renews its lease. It is called on the store's leader.
@@ -60,7 +62,7 @@
 // maintainLease claims the node's slot, and renews its lease before it expires, until ctx is done. A node whose
 // claims fail continues under its last lease until that expires.
 func (f *Fleet) maintainLease(ctx context.Context) {
-	interval := firstClaimRetry
+	interval := initialClaimInterval
 	for {
 		record, err := f.claimSlot(ctx)
 		if err == nil && record.Incarnation == f.incarnation {
@@ -70,7 +72,7 @@
 			if ctx.Err() == nil {
 				f.Log.Info("lease not granted", zap.String("slot", f.SlotName), zap.Error(err))
 			}
-			interval = min(claimRetryInterval, 2*interval, f.LeaseDuration/renewalsPerLease)
+			interval = min(maxClaimInterval, 2*interval, f.LeaseDuration/renewalsPerLease)
 		}
 		// Half of the interval is random, since all nodes of a fleet may have started at the same time.
 		if !transient.Sleep(ctx, interval/2+time.Duration(float64(interval)/2*rand.Float64())) {
--- a/internal/fleet/lease/directory.go
+++ b/internal/fleet/lease/directory.go
@@ -17,7 +17,8 @@
 )
 
 // maxIncarnations is the maximum number of incarnations in the state file. When it is reached, only the latest half
-// is kept. That is enough, since no grant to one of them after the first was confirmed.
+// remains. No grant was confirmed to any of them but the first. If one that was removed holds the slot after all, the
+// next incarnation has to wait for its lease to expire.
 const maxIncarnations = 64
 
 // Directory is the directory of a node's persistent state. One incarnation at a time holds its lock. It is not safe
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -33,12 +33,13 @@
 	ClaimantTime int64 `json:"clock"`
 }
 
-// ErrSlotHeld is returned while another incarnation holds the slot.
+// ErrSlotHeld is returned while another incarnation holds the slot, or may do so by its own clock.
 var ErrSlotHeld = errors.New("another life of this node has its seat")
 
 // Decide returns the record after a claim made at now, by the leader's clock. The clocks of two nodes differ by at
-// most clockError. If another incarnation holds the slot, it returns the record unchanged and an error that wraps
-// ErrSlotHeld.
+// most clockError. A holder that is one of the claim's predecessors is replaced at once, any other one only once its
+// lease has expired by both clocks; until then, Decide returns the record unchanged and an error that wraps
+// ErrSlotHeld. An invalid claim is rejected with another error.
 func Decide(record Record, claim Claim, now int64, clockError time.Duration) (Record, error) {
 	granted := Record{
 		Incarnation:  claim.Incarnation,
--- a/internal/fleet/member/gossip.go
+++ b/internal/fleet/member/gossip.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// heartbeatAge returns the time since a slot was alive, in units of that many nanoseconds, rounded up.
+// heartbeatAge returns the time since a slot was alive as a multiple of unit, which is in nanoseconds, rounded up. It
+// returns ageUnknown if the slot was never alive or the multiple does not fit.
 func (m *Member) heartbeatAge(slot int, unit int64) byte {
 	age := (m.now - m.lastAlive[slot] + unit - 1) / unit
 	if m.lastAlive[slot] == 0 || age >= ageUnknown {
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -19,7 +19,8 @@
 	"standpoint/internal/fleet/quota"
 )
 
-// TransfersPerTick is the maximum number of transfers that a member grants in a tick at its usual rate.
+// TransfersPerTick is the maximum number of transfers that a member grants in a tick at its usual rate. At a lower rate
+// the maximum is lower, but at least 1.
 const TransfersPerTick = 8
 
 // Slot is a member slot of the fleet. One node at a time holds it.
@@ -67,7 +68,7 @@
 	nextRequestAt  []int64 // time before which no more quota is requested, Unix nanoseconds
 	reviewedWindow []int64 // window in which unneeded transfers were last returned
 
-	firstSurplusBudget int // number, modulo the budgets, of the budget whose surplus comes first in the next update
+	firstSurplusBudget int // index, modulo the number of budgets, of the first surplus in the next update
 	grantsLeft         int // number of transfers that may still be granted in this tick
 }
 
--- a/internal/fleet/member/messages.go
+++ b/internal/fleet/member/messages.go
@@ -18,7 +18,7 @@
 
 const (
 	minAgeUnit = 10 * time.Millisecond // smallest unit of heartbeat ages
-	ageUnknown = 0xff                  // heartbeat age of a slot that was never alive, or too long ago
+	ageUnknown = 0xff                  // heartbeat age of a slot never alive, or one too high for the unit
 )
 
 // Packet is the gossip message that one node sends to another.
@@ -49,7 +49,7 @@
 
 // The kinds of quota messages. Their values are sent to other nodes.
 const (
-	RequestQuota   QuotaMessageKind = iota // requests Amount in windows FirstWindow to LastWindow at most
+	RequestQuota   QuotaMessageKind = iota // requests up to Amount in each window from FirstWindow to LastWindow
 	GrantTransfer                          // lends quota in response to a request
 	ReturnTransfer                         // ends a transfer early, after LastWindow
 )
--- a/internal/fleet/member/quota.go
+++ b/internal/fleet/member/quota.go
@@ -72,7 +72,7 @@
 }
 
 // sampleLenders draws the slots to request quota of a budget from, weighted by the surplus in their latest updates.
-// If no surplus is known, it draws from all that are alive.
+// If no surplus is known, it draws from all slots; those that are not alive are drawn with a lower probability.
 func (m *Member) sampleLenders(budget int) []int {
 	candidates, total := m.knownLenders(budget)
 	if len(candidates) == 0 {
--- a/internal/fleet/quota/allocation.go
+++ b/internal/fleet/quota/allocation.go
@@ -119,8 +119,8 @@
 	return max(0, own) + a.borrowedAmount(window)
 }
 
-// spendLimit returns the amount that may be spent in a window, with or without the overdraft. Without a lease there is
-// no overdraft.
+// spendLimit returns the amount that may be spent in a window, with or without the overdraft. There is no overdraft in
+// a window in which the owner has no base quota, for example because its lease does not cover the window.
 func (a *Allocation) spendLimit(window int64, withOverdraft bool) int64 {
 	if !withOverdraft || a.Overdraft == 0 || a.leasedQuota(window) == 0 {
 		return a.Quota(window)
@@ -128,7 +128,7 @@
 	return a.Quota(window) + a.OverdraftQuota(a.Owner.Slot, window)
 }
 
-// Spent returns the amount spent in a window, or 0 if the window has ended.
+// Spent returns the amount spent in a window, or 0 if the window has ended or is more than WindowsAhead away.
 func (a *Allocation) Spent(window int64) int64 {
 	offset := window - a.currentWindow
 	if offset < 0 || offset >= int64(len(a.spent)) {
--- a/internal/fleet/quota/budget.go
+++ b/internal/fleet/quota/budget.go
@@ -36,7 +36,7 @@
 	Window          time.Duration // length of a window; windows are numbered from Unix time 0
 	WindowsAhead    int           // number of windows after the current one in which quota can be spent now
 	TransferWindows int           // maximum number of windows of a transfer
-	Weights         []int64       // weights of the slots; a slot of weight 0 has no base quota
+	Weights         []int64       // weights of the slots; a slot of weight 0 has a base quota of at most 1
 
 	totalWeight        int64
 	amountRemainder    int64  // part of Amount that does not divide evenly by weight
--- a/internal/fleet/rpc.go
+++ b/internal/fleet/rpc.go
@@ -32,7 +32,7 @@
 type rpcResponse struct {
 	ID        uint64 `cbor:"1,keyasint"`           // ID of the request
 	Body      []byte `cbor:"2,keyasint"`           // result, as JSON
-	Error     string `cbor:"3,keyasint,omitempty"` // why the call was rejected; "" if it succeeded
+	Error     string `cbor:"3,keyasint,omitempty"` // why the call was rejected; "" if it was not
 	NotLeader bool   `cbor:"4,keyasint,omitempty"` // the call was not handled, because the node does not lead
 	Leader    string `cbor:"5,keyasint,omitempty"` // the leader's name, if that node knows it
 }
@@ -92,8 +92,9 @@
 	return f.handlers[method]
 }
 
-// CallMember calls a method of the node in another slot. It encodes in as JSON, and decodes the result into out. The
-// error is a *RejectedError if that node rejected the call, and wraps ErrNoLeader if it cannot be reached.
+// CallMember calls a method of the node in another slot, which must be registered there with HandleOnAnyMember. It
+// encodes in as JSON, and decodes the result into out. The error is a *RejectedError if that node rejected the call,
+// and wraps ErrNoLeader if it cannot be reached.
 func (f *Fleet) CallMember(ctx context.Context, slotName, method string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -133,8 +134,8 @@
 	return json.Unmarshal(result, out)
 }
 
-// callRemoteLeader calls the leader of the core's store. A remote site that does not know the leader calls a core
-// node, whose response names it.
+// callRemoteLeader calls a method of the store's leader, which is another node. A remote site that does not know the
+// leader calls a core node. If the response names another node as the leader, it calls that one, once.
 func (f *Fleet) callRemoteLeader(ctx context.Context, method string, body []byte) ([]byte, error) {
 	leader := f.presumedLeader()
 	for range 2 {
@@ -170,7 +171,8 @@
 	return f.CoreSlots[rand.IntN(len(f.CoreSlots))]
 }
 
-// recordLeader records the result of calling a node as the leader. Unless it was, the core's leader is unknown.
+// recordLeader records whether a call that was sent to a node as the leader succeeded. If it did not, the core's leader
+// counts as unknown.
 func (f *Fleet) recordLeader(name string, leads bool) {
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
@@ -211,9 +213,9 @@
 	responses = make(chan rpcResponse, 1)
 	f.callsMu.Lock()
 	defer f.callsMu.Unlock()
-	f.nextCallID++
-	f.pendingCalls[f.nextCallID] = responses
-	return f.nextCallID, responses
+	f.latestCallID++
+	f.pendingCalls[f.latestCallID] = responses
+	return f.latestCallID, responses
 }
 
 // endCall removes a call. Responses to it are ignored from then on.
@@ -234,7 +236,7 @@
 }
 
 // handleRequest handles a call of another node on a goroutine of its own. If maxConcurrentCalls are being handled,
-// the request is dropped; its caller times out and calls again.
+// the request is dropped, and its caller's call times out.
 func (f *Fleet) handleRequest(ctx context.Context, encoded []byte) {
 	var request rpcRequest
 	err := decoding.Unmarshal(encoded, &request)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -22,10 +22,10 @@
 	Slot             string                     `json:"seat"`
 	Incarnation      uint64                     `json:"life"`
 	State            string                     `json:"mode"`           // connectivity state
-	SiteState        string                     `json:"site,omitempty"` // a remote site's connectivity to the core
+	SiteState        string                     `json:"site,omitempty"` // see site.State; "" at a core slot
 	StateAge         float64                    `json:"since"`          // age of State in seconds
 	RateFactor       float64                    `json:"pace"`           // see connectivity.Machine.RateFactor
-	LeaseRemaining   float64                    `json:"lease"`          // seconds to its expiry; 0 without a lease
+	LeaseRemaining   float64                    `json:"lease"`          // seconds until the lease expires; 0 without one
 	FencingToken     uint64                     `json:"epoch"`          // fencing token of the lease; 0 without one
 	Leader           string                     `json:"leader"`         // the store's leader; "" if not known
 	Peers            []PeerStatus               `json:"peers"`
