--- a/internal/fleet/ledger/entry.go
+++ b/internal/fleet/ledger/entry.go
@@ -16,7 +16,7 @@
 const (
 	Served      Outcome = iota // the response was complete
 	Paused                     // the response paused at a tool call; the nodes that resume it charge for the rest
-	Interrupted                // the response ended after a part of it was sent
+	Interrupted                // the response broke off after a part of it was sent
 )
 
 // Entry is the usage of one request.
@@ -51,8 +51,8 @@
 
 // Bounds of a valid entry.
 const (
-	maxTokens    = int64(1) << 40 // in each token count
-	maxNameBytes = 128            // in each of slot, tenant and class
+	maxTokens    = int64(1) << 40 // maximum of each token count
+	maxNameBytes = 128            // maximum length of the names of slot, tenant and class
 )
 
 // Check returns an error if the entry is invalid.
--- a/internal/fleet/ledger/replication/replicator.go
+++ b/internal/fleet/ledger/replication/replicator.go
@@ -60,7 +60,9 @@
 	received      atomic.Uint64 // entries received from other members and written
 	writeFailures atomic.Uint64 // consecutive failed writes; 0 after a successful one
 	syncedAt      atomic.Int64  // end of the last complete sync with another member, in Unix nanoseconds; 0: none yet
-	missing       atomic.Int64  // entries that this ledger missed at the last comparison
+	// missing is the number of entries that a sync had requested when one of its fetches failed. It is 0 after a
+	// complete sync.
+	missing atomic.Int64
 }
 
 // Open opens the ledger and reads it. Corruption is logged and listed in Status, and the entries that can be read are
@@ -85,7 +87,7 @@
 }
 
 // Charge queues an entry to be written, without blocking. It returns false if the queue is full, in which case the
-// entry is dropped; Full reports true well before that.
+// entry is dropped; Overloaded reports true well before that.
 func (r *Replicator) Charge(e ledger.Entry) bool {
 	e.Slot = r.Slot
 	e.Incarnation = r.Incarnation
@@ -99,7 +101,8 @@
 	}
 }
 
-// OutOfSync reports whether this ledger missed entries at the last comparison, or has not completed a sync yet.
+// OutOfSync reports whether a fetch of missing entries has failed and no sync was completed after it, or no sync was
+// completed at all.
 func (r *Replicator) OutOfSync() bool { return r.missing.Load() > 0 || r.syncedAt.Load() == 0 }
 
 // Overloaded reports whether entries are charged faster than they are written, or cannot be written. While it does, no
--- a/internal/fleet/ledger/replication/replicator_test.go
+++ b/internal/fleet/ledger/replication/replicator_test.go
@@ -161,8 +161,8 @@
 	require.NoError(t, reopened.Close())
 }
 
-// While the disk is full, Full reports true and nothing is charged. Queued entries are not lost: they are written once
-// there is space.
+// While the disk is full, Overloaded reports true and nothing is charged. Queued entries are not lost: they are written
+// once there is space.
 func TestFullDisk(t *testing.T) {
 	r := open(t, newNetwork(0), t.TempDir(), "a", 1)
 	r.segments.MaxBytes = r.segments.Bytes() + 10
@@ -173,7 +173,8 @@
 	r.mu.Lock()
 	r.segments.MaxBytes = 1 << 30
 	r.mu.Unlock()
-	require.Eventually(t, func() bool { return r.Status().Charged == 1 && !r.Overloaded() }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return r.Status().Charged == 1 && !r.Overloaded() },
+		5*time.Second, time.Millisecond)
 }
 
 // Entries that are dropped because the queue is full leave no gaps in the sequence numbers of an incarnation. Gaps
--- a/internal/fleet/ledger/replication/sync.go
+++ b/internal/fleet/ledger/replication/sync.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	maxFetchEntries   = 256 // maximum number of entries in a FetchResponse
-	maxRangesPerRound = 32  // ranges that are fetched before the missing ranges are computed again
-	maxDigestSources  = 16  // maximum number of sources in a DigestResponse
-	verifyInterval    = 10 * time.Second
+	maxFetchEntries   = 256              // maximum number of entries in a FetchResponse
+	maxRangesPerRound = 32               // ranges that are fetched before the missing ranges are computed again
+	maxDigestSources  = 16               // maximum number of sources in a DigestResponse
+	verifyInterval    = 10 * time.Second // minimum time between two checks of the index
 )
 
 var (
--- a/internal/fleet/ledger/replication/writer.go
+++ b/internal/fleet/ledger/replication/writer.go
@@ -88,7 +88,7 @@
 	defer r.mu.Unlock()
 	if err := r.segments.Append(entries); err != nil {
 		r.writeFailures.Add(1)
-		// Full returns true until a write succeeds, so that no further requests are admitted.
+		// Overloaded returns true until a write succeeds, so that no further requests are admitted.
 		r.Log.Error("ledger write failed", zap.Int("entries", len(entries)), zap.Error(err))
 		return false
 	}
--- a/internal/fleet/session/command.go
+++ b/internal/fleet/session/command.go
@@ -23,11 +23,11 @@
 // The kinds of commands.
 const (
 	Pause   CommandKind = "pause"   // records the first pause, or, from the claim's holder, a further one
-	Claim   CommandKind = "claim"   // claims a paused session; the results of all its calls have to be there
+	Claim   CommandKind = "claim"   // claims a session, paused or with a lapsed claim; needs the results of all its calls
 	Begin   CommandKind = "begin"   // records that the claim's holder has begun to forward output
 	Release CommandKind = "release" // returns a claimed session to its pause, from the claim's holder
 	End     CommandKind = "end"     // records the final response, from the claim's holder
-	Cancel  CommandKind = "cancel"  // ends a paused session at its client's request
+	Cancel  CommandKind = "cancel"  // ends a session that is paused or whose claim has lapsed, at its client's request
 	Expire  CommandKind = "expire"  // expires a session after the tools' deadline; issued by the leader
 	Delete  CommandKind = "forget"  // deletes a finished session after the retention time; issued by the leader
 )
--- a/internal/fleet/session/service/continuation.go
+++ b/internal/fleet/session/service/continuation.go
@@ -23,7 +23,7 @@
 	PrefixTokens   float64         `json:"shared"`
 	MaxTokens      float64         `json:"most"`     // tokens that remain for the response
 	Backend        string          `json:"server"`   // backend that last decoded the session
-	BackendStart   int64           `json:"start"`    // start time of the backend
+	BackendStart   int64           `json:"start"`    // start time of the backend in Unix nanoseconds; 0 if not known
 	PromptTokens   float64         `json:"prompt"`   // tokens that the backend has read and produced so far
 	ProducedTokens float64         `json:"produced"` // tokens of all parts, each charged by the node that produced it
 	PauseCount     int             `json:"parts"`    // number of times that the session has paused
--- a/internal/fleet/session/service/hook.go
+++ b/internal/fleet/session/service/hook.go
@@ -21,9 +21,9 @@
 
 // Limits of a response that can be paused.
 const (
-	maxTextBytes   = 128 << 10 // of the text before the calls, and of the arguments of one call
-	maxCalls       = 16
-	maxCallIDBytes = 128
+	maxTextBytes   = 128 << 10 // maximum size of the text before the calls, and of the arguments of one call
+	maxCalls       = 16        // maximum number of calls
+	maxCallIDBytes = 128       // maximum size of a call's ID
 )
 
 var (
@@ -249,7 +249,7 @@
 	return append(resume, last...), usage
 }
 
-// recordBegin records that output has been forwarded to the client.
+// recordBegin records that output is being forwarded to the client.
 func (h *hook) recordBegin() {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
@@ -257,8 +257,8 @@
 	_, _ = h.service.execute(ctx, begin) // the claim protects the session without it
 }
 
-// recordEnd records the end of the session, and reports whether that succeeded. If it did not, the response must not be
-// completed.
+// recordEnd records the end of the session, and reports whether that succeeded. If it did not, a final response must
+// not be completed.
 func (h *hook) recordEnd() bool {
 	if h.ended {
 		return true
--- a/internal/fleet/session/service/resume.go
+++ b/internal/fleet/session/service/resume.go
@@ -30,8 +30,8 @@
 	Body           []byte             // body of the request, with the tools' results
 	UncachedTokens float64            // tokens of the results, the only prompt tokens that have not been charged yet
 	Backend        string             // backend that probably has the rest of the prompt in its cache
-	BackendStart   int64              // start time of that backend, as far as known
-	CachedTokens   float64            // tokens of the rest of the prompt
+	BackendStart   int64              // start time of that backend in Unix nanoseconds; 0 if not known
+	CachedTokens   float64            // tokens of the prompt without the results
 	// Deadline is the time by which the decoding has to end.
 	Deadline time.Time
 	hook     *hook
@@ -206,9 +206,10 @@
 	}, nil
 }
 
-// admitResume admits a resume if ok is true; finishResume has to be called when the request is complete. Otherwise it
-// returns the time to wait before the next attempt. A token bucket limits the rate of resumes, which is lower while the
-// fleet recovers from a partition, and their number in flight is bounded to leave capacity for other requests.
+// admitResume reports in ok whether a resume may begin. If it may, finishResume has to be called when the request is
+// complete; otherwise wait is the time to wait before the next attempt. A token bucket limits the rate of resumes,
+// which is lower while the fleet recovers from a partition, and their number in flight is bounded to leave capacity for
+// other requests.
 func (s *Service) admitResume() (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/session/service/service.go
+++ b/internal/fleet/session/service/service.go
@@ -48,8 +48,8 @@
 	Store          store.Store
 	Invariants     *invariant.Monitor
 	Log            *zap.Logger
-	// BackendStart returns the time at which a backend was started. A restarted backend no longer has a session's
-	// prompt in its cache.
+	// BackendStart returns the time at which a backend was started, in Unix nanoseconds, or 0 if it is not known. A
+	// restarted backend no longer has a session's prompt in its cache.
 	BackendStart func(backend string) int64
 }
 
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -21,7 +21,7 @@
 	Paused   State = "paused"   // the session waits for the results of its tool calls; any node may claim it
 	Claimed  State = "claimed"  // a node has the results and may decode the session
 	Resuming State = "resuming" // the claiming node has forwarded output to the client
-	Ended    State = "ended"    // the client has received the final response, or the session was cancelled
+	Ended    State = "ended"    // the response has ended without a further pause, or the session was cancelled
 	Expired  State = "expired"  // the tools did not return their results in time
 )
 
@@ -44,7 +44,7 @@
 
 // The reasons for which a session ends.
 const (
-	ReasonServed    EndReason = "served"     // the client has received the final response
+	ReasonServed    EndReason = "served"     // the response has ended without a further pause
 	ReasonCancelled EndReason = "called off" // the client cancelled the session
 	ReasonExpired   EndReason = "expired"    // the tools did not return their results in time
 )
