--- a/internal/fleet/connectivity/connectivity.go
+++ b/internal/fleet/connectivity/connectivity.go
@@ -128,7 +128,8 @@
 		return false
 	}
 	if !slices.Contains(predecessors[next], m.state) {
-		m.Invariants.RecordViolation(invariant.StateTransition, fmt.Sprintf("connectivity: %q entered from %q", next, m.state))
+		m.Invariants.RecordViolation(invariant.StateTransition,
+			fmt.Sprintf("connectivity: %q entered from %q", next, m.state))
 		return false
 	}
 	m.state = next
@@ -140,7 +141,7 @@
 const minRampFactor = 0.05
 
 // RateFactor returns the fraction of the usual rate, from 0 to 1, at which the node requests and grants quota, resumes
-// sessions and retries now. It is 0 without connected nodes, and grows during a recovery.
+// sessions and retries now. It is 0 in Isolated and Standalone, grows in Recovering, and is 1 in all other states.
 func (m *Machine) RateFactor(now int64) float64 {
 	switch m.state {
 	case Isolated, Standalone:
--- a/internal/fleet/counter/reading.go
+++ b/internal/fleet/counter/reading.go
@@ -11,12 +11,13 @@
 type Reading struct {
 	Lower      int64 `json:"lower"`  // lower bound of the sum
 	Upper      int64 `json:"upper"`  // upper bound of the sum
-	Age        int64 `json:"age"`    // age in nanoseconds of the oldest snapshot in the sum
+	Age        int64 `json:"age"`    // age in nanoseconds of the oldest snapshot, see Read and LiveMembers
 	Reported   int   `json:"heard"`  // number of slots with a snapshot
 	Unreported int   `json:"silent"` // number of slots without a snapshot
 }
 
-// Read returns the sum of the counts of a key. The sum for an invalid key is zero.
+// Read returns the sum of the counts of a key. The sum for an invalid key is zero. For the age of the reading, a slot
+// without a snapshot counts as one whose snapshot was taken when this node started.
 func (t *Table) Read(key int, now int64) Reading {
 	var reading Reading
 	if key < 0 || key >= len(t.MaxRates) {
@@ -72,7 +73,8 @@
 }
 
 // LiveMembers returns bounds of the number of nodes that are up. The lower bound is the number of those, this node
-// included, whose snapshot is no older than maxAge, in nanoseconds; the upper bound is the number of all nodes.
+// included, whose snapshot is no older than maxAge, in nanoseconds; the upper bound is the number of all nodes. The
+// age is that of the oldest snapshot that the lower bound includes.
 func (t *Table) LiveMembers(now, maxAge int64) Reading {
 	reading := Reading{Lower: 1, Upper: 1, Reported: 1} // this node
 	for slot := range t.slots {
--- a/internal/fleet/invariant/invariant.go
+++ b/internal/fleet/invariant/invariant.go
@@ -45,7 +45,7 @@
 // ExitCode is the exit code of a process that a strict monitor ends.
 const ExitCode = 70
 
-// Monitor counts violations. Its zero value is ready for use, and does nothing else. It is safe for concurrent use; its
+// Monitor counts violations. Its zero value is ready for use, and only counts them. It is safe for concurrent use; its
 // exported fields are set before it is first used.
 type Monitor struct {
 	// Strict makes the first violation end the process.
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -134,8 +134,8 @@
 	return oldest
 }
 
-// EvidenceToPublish returns the evidence to send to other nodes: faults first, then the latest. A node that is isolated
-// itself publishes none.
+// EvidenceToPublish returns the evidence to send to other nodes, up to MaxEvidencePerNode: faults before healthy
+// backends, and the latest observations first among each. A node that is isolated itself publishes none.
 func (d *Detector) EvidenceToPublish(now int64) []Evidence {
 	if d.isolated(now) {
 		return nil
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -17,7 +17,7 @@
 // The states of a site. The core is reachable if heartbeats of a core node arrive.
 const (
 	Connected State = iota // the core is reachable
-	Suspect                // the core is not reachable for some time; the site still operates as if connected
+	Suspect                // the core has not been reachable for SuspectAfter; the site operates as if connected
 	// Isolated is the state of a site that operates by itself, with its own backends, the last endpoint list and quota
 	// that was granted in advance.
 	Isolated
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -67,6 +67,7 @@
 }
 
 // Keys returns the paths of all values of a document, such as class[0].worth and move.hold, sorted within each section.
+// Values nested deeper than maxDepth are left out.
 func Keys(document map[string]any) []string {
 	var paths []string
 	flatten(document, "", 0, func(path string, _ any) { paths = append(paths, path) })
@@ -74,7 +75,7 @@
 }
 
 // flatten calls visit for each value within a value of a document. Empty sections count as values. Values nested deeper
-// than maxDepth are skipped.
+// than maxDepth are skipped; an index into a list counts as a level of nesting.
 func flatten(value any, path string, depth int, visit func(path string, value any)) {
 	if depth > maxDepth {
 		return
--- a/internal/store/raft.go
+++ b/internal/store/raft.go
@@ -60,7 +60,7 @@
 	storage          *storage
 	leaderTerm       atomic.Uint64 // term in which this member leads and has applied all earlier entries; 0 otherwise
 	bytesSent        *atomic.Int64 // bytes written to other members
-	lastIndexAtStart uint64        // index of the last write that was on disk at start-up
+	lastIndexAtStart uint64        // index of the last write in the log, but in no snapshot, at start-up; 0 if none
 	appliedIndex     atomic.Uint64 // index of the last log entry included in the keys
 
 	closed     chan struct{} // stops trackLeadership when closed
