--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,7 +63,7 @@
 	RecordUsage func(ledger.Entry) bool
 	// LedgerFull reports whether the ledger accepts no entries for now. Nil if it always accepts them.
 	LedgerFull func() bool
-	// LedgerBehind reports whether this ledger or that of the core lacks entries of the other. Nil if neither does.
+	// LedgerBehind reports whether this node's ledger is known to lack entries of another. Nil if there is no ledger.
 	LedgerBehind func() bool
 
 	Store       store.Store
