--- a/internal/fleet/admission_test.go
+++ b/internal/fleet/admission_test.go
@@ -65,7 +65,8 @@
 	require.Positive(t, wait)
 }
 
-// An incarnation without a lease spends nothing. An isolated node uses the overdraft, but only for the classes that may.
+// An incarnation without a lease spends nothing. An isolated node uses the overdraft, but only for the classes that
+// may.
 func TestAdmissionWhileIsolated(t *testing.T) {
 	_, _, ok := newTestFleet(t, 100, 0, false).Admit(request(1, 1))
 	require.False(t, ok)
