--- a/internal/config/endpoints.go
+++ b/internal/config/endpoints.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// validateEndpoints validates [entries] and the backends, and sets the defaults of both.
+// validateEndpoints validates [entries] and the backends, and sets the defaults of browsed services and of backends.
 func (o *OperatorFile) validateEndpoints() error {
 	switch o.Endpoints.Source {
 	case SourceDNSSD:
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -131,7 +131,7 @@
 	}, p.Settings)
 	p.ListenerFD, p.KnownEndpoints = 5, json.RawMessage("{}") // set by an environment variable, and compared above
 	p.Settings.Classes = p.Settings.Classes[:1]
-	p.Settings.Classes[0].Effect = standpoint.Keyed // since Safe is the zero value, which Unset would report
+	p.Settings.Classes[0].Effect = standpoint.Keyed // since Safe is the zero value, which UnsetFields would report
 	require.Empty(t, golden.UnsetFields(p))
 	piggyback, err := parsePlatform([]byte(strings.Replace(string(raw), `"pull"`, `"piggyback"`, 1)), noVariables)
 	require.NoError(t, err)
--- a/internal/config/migration.go
+++ b/internal/config/migration.go
@@ -16,8 +16,8 @@
 	Share    float64 `toml:"share"`  // fraction of the requests; if no pool has a share, the first gets all
 }
 
-// Migration is the section [move]: the default plan of migrations between pools, which the start of a migration may
-// override. Its fields are those of migration.Plan.
+// Migration is the section [move]: the default plan of migrations between pools. The start of a migration may override
+// a part of it, see controller.StartRequest. Each field sets a field of migration.Plan.
 type Migration struct {
 	Steps       []float64 `toml:"steps"`        // share of the requests at each step, ascending, above 0 and at most 1
 	Trickle     float64   `toml:"trickle"`      // share of the requests while the new pool warms up
@@ -28,7 +28,7 @@
 	FirstToken  float64   `toml:"first_token"`  // tolerated factor of the time to first token
 	Pace        float64   `toml:"pace"`         // tolerated factor of the time per token
 	Errors      float64   `toml:"errors"`       // tolerated fraction of failed attempts beyond the old pool's
-	Stall       Duration  `toml:"stall"`        // maximum disturbance that does not end the migration by itself
+	Stall       Duration  `toml:"stall"`        // duration up to which no disturbance ends the migration by itself
 	Alarm       float64   `toml:"alarm"`        // minimum mean number of windows between false alarms
 	OnWorse     string    `toml:"on_worse"`     // migration.Return or migration.Stay
 	ReturnSteps int       `toml:"return_steps"` // number of steps in which traffic returns
@@ -107,8 +107,8 @@
 	return &KeyError{Key: prefix + invalid.Key, Reason: invalid.Reason}
 }
 
-// validateMigrationMembers checks that the members of a store can reach each other's control interface, to which they
-// send reports about a migration.
+// validateMigrationMembers checks that every member of a store states the address of its control interface, to which
+// the others send reports about a migration, and that this node listens at the address that it states.
 func (o *OperatorFile) validateMigrationMembers() error {
 	if len(o.Pools) == 0 || o.Store.Kind != StoreRaft || len(o.Store.Members) <= 1 {
 		return nil
--- a/internal/config/module.go
+++ b/internal/config/module.go
@@ -16,7 +16,8 @@
 	moduleTick       = 2 * time.Millisecond   // minimum time between two batches of events
 	discoveryTimeout = 10 * time.Second       // time within which discovery has to be queried again
 	drainGrace       = 500 * time.Millisecond // time after which no request may be sent to a draining backend
-	// overloadWindow is the time after which a cold backend fails under a load of overloadFactor times its capacity.
+	// overloadWindow is the span over which the load of a starting backend is compared with its capacity. From
+	// overloadFactor times its capacity on, the backend is overloaded.
 	overloadWindow = 3 * time.Second
 	overloadFactor = 4
 )
@@ -80,10 +81,11 @@
 // Tenant is a [[tenant]], whose requests count together against its quota.
 type Tenant struct {
 	Name     string  `toml:"name"`
-	Share    float64 `toml:"share"`     // share of the tenant, passed to the decision module
+	Share    float64 `toml:"share"`     // passed to the decision module, which does not use it
 	QuotaRPS float64 `toml:"quota_rps"` // requests per second at all nodes together; 0 for no quota
 }
 
+// validateClasses validates the classes, and checks that every tenant has a name.
 func (o *OperatorFile) validateClasses() error {
 	if len(o.Classes) == 0 {
 		return keyError("class", "missing; at least one is required")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -186,8 +186,9 @@
 	return nil
 }
 
-// setDefaults sets the defaults of sections that do not depend on other sections. The defaults of the others are set by
-// their validation.
+// setDefaults sets the defaults that do not depend on other sections. Validation sets the others, and the defaults of
+// [limits], of [[entries.browse]], of backends, and of sections that a node may do without: [fleet], [ledger], [[tool]]
+// and [sessions].
 func (o *OperatorFile) setDefaults() {
 	setDefault(&o.Name, defaultName)
 	o.Module.setDefaults()
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -14,8 +14,8 @@
 	defaultIdleTimeout = 15 * time.Second       // default of Names.IdleTimeout
 	defaultDialTimeout = 100 * time.Millisecond // default of Names.DialTimeout
 
-	// The platform kills a process killGrace after the longest deadline of a class, of which at most maxKillDeadline
-	// counts.
+	// After SIGTERM the platform waits for the longest deadline of a class, but at most for maxKillDeadline, and then
+	// for killGrace, before it kills the process.
 	maxKillDeadline = 3 * time.Second
 	killGrace       = 700 * time.Millisecond
 
@@ -73,7 +73,8 @@
 }
 
 // Reload reads the file again for a running process. Environment variables still have the values from the start of the
-// process, so the discovery address comes from the file alone. On an error the receiver is returned unchanged.
+// process, so the discovery address comes from the file alone. The name and the addresses of the client listener and of
+// the console may not change. On an error the receiver is returned unchanged.
 func (p PlatformConfig) Reload(getenv func(string) string) (PlatformConfig, error) {
 	next, err := ReadPlatform(func(key string) string {
 		if key == discoveryVariable {
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// setDefault sets *v to standard if *v is the zero value, that is, if the file has no such key.
+// setDefault sets *v to standard if *v is the zero value: the file does not contain the key, or sets it to zero.
 func setDefault[T comparable](v *T, standard T) {
 	var zero T
 	if *v == zero {
