--- a/internal/daemon/assembly.go
+++ b/internal/daemon/assembly.go
@@ -33,7 +33,8 @@
 	// start is called once all components are constructed, before any of them runs and before clients are accepted. It
 	// returns early when the context ends, which is when the process receives a signal to stop.
 	start func(context.Context)
-	// run blocks until its context ends, which is after every accepted request has been answered.
+	// run blocks until its context ends, which is after the process has drained; that of the control interface blocks
+	// until stop instead.
 	run func(context.Context)
 	// check returns an error if the component cannot apply a deployment. No component reloads before every check has
 	// passed.
@@ -106,7 +107,7 @@
 	siblingCounts    chan int // the new number of siblings after each change
 
 	overrideRequests chan overrideRequest // requests to the console component
-	siblings         *handover.Channel    // nil if the node is always a single process
+	siblings         *handover.Channel    // nil if this process looks for no siblings; see joinSiblings
 	adoptedStreams   sync.WaitGroup       // streams that this process has adopted from siblings
 
 	store      store.Store
@@ -135,7 +136,7 @@
 
 	coreMutex      sync.Mutex   // guards coreDeployment, and serializes changes of the core's settings
 	coreDeployment deployment   // deployment from which the core's settings were derived
-	nodeCount      atomic.Int64 // number of nodes found by discovery; 0 if only the deployment states it
+	nodeCount      atomic.Int64 // number of nodes by DNS-SD, at least module.nodes; 0 without discovery of nodes
 }
 
 // runnableSource is a source of the endpoint list that runs until its context ends.
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -61,7 +61,7 @@
 	a.core.UpdateSettings(a.coreSettings(a.coreDeployment), a.coreDeployment.limits.MaxRequests())
 }
 
-// coreSettings returns the settings of a deployment, with the number of nodes found by discovery where that is greater.
+// coreSettings returns the settings of a deployment, with the number of nodes from discovery if that is greater.
 func (a *assembly) coreSettings(d deployment) standpoint.Settings {
 	settings, _, _ := d.requestSettings()
 	settings.Gateways = max(settings.Gateways, int(a.nodeCount.Load()))
--- a/internal/daemon/endpoints.go
+++ b/internal/daemon/endpoints.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// minPushedInterval is the minimum time between two calls to a discovery server that pushes lists, while it does
-	// not respond.
-	minPushedInterval = 20 * time.Millisecond
+	// minPushedPause is the minimum of endpoints.Watcher.MaxPushedPause, which bounds the pause after a failed poll of
+	// a discovery server that pushes lists.
+	minPushedPause = 20 * time.Millisecond
 
 	// endpointsPollInterval is the interval at which the start checks whether to wait any longer for the first list.
 	endpointsPollInterval = 10 * time.Millisecond
-	// pushedListWait is the minimum wait for the first list of a discovery server that pushes lists.
+	// pushedListWait is the minimum wait for the first list if the discovery server pushes lists, or if the process was
+	// started without one.
 	pushedListWait = 1500 * time.Millisecond
 	// maxEndpointsWait bounds the wait for the first list: a new process has to report that it serves within 6 s of its
 	// start.
@@ -61,7 +62,7 @@
 	watcher := endpoints.NewWatcher(cfg.Discovery, endpointNames(cfg.Names), sequence, update, a.log)
 	// A pushed change applies at once, so this node has to learn of it well within the grace time for drains.
 	if !cfg.Settings.SubscribeDiscovery {
-		watcher.MaxPushedPause = max(minPushedInterval, time.Duration(cfg.Settings.DrainGrace)/2)
+		watcher.MaxPushedPause = max(minPushedPause, time.Duration(cfg.Settings.DrainGrace)/2)
 	}
 	watcher.Nodes = cfg.Settings.Gateways
 	watcher.Restore(known)
@@ -123,11 +124,11 @@
 	}
 }
 
-// awaitedLongEnough reports whether to serve with the list that the process was started with. While a sibling serves,
-// no client waits for this process, so it waits for up to maxEndpointsWait. Otherwise it does not wait for a discovery
-// server that rejects calls or cannot be reached, if lists are requested: no call of this process is queued there, and
-// the process has 6 s to learn the list. A pushed list applies from the moment that it is sent, so the process waits at
-// least pushedListWait for one.
+// awaitedLongEnough reports whether to serve although the source has not delivered a list. The wait ends after
+// maxEndpointsWait, or earlier if the discovery server rejects calls or cannot be reached, and no sibling serves; while
+// one serves, no client waits for this process. It ends early at once if lists are requested and the process was
+// started with one: no call of this process is queued at the server, and the process has 6 s to learn the list.
+// Otherwise it lasts for at least pushedListWait, since a pushed list applies from the moment that it is sent.
 func (a *assembly) awaitedLongEnough(waited time.Duration) bool {
 	if waited >= maxEndpointsWait {
 		return true
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -29,21 +29,22 @@
 	Log *zap.Logger
 }
 
-// ConfigError wraps an error in the configuration. Its message begins with the key at fault.
+// ConfigError wraps an error in the configuration. Its message begins with the key or the file at fault.
 type ConfigError struct{ error }
 
 // Unwrap implements errors.Unwrap.
 func (e *ConfigError) Unwrap() error { return e.error }
 
-// Run serves until SIGTERM or SIGINT, and returns once every accepted request has been answered. On SIGHUP it reloads
-// its configuration. An invalid configuration at the start is returned as a *ConfigError.
+// Run serves until SIGTERM or SIGINT, and returns once every accepted request has been answered, or the time for that
+// has passed. On SIGHUP it reloads its configuration. A configuration that cannot be read or is invalid at the start is
+// returned as a *ConfigError; an error of a component, such as an address in use, is not.
 func Run(o Options) error {
 	started := time.Now()
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	hangup := make(chan os.Signal, 1) // further signals before the first is handled coalesce with it
 	signal.Notify(hangup, syscall.SIGHUP)
-	// After the return all that remains is to exit with success, so a further signal must not kill the process.
+	// After the return all that remains is to exit with the result, so a further signal must not kill the process.
 	defer signal.Ignore(syscall.SIGHUP, syscall.SIGTERM)
 
 	d, err := readDeployment(o.ConfigFile)
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -36,7 +36,7 @@
 
 // SettingsChange is a request to write a new version of the shared configuration.
 type SettingsChange struct {
-	BaseVersion uint64 `json:"base"` // version that the author changed
+	BaseVersion uint64 `json:"base"` // version that the change is based on; it must be the latest
 	Text        string `json:"text"`
 	Author      string `json:"author"`
 	Note        string `json:"note,omitempty"`
@@ -79,8 +79,8 @@
 	}
 }
 
-// awaitStore waits until the store has caught up with its leader. It returns false if that takes longer than
-// storeTimeout.
+// awaitStore waits until the store has caught up with its leader, or the context ends. It returns false if that takes
+// longer than storeTimeout.
 func (f *settingsFollower) awaitStore(ctx context.Context) bool {
 	replica, ok := f.store.(interface{ CaughtUp() bool })
 	if !ok {
