--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -17,7 +17,7 @@
 	"standpoint/internal/testpeer/golden"
 )
 
-// The JSON keys of an error, which clients of every version decode.
+// TestGoldenError compares the JSON of an error, whose keys clients of every version decode, with a golden file.
 func TestGoldenError(t *testing.T) {
 	value := Error{Code: "not_leader", Message: "another member leads", Key: "move.floor", Leader: "127.0.0.1:9802"}
 	decode := func(raw []byte) (Error, error) {
@@ -28,7 +28,8 @@
 	golden.RoundTrip(t, "error.json", value, func(e Error) ([]byte, error) { return json.Marshal(e) }, decode, "Status")
 }
 
-// The responses of the control interface: statuses, headers, error codes and messages.
+// TestGoldenResponses compares the responses of the control interface with a golden file: statuses, headers, error
+// codes and messages.
 func TestGoldenResponses(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
@@ -93,8 +94,8 @@
 	golden.Bytes(t, "answers.txt", []byte(transcript.String()))
 }
 
-// The requests that a client sends, the response to a call beyond the limit of concurrent calls, and the client's
-// errors.
+// TestGoldenClient compares the requests that a client sends, the response to a call beyond the limit of concurrent
+// calls, and the client's errors with a golden file.
 func TestGoldenClient(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
@@ -130,7 +131,8 @@
 	golden.Bytes(t, "client.txt", []byte(transcript.String()))
 }
 
-// The error messages for a token file or a listener address that is rejected.
+// TestGoldenListenErrors compares the error messages for rejected token files and listener addresses with a golden
+// file.
 func TestGoldenListenErrors(t *testing.T) {
 	dir := t.TempDir()
 	var transcript strings.Builder
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -53,6 +53,8 @@
 	return s
 }
 
+// TestChangesNeedTheToken checks that only a call with the token can change anything, that each fault of a call has
+// its error code, and that a changed token file takes effect.
 func TestChangesNeedTheToken(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret+"\n"), 0o600))
@@ -100,6 +102,8 @@
 	require.NoError(t, renewed.Call(t.Context(), "POST", "/v1/thing", struct{ By int }{1}, nil))
 }
 
+// TestUntrustedTokenFilesAreRejected checks that Listen returns an error for a token file that others may read, whose
+// token is too short, or that is missing.
 func TestUntrustedTokenFilesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text      string
@@ -119,8 +123,8 @@
 	}
 }
 
-// The owner of the unix socket needs no token. A socket that a dead daemon left behind is replaced; a socket in use and
-// a file that is not a socket are errors.
+// TestUnixSocketOwnerNeedsNoToken checks that the owner of the unix socket needs no token, that a socket that a dead
+// daemon left behind is replaced, and that a socket in use and a file that is not a socket are errors.
 func TestUnixSocketOwnerNeedsNoToken(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.sock")
 	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path})
@@ -144,7 +148,8 @@
 	require.ErrorContains(t, err, "exists and is not a socket")
 }
 
-// A daemon that is not the leader responds with the leader's address, and the client repeats the call there.
+// TestClientCallsTheLeader checks that a client repeats a call at the leader if a daemon that is not the leader
+// responds with the leader's address.
 func TestClientCallsTheLeader(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
@@ -164,6 +169,7 @@
 	require.Equal(t, 5, changed)
 }
 
+// TestTooManyConcurrentCallsAreRejected checks that a call beyond maxConcurrentCalls gets CodeBusy.
 func TestTooManyConcurrentCallsAreRejected(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	s, err := Listen("127.0.0.1:0", "", []Route{{Pattern: "GET /v1/slow", Handle: func(*http.Request, []byte) (any,
@@ -197,8 +203,8 @@
 	}
 }
 
-// Callers without the token could block authorized calls by occupying all slots with bodies that never arrive. The
-// server responds to them without waiting for the body.
+// TestSlowBodiesHoldNoSlots checks that callers without the token cannot block authorized calls by occupying all slots
+// with bodies that never arrive: the server responds to them without waiting for the body.
 func TestSlowBodiesHoldNoSlots(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(file, []byte(secret), 0o600))
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -20,14 +20,14 @@
 // TestReloadOnHangup checks that SIGHUP reads the file again: an invalid file changes nothing and its key is logged; a
 // valid file replaces the backends.
 func TestReloadOnHangup(t *testing.T) {
-	server := func(name string) string {
+	startBackend := func(name string) string {
 		return testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 			testpeer.WriteEvent(w, name)
 			testpeer.WriteStreamEnd(w)
 		})
 	}
 	listen := testpeer.FreeAddress(t)
-	path := operatorFile(t, listen, server("old"))
+	path := operatorFile(t, listen, startBackend("old"))
 	core, logs := observer.New(zap.InfoLevel)
 	exit := make(chan error, 1)
 	go func() { exit <- Run(Options{ConfigFile: path, Log: zap.New(core)}) }()
@@ -59,7 +59,7 @@
 	}, 5*time.Second, 5*time.Millisecond)
 	require.True(t, servedBy("old")())
 	begin := strings.Index(string(valid), "[[real_server]]")
-	hangup(string(valid[:begin]) + fmt.Sprintf("[[real_server]]\nname = \"box-2\"\naddress = %q\n", server("new")) +
+	hangup(string(valid[:begin]) + fmt.Sprintf("[[real_server]]\nname = \"box-2\"\naddress = %q\n", startBackend("new")) +
 		string(valid[strings.Index(string(valid), "[batch]"):]))
 	require.Eventually(t, servedBy("new"), 5*time.Second, 5*time.Millisecond)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -51,13 +51,13 @@
 // respected until the exit.
 func TestReloadInEveryPhase(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		testpeer.WriteEvent(w, "begun")
 		<-release
 		testpeer.WriteStreamEnd(w)
 	})
 	listen, controlAddress := testpeer.FreeAddress(t), testpeer.FreeAddress(t)
-	path := operatorFile(t, listen, server)
+	path := operatorFile(t, listen, backend)
 	token := filepath.Join(filepath.Dir(path), "token")
 	require.NoError(t, os.WriteFile(token, []byte("a-token-that-is-long-enough"), 0o600))
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -20,7 +20,7 @@
 // connect, completes every accepted request, including a stream in progress, and then exits.
 func TestDrainAcceptsLateClients(t *testing.T) {
 	release := make(chan struct{})
-	server := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	backend := testpeer.StartBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		testpeer.WriteEvent(w, "begun")
 		if r.Header.Get("X-Trace-Id") == "slow-1" {
 			<-release
@@ -29,7 +29,7 @@
 	})
 	listen := testpeer.FreeAddress(t)
 	exit := make(chan error, 1)
-	go func() { exit <- Run(Options{ConfigFile: operatorFile(t, listen, server), Log: zap.NewNop()}) }()
+	go func() { exit <- Run(Options{ConfigFile: operatorFile(t, listen, backend), Log: zap.NewNop()}) }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	require.Eventually(t, func() bool {
 		response, err := client.Get("http://" + listen + "/_health")
