--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,7 +19,8 @@
 	return o.String(), e.String(), code
 }
 
-// The output of check is itself an operator's file with the same settings, and an error names the faulty key.
+// TestCheckPrintsEffectiveSettings checks that the output of check is itself an operator's file with the same
+// settings, and that an error names the faulty key.
 func TestCheckPrintsEffectiveSettings(t *testing.T) {
 	out, _, code := run("check", "../../deploy/operator.toml")
 	require.Zero(t, code)
@@ -47,6 +48,7 @@
 	}
 }
 
+// TestFaultyCommandLines checks the exit codes and the errors of command lines that fail.
 func TestFaultyCommandLines(t *testing.T) {
 	for args, want := range map[string]struct {
 		code      int
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -135,8 +135,8 @@
 	c.eventually(fmt.Sprint("version ", version), func() bool { return c.allApplied(version) })
 }
 
-// A change to the shared configuration is validated and applied by all nodes, whichever node it is sent to. An invalid
-// change is rejected with its key, and --check writes nothing.
+// TestSharedConfiguration checks that a change to the shared configuration is validated and applied by all nodes,
+// whichever node it is sent to. An invalid change is rejected with its key, and --check writes nothing.
 func TestSharedConfiguration(t *testing.T) {
 	c := startConfigurationCluster(t)
 	c.eventuallySucceeds("a", "init", "--by", "kim", "-m", "first")
--- a/internal/cli/discovery_test.go
+++ b/internal/cli/discovery_test.go
@@ -306,8 +306,8 @@
 	return string(text)
 }
 
-// Discovery by DNS-SD with a complete daemon under load: withdrawn backends get no new requests, a reload changes the
-// domains, nodes are counted and metrics report it. No request is lost.
+// TestDiscovery covers discovery by DNS-SD with a complete daemon under load: withdrawn backends get no new requests,
+// a reload changes the domains, nodes are counted and metrics report it. No request is lost.
 func TestDiscovery(t *testing.T) {
 	d := startDiscoveryTest(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	drainGrace   = 500 * time.Millisecond // the longest time after a notification in which a server may get requests
+	drainGrace   = 500 * time.Millisecond // maximum time from a notification until the last request to the backend
 	socketsSlack = 50 * time.Millisecond  // added to every time limit, as the test runs on real sockets
 )
 
-// drainFleet is a fleet of node processes with emulated discoveries, backends and clients.
+// drainFleet is a fleet of node processes with emulated discovery servers, backends and clients.
 type drainFleet struct {
 	t             *testing.T
 	program       string
@@ -44,17 +44,17 @@
 // drainNode is one node. It may run as several processes, one after another.
 type drainNode struct {
 	name, listen, file, dir string
-	first, second           string // the addresses at which it calls the two discoveries
+	first, second           string // addresses at which it calls the two discovery servers
 	process                 *exec.Cmd
 	output                  *processLog
 }
 
 // newDrainFleet returns a fleet of nodes that are not started yet. port is the port of every node's listener.
-func newDrainFleet(t *testing.T, program, mode string, port int, seed uint64, nodes, servers int) *drainFleet {
+func newDrainFleet(t *testing.T, program, mode string, port int, seed uint64, nodes, backends int) *drainFleet {
 	f := &drainFleet{t: t, program: program, mode: mode, rng: rand.New(rand.NewPCG(seed, 34)),
 		stop: make(chan struct{})}
 	f.record = drain.NewRecord(f.stop)
-	for i := range servers {
+	for i := range backends {
 		name := fmt.Sprint("s", i)
 		f.hosts = append(f.hosts, drain.Host{Host: name, Dial: drain.StartBackend(t, name, f.record), Site: "a",
 			Class: "m", Health: "ready", Share: 1})
@@ -142,7 +142,8 @@
 	}
 }
 
-// reload switches the nodes to the second discovery by SIGHUP, one after another in random order, in the time over.
+// reload switches the nodes to the second discovery server by SIGHUP, one after another in random order, in the time
+// over.
 func (f *drainFleet) reload(over time.Duration) {
 	for _, i := range f.rng.Perm(len(f.nodes)) {
 		n := f.nodes[i]
@@ -160,7 +161,7 @@
 	time.AfterFunc(span, func() { _ = n.process.Process.Signal(syscall.SIGCONT) })
 }
 
-// finish stops the clients, and returns the requests that were sent to a server too late after the notification of its
+// finish stops the clients, and returns the requests that were sent to a backend too late after the notification of its
 // departure.
 func (f *drainFleet) finish() []drain.Violation {
 	close(f.stop)
@@ -174,10 +175,11 @@
 	return violations
 }
 
-// No node sends a request to a server later than drainGrace after the notification of its drain or removal, whatever
-// fault hides the notification. A server departs during each fault: watches that never respond, respond in pieces, with
-// the full list or late; discovery down, and back with a queue that rejects callers; a SIGHUP that switches to a
-// discovery behind the first; processes killed and restarted with an outdated list; processes without processor time.
+// TestNothingIsSentToServersThatLeave checks that no node sends a request to a backend later than drainGrace after the
+// notification of its drain or removal, whatever fault hides the notification. A backend departs during each fault:
+// watches that never respond, respond in pieces, with the full list or late; discovery down, and back with a queue
+// that rejects callers; a SIGHUP that switches to a server behind the first; processes killed and restarted with an
+// outdated list; processes without processor time.
 func TestNothingIsSentToServersThatLeave(t *testing.T) {
 	t.Parallel()
 	program := build(t)
@@ -265,7 +267,7 @@
 	}
 }
 
-// runScenario runs the faults and departures one after another, in 19.5 s. Seven of the twelve servers depart.
+// runScenario runs the faults and departures one after another, in 19.5 s. Seven of the twelve backends depart.
 func (f *drainFleet) runScenario() {
 	start := time.Now()
 	until := func(ms int) { time.Sleep(time.Until(start.Add(time.Duration(ms) * time.Millisecond))) }
@@ -315,8 +317,9 @@
 	until(19500)
 }
 
-// A process that starts with an outdated list must not serve from it while its call is queued at discovery: it accepts
-// no client before the response, and sends nothing to the server that started to drain in the meantime.
+// TestAnOldListIsNotServedFrom checks that a process that starts with an outdated list does not serve from it while
+// its call is queued at discovery: it accepts no client before the response, and sends nothing to the backend that
+// started to drain in the meantime.
 func TestAnOldListIsNotServedFrom(t *testing.T) {
 	t.Parallel()
 	const queueWait = 800 * time.Millisecond
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -13,8 +13,8 @@
 	OK                = 0 // the command succeeded
 	Failed            = 1 // the command failed, for a reason without a code of its own
 	InvalidUsage      = 2 // the command line or a configuration is invalid; the message names the key
-	Unreachable       = 3 // no daemon responds at the control interface
-	Rejected          = 4 // the daemon rejected the call: unauthorized, or invalid in its present state
+	Unreachable       = 3 // no daemon responds at the control interface, or its response cannot be decoded
+	Rejected          = 4 // the daemon rejected the call for another reason than an invalid plan or configuration
 	MigrationReverted = 5 // a watched migration was halted or reverted
 )
 
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -52,7 +52,7 @@
 	return paths
 }
 
-// The name, the flags with their defaults, and the help of every command.
+// TestGoldenHelp compares the name, the flags with their defaults, and the help of every command with a golden file.
 func TestGoldenHelp(t *testing.T) {
 	fixedEnvironment(t)
 	var text strings.Builder
@@ -67,7 +67,7 @@
 	golden.Bytes(t, "help.txt", []byte(text.String()))
 }
 
-// The suggestions of shell completion.
+// TestGoldenCompletion compares the suggestions of shell completion with a golden file.
 func TestGoldenCompletion(t *testing.T) {
 	fixedEnvironment(t)
 	var text strings.Builder
@@ -92,7 +92,8 @@
 		Reason: "hold: 4 s more", Step: 1, Version: 9,
 		Plan: migration.Plan{From: "old", To: "new", Steps: []float64{0.1, 0.6, 1}, WarmUpShare: 0.03,
 			MinWarmUp: 11 * time.Second, MinHold: 21 * time.Second, MinSamples: 31,
-			OnTimeFloor: 0.8, FirstTokenFactor: 1.3, TokenGapFactor: 1.2, ErrorAllowance: 0.02, MaxToleratedStall: 6 * time.Second, FalseAlarmWindows: 20000,
+			OnTimeFloor: 0.8, FirstTokenFactor: 1.3, TokenGapFactor: 1.2, ErrorAllowance: 0.02,
+			MaxToleratedStall: 6 * time.Second, FalseAlarmWindows: 20000,
 			OnWorse: migration.Return, ReturnSteps: 4,
 			ReturnEvery: 3 * time.Second, ColdCapacityFraction: 0.17, SlowStart: 25 * time.Second, CollapseFactor: 4},
 		Shares:  pool.Shares{Moved: map[string]string{"older": "old"}, From: "old", To: "new", Share: 0.6},
@@ -239,7 +240,8 @@
 	return clockText.ReplaceAllString(text, "TIME")
 }
 
-// The output of each command as text and as JSON, its exit code, and the requests that it sends to the daemon.
+// TestGoldenOutput compares the output of each command as text and as JSON, its exit code, and the requests that it
+// sends to the daemon with golden files.
 func TestGoldenOutput(t *testing.T) {
 	fixedEnvironment(t)
 	for name, args := range map[string]string{
@@ -312,7 +314,7 @@
 	return sent
 }
 
-// The output of commands that read a local file or directory.
+// TestGoldenOutputOfFiles compares the output of commands that read a local file or directory with a golden file.
 func TestGoldenOutputOfFiles(t *testing.T) {
 	fixedEnvironment(t)
 	d := startFakeDaemon(t)
@@ -395,7 +397,8 @@
 	require.Equal(t, string(checked), out)
 }
 
-// The output of move watch for each way that a move ends, and of entries watch.
+// TestGoldenWatches compares the output of move watch for each way that a move ends, and of entries watch, with a
+// golden file.
 func TestGoldenWatches(t *testing.T) {
 	fixedEnvironment(t)
 	d := startFakeDaemon(t)
@@ -454,7 +457,7 @@
 	return c.Buffer.Write(p)
 }
 
-// The line and the JSON of an endpoint change of each kind.
+// TestGoldenEntryChanges compares the line and the JSON of an endpoint change of each kind with a golden file.
 func TestGoldenEntryChanges(t *testing.T) {
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	var text strings.Builder
@@ -467,14 +470,14 @@
 	golden.Bytes(t, "entry-changes.txt", []byte(text.String()))
 }
 
-// The live view of a move, and the view before the first status.
+// TestGoldenLiveView compares the live view of a move, and the view before the first status, with golden files.
 func TestGoldenLiveView(t *testing.T) {
 	m := liveView{status: goldenMigration(), shareHistory: []float64{0, 0.25, 0.5, 0.75, 1}, note: "pause: done"}
 	golden.Bytes(t, "live.txt", []byte(m.View().Content))
 	golden.Bytes(t, "live-empty.txt", []byte(liveView{}.View().Content))
 }
 
-// Exit codes, and the error messages of invalid command lines.
+// TestGoldenExitCodes compares exit codes, and the error messages of invalid command lines, with a golden file.
 func TestGoldenExitCodes(t *testing.T) {
 	fixedEnvironment(t)
 	require.Equal(t, []int{0, 1, 2, 3, 4, 5}, []int{OK, Failed, InvalidUsage, Unreachable, Rejected, MigrationReverted})
--- a/internal/cli/kill_test.go
+++ b/internal/cli/kill_test.go
@@ -116,10 +116,10 @@
 		"15000m").WithContext(ctx))
 }
 
-// A node is killed while a backend holds a request, a stream is relayed and lines of a batch are in flight. Clients get
-// an error, and the attempts end at the backend; the node does not repeat clients' requests. The writes that the
-// store had acknowledged survive the restart: the file, the batch, and the time before which no line in flight is sent
-// again.
+// TestKillWithWorkInFlight kills a node while a backend holds a request, a stream is relayed and lines of a batch are
+// in flight. Clients get an error, and the attempts end at the backend; the node does not repeat clients' requests.
+// The writes that the store had acknowledged survive the restart: the file, the batch, and the time before which no
+// line in flight is sent again.
 func TestKillWithWorkInFlight(t *testing.T) {
 	t.Parallel()
 	const lineTime = 3 * time.Second
@@ -212,8 +212,8 @@
 	require.Equal(t, 1, counter.MaximumInFlight())
 }
 
-// A node is killed at random moments during uploads. After each restart, every upload that it had acknowledged is
-// complete, and of the others none is visible in part.
+// TestKillDuringUploads kills a node at random moments during uploads. After each restart, every upload that it had
+// acknowledged is complete, and of the others none is visible in part.
 func TestKillDuringUploads(t *testing.T) {
 	t.Parallel()
 	node := newBatchNode(t, testpeer.FreeAddress(t), "3s")
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -23,8 +23,7 @@
 			Use:                "load PLAN",
 			Short:              "Send the load of a plan or a recorded trace, and report the results",
 			DisableFlagParsing: true,
-			RunE: func(_ *cobra.Command,
-				args []string) error {
+			RunE: func(_ *cobra.Command, args []string) error {
 				return execLab(append([]string{"load"}, args...))
 			},
 		},
--- a/internal/cli/liveview.go
+++ b/internal/cli/liveview.go
@@ -17,8 +17,8 @@
 
 const (
 	barWidth        = 40  // characters
-	maxShareHistory = 240 // samples kept, the latest
-	maxLiveEvents   = 8   // events shown, the latest
+	maxShareHistory = 240 // maximum number of samples in the history; older ones are dropped
+	maxLiveEvents   = 8   // maximum number of events shown, the latest ones
 )
 
 var (
@@ -51,8 +51,8 @@
 	commandFinished struct{ text string }
 )
 
-// watchLive shows the migration until it ends or the user quits. If the migration ended otherwise than planned, the
-// error says how.
+// watchLive shows the migration until it ends or the user quits. A halt does not end the view, since a key can resume
+// the migration. If the migration ended otherwise than planned, the error says how.
 func (o *options) watchLive(ctx context.Context, out *os.File) error {
 	client, err := o.client()
 	if err != nil {
--- a/internal/cli/migration_test.go
+++ b/internal/cli/migration_test.go
@@ -239,8 +239,8 @@
 	require.Equal(m.t, before, after, "requests sent to the new pool after the migration was reverted")
 }
 
-// A migration with a complete daemon, run by operator commands: traffic moves to the new pool until its backends fail,
-// then all of it returns to the old pool.
+// TestMigration covers a migration with a complete daemon, run by operator commands: traffic moves to the new pool
+// until its backends fail, then all of it returns to the old pool.
 func TestMigration(t *testing.T) {
 	m := startMigrationTest(t)
 	clients := m.startClients(6)
--- a/internal/cli/nodes.go
+++ b/internal/cli/nodes.go
@@ -11,7 +11,7 @@
 
 // nodesStatus is the response to GET /v1/nodes.
 type nodesStatus struct {
-	Count int          `json:"reckoned"` // the number of nodes that the limits of all nodes together are divided by
+	Count int          `json:"reckoned"` // number of nodes by which limits of the whole installation are divided
 	Nodes []peers.Node `json:"nodes"`
 }
 
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -31,8 +31,8 @@
 	ended  chan error
 }
 
-// startStandalone starts a node with the address of its discovery and an initial list of one server. sockets limits its
-// file descriptors; settings are added to its settings.
+// startStandalone starts a node with the address of its discovery server and an initial list of one backend. sockets
+// limits its file descriptors; settings are added to its settings.
 func startStandalone(
 	t *testing.T, program, discovery, server string, sockets int, settings map[string]any,
 ) *standaloneNode {
@@ -78,7 +78,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// scriptedDiscovery is a discovery that passes each connection to a handler, which may be replaced.
+// scriptedDiscovery is a discovery server that passes each connection to a handler, which may be replaced.
 type scriptedDiscovery struct {
 	address string
 	handler atomic.Pointer[func(net.Conn)]
@@ -126,7 +126,7 @@
 	_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
 
-// serveList returns a handler that serves the full list of one server with this health, and never responds to a watch
+// serveList returns a handler that serves the full list of one backend with this health, and never responds to a watch
 // for changes.
 func serveList(server, health string) func(net.Conn) {
 	return func(c net.Conn) {
@@ -144,10 +144,10 @@
 	}
 }
 
-// A drain that only the first process was notified of must not be lost in an upgrade. Both processes start with a list
-// in which the server is ready; discovery reports the drain to the first, and does not respond to the second until its
-// third call for the full list. Neither process sends the server a request before, during or after the hand-over, and
-// the second is ready within 6 s.
+// TestADrainBeforeAnUpgradesHandOver checks that a drain that only the first process was notified of is not lost in an
+// upgrade. Both processes start with a list in which the backend is ready; discovery reports the drain to the first,
+// and does not respond to the second until its third call for the full list. Neither process sends the backend a
+// request before, during or after the hand-over, and the second is ready within 6 s.
 func TestADrainBeforeAnUpgradesHandOver(t *testing.T) {
 	t.Parallel()
 	received, stayingReceived := make(chan string, 1000), make(chan string, 1000)
@@ -228,13 +228,13 @@
 	require.GreaterOrEqual(t, len(stayingReceived), 82)
 }
 
-// A process is ready within 10 s of its start even if discovery resets connections, never responds or rejects every
-// call, whether lists are requested or pushed.
+// TestReadyWhateverDiscoveryDoes checks that a process is ready within 10 s of its start even if discovery resets
+// connections, never responds or rejects every call, whether lists are requested or pushed.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	t.Parallel()
 	program := build(t)
-	for name, handle := range map[string]func(net.Conn){"resets connections": resetConnection, "never responds": neverRespond,
-		"rejects every call": rejectBusy} {
+	for name, handle := range map[string]func(net.Conn){"resets connections": resetConnection,
+		"never responds": neverRespond, "rejects every call": rejectBusy} {
 		for _, mode := range []string{"on_request", "pushed"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
 				t.Parallel()
@@ -249,9 +249,9 @@
 	}
 }
 
-// Idle clients, three times as many as the node has file descriptors, connect while discovery is down. The node must
-// reserve descriptors for discovery and its backends: within 6 s of discovery's return it has the new list, and serves
-// a client with a request from it.
+// TestIdleClientsWhileDiscoveryIsDown has idle clients, three times as many as the node has file descriptors, connect
+// while discovery is down. The node must reserve descriptors for discovery and its backends: within 6 s of discovery's
+// return it has the new list, and serves a client with a request from it.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	const sockets = 128
@@ -308,9 +308,9 @@
 	}
 }
 
-// Signals may arrive at any time: SIGHUP from the start of the process, then SIGTERM and SIGHUP twice while it drains,
-// and both repeatedly until its exit. Requests in flight complete, a request on an open connection is still served, and
-// the process exits with status 0.
+// TestOverlappingSignals checks that signals may arrive at any time: SIGHUP from the start of the process, then
+// SIGTERM and SIGHUP twice while it drains, and both repeatedly until its exit. Requests in flight complete, a request
+// on an open connection is still served, and the process exits with status 0.
 func TestOverlappingSignals(t *testing.T) {
 	t.Parallel()
 	started, release := make(chan struct{}, 100), make(chan struct{})
--- a/internal/cli/upgrade_test.go
+++ b/internal/cli/upgrade_test.go
@@ -186,9 +186,9 @@
 	require.True(u.t, last.showsStat("app.hosts_down=1")())
 }
 
-// Two upgrades in a row under load must neither lose nor repeat a request, nor forget what operators set: each request
-// is sent once and gets one complete response, and a backend that is marked down stays down, whichever process the
-// operator called.
+// TestUpgradeUnderClients checks that two upgrades in a row under load neither lose nor repeat a request, nor forget
+// what operators set: each request is sent once and gets one complete response, and a backend that is marked down
+// stays down, whichever process the operator called.
 func TestUpgradeUnderClients(t *testing.T) {
 	u := newUpgradeTest(t)
 	first := u.startReady(10 * time.Second)
--- a/internal/cli/versions_test.go
+++ b/internal/cli/versions_test.go
@@ -17,9 +17,9 @@
 	"standpoint/internal/testpeer/release"
 )
 
-// An upgrade from the previous release to this program and a rollback, under load, must lose nothing: the learned state
-// and the backends that operators marked down are taken over, a stream in progress continues, and every request is sent
-// once and gets one complete response.
+// TestUpgradeBetweenVersions checks that an upgrade from the previous release to this program and a rollback, under
+// load, lose nothing: the learned state and the backends that operators marked down are taken over, a stream in
+// progress continues, and every request is sent once and gets one complete response.
 func TestUpgradeBetweenVersions(t *testing.T) {
 	earlier, present := release.Program(t), build(t)
 	for name, programs := range map[string][2]string{
