--- a/internal/cli/drain_test.go
+++ b/internal/cli/drain_test.go
@@ -175,12 +175,12 @@
 	return violations
 }
 
-// TestNothingIsSentToServersThatLeave checks that no node sends a request to a backend later than drainGrace after the
+// TestNothingIsSentToBackendsThatLeave checks that no node sends a request to a backend later than drainGrace after the
 // notification of its drain or removal, whatever fault hides the notification. A backend departs during each fault:
 // watches that never respond, respond in pieces, with the full list or late; discovery down, and back with a queue
 // that rejects callers; a SIGHUP that switches to a server behind the first; processes killed and restarted with an
 // outdated list; processes without processor time.
-func TestNothingIsSentToServersThatLeave(t *testing.T) {
+func TestNothingIsSentToBackendsThatLeave(t *testing.T) {
 	t.Parallel()
 	program := build(t)
 	drainPort := 8443
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -133,7 +133,7 @@
 	return replication.Status{Slot: "node-a", Incarnation: 3, Entries: 51, Bytes: 52,
 		Totals: map[string]ledger.Totals{"office": {Entries: 61, InputTokens: 62, CachedTokens: 63,
 			OutputTokens: 64}}, Sources: 53,
-		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Missing: 58, SyncedSecondsAgo: 5.5, Consistent: true,
+		Charged: 54, Received: 55, Dropped: 56, Queued: 57, Unfetched: 58, SyncedSecondsAgo: 5.5, Consistent: true,
 		Corruptions: []string{"000001.seg, byte 16: a checksum that does not fit"}}
 }
 
--- a/internal/cli/ledger.go
+++ b/internal/cli/ledger.go
@@ -30,7 +30,7 @@
 	o.writeTotals(s.Totals)
 	fmt.Fprintf(o.Out,
 		"%d entries of %d lives, %d bytes; %d charged here, %d from others, %d lacking; %d wait to be written\n",
-		s.Entries, s.Sources, s.Bytes, s.Charged, s.Received, s.Missing, s.Queued)
+		s.Entries, s.Sources, s.Bytes, s.Charged, s.Received, s.Unfetched, s.Queued)
 	for _, corruption := range s.Corruptions {
 		fmt.Fprintln(o.Out, "DAMAGE", corruption)
 	}
--- a/internal/config/endpoints.go
+++ b/internal/config/endpoints.go
@@ -259,8 +259,8 @@
 	return standpoint.Ready
 }
 
-// ReadyAt returns the time of the backend's last start, in nanoseconds of Unix time; 0 means long ago.
-func (b Backend) ReadyAt() int64 {
+// StartTime returns the time of the backend's last start, in nanoseconds of Unix time; 0 means long ago.
+func (b Backend) StartTime() int64 {
 	if b.StartedAt.IsZero() {
 		return 0
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -84,7 +84,7 @@
 		// The ledger is constructed after the fleet, so these closures read a.ledger at each call.
 		options.RecordUsage = func(e ledger.Entry) bool { return a.ledger.Charge(e) }
 		options.LedgerFull = func() bool { return a.ledger.Overloaded() }
-		options.LedgerBehind = func() bool { return a.ledger.OutOfSync() }
+		options.LedgerOutOfSync = func() bool { return a.ledger.OutOfSync() }
 	}
 	return options
 }
--- a/internal/daemon/operatorendpoints.go
+++ b/internal/daemon/operatorendpoints.go
@@ -77,7 +77,7 @@
 				Zone:      max(0, slices.Index(cfg.Names.Zones, b.Zone)),
 				Kind:      max(0, slices.Index(cfg.Names.Kinds, b.Kind)),
 				State:     b.State(),
-				StartedAt: b.ReadyAt(),
+				StartedAt: b.StartTime(),
 			},
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,8 +63,8 @@
 	RecordUsage func(ledger.Entry) bool
 	// LedgerFull reports whether the ledger accepts no entries for now. Nil if it always accepts them.
 	LedgerFull func() bool
-	// LedgerBehind reports whether this node's ledger is known to lack entries of another. Nil if there is no ledger.
-	LedgerBehind func() bool
+	// LedgerOutOfSync reports whether this node's ledger is known to lack entries of another. Nil if there is no ledger.
+	LedgerOutOfSync func() bool
 
 	Store       store.Store
 	Advise      func(*standpoint.Advice) // passes advice to the decision module; nil to discard it
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -62,7 +62,7 @@
 	if f.siteConnectivity == nil {
 		return
 	}
-	dataMissing := f.LedgerBehind != nil && f.LedgerBehind()
+	dataMissing := f.LedgerOutOfSync != nil && f.LedgerOutOfSync()
 	if f.siteConnectivity.Update(f.Now(), f.coreAlive(), dataMissing) {
 		state, _ := f.siteConnectivity.Current()
 		f.Log.Info("site connectivity changed", zap.Stringer("state", state))
--- a/internal/fleet/ledger/replication/golden_test.go
+++ b/internal/fleet/ledger/replication/golden_test.go
@@ -49,7 +49,7 @@
 		Received:         11,
 		Dropped:          12,
 		Queued:           13,
-		Missing:          14,
+		Unfetched:        14,
 		SyncedSecondsAgo: 15.5,
 		Consistent:       true,
 		Corruptions:      []string{"00000001.ledger, byte 20: a checksum that does not hold"},
--- a/internal/fleet/ledger/replication/status.go
+++ b/internal/fleet/ledger/replication/status.go
@@ -21,9 +21,9 @@
 	Received    uint64                   `json:"taken"`   // entries received from other members and written
 	Dropped     uint64                   `json:"lost"`    // entries dropped because the queue was full
 	Queued      int                      `json:"waiting"` // entries in the queue
-	// Missing is the number of entries that a sync had requested when one of its fetches failed. It is 0 after a
+	// Unfetched is the number of entries that a sync had requested when one of its fetches failed. It is 0 after a
 	// complete sync.
-	Missing int64 `json:"lacking"`
+	Unfetched int64 `json:"lacking"`
 	// SyncedSecondsAgo is the time since this ledger last had all entries of another member's ledger, in seconds. It is
 	// -1 if that has not happened since the start of the process.
 	SyncedSecondsAgo float64  `json:"agreed"`
@@ -46,7 +46,7 @@
 		Received:         r.received.Load(),
 		Dropped:          r.dropped.Load(),
 		Queued:           len(r.queue),
-		Missing:          r.missing.Load(),
+		Unfetched:        r.missing.Load(),
 		SyncedSecondsAgo: neverSynced,
 		Consistent:       r.index.Verify(),
 		Corruptions:      []string{},
