--- a/internal/migration/advance.go
+++ b/internal/migration/advance.go
@@ -7,8 +7,8 @@
 	maxPassEvidence = 0.5
 	// warmUpMinResponses is the number of on-time responses of the new pool that the first step requires.
 	warmUpMinResponses = 5
-	// minTrickleChange is the minimum increase of the share during the warm-up. Smaller increases are not applied.
-	minTrickleChange = 0.002
+	// minWarmUpShareChange is the minimum increase of the share during the warm-up. Smaller increases are not applied.
+	minWarmUpShareChange = 0.002
 	// minStepChange is the minimum increase of the share during a step. Smaller increases are not applied.
 	minStepChange = 0.005
 	// shareTolerance is the difference within which a share counts as reached.
@@ -17,7 +17,7 @@
 	minOfferedDivisor = 1e-9
 )
 
-// observePlanned starts the warm-up once all live nodes follow the record.
+// observePlanned starts the warm-up once all live nodes follow the record, unless the migration is paused.
 func (m *Machine) observePlanned(window *Window) {
 	switch {
 	case m.record.Paused:
@@ -69,12 +69,12 @@
 	}
 }
 
-// observeWarming starts the first step once the new pool is warm enough and has given warmUpMinResponses responses on
-// time.
+// observeWarming starts the first step once Plan.MinWarmUp has passed, the new pool is warm enough for the step's
+// share, and it has given warmUpMinResponses responses on time.
 func (m *Machine) observeWarming(attainable float64) {
 	plan := &m.record.Plan
 	trickle := min(plan.WarmUpShare, attainable)
-	if trickle > m.record.Shares.Share+minTrickleChange {
+	if trickle > m.record.Shares.Share+minWarmUpShareChange {
 		m.setShare(trickle)
 	}
 	responses := m.onTimeResponses()
@@ -125,8 +125,9 @@
 	}
 }
 
-// observeHolding passes the step once it has been held for Plan.Hold and both pools have enough samples, unless there
-// is evidence that the new pool is worse.
+// observeHolding passes the step once it has been held for Plan.MinHold, all live nodes follow the record, both pools
+// have enough samples and the new pool is not below the floor, unless there is evidence that the new pool is worse. The
+// old pool needs no samples at a share of 1 or without a ready backend.
 func (m *Machine) observeHolding(window *Window) {
 	plan := &m.record.Plan
 	from, _ := m.recent()
--- a/internal/migration/analysis.go
+++ b/internal/migration/analysis.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// The analysis collects evidence that the new pool is worse than the old one in the same windows. Each criterion is an
-// e-detector (Shin, Ramdas, Rinaldo 2022): in every window a bet against the hypothesis "the new pool is not worse"
-// multiplies a capital by a factor whose mean is at most 1 while the hypothesis is true, and a capital below 1 restarts
-// at 1. The mean number of windows until a false alarm is therefore at least the capital that raises the alarm, however
-// often it is checked. Limiting the gain of a single window preserves this bound and prevents a short stall from
-// raising the alarm.
+// The analysis collects evidence that the new pool is worse than the old one in the same windows. Each criterion has
+// several e-detectors (Shin, Ramdas, Rinaldo 2022), each with a capital: in every window a bet against the hypothesis
+// "the new pool is not worse" multiplies the capital by a factor whose mean is at most 1 while the hypothesis is true,
+// and a capital below 1 restarts at 1. The alarm depends on the mean capital of all detectors. The mean number of
+// windows until a false alarm is therefore at least the capital that raises the alarm, however often it is checked.
+// Limiting the gain of a single window preserves this bound and prevents a short stall from raising the alarm.
 //
 //   - errors: each failed attempt, against the old pool's fraction of failed attempts plus the allowed excess;
 //   - late weight: the fraction of the weight that is not served on time, against the old pool's fraction and the
@@ -28,13 +28,14 @@
 	commonWindows = 3
 	// commonMinEvents is the minimum number of requests or attempts in these windows.
 	commonMinEvents = 6.0
-	// responsesPerBet is the number of responses of the new pool that are combined into one bet.
+	// responsesPerBet is the number of responses of the new pool that are combined into one bet. It is exceeded if a
+	// window has more responses than maxBetsPerWindow bets of this size.
 	responsesPerBet = 2
 	// maxBetsPerWindow is the maximum number of bets on one response-time criterion in a window.
 	maxBetsPerWindow = 4
 	// stallAftermathWindows is the number of windows after a stall in which responses that it delayed still end.
 	stallAftermathWindows = 2
-	// maxExpectedErrors is the fraction of failed attempts beyond which errors are no evidence.
+	// maxExpectedErrors is the upper limit of the expected fraction of failed attempts.
 	maxExpectedErrors = 0.9
 	// minAllowedLate is the minimum fraction of late weight to divide by. It limits the gain of a bet on late weight.
 	minAllowedLate = 0.05
@@ -44,10 +45,11 @@
 type analysis struct {
 	plan     Plan
 	evidence Evidence
-	window   int // windows observed
+	window   int // number of the latest window, from 1
 
-	// The old pool's performance: ratios over the whole migration (decaying), ratios of the latest windows, and
-	// individual responses.
+	// The old pool's performance. longErrors and longLate are decaying ratios over the whole migration. errors and late
+	// are the ratios of each of the latest windows, at the index window % referenceWindows. baseline has the recent
+	// responses, oldest first.
 	longErrors ratio
 	longLate   ratio
 	errors     [referenceWindows]ratio
@@ -57,7 +59,8 @@
 	// slope is the relative increase of the old pool's token gap per unit of load, around the mean gap at meanLoad.
 	slope    float64
 	meanLoad float64
-	// drift is the slowdown of the old pool's responses against its own earlier ones, for each of the latest windows.
+	// drift is the slowdown of the old pool's responses against its own earlier ones, for each of the latest windows:
+	// Bad is the sum of the results of compare, and Total their number.
 	drift [criterionCount][commonWindows]ratio
 }
 
@@ -70,7 +73,7 @@
 // tolerated length does not raise the alarm. A single capital that grows while the others do not must reach the alarm
 // level times the number of capitals.
 func (a *analysis) windowLimit() float64 {
-	singleCapitalAlarm := a.alarmLevel() + math.Log(float64(criterionCount*betsPerCriterion))
+	singleCapitalAlarm := a.alarmLevel() + math.Log(float64(criterionCount*detectorsPerCriterion))
 	return singleCapitalAlarm / float64(windowCount(a.plan.MaxToleratedStall)+stallAftermathWindows)
 }
 
@@ -110,8 +113,8 @@
 }
 
 // expectedFraction returns the old pool's fraction of bad events in the reference windows, or over the whole migration
-// if these have too few events. It is not less than the fraction in the latest commonWindows, so that a disturbance of
-// both pools does not count against the new one. unit is the weight of one event.
+// if these have too few events. It is not less than the fraction in the latest commonWindows, if these have enough
+// events, so that a disturbance of both pools does not count against the new one. unit is the mean weight of an event.
 func (a *analysis) expectedFraction(recent *[referenceWindows]ratio, longTerm ratio, unit float64) float64 {
 	var sum, common ratio
 	for i := range referenceWindows {
@@ -171,7 +174,7 @@
 	})
 }
 
-// betOnResponses updates the evidence of slow responses, in groups of about responsesPerBet.
+// betOnResponses updates the evidence of slow responses, with one bet for each group of responses.
 func (a *analysis) betOnResponses(pool *PoolWindow) {
 	for criterion := firstTokenCriterion; criterion <= tokenGapCriterion; criterion++ {
 		differences := a.compareAll(pool.Samples, criterion)
--- a/internal/migration/comparison.go
+++ b/internal/migration/comparison.go
@@ -4,7 +4,8 @@
 
 // The limits within which responses of the two pools are comparable.
 const (
-	// maxPairs is the maximum number of old-pool responses that a response of the new pool is compared with.
+	// maxPairs is the number of comparable old-pool responses after which no more are looked for: of the same kind of
+	// backend, or of any kind as long as none is of the same.
 	maxPairs = 24
 	// minPairs is the minimum number of comparable responses. With fewer a response is not used.
 	minPairs = 4
@@ -27,11 +28,12 @@
 	gapLoadRange = 0.25
 	// gapLoadTolerance is the relative error of that conversion per unit of difference in load.
 	gapLoadTolerance = 0.5
-	// similarityRange is the maximum difference of similarity: half of a doubling of the uncached prompt tokens. Two
-	// classes always differ by more.
+	// similarityRange is the maximum difference of similarity: for long prompts, a factor of the square root of 2 in
+	// the uncached prompt tokens. Two classes always differ by more.
 	similarityRange = 0.5
-	// minSimilarTokens is the number of uncached prompt tokens below which prompts count as similar.
-	minSimilarTokens = 64
+	// similarityOffsetTokens is added to the uncached prompt tokens before their logarithm is taken, so that short
+	// prompts which differ by a few tokens count as similar.
+	similarityOffsetTokens = 64
 	// slopePrior is the relative increase of the token gap from load 0 to load 1 that is assumed before the old pool
 	// has responses to fit it to.
 	slopePrior = 1.0
@@ -48,7 +50,7 @@
 type observation struct {
 	value      float64 // time to first token or time per token, in seconds
 	load       float64 // fraction of the backend's slots in use
-	similarity float64 // binary logarithm of the uncached prompt tokens, or the class
+	similarity float64 // binary logarithm of similarityOffsetTokens plus the uncached prompt tokens, or the class
 	kind       int     // kind of the backend
 	window     int     // number of the window in which the response was observed
 }
@@ -59,7 +61,7 @@
 	measured := observation{load: sample.Load, kind: sample.Kind, window: window}
 	if criterion == firstTokenCriterion {
 		measured.value = sample.FirstToken
-		measured.similarity = math.Log2(sample.UncachedTokens + minSimilarTokens)
+		measured.similarity = math.Log2(sample.UncachedTokens + similarityOffsetTokens)
 	} else {
 		measured.value = sample.TokenGap
 		measured.similarity = float64(sample.Class)
@@ -145,8 +147,8 @@
 // compare returns how much slower a response is than comparable ones of the old pool, from -1 to 1: the fraction of
 // them that it is slower than by more than the allowed factor, minus the remaining fraction. A pool that is slower by
 // exactly the factor has a mean of 0, so a slightly slower pool, which is within normal variation, accumulates no
-// evidence however long it is observed. Responses of backends of the same kind are preferred; if there are none, those
-// of other kinds are used. The second result is false if there are too few comparable responses.
+// evidence however long it is observed. Responses of backends of the same kind are preferred; if there are fewer than
+// minPairs, those of all kinds are used. The second result is false if there are too few comparable responses.
 func (a *analysis) compare(candidate observation, criterion criterion) (float64, bool) {
 	if candidate.value <= 0 || !a.hasRecentBaseline(criterion) {
 		return 0, false
--- a/internal/migration/evidence.go
+++ b/internal/migration/evidence.go
@@ -17,12 +17,12 @@
 // criterionNames are the names of the criteria in reasons and causes shown to operators.
 var criterionNames = [criterionCount]string{"errors", "worth in time", "first token", "token pace"}
 
-// betsPerCriterion is the number of detectors of each criterion. Each bets a different fraction of its capital.
-const betsPerCriterion = 3
+// detectorsPerCriterion is the number of detectors of each criterion. Each bets a different fraction of its capital.
+const detectorsPerCriterion = 3
 
 // betFractions are the fractions of its capital that each detector bets. Failed attempts are rare, so only small bets
 // detect a small excess of them.
-var betFractions = [criterionCount][betsPerCriterion]float64{
+var betFractions = [criterionCount][detectorsPerCriterion]float64{
 	{0.02, 0.08, 0.3},
 	{0.1, 0.3, 0.8},
 	{0.2, 0.5, 0.9},
@@ -33,7 +33,7 @@
 const maxLogCapital = 600
 
 // Evidence is the evidence that the new pool is worse: the logarithm of each detector's capital.
-type Evidence [criterionCount][betsPerCriterion]float64
+type Evidence [criterionCount][detectorsPerCriterion]float64
 
 // level returns the logarithm of the mean capital of all detectors.
 func (e *Evidence) level() float64 {
@@ -43,7 +43,7 @@
 			sum += math.Exp(min(capital, maxLogCapital))
 		}
 	}
-	return math.Log(sum / float64(criterionCount*betsPerCriterion))
+	return math.Log(sum / float64(criterionCount*detectorsPerCriterion))
 }
 
 // strongest returns the criterion with the most evidence.
@@ -78,7 +78,7 @@
 	r.Total = r.Total*ratioDecay + total
 }
 
-// plus returns the ratio over the events of both.
+// plus returns the ratio over the events of r and other together.
 func (r ratio) plus(other ratio) ratio {
 	return ratio{Bad: r.Bad + other.Bad, Total: r.Total + other.Total}
 }
--- a/internal/migration/health.go
+++ b/internal/migration/health.go
@@ -31,7 +31,8 @@
 // maximumShare returns the largest share of From's requests that To can handle now. How many requests a backend can
 // handle is not known, so the estimate is based on the old pool's load per capacity, and a cold backend is assumed to
 // handle its warm fraction of that. If the CollapseFactor is so small that a cold pool collapses under a smaller load,
-// the share is reduced further.
+// the share is reduced further. fromCapacity is the old pool's capacity when the migration started; it applies if the
+// old pool has less now.
 func (p Plan) maximumShare(from, to Health, fromCapacity float64) float64 {
 	if to.Capacity <= 0 {
 		return 0
--- a/internal/migration/machine.go
+++ b/internal/migration/machine.go
@@ -38,8 +38,8 @@
 type Machine struct {
 	record              Record
 	analysis            *analysis
-	now                 time.Time
-	windowsSincePersist int // windows since Observe last requested that the record be stored
+	now                 time.Time // time of the latest call of Start, Execute or Observe
+	windowsSincePersist int       // windows since Observe last requested that the record be stored
 }
 
 // Start creates a migration in addition to the shares in force, base. from and to are the current health of the plan's
@@ -194,8 +194,8 @@
 	return m.persistDue(&before)
 }
 
-// persistDue reports whether the record must be stored: it differs from before, or it has not been stored for
-// maxWindowsUnpersisted windows.
+// persistDue reports whether the record must be stored: its state, its shares or its history differ from before, or it
+// has not been stored for maxWindowsUnpersisted windows.
 func (m *Machine) persistDue(before *Record) bool {
 	m.windowsSincePersist++
 	due := m.record.State != before.State ||
--- a/internal/migration/plan.go
+++ b/internal/migration/plan.go
@@ -22,18 +22,18 @@
 const (
 	maxSteps          = 100 // entries of Steps, and ReturnSteps
 	minFloor          = 0.01
-	maxFactor         = 100 // upper limit of FirstTokenFactor, Pace and CollapseFactor
+	maxFactor         = 100 // upper limit of FirstTokenFactor, TokenGapFactor and CollapseFactor
 	minErrorAllowance = 0.0001
 	maxErrorAllowance = 0.5
 	minAlarmWindows   = 100
 	maxAlarmWindows   = 1e9
 	maxPlanSamples    = 1e6
-	minFallFactor     = 0.1
+	minCollapseFactor = 0.1
 	minHold           = 2 * WindowLength
 	maxDuration       = time.Hour
 )
 
-// Plan describes how a migration is carried out. Durations are rounded up to whole windows.
+// Plan describes how a migration is carried out. Durations except SlowStart are rounded up to whole windows.
 type Plan struct {
 	From string `json:"from"` // the old pool, which the traffic leaves
 	To   string `json:"to"`   // the new pool
@@ -42,26 +42,29 @@
 	WarmUpShare float64       `json:"trickle"` // share of From's requests that To gets while it warms up
 	MinWarmUp   time.Duration `json:"warm"`    // minimum duration of the warm-up
 	MinHold     time.Duration `json:"hold"`    // minimum duration for which each step is analysed
-	MinSamples  int           `json:"samples"` // requests that must have ended in each pool before a step is passed
+	// MinSamples is the number of requests that must have ended in each pool before a step is passed. None are required
+	// of an old pool that no longer gets requests or has no ready backend.
+	MinSamples int `json:"samples"`
 
-	// OnTimeFloor is the minimum on-time fraction of the new pool's weight, as a fraction of the old pool's on-time
-	// fraction.
+	// OnTimeFloor is the part of the old pool's on-time fraction that the new pool must reach. The on-time fraction of
+	// a pool is the fraction of its offered priority weight that is served on time.
 	OnTimeFloor float64 `json:"floor"`
-	// FirstTokenFactor and Pace are the factors by which a response must be slower than a comparable one of the old
-	// pool to count against the new pool: FirstTokenFactor applies to the time to first token, Pace to the time per
-	// output token.
+	// FirstTokenFactor and TokenGapFactor are the factors by which a response must be slower than a comparable one of
+	// the old pool to count against the new pool: FirstTokenFactor applies to the time to first token, TokenGapFactor
+	// to the time per output token.
 	FirstTokenFactor float64 `json:"first_token"`
 	TokenGapFactor   float64 `json:"pace"`
 	// ErrorAllowance is the fraction of failed attempts that is allowed in addition to the old pool's.
 	ErrorAllowance float64 `json:"errors"`
-	// MaxToleratedStall is the longest disturbance that never ends a migration by itself, however severe it is.
+	// MaxToleratedStall is the longest disturbance whose evidence never raises the alarm by itself, however severe it
+	// is. A new pool that has no ready backend or is far below the floor halts the migration without evidence.
 	MaxToleratedStall time.Duration `json:"stall"`
 	// FalseAlarmWindows is the minimum mean number of windows between two false alarms while both pools perform
 	// equally.
 	FalseAlarmWindows float64 `json:"alarm"`
 
 	OnWorse     string        `json:"on_worse"`     // Return or Stay
-	ReturnSteps int           `json:"return_steps"` // number of steps in which traffic is shifted back
+	ReturnSteps int           `json:"return_steps"` // number of steps of a return, unless clients are affected
 	ReturnEvery time.Duration `json:"return_every"` // time between two of these steps
 
 	// ColdCapacityFraction is the fraction of its capacity that a backend has when it starts, SlowStart the time until
@@ -170,7 +173,7 @@
 		return planError("return_steps", "%d is not from 1 to 100", p.ReturnSteps)
 	case !inRange(p.ColdCapacityFraction, 0, 1):
 		return planError("cold_share", "%g is not from 0 to 1", p.ColdCapacityFraction)
-	case !inRange(p.CollapseFactor, minFallFactor, maxFactor):
+	case !inRange(p.CollapseFactor, minCollapseFactor, maxFactor):
 		return planError("fall_factor", "%g is not from 0.1 to 100", p.CollapseFactor)
 	}
 	return nil
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -69,7 +69,7 @@
 	StepWeight [2]float64 `json:"in_step"`
 	// ReturnFromShare is the share at which the return to the old pool began.
 	ReturnFromShare float64 `json:"back"`
-	// Cause states why the migration was halted; it is empty if an operator requested the return.
+	// Cause states why the migration was halted; it is empty if it was not, or if an operator requested the return.
 	Cause    string   `json:"cause"`
 	Evidence Evidence `json:"evidence"`
 	// LongTerm are the decaying ratios of errors and of late weight in the old pool.
--- a/internal/migration/rollback.go
+++ b/internal/migration/rollback.go
@@ -10,9 +10,10 @@
 const (
 	// severeWindows is the number of latest windows to which the rules apply.
 	severeWindows = 8
-	// severeMinRequests is the minimum number of requests of a pool that must have ended in these windows.
+	// severeMinRequests is the minimum number of requests that must have ended in these windows: the rule for a new
+	// pool far below the floor requires it of the new pool, and uses the long-term ratio of an old pool with fewer.
 	severeMinRequests = 10
-	// severeMinLateWindows is the minimum number of these windows that must have a late response.
+	// severeMinLateWindows is the minimum number of these windows in which a request of the new pool must be late.
 	severeMinLateWindows = 5
 	// severeFraction is the fraction of the floor below which the new pool is severely worse. The old pool must serve
 	// at least this fraction of its weight on time.
@@ -26,7 +27,7 @@
 )
 
 // checkDegradation halts the migration if the new pool is worse than the old one, and starts the return if the plan
-// requires it and the old pool can serve the traffic. It reports whether the migration was halted.
+// requires it and the old pool can serve the traffic. It reports whether the new pool was found to be worse.
 func (m *Machine) checkDegradation(window *Window) bool {
 	from, to := m.recent()
 	cause := m.degradation(window, to)
@@ -41,7 +42,8 @@
 	}
 	m.startReturn("returning: %s", cause)
 	if m.clientsAffected(window, to) {
-		// Otherwise the return takes several steps, which gives the old pool time to refill its prompt caches.
+		// As much traffic as the old pool can serve returns at once. While clients are not affected, the return takes
+		// several steps instead, which gives the old pool time to refill its prompt caches.
 		m.setShare(m.minimumReturnShare(window))
 	}
 	return true
@@ -102,8 +104,8 @@
 	return ""
 }
 
-// observeHalted waits for an operator. If only the old pool's state prevented the return, the return starts once that
-// pool has recovered.
+// observeHalted waits for an operator. If only the old pool's state prevents the return, the return starts once that
+// pool has recovered, severeWindows windows after the halt at the earliest.
 func (m *Machine) observeHalted(window *Window) {
 	from, _ := m.recent()
 	oldUnavailable := unavailableReason(window.From.Health, from)
@@ -147,6 +149,7 @@
 }
 
 // oldPoolFailed reports whether the old pool has become unavailable during the return while the new one still serves.
+// An old pool with ready backends must also have more failures than the new one.
 func (m *Machine) oldPoolFailed(window *Window, from, to poolSummary) bool {
 	return unavailableReason(window.From.Health, from) != "" &&
 		window.To.Health.Ready > 0 &&
@@ -165,8 +168,8 @@
 	return next
 }
 
-// minimumReturnShare returns the smallest share that the new pool must continue to serve: if the old pool has lost
-// capacity since the migration started, not all traffic can return.
+// minimumReturnShare returns the smallest share that the new pool must continue to serve: if less than warmThreshold of
+// the old pool's capacity at the start of the migration is left, not all traffic can return.
 func (m *Machine) minimumReturnShare(window *Window) float64 {
 	if m.record.FromCapacity <= 0 {
 		return 0
