--- a/internal/migration/controller/controller.go
+++ b/internal/migration/controller/controller.go
@@ -40,8 +40,8 @@
 }
 
 // Controller follows the record of the latest migration, and carries the migration out while this node leads the
-// store. Its state belongs to the goroutine of Run; all other methods except AwaitStore send messages to that
-// goroutine.
+// store. Its state belongs to the goroutine of Run, to which the handlers of Routes send messages. AwaitStore uses the
+// state before Run is called.
 type Controller struct {
 	options Options
 	mailbox chan message
--- a/internal/migration/controller/counters.go
+++ b/internal/migration/controller/counters.go
@@ -20,8 +20,8 @@
 	toPool   = 1
 	// uncounted stands for the index of a pool that takes no part in the migration.
 	uncounted = -1
-	// anyKind is the Sample.Kind of a backend whose kind is not configured.
-	anyKind = -1
+	// unknownKind is the Sample.Kind of a backend whose kind is not configured.
+	unknownKind = -1
 )
 
 // RecordSent implements node.Pools. If a request's first attempt goes to another pool, no backend of its own was
@@ -107,7 +107,7 @@
 	t.countRequest(request, false)
 }
 
-// countRequest counts a completed request for the pool that it was assigned to.
+// countRequest counts a request that has ended, for the pool that it was assigned to.
 func (t *Tracker) countRequest(request *standpoint.Request, onTime bool) {
 	index := t.counterIndex(request.Pool)
 	if index == uncounted {
@@ -143,7 +143,8 @@
 	return class.TPOTObjective <= 0 || gap*1e9 <= float64(class.TPOTObjective)
 }
 
-// tokenGap returns the time per token after the first, in seconds; 0 if the response's length is not known.
+// tokenGap returns the time per token after the first, in seconds; 0 if the response has fewer than two tokens, its
+// length is not known, or the request was resumed.
 func tokenGap(o *node.Observation) float64 {
 	if o.Result.OutputTokens < 2 || o.Request.Resumed {
 		return 0
@@ -154,7 +155,7 @@
 // sample adds a response to the window's samples. If there are more than migration.MaxSamples responses, each is
 // retained with the same probability.
 func (t *Tracker) sample(index int, backend *backendState, o *node.Observation) {
-	kind := anyKind
+	kind := unknownKind
 	if i := slices.Index(t.names.Kinds, backend.description.Kind); i >= 0 {
 		kind = i
 	}
--- a/internal/migration/controller/membership.go
+++ b/internal/migration/controller/membership.go
@@ -32,7 +32,7 @@
 	load        float64 // fraction of its slots in use, by its last load report
 }
 
-// Place implements node.Pools.
+// Place implements node.Pools. The endpoint of a removed backend that has no address leaves the backend in its pool.
 func (t *Tracker) Place(endpoint *node.Endpoint) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 	backend.description = t.selectorView(endpoint)
 	if endpoint.State == standpoint.Removed && endpoint.Address == "" && backend.pool != 0 {
-		return backend.pool // the endpoint of a removed backend may lack the labels
+		return backend.pool // such an endpoint may lack the labels
 	}
 	backend.pool, backend.otherPools = t.set.PoolOf(backend.description)
 	return backend.pool
@@ -100,7 +100,8 @@
 	t.warnAboutPoolAssignment()
 }
 
-// warnAboutPoolAssignment logs the endpoints that are matched by no selector or by several, if they have changed.
+// warnAboutPoolAssignment logs the endpoints that are matched by no selector or by several, if they differ from those
+// in the last warning.
 func (t *Tracker) warnAboutPoolAssignment() {
 	var unassigned, ambiguous []string
 	for name, backend := range t.backends {
@@ -179,8 +180,8 @@
 	OtherPools   []string `json:"also_fits,omitempty"` // other pools whose selectors match too
 }
 
-// Members returns all pools with their backends. The last element has the backends that are in no pool, if there are
-// any.
+// Members returns all pools with their backends. A last element without a name has the backends that are in no pool, if
+// there are any.
 func (t *Tracker) Members(now time.Time) []PoolMembers {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/migration/controller/node_test.go
+++ b/internal/migration/controller/node_test.go
@@ -28,7 +28,8 @@
 // newOperatorFile returns an operator's configuration with two pools, "old" and "new".
 func newOperatorFile(t testing.TB, edit func(*config.OperatorFile)) *config.OperatorFile {
 	plan := migration.Default()
-	plan.Steps, plan.WarmUpShare, plan.MinWarmUp, plan.MinHold, plan.MinSamples = []float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
+	plan.Steps, plan.WarmUpShare, plan.MinWarmUp, plan.MinHold, plan.MinSamples =
+		[]float64{0.25, 0.5, 1}, 0.1, 0, 3*time.Second, 10
 	cfg := &config.OperatorFile{MigrationPlan: plan}
 	cfg.Settings.Classes = []standpoint.Class{
 		{Streamed: true, TTFTObjective: int64(time.Second), TPOTObjective: int64(50 * time.Millisecond), Weight: 2},
--- a/internal/migration/controller/report.go
+++ b/internal/migration/controller/report.go
@@ -78,7 +78,8 @@
 	return len(c.reports) >= len(c.options.Peers) || now.Sub(c.leaderSince) >= c.options.LiveTimeout
 }
 
-// addReport adds a node's report to the counts of the current window.
+// addReport adds a node's report to the counts of the current window. The counts of a node that follows another
+// migration are ignored.
 func (c *Controller) addReport(report Report) {
 	node := c.reports[report.Node]
 	if node == nil {
@@ -102,7 +103,8 @@
 	node.to.Health = report.To.Health
 }
 
-// mergeWindow combines the reports of all live nodes since the last call.
+// mergeWindow combines the reports of all live nodes since the last call. Nodes whose pools are defined differently
+// only count as lagging.
 func (c *Controller) mergeWindow(now time.Time) migration.Window {
 	var window migration.Window
 	digest := c.options.Tracker.Digest()
@@ -131,7 +133,8 @@
 	return window
 }
 
-// sendReport sends this node's unsent windows to the leader unless a call is in flight.
+// sendReport sends this node's unsent windows to the leader unless a call is in flight. Windows whose call fails are
+// not sent again.
 func (c *Controller) sendReport(ctx context.Context, own Report) {
 	c.unsent = append(c.unsent, own)
 	if excess := len(c.unsent) - maxBacklog; excess > 0 {
--- a/internal/migration/controller/tracker.go
+++ b/internal/migration/controller/tracker.go
@@ -92,8 +92,7 @@
 	t.bind()
 }
 
-// bind builds the assignment table for the followed shares and looks up the migration's pools. The caller must hold
-// the lock.
+// bind builds the assignment table for the followed shares and looks up the migration's pools. The caller must hold mu.
 func (t *Tracker) bind() {
 	t.table.Store(t.set.Bind(t.followed.Shares))
 	t.from = 0
