--- a/internal/dnssd/browser/auto.go
+++ b/internal/dnssd/browser/auto.go
@@ -16,7 +16,7 @@
 	minPushRetry = 500 * time.Millisecond
 	// maxPushRetry is the upper bound of the exponential backoff.
 	maxPushRetry = time.Minute
-	// unsupportedPushRetry is the delay where the domain offers no push service.
+	// unsupportedPushRetry is the delay where the domain offers no push service, unless the mechanism is Push.
 	unsupportedPushRetry = 5 * time.Minute
 )
 
--- a/internal/dnssd/browser/browser_test.go
+++ b/internal/dnssd/browser/browser_test.go
@@ -34,7 +34,7 @@
 	return all
 }
 
-// startResponder starts a DNS server with the given instances; it offers push over TLS if c is not nil.
+// startResponder starts a DNS server with the given instances; it offers push over TLS if certificate is not nil.
 func startResponder(t *testing.T, certificate *tls.Certificate, all ...responder.Instance) *responder.Server {
 	t.Helper()
 	zone := responder.NewZone("hall-a.test", 7)
--- a/internal/dnssd/browser/push_connection.go
+++ b/internal/dnssd/browser/push_connection.go
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("push server requested a retry delay of %v", e.delay)
 }
 
-// runPushSession runs one push session and returns the reason for its end. start is called once the session's cache is
-// complete, before the first snapshot is published.
+// runPushSession runs one push session and returns the reason for its end. start is called before the first snapshot is
+// published: once the session's cache is complete or initialSyncTimeout has passed.
 func (b *Browser) runPushSession(ctx context.Context, start func()) error {
 	address, host, err := b.locatePushServer(ctx)
 	if err != nil {
--- a/internal/dnssd/browser/snapshot.go
+++ b/internal/dnssd/browser/snapshot.go
@@ -9,8 +9,8 @@
 // republishInterval is how often an unchanged snapshot is published again, so that the receiver can tell its age.
 const republishInterval = 5 * time.Second
 
-// minRetainedLabels is the number of labels beyond twice the number of instances above which the labels of withdrawn
-// instances are deleted.
+// minRetainedLabels is the number of labels that are retained in addition to two per listed instance. Only if there are
+// more are those of withdrawn instances deleted.
 const minRetainedLabels = 64
 
 // Snapshot is the state of a service's instances at one time.
--- a/internal/dnssd/record/guard.go
+++ b/internal/dnssd/record/guard.go
@@ -3,18 +3,20 @@
 // Guard decides whether a list that has shrunk is accepted. A server that has lost its zone reports that there are no
 // instances, exactly like one whose instances were all withdrawn, and accepting its list would stop all traffic. The
 // loss of a single instance is always accepted immediately, because requests to that instance must stop within 500 ms.
-// A list that lacks more than MaxLossFraction of the instances is held instead: it is accepted once it has remained the
-// same for HoldTime, or if the zone's serial shows that the zone has changed. It is not safe for concurrent use.
+// A list that lacks more than MaxLossFraction of the instances is held instead: it is accepted once the number of
+// remaining instances has been the same for HoldTime, or if the zone's serial shows that the zone has changed. It is
+// not safe for concurrent use.
 type Guard struct {
 	// MaxLossFraction is the largest fraction of the list that may disappear at once without being held; with 1 no list
 	// is held.
 	MaxLossFraction float64
-	// HoldTime is the time in nanoseconds for which a larger loss must remain the same before it is accepted.
+	// HoldTime is the time in nanoseconds for which the number of remaining instances must be the same after a larger
+	// loss before the list is accepted.
 	HoldTime int64
 
 	isHolding    bool  // whether a list is held
 	holdingSince int64 // time in nanoseconds since which the list has been held
-	remaining    int   // number of known instances in the held list
+	remaining    int   // number of instances of the previous list that the held list still has
 }
 
 // Decision is the decision of a Guard on a list.
--- a/internal/dnssd/record/record.go
+++ b/internal/dnssd/record/record.go
@@ -50,11 +50,11 @@
 	if err != nil {
 		return ""
 	}
-	one, _, err := dns.UnpackDomainName(wire[:n], 0)
+	uniform, _, err := dns.UnpackDomainName(wire[:n], 0)
 	if err != nil {
 		return ""
 	}
-	return strings.ToLower(one)
+	return strings.ToLower(uniform)
 }
 
 // maxPlainNameLength is the maximum length in bytes of names that isPlainName accepts, well below the limit of 255
@@ -98,7 +98,7 @@
 }
 
 const (
-	classMask     = 0x7fff // bits of the class field that have the class
+	classMask     = 0x7fff // bits of the class field that contain the class
 	cacheFlushBit = 0x8000 // bit of the class field in mDNS messages (RFC 6762, 10.2)
 )
 
--- a/internal/dnssd/record/txt.go
+++ b/internal/dnssd/record/txt.go
@@ -19,8 +19,8 @@
 )
 
 // ParseTXT parses the strings of TXT records (RFC 6763, 6.4). Keys are printable ASCII without "=", in any case. The
-// first string with a key takes precedence. Empty strings, strings that begin with "=", and keys beyond the first 64
-// are ignored.
+// first string with a key takes precedence. Strings with an empty, invalid or too long key, and keys beyond the first
+// 64 are ignored.
 func ParseTXT(texts []string) Attributes {
 	attributes := Attributes{}
 	for _, text := range texts {
