--- a/internal/peers/registration.go
+++ b/internal/peers/registration.go
@@ -25,8 +25,8 @@
 	maxUDPPayload = 1232
 )
 
-// register registers this node's records at the server by DNS UPDATE (RFC 2136), renews their lease at half its
-// duration, and removes them when ctx ends. A server without support for leases keeps the records until they are
+// register registers this node's records at the server by DNS UPDATE (RFC 2136), renews their lease shortly before half
+// of its duration, and removes them when ctx ends. A server without support for leases keeps the records until they are
 // removed.
 func (m *Membership) register(ctx context.Context) {
 	if !m.Publish {
--- a/internal/pool/selector.go
+++ b/internal/pool/selector.go
@@ -11,11 +11,12 @@
 // Bounds of a selector's text.
 const (
 	maxTextLength = 4096 // maximum length in bytes
-	maxDepth      = 32   // maximum nesting of parentheses and negations
+	maxDepth      = 32   // maximum nesting, as counted by checkDepth
 )
 
-// SyntaxError reports the position and the reason of an error in a selector's text. Line and Column count from 1, and
-// columns are counted in characters.
+// SyntaxError reports the position and the reason of an error in a selector's text. Line and Column count from 1.
+// Columns are counted in characters, except in a text that is too long or nested too deeply: there Line is 1, and
+// Column counts the bytes of the whole text.
 type SyntaxError struct {
 	Line   int
 	Column int
@@ -72,7 +73,8 @@
 	return Selector{text: text, root: root}, nil
 }
 
-// checkDepth rejects a text that is nested too deeply, before it is parsed, as the parser is recursive.
+// checkDepth rejects a text that is nested too deeply, before it is parsed, as the parser is recursive. It looks at
+// characters alone: each "(" and "!", also in "!=", "!~" and strings, adds a level, and only a ")" removes one.
 func checkDepth(text string) error {
 	depth := 0
 	for i, c := range text {
@@ -118,7 +120,11 @@
 	case t.Compare != nil && t.Compare.Matches != nil:
 		m := t.Compare.Matches
 		if m.pattern, err = regexp.Compile("^(?:" + m.Text + ")$"); err != nil {
-			return &SyntaxError{m.Pos.Line, m.Pos.Column, fmt.Sprintf("%q is not a regular expression: %v", m.Text, err)}
+			return &SyntaxError{
+				m.Pos.Line,
+				m.Pos.Column,
+				fmt.Sprintf("%q is not a regular expression: %v", m.Text, err),
+			}
 		}
 	}
 	return nil
