--- a/internal/testpeer/blockers.go
+++ b/internal/testpeer/blockers.go
@@ -78,7 +78,7 @@
 	return h
 }
 
-// Dial is a function of type Dial. A cancellation of ctx does not end it.
+// Dial is a DialFunc. A cancellation of ctx does not end it.
 func (h *DialBlocker) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, address)
 	if err != nil || h.remaining.Add(-1) < 0 {
--- a/internal/testpeer/drain/discovery.go
+++ b/internal/testpeer/drain/discovery.go
@@ -251,8 +251,8 @@
 	return hosts
 }
 
-// changesSince returns the hosts that changed after a version, or the full list if the fault asks for it, and the names
-// of the backends that drain according to the returned list.
+// changesSince returns the hosts that changed after a version, or the full list if the fault requires it, and the names
+// of the backends that drain according to the returned list, including removed ones that a full list omits.
 func (d *Discovery) changesSince(version int, fault Fault) (list hostList, draining []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testpeer/drain/discovery_call.go
+++ b/internal/testpeer/drain/discovery_call.go
@@ -125,8 +125,8 @@
 	_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 }
 
-// waitForTurn waits until the calls queued before are served. It reports whether the call was accepted: it is rejected
-// if the queue is full.
+// waitForTurn waits until the call has been served by the queue or the node has closed it. A call that is not queued
+// returns immediately. It reports whether the call was accepted: it is rejected if the queue is full.
 func (d *Discovery) waitForTurn(poll *call) bool {
 	d.mu.Lock()
 	queue := d.queue
--- a/internal/testpeer/faults.go
+++ b/internal/testpeer/faults.go
@@ -45,8 +45,8 @@
 	failures [systemCallCount]int // calls that have failed
 }
 
-// failurePlan determines which of the next uses of a system call fail, and with which error. With the zero value none
-// fails.
+// failurePlan determines which of the next uses of a system call fail, and with which error: those that any of
+// remaining, until and fraction selects. With the zero value none fails.
 type failurePlan struct {
 	errnos    []syscall.Errno // the error is drawn from these
 	remaining int             // the number of next uses that fail
@@ -136,7 +136,7 @@
 	})
 }
 
-// Dial is a function of type Dial whose connects can fail, as can the reads and writes of its connections.
+// Dial is a DialFunc whose connects can fail, as can the reads and writes of its connections.
 func (f *Faults) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if err := f.fail(Connect, "connect"); err != nil {
 		return nil, err
--- a/internal/testpeer/golden/golden.go
+++ b/internal/testpeer/golden/golden.go
@@ -49,7 +49,8 @@
 
 // RoundTrip fails the test unless the golden file called name decodes to value, and value encodes to the file's
 // bytes. Every exported field within value must be set, because a field at its zero value does not reveal that its
-// encoded name has changed; allowedUnset lists the paths, as returned by Unset, of the fields that need not be set.
+// encoded name has changed; allowedUnset lists the paths, as returned by UnsetFields, of the fields that need not be
+// set.
 func RoundTrip[T any](
 	t testing.TB,
 	name string,
@@ -71,9 +72,10 @@
 	require.Equal(t, string(want), string(encoded), "value encodes to other bytes than %s", Path(name))
 }
 
-// UnsetFields returns the paths of the exported fields within value that have their zero value, such as "Lease.ExpiresAt"
-// or "Transfers[0].LastWindow". It also searches within map values and within elements of slices and arrays, and returns the paths
-// of those that are zero themselves; but elements of types such as int or string may be zero.
+// UnsetFields returns the paths of the exported fields within value that have their zero value, such as
+// "Lease.ExpiresAt" or "Transfers[0].LastWindow". It also searches within map values and within elements of slices and
+// arrays, and returns the paths of those that are zero themselves; but slice and array elements of types such as int or
+// string may be zero.
 func UnsetFields(value any) []string {
 	var paths []string
 	collectUnset(reflect.ValueOf(value), "", &paths)
