--- a/internal/migration/advance.go
+++ b/internal/migration/advance.go
@@ -73,9 +73,9 @@
 // share, and it has given warmUpMinResponses responses on time.
 func (m *Machine) observeWarming(attainable float64) {
 	plan := &m.record.Plan
-	trickle := min(plan.WarmUpShare, attainable)
-	if trickle > m.record.Shares.Share+minWarmUpShareChange {
-		m.setShare(trickle)
+	warmUpShare := min(plan.WarmUpShare, attainable)
+	if warmUpShare > m.record.Shares.Share+minWarmUpShareChange {
+		m.setShare(warmUpShare)
 	}
 	responses := m.onTimeResponses()
 	switch {
--- a/internal/testpeer/attempt_counter.go
+++ b/internal/testpeer/attempt_counter.go
@@ -22,53 +22,53 @@
 }
 
 // Begin counts the start of an attempt and returns the request's number of attempts so far, this one included.
-func (l *AttemptCounter) Begin(request string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.inFlight[request]++
-	l.attempts[request]++
-	l.maximumInFlight = max(l.maximumInFlight, l.inFlight[request])
-	return l.attempts[request]
+func (c *AttemptCounter) Begin(request string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight[request]++
+	c.attempts[request]++
+	c.maximumInFlight = max(c.maximumInFlight, c.inFlight[request])
+	return c.attempts[request]
 }
 
 // End counts the end of an attempt; answered is whether the backend answered it completely.
-func (l *AttemptCounter) End(request string, answered bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.inFlight[request]--
+func (c *AttemptCounter) End(request string, answered bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight[request]--
 	if answered {
-		l.answers[request]++
+		c.answers[request]++
 	}
 }
 
 // Attempts returns the number of attempts of each request, by request key.
-func (l *AttemptCounter) Attempts() map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.attempts)
+func (c *AttemptCounter) Attempts() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.attempts)
 }
 
 // Answers returns the number of complete answers to each request, by request key.
-func (l *AttemptCounter) Answers() map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.answers)
+func (c *AttemptCounter) Answers() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.answers)
 }
 
 // Total returns the number of complete answers to all requests.
-func (l *AttemptCounter) Total() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *AttemptCounter) Total() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	total := 0
-	for _, n := range l.answers {
+	for _, n := range c.answers {
 		total += n
 	}
 	return total
 }
 
 // MaximumInFlight returns the highest number of attempts of one request that were in flight at the same time.
-func (l *AttemptCounter) MaximumInFlight() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.maximumInFlight
+func (c *AttemptCounter) MaximumInFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.maximumInFlight
 }
--- a/internal/testpeer/blockers.go
+++ b/internal/testpeer/blockers.go
@@ -40,12 +40,12 @@
 }
 
 // BlockNext makes the next read that returns bytes block, on whichever connection it is.
-func (h *ReadBlocker) BlockNext() { h.armed.Store(true) }
+func (b *ReadBlocker) BlockNext() { b.armed.Store(true) }
 
 // Conn wraps an accepted TCP connection.
-func (h *ReadBlocker) Conn(conn net.Conn) net.Conn {
-	h.Accepted <- struct{}{}
-	return &blockedConn{conn.(*net.TCPConn), h}
+func (b *ReadBlocker) Conn(conn net.Conn) net.Conn {
+	b.Accepted <- struct{}{}
+	return &blockedConn{conn.(*net.TCPConn), b}
 }
 
 type blockedConn struct {
@@ -73,18 +73,18 @@
 
 // NewDialBlocker creates a DialBlocker that blocks the first n dials.
 func NewDialBlocker(n int) *DialBlocker {
-	h := &DialBlocker{Connected: make(chan string, n), Release: make(chan struct{}, n)}
-	h.remaining.Store(int32(n))
-	return h
+	b := &DialBlocker{Connected: make(chan string, n), Release: make(chan struct{}, n)}
+	b.remaining.Store(int32(n))
+	return b
 }
 
 // Dial is a DialFunc. A cancellation of ctx does not end it.
-func (h *DialBlocker) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (b *DialBlocker) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, address)
-	if err != nil || h.remaining.Add(-1) < 0 {
+	if err != nil || b.remaining.Add(-1) < 0 {
 		return conn, err
 	}
-	h.Connected <- address
-	<-h.Release
+	b.Connected <- address
+	<-b.Release
 	return conn, nil
 }
