--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -66,30 +66,30 @@
 	case *standpoint.EngineList:
 		b.updateList(ev)
 	case *standpoint.Request:
-		f := &baselineRequest{Request: *ev}
-		b.openRequests[ev.ID] = f
+		req := &baselineRequest{Request: *ev}
+		b.openRequests[ev.ID] = req
 		b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Timer,
 			Wait: max(0, ev.Deadline-now-2*b.settings.EventInterval), Token: ev.ID*4 + expireToken})
-		b.dispatch(f)
+		b.dispatch(req)
 	case *standpoint.FirstToken:
-		if f := b.openRequests[ev.Request]; f != nil {
-			f.firstTokenSeen = true
+		if req := b.openRequests[ev.Request]; req != nil {
+			req.firstTokenSeen = true
 		}
 	case *standpoint.Outcome:
 		b.outcome(ev)
 	case *standpoint.ClientDisconnected:
-		if f := b.openRequests[ev.Request]; f != nil {
-			f.finished = true
+		if req := b.openRequests[ev.Request]; req != nil {
+			req.finished = true
 		}
 	case *standpoint.TimerFired:
-		if f := b.openRequests[ev.Token/4]; f != nil && !f.firstTokenSeen && !f.finished {
-			f.finished = true
-			if f.current != "" {
-				b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Cancel, Request: f.ID,
-					Attempt: len(f.attempted) - 1})
+		if req := b.openRequests[ev.Token/4]; req != nil && !req.firstTokenSeen && !req.finished {
+			req.finished = true
+			if req.current != "" {
+				b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Cancel, Request: req.ID,
+					Attempt: len(req.attempted) - 1})
 			}
-			b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Fail, Request: f.ID})
-			b.removeIfFinished(f)
+			b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Fail, Request: req.ID})
+			b.removeIfFinished(req)
 		}
 	}
 	acts, b.actions = b.actions, nil
@@ -119,50 +119,50 @@
 
 // outcome processes the end of an attempt: a request that failed before its first token gets another attempt.
 func (b *baseline) outcome(ev *standpoint.Outcome) {
-	f := b.openRequests[ev.Request]
-	if f == nil {
+	req := b.openRequests[ev.Request]
+	if req == nil {
 		return
 	}
-	if f.current != "" && ev.Attempt == len(f.attempted)-1 {
-		b.inFlight[f.current]--
-		f.current = ""
+	if req.current != "" && ev.Attempt == len(req.attempted)-1 {
+		b.inFlight[req.current]--
+		req.current = ""
 	}
-	if !f.finished && !f.firstTokenSeen && ev.Code != standpoint.Served {
-		b.dispatch(f)
+	if !req.finished && !req.firstTokenSeen && ev.Code != standpoint.Served {
+		b.dispatch(req)
 		return
 	}
-	f.finished = true
-	b.removeIfFinished(f)
+	req.finished = true
+	b.removeIfFinished(req)
 }
 
 // removeIfFinished removes a request without an attempt in flight.
-func (b *baseline) removeIfFinished(f *baselineRequest) {
-	if f.current == "" {
-		delete(b.openRequests, f.ID)
+func (b *baseline) removeIfFinished(req *baselineRequest) {
+	if req.current == "" {
+		delete(b.openRequests, req.ID)
 	}
 }
 
 // dispatch sends a request's next attempt, or fails the request if no attempt, time or backend is left.
-func (b *baseline) dispatch(f *baselineRequest) {
-	if len(f.attempted) < max(1, b.settings.MaxAttempts) && b.now < f.Deadline-2*b.settings.EventInterval {
-		if name := b.choose(f); name != "" {
-			f.attempted, f.current = append(f.attempted, name), name
+func (b *baseline) dispatch(req *baselineRequest) {
+	if len(req.attempted) < max(1, b.settings.MaxAttempts) && b.now < req.Deadline-2*b.settings.EventInterval {
+		if name := b.choose(req); name != "" {
+			req.attempted, req.current = append(req.attempted, name), name
 			b.inFlight[name]++
-			b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Send, Request: f.ID, Engine: name,
-				Deadline: f.Deadline})
+			b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Send, Request: req.ID, Engine: name,
+				Deadline: req.Deadline})
 			return
 		}
 	}
-	f.finished = true
-	b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Fail, Request: f.ID})
-	b.removeIfFinished(f)
+	req.finished = true
+	b.actions = append(b.actions, standpoint.Action{Kind: standpoint.Fail, Request: req.ID})
+	b.removeIfFinished(req)
 }
 
 // choose returns the backend for a request's next attempt, or "" if none is left.
-func (b *baseline) choose(f *baselineRequest) string {
+func (b *baseline) choose(req *baselineRequest) string {
 	candidates := make([]string, 0, len(b.ready))
 	for _, n := range b.ready {
-		if (f.Pool == 0 || b.pools[n] == f.Pool) && !slices.Contains(f.attempted, n) {
+		if (req.Pool == 0 || b.pools[n] == req.Pool) && !slices.Contains(req.attempted, n) {
 			candidates = append(candidates, n)
 		}
 	}
@@ -195,17 +195,17 @@
 		}
 		return x
 	case "prefix":
-		return b.boundedHash(f, candidates)
+		return b.boundedHash(req, candidates)
 	}
-	return cheapest(func(n string) float64 { return b.trueWait(n, &f.Request) })
+	return cheapest(func(n string) float64 { return b.trueWait(n, &req.Request) })
 }
 
 // boundedHash chooses by rendezvous hashing of the session, or of the shared prefix without a session, with bounded
 // loads: it passes over backends whose load is at maxLoadFactor times the mean.
-func (b *baseline) boundedHash(f *baselineRequest, candidates []string) string {
-	key := f.Session
+func (b *baseline) boundedHash(req *baselineRequest, candidates []string) string {
+	key := req.Session
 	if key == 0 {
-		key = f.Prefix
+		key = req.Prefix
 	}
 	total := 0
 	for _, n := range candidates {
@@ -235,7 +235,7 @@
 		return math.Inf(1)
 	}
 	return b.ExpectedWait(sim.now, emulator.Job{Session: q.Session, Prefix: q.Prefix, Prompt: q.PromptTokens,
-		Shared: q.PrefixTokens, OutputTokens: 100}) + float64(b.inTransit)*0.02
+		PrefixTokens: q.PrefixTokens, OutputTokens: 100}) + float64(b.inTransit)*0.02
 }
 
 // newPolicy returns the policy of a node.
@@ -252,14 +252,14 @@
 	MaxRate() float64
 }
 
-// nextSessionDelay returns the time until the next session, in seconds; turns is the number of sessions per request.
-func (sim *Simulation) nextSessionDelay(turns float64) float64 {
+// nextSessionDelay returns the time until the next session, in seconds.
+func (sim *Simulation) nextSessionDelay(sessionsPerRequest float64) float64 {
 	if sim.Pattern == nil {
-		return sim.rng.ExpFloat64() / (sim.Rate * turns)
+		return sim.rng.ExpFloat64() / (sim.Rate * sessionsPerRequest)
 	}
 	at, maxRate := sim.now, sim.Pattern.MaxRate()
 	for at < sim.now+float64(time.Hour/time.Second) {
-		at += sim.rng.ExpFloat64() / (maxRate * turns)
+		at += sim.rng.ExpFloat64() / (maxRate * sessionsPerRequest)
 		if sim.rng.Float64()*maxRate < sim.Pattern.Rate(at) {
 			break
 		}
--- a/internal/lab/fleetsim/many_test.go
+++ b/internal/lab/fleetsim/many_test.go
@@ -9,7 +9,8 @@
 
 func plan(seed uint64, nodes int, fault Fault, loss float64) Plan {
 	return Plan{Seed: seed, Nodes: nodes, Duration: 45 * time.Second, Fault: fault, Loss: loss,
-		MaxClockError: 200 * time.Millisecond, Window: time.Second, Demand: 0.9, DemandingShare: 0.34, Backends: 12, Sharing: true}
+		MaxClockError: 200 * time.Millisecond, Window: time.Second, Demand: 0.9,
+		DemandingShare: 0.34, Backends: 12, Sharing: true}
 }
 
 // Under each fault no budget is exceeded, no invariant is violated, and the same seed gives the same result.
--- a/internal/lab/fleetsim/simulation.go
+++ b/internal/lab/fleetsim/simulation.go
@@ -33,7 +33,7 @@
 // Faults lists all faults.
 var Faults = []Fault{None, Partition, OneWay, Flap, Killed}
 
-// Plan is the parameters of one run.
+// Plan is the parameters of one run. With a Demand above 1 the budget is not enough.
 type Plan struct {
 	Seed           uint64
 	Nodes          int
@@ -42,7 +42,7 @@
 	Loss           float64       // probability that a message is lost
 	MaxClockError  time.Duration // maximum clock error, in either direction
 	Window         time.Duration // the budget's window
-	Demand         float64       // demand of all nodes together as a fraction of the budget; above 1 the budget is not enough
+	Demand         float64       // demand of all nodes together as a fraction of the budget
 	DemandingShare float64       // fraction of the nodes that the demand comes from
 	Backends       int           // backends that the nodes send requests to
 	Sharing        bool          // whether nodes exchange evidence and quota; without, each detects outliers alone
@@ -138,7 +138,7 @@
 	packets        int64              // packets sent
 	sampledPackets int64              // packets that were encoded to measure their size
 	result         Result
-	failingServer  int // the backend that fails for all nodes
+	failingBackend int // the backend that fails for all nodes
 	failsAt        int64
 }
 
@@ -149,7 +149,7 @@
 	sim.spentBySide = [2]map[int64]int64{{}, {}}
 	sim.now = sim.startedAt
 	sim.faultStart, sim.faultEnd = sim.startedAt+int64(p.Duration)/3, sim.startedAt+2*int64(p.Duration)/3
-	sim.failingServer, sim.failsAt = 0, sim.faultStart
+	sim.failingBackend, sim.failsAt = 0, sim.faultStart
 	sim.budget = &quota.Budget{Name: "tokens", Amount: budgetAmount, Window: p.Window, TransferWindows: 4}
 	for range p.Nodes {
 		sim.budget.Weights = append(sim.budget.Weights, 1)
@@ -356,9 +356,9 @@
 	}
 	e := outlier.Evidence{BackendHash: uint64(s + 1), ObservedAt: sim.now + n.clockOffset}
 	switch {
-	case !sim.serverReachable(i, s):
+	case !sim.backendReachable(i, s):
 		e.Kind = outlier.Unreachable
-	case s == sim.failingServer && sim.now >= sim.failsAt:
+	case s == sim.failingBackend && sim.now >= sim.failsAt:
 		e.Kind = outlier.BackendFault
 	}
 	if e.Kind == outlier.Healthy {
@@ -373,8 +373,8 @@
 	sim.updateExclusions(n)
 }
 
-// serverReachable reports whether a node reaches a backend.
-func (sim *simulation) serverReachable(i, s int) bool {
+// backendReachable reports whether a node reaches a backend.
+func (sim *simulation) backendReachable(i, s int) bool {
 	return !(sim.Fault == Partition && sim.now >= sim.faultStart && sim.now < sim.faultEnd &&
 		sim.side(i) == 0 && s%2 == 1)
 }
@@ -390,14 +390,14 @@
 		for _, j := range n.Detector.Ejections(sim.now + n.clockOffset) {
 			s := int(j.Backend.Hash) - 1
 			if n.lastObserved[s]+n.clockOffset < j.LatestEvidence || n.consecutiveFailures[s] > 0 {
-				if !n.excluded[s] && s != sim.failingServer && !(sim.Fault == Partition && s%2 == 1) {
+				if !n.excluded[s] && s != sim.failingBackend && !(sim.Fault == Partition && s%2 == 1) {
 					sim.result.FalseExclusions++
 				}
 				n.excluded[s] = true
 			}
 		}
 	}
-	if sim.Backends > 0 && n.excluded[sim.failingServer] && n.excludedFailingAt == 0 && sim.now >= sim.failsAt {
+	if sim.Backends > 0 && n.excluded[sim.failingBackend] && n.excludedFailingAt == 0 && sim.now >= sim.failsAt {
 		n.excludedFailingAt = sim.now
 	}
 }
--- a/internal/lab/fresh.go
+++ b/internal/lab/fresh.go
@@ -63,9 +63,9 @@
 	var added *backend
 	sim.At(appearsAt, func() {
 		kind := int(seed) % len(sim.Kinds)
-		f := sim.Kinds[kind]
-		f.Capacity = f.MaxRate(700, 1500, 105, 0.05)
-		added = &backend{Backend: emulator.New(f, seed*1000+999, sim.now), name: "fresh", kind: kind,
+		parameters := sim.Kinds[kind]
+		parameters.Capacity = parameters.MaxRate(700, 1500, 105, 0.05)
+		added = &backend{Backend: emulator.New(parameters, seed*1000+999, sim.now), name: "fresh", kind: kind,
 			attempts: map[int64]*attempt{}, readyAt: sim.clock()}
 		sim.backends, sim.backendsByName[added.name] = append(sim.backends, added), added
 		for _, n := range sim.nodes {
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -166,7 +166,7 @@
 	out := max(2, int(sim.logNormal(req.class.OutputTokens, req.class.OutputSigma)))
 	verdict, collapsed := b.Submit(sim.now, emulator.Job{ID: att.jobID, Session: req.request.Session,
 		Prefix: req.request.Prefix, Prompt: req.request.PromptTokens,
-		Shared: req.request.PrefixTokens, OutputTokens: min(out, int(req.class.MaxOutputTokens))})
+		PrefixTokens: req.request.PrefixTokens, OutputTokens: min(out, int(req.class.MaxOutputTokens))})
 	if collapsed {
 		b.collapsed = true
 		sim.failAttempts(b, b.Kill())
@@ -260,8 +260,8 @@
 		Sent: time.Unix(0, epoch+int64(att.sentAt*1e9)), Inconclusive: code == standpoint.Cancelled,
 		Result: node.Result{Code: code, CachedTokens: cachedTokens}}
 	if att.firstTokenAt > 0 {
-		o.FirstToken, o.AttemptFirstToken, o.Decode = span(att.firstTokenAt-req.submittedAt()),
-			span(att.firstTokenAt-att.sentAt), span(sim.now-att.firstTokenAt)
+		o.FirstToken, o.AttemptFirstToken, o.Decode = secondsToDuration(att.firstTokenAt-req.submittedAt()),
+			secondsToDuration(att.firstTokenAt-att.sentAt), secondsToDuration(sim.now-att.firstTokenAt)
 	}
 	if code == standpoint.Served && (sim.ReportLossRate == 0 || sim.lossRNG.Float64() >= sim.ReportLossRate) {
 		o.Result.Report = sim.currentReport(att.backend)
@@ -287,8 +287,8 @@
 	n.removeIfFinished(req)
 }
 
-// span converts seconds.
-func span(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
+// secondsToDuration converts a number of seconds to a duration.
+func secondsToDuration(seconds float64) time.Duration { return time.Duration(seconds * 1e9) }
 
 // submittedAt returns the virtual time of the present submission, in seconds.
 func (req *clientRequest) submittedAt() float64 {
--- a/internal/lab/labcli/dns.go
+++ b/internal/lab/labcli/dns.go
@@ -22,7 +22,7 @@
 		Args:  cobra.ExactArgs(1),
 		Long: `Answers queries for the zone of a file, over UDP and TCP, sends push notifications over TCP (and
 over TLS with a certificate) and mDNS messages over loopback unicast. Faults come from the file's
-sections [faults] and [[event]], or from "lab poke".`,
+[[event]] sections, or from "lab poke".`,
 		Example: "  lab dns deploy/lab/hall-a.toml --hand 127.0.0.1:9901\n" +
 			"  lab poke --hand 127.0.0.1:9901 withdraw box-1\n" +
 			"  lab poke --hand 127.0.0.1:9901 loss 0.3",
--- a/internal/lab/labcli/fleet.go
+++ b/internal/lab/labcli/fleet.go
@@ -23,7 +23,7 @@
 func fleetCommand(out io.Writer) *cobra.Command {
 	var nodes []int
 	var seeds int
-	var first uint64
+	var firstSeed uint64
 	var duration time.Duration
 	c := &cobra.Command{Use: "fleet",
 		Short:   "Simulate the state that nodes share, in virtual time, under losses, partitions and kills",
@@ -41,7 +41,7 @@
 					{fleetsim.OneWay, 0.1}, {fleetsim.Flap, 0.1}, {fleetsim.Killed, 0.1}} {
 					p := fleetsim.Plan{Nodes: n, Duration: duration, Fault: set.fault, Loss: set.loss,
 						MaxClockError: 200 * time.Millisecond, Window: time.Second, Demand: 0.95, DemandingShare: 0.34, Backends: 12}
-					shared, isolated := runPlays(c.Context(), p, first, seeds)
+					shared, isolated := runSeeds(c.Context(), p, firstSeed, seeds)
 					if err := c.Context().Err(); err != nil {
 						return err
 					}
@@ -53,15 +53,15 @@
 	f := c.Flags()
 	f.IntSliceVar(&nodes, "nodes", []int{3, 30}, "numbers of nodes in the fleet")
 	f.IntVar(&seeds, "seeds", 20, "number of seeded runs for each fault and loss")
-	f.Uint64Var(&first, "seed", 1, "first seed")
+	f.Uint64Var(&firstSeed, "seed", 1, "first seed")
 	f.DurationVar(&duration, "span", 45*time.Second,
 		"duration of a run in virtual time; its faults occur in the middle third")
 	return c
 }
 
-// runPlays runs a plan over seeds, with sharing and without. The results without it are used for what they say of
-// servers.
-func runPlays(ctx context.Context, p fleetsim.Plan, first uint64, seeds int) (shared, isolated []fleetsim.Result) {
+// runSeeds runs a plan on several seeds, each with and without sharing between the nodes. Of the results without it,
+// writeRow uses those on the exclusion of backends.
+func runSeeds(ctx context.Context, p fleetsim.Plan, firstSeed uint64, seeds int) (shared, isolated []fleetsim.Result) {
 	shared, isolated = make([]fleetsim.Result, seeds), make([]fleetsim.Result, seeds)
 	var workers sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -73,7 +73,7 @@
 				return
 			}
 			q := p
-			q.Seed, q.Sharing = first+uint64(i), true
+			q.Seed, q.Sharing = firstSeed+uint64(i), true
 			shared[i] = fleetsim.Run(q)
 			q.Sharing = false
 			isolated[i] = fleetsim.Run(q)
@@ -106,24 +106,24 @@
 		maxOverspent, broken = max(maxOverspent, r.Overspent), broken+len(r.Violations)
 	}
 	used := sortedValues(shared, func(r fleetsim.Result) float64 { return r.Used })
-	cut := sortedValues(shared, func(r fleetsim.Result) float64 { return r.UsedDuringFault })
-	agreed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.ConvergedAfter })
+	duringFault := sortedValues(shared, func(r fleetsim.Result) float64 { return r.UsedDuringFault })
+	converged := sortedValues(shared, func(r fleetsim.Result) float64 { return r.ConvergedAfter })
 	healed := sortedValues(shared, func(r fleetsim.Result) float64 { return r.HealedAfter })
-	rightAfter := func(r fleetsim.Result) float64 { return r.ExcludedAfter }
+	excludedAfter := func(r fleetsim.Result) float64 { return r.ExcludedAfter }
 	falseCount := func(r fleetsim.Result) float64 { return float64(r.FalseExclusions) }
 	fmt.Fprintf(w,
 		"%d\t%s\t%.0f%%\t%d\t%d\t%.3f (%.3f)\t%.3f\t%.2f, %.2f s\t%.2f s\t%.0f\t%.1f s\t%.1f s\t%.2f\t%.2f\t%d\n",
 		p.Nodes, p.Fault, 100*p.Loss, len(shared), max(0, maxOverspent),
-		mean(used), used[0], mean(cut), quantile(agreed, 0.5), quantile(agreed, 0.99), quantile(healed, 0.99),
+		mean(used), used[0], mean(duringFault), quantile(converged, 0.5), quantile(converged, 0.99), quantile(healed, 0.99),
 		mean(sortedValues(shared, func(r fleetsim.Result) float64 { return r.Bytes })),
-		quantile(sortedValues(shared, rightAfter), 0.5), quantile(sortedValues(isolated, rightAfter), 0.5),
+		quantile(sortedValues(shared, excludedAfter), 0.5), quantile(sortedValues(isolated, excludedAfter), 0.5),
 		mean(sortedValues(shared, falseCount)), mean(sortedValues(isolated, falseCount)), broken)
 }
 
 // rigCommand runs several daemon processes with faults between them.
 func rigCommand(out io.Writer) *cobra.Command {
 	var nodes, seeds int
-	var first uint64
+	var firstSeed uint64
 	var duration time.Duration
 	var program, parentDir string
 	c := &cobra.Command{Use: "rig",
@@ -131,7 +131,7 @@
 		Example: "  lab rig --program bin/standpoint --nodes 5 --seeds 100",
 		RunE: func(c *cobra.Command, _ []string) error {
 			failed := 0
-			for seed := first; seed < first+uint64(seeds) && c.Context().Err() == nil; seed++ {
+			for seed := firstSeed; seed < firstSeed+uint64(seeds) && c.Context().Err() == nil; seed++ {
 				dir, err := os.MkdirTemp(parentDir, fmt.Sprintf("rig-%d-", seed))
 				if err != nil {
 					return err
@@ -167,7 +167,7 @@
 		"parent directory of the runs' files, which stay after a failure; empty: the system's temporary directory")
 	f.IntVar(&nodes, "nodes", 3, "number of processes, 3 to 7")
 	f.IntVar(&seeds, "seeds", 10, "number of seeded runs")
-	f.Uint64Var(&first, "seed", 1, "first seed")
+	f.Uint64Var(&firstSeed, "seed", 1, "first seed")
 	f.DurationVar(&duration, "span", 10*time.Second, "duration of the faults of each run")
 	return c
 }
--- a/internal/lab/moves.go
+++ b/internal/lab/moves.go
@@ -19,7 +19,7 @@
 	NewDead   bool    // the new backends die
 	OldDead   bool    // the old backends die
 	DrainOld  int     // number of old backends that drain
-	Harmful   bool    // the migration should go back
+	Harmful   bool    // the migration should halt and be undone
 }
 
 // StandardFaults returns the faults that a study covers by default.
@@ -51,8 +51,9 @@
 	return m.Record()
 }
 
-// ThresholdDriver compares the new pool's figures with fixed bounds every CheckEvery windows, and undoes the migration
-// at once after MaxFailures failed checks in a row, as common roll-out tools do.
+// ThresholdDriver compares the new pool's shares of late requests and of failed attempts with fixed bounds every
+// CheckEvery windows. After MaxFailures failed checks in a row it undoes the migration at once, as common roll-out
+// tools do.
 type ThresholdDriver struct {
 	Plan          migration.Plan
 	CheckEvery    int     // windows between two checks
@@ -119,7 +120,7 @@
 	HaltDelay   float64 // time from the fault to the halt; NaN if there was none
 	ReturnDelay float64 // time from the fault until all traffic was back; NaN if it was not
 	MinService  float64 // lowest service of any 10 s from the start of the migration on
-	MeanService float64 // service over the run
+	MeanService float64 // service from the start of the migration on
 	// BaselineMinService is the lowest service of any 10 s with the old pool alone on this seed. The caller sets it.
 	BaselineMinService float64
 	Collapsed          int // backends that went down under overload
--- a/internal/lab/responder/file.go
+++ b/internal/lab/responder/file.go
@@ -30,10 +30,10 @@
 		Later    bool     `toml:"later"` // not published at the start, but by an event
 	} `toml:"box"`
 	Events []struct {
-		At    string   `toml:"at"` // duration since the start
-		Do    string   `toml:"do"` // a key of Deeds
-		Value string   `toml:"value"`
-		Boxes []string `toml:"boxes"` // labels of the instances; for publish and withdraw, none: all
+		At     string   `toml:"at"` // duration since the start
+		Do     string   `toml:"do"` // a key of FaultCommands
+		Value  string   `toml:"value"`
+		Labels []string `toml:"boxes"` // labels of the instances; for publish and withdraw, none: all
 	} `toml:"event"`
 
 	directory string
@@ -41,8 +41,8 @@
 }
 
 // FaultCommands maps the fault commands for a responder to descriptions of their values; "": the command has no value.
-var FaultCommands = map[string]string{"withdraw": "", "publish": "", "lose": "", "restore": "", "silent": "", "speak": "",
-	"drop": "", "loss": "the share of packets that are lost", "delay": "a duration such as 50ms",
+var FaultCommands = map[string]string{"withdraw": "", "publish": "", "lose": "", "restore": "", "silent": "",
+	"speak": "", "drop": "", "loss": "the share of packets that are lost", "delay": "a duration such as 50ms",
 	"jitter": "a duration such as 50ms", "garbage": "a share of the responses", "wrong-id": "a share of the responses",
 	"poison": "a share of the responses", "truncate": "true or false", "zero-ttl": "true or false",
 	"broken": "true or false", "no-push": "true or false", "mute": "true or false",
@@ -126,7 +126,7 @@
 	r := &Running{s, f}
 	for _, e := range f.Events {
 		at, _ := time.ParseDuration(e.At) // validated by ReadFile
-		s.schedule(at, func() { _ = r.Apply(e.Do, e.Value, e.Boxes...) })
+		s.schedule(at, func() { _ = r.Apply(e.Do, e.Value, e.Labels...) })
 	}
 	return r, nil
 }
--- a/internal/lab/responder/server.go
+++ b/internal/lab/responder/server.go
@@ -64,7 +64,7 @@
 	SessionCount atomic.Int64 // push sessions started
 
 	faults      atomic.Pointer[Faults]
-	packetCount atomic.Int64 // packets in both directions, for Faults.Every
+	packetCount atomic.Int64 // packets in both directions, for Faults.LossInterval
 	closing     chan struct{}
 	closeOnce   sync.Once
 	background  sync.WaitGroup
--- a/internal/lab/responder/zone.go
+++ b/internal/lab/responder/zone.go
@@ -52,7 +52,7 @@
 
 // SetEmpty makes DNS queries see the zone as empty, as after a restart with data loss, until it is called with false.
 // mDNS and push are not affected.
-func (z *Zone) SetEmpty(lost bool) { z.mu.Lock(); z.empty = lost; z.mu.Unlock() }
+func (z *Zone) SetEmpty(empty bool) { z.mu.Lock(); z.empty = empty; z.mu.Unlock() }
 
 func keyOf(rr dns.RR) record.Key {
 	return record.Key{Name: record.CanonicalName(rr.Header().Name), Kind: record.Kind(rr.Header().Rrtype)}
@@ -135,35 +135,35 @@
 
 // Records returns the records of an instance: PTR, SRV, TXT and the address of its host, which is named after the
 // instance.
-func (z *Zone) Records(b Instance) ([]dns.RR, error) {
-	base := dns.Fqdn(b.Service + "." + z.Domain)
-	name, err := record.JoinInstance(b.Label, base)
+func (z *Zone) Records(instance Instance) ([]dns.RR, error) {
+	base := dns.Fqdn(instance.Service + "." + z.Domain)
+	name, err := record.JoinInstance(instance.Label, base)
 	if err != nil {
 		return nil, err
 	}
-	host, err := record.JoinInstance(b.Label, "_hosts."+z.Domain)
+	host, err := record.JoinInstance(instance.Label, "_hosts."+z.Domain)
 	if err != nil {
 		return nil, err
 	}
-	ttl := b.TTL
+	ttl := instance.TTL
 	header := func(name string, kind uint16) dns.RR_Header {
 		return dns.RR_Header{Name: name, Rrtype: kind, Class: dns.ClassINET, Ttl: ttl}
 	}
 	records := []dns.RR{&dns.PTR{Hdr: header(base, dns.TypePTR), Ptr: name},
-		&dns.SRV{Hdr: header(name, dns.TypeSRV), Port: b.Address.Port(), Target: host}}
-	for _, s := range b.Subtypes {
+		&dns.SRV{Hdr: header(name, dns.TypeSRV), Port: instance.Address.Port(), Target: host}}
+	for _, s := range instance.Subtypes {
 		records = append(records,
-			&dns.PTR{Hdr: header(dns.Fqdn(s+"._sub."+b.Service+"."+z.Domain), dns.TypePTR), Ptr: name})
+			&dns.PTR{Hdr: header(dns.Fqdn(s+"._sub."+instance.Service+"."+z.Domain), dns.TypePTR), Ptr: name})
 	}
-	text := b.Text
+	text := instance.Text
 	if len(text) == 0 {
 		text = []string{""}
 	}
 	records = append(records, &dns.TXT{Hdr: header(name, dns.TypeTXT), Txt: text})
-	if b.Address.Addr().Is4() {
-		return append(records, &dns.A{Hdr: header(host, dns.TypeA), A: b.Address.Addr().AsSlice()}), nil
+	if instance.Address.Addr().Is4() {
+		return append(records, &dns.A{Hdr: header(host, dns.TypeA), A: instance.Address.Addr().AsSlice()}), nil
 	}
-	return append(records, &dns.AAAA{Hdr: header(host, dns.TypeAAAA), AAAA: b.Address.Addr().AsSlice()}), nil
+	return append(records, &dns.AAAA{Hdr: header(host, dns.TypeAAAA), AAAA: instance.Address.Addr().AsSlice()}), nil
 }
 
 // Publish adds the records of instances in one step.
@@ -175,18 +175,18 @@
 func (z *Zone) applyInstances(remove bool, instances []Instance) error {
 	var all []Change
 	services := map[string]bool{}
-	for _, b := range instances {
-		records, err := z.Records(b)
+	for _, instance := range instances {
+		records, err := z.Records(instance)
 		if err != nil {
 			return err
 		}
 		for _, rr := range records {
 			all = append(all, Change{rr, remove})
 		}
-		if !remove && !services[b.Service] { // RFC 6763, 9
-			services[b.Service] = true
+		if !remove && !services[instance.Service] { // RFC 6763, 9
+			services[instance.Service] = true
 			all = append(all, Change{&dns.PTR{Hdr: dns.RR_Header{Name: record.EnumerationName(z.Domain),
-				Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60}, Ptr: dns.Fqdn(b.Service + "." + z.Domain)}, false})
+				Rrtype: dns.TypePTR, Class: dns.ClassINET, Ttl: 60}, Ptr: dns.Fqdn(instance.Service + "." + z.Domain)}, false})
 		}
 	}
 	z.Apply(all...)
--- a/internal/lab/study.go
+++ b/internal/lab/study.go
@@ -32,7 +32,7 @@
 	Fault         string `json:"trouble"`
 	Driver        string `json:"driver"`
 	Runs          int    `json:"runs"`
-	FaultOccurred int    `json:"reached"` // runs in which the migration got as far as the fault
+	FaultOccurred int    `json:"reached"` // runs in which the migration reached the step and time of the fault
 	// WentBack is the number of these runs in which the migration halted or was undone after the fault.
 	WentBack         int     `json:"went_back"`
 	WentBackEarly    int     `json:"early"`         // runs in which it did so before the fault
@@ -144,13 +144,13 @@
 }
 
 // summarize computes the summary of a fault's runs; baselines are the runs of the same seeds with the old pool alone.
-func summarize(fault Fault, driver string, results, base []MigrationResult) Summary {
+func summarize(fault Fault, driver string, results, baselines []MigrationResult) Summary {
 	s := Summary{Fault: fault.Name, Driver: driver, Runs: len(results), MinServiceRatio: math.Inf(1)}
-	var halts, backs, ratios []float64
+	var halts, returns, ratios []float64
 	for i, r := range results {
 		s.Collapsed += r.Collapsed
 		s.MeanService += r.MeanService / float64(len(results))
-		s.BaselineService += base[i].MeanService / float64(len(results))
+		s.BaselineService += baselines[i].MeanService / float64(len(results))
 		ratio := r.MinService / max(r.BaselineMinService, 1e-9)
 		ratios = append(ratios, ratio)
 		if ratio < 0.9 {
@@ -170,7 +170,7 @@
 			s.WentBack++
 			halts = append(halts, r.HaltDelay)
 			if !math.IsNaN(r.ReturnDelay) {
-				backs = append(backs, r.ReturnDelay)
+				returns = append(returns, r.ReturnDelay)
 				if r.ReturnDelay <= 60 {
 					s.ReturnedWithin60++
 				}
@@ -180,8 +180,8 @@
 	if len(halts) > 0 {
 		s.HaltDelay50, s.HaltDelay99 = quantile(halts, 0.5), quantile(halts, 0.99)
 	}
-	if len(backs) > 0 {
-		s.ReturnDelay50, s.ReturnDelay99 = quantile(backs, 0.5), quantile(backs, 0.99)
+	if len(returns) > 0 {
+		s.ReturnDelay50, s.ReturnDelay99 = quantile(returns, 0.5), quantile(returns, 0.99)
 	}
 	slices.Sort(ratios)
 	s.MinServiceRatio, s.MinServiceRatio01 = ratios[0], quantile(ratios, 0.01)
--- a/internal/lab/trial.go
+++ b/internal/lab/trial.go
@@ -97,7 +97,7 @@
 	return o
 }
 
-// measure fills in the figures for the requests that arrived between two virtual times, in seconds.
+// measure fills in the results for the requests that arrived between two virtual times, in seconds.
 func (o *Outcome) measure(sim *Simulation, from, end float64) {
 	offered, onTime := 0.0, 0.0
 	var ttfts []float64
@@ -115,8 +115,8 @@
 			o.Requests+s.Requests
 		second := OutcomeSecond{OfferedWeight: s.OfferedWeight, OnTimeWeight: s.OnTimeWeight, Rejections: s.Shed,
 			AttemptsByBackend: s.AttemptsByBackend}
-		if late := bySecond[i]; len(late) > 0 {
-			second.TTFT99 = quantile(late, 0.99)
+		if ttftsOfSecond := bySecond[i]; len(ttftsOfSecond) > 0 {
+			second.TTFT99 = quantile(ttftsOfSecond, 0.99)
 		}
 		o.Seconds = append(o.Seconds, second)
 	}
@@ -197,4 +197,6 @@
 
 // Capacity returns what a warm backend of the given kind can serve under the operators' workload, in requests per
 // second.
-func Capacity(f emulator.Parameters) float64 { return f.MaxRate(700, 1500, 105, 0.05) }
+func Capacity(parameters emulator.Parameters) float64 {
+	return parameters.MaxRate(700, 1500, 105, 0.05)
+}
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -53,8 +53,8 @@
 
 // BackendKinds returns the parameters of the operators' three backend kinds, each at the middle of its given range.
 func BackendKinds() []emulator.Parameters {
-	common := emulator.Parameters{Queue: 40, Chunk: 2048, PerContext: 0.00005, ColdSpeedFactor: 0.13, WarmUp: 20, OverloadFactor: 4,
-		OverloadTolerance: 3, ReportInterval: 0.8}
+	common := emulator.Parameters{Queue: 40, Chunk: 2048, PerContext: 0.00005, ColdSpeedFactor: 0.13,
+		WarmUp: 20, OverloadFactor: 4, OverloadTolerance: 3, ReportInterval: 0.8}
 	fast, standard, slow := common, common, common
 	fast.Slots, fast.Memory, fast.Step, fast.PerSequence, fast.PrefillRate = 26, 300_000, 0.013, 0.0003, 12_000
 	standard.Slots, standard.Memory, standard.Step, standard.PerSequence, standard.PrefillRate = 24, 300_000, 0.015,
@@ -74,7 +74,7 @@
 	Kinds                    []emulator.Parameters // nil means BackendKinds
 	// SpeedSpread is the natural logarithm of the largest factor by which a backend is faster or slower.
 	SpeedSpread float64
-	UsePools    bool        // nodes assign requests to pools; otherwise each request may go to any backend
+	UsePools    bool        // nodes assign requests to pools; otherwise a request may be sent to any backend
 	Policy      string      // name of the policy that decides at each node; empty means the module
 	Pattern     ratePattern // rate over time in place of Rate; may be nil
 	// ListDelay is the longest delay, in seconds, with which a node receives an endpoint list. ReportDelay is the least
@@ -285,9 +285,9 @@
 			}
 		}
 		kind := i % len(s.Kinds)
-		f := s.Kinds[kind]
-		f.Capacity = f.MaxRate(700, 1500, 105, 0.05)
-		b := &backend{Backend: emulator.New(f, s.Seed*1000+uint64(i), started), name: backendName(i), pool: number,
+		parameters := s.Kinds[kind]
+		parameters.Capacity = parameters.MaxRate(700, 1500, 105, 0.05)
+		b := &backend{Backend: emulator.New(parameters, s.Seed*1000+uint64(i), started), name: backendName(i), pool: number,
 			kind: kind, index: i, attempts: map[int64]*attempt{}}
 		b.SetSlowdown(math.Exp((sim.rng.Float64()*2 - 1) * s.SpeedSpread))
 		if started == 0 {
@@ -317,13 +317,13 @@
 // scheduleArrival schedules the next new session. Sessions arrive as a Poisson process; its rate is such that all their
 // turns together make up the rate of requests.
 func (sim *Simulation) scheduleArrival() {
-	turns := 0.0
+	sessionsPerRequest := 0.0
 	for _, c := range sim.Classes {
-		turns += c.RequestShare / c.MeanTurns
+		sessionsPerRequest += c.RequestShare / c.MeanTurns
 	}
 	// The class is drawn so that the classes' shares hold for requests, not for sessions.
-	sim.At(sim.now+sim.nextSessionDelay(turns), func() {
-		at := sim.rng.Float64() * turns
+	sim.At(sim.now+sim.nextSessionDelay(sessionsPerRequest), func() {
+		at := sim.rng.Float64() * sessionsPerRequest
 		for i := range sim.Classes {
 			c := &sim.Classes[i]
 			if at -= c.RequestShare / c.MeanTurns; at > 0 && i < len(sim.Classes)-1 {
