--- a/internal/lab/emulator/backend.go
+++ b/internal/lab/emulator/backend.go
@@ -32,7 +32,7 @@
 	// WarmUp is the time from a start until the backend has its full speed.
 	WarmUp float64 `toml:"warm_up"`
 	// OverloadFactor is the overload, as a multiple of the current capacity, that makes a cold backend fail for good
-	// once it has lasted for Fall.
+	// once it has lasted for OverloadTolerance.
 	OverloadFactor float64 `toml:"fall_factor"`
 	// OverloadTolerance is how long a cold backend withstands that overload; 0: it never fails from overload.
 	OverloadTolerance float64 `toml:"fall"`
@@ -48,7 +48,7 @@
 	Session      uint64  // session key; 0: none
 	Prefix       uint64  // key of the shared prefix; 0: none
 	Prompt       float64 // prompt length in tokens
-	Shared       float64 // length in tokens of the shared prefix, which is part of the prompt
+	PrefixTokens float64 // length in tokens of the shared prefix, which is part of the prompt
 	OutputTokens int     // length of the response in tokens
 }
 
@@ -119,8 +119,8 @@
 func (b *Backend) Received() int { return b.received }
 
 // New returns a backend that started at the given time; LongAgo makes it warm.
-func New(f Parameters, seed uint64, started float64) *Backend {
-	return &Backend{Parameters: f, rng: rand.New(rand.NewPCG(seed, 0x60a7)), startedAt: started, slowdown: 1,
+func New(parameters Parameters, seed uint64, started float64) *Backend {
+	return &Backend{Parameters: parameters, rng: rand.New(rand.NewPCG(seed, 0x60a7)), startedAt: started, slowdown: 1,
 		cache: list.New(), cacheByKey: map[uint64]*list.Element{}, prefilling: map[int64]float64{},
 		reportedAt: math.Inf(-1)}
 }
@@ -205,7 +205,7 @@
 
 // recordAttempt counts an attempt, rejected or not, and reports whether a cold backend has been overloaded for too
 // long. The count is a leaky bucket: it leaks at OverloadFactor times the current capacity, and its limit is what leaks
-// within Fall, plus 4 attempts so that random clusters of arrivals don't trip it.
+// within OverloadTolerance, plus 4 attempts so that random clusters of arrivals don't trip it.
 func (b *Backend) recordAttempt(now float64) bool {
 	if b.OverloadTolerance <= 0 || b.Capacity <= 0 || now-b.startedAt > b.WarmUp+b.OverloadTolerance {
 		return false
@@ -223,7 +223,8 @@
 		return 0
 	}
 	capacity := b.Capacity * b.SpeedFactor(now)
-	return max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.OverloadFactor) / (capacity*b.OverloadFactor*b.OverloadTolerance + 4)
+	return max(0, b.recentAttempts-(now-b.recentAttemptsAt)*capacity*b.OverloadFactor) /
+		(capacity*b.OverloadFactor*b.OverloadTolerance + 4)
 }
 
 // Cancel removes a queued or running job. What a running job has prefilled and generated stays in the cache.
@@ -284,7 +285,8 @@
 			continue
 		}
 		j.generated++
-		p := Progress{ID: j.ID, First: j.generated == 1, Tokens: 1, Done: j.generated >= j.OutputTokens, CachedTokens: j.cached}
+		p := Progress{ID: j.ID, First: j.generated == 1, Tokens: 1, Done: j.generated >= j.OutputTokens,
+			CachedTokens: j.cached}
 		progress = append(progress, p)
 		if p.Done {
 			b.cacheJob(j)
@@ -373,7 +375,7 @@
 	for _, k := range []struct {
 		key   uint64
 		limit float64
-	}{{j.Session, j.Prompt}, {j.Prefix ^ prefixKeyMask, j.Shared}} {
+	}{{j.Session, j.Prompt}, {j.Prefix ^ prefixKeyMask, j.PrefixTokens}} {
 		if e := b.cacheByKey[k.key]; e != nil && k.key != 0 && k.key != prefixKeyMask {
 			if touch {
 				b.cache.MoveToFront(e)
@@ -390,8 +392,8 @@
 	if j.Session != 0 {
 		b.store(j.Session, prefilled+float64(j.generated))
 	}
-	if j.Prefix != 0 && prefilled >= j.Shared {
-		b.store(j.Prefix^prefixKeyMask, j.Shared)
+	if j.Prefix != 0 && prefilled >= j.PrefixTokens {
+		b.store(j.Prefix^prefixKeyMask, j.PrefixTokens)
 	}
 }
 
@@ -407,11 +409,11 @@
 // MaxRate estimates the requests per second that a warm backend serves with token gaps of at most maxGap seconds, given
 // the mean lengths in tokens of the prompt to prefill, of the context and of the response. It takes the greatest number
 // of concurrent requests with which a step stays within the gap.
-func (f Parameters) MaxRate(prefill, context, out, maxGap float64) float64 {
+func (p Parameters) MaxRate(prefill, context, out, maxGap float64) float64 {
 	best := 0.0
-	for n := 1.0; n <= float64(f.Slots); n++ {
+	for n := 1.0; n <= float64(p.Slots); n++ {
 		started := n / out // requests that start in a step, in which each running one generates a token
-		step := f.Step + f.PerSequence*n + f.PerContext*n*context/1000 + started*prefill/f.PrefillRate
+		step := p.Step + p.PerSequence*n + p.PerContext*n*context/1000 + started*prefill/p.PrefillRate
 		if step > maxGap {
 			break
 		}
--- a/internal/lab/emulator/box_test.go
+++ b/internal/lab/emulator/box_test.go
@@ -8,7 +8,8 @@
 )
 
 var parameters = Parameters{Slots: 4, Queue: 2, Memory: 10_000, Chunk: 1000, Step: 0.01, PerSequence: 0.001,
-	PrefillRate: 10_000, ColdSpeedFactor: 0.1, WarmUp: 20, OverloadFactor: 4, OverloadTolerance: 3, Capacity: 2, ReportInterval: 0}
+	PrefillRate: 10_000, ColdSpeedFactor: 0.1, WarmUp: 20, OverloadFactor: 4, OverloadTolerance: 3,
+	Capacity: 2, ReportInterval: 0}
 
 // runUntilIdle advances a backend until it is idle or the next step ends at until or later. It returns, by job, the
 // times of the first token and of completion, and the prompt tokens found in the cache.
@@ -43,10 +44,10 @@
 
 func TestCachedPromptsAreNotPrefilledAgain(t *testing.T) {
 	b := New(parameters, 1, LongAgo)
-	submit(t, b, 0, Job{ID: 1, Session: 7, Prefix: 3, Shared: 400, Prompt: 2000, OutputTokens: 5}, Accepted)
+	submit(t, b, 0, Job{ID: 1, Session: 7, Prefix: 3, PrefixTokens: 400, Prompt: 2000, OutputTokens: 5}, Accepted)
 	runUntilIdle(b, 10)
 	submit(t, b, 10, Job{ID: 2, Session: 7, Prompt: 2100, OutputTokens: 5}, Accepted)
-	submit(t, b, 10, Job{ID: 3, Session: 8, Prefix: 3, Shared: 400, Prompt: 900, OutputTokens: 5}, Accepted)
+	submit(t, b, 10, Job{ID: 3, Session: 8, Prefix: 3, PrefixTokens: 400, Prompt: 900, OutputTokens: 5}, Accepted)
 	_, _, cached := runUntilIdle(b, 20)
 	require.InDelta(t, 2005, cached[2], 1e-9, "prompt and response of the previous turn")
 	require.InDelta(t, 400, cached[3], 1e-9, "the shared prefix")
@@ -78,7 +79,8 @@
 		return done[1]
 	}
 	normal := duration(LongAgo, func(*Backend) {})
-	require.InDelta(t, normal+2, duration(LongAgo, func(b *Backend) { b.Pause(0.005, 2.005) }), 1e-9, "pause within a step")
+	require.InDelta(t, normal+2, duration(LongAgo, func(b *Backend) { b.Pause(0.005, 2.005) }), 1e-9,
+		"pause within a step")
 	require.InDelta(t, normal+2, duration(LongAgo, func(b *Backend) { b.Pause(0.005, 1); b.Pause(0.5, 2.005) }), 1e-9,
 		"overlapping pauses")
 	require.Greater(t, duration(0, func(*Backend) {}), 5*normal, "cold")
@@ -133,7 +135,7 @@
 	require.True(t, math.IsInf(b.NextStepEnd(), 1))
 }
 
-// A backend that is sent requests at the rate that Able estimates completes them at that rate, within 10 %.
+// A backend that is sent requests at the rate that MaxRate estimates completes them at that rate, within 10 %.
 func TestEstimatedRateIsAchieved(t *testing.T) {
 	f := Parameters{Slots: 24, Queue: 1000, Memory: 300_000, Chunk: 2048, Step: 0.015, PerSequence: 0.00035,
 		PerContext: 0.00005, PrefillRate: 10_000}
--- a/internal/lab/emulator/server/fleet.go
+++ b/internal/lab/emulator/server/fleet.go
@@ -32,19 +32,19 @@
 
 // Event is a fault command that is applied to backends at a set time.
 type Event struct {
-	At       Span     `toml:"at"`    // time since the start
+	At       Duration `toml:"at"`    // time since the start
 	Backends []string `toml:"boxes"` // names of the backends; none: all
-	Do       string   `toml:"do"`    // a key of Deeds
+	Do       string   `toml:"do"`    // a key of FaultCommands
 	Value    float64  `toml:"value"`
 }
 
-// Span is a duration in a fleet file, such as "30s".
-type Span time.Duration
+// Duration is a duration in a fleet file, such as "30s".
+type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	*s = Span(d)
+	*s = Duration(d)
 	return err
 }
 
@@ -123,7 +123,7 @@
 func (f *Fleet) Start() (*RunningFleet, error) {
 	r := &RunningFleet{}
 	for i, b := range f.Backends {
-		s, err := Start(Options{Name: b.Name, Listen: b.Address, Figures: b.Parameters, Seed: f.Seed + uint64(i),
+		s, err := Start(Options{Name: b.Name, Listen: b.Address, Parameters: b.Parameters, Seed: f.Seed + uint64(i),
 			Cold: b.Cold, MeanTokens: f.MeanTokens, TokenSpread: f.TokenSpread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
--- a/internal/lab/emulator/server/groups.go
+++ b/internal/lab/emulator/server/groups.go
@@ -47,26 +47,27 @@
 	return r.Min + rng.Float64()*(r.Max-r.Min)
 }
 
-// Group is a number of emulated backends whose parameters are drawn from ranges. For those see emulator.Figures.
+// Group is a number of emulated backends whose parameters are drawn from ranges. See emulator.Parameters for
+// their meaning.
 type Group struct {
-	Name        string `toml:"name"` // prefix of the backends' names, which continue with "-1", "-2" ...
-	Count       int    `toml:"count"`
-	Address     string `toml:"address"` // host:port of the first backend; the others have the ports that follow
-	Cold        bool   `toml:"cold"`
-	Slots       Range  `toml:"slots"`
-	Queue       Range  `toml:"queue"`
-	Memory      Range  `toml:"memory"`
-	Chunk       Range  `toml:"chunk"`
-	Step        Range  `toml:"step"`
-	PerSequence Range  `toml:"per_sequence"`
-	PerContext  Range  `toml:"per_context"`
-	ReadPerS    Range  `toml:"read_per_s"`
-	ColdShare   Range  `toml:"cold_share"`
-	WarmUp      Range  `toml:"warm_up"`
-	Fall        Range  `toml:"fall"`
-	FallFactor  Range  `toml:"fall_factor"`
-	Capacity    Range  `toml:"capacity"`
-	ReportEvery Range  `toml:"report_every"`
+	Name              string `toml:"name"` // prefix of the backends' names, which continue with "-1", "-2" ...
+	Count             int    `toml:"count"`
+	Address           string `toml:"address"` // host:port of the first backend; the others have the ports that follow
+	Cold              bool   `toml:"cold"`
+	Slots             Range  `toml:"slots"`
+	Queue             Range  `toml:"queue"`
+	Memory            Range  `toml:"memory"`
+	Chunk             Range  `toml:"chunk"`
+	Step              Range  `toml:"step"`
+	PerSequence       Range  `toml:"per_sequence"`
+	PerContext        Range  `toml:"per_context"`
+	PrefillRate       Range  `toml:"read_per_s"`
+	ColdSpeedFactor   Range  `toml:"cold_share"`
+	WarmUp            Range  `toml:"warm_up"`
+	OverloadTolerance Range  `toml:"fall"`
+	OverloadFactor    Range  `toml:"fall_factor"`
+	Capacity          Range  `toml:"capacity"`
+	ReportInterval    Range  `toml:"report_every"`
 }
 
 // maxGroupSize is the maximum number of backends in a group.
@@ -92,10 +93,10 @@
 				Address: net.JoinHostPort(host, strconv.Itoa(port+n)), Cold: g.Cold,
 				Parameters: emulator.Parameters{Slots: drawInt(g.Slots), Queue: drawInt(g.Queue), Memory: g.Memory.draw(rng),
 					Chunk: g.Chunk.draw(rng), Step: g.Step.draw(rng), PerSequence: g.PerSequence.draw(rng),
-					PerContext: g.PerContext.draw(rng), PrefillRate: g.ReadPerS.draw(rng),
-					ColdSpeedFactor: g.ColdShare.draw(rng), WarmUp: g.WarmUp.draw(rng), OverloadTolerance: g.Fall.draw(rng),
-					OverloadFactor: g.FallFactor.draw(rng),
-					Capacity:       g.Capacity.draw(rng), ReportInterval: g.ReportEvery.draw(rng)}})
+					PerContext: g.PerContext.draw(rng), PrefillRate: g.PrefillRate.draw(rng),
+					ColdSpeedFactor: g.ColdSpeedFactor.draw(rng), WarmUp: g.WarmUp.draw(rng),
+					OverloadTolerance: g.OverloadTolerance.draw(rng), OverloadFactor: g.OverloadFactor.draw(rng),
+					Capacity: g.Capacity.draw(rng), ReportInterval: g.ReportInterval.draw(rng)}})
 		}
 	}
 	return nil
--- a/internal/lab/emulator/server/server.go
+++ b/internal/lab/emulator/server/server.go
@@ -49,7 +49,7 @@
 	openAttempts       map[string]int     // attempts in flight, by trace id
 	concurrentAttempts int                // attempts that came while another of the same request was in flight
 	received           int                // attempts received
-	firstTokenTimes    []float64          // seconds to the first token of each response since the last call of Firsts
+	firstTokenTimes    []float64          // what the next call of FirstTokenTimes returns
 	wireFaults         map[string]float64 // share of requests affected, by fault
 }
 
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// maxFirstTokenTimes bounds the first-token times stored between two calls of Firsts.
+// maxFirstTokenTimes bounds the first-token times stored between two calls of FirstTokenTimes.
 const maxFirstTokenTimes = 4096
 
 // FirstTokenTimes returns the times to the first token, in seconds, of the responses that began since the last call.
@@ -94,7 +94,7 @@
 type Options struct {
 	Name        string
 	Listen      string // host:port on a loopback address
-	Figures     emulator.Parameters
+	Parameters  emulator.Parameters
 	Seed        uint64
 	Cold        bool    // true: the backend starts now and has to warm up
 	MeanTokens  float64 // mean length of a response in tokens; 0: 100
@@ -122,7 +122,7 @@
 	if o.Cold {
 		started = 0
 	}
-	s.backend = emulator.New(o.Figures, o.Seed, started)
+	s.backend = emulator.New(o.Parameters, o.Seed, started)
 	s.stepTimer = time.AfterFunc(time.Hour, s.onStepEnd)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", s.chat)
@@ -307,7 +307,7 @@
 	for i, m := range body.Messages {
 		j.Prompt += math.Ceil(float64(len(m.Content)) / bytesPerToken)
 		if i == 0 && len(body.Messages) > 1 {
-			j.Prefix, j.Shared = cacheKey(m.Content), j.Prompt
+			j.Prefix, j.PrefixTokens = cacheKey(m.Content), j.Prompt
 		}
 		if i == 1 {
 			j.Session = cacheKey(body.Messages[0].Content, m.Content)
--- a/internal/lab/emulator/server/story_test.go
+++ b/internal/lab/emulator/server/story_test.go
@@ -20,7 +20,7 @@
 	ColdSpeedFactor: 0.2, WarmUp: 5}
 
 func start(t *testing.T, f emulator.Parameters) *Server {
-	s, err := Start(Options{Name: "box-1", Listen: "127.0.0.1:0", Figures: f, Seed: 1, MeanTokens: 12})
+	s, err := Start(Options{Name: "box-1", Listen: "127.0.0.1:0", Parameters: f, Seed: 1, MeanTokens: 12})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
 	return s
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -20,13 +20,14 @@
 	Nodes    int    `toml:"nodes" json:"nodes,omitempty"`
 	Backends int    `toml:"boxes" json:"boxes,omitempty"`
 	Pattern  string `toml:"pattern" json:"pattern,omitempty"` // requests per second over time
-	// SpeedSpread is the natural logarithm of the largest factor on a backend's speed
+	// SpeedSpread is the natural logarithm of the largest factor on a backend's speed. Its default is 0.1.
 	SpeedSpread *float64      `toml:"spread" json:"spread,omitempty"`
 	ListDelay   load.Duration `toml:"list_late" json:"list_late,omitempty"` // longest delay of an endpoint list
-	// ReportDelay is the least age of a load report on arrival.
+	// ReportDelay is the least age of a load report on arrival. ReportLossRate is the share of load reports that are lost,
+	// and AttemptLossRate the share of attempts that never arrive.
 	ReportDelay     load.Duration `toml:"report_late" json:"report_late,omitempty"`
-	ReportLossRate  float64       `toml:"report_lost" json:"report_lost,omitempty"`   // share of load reports that are lost
-	AttemptLossRate float64       `toml:"message_lost" json:"message_lost,omitempty"` // share of attempts that never arrive
+	ReportLossRate  float64       `toml:"report_lost" json:"report_lost,omitempty"`
+	AttemptLossRate float64       `toml:"message_lost" json:"message_lost,omitempty"`
 	// ReportInterval is the time between two load reports of a backend. Responses in between carry the last one.
 	ReportInterval load.Duration `toml:"report_every" json:"report_every,omitempty"`
 }
--- a/internal/lab/experiment/page.go
+++ b/internal/lab/experiment/page.go
@@ -225,7 +225,7 @@
 <h1>{{.Report.File.Name}}</h1>
 <p>{{.Seeds}} seeds from {{.Report.File.FirstSeed}} on, the same for all variants{{if .Report.Incomplete}}; <span class="bad">cut off before its end</span>{{end}}.
 Differences are to the first variant, seed by seed, with 95% intervals (bootstrap over seeds).</p>
-<table><tr><th>variant</th>{{range .Figures}}<th>{{.}}</th>{{end}}</tr>
+<table><tr><th>variant</th>{{range .Metrics}}<th>{{.}}</th>{{end}}</tr>
 {{range .Rows}}<tr><td>{{.Name}}</td>{{range .Cells}}<td>{{.}}</td>{{end}}</tr>
 {{end}}</table>
 {{range .Breaches}}<p class="bad">{{.}}</p>{{else}}<p>No rule was broken.</p>{{end}}
@@ -258,14 +258,14 @@
 	data := struct {
 		Report   *Report
 		Seeds    int
-		Figures  []string
+		Metrics  []string
 		Rows     []tableRow
 		Breaches []string
 		Plots    []chartSection
 		Text     string
 	}{Report: r, Seeds: len(r.Variants[0].Runs)}
 	for _, f := range Metrics {
-		data.Figures = append(data.Figures, strings.ReplaceAll(f.Name, "_", " "))
+		data.Metrics = append(data.Metrics, strings.ReplaceAll(f.Name, "_", " "))
 	}
 	for i := range r.Variants {
 		v := &r.Variants[i]
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -49,7 +49,7 @@
 // MarshalJSON implements json.Marshaler.
 func (f RoundedFloat) MarshalJSON() ([]byte, error) { return fmt.Appendf(nil, "%.6g", float64(f)), nil }
 
-// Metric is a figure of an outcome by which variants are compared.
+// Metric is a value of an outcome by which variants are compared.
 type Metric struct {
 	Name           string
 	HigherIsBetter bool
@@ -155,19 +155,19 @@
 	for i := range a {
 		bySeed[a[i].Seed] = &a[i]
 	}
-	for _, f := range Metrics {
+	for _, metric := range Metrics {
 		var diffs []float64
 		for i := range b {
 			if before := bySeed[b[i].Seed]; before != nil {
-				diffs = append(diffs, f.Value(&b[i])-f.Value(before))
+				diffs = append(diffs, metric.Value(&b[i])-metric.Value(before))
 			}
 		}
 		if len(diffs) == 0 {
 			continue
 		}
 		mean, low, high := bootstrap(diffs)
-		all = append(all, Difference{f.Name, mean, low, high,
-			[3]RoundedFloat{RoundedFloat(mean), RoundedFloat(low), RoundedFloat(high)}, f.HigherIsBetter})
+		all = append(all, Difference{metric.Name, mean, low, high,
+			[3]RoundedFloat{RoundedFloat(mean), RoundedFloat(low), RoundedFloat(high)}, metric.HigherIsBetter})
 	}
 	return all
 }
@@ -205,9 +205,9 @@
 			for _, d := range pairedDifferences(a.Runs, b.Runs) {
 				base := 0.0
 				for i := range a.Runs {
-					for _, f := range Metrics {
-						if f.Name == d.Metric {
-							base += f.Value(&a.Runs[i]) / float64(len(a.Runs))
+					for _, metric := range Metrics {
+						if metric.Name == d.Metric {
+							base += metric.Value(&a.Runs[i]) / float64(len(a.Runs))
 						}
 					}
 				}
@@ -251,14 +251,14 @@
 	}
 	w := tabwriter.NewWriter(out, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "variant\t")
-	for _, f := range Metrics {
-		fmt.Fprintf(w, "%s\t", f.Name)
+	for _, metric := range Metrics {
+		fmt.Fprintf(w, "%s\t", metric.Name)
 	}
 	fmt.Fprint(w, "service against the first\tbreaches\t\n")
 	for _, v := range r.Variants {
 		fmt.Fprintf(w, "%s\t", v.Name)
-		for _, f := range Metrics {
-			fmt.Fprintf(w, "%.3f\t", v.mean(f))
+		for _, metric := range Metrics {
+			fmt.Fprintf(w, "%.3f\t", v.mean(metric))
 		}
 		against := "-"
 		if len(v.AgainstFirst) > 0 {
@@ -280,9 +280,9 @@
 }
 
 // mean returns the mean of a metric over the runs.
-func (v *VariantResult) mean(f Metric) (mean float64) {
+func (v *VariantResult) mean(metric Metric) (mean float64) {
 	for i := range v.Runs {
-		mean += f.Value(&v.Runs[i]) / float64(len(v.Runs))
+		mean += metric.Value(&v.Runs[i]) / float64(len(v.Runs))
 	}
 	return mean
 }
--- a/internal/lab/experiment/sockets.go
+++ b/internal/lab/experiment/sockets.go
@@ -37,7 +37,8 @@
 )
 
 // RunOnSockets runs an experiment in real time, with the daemon as processes, emulated backends on sockets and the load
-// generator, one variant and seed after the other. Its figures depend on the machine; the rules are the same.
+// generator, one variant and seed after the other. Its results depend on the machine; the rules that it checks do
+// not.
 func RunOnSockets(ctx context.Context, f *File, program, dir string, progress io.Writer) (*Report, error) {
 	if f.Seeds > maxSocketSeeds {
 		return nil, fmt.Errorf("seeds: %d is not from 1 to %d on sockets", f.Seeds, maxSocketSeeds)
@@ -166,11 +167,11 @@
 		uint64(i) + 1, MaxSendLag: load.Duration(20 * time.Millisecond)}
 	for k, c := range lab.OperatorWorkload() {
 		p.Classes = append(p.Classes, load.Class{Name: classNames[k], Weight: c.RequestShare,
-			TTFTObjective: load.Duration(c.TTFTObjective), TTFTObjectivePer1000Tokens: load.Duration(c.TTFTObjectivePer1000Tokens),
-			TPOTObjective: load.Duration(c.TPOTObjective),
-			Timeout:       load.Duration(c.Deadline), Prompt: c.NewTokens, Spread: c.PromptSigma, MaxTokens: c.MaxOutputTokens,
-			Turns: c.MeanTurns, Think: load.Duration(c.ThinkTime * 1e9), Shared: c.PrefixTokens,
-			Prefixes: c.Prefixes, RetryHabit: load.RetryAfter, Retries: 2, RetryWait: load.Duration(300 * time.Millisecond)})
+			TTFTObjective: load.Duration(c.TTFTObjective), TPOTObjective: load.Duration(c.TPOTObjective),
+			TTFTObjectivePer1000Tokens: load.Duration(c.TTFTObjectivePer1000Tokens), Timeout: load.Duration(c.Deadline),
+			Prompt: c.NewTokens, Spread: c.PromptSigma, MaxTokens: c.MaxOutputTokens,
+			Turns: c.MeanTurns, ThinkTime: load.Duration(c.ThinkTime * 1e9), PrefixTokens: c.PrefixTokens,
+			Prefixes: c.Prefixes, RetryPolicy: load.RetryAfter, Retries: 2, RetryWait: load.Duration(300 * time.Millisecond)})
 	}
 	if errs[i] = p.Complete(); errs[i] == nil {
 		p.Compiled = p.Compiled.Scaled(1 / float64(s.setup.Nodes))
@@ -187,11 +188,11 @@
 	s.backends = &server.RunningFleet{}
 	s.closers = append(s.closers, func() error { return s.backends.Close() })
 	for i := range s.setup.OldBackends {
-		figures := kinds[i%len(kinds)]
-		figures.Capacity = lab.Capacity(figures)
-		figures.Step *= math.Exp((rng.Float64()*2 - 1) * s.setup.SpeedSpread)
+		parameters := kinds[i%len(kinds)]
+		parameters.Capacity = lab.Capacity(parameters)
+		parameters.Step *= math.Exp((rng.Float64()*2 - 1) * s.setup.SpeedSpread)
 		backend, err := server.Start(server.Options{Name: fmt.Sprintf("box-%d", i), Listen: "127.0.0.1:0",
-			Figures: figures, Seed: s.setup.Seed*1000 + uint64(i), MeanTokens: 105, TokenSpread: 0.5})
+			Parameters: parameters, Seed: s.setup.Seed*1000 + uint64(i), MeanTokens: 105, TokenSpread: 0.5})
 		if err != nil {
 			return err
 		}
@@ -324,6 +325,8 @@
 }
 
 // outcome returns the run's outcome, from the load generator's report, the backends' counts and the nodes' metrics.
+// The settling time counts in all results but Seconds and MinService. These two count requests in place of weights, and
+// the TTFT99 of a second is the longest time to first token.
 func (s *socketRun) outcome(ctx context.Context, r *load.Report) lab.Outcome {
 	o := lab.Outcome{Seed: s.setup.Seed, Breaches: map[string]int{}}
 	offered, onTime := 0.0, 0.0
--- a/internal/lab/labcli/load.go
+++ b/internal/lab/labcli/load.go
@@ -176,7 +176,8 @@
 // progressLine returns the line of a second.
 func progressLine(p load.Progress) string {
 	line := fmt.Sprintf("%5.0f s of %.0f  %6.1f/s wanted  %5d out  "+
-		"second: %4d asked %4d in time %4d turned down %4d failed, slowest %.0f ms", p.Elapsed.Seconds(), p.Duration.Seconds(),
+		"second: %4d asked %4d in time %4d turned down %4d failed, slowest %.0f ms", p.Elapsed.Seconds(),
+		p.Duration.Seconds(),
 		p.Rate, p.InFlight, p.Second.Asked, p.Second.InTime, p.Second.TurnedDown, p.Second.Failed, p.Second.FirstMS)
 	if p.Lagging {
 		line += "  THE GENERATOR LAGS"
--- a/internal/lab/load/ceiling.go
+++ b/internal/lab/load/ceiling.go
@@ -29,7 +29,7 @@
 	defer peer.Close()
 	sustains := func(rate float64) (bool, error) {
 		p := &Plan{Target: l.Addr().String(), Pattern: fmt.Sprintf("steady(%g)", rate), Duration: Duration(4 * time.Second),
-			Classes: []Class{{Name: "c", Prompt: 20, RetryHabit: NoRetry}}}
+			Classes: []Class{{Name: "c", Prompt: 20, RetryPolicy: NoRetry}}}
 		if err := p.Complete(); err != nil {
 			return false, err
 		}
--- a/internal/lab/load/figures.go
+++ b/internal/lab/load/figures.go
@@ -31,8 +31,9 @@
 	SinceSend  *hdrhistogram.Histogram // from the sending to the first event, as a closed loop would measure it
 
 	// Intended counts the intended requests, less those that the end of the run interrupted. Each that has ended is
-	// counted once more, in Served, TurnedDown (the last response was 429 or 503), Failed, TimedOut (time-out) or
-	// NotSent (MaxInFlight was reached). InTime counts the served requests that met their latency objectives.
+	// counted once more, in Served, Rejected (the last response was 429 or 503), Failed, TimedOut (an attempt reached
+	// Class.Timeout) or NotSent (Plan.MaxInFlight was reached). InTime counts the served requests that met their latency
+	// objectives.
 	Intended, Served, InTime   int
 	Rejected, Failed, TimedOut int
 	NotSent                    int
@@ -40,7 +41,7 @@
 	BatchServed, BatchFailed   int
 }
 
-func newFigures() *Results {
+func newResults() *Results {
 	newHistogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minRecorded, maxRecorded, significantFigures)
 	}
@@ -53,45 +54,45 @@
 	_ = h.RecordValue(min(maxRecorded, max(minRecorded, d.Microseconds()))) // cannot fail within the range
 }
 
-// Merge adds the figures o to f.
-func (f *Results) Merge(o *Results) {
-	f.FirstToken.Merge(o.FirstToken)
-	f.Total.Merge(o.Total)
-	f.TokenGap.Merge(o.TokenGap)
-	f.SendLag.Merge(o.SendLag)
-	f.SinceSend.Merge(o.SinceSend)
-	for _, p := range [][2]*int{{&f.Intended, &o.Intended}, {&f.Served, &o.Served}, {&f.InTime, &o.InTime},
-		{&f.Rejected, &o.Rejected}, {&f.Failed, &o.Failed}, {&f.TimedOut, &o.TimedOut}, {&f.NotSent, &o.NotSent},
-		{&f.Retries, &o.Retries}, {&f.BatchLines, &o.BatchLines}, {&f.BatchServed, &o.BatchServed},
-		{&f.BatchFailed, &o.BatchFailed}} {
+// Merge adds the results o to r.
+func (r *Results) Merge(o *Results) {
+	r.FirstToken.Merge(o.FirstToken)
+	r.Total.Merge(o.Total)
+	r.TokenGap.Merge(o.TokenGap)
+	r.SendLag.Merge(o.SendLag)
+	r.SinceSend.Merge(o.SinceSend)
+	for _, p := range [][2]*int{{&r.Intended, &o.Intended}, {&r.Served, &o.Served}, {&r.InTime, &o.InTime},
+		{&r.Rejected, &o.Rejected}, {&r.Failed, &o.Failed}, {&r.TimedOut, &o.TimedOut}, {&r.NotSent, &o.NotSent},
+		{&r.Retries, &o.Retries}, {&r.BatchLines, &o.BatchLines}, {&r.BatchServed, &o.BatchServed},
+		{&r.BatchFailed, &o.BatchFailed}} {
 		*p[0] += *p[1]
 	}
 }
 
-// figuresJSON is the form of Figures in files. The histograms are in HdrHistogram's compressed encoding; the field
+// resultsJSON is the form of Results in files. The histograms are in HdrHistogram's compressed encoding; the field
 // names are the keys in the file.
-type figuresJSON struct {
+type resultsJSON struct {
 	First, Whole, Pace, Lag, Own string
 	Counts                       map[string]int
 }
 
 // counts returns the counters by their keys in files.
-func (f *Results) counts() map[string]*int {
-	return map[string]*int{"asked": &f.Intended, "served": &f.Served, "in_time": &f.InTime, "turned_down": &f.Rejected,
-		"failed": &f.Failed, "gave_up": &f.TimedOut, "not_sent": &f.NotSent, "retries": &f.Retries,
-		"batch_lines": &f.BatchLines, "batch_served": &f.BatchServed, "batch_failed": &f.BatchFailed}
+func (r *Results) counts() map[string]*int {
+	return map[string]*int{"asked": &r.Intended, "served": &r.Served, "in_time": &r.InTime, "turned_down": &r.Rejected,
+		"failed": &r.Failed, "gave_up": &r.TimedOut, "not_sent": &r.NotSent, "retries": &r.Retries,
+		"batch_lines": &r.BatchLines, "batch_served": &r.BatchServed, "batch_failed": &r.BatchFailed}
 }
 
 // MarshalJSON implements json.Marshaler.
-func (f *Results) MarshalJSON() ([]byte, error) {
-	w := figuresJSON{Counts: map[string]int{}}
-	for name, n := range f.counts() {
+func (r *Results) MarshalJSON() ([]byte, error) {
+	w := resultsJSON{Counts: map[string]int{}}
+	for name, n := range r.counts() {
 		w.Counts[name] = *n
 	}
 	for _, p := range []struct {
 		to   *string
 		from *hdrhistogram.Histogram
-	}{{&w.First, f.FirstToken}, {&w.Whole, f.Total}, {&w.Pace, f.TokenGap}, {&w.Lag, f.SendLag}, {&w.Own, f.SinceSend}} {
+	}{{&w.First, r.FirstToken}, {&w.Whole, r.Total}, {&w.Pace, r.TokenGap}, {&w.Lag, r.SendLag}, {&w.Own, r.SinceSend}} {
 		raw, err := p.from.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		if err != nil {
 			return nil, err
@@ -102,23 +103,23 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (f *Results) UnmarshalJSON(raw []byte) error {
-	var w figuresJSON
+func (r *Results) UnmarshalJSON(raw []byte) error {
+	var w resultsJSON
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return err
 	}
-	*f = *newFigures()
+	*r = *newResults()
 	for _, p := range []struct {
 		from string
 		to   **hdrhistogram.Histogram
-	}{{w.First, &f.FirstToken}, {w.Whole, &f.Total}, {w.Pace, &f.TokenGap}, {w.Lag, &f.SendLag}, {w.Own, &f.SinceSend}} {
+	}{{w.First, &r.FirstToken}, {w.Whole, &r.Total}, {w.Pace, &r.TokenGap}, {w.Lag, &r.SendLag}, {w.Own, &r.SinceSend}} {
 		h, err := hdrhistogram.Decode([]byte(p.from))
 		if err != nil {
 			return err
 		}
 		*p.to = h
 	}
-	counts := f.counts()
+	counts := r.counts()
 	for name, n := range w.Counts {
 		if to := counts[name]; to != nil {
 			*to = n
@@ -127,11 +128,13 @@
 	return nil
 }
 
-// Second is the results of the requests whose intended time is in one second of the run.
+// Second is the results of the requests whose intended time is in one second of the run. The field names are the keys
+// in report files: Asked counts the requests that were intended, TurnedDown those that were rejected, and Failed also
+// those that timed out or were not sent.
 type Second struct {
 	Asked, Served, InTime, TurnedDown, Failed int
 	FirstMS                                   float64 // the longest time to the first event, in milliseconds
-	Out                                       int     // requests in flight at the end of the second
+	Out                                       int     // requests in flight when the second's first result was recorded
 }
 
 // Report is the result of a run.
@@ -148,11 +151,11 @@
 	Seconds     []Second            `json:"seconds"`
 }
 
-// All returns the merged figures of all classes.
+// All returns the merged results of all classes.
 func (r *Report) All() *Results {
-	all := newFigures()
-	for _, f := range r.Classes {
-		all.Merge(f)
+	all := newResults()
+	for _, res := range r.Classes {
+		all.Merge(res)
 	}
 	return all
 }
@@ -179,11 +182,11 @@
 		if r.Began.Before(merged.Began) {
 			merged.Began = r.Began
 		}
-		for name, f := range r.Classes {
+		for name, res := range r.Classes {
 			if merged.Classes[name] == nil {
-				merged.Classes[name] = newFigures()
+				merged.Classes[name] = newResults()
 			}
-			merged.Classes[name].Merge(f)
+			merged.Classes[name].Merge(res)
 		}
 		for i, s := range r.Seconds {
 			if i == len(merged.Seconds) {
@@ -228,11 +231,11 @@
 		}
 		return fmt.Sprintf("%.1f", float64(h.ValueAtQuantile(q))/1000)
 	}
-	writeRow := func(name string, f *Results) {
+	writeRow := func(name string, res *Results) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
-			name, f.Intended, f.Served, f.InTime, f.Rejected, f.Failed, f.TimedOut, f.NotSent,
-			ms(f.FirstToken, 50), ms(f.FirstToken, 99), ms(f.FirstToken, 99.9), ms(f.FirstToken, 100),
-			ms(f.TokenGap, 50), ms(f.TokenGap, 99), ms(f.SendLag, 99))
+			name, res.Intended, res.Served, res.InTime, res.Rejected, res.Failed, res.TimedOut, res.NotSent,
+			ms(res.FirstToken, 50), ms(res.FirstToken, 99), ms(res.FirstToken, 99.9), ms(res.FirstToken, 100),
+			ms(res.TokenGap, 50), ms(res.TokenGap, 99), ms(res.SendLag, 99))
 	}
 	for _, name := range r.Names() {
 		writeRow(name, r.Classes[name])
@@ -254,18 +257,18 @@
 	inFlight int
 }
 
-// update applies a change to the figures of a class and to those of the second that at, an intended time, falls in.
-func (t *collector) update(class string, at time.Duration, change func(f *Results, s *Second)) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	f := t.classes[class]
-	if f == nil {
-		f = newFigures()
-		t.classes[class] = f
+// update applies a change to the results of a class and to those of the second that contains at, an intended time.
+func (c *collector) update(class string, at time.Duration, change func(f *Results, s *Second)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	res := c.classes[class]
+	if res == nil {
+		res = newResults()
+		c.classes[class] = res
 	}
 	i := max(0, int(at/time.Second))
-	for len(t.seconds) <= i {
-		t.seconds = append(t.seconds, Second{Out: t.inFlight})
+	for len(c.seconds) <= i {
+		c.seconds = append(c.seconds, Second{Out: c.inFlight})
 	}
-	change(f, &t.seconds[i])
+	change(res, &c.seconds[i])
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -111,7 +111,7 @@
 
 func plan(t *testing.T, target, pattern string, duration time.Duration) *Plan {
 	p := &Plan{Target: target, Pattern: pattern, Duration: Duration(duration),
-		Classes: []Class{{Name: "chat", Prompt: 10, RetryHabit: NoRetry}}, MaxSendLag: Duration(time.Minute)}
+		Classes: []Class{{Name: "chat", Prompt: 10, RetryPolicy: NoRetry}}, MaxSendLag: Duration(time.Minute)}
 	require.NoError(t, p.Complete())
 	return p
 }
@@ -215,11 +215,11 @@
 	require.Equal(t, 2*all.FirstToken.TotalCount(), merged.All().FirstToken.TotalCount())
 }
 
-// Clients retry as their habit says: not at all, at once, or after the time in Retry-After.
-func TestRetryHabits(t *testing.T) {
+// Clients retry as their RetryPolicy says: not at all, at once, or after the time in Retry-After.
+func TestRetryPolicies(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		habit    string
+		policy   string
 		attempts int64
 		minimum  time.Duration
 	}{{NoRetry, 1, 0}, {AtOnce, 3, 0}, {RetryAfter, 3, 1600 * time.Millisecond}} {
@@ -231,15 +231,15 @@
 		})
 		pl := plan(t, target, "burst(1, at=0s, for=1s)", 5*time.Second)
 		pl.EvenlySpaced = true
-		pl.Classes[0].RetryHabit, pl.Classes[0].Retries = c.habit, 2
+		pl.Classes[0].RetryPolicy, pl.Classes[0].Retries = c.policy, 2
 		began := time.Now()
 		r, err := Run(t.Context(), Options{Plan: pl,
-			Calls: []Call{{Class: "chat", Prompt: 5, Out: 5}, {At: 4, Class: "chat", Prompt: 5, Out: 5}}})
+			Calls: []Call{{Class: "chat", Prompt: 5, MaxTokens: 5}, {At: 4, Class: "chat", Prompt: 5, MaxTokens: 5}}})
 		require.NoError(t, err)
 		require.Positive(t, r.All().Rejected)
 		require.GreaterOrEqual(t, n.Load(), c.attempts)
 		require.Greater(t, time.Since(began), c.minimum)
-		if c.habit == RetryAfter {
+		if c.policy == RetryAfter {
 			require.GreaterOrEqual(t, r.All().Retries, 2)
 		}
 	}
@@ -252,7 +252,7 @@
 	var b bytes.Buffer
 	rec := NewRecorder(&b)
 	for _, at := range []float64{10, 12, 11} {
-		rec.Write(Call{At: at, Class: "chat", Prompt: 5, Out: 7, Session: 9})
+		rec.Write(Call{At: at, Class: "chat", Prompt: 5, MaxTokens: 7, Session: 9})
 	}
 	require.NoError(t, rec.Flush())
 	text := b.String() + `{"at_s":13,"class":"chat","prompt_tokens":-1,"max_tokens":5}` + "\n" + `{"at_s":13,"cla` +
@@ -282,7 +282,7 @@
 		"pattern: column":  func(p *Plan) { p.Pattern = "steady(" },
 		"for:":             func(p *Plan) { p.Duration = 0 },
 		"class:":           func(p *Plan) { p.Classes = nil },
-		"class[0].habit:":  func(p *Plan) { p.Classes[0].RetryHabit = "sulk" },
+		"class[0].habit:":  func(p *Plan) { p.Classes[0].RetryPolicy = "sulk" },
 		"class[0].turns:":  func(p *Plan) { p.Classes[0].Turns = 0.5 },
 		"class[0].spread:": func(p *Plan) { p.Classes[0].Spread = 9 },
 		"batch.class:":     func(p *Plan) { p.Batch = Batch{Every: Duration(time.Second), Class: "gold"} },
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -44,15 +44,15 @@
 	MaxTokens float64 `toml:"max_tokens"`
 	// Turns is the mean number of turns in a session.
 	Turns float64 `toml:"turns"`
-	// Think is the mean time between a response and the session's next turn.
-	Think Duration `toml:"think"`
-	// Shared is the length in tokens of the prompt prefix that sessions share; 0: none.
-	Shared float64 `toml:"shared_tokens"`
+	// ThinkTime is the mean time between a response and the session's next turn.
+	ThinkTime Duration `toml:"think"`
+	// PrefixTokens is the length in tokens of the prompt prefix that sessions share; 0: none.
+	PrefixTokens float64 `toml:"shared_tokens"`
 	// Prefixes is the number of different shared prefixes.
 	Prefixes int `toml:"beginnings"`
-	// RetryHabit is how clients retry: none, at_once, wait or retry_after.
-	RetryHabit string `toml:"habit"`
-	// RetryWait is the mean delay before a retry where the habit is wait, or the response has no Retry-After.
+	// RetryPolicy is how clients retry: none, at_once, wait or retry_after.
+	RetryPolicy string `toml:"habit"`
+	// RetryWait is the mean delay before a retry where RetryPolicy is wait, or the response has no Retry-After.
 	RetryWait Duration `toml:"wait"`
 	// Retries is the maximum number of retries of a request.
 	Retries int `toml:"retries"`
@@ -86,12 +86,12 @@
 	Class string   `toml:"class"`
 }
 
-// The retry habits of clients whose request was rejected or failed.
+// The retry policies of clients whose request was rejected or failed.
 const (
 	NoRetry    = "none"        // no retry
 	AtOnce     = "at_once"     // retry immediately
-	AfterWait  = "wait"        // retry after Class.Wait
-	RetryAfter = "retry_after" // retry after the time in Retry-After, or Class.Wait without it
+	AfterWait  = "wait"        // retry after Class.RetryWait
+	RetryAfter = "retry_after" // retry after the time in Retry-After, or Class.RetryWait without it
 )
 
 // The upper bounds of a plan's values.
@@ -147,14 +147,14 @@
 	if len(p.Classes) == 0 || len(p.Classes) > maxClasses {
 		return fmt.Errorf("class: from 1 to %d are needed", maxClasses)
 	}
-	totalPart := 0.0
+	totalWeight := 0.0
 	for i := range p.Classes {
 		if err := p.Classes[i].complete(); err != nil {
 			return fmt.Errorf("class[%d].%w", i, err)
 		}
-		totalPart += p.Classes[i].Weight
+		totalWeight += p.Classes[i].Weight
 	}
-	if totalPart <= 0 {
+	if totalWeight <= 0 {
 		return errors.New("class[0].part: all parts are 0")
 	}
 	if b := &p.Batch; b.Every > 0 {
@@ -188,9 +188,9 @@
 	setDefault(&c.MaxTokens, 200)
 	setDefault(&c.Turns, 1)
 	setDefault(&c.Prefixes, 1)
-	setDefault(&c.RetryHabit, RetryAfter)
+	setDefault(&c.RetryPolicy, RetryAfter)
 	setDefault(&c.RetryWait, Duration(500*time.Millisecond))
-	if c.RetryHabit != NoRetry {
+	if c.RetryPolicy != NoRetry {
 		setDefault(&c.Retries, 2)
 	}
 	switch {
@@ -202,19 +202,20 @@
 		return fmt.Errorf("turns: %g is not from 1 to 50", c.Turns)
 	case c.Prompt < 1 || c.Prompt > 60_000:
 		return fmt.Errorf("prompt_tokens: %g is not from 1 to 60000", c.Prompt)
-	case c.Shared < 0 || c.Shared > 30_000:
-		return fmt.Errorf("shared_tokens: %g is not from 0 to 30000", c.Shared)
+	case c.PrefixTokens < 0 || c.PrefixTokens > 30_000:
+		return fmt.Errorf("shared_tokens: %g is not from 0 to 30000", c.PrefixTokens)
 	case c.Spread < 0 || c.Spread > 3:
 		return fmt.Errorf("spread: %g is not from 0 to 3", c.Spread)
 	case c.MaxTokens < 1 || c.MaxTokens > 1e5:
 		return fmt.Errorf("max_tokens: %g is not from 1 to 100000", c.MaxTokens)
 	case c.Prefixes < 1 || c.Prefixes > 10_000:
 		return fmt.Errorf("beginnings: %d is not from 1 to 10000", c.Prefixes)
-	case !strings.Contains(" none at_once wait retry_after ", " "+c.RetryHabit+" "):
-		return fmt.Errorf("habit: %q is none of \"none\", \"at_once\", \"wait\" and \"retry_after\"", c.RetryHabit)
+	case !strings.Contains(" none at_once wait retry_after ", " "+c.RetryPolicy+" "):
+		return fmt.Errorf("habit: %q is none of \"none\", \"at_once\", \"wait\" and \"retry_after\"", c.RetryPolicy)
 	case c.Retries < 0 || c.Retries > 20:
 		return fmt.Errorf("retries: %d is not from 0 to 20", c.Retries)
-	case c.Timeout <= 0 || c.RetryWait < 0 || c.Think < 0 || c.TTFTObjective < 0 || c.TTFTObjectivePer1000Tokens < 0 || c.TPOTObjective < 0:
+	case c.Timeout <= 0 || c.RetryWait < 0 || c.ThinkTime < 0 || c.TTFTObjective < 0 ||
+		c.TTFTObjectivePer1000Tokens < 0 || c.TPOTObjective < 0:
 		return errors.New("give_up, wait, think, first_token, per_1000_prompt_tokens, token_gap: " +
 			"no duration may be negative")
 	}
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -41,8 +41,8 @@
 	InFlight          int           // requests in flight
 	Second            Second        // results of the last complete second
 	All               *Results      // results so far
-	Lagging           bool          // whether the send lag exceeds Plan.Lag
-	Unfinished        int
+	Lagging           bool          // whether the send lag exceeds Plan.MaxSendLag
+	Unfinished        int           // not set at present
 }
 
 // runner is the state of a run. Times in the run are durations since startedAt.
@@ -153,14 +153,14 @@
 		case <-tick.C:
 		}
 		at := r.elapsed(r.startedAt)
-		p := Progress{Elapsed: at, Duration: duration, InFlight: len(r.inFlight), All: newFigures()}
+		p := Progress{Elapsed: at, Duration: duration, InFlight: len(r.inFlight), All: newResults()}
 		if r.Plan.Compiled != nil && r.Calls == nil {
 			p.Rate = r.Plan.Compiled.Rate(at.Seconds())
 		}
 		r.collector.mu.Lock()
 		r.collector.inFlight = len(r.inFlight)
-		for _, f := range r.collector.classes {
-			p.All.Merge(f)
+		for _, res := range r.collector.classes {
+			p.All.Merge(res)
 		}
 		if i := int(at/time.Second) - 1; i >= 0 && i < len(r.collector.seconds) {
 			p.Second = r.collector.seconds[i]
@@ -196,12 +196,12 @@
 func (r *runner) startSessions(ctx context.Context, duration time.Duration) {
 	p := r.Plan
 	rng := rand.New(rand.NewPCG(p.Seed, 0x10ad))
-	totalPart, sessionWeight := 0.0, 0.0
+	totalWeight, sessionWeight := 0.0, 0.0
 	for _, c := range p.Classes {
-		totalPart += c.Weight
+		totalWeight += c.Weight
 		sessionWeight += c.Weight / c.Turns
 	}
-	sessionsPerRequest := sessionWeight / totalPart
+	sessionsPerRequest := sessionWeight / totalWeight
 	arrivals := &Arrivals{Pattern: p.Compiled, EvenlySpaced: p.EvenlySpaced, Random: rng.Float64}
 	for n := uint64(1); ; n++ {
 		var at float64
@@ -251,12 +251,12 @@
 	prefixNumber := rng.IntN(c.Prefixes)
 	messages := []message{}
 	promptTokens := 0.0
-	if c.Shared > 0 {
+	if c.PrefixTokens > 0 {
 		messages = append(messages, message{"system",
-			randomText(rand.New(rand.NewPCG(uint64(prefixNumber), uint64(len(c.Name)))), c.Shared)})
-		promptTokens = c.Shared
+			randomText(rand.New(rand.NewPCG(uint64(prefixNumber), uint64(len(c.Name)))), c.PrefixTokens)})
+		promptTokens = c.PrefixTokens
 	}
-	prefix := splitmix(uint64(prefixNumber)<<16 + uint64(len(c.Name)) + uint64(c.Shared))
+	prefix := splitmix(uint64(prefixNumber)<<16 + uint64(len(c.Name)) + uint64(c.PrefixTokens))
 	key := splitmix(n + r.Plan.Seed<<32)
 	for turn := 0; ; turn++ {
 		newTokens := max(1, c.Prompt*math.Exp(c.Spread*rng.NormFloat64()-c.Spread*c.Spread/2))
@@ -266,9 +266,9 @@
 		promptTokens += newTokens
 		messages = append(messages, message{"user", randomText(rng, newTokens)})
 		call := Call{At: intended.Seconds(), Class: c.Name, Tenant: c.Tenant, Session: key,
-			Prompt: math.Round(promptTokens), Out: c.MaxTokens}
-		if c.Shared > 0 {
-			call.Prefix, call.Shared = prefix, c.Shared
+			Prompt: math.Round(promptTokens), MaxTokens: c.MaxTokens}
+		if c.PrefixTokens > 0 {
+			call.Prefix, call.PrefixTokens = prefix, c.PrefixTokens
 		}
 		response, ok := r.send(ctx, call, c, messages, intended, rng)
 		if !ok || rng.Float64() < 1/c.Turns {
@@ -276,7 +276,7 @@
 		}
 		messages = append(messages, message{"assistant", response})
 		promptTokens += float64(len(response)) / bytesPerToken
-		intended = r.elapsed(r.startedAt) + time.Duration(float64(c.Think)*rng.ExpFloat64())
+		intended = r.elapsed(r.startedAt) + time.Duration(float64(c.ThinkTime)*rng.ExpFloat64())
 		if !r.waitUntil(ctx, intended) {
 			return
 		}
@@ -298,18 +298,18 @@
 		if !r.waitUntil(ctx, intended) {
 			return
 		}
-		c := &Class{Name: call.Class, RetryHabit: NoRetry, Timeout: Duration(10 * time.Second)}
+		c := &Class{Name: call.Class, RetryPolicy: NoRetry, Timeout: Duration(10 * time.Second)}
 		if k := r.Plan.classIndex(call.Class); k >= 0 {
 			c = &r.Plan.Classes[k]
 		}
 		r.background.Go(func() {
 			rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(i)))
 			messages := []message{}
-			if call.Shared > 0 {
+			if call.PrefixTokens > 0 {
 				messages = append(messages,
-					message{"system", randomText(rand.New(rand.NewPCG(call.Prefix, 1)), call.Shared)})
+					message{"system", randomText(rand.New(rand.NewPCG(call.Prefix, 1)), call.PrefixTokens)})
 			}
-			messages = append(messages, message{"user", randomText(rng, call.Prompt-call.Shared)})
+			messages = append(messages, message{"user", randomText(rng, call.Prompt-call.PrefixTokens)})
 			r.send(ctx, call, c, messages, intended, rng)
 		})
 	}
@@ -323,29 +323,29 @@
 			c := &r.Plan.Classes[0]
 			for ctx.Err() == nil {
 				now := r.elapsed(r.startedAt)
-				r.send(ctx, Call{At: now.Seconds(), Class: c.Name, Prompt: c.Prompt, Out: c.MaxTokens}, c,
+				r.send(ctx, Call{At: now.Seconds(), Class: c.Name, Prompt: c.Prompt, MaxTokens: c.MaxTokens}, c,
 					[]message{{"user", randomText(rng, c.Prompt)}}, now, rng)
 			}
 		})
 	}
 }
 
-// send sends a request, with retries as the class's habit has them, and returns the text of the response. Latency
+// send sends a request, with retries as the class's RetryPolicy has them, and returns the text of the response. Latency
 // counts from the intended time of the first attempt.
 func (r *runner) send(ctx context.Context, call Call, c *Class, messages []message, intended time.Duration,
 	rng *rand.Rand) (string, bool) {
 	if r.Record != nil {
 		r.Record.Write(call)
 	}
-	r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Intended++; s.Asked++ })
+	r.collector.update(c.Name, intended, func(res *Results, s *Second) { res.Intended++; s.Asked++ })
 	body, err := json.Marshal(struct {
 		Model     string    `json:"model"`
 		Stream    bool      `json:"stream"`
 		MaxTokens float64   `json:"max_tokens"`
 		Messages  []message `json:"messages"`
-	}{"chat", true, call.Out, messages})
+	}{"chat", true, call.MaxTokens, messages})
 	if err != nil || len(body) > maxBodyBytes {
-		r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Failed++; s.Failed++ })
+		r.collector.update(c.Name, intended, func(res *Results, s *Second) { res.Failed++; s.Failed++ })
 		return "", false
 	}
 	due := intended
@@ -353,7 +353,7 @@
 		select {
 		case r.inFlight <- struct{}{}:
 		default:
-			r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.NotSent++; s.Failed++ })
+			r.collector.update(c.Name, intended, func(res *Results, s *Second) { res.NotSent++; s.Failed++ })
 			return "", false
 		}
 		sent := r.elapsed(r.startedAt)
@@ -364,30 +364,30 @@
 			return result.text, true
 		}
 		if ctx.Err() != nil { // interrupted by the end of the run
-			r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Intended--; s.Asked-- })
+			r.collector.update(c.Name, intended, func(res *Results, s *Second) { res.Intended--; s.Asked-- })
 			return "", false
 		}
 		wait, retries := r.retryDelay(c, result, retry, rng)
 		if !retries {
-			r.collector.update(c.Name, intended, func(f *Results, s *Second) {
+			r.collector.update(c.Name, intended, func(res *Results, s *Second) {
 				switch {
 				case result.status == http.StatusTooManyRequests || result.status == http.StatusServiceUnavailable:
-					f.Rejected++
+					res.Rejected++
 					s.TurnedDown++
 				case errors.Is(result.err, context.DeadlineExceeded):
-					f.TimedOut++
+					res.TimedOut++
 					s.Failed++
 				default:
-					f.Failed++
+					res.Failed++
 					s.Failed++
 				}
 			})
 			return "", false
 		}
-		r.collector.update(c.Name, intended, func(f *Results, _ *Second) { f.Retries++ })
+		r.collector.update(c.Name, intended, func(res *Results, _ *Second) { res.Retries++ })
 		due = r.elapsed(r.startedAt) + wait
 		if !r.waitUntil(ctx, due) {
-			r.collector.update(c.Name, intended, func(f *Results, s *Second) { f.Intended--; s.Asked-- })
+			r.collector.update(c.Name, intended, func(res *Results, s *Second) { res.Intended--; s.Asked-- })
 			return "", false
 		}
 	}
@@ -395,11 +395,11 @@
 
 // retryDelay returns the delay before a class's clients retry a request that was not served, and whether they do.
 func (r *runner) retryDelay(c *Class, result attemptResult, retry int, rng *rand.Rand) (time.Duration, bool) {
-	if retry >= c.Retries || c.RetryHabit == NoRetry {
+	if retry >= c.Retries || c.RetryPolicy == NoRetry {
 		return 0, false
 	}
 	jitter := 0.8 + 0.4*rng.Float64()
-	switch c.RetryHabit {
+	switch c.RetryPolicy {
 	case AtOnce:
 		return 0, true
 	case RetryAfter:
@@ -417,21 +417,23 @@
 	if result.tokens > 1 {
 		tokenGap = (result.total - result.first) / time.Duration(result.tokens-1)
 	}
-	objective := time.Duration(c.TTFTObjective) + time.Duration(float64(c.TTFTObjectivePer1000Tokens)*call.Prompt/1000)
-	inTime := (objective == 0 || first <= objective) && (c.TPOTObjective == 0 || tokenGap <= time.Duration(c.TPOTObjective))
-	r.collector.update(c.Name, intended, func(f *Results, s *Second) {
-		f.Served++
+	objective := time.Duration(c.TTFTObjective) +
+		time.Duration(float64(c.TTFTObjectivePer1000Tokens)*call.Prompt/1000)
+	inTime := (objective == 0 || first <= objective) &&
+		(c.TPOTObjective == 0 || tokenGap <= time.Duration(c.TPOTObjective))
+	r.collector.update(c.Name, intended, func(res *Results, s *Second) {
+		res.Served++
 		s.Served++
 		if inTime {
-			f.InTime++
+			res.InTime++
 			s.InTime++
 		}
-		recordDuration(f.FirstToken, first)
-		recordDuration(f.SinceSend, result.first)
-		recordDuration(f.Total, sent+result.total-intended)
-		recordDuration(f.SendLag, sent-due)
+		recordDuration(res.FirstToken, first)
+		recordDuration(res.SinceSend, result.first)
+		recordDuration(res.Total, sent+result.total-intended)
+		recordDuration(res.SendLag, sent-due)
 		if tokenGap > 0 {
-			recordDuration(f.TokenGap, tokenGap)
+			recordDuration(res.TokenGap, tokenGap)
 		}
 		s.FirstMS = max(s.FirstMS, float64(first.Microseconds())/1000)
 	})
@@ -473,7 +475,7 @@
 		header.Set("X-Object", fmt.Sprintf("%016x", call.Session))
 	}
 	header.Set("X-Props", fmt.Sprintf("prefix=%016x,prompt_len=%.0f,prefix_len=%.0f,max_out=%.0f",
-		call.Prefix, call.Prompt, call.Shared, call.Out))
+		call.Prefix, call.Prompt, call.PrefixTokens, call.MaxTokens))
 	if retry > 0 {
 		header.Set("X-Second-Try", "1")
 	}
@@ -549,10 +551,10 @@
 				return
 			}
 			_ = err // lines without a result are counted as failed
-			r.collector.update(c.Name, r.elapsed(r.startedAt), func(f *Results, _ *Second) {
-				f.BatchLines += r.Plan.Batch.Lines
-				f.BatchServed += served
-				f.BatchFailed += r.Plan.Batch.Lines - served
+			r.collector.update(c.Name, r.elapsed(r.startedAt), func(res *Results, _ *Second) {
+				res.BatchLines += r.Plan.Batch.Lines
+				res.BatchServed += served
+				res.BatchFailed += r.Plan.Batch.Lines - served
 			})
 		})
 	}
--- a/internal/lab/load/trace.go
+++ b/internal/lab/load/trace.go
@@ -12,14 +12,14 @@
 
 // Call is one request of a trace: its intended time, class and sizes.
 type Call struct {
-	At      float64 `json:"at_s"` // seconds since the start of the trace
-	Class   string  `json:"class"`
-	Tenant  string  `json:"tenant,omitempty"`
-	Session uint64  `json:"session,omitempty"`       // session key; 0: none
-	Prefix  uint64  `json:"prefix,omitempty"`        // key of the shared prefix; 0: none
-	Prompt  float64 `json:"prompt_tokens"`           // length of the whole prompt
-	Shared  float64 `json:"shared_tokens,omitempty"` // length of its shared prefix
-	Out     float64 `json:"max_tokens"`              // maximum length of the response
+	At           float64 `json:"at_s"` // seconds since the start of the trace
+	Class        string  `json:"class"`
+	Tenant       string  `json:"tenant,omitempty"`
+	Session      uint64  `json:"session,omitempty"`       // session key; 0: none
+	Prefix       uint64  `json:"prefix,omitempty"`        // key of the shared prefix; 0: none
+	Prompt       float64 `json:"prompt_tokens"`           // length of the whole prompt
+	PrefixTokens float64 `json:"shared_tokens,omitempty"` // length of its shared prefix
+	MaxTokens    float64 `json:"max_tokens"`              // maximum length of the response
 }
 
 const (
@@ -62,7 +62,7 @@
 			continue
 		}
 		if c.Class == "" || !(c.At >= 0 && c.At < 1e9) || !(c.Prompt >= 1 && c.Prompt <= 1e6) ||
-			!(c.Out >= 1 && c.Out <= 1e6) || !(c.Shared >= 0 && c.Shared <= c.Prompt) {
+			!(c.MaxTokens >= 1 && c.MaxTokens <= 1e6) || !(c.PrefixTokens >= 0 && c.PrefixTokens <= c.Prompt) {
 			faults.OutOfRange++
 			continue
 		}
--- a/internal/lab/stage/discovery.go
+++ b/internal/lab/stage/discovery.go
@@ -93,19 +93,19 @@
 	closers       []func()
 }
 
-func (h *discoveryRun) close() {
-	for i := len(h.closers) - 1; i >= 0; i-- {
-		h.closers[i]()
+func (d *discoveryRun) close() {
+	for i := len(d.closers) - 1; i >= 0; i-- {
+		d.closers[i]()
 	}
 }
 
 // start starts a measurement with n backends in the zone. Only if serve is set do they exist; else they are records
 // alone.
-func (o DiscoveryOptions) start(ctx context.Context, mechanism string, n int, serve bool) (h *discoveryRun, err error) {
-	h = &discoveryRun{DiscoveryOptions: o}
+func (o DiscoveryOptions) start(ctx context.Context, mechanism string, n int, serve bool) (d *discoveryRun, err error) {
+	d = &discoveryRun{DiscoveryOptions: o}
 	defer func() {
 		if err != nil {
-			h.close()
+			d.close()
 		}
 	}()
 	z := responder.NewZone(zoneDomain, 1)
@@ -121,45 +121,45 @@
 			}
 			times := &requestTimes{}
 			s := serveStub(l, times)
-			h.closers = append(h.closers, func() { s.Close() })
-			h.requestTimes = append(h.requestTimes, times)
+			d.closers = append(d.closers, func() { s.Close() })
+			d.requestTimes = append(d.requestTimes, times)
 			address = netip.MustParseAddrPort(l.Addr().String())
 		}
-		h.backends = append(h.backends, responder.Instance{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService,
+		d.backends = append(d.backends, responder.Instance{Label: fmt.Sprintf("box-%d", i+1), Service: zoneService,
 			Address: address, TTL: 120,
 			Text: []string{"site=hall-a", "class=fast", "born_ms=1"}})
 	}
-	if err := z.Publish(h.backends...); err != nil {
+	if err := z.Publish(d.backends...); err != nil {
 		return nil, err
 	}
-	if h.server, err = responder.Start(z, "127.0.0.1:0", nil); err != nil {
+	if d.server, err = responder.Start(z, "127.0.0.1:0", nil); err != nil {
 		return nil, err
 	}
-	h.closers = append(h.closers, func() { _ = h.server.Close() })
-	return h, h.startDaemon(ctx, mechanism, n)
+	d.closers = append(d.closers, func() { _ = d.server.Close() })
+	return d, d.startDaemon(ctx, mechanism, n)
 }
 
 // startDaemon starts the daemon and waits until it has found all n backends.
-func (h *discoveryRun) startDaemon(ctx context.Context, mechanism string, n int) error {
-	if err := os.MkdirAll(h.Dir, 0o700); err != nil {
+func (d *discoveryRun) startDaemon(ctx context.Context, mechanism string, n int) error {
+	if err := os.MkdirAll(d.Dir, 0o700); err != nil {
 		return err
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	h.clientAddress = l.Addr().String()
+	d.clientAddress = l.Addr().String()
 	l.Close()
-	browseMode, server, push, poll, refresh := "poll", h.server.Address, "", "150ms", "2s"
+	browseMode, server, push, poll, refresh := "poll", d.server.Address, "", "150ms", "2s"
 	switch mechanism {
 	case "push":
-		browseMode, push = "push", fmt.Sprintf("push = %q\n", h.server.Address)
+		browseMode, push = "push", fmt.Sprintf("push = %q\n", d.server.Address)
 	case "mdns":
-		browseMode, server = "mdns", h.server.MDNSAddress
+		browseMode, server = "mdns", d.server.MDNSAddress
 	case "all":
 		refresh = "150ms"
 	}
-	file := filepath.Join(h.Dir, "operator.toml")
+	file := filepath.Join(d.Dir, "operator.toml")
 	text := fmt.Sprintf(`# Written by "lab discovery".
 name = "node-1"
 listen = %q
@@ -192,20 +192,20 @@
 service = %q
 domain = %q
 news = %q
-%s`, h.clientAddress, poll, refresh, server, zoneService, zoneDomain, browseMode, push)
+%s`, d.clientAddress, poll, refresh, server, zoneService, zoneDomain, browseMode, push)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
 	// one core, as in the operators' installations
-	if h.process, err = StartProgram(h.Program, file, filepath.Join(h.Dir, "standpoint.log"),
+	if d.process, err = StartProgram(d.Program, file, filepath.Join(d.Dir, "standpoint.log"),
 		"GOMAXPROCS=1"); err != nil {
 		return err
 	}
-	h.closers = append(h.closers, func() { _ = h.process.Stop() })
-	h.control = control.NewClient("unix:"+filepath.Join(h.Dir, "control.sock"), "")
-	return h.process.WaitReady(time.Minute, func() bool {
+	d.closers = append(d.closers, func() { _ = d.process.Stop() })
+	d.control = control.NewClient("unix:"+filepath.Join(d.Dir, "control.sock"), "")
+	return d.process.WaitReady(time.Minute, func() bool {
 		var all []endpoints.Origin
-		if h.control.Call(ctx, http.MethodGet, "/v1/entries", nil, &all) != nil {
+		if d.control.Call(ctx, http.MethodGet, "/v1/entries", nil, &all) != nil {
 			return ctx.Err() != nil
 		}
 		ready := 0
@@ -221,7 +221,7 @@
 
 // sendLoad sends requests at a steady rate until the context ends, and counts them and those that fail. The counts may
 // be read after wait.
-func (h *discoveryRun) sendLoad(ctx context.Context) (requests, failed *int, wait func()) {
+func (d *discoveryRun) sendLoad(ctx context.Context) (requests, failed *int, wait func()) {
 	requests, failed = new(int), new(int)
 	var mu sync.Mutex
 	var pending sync.WaitGroup
@@ -229,7 +229,7 @@
 		IdleConnTimeout: 4 * time.Second}, Timeout: 6 * time.Second}
 	inFlight := make(chan struct{}, maxInFlight)
 	pending.Go(func() {
-		tick := time.NewTicker(time.Duration(float64(time.Second) / h.Rate))
+		tick := time.NewTicker(time.Duration(float64(time.Second) / d.Rate))
 		defer tick.Stop()
 		for n := 0; ; n++ {
 			select {
@@ -244,7 +244,7 @@
 			}
 			pending.Go(func() {
 				defer func() { <-inFlight }()
-				r, err := http.NewRequest(http.MethodPost, "http://"+h.clientAddress+"/v1/chat/completions",
+				r, err := http.NewRequest(http.MethodPost, "http://"+d.clientAddress+"/v1/chat/completions",
 					bytes.NewReader([]byte(`{"stream":true,"messages":[{"role":"user","content":"a"}]}`)))
 				if err != nil {
 					return
@@ -306,16 +306,16 @@
 // the requests sent meanwhile and of those that failed.
 func (o DiscoveryOptions) withdrawals(ctx context.Context, mechanism string, loss float64) (
 	delays []time.Duration, requests, failed int, err error) {
-	h, err := o.start(ctx, mechanism, withdrawalBackends, true)
+	d, err := o.start(ctx, mechanism, withdrawalBackends, true)
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	defer h.close()
+	defer d.close()
 	loading, stop := context.WithCancel(ctx)
 	defer stop()
-	requestCount, failureCount, wait := h.sendLoad(loading)
+	requestCount, failureCount, wait := d.sendLoad(loading)
 	time.Sleep(time.Second)
-	h.server.SetFaults(responder.Faults{Loss: loss})
+	d.server.SetFaults(responder.Faults{Loss: loss})
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	tick := time.NewTicker(withdrawInterval)
@@ -329,7 +329,7 @@
 		case <-tick.C:
 		}
 		k := i % withdrawalBackends
-		if err := h.server.Zone.Withdraw(h.backends[k]); err != nil {
+		if err := d.server.Zone.Withdraw(d.backends[k]); err != nil {
 			return nil, 0, 0, err
 		}
 		withdrawnAt := time.Now()
@@ -337,15 +337,15 @@
 			// A backend that still gets requests after the quiet period stays withdrawn until they end, for up to 10 s.
 			for limit := withdrawnAt.Add(10 * time.Second); time.Now().Before(limit); {
 				time.Sleep(quietPeriod)
-				if last := h.requestTimes[k].latest(); time.Since(last) > quietPeriod {
+				if last := d.requestTimes[k].latest(); time.Since(last) > quietPeriod {
 					break
 				}
 			}
-			last := h.requestTimes[k].latest()
+			last := d.requestTimes[k].latest()
 			mu.Lock()
 			delays = append(delays, max(0, last.Sub(withdrawnAt)))
 			mu.Unlock()
-			_ = h.server.Zone.Publish(h.backends[k])
+			_ = d.server.Zone.Publish(d.backends[k])
 		})
 	}
 	all.Wait()
@@ -376,14 +376,14 @@
 
 // cost measures one mechanism with n backends in the zone.
 func (o DiscoveryOptions) cost(ctx context.Context, mechanism string, n int, out io.Writer) error {
-	h, err := o.start(ctx, mechanism, n, false)
+	d, err := o.start(ctx, mechanism, n, false)
 	if err != nil {
 		return err
 	}
-	defer h.close()
+	defer d.close()
 	time.Sleep(2 * time.Second)
-	queriesBefore := h.server.QueryCount.Load()
-	cpu, _, err := usage(h.process.Process.Pid)
+	queriesBefore := d.server.QueryCount.Load()
+	cpu, _, err := usage(d.process.Process.Pid)
 	if err != nil {
 		return err
 	}
@@ -393,13 +393,13 @@
 		return ctx.Err()
 	case <-time.After(o.Duration):
 	}
-	used, memory, err := usage(h.process.Process.Pid)
+	used, memory, err := usage(d.process.Process.Pid)
 	if err != nil {
 		return err
 	}
 	elapsed := time.Since(began).Seconds()
 	fmt.Fprintf(out, "%-6s %5d  %11.1f  %12.1f%%  %9.0f\n", mechanism, n,
-		float64(h.server.QueryCount.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
+		float64(d.server.QueryCount.Load()-queriesBefore)/elapsed, 100*(used-cpu)/elapsed, memory)
 	return nil
 }
 
--- a/internal/lab/stage/stage.go
+++ b/internal/lab/stage/stage.go
@@ -59,7 +59,7 @@
 	Out        io.Writer // progress messages
 }
 
-// Point has the figures of one second of a run.
+// Point has the results of one second of a run.
 type Point struct {
 	At            float64         `json:"at_s"`
 	OfferedWeight float64         `json:"asked"`   // weight of the requests that arrived in this second
@@ -159,11 +159,11 @@
 	kinds := lab.BackendKinds()
 	r := &server.RunningFleet{}
 	for i := range n {
-		figures := kinds[i%len(kinds)]
-		figures.Capacity = figures.MaxRate(700, 1500, 105, 0.05)
+		parameters := kinds[i%len(kinds)]
+		parameters.Capacity = parameters.MaxRate(700, 1500, 105, 0.05)
 		backend, err := server.Start(server.Options{Name: fmt.Sprintf("%s-%d", name, i+1), Listen: "127.0.0.1:0",
-			Figures: figures,
-			Seed:    s.Seed + uint64(i), Cold: cold, MeanTokens: f.MeanTokens, TokenSpread: f.TokenSpread})
+			Parameters: parameters,
+			Seed:       s.Seed + uint64(i), Cold: cold, MeanTokens: f.MeanTokens, TokenSpread: f.TokenSpread})
 		if err != nil {
 			return nil, errors.Join(err, r.Close())
 		}
@@ -346,15 +346,15 @@
 
 // startSessions starts client sessions as a Poisson process, whether or not responses arrive.
 func (s *demo) startSessions(ctx context.Context) {
-	turns := 0.0
+	sessionsPerRequest := 0.0
 	for _, c := range s.classes {
-		turns += c.RequestShare / c.MeanTurns
+		sessionsPerRequest += c.RequestShare / c.MeanTurns
 	}
 	next := time.Now()
 	for n := uint64(1); ctx.Err() == nil; n++ {
 		s.mu.Lock()
-		next = next.Add(time.Duration(s.rng.ExpFloat64() / (s.Rate * turns) * 1e9))
-		pick := s.rng.Float64() * turns
+		next = next.Add(time.Duration(s.rng.ExpFloat64() / (s.Rate * sessionsPerRequest) * 1e9))
+		pick := s.rng.Float64() * sessionsPerRequest
 		seed := s.rng.Uint64()
 		s.mu.Unlock()
 		select {
