--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,7 +18,7 @@
 		Settle:      20}
 }
 
-// Guards against nondeterminism: two runs of a seed must agree in every figure.
+// Guards against nondeterminism: two runs of a seed must agree in every result.
 func TestRunsAreDeterministic(t *testing.T) {
 	c := smallCase(5, Fault{Slow: 2})
 	c.Trace = true
--- a/internal/lab/load/figures.go
+++ b/internal/lab/load/figures.go
@@ -134,7 +134,7 @@
 type Second struct {
 	Asked, Served, InTime, TurnedDown, Failed int
 	FirstMS                                   float64 // the longest time to the first event, in milliseconds
-	Out                                       int     // requests in flight when the second's first result was recorded
+	Out                                       int     // collector.inFlight at the second's first change
 }
 
 // Report is the result of a run.
@@ -254,7 +254,7 @@
 	mu       sync.Mutex
 	classes  map[string]*Results
 	seconds  []Second
-	inFlight int
+	inFlight int // requests in flight at the last call of Options.Progress; 0 without one
 }
 
 // update applies a change to the results of a class and to those of the second that contains at, an intended time.
--- a/internal/lab/rig/budgets.go
+++ b/internal/lab/rig/budgets.go
@@ -14,13 +14,13 @@
 	TogetherAfter time.Duration // from the end of the faults until all nodes were together again
 }
 
-// RunBudgets runs a fleet with shared budgets under load and random faults for span. Then all faults end, and the
-// budgets' windows, the nodes' invariants and the backends' records are checked. The error describes the first
+// RunBudgets runs a fleet with shared budgets under load and random faults for faultDuration. Then all faults end, and
+// the budgets' windows, the nodes' invariants and the backends' records are checked. The error describes the first
 // violation.
 func RunBudgets(
 	ctx context.Context,
 	options Options,
-	span time.Duration,
+	faultDuration time.Duration,
 	requestsPerSecond float64,
 ) (BudgetResult, error) {
 	var result BudgetResult
@@ -32,7 +32,7 @@
 	if err := r.StartAll(ctx); err != nil {
 		return result, err
 	}
-	faulty, cancelFaults := context.WithTimeout(ctx, span)
+	faulty, cancelFaults := context.WithTimeout(ctx, faultDuration)
 	defer cancelFaults()
 	loaded, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
--- a/internal/lab/rig/disturb.go
+++ b/internal/lab/rig/disturb.go
@@ -25,7 +25,7 @@
 	for ctx.Err() == nil {
 		node := r.Nodes[r.rng.IntN(len(r.Nodes))]
 		other := (r.nodeIndex(node) + 1 + r.rng.IntN(len(r.Nodes)-1)) % len(r.Nodes)
-		span := time.Duration(300+r.rng.IntN(1700)) * time.Millisecond
+		duration := time.Duration(300+r.rng.IntN(1700)) * time.Millisecond
 		kind := r.rng.IntN(9)
 		if r.NoProcessFaults && kind >= 4 && kind <= 6 {
 			kind = 0
@@ -33,7 +33,7 @@
 		switch kind {
 		case 0: // a partition: the first one or more nodes, up to half of them, are separated from the others
 			side := 1 + r.rng.IntN(len(r.Nodes)/2)
-			r.Log("%d nodes are partitioned from the others for %v", side, span)
+			r.Log("%d nodes are partitioned from the others for %v", side, duration)
 			for i := range r.Nodes {
 				for j := range r.Nodes {
 					if (i < side) != (j < side) {
@@ -41,13 +41,13 @@
 					}
 				}
 			}
-			after(span, r.Network.ClearConditions)
+			after(duration, r.Network.ClearConditions)
 		case 1: // one direction between two nodes is blocked
-			r.Log("%s does not reach n%d for %v", node.Name, other, span)
+			r.Log("%s does not reach n%d for %v", node.Name, other, duration)
 			r.Network.SetConditions(r.nodeIndex(node), other, faults.Conditions{Blocked: true})
-			after(span, func() { r.Network.SetConditions(r.nodeIndex(node), other, faults.Conditions{}) })
+			after(duration, func() { r.Network.SetConditions(r.nodeIndex(node), other, faults.Conditions{}) })
 		case 2, 3: // all packets may be dropped, duplicated, delayed and reordered
-			r.Log("packet loss between all nodes for %v", span)
+			r.Log("packet loss between all nodes for %v", duration)
 			for i := range r.Nodes {
 				for j := range r.Nodes {
 					r.Network.SetConditions(
@@ -62,19 +62,19 @@
 					)
 				}
 			}
-			after(span, r.Network.ClearConditions)
+			after(duration, r.Network.ClearConditions)
 		case 4:
-			r.Log("%s is killed for %v", node.Name, span)
+			r.Log("%s is killed for %v", node.Name, duration)
 			node.Kill()
-			after(span, func() {
+			after(duration, func() {
 				if err := node.Start(); err != nil {
 					r.Log("%s: start failed: %v", node.Name, err)
 				}
 			})
 		case 5, 6:
-			r.Log("%s is suspended for %v", node.Name, span)
+			r.Log("%s is suspended for %v", node.Name, duration)
 			node.SetSuspended(true)
-			after(span, func() { node.SetSuspended(false) })
+			after(duration, func() { node.SetSuspended(false) })
 		default:
 			r.Log("streams between %s and n%d are reset", node.Name, other)
 			r.Network.ResetStreams(r.nodeIndex(node), other)
--- a/internal/lab/rig/ledgers.go
+++ b/internal/lab/rig/ledgers.go
@@ -18,13 +18,13 @@
 	Overdrawn      int64         // tokens spent beyond the budgets, over all windows
 }
 
-// RunLedgers runs a fleet whose last node is a site. The site's connection to the core nodes is blocked for span, while
-// the network between the core nodes has other faults. Then all faults end, and all ledgers must converge to the same
-// totals, which must equal those recorded by the backends to the token.
+// RunLedgers runs a fleet whose last node is a site. The site's connection to the core nodes is blocked for
+// faultDuration, while the network between the core nodes has other faults. Then all faults end, and all ledgers must
+// converge to the same totals, which must equal those recorded by the backends to the token.
 func RunLedgers(
 	ctx context.Context,
 	options Options,
-	span time.Duration,
+	faultDuration time.Duration,
 	requestsPerSecond float64,
 ) (LedgerResult, error) {
 	var result LedgerResult
@@ -40,12 +40,12 @@
 		return result, err
 	}
 	site := r.Nodes[len(r.Nodes)-1]
-	load := func(span time.Duration, seed uint64) Load {
-		loaded, cancel := context.WithTimeout(ctx, span)
+	load := func(duration time.Duration, seed uint64) Load {
+		loaded, cancel := context.WithTimeout(ctx, duration)
 		defer cancel()
 		return r.RunLoad(loaded, requestsPerSecond, seed)
 	}
-	result.Load = load(span/3, options.Seed)
+	result.Load = load(faultDuration/3, options.Seed)
 	for i := range len(r.Nodes) - 1 {
 		r.Network.SetConditions(i, len(r.Nodes)-1, faults.Conditions{Blocked: true})
 		r.Network.SetConditions(len(r.Nodes)-1, i, faults.Conditions{Blocked: true})
@@ -64,14 +64,14 @@
 	if err != nil {
 		return result, err
 	}
-	isolatedLoad := load(span, options.Seed+1)
+	isolatedLoad := load(faultDuration, options.Seed+1)
 	status, err := site.Status(ctx)
 	if err != nil {
 		return result, err
 	}
 	if status.SiteState != "alone" {
 		return result, fmt.Errorf("site state is %q after %v without connection, want \"alone\"",
-			status.SiteState, span)
+			status.SiteState, faultDuration)
 	}
 	after, err := site.LedgerStatus(ctx)
 	if err != nil {
--- a/internal/lab/rig/sessions.go
+++ b/internal/lab/rig/sessions.go
@@ -336,12 +336,13 @@
 	return received
 }
 
-// RunSessions runs conversations that call tools for span, with random faults meanwhile if withFaults is set. Then all
-// faults end, and the conversations' turns, prompts and responses are checked. The error describes the first violation.
+// RunSessions runs conversations that call tools for duration, with random faults meanwhile if withFaults is set. Then
+// all faults end, and the conversations' turns, prompts and responses are checked. The error describes the first
+// violation.
 func RunSessions(
 	ctx context.Context,
 	options Options,
-	span time.Duration,
+	duration time.Duration,
 	conversationsPerSecond float64,
 	maxCallingTurns int,
 	withFaults bool,
@@ -356,7 +357,7 @@
 	if err := r.StartAll(ctx); err != nil {
 		return SessionResult{}, err
 	}
-	loaded, stop := context.WithTimeout(ctx, span)
+	loaded, stop := context.WithTimeout(ctx, duration)
 	defer stop()
 	var faultsEnded atomic.Bool
 	done := make(chan error, 1)
