--- a/knownred_test.go
+++ b/knownred_test.go
@@ -29,8 +29,22 @@
 		},
 		"another fails":       {list: a, fail: "TestA TestC"},
 		"a listed one passes": {list: a + b, fail: "TestB", output: "passes, and its line is to go: ./x TestA"},
-		"it does not build":   {list: a, fail: "build", output: "did not fail as a test"},
-		"four":                {list: a + b + a + b, fail: "TestA TestB", output: "three may be known to fail"},
+		"listed with a number of repeats": {
+			list: "./x TestA -count=40: a race: 7\n", fail: "TestA", ok: true,
+			output: "known red: ./x TestA -count=40: a race: 7",
+		},
+		"listed with repeats, and passes in all": {
+			list: "./x TestA -count=40: a race: 7\n", output: "passes, and its line is to go: ./x TestA",
+		},
+		"listed with repeats, and another fails": {
+			list: "./x TestA -count=40: a race: 7\n", fail: "TestA TestC",
+		},
+		"no number of repeats": {
+			list: "./x TestA -count=0: a race: 7\n", fail: "TestA",
+			output: "not './package TestName: cause: issue'",
+		},
+		"it does not build": {list: a, fail: "build", output: "did not fail as a test"},
+		"four":              {list: a + b + a + b, fail: "TestA TestB", output: "three may be known to fail"},
 		"no cause": {
 			list: "./x TestA\n", fail: "TestA",
 			output: "not './package TestName: cause: issue'",
