--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -42,7 +42,8 @@
 	return mode
 }
 
-// tick sends this node's packets, and passes the suspicions that follow from those of others to the decision module.
+// tick sends this node's packets, updates the connectivity of a remote site, and passes the suspicions that follow from
+// the evidence of other nodes to the decision module.
 func (f *Fleet) tick() {
 	listed := f.listedMembers()
 	f.mu.Lock()
@@ -61,7 +62,7 @@
 	if f.siteConnectivity == nil {
 		return
 	}
-	dataMissing := f.LedgerBehind != nil && f.LedgerBehind()
+	dataMissing := f.LedgerOutOfSync != nil && f.LedgerOutOfSync()
 	if f.siteConnectivity.Update(f.Now(), f.coreAlive(), dataMissing) {
 		state, _ := f.siteConnectivity.Current()
 		f.Log.Info("site connectivity changed", zap.Stringer("state", state))
